--- /dev/null
+++ b/scripts/tests.sh
@@ -0,0 +1,11 @@
+#!/bin/sh
+# Lists the test, fuzz, example and benchmark functions of the repository, one a line: the package's folder, then the name. Lists
+# made before and after a change are compared to show that no test got lost. Files that git doesn't know yet are listed too.
+# Usage: scripts/tests.sh [folder of a repository]
+set -eu
+export LC_ALL=C
+cd "${1:-$(dirname "$0")/..}"
+git ls-files --cached --others --exclude-standard -- '*_test.go' | sort -u | while read -r file; do
+	[ -f "$file" ] || continue # deleted, and the deletion not yet committed
+	sed -nE "s|^func ((Test\|Fuzz\|Benchmark)([^a-z(][A-Za-z0-9_]*)?\|Example([^a-z(][A-Za-z0-9_]*)?)\(.*|$(dirname "$file") \1|p" "$file"
+done | grep -v ' TestMain$' | sort
