--- /dev/null
+++ b/cmd/otterkeep/recorded_test.go
@@ -0,0 +1,305 @@
+package main
+
+import (
+	"bufio"
+	"compress/gzip"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"otterseam/hold"
+	"otterseam/keep"
+	"otterseam/keeper"
+	"otterseam/lab/child"
+	"otterseam/lab/leak"
+	"otterseam/lab/sockets"
+	"otterseam/say"
+)
+
+// recordedFolder holds the folders of three stores as processes of the code of 2026-12-01 left them when they were killed,
+// the database files compressed, and what had been acknowledged until then.
+const recordedFolder = "testdata/recorded"
+
+// startLimit is for how long the stores may take to serve, in seconds. Names live for a minute of the groups' own clock,
+// which stands still while a group has no leader.
+const startLimit = 30 * time.Second
+
+// acknowledged is what the recorded stores had answered for.
+type acknowledged struct {
+	Cluster uint64             `json:"cluster"`
+	Lives   []uint32           `json:"lives"`
+	Totals  map[string]float64 `json:"totals"`
+	Batch   []hold.Used        `json:"batch"`
+}
+
+// unpack copies a recorded store's folder, and unpacks its database.
+func unpack(t *testing.T, from, to string) {
+	t.Helper()
+	if err := os.MkdirAll(to, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	packed, err := os.Open(filepath.Join(from, "held.db.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	plain, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	database, err := io.ReadAll(plain)
+	if err != nil {
+		t.Fatal(err)
+	}
+	count, err := os.ReadFile(filepath.Join(from, "held.count"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string][]byte{"held.db": database, "held.count": count} {
+		if err := os.WriteFile(filepath.Join(to, name), text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// startRecorded starts three stores of this build on the recorded folders, and waits until each group has a leader.
+func startRecorded(t *testing.T) (*keeper.List, *acknowledged) {
+	t.Helper()
+	dir := t.TempDir()
+	program := filepath.Join(dir, "store")
+	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	text, err := os.ReadFile(filepath.Join(recordedFolder, "acknowledged.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &acknowledged{}
+	if err := json.Unmarshal(text, want); err != nil {
+		t.Fatal(err)
+	}
+	list := &keeper.List{Groups: 3, Copies: 3, Lost: 30, Rate: 4e6, Log: 64}
+	for i := range want.Lives {
+		spot := keeper.Spot{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
+		for _, to := range []*string{&spot.Peer, &spot.Door} {
+			if *to, err = sockets.Free(); err != nil {
+				t.Fatal(err)
+			}
+		}
+		list.Keepers = append(list.Keepers, spot)
+	}
+	path := filepath.Join(dir, "list.json")
+	if text, err = json.Marshal(list); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	for _, spot := range list.Keepers {
+		unpack(t, filepath.Join(recordedFolder, spot.Name), filepath.Join(dir, spot.Name, "held"))
+		process, err := child.StartWith([]string{program, "run", "--list", path, "--name", spot.Name, "--dir", "held"}, spot.Name, dir)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			if err := process.End(); err != nil {
+				t.Error(err)
+			}
+			if log, err := os.ReadFile(process.Log); err != nil || t.Failed() {
+				t.Logf("%s (%v):\n%s", process.Name, err, log)
+			}
+		})
+	}
+	awaitLeaders(t, list)
+	return list, want
+}
+
+func awaitLeaders(t *testing.T, list *keeper.List) {
+	t.Helper()
+	led := map[int]bool{}
+	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+		clear(led)
+		for _, spot := range list.Keepers {
+			answer, err := keeper.Command(spot.Peer, &keep.Admin{What: "who"}, time.Second)
+			if err != nil {
+				continue
+			}
+			for _, health := range answer.Health {
+				if health.Leads {
+					led[health.Group] = true
+				}
+			}
+		}
+		if len(led) == list.Groups {
+			return
+		}
+	}
+	t.Fatalf("%d of %d groups have a leader after %v", len(led), list.Groups, startLimit)
+}
+
+// guest is a stream to a store, as a gateway has one.
+type guest struct {
+	t      *testing.T
+	stream net.Conn
+	reader *bufio.Reader
+	number uint64
+}
+
+func newGuest(t *testing.T, addr string) *guest {
+	t.Helper()
+	stream, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { stream.Close() })
+	g := &guest{t: t, stream: stream, reader: bufio.NewReader(stream)}
+	g.send(say.Greeting())
+	return g
+}
+
+func (g *guest) send(f *say.Frame) {
+	g.t.Helper()
+	text, err := f.Append(nil)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	if _, err := g.stream.Write(text); err != nil {
+		g.t.Fatal(err)
+	}
+}
+
+// ask asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
+func (g *guest) ask(e hold.Entry) hold.Reply {
+	g.t.Helper()
+	var last say.Replied
+	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		g.number++
+		g.send(say.Asks([]say.Asked{{Number: g.number, Entry: e}}))
+		g.stream.SetReadDeadline(until)
+		f, err := say.Read(g.reader, say.Longest)
+		if err != nil {
+			g.t.Fatal(err)
+		}
+		if len(f.Replies) != 1 || f.Replies[0].Number != g.number {
+			g.t.Fatalf("%+v is answered %+v", e, f)
+		}
+		if last = f.Replies[0]; !last.NotLeader && !last.Unknown {
+			return last.Reply
+		}
+	}
+	g.t.Fatalf("%+v is still answered %+v", e, last)
+	return hold.Reply{}
+}
+
+// total asks one store's listener for a count, by adding nothing to it. Only a call that was turned away is made again.
+func total(t *testing.T, addr, name string) (text string) {
+	t.Helper()
+	client := http.Client{Timeout: startLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	status := ""
+	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		answer, err := client.Post(fmt.Sprintf("http://%s/counters/%s?by=0&expire_ms=60000", addr, name), "", nil)
+		if err != nil { // nothing is known of it; it added nothing
+			status = err.Error()
+			continue
+		}
+		body, err := io.ReadAll(answer.Body)
+		answer.Body.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if status = answer.Status; answer.StatusCode == http.StatusOK {
+			return string(body)
+		}
+	}
+	t.Fatalf("%s at %s: %s", name, addr, status)
+	return ""
+}
+
+// Stores of this build start on folders that the recorded code left behind, are the stores that they were, and serve all
+// that was acknowledged: totals, parts and debts of a living holder, a dead holder's debt put back once, marks of deliveries
+// and the batch of use handed out last.
+func TestRecordedFoldersAreServed(t *testing.T) {
+	leak.Check(t)
+	list, want := startRecorded(t)
+	for i, spot := range list.Keepers {
+		answer, err := keeper.Command(spot.Peer, &keep.Admin{What: "who"}, 5*time.Second)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if answer.Number != i || answer.Life != want.Lives[i] || answer.Cluster != want.Cluster {
+			t.Errorf("store %d is number %d, life %08x of installation %016x; life %08x of %016x was recorded", i, answer.Number,
+				answer.Life, answer.Cluster, want.Lives[i], want.Cluster)
+		}
+		for name, sum := range want.Totals {
+			if got := total(t, spot.Door, name); got != fmt.Sprint(sum) {
+				t.Errorf("%s stands at %s at store %d, %v was acknowledged", name, got, i, sum)
+			}
+		}
+	}
+	// Words of a lower order than the recorded ones change nothing, and are answered with what stands.
+	g := newGuest(t, list.Keepers[1].Peer)
+	for i := range 6 {
+		name := fmt.Sprint("name-", i)
+		part := g.ask(hold.Entry{Kind: hold.Put, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
+		if part.Code != hold.Done || part.Own != 100+float64(i) || part.Total != want.Totals[name] {
+			t.Errorf("the holder's part of %s is answered %+v", name, part)
+		}
+		debt := g.ask(hold.Entry{Kind: hold.Owe, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
+		if debt.Code != hold.Done || debt.Own != 110+float64(i) {
+			t.Errorf("the holder's debt for %s is answered %+v", name, debt)
+		}
+		mark := g.ask(hold.Entry{Kind: hold.Mark, Holder: "edge-b.1", Name: fmt.Sprint("invocation-", i), Scope: "elsewhere", Life: 60})
+		if mark.Code != hold.Known || mark.Who != "edge-a.1" {
+			t.Errorf("a second delivery of invocation %d is answered %+v", i, mark)
+		}
+	}
+	dead := g.ask(hold.Entry{Kind: hold.Put, Holder: "edge-gone.1", Name: "put-back", Amount: 99, Order: 9, Life: 60})
+	if dead.Code != hold.Gone || dead.Own != 9.5 || dead.Total != want.Totals["put-back"] {
+		t.Errorf("a dead holder's word is answered %+v", dead)
+	}
+	checkUse(t, list, want)
+}
+
+// checkUse asks for the batch handed out last once more, and for the next: what was counted after the one before.
+func checkUse(t *testing.T, list *keeper.List, want *acknowledged) {
+	t.Helper()
+	take := func(batch uint64) []hold.Used {
+		last := ""
+		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+			answer, err := keeper.Command(list.Keepers[2].Peer, &keep.Admin{What: "take", Batch: batch}, 5*time.Second)
+			if err == nil {
+				return answer.Uses
+			}
+			if last = err.Error(); !strings.Contains(last, "did not answer") {
+				break
+			}
+		}
+		t.Fatalf("batch %d: %s", batch, last)
+		return nil
+	}
+	if got := take(1); !reflect.DeepEqual(sorted(got), sorted(want.Batch)) {
+		t.Errorf("batch 1 is %+v, %+v was handed out", got, want.Batch)
+	}
+	if got := take(2); !reflect.DeepEqual(got, []hold.Used{{Customer: "plan-a customer-1", Units: 7.75}}) {
+		t.Errorf("batch 2 is %+v", got)
+	}
+}
+
+// sorted gives a batch's lines in one order: groups answer in any.
+func sorted(uses []hold.Used) (all []string) {
+	for _, u := range uses {
+		all = append(all, fmt.Sprint(u.Customer, " ", u.Units))
+	}
+	slices.Sort(all)
+	return all
+}
