--- /dev/null
+++ b/tier/programs/recorded_test.go
@@ -0,0 +1,128 @@
+package programs
+
+import (
+	"reflect"
+	"testing"
+
+	"otterseam/tier/codec"
+	"otterseam/tier/codes"
+	"otterseam/tier/internal/recorded"
+)
+
+const recordedNow = int64(1_764_680_000_123)
+
+func recordedTicket() Ticket { return Ticket{Gateway: 0x0102030405060708, Number: 0x1112131415161718} }
+
+func recordedBegin() Begin {
+	return Begin{
+		Now: recordedNow, Request: "request-3", Program: "program-a", Session: "session-1", Limited: true, Budget: 100_000,
+		Estimate: 2_500, Previous: "request-2", Ticket: recordedTicket(),
+	}
+}
+
+func recordedEnd() End {
+	return End{
+		Now: recordedNow + 900, Request: "request-3", Program: "program-a", Session: "session-1", Actual: 1_234, Keep: true,
+		KeepMS: 600_000, Previous: "request-2", Input: []byte(`{"input":"x"}`), Output: []byte("{\"a\":1}\n{\"b\":2}\n"),
+		Host: "host-7", Ticket: recordedTicket(),
+	}
+}
+
+// afterKind reads a command behind the byte that says its kind.
+func afterKind[T any](t *testing.T, kind CommandKind, decode func(*codec.Decoder) T) func([]byte) (T, error) {
+	return func(data []byte) (T, error) {
+		d := codec.NewDecoder(data)
+		if got := CommandKind(d.Uint8()); got != kind {
+			t.Errorf("kind %d, not %d", got, kind)
+		}
+		value := decode(d)
+		return value, d.Err()
+	}
+}
+
+func TestRecordedCommands(t *testing.T) {
+	recorded.CheckBoth(t, "command-begin", recordedBegin(), Begin.Encode, afterKind(t, CommandBegin, decodeBegin))
+	recorded.CheckBoth(t, "command-end", recordedEnd(), End.Encode, afterKind(t, CommandEnd, decodeEnd))
+	recorded.Check(t, "command-fetch", Fetch{Now: recordedNow, Request: "request-2"}.Encode())
+	for _, name := range []string{"command-begin", "command-end", "command-fetch"} {
+		if !IsCommand(recorded.Read(t, name)) {
+			t.Errorf("%s is not taken for a command", name)
+		}
+	}
+	stamped := recordedBegin()
+	stamped.Now = 0
+	command := stamped.Encode()
+	Stamp(command, recordedNow)
+	recorded.Check(t, "command-begin", command)
+}
+
+func TestRecordedResult(t *testing.T) {
+	result := Result{Host: "host-7", Chain: [][]byte{[]byte("input 1"), []byte("output 1"), {0, 255}}}
+	recorded.CheckBoth(t, "result", result, Result.Encode, DecodeResult)
+}
+
+// recordedState has two programs, of which the first has several of each thing.
+func recordedState() *State {
+	s := NewState()
+	s.commands = 77
+	first := newProgram()
+	first.charged = 4_321
+	first.touched = recordedNow - 10
+	first.reserved["request-8"] = reservation{estimate: 800, at: recordedNow - 20}
+	first.reserved["request-9"] = reservation{estimate: 900, at: recordedNow - 30}
+	first.settled = []settledTurn{
+		{request: "request-1", ticket: Ticket{Gateway: 5, Number: 1}, answer: codes.TurnSettled},
+		{request: "request-2", ticket: Ticket{Gateway: 6, Number: 2}, answer: codes.BudgetSpent},
+	}
+	first.passed[0x0203] = passed{number: 40, at: recordedNow - 40}
+	first.passed[0x0102] = passed{number: 50, at: recordedNow - 50}
+	first.lastHost["session-2"] = "host-2"
+	first.lastHost["session-1"] = "host-1"
+	first.turns["request-1"] = turn{input: []byte("input 1"), output: []byte("output 1\n"), host: "host-1", expires: recordedNow + 60_000}
+	first.turns["request-2"] = turn{
+		previous: "request-1", input: []byte("input 2"), output: []byte("output 2\n"), host: "host-2", expires: recordedNow + 70_000,
+	}
+	second := newProgram()
+	second.charged = 1
+	second.touched = recordedNow
+	s.programs["program-b"] = second
+	s.programs["program-a"] = first
+	s.byTurn["request-1"] = "program-a"
+	s.byTurn["request-2"] = "program-a"
+	return s
+}
+
+func restoreRecorded(t *testing.T) *State {
+	t.Helper()
+	s := NewState()
+	if err := s.Restore(recorded.Read(t, "snapshot")); err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func TestRecordedSnapshot(t *testing.T) {
+	recorded.Check(t, "snapshot", recordedState().Snapshot())
+	if got := restoreRecorded(t); !reflect.DeepEqual(got, recordedState()) {
+		t.Fatalf("restored %+v", got)
+	}
+}
+
+// The recorded commands on the recorded state give the recorded state again.
+func TestRecordedCommandsOnTheRecordedSnapshot(t *testing.T) {
+	s := restoreRecorded(t)
+	chain := [][]byte{[]byte("input 1"), []byte("output 1\n"), []byte("input 2"), []byte("output 2\n")}
+	for _, step := range []struct {
+		command string
+		want    Result
+	}{
+		{"command-fetch", Result{Chain: chain, Host: "host-2"}},
+		{"command-begin", Result{Chain: chain, Host: "host-2"}},
+		{"command-end", Result{}},
+	} {
+		if got := s.Apply(1, recorded.Read(t, step.command)); !reflect.DeepEqual(got, step.want) {
+			t.Fatalf("%s: %+v", step.command, got)
+		}
+	}
+	recorded.Check(t, "snapshot-after", s.Snapshot())
+}
