--- a/cmd/tiertry/main.go
+++ b/cmd/localtier/main.go
@@ -1,4 +1,4 @@
-// Command tiertry starts a whole serving tier on loopback with stand-in hosts and a configuration, tells how to ask it for a
+// Command localtier starts a whole serving tier on loopback with stand-in hosts and a configuration, tells how to ask it for a
 // turn with curl, and ends everything on Ctrl-C.
 package main
 
@@ -12,11 +12,11 @@
 
 	"github.com/alexflint/go-arg"
 
-	"otterseam/lab/tierrig"
+	"otterseam/harness/tiercluster"
 )
 
 type arguments struct {
-	Program string `arg:"--program" default:"target/ottertier" help:"the tier's program"`
+	Program string `arg:"--program" default:"target/otterseam-tier" help:"the tier's program"`
 	Dir     string `arg:"--dir" default:"target/try" help:"folder for settings, data and logs; it is emptied first"`
 	Once    bool   `arg:"--once" help:"ask for one turn, print the answer and end"`
 
@@ -35,7 +35,7 @@
 	var args arguments
 	arg.MustParse(&args)
 	if err := run(args); err != nil {
-		fmt.Fprintln(os.Stderr, "tiertry: "+err.Error())
+		fmt.Fprintln(os.Stderr, "localtier: "+err.Error())
 		os.Exit(1)
 	}
 }
@@ -47,7 +47,7 @@
 	if err := os.MkdirAll(args.Dir, 0o755); err != nil {
 		return err
 	}
-	rig, err := tierrig.Start(tierrig.Options{Program: args.Program, Dir: args.Dir, Network: 77, Fronts: 2, Controls: 3, Stores: 3, Tolerate: 1})
+	rig, err := tiercluster.Start(tiercluster.Options{Program: args.Program, Dir: args.Dir, Network: 77, Fronts: 2, Controls: 3, Stores: 3, Tolerate: 1})
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 			return err
 		}
 	}
-	if answer := rig.Replace(0, tierrig.Config(1), startLimit); answer.Err != nil || answer.Status != 200 {
+	if answer := rig.Replace(0, tiercluster.Config(1), startLimit); answer.Err != nil || answer.Status != 200 {
 		return fmt.Errorf("the configuration was not taken: status %d, %w", answer.Status, answer.Err)
 	}
 	if err := rig.WaitReady(startLimit); err != nil {
@@ -104,7 +104,7 @@
 
 func askOnce(front string) error {
 	header := map[string]string{"X-Request-Id": "0001", "Program": "p1", "Session": "s1", "Budget": "60", "X-Token-Count": "10,30"}
-	answer := tierrig.Call("POST", "http://"+front+"/chat/1", "try.example", header, "hello ")
+	answer := tiercluster.Call("POST", "http://"+front+"/chat/1", "try.example", header, "hello ")
 	if answer.Err != nil {
 		return answer.Err
 	}
--- a/cmd/tiertry/takeover.go
+++ b/cmd/localtier/takeover.go
@@ -6,18 +6,18 @@
 	"sort"
 	"time"
 
-	"otterseam/lab/tierrig"
+	"otterseam/harness/tiercluster"
 )
 
 const copies = 3
 
 // measureTakeovers kills the primary of control again and again, and prints how long it took until the next configuration was
 // acknowledged, and until a turn was served after a store was killed.
-func measureTakeovers(rig *tierrig.Rig, times int) error {
+func measureTakeovers(rig *tiercluster.Rig, times int) error {
 	var control, store []time.Duration
 	version := uint64(1)
 	for i := range times {
-		if err := tierrig.Until(startLimit, func() bool { return rig.InSync(copies) }); err != nil {
+		if err := tiercluster.Until(startLimit, func() bool { return rig.InSync(copies) }); err != nil {
 			return fmt.Errorf("copies are missing: %w", err)
 		}
 		machine, err := controlPrimary(rig)
@@ -26,7 +26,7 @@
 		}
 		killed := time.Now()
 		machine.Kill()
-		if answer := rig.Replace(version, tierrig.Config(version+1), startLimit); answer.Err != nil || answer.Status != 200 {
+		if answer := rig.Replace(version, tiercluster.Config(version+1), startLimit); answer.Err != nil || answer.Status != 200 {
 			return fmt.Errorf("configuration %d: status %d, %w", version+1, answer.Status, answer.Err)
 		}
 		control = append(control, time.Since(killed))
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func controlPrimary(rig *tierrig.Rig) (*tierrig.Machine, error) {
+func controlPrimary(rig *tiercluster.Rig) (*tiercluster.Machine, error) {
 	state, err := rig.Status()
 	if err != nil {
 		return nil, err
@@ -64,8 +64,8 @@
 }
 
 // storeTakeover kills a store and measures until turns of so many programs that all shards take part are served.
-func storeTakeover(rig *tierrig.Rig, round int) (time.Duration, error) {
-	if err := tierrig.Until(startLimit, func() bool { return rig.InSync(copies) }); err != nil {
+func storeTakeover(rig *tiercluster.Rig, round int) (time.Duration, error) {
+	if err := tiercluster.Until(startLimit, func() bool { return rig.InSync(copies) }); err != nil {
 		return 0, fmt.Errorf("copies are missing: %w", err)
 	}
 	machine := rig.Machine(fmt.Sprintf("storage-%d", round%copies+1))
@@ -73,12 +73,12 @@
 	machine.Kill()
 	const programs = 24
 	for program := range programs {
-		err := tierrig.Until(startLimit, func() bool {
+		err := tiercluster.Until(startLimit, func() bool {
 			header := map[string]string{
 				"X-Request-Id": fmt.Sprintf("%x", time.Now().UnixNano()), "Program": fmt.Sprintf("p-%d-%d", round, program),
 				"X-Token-Count": "10,3", "Budget": "600",
 			}
-			answer := tierrig.Call("POST", "http://"+rig.Fronts()[0]+"/chat/1", "try.example", header, "x")
+			answer := tiercluster.Call("POST", "http://"+rig.Fronts()[0]+"/chat/1", "try.example", header, "x")
 			return answer.Err == nil && answer.Status == 200
 		})
 		if err != nil {
--- a/cmd/otterctl/main_test.go
+++ b/cmd/otterctl/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 	"otterseam/tier/status"
 )
@@ -53,7 +53,7 @@
 func TestTheTablesNameMachines(t *testing.T) {
 	state := status.Status{
 		Version: 4,
-		Control: register.Record{Epoch: 2, Primary: 9, InSync: []uint64{9}, Members: []register.Member{{ID: 9, Address: "10.0.0.1:7380"}}},
+		Control: consensus.Record{Epoch: 2, Primary: 9, InSync: []uint64{9}, Members: []consensus.Member{{ID: 9, Address: "10.0.0.1:7380"}}},
 		Stores:  []directory.Store{{Identity: 5, Node: "storage-1"}},
 		Shards:  []directory.Shard{{ID: 3, Total: 8, View: replica.View{Epoch: 6, Primary: 5, InSync: []uint64{5}, Replicas: []uint64{5}}}},
 		Hosts:   []directory.Host{{ID: "h", Service: "engine", Draining: true}},
--- a/cmd/otterkeep/main.go
+++ b/cmd/otterseam-quotastore/main.go
@@ -1,4 +1,4 @@
-// Command otterkeep is one keeper of what api gateways hold for each other, and what an operator asks of keepers.
+// Command otterseam-quotastore is one keeper of what api gateways hold for each other, and what an operator asks of keepers.
 //
 // This file owns the arguments, the log and the signals. It must never decide anything.
 package main
@@ -18,8 +18,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/keep"
-	"otterseam/keeper"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/server"
 )
 
 type commands struct {
@@ -49,11 +49,11 @@
 	debug.SetGCPercent(300)
 	debug.SetMemoryLimit(int64(0.7 * c.Memory * (1 << 20)))
 	signal.Ignore(syscall.SIGXFSZ) // a file that can't grow is an error of the write, which is handled
-	l, err := keeper.ReadList(c.List)
+	l, err := server.ReadList(c.List)
 	if err != nil {
 		return err
 	}
-	k, err := keeper.New(l, keeper.Place{Name: c.Name, Dir: c.Dir, Peer: c.Peer, Door: c.Door}, log)
+	k, err := server.New(l, server.Place{Name: c.Name, Dir: c.Dir, Peer: c.Peer, Door: c.Door}, log)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 			case <-ctx.Done():
 				return nil
 			case <-again:
-				l, err := keeper.ReadList(c.List)
+				l, err := server.ReadList(c.List)
 				if err != nil {
 					log.Error().Err(err).Msg("new list not taken up")
 					continue
@@ -96,7 +96,7 @@
 }
 
 func (c *foundCmd) Run() error {
-	l, err := keeper.ReadList(c.List)
+	l, err := server.ReadList(c.List)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		s, err := keeper.ReadSnapshot(text)
+		s, err := server.ReadSnapshot(text)
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 			"- use counted since is not handed out, and batches taken over since come again under their numbers.\n",
 			time.Unix(s.Taken, 0).UTC().Format(time.RFC3339), time.Since(time.Unix(s.Taken, 0)).Seconds())
 	}
-	id, err := keeper.Found(l, states, c.Wait)
+	id, err := server.Found(l, states, c.Wait)
 	if err != nil {
 		return err
 	}
@@ -132,15 +132,15 @@
 type statusCmd struct{ listed }
 
 func (c *statusCmd) Run() error {
-	l, err := keeper.ReadList(c.List)
+	l, err := server.ReadList(c.List)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
-	leads := map[int]keep.Health{}
+	leads := map[int]replication.Health{}
 	fmt.Fprintln(w, "keeper\tzone\tlife\tleads\tholds\t")
 	for _, spot := range l.Keepers {
-		a, err := keeper.Command(spot.Peer, &keep.Admin{What: "who"}, 2*time.Second)
+		a, err := server.Command(spot.Peer, &replication.Admin{What: "who"}, 2*time.Second)
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%s\t%v\t\t\t\n", spot.Name, spot.Zone, err)
 			continue
@@ -191,11 +191,11 @@
 }
 
 func (c *saveCmd) Run() error {
-	l, err := keeper.ReadList(c.List)
+	l, err := server.ReadList(c.List)
 	if err != nil {
 		return err
 	}
-	s, err := keeper.Save(l, time.Now())
+	s, err := server.Save(l, time.Now())
 	if err != nil {
 		return err
 	}
@@ -208,13 +208,13 @@
 }
 
 func (c *takeCmd) Run() error {
-	l, err := keeper.ReadList(c.List)
+	l, err := server.ReadList(c.List)
 	if err != nil {
 		return err
 	}
 	var all []error
 	for _, spot := range l.Keepers {
-		a, err := keeper.Command(spot.Peer, &keep.Admin{What: "take", Batch: c.Batch}, 5*time.Second)
+		a, err := server.Command(spot.Peer, &replication.Admin{What: "take", Batch: c.Batch}, 5*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
@@ -237,9 +237,9 @@
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("otterkeep"), kong.Description("Keeps what api gateways hold for each other on several machines."), kong.UsageOnError())
+	k := kong.Parse(&c, kong.Name("otterseam-quotastore"), kong.Description("Keeps what api gateways hold for each other on several machines."), kong.UsageOnError())
 	if err := k.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "otterkeep:", err)
+		fmt.Fprintln(os.Stderr, "otterseam-quotastore:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/otterkeep/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -17,13 +17,13 @@
 	"testing"
 	"time"
 
-	"otterseam/hold"
-	"otterseam/keep"
-	"otterseam/keeper"
-	"otterseam/lab/child"
-	"otterseam/lab/leak"
-	"otterseam/lab/sockets"
-	"otterseam/say"
+	"otterseam/harness/childprocess"
+	"otterseam/harness/leakcheck"
+	"otterseam/harness/sockets"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/server"
+	"otterseam/quotastore/statemachine"
 )
 
 // recordedFolder holds the folders of three stores as processes of the code of 2026-12-01 left them when they were killed,
@@ -36,10 +36,10 @@
 
 // acknowledged is what the recorded stores had answered for.
 type acknowledged struct {
-	Cluster uint64             `json:"cluster"`
-	Lives   []uint32           `json:"lives"`
-	Totals  map[string]float64 `json:"totals"`
-	Batch   []hold.Used        `json:"batch"`
+	Cluster uint64              `json:"cluster"`
+	Lives   []uint32            `json:"lives"`
+	Totals  map[string]float64  `json:"totals"`
+	Batch   []statemachine.Used `json:"batch"`
 }
 
 // unpack copies a recorded store's folder, and unpacks its database.
@@ -73,7 +73,7 @@
 }
 
 // startRecorded starts three stores of this build on the recorded folders, and waits until each group has a leader.
-func startRecorded(t *testing.T) (*keeper.List, *acknowledged) {
+func startRecorded(t *testing.T) (*server.List, *acknowledged) {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "store")
@@ -88,9 +88,9 @@
 	if err := json.Unmarshal(text, want); err != nil {
 		t.Fatal(err)
 	}
-	list := &keeper.List{Groups: 3, Copies: 3, Lost: 30, Rate: 4e6, Log: 64}
+	list := &server.List{Groups: 3, Copies: 3, Lost: 30, Rate: 4e6, Log: 64}
 	for i := range want.Lives {
-		spot := keeper.Spot{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
+		spot := server.Spot{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
 		for _, to := range []*string{&spot.Peer, &spot.Door} {
 			if *to, err = sockets.Free(); err != nil {
 				t.Fatal(err)
@@ -107,7 +107,7 @@
 	}
 	for _, spot := range list.Keepers {
 		unpack(t, filepath.Join(recordedFolder, spot.Name), filepath.Join(dir, spot.Name, "held"))
-		process, err := child.StartWith([]string{program, "run", "--list", path, "--name", spot.Name, "--dir", "held"}, spot.Name, dir)
+		process, err := childprocess.StartWith([]string{program, "run", "--list", path, "--name", spot.Name, "--dir", "held"}, spot.Name, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,13 +124,13 @@
 	return list, want
 }
 
-func awaitLeaders(t *testing.T, list *keeper.List) {
+func awaitLeaders(t *testing.T, list *server.List) {
 	t.Helper()
 	led := map[int]bool{}
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
 		for _, spot := range list.Keepers {
-			answer, err := keeper.Command(spot.Peer, &keep.Admin{What: "who"}, time.Second)
+			answer, err := server.Command(spot.Peer, &replication.Admin{What: "who"}, time.Second)
 			if err != nil {
 				continue
 			}
@@ -163,11 +163,11 @@
 	}
 	t.Cleanup(func() { stream.Close() })
 	g := &guest{t: t, stream: stream, reader: bufio.NewReader(stream)}
-	g.send(say.Greeting())
+	g.send(protocol.Greeting())
 	return g
 }
 
-func (g *guest) send(f *say.Frame) {
+func (g *guest) send(f *protocol.Frame) {
 	g.t.Helper()
 	text, err := f.Append(nil)
 	if err != nil {
@@ -179,14 +179,14 @@
 }
 
 // ask asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
-func (g *guest) ask(e hold.Entry) hold.Reply {
+func (g *guest) ask(e statemachine.Entry) statemachine.Reply {
 	g.t.Helper()
-	var last say.Replied
+	var last protocol.Replied
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		g.number++
-		g.send(say.Asks([]say.Asked{{Number: g.number, Entry: e}}))
+		g.send(protocol.Asks([]protocol.Asked{{Number: g.number, Entry: e}}))
 		g.stream.SetReadDeadline(until)
-		f, err := say.Read(g.reader, say.Longest)
+		f, err := protocol.Read(g.reader, protocol.Longest)
 		if err != nil {
 			g.t.Fatal(err)
 		}
@@ -198,7 +198,7 @@
 		}
 	}
 	g.t.Fatalf("%+v is still answered %+v", e, last)
-	return hold.Reply{}
+	return statemachine.Reply{}
 }
 
 // total asks one store's listener for a count, by adding nothing to it. Only a call that was turned away is made again.
@@ -229,10 +229,10 @@
 // that was acknowledged: totals, parts and debts of a living holder, a dead holder's debt put back once, marks of deliveries
 // and the batch of use handed out last.
 func TestRecordedFoldersAreServed(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	list, want := startRecorded(t)
 	for i, spot := range list.Keepers {
-		answer, err := keeper.Command(spot.Peer, &keep.Admin{What: "who"}, 5*time.Second)
+		answer, err := server.Command(spot.Peer, &replication.Admin{What: "who"}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -250,33 +250,33 @@
 	g := newGuest(t, list.Keepers[1].Peer)
 	for i := range 6 {
 		name := fmt.Sprint("name-", i)
-		part := g.ask(hold.Entry{Kind: hold.Put, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
-		if part.Code != hold.Done || part.Own != 100+float64(i) || part.Total != want.Totals[name] {
+		part := g.ask(statemachine.Entry{Kind: statemachine.Put, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
+		if part.Code != statemachine.Done || part.Own != 100+float64(i) || part.Total != want.Totals[name] {
 			t.Errorf("the holder's part of %s is answered %+v", name, part)
 		}
-		debt := g.ask(hold.Entry{Kind: hold.Owe, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
-		if debt.Code != hold.Done || debt.Own != 110+float64(i) {
+		debt := g.ask(statemachine.Entry{Kind: statemachine.Owe, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
+		if debt.Code != statemachine.Done || debt.Own != 110+float64(i) {
 			t.Errorf("the holder's debt for %s is answered %+v", name, debt)
 		}
-		mark := g.ask(hold.Entry{Kind: hold.Mark, Holder: "edge-b.1", Name: fmt.Sprint("invocation-", i), Scope: "elsewhere", Life: 60})
-		if mark.Code != hold.Known || mark.Who != "edge-a.1" {
+		mark := g.ask(statemachine.Entry{Kind: statemachine.Mark, Holder: "edge-b.1", Name: fmt.Sprint("invocation-", i), Scope: "elsewhere", Life: 60})
+		if mark.Code != statemachine.Known || mark.Who != "edge-a.1" {
 			t.Errorf("a second delivery of invocation %d is answered %+v", i, mark)
 		}
 	}
-	dead := g.ask(hold.Entry{Kind: hold.Put, Holder: "edge-gone.1", Name: "put-back", Amount: 99, Order: 9, Life: 60})
-	if dead.Code != hold.Gone || dead.Own != 9.5 || dead.Total != want.Totals["put-back"] {
+	dead := g.ask(statemachine.Entry{Kind: statemachine.Put, Holder: "edge-gone.1", Name: "put-back", Amount: 99, Order: 9, Life: 60})
+	if dead.Code != statemachine.Gone || dead.Own != 9.5 || dead.Total != want.Totals["put-back"] {
 		t.Errorf("a dead holder's word is answered %+v", dead)
 	}
 	checkUse(t, list, want)
 }
 
 // checkUse asks for the batch handed out last once more, and for the next: what was counted after the one before.
-func checkUse(t *testing.T, list *keeper.List, want *acknowledged) {
+func checkUse(t *testing.T, list *server.List, want *acknowledged) {
 	t.Helper()
-	take := func(batch uint64) []hold.Used {
+	take := func(batch uint64) []statemachine.Used {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			answer, err := keeper.Command(list.Keepers[2].Peer, &keep.Admin{What: "take", Batch: batch}, 5*time.Second)
+			answer, err := server.Command(list.Keepers[2].Peer, &replication.Admin{What: "take", Batch: batch}, 5*time.Second)
 			if err == nil {
 				return answer.Uses
 			}
@@ -290,13 +290,13 @@
 	if got := take(1); !reflect.DeepEqual(sorted(got), sorted(want.Batch)) {
 		t.Errorf("batch 1 is %+v, %+v was handed out", got, want.Batch)
 	}
-	if got := take(2); !reflect.DeepEqual(got, []hold.Used{{Customer: "plan-a customer-1", Units: 7.75}}) {
+	if got := take(2); !reflect.DeepEqual(got, []statemachine.Used{{Customer: "plan-a customer-1", Units: 7.75}}) {
 		t.Errorf("batch 2 is %+v", got)
 	}
 }
 
 // sorted gives a batch's lines in one order: groups answer in any.
-func sorted(uses []hold.Used) (all []string) {
+func sorted(uses []statemachine.Used) (all []string) {
 	for _, u := range uses {
 		all = append(all, fmt.Sprint(u.Customer, " ", u.Units))
 	}
--- a/cmd/otterlab/adds.go
+++ b/cmd/otterseam-sim/adds.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"otterseam/lab/keepers"
+	"otterseam/sim/quotastoresim"
 )
 
 type addsCmd struct {
@@ -25,7 +25,7 @@
 	if !(c.Rate > 0) || c.Conns < 1 || c.Names < 1 || c.Length <= 0 {
 		return badInput{fmt.Errorf("a rate, a length, connections and names over 0 are wanted")}
 	}
-	l := keepers.Load{Doors: c.Doors, Rate: c.Rate, Length: c.Length, Conns: c.Conns, Names: c.Names, Third: c.Third, Prefix: c.Prefix}
+	l := quotastoresim.Load{Doors: c.Doors, Rate: c.Rate, Length: c.Length, Conns: c.Conns, Names: c.Names, Third: c.Third, Prefix: c.Prefix}
 	t, err := l.Run(ctx)
 	if err != nil {
 		return err
--- a/cmd/otterlab/causes.go
+++ b/cmd/otterseam-sim/causes.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"text/tabwriter"
 
-	"otterseam/lab/causes"
+	"otterseam/sim/losscauses"
 )
 
 // causesCmd tells where the programs of played days were lost.
@@ -23,7 +23,7 @@
 		if err != nil {
 			return badInput{err}
 		}
-		report, err := causes.Parse(filepath.Base(file), content)
+		report, err := losscauses.Parse(filepath.Base(file), content)
 		if err != nil {
 			return badInput{err}
 		}
--- a/cmd/otterlab/choose.go
+++ b/cmd/otterseam-sim/choose.go
@@ -9,15 +9,15 @@
 	"slices"
 	"strings"
 
-	"otterseam/lab/day"
-	"otterseam/lab/days"
-	"otterseam/lab/report"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/report"
+	"otterseam/sim/scenario"
+	"otterseam/sim/scenarios"
 )
 
 // choose is what all commands that play a day take.
 type choose struct {
-	Day     string            `arg:"" help:"A day's name (see otterlab days) or file."`
+	Day     string            `arg:"" help:"A day's name (see otterseam-sim days) or file."`
 	Set     map[string]string `help:"Change keys of the day, as in counter.capacity=900/s." placeholder:"KEY=VALUE"`
 	Seed    uint64            `default:"1" help:"First seed."`
 	Workers int               `help:"Days played at once; 0: one a core."`
@@ -26,8 +26,8 @@
 	Report  string            `help:"Write a page with pictures to this file." placeholder:"FILE.html"`
 }
 
-func (c *choose) load() (*day.Day, error) {
-	d, err := days.Load(c.Day)
+func (c *choose) load() (*scenario.Day, error) {
+	d, err := scenarios.Load(c.Day)
 	if err != nil {
 		return nil, badInput{err}
 	}
@@ -35,14 +35,14 @@
 		return nil, err
 	}
 	for _, f := range []string{c.Keep, c.Report} {
-		if err := runs.Writable(f); err != nil {
+		if err := batch.Writable(f); err != nil {
 			return nil, badInput{fmt.Errorf("no result could be written: %w", err)}
 		}
 	}
 	return d, nil
 }
 
-func change(d *day.Day, set map[string]string) error {
+func change(d *scenario.Day, set map[string]string) error {
 	for _, key := range slices.Sorted(maps.Keys(set)) { // faults come in the same order each time
 		if err := d.Set(key, set[key]); err != nil {
 			return badInput{err}
@@ -52,17 +52,17 @@
 }
 
 // seeds plans a day for so many seeds, from the first on; at least one.
-func (c *choose) seeds(d *day.Day, decider string, over map[string]string, n int) (plans []runs.Plan) {
+func (c *choose) seeds(d *scenario.Day, decider string, over map[string]string, n int) (plans []batch.Plan) {
 	for i := range max(1, n) {
-		plans = append(plans, runs.Plan{Day: d, Decider: decider, Seed: c.Seed + uint64(i), Over: over})
+		plans = append(plans, batch.Plan{Day: d, Decider: decider, Seed: c.Seed + uint64(i), Over: over})
 	}
 	return plans
 }
 
 // tell writes results in the forms that were asked for.
-func (c *choose) tell(s *streams, title string, rs []*runs.Run) error {
+func (c *choose) tell(s *streams, title string, rs []*batch.Run) error {
 	if c.Keep != "" {
-		if err := runs.Save(c.Keep, rs); err != nil {
+		if err := batch.Save(c.Keep, rs); err != nil {
 			return err
 		}
 	}
@@ -71,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		if err := runs.Put(c.Report, b); err != nil {
+		if err := batch.Put(c.Report, b); err != nil {
 			return err
 		}
 	}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func judge(rs []*runs.Run) error {
+func judge(rs []*batch.Run) error {
 	for _, r := range rs {
 		if r.Breaks > 0 {
 			return errBroken
@@ -103,7 +103,7 @@
 		}
 		return nil
 	}
-	if _, err := runs.Decider(name); err != nil {
+	if _, err := batch.Decider(name); err != nil {
 		return badInput{err}
 	}
 	return nil
--- a/cmd/otterlab/compare.go
+++ b/cmd/otterseam-sim/compare.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"strings"
 
-	"otterseam/lab/report"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/report"
 )
 
 type compareCmd struct {
@@ -23,14 +23,14 @@
 	if err != nil {
 		return err
 	}
-	var plans []runs.Plan
+	var plans []batch.Plan
 	for _, n := range c.deciders() {
 		if err := decider(n); err != nil {
 			return err
 		}
 		plans = append(plans, c.seeds(d, n, c.Set, c.Seeds)...)
 	}
-	rs, err := runs.All(ctx, plans, c.Workers, s.progress("days", len(plans)))
+	rs, err := batch.All(ctx, plans, c.Workers, s.progress("days", len(plans)))
 	if err != nil {
 		return err
 	}
--- a/cmd/otterlab/days.go
+++ b/cmd/otterseam-sim/days.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
-	"otterseam/lab/day"
-	"otterseam/lab/days"
+	"otterseam/sim/scenario"
+	"otterseam/sim/scenarios"
 )
 
 type daysCmd struct {
@@ -19,14 +19,14 @@
 func (c *daysCmd) Run(s *streams) error {
 	switch {
 	case c.Form:
-		fmt.Fprint(s.out, "| key | what it is | range | if it is not given |\n| --- | --- | --- | --- |\n", day.Form())
+		fmt.Fprint(s.out, "| key | what it is | range | if it is not given |\n| --- | --- | --- | --- |\n", scenario.Form())
 	case c.Kinds:
 		fmt.Fprint(s.out, "| kind | what happens | `part` is of the | `size` is |\n| --- | --- | --- | --- |\n")
-		for _, k := range day.Kinds {
+		for _, k := range scenario.Kinds {
 			fmt.Fprintf(s.out, "| `%s` | %s | %s | %s |\n", k.Name, k.Does, dash(k.Part), dash(k.Size))
 		}
 	case c.Show != "":
-		d, err := days.Load(c.Show)
+		d, err := scenarios.Load(c.Show)
 		if err != nil {
 			return badInput{err}
 		}
@@ -35,8 +35,8 @@
 		}
 		fmt.Fprint(s.out, d.Text())
 	default:
-		for _, n := range days.Names() {
-			d, err := days.Load(n)
+		for _, n := range scenarios.Names() {
+			d, err := scenarios.Load(n)
 			if err != nil {
 				return err
 			}
--- a/cmd/otterlab/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -10,9 +10,9 @@
 	"slices"
 	"strings"
 
-	"otterseam/lab/day"
-	"otterseam/lab/fleet"
-	"otterseam/lab/runs"
+	"otterseam/harness/fleet"
+	"otterseam/sim/batch"
+	"otterseam/sim/scenario"
 )
 
 type fleetCmd struct {
@@ -62,8 +62,8 @@
 func writeKinds(s *streams) {
 	for _, table := range []struct {
 		head string
-		list []day.Named
-	}{{"fault", day.Strikes}, {"event", day.Events}, {"promise", day.Promises}} {
+		list []scenario.Named
+	}{{"fault", scenario.Strikes}, {"event", scenario.Events}, {"promise", scenario.Promises}} {
 		fmt.Fprintf(s.out, "| %s | what it is |\n| --- | --- |\n", table.head)
 		for _, n := range table.list {
 			fmt.Fprintf(s.out, "| `%s` | %s |\n", n.Name, n.Does)
@@ -84,7 +84,7 @@
 }
 
 // load reads the script with its changes, and says before anything is played what is missing.
-func (c *fleetCmd) load() (*day.Day, error) {
+func (c *fleetCmd) load() (*scenario.Day, error) {
 	script, err := fleet.Load(c.Script)
 	if err != nil {
 		return nil, badInput{err}
@@ -95,18 +95,18 @@
 	if _, err := os.Stat(c.Gateway); err != nil {
 		return nil, badInput{fmt.Errorf("the api gateway's program: %w (make build makes it)", err)}
 	}
-	if err := runs.Writable(c.Report); err != nil {
+	if err := batch.Writable(c.Report); err != nil {
 		return nil, badInput{fmt.Errorf("no report could be written: %w", err)}
 	}
 	return script, nil
 }
 
 // play plays the script with a seed, in the folder that was asked for or in one that goes afterwards.
-func (c *fleetCmd) play(ctx context.Context, s *streams, script *day.Day, seed uint64) (*fleet.Result, error) {
+func (c *fleetCmd) play(ctx context.Context, s *streams, script *scenario.Day, seed uint64) (*fleet.Result, error) {
 	dir := c.Dir
 	if dir == "" {
 		var err error
-		if dir, err = os.MkdirTemp("", "otterlab-"); err != nil {
+		if dir, err = os.MkdirTemp("", "otterseam-sim-"); err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	return runs.Put(c.Report, page)
+	return batch.Put(c.Report, page)
 }
 
 // say writes what became of a script: its figures, what was kept, and what was broken with its whole story.
--- a/cmd/otterlab/keepers.go
+++ b/cmd/otterseam-sim/keepers.go
@@ -6,7 +6,7 @@
 	"context"
 	"fmt"
 
-	"otterseam/lab/keepers"
+	"otterseam/sim/quotastoresim"
 )
 
 type keepersCmd struct {
@@ -21,16 +21,16 @@
 	if c.Seeds < 1 || c.Length < 4 || c.Length > 600 {
 		return badInput{fmt.Errorf("one seed at least and 4 to 600 seconds are wanted")}
 	}
-	var sum *keepers.Sum
+	var sum *quotastoresim.Sum
 	if c.Trace {
-		o := keepers.Drawn(c.Seed, c.Length)
+		o := quotastoresim.Drawn(c.Seed, c.Length)
 		o.Log = func(at float64, keeper int, line string) {
 			fmt.Fprintf(s.out, "%8.3f s  keeper %d: %s\n", at, keeper, line)
 		}
-		sum = &keepers.Sum{}
-		sum.Add(keepers.Play(c.Seed, o))
+		sum = &quotastoresim.Sum{}
+		sum.Add(quotastoresim.Play(c.Seed, o))
 	} else {
-		sum = keepers.Many(ctx, c.Seed, c.Seeds, c.Length, func(v *keepers.Verdict) bool { return c.First && !v.OK() })
+		sum = quotastoresim.Many(ctx, c.Seed, c.Seeds, c.Length, func(v *quotastoresim.Verdict) bool { return c.First && !v.OK() })
 	}
 	for _, v := range sum.Bad {
 		fmt.Fprintln(s.out, v)
--- a/cmd/otterlab/main.go
+++ b/cmd/otterseam-sim/main.go
@@ -1,4 +1,4 @@
-// Command otterlab is the laboratory: it plays days with the deciding module and others, looks for the worst, and says in
+// Command otterseam-sim is the laboratory: it plays days with the deciding module and others, looks for the worst, and says in
 // figures and pictures what a change does.
 //
 // This file owns the command line, its exit codes and its streams. It must never reckon.
@@ -48,7 +48,7 @@
 func do(args []string, out, errs io.Writer) (code int) {
 	var l line
 	exited := -1
-	parser, err := kong.New(&l, kong.Name("otterlab"), kong.Description("A laboratory for api gateways that keep customers to their plans."),
+	parser, err := kong.New(&l, kong.Name("otterseam-sim"), kong.Description("A laboratory for api gateways that keep customers to their plans."),
 		kong.Writers(out, errs), kong.Exit(func(c int) { exited = c }), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		panic(err) // the command line's own form is wrong
@@ -63,7 +63,7 @@
 		return exited
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "otterlab:", err)
+		fmt.Fprintln(errs, "otterseam-sim:", err)
 		return 2
 	}
 	k.BindTo(ctx, (*context.Context)(nil))
@@ -78,7 +78,7 @@
 		fmt.Fprintln(errs, bad.error)
 		return 2
 	}
-	fmt.Fprintln(errs, "otterlab:", err)
+	fmt.Fprintln(errs, "otterseam-sim:", err)
 	return 1
 }
 
--- a/cmd/otterlab/member.go
+++ b/cmd/otterseam-sim/member.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/lab/muster"
+	"otterseam/sim/membershipsim"
 )
 
 type memberCmd struct {
@@ -32,23 +32,23 @@
 }
 
 func (c *memberCmd) Run(ctx context.Context, s *streams) error {
-	var plans []muster.Plan
+	var plans []membershipsim.Plan
 	for _, n := range c.Members {
 		for _, loss := range c.Loss {
 			if n < 1 || n > 4000 || loss < 0 || loss >= 1 || c.Length < 20 || c.Mail <= 0 || c.Part <= 0 {
 				return badInput{fmt.Errorf("1 to 4000 members, a loss under 1, at least 20 s and mail over 0 are wanted")}
 			}
-			plans = append(plans, muster.Plan{Members: n, Loss: loss, Length: c.Length, Mail: c.Mail, Part: c.Part, Delay: c.Delay,
+			plans = append(plans, membershipsim.Plan{Members: n, Loss: loss, Length: c.Length, Mail: c.Mail, Part: c.Part, Delay: c.Delay,
 				Starved: c.Starved, Every: c.Every, Down: c.Down, MassAt: c.MassAt, Mass: c.Mass, CutAt: c.CutAt, CutEnds: c.CutEnds,
 				Cut: c.Cut, Seed: c.Seed})
 		}
 	}
-	results := make([]*muster.Result, len(plans))
+	results := make([]*membershipsim.Result, len(plans))
 	group, _ := errgroup.WithContext(ctx)
 	group.SetLimit(4)
 	for i, p := range plans {
 		group.Go(func() error {
-			results[i] = muster.Play(p)
+			results[i] = membershipsim.Play(p)
 			return nil
 		})
 	}
--- a/cmd/otterlab/outage.go
+++ b/cmd/otterseam-sim/outage.go
@@ -8,7 +8,7 @@
 	"slices"
 	"text/tabwriter"
 
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
 )
 
 type outageCmd struct {
@@ -38,8 +38,8 @@
 }
 
 // reckon looks at one day. The silence lies from one second to another.
-func reckon(r *runs.Run) (o outage, err error) {
-	i := slices.IndexFunc(r.Troubles, func(t runs.Trouble) bool { return t.Kind == "silent" })
+func reckon(r *batch.Run) (o outage, err error) {
+	i := slices.IndexFunc(r.Troubles, func(t batch.Trouble) bool { return t.Kind == "silent" })
 	if i < 0 || r.Troubles[i].At < 2 || r.Troubles[i].Ends+1 >= r.Length {
 		return o, fmt.Errorf("%s: a trouble of kind silent, from 2 s on and over before the day ends, is wanted", r.Day)
 	}
@@ -74,7 +74,7 @@
 	if c.Seeds < 1 {
 		return badInput{fmt.Errorf("at least one seed is wanted")}
 	}
-	var plans []runs.Plan
+	var plans []batch.Plan
 	for _, name := range c.Days {
 		of := choose{Day: name, Set: c.Set}
 		d, err := of.load()
@@ -86,11 +86,11 @@
 				return err
 			}
 			for i := range c.Seeds {
-				plans = append(plans, runs.Plan{Day: d, Decider: dec, Seed: c.Seed + uint64(i), Over: c.Set})
+				plans = append(plans, batch.Plan{Day: d, Decider: dec, Seed: c.Seed + uint64(i), Over: c.Set})
 			}
 		}
 	}
-	all, err := runs.All(ctx, plans, c.Workers, s.progress("day", len(plans)))
+	all, err := batch.All(ctx, plans, c.Workers, s.progress("day", len(plans)))
 	if err != nil {
 		return err
 	}
--- a/cmd/otterlab/owndays.go
+++ b/cmd/otterseam-sim/owndays.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"otterseam/lab/owndays"
+	"otterseam/sim/scenariogen"
 )
 
 type owndaysCmd struct {
@@ -34,8 +34,8 @@
 	if err := c.prepare(); err != nil {
 		return badInput{err}
 	}
-	hunt := &owndays.Hunt{
-		Bench:     &owndays.Bench{Program: c.Bench, Root: c.Root, Days: c.Dir, Why: c.Why},
+	hunt := &scenariogen.Hunt{
+		Bench:     &scenariogen.Bench{Program: c.Bench, Root: c.Root, Days: c.Dir, Why: c.Why},
 		FirstSeed: c.Seed, Days: c.Days, Jobs: c.Jobs, LengthS: c.Length.Seconds(),
 		Least: c.Least, Kept: c.Kept, ShrinkPlays: c.Shrink, WriteOnly: c.Write,
 		Tell: func(line string) { fmt.Fprintln(s.out, line) },
@@ -94,7 +94,7 @@
 }
 
 // summary tells how many days were played, and each broken one with its shortest form.
-func (c *owndaysCmd) summary(s *streams, played []*owndays.Played) {
+func (c *owndaysCmd) summary(s *streams, played []*scenariogen.Played) {
 	broken, failed, sum := 0, 0, 0.0
 	for _, p := range played {
 		switch {
--- a/cmd/otterlab/report.go
+++ b/cmd/otterseam-sim/report.go
@@ -5,8 +5,8 @@
 import (
 	"errors"
 
-	"otterseam/lab/report"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/report"
 )
 
 type reportCmd struct {
@@ -16,12 +16,12 @@
 }
 
 func (c *reportCmd) Run(s *streams) error {
-	if err := runs.Writable(c.Out); err != nil {
+	if err := batch.Writable(c.Out); err != nil {
 		return badInput{err}
 	}
-	var all []*runs.Run
+	var all []*batch.Run
 	for _, f := range c.Results {
-		rs, err := runs.Load(f)
+		rs, err := batch.Load(f)
 		if err != nil {
 			return badInput{err}
 		}
@@ -37,5 +37,5 @@
 	if err != nil {
 		return err
 	}
-	return runs.Put(c.Out, b)
+	return batch.Put(c.Out, b)
 }
--- a/cmd/otterlab/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"strings"
 
-	"otterseam/lab/play"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/simulation"
 )
 
 type runCmd struct {
@@ -25,13 +25,13 @@
 	if err := decider(c.Decider); err != nil {
 		return err
 	}
-	plan := runs.Plan{Day: d, Decider: c.Decider, Seed: c.Seed, Over: c.Set}
+	plan := batch.Plan{Day: d, Decider: c.Decider, Seed: c.Seed, Over: c.Set}
 	tick := s.progress("second", int(d.Length.Hi))
-	r, w, err := runs.One(plan, play.Story(c.Ref), play.Progress(func(at float64) { tick(int(at)) }))
+	r, w, err := batch.One(plan, simulation.Story(c.Ref), simulation.Progress(func(at float64) { tick(int(at)) }))
 	if err != nil {
 		return err
 	}
-	if err := c.tell(s, d.Name, []*runs.Run{r}); err != nil {
+	if err := c.tell(s, d.Name, []*batch.Run{r}); err != nil {
 		return err
 	}
 	for _, l := range w.Told() {
@@ -40,16 +40,16 @@
 	if err := tellFirstBreak(s, plan, r); err != nil {
 		return err
 	}
-	return judge([]*runs.Run{r})
+	return judge([]*batch.Run{r})
 }
 
 // tellFirstBreak plays the day again for the story of the first invocation with which a rule was broken, if there is one.
-func tellFirstBreak(s *streams, plan runs.Plan, r *runs.Run) error {
+func tellFirstBreak(s *streams, plan batch.Plan, r *batch.Run) error {
 	for _, b := range r.Broken {
 		if b.Ref == "" {
 			continue
 		}
-		story, err := runs.Story(plan, b.Ref)
+		story, err := batch.Story(plan, b.Ref)
 		if err != nil {
 			return err
 		}
--- a/cmd/otterlab/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"strings"
 
-	"otterseam/lab/runs"
-	"otterseam/lab/search"
+	"otterseam/sim/batch"
+	"otterseam/sim/search"
 )
 
 type searchCmd struct {
@@ -29,7 +29,7 @@
 	if err := decider(c.Decider); err != nil {
 		return err
 	}
-	if err := runs.Writable(c.Out); err != nil {
+	if err := batch.Writable(c.Out); err != nil {
 		return badInput{fmt.Errorf("no day could be written: %w", err)}
 	}
 	if len(d.Spans()) == 0 && len(d.Troubles) == 0 {
@@ -44,17 +44,17 @@
 		return err
 	}
 	if c.Out != "" {
-		if err := runs.Put(c.Out, []byte(found.Day.Text())); err != nil {
+		if err := batch.Put(c.Out, []byte(found.Day.Text())); err != nil {
 			return err
 		}
 	}
-	r, _, err := runs.One(runs.Plan{Day: found.Day, Decider: c.Decider, Seed: found.Seed})
+	r, _, err := batch.One(batch.Plan{Day: found.Day, Decider: c.Decider, Seed: found.Seed})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "worst: seed %d, score %.3f; taken away without losing it: %s\n", found.Seed, found.Score, strings.Join(found.Steps, "; "))
-	if err := c.tell(s, found.Day.Name, []*runs.Run{r}); err != nil {
+	if err := c.tell(s, found.Day.Name, []*batch.Run{r}); err != nil {
 		return err
 	}
-	return judge([]*runs.Run{r})
+	return judge([]*batch.Run{r})
 }
--- a/cmd/otterlab/sockets.go
+++ b/cmd/otterseam-sim/sockets.go
@@ -10,8 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"otterseam/lab/runs"
-	"otterseam/lab/sockets"
+	"otterseam/harness/sockets"
+	"otterseam/sim/batch"
 )
 
 type socketsCmd struct {
@@ -35,7 +35,7 @@
 	}
 	dir := c.Dir
 	if dir == "" {
-		if dir, err = os.MkdirTemp("", "otterlab-"); err != nil {
+		if dir, err = os.MkdirTemp("", "otterseam-sim-"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
@@ -45,9 +45,9 @@
 	if err != nil {
 		return err
 	}
-	rs := []*runs.Run{runs.Of(runs.Plan{Day: d, Decider: "sockets", Seed: c.Seed, Over: c.Set}, w, f)}
+	rs := []*batch.Run{batch.Of(batch.Plan{Day: d, Decider: "sockets", Seed: c.Seed, Over: c.Set}, w, f)}
 	if c.Model {
-		r, _, err := runs.One(runs.Plan{Day: d, Decider: "module", Seed: c.Seed, Over: c.Set})
+		r, _, err := batch.One(batch.Plan{Day: d, Decider: "module", Seed: c.Seed, Over: c.Set})
 		if err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 		return badInput{err}
 	}
 	if c.Keep != "" {
-		if err := runs.Put(c.Keep, f.Bytes()); err != nil {
+		if err := batch.Put(c.Keep, f.Bytes()); err != nil {
 			return err
 		}
 	}
--- a/cmd/otterlab/sweep.go
+++ b/cmd/otterseam-sim/sweep.go
@@ -8,7 +8,7 @@
 	"maps"
 	"strings"
 
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
 )
 
 type sweepCmd struct {
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	var plans []runs.Plan
+	var plans []batch.Plan
 	for _, n := range c.Decider {
 		if err := decider(n); err != nil {
 			return err
@@ -40,7 +40,7 @@
 			plans = append(plans, c.seeds(x, n, set, c.Seeds)...)
 		}
 	}
-	rs, err := runs.All(ctx, plans, c.Workers, s.progress("days", len(plans)))
+	rs, err := batch.All(ctx, plans, c.Workers, s.progress("days", len(plans)))
 	if err != nil {
 		return err
 	}
--- a/cmd/otterlab/takeover.go
+++ b/cmd/otterseam-sim/takeover.go
@@ -7,11 +7,11 @@
 	"fmt"
 	"os"
 
-	"otterseam/lab/fleet"
+	"otterseam/harness/fleet"
 )
 
 type takeoverCmd struct {
-	Keeper string  `default:"bin/otterkeep" help:"The program of keepers."`
+	Keeper string  `default:"bin/otterseam-quotastore" help:"The program of keepers."`
 	Copies int     `default:"3" help:"Keepers, all of which hold everything."`
 	Groups int     `default:"16" help:"Parts."`
 	Times  int     `default:"30" help:"How often the keeper that leads most is killed."`
@@ -27,7 +27,7 @@
 	if _, err := os.Stat(c.Keeper); err != nil {
 		return badInput{fmt.Errorf("the keepers' program: %w (make build makes it)", err)}
 	}
-	dir, err := os.MkdirTemp("", "otterlab-")
+	dir, err := os.MkdirTemp("", "otterseam-sim-")
 	if err != nil {
 		return err
 	}
--- a/cmd/ottertier/main.go
+++ b/cmd/otterseam-tier/main.go
@@ -1,4 +1,4 @@
-// Command ottertier runs one process of the serving tier: proxy, agent, control or store.
+// Command otterseam-tier runs one process of the serving tier: proxy, agent, control or store.
 package main
 
 import (
@@ -46,17 +46,17 @@
 	var args arguments
 	parser := arg.MustParse(&args)
 	if parser.Subcommand() == nil {
-		fmt.Fprintln(os.Stderr, "ottertier: a role is needed: proxy, agent, control or store (see --help)")
+		fmt.Fprintln(os.Stderr, "otterseam-tier: a role is needed: proxy, agent, control or store (see --help)")
 		os.Exit(exitUsage)
 	}
 	level, err := logrus.ParseLevel(args.LogLevel)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "ottertier: --log-level is not one of error, warn, info, debug")
+		fmt.Fprintln(os.Stderr, "otterseam-tier: --log-level is not one of error, warn, info, debug")
 		os.Exit(exitUsage)
 	}
 	debug.SetGCPercent(gcPercent)
 	if err := run(args, level); err != nil {
-		fmt.Fprintln(os.Stderr, "ottertier: "+err.Error())
+		fmt.Fprintln(os.Stderr, "otterseam-tier: "+err.Error())
 		os.Exit(exitFailed)
 	}
 }
--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -22,11 +22,11 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/damp"
-	"otterseam/gateway"
-	"otterseam/http1"
-	"otterseam/operator"
-	"otterseam/wire"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/operatorconfig"
+	"otterseam/gateway/overload"
+	"otterseam/gateway/server"
+	"otterseam/gateway/simprotocol"
 )
 
 // file is the configuration as it stands on disk.
@@ -41,10 +41,10 @@
 		Memory  float64 `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Peers    []string       `json:"peers"`
-	PeersAll string         `json:"peers_all"`
-	Known    gateway.Roster `json:"known"`
-	Settings wire.Start     `json:"settings"`
+	Peers    []string          `json:"peers"`
+	PeersAll string            `json:"peers_all"`
+	Known    server.Roster     `json:"known"`
+	Settings simprotocol.Start `json:"settings"`
 }
 
 func main() {
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	wishes, err := operator.Read()
+	wishes, err := operatorconfig.Read()
 	if err != nil {
 		return err
 	}
@@ -124,28 +124,28 @@
 	root, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(root)
-	buffers := gateway.NewBuffers(64, max(16, int(memory*(1<<20)/4/http1.Room)))
-	loop := gateway.NewLoop(log)
+	buffers := server.NewBuffers(64, max(16, int(memory*(1<<20)/4/http1.Room)))
+	loop := server.NewLoop(log)
 	module, err := f.Settings.Module(seed, loop)
 	if err != nil {
 		return err
 	}
-	peers, err := gateway.NewPeers(loop, f.PeerListen, f.Settings.Slot, f.Peers, f.PeersAll)
+	peers, err := server.NewPeers(loop, f.PeerListen, f.Settings.Slot, f.Peers, f.PeersAll)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	hosts := gateway.NewHosts(ctx, group, loop, buffers, hostsMost, f.Settings.Caps.Connect, f.Settings.Caps.Idle)
-	counter := gateway.NewCounter(ctx, group, loop, f.Settings.Extra.Limit)
-	var copies *gateway.Copies
+	hosts := server.NewHosts(ctx, group, loop, buffers, hostsMost, f.Settings.Caps.Connect, f.Settings.Caps.Idle)
+	counter := server.NewCounter(ctx, group, loop, f.Settings.Extra.Limit)
+	var copies *server.Copies
 	if w := wishes.Copies; len(w.Keepers) > 0 {
-		copies = gateway.NewCopies(ctx, group, loop, w.Keepers, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
+		copies = server.NewCopies(ctx, group, loop, w.Keepers, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
 		copies.Hold(counter, w.Counts, w.Marks, w.Use)
 	}
-	discovery := gateway.NewDiscovery(ctx, group, loop, log)
+	discovery := server.NewDiscovery(ctx, group, loop, log)
 	if wishes.Overload.On {
-		counter.Pauses, discovery.Pauses = damp.Among(f.Settings.Balancers, seed), damp.Among(f.Settings.Balancers, seed+1)
+		counter.Pauses, discovery.Pauses = overload.Among(f.Settings.Balancers, seed), overload.Among(f.Settings.Balancers, seed+1)
 	}
-	clients, err := gateway.NewClients(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
+	clients, err := server.NewClients(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
 		func() bool { return f.counter() == "" || counter.Known() })
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -200,7 +200,7 @@
 }
 
 // reload takes up the addresses of a configuration that was replaced. One that can't be used changes nothing.
-func reload(ctx context.Context, log zerolog.Logger, loop *gateway.Loop, discovery *gateway.Discovery) {
+func reload(ctx context.Context, log zerolog.Logger, loop *server.Loop, discovery *server.Discovery) {
 	f, err := read()
 	if err == nil {
 		_, err = netip.ParseAddrPort(f.Discovery)
@@ -217,7 +217,7 @@
 }
 
 // longest is for how long a client may still wait for an answer.
-func longest(s wire.Start) time.Duration {
+func longest(s simprotocol.Start) time.Duration {
 	most := 1.0
 	for _, k := range s.Classes {
 		most = max(most, k.Limit)
--- a/cmd/otterseam/main_test.go
+++ b/cmd/otterseam/main_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"otterseam/lab/leak"
+	"otterseam/harness/leakcheck"
 )
 
 const settings = `{"balancers":1,"classes":[{"name":"look","goal_time":0.5,"deadline":1,"effect":"idempotent"}]}`
@@ -26,7 +26,7 @@
 }
 
 func TestStartsThatCannotBe(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 
 // With neither counter nor discovery to be had the api gateway comes up all the same, and SIGTERM ends it well.
 func TestEndsWellOnSIGTERM(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	configure(t, whole("127.0.0.1:0", "1"))
 	log := make(lines, 100)
 	done := make(chan error, 1)
@@ -107,7 +107,7 @@
 
 // SIGHUP ended the process. The file replaced names other addresses, which are taken up; one that can't be used is not.
 func TestTakesUpAReplacedConfiguration(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	text := strings.Replace(whole("127.0.0.1:0", "1"), `"balancers":1`, `"balancers":1,"extra":{"counter":true}`, 1)
 	configure(t, text)
 	log := make(lines, 100)
--- a/cmd/otterseam/process_test.go
+++ b/cmd/otterseam/process_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"otterseam/http1"
-	"otterseam/lab/leak"
-	"otterseam/lab/sockets"
+	"otterseam/gateway/http1"
+	"otterseam/harness/leakcheck"
+	"otterseam/harness/sockets"
 )
 
 // TestMain is the program itself where a test starts it so.
@@ -102,7 +102,7 @@
 
 // newProgram prepares one; what it says of its configuration may be changed before it starts.
 func newProgram(t *testing.T) *program {
-	leak.Check(t)
+	leakcheck.Check(t)
 	p := &program{t: t, path: filepath.Join(t.TempDir(), "config.json"), log: &lockedText{}}
 	p.agent, p.watches = listen(t)
 	p.host = script(t, func(m *http1.Message, n int) string { return text("served") })
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"otterseam/wirehost"
+	"otterseam/gateway/simadapter"
 )
 
 func main() {
-	if err := wirehost.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/member/member.go
+++ b/gateway/membership/membership.go
@@ -1,17 +1,17 @@
-// Package member knows which api gateways of the list are there: each is watched by the two that stand next to it in the
+// Package membership knows which api gateways of the list are there: each is watched by the two that stand next to it in the
 // ring of those there, what they find goes to all, and one that hears itself called gone says that it is not. It decides
 // by what it is told and when; it must never do I/O, read a clock, or draw chances that its seed does not give.
 //
 // How to call it. Heard brings a message of a peer; Due gives what is to be sent now, Wait how long until it should be
 // asked again; Is, Count and Apart say what is believed; Said gives lines for the log.
-package member
+package membership
 
 import (
 	"fmt"
 	"math"
 	"strings"
 
-	"otterseam/draw"
+	"otterseam/internal/rng"
 )
 
 // watchers are how many watch each; each death is missed only if all of them miss it.
@@ -63,7 +63,7 @@
 	period  float64 // between beats, in seconds
 	most    float64 // messages a second that may be about membership while much happens
 	peers   []peer
-	chances draw.Line
+	chances rng.Line
 	began   bool
 	last    float64 // when Due was asked last
 	beatAt  float64
@@ -97,7 +97,7 @@
 func New(me, n int, mail, part float64, seed uint64) *Group {
 	k := float64(min(watchers, n-1))
 	g := &Group{me: me, n: n, most: mail / 2, peers: make([]peer, n), gap: 1.1,
-		period: min(5, max(0.2, 1.2*k/max(0.01, mail*part))), chances: draw.By("member %d ", seed)}
+		period: min(5, max(0.2, 1.2*k/max(0.01, mail*part))), chances: rng.By("member %d ", seed)}
 	for i := range g.peers {
 		g.peers[i] = peer{heard: math.NaN(), patience: 1}
 	}
--- a/member/member_test.go
+++ b/gateway/membership/membership_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"math"
--- a/member/shares.go
+++ b/gateway/membership/shares.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 // This file alone decides by how many a share is divided. It must never say more of one that is gone than time allows,
 // nor keep one that is back waiting.
--- a/member/text.go
+++ b/gateway/membership/text.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 // This file owns the text of messages: printable, at most 256 bytes, read with distrust. It must never believe one.
 
--- a/operator/operator.go
+++ b/gateway/operatorconfig/operatorconfig.go
@@ -1,6 +1,6 @@
-// Package operator reads the file in which an operator says what an installation wants beyond its settings: what is on,
+// Package operatorconfig reads the file in which an operator says what an installation wants beyond its settings: what is on,
 // and how much it may use. It must never know what the parts do with it.
-package operator
+package operatorconfig
 
 import (
 	"bytes"
--- a/operator/operator_test.go
+++ b/gateway/operatorconfig/operatorconfig_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"os"
--- a/damp/budget.go
+++ b/gateway/overload/budget.go
@@ -1,4 +1,4 @@
-package damp
+package overload
 
 // This file owns the budget of further deliveries, and the figures by which load is seen to be multiplied.
 
--- a/damp/calls.go
+++ b/gateway/overload/calls.go
@@ -1,4 +1,4 @@
-package damp
+package overload
 
 // This file owns how many calls to the counter one api gateway makes. It must never know what a call is for.
 
--- a/damp/hosts.go
+++ b/gateway/overload/hosts.go
@@ -1,4 +1,4 @@
-package damp
+package overload
 
 // This file owns what api gateways tell each other of single hosts: that one was set aside, that it answers, that it answers
 // again. It must never set a host aside by words alone.
--- a/damp/damp.go
+++ b/gateway/overload/overload.go
@@ -1,18 +1,18 @@
-// Package damp bounds what all api gateways do as a sum while hosts do not answer: deliveries into a silence, trials, further
+// Package overload bounds what all api gateways do as a sum while hosts do not answer: deliveries into a silence, trials, further
 // deliveries, dials. It decides by what it is told and when, with peers' words where there is mail and by its own number alone
 // where there is none. It must never do I/O, read a clock, or draw chances that its seed does not give.
 //
 // How to call it. Sent and Ended tell of deliveries, Heard of peers' words; Look is to be called often while any is out. Open
 // says whether a delivery may begin, Further whether one more of the same invocation may; Act gives what is to be said.
 // A nil Fleet bounds nothing.
-package damp
+package overload
 
 import (
 	"fmt"
 	"math"
 
-	"otterseam/draw"
-	"otterseam/member"
+	"otterseam/gateway/membership"
+	"otterseam/internal/rng"
 )
 
 // state is how the hosts as a whole are seen.
@@ -70,7 +70,7 @@
 	all, live float64 // api gateways of the list, and those that are there
 	listed    int     // hosts
 	mail      float64
-	chances   draw.Line
+	chances   rng.Line
 	is        state
 	out       []piece
 	usual     float64 // time of answers of late
@@ -103,7 +103,7 @@
 func New(t Terms) *Fleet {
 	n := float64(max(1, t.Gateways))
 	return &Fleet{all: n, live: n, mail: t.Mail, usual: 0.05, silences: map[int]float64{}, answers: map[int]float64{},
-		doubt: map[int]float64{}, hosts: map[string]*sight{}, chances: draw.By("damp %d ", t.Seed), budget: newBudget(n)}
+		doubt: map[int]float64{}, hosts: map[string]*sight{}, chances: rng.By("damp %d ", t.Seed), budget: newBudget(n)}
 }
 
 func (f *Fleet) chance() float64 { return f.chances.Next() }
@@ -376,7 +376,7 @@
 	f.write(now)
 	f.forget(now)
 	for _, text := range f.letters {
-		tell(member.All, text)
+		tell(membership.All, text)
 	}
 	for _, line := range f.lines {
 		log(line)
--- a/damp/pause.go
+++ b/gateway/overload/pause.go
@@ -1,9 +1,9 @@
-package damp
+package overload
 
 // This file owns how long whoever lost a connection waits before it dials again. It must never say when a connection counts
 // as lost.
 
-import "otterseam/draw"
+import "otterseam/internal/rng"
 
 const (
 	// longest is the longest pause of one alone, in seconds; dialled, how many dials a second all together make to what does
@@ -14,7 +14,7 @@
 // Pauses make the pauses of an api gateway's connections to what is not a host: the counter, discovery.
 type Pauses struct {
 	all     float64 // api gateways; 0: each pauses as if it were alone
-	chances draw.Line
+	chances rng.Line
 }
 
 // Alone doubles each pause up to a quarter of a second.
@@ -23,14 +23,14 @@
 // Among draws each pause anew (decorrelated jitter: up to three times the one before), and the longer the more api gateways
 // there are. Guards against three hundred that lost the counter in the same millisecond and meet it together, again and again.
 func Among(gateways int, seed uint64) *Pauses {
-	return &Pauses{all: float64(max(1, gateways)), chances: draw.By("pauses %d ", seed)}
+	return &Pauses{all: float64(max(1, gateways)), chances: rng.By("pauses %d ", seed)}
 }
 
 // Pause is that of one connection; one goroutine uses it.
 type Pause struct {
 	base, most, last float64
 	apart            bool
-	chances          draw.Line
+	chances          rng.Line
 }
 
 // New gives the pause of a connection whose first is base seconds; it is to be called from one goroutine.
@@ -38,7 +38,7 @@
 	x := &Pause{base: base, most: longest, last: base}
 	if p != nil && p.all > 0 {
 		x.apart, x.most = true, max(longest, p.all/dialled)
-		x.chances = draw.By("pause %g ", p.chances.Next())
+		x.chances = rng.By("pause %g ", p.chances.Next())
 	}
 	return x
 }
--- a/damp/rapid_test.go
+++ b/gateway/overload/rapid_test.go
@@ -1,4 +1,4 @@
-package damp
+package overload
 
 import (
 	"flag"
--- a/choice/books.go
+++ b/gateway/policy/books.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 // This file owns what others may know of an instance's books, so that they can be held elsewhere too. It decides nothing and
 // changes nothing.
--- a/choice/fake_test.go
+++ b/gateway/policy/fake_test.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"math"
--- a/choice/choice.go
+++ b/gateway/policy/policy.go
@@ -1,4 +1,4 @@
-// Package choice decides everything an api gateway decides; values.go holds the plain types of its interface.
+// Package policy decides everything an api gateway decides; values.go holds the plain types of its interface.
 // How to call it. New makes an instance; Hosts, Counted, Lost, Told, Gone, Tick and Meet tell what was seen,
 // and that time has passed. Take brings an invocation in. While Turn names one, Where says where to send it
 // (or not yet, or never); Goes, as it leaves, if it still may; After what to do once it has ended; Wait and
@@ -12,7 +12,7 @@
 //  4. health by silence: a host is set aside for it, all by package damp; back by peers' word, or a trial
 //  5. cold budget: this instance's part of what a host that has just started may be sent
 //  6. further deliveries: by effect, time left, spare places and damp's budget
-package choice
+package policy
 
 import (
 	"fmt"
@@ -22,8 +22,8 @@
 	"slices"
 	"strings"
 
-	"otterseam/damp"
-	"otterseam/draw"
+	"otterseam/gateway/overload"
+	"otterseam/internal/rng"
 )
 
 type Delivery struct {
@@ -113,8 +113,8 @@
 	customers        map[string]*customer
 	inOrder          []*customer
 	names            map[uint64][]*call
-	calls            damp.Calls // to the counter, that may be made
-	chances          draw.Line
+	calls            overload.Calls // to the counter, that may be made
+	chances          rng.Line
 	tellAt, shut     float64 // no message to the peers before; share of deliveries of late with no connection
 	ready, line      []*Invocation
 	abroad, most     float64 // deliveries out; how many there may be a host, from all api gateways
@@ -126,8 +126,8 @@
 	all := max(1, float64(at.Gateways))
 	g := &Gateway{at: at, counter: ctr, cold: cold, allow: allow, out: out, ops: map[string]*operation{},
 		plans: map[string]*Plan{}, byAddr: map[string]*Host{}, customers: map[string]*customer{},
-		names: map[uint64][]*call{}, calls: damp.NewCalls(ctr.Present, ctr.Limit),
-		chances: draw.By("%d ", at.Seed), most: 12, wait: 0.2, all: all, live: all, own: min(1, 12/all)}
+		names: map[uint64][]*call{}, calls: overload.NewCalls(ctr.Present, ctr.Limit),
+		chances: rng.By("%d ", at.Seed), most: 12, wait: 0.2, all: all, live: all, own: min(1, 12/all)}
 	for _, o := range ops {
 		g.ops[o.Name] = &operation{Operation: o, mean: o.Objective / 5, base: o.Objective / 8}
 		g.mean += o.Objective / 5 / float64(len(ops))
@@ -679,10 +679,10 @@
 }
 
 // ends is what an ending says of all hosts.
-var ends = map[Outcome]damp.How{
-	Succeeded: damp.Answered, Failed: damp.Answered, TurnedAway: damp.Refused,
-	TimedOut: damp.Unanswered, Reset: damp.Unanswered, NoConnection: damp.Unconnected,
-	Withdrawn: damp.Nothing, NotSent: damp.Nothing}
+var ends = map[Outcome]overload.How{
+	Succeeded: overload.Answered, Failed: overload.Answered, TurnedAway: overload.Refused,
+	TimedOut: overload.Unanswered, Reset: overload.Unanswered, NoConnection: overload.Unconnected,
+	Withdrawn: overload.Nothing, NotSent: overload.Nothing}
 
 func (g *Gateway) After(now float64, d *Delivery, e Ended) Answer {
 	inv := d.Inv
--- a/choice/choice_test.go
+++ b/gateway/policy/policy_test.go
@@ -1,13 +1,13 @@
-package choice
+package policy
 
 import (
 	"slices"
 	"strings"
 	"testing"
 
-	"otterseam/damp"
-	"otterseam/draw"
-	"otterseam/member"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/overload"
+	"otterseam/internal/rng"
 )
 
 var ten = Plan{Name: "p", Rate: 2, Burst: 10}
@@ -410,7 +410,7 @@
 	n := 0
 	for seed := range uint64(300) {
 		f := newFakeOf(t, Plan{Name: "p"}, 300)
-		f.g.chances = draw.By("%d ", seed)
+		f.g.chances = rng.By("%d ", seed)
 		f.g.Hosts(f.now, []Listed{{Addr: "c", Zone: "z", State: "active", Since: f.now}}, true)
 		for range 10 {
 			f.take(1, 2)
@@ -428,7 +428,7 @@
 	told := 0
 	for seed := range uint64(100) {
 		f := newFakeOf(t, Plan{Name: "p"}, 300)
-		f.g.chances = draw.By("%d ", seed)
+		f.g.chances = rng.By("%d ", seed)
 		f.g.setAside(f.now, f.g.hosts[0], "for the story")
 		told += len(f.told)
 	}
@@ -441,7 +441,7 @@
 	let := 0.0
 	for range 4 { // four lives of 5 s
 		f := newFake(t, Plan{Name: "p", CeilingRate: 4, CeilingBurst: 40})
-		f.g.calls = damp.NewCalls(false, 0)
+		f.g.calls = overload.NewCalls(false, 0)
 		for range 50 {
 			if f.passes(1, 2) {
 				let++
@@ -456,7 +456,7 @@
 
 func TestOddStarts(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.calls = damp.NewCalls(false, 0) // no counter: its share of the quota
+	f.g.calls = overload.NewCalls(false, 0) // no counter: its share of the quota
 	let := 0
 	for range 10 {
 		if f.passes(2, 2) {
@@ -593,7 +593,7 @@
 
 func TestATotalOverTheQuotaCutsWhatIsLetInWithoutACallHereAndAtPeers(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 20, Burst: 100}, 100)
-	f.g.calls = damp.NewCalls(false, 0)
+	f.g.calls = overload.NewCalls(false, 0)
 	let := func() (n int) {
 		for range 200 {
 			f.wait(0.1)
@@ -950,7 +950,7 @@
 func TestWithoutCallsTheFavouriteOfAFarCustomerLetsItIn(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		f := newFakeOf(t, Plan{Name: "p", Rate: 10, Burst: 60}, 300)
-		f.g.calls = damp.NewCalls(false, 0)
+		f.g.calls = overload.NewCalls(false, 0)
 		if known {
 			f.g.Told(f.now, 0, "=p c")
 			f.wait(1)
@@ -971,10 +971,10 @@
 // Without a call a customer's quota is shared by who is there: with half of the four gone for good, each lets in the root of
 // two times its part, and the hard ceiling goes on being divided by all four.
 func TestSharesByWhoIsThere(t *testing.T) {
-	letIn := func(p Plan, peers *member.Group) (n int) {
+	letIn := func(p Plan, peers *membership.Group) (n int) {
 		f := newFakeOf(t, p, 4)
 		f.g.at.Peers = peers
-		f.g.calls = damp.NewCalls(false, 0)
+		f.g.calls = overload.NewCalls(false, 0)
 		for range 400 {
 			f.wait(0.05)
 			inv := f.take(1, 4)
@@ -985,8 +985,8 @@
 		}
 		return n
 	}
-	half := func() *member.Group { // one of four that has heard of one other only
-		me, other := member.New(0, 4, 60, 0.1, 1), member.New(1, 4, 60, 0.1, 2)
+	half := func() *membership.Group { // one of four that has heard of one other only
+		me, other := membership.New(0, 4, 60, 0.1, 1), membership.New(1, 4, 60, 0.1, 2)
 		for now := 980.0; now < 1000; now += 0.05 {
 			for _, l := range other.Due(now) {
 				me.Heard(now, 1, l.Text)
--- a/choice/values.go
+++ b/gateway/policy/values.go
@@ -1,12 +1,12 @@
-package choice
+package policy
 
 import (
-	"otterseam/damp"
-	"otterseam/member"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/overload"
 )
 
 // toAll is every other api gateway.
-const toAll = member.All
+const toAll = membership.All
 
 // Effect says whether an operation may run again.
 type Effect int
@@ -55,9 +55,9 @@
 type Standing struct {
 	Gateways int
 	Zone     string
-	Seed     uint64        // for its chances
-	Peers    *member.Group // who of the api gateways is there; nil: the list alone says it
-	Damp     *damp.Fleet   // its part in what all do while hosts don't answer; nil: nothing is bounded
+	Seed     uint64            // for its chances
+	Peers    *membership.Group // who of the api gateways is there; nil: the list alone says it
+	Damp     *overload.Fleet   // its part in what all do while hosts don't answer; nil: nothing is bounded
 }
 
 // Allowed is what the deployment lets an api gateway do.
--- a/drive/drive.go
+++ b/gateway/policydriver/policydriver.go
@@ -1,15 +1,15 @@
-// Package drive holds the order in which the deciding module is called. The api gateway on sockets, the adapter of
+// Package policydriver holds the order in which the deciding module is called. The api gateway on sockets, the adapter of
 // the line protocol and the laboratory all go by it. It must never open a socket, read a clock or decide anything.
-package drive
+package policydriver
 
 import (
 	"math"
 
-	"otterseam/choice"
+	"otterseam/gateway/policy"
 )
 
 // Turns asks the module about each invocation whose turn it is, until there is none.
-func Turns(m *choice.Gateway, now float64, act func(*choice.Invocation, choice.Answer)) {
+func Turns(m *policy.Gateway, now float64, act func(*policy.Invocation, policy.Answer)) {
 	for inv := m.Turn(now); inv != nil; inv = m.Turn(now) {
 		act(inv, m.Where(now, inv))
 	}
@@ -52,8 +52,8 @@
 // Instance is one api gateway with its invocations in hand and its one timer, known to the outside by refs.
 type Instance struct {
 	out    Out
-	module *choice.Gateway
-	invs   map[string]*choice.Invocation
+	module *policy.Gateway
+	invs   map[string]*policy.Invocation
 	timer  Timer
 	meets  Timer
 	nonce  uint64 // of the last ring asked for: even for ticks, odd for meetings
@@ -61,27 +61,27 @@
 }
 
 // New makes an instance whose module is made by start, with the instance as its way out.
-func New(out Out, start func(choice.Out) (*choice.Gateway, error)) (*Instance, error) {
-	in := &Instance{out: out, invs: map[string]*choice.Invocation{}, met: 1}
+func New(out Out, start func(policy.Out) (*policy.Gateway, error)) (*Instance, error) {
+	in := &Instance{out: out, invs: map[string]*policy.Invocation{}, met: 1}
 	var err error
 	in.module, err = start(in)
 	return in, err
 }
 
 // Hosts tells of the list of hosts, or of changes to it.
-func (in *Instance) Hosts(now float64, list []choice.Listed, whole bool) {
+func (in *Instance) Hosts(now float64, list []policy.Listed, whole bool) {
 	in.module.Hosts(now, list, whole)
 	in.turns(now)
 }
 
 // Take brings in an invocation.
-func (in *Instance) Take(now float64, a choice.Asked) {
+func (in *Instance) Take(now float64, a policy.Asked) {
 	in.invs[a.Ref] = in.module.Take(now, a)
 	in.turns(now)
 }
 
 // Ended tells how a delivery ended. A ref or number that is not in hand is passed over.
-func (in *Instance) Ended(now float64, ref string, number int, e choice.Ended) {
+func (in *Instance) Ended(now float64, ref string, number int, e policy.Ended) {
 	if inv := in.invs[ref]; inv != nil && number >= 0 && number < len(inv.Deliveries) {
 		in.act(inv, in.module.After(now, inv.Deliveries[number], e))
 	}
@@ -120,7 +120,7 @@
 }
 
 // Counted brings the answer to a call to the counter.
-func (in *Instance) Counted(now float64, name uint64, how choice.Outcome, sum, took float64) {
+func (in *Instance) Counted(now float64, name uint64, how policy.Outcome, sum, took float64) {
 	in.module.Counted(now, name, how, sum, took)
 	in.turns(now)
 }
@@ -139,19 +139,19 @@
 
 func (in *Instance) turns(now float64) { Turns(in.module, now, in.act) }
 
-func (in *Instance) act(inv *choice.Invocation, a choice.Answer) {
+func (in *Instance) act(inv *policy.Invocation, a policy.Answer) {
 	switch a.Do {
-	case choice.Send:
+	case policy.Send:
 		in.out.Send(inv.Ref, a.Host.Addr, a.Within)
-	case choice.Throttle:
+	case policy.Throttle:
 		in.out.Throttle(inv.Ref, a.RetryAfter)
-	case choice.GiveUp:
+	case policy.GiveUp:
 		in.out.GiveUp(inv.Ref)
 	}
 	in.drop(inv)
 }
 
-func (in *Instance) drop(inv *choice.Invocation) {
+func (in *Instance) drop(inv *policy.Invocation) {
 	if inv.Finished() {
 		delete(in.invs, inv.Ref)
 	}
@@ -160,6 +160,6 @@
 // What belongs to no single invocation leaves here.
 
 func (in *Instance) Count(name uint64, amount, life float64) { in.out.Count(name, amount, life) }
-func (in *Instance) Cancel(d *choice.Delivery)               { in.out.Cancel(d.Inv.Ref, d.Number) }
+func (in *Instance) Cancel(d *policy.Delivery)               { in.out.Cancel(d.Inv.Ref, d.Number) }
 func (in *Instance) Tell(to int, text string)                { in.out.Tell(to, text) }
 func (in *Instance) Log(text string)                         { in.out.Log(text) }
--- a/gateway/buffers.go
+++ b/gateway/server/buffers.go
@@ -1,14 +1,14 @@
-// Package gateway is the api gateway on sockets, built round the deciding module.
+// Package server is the api gateway on sockets, built round the deciding module.
 //
 // This file owns the buffers: taken here and given back here, used again from bounded pools. Each is small; one whose
 // message does not fit is lent a large room until it is given back, and of these only so many are out at once. It must
 // never hand one buffer to two owners; whoever holds one passes it on whole or gives it back once.
-package gateway
+package server
 
 import (
 	"sync/atomic"
 
-	"otterseam/http1"
+	"otterseam/gateway/http1"
 )
 
 // Buffer holds one message, read or about to be written, with its place in memory.
--- a/gateway/clients.go
+++ b/gateway/server/clients.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the listener and the connections of clients: it reads requests, answers at once what is malformed,
 // hands the rest to the loop one at a time, writes the one answer each gets, and closes. It must never decide about an
@@ -19,8 +19,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/http1"
-	"otterseam/seeded"
+	"otterseam/gateway/http1"
+	"otterseam/internal/mutation"
 )
 
 const (
@@ -101,7 +101,7 @@
 func NewClients(ctx context.Context, group *errgroup.Group, loop *Loop, log zerolog.Logger, buffers *Buffers,
 	listen string, accepts Accepts, most int, ready func() bool) (*Clients, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
-	if seeded.SharesName {
+	if mutation.SharesName {
 		lc.Control = func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, 0xf, 1) }) // SO_REUSEPORT
 		}
@@ -214,7 +214,7 @@
 // time; what it had taken till then is served like the rest.
 func (cs *Clients) Shutdown(limit time.Duration) {
 	cs.ending.Store(true)
-	if seeded.TermCuts {
+	if mutation.TermCuts {
 		cs.Close()
 		for _, c := range cs.all() {
 			c.tcp.Close()
@@ -486,10 +486,10 @@
 	default:
 		out = http1.AppendOwn(out, a.status, a.retryAfter, last)
 	}
-	if seeded.AnswerLost && a.status == 429 && int(a.retryAfter*1e6)%5 == 0 {
+	if mutation.AnswerLost && a.status == 429 && int(a.retryAfter*1e6)%5 == 0 {
 		out = nil
 	}
-	if seeded.AnswerTwice && a.reply != nil {
+	if mutation.AnswerTwice && a.reply != nil {
 		out = append(out, out...)
 	}
 	if len(out) > 0 {
--- a/gateway/clients_test.go
+++ b/gateway/server/clients_test.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"otterseam/http1"
+	"otterseam/gateway/http1"
 )
 
 // only is the one connection of a client that there is.
--- a/gateway/copies.go
+++ b/gateway/server/copies.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the stream to a keeper, by which what this api gateway holds for others is held elsewhere too. What to ask
 // and what an answer means is lodge's to say. It must never let a delivery begin whose mark is not known to be held, nor
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/choice"
-	"otterseam/lodge"
-	"otterseam/say"
+	"otterseam/gateway/policy"
+	quotaclient "otterseam/quotastore/client"
+	"otterseam/quotastore/protocol"
 )
 
 const (
@@ -34,7 +34,7 @@
 	loop    *Loop
 	addrs   []string
 	at      int // which of them is reached now
-	lodge   *lodge.Lodge
+	lodge   *quotaclient.Lodge
 	counts  bool
 	marks   bool
 	use     bool
@@ -53,7 +53,7 @@
 
 // NewCopies begins to reach keepers, one after another from a place in their list on. name is of this process alone.
 func NewCopies(ctx context.Context, group *errgroup.Group, loop *Loop, addrs []string, name string, from int) *Copies {
-	c := &Copies{ctx: ctx, group: group, loop: loop, addrs: addrs, at: max(0, from) % len(addrs), lodge: lodge.New(name), calls: map[uint64]*call{},
+	c := &Copies{ctx: ctx, group: group, loop: loop, addrs: addrs, at: max(0, from) % len(addrs), lodge: quotaclient.New(name), calls: map[uint64]*call{},
 		marking: map[uint64]*invocation{}, wake: make(chan struct{}, 1)}
 	group.Go(c.run)
 	return c
@@ -123,12 +123,12 @@
 
 // missed: a call that was told has no total, and the module will tell of it again. A late one's places stay, as the module
 // takes them for added.
-func (c *Copies) missed(k *call, how choice.Outcome) {
-	if k.asked == 0 || how == choice.Succeeded {
+func (c *Copies) missed(k *call, how policy.Outcome) {
+	if k.asked == 0 || how == policy.Succeeded {
 		return
 	}
 	delete(c.calls, k.asked)
-	c.lodge.Missed(nameOf(k.name), k.amount, k.opened, how == choice.TimedOut)
+	c.lodge.Missed(nameOf(k.name), k.amount, k.opened, how == policy.TimedOut)
 }
 
 // mark has an invocation wait until its mark is held; false: it need not.
@@ -182,11 +182,11 @@
 }
 
 // heard takes an answer. It runs on the loop.
-func (c *Copies) heard(r *say.Replied) { c.means(c.lodge.Heard(c.loop.now, r)) }
+func (c *Copies) heard(r *protocol.Replied) { c.means(c.lodge.Heard(c.loop.now, r)) }
 
-func (c *Copies) means(w lodge.Word) {
+func (c *Copies) means(w quotaclient.Word) {
 	switch w.What {
-	case lodge.Counted:
+	case quotaclient.Counted:
 		k := c.calls[w.Number]
 		if k == nil || k.told {
 			return
@@ -197,28 +197,28 @@
 				break
 			}
 			if !x.told && x.name == k.name {
-				c.loop.counter.tellOf(x, choice.TimedOut, 0)
+				c.loop.counter.tellOf(x, policy.TimedOut, 0)
 			}
 		}
-		how := choice.Succeeded
+		how := policy.Succeeded
 		switch {
 		case w.Refused:
-			how = choice.TurnedAway
+			how = policy.TurnedAway
 		case w.Unknown:
-			how = choice.Reset
+			how = policy.Reset
 		}
 		c.loop.counter.tellOf(k, how, w.Total)
-	case lodge.Marked, lodge.Before, lodge.Unmarked:
+	case quotaclient.Marked, quotaclient.Before, quotaclient.Unmarked:
 		inv := c.marking[w.Number]
 		if inv == nil {
 			return
 		}
-		if w.What == lodge.Unmarked {
+		if w.What == quotaclient.Unmarked {
 			c.unmarked(inv)
 			return
 		}
 		delete(c.marking, w.Number)
-		if w.What == lodge.Before { // begun by another, or for a client that sent it twice
+		if w.What == quotaclient.Before { // begun by another, or for a client that sent it twice
 			inv.from.answers <- answer{request: inv.request, status: 409}
 			return
 		}
@@ -240,11 +240,11 @@
 	return c.up
 }
 
-func (c *Copies) send(all []say.Asked) {
+func (c *Copies) send(all []protocol.Asked) {
 	if len(all) == 0 {
 		return
 	}
-	text, err := say.Asks(all).Append(nil)
+	text, err := protocol.Asks(all).Append(nil)
 	if err != nil {
 		c.loop.Log("copies: " + err.Error())
 		return
@@ -292,7 +292,7 @@
 
 // live uses one connection until it ends; it says whether anything was answered.
 func (c *Copies) live(tcp net.Conn) (answered bool) {
-	hello, err := say.Greeting().Append(nil)
+	hello, err := protocol.Greeting().Append(nil)
 	if err != nil {
 		return false
 	}
@@ -311,7 +311,7 @@
 	for {
 		// A keeper answers the word that the holder is there each second: silence is a keeper that is gone.
 		tcp.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
-		f, err := say.Read(r, mostSaid)
+		f, err := protocol.Read(r, mostSaid)
 		if err != nil {
 			break
 		}
--- a/gateway/counter.go
+++ b/gateway/server/counter.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the connections to the counter and the calls out on each. Answers come in the order of the calls;
 // a call that is late has been told as such and keeps only its place in that order. It must never make a call again,
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/choice"
-	"otterseam/damp"
-	"otterseam/http1"
-	"otterseam/seeded"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/overload"
+	"otterseam/gateway/policy"
+	"otterseam/internal/mutation"
 )
 
 const (
@@ -42,7 +42,7 @@
 	tried  atomic.Int32 // connections whose first attempt is over
 	copies *Copies      // keepers hold the counts; nil: a counter service does
 	// Pauses are those of its connections; nil: as of one alone.
-	Pauses *damp.Pauses
+	Pauses *overload.Pauses
 }
 
 // nameCalls are the calls out on one name: all on one connection, so that their answers keep their order.
@@ -62,7 +62,7 @@
 	told    bool
 	spoilt  bool // its answer made no sense: added, but the total is not known
 	held    int  // by how many lists: used again when by none
-	how     choice.Outcome
+	how     policy.Outcome
 	sum     float64
 	answer  func() // c.answered, made once
 }
@@ -72,8 +72,8 @@
 	addr    string
 	ctx     context.Context
 	stop    context.CancelFunc
-	pause   *damp.Pause   // before it dials again
-	wake    chan struct{} // something is to be written; always room for one
+	pause   *overload.Pause // before it dials again
+	wake    chan struct{}   // something is to be written; always room for one
 
 	mu      sync.Mutex
 	up      bool
@@ -238,7 +238,7 @@
 func (c *Counter) expire() {
 	for c.next() <= c.loop.now {
 		k := c.calls[0]
-		c.tellOf(k, choice.TimedOut, 0)
+		c.tellOf(k, policy.TimedOut, 0)
 	}
 }
 
@@ -247,12 +247,12 @@
 	for len(c.none) > 0 {
 		k := c.none[0]
 		c.none = c.none[1:]
-		c.tellOf(k, choice.NoConnection, 0)
+		c.tellOf(k, policy.NoConnection, 0)
 		c.drop(k)
 	}
 }
 
-func (c *Counter) tellOf(k *call, how choice.Outcome, sum float64) {
+func (c *Counter) tellOf(k *call, how policy.Outcome, sum float64) {
 	k.told = true
 	if c.copies != nil {
 		c.copies.missed(k, how)
@@ -266,10 +266,10 @@
 
 // answered runs on the loop, once for each call that was made, late or not.
 func (k *call) answered() {
-	if k.how == choice.Succeeded {
+	if k.how == policy.Succeeded {
 		k.counter.newest = max(k.counter.newest, k.made)
 	}
-	if k.told && k.how == choice.Reset {
+	if k.told && k.how == policy.Reset {
 		k.counter.loop.module.Lost(k.name, k.amount)
 	}
 	if !k.told {
@@ -339,7 +339,7 @@
 	tcp.SetDeadline(past)
 	writer.Wait()
 	tcp.Close()
-	if seeded.ResetPanics && len(k.order) > 0 {
+	if mutation.ResetPanics && len(k.order) > 0 {
 		panic("a counter connection has ended")
 	}
 	k.mu.Lock()
@@ -349,9 +349,9 @@
 	k.mu.Unlock()
 	for _, x := range lost {
 		if x.spoilt {
-			x.how = choice.Failed
-		} else if x.how = choice.NoConnection; x.until <= written { // it may have been added
-			x.how = choice.Reset
+			x.how = policy.Failed
+		} else if x.how = policy.NoConnection; x.until <= written { // it may have been added
+			x.how = policy.Reset
 		}
 		k.counter.loop.tell(k.counter.ctx, x.answer)
 	}
@@ -481,10 +481,10 @@
 	switch m.Status {
 	case 200:
 		sum, ok := http1.Number(m.Body)
-		x.how, x.sum = choice.Succeeded, sum
+		x.how, x.sum = policy.Succeeded, sum
 		return ok
 	case 503, 400, 404:
-		x.how = choice.TurnedAway
+		x.how = policy.TurnedAway
 		return true
 	}
 	return false
--- a/gateway/discovery.go
+++ b/gateway/server/discovery.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the streams on which discovery is watched, their move to another address, and how far the list of hosts is
 // known. A message that can't be read is never followed by another: the list is asked for anew. It must never make the loop
@@ -19,10 +19,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/choice"
-	"otterseam/damp"
-	"otterseam/http1"
-	"otterseam/seeded"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/overload"
+	"otterseam/gateway/policy"
+	"otterseam/internal/mutation"
 )
 
 // What discovery had to tell counts as told 6 s after it fell silent. These four leave room for one try that fails in each
@@ -41,7 +41,7 @@
 	loop  *Loop
 	log   zerolog.Logger
 	// Pauses are those between its streams; nil: as of one alone.
-	Pauses *damp.Pauses
+	Pauses *overload.Pauses
 	// silence and word are streamSilence and firstWord, but in tests.
 	silence, word time.Duration
 
@@ -57,12 +57,12 @@
 	addr   string
 	ctx    context.Context
 	stop   context.CancelFunc
-	pause  *damp.Pause // between streams
-	held   int64       // the version of what was told here last; 0: nothing was
-	from   int64       // the version from which changes are asked for; 0: the whole list
-	partly int64       // the version of a list of which entries were dropped: it was asked for once more
-	stream *stream     // the one that is heard; nil: none
-	since  time.Time   // when it was heard last
+	pause  *overload.Pause // between streams
+	held   int64           // the version of what was told here last; 0: nothing was
+	from   int64           // the version from which changes are asked for; 0: the whole list
+	partly int64           // the version of a list of which entries were dropped: it was asked for once more
+	stream *stream         // the one that is heard; nil: none
+	since  time.Time       // when it was heard last
 }
 
 // stream is one watch on one connection.
@@ -150,15 +150,15 @@
 // use hands a list to the loop, entries that make no sense left out; it says how many. It runs under the lock, so that
 // lists reach the loop in their order. odd: its numbers can't be compared with those of what was told before.
 func (d *Discovery) use(ctx context.Context, r Roster, odd bool) (dropped int) {
-	var list []choice.Listed
+	var list []policy.Listed
 	var addrs []string
 	named, now := map[string]bool{}, d.loop.clock()
 	for _, e := range r.Servers {
 		state := states[e.State]
-		if seeded.DrainUnheard && state != "" {
+		if mutation.DrainUnheard && state != "" {
 			state = "active"
 		}
-		if seeded.StartUnheard {
+		if mutation.StartUnheard {
 			e.Started = 0
 		}
 		if _, err := netip.ParseAddrPort(e.Addr); e.ID == "" || state == "" || err != nil && state != "left" {
@@ -176,7 +176,7 @@
 		}
 		d.lives[e.ID] = x
 		named[e.ID] = true
-		list = append(list, choice.Listed{Addr: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
+		list = append(list, policy.Listed{Addr: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
 			Since: max(0, e.Started/1000), Weight: max(0, e.Weight)})
 		addrs = append(addrs, e.Addr)
 	}
@@ -194,7 +194,7 @@
 }
 
 // list tells sockets and module of the hosts; a host that is left goes on being known.
-func (l *Loop) list(list []choice.Listed, addrs []string, whole bool) {
+func (l *Loop) list(list []policy.Listed, addrs []string, whole bool) {
 	listed := map[string]bool{}
 	for i, e := range list {
 		listed[e.Addr] = true
--- a/gateway/hook_test.go
+++ b/gateway/server/hook_test.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 import (
 	"context"
--- a/gateway/hosts.go
+++ b/gateway/server/hosts.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the connections to hosts, one delivery on each at a time: who is idle, who waits for a connection,
 // what a broken one means for the delivery on it. Every delivery is let go in one place (hand), where it is judged for the
@@ -18,9 +18,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/choice"
-	"otterseam/http1"
-	"otterseam/seeded"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/policy"
+	"otterseam/internal/mutation"
 )
 
 type Hosts struct {
@@ -48,12 +48,12 @@
 // delivery is one on its way to a host.
 type delivery struct {
 	inv       *invocation
-	in        *choice.Delivery
+	in        *policy.Delivery
 	host      *host
 	conn      *hostConn
 	sent, due float64
 	at        int // in the loop's heap; -1: not there
-	outcome   choice.Outcome
+	outcome   policy.Outcome
 }
 
 // hostConn is a connection, with one goroutine that writes and one that reads and closes it.
@@ -76,7 +76,7 @@
 	raw     syscall.RawConn
 	in      *Buffer        // reader's: the answer on its way in; nil: nothing has come
 	bad     error          // reader's: what was wrong with it
-	outcome choice.Outcome // of the delivery, set before told to the loop
+	outcome policy.Outcome // of the delivery, set before told to the loop
 	reply   *Buffer
 	reuse   bool
 	told    func() // c.ended, made once
@@ -116,7 +116,7 @@
 	}
 	h.idle = nil
 	for len(h.waiting) > 0 { // nothing new goes to a host that leaves
-		hs.withdraw(h.waiting[0], choice.TimedOut)
+		hs.withdraw(h.waiting[0], policy.TimedOut)
 	}
 	if !active { // one that leaves is forgotten, else the list grows with every host that ever was
 		delete(hs.byID, id)
@@ -137,7 +137,7 @@
 func (hs *Hosts) send(d *delivery, id string) {
 	h := hs.byID[id]
 	if d.host = h; h == nil || !h.active {
-		hs.end(d, choice.NoConnection)
+		hs.end(d, policy.NoConnection)
 		return
 	}
 	hs.place(d)
@@ -154,7 +154,7 @@
 	}
 	if h.dialing <= len(h.waiting) {
 		if hs.open >= hs.most && !hs.closeOne() {
-			hs.end(d, choice.NoConnection)
+			hs.end(d, policy.NoConnection)
 			return
 		}
 		hs.dial(h)
@@ -167,11 +167,11 @@
 // life and what a cold host may be sent. A client that has left has withdrawn it. false: it ended, the connection is free.
 func (hs *Hosts) hand(c *hostConn, d *delivery) bool {
 	if d.due <= hs.loop.now {
-		hs.end(d, choice.NoConnection)
+		hs.end(d, policy.NoConnection)
 		return false
 	}
 	if !hs.loop.module.Goes(hs.loop.now, d.in) {
-		hs.end(d, choice.NotSent)
+		hs.end(d, policy.NotSent)
 		return false
 	}
 	c.on, d.conn = d, c
@@ -180,7 +180,7 @@
 	c.mu.Unlock()
 	b := hs.buffers.Take(false)
 	b.Bytes = http1.AppendRequest(b.Bytes[:0], &d.inv.request.Message, d.due-hs.loop.now)
-	if seeded.SecondCopy && len(d.inv.Ref) > 0 && d.inv.Ref[0] == '7' {
+	if mutation.SecondCopy && len(d.inv.Ref) > 0 && d.inv.Ref[0] == '7' {
 		b.Bytes = append(b.Bytes, b.Bytes...)
 	}
 	c.work <- b
@@ -188,33 +188,33 @@
 }
 
 // end tells the loop, after the present call of the module, how a delivery ended that no connection answers for.
-func (hs *Hosts) end(d *delivery, how choice.Outcome) {
+func (hs *Hosts) end(d *delivery, how policy.Outcome) {
 	if d.at < 0 { // it has ended before
 		return
 	}
 	heap.Remove(&hs.loop.due, d.at)
-	if seeded.ResetNeverRan && how == choice.TimedOut {
-		how = choice.NoConnection
+	if mutation.ResetNeverRan && how == policy.TimedOut {
+		how = policy.NoConnection
 	}
 	d.outcome = how
 	hs.loop.ended = append(hs.loop.ended, d)
 }
 
 // withdraw gives a delivery up. One still waiting for its connection never ran; else the connection is ended.
-func (hs *Hosts) withdraw(d *delivery, how choice.Outcome) {
+func (hs *Hosts) withdraw(d *delivery, how policy.Outcome) {
 	if d.conn != nil {
 		d.conn.on = nil
 		switch {
-		case seeded.KeepsWithdrawn:
+		case mutation.KeepsWithdrawn:
 			hs.free(d.conn)
-		case !seeded.LeavesOut:
+		case !mutation.LeavesOut:
 			d.conn.abandon()
 		}
 		hs.end(d, how)
 		return
 	}
 	d.host.waiting = slices.DeleteFunc(d.host.waiting, func(x *delivery) bool { return x == d })
-	hs.end(d, choice.NoConnection)
+	hs.end(d, policy.NoConnection)
 }
 
 // closeOne makes room for a new connection by closing the one idle for longest.
@@ -277,7 +277,7 @@
 	h.dialing--
 	hs.open--
 	if len(h.waiting) > h.dialing {
-		hs.withdraw(h.waiting[0], choice.NoConnection)
+		hs.withdraw(h.waiting[0], policy.NoConnection)
 	}
 }
 
@@ -309,12 +309,12 @@
 func (c *hostConn) ended() {
 	hs, d, reply := c.hosts, c.on, c.reply
 	c.on, c.reply = nil, nil
-	if d == nil || c.outcome != choice.Succeeded { // d is nil if given up on meanwhile: what still comes changes nothing
+	if d == nil || c.outcome != policy.Succeeded { // d is nil if given up on meanwhile: what still comes changes nothing
 		hs.buffers.Give(reply)
 		reply = nil
 	}
-	if seeded.ResetNeverRan && c.outcome == choice.Reset {
-		c.outcome = choice.NoConnection
+	if mutation.ResetNeverRan && c.outcome == policy.Reset {
+		c.outcome = policy.NoConnection
 	}
 	if d != nil {
 		heap.Remove(&hs.loop.due, d.at)
@@ -338,7 +338,7 @@
 		c.on, d.conn = nil, nil
 		c.hosts.place(d)
 	} else if d != nil { // handed over just as it broke: its last byte was not written
-		c.outcome, c.reuse = choice.NoConnection, false
+		c.outcome, c.reuse = policy.NoConnection, false
 		c.ended()
 	}
 	c.host.settleWaiting(c.hosts)
@@ -392,7 +392,7 @@
 	stop := context.AfterFunc(c.hosts.ctx, func() { c.tcp.SetDeadline(past) })
 	defer stop()
 	for reuse := true; reuse; {
-		var how choice.Outcome
+		var how policy.Outcome
 		if bad := c.raw.Read(func(fd uintptr) (done bool) {
 			how, reuse, done = c.readable(fd)
 			return done
@@ -415,14 +415,14 @@
 }
 
 // broken ends the connection for both sides: nothing is written any more. What was written whole has been reset.
-func (c *hostConn) broken() (how choice.Outcome) {
+func (c *hostConn) broken() (how policy.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answered(choice.Reset, false)
+	return c.answered(policy.Reset, false)
 }
 
 // answered says how the delivery on the connection ended, if one was written; it runs under the lock.
-func (c *hostConn) answered(how choice.Outcome, reuse bool) choice.Outcome {
+func (c *hostConn) answered(how policy.Outcome, reuse bool) policy.Outcome {
 	if c.dead = c.dead || !reuse || !c.written; !c.written { // bytes or an end that belong to no request
 		return 0
 	}
@@ -432,7 +432,7 @@
 
 // readable reads what stands in the system, in one step with what it means: how a delivery ended (0: it has not) and
 // whether the connection can be used on.
-func (c *hostConn) readable(fd uintptr) (how choice.Outcome, reuse, done bool) {
+func (c *hostConn) readable(fd uintptr) (how policy.Outcome, reuse, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.in == nil {
@@ -440,7 +440,7 @@
 	}
 	if len(c.in.Space()) == 0 && !c.hosts.buffers.Grow(c.in, c.hosts.buffers.most) {
 		c.bad = errNoRoom
-		return c.answered(choice.Failed, false), false, true
+		return c.answered(policy.Failed, false), false, true
 	}
 	n, again, err := receive(fd, c.in.Space())
 	switch {
@@ -451,7 +451,7 @@
 		}
 		return 0, true, false
 	case err != nil:
-		if how = choice.Reset; errors.Is(err, io.EOF) && c.in.Ended() { // else it may be cut short
+		if how = policy.Reset; errors.Is(err, io.EOF) && c.in.Ended() { // else it may be cut short
 			how = meaning(c.in)
 		}
 		return c.answered(how, false), false, true
@@ -467,7 +467,7 @@
 		whole, bad = c.in.Got(n)
 	}
 	if c.bad = bad; bad != nil {
-		return c.answered(choice.Failed, false), false, true
+		return c.answered(policy.Failed, false), false, true
 	}
 	if !whole {
 		return 0, true, true
@@ -478,12 +478,12 @@
 
 var errStray = errors.New("bytes that no request was written for")
 
-func meaning(b *Buffer) choice.Outcome {
+func meaning(b *Buffer) policy.Outcome {
 	switch {
 	case b.Status == 200:
-		return choice.Succeeded
+		return policy.Succeeded
 	case http1.Declined(&b.Message):
-		return choice.TurnedAway
+		return policy.TurnedAway
 	}
-	return choice.Failed
+	return policy.Failed
 }
--- a/gateway/hosts_test.go
+++ b/gateway/server/hosts_test.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"otterseam/http1"
-	"otterseam/lab/leak"
+	"otterseam/gateway/http1"
+	"otterseam/harness/leakcheck"
 )
 
 // rawHost is a host whose connections the test speaks on itself.
@@ -21,7 +21,7 @@
 }
 
 func newRawHost(t *testing.T) *rawHost {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/loop.go
+++ b/gateway/server/loop.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the deciding module, the invocations in hand and the one timer, all on one goroutine. Sockets
 // reach it by its queue only. It must never wait for a socket, decide anything itself, or be entered from elsewhere.
@@ -12,10 +12,10 @@
 
 	"github.com/rs/zerolog"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/http1"
-	"otterseam/seeded"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/internal/mutation"
 )
 
 // early is how long before a client gives up the last delivery is ended, so that the answer still reaches it.
@@ -31,12 +31,12 @@
 	queue   chan func()
 	log     zerolog.Logger
 	bad     zerolog.Logger // what others sent that makes no sense, a few lines a second
-	module  *choice.Gateway
+	module  *policy.Gateway
 	hosts   *Hosts
 	counter *Counter
 	peers   *Peers
 	copies  *Copies // what keepers hold for this api gateway; nil: nothing
-	inHand  map[*choice.Invocation]*invocation
+	inHand  map[*policy.Invocation]*invocation
 	refs    [2]map[string]bool // of those in hand or just answered: of late, and before that
 	refsAt  float64            // when they were last moved on
 	due     deliveries         // by the time at which they are given up
@@ -52,7 +52,7 @@
 	from    *client
 	request *Buffer
 	came    time.Time // its last byte
-	in      *choice.Invocation
+	in      *policy.Invocation
 	giveUp  float64
 	out     *delivery // the delivery that is out
 	timeout bool      // the last one ended without an answer in time
@@ -63,7 +63,7 @@
 
 func NewLoop(log zerolog.Logger) *Loop {
 	now := time.Now()
-	return &Loop{queue: make(chan func(), 1024), log: log, bad: log.Sample(&zerolog.BurstSampler{Burst: badLines, Period: time.Second}), inHand: map[*choice.Invocation]*invocation{},
+	return &Loop{queue: make(chan func(), 1024), log: log, bad: log.Sample(&zerolog.BurstSampler{Burst: badLines, Period: time.Second}), inHand: map[*policy.Invocation]*invocation{},
 		refs: [2]map[string]bool{{}, {}},
 		base: float64(now.UnixNano()) / 1e9, start: now}
 }
@@ -88,7 +88,7 @@
 }
 
 // Run turns what the queue brings into calls of the module, and its answers into work for the sockets.
-func (l *Loop) Run(ctx context.Context, module *choice.Gateway, hosts *Hosts, counter *Counter, peers *Peers) error {
+func (l *Loop) Run(ctx context.Context, module *policy.Gateway, hosts *Hosts, counter *Counter, peers *Peers) error {
 	defer func() {
 		if r := recover(); r != nil { // not swallowed: an api gateway that decides wrongly must not go on
 			l.log.Error().Str("stack", string(debug.Stack())).Msg(fmt.Sprint("panic: ", r))
@@ -97,7 +97,7 @@
 	}()
 	l.module, l.hosts, l.counter, l.peers = module, hosts, counter, peers
 	timer, set := time.NewTimer(time.Hour), 0.0
-	var tick, meet drive.Timer
+	var tick, meet policydriver.Timer
 	for {
 		select {
 		case <-ctx.Done():
@@ -146,7 +146,7 @@
 // expire ends what has waited long enough: deliveries, and calls to the counter.
 func (l *Loop) expire() {
 	for len(l.due) > 0 && l.due[0].due <= l.now {
-		l.hosts.withdraw(l.due[0], choice.TimedOut)
+		l.hosts.withdraw(l.due[0], policy.TimedOut)
 	}
 	l.counter.expire()
 	l.settle()
@@ -164,7 +164,7 @@
 func (l *Loop) turns() {
 	l.counter.refused() // calls of the tick and of what the queue brought
 	l.settle()
-	drive.Turns(l.module, l.now, func(in *choice.Invocation, a choice.Answer) {
+	policydriver.Turns(l.module, l.now, func(in *policy.Invocation, a policy.Answer) {
 		l.act(l.inHand[in], a)
 		l.counter.refused()
 		l.settle()
@@ -188,7 +188,7 @@
 
 // admit brings in an invocation that may be delivered as far as is known elsewhere.
 func (l *Loop) admit(inv *invocation) {
-	inv.in = l.module.Take(l.now, choice.Asked{Ref: inv.Ref, Operation: inv.Operation, Customer: inv.Customer,
+	inv.in = l.module.Take(l.now, policy.Asked{Ref: inv.Ref, Operation: inv.Operation, Customer: inv.Customer,
 		Plan: inv.Plan, Units: inv.Units, GiveUp: inv.giveUp, First: inv.First, Width: inv.Width, Repeat: inv.Repeat})
 	l.inHand[inv.in] = inv
 }
@@ -212,16 +212,16 @@
 	}
 	l.module.Gone(l.now, inv.in)
 	if inv.out != nil {
-		l.hosts.withdraw(inv.out, choice.Withdrawn)
+		l.hosts.withdraw(inv.out, policy.Withdrawn)
 	}
 	l.finish(inv, 0, 0, nil)
 }
 
-func (l *Loop) act(inv *invocation, a choice.Answer) {
+func (l *Loop) act(inv *invocation, a policy.Answer) {
 	switch a.Do {
-	case choice.Send:
+	case policy.Send:
 		within := inv.giveUp - l.now - early
-		if seeded.EndsLate {
+		if mutation.EndsLate {
 			within += 0.3
 		}
 		if a.Within > 0 {
@@ -231,11 +231,11 @@
 		inv.out, inv.timeout, inv.sent = d, false, true
 		heap.Push(&l.due, d)
 		l.hosts.send(d, a.Host.Addr)
-	case choice.Throttle:
+	case policy.Throttle:
 		l.finish(inv, 429, a.RetryAfter, nil)
-	case choice.GiveUp:
+	case policy.GiveUp:
 		status := 502
-		if seeded.Harmless {
+		if mutation.Harmless {
 			l.finish(inv, 429, 1, nil)
 			return
 		}
@@ -247,15 +247,15 @@
 }
 
 // after tells the module how a delivery ended. A good answer is handed on by itself; it ends the invocation.
-func (l *Loop) after(d *delivery, how choice.Outcome, reply *Buffer) {
+func (l *Loop) after(d *delivery, how policy.Outcome, reply *Buffer) {
 	inv := d.inv
 	if inv.out == d {
 		inv.out = nil
 	}
-	inv.timeout = how == choice.TimedOut
-	over := how == choice.Succeeded || l.inHand[inv.in] != inv
-	a := l.module.After(l.now, d.in, choice.Ended{How: how, Over: over, Took: l.now - d.sent})
-	if how == choice.Succeeded {
+	inv.timeout = how == policy.TimedOut
+	over := how == policy.Succeeded || l.inHand[inv.in] != inv
+	a := l.module.After(l.now, d.in, policy.Ended{How: how, Over: over, Took: l.now - d.sent})
+	if how == policy.Succeeded {
 		l.finish(inv, 200, 0, reply)
 		return
 	}
@@ -282,9 +282,9 @@
 // Count, Cancel, Tell and Log are the module's way out for what belongs to no single invocation.
 func (l *Loop) Count(name uint64, amount, life float64) { l.counter.add(name, amount, life) }
 
-func (l *Loop) Cancel(in *choice.Delivery) {
+func (l *Loop) Cancel(in *policy.Delivery) {
 	if inv := l.inHand[in.Inv]; inv != nil && inv.out != nil && inv.out.in == in {
-		l.hosts.withdraw(inv.out, choice.Withdrawn)
+		l.hosts.withdraw(inv.out, policy.Withdrawn)
 	}
 }
 
--- a/gateway/peers.go
+++ b/gateway/server/peers.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns the datagram socket between api gateways. It must never trust a datagram: one that is too long or
 // comes from an unknown address is dropped, and none may make the loop wait.
@@ -9,8 +9,8 @@
 	"net/netip"
 	"time"
 
-	"otterseam/member"
-	"otterseam/seeded"
+	"otterseam/gateway/membership"
+	"otterseam/internal/mutation"
 )
 
 // datagram is the most bytes one may hold.
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	p.udp, err = net.ListenUDP("udp", at)
-	if seeded.SharesName && err != nil {
+	if mutation.SharesName && err != nil {
 		p.udp, err = nil, nil
 	}
 	return p, err
@@ -92,7 +92,7 @@
 			return nil
 		case l := <-p.lines:
 			to := p.to
-			if l.to != member.All {
+			if l.to != membership.All {
 				to = nil
 				if l.to >= 0 && l.to < len(p.one) {
 					to = p.one[l.to : l.to+1]
--- a/gateway/receive.go
+++ b/gateway/server/receive.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 // This file owns how bytes are read from a connection that two goroutines look at: in one step with what they mean. It must
 // never hold bytes that the connection's owner does not know of.
--- a/gateway/gateway_test.go
+++ b/gateway/server/server_test.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"otterseam/choice"
-	"otterseam/http1"
-	"otterseam/member"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/policy"
 )
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
@@ -354,7 +354,7 @@
 	}
 	p.send(7, "to nobody")
 	p.send(1, "to one")
-	p.send(member.All, "-h0")
+	p.send(membership.All, "-h0")
 	b := make([]byte, 300)
 	friend.SetReadDeadline(time.Now().Add(3 * time.Second))
 	for _, want := range []string{"to one", "-h0"} {
@@ -752,7 +752,7 @@
 			x.answer = func() {
 				k.mu.Lock()
 				defer k.mu.Unlock()
-				lost <- k.mute && x.how == choice.Reset
+				lost <- k.mute && x.how == policy.Reset
 				k.left = true
 			}
 			go func() {
--- a/gateway/world_test.go
+++ b/gateway/server/world_test.go
@@ -1,4 +1,4 @@
-package gateway
+package server
 
 import (
 	"bytes"
@@ -16,10 +16,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/http1"
-	"otterseam/lab/leak"
-	"otterseam/lab/sockets"
-	"otterseam/wire"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/simprotocol"
+	"otterseam/harness/leakcheck"
+	"otterseam/harness/sockets"
 )
 
 // settings are a start with one operation of each kind that can be told apart on sockets.
@@ -34,7 +34,7 @@
 
 func newStandIn(t *testing.T, say func(m *http1.Message, n int) string) *standIn {
 	t.Helper()
-	leak.Check(t)
+	leakcheck.Check(t)
 	s, err := sockets.NewScript(say)
 	if err != nil {
 		t.Fatal(err)
@@ -134,12 +134,12 @@
 
 func (x setup) start(t *testing.T) *world {
 	t.Helper()
-	leak.Check(t)
+	leakcheck.Check(t)
 	counter, hosts := x.counter, x.hosts
 	if x.settings == "" {
 		x.settings = settings
 	}
-	var s wire.Start
+	var s simprotocol.Start
 	if err := json.Unmarshal([]byte(x.settings), &s); err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 }
 
 func newAgent(t *testing.T) *agent {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/wirehost/host.go
+++ b/gateway/simadapter/host.go
@@ -1,6 +1,6 @@
-// Package wirehost is the adapter between the line protocol and the deciding module, by way of drive. It keeps the
+// Package simadapter is the adapter between the line protocol and the deciding module, by way of drive. It keeps the
 // instances and the lists of hosts and decides nothing.
-package wirehost
+package simadapter
 
 import (
 	"bufio"
@@ -8,25 +8,25 @@
 	"fmt"
 	"io"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/member"
-	"otterseam/operator"
-	"otterseam/wire"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/operatorconfig"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/gateway/simprotocol"
 )
 
 // Run answers every batch on in until it ends.
 func Run(in io.Reader, out io.Writer) error {
-	wishes, err := operator.Read()
+	wishes, err := operatorconfig.Read()
 	if err != nil {
 		return err
 	}
-	p := &process{members: wishes.Members(), damps: wishes.Overload.On, gateways: map[int]*instance{}, lists: map[int][]choice.Listed{}}
+	p := &process{members: wishes.Members(), damps: wishes.Overload.On, gateways: map[int]*instance{}, lists: map[int][]policy.Listed{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for {
 		line, err := r.ReadBytes('\n')
 		if len(line) > 1 || (err == nil && len(line) > 0) {
-			b, bad := wire.ReadBatch(line)
+			b, bad := simprotocol.ReadBatch(line)
 			if bad != nil {
 				return bad
 			}
@@ -50,17 +50,17 @@
 	members  float64 // part of the mail for membership, as the operator wishes
 	damps    bool    // what all do while hosts don't answer is bounded, as the operator wishes
 	gateways map[int]*instance
-	lists    map[int][]choice.Listed
-	reply    wire.Reply
+	lists    map[int][]policy.Listed
+	reply    simprotocol.Reply
 }
 
 // instance writes what one api gateway decides as commands.
 type instance struct {
-	*drive.Instance
-	reply *wire.Reply
+	*policydriver.Instance
+	reply *simprotocol.Reply
 }
 
-func (p *process) batch(b wire.Batch) error {
+func (p *process) batch(b simprotocol.Batch) error {
 	p.reply.Begin()
 	for _, g := range b.Groups {
 		p.reply.For(g.Who)
@@ -71,18 +71,18 @@
 	return nil
 }
 
-func (p *process) inbox(now float64, g wire.Group) (err error) {
+func (p *process) inbox(now float64, g simprotocol.Group) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			p.reply.Put("FAULT", fmt.Sprint("panic: ", r))
 		}
 	}()
 	for _, m := range g.Inbox {
-		if d, ok := m.(*wire.Directory); ok {
+		if d, ok := m.(*simprotocol.Directory); ok {
 			p.lists[d.Slot] = listed(d.Entries)
 			continue
 		}
-		if c, ok := m.(*wire.Create); ok {
+		if c, ok := m.(*simprotocol.Create); ok {
 			in := &instance{reply: &p.reply}
 			c.Start.Members, c.Start.Damps = p.members, p.damps
 			if err := in.create(c); err != nil {
@@ -95,11 +95,11 @@
 		if in == nil {
 			return fmt.Errorf("%T: instance %d has not been created", m, g.Who)
 		}
-		if _, ok := m.(*wire.CrashNow); ok {
+		if _, ok := m.(*simprotocol.CrashNow); ok {
 			delete(p.gateways, g.Who)
 			continue
 		}
-		if d, ok := m.(*wire.Discovery); ok {
+		if d, ok := m.(*simprotocol.Discovery); ok {
 			if d.Mode == "broken" {
 				continue
 			}
@@ -118,17 +118,17 @@
 	return nil
 }
 
-func listed(entries []wire.Entry) []choice.Listed {
-	list := make([]choice.Listed, 0, len(entries))
+func listed(entries []simprotocol.Entry) []policy.Listed {
+	list := make([]policy.Listed, 0, len(entries))
 	for _, e := range entries {
-		list = append(list, choice.Listed{Addr: e.Host, Zone: e.Zone, Cell: e.Cell, State: e.State,
+		list = append(list, policy.Listed{Addr: e.Host, Zone: e.Zone, Cell: e.Cell, State: e.State,
 			Since: e.Since, Weight: e.Weight})
 	}
 	return list
 }
 
-func (in *instance) create(c *wire.Create) (err error) {
-	in.Instance, err = drive.New(in, func(out choice.Out) (*choice.Gateway, error) { return c.Start.Module(c.Seed, out) })
+func (in *instance) create(c *simprotocol.Create) (err error) {
+	in.Instance, err = policydriver.New(in, func(out policy.Out) (*policy.Gateway, error) { return c.Start.Module(c.Seed, out) })
 	if err == nil && c.Start.Registry == "on_request" {
 		in.reply.Put("TRACK", true)
 	}
@@ -138,20 +138,20 @@
 // event turns one message into one call.
 func (in *instance) event(now float64, m any) {
 	switch m := m.(type) {
-	case *wire.JobIn:
-		in.Take(now, choice.Asked{Ref: m.Ref, Operation: m.Class, Customer: m.Client,
+	case *simprotocol.JobIn:
+		in.Take(now, policy.Asked{Ref: m.Ref, Operation: m.Class, Customer: m.Client,
 			Plan: m.Plan, Units: m.Units, GiveUp: m.Deadline, First: m.First, Width: m.Width, Repeat: m.Options&2 != 0})
-	case *wire.Verdict:
-		in.Ended(now, m.Ref, m.Attempt, choice.Ended{How: choice.Outcome(m.How[0]),
+	case *simprotocol.Verdict:
+		in.Ended(now, m.Ref, m.Attempt, policy.Ended{How: policy.Outcome(m.How[0]),
 			Over: m.Done, Took: m.Delay, Units: m.Actual})
-	case *wire.Hangup:
+	case *simprotocol.Hangup:
 		in.Instance.Gone(now, m.Ref)
-	case *wire.Bell:
+	case *simprotocol.Bell:
 		in.Ring(now, m.Nonce)
-	case *wire.Message:
+	case *simprotocol.Message:
 		in.Told(now, m.From, m.Data)
-	case *wire.Sum:
-		in.Counted(now, m.Name, choice.Outcome(m.How[0]), m.Sum, m.Delay)
+	case *simprotocol.Sum:
+		in.Counted(now, m.Name, policy.Outcome(m.How[0]), m.Sum, m.Delay)
 	}
 }
 
@@ -165,7 +165,7 @@
 func (in *instance) Wake(nonce uint64, at float64)           { in.reply.Put("SCHEDULE", nonce, at) }
 func (in *instance) Cancel(ref string, number int)           { in.reply.Put("CALL_OFF", ref, number) }
 func (in *instance) Tell(to int, text string) {
-	if to == member.All {
+	if to == membership.All {
 		in.reply.Put("ANNOUNCE", nil, text)
 	} else {
 		in.reply.Put("ANNOUNCE", to, text)
--- a/wirehost/host_test.go
+++ b/gateway/simadapter/host_test.go
@@ -1,4 +1,4 @@
-package wirehost
+package simadapter
 
 import (
 	"bytes"
--- a/wire/wire.go
+++ b/gateway/simprotocol/simprotocol.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the line protocol: one JSON value a line, messages as arrays.
-package wire
+// Package simprotocol reads and writes the line protocol: one JSON value a line, messages as arrays.
+package simprotocol
 
 import (
 	"bytes"
--- a/wire/wire_test.go
+++ b/gateway/simprotocol/simprotocol_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"strings"
--- a/wire/start.go
+++ b/gateway/simprotocol/start.go
@@ -1,11 +1,11 @@
-package wire
+package simprotocol
 
 import (
 	"fmt"
 
-	"otterseam/choice"
-	"otterseam/damp"
-	"otterseam/member"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/overload"
+	"otterseam/gateway/policy"
 )
 
 // Start holds the start-up settings, as the line protocol and the configuration of an api gateway both carry them;
@@ -67,41 +67,41 @@
 	HardBurst float64 `json:"hard_burst"`
 }
 
-var effects = map[string]choice.Effect{"idempotent": choice.Idempotent, "deduplicated": choice.Tokened,
-	"at_most_once": choice.NonIdempotent}
+var effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Tokened,
+	"at_most_once": policy.NonIdempotent}
 
 // Module makes the deciding module as the settings want it.
-func (s *Start) Module(seed uint64, out choice.Out) (*choice.Gateway, error) {
-	var ops []choice.Operation
+func (s *Start) Module(seed uint64, out policy.Out) (*policy.Gateway, error) {
+	var ops []policy.Operation
 	for _, k := range s.Classes {
 		e, ok := effects[k.Effect]
 		if !ok {
 			return nil, fmt.Errorf("settings: unknown effect %q", k.Effect)
 		}
-		ops = append(ops, choice.Operation{Name: k.Name, Objective: k.Goal, Value: k.Gain, Late: k.Late, Effect: e,
+		ops = append(ops, policy.Operation{Name: k.Name, Objective: k.Goal, Value: k.Gain, Late: k.Late, Effect: e,
 			Group: k.Group, TokenTime: k.KeyTTL})
 	}
-	var plans []choice.Plan
+	var plans []policy.Plan
 	for _, t := range s.Plans {
-		plans = append(plans, choice.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxOut: t.MaxOut,
+		plans = append(plans, policy.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxOut: t.MaxOut,
 			CeilingRate: t.NeverOver, CeilingBurst: t.HardBurst})
 	}
-	var peers *member.Group
+	var peers *membership.Group
 	if s.Members > 0 && s.Caps.PeerMessages && s.Balancers > 1 && s.Slot >= 0 && s.Slot < s.Balancers && s.Extra.Mail > 0 {
-		peers = member.New(s.Slot, s.Balancers, s.Extra.Mail, s.Members, seed)
+		peers = membership.New(s.Slot, s.Balancers, s.Extra.Mail, s.Members, seed)
 	}
-	var bound *damp.Fleet
+	var bound *overload.Fleet
 	if s.Damps {
-		t := damp.Terms{Gateways: s.Balancers, Seed: seed}
+		t := overload.Terms{Gateways: s.Balancers, Seed: seed}
 		if s.Caps.PeerMessages {
 			t.Mail = s.Extra.Mail
 		}
-		bound = damp.New(t)
+		bound = overload.New(t)
 	}
-	return choice.New(choice.Standing{Gateways: s.Balancers, Zone: s.Locality, Seed: seed, Peers: peers, Damp: bound}, ops, plans,
-		choice.Counter{Present: s.Extra.Counter, Limit: s.Extra.Limit, Settles: s.Extra.Settles, Most: s.Extra.Most},
-		choice.Cold{Share: s.Contract.Start, Warm: s.Contract.Warm, Factor: s.Contract.Factor},
-		choice.Allowed{Deliveries: s.Caps.TryLimit, Cancel: s.Caps.Cancel,
+	return policy.New(policy.Standing{Gateways: s.Balancers, Zone: s.Locality, Seed: seed, Peers: peers, Damp: bound}, ops, plans,
+		policy.Counter{Present: s.Extra.Counter, Limit: s.Extra.Limit, Settles: s.Extra.Settles, Most: s.Extra.Most},
+		policy.Cold{Share: s.Contract.Start, Warm: s.Contract.Warm, Factor: s.Contract.Factor},
+		policy.Allowed{Deliveries: s.Caps.TryLimit, Cancel: s.Caps.Cancel,
 			Peers: s.Caps.PeerMessages, Mail: s.Extra.Mail},
 		out), nil
 }
@@ -111,7 +111,7 @@
 func (s *Start) Accepts(operation, method, plan string, units float64, width, first int) (limit float64, ok bool) {
 	for _, k := range s.Classes {
 		if k.Name == operation {
-			ok = (method == "GET") == (effects[k.Effect] == choice.Idempotent) && (method == "GET" || method == "POST")
+			ok = (method == "GET") == (effects[k.Effect] == policy.Idempotent) && (method == "GET" || method == "POST")
 			limit = k.Limit
 		}
 	}
--- a/lab/child/child.go
+++ b/harness/childprocess/childprocess.go
@@ -1,6 +1,6 @@
-// Package child owns processes of the program that the laboratory starts: their folder, their log, the signals they get
+// Package childprocess owns processes of the program that the laboratory starts: their folder, their log, the signals they get
 // and their end. It must never signal a process that it has not started, nor leave one behind.
-package child
+package childprocess
 
 import (
 	"fmt"
--- a/lab/child/child_test.go
+++ b/harness/childprocess/childprocess_test.go
@@ -1,4 +1,4 @@
-package child
+package childprocess
 
 import (
 	"os"
--- a/lab/fleet/fleet.go
+++ b/harness/fleet/fleet.go
@@ -12,28 +12,28 @@
 	"slices"
 	"strings"
 
-	"otterseam/lab/bundled"
-	"otterseam/lab/day"
-	"otterseam/lab/days"
-	"otterseam/lab/figures"
-	"otterseam/lab/sockets"
+	"otterseam/harness/sockets"
+	"otterseam/sim/assets"
+	"otterseam/sim/metrics"
+	"otterseam/sim/scenario"
+	"otterseam/sim/scenarios"
 )
 
 //go:embed scripts/*.toml
 var files embed.FS
 
-var scripts = bundled.Set{Files: files, Folder: "scripts", Sort: "script"}
+var scripts = assets.Set{Files: files, Folder: "scripts", Sort: "script"}
 
 // Names are the scripts that come with the program, in order.
 func Names() []string { return scripts.Names() }
 
 // Load reads a script by its name, or from a file.
-func Load(name string) (*day.Day, error) {
+func Load(name string) (*scenario.Day, error) {
 	file, text, err := scripts.Read(name)
 	if err != nil {
 		return nil, err
 	}
-	d, err := days.Over(file, text)
+	d, err := scenarios.Over(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 }
 
 // Check says what of a script can't be played.
-func Check(d *day.Day) error {
+func Check(d *scenario.Day) error {
 	if err := sockets.Check(d); err != nil {
 		return err
 	}
@@ -71,10 +71,10 @@
 
 // Result is a script that was played.
 type Result struct {
-	Script   *day.Day         `json:"-"`
+	Script   *scenario.Day    `json:"-"`
 	Seed     uint64           `json:"seed"`
 	Gateways int              `json:"gateways"`
-	Figures  *figures.Figures `json:"figures"`
+	Figures  *metrics.Figures `json:"figures"`
 	Spans    []*Span          `json:"faults"`
 	Lines    []Line           `json:"log"`
 	Mail     float64          `json:"mail"`
@@ -86,7 +86,7 @@
 }
 
 // Play plays a script.
-func Play(ctx context.Context, script *day.Day, seed uint64, o Options) (*Result, error) {
+func Play(ctx context.Context, script *scenario.Day, seed uint64, o Options) (*Result, error) {
 	if err := Check(script); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	var envOf func(int) []string
 	if d.Keepers.Count.N() > 0 {
 		if o.Keeper == "" {
-			o.Keeper = filepath.Join(filepath.Dir(o.Gateway), "otterkeep")
+			o.Keeper = filepath.Join(filepath.Dir(o.Gateway), "otterseam-quotastore")
 		}
 		var err error
 		r.keepers, err = newKeepers(ctx, r, o, &d.Keepers, seed)
@@ -192,10 +192,10 @@
 }
 
 // figure is the value of a promise's figure, and a word on what it is of.
-func (res *Result) figure(p day.Promise) (x float64, of string) {
+func (res *Result) figure(p scenario.Promise) (x float64, of string) {
 	d, f := res.Script, res.Figures
 	from, until := p.From.V(), min(p.Until.V(), d.Length.V())
-	var sum figures.Share
+	var sum metrics.Share
 	var sends, dials, calls float64
 	for i, s := range f.Seconds {
 		if float64(i) >= from && float64(i) < until {
@@ -207,7 +207,7 @@
 		of = fmt.Sprintf(" in seconds %g to %g", from, until)
 	}
 	long := max(1e-9, until-from)
-	in, _ := day.Some(p.Edge, res.Gateways) // the reader has checked it
+	in, _ := scenario.Some(p.Edge, res.Gateways) // the reader has checked it
 	switch p.What {
 	case "served":
 		return sum.Served / max(1e-9, sum.Asked), of
--- a/lab/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"otterseam/lab/day"
+	"otterseam/sim/scenario"
 )
 
 // built are the programs as they stand, without and with the seeded bugs; built once.
@@ -18,7 +18,7 @@
 	if dir, err = os.MkdirTemp("", "fleet-"); err != nil {
 		return "", err
 	}
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "keeper"), "otterseam/cmd/otterkeep").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "keeper"), "otterseam/cmd/otterseam-quotastore").CombinedOutput(); err != nil {
 		os.Stderr.Write(out)
 		return dir, err
 	}
@@ -160,7 +160,7 @@
 	var served [2]float64
 	for i, env := range [][]string{nil, {"EDGE_OPERATOR=" + path}} {
 		r := script(t, "eight-of-twelve", "whole", env)
-		served[i], _ = r.figure(day.Promise{What: "served", From: day.Span{Lo: 8, Hi: 8}, Until: day.Span{Lo: 13, Hi: 13}})
+		served[i], _ = r.figure(scenario.Promise{What: "served", From: scenario.Span{Lo: 8, Hi: 8}, Until: scenario.Span{Lo: 13, Hi: 13}})
 		for _, b := range r.Broken {
 			if !strings.Contains(b.Text, "gave up") && !strings.Contains(b.Text, "promised") {
 				t.Error(b.Text, b.Lines)
--- a/lab/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -17,24 +17,24 @@
 	"strings"
 	"time"
 
-	"otterseam/keeper"
-	"otterseam/lab/child"
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/sockets"
-	"otterseam/say"
+	"otterseam/harness/childprocess"
+	"otterseam/harness/sockets"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/server"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // keepers are those of one script.
 type keepers struct {
 	rig     *rig
 	o       Options
-	day     *day.Keepers
+	day     *scenario.Keepers
 	seed    uint64
-	direct  *keeper.List // at their own addresses
+	direct  *server.List // at their own addresses
 	lists   []string     // files, by keeper
-	procs   []*child.Child
-	all     []*child.Child
+	procs   []*childprocess.Child
+	all     []*childprocess.Child
 	witness *witness
 	ending  bool
 }
@@ -42,12 +42,12 @@
 func keeperName(n int) string { return fmt.Sprintf("keeper-%d", n) }
 
 // newKeepers starts and founds them.
-func newKeepers(ctx context.Context, r *rig, o Options, d *day.Keepers, seed uint64) (*keepers, error) {
+func newKeepers(ctx context.Context, r *rig, o Options, d *scenario.Keepers, seed uint64) (*keepers, error) {
 	k := &keepers{rig: r, o: o, day: d, seed: seed, witness: newWitness()}
 	n := d.Count.N()
-	k.direct = &keeper.List{Groups: d.Groups.N(), Copies: min(d.Copies.N(), n), Lost: d.Lost.V(), Rate: 4e6, Log: 4096}
+	k.direct = &server.List{Groups: d.Groups.N(), Copies: min(d.Copies.N(), n), Lost: d.Lost.V(), Rate: 4e6, Log: 4096}
 	for i := range n {
-		spot := keeper.Spot{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
+		spot := server.Spot{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
 		for _, to := range []*string{&spot.Peer, &spot.Door} {
 			addr, err := sockets.Free()
 			if err != nil {
@@ -89,7 +89,7 @@
 			return k, err
 		}
 	}
-	if _, err := keeper.Found(k.direct, nil, 30*time.Second); err != nil {
+	if _, err := server.Found(k.direct, nil, 30*time.Second); err != nil {
 		return k, err
 	}
 	return k, k.whole(ctx, 30*time.Second)
@@ -103,7 +103,7 @@
 	if k.day.Disk {
 		args = append(args, "--dir", "held")
 	}
-	p, err := child.StartWith(args, spot.Name, k.o.Dir, k.o.Env...)
+	p, err := childprocess.StartWith(args, spot.Name, k.o.Dir, k.o.Env...)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 }
 
 // process is the one that runs for a keeper; nil: none does.
-func (k *keepers) process(i int) *child.Child {
+func (k *keepers) process(i int) *childprocess.Child {
 	p := k.procs[i]
 	if ended, _, _ := p.Ended(); ended {
 		return nil
@@ -139,9 +139,9 @@
 }
 
 // who asks all keepers how they stand.
-func (k *keepers) who() (all []*say.Admin) {
+func (k *keepers) who() (all []*protocol.Admin) {
 	for _, spot := range k.direct.Keepers {
-		a, err := keeper.Command(spot.Peer, &say.Admin{What: "who"}, time.Second)
+		a, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, time.Second)
 		if err != nil {
 			a = nil
 		}
@@ -151,7 +151,7 @@
 }
 
 // led are the groups that a keeper says it leads.
-func led(a *say.Admin) (all []say.Health) {
+func led(a *protocol.Admin) (all []protocol.Health) {
 	for i := 0; a != nil && i < len(a.Health); i++ {
 		if a.Health[i].Leads {
 			all = append(all, a.Health[i])
@@ -161,7 +161,7 @@
 }
 
 // leading is the keeper that leads most groups, and which.
-func (k *keepers) leading() (best int, most []say.Health) {
+func (k *keepers) leading() (best int, most []protocol.Health) {
 	for i, a := range k.who() {
 		if mine := led(a); len(mine) > len(most) {
 			best, most = i, mine
@@ -203,20 +203,20 @@
 	}
 	var many int
 	if _, err := fmt.Sscanf(text, "some %d", &many); err == nil {
-		return dice.New(k.seed, "keepers struck", n).Perm(count)[:min(many, count)]
+		return randstream.New(k.seed, "keepers struck", n).Perm(count)[:min(many, count)]
 	}
-	in, _ = day.Some(text, count) // the reader has checked it
+	in, _ = scenario.Some(text, count) // the reader has checked it
 	return in
 }
 
 // strike strikes keepers. It runs on the pump's goroutine.
-func (k *keepers) strike(n int, s *day.Strike, now, ends float64, later func(func())) {
+func (k *keepers) strike(n int, s *scenario.Strike, now, ends float64, later func(func())) {
 	for _, i := range k.which(n, s.Keeper) {
 		k.one(i, s, now, ends, later)
 	}
 }
 
-func (k *keepers) one(i int, s *day.Strike, now, ends float64, later func(func())) {
+func (k *keepers) one(i int, s *scenario.Strike, now, ends float64, later func(func())) {
 	r := k.rig
 	r.mu.Lock()
 	p := k.process(i)
@@ -309,14 +309,14 @@
 	from := k.witness.stream()
 	go func() {
 		defer up.Close()
-		passed(c, up, func(f *say.Frame) {
+		passed(c, up, func(f *protocol.Frame) {
 			k.witness.asked(from, f)
 			if len(f.Asks) > 0 {
 				k.seen("called", e)
 			}
 		})
 	}()
-	passed(up, c, func(f *say.Frame) {
+	passed(up, c, func(f *protocol.Frame) {
 		if len(f.Replies) > 0 {
 			k.seen("added", e)
 		}
@@ -327,14 +327,14 @@
 }
 
 // passed hands whole frames on, each told of before.
-func passed(from io.Reader, to io.Writer, tell func(f *say.Frame)) {
+func passed(from io.Reader, to io.Writer, tell func(f *protocol.Frame)) {
 	r := bufio.NewReader(from)
 	for {
-		body, err := say.ReadBody(r, say.Longest)
+		body, err := protocol.ReadBody(r, protocol.Longest)
 		if err != nil {
 			return
 		}
-		if f, err := say.ReadFrame(body); err == nil {
+		if f, err := protocol.ReadFrame(body); err == nil {
 			tell(f)
 		}
 		if _, err := to.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)); err != nil {
--- a/lab/fleet/keepers_test.go
+++ b/harness/fleet/keepers_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"otterseam/http1"
-	"otterseam/lab/child"
-	"otterseam/lab/sockets"
+	"otterseam/gateway/http1"
+	"otterseam/harness/childprocess"
+	"otterseam/harness/sockets"
 )
 
 // kept plays a script of keepers and says what was not kept but for how fast answers come.
@@ -68,7 +68,7 @@
 // pair is two api gateways with keepers between them or without, and a host that begins to work and answers nothing.
 type pair struct {
 	addrs []string
-	procs []*child.Child
+	procs []*childprocess.Child
 	ran   *atomic.Int32
 }
 
@@ -142,7 +142,7 @@
 		text, _ := json.Marshal(config)
 		path := filepath.Join(dir, fmt.Sprintf("edge-%d.json", i))
 		os.WriteFile(path, text, 0o644)
-		proc, err := child.Start(filepath.Join(programs, "whole"), fmt.Sprint("edge-", i), dir, append(env, "EDGE_CONFIG="+path)...)
+		proc, err := childprocess.Start(filepath.Join(programs, "whole"), fmt.Sprint("edge-", i), dir, append(env, "EDGE_CONFIG="+path)...)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -12,14 +12,14 @@
 	"sync"
 	"time"
 
-	"otterseam/keep"
-	"otterseam/lab/day"
-	sim "otterseam/lab/keepers"
+	"otterseam/quotastore/replication"
+	sim "otterseam/sim/quotastoresim"
+	"otterseam/sim/scenario"
 )
 
 // bare starts keepers without api gateways.
 func bare(ctx context.Context, o Options, copies, groups int, disk bool) (*keepers, func(), error) {
-	d := &day.Day{Name: "bare", Keepers: day.Keepers{Disk: disk, Holds: "adds"}}
+	d := &scenario.Day{Name: "bare", Keepers: scenario.Keepers{Disk: disk, Holds: "adds"}}
 	d.Keepers.Count.Lo, d.Keepers.Copies.Lo, d.Keepers.Groups.Lo, d.Keepers.Lost.Lo = float64(copies), float64(copies), float64(groups), 30
 	o.direct = true // a link of ours would take connections for a process that is gone
 	r := newRig(d, 1)
@@ -51,7 +51,7 @@
 	names := make([]string, groups)
 	for i := 0; slices.Contains(names, ""); i++ {
 		name := fmt.Sprint("probe-", i)
-		names[keep.GroupOf(name, groups)] = name
+		names[replication.GroupOf(name, groups)] = name
 	}
 	for range times {
 		leader, lost := k.leading()
--- a/lab/fleet/page.go
+++ b/harness/fleet/page.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"otterseam/lab/report"
+	"otterseam/sim/report"
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html><meta charset="utf-8"><title>{{.Name}}</title>
--- a/lab/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"otterseam/lab/child"
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/play"
-	"otterseam/lab/relay"
-	"otterseam/lab/sockets"
+	"otterseam/harness/childprocess"
+	"otterseam/harness/netproxy"
+	"otterseam/harness/sockets"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
+	"otterseam/sim/simulation"
 )
 
 // forever is a clock time at which nothing happens any more.
@@ -27,15 +27,15 @@
 
 // rig stands between the processes of one script.
 type rig struct {
-	script *day.Day // drawn
+	script *scenario.Day // drawn
 	seed   uint64
-	world  *play.World
+	world  *simulation.World
 	fleet  *sockets.Gateways
 	logs   *logs
 
 	mu      sync.Mutex
-	links   map[string]*relay.Link
-	mail    *relay.Mail
+	links   map[string]*netproxy.Link
+	mail    *netproxy.Mail
 	mailed  int64
 	down    map[int]time.Time // when nobody was found behind a door
 	waiting []*wait
@@ -61,27 +61,27 @@
 // wait is a fault that waits for an event.
 type wait struct {
 	number int
-	strike *day.Strike
+	strike *scenario.Strike
 	by     []int
 	seen   int
 	done   bool
 }
 
-func newRig(script *day.Day, seed uint64) *rig {
-	return &rig{script: script, seed: seed, links: map[string]*relay.Link{}, down: map[int]time.Time{},
+func newRig(script *scenario.Day, seed uint64) *rig {
+	return &rig{script: script, seed: seed, links: map[string]*netproxy.Link{}, down: map[int]time.Time{},
 		stories: map[string][]string{}, kept: map[string][]string{}}
 }
 
 func edge(n int) string { return fmt.Sprintf("edge %d", n) }
 
 // link gives the link between two ends, made at its first use.
-func (r *rig) link(from, to string) *relay.Link {
+func (r *rig) link(from, to string) *netproxy.Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := from + ">" + to
 	l := r.links[key]
 	if l == nil {
-		l = relay.NewLink(from, to, r.seed)
+		l = netproxy.NewLink(from, to, r.seed)
 		r.links[key] = l
 	}
 	return l
@@ -114,7 +114,7 @@
 }
 
 func (r *rig) Mail(own []string) (known []string, err error) {
-	r.mail, err = relay.NewMail(own, func(from, to int) *relay.Link { return r.link(edge(from), edge(to)) }, func(from, to int) {
+	r.mail, err = netproxy.NewMail(own, func(from, to int) *netproxy.Link { return r.link(edge(from), edge(to)) }, func(from, to int) {
 		r.mu.Lock()
 		r.mailed++
 		begun := r.fleet != nil && !r.over
@@ -133,7 +133,7 @@
 func (r *rig) close() {
 	r.mu.Lock()
 	r.over = true
-	var all []*relay.Link
+	var all []*netproxy.Link
 	for _, l := range r.links {
 		all = append(all, l)
 	}
@@ -154,7 +154,7 @@
 }
 
 // Begin sets when faults strike, and what they wait for.
-func (r *rig) Begin(w *play.World, g *sockets.Gateways) {
+func (r *rig) Begin(w *simulation.World, g *sockets.Gateways) {
 	r.mu.Lock()
 	r.world, r.fleet = w, g
 	r.awaits = map[string]bool{}
@@ -168,7 +168,7 @@
 			w.Queue.After(s.At.V(), func() { r.strike(i, s) })
 			continue
 		}
-		by, _ := day.Some(s.By, r.script.Fleet.Gateways.N()) // the reader has checked it
+		by, _ := scenario.Some(s.By, r.script.Fleet.Gateways.N()) // the reader has checked it
 		r.waiting = append(r.waiting, &wait{number: i, strike: s, by: by})
 	}
 	r.logs.begin(r)
@@ -237,7 +237,7 @@
 }
 
 // strike lets a fault begin, on all that it is of, and sets when it ends.
-func (r *rig) strike(n int, s *day.Strike) {
+func (r *rig) strike(n int, s *scenario.Strike) {
 	now, ends := r.world.Queue.Now(), forever
 	if s.Lasts.V() > 0 {
 		ends = now + s.Lasts.V()
@@ -247,7 +247,7 @@
 			r.world.Queue.After(s.Lasts.V(), do)
 		}
 	}
-	if day.OfLink(s.Kind) {
+	if scenario.OfLink(s.Kind) {
 		for _, p := range r.ends(s) {
 			r.onLink(s, p[0], p[1], now, ends, later)
 		}
@@ -263,10 +263,10 @@
 }
 
 // ends are the two ends of each link that a fault is of.
-func (r *rig) ends(s *day.Strike) (all [][2]string) {
+func (r *rig) ends(s *scenario.Strike) (all [][2]string) {
 	gateways := r.script.Fleet.Gateways.N()
 	list := func(end string) (names []string) {
-		what, in, _ := day.End(end, gateways, len(r.world.Hosts)) // the reader has checked it
+		what, in, _ := scenario.End(end, gateways, len(r.world.Hosts)) // the reader has checked it
 		if in == nil {
 			return []string{what}
 		}
@@ -296,19 +296,19 @@
 
 // way is one direction of a link.
 type way struct {
-	link *relay.Link
+	link *netproxy.Link
 	dir  int
 }
 
-func (r *rig) onLink(s *day.Strike, from, to string, now, ends float64, later func(func())) {
+func (r *rig) onLink(s *scenario.Strike, from, to string, now, ends float64, later func(func())) {
 	l := r.link(from, to)
 	// Datagrams go one way only; the way back is another link.
 	mail := number(from) >= 0 && number(to) >= 0
-	dirs := map[string][]int{"both": {relay.There, relay.Back}, "there": {relay.There}, "back": {relay.Back}}[s.Way]
+	dirs := map[string][]int{"both": {netproxy.There, netproxy.Back}, "there": {netproxy.There}, "back": {netproxy.Back}}[s.Way]
 	var on []way
 	for _, d := range dirs {
-		if mail && d == relay.Back {
-			on = append(on, way{r.link(to, from), relay.There})
+		if mail && d == netproxy.Back {
+			on = append(on, way{r.link(to, from), netproxy.There})
 		} else {
 			on = append(on, way{l, d})
 		}
@@ -342,8 +342,8 @@
 	r.note(span, hit > 0)
 }
 
-func faultOf(s *day.Strike, mail bool) *relay.Fault {
-	f := &relay.Fault{}
+func faultOf(s *scenario.Strike, mail bool) *netproxy.Fault {
+	f := &netproxy.Fault{}
 	switch s.Kind {
 	case "drop":
 		if f.Hold, f.Closed = true, true; mail && s.Part.V() < 1 {
@@ -374,13 +374,13 @@
 }
 
 // which are the api gateways that a fault of processes is of.
-func (r *rig) which(n int, s *day.Strike) (in []int) {
+func (r *rig) which(n int, s *scenario.Strike) (in []int) {
 	gateways := r.script.Fleet.Gateways.N()
 	if s.Edge != "" {
-		in, _ = day.Some(s.Edge, gateways) // the reader has checked it
+		in, _ = scenario.Some(s.Edge, gateways) // the reader has checked it
 		return in
 	}
-	for i, hit := range dice.New(r.seed, "fault", n).Part(gateways, s.Part.V()) {
+	for i, hit := range randstream.New(r.seed, "fault", n).Part(gateways, s.Part.V()) {
 		if hit {
 			in = append(in, i)
 		}
@@ -388,7 +388,7 @@
 	return in
 }
 
-func (r *rig) onProcess(s *day.Strike, e int, now, ends float64, later func(func())) {
+func (r *rig) onProcess(s *scenario.Strike, e int, now, ends float64, later func(func())) {
 	p := r.fleet.Process(e)
 	span := &Span{Kind: s.Kind, What: edge(e), Edge: e, Begins: now, Ends: ends}
 	if s.Kind == "start" {
@@ -443,7 +443,7 @@
 }
 
 // starve stops a process and lets it go in turn until a clock time.
-func (r *rig) starve(p *child.Child, s *day.Strike, ends float64) {
+func (r *rig) starve(p *childprocess.Child, s *scenario.Strike, ends float64) {
 	if r.world.Queue.Now() >= ends {
 		return
 	}
--- a/lab/fleet/witness.go
+++ b/harness/fleet/witness.go
@@ -18,10 +18,10 @@
 	"sync"
 	"time"
 
-	"otterseam/hold"
-	"otterseam/keep"
-	"otterseam/keeper"
-	"otterseam/say"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/server"
+	"otterseam/quotastore/statemachine"
 )
 
 // told is an amount that a holder told, with its order.
@@ -53,7 +53,7 @@
 
 // asking is something asked that has no answer yet, and its number among all that was asked.
 type asking struct {
-	entry  hold.Entry
+	entry  statemachine.Entry
 	number int
 }
 
@@ -81,7 +81,7 @@
 	return w.streams
 }
 
-func (w *witness) claim(e *hold.Entry) *claim {
+func (w *witness) claim(e *statemachine.Entry) *claim {
 	key := e.Holder + " " + e.Name
 	c := w.claims[key]
 	if c == nil {
@@ -91,7 +91,7 @@
 	return c
 }
 
-func (w *witness) asked(stream int, f *say.Frame) {
+func (w *witness) asked(stream int, f *protocol.Frame) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range f.Asks {
@@ -99,21 +99,21 @@
 		w.Asked++
 		w.out[[2]int{stream, int(f.Asks[i].Number)}] = asking{e, w.Asked}
 		switch e.Kind {
-		case hold.Put:
+		case statemachine.Put:
 			if e.Order > 0 {
 				c := w.claim(&e)
 				c.puts = append(c.puts, told{e.Order, e.Amount - e.Places})
 			}
-		case hold.Owe:
+		case statemachine.Owe:
 			if e.Order > 0 {
 				c := w.claim(&e)
 				c.owes = append(c.owes, told{e.Order, e.Amount})
 			}
-		case hold.Unmark:
+		case statemachine.Unmark:
 			// From here on it may have been let go of, though the answer that says so is lost on its way.
 			w.marks[e.Name] = slices.DeleteFunc(w.marks[e.Name], func(h string) bool { return h == e.Holder })
 			w.unmarked[e.Name+" "+e.Holder] = w.Asked
-		case hold.Use:
+		case statemachine.Use:
 			key := e.Holder + " " + e.Name
 			if w.uses[key] == nil {
 				w.uses[key] = &usage{customer: e.Name}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (w *witness) replied(stream int, f *say.Frame) {
+func (w *witness) replied(stream int, f *protocol.Frame) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range f.Replies {
@@ -142,27 +142,27 @@
 		case r.Unknown:
 			w.Unknown++
 			continue
-		case r.Reply.Code != hold.Done:
+		case r.Reply.Code != statemachine.Done:
 			continue
 		}
 		w.Answered++
 		switch e.Kind {
-		case hold.Put:
+		case statemachine.Put:
 			if e.Order > 0 {
 				c := w.claim(&e)
 				c.put = max(c.put, e.Order)
 			}
-		case hold.Owe:
+		case statemachine.Owe:
 			if e.Order > 0 {
 				c := w.claim(&e)
 				c.owe = max(c.owe, e.Order)
 			}
-		case hold.Mark:
+		case statemachine.Mark:
 			if e.Scope == "" && a.number > w.unmarked[e.Name+" "+e.Holder] {
 				w.marks[e.Name] = append(w.marks[e.Name], e.Holder)
 				w.marked[e.Name] = time.Now()
 			}
-		case hold.Use:
+		case statemachine.Use:
 			u := w.uses[e.Holder+" "+e.Name]
 			u.acked = max(u.acked, e.Amount)
 		}
@@ -273,14 +273,14 @@
 	res := &Kept{}
 	w := k.witness
 	begun := time.Now()
-	var states []*hold.State
+	var states []*statemachine.State
 	for {
-		s, err := keeper.Save(k.direct, time.Now())
+		s, err := server.Save(k.direct, time.Now())
 		states = nil
 		settled := err == nil
 		if err == nil {
 			for g := range s.Groups {
-				state, err := hold.Restore(s.States[g])
+				state, err := statemachine.Restore(s.States[g])
 				if err != nil {
 					res.Lost = append(res.Lost, err.Error())
 					return res
@@ -300,10 +300,10 @@
 	res.Asked, res.Answered, res.Refused, res.Unknown = w.Asked, w.Answered, w.Refused, w.Unknown
 	if states == nil { // no group can be read as a whole: all of it counts as gone
 		for range k.direct.Groups {
-			states = append(states, hold.New())
+			states = append(states, statemachine.New())
 		}
 	}
-	at := func(name string) *hold.State { return states[keep.GroupOf(name, len(states))] }
+	at := func(name string) *statemachine.State { return states[replication.GroupOf(name, len(states))] }
 	sums := map[string]float64{}
 	lives := func(first time.Time, life float64) bool { return time.Since(first).Seconds() < life-1 }
 	for _, key := range slices.Sorted(maps.Keys(w.claims)) {
@@ -384,11 +384,11 @@
 func (k *keepers) billed(res *Kept) {
 	got := map[string]float64{}
 	for batch := uint64(1); batch <= 2; batch++ { // the second says that the first was taken over
-		var a *say.Admin
+		var a *protocol.Admin
 		var err error
 		for try := range 20 {
 			spot := k.direct.Keepers[try%len(k.direct.Keepers)]
-			if a, err = keeper.Command(spot.Peer, &say.Admin{What: "take", Batch: batch}, 3*time.Second); err == nil {
+			if a, err = server.Command(spot.Peer, &protocol.Admin{What: "take", Batch: batch}, 3*time.Second); err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/lab/leak/leak.go
+++ b/harness/leakcheck/leakcheck.go
@@ -1,5 +1,5 @@
-// Package leak finds goroutines and descriptors that a test leaves behind. It must never be linked into a program that serves.
-package leak
+// Package leakcheck finds goroutines and descriptors that a test leaves behind. It must never be linked into a program that serves.
+package leakcheck
 
 import (
 	"net"
--- a/lab/relay/end.go
+++ b/harness/netproxy/end.go
@@ -1,4 +1,4 @@
-package relay
+package netproxy
 
 // This file owns the end of a stream within this process: a stand-in's side, which needs no descriptor.
 
--- a/lab/relay/link.go
+++ b/harness/netproxy/link.go
@@ -1,13 +1,13 @@
-// Package relay owns the links between processes on one machine: streams and datagrams are led through it, and faults of
+// Package netproxy owns the links between processes on one machine: streams and datagrams are led through it, and faults of
 // a link are set and taken back while they flow. It must never read what it passes on, leave loopback, or strike a link
 // by itself.
-package relay
+package netproxy
 
 import (
 	"sync"
 	"time"
 
-	"otterseam/lab/dice"
+	"otterseam/sim/randstream"
 )
 
 // The directions of a link: There is the way of whoever opened it, Back the other.
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	changed *sync.Cond
 	faults  [2]map[*Fault]bool
-	dice    dice.Stream
+	dice    randstream.Stream
 	listen  *listener // of streams; nil: none
 	pairs   map[*pair]bool
 	ended   bool
@@ -46,7 +46,7 @@
 
 // NewLink makes a link without faults; seed is of its draws.
 func NewLink(from, to string, seed uint64) *Link {
-	l := &Link{From: from, To: to, dice: dice.New(seed, from+">"+to), pairs: map[*pair]bool{}}
+	l := &Link{From: from, To: to, dice: randstream.New(seed, from+">"+to), pairs: map[*pair]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	l.faults[There], l.faults[Back] = map[*Fault]bool{}, map[*Fault]bool{}
 	return l
--- a/lab/relay/mail.go
+++ b/harness/netproxy/mail.go
@@ -1,4 +1,4 @@
-package relay
+package netproxy
 
 // This file owns datagrams between processes: each process is known to the others by a socket of ours, which passes on
 // what comes from one to the other, so that each sees the sender it knows.
--- a/lab/relay/relay_test.go
+++ b/harness/netproxy/netproxy_test.go
@@ -1,4 +1,4 @@
-package relay
+package netproxy
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"otterseam/lab/leak"
+	"otterseam/harness/leakcheck"
 )
 
 // echo is a part that says each line again. It tells how its connections ended.
@@ -65,7 +65,7 @@
 
 // Held in either direction, nothing comes back while it lasts; afterwards what was held comes, as a network sends it again.
 func TestStalledLinkHoldsAndGoesOn(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	for _, dir := range []int{There, Back} {
 		l := NewLink("a", "b", 1)
 		addr, _ := echo(t, l)
@@ -92,7 +92,7 @@
 
 // Dropped, old connections are mute and new ones never come up; afterwards new ones do.
 func TestDroppedLinkTakesNoConnections(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l := NewLink("a", "b", 1)
 	addr, _ := echo(t, l)
 	old := dial(t, addr)
@@ -127,7 +127,7 @@
 
 // Refused, new connections are refused at once and old ones go on; afterwards the same address takes new ones.
 func TestRefusedLink(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l := NewLink("a", "b", 1)
 	addr, _ := echo(t, l)
 	old := dial(t, addr)
@@ -148,7 +148,7 @@
 
 // Reset within a message: a part of it comes, then a reset. Without: all of it.
 func TestResetInTheMiddle(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l := NewLink("a", "b", 1)
 	addr, ends := echo(t, l)
 	c := dial(t, addr)
@@ -169,7 +169,7 @@
 
 // Half-open: the far side hears of an end, the near one waits on, and what it sends goes nowhere.
 func TestHalfOpen(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l := NewLink("a", "b", 1)
 	addr, ends := echo(t, l)
 	c := dial(t, addr)
@@ -196,7 +196,7 @@
 
 // Delayed, an answer takes so much longer; slowed down, bytes take their time.
 func TestDelayAndRate(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	l := NewLink("a", "b", 1)
 	addr, _ := echo(t, l)
 	c := dial(t, addr)
@@ -230,7 +230,7 @@
 // Datagrams: lost, doubled, out of order and held back, each seen to strike and gone with the fault; the sender that is
 // seen is the one that is known.
 func TestMail(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	var socks []*net.UDPConn
 	var own []string
 	for range 2 {
--- a/lab/relay/stream.go
+++ b/harness/netproxy/stream.go
@@ -1,4 +1,4 @@
-package relay
+package netproxy
 
 // This file owns streams: listeners, the pair of connections that a stream is led through, and the two pipes between
 // them. A pair is closed in end, and nowhere else.
--- a/lab/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -9,14 +9,14 @@
 	"fmt"
 	"time"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/lab/child"
-	"otterseam/lab/day"
-	"otterseam/lab/edge"
-	"otterseam/lab/figures"
-	"otterseam/lab/model"
-	"otterseam/lab/play"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/harness/childprocess"
+	"otterseam/sim/gatewaymodel"
+	"otterseam/sim/metrics"
+	"otterseam/sim/model"
+	"otterseam/sim/scenario"
+	"otterseam/sim/simulation"
 )
 
 // nobody is the decider of a day whose api gateways stand elsewhere.
@@ -26,12 +26,12 @@
 func (n nobody) Err() error   { return nil }
 func (n nobody) End()         {}
 
-func (n nobody) Mind(*play.World, int, uint64, drive.Out) (edge.Mind, error) {
+func (n nobody) Mind(*simulation.World, int, uint64, policydriver.Out) (gatewaymodel.Mind, error) {
 	return nil, errors.New("the api gateways of this day stand elsewhere")
 }
 
 // Check says what of a day can't be played on sockets.
-func Check(d *day.Day) error {
+func Check(d *scenario.Day) error {
 	if n := int(d.Fleet.Gateways.Hi) * int(d.Fleet.Hosts.Hi); n > 4000 {
 		return fmt.Errorf("%s: %d api gateways times %d hosts are more listeners than one machine should hold: at most 4000", d.Name,
 			int(d.Fleet.Gateways.Hi), int(d.Fleet.Hosts.Hi))
@@ -47,13 +47,13 @@
 
 // StandIn plays a day's hosts, counter and discovery until it is over or ctx ends; configurations for the api gateways
 // are written into dir first. ready is told their paths.
-func StandIn(ctx context.Context, d *day.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*figures.Figures, error) {
+func StandIn(ctx context.Context, d *scenario.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Figures, error) {
 	if err := Check(d); err != nil {
 		return nil, err
 	}
 	door := &nobodyAsks{}
 	var s *StandIns
-	w := play.New(d, seed, nobody("stand-ins"), play.Outside(door, func(g int, l choice.Listed) { s.Told(g, l) }))
+	w := simulation.New(d, seed, nobody("stand-ins"), simulation.Outside(door, func(g int, l policy.Listed) { s.Told(g, l) }))
 	w.Referee.Second = true
 	p := newPump(w.Queue)
 	n := w.Day.Fleet.Gateways.N()
@@ -87,14 +87,14 @@
 
 // Load lets a day's customers ask api gateways at addresses on loopback, and gives what they got. Nobody knows here
 // whether there was room.
-func Load(ctx context.Context, d *day.Day, seed uint64, addrs []string) (*figures.Figures, float64, error) {
+func Load(ctx context.Context, d *scenario.Day, seed uint64, addrs []string) (*metrics.Figures, float64, error) {
 	for _, a := range addrs {
 		if err := loopback(a); err != nil {
 			return nil, 0, err
 		}
 	}
 	c := &Clients{addrs: addrs}
-	w := play.New(d, seed, nobody("load"), play.Outside(c, func(int, choice.Listed) {}))
+	w := simulation.New(d, seed, nobody("load"), simulation.Outside(c, func(int, policy.Listed) {}))
 	c.attach(w)
 	w.Begin()
 	c.pump.run(ctx, w.Ends())
@@ -102,7 +102,7 @@
 	return w.Close(), c.pump.late, nil
 }
 
-func (c *Clients) attach(w *play.World) {
+func (c *Clients) attach(w *simulation.World) {
 	c.World, c.pump = w, newPump(w.Queue)
 	for range c.addrs {
 		c.up = append(c.up, true)
@@ -143,7 +143,7 @@
 
 // Play plays a day on sockets: it starts an api gateway process for each, lets the customers ask once all are ready, and
 // ends the processes it started.
-func Play(ctx context.Context, d *day.Day, seed uint64, o Options) (*figures.Figures, *play.World, error) {
+func Play(ctx context.Context, d *scenario.Day, seed uint64, o Options) (*metrics.Figures, *simulation.World, error) {
 	if err := Check(d); err != nil {
 		return nil, nil, err
 	}
@@ -152,7 +152,7 @@
 	defer stop()
 	c := &Clients{judge: true}
 	var s *StandIns
-	w := play.New(d, seed, nobody("sockets"), play.Outside(c, func(g int, l choice.Listed) { s.Told(g, l) }))
+	w := simulation.New(d, seed, nobody("sockets"), simulation.Outside(c, func(g int, l policy.Listed) { s.Told(g, l) }))
 	w.Referee.Second = true
 	n := w.Day.Fleet.Gateways.N()
 	for range n {
@@ -188,14 +188,14 @@
 	starting, ready := context.WithCancel(ctx)
 	pumped := make(chan bool)
 	go func() { c.pump.run(starting, 3600); close(pumped) }()
-	g := &Gateways{ctx: ctx, o: o, clients: c, paths: paths, addrs: addrs, procs: make([]*child.Child, n)}
-	first := make([][]choice.Listed, n)
+	g := &Gateways{ctx: ctx, o: o, clients: c, paths: paths, addrs: addrs, procs: make([]*childprocess.Child, n)}
+	first := make([][]policy.Listed, n)
 	for slot := range n {
 		first[slot] = s.List(slot)
 	}
 	g.anew = func(slot int) {
 		w.Referee.Started(slot)
-		s.told[slot] = map[string]choice.Listed{}
+		s.told[slot] = map[string]policy.Listed{}
 		s.tell(slot, first[slot], true)
 	}
 	for slot := range n {
--- a/lab/sockets/client.go
+++ b/harness/sockets/client.go
@@ -15,14 +15,14 @@
 	"syscall"
 	"time"
 
-	"otterseam/http1"
-	"otterseam/lab/model"
-	"otterseam/lab/play"
+	"otterseam/gateway/http1"
+	"otterseam/sim/model"
+	"otterseam/sim/simulation"
 )
 
 // Clients ask the api gateways at some addresses.
 type Clients struct {
-	*play.World
+	*simulation.World
 	pump   *pump
 	addrs  []string
 	up     []bool
--- a/lab/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"otterseam/lab/child"
-	"otterseam/lab/model"
-	"otterseam/lab/play"
+	"otterseam/harness/childprocess"
+	"otterseam/sim/model"
+	"otterseam/sim/simulation"
 )
 
 // Rig stands between the processes of a day. Without one they reach each other as they are.
@@ -27,7 +27,7 @@
 	// Mail gives the addresses under which api gateways know each other, from those at which they listen.
 	Mail(own []string) ([]string, error)
 	// Begin is called when the day begins, on the pump's goroutine, on which it may call g.
-	Begin(w *play.World, g *Gateways)
+	Begin(w *simulation.World, g *Gateways)
 	// End is called as the day ends, before its processes are ended.
 	End(g *Gateways)
 	// Seen tells of an event at an api gateway before what follows from it.
@@ -47,20 +47,20 @@
 	clients *Clients
 	paths   []string
 	addrs   []string // where they listen
-	procs   []*child.Child
-	all     []*child.Child
+	procs   []*childprocess.Child
+	all     []*childprocess.Child
 	begun   bool
 	anew    func(slot int) // a process starts with what its configuration says
 }
 
 func (g *Gateways) name(slot int) string { return fmt.Sprintf("edge-%d", slot) }
 
-func (g *Gateways) launch(slot int) (*child.Child, error) {
+func (g *Gateways) launch(slot int) (*childprocess.Child, error) {
 	env := append([]string{"EDGE_CONFIG=" + g.paths[slot], "GODEBUG=schedtrace=2000000000"}, g.o.Env...)
 	if g.o.EnvOf != nil {
 		env = append(env, g.o.EnvOf(slot)...)
 	}
-	p, err := child.Start(g.o.Gateway, g.name(slot), g.o.Dir, env...)
+	p, err := childprocess.Start(g.o.Gateway, g.name(slot), g.o.Dir, env...)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 }
 
 // ended: a process has ended; one whose end nobody asked for has crashed.
-func (g *Gateways) ended(slot int, p *child.Child) {
+func (g *Gateways) ended(slot int, p *childprocess.Child) {
 	_, asked, err := p.Ended()
 	if !g.begun || asked || g.procs[slot] != p { // till all have begun, who starts them looks
 		return
@@ -84,7 +84,7 @@
 }
 
 // Process is the one that runs for an api gateway; nil: none does.
-func (g *Gateways) Process(slot int) *child.Child {
+func (g *Gateways) Process(slot int) *childprocess.Child {
 	p := g.procs[slot]
 	if p == nil {
 		return nil
@@ -117,7 +117,7 @@
 }
 
 // unnoticed: clients go on coming to a dead one until the front notices.
-func (g *Gateways) unnoticed(slot int, p *child.Child) {
+func (g *Gateways) unnoticed(slot int, p *childprocess.Child) {
 	g.clients.Queue.After(g.clients.Day.Gateway.Notice.V(), func() {
 		if g.procs[slot] == p {
 			g.clients.up[slot] = false
@@ -209,7 +209,7 @@
 }
 
 // healthy waits until an api gateway says that it is ready, for as long as the platform does: 30 s.
-func healthy(ctx context.Context, addr string, p *child.Child) error {
+func healthy(ctx context.Context, addr string, p *childprocess.Child) error {
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); {
 		select {
 		case <-p.Done():
@@ -241,7 +241,7 @@
 }
 func (direct) Door(_ int, addr string) (string, error) { return addr, nil }
 func (direct) Mail(own []string) ([]string, error)     { return own, nil }
-func (direct) Begin(*play.World, *Gateways)            {}
+func (direct) Begin(*simulation.World, *Gateways)      {}
 func (direct) End(*Gateways)                           {}
 func (direct) Seen(string, int)                        {}
 func (direct) Struck(int, string, float64) bool        { return false }
--- a/lab/sockets/pump.go
+++ b/harness/sockets/pump.go
@@ -7,19 +7,19 @@
 	"context"
 	"time"
 
-	"otterseam/lab/event"
+	"otterseam/sim/eventqueue"
 )
 
 // pump lets a day's events happen by the wall clock, all on one goroutine; what sockets bring comes in by Do.
 type pump struct {
-	q     *event.Queue
+	q     *eventqueue.Queue
 	in    chan func()
 	start time.Time
 	late  float64 // the most that an event came late, in seconds
 	ended chan struct{}
 }
 
-func newPump(q *event.Queue) *pump {
+func newPump(q *eventqueue.Queue) *pump {
 	return &pump{q: q, in: make(chan func(), 4096), ended: make(chan struct{})}
 }
 
--- a/lab/sockets/script.go
+++ b/harness/sockets/script.go
@@ -8,7 +8,7 @@
 	"strings"
 	"sync"
 
-	"otterseam/http1"
+	"otterseam/gateway/http1"
 )
 
 // Script is a listener on loopback that answers each request with the text that its script gives. "" leaves it
--- a/lab/sockets/server.go
+++ b/harness/sockets/server.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"otterseam/http1"
+	"otterseam/gateway/http1"
 )
 
 // Messages reads one message after another from a connection, until what comes makes no sense or is not wanted.
--- a/lab/sockets/sockets_test.go
+++ b/harness/sockets/sockets_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"otterseam/http1"
-	"otterseam/lab/day"
-	"otterseam/lab/days"
-	"otterseam/lab/event"
-	"otterseam/lab/leak"
+	"otterseam/gateway/http1"
+	"otterseam/harness/leakcheck"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/scenario"
+	"otterseam/sim/scenarios"
 )
 
 // gateway builds the api gateway as it stands.
@@ -29,14 +29,14 @@
 	return path
 }
 
-func short(t *testing.T, troubles string, sets ...string) *day.Day {
+func short(t *testing.T, troubles string, sets ...string) *scenario.Day {
 	t.Helper()
-	rough, err := days.Load("rough-4")
+	rough, err := scenarios.Load("rough-4")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rough.Troubles = nil
-	d, err := day.Read("short.toml", []byte(rough.Text()+troubles))
+	d, err := scenario.Read("short.toml", []byte(rough.Text()+troubles))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 // A day with a restart and a killed api gateway: every try ends, nothing runs twice, nothing foreign is served, and the
 // processes that were started are gone at the end. How fast answers come is not judged: the machine may be busy.
 func TestDayOnSockets(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	d := short(t, "\n[[trouble]]\nkind = \"kill\"\nat = \"1s\"\nlasts = \"300ms\"\npart = 0.5\n"+
 		"\n[[trouble]]\nkind = \"errors\"\nat = \"500ms\"\nlasts = \"2s\"\nsize = 0.3\n")
 	dir := t.TempDir()
@@ -86,7 +86,7 @@
 }
 
 func TestAddressesElsewhereAreRefused(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	for _, a := range []string{"10.0.0.1:80", "192.0.2.1:8443", "example.org:80", "nonsense"} {
 		if _, _, err := Load(context.Background(), short(t, ""), 1, []string{a}); err == nil {
 			t.Errorf("%s was taken", a)
@@ -95,7 +95,7 @@
 	if err := Check(short(t, "\n[[trouble]]\nkind = \"starve\"\nat = \"1s\"\nlasts = \"1s\"\nsize = 0.5\n")); err == nil {
 		t.Error("a trouble that sockets can't play was taken")
 	}
-	big, _ := days.Load("calm-300")
+	big, _ := scenarios.Load("calm-300")
 	if Check(big) == nil {
 		t.Error("60,000 listeners were taken")
 	}
@@ -103,7 +103,7 @@
 
 // An api gateway that does not come up ends the day with where its log is, and leaves no process.
 func TestGatewayThatDoesNotStart(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	dir := t.TempDir()
 	script := filepath.Join(dir, "bad")
 	os.WriteFile(script, []byte("#!/bin/sh\necho broken >&2\nexit 3\n"), 0o755)
@@ -115,7 +115,7 @@
 
 // A slow api gateway hides nothing: times count from the intended sending, also when answers come one after another.
 func TestTimesCountFromTheIntendedSending(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	s, err := NewScript(func(m *http1.Message, n int) string {
 		time.Sleep(30 * time.Millisecond) // all of its connections wait for each other
 		body := field(m, "req-id") + " by nobody"
@@ -137,7 +137,7 @@
 
 // The counter's stand-in answers calls in order, adds exactly, and turns down what is no call.
 func TestCounterStandIn(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	dir := t.TempDir()
@@ -172,8 +172,8 @@
 
 // Events happen in the order of their times though they come from sockets and from the queue.
 func TestPumpKeepsTime(t *testing.T) {
-	leak.Check(t)
-	q := &event.Queue{}
+	leakcheck.Check(t)
+	q := &eventqueue.Queue{}
 	p := newPump(q)
 	var order []string
 	fired := make(chan bool)
--- a/lab/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -15,18 +15,18 @@
 	"strings"
 	"sync"
 
-	"otterseam/choice"
-	"otterseam/http1"
-	"otterseam/lab/counter"
-	"otterseam/lab/host"
-	"otterseam/lab/model"
-	"otterseam/lab/play"
-	"otterseam/wire"
+	"otterseam/gateway/http1"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/simprotocol"
+	"otterseam/sim/countermodel"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+	"otterseam/sim/simulation"
 )
 
 // StandIns are a day's hosts, counter and discovery on loopback.
 type StandIns struct {
-	*play.World
+	*simulation.World
 	pump      *pump
 	base      float64 // clock time, Unix, at which the day begins
 	listeners []net.Listener
@@ -43,11 +43,11 @@
 	lost      func(ref string)             // called where a host got a ref that it should not have got
 	customers map[string]*model.Customer
 	rig       Rig
-	told      []map[string]choice.Listed // by api gateway: what has got through of the list
+	told      []map[string]policy.Listed // by api gateway: what has got through of the list
 }
 
 // stand opens all listeners. known finds an invocation by its ref.
-func stand(w *play.World, p *pump, gateways int, rig Rig) (*StandIns, error) {
+func stand(w *simulation.World, p *pump, gateways int, rig Rig) (*StandIns, error) {
 	s := &StandIns{World: w, pump: p, conns: map[*conn]bool{}, addrs: map[[2]int]string{}, known: map[string]*model.Invocation{}, seen: map[string]*model.Invocation{},
 		customers: map[string]*model.Customer{}, rig: rig}
 	if rig == nil {
@@ -59,7 +59,7 @@
 	for g := range gateways {
 		s.watches = append(s.watches, map[*conn]bool{})
 		s.versions = append(s.versions, 1)
-		s.told = append(s.told, map[string]choice.Listed{})
+		s.told = append(s.told, map[string]policy.Listed{})
 		c, err := s.rig.Between(g, "counter", func(tcp net.Conn) { s.count(g, tcp) })
 		if err != nil {
 			return s, err
@@ -121,7 +121,7 @@
 }
 
 // addr is where an api gateway reaches a host; a host that came later gets its listener now.
-func (s *StandIns) addr(h *host.Host, gateway int) (string, error) {
+func (s *StandIns) addr(h *hostmodel.Host, gateway int) (string, error) {
 	key := [2]int{h.Number, gateway}
 	if a := s.addrs[key]; a != "" {
 		return a, nil
@@ -183,8 +183,8 @@
 	return paths, listens[:gateways], nil
 }
 
-func settings(w *play.World, slot, gateways int) wire.Start {
-	st := play.Settings(w.Day, slot)
+func settings(w *simulation.World, slot, gateways int) simprotocol.Start {
+	st := simulation.Settings(w.Day, slot)
 	st.Balancers = gateways
 	return st
 }
@@ -222,7 +222,7 @@
 	Started int64   `json:"started_ms"`
 }
 
-func (s *StandIns) entries(gateway int, list []choice.Listed) ([]entry, error) {
+func (s *StandIns) entries(gateway int, list []policy.Listed) ([]entry, error) {
 	all := []entry{}
 	for _, l := range list {
 		h := s.Host(l.Addr)
@@ -241,17 +241,17 @@
 }
 
 // Told brings a change of the list to an api gateway's watches.
-func (s *StandIns) Told(gateway int, l choice.Listed) {
+func (s *StandIns) Told(gateway int, l policy.Listed) {
 	s.versions[gateway]++
 	s.rig.Seen("told", gateway)
-	line := s.line(gateway, false, []choice.Listed{l})
+	line := s.line(gateway, false, []policy.Listed{l})
 	for c := range s.watches[gateway] {
-		c.writeThen(chunk(line), func() { s.pump.Do(func() { s.tell(gateway, []choice.Listed{l}, false) }) })
+		c.writeThen(chunk(line), func() { s.pump.Do(func() { s.tell(gateway, []policy.Listed{l}, false) }) })
 	}
 }
 
 // tell has the referee know what has got through of the list; a host that a whole list lacks has left.
-func (s *StandIns) tell(gateway int, list []choice.Listed, whole bool) {
+func (s *StandIns) tell(gateway int, list []policy.Listed, whole bool) {
 	told, now := s.told[gateway], map[string]bool{}
 	for _, l := range list {
 		now[l.Addr] = true
@@ -269,7 +269,7 @@
 	}
 }
 
-func (s *StandIns) line(gateway int, full bool, list []choice.Listed) string {
+func (s *StandIns) line(gateway int, full bool, list []policy.Listed) string {
 	es, _ := s.entries(gateway, list)
 	b, _ := json.Marshal(map[string]any{"version": s.versions[gateway], "full": full, "servers": es}) // numbers and texts only
 	return string(b) + "\n"
@@ -345,17 +345,17 @@
 				s.Called(false)
 				s.rig.Seen("called", gateway)
 				// Every second api gateway sees the copy of a split counter: there are no edges to ask.
-				s.Counter.Call(gateway%2 == 1, name, by, life, func(how counter.Outcome, sum float64) {
-					if how == counter.Added {
+				s.Counter.Call(gateway%2 == 1, name, by, life, func(how countermodel.Outcome, sum float64) {
+					if how == countermodel.Added {
 						s.rig.Seen("added", gateway)
 					}
 					s.Queue.After(net.Way(0, zone), func() {
 						switch how {
-						case counter.Added:
+						case countermodel.Added:
 							say("200 OK", strconv.FormatFloat(sum, 'f', -1, 64))
-						case counter.TurnedAway:
+						case countermodel.TurnedAway:
 							say("503 Service Unavailable", "")
-						case counter.Refused:
+						case countermodel.Refused:
 							c.end(true)
 						}
 					})
@@ -396,7 +396,7 @@
 
 // Hosts.
 
-func (s *StandIns) serve(h *host.Host, gateway int, tcp net.Conn) {
+func (s *StandIns) serve(h *hostmodel.Host, gateway int, tcp net.Conn) {
 	c := s.conn(tcp)
 	type answer struct{ ok bool }
 	up := make(chan answer, 1)
@@ -417,7 +417,7 @@
 		return
 	}
 	var d *model.Delivery
-	var job *host.Job
+	var job *hostmodel.Job
 	fresh := true
 	Messages(tcp, false, func(m *http1.Message) bool {
 		ref, first := field(m, "req-id"), fresh
@@ -490,10 +490,10 @@
 }
 
 // arrive lets the referee and the host see a delivery that is whole, a way after it was.
-func (s *StandIns) arrive(h *host.Host, gateway, life int, d *model.Delivery, c *conn, fresh bool) *host.Job {
+func (s *StandIns) arrive(h *hostmodel.Host, gateway, life int, d *model.Delivery, c *conn, fresh bool) *hostmodel.Job {
 	net, zone, n := s.Net(), s.zone(gateway), d.Inv.Need
 	to, open := fmt.Sprintf("host %d", h.Number), d.Inv.Final == model.Open
-	job := &host.Job{Operation: n.Op.Number, Work: n.Work, Gateway: gateway, Runs: func() {
+	job := &hostmodel.Job{Operation: n.Op.Number, Work: n.Work, Gateway: gateway, Runs: func() {
 		s.rig.Seen("ran", gateway)
 		s.Ran(d)
 	}}
@@ -501,13 +501,13 @@
 		job.Work += h.ConnectWork
 	}
 	reset, before := net.Reset()
-	job.Answers = func(a host.Answer) {
+	job.Answers = func(a hostmodel.Answer) {
 		if d.Over {
 			return
 		}
 		s.rig.Seen("answering", gateway)
 		s.Note(gateway, d.Inv.Ref, fmt.Sprintf("host %d ends delivery %d: %s", h.Number, d.Number, a))
-		if d.Proved = a == host.TurnedAway; a == host.Good && net.Lost() || net.Cut(zone, h.Zone) {
+		if d.Proved = a == hostmodel.TurnedAway; a == hostmodel.Good && net.Lost() || net.Cut(zone, h.Zone) {
 			return
 		}
 		s.Queue.After(net.Way(h.Zone, zone), func() {
@@ -517,13 +517,13 @@
 			d.Over = true
 			s.EndedAt(d)
 			switch {
-			case reset || a == host.Reset:
+			case reset || a == hostmodel.Reset:
 				c.end(true)
-			case a == host.TurnedAway:
+			case a == hostmodel.TurnedAway:
 				c.write([]byte("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"))
-			case a == host.Error:
+			case a == hostmodel.Error:
 				c.write([]byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"))
-			case a == host.Spoilt:
+			case a == hostmodel.Spoilt:
 				c.write([]byte("HTTP/1.1 2\x00\x01 noise that is no answer\r\n\r\n"))
 			default:
 				body := fmt.Sprintf("%s by host %d\n", d.Inv.Ref, h.Number)
--- a/lab/patch/patch.go
+++ b/harness/sourcepatch/sourcepatch.go
@@ -1,6 +1,6 @@
-// Package patch lays changes over the program's own source for one build, so that tests can put a bug into it that the source
+// Package sourcepatch lays changes over the program's own source for one build, so that tests can put a bug into it that the source
 // itself has no word of. It must never write into the source.
-package patch
+package sourcepatch
 
 import (
 	"encoding/json"
@@ -52,7 +52,7 @@
 
 // Overlay writes the patched files into a folder and gives the path of what go build wants to be told of them.
 func Overlay(root, dir string, patches []Patch) (string, error) {
-	texts := map[string]string{"lab/patch/bug/bug.go": bugs}
+	texts := map[string]string{"harness/sourcepatch/bug/bug.go": bugs}
 	for _, p := range patches {
 		text, ok := texts[p.File]
 		if !ok {
@@ -63,7 +63,7 @@
 			if text = string(b); strings.Count(text, "\nimport (\n") != 1 {
 				return "", fmt.Errorf("%s: %s has no block of imports", p.Bug, p.File)
 			}
-			text = strings.Replace(text, "\nimport (\n", "\nimport (\n\t\"otterseam/lab/patch/bug\"\n", 1)
+			text = strings.Replace(text, "\nimport (\n", "\nimport (\n\t\"otterseam/harness/sourcepatch/bug\"\n", 1)
 		}
 		if n := strings.Count(text, p.From); n != 1 {
 			return "", fmt.Errorf("%s: %s has the place to be patched %d times", p.Bug, p.File, n)
--- a/lab/patch/patch_test.go
+++ b/harness/sourcepatch/sourcepatch_test.go
@@ -1,4 +1,4 @@
-package patch
+package sourcepatch
 
 import (
 	"os"
--- a/lab/tierrig/catchup_test.go
+++ b/harness/tiercluster/catchup_test.go
@@ -1,4 +1,4 @@
-package tierrig
+package tiercluster
 
 import (
 	"fmt"
--- a/lab/tierrig/copies_test.go
+++ b/harness/tiercluster/copies_test.go
@@ -1,16 +1,16 @@
-package tierrig
+package tiercluster
 
 import (
 	"net/http"
 	"strings"
 	"testing"
 
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 	"otterseam/tier/status"
 )
 
 // control waits until the record of control is as wanted, and returns it.
-func (w *world) control(what string, wanted func(register.Record) bool) register.Record {
+func (w *world) control(what string, wanted func(consensus.Record) bool) consensus.Record {
 	w.Helper()
 	var state status.Status
 	err := Until(limit, func() bool {
@@ -24,7 +24,7 @@
 	return state.Control
 }
 
-func names(members []register.Member) string {
+func names(members []consensus.Member) string {
 	var all []string
 	for _, member := range members {
 		all = append(all, member.Node)
@@ -49,9 +49,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.control("the new machine holds a copy", func(r register.Record) bool { return strings.Contains(names(r.Learners), fresh.Name) })
+	w.control("the new machine holds a copy", func(r consensus.Record) bool { return strings.Contains(names(r.Learners), fresh.Name) })
 	w.rig.Machine("core-1").Leave()
-	after := w.control("the new machine votes", func(r register.Record) bool {
+	after := w.control("the new machine votes", func(r consensus.Record) bool {
 		return strings.Contains(names(r.Members), fresh.Name) && len(r.Previous) == 0
 	})
 	if strings.Contains(names(after.Members), "core-1 ") || len(after.Members) != 3 {
@@ -66,14 +66,14 @@
 // The leader is stopped for good, and who follows it is killed as soon as it leads.
 func TestTheSuccessorIsKilledInTheHandover(t *testing.T) {
 	w := newWorld(t, 3, 3)
-	before := w.control("control leads", func(r register.Record) bool { return len(r.InSync) == 3 })
+	before := w.control("control leads", func(r consensus.Record) bool { return len(r.InSync) == 3 })
 	leader, _ := before.Member(before.Primary)
 	left := make(chan struct{})
 	go func() {
 		w.rig.Machine(leader.Node).Leave()
 		close(left)
 	}()
-	after := w.control("another leads", func(r register.Record) bool { return r.Primary != before.Primary })
+	after := w.control("another leads", func(r consensus.Record) bool { return r.Primary != before.Primary })
 	successor, _ := after.Member(after.Primary)
 	w.rig.Machine(successor.Node).Kill()
 	<-left
@@ -89,7 +89,7 @@
 	w.wipe(w.rig.Machine("core-2"))
 	w.replace(1, 2, http.StatusOK)
 	w.start(w.rig.Machine("core-3"))
-	w.control("three members", func(r register.Record) bool {
+	w.control("three members", func(r consensus.Record) bool {
 		return len(r.Members) == 3 && len(r.InSync) == 3 && len(r.Previous) == 0
 	})
 	w.wipe(w.rig.Machine("core-1"))
@@ -100,7 +100,7 @@
 // Of five members two leave for good and one loses its disk.
 func TestTwoLeaveAndOneIsLost(t *testing.T) {
 	w := startWorld(t, Options{Controls: 5, Stores: 5, Tolerate: 2})
-	w.control("five members", func(r register.Record) bool { return len(r.Members) == 5 && len(r.InSync) == 5 })
+	w.control("five members", func(r consensus.Record) bool { return len(r.Members) == 5 && len(r.InSync) == 5 })
 	left := make(chan struct{})
 	for _, name := range []string{"core-4", "core-5"} {
 		go func() {
@@ -110,7 +110,7 @@
 	}
 	<-left
 	<-left
-	w.control("three members", func(r register.Record) bool { return len(r.Members) == 3 && len(r.Previous) == 0 })
+	w.control("three members", func(r consensus.Record) bool { return len(r.Members) == 3 && len(r.Previous) == 0 })
 	w.replace(1, 2, http.StatusOK)
 	w.wipe(w.rig.Machine("core-2"))
 	w.replace(2, 3, http.StatusOK)
--- a/lab/tierrig/machines.go
+++ b/harness/tiercluster/machines.go
@@ -1,10 +1,10 @@
-package tierrig
+package tiercluster
 
 import (
 	"fmt"
 	"strings"
 
-	"otterseam/lab/child"
+	"otterseam/harness/childprocess"
 )
 
 // AddMachine adds a machine of the class of another one and starts it; it is told that the tier exists already.
@@ -15,7 +15,7 @@
 		Name:      fmt.Sprintf("%s-%d", class, len(r.Machines)+1),
 		IP:        r.options.ip(len(r.Machines) + 2),
 		roles:     model.roles,
-		processes: map[string]*child.Child{},
+		processes: map[string]*childprocess.Child{},
 	}
 	r.Machines = append(r.Machines, m)
 	r.started[m.Name] = true
--- a/lab/tierrig/rig.go
+++ b/harness/tiercluster/rig.go
@@ -1,6 +1,6 @@
-// Package tierrig runs a whole serving tier as real processes on loopback, each machine with an address of its own, so that
+// Package tiercluster runs a whole serving tier as real processes on loopback, each machine with an address of its own, so that
 // tests and people can try it and take parts of it away.
-package tierrig
+package tiercluster
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 	"strings"
 	"time"
 
-	"otterseam/lab/child"
-	"otterseam/lab/tierhost"
+	"otterseam/harness/childprocess"
+	"otterseam/harness/tierhost"
 )
 
 // Options say what is started.
 type Options struct {
-	Program  string // the ottertier binary
+	Program  string // the otterseam-tier binary
 	Dir      string // for settings, data and logs
 	Network  int    // 1 to 250: the third part of the addresses, so that rigs of one program don't meet
 	Process  int    // number of the program, so that rigs of several don't meet; 0: addresses 127.0.N.x and the usual ports
@@ -59,7 +59,7 @@
 	Name      string
 	IP        string
 	roles     []string
-	processes map[string]*child.Child
+	processes map[string]*childprocess.Child
 }
 
 // Rig is a running tier.
@@ -108,7 +108,7 @@
 			Name:      fmt.Sprintf("%s-%d", class, i+1),
 			IP:        r.options.ip(len(r.Machines) + 2),
 			roles:     roles,
-			processes: map[string]*child.Child{},
+			processes: map[string]*childprocess.Child{},
 		})
 	}
 }
@@ -125,7 +125,7 @@
 		if err := os.WriteFile(path, []byte(r.settings(m, role, data)), 0o644); err != nil {
 			return err
 		}
-		process, err := child.StartWith([]string{r.options.Program, role}, name, r.options.Dir, "OTTERSEAM_NODE_FILE="+path)
+		process, err := childprocess.StartWith([]string{r.options.Program, role}, name, r.options.Dir, "OTTERSEAM_NODE_FILE="+path)
 		if err != nil {
 			return err
 		}
@@ -203,7 +203,7 @@
 }
 
 // Process is a machine's process of a role.
-func (m *Machine) Process(role string) *child.Child { return m.processes[role] }
+func (m *Machine) Process(role string) *childprocess.Child { return m.processes[role] }
 
 // Wipe removes a stopped machine's disk.
 func (r *Rig) Wipe(m *Machine) error {
--- a/lab/tierrig/rig_test.go
+++ b/harness/tiercluster/rig_test.go
@@ -1,4 +1,4 @@
-package tierrig
+package tiercluster
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"otterseam/lab/tierhost"
+	"otterseam/harness/tierhost"
 )
 
 var (
@@ -37,8 +37,8 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	program = filepath.Join(dir, "ottertier")
-	if out, err := exec.Command("go", "build", "-o", program, "otterseam/cmd/ottertier").CombinedOutput(); err != nil {
+	program = filepath.Join(dir, "otterseam-tier")
+	if out, err := exec.Command("go", "build", "-o", program, "otterseam/cmd/otterseam-tier").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
 	}
--- a/lab/tierrig/verdict_test.go
+++ b/harness/tiercluster/verdict_test.go
@@ -1,4 +1,4 @@
-package tierrig
+package tiercluster
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"otterseam/lab/tierhost"
+	"otterseam/harness/tierhost"
 )
 
 // setAside tells whether control has set a host aside.
--- a/seeded/none.go
+++ b/internal/mutation/none.go
@@ -1,8 +1,8 @@
 //go:build !seeded
 
-// Package seeded holds bugs that are put into test builds on purpose (build tag seeded), to see that the scripts of
-// lab/fleet catch them. In every other build each is a constant false, and its code is not in the program.
-package seeded
+// Package mutation holds bugs that are put into test builds on purpose (build tag seeded), to see that the scripts of
+// harness/fleet catch them. In every other build each is a constant false, and its code is not in the program.
+package mutation
 
 const (
 	ResetNeverRan  = false // a connection broken after the last byte is told as a delivery that never ran
--- a/seeded/some.go
+++ b/internal/mutation/some.go
@@ -1,6 +1,6 @@
 //go:build seeded
 
-package seeded
+package mutation
 
 import "os"
 
--- a/draw/draw.go
+++ b/internal/rng/rng.go
@@ -1,6 +1,6 @@
-// Package draw gives deciding code its chances: the same ones for the same seed, wherever and whenever it runs. It must never
+// Package rng gives deciding code its chances: the same ones for the same seed, wherever and whenever it runs. It must never
 // ask a clock or the machine for any.
-package draw
+package rng
 
 import (
 	"fmt"
--- a/lodge/lodge.go
+++ b/quotastore/client/client.go
@@ -1,10 +1,10 @@
-// Package lodge is what one api gateway has keepers hold for it: its part of each count, what it owes and has not told,
+// Package client is what one api gateway has keepers hold for it: its part of each count, what it owes and has not told,
 // marks of deliveries that must not run twice, and use. It says what to ask and what an answer means; it must never do I/O
 // or read a clock, and never ask for the same amount under two names of its own.
 //
 // A part of a count is told as a sum, not as an add: told twice or late it changes nothing, and what is owed beside it can be
 // put back by others without being counted twice (docs/copies.md).
-package lodge
+package client
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"slices"
 	"strconv"
 
-	"otterseam/hold"
-	"otterseam/say"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
 )
 
 const (
@@ -62,7 +62,7 @@
 type asked struct {
 	kind  kind
 	name  string
-	entry hold.Entry
+	entry statemachine.Entry
 }
 
 // account is this api gateway's part of a count.
@@ -98,7 +98,7 @@
 	renewAt, oweAt, useAt float64
 	wait                  float64 // on top, while words are turned away: what all say again must not be what keeps the keepers down
 	waitAt                float64
-	asks                  []say.Asked
+	asks                  []protocol.Asked
 	lines                 []string
 	// Given counts how often this api gateway was given up by the keepers though it lived.
 	Given int
@@ -112,13 +112,13 @@
 // Holder is under which name the keepers know it at present.
 func (l *Lodge) Holder() string { return l.name + "." + strconv.Itoa(l.lives) }
 
-func (l *Lodge) ask(k kind, name string, e hold.Entry) uint64 {
+func (l *Lodge) ask(k kind, name string, e statemachine.Entry) uint64 {
 	l.number++
 	if e.Holder == "" {
 		e.Holder = l.Holder()
 	}
 	l.out[l.number] = &asked{k, name, e}
-	l.asks = append(l.asks, say.Asked{Number: l.number, Entry: e})
+	l.asks = append(l.asks, protocol.Asked{Number: l.number, Entry: e})
 	return l.number
 }
 
@@ -142,7 +142,7 @@
 	opened = places - a.places
 	a.sum, a.places = a.sum+amount, places
 	l.order++
-	return l.ask(putting, name, hold.Entry{Kind: hold.Put, Name: name, Amount: a.sum, Places: a.places, Order: l.order, Life: life}), opened, true
+	return l.ask(putting, name, statemachine.Entry{Kind: statemachine.Put, Name: name, Amount: a.sum, Places: a.places, Order: l.order, Life: life}), opened, true
 }
 
 // Missed: what was told with a number will be told again, as the deciding module owes it once more; opened of it stays told if
@@ -173,12 +173,12 @@
 
 // Mark asks whether a delivery of an invocation may begin. scope says where a repeat is harmless; "": nowhere.
 func (l *Lodge) Mark(ref, scope string, life float64) uint64 {
-	return l.ask(marking, ref, hold.Entry{Kind: hold.Mark, Name: ref, Scope: scope, Life: max(markLife, 2*life)})
+	return l.ask(marking, ref, statemachine.Entry{Kind: statemachine.Mark, Name: ref, Scope: scope, Life: max(markLife, 2*life)})
 }
 
 // Unmark says that nothing of an invocation ever ran.
 func (l *Lodge) Unmark(ref string) {
-	l.ask(unmarking, ref, hold.Entry{Kind: hold.Unmark, Name: ref})
+	l.ask(unmarking, ref, statemachine.Entry{Kind: statemachine.Unmark, Name: ref})
 }
 
 // Used counts what a customer has used.
@@ -195,10 +195,10 @@
 }
 
 // Turn gives what is to be asked now.
-func (l *Lodge) Turn(now float64) []say.Asked {
+func (l *Lodge) Turn(now float64) []protocol.Asked {
 	if now >= l.renewAt {
 		l.renewAt = now + renewing
-		l.ask(renew, "", hold.Entry{Kind: hold.Renew, Life: 3 * renewing})
+		l.ask(renew, "", statemachine.Entry{Kind: statemachine.Renew, Life: 3 * renewing})
 	}
 	if now >= l.oweAt {
 		l.oweAt = now + owing + l.wait
@@ -234,7 +234,7 @@
 			continue
 		}
 		l.order++
-		a.noting = l.ask(owe, name, hold.Entry{Kind: hold.Owe, Name: name, Amount: due, Order: l.order, Life: a.life})
+		a.noting = l.ask(owe, name, statemachine.Entry{Kind: statemachine.Owe, Name: name, Amount: due, Order: l.order, Life: a.life})
 	}
 }
 
@@ -251,7 +251,7 @@
 	for _, c := range l.customers() {
 		u := l.uses[c]
 		if u.out == 0 && u.noted < u.sum {
-			u.out = l.ask(use, c, hold.Entry{Kind: hold.Use, Name: c, Amount: u.sum, Holder: fmt.Sprintf("%s/%d", l.name, l.epochs)})
+			u.out = l.ask(use, c, statemachine.Entry{Kind: statemachine.Use, Name: c, Amount: u.sum, Holder: fmt.Sprintf("%s/%d", l.name, l.epochs)})
 		}
 	}
 }
@@ -261,7 +261,7 @@
 }
 
 // Heard takes an answer.
-func (l *Lodge) Heard(now float64, r *say.Replied) Word {
+func (l *Lodge) Heard(now float64, r *protocol.Replied) Word {
 	a := l.out[r.Number]
 	if a == nil {
 		return Word{}
@@ -270,21 +270,21 @@
 	failed := r.NotLeader || r.Unknown
 	l.pace(now, failed)
 	w := Word{Number: r.Number, Total: r.Reply.Total, Refused: r.NotLeader, Unknown: r.Unknown}
-	if !failed && r.Reply.Code == hold.Gone && a.entry.Holder == l.Holder() {
+	if !failed && r.Reply.Code == statemachine.Gone && a.entry.Holder == l.Holder() {
 		l.given(now)
 	}
 	switch a.kind {
 	case putting:
 		w.What = Counted
-		if !failed && r.Reply.Code != hold.Done {
+		if !failed && r.Reply.Code != statemachine.Done {
 			w.Unknown = true
 		}
 		return w
 	case marking:
 		switch {
-		case failed || r.Reply.Code != hold.Done && r.Reply.Code != hold.Known:
+		case failed || r.Reply.Code != statemachine.Done && r.Reply.Code != statemachine.Known:
 			w.What = Unmarked
-		case r.Reply.Code == hold.Known:
+		case r.Reply.Code == statemachine.Known:
 			w.What = Before
 		default:
 			w.What = Marked
@@ -294,14 +294,14 @@
 		if x := l.names[a.name]; x != nil && x.noting == r.Number {
 			x.noting = 0
 			x.noted, x.isNoted = a.entry.Amount, true
-			if failed || r.Reply.Code != hold.Done {
+			if failed || r.Reply.Code != statemachine.Done {
 				x.noted = math.NaN() // it may be held or not: said again
 			}
 		}
 	case use:
 		if u := l.uses[a.name]; u != nil && u.out == r.Number {
 			u.out = 0
-			if !failed && r.Reply.Code == hold.Done {
+			if !failed && r.Reply.Code == statemachine.Done {
 				u.noted = max(u.noted, a.entry.Amount)
 			}
 		}
@@ -344,17 +344,17 @@
 
 func (l *Lodge) asking(name string, a *account) {
 	a.answers = 2
-	l.ask(oldOwe, name, hold.Entry{Kind: hold.Owe, Name: name, Holder: a.old, Life: a.life})
-	l.ask(oldPut, name, hold.Entry{Kind: hold.Put, Name: name, Holder: a.old, Life: a.life})
+	l.ask(oldOwe, name, statemachine.Entry{Kind: statemachine.Owe, Name: name, Holder: a.old, Life: a.life})
+	l.ask(oldPut, name, statemachine.Entry{Kind: statemachine.Put, Name: name, Holder: a.old, Life: a.life})
 }
 
 // learned: what of a count is this one's under its former name, now or once it is put back. The rest is told under the new.
-func (l *Lodge) learned(q *asked, r *say.Replied, failed bool) {
+func (l *Lodge) learned(q *asked, r *protocol.Replied, failed bool) {
 	a := l.names[q.name]
 	if a == nil || a.old != q.entry.Holder || a.answers == 0 {
 		return
 	}
-	if failed || r.Reply.Code != hold.Gone {
+	if failed || r.Reply.Code != statemachine.Gone {
 		a.answers = 0 // asked again with the next notes
 		return
 	}
--- a/lodge/lodge_test.go
+++ b/quotastore/client/client_test.go
@@ -1,16 +1,16 @@
-package lodge
+package client
 
 import (
 	"testing"
 
-	"otterseam/hold"
-	"otterseam/say"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
 )
 
 // kept plays the keepers: one state that takes what is asked in order.
 type kept struct {
 	t     *testing.T
-	state *hold.State
+	state *statemachine.State
 	now   float64
 	l     *Lodge
 	lost  bool // answers do not come back
@@ -21,14 +21,14 @@
 	k.now += 0.5
 	for _, a := range k.l.Turn(k.now) {
 		if k.away {
-			k.l.Heard(k.now, &say.Replied{Number: a.Number, NotLeader: true})
+			k.l.Heard(k.now, &protocol.Replied{Number: a.Number, NotLeader: true})
 			continue
 		}
-		r := k.state.Apply(&hold.Batch{Clock: k.now, Entries: []hold.Entry{a.Entry}})[0]
+		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{a.Entry}})[0]
 		if k.lost {
 			continue
 		}
-		if w := k.l.Heard(k.now, &say.Replied{Number: a.Number, Reply: r}); w.What != Nothing {
+		if w := k.l.Heard(k.now, &protocol.Replied{Number: a.Number, Reply: r}); w.What != Nothing {
 			words = append(words, w)
 		}
 	}
@@ -40,7 +40,7 @@
 	return total
 }
 
-func start(t *testing.T) *kept { return &kept{t: t, state: hold.New(), l: New("edge/1")} }
+func start(t *testing.T) *kept { return &kept{t: t, state: statemachine.New(), l: New("edge/1")} }
 
 // The answer to an add is lost; the module owes the units once more and tells them with the next: they count once.
 func TestLostAnswerCountsOnce(t *testing.T) {
@@ -68,11 +68,11 @@
 	}
 	for range 10 { // nothing comes of it any more
 		k.now += 0.5
-		k.state.Apply(&hold.Batch{Clock: k.now})
+		k.state.Apply(&statemachine.Batch{Clock: k.now})
 	}
 	for range 2 {
 		for _, d := range k.state.Open(9) {
-			k.state.Apply(&hold.Batch{Clock: k.now, Entries: []hold.Entry{{Kind: hold.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life}}})
+			k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{{Kind: statemachine.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life}}})
 		}
 	}
 	if k.total() != 9 {
@@ -90,10 +90,10 @@
 	k.away = true
 	for range 10 {
 		k.turn()
-		k.state.Apply(&hold.Batch{Clock: k.now})
+		k.state.Apply(&statemachine.Batch{Clock: k.now})
 	}
 	for _, d := range k.state.Open(9) {
-		k.state.Apply(&hold.Batch{Clock: k.now, Entries: []hold.Entry{{Kind: hold.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life}}})
+		k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{{Kind: statemachine.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life}}})
 	}
 	if k.total() != 9 {
 		t.Fatalf("after it was given up: %v", k.total())
@@ -123,7 +123,7 @@
 	for now := 0.0; now < 10; now += 0.05 {
 		for _, a := range l.Turn(now) {
 			said++
-			l.Heard(now, &say.Replied{Number: a.Number, NotLeader: true})
+			l.Heard(now, &protocol.Replied{Number: a.Number, NotLeader: true})
 		}
 	}
 	if said > 50*10 {
@@ -141,8 +141,8 @@
 	other := New("edge/2")
 	n := other.Mark("a", "", 1)
 	for _, a := range other.Turn(k.now) {
-		r := k.state.Apply(&hold.Batch{Clock: k.now, Entries: []hold.Entry{a.Entry}})[0]
-		if w := other.Heard(k.now, &say.Replied{Number: a.Number, Reply: r}); a.Number == n && w.What != Before {
+		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{a.Entry}})[0]
+		if w := other.Heard(k.now, &protocol.Replied{Number: a.Number, Reply: r}); a.Number == n && w.What != Before {
 			t.Fatalf("%+v", w)
 		}
 	}
--- a/say/frame.go
+++ b/quotastore/protocol/frame.go
@@ -1,6 +1,6 @@
-// Package say is the one form of what keepers say to each other, and what guests say to them: api gateways and operators'
+// Package protocol is the one form of what keepers say to each other, and what guests say to them: api gateways and operators'
 // commands. It must never know what becomes of it.
-package say
+package protocol
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"otterseam/hold"
+	"otterseam/quotastore/statemachine"
 )
 
 const (
@@ -41,16 +41,16 @@
 
 // Admin is what an operator's command asks a keeper, and the answer.
 type Admin struct {
-	What     string         `cbor:"1,keyasint"` // "who", "found", "save", "take"
-	Founding *Founding      `cbor:"2,keyasint,omitempty"`
-	Batch    uint64         `cbor:"3,keyasint,omitempty"`
-	Number   int            `cbor:"4,keyasint"`
-	Life     uint32         `cbor:"5,keyasint,omitempty"`
-	Cluster  uint64         `cbor:"6,keyasint,omitempty"`
-	Health   []Health       `cbor:"7,keyasint,omitempty"`
-	States   map[int][]byte `cbor:"8,keyasint,omitempty"`
-	Uses     []hold.Used    `cbor:"9,keyasint,omitempty"`
-	Err      string         `cbor:"10,keyasint,omitempty"`
+	What     string              `cbor:"1,keyasint"` // "who", "found", "save", "take"
+	Founding *Founding           `cbor:"2,keyasint,omitempty"`
+	Batch    uint64              `cbor:"3,keyasint,omitempty"`
+	Number   int                 `cbor:"4,keyasint"`
+	Life     uint32              `cbor:"5,keyasint,omitempty"`
+	Cluster  uint64              `cbor:"6,keyasint,omitempty"`
+	Health   []Health            `cbor:"7,keyasint,omitempty"`
+	States   map[int][]byte      `cbor:"8,keyasint,omitempty"`
+	Uses     []statemachine.Used `cbor:"9,keyasint,omitempty"`
+	Err      string              `cbor:"10,keyasint,omitempty"`
 }
 
 // Guest is the number of one who speaks and is no keeper: an api gateway, or an operator's command.
@@ -73,19 +73,19 @@
 
 // Asked is something wanted of a group; its number names it in the reply.
 type Asked struct {
-	Group  int        `cbor:"1,keyasint"`
-	Number uint64     `cbor:"2,keyasint"`
-	Entry  hold.Entry `cbor:"3,keyasint"`
+	Group  int                `cbor:"1,keyasint"`
+	Number uint64             `cbor:"2,keyasint"`
+	Entry  statemachine.Entry `cbor:"3,keyasint"`
 }
 
 // Replied is what became of it.
 type Replied struct {
-	Group     int        `cbor:"1,keyasint"`
-	Number    uint64     `cbor:"2,keyasint"`
-	NotLeader bool       `cbor:"3,keyasint,omitempty"` // it was not proposed here
-	Lead      int        `cbor:"4,keyasint"`           // who leads, as far as is known; -1: nobody
-	Reply     hold.Reply `cbor:"5,keyasint"`
-	Unknown   bool       `cbor:"6,keyasint,omitempty"` // to a guest: it may have been done, or may yet be
+	Group     int                `cbor:"1,keyasint"`
+	Number    uint64             `cbor:"2,keyasint"`
+	NotLeader bool               `cbor:"3,keyasint,omitempty"` // it was not proposed here
+	Lead      int                `cbor:"4,keyasint"`           // who leads, as far as is known; -1: nobody
+	Reply     statemachine.Reply `cbor:"5,keyasint"`
+	Unknown   bool               `cbor:"6,keyasint,omitempty"` // to a guest: it may have been done, or may yet be
 }
 
 // Longest is the longest frame, in bytes.
--- a/say/recorded_test.go
+++ b/quotastore/protocol/recorded_test.go
@@ -1,4 +1,4 @@
-package say
+package protocol
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"otterseam/hold"
+	"otterseam/quotastore/statemachine"
 )
 
 // recordedFrames are the frames whose bytes lie in testdata/recorded, as the code of 2026-12-01 wrote them: stores and
@@ -29,27 +29,27 @@
 		Groups: 16, Copies: 3, States: map[int][]byte{3: {1, 2, 3}}}}),
 	"admin-save": Administer(&Admin{What: "save", Number: 2, Life: 9, Cluster: 7, States: map[int][]byte{15: {9, 8, 7}}}),
 	"admin-take": Administer(&Admin{What: "take", Batch: 41, Number: 2, Life: 9, Cluster: 7,
-		Uses: []hold.Used{{Customer: "gold 0011", Units: 12.25}, {Customer: "free 0012", Units: 1e-3}}}),
+		Uses: []statemachine.Used{{Customer: "gold 0011", Units: 12.25}, {Customer: "free 0012", Units: 1e-3}}}),
 	"admin-failed": Administer(&Admin{What: "take", Batch: 3, Number: -1, Err: "not the batch handed out last, nor the one after it"}),
 }
 
 // recordedAsks has an entry of each kind, with all that it may carry.
 func recordedAsks() (all []Asked) {
-	for kind := hold.Tick; kind <= hold.Take; kind++ {
+	for kind := statemachine.Tick; kind <= statemachine.Take; kind++ {
 		n := uint64(kind)
-		all = append(all, Asked{Group: int(kind), Number: 1<<40 + n, Entry: hold.Entry{Kind: kind, Session: "a01.ff.3.1", Number: 100 + n,
+		all = append(all, Asked{Group: int(kind), Number: 1<<40 + n, Entry: statemachine.Entry{Kind: kind, Session: "a01.ff.3.1", Number: 100 + n,
 			Low: 90 + n, Name: "name-" + kind.String(), Amount: 1.5 + float64(n), Life: 60, Holder: "edge-3.7.1", Order: 1<<33 + n,
 			Places: 0.1, Scope: "pool-a", Clock: 1234.56789}})
 	}
-	return append(all, Asked{Entry: hold.Entry{Kind: hold.Add, Name: "bare", Amount: -2}})
+	return append(all, Asked{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "bare", Amount: -2}})
 }
 
 // recordedReplies has a reply of each code, with all that it may carry.
 func recordedReplies() (all []Replied) {
-	for code := hold.Done; code <= hold.Bad; code++ {
+	for code := statemachine.Done; code <= statemachine.Bad; code++ {
 		n := float64(code)
-		all = append(all, Replied{Group: int(code), Number: 77 + uint64(code), Lead: int(code) - 1, Reply: hold.Reply{Code: code, Total: 1e9 + n,
-			Own: 3.25 * n, Clock: 99.125, Who: "edge-3.7.1", Uses: []hold.Used{{Customer: "gold 0011", Units: n}}, Batch: 12}})
+		all = append(all, Replied{Group: int(code), Number: 77 + uint64(code), Lead: int(code) - 1, Reply: statemachine.Reply{Code: code, Total: 1e9 + n,
+			Own: 3.25 * n, Clock: 99.125, Who: "edge-3.7.1", Uses: []statemachine.Used{{Customer: "gold 0011", Units: n}}, Batch: 12}})
 	}
 	return append(all, Replied{Group: 1, Number: 5, NotLeader: true, Lead: -1}, Replied{Number: 6, Unknown: true})
 }
--- a/keep/ask.go
+++ b/quotastore/replication/ask.go
@@ -1,4 +1,4 @@
-package keep
+package replication
 
 // This file owns what is asked at this keeper and its way to the group's leader: sessions, by which what is told twice is
 // made once, telling again, and when it is given up. It must never say that nothing was done of what was sent.
@@ -7,9 +7,9 @@
 	"fmt"
 	"slices"
 
-	"otterseam/hold"
-	"otterseam/say"
-	"otterseam/seeded"
+	"otterseam/internal/mutation"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
 )
 
 const (
@@ -21,14 +21,14 @@
 )
 
 type askState struct {
-	entry  hold.Entry
+	entry  statemachine.Entry
 	number uint64
 	born   float64
 	sentAt float64
 	sends  int
 	free   bool // needs no session
 	probe  bool // told once
-	then   func(Outcome, hold.Reply)
+	then   func(Outcome, statemachine.Reply)
 }
 
 // lane is the way to one group.
@@ -56,16 +56,16 @@
 )
 
 // Ask asks a group for something; then hears once what became of it, within a call of this keeper.
-func (c *Core) Ask(group int, e hold.Entry, then func(Outcome, hold.Reply)) {
+func (c *Core) Ask(group int, e statemachine.Entry, then func(Outcome, statemachine.Reply)) {
 	l := c.asks[group]
 	c.numbers++
 	a := &askState{entry: e, number: c.numbers, born: c.now, then: then}
 	switch e.Kind {
-	case hold.Put, hold.Renew, hold.Owe, hold.Close, hold.Paid, hold.Use, hold.Take:
+	case statemachine.Put, statemachine.Renew, statemachine.Owe, statemachine.Close, statemachine.Paid, statemachine.Use, statemachine.Take:
 		a.free = true // by what they say, they are made once however often they come
 	}
 	if c.cluster == 0 || l.away(c.now) {
-		then(Refused, hold.Reply{})
+		then(Refused, statemachine.Reply{})
 		return
 	}
 	l.pending = append(l.pending, a)
@@ -120,19 +120,19 @@
 		late := now-a.born > limit
 		if a.sends == 0 && (late || now-a.born > patient && l.lead < 0 || l.away(now)) {
 			l.pending = slices.Delete(l.pending, i, i+1)
-			a.then(Refused, hold.Reply{})
+			a.then(Refused, statemachine.Reply{})
 			continue
 		}
 		if late {
 			l.pending = slices.Delete(l.pending, i, i+1)
-			a.then(Unknown, hold.Reply{})
+			a.then(Unknown, statemachine.Reply{})
 			continue
 		}
 		i++
 	}
 	if l.state == open && now-l.at > rested {
 		l.at = now
-		l.core.Ask(l.group, hold.Entry{Kind: hold.Tick}, func(Outcome, hold.Reply) {})
+		l.core.Ask(l.group, statemachine.Entry{Kind: statemachine.Tick}, func(Outcome, statemachine.Reply) {})
 	}
 	l.push(now)
 }
@@ -155,7 +155,7 @@
 		e := a.entry
 		if !a.free {
 			e.Session, e.Number, e.Low = l.session, a.number, l.low()
-			if seeded.KeepNoSession && a.sends > 1 {
+			if mutation.KeepNoSession && a.sends > 1 {
 				e.Session = ""
 			}
 			l.at = now
@@ -183,7 +183,7 @@
 	l.probeAt, l.state = now, probing
 	l.core.numbers++
 	probe := l.core.numbers
-	l.core.probes(probe, l, func(r hold.Reply) {
+	l.core.probes(probe, l, func(r statemachine.Reply) {
 		if l.state != probing {
 			return
 		}
@@ -191,26 +191,26 @@
 		l.session = fmt.Sprintf("%x.%x.%d.%d", uint64(l.core.id), l.core.run, l.group, l.nth)
 		l.state, l.probeAt = opening, l.core.now
 		l.core.numbers++
-		l.core.probes(l.core.numbers, l, func(r hold.Reply) {
+		l.core.probes(l.core.numbers, l, func(r statemachine.Reply) {
 			if l.state != opening {
 				return
 			}
-			if r.Code != hold.Done {
+			if r.Code != statemachine.Done {
 				l.state, l.probeAt = shut, l.core.now
 				return
 			}
 			l.state, l.at = open, l.core.now
 			l.push(l.core.now)
 		})
-		l.core.out(l.lead, []Asked{{Group: l.group, Number: l.core.numbers, Entry: hold.Entry{Kind: hold.Open, Session: l.session, Clock: r.Clock}}})
+		l.core.out(l.lead, []Asked{{Group: l.group, Number: l.core.numbers, Entry: statemachine.Entry{Kind: statemachine.Open, Session: l.session, Clock: r.Clock}}})
 	})
-	l.core.out(l.lead, []Asked{{Group: l.group, Number: probe, Entry: hold.Entry{Kind: hold.Tick}}})
+	l.core.out(l.lead, []Asked{{Group: l.group, Number: probe, Entry: statemachine.Entry{Kind: statemachine.Tick}}})
 }
 
 // probes notes what is to be done with an answer to something that is not told again.
-func (c *Core) probes(number uint64, l *lane, then func(hold.Reply)) {
+func (c *Core) probes(number uint64, l *lane, then func(statemachine.Reply)) {
 	a := &askState{number: number, born: c.now, sentAt: c.now, sends: 1, free: true, probe: true}
-	a.then = func(how Outcome, r hold.Reply) {
+	a.then = func(how Outcome, r statemachine.Reply) {
 		if how == Answered {
 			then(r)
 		}
@@ -231,7 +231,7 @@
 	}
 	for len(all) > 0 { // frames stay small enough not to hold up others
 		n := min(len(all), 512)
-		c.send(lead, &Frame{Kind: say.KindAsks, Asks: all[:n]}, false)
+		c.send(lead, &Frame{Kind: protocol.KindAsks, Asks: all[:n]}, false)
 		all = all[n:]
 	}
 }
@@ -258,11 +258,11 @@
 	case to == c.me:
 		c.replied(&r)
 	default:
-		if n := len(c.letters); n > 0 && c.letters[n-1].To == to && c.letters[n-1].Frame.Kind == say.KindReplies && len(c.letters[n-1].Frame.Replies) < 512 {
+		if n := len(c.letters); n > 0 && c.letters[n-1].To == to && c.letters[n-1].Frame.Kind == protocol.KindReplies && len(c.letters[n-1].Frame.Replies) < 512 {
 			c.letters[n-1].Frame.Replies = append(c.letters[n-1].Frame.Replies, r)
 			return
 		}
-		c.send(to, &Frame{Kind: say.KindReplies, Replies: []Replied{r}}, false)
+		c.send(to, &Frame{Kind: protocol.KindReplies, Replies: []Replied{r}}, false)
 	}
 }
 
@@ -294,7 +294,7 @@
 		return
 	}
 	switch {
-	case r.Reply.Code == hold.NoSession && !a.free:
+	case r.Reply.Code == statemachine.NoSession && !a.free:
 		if l.state == open {
 			l.state, l.probeAt = shut, 0
 		}
@@ -304,11 +304,11 @@
 		a.sends, a.sentAt = 0, -1
 		l.push(c.now)
 		return
-	case r.Reply.Code == hold.Passed:
+	case r.Reply.Code == statemachine.Passed:
 		return // an answer that nobody waits for
 	}
 	l.pending = slices.Delete(l.pending, at, at+1)
-	if r.Reply.Code == hold.NoSession {
+	if r.Reply.Code == statemachine.NoSession {
 		a.then(Unknown, r.Reply)
 		return
 	}
--- a/keep/core.go
+++ b/quotastore/replication/core.go
@@ -1,10 +1,10 @@
-// Package keep is one keeper: copies of groups of held things (package hold), kept the same over several keepers by a
+// Package replication is one keeper: copies of groups of held things (package hold), kept the same over several keepers by a
 // consensus library, and the way of whoever asks to the keeper that leads a group. It decides by what it is told and when;
 // it must never do I/O, read a clock, or draw chances that its seed does not give.
 //
 // How to call it. Tick, Hear, Broken and Ask bring what happens; after any of them Work gives what has to be written and
 // Written says that it lies where it outlives the process, again and again until Work gives nothing; then Letters are sent.
-package keep
+package replication
 
 import (
 	"cmp"
@@ -16,10 +16,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"otterseam/draw"
-	"otterseam/hold"
-	"otterseam/member"
-	"otterseam/say"
+	"otterseam/gateway/membership"
+	"otterseam/internal/rng"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
 )
 
 // Terms are what all keepers of an installation have to agree on.
@@ -60,14 +60,14 @@
 	cluster uint64 // 0: it belongs to none yet
 	peers   []Peer
 	terms   Terms
-	chances draw.Line
+	chances rng.Line
 	run     uint64 // another one in each process: a life on a disk may have several
 	now     float64
 	tickAt  float64
 	group   []*group  // by number; nil: not held here
 	lives   []uint32  // by keeper, as it says; 0: never heard of
 	heard   []float64 // when it was last known to be there
-	members *member.Group
+	members *membership.Group
 
 	asks        []*lane // by group
 	numbers     uint64
@@ -92,7 +92,7 @@
 		return nil, errors.New("keeper: its place, life, groups, copies or log are out of range")
 	}
 	c := &Core{me: me, id: MakeID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
-		chances: draw.By("keeper %d %d ", me, seed), puttingBack: map[string]bool{}, run: seed, numbers: seed << 32 >> 1}
+		chances: rng.By("keeper %d %d ", me, seed), puttingBack: map[string]bool{}, run: seed, numbers: seed << 32 >> 1}
 	c.setPeers(peers, seed)
 	c.lives[me] = life
 	for g := range terms.Groups {
@@ -118,7 +118,7 @@
 		c.lives, c.heard = append(c.lives, 0), append(c.heard, -1e9)
 	}
 	if len(peers) > 1 {
-		c.members = member.New(c.me, len(peers), 60, 0.5, seed)
+		c.members = membership.New(c.me, len(peers), 60, 0.5, seed)
 	}
 }
 
@@ -197,9 +197,9 @@
 		if !slices.Contains(conf.Voters, uint64(c.id)) {
 			continue
 		}
-		data := hold.New().Save()
+		data := statemachine.New().Save()
 		if f.States != nil {
-			if _, err := hold.Restore(f.States[g]); err != nil {
+			if _, err := statemachine.Restore(f.States[g]); err != nil {
 				return nil, fmt.Errorf("group %d of the snapshot: %w", g, err)
 			}
 			data = f.States[g]
@@ -228,7 +228,7 @@
 		c.log("%s", line)
 	}
 	for n := range c.peers {
-		if n == c.me || c.members != nil && c.members.Is(now, n) != member.Gone && c.lives[n] != 0 {
+		if n == c.me || c.members != nil && c.members.Is(now, n) != membership.Gone && c.lives[n] != 0 {
 			c.heard[n] = now
 		}
 	}
@@ -268,10 +268,10 @@
 	}
 }
 
-func (c *Core) text(l member.Letter) {
+func (c *Core) text(l membership.Letter) {
 	for n := range c.peers {
-		if n != c.me && (l.To == n || l.To == member.All) {
-			c.send(n, &Frame{Kind: say.KindText, Text: l.Text}, false)
+		if n != c.me && (l.To == n || l.To == membership.All) {
+			c.send(n, &Frame{Kind: protocol.KindText, Text: l.Text}, false)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 
 // Hello is what a keeper says of itself at the beginning of a stream, and now and then.
 func (c *Core) Hello() *Frame {
-	return &Frame{Kind: say.KindHello, Hello: &Hello{Number: c.me, Life: c.id.Life()}}
+	return &Frame{Kind: protocol.KindHello, Hello: &Hello{Number: c.me, Life: c.id.Life()}}
 }
 
 // announce tells all who leads what, and who holds it.
@@ -308,7 +308,7 @@
 	}
 	for n := range c.peers {
 		if n != c.me {
-			c.send(n, &Frame{Kind: say.KindLeads, Leads: all}, false)
+			c.send(n, &Frame{Kind: protocol.KindLeads, Leads: all}, false)
 		}
 	}
 }
@@ -393,24 +393,24 @@
 		c.lives[from] = f.Life
 	}
 	switch f.Kind {
-	case say.KindText:
+	case protocol.KindText:
 		if c.members != nil {
 			c.members.Heard(now, from, f.Text)
 			for _, l := range c.members.Due(now) {
 				c.text(l)
 			}
 		}
-	case say.KindRaft:
+	case protocol.KindRaft:
 		c.raft(f)
-	case say.KindLeads:
+	case protocol.KindLeads:
 		for i := range f.Leads {
 			c.leads(from, &f.Leads[i])
 		}
-	case say.KindAsks:
+	case protocol.KindAsks:
 		for i := range f.Asks {
 			c.asked(from, &f.Asks[i])
 		}
-	case say.KindReplies:
+	case protocol.KindReplies:
 		for i := range f.Replies {
 			c.replied(&f.Replies[i])
 		}
