--- a/keep/group.go
+++ b/quotastore/replication/group.go
@@ -1,4 +1,4 @@
-package keep
+package replication
 
 // This file owns one copy of one group: its log by the consensus library, its state, the group's clock, and when it stands
 // for election. It must never answer before an entry is committed, nor let time run out by its own clock.
@@ -12,9 +12,9 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"otterseam/hold"
-	"otterseam/say"
-	"otterseam/seeded"
+	"otterseam/internal/mutation"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
 )
 
 const (
@@ -61,7 +61,7 @@
 	number      int
 	node        *raft.RawNode
 	log         *raft.MemoryStorage
-	state       *hold.State
+	state       *statemachine.State
 	conf        *pb.ConfState
 	hard, saved *pb.HardState // as it is, and as it was last written
 	unsaid      bool          // they differ
@@ -75,7 +75,7 @@
 	base, since, stamped float64 // the group's clock: at the beginning of this leadership, which was then; last given
 	clockKnown           bool
 
-	entries []hold.Entry // to be proposed
+	entries []statemachine.Entry // to be proposed
 	askers  []asked
 	nth     uint64
 	out     map[place]*proposal // by term and number: a number comes again in a later life on the same disk
@@ -92,11 +92,11 @@
 }
 
 func newGroup(c *Core, number int, saved *Saved) (*group, error) {
-	g := &group{core: c, number: number, log: raft.NewMemoryStorage(), state: hold.New(), out: map[place]*proposal{},
+	g := &group{core: c, number: number, log: raft.NewMemoryStorage(), state: statemachine.New(), out: map[place]*proposal{},
 		copying: map[uint64]float64{}, conf: &pb.ConfState{}}
 	if saved != nil {
 		if !raft.IsEmptySnap(saved.Snap) {
-			state, err := hold.Restore(saved.Snap.Data)
+			state, err := statemachine.Restore(saved.Snap.Data)
 			if err != nil {
 				return nil, err
 			}
@@ -207,7 +207,7 @@
 }
 
 // ask takes what is to be proposed; false: this copy does not lead.
-func (g *group) ask(e hold.Entry, from asked) bool {
+func (g *group) ask(e statemachine.Entry, from asked) bool {
 	if !g.leads {
 		return false
 	}
@@ -236,8 +236,8 @@
 		return
 	}
 	g.nth++
-	b := hold.Batch{Clock: g.clock(now), Entries: g.entries, By: uint64(g.core.id), Nth: g.nth}
-	if seeded.KeepLocalClock {
+	b := statemachine.Batch{Clock: g.clock(now), Entries: g.entries, By: uint64(g.core.id), Nth: g.nth}
+	if mutation.KeepLocalClock {
 		b.Clock = now
 	}
 	if g.node.Propose(b.Bytes()) != nil {
@@ -246,8 +246,8 @@
 	}
 	g.lateAt = now
 	g.out[place{g.term, g.nth}] = &proposal{at: now, asked: slices.Clone(g.askers)}
-	if seeded.KeepEarly { // answered before the others have it
-		for i, r := range g.state.Apply(&hold.Batch{Clock: b.Clock, Entries: slices.Clone(g.entries)}) {
+	if mutation.KeepEarly { // answered before the others have it
+		for i, r := range g.state.Apply(&statemachine.Batch{Clock: b.Clock, Entries: slices.Clone(g.entries)}) {
 			g.answer(g.askers[i], r)
 		}
 		delete(g.out, place{g.term, g.nth})
@@ -289,7 +289,7 @@
 		wr.Snap, wr.Reset = g.rd.Snapshot, true
 		g.snap = nil // written after it, an older one of its own would take its place
 	}
-	if g.leads && !moved || seeded.KeepUnsynced {
+	if g.leads && !moved || mutation.KeepUnsynced {
 		g.early = true
 		g.send(g.rd.Messages)
 	}
@@ -321,7 +321,7 @@
 }
 
 func (g *group) takeSnap(s *pb.Snapshot) {
-	state, err := hold.Restore(s.Data)
+	state, err := statemachine.Restore(s.Data)
 	if err != nil {
 		g.core.fail(err)
 		return
@@ -355,12 +355,12 @@
 		if len(e.Data) == 0 {
 			return
 		}
-		b, err := hold.ReadBatch(e.Data)
+		b, err := statemachine.ReadBatch(e.Data)
 		if err != nil {
 			g.core.fail(err)
 			return
 		}
-		if seeded.KeepEarly && b.By == uint64(g.core.id) {
+		if mutation.KeepEarly && b.By == uint64(g.core.id) {
 			return
 		}
 		replies := g.state.Apply(b)
@@ -377,7 +377,7 @@
 	}
 }
 
-func (g *group) answer(a asked, r hold.Reply) {
+func (g *group) answer(a asked, r statemachine.Reply) {
 	g.core.replyTo(a.from, Replied{Group: g.number, Number: a.number, Lead: g.leader(), Reply: r})
 }
 
@@ -424,7 +424,7 @@
 			g.core.fail(err)
 			return
 		}
-		g.core.send(to.Number(), &Frame{Kind: say.KindRaft, Group: g.number, Raft: text}, bulk)
+		g.core.send(to.Number(), &Frame{Kind: protocol.KindRaft, Group: g.number, Raft: text}, bulk)
 	}
 }
 
@@ -441,7 +441,7 @@
 		}
 	}
 	if !g.state.Idle() && now-g.lateAt > 0.25 {
-		g.ask(hold.Entry{Kind: hold.Tick}, asked{from: -1})
+		g.ask(statemachine.Entry{Kind: statemachine.Tick}, asked{from: -1})
 	}
 	for _, id := range sortedKeys(g.copying) {
 		if now > g.copying[id] {
@@ -468,7 +468,7 @@
 			continue
 		}
 		paid := func() {
-			g.core.Ask(g.number, hold.Entry{Kind: hold.Paid, Holder: d.Holder, Name: d.Name, Order: d.Order}, func(Outcome, hold.Reply) {
+			g.core.Ask(g.number, statemachine.Entry{Kind: statemachine.Paid, Holder: d.Holder, Name: d.Name, Order: d.Order}, func(Outcome, statemachine.Reply) {
 				delete(g.core.puttingBack, key)
 			})
 		}
@@ -477,9 +477,9 @@
 			paid()
 			continue
 		}
-		g.core.Ask(GroupOf(d.Name, g.core.terms.Groups), hold.Entry{Kind: hold.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life},
-			func(how Outcome, r hold.Reply) {
-				if how != Answered || r.Code != hold.Done {
+		g.core.Ask(GroupOf(d.Name, g.core.terms.Groups), statemachine.Entry{Kind: statemachine.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life},
+			func(how Outcome, r statemachine.Reply) {
+				if how != Answered || r.Code != statemachine.Done {
 					delete(g.core.puttingBack, key) // it is tried again, and changes nothing if it was made
 					return
 				}
--- a/keep/guest.go
+++ b/quotastore/replication/guest.go
@@ -1,15 +1,15 @@
-package keep
+package replication
 
 // This file owns what guests want: api gateways, and operators' commands. It must never let a guest speak for a keeper.
 
 import (
-	"otterseam/hold"
+	"otterseam/quotastore/statemachine"
 )
 
 // key is by which name an entry finds its group; "": it has none of its own.
-func key(e *hold.Entry) string {
+func key(e *statemachine.Entry) string {
 	switch e.Kind {
-	case hold.Owe, hold.Use:
+	case statemachine.Owe, statemachine.Use:
 		return e.Holder
 	default:
 		return e.Name
@@ -20,27 +20,27 @@
 func (c *Core) Guest(now float64, a Asked, then func(Replied)) {
 	c.now = now
 	switch a.Entry.Kind {
-	case hold.Add, hold.Put, hold.Owe, hold.Mark, hold.Unmark, hold.Use:
-	case hold.Renew: // a holder is held to be there by all groups or by none
-		left, worst := len(c.asks), hold.Done
+	case statemachine.Add, statemachine.Put, statemachine.Owe, statemachine.Mark, statemachine.Unmark, statemachine.Use:
+	case statemachine.Renew: // a holder is held to be there by all groups or by none
+		left, worst := len(c.asks), statemachine.Done
 		for g := range c.asks {
-			c.Ask(g, a.Entry, func(how Outcome, r hold.Reply) {
-				if how == Answered && r.Code != hold.Done {
+			c.Ask(g, a.Entry, func(how Outcome, r statemachine.Reply) {
+				if how == Answered && r.Code != statemachine.Done {
 					worst = r.Code
 				}
 				if left--; left == 0 {
-					then(Replied{Group: -1, Number: a.Number, Reply: hold.Reply{Code: worst, Clock: r.Clock}})
+					then(Replied{Group: -1, Number: a.Number, Reply: statemachine.Reply{Code: worst, Clock: r.Clock}})
 				}
 			})
 		}
 		return
 	default:
-		then(Replied{Number: a.Number, Reply: hold.Reply{Code: hold.Bad}})
+		then(Replied{Number: a.Number, Reply: statemachine.Reply{Code: statemachine.Bad}})
 		return
 	}
 	e := a.Entry
 	e.Session, e.Number, e.Low = "", 0, 0
-	c.Ask(c.GroupFor(key(&e)), e, func(how Outcome, r hold.Reply) {
+	c.Ask(c.GroupFor(key(&e)), e, func(how Outcome, r statemachine.Reply) {
 		then(Replied{Number: a.Number, NotLeader: how == Refused, Unknown: how == Unknown, Reply: r})
 	})
 }
@@ -76,11 +76,11 @@
 	case "take":
 		left := len(c.asks)
 		for g := range c.asks {
-			c.Ask(g, hold.Entry{Kind: hold.Take, Order: a.Batch}, func(how Outcome, x hold.Reply) {
+			c.Ask(g, statemachine.Entry{Kind: statemachine.Take, Order: a.Batch}, func(how Outcome, x statemachine.Reply) {
 				switch {
 				case how != Answered:
 					r.Err = "a group did not answer: ask for the same batch again"
-				case x.Code != hold.Done:
+				case x.Code != statemachine.Done:
 					r.Err = "not the batch handed out last, nor the one after it"
 					r.Batch = max(r.Batch, x.Batch)
 				default:
--- a/keep/health.go
+++ b/quotastore/replication/health.go
@@ -1,9 +1,9 @@
-package keep
+package replication
 
 // This file owns what others may look at: for the health answer, the log, and the laboratory's judges. It changes nothing.
 
 import (
-	"otterseam/hold"
+	"otterseam/quotastore/statemachine"
 )
 
 // Health tells of all groups, by number.
@@ -32,7 +32,7 @@
 }
 
 // State is a copy's state, to be looked at only; nil: it isn't held here.
-func (c *Core) State(group int) *hold.State {
+func (c *Core) State(group int) *statemachine.State {
 	if g := c.group[group]; g != nil {
 		return g.state
 	}
--- a/keep/place.go
+++ b/quotastore/replication/place.go
@@ -1,4 +1,4 @@
-package keep
+package replication
 
 // This file owns where things lie: which group holds a name, and which keepers should hold a group. It must never depend on
 // who is asked: all keepers with the same list come to the same answer.
--- a/keep/keep_test.go
+++ b/quotastore/replication/replication_test.go
@@ -1,4 +1,4 @@
-package keep
+package replication
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"otterseam/hold"
-	"otterseam/say"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
 )
 
 func peers(n, zones int) (all []Peer) {
@@ -105,7 +105,7 @@
 		}
 	}
 	refused := false
-	c.Ask(0, hold.Entry{Kind: hold.Add, Name: "n", Amount: 1}, func(how Outcome, _ hold.Reply) { refused = how == Refused })
+	c.Ask(0, statemachine.Entry{Kind: statemachine.Add, Name: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Refused })
 	if !refused || said != 1 {
 		t.Fatalf("refused %v, said %d times", refused, said)
 	}
@@ -136,10 +136,10 @@
 // A guest can't ask for what only keepers may.
 func TestGuests(t *testing.T) {
 	c := core(t, 5)
-	for _, k := range []hold.Kind{hold.Close, hold.Paid, hold.Take, hold.Open, hold.Tick, 200} {
-		code := hold.Done
-		c.Guest(1, Asked{Entry: hold.Entry{Kind: k, Name: "n", Holder: "h"}}, func(r Replied) { code = r.Reply.Code })
-		if code != hold.Bad {
+	for _, k := range []statemachine.Kind{statemachine.Close, statemachine.Paid, statemachine.Take, statemachine.Open, statemachine.Tick, 200} {
+		code := statemachine.Done
+		c.Guest(1, Asked{Entry: statemachine.Entry{Kind: k, Name: "n", Holder: "h"}}, func(r Replied) { code = r.Reply.Code })
+		if code != statemachine.Bad {
 			t.Fatalf("kind %d: %v", k, code)
 		}
 	}
@@ -147,19 +147,19 @@
 
 // Whatever comes on a stream is read or refused, and never ends the keeper.
 func FuzzFrame(f *testing.F) {
-	for _, x := range []*Frame{say.Greeting(), say.Asks([]Asked{{Entry: hold.Entry{Kind: hold.Add, Name: "n"}}}),
-		{Kind: say.KindLeads, Leads: []Leads{{Group: 1, Members: []uint64{1}}}}, {Kind: say.KindRaft, Raft: []byte("x")},
-		{Kind: say.KindText, Text: "!b"}, say.Administer(&Admin{What: "who"})} {
+	for _, x := range []*Frame{protocol.Greeting(), protocol.Asks([]Asked{{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "n"}}}),
+		{Kind: protocol.KindLeads, Leads: []Leads{{Group: 1, Members: []uint64{1}}}}, {Kind: protocol.KindRaft, Raft: []byte("x")},
+		{Kind: protocol.KindText, Text: "!b"}, protocol.Administer(&Admin{What: "who"})} {
 		text, _ := x.Bytes()
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		x, err := say.ReadFrame(text)
+		x, err := protocol.ReadFrame(text)
 		if err != nil {
 			return
 		}
 		x.Life = max(x.Life, 1)
-		if x.Kind == say.KindRaft { // a message of the library is believed, as its sender is a keeper
+		if x.Kind == protocol.KindRaft { // a message of the library is believed, as its sender is a keeper
 			return
 		}
 		c, err := New(0, 9, 5, peers(3, 3), Terms{Groups: 4, Copies: 3, Log: 64, Rate: 1e6, Lost: 5}, 1, nil)
--- a/keeper/command.go
+++ b/quotastore/server/command.go
@@ -1,4 +1,4 @@
-package keeper
+package server
 
 // This file owns what operators' commands ask keepers: the founding, how all stands, snapshots, use to be billed.
 
@@ -15,20 +15,20 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"otterseam/hold"
-	"otterseam/keep"
-	"otterseam/say"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/statemachine"
 )
 
 // Command asks one keeper something.
-func Command(addr string, a *keep.Admin, limit time.Duration) (*keep.Admin, error) {
+func Command(addr string, a *replication.Admin, limit time.Duration) (*replication.Admin, error) {
 	c, err := net.DialTimeout("tcp", addr, min(limit, 2*time.Second))
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(limit))
-	for _, f := range []*keep.Frame{say.Greeting(), say.Administer(a)} {
+	for _, f := range []*replication.Frame{protocol.Greeting(), protocol.Administer(a)} {
 		text, err := f.Append(nil)
 		if err != nil {
 			return nil, err
@@ -37,7 +37,7 @@
 			return nil, err
 		}
 	}
-	f, err := say.Read(bufio.NewReader(c), say.Longest)
+	f, err := protocol.Read(bufio.NewReader(c), protocol.Longest)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 // Found founds an installation: all keepers of the list have to be there, and belong to none. states are of a snapshot;
 // nil: it begins empty.
 func Found(l *List, states map[int][]byte, limit time.Duration) (cluster uint64, err error) {
-	f := &keep.Founding{Groups: l.Groups, Copies: l.Copies, States: states}
+	f := &replication.Founding{Groups: l.Groups, Copies: l.Copies, States: states}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
@@ -61,9 +61,9 @@
 	f.Cluster = binary.BigEndian.Uint64(b[:]) | 1
 	until := time.Now().Add(limit)
 	for i, spot := range l.Keepers {
-		var who *keep.Admin
+		var who *replication.Admin
 		for {
-			if who, err = Command(spot.Peer, &keep.Admin{What: "who"}, 2*time.Second); err == nil || time.Now().After(until) {
+			if who, err = Command(spot.Peer, &replication.Admin{What: "who"}, 2*time.Second); err == nil || time.Now().After(until) {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -76,11 +76,11 @@
 		case who.Cluster != 0:
 			return 0, fmt.Errorf("keeper %s belongs to installation %016x already; nothing was founded", spot.Name, who.Cluster)
 		}
-		f.Members = append(f.Members, keep.MakeID(i, who.Life))
+		f.Members = append(f.Members, replication.MakeID(i, who.Life))
 	}
 	var missed []error
 	for i, spot := range l.Keepers {
-		if _, err := Command(spot.Peer, &keep.Admin{What: "found", Founding: f}, max(5*time.Second, time.Until(until))); err != nil {
+		if _, err := Command(spot.Peer, &replication.Admin{What: "found", Founding: f}, max(5*time.Second, time.Until(until))); err != nil {
 			if i == 0 {
 				return 0, fmt.Errorf("keeper %s: %w; nothing was founded", spot.Name, err)
 			}
@@ -102,7 +102,7 @@
 	s := &Snapshot{Taken: now.Unix(), Groups: l.Groups, States: map[int][]byte{}}
 	var all []error
 	for _, spot := range l.Keepers {
-		a, err := Command(spot.Peer, &keep.Admin{What: "save"}, 30*time.Second)
+		a, err := Command(spot.Peer, &replication.Admin{What: "save"}, 30*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
@@ -128,7 +128,7 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	_, err = f.Write(hold.Seal(body))
+	_, err = f.Write(statemachine.Seal(body))
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 
 // ReadSnapshot reads one, and all that it holds.
 func ReadSnapshot(text []byte) (*Snapshot, error) {
-	body, err := hold.Unseal(text)
+	body, err := statemachine.Unseal(text)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -149,7 +149,7 @@
 		return nil, fmt.Errorf("snapshot: it holds %d of %d groups", len(s.States), s.Groups)
 	}
 	for g := range s.Groups {
-		if _, err := hold.Restore(s.States[g]); err != nil {
+		if _, err := statemachine.Restore(s.States[g]); err != nil {
 			return nil, fmt.Errorf("snapshot: group %d: %w", g, err)
 		}
 	}
--- a/keeper/doors.go
+++ b/quotastore/server/doors.go
@@ -1,4 +1,4 @@
-package keeper
+package server
 
 // This file owns the door for whoever counts: the counter's published protocol, answers in the order of the calls on each
 // connection. A call of which nothing is known ends its connection, as the protocol has it; it must never be answered as
@@ -17,9 +17,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/hold"
-	"otterseam/http1"
-	"otterseam/keep"
+	"otterseam/gateway/http1"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/statemachine"
 )
 
 const (
@@ -217,13 +217,13 @@
 		d.say(a, "400 Bad Request", "", false)
 		return
 	}
-	core.Ask(core.GroupFor(c.name), hold.Entry{Kind: hold.Add, Name: c.name, Amount: c.by, Life: c.life}, func(how keep.Outcome, r hold.Reply) {
+	core.Ask(core.GroupFor(c.name), statemachine.Entry{Kind: statemachine.Add, Name: c.name, Amount: c.by, Life: c.life}, func(how replication.Outcome, r statemachine.Reply) {
 		switch {
-		case how == keep.Answered && r.Code == hold.Done:
+		case how == replication.Answered && r.Code == statemachine.Done:
 			d.say(a, "200 OK", strconv.FormatFloat(r.Total, 'f', -1, 64), false)
-		case how == keep.Answered && r.Code == hold.Bad:
+		case how == replication.Answered && r.Code == statemachine.Bad:
 			d.say(a, "400 Bad Request", "", false)
-		case how == keep.Refused:
+		case how == replication.Refused:
 			d.say(a, "503 Service Unavailable", "", false)
 		default:
 			a.cut = true
--- a/keeper/keeper.go
+++ b/quotastore/server/server.go
@@ -1,7 +1,7 @@
-// Package keeper carries out what a keeper decides (package keep): streams to other keepers, the door for whoever counts,
+// Package server carries out what a keeper decides (package keep): streams to other keepers, the door for whoever counts,
 // and the disk. One goroutine owns the deciding core and reaches the disk; sockets reach it by its queue only. It must never
 // decide anything, nor let a word out that rests on what is not written yet.
-package keeper
+package server
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/keep"
+	"otterseam/quotastore/replication"
 )
 
 // Spot is one keeper of an installation's list.
@@ -82,9 +82,9 @@
 	return l, nil
 }
 
-func (l *List) peers() (all []keep.Peer) {
+func (l *List) peers() (all []replication.Peer) {
 	for _, k := range l.Keepers {
-		all = append(all, keep.Peer{Name: k.Name, Zone: k.Zone, Leaving: k.Leaving})
+		all = append(all, replication.Peer{Name: k.Name, Zone: k.Zone, Leaving: k.Leaving})
 	}
 	return all
 }
@@ -99,8 +99,8 @@
 	return -1
 }
 
-func (l *List) terms() keep.Terms {
-	return keep.Terms{Groups: l.Groups, Copies: l.Copies, Log: l.Log, Rate: l.Rate, Lost: l.Lost}
+func (l *List) terms() replication.Terms {
+	return replication.Terms{Groups: l.Groups, Copies: l.Copies, Log: l.Log, Rate: l.Rate, Lost: l.Lost}
 }
 
 // Place is where one keeper runs.
@@ -115,7 +115,7 @@
 	ctx     context.Context
 	log     zerolog.Logger
 	list    *List
-	core    *keep.Core
+	core    *replication.Core
 	store   *Store
 	queue   chan func()
 	streams *streams
@@ -123,7 +123,7 @@
 	seed    uint64
 	failed  error
 	doors   *doors
-	writes  chan *keep.Work
+	writes  chan *replication.Work
 	writing bool // of the loop alone
 }
 
@@ -137,8 +137,8 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	k := &Keeper{log: log.With().Str("keeper", p.Name).Logger(), list: l, queue: make(chan func(), 1024), writes: make(chan *keep.Work, 1), base: time.Now(), seed: binary.BigEndian.Uint64(b[:])}
-	var saved map[int]*keep.Saved
+	k := &Keeper{log: log.With().Str("keeper", p.Name).Logger(), list: l, queue: make(chan func(), 1024), writes: make(chan *replication.Work, 1), base: time.Now(), seed: binary.BigEndian.Uint64(b[:])}
+	var saved map[int]*replication.Saved
 	var err error
 	if k.store, saved, err = OpenStore(p.Dir, k.base); err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 		k.log.Error().Str("why", k.store.Spoilt).Msg("what was held on this disk can't be trusted: it begins anew, as one that lost it")
 	}
 	id := k.store.Identity()
-	if k.core, err = keep.New(me, id.Life, id.Cluster, l.peers(), l.terms(), k.seed, saved); err != nil {
+	if k.core, err = replication.New(me, id.Life, id.Cluster, l.peers(), l.terms(), k.seed, saved); err != nil {
 		k.store.Close()
 		return nil, err
 	}
--- a/keeper/store.go
+++ b/quotastore/server/store.go
@@ -1,4 +1,4 @@
-package keeper
+package server
 
 // This file owns what lies on disk: one file of the database library, each value with a check, and beside it the number of
 // the last write. A file that can't be trusted is set aside and never read from; one that can't be written ends the keeper.
@@ -21,8 +21,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"otterseam/hold"
-	"otterseam/keep"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/statemachine"
 )
 
 // Identity is who a keeper is, for as long as it has what it held.
@@ -62,7 +62,7 @@
 }
 
 // OpenStore opens what lies in a folder, or begins there.
-func OpenStore(dir string, now time.Time) (s *Store, saved map[int]*keep.Saved, err error) {
+func OpenStore(dir string, now time.Time) (s *Store, saved map[int]*replication.Saved, err error) {
 	s = &Store{}
 	if dir == "" {
 		s.id.Life, err = newLife()
@@ -77,7 +77,7 @@
 		switch {
 		case err == nil:
 			return s, saved, s.anew(path, beside, saved)
-		case errors.Is(err, hold.ErrLater), errors.Is(err, errBusy), errors.Is(err, os.ErrPermission):
+		case errors.Is(err, statemachine.ErrLater), errors.Is(err, errBusy), errors.Is(err, os.ErrPermission):
 			return nil, nil, fmt.Errorf("%s: %w", path, err) // nothing is wrong with what lies there
 		}
 		s.Spoilt = err.Error()
@@ -120,7 +120,7 @@
 // load reads all that lies there, and nothing is written: bytes that were changed may lead the database astray, into a panic
 // or beyond the file, and that counts as spoilt. It does not look at the list of free pages, where it would do so on a
 // goroutine of its own.
-func (s *Store) load(path, beside string) (saved map[int]*keep.Saved, err error) {
+func (s *Store) load(path, beside string) (saved map[int]*replication.Saved, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -134,22 +134,22 @@
 	if s.beside, err = os.OpenFile(beside, os.O_CREATE|os.O_RDWR, 0o644); err != nil {
 		return nil, err
 	}
-	saved = map[int]*keep.Saved{}
+	saved = map[int]*replication.Saved{}
 	err = s.db.View(func(tx *bolt.Tx) error { return s.read(tx, saved) })
 	return saved, err
 }
 
 // anew writes what was read into a file of its own, which takes the place of the one read: pages that nothing was read from
 // may be spoilt too, and would be written over in their turn.
-func (s *Store) anew(path, beside string, saved map[int]*keep.Saved) error {
+func (s *Store) anew(path, beside string, saved map[int]*replication.Saved) error {
 	fresh := path + ".new"
 	os.Remove(fresh)
 	if err := s.open(fresh, beside); err != nil {
 		return fmt.Errorf("%s: %w", fresh, err)
 	}
-	var all []keep.Write
+	var all []replication.Write
 	for _, g := range slices.Sorted(maps.Keys(saved)) {
-		all = append(all, keep.Write{Group: g, Hard: saved[g].Hard, Snap: saved[g].Snap, Entries: saved[g].Entries, Reset: true})
+		all = append(all, replication.Write{Group: g, Hard: saved[g].Hard, Snap: saved[g].Snap, Entries: saved[g].Entries, Reset: true})
 	}
 	if err := s.update(all); err != nil {
 		return err
@@ -164,13 +164,13 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (s *Store) read(tx *bolt.Tx, saved map[int]*keep.Saved) error {
+func (s *Store) read(tx *bolt.Tx, saved map[int]*replication.Saved) error {
 	node := tx.Bucket(bucketNode)
 	hard, snap, log := tx.Bucket(bucketHard), tx.Bucket(bucketSnap), tx.Bucket(bucketLog)
 	if node == nil || hard == nil || snap == nil || log == nil {
 		return errors.New("a part is missing")
 	}
-	id, err := hold.Unseal(node.Get(keyNode))
+	id, err := statemachine.Unseal(node.Get(keyNode))
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
@@ -178,7 +178,7 @@
 		return errors.New("identity: of another length")
 	}
 	s.id = Identity{binary.BigEndian.Uint32(id), binary.BigEndian.Uint64(id[4:])}
-	count, err := hold.Unseal(node.Get(keyCount))
+	count, err := statemachine.Unseal(node.Get(keyCount))
 	if err != nil || len(count) != 8 {
 		return fmt.Errorf("count of writes: %w", errors.Join(err, errShort(count)))
 	}
@@ -188,7 +188,7 @@
 	if n, _ := s.beside.ReadAt(last[:], 0); n == 8 && binary.BigEndian.Uint64(last[:]) > binary.BigEndian.Uint64(count) {
 		return fmt.Errorf("holds write %d, and write %d was made", binary.BigEndian.Uint64(count), binary.BigEndian.Uint64(last[:]))
 	}
-	groups, err := hold.Unseal(node.Get(keyGroups))
+	groups, err := statemachine.Unseal(node.Get(keyGroups))
 	if err != nil {
 		return fmt.Errorf("groups: %w", err)
 	}
@@ -216,12 +216,12 @@
 func logKey(g int, index uint64) []byte { return binary.BigEndian.AppendUint64(groupKey(g), index) }
 
 // readGroup reads one copy, and checks that nothing of it is missing or older than what was written last.
-func readGroup(want tail, hard, snap, log *bolt.Bucket) (*keep.Saved, error) {
-	s, g := &keep.Saved{}, want.group
+func readGroup(want tail, hard, snap, log *bolt.Bucket) (*replication.Saved, error) {
+	s, g := &replication.Saved{}, want.group
 	if sum(hard.Get(groupKey(g))) != want.hard || sum(snap.Get(groupKey(g))) != want.snap {
 		return nil, errors.New("votes or snapshot: not what was written last")
 	}
-	text, err := hold.Unseal(hard.Get(groupKey(g)))
+	text, err := statemachine.Unseal(hard.Get(groupKey(g)))
 	if err != nil {
 		return nil, fmt.Errorf("votes: %w", err)
 	}
@@ -231,7 +231,7 @@
 	}
 	var from, term uint64
 	if v := snap.Get(groupKey(g)); v != nil {
-		if text, err = hold.Unseal(v); err != nil {
+		if text, err = statemachine.Unseal(v); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
 		}
 		s.Snap = &pb.Snapshot{}
@@ -243,7 +243,7 @@
 	next := from + 1
 	c := log.Cursor()
 	for k, v := c.Seek(logKey(g, next)); len(k) == 12 && binary.BigEndian.Uint32(k) == uint32(g); k, v = c.Next() {
-		text, err := hold.Unseal(v)
+		text, err := statemachine.Unseal(v)
 		if err != nil {
 			return nil, fmt.Errorf("entry %d: %w", next, err)
 		}
@@ -287,14 +287,14 @@
 }
 
 // Write has all of it on disk when it returns without an error: one commit for all groups.
-func (s *Store) Write(all []keep.Write) error {
+func (s *Store) Write(all []replication.Write) error {
 	if len(all) == 0 {
 		return nil
 	}
 	return s.update(all)
 }
 
-func (s *Store) update(all []keep.Write) error {
+func (s *Store) update(all []replication.Write) error {
 	if s.db == nil {
 		return nil
 	}
@@ -308,7 +308,7 @@
 		}
 		node := in[0]
 		id := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, s.id.Life), s.id.Cluster)
-		if err := errors.Join(node.Put(keyCount, hold.Seal(binary.BigEndian.AppendUint64(nil, count))), node.Put(keyNode, hold.Seal(id))); err != nil {
+		if err := errors.Join(node.Put(keyCount, statemachine.Seal(binary.BigEndian.AppendUint64(nil, count))), node.Put(keyNode, statemachine.Seal(id))); err != nil {
 			return err
 		}
 		for i := range all {
@@ -321,7 +321,7 @@
 				return fmt.Errorf("group %d: %w", w.Group, err)
 			}
 		}
-		return node.Put(keyGroups, hold.Seal(tailsText(tails)))
+		return node.Put(keyGroups, statemachine.Seal(tailsText(tails)))
 	})
 	if err != nil {
 		return err
@@ -331,7 +331,7 @@
 	return err
 }
 
-func put(w *keep.Write, t *tail, hard, snap, log *bolt.Bucket) (err error) {
+func put(w *replication.Write, t *tail, hard, snap, log *bolt.Bucket) (err error) {
 	key := groupKey(w.Group)
 	if w.Drop {
 		t.snap, t.last, t.term = 0, 0, 0
@@ -371,7 +371,7 @@
 		if err != nil {
 			return err
 		}
-		if err := log.Put(logKey(w.Group, e.GetIndex()), hold.Seal(linked(before, text))); err != nil {
+		if err := log.Put(logKey(w.Group, e.GetIndex()), statemachine.Seal(linked(before, text))); err != nil {
 			return err
 		}
 		before = e.GetTerm()
@@ -386,7 +386,7 @@
 	if err != nil {
 		return err
 	}
-	value := hold.Seal(text)
+	value := statemachine.Seal(text)
 	*check = sum(value)
 	return in.Put(key, value)
 }
@@ -396,7 +396,7 @@
 	if index == t.last+1 {
 		return t.term, nil
 	}
-	text, err := hold.Unseal(log.Get(logKey(t.group, index)))
+	text, err := statemachine.Unseal(log.Get(logKey(t.group, index)))
 	if err != nil {
 		return 0, fmt.Errorf("entry %d: %w", index, err)
 	}
--- a/keeper/store_test.go
+++ b/quotastore/server/store_test.go
@@ -1,4 +1,4 @@
-package keeper
+package server
 
 import (
 	"encoding/binary"
@@ -13,9 +13,9 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"otterseam/hold"
-	"otterseam/keep"
-	"otterseam/lab/leak"
+	"otterseam/harness/leakcheck"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/statemachine"
 )
 
 func entries(from, to, term uint64) (all []*pb.Entry) {
@@ -26,7 +26,7 @@
 }
 
 func snap(index uint64) *pb.Snapshot {
-	return &pb.Snapshot{Data: hold.New().Save(), Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(1)),
+	return &pb.Snapshot{Data: statemachine.New().Save(), Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(1)),
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
@@ -35,7 +35,7 @@
 }
 
 // life is what a keeper wrote over some time: founded, entries, a tail replaced by another leader's, a snapshot in their place.
-var life = []keep.Write{
+var life = []replication.Write{
 	{Group: 3, Hard: hard(1, 1), Snap: snap(1), Reset: true},
 	{Group: 5, Hard: hard(1, 1), Snap: snap(1), Reset: true},
 	{Group: 3, Entries: entries(2, 40, 1)},
@@ -45,7 +45,7 @@
 	{Group: 3, Hard: hard(4, 35), Entries: entries(36, 50, 4)},
 }
 
-func written(t *testing.T, dir string) (id Identity, want map[int]*keep.Saved) {
+func written(t *testing.T, dir string) (id Identity, want map[int]*replication.Saved) {
 	t.Helper()
 	s, saved, err := OpenStore(dir, time.Now())
 	if err != nil || len(saved) != 0 {
@@ -54,14 +54,14 @@
 	if err := s.Join(77); err != nil {
 		t.Fatal(err)
 	}
-	want = map[int]*keep.Saved{}
+	want = map[int]*replication.Saved{}
 	for i := range life {
 		if err := s.Write(life[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 		g := life[i].Group
 		if want[g] == nil {
-			want[g] = &keep.Saved{}
+			want[g] = &replication.Saved{}
 		}
 		want[g].Take(&life[i])
 	}
@@ -73,11 +73,11 @@
 	return id, want
 }
 
-func same(a, b map[int]*keep.Saved) bool {
+func same(a, b map[int]*replication.Saved) bool {
 	if len(a) != len(b) {
 		return false
 	}
-	text := func(s *keep.Saved) (all []string) {
+	text := func(s *replication.Saved) (all []string) {
 		all = append(all, s.Hard.String(), s.Snap.String())
 		for _, e := range s.Entries {
 			all = append(all, e.String())
@@ -94,7 +94,7 @@
 
 // A keeper ends and starts again on its disk: it is the same one, and has all that it wrote.
 func TestStartsAgainOnItsDisk(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	dir := t.TempDir()
 	id, want := written(t, dir)
 	s, saved, err := OpenStore(dir, time.Now())
@@ -113,7 +113,7 @@
 // Bytes of the file are flipped, anywhere: either nothing is different, or none of it is believed and the keeper has another
 // life, so that it never votes as if it remembered.
 func TestFlippedBytes(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	from := t.TempDir()
 	id, want := written(t, from)
 	text, err := os.ReadFile(filepath.Join(from, "held.db"))
@@ -161,7 +161,7 @@
 
 // The newest write is lost as a whole, and the file looks well: the count beside it says that a later one was made.
 func TestRolledBack(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	dir := t.TempDir()
 	id, _ := written(t, dir)
 	var n [8]byte
@@ -184,7 +184,7 @@
 
 // Without a disk each process is another one.
 func TestWithoutDisk(t *testing.T) {
-	leak.Check(t)
+	leakcheck.Check(t)
 	a, _, err := OpenStore("", time.Now())
 	if err != nil {
 		t.Fatal(err)
--- a/keeper/streams.go
+++ b/quotastore/server/streams.go
@@ -1,4 +1,4 @@
-package keeper
+package server
 
 // This file owns the streams: one to each other keeper for what this one says, further ones for copies, which go at a
 // bounded rate, and those of others and of guests that come in. It must never hold up the loop: what can't be sent at once
@@ -18,8 +18,8 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/time/rate"
 
-	"otterseam/keep"
-	"otterseam/say"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/replication"
 )
 
 const (
@@ -115,7 +115,7 @@
 }
 
 // send hands a frame to the stream of its keeper; it runs on the loop.
-func (s *streams) send(l keep.Letter) {
+func (s *streams) send(l replication.Letter) {
 	text, err := l.Frame.Append(nil)
 	if err != nil {
 		s.keeper.failed = err
@@ -294,19 +294,19 @@
 func (s *streams) hear(c net.Conn) {
 	r := bufio.NewReaderSize(c, 64<<10)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	f, err := say.Read(r, say.Longest)
+	f, err := protocol.Read(r, protocol.Longest)
 	if err != nil || f.Hello == nil {
 		return
 	}
 	c.SetReadDeadline(time.Time{})
 	from := f.Hello.Number
-	if from == say.Guest {
+	if from == protocol.Guest {
 		s.guest(c, r)
 		return
 	}
 	k := s.keeper
 	for {
-		if f, err = say.Read(r, say.Longest); err != nil {
+		if f, err = protocol.Read(r, protocol.Longest); err != nil {
 			return
 		}
 		now := f
@@ -319,7 +319,7 @@
 // guest serves an api gateway or a command: each thing asked gets its answer, as it comes.
 func (s *streams) guest(c net.Conn, r *bufio.Reader) {
 	k := s.keeper
-	out := make(chan *keep.Frame, 1024)
+	out := make(chan *replication.Frame, 1024)
 	gone := make(chan bool)
 	defer close(gone)
 	s.group.Go(func() error {
@@ -332,7 +332,7 @@
 				for more := true; more; {
 					text, err := f.Append(nil)
 					if err != nil {
-						text, _ = say.Administer(&keep.Admin{Err: err.Error()}).Append(nil)
+						text, _ = protocol.Administer(&replication.Admin{Err: err.Error()}).Append(nil)
 					}
 					c.SetWriteDeadline(time.Now().Add(5 * time.Second))
 					w.Write(text)
@@ -349,7 +349,7 @@
 			}
 		}
 	})
-	send := func(f *keep.Frame) { // on the loop, which must not wait
+	send := func(f *replication.Frame) { // on the loop, which must not wait
 		select {
 		case out <- f:
 		default:
@@ -357,22 +357,22 @@
 		}
 	}
 	for {
-		f, err := say.Read(r, say.Longest)
+		f, err := protocol.Read(r, protocol.Longest)
 		if err != nil {
 			return
 		}
 		ok := k.tell(func() {
 			if f.Admin != nil {
-				k.core.Administer(k.now(), f.Admin, func(all []keep.Write) error {
+				k.core.Administer(k.now(), f.Admin, func(all []replication.Write) error {
 					if err := k.store.Write(all); err != nil { // nothing else is being written: it holds nothing yet
 						return err
 					}
 					return k.store.Join(k.core.Cluster())
-				}, func(a *keep.Admin) { send(say.Administer(a)) })
+				}, func(a *replication.Admin) { send(protocol.Administer(a)) })
 				return
 			}
 			for _, a := range f.Asks {
-				k.core.Guest(k.now(), a, func(r keep.Replied) { send(say.Replies([]keep.Replied{r})) })
+				k.core.Guest(k.now(), a, func(r replication.Replied) { send(protocol.Replies([]replication.Replied{r})) })
 			}
 		})
 		if !ok {
--- a/keeper/tails.go
+++ b/quotastore/server/tails.go
@@ -1,4 +1,4 @@
-package keeper
+package server
 
 // This file owns the record that says, for every copy on a disk, what has to be found there. Each value has a check of its own, but
 // a page number or a key that was changed may lead to an older page whose values are all well: a vote, a snapshot or entries
--- a/hold/entry.go
+++ b/quotastore/statemachine/entry.go
@@ -1,7 +1,7 @@
-// Package hold is what api gateways hold for each other, as a pure machine: entries in their order go in, the same state and
+// Package statemachine is what api gateways hold for each other, as a pure machine: entries in their order go in, the same state and
 // the same bytes come out at every copy. Time is what the entries carry. It must never read a clock, draw a chance, do I/O,
 // or let the order of a map show in a result.
-package hold
+package statemachine
 
 // Kind is what an entry asks for.
 type Kind uint8
--- a/hold/parts.go
+++ b/quotastore/statemachine/parts.go
@@ -1,4 +1,4 @@
-package hold
+package statemachine
 
 // This file owns what is held beside counts: debts of holders, marks of deliveries, and use that nobody has billed yet.
 
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"otterseam/seeded"
+	"otterseam/internal/mutation"
 )
 
 // debts are what one holder wants added, by name.
@@ -62,8 +62,8 @@
 	}
 	c := s.named(e.Name, e.Life)
 	p := c.part(e.Holder)
-	if !p.Closed || seeded.KeepTwice {
-		if more := e.Amount - p.Sum; more > 0 || seeded.KeepTwice {
+	if !p.Closed || mutation.KeepTwice {
+		if more := e.Amount - p.Sum; more > 0 || mutation.KeepTwice {
 			c.Sum += more
 			p.Sum += more
 		}
@@ -120,7 +120,7 @@
 		return Reply{Code: Bad}
 	}
 	if m := s.Marks[e.Name]; m != nil && m.Ends > s.Clock {
-		if (e.Scope == "" || e.Scope != m.Scope) && !seeded.KeepMarksAgain {
+		if (e.Scope == "" || e.Scope != m.Scope) && !mutation.KeepMarksAgain {
 			return Reply{Code: Known, Who: m.Holder}
 		}
 		return Reply{Who: m.Holder}
@@ -179,7 +179,7 @@
 func (s *State) take(e *Entry) Reply {
 	switch e.Order {
 	case s.Uses.Batch:
-		if seeded.KeepTakesAnew {
+		if mutation.KeepTakesAnew {
 			break
 		}
 		return Reply{Uses: s.Uses.Last, Batch: e.Order}
--- a/hold/save.go
+++ b/quotastore/statemachine/save.go
@@ -1,4 +1,4 @@
-package hold
+package statemachine
 
 // This file owns the encoded forms: batches, and the whole state with a check that finds a form that was cut off, changed,
 // or written by a later version.
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"otterseam/seeded"
+	"otterseam/internal/mutation"
 )
 
 // Version of the saved form.
@@ -71,7 +71,7 @@
 
 // Save gives the state's bytes, the same at every copy.
 func (s *State) Save() []byte {
-	if seeded.KeepForgets {
+	if mutation.KeepForgets {
 		bare := *s
 		bare.Sessions = map[string]*session{}
 		s = &bare
--- a/hold/state.go
+++ b/quotastore/statemachine/state.go
@@ -1,4 +1,4 @@
-package hold
+package statemachine
 
 // This file owns the state and the order in which an entry changes it: the clock first, then what has run out by it, then the
 // entry itself.
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"otterseam/seeded"
+	"otterseam/internal/mutation"
 )
 
 const (
@@ -192,7 +192,7 @@
 		return false
 	}
 	h := s.holder(id)
-	if h.Gone && !seeded.KeepUnfenced {
+	if h.Gone && !mutation.KeepUnfenced {
 		return false
 	}
 	h.Ends = max(h.Ends, s.Clock+min(max(life, 0.1), longest))
@@ -272,7 +272,7 @@
 	for _, name := range slices.Sorted(maps.Keys(s.Counts)) {
 		c := s.Counts[name]
 		for _, id := range dead {
-			if p := c.Of[id]; p != nil && p.Places != 0 && !seeded.KeepNoPlaces {
+			if p := c.Of[id]; p != nil && p.Places != 0 && !mutation.KeepNoPlaces {
 				c.Sum -= p.Places
 				p.Sum -= p.Places
 				p.Places = 0
--- a/hold/hold_test.go
+++ b/quotastore/statemachine/statemachine_test.go
@@ -1,4 +1,4 @@
-package hold
+package statemachine
 
 import (
 	"errors"
--- a/lab/ablation/ablate.sh
+++ b/sim/ablation/ablate.sh
@@ -23,7 +23,7 @@
 pause|tier/balance/balance.go|s/longPause   = 5 \* time.Second/longPause   = 0/
 stall-share|tier/balance/balance.go|s/stallPenalty = 1.0/stallPenalty = 0.0/
 reported-load|tier/balance/balance.go|s/reportTrust = 400 \* time.Millisecond/reportTrust = 0/
-hung-given-up|tier/patience/patience.go|s/allowedShare = 0.1/allowedShare = 0.0/
+hung-given-up|tier/hangdetect/hangdetect.go|s/allowedShare = 0.1/allowedShare = 0.0/
 fleet-verdicts|tier/outlier/judge.go|s/evidence   = 2.5/evidence   = 1e9/
 retry-after|tier/proxy/proxy.go|s/advice := retryafter.Advice(left, expected, rand.Float64())/advice := retryafter.Advice(left, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
 first-view-wait|tier/proxy/outages.go|s/tablePatience = 800 \* time.Millisecond/tablePatience = 0/
@@ -42,7 +42,7 @@
   git -C "$root" worktree add -q --force --detach "$copy" HEAD
   if [ -n "$3" ]; then
     sed -i "$3" "$copy/$2"
-    ! git -C "$copy" diff --quiet || { echo "$1: its source has changed; mend lab/ablation/ablate.sh" >&2; return 1; }
+    ! git -C "$copy" diff --quiet || { echo "$1: its source has changed; mend sim/ablation/ablate.sh" >&2; return 1; }
   fi
   [ -z "${SEED:-}" ] || seed=(--seed "$SEED")
   local why="ablation: $1 off, day $(basename "$day")"
--- a/lab/bundled/bundled.go
+++ b/sim/assets/assets.go
@@ -1,5 +1,5 @@
-// Package bundled finds the files that come with a program by their names, and others by their paths.
-package bundled
+// Package assets finds the files that come with a program by their names, and others by their paths.
+package assets
 
 import (
 	"errors"
--- a/lab/bundled/bundled_test.go
+++ b/sim/assets/assets_test.go
@@ -1,4 +1,4 @@
-package bundled
+package assets
 
 import (
 	"os"
--- a/lab/runs/runs.go
+++ b/sim/batch/batch.go
@@ -1,6 +1,6 @@
-// Package runs plays many days at once and keeps their figures in files. The order of the results is that of the plan,
+// Package batch plays many days at once and keeps their figures in files. The order of the results is that of the plan,
 // whatever the number of workers, so that the same plan gives the same bytes.
-package runs
+package batch
 
 import (
 	"context"
@@ -13,16 +13,16 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/lab/day"
-	"otterseam/lab/figures"
-	"otterseam/lab/play"
-	"otterseam/lab/policy"
-	"otterseam/lab/process"
+	"otterseam/sim/metrics"
+	"otterseam/sim/policies"
+	"otterseam/sim/policyprocess"
+	"otterseam/sim/scenario"
+	"otterseam/sim/simulation"
 )
 
 // Plan is one day to be played.
 type Plan struct {
-	Day     *day.Day
+	Day     *scenario.Day
 	Decider string // a name of policy.Names, or wire:PATH
 	Seed    uint64
 	Over    map[string]string // what was changed in the day, for the report
@@ -36,7 +36,7 @@
 	Gateways int               `json:"gateways"`
 	Hosts    int               `json:"hosts"`
 	Capacity float64           `json:"counter_capacity"` // calls a second; 0: there is none
-	*figures.Figures
+	*metrics.Figures
 }
 
 // Trouble is one trouble of a day, for the report.
@@ -47,20 +47,20 @@
 }
 
 // Decider makes a decider by its name.
-func Decider(name string) (play.Decider, error) {
+func Decider(name string) (simulation.Decider, error) {
 	if path, ok := strings.CutPrefix(name, "wire:"); ok {
-		return process.Start(path)
+		return policyprocess.Start(path)
 	}
-	return policy.New(name)
+	return policies.New(name)
 }
 
 // One plays one day.
-func One(p Plan, opts ...play.Option) (*Run, *play.World, error) {
+func One(p Plan, opts ...simulation.Option) (*Run, *simulation.World, error) {
 	dec, err := Decider(p.Decider)
 	if err != nil {
 		return nil, nil, err
 	}
-	w := play.New(p.Day, p.Seed, dec, opts...)
+	w := simulation.New(p.Day, p.Seed, dec, opts...)
 	f, err := w.Run()
 	if err != nil {
 		return nil, w, err
@@ -69,7 +69,7 @@
 }
 
 // Of puts a played day's figures beside what the day was.
-func Of(p Plan, w *play.World, f *figures.Figures) *Run {
+func Of(p Plan, w *simulation.World, f *metrics.Figures) *Run {
 	r := &Run{Over: p.Over, Length: w.Day.Length.V(), Gateways: w.Day.Fleet.Gateways.N(), Hosts: w.Day.Fleet.Hosts.N(), Figures: f}
 	if w.Day.Counter.Present {
 		r.Capacity = w.Day.Counter.Capacity.V()
@@ -82,7 +82,7 @@
 
 // Story plays a day again and gives all that happened to one invocation.
 func Story(p Plan, ref string) ([]string, error) {
-	_, w, err := One(p, play.Story(ref))
+	_, w, err := One(p, simulation.Story(ref))
 	if err != nil {
 		return nil, err
 	}
--- a/lab/runs/runs_test.go
+++ b/sim/batch/batch_test.go
@@ -1,4 +1,4 @@
-package runs
+package batch
 
 import (
 	"bytes"
@@ -9,22 +9,22 @@
 	"strings"
 	"testing"
 
-	"otterseam/lab/day"
-	"otterseam/lab/days"
-	"otterseam/lab/play"
-	"otterseam/lab/policy"
-	"otterseam/lab/process"
-	"otterseam/wirehost"
+	"otterseam/gateway/simadapter"
+	"otterseam/sim/policies"
+	"otterseam/sim/policyprocess"
+	"otterseam/sim/scenario"
+	"otterseam/sim/scenarios"
+	"otterseam/sim/simulation"
 )
 
 // small is a day of a few api gateways that plays in a moment, with what a test adds to it.
-func small(t testing.TB, more string, sets ...string) *day.Day {
+func small(t testing.TB, more string, sets ...string) *scenario.Day {
 	t.Helper()
-	calm, err := days.Load("calm-300")
+	calm, err := scenarios.Load("calm-300")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := day.Read("small.toml", []byte(calm.Text()+more))
+	d, err := scenario.Read("small.toml", []byte(calm.Text()+more))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	return d
 }
 
-func run(t testing.TB, d *day.Day, decider string) *Run {
+func run(t testing.TB, d *scenario.Day, decider string) *Run {
 	t.Helper()
 	r, _, err := One(Plan{Day: d, Decider: decider, Seed: 5})
 	if err != nil {
@@ -79,8 +79,8 @@
 	in, inW := io.Pipe()
 	outR, out := io.Pipe()
 	done := make(chan error, 1)
-	go func() { done <- wirehost.Run(in, out) }()
-	w := play.New(d, 5, process.From("module", inW, outR, func() error { return nil }))
+	go func() { done <- simadapter.Run(in, out) }()
+	w := simulation.New(d, 5, policyprocess.From("module", inW, outR, func() error { return nil }))
 	f, err := w.Run()
 	if err != nil {
 		t.Fatal(err)
@@ -185,8 +185,8 @@
 			t.Errorf("%s: %.4g on the calm day, %.4g with it, wanted %.2f times as much", x.kind, calm, hit, x.times)
 		}
 	}
-	for _, k := range day.Kinds {
-		if !bytes.Contains(mustRead(t, "runs_test.go"), []byte(`{"`+k.Name+`",`)) {
+	for _, k := range scenario.Kinds {
+		if !bytes.Contains(mustRead(t, "batch_test.go"), []byte(`{"`+k.Name+`",`)) {
 			t.Errorf("no story for the trouble %s", k.Name)
 		}
 	}
@@ -252,8 +252,8 @@
 	d := small(b, "", "length=3s", "fleet.gateways="+gateways, "fleet.hosts="+hosts, "clients.rate=2000/s", "counter.capacity=20000/s")
 	b.ReportAllocs()
 	for range b.N {
-		p, _ := policy.New("module")
-		w := play.New(d, 1, p)
+		p, _ := policies.New("module")
+		w := simulation.New(d, 1, p)
 		f, err := w.Run()
 		if err != nil {
 			b.Fatal(err)
--- a/lab/runs/rules_test.go
+++ b/sim/batch/rules_test.go
@@ -1,26 +1,26 @@
-package runs
+package batch
 
 import (
 	"testing"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/lab/edge"
-	"otterseam/lab/play"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/sim/gatewaymodel"
+	"otterseam/sim/simulation"
 )
 
 // wicked is a decider that breaks one rule on purpose and else sends each invocation to one host.
 type wicked struct {
 	rule int
-	w    *play.World
-	out  drive.Out
-	list []choice.Listed
+	w    *simulation.World
+	out  policydriver.Out
+	list []policy.Listed
 }
 
 func (d *wicked) Name() string { return "wicked" }
 func (d *wicked) Err() error   { return nil }
 func (d *wicked) End()         {}
-func (d *wicked) Mind(w *play.World, slot int, seed uint64, out drive.Out) (edge.Mind, error) {
+func (d *wicked) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error) {
 	return &wicked{rule: d.rule, w: w, out: out}, nil
 }
 
@@ -28,9 +28,9 @@
 func (d *wicked) Told(float64, int, string)                                 {}
 func (d *wicked) Ring(float64, uint64)                                      {}
 func (d *wicked) Gone(float64, string)                                      {}
-func (d *wicked) Counted(float64, uint64, choice.Outcome, float64, float64) {}
-func (d *wicked) Hosts(_ float64, list []choice.Listed, whole bool)         { d.list = append(d.list, list...) }
-func (d *wicked) Take(now float64, a choice.Asked) {
+func (d *wicked) Counted(float64, uint64, policy.Outcome, float64, float64) {}
+func (d *wicked) Hosts(_ float64, list []policy.Listed, whole bool)         { d.list = append(d.list, list...) }
+func (d *wicked) Take(now float64, a policy.Asked) {
 	last := d.list[len(d.list)-1].Addr
 	switch {
 	case d.rule == 1: // no answer at all
@@ -51,7 +51,7 @@
 	}
 }
 
-func (d *wicked) Ended(now float64, ref string, number int, e choice.Ended) {
+func (d *wicked) Ended(now float64, ref string, number int, e policy.Ended) {
 	if !e.Over {
 		d.out.GiveUp(ref)
 	}
@@ -69,7 +69,7 @@
 		if rule != 5 {
 			d.Plans[0].CeilingRate, d.Plans[0].CeilingBurst = d.Plans[1].CeilingRate, d.Plans[1].CeilingBurst
 		}
-		w := play.New(d, 5, &wicked{rule: rule})
+		w := simulation.New(d, 5, &wicked{rule: rule})
 		f, err := w.Run()
 		if err != nil {
 			t.Fatal(err)
--- a/lab/counter/counter.go
+++ b/sim/countermodel/countermodel.go
@@ -1,15 +1,15 @@
-// Package counter owns the model of the shared counter: named sums in parts of limited capacity, and what may befall
+// Package countermodel owns the model of the shared counter: named sums in parts of limited capacity, and what may befall
 // them. It must never know what a name stands for.
-package counter
+package countermodel
 
 import (
 	"maps"
 	"math"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/lab/stack"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/overlap"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Outcome is how the counter deals with a call.
@@ -30,8 +30,8 @@
 
 // Counter is the shared counter, with the copy that a split makes.
 type Counter struct {
-	q        *event.Queue
-	dice     dice.Stream
+	q        *eventqueue.Queue
+	dice     randstream.Stream
 	capacity float64 // calls a second of one part
 	most     float64
 	time     float64
@@ -39,8 +39,8 @@
 	split    int
 	silent   int
 	refuse   int
-	small    stack.Stack
-	drop     stack.Stack
+	small    overlap.Stack
+	drop     overlap.Stack
 	old      [][]map[uint64]sum
 	led      map[uint64]float64 // parts of the names whose leader is gone, by whose they were
 	// Calls and Answered count what reached it; Unanswered what it left without an answer.
@@ -48,9 +48,9 @@
 }
 
 // New makes the counter of a day.
-func New(q *event.Queue, d *day.Counter, seed uint64) *Counter {
+func New(q *eventqueue.Queue, d *scenario.Counter, seed uint64) *Counter {
 	n := d.Parts.N()
-	c := &Counter{q: q, dice: dice.New(seed, "counter"), capacity: d.Capacity.V() / float64(n), most: d.Queue.V(), time: d.Time.V()}
+	c := &Counter{q: q, dice: randstream.New(seed, "counter"), capacity: d.Capacity.V() / float64(n), most: d.Queue.V(), time: d.Time.V()}
 	for i := range c.copies {
 		c.copies[i] = make([]part, n)
 		for j := range c.copies[i] {
--- a/lab/registry/registry.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -1,33 +1,33 @@
-// Package registry owns the list of hosts and its way to the api gateways: each hears each change late, in order, and
+// Package discoverymodel owns the list of hosts and its way to the api gateways: each hears each change late, in order, and
 // one that starts has the list as it was last told. It must never know whether a host works.
-package registry
+package discoverymodel
 
 import (
-	"otterseam/choice"
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/lab/stack"
+	"otterseam/gateway/policy"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/overlap"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Registry is the list with its history.
 type Registry struct {
-	q       *event.Queue
-	dice    dice.Stream
+	q       *eventqueue.Queue
+	dice    randstream.Stream
 	delay   float64
-	late    stack.Stack
+	late    overlap.Stack
 	silent  int
-	changes []choice.Listed
+	changes []policy.Listed
 	told    []int
 	due     []float64 // the last change on its way to each arrives then
 	held    []func()  // what waits for the list to speak again
-	tell    func(gateway int, change choice.Listed)
+	tell    func(gateway int, change policy.Listed)
 }
 
 // New makes the list of a day with the hosts it starts with; tell is called when an api gateway is told of a change.
-func New(q *event.Queue, d *day.Discovery, gateways int, seed uint64, hosts []choice.Listed,
-	tell func(int, choice.Listed)) *Registry {
-	r := &Registry{q: q, dice: dice.New(seed, "registry"), delay: d.Delay.V(), changes: hosts,
+func New(q *eventqueue.Queue, d *scenario.Discovery, gateways int, seed uint64, hosts []policy.Listed,
+	tell func(int, policy.Listed)) *Registry {
+	r := &Registry{q: q, dice: randstream.New(seed, "registry"), delay: d.Delay.V(), changes: hosts,
 		told: make([]int, gateways), due: make([]float64, gateways), tell: tell}
 	for i := range r.told {
 		r.told[i] = len(hosts) // the list at the start
@@ -36,7 +36,7 @@
 }
 
 // Change puts a change on its way to all.
-func (r *Registry) Change(l choice.Listed) {
+func (r *Registry) Change(l policy.Listed) {
 	r.changes = append(r.changes, l)
 	n := len(r.changes)
 	if r.silent > 0 {
@@ -58,9 +58,9 @@
 }
 
 // List is the list as an api gateway was last told of it, in the order in which hosts came.
-func (r *Registry) List(gateway int) []choice.Listed {
+func (r *Registry) List(gateway int) []policy.Listed {
 	at := map[string]int{}
-	var list []choice.Listed
+	var list []policy.Listed
 	for _, l := range r.changes[:r.told[gateway]] {
 		if i, ok := at[l.Addr]; ok {
 			list[i] = l
--- a/lab/event/event.go
+++ b/sim/eventqueue/eventqueue.go
@@ -1,8 +1,8 @@
-// Package event owns the laboratory's clock and the queue of what is yet to happen. It knows nothing of what happens.
+// Package eventqueue owns the laboratory's clock and the queue of what is yet to happen. It knows nothing of what happens.
 //
 // Events at the same moment happen in the order in which they were put in, so that a day is the same each time it is
 // played, on any machine.
-package event
+package eventqueue
 
 // Queue holds what is yet to happen. The zero Queue is empty and stands at clock time 0.
 type Queue struct {
--- a/lab/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
 )
 
 // The times of control processes, in milliseconds.
@@ -57,7 +57,7 @@
 	repair  repairClock
 	changed func()
 	next    int
-	newest  register.Record // the newest record that was decided
+	newest  consensus.Record // the newest record that was decided
 }
 
 // process is a control process in its present life, with what its disk keeps of its witness.
@@ -66,15 +66,15 @@
 	play      *controlPlay
 	bootstrap bool
 
-	witness register.Witness // durable
-	round   uint64           // durable
+	witness consensus.Witness // durable
+	round   uint64            // durable
 
-	known        register.Record
+	known        consensus.Record
 	knownDecided bool
 	learnedAt    int64
 	seen         *membership.Sightings
-	seeds        []string                   // of its settings, written when it started
-	founders     map[string]register.Member // who answered as founders, by address
+	seeds        []string                    // of its settings, written when it started
+	founders     map[string]consensus.Member // who answered as founders, by address
 	sessions     map[uint64]controlSession
 	startedAt    int64
 	ledSince     int64
@@ -83,7 +83,7 @@
 }
 
 type controlSession struct {
-	member  register.Member
+	member  consensus.Member
 	heardAt int64
 	leaving bool
 }
@@ -148,7 +148,7 @@
 		if old := c.members[n]; !c.bugs.KeepIdentity {
 			c.members[n] = &process{node: n, play: c}
 		} else {
-			old.witness = register.Witness{}
+			old.witness = consensus.Witness{}
 		}
 	}
 	return n
@@ -164,7 +164,7 @@
 	return votes
 }
 
-func (c *controlPlay) spareVotes(members []register.Member) int {
+func (c *controlPlay) spareVotes(members []consensus.Member) int {
 	for _, member := range members {
 		if c.machineGone(member.Address) {
 			return (len(members) - 1) / 2
@@ -186,7 +186,7 @@
 func (c *controlPlay) counted() []uint64 {
 	all := append([]uint64(nil), c.newest.InSync...)
 	for _, member := range c.newest.Voters() {
-		if !register.Contains(all, member.ID) {
+		if !consensus.Contains(all, member.ID) {
 			all = append(all, member.ID)
 		}
 	}
@@ -198,7 +198,7 @@
 	p.known = p.witness.Value
 	p.knownDecided = false
 	p.seen = membership.NewSightings()
-	p.founders = map[string]register.Member{}
+	p.founders = map[string]consensus.Member{}
 	p.seeds = c.presentSeeds()
 	p.sessions = map[uint64]controlSession{}
 	p.startedAt = c.Now
@@ -223,8 +223,8 @@
 	return seeds
 }
 
-func (p *process) self() register.Member {
-	return register.Member{ID: p.identity, Address: p.address, Node: p.name}
+func (p *process) self() consensus.Member {
+	return consensus.Member{ID: p.identity, Address: p.address, Node: p.name}
 }
 
 // ask calls the process at an address. answered is not called if there is none or the answer is lost.
@@ -263,9 +263,9 @@
 }
 
 // learn takes a record that was accepted here or told. It need not have been decided.
-func (p *process) learn(record register.Record) { p.note(record, false) }
+func (p *process) learn(record consensus.Record) { p.note(record, false) }
 
-func (p *process) note(record register.Record, decided bool) {
+func (p *process) note(record consensus.Record, decided bool) {
 	if record.Epoch > p.known.Epoch || (record.Epoch == p.known.Epoch && (decided || !p.knownDecided)) {
 		if record.Epoch > p.known.Epoch {
 			p.learnedAt = p.play.Now
@@ -373,7 +373,7 @@
 	if !may {
 		return
 	}
-	p.propose(prepareBySelf, register.Record{Members: members}, func(current register.Record) (register.Record, bool) {
+	p.propose(prepareBySelf, consensus.Record{Members: members}, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Known() {
 			return current, false
 		}
@@ -383,7 +383,7 @@
 
 // watchPrimary takes over when the primary has been silent for too long.
 func (p *process) watchPrimary() {
-	if !p.known.IsInSync(p.identity) && !(p.play.options.Bugs.AnyoneLeads && register.HasMember(p.known.Members, p.identity)) {
+	if !p.known.IsInSync(p.identity) && !(p.play.options.Bugs.AnyoneLeads && consensus.HasMember(p.known.Members, p.identity)) {
 		if p.play.Chance(4) {
 			p.locate()
 		}
@@ -431,7 +431,7 @@
 		if p.known.Epoch != suspected {
 			return
 		}
-		p.propose(mode, p.known, func(current register.Record) (register.Record, bool) {
+		p.propose(mode, p.known, func(current consensus.Record) (consensus.Record, bool) {
 			// a suspected epoch above the current one was proposed and never decided
 			if current.Epoch > suspected || !(current.IsInSync(p.identity) || p.play.options.Bugs.AnyoneLeads) {
 				return current, false
@@ -445,7 +445,7 @@
 	})
 }
 
-func (p *process) spoil(next register.Record) register.Record {
+func (p *process) spoil(next consensus.Record) consensus.Record {
 	if p.play.options.Bugs.NoMinCopies {
 		next.MinCopies = 0
 	}
@@ -460,14 +460,14 @@
 	known := p.known
 	if known.Primary == p.identity && known.Epoch > p.group.View().Epoch && !p.play.options.Bugs.NotFollowed {
 		// a change of this process was decided without its knowing: its replica follows under the next epoch
-		p.change(func(record register.Record) (register.Record, bool) { return record, true })
+		p.change(func(record consensus.Record) (consensus.Record, bool) { return record, true })
 		return
 	}
 	var caughtUp []uint64
 	hasState := map[uint64]bool{}
 	for _, id := range p.caughtUp() {
 		hasState[id] = true
-		if !register.Contains(p.group.View().Learners, id) {
+		if !consensus.Contains(p.group.View().Learners, id) {
 			p.group.Admit(id)
 			caughtUp = append(caughtUp, id)
 		}
@@ -479,21 +479,21 @@
 	silent := p.group.Silent(p.play.Now)
 	switch {
 	case len(caughtUp) > 0:
-		p.change(func(record register.Record) (register.Record, bool) {
+		p.change(func(record consensus.Record) (consensus.Record, bool) {
 			next := record
 			for _, id := range caughtUp {
-				if register.HasMember(record.Members, id) {
-					next.InSync = append(register.Without(next.InSync, id), id)
+				if consensus.HasMember(record.Members, id) {
+					next.InSync = append(consensus.Without(next.InSync, id), id)
 				}
 			}
 			return next, len(next.InSync) > len(record.InSync)
 		})
 	case len(silent) > 0:
-		p.change(func(record register.Record) (register.Record, bool) {
+		p.change(func(record consensus.Record) (consensus.Record, bool) {
 			next := record
 			for _, id := range silent {
 				if p.lost(id) || len(next.InSync) > p.play.policy.Floor(record) {
-					next.InSync = register.Without(next.InSync, id)
+					next.InSync = consensus.Without(next.InSync, id)
 				}
 			}
 			return next, true
@@ -503,7 +503,7 @@
 	}
 }
 
-func (p *process) adjustMembers(known register.Record, hasState map[uint64]bool) {
+func (p *process) adjustMembers(known consensus.Record, hasState map[uint64]bool) {
 	observed := p.observe(hasState)
 	planned, wanted := p.play.policy.Next(known, observed)
 	if !wanted && len(known.Previous) == 0 {
@@ -513,7 +513,7 @@
 		p.group.Admit(planned.Admit)
 		p.carryOut()
 	}
-	p.change(func(record register.Record) (register.Record, bool) {
+	p.change(func(record consensus.Record) (consensus.Record, bool) {
 		step, wanted := p.play.policy.Next(record, observed)
 		if !wanted {
 			return record, len(record.Previous) > 0
@@ -526,9 +526,9 @@
 }
 
 // seatInSync is a fault: new members count as in sync.
-func seatInSync(before, next register.Record) register.Record {
+func seatInSync(before, next consensus.Record) consensus.Record {
 	for _, member := range next.Members {
-		if !register.HasMember(before.Members, member.ID) && !next.IsInSync(member.ID) {
+		if !consensus.HasMember(before.Members, member.ID) && !next.IsInSync(member.ID) {
 			next.InSync = append(append([]uint64(nil), next.InSync...), member.ID)
 		}
 	}
@@ -566,8 +566,8 @@
 }
 
 // change changes the record while this process leads.
-func (p *process) change(change func(register.Record) (register.Record, bool)) {
-	p.propose(prepareBySelf, p.known, func(current register.Record) (register.Record, bool) {
+func (p *process) change(change func(consensus.Record) (consensus.Record, bool)) {
+	p.propose(prepareBySelf, p.known, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != p.identity {
 			return current, false
 		}
@@ -582,7 +582,7 @@
 }
 
 // lead has the replica act on a record that this process has decided.
-func (p *process) lead(record register.Record) {
+func (p *process) lead(record consensus.Record) {
 	p.led = true
 	p.note(record, true)
 	p.group.SetView(membership.View(record), p.play.Now)
@@ -624,7 +624,7 @@
 // mayRemove tells whether a machine may go for good. One that the group still counts upon is a loss, which waits its turn.
 func (c *controlPlay) mayRemove(n *node, a *adversary) bool {
 	odd := len(c.newest.Members)%2 == 1 && (len(c.newest.Previous) == 0 || len(c.newest.Previous)%2 == 1)
-	if register.Contains(c.counted(), n.identity) {
+	if consensus.Contains(c.counted(), n.identity) {
 		return odd && a.mayStrike()
 	}
 	return odd || len(a.open) == 0 // where half of the votes are lost, the machine's answer is the proof
@@ -632,7 +632,7 @@
 
 // remove takes a machine away for good.
 func (c *controlPlay) remove(n *node, a *adversary) {
-	if register.Contains(c.counted(), n.identity) {
+	if consensus.Contains(c.counted(), n.identity) {
 		a.open[n.identity] = loss{}
 	}
 	n.removed = true
@@ -664,7 +664,7 @@
 
 // needed tells whether others can't do without this process yet.
 func (p *process) needed() bool {
-	if !register.HasMember(p.known.Voters(), p.identity) || len(p.known.Members) < 2 {
+	if !consensus.HasMember(p.known.Voters(), p.identity) || len(p.known.Members) < 2 {
 		return false
 	}
 	if p.group.IsPrimary() || p.known.Primary == p.identity {
--- a/lab/faultsim/proposal.go
+++ b/sim/faultsim/proposal.go
@@ -1,6 +1,6 @@
 package faultsim
 
-import "otterseam/tier/register"
+import "otterseam/tier/consensus"
 
 // prepareMode tells a witness why it is asked.
 type prepareMode int
@@ -15,8 +15,8 @@
 type attempt struct {
 	process   *process
 	mode      prepareMode
-	own       register.OwnChange
-	confirmed register.Record
+	own       consensus.OwnChange
+	confirmed consensus.Record
 	proposals int
 	ended     bool
 }
@@ -24,12 +24,12 @@
 const maxProposals = 5
 
 // propose changes the register; one attempt of a process runs at a time.
-func (p *process) propose(mode prepareMode, start register.Record, change func(register.Record) (register.Record, bool)) {
+func (p *process) propose(mode prepareMode, start consensus.Record, change func(consensus.Record) (consensus.Record, bool)) {
 	if p.busy {
 		return
 	}
 	p.busy = true
-	a := &attempt{process: p, mode: mode, own: register.OwnChange{Change: change}}
+	a := &attempt{process: p, mode: mode, own: consensus.OwnChange{Change: change}}
 	p.later(proposeTimeout, a.end)
 	a.begin(start)
 }
@@ -42,7 +42,7 @@
 }
 
 // begin makes the next proposal. Its round is durable, as the process's disk writes rounds before it uses them.
-func (a *attempt) begin(start register.Record) {
+func (a *attempt) begin(start consensus.Record) {
 	if a.proposals == maxProposals {
 		a.end()
 		return
@@ -50,14 +50,14 @@
 	a.proposals++
 	p := a.process
 	p.round = max(p.round, p.witness.Promised.Round) + 1
-	proposal := register.NewProposal(register.Ballot{Round: p.round, Proposer: p.identity}, start, a.confirmed, a.own.Next)
+	proposal := consensus.NewProposal(consensus.Ballot{Round: p.round, Proposer: p.identity}, start, a.confirmed, a.own.Next)
 	a.send(proposal, proposal.Begin())
 	a.follow(proposal)
 }
 
-func (a *attempt) send(proposal *register.Proposal, requests []register.Request) {
+func (a *attempt) send(proposal *consensus.Proposal, requests []consensus.Request) {
 	for _, request := range requests {
-		a.process.vote(request, a.mode, func(promise register.Promise) {
+		a.process.vote(request, a.mode, func(promise consensus.Promise) {
 			if !a.ended {
 				a.send(proposal, proposal.Answer(request.Kind, request.To.ID, promise))
 				a.follow(proposal)
@@ -72,14 +72,14 @@
 }
 
 // follow acts on a proposal that has come to its end.
-func (a *attempt) follow(proposal *register.Proposal) {
-	if a.ended || proposal.Phase() == register.PhaseReading || proposal.Phase() == register.PhaseWriting {
+func (a *attempt) follow(proposal *consensus.Proposal) {
+	if a.ended || proposal.Phase() == consensus.PhaseReading || proposal.Phase() == consensus.PhaseWriting {
 		return
 	}
 	p := a.process
 	p.round = max(p.round, proposal.HighestRound())
 	switch {
-	case proposal.Phase() == register.PhaseFailed:
+	case proposal.Phase() == consensus.PhaseFailed:
 		a.begin(proposal.Newest())
 	case proposal.OnlyConfirmed():
 		a.confirmed = proposal.Decided()
@@ -97,7 +97,7 @@
 
 // vote has a witness act on a request and answer once that is durable. Another identity at the address gives no vote; it may be the
 // proof that the witness's disk is lost.
-func (p *process) vote(request register.Request, mode prepareMode, answered func(register.Promise), failed func()) {
+func (p *process) vote(request consensus.Request, mode prepareMode, answered func(consensus.Promise), failed func()) {
 	done := false
 	once := func(act func()) func() {
 		return func() {
@@ -112,14 +112,14 @@
 		if other.identity != request.To.ID {
 			return once(func() {
 				if p.lost(request.To.ID) && !p.play.options.Bugs.LostBlocks {
-					answered(register.Promise{Lost: true})
+					answered(consensus.Promise{Lost: true})
 				} else {
 					failed()
 				}
 			})
 		}
 		sticky := !other.group.IsPrimary() && !other.replaced() && p.play.Now-other.group.PrimaryHeard() < stickyFor
-		if request.Kind == register.RequestPrepare && mode == prepareOnSilence && sticky {
+		if request.Kind == consensus.RequestPrepare && mode == prepareOnSilence && sticky {
 			return once(failed)
 		}
 		other.later(p.play.diskDelay(), func() {
@@ -131,9 +131,9 @@
 }
 
 // decide has this process's witness act on a request.
-func (p *process) decide(request register.Request) register.Promise {
+func (p *process) decide(request consensus.Request) consensus.Promise {
 	given := false
-	if request.Kind == register.RequestPrepare {
+	if request.Kind == consensus.RequestPrepare {
 		given = p.witness.Prepare(request.Ballot)
 	} else {
 		given = p.witness.Accept(request.Ballot, request.Value)
@@ -141,5 +141,5 @@
 	if given {
 		p.learn(p.witness.Value)
 	}
-	return register.Promise{Given: given, Promised: p.witness.Promised, Accepted: p.witness.Accepted, Value: p.witness.Value}
+	return consensus.Promise{Given: given, Promised: p.witness.Promised, Accepted: p.witness.Accepted, Value: p.witness.Value}
 }
--- a/lab/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
 	"otterseam/tier/placement"
-	"otterseam/tier/register"
 )
 
 // The times of the tier's processes, in milliseconds.
@@ -176,7 +176,7 @@
 	s.After(placeEvery, s.place)
 	cluster := s.cluster()
 	for id := range s.stores {
-		idle := cluster.Machines[id].Away && !register.Contains(s.shard.View.Replicas, id) && s.Now-s.sessions[id].heardAt > storeForget
+		idle := cluster.Machines[id].Away && !consensus.Contains(s.shard.View.Replicas, id) && s.Now-s.sessions[id].heardAt > storeForget
 		lost := cluster.DiskLost(id)
 		if s.options.Bugs.LostBySilence {
 			lost = !cluster.Machines[id].Alive
@@ -207,7 +207,7 @@
 	if s.options.Bugs.DropAnyone {
 		for _, id := range next.View.InSync {
 			if !s.cluster().Machines[id].Alive && id != next.View.Primary {
-				next.View.InSync = register.Without(next.View.InSync, id)
+				next.View.InSync = consensus.Without(next.View.InSync, id)
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 	}
 	s.known[n] = shard
 	switch {
-	case !register.Contains(shard.View.Replicas, n.identity):
+	case !consensus.Contains(shard.View.Replicas, n.identity):
 		if n.group != nil && shard.View.Epoch >= n.group.View().Epoch {
 			n.disk = disk{}
 			n.open()
--- a/lab/edge/edge.go
+++ b/sim/gatewaymodel/gatewaymodel.go
@@ -1,19 +1,19 @@
-// Package edge owns the model of one api gateway's machine: its share of a core, its connections to hosts, its calls to
+// Package gatewaymodel owns the model of one api gateway's machine: its share of a core, its connections to hosts, its calls to
 // the counter, what it has in hand. What it decides is a Mind's; it must never decide itself.
-package edge
+package gatewaymodel
 
 import (
 	"cmp"
 	"slices"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/lab/counter"
-	"otterseam/lab/day"
-	"otterseam/lab/event"
-	"otterseam/lab/host"
-	"otterseam/lab/model"
-	"otterseam/lab/network"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/sim/countermodel"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+	"otterseam/sim/network"
+	"otterseam/sim/scenario"
 )
 
 // Early is how long before its client gives up the last delivery is ended, as the api gateway on sockets does it.
@@ -22,19 +22,19 @@
 // Mind decides for one api gateway. Its answers leave through the drive.Out that it was made with; after each call, or
 // several at one moment, Settle is called.
 type Mind interface {
-	Hosts(now float64, list []choice.Listed, whole bool)
-	Take(now float64, a choice.Asked)
-	Ended(now float64, ref string, number int, e choice.Ended)
+	Hosts(now float64, list []policy.Listed, whole bool)
+	Take(now float64, a policy.Asked)
+	Ended(now float64, ref string, number int, e policy.Ended)
 	Gone(now float64, ref string)
 	Ring(now float64, nonce uint64)
 	Told(now float64, from int, text string)
-	Counted(now float64, name uint64, how choice.Outcome, sum, took float64)
+	Counted(now float64, name uint64, how policy.Outcome, sum, took float64)
 	Settle(now float64)
 }
 
 // Surroundings is what an api gateway meets.
 type Surroundings interface {
-	Host(addr string) *host.Host
+	Host(addr string) *hostmodel.Host
 	// Sent, Reached, Ran, EndedAt and Answered tell the referee, and what counts, of what happens.
 	Sent(d *model.Delivery)
 	Reached(d *model.Delivery)
@@ -57,17 +57,17 @@
 	Far        bool // while the counter is split, it sees the copy
 	Mind       Mind
 
-	q       *event.Queue
+	q       *eventqueue.Queue
 	net     *network.Network
-	counter *counter.Counter
-	day     *day.Day
+	counter *countermodel.Counter
+	day     *scenario.Day
 	around  Surroundings
 	cost    float64 // seconds of time for each thing it hears, at its share of a core
 	starve  float64
 	busy    float64
 	life    int
 	inHand  map[string]*model.Invocation
-	rest    map[*host.Host][]connection // at rest, the one used last at the end
+	rest    map[*hostmodel.Host][]connection // at rest, the one used last at the end
 	flying  map[*model.Delivery]*flight
 	lastSum map[int]float64 // by part of the counter: when its last answer arrives; they keep their order
 	czone   int
@@ -81,15 +81,15 @@
 // flight is a delivery that is out, and what it holds.
 type flight struct {
 	d     *model.Delivery
-	h     *host.Host
-	job   *host.Job
+	h     *hostmodel.Host
+	job   *hostmodel.Job
 	fresh bool // its connection is new
 	up    bool // it stands, and counts at the host
 	life  int  // of the host, when it came up
 }
 
 // New makes an api gateway; Start starts it.
-func New(slot, zone int, q *event.Queue, net *network.Network, c *counter.Counter, d *day.Day, around Surroundings) *Edge {
+func New(slot, zone int, q *eventqueue.Queue, net *network.Network, c *countermodel.Counter, d *scenario.Day, around Surroundings) *Edge {
 	e := &Edge{Slot: slot, Zone: zone, q: q, net: net, counter: c, day: d, around: around, starve: 1,
 		cost: d.Gateway.Cost.V() / d.Gateway.Core.V()}
 	if d.Counter.Zone == "own" {
@@ -99,10 +99,10 @@
 }
 
 // Start begins a life with empty hands and the list as it was last told.
-func (e *Edge) Start(mind Mind, list []choice.Listed) {
+func (e *Edge) Start(mind Mind, list []policy.Listed) {
 	e.life++
 	e.Alive, e.Admits, e.Mind, e.busy = true, true, mind, e.q.Now()
-	e.inHand, e.rest = map[string]*model.Invocation{}, map[*host.Host][]connection{}
+	e.inHand, e.rest = map[string]*model.Invocation{}, map[*hostmodel.Host][]connection{}
 	e.flying, e.lastSum = map[*model.Delivery]*flight{}, map[int]float64{}
 	mind.Hosts(e.q.Now(), list, true)
 	mind.Settle(e.q.Now())
@@ -148,7 +148,7 @@
 		}
 		n := inv.Need
 		e.around.Note(e.Slot, inv.Ref, "taken")
-		e.Mind.Take(now, choice.Asked{Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
+		e.Mind.Take(now, policy.Asked{Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
 			Units: n.Units, GiveUp: inv.GiveUp, First: n.Cust.First, Width: n.Cust.Width, Repeat: inv.Repeat})
 	})
 	return true
@@ -171,7 +171,7 @@
 			}
 			e.around.Answered(inv, model.Unanswered)
 			for _, d := range inv.Deliveries {
-				e.end(d, choice.Withdrawn)
+				e.end(d, policy.Withdrawn)
 			}
 			e.Mind.Gone(now, inv.Ref)
 			e.drop(inv)
@@ -192,9 +192,9 @@
 }
 
 // Told brings a change of the list; Mailed a peer's message.
-func (e *Edge) Told(change choice.Listed) {
+func (e *Edge) Told(change policy.Listed) {
 	if e.Alive {
-		e.hear(func(now float64) { e.Mind.Hosts(now, []choice.Listed{change}, false) })
+		e.hear(func(now float64) { e.Mind.Hosts(now, []policy.Listed{change}, false) })
 	}
 }
 
@@ -266,7 +266,7 @@
 	life := e.life
 	e.q.After(limit, func() {
 		if e.life == life {
-			e.end(d, choice.TimedOut)
+			e.end(d, policy.TimedOut)
 		}
 	})
 	if c, ok := e.idle(h); ok {
@@ -278,7 +278,7 @@
 }
 
 // idle takes the connection at rest that was used last. One near the time at which the host closes it is closed here.
-func (e *Edge) idle(h *host.Host) (c connection, ok bool) {
+func (e *Edge) idle(h *hostmodel.Host) (c connection, ok bool) {
 	cs, now := e.rest[h], e.q.Now()
 	for len(cs) > 0 && (cs[0].life != h.Life || now-cs[0].at > 0.8*e.day.Network.Idle.V()) {
 		if cs[0].life == h.Life {
@@ -299,7 +299,7 @@
 	e.around.Dialled()
 	e.q.After(e.day.Network.Dial.V(), func() {
 		if e.life == life && !f.up {
-			e.end(f.d, choice.NoConnection)
+			e.end(f.d, policy.NoConnection)
 		}
 	})
 	if e.net.Cut(e.Zone, f.h.Zone) || f.h.Silent() {
@@ -316,7 +316,7 @@
 				}
 			case !taken && f.h.Silent():
 			case !taken:
-				e.end(f.d, choice.NoConnection)
+				e.end(f.d, policy.NoConnection)
 			default:
 				f.up, f.life = true, hlife
 				e.write(f)
@@ -336,30 +336,30 @@
 
 func (e *Edge) reach(f *flight) {
 	if f.life != f.h.Life { // it has started anew meanwhile, or is gone: the connection is reset
-		e.back(f, choice.Reset, 0)
+		e.back(f, policy.Reset, 0)
 		return
 	}
 	n := f.d.Inv.Need
 	reset, before := e.net.Reset()
 	if reset && before {
-		e.back(f, choice.Reset, 0)
+		e.back(f, policy.Reset, 0)
 		return
 	}
 	e.around.Reached(f.d)
-	f.job = &host.Job{Operation: n.Op.Number, Work: n.Work, Gateway: e.Slot}
+	f.job = &hostmodel.Job{Operation: n.Op.Number, Work: n.Work, Gateway: e.Slot}
 	if f.fresh { // setting the connection up costs the host work, and this request the time
 		f.job.Work += f.h.ConnectWork
 	}
 	f.job.Runs = func() { e.around.Ran(f.d) }
-	f.job.Answers = func(a host.Answer) {
-		how := choice.Outcome(choice.Failed)
+	f.job.Answers = func(a hostmodel.Answer) {
+		how := policy.Outcome(policy.Failed)
 		switch {
-		case a == host.TurnedAway:
-			how = choice.TurnedAway
-		case reset, a == host.Reset:
-			how = choice.Reset
-		case a == host.Good:
-			how = choice.Succeeded
+		case a == hostmodel.TurnedAway:
+			how = policy.TurnedAway
+		case reset, a == hostmodel.Reset:
+			how = policy.Reset
+		case a == hostmodel.Good:
+			how = policy.Succeeded
 		}
 		e.around.EndedAt(f.d)
 		e.back(f, how, n.True)
@@ -372,8 +372,8 @@
 }
 
 // back brings a host's word to the api gateway.
-func (e *Edge) back(f *flight, how choice.Outcome, units float64) {
-	if e.net.Cut(e.Zone, f.h.Zone) || how == choice.Succeeded && e.net.Lost() {
+func (e *Edge) back(f *flight, how policy.Outcome, units float64) {
+	if e.net.Cut(e.Zone, f.h.Zone) || how == policy.Succeeded && e.net.Lost() {
 		return
 	}
 	life := e.life
@@ -386,24 +386,24 @@
 }
 
 // end gives a delivery up, unless it is over.
-func (e *Edge) end(d *model.Delivery, how choice.Outcome) {
+func (e *Edge) end(d *model.Delivery, how policy.Outcome) {
 	if f := e.flying[d]; f != nil && !d.Over {
-		if !d.Written && how == choice.TimedOut {
-			how = choice.NoConnection
-		} else if !d.Written && how == choice.Withdrawn {
-			how = choice.NotSent
+		if !d.Written && how == policy.TimedOut {
+			how = policy.NoConnection
+		} else if !d.Written && how == policy.Withdrawn {
+			how = policy.NotSent
 		}
 		e.finish(f, how, 0)
 	}
 }
 
 // finish ends a delivery with its outcome, and lets the mind hear of it.
-func (e *Edge) finish(f *flight, how choice.Outcome, units float64) {
+func (e *Edge) finish(f *flight, how policy.Outcome, units float64) {
 	d, inv := f.d, f.d.Inv
 	d.Over = true
-	d.Proved = how == choice.TurnedAway || how == choice.NoConnection || how == choice.NotSent
+	d.Proved = how == policy.TurnedAway || how == policy.NoConnection || how == policy.NotSent
 	switch how {
-	case choice.Succeeded, choice.TurnedAway, choice.Failed:
+	case policy.Succeeded, policy.TurnedAway, policy.Failed:
 		if f.up && f.life == f.h.Life {
 			e.rest[f.h] = append(e.rest[f.h], connection{f.life, e.q.Now()})
 		}
@@ -414,17 +414,17 @@
 	e.hear(func(now float64) {
 		delete(e.flying, d)
 		over := inv.Final != model.Open
-		if how == choice.Succeeded && !over {
+		if how == policy.Succeeded && !over {
 			e.answer(inv, model.Served, 0)
 		}
-		e.Mind.Ended(now, inv.Ref, d.Number, choice.Ended{How: how, Over: over || how == choice.Succeeded,
+		e.Mind.Ended(now, inv.Ref, d.Number, policy.Ended{How: how, Over: over || how == policy.Succeeded,
 			Took: now - d.Sent, Units: settled(e.day, units, how)})
 		e.drop(inv)
 	})
 }
 
-func settled(d *day.Day, units float64, how choice.Outcome) float64 {
-	if d.Counter.Settles && how == choice.Succeeded {
+func settled(d *scenario.Day, units float64, how policy.Outcome) float64 {
+	if d.Counter.Settles && how == policy.Succeeded {
 		return units
 	}
 	return 0
@@ -477,7 +477,7 @@
 // Cancel withdraws a delivery.
 func (e *Edge) Cancel(ref string, number int) {
 	if inv := e.inHand[ref]; inv != nil && number >= 0 && number < len(inv.Deliveries) {
-		e.end(inv.Deliveries[number], choice.Withdrawn)
+		e.end(inv.Deliveries[number], policy.Withdrawn)
 	}
 }
 
@@ -485,17 +485,17 @@
 func (e *Edge) Count(name uint64, amount, life float64) {
 	now, mine := e.q.Now(), e.life
 	heard := false
-	tell := func(how choice.Outcome, sum float64) {
+	tell := func(how policy.Outcome, sum float64) {
 		if heard || e.life != mine {
 			return
 		}
 		heard = true
-		e.around.Called(how != choice.Succeeded)
+		e.around.Called(how != policy.Succeeded)
 		e.hear(func(at float64) { e.Mind.Counted(at, name, how, sum, at-now) })
 	}
-	e.q.After(e.day.Counter.Limit.V(), func() { tell(choice.TimedOut, 0) })
+	e.q.After(e.day.Counter.Limit.V(), func() { tell(policy.TimedOut, 0) })
 	if !e.counter.Up() {
-		e.q.After(2*e.net.Way(e.Zone, e.czone), func() { tell(choice.NoConnection, 0) })
+		e.q.After(2*e.net.Way(e.Zone, e.czone), func() { tell(policy.NoConnection, 0) })
 		return
 	}
 	if e.net.Cut(e.Zone, e.czone) {
@@ -503,7 +503,7 @@
 	}
 	part := int(name % uint64(e.day.Counter.Parts.N()))
 	e.q.After(e.net.Way(e.Zone, e.czone), func() {
-		e.counter.Call(e.Far, name, amount, life, func(how counter.Outcome, sum float64) {
+		e.counter.Call(e.Far, name, amount, life, func(how countermodel.Outcome, sum float64) {
 			if e.net.Cut(e.Zone, e.czone) {
 				return
 			}
@@ -513,12 +513,12 @@
 			}
 			e.q.At(at, func() {
 				switch how {
-				case counter.Added:
-					tell(choice.Succeeded, sum)
-				case counter.TurnedAway:
-					tell(choice.TurnedAway, 0)
-				case counter.Refused:
-					tell(choice.NoConnection, 0)
+				case countermodel.Added:
+					tell(policy.Succeeded, sum)
+				case countermodel.TurnedAway:
+					tell(policy.TurnedAway, 0)
+				case countermodel.Refused:
+					tell(policy.NoConnection, 0)
 				}
 			})
 		})
@@ -538,4 +538,4 @@
 	})
 }
 
-var _ drive.Out = (*Edge)(nil)
+var _ policydriver.Out = (*Edge)(nil)
--- a/lab/post/post.go
+++ b/sim/gossip/gossip.go
@@ -1,11 +1,11 @@
-// Package post owns the mail between api gateways: late, lost, and no more than one takes in. It must never read it.
-package post
+// Package gossip owns the mail between api gateways: late, lost, and no more than one takes in. It must never read it.
+package gossip
 
 import (
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/lab/stack"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/overlap"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Most is how long a message may be, in bytes.
@@ -13,11 +13,11 @@
 
 // Post is the mail of a day.
 type Post struct {
-	q     *event.Queue
-	dice  dice.Stream
+	q     *eventqueue.Queue
+	dice  randstream.Stream
 	rate  float64
 	delay float64
-	loss  stack.Stack
+	loss  overlap.Stack
 	room  []float64 // messages that each may still take in, as of at
 	at    []float64
 	// Sent and Arrived count messages, one for each receiver.
@@ -25,8 +25,8 @@
 }
 
 // New makes the mail of a day.
-func New(q *event.Queue, d *day.Peers, gateways int, seed uint64) *Post {
-	p := &Post{q: q, dice: dice.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: stack.Stack{d.Loss.V()},
+func New(q *eventqueue.Queue, d *scenario.Peers, gateways int, seed uint64) *Post {
+	p := &Post{q: q, dice: randstream.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: overlap.Stack{d.Loss.V()},
 		room: make([]float64, gateways), at: make([]float64, gateways)}
 	for i := range p.room {
 		p.room[i] = p.rate
--- a/lab/host/host.go
+++ b/sim/hostmodel/hostmodel.go
@@ -1,14 +1,14 @@
-// Package host owns the model of one host: cores, a line of work, connections, a cold start and falling over under more
+// Package hostmodel owns the model of one host: cores, a line of work, connections, a cold start and falling over under more
 // than it can bear. It must never know who sends, what a rule says, or how an answer travels.
-package host
+package hostmodel
 
 import (
 	"slices"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/lab/stack"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/overlap"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Job is a piece of work that has arrived whole.
@@ -66,28 +66,28 @@
 	Connections int
 	Fell        func(sent []Sent) // told when it falls over
 
-	q                       *event.Queue
-	dice                    dice.Stream
+	q                       *eventqueue.Queue
+	dice                    randstream.Stream
 	queue, most             int
-	cold                    *day.Cold
+	cold                    *scenario.Cold
 	busy                    int
 	line                    []*Job
 	head                    int
 	running                 []*Job
 	sent                    []Sent
 	silent                  int
-	slow, errs, spoilt, few stack.Stack
-	mute                    map[int]*stack.Stack
+	slow, errs, spoilt, few overlap.Stack
+	mute                    map[int]*overlap.Stack
 	// BusyTime adds up core seconds of work done.
 	BusyTime float64
 }
 
 // New makes a host of a kind; its speed is drawn.
-func New(q *event.Queue, number int, addr string, kind *day.HostKind, cold *day.Cold, seed uint64) *Host {
-	d := dice.New(seed, "host", number)
+func New(q *eventqueue.Queue, number int, addr string, kind *scenario.HostKind, cold *scenario.Cold, seed uint64) *Host {
+	d := randstream.New(seed, "host", number)
 	return &Host{Number: number, Addr: addr, Cores: kind.Cores.N(), Speed: d.Between(kind.Speed.Lo, kind.Speed.Hi),
 		ConnectWork: kind.ConnectWork.V(), q: q, dice: d, queue: kind.Queue.N(), most: kind.Connections.N(), cold: cold,
-		mute: map[int]*stack.Stack{}}
+		mute: map[int]*overlap.Stack{}}
 }
 
 // Warmth is the part of its capacity that it has now.
@@ -197,7 +197,7 @@
 	}
 }
 
-func (h *Host) hit(shares stack.Stack) bool { return shares.Any(h.dice.Chance) }
+func (h *Host) hit(shares overlap.Stack) bool { return shares.Any(h.dice.Chance) }
 
 // bear keeps account of what a cold host is sent; past its budget for the window it falls over and stays down. All that
 // reaches it pushes, what it turns away too.
@@ -268,7 +268,7 @@
 // MuteFor leaves a share of one operation's work unanswered.
 func (h *Host) MuteFor(operation int, share float64, begin bool) {
 	if h.mute[operation] == nil {
-		h.mute[operation] = &stack.Stack{}
+		h.mute[operation] = &overlap.Stack{}
 	}
 	h.mute[operation].Set(share, begin)
 }
--- a/lab/host/host_test.go
+++ b/sim/hostmodel/hostmodel_test.go
@@ -1,27 +1,27 @@
-package host
+package hostmodel
 
 import (
 	"math"
 	"testing"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
-func fixed(x float64) day.Span { return day.Span{Lo: x, Hi: x} }
+func fixed(x float64) scenario.Span { return scenario.Span{Lo: x, Hi: x} }
 
-func stand(q *event.Queue, cores int, queue float64) *Host {
-	kind := &day.HostKind{Cores: fixed(float64(cores)), Speed: fixed(1), Queue: fixed(queue), Connections: fixed(3)}
-	cold := &day.Cold{Share: fixed(0.2), Warm: fixed(10), Factor: fixed(3), Window: fixed(2)}
+func stand(q *eventqueue.Queue, cores int, queue float64) *Host {
+	kind := &scenario.HostKind{Cores: fixed(float64(cores)), Speed: fixed(1), Queue: fixed(queue), Connections: fixed(3)}
+	cold := &scenario.Cold{Share: fixed(0.2), Warm: fixed(10), Factor: fixed(3), Window: fixed(2)}
 	return New(q, 0, "h", kind, cold, 1)
 }
 
 // wait plays Poisson arrivals and exponential work and gives the mean wait in line, with its standard error by batches.
 func wait(t *testing.T, cores int, load float64) (mean, err float64) {
 	t.Helper()
-	q := &event.Queue{}
-	h, d := stand(q, cores, 1e6), dice.New(7, "textbook", cores)
+	q := &eventqueue.Queue{}
+	h, d := stand(q, cores, 1e6), randstream.New(7, "textbook", cores)
 	const work, n, batches = 0.01, 400_000, 40
 	var sums [batches]float64
 	var arrive func(i int)
@@ -79,7 +79,7 @@
 		rate float64 // core seconds a second on one core that starts at a fifth
 		fell bool
 	}{{0.3, false}, {3, true}} {
-		q := &event.Queue{}
+		q := &eventqueue.Queue{}
 		h := stand(q, 1, 100)
 		q.Run(5)
 		h.Start()
@@ -101,7 +101,7 @@
 }
 
 func TestWhatIsHeldWhenItStopsIsReset(t *testing.T) {
-	q := &event.Queue{}
+	q := &eventqueue.Queue{}
 	h := stand(q, 1, 1)
 	var got []Answer
 	job := func() *Job {
--- a/lab/causes/causes.go
+++ b/sim/losscauses/losscauses.go
@@ -1,8 +1,8 @@
-// Package causes tells where the programs of a played day were lost, from the report of the play: by the seconds in which they began
+// Package losscauses tells where the programs of a played day were lost, from the report of the play: by the seconds in which they began
 // and by what went on then. A report doesn't name every program, so that a cause here is the disruption that a lost program ran into
 // at the latest, not what became of each of its calls. The counts add up to those of the report; what falls to no disruption is
 // unexplained.
-package causes
+package losscauses
 
 import (
 	"encoding/json"
--- a/lab/causes/causes_test.go
+++ b/sim/losscauses/losscauses_test.go
@@ -1,4 +1,4 @@
-package causes
+package losscauses
 
 import (
 	"strings"
--- a/lab/muster/muster.go
+++ b/sim/membershipsim/membershipsim.go
@@ -1,15 +1,15 @@
-// Package muster plays membership alone, without hosts and customers, at sizes and for times that whole days don't reach:
+// Package membershipsim plays membership alone, without hosts and customers, at sizes and for times that whole days don't reach:
 // members by the hundred with lossy mail, deaths, returns, cuts and starved ones, and what each believed. It must never
 // decide for a member.
-package muster
+package membershipsim
 
 import (
 	"math"
 	"slices"
 
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/member"
+	"otterseam/gateway/membership"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/randstream"
 )
 
 // Plan is what is played.
@@ -51,7 +51,7 @@
 }
 
 type one struct {
-	group  *member.Group
+	group  *membership.Group
 	alive  bool
 	life   int
 	zone   int
@@ -67,8 +67,8 @@
 
 type play struct {
 	Plan
-	q      *event.Queue
-	dice   dice.Stream
+	q      *eventqueue.Queue
+	dice   randstream.Stream
 	all    []*one
 	took   []float64
 	backs  []float64
@@ -87,9 +87,9 @@
 
 // Play plays a plan.
 func Play(p Plan) *Result {
-	w := &play{Plan: p, q: &event.Queue{}, dice: dice.New(p.Seed, "muster"), mass90: math.NaN()}
-	pick := dice.New(p.Seed, "starved").Part(p.Members, p.Starved)
-	away := dice.New(p.Seed, "cut").Part(p.Members, p.Cut)
+	w := &play{Plan: p, q: &eventqueue.Queue{}, dice: randstream.New(p.Seed, "muster"), mass90: math.NaN()}
+	pick := randstream.New(p.Seed, "starved").Part(p.Members, p.Starved)
+	away := randstream.New(p.Seed, "cut").Part(p.Members, p.Cut)
 	for i := range p.Members {
 		o := &one{knows: make([]bool, p.Members)}
 		if w.CutAt > 0 && away[i] {
@@ -113,7 +113,7 @@
 	}
 	if p.MassAt > 0 {
 		w.q.At(1000+p.MassAt, func() {
-			for k, in := range dice.New(p.Seed, "mass").Part(p.Members, p.Mass) {
+			for k, in := range randstream.New(p.Seed, "mass").Part(p.Members, p.Mass) {
 				if in && w.all[k].alive {
 					w.massed = append(w.massed, k)
 					w.kill(k, p.Down)
@@ -134,7 +134,7 @@
 	o := w.all[i]
 	o.alive, o.life, o.born = true, o.life+1, w.q.Now()
 	w.lives++
-	o.group = member.New(i, w.Members, w.Mail, w.Part, w.Seed+uint64(w.lives)*7919)
+	o.group = membership.New(i, w.Members, w.Mail, w.Part, w.Seed+uint64(w.lives)*7919)
 	o.knows, o.seen = make([]bool, w.Members), 0
 	w.turn(i, o.life)
 }
@@ -166,8 +166,8 @@
 	})
 }
 
-func (w *play) post(from int, l member.Letter) {
-	if l.To != member.All {
+func (w *play) post(from int, l membership.Letter) {
+	if l.To != membership.All {
 		w.letter(from, l.To, l.Text)
 		return
 	}
@@ -217,7 +217,7 @@
 	}
 	o.seen = o.group.Changes
 	for k, x := range w.all {
-		gone := o.group.Is(now, k) == member.Gone
+		gone := o.group.Is(now, k) == membership.Gone
 		if gone == o.knows[k] {
 			continue
 		}
@@ -328,7 +328,7 @@
 	r.Dropped = w.lost / max(1, w.lost+w.passed)
 	for i, o := range w.all {
 		for k, x := range w.all {
-			if o.alive && i != k && (o.group.Is(w.q.Now(), k) == member.Gone) == x.alive {
+			if o.alive && i != k && (o.group.Is(w.q.Now(), k) == membership.Gone) == x.alive {
 				r.Wrong++
 			}
 		}
--- a/lab/muster/muster_test.go
+++ b/sim/membershipsim/membershipsim_test.go
@@ -1,4 +1,4 @@
-package muster
+package membershipsim
 
 import "testing"
 
--- a/lab/figures/figures.go
+++ b/sim/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures owns what is counted on a day: by second, by plan, by operation and by how a customer's use lies to
+// Package metrics owns what is counted on a day: by second, by plan, by operation and by how a customer's use lies to
 // its quota. It adds up and must never judge.
-package figures
+package metrics
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/gonum/stat"
 
-	"otterseam/lab/model"
-	"otterseam/lab/referee"
+	"otterseam/sim/model"
+	"otterseam/sim/oracle"
 )
 
 // Share is value asked for inside the quotas and what became of it, and what else was sent on.
@@ -89,7 +89,7 @@
 	Fairness   float64            `json:"fairness"` // Jain's index over customers' served part of what they asked for inside
 	Events     uint64             `json:"events"`
 	Breaks     int                `json:"breaks"`
-	Broken     []referee.Break    `json:"broken,omitempty"`
+	Broken     []oracle.Break     `json:"broken,omitempty"`
 	Ended      map[string]float64 `json:"ended"`          // tries, by how they ended for their client
 	Logs       map[string]int     `json:"logs,omitempty"` // log lines of the module, by how they begin
 
--- a/lab/model/model.go
+++ b/sim/model/model.go
@@ -2,7 +2,7 @@
 // the invocations by which they ask for it, and deliveries. It knows no clock, no rule and no queue.
 package model
 
-import "otterseam/lab/day"
+import "otterseam/sim/scenario"
 
 // Class says how a customer's use lies to its quota.
 type Class int
@@ -18,7 +18,7 @@
 
 // Operation is one of the day's operations with its figures drawn.
 type Operation struct {
-	*day.Operation
+	*scenario.Operation
 	Number int
 }
 
@@ -26,7 +26,7 @@
 type Customer struct {
 	Number     int
 	Key        string // 16 hex digits
-	Plan       *day.Plan
+	Plan       *scenario.Plan
 	PlanNumber int
 	Class      Class
 	Rate       float64 // first tries a second
--- a/lab/network/network.go
+++ b/sim/network/network.go
@@ -3,24 +3,24 @@
 package network
 
 import (
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/stack"
+	"otterseam/sim/overlap"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Network is the way between zones.
 type Network struct {
 	near, far, jitter float64
-	dice              dice.Stream
+	dice              randstream.Stream
 	zones             []int // how many troubles cut each off
-	stretch           stack.Stack
-	reset, half       stack.Stack
+	stretch           overlap.Stack
+	reset, half       overlap.Stack
 }
 
 // New makes the network of a day.
-func New(d *day.Network, zones int, seed uint64) *Network {
+func New(d *scenario.Network, zones int, seed uint64) *Network {
 	return &Network{near: d.Near.V(), far: d.Far.V(), jitter: d.Jitter.V(), zones: make([]int, zones),
-		dice: dice.New(seed, "network")}
+		dice: randstream.New(seed, "network")}
 }
 
 // Way is how long something takes from one zone to another, in seconds.
--- a/lab/referee/referee.go
+++ b/sim/oracle/oracle.go
@@ -1,13 +1,13 @@
-// Package referee judges a day from the world's side: whether the five rules were kept, and for each customer's quota
+// Package oracle judges a day from the world's side: whether the five rules were kept, and for each customer's quota
 // what was really used. It sees what happens, never what an api gateway thinks, and must never change anything.
-package referee
+package oracle
 
 import (
 	"fmt"
 
-	"otterseam/lab/day"
-	"otterseam/lab/host"
-	"otterseam/lab/model"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+	"otterseam/sim/scenario"
 )
 
 // Slack is how much later than a rule says something may happen on the way, in seconds: 50 ms.
@@ -56,14 +56,14 @@
 	All    int
 
 	now    func() float64
-	day    *day.Day
+	day    *scenario.Day
 	uses   map[*model.Customer]*use
 	told   []map[int]state // by api gateway and host
 	Second bool            // two deliveries of one invocation may be out at once
 }
 
 // New makes the referee of a day that has been drawn.
-func New(d *day.Day, gateways int, now func() float64) *Referee {
+func New(d *scenario.Day, gateways int, now func() float64) *Referee {
 	r := &Referee{Most: 20, now: now, day: d, uses: map[*model.Customer]*use{}, told: make([]map[int]state, gateways)}
 	for i := range r.told {
 		r.told[i] = map[int]state{}
@@ -303,7 +303,7 @@
 }
 
 // Fell: a cold host fell over; a break if two thirds of what did it came from api gateways that knew of its start.
-func (r *Referee) Fell(h *host.Host, sent []host.Sent) {
+func (r *Referee) Fell(h *hostmodel.Host, sent []hostmodel.Sent) {
 	all, told := 0.0, 0.0
 	for _, s := range sent {
 		all += s.Work
--- a/lab/referee/referee_test.go
+++ b/sim/oracle/oracle_test.go
@@ -1,17 +1,17 @@
-package referee
+package oracle
 
 import (
 	"math"
 	"strings"
 	"testing"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/host"
-	"otterseam/lab/model"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
-func fixed(x float64) day.Span { return day.Span{Lo: x, Hi: x} }
+func fixed(x float64) scenario.Span { return scenario.Span{Lo: x, Hi: x} }
 
 // court is a referee with a clock that the story moves, and an invocation of each effect.
 type court struct {
@@ -21,14 +21,14 @@
 
 func newCourt() *court {
 	c := &court{}
-	d := &day.Day{Gateway: day.Gateway{Grace: fixed(0.25)}, Cold: day.Cold{Window: fixed(2)}}
+	d := &scenario.Day{Gateway: scenario.Gateway{Grace: fixed(0.25)}, Cold: scenario.Cold{Window: fixed(2)}}
 	c.Referee = New(d, 2, func() float64 { return c.now })
 	return c
 }
 
 func try(effect, group string) *model.Invocation {
-	op := &day.Operation{Name: "o", Effect: effect, Group: group, TokenTime: fixed(2), Work: fixed(0.1), Value: fixed(1)}
-	plan := &day.Plan{Rate: fixed(2), Burst: fixed(10), CeilingRate: fixed(1), CeilingBurst: fixed(12), Price: fixed(1)}
+	op := &scenario.Operation{Name: "o", Effect: effect, Group: group, TokenTime: fixed(2), Work: fixed(0.1), Value: fixed(1)}
+	plan := &scenario.Plan{Rate: fixed(2), Burst: fixed(10), CeilingRate: fixed(1), CeilingBurst: fixed(12), Price: fixed(1)}
 	n := &model.Need{Cust: &model.Customer{Key: "c", Plan: plan}, Op: model.Operation{Operation: op}, Units: 4, True: 4}
 	return &model.Invocation{Ref: "r", Need: n, GiveUp: 5}
 }
@@ -123,11 +123,11 @@
 			c.send(try("idempotent", ""), 7)
 		}},
 		{"a cold host under what they knew", 4, "fell over", func(c *court, wrong bool) {
-			h := &host.Host{Number: 3, Started: 1}
+			h := &hostmodel.Host{Number: 3, Started: 1}
 			if wrong {
 				c.Told(0, 3, "active", 1)
 			}
-			c.Fell(h, []host.Sent{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
+			c.Fell(h, []hostmodel.Sent{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
 		}},
 		{"a ceiling passed", 5, "ceiling", func(c *court, wrong bool) {
 			cust := try("idempotent", "").Need.Cust
@@ -153,7 +153,7 @@
 
 // A store gives exactly one burst and its rate, whatever the order and size of what is asked.
 func TestTokenBucketIsExact(t *testing.T) {
-	c, d := newCourt(), dice.New(3, "bucket")
+	c, d := newCourt(), randstream.New(3, "bucket")
 	cust := try("idempotent", "").Need.Cust
 	cust.Plan.CeilingRate = fixed(0)
 	cust.Plan.Rate, cust.Plan.Burst = fixed(2), fixed(10)
@@ -184,7 +184,7 @@
 // A customer at its cap on places is beyond it with one more, and not once a delivery has ended.
 func TestPlacesAreCounted(t *testing.T) {
 	c := newCourt()
-	cust := &model.Customer{Key: "p", Plan: &day.Plan{MaxOut: fixed(2)}}
+	cust := &model.Customer{Key: "p", Plan: &scenario.Plan{MaxOut: fixed(2)}}
 	reach := func() (*model.Delivery, bool) {
 		inv := try("idempotent", "")
 		inv.Need.Cust = cust
--- a/lab/stack/stack.go
+++ b/sim/overlap/overlap.go
@@ -1,6 +1,6 @@
-// Package stack holds the figures of troubles that overlap: each is put in when it begins and taken out when it ends,
+// Package overlap holds the figures of troubles that overlap: each is put in when it begins and taken out when it ends,
 // in any order. It knows nothing of what they mean.
-package stack
+package overlap
 
 // Stack is the figures in force.
 type Stack []float64
--- a/lab/policy/policy.go
+++ b/sim/policies/policies.go
@@ -1,6 +1,6 @@
-// Package policy holds the deciders that a day can be played with: the deciding module itself, and the plain ones that it
+// Package policies holds the deciders that a day can be played with: the deciding module itself, and the plain ones that it
 // is compared with. The plain ones must never be taken for good: each says what one idea alone is worth.
-package policy
+package policies
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	"slices"
 	"strings"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/lab/dice"
-	"otterseam/lab/edge"
-	"otterseam/lab/host"
-	"otterseam/lab/play"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/sim/gatewaymodel"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/randstream"
+	"otterseam/sim/simulation"
 )
 
 // Names are the deciders that New knows beside a program's path; members is the module with membership on, damped with a bound on
@@ -21,7 +21,7 @@
 var Names = []string{"module", "members", "damped", "random", "share", "design", "omniscient"}
 
 // New gives a decider by its name.
-func New(name string) (play.Decider, error) {
+func New(name string) (simulation.Decider, error) {
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("no decider %q; there are %s, and wire:PATH for a program that speaks the line protocol",
 			name, strings.Join(Names, ", "))
@@ -35,16 +35,16 @@
 func (d decider) Err() error   { return nil }
 func (d decider) End()         {}
 
-func (d decider) Mind(w *play.World, slot int, seed uint64, out drive.Out) (edge.Mind, error) {
+func (d decider) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error) {
 	if d == "module" || d == "members" || d == "damped" {
-		s := play.Settings(w.Day, slot)
+		s := simulation.Settings(w.Day, slot)
 		if d != "module" {
 			s.Members = 0.1
 		}
 		s.Damps = d == "damped"
-		return drive.New(out, func(o choice.Out) (*choice.Gateway, error) { return s.Module(seed, o) })
+		return policydriver.New(out, func(o policy.Out) (*policy.Gateway, error) { return s.Module(seed, o) })
 	}
-	b := &plain{kind: string(d), w: w, out: out, dice: dice.New(seed, "policy"), hosts: map[string]choice.Listed{},
+	b := &plain{kind: string(d), w: w, out: out, dice: randstream.New(seed, "policy"), hosts: map[string]policy.Listed{},
 		invs: map[string]*held{}, calls: map[uint64][]*held{}, shares: map[string]*share{}}
 	return b, nil
 }
@@ -52,10 +52,10 @@
 // plain is a decider that knows no health, no line and no repairs: it admits by one rule and draws a host.
 type plain struct {
 	kind   string
-	w      *play.World
-	out    drive.Out
-	dice   dice.Stream
-	hosts  map[string]choice.Listed
+	w      *simulation.World
+	out    policydriver.Out
+	dice   randstream.Stream
+	hosts  map[string]policy.Listed
 	active []string
 	invs   map[string]*held
 	calls  map[uint64][]*held
@@ -63,7 +63,7 @@
 }
 
 type held struct {
-	choice.Asked
+	policy.Asked
 	sent   int
 	maybe  bool // a delivery may have run
 	window float64
@@ -77,7 +77,7 @@
 func (p *plain) Ring(float64, uint64)       {}
 func (p *plain) Gone(_ float64, ref string) { delete(p.invs, ref) }
 
-func (p *plain) Hosts(now float64, list []choice.Listed, whole bool) {
+func (p *plain) Hosts(now float64, list []policy.Listed, whole bool) {
 	if whole {
 		clear(p.hosts)
 	}
@@ -102,7 +102,7 @@
 	return 0, 0
 }
 
-func (p *plain) Take(now float64, a choice.Asked) {
+func (p *plain) Take(now float64, a policy.Asked) {
 	h := &held{Asked: a}
 	p.invs[a.Ref] = h
 	rate, burst := p.plan(a.Plan)
@@ -145,7 +145,7 @@
 	return h >> 1
 }
 
-func (p *plain) Counted(now float64, n uint64, how choice.Outcome, sum, took float64) {
+func (p *plain) Counted(now float64, n uint64, how policy.Outcome, sum, took float64) {
 	q := p.calls[n]
 	if len(q) == 0 {
 		return
@@ -158,7 +158,7 @@
 		return
 	}
 	rate, burst := p.plan(h.Plan)
-	if how == choice.Succeeded {
+	if how == policy.Succeeded {
 		s := p.shares[h.Customer]
 		if s == nil {
 			s = &share{last: h.window}
@@ -197,7 +197,7 @@
 func (p *plain) best(h *held) string {
 	best, least := "", math.Inf(1)
 	for _, x := range p.w.Hosts {
-		if x.State != host.Up || x.Silent() || !x.Takes() || p.hosts[x.Addr].State != "active" || x.Warmth() < 1 && x.Waiting() >= x.Cores {
+		if x.State != hostmodel.Up || x.Silent() || !x.Takes() || p.hosts[x.Addr].State != "active" || x.Warmth() < 1 && x.Waiting() >= x.Cores {
 			continue
 		}
 		if ends := float64(x.Waiting()+1) / (float64(x.Cores) * x.Pace()); ends < least {
@@ -216,7 +216,7 @@
 	return "non-idempotent"
 }
 
-func (p *plain) Ended(now float64, ref string, number int, e choice.Ended) {
+func (p *plain) Ended(now float64, ref string, number int, e policy.Ended) {
 	h := p.invs[ref]
 	if h == nil {
 		return
--- a/lab/process/process.go
+++ b/sim/policyprocess/policyprocess.go
@@ -1,6 +1,6 @@
-// Package process owns a program that speaks the line protocol, such as an earlier build of bin/wirehost, and lets it
+// Package policyprocess owns a program that speaks the line protocol, such as an earlier build of bin/wirehost, and lets it
 // decide for the api gateways of a day. It must never repair what the program says: nonsense ends the day.
-package process
+package policyprocess
 
 import (
 	"bufio"
@@ -13,11 +13,11 @@
 	"strconv"
 	"strings"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/lab/edge"
-	"otterseam/lab/play"
-	"otterseam/member"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/sim/gatewaymodel"
+	"otterseam/sim/simulation"
 )
 
 // Process decides by a program's answers.
@@ -26,7 +26,7 @@
 	in    io.WriteCloser
 	out   *bufio.Reader
 	wait  func() error
-	outs  map[int]drive.Out
+	outs  map[int]policydriver.Out
 	err   error
 	last  string // the last line that came
 	lines int
@@ -51,7 +51,7 @@
 
 // From takes a program's pipes; wait is called when it is let go.
 func From(name string, in io.WriteCloser, out io.Reader, wait func() error) *Process {
-	return &Process{name: name, in: in, out: bufio.NewReaderSize(out, 1<<20), wait: wait, outs: map[int]drive.Out{}}
+	return &Process{name: name, in: in, out: bufio.NewReaderSize(out, 1<<20), wait: wait, outs: map[int]policydriver.Out{}}
 }
 
 func (p *Process) Name() string { return p.name }
@@ -66,13 +66,13 @@
 }
 
 // Mind makes an instance in the program.
-func (p *Process) Mind(w *play.World, slot int, seed uint64, out drive.Out) (edge.Mind, error) {
+func (p *Process) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error) {
 	m := &mind{p: p, who: slot}
 	if p.outs[slot] != nil {
 		m.put("CRASH_NOW")
 	}
 	p.outs[slot] = out
-	settings, err := json.Marshal(play.Settings(w.Day, slot))
+	settings, err := json.Marshal(simulation.Settings(w.Day, slot))
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 	m.inbox.WriteByte(']')
 }
 
-func (m *mind) Hosts(now float64, list []choice.Listed, whole bool) {
+func (m *mind) Hosts(now float64, list []policy.Listed, whole bool) {
 	rows := make([][]any, len(list))
 	for i, l := range list {
 		rows[i] = []any{l.Addr, l.Zone, "host", l.Cell, l.State, l.Weight, l.Since}
@@ -126,7 +126,7 @@
 	m.put("DISCOVERY", mode, 1, 0)
 }
 
-func (m *mind) Take(now float64, a choice.Asked) {
+func (m *mind) Take(now float64, a policy.Asked) {
 	options := 0
 	if a.Repeat {
 		options = 2
@@ -134,14 +134,14 @@
 	m.put("JOB_IN", a.Ref, a.Width, a.Units, a.Operation, a.Customer, a.GiveUp, a.Plan, options, a.First)
 }
 
-func (m *mind) Ended(now float64, ref string, number int, e choice.Ended) {
+func (m *mind) Ended(now float64, ref string, number int, e policy.Ended) {
 	m.put("VERDICT", ref, e.Over, 0, e.Took, "", e.Units, number, string(e.How), nil)
 }
 
 func (m *mind) Gone(now float64, ref string)            { m.put("HANGUP", ref) }
 func (m *mind) Ring(now float64, nonce uint64)          { m.put("BELL", nonce) }
 func (m *mind) Told(now float64, from int, text string) { m.put("MESSAGE", from, text) }
-func (m *mind) Counted(now float64, name uint64, how choice.Outcome, sum, took float64) {
+func (m *mind) Counted(now float64, name uint64, how policy.Outcome, sum, took float64) {
 	m.put("SUM", string(how), sum, name, took)
 }
 
@@ -195,7 +195,7 @@
 	}
 }
 
-func (p *Process) command(out drive.Out, c []json.RawMessage) {
+func (p *Process) command(out policydriver.Out, c []json.RawMessage) {
 	var name string
 	if len(c) == 0 || json.Unmarshal(c[0], &name) != nil {
 		p.fail("answers a command without a name")
@@ -242,7 +242,7 @@
 	case "ANNOUNCE":
 		var one *int
 		if read(&one, &text) {
-			to := member.All
+			to := membership.All
 			if one != nil {
 				to = *one
 			}
--- a/lab/keepers/bench.go
+++ b/sim/quotastoresim/bench.go
@@ -1,4 +1,4 @@
-package keepers
+package quotastoresim
 
 // This file owns load on the counter's protocol, in open loop: calls begin when they are due, whether or not those before
 // them are answered, and their time counts from then.
--- a/lab/keepers/load.go
+++ b/sim/quotastoresim/load.go
@@ -1,4 +1,4 @@
-package keepers
+package quotastoresim
 
 // This file owns who asks, and the judgement of what they were told: histories of adds checked for linearizability, what
 // holders had promised to them, marks, and use.
@@ -11,8 +11,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"otterseam/hold"
-	"otterseam/keep"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/statemachine"
 )
 
 type load struct {
@@ -81,12 +81,12 @@
 
 func (l *load) add(x *node, client int, name string, amount float64, next func()) {
 	begun := l.w.q.Now()
-	l.w.ask(x, name, hold.Entry{Kind: hold.Add, Name: name, Amount: amount, Life: 60}, func(how keep.Outcome, r hold.Reply) {
+	l.w.ask(x, name, statemachine.Entry{Kind: statemachine.Add, Name: name, Amount: amount, Life: 60}, func(how replication.Outcome, r statemachine.Reply) {
 		op := porcupine.Operation{ClientId: client, Input: amount, Call: int64(begun * 1e9), Return: int64(l.w.q.Now() * 1e9), Output: added{amount, r.Total, true}}
 		switch how {
-		case keep.Unknown:
+		case replication.Unknown:
 			op.Output, op.Return = added{amount, 0, false}, math.MaxInt64
-		case keep.Refused:
+		case replication.Refused:
 			next()
 			return
 		}
@@ -129,11 +129,11 @@
 		h.names[name] = a
 	}
 	h.order++
-	e := hold.Entry{Name: name, Holder: h.id, Order: h.order, Life: 60}
+	e := statemachine.Entry{Name: name, Holder: h.id, Order: h.order, Life: 60}
 	switch w.dice.IntN(4) {
 	case 0: // let in while the counter was away
 		a.sum += float64(1 + w.dice.IntN(5))
-		e.Kind, e.Amount = hold.Owe, a.sum
+		e.Kind, e.Amount = statemachine.Owe, a.sum
 	case 1: // uses
 		u := l.used[h.id+" "+name]
 		if u == nil {
@@ -141,31 +141,31 @@
 			l.used[h.id+" "+name] = u
 		}
 		u.sent += float64(1 + w.dice.IntN(5))
-		e.Kind, e.Amount = hold.Use, u.sent
-		w.ask(x, h.id, e, func(how keep.Outcome, r hold.Reply) {
-			if how == keep.Answered && r.Code == hold.Done {
+		e.Kind, e.Amount = statemachine.Use, u.sent
+		w.ask(x, h.id, e, func(how replication.Outcome, r statemachine.Reply) {
+			if how == replication.Answered && r.Code == statemachine.Done {
 				u.acked = max(u.acked, e.Amount)
 			}
 		})
 		return
 	default:
 		a.sum += float64(1 + w.dice.IntN(5))
-		e.Kind, e.Places = hold.Put, float64(1000*w.dice.IntN(3))
+		e.Kind, e.Places = statemachine.Put, float64(1000*w.dice.IntN(3))
 		e.Amount = a.sum + e.Places
 	}
 	mine := a.sum
 	a.sent = mine
 	key := name
-	if e.Kind == hold.Owe {
+	if e.Kind == statemachine.Owe {
 		key = h.id
 	}
-	w.ask(x, key, e, func(how keep.Outcome, r hold.Reply) {
-		if h.gone || how != keep.Answered {
+	w.ask(x, key, e, func(how replication.Outcome, r statemachine.Reply) {
+		if h.gone || how != replication.Answered {
 			return // nobody heard
 		}
-		if r.Code == hold.Done {
+		if r.Code == statemachine.Done {
 			a.acked = max(a.acked, mine)
-		} else if r.Code == hold.Gone {
+		} else if r.Code == statemachine.Gone {
 			h.gone = true // given up though it lived: it would go on under another name
 		}
 	})
@@ -187,8 +187,8 @@
 				return
 			}
 			who := fmt.Sprintf("edge-%d", i)
-			w.ask(x, ref, hold.Entry{Kind: hold.Mark, Name: ref, Holder: who, Life: 30}, func(how keep.Outcome, r hold.Reply) {
-				if how == keep.Answered && r.Code == hold.Done {
+			w.ask(x, ref, statemachine.Entry{Kind: statemachine.Mark, Name: ref, Holder: who, Life: 30}, func(how replication.Outcome, r statemachine.Reply) {
+				if how == replication.Answered && r.Code == statemachine.Done {
 					l.marks[ref] = append(l.marks[ref], who)
 				}
 			})
@@ -209,10 +209,10 @@
 		return
 	}
 	n := l.batch + 1
-	got := make([]*hold.Reply, w.terms.Groups)
+	got := make([]*statemachine.Reply, w.terms.Groups)
 	left := w.terms.Groups
 	for g := range w.terms.Groups {
-		l.takeOf(x, g, n, func(r *hold.Reply) {
+		l.takeOf(x, g, n, func(r *statemachine.Reply) {
 			got[g] = r
 			if left--; left > 0 {
 				return
@@ -238,10 +238,10 @@
 	}
 }
 
-func (l *load) takeOf(x *node, g int, n uint64, then func(*hold.Reply)) {
+func (l *load) takeOf(x *node, g int, n uint64, then func(*statemachine.Reply)) {
 	w := l.w
 	done := false
-	say := func(r *hold.Reply) {
+	say := func(r *statemachine.Reply) {
 		if !done {
 			done = true
 			then(r)
@@ -252,13 +252,13 @@
 	x.open[o] = true
 	run := x.run
 	w.do(x, func() {
-		x.core.Ask(g, hold.Entry{Kind: hold.Take, Order: n}, func(how keep.Outcome, r hold.Reply) {
+		x.core.Ask(g, statemachine.Entry{Kind: statemachine.Take, Order: n}, func(how replication.Outcome, r statemachine.Reply) {
 			w.q.After(0.0005, func() {
 				if x.run != run {
 					return
 				}
 				delete(x.open, o)
-				if how == keep.Answered && r.Code == hold.Done && (l.final || w.dice.Chance(0.8)) { // the answer may be lost on the way back
+				if how == replication.Answered && r.Code == statemachine.Done && (l.final || w.dice.Chance(0.8)) { // the answer may be lost on the way back
 					say(&r)
 				} else {
 					say(nil)
@@ -286,7 +286,7 @@
 	},
 }
 
-func (l *load) judge(state func(name string) *hold.State) {
+func (l *load) judge(state func(name string) *statemachine.State) {
 	v := l.w.v
 	for _, name := range []string{"count-0", "count-1"} {
 		switch porcupine.CheckOperationsTimeout(model, l.history[name], 3*time.Second) {
--- a/lab/keepers/many.go
+++ b/sim/quotastoresim/many.go
@@ -1,4 +1,4 @@
-package keepers
+package quotastoresim
 
 // This file owns many seeds at once.
 
--- a/lab/keepers/keepers_test.go
+++ b/sim/quotastoresim/quotastoresim_test.go
@@ -1,4 +1,4 @@
-package keepers
+package quotastoresim
 
 import (
 	"context"
@@ -54,8 +54,8 @@
 
 // Eleven faults put into the program on purpose are each found.
 func TestSeededFaultsAreFound(t *testing.T) {
-	program := filepath.Join(t.TempDir(), "otterlab")
-	if out, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "otterseam/cmd/otterlab").CombinedOutput(); err != nil {
+	program := filepath.Join(t.TempDir(), "otterseam-sim")
+	if out, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "otterseam/cmd/otterseam-sim").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	for _, name := range []string{"KeepLocalClock", "KeepEarly", "KeepUnsynced", "KeepEmptyVote", "KeepNoSession", "KeepForgets",
--- a/lab/keepers/sim.go
+++ b/sim/quotastoresim/sim.go
@@ -1,17 +1,17 @@
-// Package keepers plays keepers on a simulated network: their true decisions, with streams, disks and clocks as the
+// Package quotastoresim plays keepers on a simulated network: their true decisions, with streams, disks and clocks as the
 // adversary, and judges what callers were told. It must never let a fault strike that the promise does not cover.
-package keepers
+package quotastoresim
 
 import (
 	"fmt"
 	"slices"
 
-	"otterseam/hold"
-	"otterseam/keep"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/say"
-	"otterseam/seeded"
+	"otterseam/internal/mutation"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/replication"
+	"otterseam/quotastore/statemachine"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/randstream"
 )
 
 // Options say what is played.
@@ -51,16 +51,16 @@
 // node is the process of one keeper, with its disk.
 type node struct {
 	number  int
-	core    *keep.Core
+	core    *replication.Core
 	up      bool
 	run     int // of its processes; what is meant for one before is not for this one
 	life    uint32
 	cluster uint64
-	disk    map[int]*keep.Saved
+	disk    map[int]*replication.Saved
 	offset  float64 // of its clock
 	frozen  bool
 	busy    bool // writing
-	writing []keep.Write
+	writing []replication.Write
 	slow    float64
 	backlog []func()
 	open    map[*op]bool // asked here and not answered
@@ -73,11 +73,11 @@
 
 type world struct {
 	o       Options
-	q       event.Queue
-	dice    dice.Stream
+	q       eventqueue.Queue
+	dice    randstream.Stream
 	seed    uint64
 	nodes   []*node
-	peers   []keep.Peer
+	peers   []replication.Peer
 	cut     map[[2]int]int     // links on which nothing gets through
 	streams map[[2]int]int     // the number of the stream on each link: frames of one before are lost
 	lastAt  map[[2]int]float64 // frames of a stream arrive in order
@@ -86,7 +86,7 @@
 	v       *Verdict
 	load    *load
 	quiet   bool
-	terms   keep.Terms
+	terms   replication.Terms
 }
 
 // Play plays one seed.
@@ -97,14 +97,14 @@
 			v.Lost = append(v.Lost, fmt.Sprint("a keeper ended: ", r))
 		}
 	}()
-	w := &world{o: o, dice: dice.New(seed, "keepers"), seed: seed, cut: map[[2]int]int{}, streams: map[[2]int]int{},
+	w := &world{o: o, dice: randstream.New(seed, "keepers"), seed: seed, cut: map[[2]int]int{}, streams: map[[2]int]int{},
 		lastAt: map[[2]int]float64{}, v: v, lives: 100,
-		terms: keep.Terms{Groups: 2, Copies: o.Copies, Log: []int{24, 4096}[seed/8%2], Rate: 1e6, Lost: 2}}
+		terms: replication.Terms{Groups: 2, Copies: o.Copies, Log: []int{24, 4096}[seed/8%2], Rate: 1e6, Lost: 2}}
 	for n := range o.Keepers {
-		w.peers = append(w.peers, keep.Peer{Name: fmt.Sprintf("k%d", n), Zone: fmt.Sprint(n % 3)})
+		w.peers = append(w.peers, replication.Peer{Name: fmt.Sprintf("k%d", n), Zone: fmt.Sprint(n % 3)})
 	}
 	for n := range o.Keepers {
-		x := &node{number: n, disk: map[int]*keep.Saved{}, offset: w.dice.Between(0, 400), slow: 0.002}
+		x := &node{number: n, disk: map[int]*replication.Saved{}, offset: w.dice.Between(0, 400), slow: 0.002}
 		w.nodes = append(w.nodes, x)
 		w.wipe(x)
 		w.start(x)
@@ -126,9 +126,9 @@
 }
 
 func (w *world) found() {
-	f := &keep.Founding{Cluster: 77, Groups: w.terms.Groups, Copies: w.terms.Copies}
+	f := &replication.Founding{Cluster: 77, Groups: w.terms.Groups, Copies: w.terms.Copies}
 	for _, x := range w.nodes {
-		f.Members = append(f.Members, keep.MakeID(x.number, x.life))
+		f.Members = append(f.Members, replication.MakeID(x.number, x.life))
 	}
 	for _, x := range w.nodes {
 		w.do(x, func() {
@@ -146,20 +146,20 @@
 
 // wipe takes all that a keeper had; it will have another life.
 func (w *world) wipe(x *node) {
-	x.disk, x.cluster = map[int]*keep.Saved{}, 0
-	if !seeded.KeepEmptyVote || x.life == 0 {
+	x.disk, x.cluster = map[int]*replication.Saved{}, 0
+	if !mutation.KeepEmptyVote || x.life == 0 {
 		w.lives++
 		x.life = w.lives
 	}
 }
 
 func (w *world) start(x *node) {
-	saved := map[int]*keep.Saved{}
+	saved := map[int]*replication.Saved{}
 	for g, s := range x.disk {
 		saved[g] = s.Trim()
 	}
 	w.runs++
-	core, err := keep.New(x.number, x.life, x.cluster, w.peers, w.terms, w.seed<<16+w.runs, saved)
+	core, err := replication.New(x.number, x.life, x.cluster, w.peers, w.terms, w.seed<<16+w.runs, saved)
 	if err != nil {
 		w.v.Stuck = append(w.v.Stuck, fmt.Sprintf("keeper %d does not start: %v", x.number, err))
 		return
@@ -225,11 +225,11 @@
 	w.drain(x)
 }
 
-func (w *world) write(x *node, all []keep.Write) {
+func (w *world) write(x *node, all []replication.Write) {
 	for i := range all {
 		s := x.disk[all[i].Group]
 		if s == nil {
-			s = &keep.Saved{}
+			s = &replication.Saved{}
 			x.disk[all[i].Group] = s
 		}
 		s.Take(&all[i])
@@ -323,7 +323,7 @@
 				}
 				return
 			}
-			f, err := say.ReadFrame(text)
+			f, err := protocol.ReadFrame(text)
 			if err != nil {
 				panic(err)
 			}
@@ -505,8 +505,8 @@
 	if !w.whole() {
 		w.v.Stuck = append(w.v.Stuck, "not all copies are made again at the end")
 	}
-	w.load.judge(func(name string) *hold.State {
-		g := keep.GroupOf(name, w.terms.Groups)
+	w.load.judge(func(name string) *statemachine.State {
+		g := replication.GroupOf(name, w.terms.Groups)
 		if lead := w.leader(g); lead != nil {
 			return lead.core.State(g)
 		}
@@ -529,32 +529,32 @@
 }
 
 // ask asks a keeper; then hears of the answer, or that the connection broke.
-func (w *world) ask(x *node, name string, e hold.Entry, then func(how keep.Outcome, r hold.Reply)) {
+func (w *world) ask(x *node, name string, e statemachine.Entry, then func(how replication.Outcome, r statemachine.Reply)) {
 	done := false
 	l := w.load
 	l.asked++
 	o := &op{nth: l.asked}
-	say := func(how keep.Outcome, r hold.Reply) {
+	say := func(how replication.Outcome, r statemachine.Reply) {
 		if done {
 			return
 		}
 		done = true
 		delete(x.open, o)
 		switch how {
-		case keep.Answered:
+		case replication.Answered:
 			w.v.Answered++
-		case keep.Refused:
+		case replication.Refused:
 			w.v.Refused++
 		default:
 			w.v.Unknown++
 		}
 		then(how, r)
 	}
-	o.cut = func() { say(keep.Unknown, hold.Reply{}) }
+	o.cut = func() { say(replication.Unknown, statemachine.Reply{}) }
 	x.open[o] = true
 	run := x.run
 	w.do(x, func() {
-		x.core.Ask(x.core.GroupFor(name), e, func(how keep.Outcome, r hold.Reply) {
+		x.core.Ask(x.core.GroupFor(name), e, func(how replication.Outcome, r statemachine.Reply) {
 			w.q.After(0.0005, func() { // the way back; lost with the process
 				if x.run == run {
 					say(how, r)
--- a/lab/dice/dice.go
+++ b/sim/randstream/randstream.go
@@ -1,6 +1,6 @@
-// Package dice gives each part of the laboratory random numbers of its own, so that a draw more in one part moves
+// Package randstream gives each part of the laboratory random numbers of its own, so that a draw more in one part moves
 // nothing in another. It owns no state beyond the streams it gives away.
-package dice
+package randstream
 
 import (
 	"hash/fnv"
--- a/lab/report/html.go
+++ b/sim/report/html.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"otterseam/lab/figures"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/metrics"
 )
 
 // Colours that most people can tell apart, in the order of the causes.
@@ -56,7 +56,7 @@
 }
 
 // troubles marks when each trouble lasts.
-func troubles(p *plot.Plot, r *runs.Run, top float64) {
+func troubles(p *plot.Plot, r *batch.Run, top float64) {
 	for i, t := range r.Troubles {
 		ends := min(max(t.Ends, t.At+0.3), r.Length)
 		box, err := plotter.NewPolygon(plotter.XYs{{X: t.At, Y: 0}, {X: ends, Y: 0}, {X: ends, Y: top}, {X: t.At, Y: top}})
@@ -75,7 +75,7 @@
 }
 
 // fate draws what became of the value that was asked for in each second.
-func fate(r *runs.Run) (template.HTML, error) {
+func fate(r *batch.Run) (template.HTML, error) {
 	p := base("What became of the value asked for inside the quotas, by the second it was first asked for", "part of it")
 	n := len(r.Seconds)
 	low := make([]float64, n)
@@ -102,7 +102,7 @@
 		p.Add(area)
 		p.Legend.Add(c.name, area)
 	}
-	if err := line(p, "sent beyond the quota", colours[6], r, func(s figures.Second) float64 { return s.Part(s.Beyond) }); err != nil {
+	if err := line(p, "sent beyond the quota", colours[6], r, func(s metrics.Second) float64 { return s.Part(s.Beyond) }); err != nil {
 		return "", err
 	}
 	troubles(p, r, 1)
@@ -110,7 +110,7 @@
 	return SVG(p, 22*vg.Centimeter, 8.5*vg.Centimeter)
 }
 
-func line(p *plot.Plot, name string, c color.Color, r *runs.Run, of func(s figures.Second) float64) error {
+func line(p *plot.Plot, name string, c color.Color, r *batch.Run, of func(s metrics.Second) float64) error {
 	var xys plotter.XYs
 	for i, s := range r.Seconds {
 		xys = append(xys, plotter.XY{X: float64(i), Y: of(s)})
@@ -130,10 +130,10 @@
 
 type curve struct {
 	name string
-	of   func(s figures.Second) float64
+	of   func(s metrics.Second) float64
 }
 
-func lines(r *runs.Run, title, y string, curves ...curve) (template.HTML, error) {
+func lines(r *batch.Run, title, y string, curves ...curve) (template.HTML, error) {
 	p := base(title, y)
 	top := 0.0
 	for i, c := range curves {
@@ -150,7 +150,7 @@
 }
 
 // pictures draws one run.
-func pictures(r *runs.Run) (all []template.HTML, err error) {
+func pictures(r *batch.Run) (all []template.HTML, err error) {
 	add := func(h template.HTML, e error) {
 		if e != nil && err == nil {
 			err = e
@@ -158,24 +158,24 @@
 		all = append(all, h)
 	}
 	add(fate(r))
-	add(lines(r, "Answers", "milliseconds", curve{"median", func(s figures.Second) float64 { return s.P50 }},
-		curve{"99th of 100", func(s figures.Second) float64 { return s.P99 }}))
-	calls := []curve{{"calls", func(s figures.Second) float64 { return s.Calls }}, {"without a total", func(s figures.Second) float64 { return s.Missed }}}
+	add(lines(r, "Answers", "milliseconds", curve{"median", func(s metrics.Second) float64 { return s.P50 }},
+		curve{"99th of 100", func(s metrics.Second) float64 { return s.P99 }}))
+	calls := []curve{{"calls", func(s metrics.Second) float64 { return s.Calls }}, {"without a total", func(s metrics.Second) float64 { return s.Missed }}}
 	if r.Capacity > 0 && r.Capacity < 1e5 {
-		calls = append(calls, curve{"the counter's capacity", func(figures.Second) float64 { return r.Capacity }})
+		calls = append(calls, curve{"the counter's capacity", func(metrics.Second) float64 { return r.Capacity }})
 	}
 	add(lines(r, "Calls to the counter", "a second", calls...))
-	add(lines(r, "Work a host", "deliveries", curve{"out, by the api gateways", func(s figures.Second) float64 { return s.Out / max(1, s.HostsUp) }},
-		curve{"at it", func(s figures.Second) float64 { return s.Waiting / max(1, s.HostsUp) }},
-		curve{"cores at work, part", func(s figures.Second) float64 { return s.Busy }}))
-	add(lines(r, "Tries", "a second", curve{"first", func(s figures.Second) float64 { return s.First }},
-		curve{"repeats", func(s figures.Second) float64 { return s.Repeats }}, curve{"deliveries", func(s figures.Second) float64 { return s.Sends }},
-		curve{"new connections", func(s figures.Second) float64 { return s.Dials }}))
+	add(lines(r, "Work a host", "deliveries", curve{"out, by the api gateways", func(s metrics.Second) float64 { return s.Out / max(1, s.HostsUp) }},
+		curve{"at it", func(s metrics.Second) float64 { return s.Waiting / max(1, s.HostsUp) }},
+		curve{"cores at work, part", func(s metrics.Second) float64 { return s.Busy }}))
+	add(lines(r, "Tries", "a second", curve{"first", func(s metrics.Second) float64 { return s.First }},
+		curve{"repeats", func(s metrics.Second) float64 { return s.Repeats }}, curve{"deliveries", func(s metrics.Second) float64 { return s.Sends }},
+		curve{"new connections", func(s metrics.Second) float64 { return s.Dials }}))
 	return all, err
 }
 
 // shares draws the served part of each plan, class and operation side by side for all groups.
-func shares(gs []*Group, rs []*runs.Run) (template.HTML, error) {
+func shares(gs []*Group, rs []*batch.Run) (template.HTML, error) {
 	p := base("Served in time, of what each asked for inside its quota", "part")
 	p.X.Label.Text = ""
 	var labels []string
@@ -183,14 +183,14 @@
 	for range gs {
 		values = append(values, nil)
 	}
-	for _, of := range []func(r *runs.Run) map[string]*figures.Share{
-		func(r *runs.Run) map[string]*figures.Share { return r.Plans },
-		func(r *runs.Run) map[string]*figures.Share { return r.Classes },
-		func(r *runs.Run) map[string]*figures.Share { return r.Operations }} {
+	for _, of := range []func(r *batch.Run) map[string]*metrics.Share{
+		func(r *batch.Run) map[string]*metrics.Share { return r.Plans },
+		func(r *batch.Run) map[string]*metrics.Share { return r.Classes },
+		func(r *batch.Run) map[string]*metrics.Share { return r.Operations }} {
 		for _, name := range names(rs, of) {
 			labels = append(labels, name)
 			for i, g := range gs {
-				m, _ := g.Mean(func(r *runs.Run) float64 {
+				m, _ := g.Mean(func(r *batch.Run) float64 {
 					if x := of(r)[name]; x != nil {
 						return x.Part(x.Served)
 					}
@@ -217,7 +217,7 @@
 }
 
 // sweep draws a figure against the one key whose values differ, a line for each set of the other changes.
-func sweep(gs []*Group, key, title string, of func(r *runs.Run) float64) (template.HTML, error) {
+func sweep(gs []*Group, key, title string, of func(r *batch.Run) float64) (template.HTML, error) {
 	p := base(title, "part of the value asked for inside quotas")
 	p.X.Label.Text = key
 	type series struct {
@@ -312,7 +312,7 @@
 
 // HTML writes one self-contained page: tables, the differences from the first group, a sweep's curves, and the course of
 // the first run of each of at most eight groups.
-func HTML(title string, rs []*runs.Run) ([]byte, error) {
+func HTML(title string, rs []*batch.Run) ([]byte, error) {
 	gs := Groups(rs)
 	type piece struct {
 		Name     string
--- a/lab/report/text.go
+++ b/sim/report/text.go
@@ -11,37 +11,37 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"otterseam/lab/figures"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/metrics"
 )
 
 // cause is one thing that can become of value asked for inside the quotas.
 type cause struct {
 	name string
-	of   func(s figures.Share) float64
+	of   func(s metrics.Share) float64
 }
 
 var causes = []cause{
-	{"served in time", func(s figures.Share) float64 { return s.Served }},
-	{"served late", func(s figures.Share) float64 { return s.Late }},
-	{"throttled, with room", func(s figures.Share) float64 { return s.WithRoom }},
-	{"throttled, no room", func(s figures.Share) float64 { return s.WithoutRoom }},
-	{"errored", func(s figures.Share) float64 { return s.Errored }},
-	{"unanswered or broken", func(s figures.Share) float64 { return s.Lost }},
-	{"sent beyond the quota", func(s figures.Share) float64 { return s.Beyond }},
-	{"worth", func(s figures.Share) float64 { return s.Worth }},
+	{"served in time", func(s metrics.Share) float64 { return s.Served }},
+	{"served late", func(s metrics.Share) float64 { return s.Late }},
+	{"throttled, with room", func(s metrics.Share) float64 { return s.WithRoom }},
+	{"throttled, no room", func(s metrics.Share) float64 { return s.WithoutRoom }},
+	{"errored", func(s metrics.Share) float64 { return s.Errored }},
+	{"unanswered or broken", func(s metrics.Share) float64 { return s.Lost }},
+	{"sent beyond the quota", func(s metrics.Share) float64 { return s.Beyond }},
+	{"worth", func(s metrics.Share) float64 { return s.Worth }},
 }
 
 // Group is the runs of one decider with one set of changes, over seeds.
 type Group struct {
 	Day, Decider string
 	Over         map[string]string
-	Runs         []*runs.Run
+	Runs         []*batch.Run
 	common       map[string]bool // changes that all groups share, and so tell none apart
 }
 
 // Groups puts together the runs that differ in their seeds only, in the order in which they came.
-func Groups(rs []*runs.Run) (gs []*Group) {
+func Groups(rs []*batch.Run) (gs []*Group) {
 	at := map[string]*Group{}
 	for _, r := range rs {
 		key := fmt.Sprint(r.Day, " ", r.Decider, " ", r.Over) // maps print in order
@@ -87,7 +87,7 @@
 }
 
 // Mean gives the mean of a figure over a group's runs and its standard deviation, 0 for a single run.
-func (g *Group) Mean(of func(r *runs.Run) float64) (mean, spread float64) {
+func (g *Group) Mean(of func(r *batch.Run) float64) (mean, spread float64) {
 	xs := make([]float64, len(g.Runs))
 	for i, r := range g.Runs {
 		xs[i] = of(r)
@@ -98,28 +98,28 @@
 	return stat.MeanStdDev(xs, nil)
 }
 
-func part(c cause) func(r *runs.Run) float64 {
-	return func(r *runs.Run) float64 { return r.Whole.Part(c.of(r.Whole)) }
+func part(c cause) func(r *batch.Run) float64 {
+	return func(r *batch.Run) float64 { return r.Whole.Part(c.of(r.Whole)) }
 }
 
 // rows are the further figures of a table: what they are called and how they come from a run.
 var rows = []struct {
 	name string
-	of   func(r *runs.Run) float64
+	of   func(r *batch.Run) float64
 }{
-	{"served in time within quotas", func(r *runs.Run) float64 { return r.Whole.Part(r.Whole.Within) }},
-	{"the same, less what beyond costs", func(r *runs.Run) float64 { return r.Whole.Part(r.Whole.Within - r.Whole.BeyondCost) }},
-	{"counter calls a try", func(r *runs.Run) float64 { return r.Calls / max(1, r.Tries) }},
-	{"of them without a total", func(r *runs.Run) float64 { return r.Missed / max(1, r.Calls) }},
-	{"deliveries a try", func(r *runs.Run) float64 { return r.Deliveries / max(1, r.Tries) }},
-	{"tries a first try", func(r *runs.Run) float64 { return r.Tries / max(1, r.First) }},
-	{"new connections a delivery", func(r *runs.Run) float64 { return r.Dials / max(1, r.Deliveries) }},
-	{"mail a first try", func(r *runs.Run) float64 { return r.Mail / max(1, r.First) }},
-	{"host work wasted", func(r *runs.Run) float64 { return r.Wasted }},
-	{"fairness between customers", func(r *runs.Run) float64 { return r.Fairness }},
-	{"median answer, ms", func(r *runs.Run) float64 { return r.Latency["all"].P50 }},
-	{"99th of 100, ms", func(r *runs.Run) float64 { return r.Latency["all"].P99 }},
-	{"rules broken", func(r *runs.Run) float64 { return float64(r.Breaks) }},
+	{"served in time within quotas", func(r *batch.Run) float64 { return r.Whole.Part(r.Whole.Within) }},
+	{"the same, less what beyond costs", func(r *batch.Run) float64 { return r.Whole.Part(r.Whole.Within - r.Whole.BeyondCost) }},
+	{"counter calls a try", func(r *batch.Run) float64 { return r.Calls / max(1, r.Tries) }},
+	{"of them without a total", func(r *batch.Run) float64 { return r.Missed / max(1, r.Calls) }},
+	{"deliveries a try", func(r *batch.Run) float64 { return r.Deliveries / max(1, r.Tries) }},
+	{"tries a first try", func(r *batch.Run) float64 { return r.Tries / max(1, r.First) }},
+	{"new connections a delivery", func(r *batch.Run) float64 { return r.Dials / max(1, r.Deliveries) }},
+	{"mail a first try", func(r *batch.Run) float64 { return r.Mail / max(1, r.First) }},
+	{"host work wasted", func(r *batch.Run) float64 { return r.Wasted }},
+	{"fairness between customers", func(r *batch.Run) float64 { return r.Fairness }},
+	{"median answer, ms", func(r *batch.Run) float64 { return r.Latency["all"].P50 }},
+	{"99th of 100, ms", func(r *batch.Run) float64 { return r.Latency["all"].P99 }},
+	{"rules broken", func(r *batch.Run) float64 { return float64(r.Breaks) }},
 }
 
 func number(mean, spread float64, many bool) string {
@@ -134,7 +134,7 @@
 }
 
 // Text writes all runs as tables: shares of the value asked for inside the quotas, mean and spread over seeds.
-func Text(w io.Writer, rs []*runs.Run) error {
+func Text(w io.Writer, rs []*batch.Run) error {
 	gs := Groups(rs)
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	head := "of the value asked for inside quotas"
@@ -161,15 +161,15 @@
 	}
 	for _, by := range []struct {
 		name string
-		of   func(r *runs.Run) map[string]*figures.Share
-	}{{"plan", func(r *runs.Run) map[string]*figures.Share { return r.Plans }},
-		{"use", func(r *runs.Run) map[string]*figures.Share { return r.Classes }},
-		{"operation", func(r *runs.Run) map[string]*figures.Share { return r.Operations }}} {
+		of   func(r *batch.Run) map[string]*metrics.Share
+	}{{"plan", func(r *batch.Run) map[string]*metrics.Share { return r.Plans }},
+		{"use", func(r *batch.Run) map[string]*metrics.Share { return r.Classes }},
+		{"operation", func(r *batch.Run) map[string]*metrics.Share { return r.Operations }}} {
 		fmt.Fprintln(t, strings.Repeat("\t", len(gs)))
 		for _, name := range names(rs, by.of) {
 			line := fmt.Sprintf("served in time, %s %s", by.name, name)
 			for _, g := range gs {
-				m, s := g.Mean(func(r *runs.Run) float64 {
+				m, s := g.Mean(func(r *batch.Run) float64 {
 					if x := by.of(r)[name]; x != nil {
 						return x.Part(x.Served)
 					}
@@ -191,9 +191,9 @@
 	return nil
 }
 
-func names(rs []*runs.Run, of func(r *runs.Run) map[string]*figures.Share) (all []string) {
+func names(rs []*batch.Run, of func(r *batch.Run) map[string]*metrics.Share) (all []string) {
 	for _, r := range rs {
-		for _, n := range figures.Names(of(r)) {
+		for _, n := range metrics.Names(of(r)) {
 			if !slices.Contains(all, n) {
 				all = append(all, n)
 			}
@@ -204,7 +204,7 @@
 
 // Differences writes what each group differs by from the first, cause by cause, seed by seed: the mean of the
 // differences and their spread, so that what is common to a seed falls out.
-func Differences(w io.Writer, rs []*runs.Run) error {
+func Differences(w io.Writer, rs []*batch.Run) error {
 	gs := Groups(rs)
 	if len(gs) < 2 {
 		return nil
@@ -230,7 +230,7 @@
 }
 
 // Paired is the mean and spread of the differences of two groups over the seeds that both have.
-func Paired(a, b *Group, of func(r *runs.Run) float64) (mean, spread float64, n int) {
+func Paired(a, b *Group, of func(r *batch.Run) float64) (mean, spread float64, n int) {
 	var xs []float64
 	for _, x := range a.Runs {
 		for _, y := range b.Runs {
--- a/lab/day/read.go
+++ b/sim/scenario/read.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 // This file reads a day from TOML and finds all that is wrong with it at once, each with its line.
 
@@ -17,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"otterseam/lab/dice"
+	"otterseam/sim/randstream"
 )
 
 // Span is a figure, or the range it is drawn from: seconds, a second, a share, a number or a factor.
@@ -492,7 +492,7 @@
 		if s.Lo == s.Hi || strings.HasSuffix(path, "].speed") {
 			return
 		}
-		x := dice.New(seed, "day "+path).Between(s.Lo, s.Hi)
+		x := randstream.New(seed, "day "+path).Between(s.Lo, s.Hi)
 		if tag.Get("unit") == "n" {
 			x = math.Round(x)
 		}
--- a/lab/day/day.go
+++ b/sim/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package day owns the form of a day of the laboratory: a deployment, its load and its troubles, as they stand in a
+// Package scenario owns the form of a day of the laboratory: a deployment, its load and its troubles, as they stand in a
 // file. It reads, checks, draws and writes days, and must never play one.
-package day
+package scenario
 
 // Day is a deployment, its load and what happens to it. Where a figure is a range, Draw picks one by seed.
 type Day struct {
--- a/lab/day/day_test.go
+++ b/sim/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 func good(t *testing.T) string {
 	t.Helper()
-	b, err := os.ReadFile("../days/calm-300.toml")
+	b, err := os.ReadFile("../scenarios/calm-300.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/day/strike.go
+++ b/sim/scenario/strike.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 // This file owns the form of what strikes processes and the links between them, and of what a script promises. It reads
 // and checks; it must never strike.
--- a/lab/owndays/generate.go
+++ b/sim/scenariogen/generate.go
@@ -1,4 +1,4 @@
-package owndays
+package scenariogen
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"otterseam/lab/dice"
+	"otterseam/sim/randstream"
 )
 
 // Shape of a generated day.
@@ -59,7 +59,7 @@
 func (g *Generator) Day(seed uint64) *Day {
 	draw := &drawing{
 		Generator: g,
-		stream:    dice.New(seed, "own day of "+g.site.Name),
+		stream:    randstream.New(seed, "own day of "+g.site.Name),
 		lost:      losses{most: g.site.Machines},
 		day: &Day{
 			Name:    "own-" + strconv.FormatUint(seed, 10),
@@ -94,7 +94,7 @@
 // drawing is a day in the making.
 type drawing struct {
 	*Generator
-	stream dice.Stream
+	stream randstream.Stream
 	lost   losses
 	struck float64 // share of servers taken away or spoiled so far
 	gone   float64 // of those that don't come back
--- a/lab/owndays/kinds.go
+++ b/sim/scenariogen/kinds.go
@@ -1,8 +1,8 @@
-// Package owndays generates days of disruptions for the serving tier, plays them with a bench program and shrinks those that
+// Package scenariogen generates days of disruptions for the serving tier, plays them with a bench program and shrinks those that
 // broke a rule. What a day holds depends on the seed, the site and the bench's list of kinds alone.
 //
 // Everything but the player is pure: it reads no file, no clock and no environment.
-package owndays
+package scenariogen
 
 import (
 	"errors"
--- a/lab/owndays/kinds_test.go
+++ b/sim/scenariogen/kinds_test.go
@@ -1,4 +1,4 @@
-package owndays
+package scenariogen
 
 import (
 	"slices"
--- a/lab/search/search.go
+++ b/sim/search/search.go
@@ -8,9 +8,9 @@
 	"math"
 	"slices"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/runs"
+	"otterseam/sim/batch"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Options say how long to look.
@@ -26,20 +26,20 @@
 
 // Found is the worst day.
 type Found struct {
-	Day   *day.Day
+	Day   *scenario.Day
 	Seed  uint64
 	Score float64
 	Steps []string // what was taken away
 }
 
 // Worst looks for it in a day that has ranges or troubles. A broken rule is worse than any score.
-func Worst(ctx context.Context, d *day.Day, o Options) (*Found, error) {
-	play := func(days []*day.Day, seeds []uint64) ([]float64, error) {
-		plans := make([]runs.Plan, len(days))
+func Worst(ctx context.Context, d *scenario.Day, o Options) (*Found, error) {
+	play := func(days []*scenario.Day, seeds []uint64) ([]float64, error) {
+		plans := make([]batch.Plan, len(days))
 		for i := range days {
-			plans[i] = runs.Plan{Day: days[i], Decider: o.Decider, Seed: seeds[i]}
+			plans[i] = batch.Plan{Day: days[i], Decider: o.Decider, Seed: seeds[i]}
 		}
-		rs, err := runs.All(ctx, plans, o.Workers, nil)
+		rs, err := batch.All(ctx, plans, o.Workers, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -51,7 +51,7 @@
 		}
 		return scores, nil
 	}
-	take := func(days []*day.Day, seeds []uint64, scores []float64, best *Found) {
+	take := func(days []*scenario.Day, seeds []uint64, scores []float64, best *Found) {
 		for i, s := range scores {
 			if best.Day == nil || s < best.Score {
 				*best = Found{Day: days[i], Seed: seeds[i], Score: s}
@@ -59,10 +59,10 @@
 		}
 	}
 	best := &Found{}
-	var days []*day.Day
+	var days []*scenario.Day
 	var seeds []uint64
 	for i := range o.Tries {
-		seed := dice.New(o.Seed, "search", i).Uint64() >> 1
+		seed := randstream.New(o.Seed, "search", i).Uint64() >> 1
 		days, seeds = append(days, d.Draw(seed)), append(seeds, seed)
 	}
 	scores, err := play(days, seeds)
@@ -80,7 +80,7 @@
 	for round := range o.Rounds {
 		days, seeds = nil, nil
 		for i := range max(4, o.Tries/4) {
-			s := dice.New(o.Seed, "near", round, i)
+			s := randstream.New(o.Seed, "near", round, i)
 			other, c := d.Draw(s.Uint64()>>1), best.Day.Clone()
 			for _, path := range spans {
 				if s.Chance(max(0.25, 1/float64(len(spans)))) {
@@ -102,8 +102,8 @@
 		limit = -5 // the rule must stay broken
 	}
 	worst := *best
-	try := func(c *day.Day, what string) error {
-		s, err := play([]*day.Day{c}, []uint64{best.Seed})
+	try := func(c *scenario.Day, what string) error {
+		s, err := play([]*scenario.Day{c}, []uint64{best.Seed})
 		if err != nil {
 			return err
 		}
--- a/lab/play/play.go
+++ b/sim/simulation/simulation.go
@@ -1,35 +1,35 @@
-// Package play owns a day being played: it makes all parts, lets them meet, and lets the day's troubles begin and end.
+// Package simulation owns a day being played: it makes all parts, lets them meet, and lets the day's troubles begin and end.
 // It must never decide for an api gateway, nor judge.
-package play
+package simulation
 
 import (
 	"fmt"
 	"strings"
 
-	"otterseam/choice"
-	"otterseam/drive"
-	"otterseam/lab/counter"
-	"otterseam/lab/crowd"
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/edge"
-	"otterseam/lab/event"
-	"otterseam/lab/figures"
-	"otterseam/lab/host"
-	"otterseam/lab/model"
-	"otterseam/lab/network"
-	"otterseam/lab/post"
-	"otterseam/lab/referee"
-	"otterseam/lab/registry"
-	"otterseam/member"
-	"otterseam/wire"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/gateway/simprotocol"
+	"otterseam/sim/countermodel"
+	"otterseam/sim/discoverymodel"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/gatewaymodel"
+	"otterseam/sim/gossip"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/metrics"
+	"otterseam/sim/model"
+	"otterseam/sim/network"
+	"otterseam/sim/oracle"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
+	"otterseam/sim/workload"
 )
 
 // Decider makes the minds of a day's api gateways.
 type Decider interface {
 	Name() string
 	// Mind makes the mind of an api gateway that starts; out is its way out.
-	Mind(w *World, slot int, seed uint64, out drive.Out) (edge.Mind, error)
+	Mind(w *World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error)
 	// Err is what ended the decider, if something did; End lets go of what it holds.
 	Err() error
 	End()
@@ -37,20 +37,20 @@
 
 // World is a day being played.
 type World struct {
-	Day     *day.Day
+	Day     *scenario.Day
 	Seed    uint64
-	Queue   *event.Queue
-	Hosts   []*host.Host
-	Edges   []*edge.Edge
-	Crowd   *crowd.Crowd
-	Counter *counter.Counter
-	Referee *referee.Referee
-	Figures *figures.Figures
+	Queue   *eventqueue.Queue
+	Hosts   []*hostmodel.Host
+	Edges   []*gatewaymodel.Edge
+	Crowd   *workload.Crowd
+	Counter *countermodel.Counter
+	Referee *oracle.Referee
+	Figures *metrics.Figures
 
 	net    *network.Network
-	list   *registry.Registry
-	post   *post.Post
-	byAddr map[string]*host.Host
+	list   *discoverymodel.Registry
+	post   *gossip.Post
+	byAddr map[string]*hostmodel.Host
 	byKey  map[string]*model.Customer
 	// Killer ends an api gateway that stands elsewhere, gently or not, and has it back after so many seconds.
 	Killer  func(slot int, down float64, gently bool)
@@ -60,8 +60,8 @@
 	alive   int
 	err     error
 
-	door crowd.Door
-	tell func(gateway int, change choice.Listed)
+	door workload.Door
+	tell func(gateway int, change policy.Listed)
 
 	// Heard is told all that is noted of invocations, where it is set.
 	Heard func(from int, ref, text string)
@@ -79,7 +79,7 @@
 
 // Outside has the day's api gateways stand elsewhere, on sockets: tries go to door, and tell is called when one of them is
 // told of a change of the list. The world then has hosts, counter, list and customers of its own, and no edges.
-func Outside(door crowd.Door, tell func(gateway int, change choice.Listed)) Option {
+func Outside(door workload.Door, tell func(gateway int, change policy.Listed)) Option {
 	return func(w *World) { w.door, w.tell = door, tell }
 }
 
@@ -87,8 +87,8 @@
 func Progress(f func(at float64)) Option { return func(w *World) { w.prog = f } }
 
 // New makes the world of a day, drawn by a seed, with a decider.
-func New(d *day.Day, seed uint64, dec Decider, opts ...Option) *World {
-	w := &World{Day: d.Draw(seed), Seed: seed, Queue: &event.Queue{}, byAddr: map[string]*host.Host{}, byKey: map[string]*model.Customer{},
+func New(d *scenario.Day, seed uint64, dec Decider, opts ...Option) *World {
+	w := &World{Day: d.Draw(seed), Seed: seed, Queue: &eventqueue.Queue{}, byAddr: map[string]*hostmodel.Host{}, byKey: map[string]*model.Customer{},
 		decider: dec}
 	d = w.Day
 	w.door, w.tell = w, w.told
@@ -97,22 +97,22 @@
 	}
 	zones, n := d.Fleet.Zones.N(), d.Fleet.Gateways.N()
 	w.net = network.New(&d.Network, zones, seed)
-	w.Counter = counter.New(w.Queue, &d.Counter, seed)
-	w.Referee = referee.New(d, n, w.Queue.Now)
-	w.Figures = figures.New(d.Name, dec.Name(), seed)
-	var list []choice.Listed
+	w.Counter = countermodel.New(w.Queue, &d.Counter, seed)
+	w.Referee = oracle.New(d, n, w.Queue.Now)
+	w.Figures = metrics.New(d.Name, dec.Name(), seed)
+	var list []policy.Listed
 	for range d.Fleet.Hosts.N() {
 		list = append(list, w.listed(w.newHost(0), "active"))
 	}
-	w.list = registry.New(w.Queue, &d.Discovery, n, seed, list, w.tell)
-	w.post = post.New(w.Queue, &d.Peers, n, seed)
+	w.list = discoverymodel.New(w.Queue, &d.Discovery, n, seed, list, w.tell)
+	w.post = gossip.New(w.Queue, &d.Peers, n, seed)
 	for slot := range n {
 		if w.door != w {
 			break
 		}
-		w.Edges = append(w.Edges, edge.New(slot, slot%zones, w.Queue, w.net, w.Counter, d, w))
+		w.Edges = append(w.Edges, gatewaymodel.New(slot, slot%zones, w.Queue, w.net, w.Counter, d, w))
 	}
-	w.Crowd = crowd.New(w.Queue, d, seed, w.door)
+	w.Crowd = workload.New(w.Queue, d, seed, w.door)
 	for _, c := range w.Crowd.Customers {
 		w.byKey[c.Key] = c
 	}
@@ -120,22 +120,22 @@
 }
 
 // newHost adds a host; since is its start, 0: long ago.
-func (w *World) newHost(since float64) *host.Host {
+func (w *World) newHost(since float64) *hostmodel.Host {
 	n, d := len(w.Hosts), w.Day
 	whole := 0.0
 	for i := range d.Hosts {
 		whole += d.Hosts[i].Share.V()
 	}
 	kind := &d.Hosts[len(d.Hosts)-1]
-	for u, i := dice.New(w.Seed, "kind", n).Float64()*whole, 0; i < len(d.Hosts); i++ {
+	for u, i := randstream.New(w.Seed, "kind", n).Float64()*whole, 0; i < len(d.Hosts); i++ {
 		if u -= d.Hosts[i].Share.V(); u < 0 {
 			kind = &d.Hosts[i]
 			break
 		}
 	}
-	h := host.New(w.Queue, n, fmt.Sprintf("10.%d.%d.%d:9000", n>>16&255, n>>8&255, n&255), kind, &d.Cold, w.Seed)
+	h := hostmodel.New(w.Queue, n, fmt.Sprintf("10.%d.%d.%d:9000", n>>16&255, n>>8&255, n&255), kind, &d.Cold, w.Seed)
 	h.Zone, h.Cell, h.Started = n%d.Fleet.Zones.N(), n/4, since
-	h.Fell = func(sent []host.Sent) {
+	h.Fell = func(sent []hostmodel.Sent) {
 		w.Referee.Fell(h, sent)
 		w.list.Change(w.listed(h, "left"))
 	}
@@ -147,23 +147,23 @@
 // Zone is how a zone is called.
 func Zone(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-func (w *World) listed(h *host.Host, state string) choice.Listed {
-	return choice.Listed{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, Since: h.Started, Weight: 1}
+func (w *World) listed(h *hostmodel.Host, state string) policy.Listed {
+	return policy.Listed{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, Since: h.Started, Weight: 1}
 }
 
 // Settings are the start settings of an api gateway of this day, as the platform would give them.
-func Settings(d *day.Day, slot int) wire.Start {
-	var s wire.Start
+func Settings(d *scenario.Day, slot int) simprotocol.Start {
+	var s simprotocol.Start
 	s.Balancers, s.Slot, s.Locality = d.Fleet.Gateways.N(), slot, Zone(slot%d.Fleet.Zones.N())
 	s.Caps.Cancel, s.Caps.PeerMessages, s.Caps.TryLimit = d.Gateway.Cancel, d.Peers.Allowed, d.Gateway.Deliveries.N()
 	s.Caps.Idle, s.Caps.Connect = d.Network.Idle.V(), d.Network.Dial.V()
 	for _, o := range d.Operations {
 		effect := map[string]string{"idempotent": "idempotent", "tokened": "deduplicated", "non-idempotent": "at_most_once"}[o.Effect]
-		s.Classes = append(s.Classes, wire.Class{Name: o.Name, Goal: o.Objective.V(), Limit: o.Timeout.V(), Gain: o.Value.V(),
+		s.Classes = append(s.Classes, simprotocol.Class{Name: o.Name, Goal: o.Objective.V(), Limit: o.Timeout.V(), Gain: o.Value.V(),
 			Late: o.Late.V(), Effect: effect, Group: o.Group, KeyTTL: o.TokenTime.V()})
 	}
 	for _, p := range d.Plans {
-		s.Plans = append(s.Plans, wire.Plan{Name: p.Name, Rate: p.Rate.V(), Burst: p.Burst.V(), MaxOut: p.MaxOut.N(),
+		s.Plans = append(s.Plans, simprotocol.Plan{Name: p.Name, Rate: p.Rate.V(), Burst: p.Burst.V(), MaxOut: p.MaxOut.N(),
 			NeverOver: p.CeilingRate.V(), HardBurst: p.CeilingBurst.V()})
 	}
 	s.Contract.Start, s.Contract.Warm, s.Contract.Factor = d.Cold.Share.V(), d.Cold.Warm.V(), d.Cold.Factor.V()
@@ -176,7 +176,7 @@
 }
 
 // Run plays the day to its end and beyond, until every need is closed, and gives its figures.
-func (w *World) Run() (*figures.Figures, error) {
+func (w *World) Run() (*metrics.Figures, error) {
 	defer w.decider.End()
 	for slot := range w.Edges {
 		w.start(slot)
@@ -220,7 +220,7 @@
 }
 
 // Close adds up the figures of a day that is over.
-func (w *World) Close() *figures.Figures {
+func (w *World) Close() *metrics.Figures {
 	f := w.Figures
 	f.End(w.Crowd.Customers)
 	f.Mail, f.Events, f.Breaks, f.Broken = w.post.Sent, w.Queue.Fired, w.Referee.All, w.Referee.Breaks
@@ -237,7 +237,7 @@
 
 // Net is the way between the day's machines; List what an api gateway was last told.
 func (w *World) Net() *network.Network            { return w.net }
-func (w *World) List(gateway int) []choice.Listed { return w.list.List(gateway) }
+func (w *World) List(gateway int) []policy.Listed { return w.list.List(gateway) }
 
 // Told is the story that was asked for, in time order.
 func (w *World) Told() []string { return w.lines }
@@ -248,8 +248,8 @@
 	}
 	e := w.Edges[slot]
 	w.starts++
-	mind, err := edge.Shifted(w.Day.Gateway.Clock.V(), e, func(out drive.Out) (edge.Mind, error) {
-		return w.decider.Mind(w, slot, dice.New(w.Seed, "mind", slot, int(w.starts)).Uint64()>>1, out)
+	mind, err := gatewaymodel.Shifted(w.Day.Gateway.Clock.V(), e, func(out policydriver.Out) (gatewaymodel.Mind, error) {
+		return w.decider.Mind(w, slot, randstream.New(w.Seed, "mind", slot, int(w.starts)).Uint64()>>1, out)
 	})
 	if err != nil {
 		w.err = err
@@ -265,7 +265,7 @@
 	w.alive++
 }
 
-func (w *World) told(slot int, l choice.Listed) {
+func (w *World) told(slot int, l policy.Listed) {
 	if w.Edges[slot].Alive {
 		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.Since)
 		w.Edges[slot].Told(l)
@@ -281,7 +281,7 @@
 	}
 	cores := 0.0
 	for _, h := range w.Hosts {
-		if h.State != host.Down {
+		if h.State != hostmodel.Down {
 			cores += float64(h.Cores)
 			s.Busy += float64(min(h.Cores, h.Waiting()))
 			s.Waiting += float64(h.Waiting())
@@ -310,7 +310,7 @@
 	w.Figures.First++
 	w.Figures.At(w.Queue.Now()).First++
 	if n.Inside = w.Referee.Asked(n); n.Inside {
-		w.Figures.Count(n, figures.Share{Asked: n.Value()})
+		w.Figures.Count(n, metrics.Share{Asked: n.Value()})
 	}
 }
 
@@ -331,7 +331,7 @@
 
 // What api gateways meet.
 
-func (w *World) Host(addr string) *host.Host { return w.byAddr[addr] }
+func (w *World) Host(addr string) *hostmodel.Host { return w.byAddr[addr] }
 
 func (w *World) Sent(d *model.Delivery) {
 	w.Figures.Deliveries++
@@ -369,7 +369,7 @@
 	}
 	n := d.Inv.Need
 	n.Beyond = beyond
-	s := figures.Share{Sent: n.Value()}
+	s := metrics.Share{Sent: n.Value()}
 	if beyond {
 		s.Beyond = n.Value()
 		s.BeyondCost = n.Value() * n.Cust.Plan.OverCost.V()
@@ -414,7 +414,7 @@
 		return
 	}
 	for i, e := range w.Edges {
-		if (to == member.All && i != from || i == to) && e.Alive && !w.net.Cut(w.Edges[from].Zone, e.Zone) {
+		if (to == membership.All && i != from || i == to) && e.Alive && !w.net.Cut(w.Edges[from].Zone, e.Zone) {
 			w.post.Send(i, text, func() { e.Mailed(from, text) })
 		}
 	}
--- a/lab/play/troubles.go
+++ b/sim/simulation/troubles.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 // This file lets the troubles of a day begin and end. Each picks what it strikes by a stream of its own, so that one
 // trouble more moves no other.
@@ -6,15 +6,15 @@
 import (
 	"math"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/host"
-	"otterseam/lab/model"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // trouble sets when one trouble begins and ends.
-func (w *World) trouble(n int, t *day.Trouble) {
-	d := dice.New(w.Seed, "trouble", n)
+func (w *World) trouble(n int, t *scenario.Trouble) {
+	d := randstream.New(w.Seed, "trouble", n)
 	w.Queue.After(t.At.V(), func() {
 		end := w.begin(n, t, d)
 		if end != nil {
@@ -24,9 +24,9 @@
 }
 
 // begin lets a trouble begin. What it gives ends it.
-func (w *World) begin(n int, t *day.Trouble, d dice.Stream) (end func()) {
+func (w *World) begin(n int, t *scenario.Trouble, d randstream.Stream) (end func()) {
 	size, part := t.Size.V(), t.Part.V()
-	hosts := func(do func(h *host.Host, begin bool)) func() {
+	hosts := func(do func(h *hostmodel.Host, begin bool)) func() {
 		return toggle(w.struckHosts(d, part), do)
 	}
 	customers := func(do func(c *model.Customer, begin bool)) func() {
@@ -50,24 +50,24 @@
 	}
 	switch t.Kind {
 	case "slow":
-		return hosts(func(h *host.Host, b bool) { h.Slow(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.Slow(size, b) })
 	case "silent":
-		return hosts(func(h *host.Host, b bool) { h.Mute(b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.Mute(b) })
 	case "vanish":
-		return hosts(func(h *host.Host, b bool) {
-			if h.Mute(b); !b && h.State == host.Up { // back under its address, cold
+		return hosts(func(h *hostmodel.Host, b bool) {
+			if h.Mute(b); !b && h.State == hostmodel.Up { // back under its address, cold
 				h.Start()
 				w.list.Change(w.listed(h, "active"))
 			}
 		})
 	case "operation-silent":
-		return hosts(func(h *host.Host, b bool) { h.MuteFor(operation, size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.MuteFor(operation, size, b) })
 	case "errors":
-		return hosts(func(h *host.Host, b bool) { h.Errs(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.Errs(size, b) })
 	case "spoilt":
-		return hosts(func(h *host.Host, b bool) { h.Spoils(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.Spoils(size, b) })
 	case "refuse":
-		return hosts(func(h *host.Host, b bool) { h.Few(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.Few(size, b) })
 	case "replace":
 		w.replace(w.struckHosts(d, part), t.Lasts.V())
 	case "grow":
@@ -115,8 +115,8 @@
 	case "list-silent":
 		return whole(w.list.Silent)
 	case "list-wrong":
-		return hosts(func(h *host.Host, b bool) {
-			if state := map[bool]string{true: "leaving", false: "active"}[b]; h.State == host.Up {
+		return hosts(func(h *hostmodel.Host, b bool) {
+			if state := map[bool]string{true: "leaving", false: "active"}[b]; h.State == hostmodel.Up {
 				w.list.Change(w.listed(h, state))
 			}
 		})
@@ -174,10 +174,10 @@
 }
 
 // struckHosts picks among those that are up.
-func (w *World) struckHosts(d dice.Stream, part float64) (struck []*host.Host) {
-	var up []*host.Host
+func (w *World) struckHosts(d randstream.Stream, part float64) (struck []*hostmodel.Host) {
+	var up []*hostmodel.Host
 	for _, h := range w.Hosts {
-		if h.State == host.Up {
+		if h.State == hostmodel.Up {
 			up = append(up, h)
 		}
 	}
@@ -193,16 +193,16 @@
 const drain = 3
 
 // replace lets hosts leave one after another; each drains first, and a cold one comes as it begins to.
-func (w *World) replace(struck []*host.Host, lasts float64) {
+func (w *World) replace(struck []*hostmodel.Host, lasts float64) {
 	for i, h := range struck {
 		w.Queue.After(lasts*float64(i)/float64(len(struck)), func() {
-			if h.State != host.Up {
+			if h.State != hostmodel.Up {
 				return
 			}
 			w.list.Change(w.listed(h, "leaving"))
 			w.list.Change(w.listed(w.newHost(w.Queue.Now()), "active"))
 			// It takes new work until all can have been told that it drains.
-			w.Queue.After(drain, func() { h.State = host.Draining })
+			w.Queue.After(drain, func() { h.State = hostmodel.Draining })
 			w.Queue.After(2*drain, func() {
 				h.Stop()
 				w.list.Change(w.listed(h, "left"))
@@ -212,7 +212,7 @@
 }
 
 // counterAway takes the counter away and brings it back with what the trouble says.
-func (w *World) counterAway(t *day.Trouble, away func(begin bool)) func() {
+func (w *World) counterAway(t *scenario.Trouble, away func(begin bool)) func() {
 	w.Counter.Keep()
 	away(true)
 	return func() {
--- a/lab/crowd/crowd.go
+++ b/sim/workload/workload.go
@@ -1,15 +1,15 @@
-// Package crowd owns the model of customers and their clients: who asks for what, when, through which api gateway, and
+// Package workload owns the model of customers and their clients: who asks for what, when, through which api gateway, and
 // what a client does with its answer. It must never know hosts, the counter or what an api gateway thinks.
-package crowd
+package workload
 
 import (
 	"fmt"
 	"math"
 
-	"otterseam/lab/day"
-	"otterseam/lab/dice"
-	"otterseam/lab/event"
-	"otterseam/lab/model"
+	"otterseam/sim/eventqueue"
+	"otterseam/sim/model"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
 )
 
 // Door is what the crowd asks of the rest.
@@ -29,12 +29,12 @@
 type Crowd struct {
 	Customers []*model.Customer
 
-	q         *event.Queue
-	day       *day.Day
+	q         *eventqueue.Queue
+	day       *scenario.Day
 	door      Door
-	load      dice.Stream // when, and what
-	ways      dice.Stream // through which api gateway
-	mood      dice.Stream // what clients do with an answer
+	load      randstream.Stream // when, and what
+	ways      randstream.Stream // through which api gateway
+	mood      randstream.Stream // what clients do with an answer
 	ops       []model.Operation
 	shares    []float64
 	gateways  int
@@ -46,9 +46,9 @@
 
 // New draws the customers of a day. Each plan has so many that those far, near and over together ask for the plan's
 // part of the load inside their quotas.
-func New(q *event.Queue, d *day.Day, seed uint64, door Door) *Crowd {
-	c := &Crowd{q: q, day: d, door: door, gateways: d.Fleet.Gateways.N(), load: dice.New(seed, "load"),
-		ways: dice.New(seed, "ways"), mood: dice.New(seed, "mood")}
+func New(q *eventqueue.Queue, d *scenario.Day, seed uint64, door Door) *Crowd {
+	c := &Crowd{q: q, day: d, door: door, gateways: d.Fleet.Gateways.N(), load: randstream.New(seed, "load"),
+		ways: randstream.New(seed, "ways"), mood: randstream.New(seed, "mood")}
 	whole := 0.0
 	for i := range d.Operations {
 		c.ops = append(c.ops, model.Operation{Operation: &d.Operations[i], Number: i})
@@ -60,7 +60,7 @@
 	for i := range d.Plans {
 		plans += d.Plans[i].Share.V()
 	}
-	who := dice.New(seed, "customers")
+	who := randstream.New(seed, "customers")
 	for i := range d.Plans {
 		c.draw(who, i, d.Clients.Rate.V()*d.Plans[i].Share.V()/plans)
 	}
@@ -85,7 +85,7 @@
 }
 
 // draw adds customers of one plan until what they ask for inside their quotas comes to rate invocations a second.
-func (c *Crowd) draw(who dice.Stream, plan int, rate float64) {
+func (c *Crowd) draw(who randstream.Stream, plan int, rate float64) {
 	p, k := &c.day.Plans[plan], c.day.Clients
 	quota := p.Use.V()
 	if quota == 0 {
--- a/tier/exchange/exchange.go
+++ b/tier/attempt/attempt.go
@@ -1,6 +1,6 @@
-// Package exchange decides about one request at a host and about a request over all of its attempts. It is pure: what happened on
+// Package attempt decides about one request at a host and about a request over all of its attempts. It is pure: what happened on
 // a connection goes in, what may follow comes out. Sockets, clocks and headers belong to the callers.
-package exchange
+package attempt
 
 import "net/http"
 
--- a/tier/exchange/attempts.go
+++ b/tier/attempt/attempts.go
@@ -1,4 +1,4 @@
-package exchange
+package attempt
 
 // Kind tells how often a request may run.
 type Kind uint8
--- a/tier/exchange/model_test.go
+++ b/tier/attempt/model_test.go
@@ -1,4 +1,4 @@
-package exchange
+package attempt
 
 import (
 	"fmt"
--- a/tier/orders/orders.go
+++ b/tier/configlog/configlog.go
@@ -1,6 +1,6 @@
-// Package orders decides the operator's configurations: one change wins on each version, and the same order always gets the answer
+// Package configlog decides the operator's configurations: one change wins on each version, and the same order always gets the answer
 // that it got first. The package is pure; it is part of a replicated state, so that every member that leads knows the answers.
-package orders
+package configlog
 
 import (
 	"crypto/sha256"
--- a/tier/orders/orders_test.go
+++ b/tier/configlog/configlog_test.go
@@ -1,4 +1,4 @@
-package orders
+package configlog
 
 import (
 	"bytes"
--- a/tier/register/register.go
+++ b/tier/consensus/consensus.go
@@ -1,7 +1,7 @@
-// Package register is the small register on which the witnesses of a replica group agree: which epoch holds, who is its
+// Package consensus is the small register on which the witnesses of a replica group agree: which epoch holds, who is its
 // primary and which replicas are in sync. It holds one value, changed by compare-and-set with ballots on a majority; it is no
 // log. The package is pure: it neither reads clocks nor sockets nor disks.
-package register
+package consensus
 
 import (
 	"bytes"
--- a/tier/register/lost.go
+++ b/tier/consensus/lost.go
@@ -1,4 +1,4 @@
-package register
+package consensus
 
 // QuorumWithLost tells whether the voters decide for a record where the disks of some members are provably lost. Half of an even
 // number may be lost if all others vote: every majority that decided something before holds one of these others, and all of them
--- a/tier/register/own.go
+++ b/tier/consensus/own.go
@@ -1,4 +1,4 @@
-package register
+package consensus
 
 // OwnChange is a change of the register that one process wants, over all proposals that it takes. A proposal may meet the value of an
 // earlier one, which has reached some witnesses; it is then decided as it stands, and the change is the process's own all the same.
--- a/tier/register/proposal.go
+++ b/tier/consensus/proposal.go
@@ -1,4 +1,4 @@
-package register
+package consensus
 
 // RequestKind tells what a proposal asks of a witness.
 type RequestKind uint8
--- a/tier/register/settled_test.go
+++ b/tier/consensus/settled_test.go
@@ -1,4 +1,4 @@
-package register
+package consensus
 
 import "testing"
 
--- a/tier/control/api.go
+++ b/tier/control/api.go
@@ -17,7 +17,7 @@
 	"otterseam/tier/codes"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
-	"otterseam/tier/groups"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/opconfig"
 	"otterseam/tier/rpc"
 )
@@ -121,7 +121,7 @@
 
 // mayPassOn tells whether this process can expect an answer of the primary in force, and else says at once that it can't.
 func (s *Server) mayPassOn(w http.ResponseWriter) bool {
-	err := s.standing().MayPassOn(groups.Now())
+	err := s.standing().MayPassOn(multigroup.Now())
 	if err != nil {
 		writeProblem(w, codes.Unavailable, "this process has no contact with the primary in force; call another")
 	}
--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"otterseam/tier/codec"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/groups"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 )
 
@@ -36,13 +36,13 @@
 	s.host.With(controlGroup, func(g *replica.Group) { beat.Question = g.LastQuestion() })
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := groups.Now()
+	asked := multigroup.Now()
 	answer, err := s.primary.Call(call, controlclient.KindControlBeat, beat.Encode())
 	if err != nil {
 		return
 	}
 	d := codec.NewDecoder(answer)
-	record := register.DecodeRecord(d)
+	record := consensus.DecodeRecord(d)
 	age := d.Int64()
 	if d.Err() == nil {
 		s.elector.Learn(record)
@@ -59,7 +59,7 @@
 	s.sessions.HeardStore(beat)
 	held, known := s.state.View.Get(feed.SectionStore, directory.StoreKey(beat.Store.Identity))
 	if known && bytes.Equal(held, beat.Store.Encode()) {
-		return Result{}, s.standing().MayDecide(groups.Now())
+		return Result{}, s.standing().MayDecide(multigroup.Now())
 	}
 	defer s.wakeSupervisor() // shards may have waited for this store
 	return s.submitHere(ctx, Command{Kind: CommandPutStore, Store: beat.Store}.Encode())
@@ -67,10 +67,10 @@
 
 // hostBeat keeps a host's session; only what changed is replicated.
 func (s *Server) hostBeat(ctx context.Context, beat controlclient.HostBeat) (Result, error) {
-	removing := s.sessions.HeardHost(beat.Host.ID, s.self.ID, groups.Now())
+	removing := s.sessions.HeardHost(beat.Host.ID, s.self.ID, multigroup.Now())
 	held, known := s.state.Host(beat.Host.ID)
 	if known && held == beat.Host && !removing {
-		return Result{}, s.standing().MayDecide(groups.Now())
+		return Result{}, s.standing().MayDecide(multigroup.Now())
 	}
 	result, err := s.submitHere(ctx, Command{Kind: CommandPutHost, Host: beat.Host, Seq: beat.Seq}.Encode())
 	if err == nil {
--- a/tier/control/commands.go
+++ b/tier/control/commands.go
@@ -5,8 +5,8 @@
 import (
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
-	"otterseam/tier/register"
 )
 
 // CommandKind tells what a replicated command does.
@@ -42,7 +42,7 @@
 	Epoch   uint64 // the shard's epoch that the change builds on
 	Needed  uint32 // store machines that have to remain
 	TermMS  int64  // for which a host is set aside
-	Record  register.Record
+	Record  consensus.Record
 }
 
 // Encode is the command's replicated form.
@@ -69,7 +69,7 @@
 		e.String(c.Key)
 		e.Uint32(c.Needed)
 	case CommandMembers:
-		register.EncodeRecord(&e, c.Record)
+		consensus.EncodeRecord(&e, c.Record)
 	case CommandSetAside:
 		e.String(c.Key)
 		e.Int64(c.TermMS)
@@ -104,7 +104,7 @@
 		c.Key = d.String()
 		c.Needed = d.Uint32()
 	case CommandMembers:
-		c.Record = register.DecodeRecord(d)
+		c.Record = consensus.DecodeRecord(d)
 	case CommandSetAside:
 		c.Key = d.String()
 		c.TermMS = d.Int64()
--- a/tier/control/elector.go
+++ b/tier/control/elector.go
@@ -11,10 +11,10 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
-	"otterseam/tier/groups"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 	"otterseam/tier/timeline"
@@ -40,7 +40,7 @@
 
 // Elector is a control process's part in the register: its witness, and what it knows of the group.
 type Elector struct {
-	host    *groups.Host
+	host    *multigroup.Host
 	clients *rpc.Clients
 	address string
 	policy  membership.Policy
@@ -48,26 +48,26 @@
 	log     *logrus.Entry
 
 	timeline  *timeline.Timeline
-	rounds    *register.Rounds
+	rounds    *consensus.Rounds
 	startedAt int64 // of this process
 
 	voting  sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
 	mu      sync.Mutex
-	witness register.Witness
-	known   register.Record // the newest record seen: accepted here, told, or decided here
-	decided bool            // whether known was decided by a proposal of this process
-	learned int64           // when an epoch as new as that of known was seen first
-	led     bool            // whether this process has become primary in its present life
+	witness consensus.Witness
+	known   consensus.Record // the newest record seen: accepted here, told, or decided here
+	decided bool             // whether known was decided by a proposal of this process
+	learned int64            // when an epoch as new as that of known was seen first
+	led     bool             // whether this process has become primary in its present life
 }
 
-func newElector(host *groups.Host, clients *rpc.Clients, address string, policy membership.Policy, log *logrus.Entry) (*Elector, error) {
-	e := &Elector{lost: func(uint64) bool { return false }, host: host, clients: clients, address: address, policy: policy, log: log, startedAt: groups.Now()}
+func newElector(host *multigroup.Host, clients *rpc.Clients, address string, policy membership.Policy, log *logrus.Entry) (*Elector, error) {
+	e := &Elector{lost: func(uint64) bool { return false }, host: host, clients: clients, address: address, policy: policy, log: log, startedAt: multigroup.Now()}
 	content, err := host.Values.Read(witnessValue)
 	if err != nil {
 		return nil, err
 	}
 	if content != nil {
-		if e.witness, err = register.DecodeWitness(content); err != nil {
+		if e.witness, err = consensus.DecodeWitness(content); err != nil {
 			return nil, err
 		}
 		e.known = e.witness.Value
@@ -89,7 +89,7 @@
 }
 
 // Known is the newest record seen.
-func (e *Elector) Known() register.Record {
+func (e *Elector) Known() consensus.Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.known
@@ -97,16 +97,16 @@
 
 // Learn takes a record that was accepted here or told by another process. It need not have been decided: what is known says
 // whom to ask and which epoch to suspect, and every decision is taken anew on the record that a quorum returns.
-func (e *Elector) Learn(record register.Record) { e.note(record, false) }
+func (e *Elector) Learn(record consensus.Record) { e.note(record, false) }
 
-func (e *Elector) note(record register.Record, decided bool) {
+func (e *Elector) note(record consensus.Record, decided bool) {
 	if e.host.IsForeign(record.Installation) {
 		return
 	}
 	e.mu.Lock()
 	if supersedes(record, decided, e.known, e.decided) {
 		if record.Epoch > e.known.Epoch {
-			e.learned = groups.Now()
+			e.learned = multigroup.Now()
 		}
 		e.known = record
 		e.decided = decided
@@ -120,7 +120,7 @@
 }
 
 // KnownSince is the newest record seen, and when its epoch was seen first.
-func (e *Elector) KnownSince() (record register.Record, since int64) {
+func (e *Elector) KnownSince() (record consensus.Record, since int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.known, e.learned
@@ -128,7 +128,7 @@
 
 // supersedes tells whether a record is to replace the one known. Two records of one epoch may be seen, of which one at most was
 // decided.
-func supersedes(record register.Record, decided bool, known register.Record, knownDecided bool) bool {
+func supersedes(record consensus.Record, decided bool, known consensus.Record, knownDecided bool) bool {
 	if record.Epoch != known.Epoch {
 		return record.Epoch > known.Epoch
 	}
@@ -140,7 +140,7 @@
 	d := codec.NewDecoder(message.Payload)
 	to := d.Uint64()
 	mode := prepareMode(d.Uint8())
-	ballot := register.DecodeBallot(d)
+	ballot := consensus.DecodeBallot(d)
 	if d.Err() != nil {
 		message.Answer(codes.Malformed, nil)
 		return
@@ -155,7 +155,7 @@
 	}
 	e.voting.Lock()
 	defer e.voting.Unlock()
-	given := e.vote(func(w *register.Witness) bool { return w.Prepare(ballot) })
+	given := e.vote(func(w *consensus.Witness) bool { return w.Prepare(ballot) })
 	message.Answer(codes.OK, e.promise(given))
 }
 
@@ -163,8 +163,8 @@
 func (e *Elector) handleAccept(message rpc.Message) {
 	d := codec.NewDecoder(message.Payload)
 	to := d.Uint64()
-	ballot := register.DecodeBallot(d)
-	record := register.DecodeRecord(d)
+	ballot := consensus.DecodeBallot(d)
+	record := consensus.DecodeRecord(d)
 	if d.Err() != nil {
 		message.Answer(codes.Malformed, nil)
 		return
@@ -178,7 +178,7 @@
 		return
 	}
 	e.voting.Lock()
-	given := e.vote(func(w *register.Witness) bool { return w.Accept(ballot, record) })
+	given := e.vote(func(w *consensus.Witness) bool { return w.Accept(ballot, record) })
 	answer := e.promise(given)
 	e.voting.Unlock()
 	if given {
@@ -188,7 +188,7 @@
 }
 
 // vote changes the witness and makes the change durable before it counts; the lock on voting is held.
-func (e *Elector) vote(change func(*register.Witness) bool) bool {
+func (e *Elector) vote(change func(*consensus.Witness) bool) bool {
 	e.mu.Lock()
 	next := e.witness
 	e.mu.Unlock()
@@ -210,16 +210,16 @@
 	defer e.mu.Unlock()
 	var enc codec.Encoder
 	enc.Bool(given)
-	register.EncodeBallot(&enc, e.witness.Promised)
-	register.EncodeBallot(&enc, e.witness.Accepted)
-	register.EncodeRecord(&enc, e.witness.Value)
+	consensus.EncodeBallot(&enc, e.witness.Promised)
+	consensus.EncodeBallot(&enc, e.witness.Accepted)
+	consensus.EncodeRecord(&enc, e.witness.Value)
 	return enc.Bytes
 }
 
-func decodePromise(data []byte) (register.Promise, error) {
+func decodePromise(data []byte) (consensus.Promise, error) {
 	d := codec.NewDecoder(data)
-	p := register.Promise{
-		Given: d.Bool(), Promised: register.DecodeBallot(d), Accepted: register.DecodeBallot(d), Value: register.DecodeRecord(d),
+	p := consensus.Promise{
+		Given: d.Bool(), Promised: consensus.DecodeBallot(d), Accepted: consensus.DecodeBallot(d), Value: consensus.DecodeRecord(d),
 	}
 	return p, d.Err()
 }
@@ -231,45 +231,45 @@
 }
 
 // Prepare asks a witness for its promise.
-func (t witnessTransport) Prepare(ctx context.Context, to register.Member, ballot register.Ballot) (register.Promise, error) {
+func (t witnessTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.Ballot) (consensus.Promise, error) {
 	var e codec.Encoder
 	e.Uint64(to.ID)
 	e.Uint8(uint8(t.mode))
-	register.EncodeBallot(&e, ballot)
+	consensus.EncodeBallot(&e, ballot)
 	return t.call(ctx, to, controlclient.KindPrepare, e.Bytes)
 }
 
 // Accept asks a witness to take a value.
-func (t witnessTransport) Accept(ctx context.Context, to register.Member, ballot register.Ballot, value register.Record) (register.Promise, error) {
+func (t witnessTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.Ballot, value consensus.Record) (consensus.Promise, error) {
 	var e codec.Encoder
 	e.Uint64(to.ID)
-	register.EncodeBallot(&e, ballot)
-	register.EncodeRecord(&e, value)
+	consensus.EncodeBallot(&e, ballot)
+	consensus.EncodeRecord(&e, value)
 	return t.call(ctx, to, controlclient.KindAccept, e.Bytes)
 }
 
-func (t witnessTransport) call(ctx context.Context, to register.Member, kind rpc.Kind, payload []byte) (register.Promise, error) {
+func (t witnessTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Promise, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := t.elector.clients.To(to.Address).Call(call, kind, payload)
 	if errors.Is(err, codes.WrongIdentity) && t.elector.lost(to.ID) {
-		return register.Promise{Lost: true}, nil
+		return consensus.Promise{Lost: true}, nil
 	}
 	if err != nil {
-		return register.Promise{}, err
+		return consensus.Promise{}, err
 	}
 	return decodePromise(answer)
 }
 
 // propose changes the register. Proposals may run side by side: each has ballots of its own.
-func (e *Elector) propose(ctx context.Context, mode prepareMode, start register.Record, change register.Change) (register.Record, error) {
-	return e.decide(ctx, func(attempt context.Context) (register.Record, error) {
-		return register.Propose(attempt, witnessTransport{e, mode}, e.host.Identity, e.rounds, start, change)
+func (e *Elector) propose(ctx context.Context, mode prepareMode, start consensus.Record, change consensus.Change) (consensus.Record, error) {
+	return e.decide(ctx, func(attempt context.Context) (consensus.Record, error) {
+		return consensus.Propose(attempt, witnessTransport{e, mode}, e.host.Identity, e.rounds, start, change)
 	})
 }
 
 // decide runs a proposal and notes what it decided.
-func (e *Elector) decide(ctx context.Context, proposal func(context.Context) (register.Record, error)) (register.Record, error) {
+func (e *Elector) decide(ctx context.Context, proposal func(context.Context) (consensus.Record, error)) (consensus.Record, error) {
 	e.mu.Lock()
 	e.rounds.Saw(e.witness.Promised.Round)
 	e.mu.Unlock()
@@ -286,7 +286,7 @@
 
 // TakeOver makes this process primary in place of the one of the suspected epoch.
 func (e *Elector) TakeOver(ctx context.Context, mode prepareMode, suspected uint64, lost func(uint64) bool) error {
-	attempt := &register.OwnChange{Change: func(current register.Record) (register.Record, bool) {
+	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		// a suspected epoch above the current one was proposed and never decided
 		if current.Epoch > suspected || !current.IsInSync(e.host.Identity) {
 			return current, false
@@ -305,7 +305,7 @@
 }
 
 // lead has the replica act on a record that this process has decided.
-func (e *Elector) lead(record register.Record) {
+func (e *Elector) lead(record consensus.Record) {
 	if !e.host.Bind(record.Installation) {
 		return
 	}
@@ -318,8 +318,8 @@
 }
 
 // Adjust changes the record while this process is its primary: members, or the in-sync set.
-func (e *Elector) Adjust(ctx context.Context, change func(register.Record) (register.Record, bool)) error {
-	attempt := &register.OwnChange{Change: func(current register.Record) (register.Record, bool) {
+func (e *Elector) Adjust(ctx context.Context, change func(consensus.Record) (consensus.Record, bool)) error {
+	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != e.host.Identity {
 			return current, false
 		}
@@ -342,9 +342,9 @@
 }
 
 // Found decides the first record, with the members that were found among a number of seeds.
-func (e *Elector) Found(ctx context.Context, members []register.Member, seeds int) error {
+func (e *Elector) Found(ctx context.Context, members []consensus.Member, seeds int) error {
 	installation := rand.Uint64() | 1
-	attempt := &register.OwnChange{Change: func(current register.Record) (register.Record, bool) {
+	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Known() {
 			return current, false
 		}
@@ -352,8 +352,8 @@
 		next.Installation = installation
 		return next, true
 	}}
-	record, err := e.decide(ctx, func(call context.Context) (register.Record, error) {
-		return register.Found(call, witnessTransport{e, prepareBySelf}, e.host.Identity, e.rounds, members, seeds, attempt.Next)
+	record, err := e.decide(ctx, func(call context.Context) (consensus.Record, error) {
+		return consensus.Found(call, witnessTransport{e, prepareBySelf}, e.host.Identity, e.rounds, members, seeds, attempt.Next)
 	})
 	if err == nil && attempt.Took() {
 		e.lead(record)
--- a/tier/control/elector_test.go
+++ b/tier/control/elector_test.go
@@ -5,52 +5,52 @@
 	"errors"
 	"testing"
 
+	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
 	"otterseam/tier/storage"
 )
 
 // localWitnesses are witnesses that answer at once, but that the first accepts reach the first witness alone, and that the third
 // one is cut off from then on.
 type localWitnesses struct {
-	witnesses map[uint64]*register.Witness
+	witnesses map[uint64]*consensus.Witness
 	cut       int // accepts that are still to be lost
 }
 
 var errCut = errors.New("cut off")
 
-func (l *localWitnesses) Prepare(_ context.Context, to register.Member, ballot register.Ballot) (register.Promise, error) {
+func (l *localWitnesses) Prepare(_ context.Context, to consensus.Member, ballot consensus.Ballot) (consensus.Promise, error) {
 	if l.cut == 0 && to.ID == 3 {
-		return register.Promise{}, errCut
+		return consensus.Promise{}, errCut
 	}
 	w := l.witnesses[to.ID]
 	given := w.Prepare(ballot)
-	return register.Promise{Given: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
+	return consensus.Promise{Given: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
 }
 
-func (l *localWitnesses) Accept(_ context.Context, to register.Member, ballot register.Ballot, value register.Record) (register.Promise, error) {
+func (l *localWitnesses) Accept(_ context.Context, to consensus.Member, ballot consensus.Ballot, value consensus.Record) (consensus.Promise, error) {
 	if l.cut > 0 && to.ID != 1 {
 		l.cut--
-		return register.Promise{}, errCut
+		return consensus.Promise{}, errCut
 	}
 	w := l.witnesses[to.ID]
 	given := w.Accept(ballot, value)
-	return register.Promise{Given: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
+	return consensus.Promise{Given: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
 }
 
 // serialTransport hands calls on one at a time.
 type serialTransport struct {
 	turn  chan struct{}
-	inner register.Transport
+	inner consensus.Transport
 }
 
-func (s serialTransport) Prepare(ctx context.Context, to register.Member, ballot register.Ballot) (register.Promise, error) {
+func (s serialTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.Ballot) (consensus.Promise, error) {
 	s.turn <- struct{}{}
 	defer func() { <-s.turn }()
 	return s.inner.Prepare(ctx, to, ballot)
 }
 
-func (s serialTransport) Accept(ctx context.Context, to register.Member, ballot register.Ballot, value register.Record) (register.Promise, error) {
+func (s serialTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.Ballot, value consensus.Record) (consensus.Promise, error) {
 	s.turn <- struct{}{}
 	defer func() { <-s.turn }()
 	return s.inner.Accept(ctx, to, ballot, value)
@@ -58,21 +58,21 @@
 
 // A takeover whose first attempt reached one witness only meets its own value at the second attempt. It has been taken, once.
 func TestAProposalThatMeetsItsOwnValueHasWon(t *testing.T) {
-	members := []register.Member{{ID: 1}, {ID: 2}, {ID: 3}}
-	local := &localWitnesses{witnesses: map[uint64]*register.Witness{}, cut: 2}
-	start := register.Record{Epoch: 5, Primary: 2, InSync: []uint64{1, 2, 3}, Members: members}
+	members := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}
+	local := &localWitnesses{witnesses: map[uint64]*consensus.Witness{}, cut: 2}
+	start := consensus.Record{Epoch: 5, Primary: 2, InSync: []uint64{1, 2, 3}, Members: members}
 	for _, member := range members {
-		local.witnesses[member.ID] = &register.Witness{Accepted: register.Ballot{Round: 1, Proposer: 2}, Value: start}
+		local.witnesses[member.ID] = &consensus.Witness{Accepted: consensus.Ballot{Round: 1, Proposer: 2}, Value: start}
 	}
-	attempt := &register.OwnChange{Change: func(current register.Record) (register.Record, bool) {
+	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Epoch > start.Epoch {
 			return current, false
 		}
 		return membership.Policy{Tolerate: 1}.Successor(current, 1, func(uint64) bool { return false }), true
 	}}
-	rounds := register.NewRounds(1, func(uint64) error { return nil })
+	rounds := consensus.NewRounds(1, func(uint64) error { return nil })
 	transport := serialTransport{make(chan struct{}, 1), local}
-	record, err := register.Propose(context.Background(), transport, 1, rounds, start, attempt.Next)
+	record, err := consensus.Propose(context.Background(), transport, 1, rounds, start, attempt.Next)
 	if err != nil || record.Epoch != 6 || record.Primary != 1 || !attempt.Took() {
 		t.Fatalf("%+v, %v, took %v", record, err, attempt.Took())
 	}
@@ -80,24 +80,24 @@
 
 // A record that was accepted somewhere and never decided must not stay in place of the decided one of the same epoch.
 func TestADecidedRecordReplacesAnUndecidedOneOfItsEpoch(t *testing.T) {
-	undecided := register.Record{Epoch: 6, Primary: 1}
-	decided := register.Record{Epoch: 6, Primary: 2}
+	undecided := consensus.Record{Epoch: 6, Primary: 1}
+	decided := consensus.Record{Epoch: 6, Primary: 2}
 	for _, test := range []struct {
 		name                  string
-		record                register.Record
+		record                consensus.Record
 		decided, knownDecided bool
 		want                  bool
 	}{
 		{"decided after undecided", decided, true, false, true},
 		{"told after undecided", decided, false, false, true},
 		{"told after decided", undecided, false, true, false},
-		{"newer", register.Record{Epoch: 7}, false, true, true},
-		{"older", register.Record{Epoch: 5}, true, false, false},
-		{"none", register.Record{}, false, false, false},
+		{"newer", consensus.Record{Epoch: 7}, false, true, true},
+		{"older", consensus.Record{Epoch: 5}, true, false, false},
+		{"none", consensus.Record{}, false, false, false},
 	} {
-		known := register.Record{Epoch: 6, Primary: 3}
+		known := consensus.Record{Epoch: 6, Primary: 3}
 		if test.name == "none" {
-			known = register.Record{}
+			known = consensus.Record{}
 		}
 		if got := supersedes(test.record, test.decided, known, test.knownDecided); got != test.want {
 			t.Errorf("%s: %v", test.name, got)
@@ -114,7 +114,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rounds, err := openRounds(values, register.Witness{})
+		rounds, err := openRounds(values, consensus.Witness{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/tier/control/failover.go
+++ b/tier/control/failover.go
@@ -5,19 +5,19 @@
 	"math/rand/v2"
 	"sync"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
-	"otterseam/tier/groups"
-	"otterseam/tier/register"
+	"otterseam/tier/lease"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 )
 
 // locate asks all control processes known who they are and what they know.
 func (s *Server) locate(ctx context.Context) {
-	s.locatedAt = groups.Now()
+	s.locatedAt = multigroup.Now()
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
@@ -28,15 +28,15 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			asked := groups.Now()
+			asked := multigroup.Now()
 			answer, err := s.clients.To(address).Call(call, controlclient.KindLocate, nil)
 			if err != nil {
 				return
 			}
 			d := codec.NewDecoder(answer)
-			there := register.Member{ID: d.Uint64(), Address: address, Node: d.String()}
+			there := consensus.Member{ID: d.Uint64(), Address: address, Node: d.String()}
 			founds := d.Bool()
-			record := register.DecodeRecord(d)
+			record := consensus.DecodeRecord(d)
 			if d.Err() == nil {
 				s.elector.Learn(record)
 				s.noteAnswered(there, asked)
@@ -49,7 +49,7 @@
 
 // locateNowAndThen asks unless it has asked a moment ago.
 func (s *Server) locateNowAndThen(ctx context.Context) {
-	if groups.Now()-s.locatedAt > locateEvery {
+	if multigroup.Now()-s.locatedAt > locateEvery {
 		s.locate(ctx)
 	}
 }
@@ -63,22 +63,22 @@
 	e.Uint64(s.self.ID)
 	e.String(s.self.Node)
 	e.Bool(s.settings.Bootstrap)
-	register.EncodeRecord(&e, s.elector.Known())
+	consensus.EncodeRecord(&e, s.elector.Known())
 	message.Answer(codes.OK, e.Bytes)
 }
 
 // situation is what this process knows of its primary.
-func (s *Server) situation() authority.Situation {
+func (s *Server) situation() lease.Situation {
 	known, learned := s.elector.KnownSince()
-	situation := authority.Situation{
-		Now:           groups.Now(),
+	situation := lease.Situation{
+		Now:           multigroup.Now(),
 		StartedAt:     s.startedAt,
 		RecordLearned: learned,
 		InSync:        known.IsInSync(s.self.ID),
 		NamedPrimary:  known.Primary == s.self.ID,
 		HasLed:        s.elector.hasLed(),
 		Rank:          rank(known, s.self.ID),
-		Jitter:        rand.Int64N(authority.SuspectStep),
+		Jitter:        rand.Int64N(lease.SuspectStep),
 		DiskTroubled:  s.host.DiskTroubled(),
 	}
 	s.host.With(controlGroup, func(g *replica.Group) {
@@ -92,17 +92,17 @@
 func (s *Server) watchPrimary(ctx context.Context) {
 	epoch := s.elector.Known().Epoch
 	switch s.situation().Next() {
-	case authority.Locate:
+	case lease.Locate:
 		s.locateNowAndThen(ctx)
-	case authority.ReplaceItself:
+	case lease.ReplaceItself:
 		s.takeOver(ctx, prepareBySelf, epoch)
-	case authority.ReplaceOther:
+	case lease.ReplaceOther:
 		s.takeOver(ctx, prepareOnSilence, epoch)
 	}
 }
 
 // rank is a replica's place among those that may follow the primary.
-func rank(record register.Record, id uint64) int {
+func rank(record consensus.Record, id uint64) int {
 	place := 0
 	for _, each := range record.InSync {
 		if each == id {
--- a/tier/control/founding.go
+++ b/tier/control/founding.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"otterseam/tier/groups"
+	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
+	"otterseam/tier/multigroup"
 )
 
 const foundAfter = 700 // milliseconds that a founder waits for all seeds
@@ -18,7 +18,7 @@
 		return
 	}
 	founding := membership.Founding{
-		Self: s.self, Seeds: seeds, Founders: s.foundersHeard(), Waited: groups.Now()-s.startedAt > foundAfter,
+		Self: s.self, Seeds: seeds, Founders: s.foundersHeard(), Waited: multigroup.Now()-s.startedAt > foundAfter,
 	}
 	members, may := founding.Members()
 	if !may {
@@ -30,7 +30,7 @@
 }
 
 // noteFounder notes whether the process that answered at an address was started to found the installation.
-func (s *Server) noteFounder(there register.Member, founds bool) {
+func (s *Server) noteFounder(there consensus.Member, founds bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if founds {
@@ -41,10 +41,10 @@
 }
 
 // foundersHeard are the founders that answered, by their address.
-func (s *Server) foundersHeard() map[string]register.Member {
+func (s *Server) foundersHeard() map[string]consensus.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := make(map[string]register.Member, len(s.founders))
+	heard := make(map[string]consensus.Member, len(s.founders))
 	for address, founder := range s.founders {
 		heard[address] = founder
 	}
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -4,17 +4,17 @@
 	"context"
 	"time"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codes"
 	"otterseam/tier/controlclient"
-	"otterseam/tier/groups"
+	"otterseam/tier/lease"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
 	"otterseam/tier/replica"
 )
 
 const (
-	reportHeardEvery = authority.ReportEvery * time.Millisecond
-	reportTimeout    = authority.ReportTimeout * time.Millisecond
+	reportHeardEvery = lease.ReportEvery * time.Millisecond
+	reportTimeout    = lease.ReportTimeout * time.Millisecond
 )
 
 // heardHost is a host's heartbeat that this process acknowledged.
@@ -35,13 +35,13 @@
 		return false
 	}
 	if s.host.IsPrimary(controlGroup) {
-		if removing := s.sessions.HeardHost(id, s.self.ID, groups.Now()); removing {
+		if removing := s.sessions.HeardHost(id, s.self.ID, multigroup.Now()); removing {
 			return false
 		}
 		return s.mayServe()
 	}
 	s.mu.Lock()
-	s.heard[id] = heardHost{beat, groups.Now()}
+	s.heard[id] = heardHost{beat, multigroup.Now()}
 	s.mu.Unlock()
 	return s.mayServe()
 }
@@ -77,7 +77,7 @@
 // sendHeard tells the primary which hosts were heard. It returns those that the primary has removed meanwhile.
 func (s *Server) sendHeard(ctx context.Context, heard heardHosts) (missing []string, told bool) {
 	report := controlclient.HostsHeard{By: s.self.ID}
-	now := groups.Now()
+	now := multigroup.Now()
 	for id, host := range heard {
 		report.Hosts = append(report.Hosts, controlclient.HeardHost{ID: id, Age: uint32(now - host.at)})
 	}
@@ -116,12 +116,12 @@
 		return Result{}, err
 	}
 	asked, own := int64(0), false
-	s.host.With(controlGroup, func(g *replica.Group) { asked, own = g.AskedAt(report.Question, groups.Now()) })
+	s.host.With(controlGroup, func(g *replica.Group) { asked, own = g.AskedAt(report.Question, multigroup.Now()) })
 	if !own {
 		return Result{}, codes.Unavailable
 	}
 	missing := s.keepSessions(report, asked)
-	return Result{Body: controlclient.EncodeMissing(missing)}, s.standing().MayDecide(groups.Now())
+	return Result{Body: controlclient.EncodeMissing(missing)}, s.standing().MayDecide(multigroup.Now())
 }
 
 // keepSessions keeps the sessions of hosts by a report written no earlier than a time. It returns those that are not on the list,
