--- a/tier/control/installation_test.go
+++ b/tier/control/installation_test.go
@@ -7,8 +7,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 
 	"otterseam/tier/codes"
-	"otterseam/tier/groups"
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/rpc"
 )
 
@@ -17,15 +17,15 @@
 	logger, hook := test.NewNullLogger()
 	log := logrus.NewEntry(logger)
 	clients := rpc.NewClients(nil)
-	host, err := groups.Open(t.TempDir(), clients, log, true)
+	host, err := multigroup.Open(t.TempDir(), clients, log, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	elector := &Elector{host: host, clients: clients, log: log}
 	host.Bind(7)
-	own := register.Record{Epoch: 3, Primary: 1, Installation: 7}
+	own := consensus.Record{Epoch: 3, Primary: 1, Installation: 7}
 	elector.Learn(own)
-	elector.Learn(register.Record{Epoch: 90, Primary: 2, Installation: 8})
+	elector.Learn(consensus.Record{Epoch: 90, Primary: 2, Installation: 8})
 	if known := elector.Known(); known.Epoch != own.Epoch || known.Installation != own.Installation {
 		t.Fatalf("known: %+v", known)
 	}
@@ -37,22 +37,22 @@
 // A record counts as known since its epoch was seen first, not since the last one of that epoch.
 func TestARecordIsKnownSinceItsEpochWasSeen(t *testing.T) {
 	clients := rpc.NewClients(nil)
-	host, err := groups.Open(t.TempDir(), clients, logrus.NewEntry(logrus.New()), true)
+	host, err := multigroup.Open(t.TempDir(), clients, logrus.NewEntry(logrus.New()), true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	elector := &Elector{host: host, clients: clients}
-	elector.Learn(register.Record{Epoch: 3, Primary: 1})
+	elector.Learn(consensus.Record{Epoch: 3, Primary: 1})
 	_, first := elector.KnownSince()
 	if first == 0 {
 		t.Fatal("nothing says since when the record is known")
 	}
 	elector.learned = first - 10
-	elector.Learn(register.Record{Epoch: 3, Primary: 1, MinCopies: 2})
+	elector.Learn(consensus.Record{Epoch: 3, Primary: 1, MinCopies: 2})
 	if _, since := elector.KnownSince(); since != first-10 {
 		t.Fatalf("another record of the same epoch counts as new: %d, not %d", since, first-10)
 	}
-	elector.Learn(register.Record{Epoch: 4, Primary: 2})
+	elector.Learn(consensus.Record{Epoch: 4, Primary: 2})
 	if _, since := elector.KnownSince(); since < first {
 		t.Fatal("a newer epoch does not count as new")
 	}
@@ -61,7 +61,7 @@
 // The installation of the record that tells where control is becomes that of the view.
 func TestTheViewTakesTheInstallationOfTheRecord(t *testing.T) {
 	state := NewState()
-	state.Apply(1, Command{Kind: CommandMembers, Record: register.Record{Epoch: 1, Installation: 7}}.Encode())
+	state.Apply(1, Command{Kind: CommandMembers, Record: consensus.Record{Epoch: 1, Installation: 7}}.Encode())
 	restored := NewState()
 	if err := restored.Restore(state.Snapshot()); err != nil {
 		t.Fatal(err)
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -8,7 +8,7 @@
 	"otterseam/tier/codes"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/groups"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/placement"
 	"otterseam/tier/replica"
 	"otterseam/tier/timeline"
@@ -20,7 +20,7 @@
 // lead does the primary's periodic work.
 func (s *Server) lead(ctx context.Context) {
 	s.beginSessions()
-	if s.standing().MayDecide(groups.Now()) != nil {
+	if s.standing().MayDecide(multigroup.Now()) != nil {
 		return
 	}
 	s.publishMembers(ctx)
@@ -38,13 +38,13 @@
 	began := s.leading != opened
 	s.leading = opened
 	if began {
-		s.ledSince = groups.Now()
+		s.ledSince = multigroup.Now()
 	}
 	s.mu.Unlock()
 	if began {
 		s.timeline.Reach(timeline.PrimaryReady)
 		s.sessions.Begin(s.state)
-		s.verdicts.begin(s.termsInForce(), groups.Now())
+		s.verdicts.begin(s.termsInForce(), multigroup.Now())
 	}
 }
 
@@ -114,7 +114,7 @@
 	shards := directory.Shards(s.state.View)
 	if len(shards) < placement.ShardCount {
 		s.mu.Lock()
-		waited := groups.Now()-s.ledSince > foundShardsAfter
+		waited := multigroup.Now()-s.ledSince > foundShardsAfter
 		s.mu.Unlock()
 		if waited {
 			s.submitAll(ctx, s.foundShards(cluster, shards))
--- a/tier/control/learn_test.go
+++ b/tier/control/learn_test.go
@@ -5,9 +5,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"otterseam/tier/groups"
+	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/rpc"
 )
 
@@ -15,7 +15,7 @@
 func TestANewerRecordIsDatedWhenItIsLearned(t *testing.T) {
 	log := logrus.NewEntry(logrus.New())
 	clients := rpc.NewClients(nil)
-	host, err := groups.Open(t.TempDir(), clients, log, true)
+	host, err := multigroup.Open(t.TempDir(), clients, log, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := groups.Now()
-	elector.Learn(register.Record{Epoch: 3, Primary: 7})
+	before := multigroup.Now()
+	elector.Learn(consensus.Record{Epoch: 3, Primary: 7})
 	if known, since := elector.KnownSince(); known.Epoch != 3 || since < before {
 		t.Fatalf("epoch %d is known since %d, before %d", known.Epoch, since, before)
 	}
--- a/tier/control/linear_test.go
+++ b/tier/control/linear_test.go
@@ -14,7 +14,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"otterseam/tier/codes"
-	"otterseam/tier/orders"
+	"otterseam/tier/configlog"
 )
 
 // Several operators change and read the configuration through any member while members are cut off, stand still and restart, and
@@ -212,7 +212,7 @@
 	var body []byte
 	m.servePrimary(func(p *simMember, done func(codes.Code)) {
 		if fault == forgetsAnswers {
-			p.machine.orders = orders.Log{}
+			p.machine.orders = configlog.Log{}
 		}
 		if fault == answersBeforeCommit && in.kind == linearOrder && p.group.IsReady() && p.machine.version() == in.base {
 			p.submit(command, func(Result, error) {})
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -3,14 +3,14 @@
 import (
 	"context"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
-	"otterseam/tier/groups"
+	"otterseam/tier/lease"
 	"otterseam/tier/membership"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 )
@@ -31,7 +31,7 @@
 // leadsWithLease tells whether this process is the primary of control and a majority has answered it lately.
 func (s *Server) leadsWithLease() bool {
 	standing := s.standing()
-	return standing.Role == authority.Primary && standing.HasLease(groups.Now())
+	return standing.Role == lease.Primary && standing.HasLease(multigroup.Now())
 }
 
 // leadsWithoutVotes tells whether this process is the primary of control while the disk of a voter is provably lost: it may have no
@@ -59,9 +59,9 @@
 			return
 		}
 		if ledSince == 0 {
-			ledSince = groups.Now()
+			ledSince = multigroup.Now()
 		}
-		if now := groups.Now(); now-announcedAt > announceEvery {
+		if now := multigroup.Now(); now-announcedAt > announceEvery {
 			announcedAt = now
 			go s.announce(ctx)
 		}
@@ -94,7 +94,7 @@
 	epoch := uint64(0)
 	s.host.With(controlGroup, func(g *replica.Group) { epoch = g.View().Epoch })
 	if known.Primary == s.self.ID && known.Epoch > epoch {
-		_ = s.elector.Adjust(ctx, func(record register.Record) (register.Record, bool) { return record, true })
+		_ = s.elector.Adjust(ctx, func(record consensus.Record) (consensus.Record, bool) { return record, true })
 	}
 }
 
@@ -102,9 +102,9 @@
 func (s *Server) adjustInSync(ctx context.Context) {
 	var silent, caughtUp []uint64
 	s.host.With(controlGroup, func(g *replica.Group) {
-		silent = g.Silent(groups.Now())
-		for _, id := range g.CaughtUp(groups.Now()) {
-			if !register.Contains(g.View().Learners, id) {
+		silent = g.Silent(multigroup.Now())
+		for _, id := range g.CaughtUp(multigroup.Now()) {
+			if !consensus.Contains(g.View().Learners, id) {
 				g.Admit(id)
 				caughtUp = append(caughtUp, id)
 			}
@@ -112,11 +112,11 @@
 	})
 	// one that caught up comes first: the set may be too small to let a silent one go without it
 	if len(caughtUp) > 0 {
-		_ = s.elector.Adjust(ctx, func(record register.Record) (register.Record, bool) {
+		_ = s.elector.Adjust(ctx, func(record consensus.Record) (consensus.Record, bool) {
 			next := record
 			for _, id := range caughtUp {
-				if register.HasMember(record.Members, id) {
-					next.InSync = append(register.Without(next.InSync, id), id)
+				if consensus.HasMember(record.Members, id) {
+					next.InSync = append(consensus.Without(next.InSync, id), id)
 				}
 			}
 			return next, len(next.InSync) > len(record.InSync)
@@ -124,11 +124,11 @@
 		return
 	}
 	if len(silent) > 0 {
-		_ = s.elector.Adjust(ctx, func(record register.Record) (register.Record, bool) {
+		_ = s.elector.Adjust(ctx, func(record consensus.Record) (consensus.Record, bool) {
 			next := record
 			for _, id := range silent {
 				if s.lost(id) || len(next.InSync) > s.elector.policy.Floor(record) {
-					next.InSync = register.Without(next.InSync, id)
+					next.InSync = consensus.Without(next.InSync, id)
 				}
 			}
 			return next, true
@@ -148,7 +148,7 @@
 	if planned.Admit != 0 && !s.admit(planned.Admit) {
 		return
 	}
-	_ = s.elector.Adjust(ctx, func(record register.Record) (register.Record, bool) {
+	_ = s.elector.Adjust(ctx, func(record consensus.Record) (consensus.Record, bool) {
 		step, wanted := s.elector.policy.Next(record, observed)
 		if !wanted {
 			return record, len(record.Previous) > 0
@@ -161,7 +161,7 @@
 func (s *Server) admit(id uint64) bool {
 	admitted := false
 	s.host.With(controlGroup, func(g *replica.Group) {
-		if register.Contains(g.CaughtUp(groups.Now()), id) {
+		if consensus.Contains(g.CaughtUp(multigroup.Now()), id) {
 			g.Admit(id)
 			admitted = true
 		}
@@ -175,12 +175,12 @@
 		Alive:    s.sessions.Controls(),
 		HasState: map[uint64]bool{},
 		Lost:     s.lost,
-		Silent:   func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > authority.ControlSilence },
+		Silent:   func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > lease.ControlSilence },
 		Gone:     func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > controlGone },
 		Leaving:  s.sessions.ControlLeaving,
 	}
 	s.host.With(controlGroup, func(g *replica.Group) {
-		for _, id := range g.CaughtUp(groups.Now()) {
+		for _, id := range g.CaughtUp(multigroup.Now()) {
 			o.HasState[id] = true
 		}
 	})
@@ -188,7 +188,7 @@
 }
 
 // noteAnswered notes who answered at an address, and since when its answer counts.
-func (s *Server) noteAnswered(there register.Member, since int64) {
+func (s *Server) noteAnswered(there consensus.Member, since int64) {
 	known := s.elector.Known()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,9 +197,9 @@
 }
 
 // noteNamed notes the members that a record names; the lock is held.
-func (s *Server) noteNamed(record register.Record) {
+func (s *Server) noteNamed(record consensus.Record) {
 	for _, member := range append(record.Voters(), record.Learners...) {
-		s.seen.Named(member, groups.Now())
+		s.seen.Named(member, multigroup.Now())
 	}
 }
 
@@ -226,33 +226,33 @@
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	s.noteAnswered(beat.Member, groups.Now())
+	s.noteAnswered(beat.Member, multigroup.Now())
 	if !s.leadsWithLease() && !s.leadsWithoutVotes() {
 		message.Answer(codes.NotPrimary, []byte(s.primaryAddress()))
 		return
 	}
 	s.sessions.HeardControl(beat.Member, beat.Leaving)
 	s.host.With(controlGroup, func(g *replica.Group) {
-		if asked, own := g.AskedAt(beat.Question, groups.Now()); own {
+		if asked, own := g.AskedAt(beat.Question, multigroup.Now()); own {
 			s.sessions.HeardHolder(beat.Member.ID, beat.Refusals, asked)
 		}
 	})
 	var e codec.Encoder
-	register.EncodeRecord(&e, s.elector.Known())
-	e.Int64(s.standing().Age(groups.Now()))
+	consensus.EncodeRecord(&e, s.elector.Known())
+	e.Int64(s.standing().Age(multigroup.Now()))
 	message.Answer(codes.OK, e.Bytes)
 }
 
-func encodeRecord(record register.Record) []byte {
+func encodeRecord(record consensus.Record) []byte {
 	var e codec.Encoder
-	register.EncodeRecord(&e, record)
+	consensus.EncodeRecord(&e, record)
 	return e.Bytes
 }
 
 // learnEncoded takes a record that another process sent.
 func (s *Server) learnEncoded(data []byte) {
 	d := codec.NewDecoder(data)
-	record := register.DecodeRecord(d)
+	record := consensus.DecodeRecord(d)
 	if d.Err() == nil {
 		s.elector.Learn(record)
 	}
--- a/tier/control/prevote.go
+++ b/tier/control/prevote.go
@@ -3,26 +3,26 @@
 import (
 	"context"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
-	"otterseam/tier/groups"
-	"otterseam/tier/register"
+	"otterseam/tier/lease"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 )
 
 // voter is what this process knows when it is asked to help to replace a primary.
-func (e *Elector) voter() authority.Voter {
+func (e *Elector) voter() lease.Voter {
 	known := e.Known()
-	voter := authority.Voter{Now: groups.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
+	voter := lease.Voter{Now: multigroup.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
 	e.host.With(controlGroup, func(g *replica.Group) {
 		if view := g.View(); view.Epoch > known.Epoch {
 			voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
 		}
 		voter.PrimaryProven = g.PrimaryProven()
-		standing := authority.Standing{Role: authority.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
+		standing := lease.Standing{Role: lease.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
 		voter.Leads = g.IsPrimary() && standing.HasLease(voter.Now)
 	})
 	return voter
@@ -30,13 +30,13 @@
 
 // supports tells whether this process would help a candidate.
 func (e *Elector) supports(candidate, epoch uint64, mode prepareMode) bool {
-	return e.voter().Supports(authority.Ballot{Candidate: candidate, Epoch: epoch, OnRequest: mode == prepareOnTransfer})
+	return e.voter().Supports(lease.Ballot{Candidate: candidate, Epoch: epoch, OnRequest: mode == prepareOnTransfer})
 }
 
 // protectsPrimary tells whether a majority stood behind a primary so lately that this process helps nobody to replace it.
 func (e *Elector) protectsPrimary() bool {
 	voter := e.voter()
-	return !voter.Supports(authority.Ballot{Epoch: voter.KnownEpoch})
+	return !voter.Supports(lease.Ballot{Epoch: voter.KnownEpoch})
 }
 
 // handleSupport answers a candidate that asks whether it would be followed. Nothing is promised.
@@ -56,7 +56,7 @@
 	}
 	var answer codec.Encoder
 	answer.Bool(e.supports(candidate, epoch, mode))
-	register.EncodeRecord(&answer, e.Known())
+	consensus.EncodeRecord(&answer, e.Known())
 	message.Answer(codes.OK, answer.Bytes)
 }
 
@@ -75,19 +75,19 @@
 		possible[voter.ID] = true
 		go func() { replies <- reply{voter.ID, e.askVoter(ctx, voter, mode, epoch)} }()
 	}
-	for register.QuorumWithLost(known, possible, lost) {
+	for consensus.QuorumWithLost(known, possible, lost) {
 		got := <-replies
 		supporters[got.voter] = got.supported
 		possible[got.voter] = got.supported
 		lost[got.voter] = !got.supported && e.lost(got.voter)
-		if register.QuorumWithLost(known, supporters, lost) {
+		if consensus.QuorumWithLost(known, supporters, lost) {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *Elector) askVoter(ctx context.Context, voter register.Member, mode prepareMode, epoch uint64) bool {
+func (e *Elector) askVoter(ctx context.Context, voter consensus.Member, mode prepareMode, epoch uint64) bool {
 	if voter.ID == e.host.Identity {
 		return e.supports(voter.ID, epoch, mode)
 	}
@@ -104,7 +104,7 @@
 	}
 	d := codec.NewDecoder(answer)
 	supported := d.Bool()
-	record := register.DecodeRecord(d)
+	record := consensus.DecodeRecord(d)
 	if d.Err() != nil {
 		return false
 	}
--- a/tier/control/retirement.go
+++ b/tier/control/retirement.go
@@ -4,9 +4,9 @@
 	"sort"
 
 	"otterseam/tier/codec"
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/register"
 )
 
 // retirementsKept is how many retirements stay known after their machine has left, so that whoever asks late is still answered.
@@ -60,7 +60,7 @@
 // it is the same machine with another disk; afterwards another machine has the name, and the retirement is over.
 func (s *State) retirementMeetsStore(index uint64, store directory.Store) {
 	r, found := s.retirementOf(store.Node)
-	if !found || register.Contains(r.Identities, store.Identity) {
+	if !found || consensus.Contains(r.Identities, store.Identity) {
 		return
 	}
 	if r.Left {
--- a/tier/control/rounds.go
+++ b/tier/control/rounds.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 
 	"otterseam/tier/codes"
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 	"otterseam/tier/storage"
 )
 
@@ -12,19 +12,19 @@
 const roundsValue = "rounds"
 
 // openRounds reads the rounds that earlier lives of this process may have used. The rounds of this life lie above them.
-func openRounds(values *storage.Values, witness register.Witness) (*register.Rounds, error) {
+func openRounds(values *storage.Values, witness consensus.Witness) (*consensus.Rounds, error) {
 	content, err := values.Read(roundsValue)
 	if err != nil {
 		return nil, err
 	}
-	used := register.UsedWithoutLimit(witness)
+	used := consensus.UsedWithoutLimit(witness)
 	if content != nil {
 		if len(content) != 8 {
 			return nil, codes.DiskDamaged
 		}
 		used = binary.BigEndian.Uint64(content)
 	}
-	return register.NewRounds(used, func(limit uint64) error {
+	return consensus.NewRounds(used, func(limit uint64) error {
 		return values.Write(roundsValue, binary.BigEndian.AppendUint64(nil, limit))
 	}), nil
 }
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -11,14 +11,14 @@
 	"github.com/samber/oops"
 	"github.com/sirupsen/logrus"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/feed"
-	"otterseam/tier/groups"
+	"otterseam/tier/lease"
 	"otterseam/tier/membership"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 	"otterseam/tier/settings"
@@ -38,14 +38,14 @@
 	settings  *settings.Settings
 	seeds     *settings.Seeds
 	log       *logrus.Entry
-	host      *groups.Host
+	host      *multigroup.Host
 	elector   *Elector
 	state     *State
 	publisher *feed.Publisher
 	clients   *rpc.Clients
 	primary   *controlclient.Client
 	sessions  *Sessions
-	self      register.Member
+	self      consensus.Member
 	startedAt int64
 
 	beatHere      []byte // the answer to a heartbeat that asks the host to stay here
@@ -56,7 +56,7 @@
 
 	mu       sync.Mutex
 	seen     *membership.Sightings
-	founders map[string]register.Member // by address
+	founders map[string]consensus.Member // by address
 	leaving  bool
 	heard    heardHosts // hosts heard since the primary was told
 	leading  uint64     // the entry that opened the lead for which sessions were begun
@@ -78,7 +78,7 @@
 	}
 	line := timeline.New(log)
 	clients := rpc.NewClients(nil)
-	host, err := groups.Open(s.DataDir, clients, log, true)
+	host, err := multigroup.Open(s.DataDir, clients, log, true)
 	if err != nil {
 		return nil, err
 	}
@@ -91,10 +91,10 @@
 		state:     NewState(),
 		clients:   clients,
 		sessions:  newSessions(host.Identity),
-		self:      register.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
-		startedAt: groups.Now(),
+		self:      consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
+		startedAt: multigroup.Now(),
 		seen:      membership.NewSightings(),
-		founders:  map[string]register.Member{},
+		founders:  map[string]consensus.Member{},
 		heard:     heardHosts{},
 		timeline:  line,
 		verdicts:  newVerdicts(),
@@ -111,12 +111,12 @@
 	server.elector.lost = server.lost
 	server.elector.timeline = line
 	options := replica.Options{
-		EagerCommit: true, BytesKept: controlBytesKept, Life: rand.Uint64() | 1, StepDownAfter: authority.StepDownAfter,
+		EagerCommit: true, BytesKept: controlBytesKept, Life: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
 	}
 	if err := host.OpenGroup(controlGroup, server.state, options); err != nil {
 		return nil, err
 	}
-	server.elector.Learn(register.Record{})
+	server.elector.Learn(consensus.Record{})
 	return server, nil
 }
 
@@ -192,7 +192,7 @@
 // handle takes messages of other processes.
 func (s *Server) handle(message rpc.Message) {
 	switch message.Kind {
-	case groups.KindReplica:
+	case multigroup.KindReplica:
 		s.host.HandleMessage(message.Payload, nil)
 	case feed.KindSubscribe:
 		s.publisher.Handle(message)
@@ -217,7 +217,7 @@
 
 // handleAsPrimary takes what only the primary may decide.
 func (s *Server) handleAsPrimary(message rpc.Message) {
-	if err := s.standing().MayDecide(groups.Now()); err != nil {
+	if err := s.standing().MayDecide(multigroup.Now()); err != nil {
 		message.Answer(err.(codes.Code), []byte(s.primaryAddress()))
 		return
 	}
--- a/tier/control/sessions.go
+++ b/tier/control/sessions.go
@@ -3,17 +3,17 @@
 import (
 	"sync"
 
-	"otterseam/tier/authority"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
-	"otterseam/tier/groups"
+	"otterseam/tier/lease"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/placement"
-	"otterseam/tier/register"
 )
 
 type controlSession struct {
 	heardAt int64
-	member  register.Member
+	member  consensus.Member
 	leaving bool
 }
 
@@ -21,8 +21,8 @@
 type Sessions struct {
 	self     uint64
 	mu       sync.Mutex
-	stores   *authority.StoreSessions
-	hosts    *authority.HostSessions
+	stores   *lease.StoreSessions
+	hosts    *lease.HostSessions
 	controls map[uint64]controlSession
 	tickedAt int64
 }
@@ -30,8 +30,8 @@
 func newSessions(self uint64) *Sessions {
 	return &Sessions{
 		self:     self,
-		stores:   authority.NewStoreSessions(),
-		hosts:    authority.NewHostSessions(),
+		stores:   lease.NewStoreSessions(),
+		hosts:    lease.NewHostSessions(),
 		controls: map[uint64]controlSession{},
 	}
 }
@@ -48,7 +48,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := groups.Now()
+	now := multigroup.Now()
 	s.stores.Begin(boots, now)
 	s.hosts.Begin(hosts, now)
 	s.tickedAt = now
@@ -59,8 +59,8 @@
 func (s *Sessions) Tick(refusals uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := groups.Now()
-	if stalled := now - s.tickedAt; s.tickedAt > 0 && stalled > authority.OwnStall {
+	now := multigroup.Now()
+	if stalled := now - s.tickedAt; s.tickedAt > 0 && stalled > lease.OwnStall {
 		s.stores.Stalled(stalled)
 		s.hosts.Doubt(now)
 		for id, session := range s.controls {
@@ -76,14 +76,14 @@
 func (s *Sessions) HeardStore(beat controlclient.StoreBeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores.Heard(beat.Store.Identity, beat.Store.Boot, beat.Leaving, groups.Now())
+	s.stores.Heard(beat.Store.Identity, beat.Store.Boot, beat.Leaving, multigroup.Now())
 }
 
 // HeardControl keeps a control process's session.
-func (s *Sessions) HeardControl(member register.Member, leaving bool) {
+func (s *Sessions) HeardControl(member consensus.Member, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := groups.Now()
+	now := multigroup.Now()
 	s.controls[member.ID] = controlSession{heardAt: now, member: member, leaving: leaving}
 	for id, session := range s.controls {
 		if id != member.ID && session.member.Address == member.Address && session.member.Node == member.Node {
@@ -97,7 +97,7 @@
 func (s *Sessions) HeardHolder(id, refusals uint64, asked int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.HeardHolder(id, refusals, asked, groups.Now())
+	s.hosts.HeardHolder(id, refusals, asked, multigroup.Now())
 }
 
 // HeardHost keeps a host's session, for the control process that heard it at a time. It tells whether a removal of the host may be
@@ -126,7 +126,7 @@
 func (s *Sessions) RemovedHost(id string, committed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.Removed(id, committed, groups.Now())
+	s.hosts.Removed(id, committed, multigroup.Now())
 }
 
 // ForgetHost ends the session of a host that is not on the list.
@@ -140,14 +140,14 @@
 func (s *Sessions) SilentHosts(heartbeat int64) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts.Silent(heartbeat, groups.Now())
+	return s.hosts.Silent(heartbeat, multigroup.Now())
 }
 
 // Machines describes the store machines for placement.
 func (s *Sessions) Machines(stores map[uint64]directory.Store, retiring func(node string) bool) map[uint64]placement.Machine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := groups.Now()
+	now := multigroup.Now()
 	machines := make(map[uint64]placement.Machine, len(stores))
 	for id, store := range stores {
 		s.stores.Expect(id, store.Boot, now)
@@ -166,17 +166,17 @@
 func (s *Sessions) storeSilentFor(id uint64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stores.Silence(id, groups.Now())
+	return s.stores.Silence(id, multigroup.Now())
 }
 
 // Controls lists control processes that were heard lately.
-func (s *Sessions) Controls() []register.Member {
+func (s *Sessions) Controls() []consensus.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := groups.Now()
-	var members []register.Member
+	now := multigroup.Now()
+	var members []consensus.Member
 	for _, session := range s.controls {
-		if now-session.heardAt <= authority.ControlSilence {
+		if now-session.heardAt <= lease.ControlSilence {
 			members = append(members, session.member)
 		}
 	}
@@ -187,7 +187,7 @@
 func (s *Sessions) ControlSilentFor(id uint64, since int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return groups.Now() - max(since, s.controls[id].heardAt)
+	return multigroup.Now() - max(since, s.controls[id].heardAt)
 }
 
 // ControlLeaving tells whether a control process has said that it will end.
--- a/tier/control/sim_test.go
+++ b/tier/control/sim_test.go
@@ -7,18 +7,18 @@
 	"sort"
 	"testing"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
+	"otterseam/tier/lease"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 )
 
 // The simulation plays control members, hosts, stores, subscribers and an operator in virtual time, on links that can be cut in
-// each direction, with members that stand still and read late what came meanwhile. Decisions are those of tier/authority,
-// tier/replica, tier/register and State; the adapters around them are played here. simjudge_test.go says what is judged.
+// each direction, with members that stand still and read late what came meanwhile. Decisions are those of tier/lease,
+// tier/replica, tier/consensus and State; the adapters around them are played here. simjudge_test.go says what is judged.
 
 const (
 	simLength     = 34_000 // milliseconds
@@ -258,11 +258,11 @@
 	backlog   []func()
 	group     *replica.Group
 	machine   *simMachine
-	witness   register.Witness
-	known     register.Record
+	witness   consensus.Witness
+	known     consensus.Record
 	learned   int64
 	hasLed    bool
-	rounds    *register.Rounds
+	rounds    *consensus.Rounds
 	limit     uint64 // of the rounds, on disk
 	disk      simDisk
 	synced    int64 // when the last write reaches the disk
@@ -270,8 +270,8 @@
 	startedAt int64 // of its process
 	wellSince int64 // since when it runs and has a majority around it, 0 if it has not
 	busy      bool  // a proposal runs
-	hosts     *authority.HostSessions
-	stores    *authority.StoreSessions
+	hosts     *lease.HostSessions
+	stores    *lease.StoreSessions
 	leading   uint64
 	ticked    int64
 	located   int64
@@ -283,10 +283,10 @@
 
 func (m *simMember) clock() int64 { return m.s.now + m.origin }
 
-func (m *simMember) standing() authority.Standing {
-	standing := authority.Standing{Role: authority.Backup, ConfirmedSince: m.group.ConfirmedSince(m.clock())}
+func (m *simMember) standing() lease.Standing {
+	standing := lease.Standing{Role: lease.Backup, ConfirmedSince: m.group.ConfirmedSince(m.clock())}
 	if m.group.IsPrimary() {
-		standing.Role = authority.Primary
+		standing.Role = lease.Primary
 		standing.Ready = m.group.IsReady()
 	}
 	return standing
@@ -370,7 +370,7 @@
 	m.carryOut()
 }
 
-func (m *simMember) learn(record register.Record) {
+func (m *simMember) learn(record consensus.Record) {
 	if record.Epoch > m.known.Epoch {
 		m.known = record
 		m.learned = m.clock()
@@ -382,7 +382,7 @@
 // tick is the work that a member does all the time.
 func (m *simMember) tick() {
 	now := m.clock()
-	if m.ticked > 0 && now-m.ticked > authority.OwnStall {
+	if m.ticked > 0 && now-m.ticked > lease.OwnStall {
 		m.stores.Stalled(now - m.ticked)
 		m.hosts.Doubt(now)
 	}
@@ -396,12 +396,12 @@
 func (m *simMember) supervise() {
 	standing := m.standing()
 	switch {
-	case standing.Role == authority.Primary && standing.HasLease(m.clock()):
+	case standing.Role == lease.Primary && standing.HasLease(m.clock()):
 		m.adjustInSync()
 		if standing.Ready {
 			m.lead()
 		}
-	case standing.Role != authority.Primary:
+	case standing.Role != lease.Primary:
 		m.watchPrimary()
 	}
 }
@@ -494,7 +494,7 @@
 		m.guess = place((int(to) + 1) % len(m.s.members))
 		to = m.guess
 	}
-	call(m.s, m.place, to, authority.PrimaryAttempt, func(answer func(reply)) {
+	call(m.s, m.place, to, lease.PrimaryAttempt, func(answer func(reply)) {
 		p := m.s.members[to]
 		if p.standing().MayDecide(p.clock()) != nil {
 			answer(reply{hint: p.hint()})
@@ -559,12 +559,12 @@
 		return
 	}
 	refusals, question := m.refusals, m.group.LastQuestion()
-	onPrimary(m, func(p *simMember, answer func(register.Record)) {
+	onPrimary(m, func(p *simMember, answer func(consensus.Record)) {
 		if asked, own := p.group.AskedAt(question, p.clock()); own {
 			p.hosts.HeardHolder(m.id, refusals, asked, p.clock())
 		}
 		answer(p.known)
-	}, func(record register.Record, ok bool) {
+	}, func(record consensus.Record, ok bool) {
 		if ok {
 			m.learn(record)
 		}
@@ -593,9 +593,9 @@
 	if s.random.Intn(4) == 0 {
 		count = 5
 	}
-	first := register.Record{Epoch: 1, Primary: 1}
+	first := consensus.Record{Epoch: 1, Primary: 1}
 	for i := range count {
-		first.Members = append(first.Members, register.Member{ID: uint64(i + 1), Address: fmt.Sprint("m", i)})
+		first.Members = append(first.Members, consensus.Member{ID: uint64(i + 1), Address: fmt.Sprint("m", i)})
 		first.InSync = append(first.InSync, uint64(i+1))
 	}
 	first = membership.Policy{Tolerate: (count - 1) / 2}.WithCopies(first)
@@ -606,11 +606,11 @@
 	return s
 }
 
-func (s *simNetwork) addMember(p place, first register.Record) {
+func (s *simNetwork) addMember(p place, first consensus.Record) {
 	m := &simMember{
 		s: s, place: p, id: uint64(p) + 1, origin: 1 << 20 * (1 + s.random.Int63n(9)), machine: &simMachine{State: NewState()},
-		witness: register.Witness{Promised: register.Ballot{Round: 1, Proposer: 1}, Accepted: register.Ballot{Round: 1, Proposer: 1}, Value: first},
-		known:   first, hosts: authority.NewHostSessions(), stores: authority.NewStoreSessions(),
+		witness: consensus.Witness{Promised: consensus.Ballot{Round: 1, Proposer: 1}, Accepted: consensus.Ballot{Round: 1, Proposer: 1}, Value: first},
+		known:   first, hosts: lease.NewHostSessions(), stores: lease.NewStoreSessions(),
 		heard: map[string]int64{}, waiting: map[uint64]func(Result, error){},
 	}
 	m.open()
@@ -624,7 +624,7 @@
 		})
 	}
 	s.every(simTick, func() { s.run(p, m.tickUnlessFrozen) })
-	s.every(authority.ReportEvery, func() { s.run(p, m.report) })
+	s.every(lease.ReportEvery, func() { s.run(p, m.report) })
 	s.every(controlBeatEvery.Milliseconds(), func() { s.run(p, m.beat) })
 }
 
--- a/tier/control/simelect_test.go
+++ b/tier/control/simelect_test.go
@@ -3,25 +3,25 @@
 import (
 	"sort"
 
-	"otterseam/tier/authority"
+	"otterseam/tier/consensus"
+	"otterseam/tier/lease"
 	"otterseam/tier/membership"
-	"otterseam/tier/register"
 )
 
 // This file plays the elections of the simulation: register.Proposal, one at a time for each member.
 
 func (m *simMember) watchPrimary() {
-	situation := authority.Situation{
+	situation := lease.Situation{
 		Now: m.clock(), StartedAt: m.origin, RecordLearned: m.learned, PrimaryProven: m.group.PrimaryProven(),
 		InSync: m.known.IsInSync(m.id), Leads: m.group.IsPrimary(), NamedPrimary: m.known.Primary == m.id, HasLed: m.hasLed,
-		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(authority.SuspectStep),
+		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.SuspectStep),
 	}
 	switch situation.Next() {
-	case authority.Locate:
+	case lease.Locate:
 		m.locate()
-	case authority.ReplaceItself:
+	case lease.ReplaceItself:
 		m.takeOver(prepareBySelf)
-	case authority.ReplaceOther:
+	case lease.ReplaceOther:
 		m.takeOver(prepareOnSilence)
 	}
 }
@@ -33,8 +33,8 @@
 	m.located = m.clock()
 	for _, peer := range m.s.members {
 		if peer != m {
-			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(register.Record)) { answer(peer.known) },
-				func(record register.Record, ok bool) {
+			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(consensus.Record)) { answer(peer.known) },
+				func(record consensus.Record, ok bool) {
 					if ok {
 						m.learn(record)
 					}
@@ -43,8 +43,8 @@
 	}
 }
 
-func (m *simMember) voter() authority.Voter {
-	voter := authority.Voter{
+func (m *simMember) voter() lease.Voter {
+	voter := lease.Voter{
 		Now: m.clock(), StartedAt: m.startedAt, KnownEpoch: m.known.Epoch, KnownPrimary: m.known.Primary, PrimaryProven: m.group.PrimaryProven(),
 	}
 	if view := m.group.View(); view.Epoch > m.known.Epoch {
@@ -68,16 +68,16 @@
 	decided := false
 	for _, peer := range m.s.members {
 		call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(bool)) {
-			answer(peer.voter().Supports(authority.Ballot{Candidate: m.id, Epoch: suspected}))
+			answer(peer.voter().Supports(lease.Ballot{Candidate: m.id, Epoch: suspected}))
 		}, func(supported, ok bool) {
 			supporters[peer.id] = supported && ok
 			possible[peer.id] = supported && ok
 			switch {
 			case decided:
-			case register.Quorum(m.known, supporters):
+			case consensus.Quorum(m.known, supporters):
 				decided = true
 				m.elect(mode, suspected)
-			case !register.Quorum(m.known, possible):
+			case !consensus.Quorum(m.known, possible):
 				decided = true
 				m.busy = false
 				m.locate()
@@ -93,15 +93,15 @@
 
 func (m *simMember) elect(mode prepareMode, suspected uint64) {
 	took := false
-	var replaced register.Record
-	m.propose(mode, func(current register.Record) (register.Record, bool) {
+	var replaced consensus.Record
+	m.propose(mode, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Epoch != suspected || !current.IsInSync(m.id) {
 			return current, false
 		}
 		took = true
 		replaced = current
 		return m.s.policy().Successor(current, m.id, func(uint64) bool { return false }), true
-	}, func(record register.Record, ok bool) {
+	}, func(record consensus.Record, ok bool) {
 		if ok && took {
 			m.s.judgeElection(m, replaced)
 			m.hasLed = true
@@ -127,23 +127,23 @@
 	}
 	m.busy = true
 	adjusted := false
-	m.propose(prepareBySelf, func(current register.Record) (register.Record, bool) {
+	m.propose(prepareBySelf, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != m.id {
 			return current, false
 		}
 		next := current
 		next.Epoch++
 		for _, id := range caughtUp {
-			next.InSync = append(register.Without(next.InSync, id), id)
+			next.InSync = append(consensus.Without(next.InSync, id), id)
 		}
 		for _, id := range silent {
 			if len(caughtUp) == 0 && len(next.InSync) > m.s.policy().Floor(current) {
-				next.InSync = register.Without(next.InSync, id)
+				next.InSync = consensus.Without(next.InSync, id)
 			}
 		}
 		adjusted = len(caughtUp) == 0 || len(next.InSync) > len(current.InSync)
 		return next, adjusted
-	}, func(record register.Record, ok bool) {
+	}, func(record consensus.Record, ok bool) {
 		if ok && adjusted {
 			m.group.SetView(membership.View(record), m.clock())
 			m.carryOut()
@@ -152,18 +152,18 @@
 }
 
 // propose reads the register and changes it, in one attempt.
-func (m *simMember) propose(mode prepareMode, change func(register.Record) (register.Record, bool), done func(register.Record, bool)) {
+func (m *simMember) propose(mode prepareMode, change func(consensus.Record) (consensus.Record, bool), done func(consensus.Record, bool)) {
 	m.rounds.Saw(m.witness.Promised.Round)
 	round, err := m.rounds.Next()
 	if err != nil {
 		m.s.t.Fatal(err)
 	}
-	ballot := register.Ballot{Round: round, Proposer: m.id}
-	proposal := register.NewProposal(ballot, m.known, register.Record{}, func(current register.Record, _ map[uint64]bool) (register.Record, bool) {
+	ballot := consensus.Ballot{Round: round, Proposer: m.id}
+	proposal := consensus.NewProposal(ballot, m.known, consensus.Record{}, func(current consensus.Record, _ map[uint64]bool) (consensus.Record, bool) {
 		return change(current)
 	})
 	finished, life := false, m.life
-	finish := func(record register.Record, ok bool) {
+	finish := func(record consensus.Record, ok bool) {
 		if finished || life != m.life {
 			return
 		}
@@ -175,13 +175,13 @@
 		}
 		done(record, ok)
 	}
-	m.s.at(proposeTimeout.Milliseconds(), func() { m.s.run(m.place, func() { finish(register.Record{}, false) }) })
-	var send func([]register.Request)
-	send = func(requests []register.Request) {
+	m.s.at(proposeTimeout.Milliseconds(), func() { m.s.run(m.place, func() { finish(consensus.Record{}, false) }) })
+	var send func([]consensus.Request)
+	send = func(requests []consensus.Request) {
 		for _, request := range requests {
 			peer := m.s.members[request.To.ID-1]
-			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(register.Promise)) { answer(peer.vote(mode, request)) },
-				func(promise register.Promise, reached bool) {
+			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(consensus.Promise)) { answer(peer.vote(mode, request)) },
+				func(promise consensus.Promise, reached bool) {
 					if finished || life != m.life {
 						return
 					}
@@ -193,34 +193,34 @@
 				})
 		}
 		switch proposal.Phase() {
-		case register.PhaseDecided:
+		case consensus.PhaseDecided:
 			finish(proposal.Decided(), true)
-		case register.PhaseFailed:
-			finish(register.Record{}, false)
+		case consensus.PhaseFailed:
+			finish(consensus.Record{}, false)
 		}
 	}
 	send(proposal.Begin())
 }
 
 // vote is a witness's answer to a request.
-func (m *simMember) vote(mode prepareMode, request register.Request) register.Promise {
-	if request.Kind == register.RequestPrepare {
+func (m *simMember) vote(mode prepareMode, request consensus.Request) consensus.Promise {
+	if request.Kind == consensus.RequestPrepare {
 		return m.prepare(mode, request.Ballot)
 	}
 	given := m.accept(request.Ballot, request.Value)
-	return register.Promise{Given: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
+	return consensus.Promise{Given: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
 }
 
-func (m *simMember) prepare(mode prepareMode, ballot register.Ballot) register.Promise {
+func (m *simMember) prepare(mode prepareMode, ballot consensus.Ballot) consensus.Promise {
 	voter := m.voter()
-	if mode == prepareOnSilence && !voter.Supports(authority.Ballot{Epoch: voter.KnownEpoch}) {
-		return register.Promise{}
+	if mode == prepareOnSilence && !voter.Supports(lease.Ballot{Epoch: voter.KnownEpoch}) {
+		return consensus.Promise{}
 	}
 	given := m.witness.Prepare(ballot)
-	return register.Promise{Given: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
+	return consensus.Promise{Given: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
 }
 
-func (m *simMember) accept(ballot register.Ballot, record register.Record) bool {
+func (m *simMember) accept(ballot consensus.Ballot, record consensus.Record) bool {
 	given := m.witness.Accept(ballot, record)
 	if given {
 		m.learn(record)
--- a/tier/control/simjudge_test.go
+++ b/tier/control/simjudge_test.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"testing"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
-	"otterseam/tier/register"
+	"otterseam/tier/lease"
 )
 
 // This file plays those who call control in the simulation, brings the faults about, and judges what is seen.
@@ -65,7 +65,7 @@
 		return
 	}
 	to := h.target
-	call(h.s, h.place, to, authority.HostAttempt, func(answer func(bool)) { h.s.members[to].heartbeat(h.host, answer) }, func(ok, reached bool) {
+	call(h.s, h.place, to, lease.HostAttempt, func(answer func(bool)) { h.s.members[to].heartbeat(h.host, answer) }, func(ok, reached bool) {
 		if ok && reached {
 			h.calling = false
 			h.ackedAt = h.s.now
@@ -87,7 +87,7 @@
 func (s *simNetwork) addStore(p place) {
 	store := &simStore{s: s, place: p, target: s.randomMember()}
 	s.stores = append(s.stores, store)
-	s.every(authority.StoreBeatEvery, store.beat)
+	s.every(lease.StoreBeatEvery, store.beat)
 }
 
 func (t *simStore) beat() {
@@ -96,7 +96,7 @@
 	}
 	t.calling = true
 	to := t.target
-	call(t.s, t.place, to, authority.PrimaryAttempt, func(answer func(place)) {
+	call(t.s, t.place, to, lease.PrimaryAttempt, func(answer func(place)) {
 		m := t.s.members[to]
 		if m.standing().MayDecide(m.clock()) != nil {
 			answer(m.hint())
@@ -289,7 +289,7 @@
 // judgeHandedOut condemns a configuration that was replaced longer ago than a lease lasts.
 func (s *simNetwork) judgeHandedOut(m *simMember, version uint64) {
 	for acked, at := range s.operator.acked {
-		if acked > version && at < s.now-authority.LeaseLength {
+		if acked > version && at < s.now-lease.LeaseLength {
 			s.condemn(oldConfiguration, "member %d hands out %d, %d was confirmed %d ms ago", m.place, version, acked, s.now-at)
 		}
 	}
@@ -362,7 +362,7 @@
 }
 
 // judgeElection condemns a takeover from a primary that ran and had a majority around it for longer than any message takes.
-func (s *simNetwork) judgeElection(m *simMember, replaced register.Record) {
+func (s *simNetwork) judgeElection(m *simMember, replaced consensus.Record) {
 	const settled = 1500
 	old := s.members[replaced.Primary-1]
 	leads := old != m && old.group.IsReady() && old.group.View().Epoch == replaced.Epoch
--- a/tier/control/simlife_test.go
+++ b/tier/control/simlife_test.go
@@ -1,9 +1,9 @@
 package control
 
 import (
-	"otterseam/tier/authority"
 	"otterseam/tier/codes"
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
+	"otterseam/tier/lease"
 	"otterseam/tier/replica"
 )
 
@@ -31,11 +31,11 @@
 // open makes a member's process from its disk.
 func (m *simMember) open() {
 	m.machine = &simMachine{State: NewState()}
-	m.rounds = register.NewRounds(m.limit, func(limit uint64) error {
+	m.rounds = consensus.NewRounds(m.limit, func(limit uint64) error {
 		m.limit = limit
 		return nil
 	})
-	options := replica.Options{EagerCommit: true, Life: m.s.random.Uint64() | 1, StepDownAfter: authority.StepDownAfter}
+	options := replica.Options{EagerCommit: true, Life: m.s.random.Uint64() | 1, StepDownAfter: lease.StepDownAfter}
 	entries := append([]replica.Entry(nil), m.disk.entries...)
 	group, err := replica.NewGroup(m.id, m.machine, m.disk.base, entries, options)
 	if err != nil {
@@ -60,8 +60,8 @@
 	m.known = m.witness.Value
 	m.learned = m.clock()
 	m.startedAt = m.clock()
-	m.hosts = authority.NewHostSessions()
-	m.stores = authority.NewStoreSessions()
+	m.hosts = lease.NewHostSessions()
+	m.stores = lease.NewStoreSessions()
 	m.heard = map[string]int64{}
 	m.wellSince = 0
 	m.s.noteChange()
--- a/tier/control/standing.go
+++ b/tier/control/standing.go
@@ -4,36 +4,36 @@
 	"context"
 	"time"
 
-	"otterseam/tier/authority"
-	"otterseam/tier/groups"
+	"otterseam/tier/consensus"
+	"otterseam/tier/lease"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 	"otterseam/tier/timeline"
 )
 
-const checkEvery = authority.CheckEvery * time.Millisecond
+const checkEvery = lease.CheckEvery * time.Millisecond
 
 // standing is what this process can prove of itself. All answers of control are given by it.
-func (s *Server) standing() authority.Standing {
-	if !register.HasMember(s.elector.Known().Members, s.self.ID) {
+func (s *Server) standing() lease.Standing {
+	if !consensus.HasMember(s.elector.Known().Members, s.self.ID) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return authority.Standing{Role: authority.Outsider, ConfirmedSince: s.reachedSince}
+		return lease.Standing{Role: lease.Outsider, ConfirmedSince: s.reachedSince}
 	}
-	standing := authority.Standing{Role: authority.Backup}
+	standing := lease.Standing{Role: lease.Backup}
 	s.host.With(controlGroup, func(g *replica.Group) {
 		if g.IsPrimary() {
-			standing.Role = authority.Primary
+			standing.Role = lease.Primary
 			standing.Ready = g.IsReady()
 		}
-		standing.ConfirmedSince = g.ConfirmedSince(groups.Now())
+		standing.ConfirmedSince = g.ConfirmedSince(multigroup.Now())
 	})
 	return standing
 }
 
 // mayServe tells whether this process may serve its copy of the state now.
-func (s *Server) mayServe() bool { return s.standing().MayServe(groups.Now()) }
+func (s *Server) mayServe() bool { return s.standing().MayServe(multigroup.Now()) }
 
 // noteReached notes that the primary in force answered a question of this process.
 func (s *Server) noteReached(since int64) {
--- a/tier/control/state.go
+++ b/tier/control/state.go
@@ -8,9 +8,9 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/configlog"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/orders"
 )
 
 // State is the control state machine. It is folded into a view, from which it is also served, saved and restored.
@@ -18,7 +18,7 @@
 	View *feed.View
 
 	mu     sync.Mutex
-	orders orders.Log
+	orders configlog.Log
 	hosts  map[string]hostState
 	gone   int // hosts that deregistered and whose ids are still known
 }
@@ -96,7 +96,7 @@
 
 // replaceConfig takes a configuration if it builds on the current one. The same order gets the same answer again.
 func (s *State) replaceConfig(index uint64, c Command) codes.Code {
-	order := orders.Order{Base: c.Base, Version: c.Version, Body: orders.HashOf(c.Body)}
+	order := configlog.Order{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
 	answer, fresh := s.orders.Decide(order, s.currentVersion())
 	if fresh {
 		s.View.Put(feed.SectionConfig, directory.ConfigKey, index, configItem(c.Version, c.Body))
@@ -264,7 +264,7 @@
 		}
 		hosts[id] = held
 	}
-	answered := orders.Decode(d)
+	answered := configlog.Decode(d)
 	if d.Err() != nil {
 		return d.Err()
 	}
--- a/tier/control/stop.go
+++ b/tier/control/stop.go
@@ -8,10 +8,10 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
-	"otterseam/tier/groups"
+	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
-	"otterseam/tier/register"
 	"otterseam/tier/rpc"
 )
 
@@ -57,7 +57,7 @@
 // needed tells whether others can't do without this process yet.
 func (s *Server) needed() bool {
 	known := s.elector.Known()
-	if !register.HasMember(known.Voters(), s.self.ID) || len(known.Members) < 2 {
+	if !consensus.HasMember(known.Voters(), s.self.ID) || len(known.Members) < 2 {
 		return false
 	}
 	if s.leadsControl() || known.Primary == s.self.ID {
@@ -89,10 +89,10 @@
 // stepAside asks a member whose disk works to take the lead. Where none does, this process goes on leading: a slow disk everywhere
 // must not leave the group without a primary.
 func (s *Server) stepAside(ctx context.Context) {
-	if !s.leadsControl() || groups.Now()-s.steppedAsideAt < stepAsideEvery {
+	if !s.leadsControl() || multigroup.Now()-s.steppedAsideAt < stepAsideEvery {
 		return
 	}
-	s.steppedAsideAt = groups.Now()
+	s.steppedAsideAt = multigroup.Now()
 	taken := s.handOver(ctx)
 	s.log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": taken}).Warn("the disk does not do its work: another member is asked to lead")
 }
--- a/tier/control/submit.go
+++ b/tier/control/submit.go
@@ -5,7 +5,7 @@
 
 	"otterseam/tier/codes"
 	"otterseam/tier/controlclient"
-	"otterseam/tier/groups"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/replica"
 )
 
@@ -38,7 +38,7 @@
 func (s *Server) primaryAddress() string {
 	primary := uint64(0)
 	s.host.With(controlGroup, func(g *replica.Group) { primary = g.View().Primary })
-	if primary == s.self.ID || !s.standing().HasLease(groups.Now()) {
+	if primary == s.self.ID || !s.standing().HasLease(multigroup.Now()) {
 		return "" // it leads no more, or may have been replaced
 	}
 	if member, known := s.elector.Known().Member(primary); known {
--- a/tier/control/verdicts.go
+++ b/tier/control/verdicts.go
@@ -8,7 +8,7 @@
 
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/groups"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/outlier"
 )
 
@@ -70,13 +70,13 @@
 	if err != nil {
 		return Result{}, err
 	}
-	s.verdicts.take(window, groups.Now())
+	s.verdicts.take(window, multigroup.Now())
 	return Result{}, nil
 }
 
 // judgeHosts sets hosts aside that fail where their peers do not, and takes back what has lapsed.
 func (s *Server) judgeHosts(ctx context.Context) {
-	aside, ended := s.verdicts.decide(s.fleet, groups.Now())
+	aside, ended := s.verdicts.decide(s.fleet, multigroup.Now())
 	var commands []Command
 	for _, verdict := range aside {
 		s.log.WithFields(logrus.Fields{"host": verdict.Host, "term_ms": verdict.TermMS}).Info("host set aside: it fails where its peers do not")
--- a/tier/controlclient/client.go
+++ b/tier/controlclient/client.go
@@ -6,14 +6,14 @@
 	"sync"
 	"time"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codes"
+	"otterseam/tier/lease"
 	"otterseam/tier/rpc"
 )
 
 const (
-	attemptTimeout = authority.PrimaryAttempt * time.Millisecond
-	attemptPause   = authority.PrimaryPause * time.Millisecond
+	attemptTimeout = lease.PrimaryAttempt * time.Millisecond
+	attemptPause   = lease.PrimaryPause * time.Millisecond
 )
 
 // Client calls the control primary, wherever it is.
--- a/tier/controlclient/heard.go
+++ b/tier/controlclient/heard.go
@@ -2,13 +2,13 @@
 
 import (
 	"otterseam/tier/codec"
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 	"otterseam/tier/replica"
 )
 
 // ControlBeat keeps a control process's session with the primary.
 type ControlBeat struct {
-	Member   register.Member
+	Member   consensus.Member
 	Leaving  bool          // it is about to end
 	Refusals uint64        // heartbeats of hosts that it has refused for want of a lease
 	Question replica.Stamp // the newest question of the primary that it has read
@@ -30,7 +30,7 @@
 func DecodeControlBeat(data []byte) (ControlBeat, error) {
 	d := codec.NewDecoder(data)
 	b := ControlBeat{
-		Member:  register.Member{ID: d.Uint64(), Address: d.String(), Node: d.String()},
+		Member:  consensus.Member{ID: d.Uint64(), Address: d.String(), Node: d.String()},
 		Leaving: d.Bool(), Refusals: d.Uint64(), Question: replica.DecodeStamp(d),
 	}
 	return b, d.Err()
--- a/tier/directory/directory.go
+++ b/tier/directory/directory.go
@@ -6,8 +6,8 @@
 	"strconv"
 
 	"otterseam/tier/codec"
+	"otterseam/tier/consensus"
 	"otterseam/tier/feed"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 )
 
@@ -167,9 +167,9 @@
 }
 
 // EncodeMembers is the form of the control members in a feed.
-func EncodeMembers(record register.Record) []byte {
+func EncodeMembers(record consensus.Record) []byte {
 	var e codec.Encoder
-	register.EncodeRecord(&e, record)
+	consensus.EncodeRecord(&e, record)
 	return e.Bytes
 }
 
@@ -179,7 +179,7 @@
 	if !found {
 		return nil
 	}
-	record := register.DecodeRecord(codec.NewDecoder(data))
+	record := consensus.DecodeRecord(codec.NewDecoder(data))
 	var addresses []string
 	for _, member := range record.Members {
 		addresses = append(addresses, member.Address)
--- a/tier/patience/patience.go
+++ b/tier/hangdetect/hangdetect.go
@@ -1,7 +1,7 @@
-// Package patience decides for how long a request waits for the first sign of its answer before it is taken for hung, so that it
+// Package hangdetect decides for how long a request waits for the first sign of its answer before it is taken for hung, so that it
 // can be tried again while there is time. It is pure, and has no figure of a service: what is usual is learned from the answers
 // that come, as retransmission timers learn round-trip times (RFC 6298).
-package patience
+package hangdetect
 
 import "time"
 
--- a/tier/patience/patience_test.go
+++ b/tier/hangdetect/hangdetect_test.go
@@ -1,4 +1,4 @@
-package patience
+package hangdetect
 
 import (
 	"math/rand/v2"
--- a/tier/authority/bounds.go
+++ b/tier/lease/bounds.go
@@ -1,7 +1,7 @@
-// Package authority decides what a control process may stand behind: for how long its proof of contact carries an answer, when
+// Package lease decides what a control process may stand behind: for how long its proof of contact carries an answer, when
 // it gives up the lead, when it may try to replace a primary, and when a session has ended. The package is pure: times are given
 // to it, in milliseconds of the process's own steady clock.
-package authority
+package lease
 
 // The bounds of control, in milliseconds. How they hang together is checked by TestTheSuccessorOutwaitsEveryPromise and the
 // other tests of this file.
--- a/tier/authority/hosts.go
+++ b/tier/lease/hosts.go
@@ -1,4 +1,4 @@
-package authority
+package lease
 
 import "sort"
 
--- a/tier/authority/stores.go
+++ b/tier/lease/stores.go
@@ -1,4 +1,4 @@
-package authority
+package lease
 
 // StoreSessions is who of the stores was heard when. The primary keeps it.
 type StoreSessions struct {
--- a/tier/authority/succession.go
+++ b/tier/lease/succession.go
@@ -1,4 +1,4 @@
-package authority
+package lease
 
 // Situation is what a control process knows when it asks itself whether the group needs another primary.
 type Situation struct {
--- a/tier/membership/founding_test.go
+++ b/tier/membership/founding_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 )
 
 func founding(self uint64, heard ...uint64) Founding {
-	f := Founding{Self: member(self), Founders: map[string]register.Member{}}
+	f := Founding{Self: member(self), Founders: map[string]consensus.Member{}}
 	for _, id := range []uint64{1, 2, 3} {
 		f.Seeds = append(f.Seeds, member(id).Address)
 	}
--- a/tier/membership/membership.go
+++ b/tier/membership/membership.go
@@ -4,7 +4,7 @@
 package membership
 
 import (
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 	"otterseam/tier/replica"
 )
 
@@ -20,13 +20,13 @@
 func (p Policy) learners() int { return max(1, p.Tolerate) }
 
 // Floor is how many members stay in the in-sync set although they are silent.
-func (p Policy) Floor(record register.Record) int {
+func (p Policy) Floor(record consensus.Record) int {
 	return max(1, record.MinCopies, min(p.Voters(), len(record.Members))-p.Tolerate)
 }
 
 // WithCopies raises the copies that an acknowledgement needs to what the members allow, once so many are in sync. They are never
 // lowered: what was promised of an acknowledgement holds on when members leave.
-func (p Policy) WithCopies(record register.Record) register.Record {
+func (p Policy) WithCopies(record consensus.Record) consensus.Record {
 	wanted := replica.MinCopies(p.Tolerate, len(record.Members))
 	if wanted > record.MinCopies && len(record.InSync) >= wanted {
 		record.MinCopies = wanted
@@ -35,8 +35,8 @@
 }
 
 // Found is the first record of a group.
-func (p Policy) Found(primary uint64, members []register.Member) register.Record {
-	record := register.Record{Epoch: 1, Primary: primary, Members: members}
+func (p Policy) Found(primary uint64, members []consensus.Member) consensus.Record {
+	record := consensus.Record{Epoch: 1, Primary: primary, Members: members}
 	for _, member := range members {
 		record.InSync = append(record.InSync, member.ID)
 	}
@@ -45,7 +45,7 @@
 
 // Successor is the record of the next epoch under another primary. Replicas whose disk is lost leave the in-sync set in any case;
 // the former primary leaves it unless too few would remain.
-func (p Policy) Successor(current register.Record, primary uint64, lost func(uint64) bool) register.Record {
+func (p Policy) Successor(current consensus.Record, primary uint64, lost func(uint64) bool) consensus.Record {
 	next := current
 	next.Epoch++
 	next.Primary = primary
@@ -56,34 +56,34 @@
 		}
 	}
 	if current.Primary != primary && len(next.InSync) > p.Floor(current) {
-		next.InSync = register.Without(next.InSync, current.Primary)
+		next.InSync = consensus.Without(next.InSync, current.Primary)
 	}
 	return next
 }
 
 // Observation is what the primary knows of the processes.
 type Observation struct {
-	Alive    []register.Member // processes heard lately, members and others
-	HasState map[uint64]bool   // replicas outside the in-sync set that hold all that was committed
-	Lost     func(uint64) bool // the disk is provably lost
-	Silent   func(uint64) bool // for so long that another may take the place
-	Gone     func(uint64) bool // for so long that it may be taken out with none in its place
-	Leaving  func(uint64) bool // it has said that it will end
+	Alive    []consensus.Member // processes heard lately, members and others
+	HasState map[uint64]bool    // replicas outside the in-sync set that hold all that was committed
+	Lost     func(uint64) bool  // the disk is provably lost
+	Silent   func(uint64) bool  // for so long that another may take the place
+	Gone     func(uint64) bool  // for so long that it may be taken out with none in its place
+	Leaving  func(uint64) bool  // it has said that it will end
 }
 
 // isAlive tells whether a process was heard lately.
-func (o Observation) isAlive(id uint64) bool { return register.HasMember(o.Alive, id) }
+func (o Observation) isAlive(id uint64) bool { return consensus.HasMember(o.Alive, id) }
 
 // Step is one change of a record.
 type Step struct {
-	Record register.Record
+	Record consensus.Record
 	// Admit is a replica that the step takes into the in-sync set; commands have to wait for it before the step is proposed.
 	Admit uint64
 }
 
 // Next is the next step towards a group that bears the tolerated losses, if one is wanted.
-func (p Policy) Next(record register.Record, o Observation) (Step, bool) {
-	steps := []func(register.Record, Observation) (Step, bool){p.reseat, p.promote, p.shrink, p.learn, p.unlearn}
+func (p Policy) Next(record consensus.Record, o Observation) (Step, bool) {
+	steps := []func(consensus.Record, Observation) (Step, bool){p.reseat, p.promote, p.shrink, p.learn, p.unlearn}
 	for _, step := range steps {
 		if next, wanted := step(record, o); wanted {
 			next.Record = p.WithCopies(next.Record)
@@ -96,7 +96,7 @@
 // reseat gives the vote of a member whose disk is lost to another process at once, whether or not that one holds the state: the
 // vote can never be given again by the one before, and until it is given by another the next loss leaves no majority. The
 // newcomer is not in sync before it holds the state.
-func (p Policy) reseat(record register.Record, o Observation) (Step, bool) {
+func (p Policy) reseat(record consensus.Record, o Observation) (Step, bool) {
 	for _, member := range record.Members {
 		if member.ID == record.Primary || !o.Lost(member.ID) {
 			continue
@@ -110,11 +110,11 @@
 }
 
 // seatFor picks who follows a lost member: a spare that holds the state, else the process at the same address, else any.
-func (p Policy) seatFor(record register.Record, lost register.Member, o Observation) (register.Member, bool) {
-	var best register.Member
+func (p Policy) seatFor(record consensus.Record, lost consensus.Member, o Observation) (consensus.Member, bool) {
+	var best consensus.Member
 	bestScore := -1
 	for _, candidate := range o.Alive {
-		if register.HasMember(record.Members, candidate.ID) || o.Leaving(candidate.ID) {
+		if consensus.HasMember(record.Members, candidate.ID) || o.Leaving(candidate.ID) {
 			continue
 		}
 		score := 0
@@ -133,27 +133,27 @@
 
 // promote gives a spare that holds the state a vote: a seat of its own while there are too few, else that of a member that is
 // silent or leaving.
-func (p Policy) promote(record register.Record, o Observation) (Step, bool) {
+func (p Policy) promote(record consensus.Record, o Observation) (Step, bool) {
 	for _, learner := range record.Learners {
 		if !o.HasState[learner.ID] || !o.isAlive(learner.ID) || o.Leaving(learner.ID) {
 			continue
 		}
 		next := withoutLearner(record, learner.ID)
 		if len(record.Members) < p.Voters() {
-			next.Members = append(append([]register.Member(nil), record.Members...), learner)
+			next.Members = append(append([]consensus.Member(nil), record.Members...), learner)
 		} else if member, found := p.replaceable(record, o); found {
 			next = replaced(next, member, learner)
 		} else {
 			continue
 		}
-		next.InSync = append(register.Without(next.InSync, learner.ID), learner.ID)
+		next.InSync = append(consensus.Without(next.InSync, learner.ID), learner.ID)
 		return Step{Record: next, Admit: learner.ID}, true
 	}
 	return Step{}, false
 }
 
 // replaceable finds a member whose seat a spare should have.
-func (p Policy) replaceable(record register.Record, o Observation) (uint64, bool) {
+func (p Policy) replaceable(record consensus.Record, o Observation) (uint64, bool) {
 	for _, member := range record.Members {
 		if member.ID == record.Primary {
 			continue
@@ -167,7 +167,7 @@
 
 // shrink takes out a member that is gone while none can follow it, if the group then bears more losses. An even number is passed
 // through: with two gone of five, four and then three are left.
-func (p Policy) shrink(record register.Record, o Observation) (Step, bool) {
+func (p Policy) shrink(record consensus.Record, o Observation) (Step, bool) {
 	var gone []uint64
 	for _, member := range record.Members {
 		spared := !record.IsInSync(member.ID) || len(record.InSync) > p.Floor(record)
@@ -181,7 +181,7 @@
 	}
 	next := record
 	next.Members = withoutMember(record.Members, gone[0])
-	next.InSync = register.Without(record.InSync, gone[0])
+	next.InSync = consensus.Without(record.InSync, gone[0])
 	return Step{Record: next}, true
 }
 
@@ -189,9 +189,9 @@
 const smallestGroup = 3
 
 // spare tells whether a process could follow a member.
-func (p Policy) spare(record register.Record, o Observation) bool {
+func (p Policy) spare(record consensus.Record, o Observation) bool {
 	for _, candidate := range o.Alive {
-		if !register.HasMember(record.Members, candidate.ID) && !o.Leaving(candidate.ID) {
+		if !consensus.HasMember(record.Members, candidate.ID) && !o.Leaving(candidate.ID) {
 			return true
 		}
 	}
@@ -199,24 +199,24 @@
 }
 
 // learn has a spare hold a copy before it is needed.
-func (p Policy) learn(record register.Record, o Observation) (Step, bool) {
+func (p Policy) learn(record consensus.Record, o Observation) (Step, bool) {
 	if len(record.Learners) >= p.learners() {
 		return Step{}, false
 	}
 	for _, candidate := range o.Alive {
-		known := register.HasMember(record.Members, candidate.ID) || register.HasMember(record.Learners, candidate.ID)
+		known := consensus.HasMember(record.Members, candidate.ID) || consensus.HasMember(record.Learners, candidate.ID)
 		if known || o.Leaving(candidate.ID) {
 			continue
 		}
 		next := record
-		next.Learners = append(append([]register.Member(nil), record.Learners...), candidate)
+		next.Learners = append(append([]consensus.Member(nil), record.Learners...), candidate)
 		return Step{Record: next}, true
 	}
 	return Step{}, false
 }
 
 // unlearn forgets a spare that is silent or leaving.
-func (p Policy) unlearn(record register.Record, o Observation) (Step, bool) {
+func (p Policy) unlearn(record consensus.Record, o Observation) (Step, bool) {
 	for _, learner := range record.Learners {
 		if o.Leaving(learner.ID) || o.Lost(learner.ID) || o.Silent(learner.ID) {
 			return Step{Record: withoutLearner(record, learner.ID)}, true
@@ -225,21 +225,21 @@
 	return Step{}, false
 }
 
-func replaced(record register.Record, remove uint64, add register.Member) register.Record {
+func replaced(record consensus.Record, remove uint64, add consensus.Member) consensus.Record {
 	next := record
 	next.Members = append(withoutMember(record.Members, remove), add)
-	next.InSync = register.Without(record.InSync, remove)
+	next.InSync = consensus.Without(record.InSync, remove)
 	return next
 }
 
-func withoutLearner(record register.Record, id uint64) register.Record {
+func withoutLearner(record consensus.Record, id uint64) consensus.Record {
 	next := record
 	next.Learners = withoutMember(record.Learners, id)
 	return next
 }
 
-func withoutMember(members []register.Member, id uint64) []register.Member {
-	var rest []register.Member
+func withoutMember(members []consensus.Member, id uint64) []consensus.Member {
+	var rest []consensus.Member
 	for _, member := range members {
 		if member.ID != id {
 			rest = append(rest, member)
@@ -249,11 +249,11 @@
 }
 
 // View is how the replicas see a record.
-func View(record register.Record) replica.View {
+func View(record consensus.Record) replica.View {
 	view := replica.View{Epoch: record.Epoch, Primary: record.Primary, InSync: record.InSync, MinCopies: record.MinCopies}
 	for _, member := range record.Holders() {
 		view.Replicas = append(view.Replicas, member.ID)
-		if !register.HasMember(record.Members, member.ID) {
+		if !consensus.HasMember(record.Members, member.ID) {
 			view.Learners = append(view.Learners, member.ID)
 		}
 	}
--- a/tier/membership/membership_test.go
+++ b/tier/membership/membership_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 )
 
-func member(id uint64) register.Member {
-	return register.Member{ID: id, Address: string(rune('a' + id)), Node: string(rune('A' + id))}
+func member(id uint64) consensus.Member {
+	return consensus.Member{ID: id, Address: string(rune('a' + id)), Node: string(rune('A' + id))}
 }
 
-func members(ids ...uint64) []register.Member {
-	var all []register.Member
+func members(ids ...uint64) []consensus.Member {
+	var all []consensus.Member
 	for _, id := range ids {
 		all = append(all, member(id))
 	}
@@ -19,7 +19,7 @@
 }
 
 func set(ids ...uint64) func(uint64) bool {
-	return func(id uint64) bool { return register.Contains(ids, id) }
+	return func(id uint64) bool { return consensus.Contains(ids, id) }
 }
 
 // observed is a quiet group.
@@ -27,7 +27,7 @@
 	return Observation{Alive: members(alive...), HasState: map[uint64]bool{}, Lost: set(), Silent: set(), Gone: set(), Leaving: set()}
 }
 
-func ids(list []register.Member) []uint64 {
+func ids(list []consensus.Member) []uint64 {
 	var all []uint64
 	for _, each := range list {
 		all = append(all, each.ID)
@@ -37,7 +37,7 @@
 
 func same(a, b []uint64) bool {
 	for _, id := range a {
-		if !register.Contains(b, id) {
+		if !consensus.Contains(b, id) {
 			return false
 		}
 	}
@@ -58,7 +58,7 @@
 	if p.WithCopies(record).MinCopies != 2 {
 		t.Fatal("the copies fell with the members")
 	}
-	grown := register.Record{Members: members(1, 2), InSync: []uint64{1}, MinCopies: 1}
+	grown := consensus.Record{Members: members(1, 2), InSync: []uint64{1}, MinCopies: 1}
 	if p.WithCopies(grown).MinCopies != 1 {
 		t.Fatal("the copies rose before so many were in sync")
 	}
@@ -170,7 +170,7 @@
 		t.Fatal("the primary gave its own place away")
 	}
 	o.Leaving = set(2, 4)
-	if step, _ := p.Next(record, o); register.HasMember(step.Record.Members, 4) {
+	if step, _ := p.Next(record, o); consensus.HasMember(step.Record.Members, 4) {
 		t.Fatalf("a leaving spare became a member: %+v", step)
 	}
 }
--- a/tier/membership/sightings.go
+++ b/tier/membership/sightings.go
@@ -1,6 +1,6 @@
 package membership
 
-import "otterseam/tier/register"
+import "otterseam/tier/consensus"
 
 // Sightings is where each identity was last seen, from which follows whose disk is lost. The proof is the member's own machine,
 // at its own address, answering with another identity after the last sign of the member: an identity is drawn only on an empty
@@ -30,14 +30,14 @@
 }
 
 // Named notes that a record names a member. Only the first time counts as a sign of it.
-func (s *Sightings) Named(member register.Member, now int64) {
+func (s *Sightings) Named(member consensus.Member, now int64) {
 	if _, known := s.members[member.ID]; !known {
 		s.members[member.ID] = sighting{address: member.Address, node: member.Node, at: now}
 	}
 }
 
 // Answered notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
-func (s *Sightings) Answered(member register.Member, since int64) {
+func (s *Sightings) Answered(member consensus.Member, since int64) {
 	if held := s.members[member.ID]; held.at <= since {
 		s.members[member.ID] = sighting{address: member.Address, node: member.Node, at: since}
 	}
--- a/tier/membership/sightings_test.go
+++ b/tier/membership/sightings_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 )
 
 var (
-	first     = register.Member{ID: 5, Address: "x", Node: "core-1"}
-	wiped     = register.Member{ID: 6, Address: "x", Node: "core-1"}
-	elsewhere = register.Member{ID: 7, Address: "x", Node: "core-9"}
+	first     = consensus.Member{ID: 5, Address: "x", Node: "core-1"}
+	wiped     = consensus.Member{ID: 6, Address: "x", Node: "core-1"}
+	elsewhere = consensus.Member{ID: 7, Address: "x", Node: "core-9"}
 )
 
 // The same machine at the same address with another identity has lost its disk.
--- a/tier/groups/diskwatch.go
+++ b/tier/multigroup/diskwatch.go
@@ -1,4 +1,4 @@
-package groups
+package multigroup
 
 const (
 	// diskStalledAfter is how long a write may take, or be tried again, before the disk counts as stalled, in milliseconds. Other
--- a/tier/groups/host.go
+++ b/tier/multigroup/host.go
@@ -1,6 +1,6 @@
-// Package groups carries out what replicas decide: it keeps the replicas of many groups in one process, makes their writes
+// Package multigroup carries out what replicas decide: it keeps the replicas of many groups in one process, makes their writes
 // durable in group commits, sends their messages and hands results to those who wait for them.
-package groups
+package multigroup
 
 import (
 	"context"
--- a/tier/groups/installation_test.go
+++ b/tier/multigroup/installation_test.go
@@ -1,4 +1,4 @@
-package groups
+package multigroup
 
 import (
 	"os"
--- a/tier/placement/placement.go
+++ b/tier/placement/placement.go
@@ -7,8 +7,8 @@
 	"sort"
 	"strconv"
 
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 )
 
@@ -173,7 +173,7 @@
 	rest := known
 	for _, id := range known {
 		if !c.Machines[id].Alive && len(rest) > floor {
-			rest = register.Without(rest, id)
+			rest = consensus.Without(rest, id)
 		}
 	}
 	return rest
@@ -195,12 +195,12 @@
 	var replicas []uint64
 	for _, id := range view.Replicas {
 		_, exists := c.Machines[id]
-		if exists && (register.Contains(desired, id) || !allIn(view.InSync, desired) || id == view.Primary) {
+		if exists && (consensus.Contains(desired, id) || !allIn(view.InSync, desired) || id == view.Primary) {
 			replicas = append(replicas, id)
 		}
 	}
 	for _, id := range desired {
-		if !register.Contains(replicas, id) && c.Machines[id].Alive {
+		if !consensus.Contains(replicas, id) && c.Machines[id].Alive {
 			replicas = append(replicas, id)
 		}
 	}
@@ -210,7 +210,7 @@
 func onlyIn(ids, allowed []uint64) []uint64 {
 	var rest []uint64
 	for _, id := range ids {
-		if register.Contains(allowed, id) {
+		if consensus.Contains(allowed, id) {
 			rest = append(rest, id)
 		}
 	}
@@ -219,7 +219,7 @@
 
 func allIn(set, wanted []uint64) bool {
 	for _, id := range wanted {
-		if !register.Contains(set, id) {
+		if !consensus.Contains(set, id) {
 			return false
 		}
 	}
@@ -229,8 +229,8 @@
 // primary chooses who leads: the present primary while it can, else an in-sync replica that is alive.
 func (c Cluster) primary(shard directory.Shard, next replica.View, desired []uint64) uint64 {
 	present := c.Machines[next.Primary]
-	moved := !register.Contains(desired, next.Primary) && allIn(next.InSync, desired)
-	fits := register.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Boot == shard.PrimaryBoot
+	moved := !consensus.Contains(desired, next.Primary) && allIn(next.InSync, desired)
+	fits := consensus.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Boot == shard.PrimaryBoot
 	if fits && !moved && !present.Leaving {
 		return next.Primary
 	}
@@ -245,7 +245,7 @@
 		if !machine.Leaving {
 			score += 4
 		}
-		if register.Contains(desired, id) {
+		if consensus.Contains(desired, id) {
 			score += 2
 		}
 		if len(desired) > 0 && desired[0] == id {
@@ -266,17 +266,17 @@
 func (c Cluster) Change(shard directory.Shard, id uint64, admit bool) (directory.Shard, bool) {
 	next := shard
 	next.View.Epoch++
-	next.View.InSync = register.Without(shard.View.InSync, id)
+	next.View.InSync = consensus.Without(shard.View.InSync, id)
 	if !admit {
 		return next, c.MayDrop(shard.View, id)
 	}
 	next.View.InSync = append(next.View.InSync, id)
-	return next, register.Contains(shard.View.Replicas, id) && c.Machines[id].Alive
+	return next, consensus.Contains(shard.View.Replicas, id) && c.Machines[id].Alive
 }
 
 // MayDrop tells whether a replica may be taken out of the in-sync set because its primary does not hear it.
 func (c Cluster) MayDrop(view replica.View, id uint64) bool {
-	if !register.Contains(view.InSync, id) {
+	if !consensus.Contains(view.InSync, id) {
 		return true
 	}
 	return len(view.InSync)-1 >= max(1, c.floor(view))
@@ -285,7 +285,7 @@
 // Empty tells whether a machine holds no shard any more.
 func Empty(shards map[uint32]directory.Shard, identity uint64) bool {
 	for _, shard := range shards {
-		if register.Contains(shard.View.Replicas, identity) || register.Contains(shard.View.InSync, identity) {
+		if consensus.Contains(shard.View.Replicas, identity) || consensus.Contains(shard.View.InSync, identity) {
 			return false
 		}
 	}
--- a/tier/placement/placement_test.go
+++ b/tier/placement/placement_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
+	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
-	"otterseam/tier/register"
 )
 
 // machines makes stores spread over zones.
@@ -54,7 +54,7 @@
 			t.Fatalf("primary %d is not in sync: %+v", next.View.Primary, next.View)
 		}
 		for _, id := range next.View.InSync {
-			if !register.Contains(shard.View.InSync, id) {
+			if !consensus.Contains(shard.View.InSync, id) {
 				t.Fatalf("%d came into the in-sync set by itself", id)
 			}
 		}
@@ -112,7 +112,7 @@
 	for id := range uint32(ShardCount) {
 		shard, _ := c.Found(id)
 		filled := shard.View.Replicas[0]
-		shard.View.InSync = register.Without(shard.View.InSync, filled)
+		shard.View.InSync = consensus.Without(shard.View.InSync, filled)
 		shard.View.Primary = shard.View.InSync[0]
 		change(c, shard.View.Primary, func(m *Machine) { m.Alive = false })
 		if next, _ := c.Next(shard); !next.View.IsInSync(next.View.Primary) {
--- a/tier/proxy/outages.go
+++ b/tier/proxy/outages.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"otterseam/tier/authority"
+	"otterseam/tier/lease"
 	"otterseam/tier/opconfig"
 	"otterseam/tier/retryafter"
 )
@@ -21,7 +21,7 @@
 
 	// assumedFailover is how long the view or a shard is taken to be away before that has been seen: until a silent primary's
 	// session has ended and another one leads.
-	assumedFailover = (authority.StoreSilence + authority.StoreBeatEvery) * time.Millisecond
+	assumedFailover = (lease.StoreSilence + lease.StoreBeatEvery) * time.Millisecond
 	// assumedFull is how long the hosts of a service are taken to turn requests away.
 	assumedFull = 200 * time.Millisecond
 
--- a/tier/proxy/patience.go
+++ b/tier/proxy/patience.go
@@ -4,23 +4,23 @@
 	"sync"
 	"time"
 
+	"otterseam/tier/hangdetect"
 	"otterseam/tier/opconfig"
-	"otterseam/tier/patience"
 )
 
 // patiences knows, by route, how long answers usually take to begin.
 type patiences struct {
 	mu      sync.Mutex
-	byRoute map[string]*patience.Estimator
+	byRoute map[string]*hangdetect.Estimator
 }
 
-func newPatiences() *patiences { return &patiences{byRoute: map[string]*patience.Estimator{}} }
+func newPatiences() *patiences { return &patiences{byRoute: map[string]*hangdetect.Estimator{}} }
 
 // follow forgets the routes that a configuration no longer has.
 func (p *patiences) follow(config *opconfig.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := map[string]*patience.Estimator{}
+	kept := map[string]*hangdetect.Estimator{}
 	for _, route := range config.Routes {
 		if estimator := p.byRoute[route.Name]; estimator != nil {
 			kept[route.Name] = estimator
@@ -29,10 +29,10 @@
 	p.byRoute = kept
 }
 
-func (p *patiences) of(route string) *patience.Estimator {
+func (p *patiences) of(route string) *hangdetect.Estimator {
 	estimator := p.byRoute[route]
 	if estimator == nil {
-		estimator = &patience.Estimator{}
+		estimator = &hangdetect.Estimator{}
 		p.byRoute[route] = estimator
 	}
 	return estimator
@@ -71,7 +71,7 @@
 	target := time.Duration(r.route.TargetMS * float64(time.Millisecond))
 	left := r.left()
 	if r.route.RouteType == opconfig.RouteStreaming {
-		left = patience.UntilAbandoned(target, time.Duration(r.route.GapAimMS*float64(time.Millisecond)), left)
+		left = hangdetect.UntilAbandoned(target, time.Duration(r.route.GapAimMS*float64(time.Millisecond)), left)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tier/proxy/plain.go
+++ b/tier/proxy/plain.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
+	attemptstate "otterseam/tier/attempt"
 	"otterseam/tier/codes"
-	"otterseam/tier/exchange"
 	"otterseam/tier/opconfig"
 	"otterseam/tier/timeline"
 	"otterseam/tier/upstream"
@@ -37,10 +37,10 @@
 
 // send sends a request to a host and reads the head of the answer. Without an answer the outcome says how far it came. Apart from
 // the context, a limit that is not zero ends the attempt.
-func (p *Proxy) send(ctx context.Context, r *request, host *target, content payload, limit time.Time) (*attempt, exchange.Outcome) {
+func (p *Proxy) send(ctx context.Context, r *request, host *target, content payload, limit time.Time) (*attempt, attemptstate.Outcome) {
 	lease, err := host.pool.Acquire(ctx, r.id)
 	if err != nil {
-		return nil, exchange.Unsent
+		return nil, attemptstate.Unsent
 	}
 	p.timeline.Reach(timeline.FirstRequestSent)
 	defer p.hosts.watchStall(host, p.patience.stallAfter(r))()
@@ -54,12 +54,12 @@
 	if err != nil {
 		lease.Close()
 		p.noteGivenUp(r, sentAt, limit)
-		return nil, exchange.OutcomeOf(lease.Exchange())
+		return nil, attemptstate.OutcomeOf(lease.Exchange())
 	}
 	if load := response.Header.Get(headerLoad); load != "" {
 		p.hosts.told(host, load)
 	}
-	return &attempt{host, lease, response, sentAt}, exchange.Uncertain
+	return &attempt{host, lease, response, sentAt}, attemptstate.Uncertain
 }
 
 // noteGivenUp notes an attempt that failed because its limit has passed.
@@ -76,7 +76,7 @@
 }
 
 // head is what matters of the answer's head.
-func (a *attempt) head() exchange.Head {
+func (a *attempt) head() attemptstate.Head {
 	state := a.lease.Exchange()
 	return state.Head()
 }
@@ -101,23 +101,23 @@
 func (a *attempt) drain() { _, _ = a.readAll() }
 
 // kindOf tells how often a request of a route may run.
-func kindOf(route *opconfig.Route) exchange.Kind {
+func kindOf(route *opconfig.Route) attemptstate.Kind {
 	switch {
 	case route.RouteType == opconfig.RouteSafe:
-		return exchange.Repeatable
+		return attemptstate.Repeatable
 	case route.RouteType == opconfig.RouteStreaming && route.Resumable:
-		return exchange.Resumable
+		return attemptstate.Resumable
 	default:
-		return exchange.Once
+		return attemptstate.Once
 	}
 }
 
 // failureCode tells operators why an attempt failed.
-func failureCode(outcome exchange.Outcome) codes.Code {
+func failureCode(outcome attemptstate.Outcome) codes.Code {
 	switch outcome {
-	case exchange.Refused:
+	case attemptstate.Refused:
 		return codes.HostsFull
-	case exchange.Unsent:
+	case attemptstate.Unsent:
 		return codes.NoHost
 	default:
 		return codes.HostFailed
@@ -127,13 +127,13 @@
 // plainAnswer is an answer that was read whole.
 type plainAnswer struct {
 	response *http.Response
-	head     exchange.Head
+	head     attemptstate.Head
 	body     []byte
 }
 
 // servePlain serves a request whose answer is read whole before it is passed on.
 func (p *Proxy) servePlain(ctx context.Context, w http.ResponseWriter, r *request) {
-	attempts := exchange.NewAttempts(kindOf(r.route), r.route.MaxAttempts)
+	attempts := attemptstate.NewAttempts(kindOf(r.route), r.route.MaxAttempts)
 	tried := map[string]bool{}
 	failure := codes.NoHost
 	for attempts.May() && ctx.Err() == nil {
@@ -143,7 +143,7 @@
 		}
 		tried[host.ID] = true
 		answer, outcome := p.attemptPlain(ctx, r, host, !attempts.Last())
-		if attempts.After(outcome) == exchange.PassOn {
+		if attempts.After(outcome) == attemptstate.PassOn {
 			p.passOnPlain(w, r, attempts, answer)
 			return
 		}
@@ -155,7 +155,7 @@
 	switch {
 	case ctx.Err() != nil:
 		p.outOfTime(ctx, w)
-	case attempts.GiveUp() == exchange.Fail:
+	case attempts.GiveUp() == attemptstate.Fail:
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 	case failure == codes.HostFailed:
 		p.refuse(w, failure, r.left(), 0) // other hosts are there now
@@ -166,9 +166,9 @@
 
 // attemptPlain sends a request to one host. One that may be repeated is given up when it takes out of the ordinary long, and while
 // another host may run it, after part of the time: the client, or the proxy, tries again.
-func (p *Proxy) attemptPlain(ctx context.Context, r *request, host *target, another bool) (plainAnswer, exchange.Outcome) {
+func (p *Proxy) attemptPlain(ctx context.Context, r *request, host *target, another bool) (plainAnswer, attemptstate.Outcome) {
 	var limit time.Time // none but that of the context
-	if kindOf(r.route) == exchange.Repeatable {
+	if kindOf(r.route) == attemptstate.Repeatable {
 		limit = p.patience.limit(r)
 	}
 	if another && limit.IsZero() {
@@ -184,14 +184,14 @@
 	body, err := sent.readAll()
 	if err != nil && !head.Refusal() {
 		p.hosts.done(host, failedOutcome(ctx))
-		return plainAnswer{}, exchange.Uncertain
+		return plainAnswer{}, attemptstate.Uncertain
 	}
 	p.answered(r, host, head)
-	return plainAnswer{sent.response, head, body}, exchange.OutcomeOf(sent.lease.Exchange())
+	return plainAnswer{sent.response, head, body}, attemptstate.OutcomeOf(sent.lease.Exchange())
 }
 
 // answered notes a host's whole answer.
-func (p *Proxy) answered(r *request, host *target, head exchange.Head) {
+func (p *Proxy) answered(r *request, host *target, head attemptstate.Head) {
 	how := answeredOutcome(head)
 	p.hosts.done(host, how)
 	if how != outcomeFull {
@@ -213,11 +213,11 @@
 
 // silentOutcome is that of a request that got no answer at all. A deadline that passed without a sign of life counts against the
 // host, but pauses it not: under load deadlines pass at all hosts.
-func silentOutcome(ctx context.Context, how exchange.Outcome) outcome {
+func silentOutcome(ctx context.Context, how attemptstate.Outcome) outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return outcomeErred
-	case how == exchange.Unsent && ctx.Err() == nil:
+	case how == attemptstate.Unsent && ctx.Err() == nil:
 		return outcomeUnreached
 	default:
 		return failedOutcome(ctx)
@@ -234,7 +234,7 @@
 }
 
 // answeredOutcome is that of a whole answer.
-func answeredOutcome(head exchange.Head) outcome {
+func answeredOutcome(head attemptstate.Head) outcome {
 	switch {
 	case head.Refusal():
 		return outcomeFull
@@ -246,7 +246,7 @@
 }
 
 // passOnPlain gives the client the host's answer, unless it promises what the host has not proved.
-func (p *Proxy) passOnPlain(w http.ResponseWriter, r *request, attempts exchange.Attempts, answer plainAnswer) {
+func (p *Proxy) passOnPlain(w http.ResponseWriter, r *request, attempts attemptstate.Attempts, answer plainAnswer) {
 	if !attempts.Passable(answer.head) {
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 		return
--- a/tier/proxy/relay.go
+++ b/tier/proxy/relay.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	attemptstate "otterseam/tier/attempt"
 	"otterseam/tier/codes"
-	"otterseam/tier/exchange"
 	"otterseam/tier/sse"
 )
 
@@ -22,13 +22,13 @@
 	output   []byte
 	host     string
 	clientOK bool
-	attempts exchange.Attempts
+	attempts attemptstate.Attempts
 }
 
 // relay sends a turn to hosts until one streams its answer, and passes the events on as they come. On a resumable route a
 // broken-off stream goes on at another host within the same answer.
 func (p *Proxy) relay(ctx context.Context, w http.ResponseWriter, t *turn) {
-	state := &relayState{lastID: -1, clientOK: true, attempts: exchange.NewAttempts(kindOf(t.route), t.route.MaxAttempts)}
+	state := &relayState{lastID: -1, clientOK: true, attempts: attemptstate.NewAttempts(kindOf(t.route), t.route.MaxAttempts)}
 	if id, err := strconv.ParseInt(t.header.Get("Last-Event-Id"), 10, 64); err == nil {
 		state.lastID = id
 	}
@@ -41,7 +41,7 @@
 		}
 		tried[host.ID] = true
 		outcome := p.relayFrom(ctx, w, t, host, state)
-		if state.attempts.After(outcome) == exchange.PassOn {
+		if state.attempts.After(outcome) == attemptstate.PassOn {
 			return
 		}
 		failure = failureCode(outcome)
@@ -54,11 +54,11 @@
 	p.settleLater(t, t.end(state.events*t.stride, false, nil, state.host))
 	step := state.attempts.GiveUp()
 	switch {
-	case step == exchange.CutOff || !state.clientOK:
+	case step == attemptstate.CutOff || !state.clientOK:
 		panic(http.ErrAbortHandler)
 	case ctx.Err() != nil:
 		p.outOfTime(ctx, w)
-	case step == exchange.Fail:
+	case step == attemptstate.Fail:
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 	default:
 		p.refuse(w, failure, t.left(), p.outages.turnedAway(t.service))
@@ -66,7 +66,7 @@
 }
 
 // relayFrom serves the turn from one host. The outcome is Answered if the answer has ended.
-func (p *Proxy) relayFrom(ctx context.Context, w http.ResponseWriter, t *turn, host *target, state *relayState) exchange.Outcome {
+func (p *Proxy) relayFrom(ctx context.Context, w http.ResponseWriter, t *turn, host *target, state *relayState) attemptstate.Outcome {
 	lastEvent := t.header.Get("Last-Event-Id")
 	if state.started && state.lastID >= 0 {
 		lastEvent = strconv.FormatInt(state.lastID, 10)
@@ -81,7 +81,7 @@
 	case sent.refused():
 		sent.drain()
 		p.hosts.done(host, outcomeFull)
-		return exchange.Refused
+		return attemptstate.Refused
 	case sent.response.StatusCode != http.StatusOK || !mayBeEvents(sent.response.Header):
 		return p.relayWhole(ctx, w, t, sent, state)
 	default:
@@ -92,7 +92,7 @@
 // firstEventLimit is until when the first event of a stream has to come, or zero if there is no such time. Only a stream that may be
 // taken up elsewhere, and has given its client nothing yet, is given up for its silence.
 func (p *Proxy) firstEventLimit(t *turn, state *relayState) time.Time {
-	if kindOf(t.route) != exchange.Resumable || state.started {
+	if kindOf(t.route) != attemptstate.Resumable || state.started {
 		return time.Time{}
 	}
 	return p.patience.limit(t.request)
@@ -107,18 +107,18 @@
 
 // relayWhole passes on an answer that is no stream: a failure that the host itself gave, or the body of a host that generates
 // nothing. What a program may spend or keep has to be counted in events, so that such a success is no answer to its turn.
-func (p *Proxy) relayWhole(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt, state *relayState) exchange.Outcome {
+func (p *Proxy) relayWhole(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt, state *relayState) attemptstate.Outcome {
 	head := sent.head()
 	body, err := sent.readAll()
 	uncounted := t.accounted() && sent.response.StatusCode < http.StatusMultipleChoices
 	if err != nil || state.started || uncounted {
 		p.hosts.done(sent.host, failedOutcome(ctx))
-		return exchange.Uncertain
+		return attemptstate.Uncertain
 	}
 	p.answered(t.request, sent.host, head)
 	p.settleLater(t, t.end(0, false, nil, sent.host.ID))
 	p.passOnPlain(w, t.request, state.attempts, plainAnswer{sent.response, head, body})
-	return exchange.Answered
+	return attemptstate.Answered
 }
 
 const (
@@ -130,7 +130,7 @@
 // relayEvents passes events on, each as soon as it is whole.
 func (p *Proxy) relayEvents(
 	ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt, state *relayState, limit time.Time,
-) exchange.Outcome {
+) attemptstate.Outcome {
 	var splitter sse.Splitter
 	begun := false
 	buffer := make([]byte, streamReadBytes)
@@ -149,7 +149,7 @@
 			if !p.passOn(w, t, sent, state, event) {
 				sent.lease.Close()
 				p.hosts.done(sent.host, outcomeAbandoned)
-				return exchange.Uncertain
+				return attemptstate.Uncertain
 			}
 		}
 		if err == nil && splitter.Pending() <= maxEventBytes {
@@ -159,14 +159,14 @@
 			sent.lease.Release()
 			p.answered(t.request, sent.host, sent.head())
 			p.finish(ctx, w, t, sent, state)
-			return exchange.Answered
+			return attemptstate.Answered
 		}
 		sent.lease.Close()
 		if !begun {
 			p.noteGivenUp(t.request, sent.sentAt, limit)
 		}
 		p.hosts.done(sent.host, failedOutcome(ctx))
-		return exchange.Uncertain
+		return attemptstate.Uncertain
 	}
 }
 
--- a/tier/proxy/serve_test.go
+++ b/tier/proxy/serve_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"otterseam/lab/tierhost"
+	"otterseam/harness/tierhost"
 )
 
 func TestARequestWithoutAConfigurationIsRefusedForNow(t *testing.T) {
--- a/tier/replica/catchup_sim_test.go
+++ b/tier/replica/catchup_sim_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"otterseam/tier/codec"
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 )
 
 // This simulation plays hundreds to thousands of changes against a group of which members are down, wiped, cut off or started
@@ -512,7 +512,7 @@
 	for _, id := range primary.group.Silent(s.ms()) {
 		if len(s.view.InSync) > minimumSync || !s.view.IsInSync(id) {
 			next := s.view
-			next.InSync = register.Without(s.view.InSync, id)
+			next.InSync = consensus.Without(s.view.InSync, id)
 			s.setView(next)
 			return
 		}
--- a/tier/replica/copies.go
+++ b/tier/replica/copies.go
@@ -1,6 +1,6 @@
 package replica
 
-import "otterseam/tier/register"
+import "otterseam/tier/consensus"
 
 // MinCopies is how many durable copies an acknowledgement needs so that it outlives the loss of as many disks as are tolerated,
 // in a group that has so many replicas at most.
@@ -15,7 +15,7 @@
 func (v View) Voters() []uint64 {
 	var voters []uint64
 	for _, id := range v.Replicas {
-		if !register.Contains(v.Learners, id) {
+		if !consensus.Contains(v.Learners, id) {
 			voters = append(voters, id)
 		}
 	}
@@ -33,5 +33,5 @@
 		return false
 	}
 	others := len(v.InSync) - 1
-	return others < v.MinCopies && len(register.Without(v.Replicas, id)) > others
+	return others < v.MinCopies && len(consensus.Without(v.Replicas, id)) > others
 }
--- a/tier/replica/sim_test.go
+++ b/tier/replica/sim_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"otterseam/tier/codec"
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 )
 
 // The simulation plays one group on a network and disks that lose, delay and repeat, under a view authority that behaves as
@@ -334,7 +334,7 @@
 	rest := known
 	for _, id := range known {
 		if !s.alive(id) && len(rest) > simNodes-simTolerate {
-			rest = register.Without(rest, id)
+			rest = consensus.Without(rest, id)
 		}
 	}
 	return rest
@@ -361,7 +361,7 @@
 			return
 		}
 		next := s.view
-		next.InSync = register.Without(s.view.InSync, silent[0])
+		next.InSync = consensus.Without(s.view.InSync, silent[0])
 		s.setView(next)
 	}
 }
--- a/tier/status/protection.go
+++ b/tier/status/protection.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 	"otterseam/tier/replica"
 )
 
@@ -22,7 +22,7 @@
 type Name func(id uint64) string
 
 // OfControl is the protection of the control state. Members that are not in sync count as lost: they may be.
-func OfControl(record register.Record, name Name) Protection {
+func OfControl(record consensus.Record, name Name) Protection {
 	if !record.Known() {
 		return Protection{WhyNotMore: "control is not founded, or nobody answers"}
 	}
@@ -53,7 +53,7 @@
 }
 
 // spareVotes is how many of the members in sync may go before there is no majority of them.
-func spareVotes(record register.Record, members []register.Member) int {
+func spareVotes(record consensus.Record, members []consensus.Member) int {
 	inSync := 0
 	for _, member := range members {
 		if record.IsInSync(member.ID) {
--- a/tier/status/protection_test.go
+++ b/tier/status/protection_test.go
@@ -4,24 +4,24 @@
 	"strings"
 	"testing"
 
-	"otterseam/tier/register"
+	"otterseam/tier/consensus"
 	"otterseam/tier/replica"
 )
 
 func letter(id uint64) string { return string(rune('a' + id - 1)) }
 
-func record(inSync []uint64, minCopies int, members ...uint64) register.Record {
-	r := register.Record{Epoch: 3, Primary: inSync[0], InSync: inSync, MinCopies: minCopies}
+func record(inSync []uint64, minCopies int, members ...uint64) consensus.Record {
+	r := consensus.Record{Epoch: 3, Primary: inSync[0], InSync: inSync, MinCopies: minCopies}
 	for _, id := range members {
-		r.Members = append(r.Members, register.Member{ID: id})
+		r.Members = append(r.Members, consensus.Member{ID: id})
 	}
 	return r
 }
 
 // withPrevious is a record whose members were changed just now.
-func withPrevious(r register.Record, members ...uint64) register.Record {
+func withPrevious(r consensus.Record, members ...uint64) consensus.Record {
 	for _, id := range members {
-		r.Previous = append(r.Previous, register.Member{ID: id})
+		r.Previous = append(r.Previous, consensus.Member{ID: id})
 	}
 	return r
 }
@@ -29,7 +29,7 @@
 func TestWhatControlBears(t *testing.T) {
 	cases := []struct {
 		name         string
-		record       register.Record
+		record       consensus.Record
 		bears        int
 		acknowledges bool
 		why          string
@@ -41,7 +41,7 @@
 		{"four", record([]uint64{1, 2, 3, 4}, 3, 1, 2, 3, 4), 1, true, "more than half of 4 members"},
 		{"one machine", record([]uint64{1}, 1, 1), 0, true, "more than half of 1 member "},
 		{"a fourth on its way in while the first is lost", withPrevious(record([]uint64{2, 3, 4}, 2, 1, 2, 3, 4), 1, 2, 3), 0, true, "a is not in sync"},
-		{"unknown", register.Record{}, 0, false, "nobody answers"},
+		{"unknown", consensus.Record{}, 0, false, "nobody answers"},
 	}
 	for _, c := range cases {
 		got := OfControl(c.record, letter)
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -8,17 +8,17 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/control"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/register"
 	"otterseam/tier/rpc"
 )
 
 // Status is what the control processes tell.
 type Status struct {
-	Control  register.Record   `json:"control"`
+	Control  consensus.Record  `json:"control"`
 	Version  uint64            `json:"config_version"`
 	Revision uint64            `json:"revision"`
 	Stores   []directory.Store `json:"stores"`
@@ -84,9 +84,9 @@
 }
 
 // Record asks all control processes for the newest record of who leads and who is in sync; it is empty if none answers.
-func Record(ctx context.Context, addresses []string) register.Record {
+func Record(ctx context.Context, addresses []string) consensus.Record {
 	var mu sync.Mutex
-	var newest register.Record
+	var newest consensus.Record
 	var wait sync.WaitGroup
 	for _, address := range addresses {
 		wait.Add(1)
@@ -102,7 +102,7 @@
 			d.Uint64()
 			_ = d.String()
 			_ = d.Bool()
-			record := register.DecodeRecord(d)
+			record := consensus.DecodeRecord(d)
 			mu.Lock()
 			defer mu.Unlock()
 			if d.Err() == nil && record.Epoch > newest.Epoch {
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -13,17 +13,17 @@
 	"github.com/samber/oops"
 	"github.com/sirupsen/logrus"
 
-	"otterseam/tier/authority"
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/groups"
+	"otterseam/tier/lease"
+	"otterseam/tier/multigroup"
 	"otterseam/tier/periodic"
 	"otterseam/tier/placement"
 	"otterseam/tier/programs"
-	"otterseam/tier/register"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 	"otterseam/tier/settings"
@@ -34,7 +34,7 @@
 const KindProgram rpc.Kind = 40
 
 const (
-	beatEvery     = authority.StoreBeatEvery * time.Millisecond
+	beatEvery     = lease.StoreBeatEvery * time.Millisecond
 	beatTimeout   = 500 * time.Millisecond
 	watchEvery    = 60 * time.Millisecond
 	submitTimeout = 1500 * time.Millisecond
@@ -44,7 +44,7 @@
 type Server struct {
 	settings *settings.Settings
 	log      *logrus.Entry
-	host     *groups.Host
+	host     *multigroup.Host
 	clients  *rpc.Clients
 	control  *controlclient.Client
 	view     *feed.View
@@ -64,7 +64,7 @@
 	}
 	line := timeline.New(log)
 	clients := rpc.NewClients(nil)
-	host, err := groups.Open(s.DataDir, clients, log, false)
+	host, err := multigroup.Open(s.DataDir, clients, log, false)
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 
 func (s *Server) handle(message rpc.Message) {
 	switch message.Kind {
-	case groups.KindReplica:
+	case multigroup.KindReplica:
 		s.host.HandleMessage(message.Payload, s.openShard)
 	case KindProgram:
 		go s.program(message)
@@ -167,7 +167,7 @@
 	}
 	for id, shard := range directory.Shards(s.view) {
 		switch {
-		case register.Contains(shard.View.Replicas, s.self.Identity):
+		case consensus.Contains(shard.View.Replicas, s.self.Identity):
 			s.hold(id, shard)
 		case s.host.Has(id):
 			s.release(id, shard)
@@ -258,14 +258,14 @@
 	s.host.With(id, func(g *replica.Group) {
 		change = controlclient.ShardChange{Shard: id, Epoch: g.View().Epoch}
 		// one that caught up comes first: the set may be too small to let a silent one go without it
-		if caughtUp := g.CaughtUp(groups.Now()); len(caughtUp) > 0 {
+		if caughtUp := g.CaughtUp(multigroup.Now()); len(caughtUp) > 0 {
 			g.Admit(caughtUp[0])
 			change.Replica = caughtUp[0]
 			change.Admit = true
 			wanted = true
 			return
 		}
-		if silent := g.Silent(groups.Now()); len(silent) > 0 {
+		if silent := g.Silent(multigroup.Now()); len(silent) > 0 {
 			change.Replica = silent[0]
 			wanted = true
 		}
--- a/tier/upstream/conn.go
+++ b/tier/upstream/conn.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"otterseam/tier/exchange"
+	"otterseam/tier/attempt"
 )
 
 const (
@@ -119,9 +119,9 @@
 }
 
 // describe tells what matters of an answer's head.
-func (c *conn) describe(response *http.Response, request Request) exchange.Head {
+func (c *conn) describe(response *http.Response, request Request) attempt.Head {
 	header := response.Header
-	head := exchange.Head{
+	head := attempt.Head{
 		Status:      response.StatusCode,
 		NotExecuted: header.Get(headerNotExecuted) != "",
 		Sealed:      header.Get(headerSeal) != "",
@@ -133,16 +133,16 @@
 		return head
 	}
 	if ids[0] == request.ID {
-		head.Owner = exchange.OwnerOwn
+		head.Owner = attempt.OwnerOwn
 	} else if earlier, known := c.find(ids[0]); known {
-		head.Owner = exchange.OwnerEarlier
+		head.Owner = attempt.OwnerEarlier
 		if earlier.head || request.Method == http.MethodHead {
-			head.Framing = exchange.FramedByMethod
+			head.Framing = attempt.FramedByMethod
 			return head
 		}
 	}
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		head.Framing = exchange.FramedByClose
+		head.Framing = attempt.FramedByClose
 	}
 	return head
 }
--- a/tier/upstream/lease.go
+++ b/tier/upstream/lease.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"otterseam/tier/exchange"
+	"otterseam/tier/attempt"
 )
 
 const (
@@ -49,7 +49,7 @@
 	mu          sync.Mutex
 	conn        *conn // nil once the lease has ended
 	interrupted bool
-	state       exchange.Exchange
+	state       attempt.Exchange
 
 	header http.Header // of the answer
 }
@@ -81,14 +81,14 @@
 }
 
 // Exchange is how far the request has come.
-func (l *Lease) Exchange() exchange.Exchange {
+func (l *Lease) Exchange() attempt.Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
 // note has the exchange follow an event.
-func (l *Lease) note(event func(*exchange.Exchange)) {
+func (l *Lease) note(event func(*attempt.Exchange)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	event(&l.state)
@@ -103,12 +103,12 @@
 	}
 	_ = conn.socket.SetDeadline(request.Deadline)
 	if err := l.send(conn, request.Bytes); err != nil {
-		l.note((*exchange.Exchange).Break)
+		l.note((*attempt.Exchange).Break)
 		return nil, errors.Join(ErrNotSent, err)
 	}
 	response, err := l.receive(conn, request)
 	if err != nil {
-		l.note((*exchange.Exchange).Break)
+		l.note((*attempt.Exchange).Break)
 		return nil, err
 	}
 	l.header = response.Header
@@ -126,10 +126,10 @@
 		return err
 	}
 	if err == nil && len(rest) == 0 {
-		l.note(func(state *exchange.Exchange) { state.Write(exchange.WrittenAll) })
+		l.note(func(state *attempt.Exchange) { state.Write(attempt.WrittenAll) })
 		return nil
 	}
-	l.note(func(state *exchange.Exchange) { state.Write(exchange.WrittenSome) })
+	l.note(func(state *attempt.Exchange) { state.Write(attempt.WrittenSome) })
 	if err == nil {
 		go l.sendRest(conn, rest)
 	}
@@ -139,7 +139,7 @@
 // sendRest writes the rest of a long request. It ends with the connection, which cannot be given back before it has ended.
 func (l *Lease) sendRest(conn *conn, rest []byte) {
 	if _, err := conn.socket.Write(rest); err == nil {
-		l.note(func(state *exchange.Exchange) { state.Write(exchange.WrittenAll) })
+		l.note(func(state *attempt.Exchange) { state.Write(attempt.WrittenAll) })
 	}
 }
 
@@ -155,9 +155,9 @@
 			continue
 		}
 		switch l.judge(conn.describe(response, request)) {
-		case exchange.Accept:
+		case attempt.Accept:
 			return response, nil
-		case exchange.Skip:
+		case attempt.Skip:
 			if err := skipBody(response); err != nil {
 				return nil, err
 			}
@@ -172,7 +172,7 @@
 	return status >= http.StatusContinue && status < http.StatusOK && status != http.StatusSwitchingProtocols
 }
 
-func (l *Lease) judge(head exchange.Head) exchange.Verdict {
+func (l *Lease) judge(head attempt.Head) attempt.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.Receive(head)
@@ -236,7 +236,7 @@
 func (b *body) Read(p []byte) (int, error) {
 	conn := b.lease.held()
 	n, err := b.inner.Read(p)
-	b.lease.note(func(state *exchange.Exchange) {
+	b.lease.note(func(state *attempt.Exchange) {
 		if n > 0 {
 			state.ReceiveBody()
 		}
--- a/tier/upstream/lease_test.go
+++ b/tier/upstream/lease_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"otterseam/tier/exchange"
+	"otterseam/tier/attempt"
 )
 
 // panics tells whether a step panics.
@@ -327,7 +327,7 @@
 			t.Fatal(err)
 		}
 		state := lease.Exchange()
-		if !state.Refused() || state.MayHaveRun() || !state.Whole() || state.Reusable() != (state.Written() == exchange.WrittenAll) {
+		if !state.Refused() || state.MayHaveRun() || !state.Whole() || state.Reusable() != (state.Written() == attempt.WrittenAll) {
 			t.Fatalf("%d bytes: %+v", length, state)
 		}
 		lease.Release()
