--- /dev/null
+++ b/tier/feed/recorded_test.go
@@ -0,0 +1,156 @@
+package feed
+
+import (
+	"context"
+	"encoding/binary"
+	"net"
+	"testing"
+	"time"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/internal/recorded"
+	"otterseam/tier/rpc"
+)
+
+const recordedInstallation = uint64(0xfedcba9876543210)
+
+func recordedUpdate() Update {
+	return Update{
+		Installation: recordedInstallation, Revision: 0x0102030405060708, Whole: true,
+		Items: []Item{
+			{Section: SectionConfig, Key: "current", Revision: 1, Data: []byte("\x00\x00\x00\x00\x00\x00\x00\x05{}")},
+			{Section: SectionHost, Key: "host-1", Revision: 2, Data: []byte("a host")},
+			{Section: SectionStore, Key: "102030405060708", Revision: 3, Data: []byte("a store")},
+			{Section: SectionShard, Key: "37", Revision: 4, Data: []byte("a shard")},
+			{Section: SectionControl, Key: "current", Revision: 5, Data: []byte("members")},
+			{Section: SectionRetire, Key: "store-a", Revision: 6, Data: []byte("a retirement")},
+			{Section: SectionVerdict, Key: "host-1", Revision: 0x1112131415161718, Data: []byte("a term")},
+			{Section: SectionHost, Key: "host-2", Revision: 7, Deleted: true, Data: []byte{}},
+		},
+	}
+}
+
+func TestRecordedUpdate(t *testing.T) {
+	recorded.CheckBoth(t, "update", recordedUpdate(), Update.Encode, DecodeUpdate)
+}
+
+// recordedView holds public and other items, one of them deleted.
+func recordedView() *View {
+	view := NewView()
+	view.SetInstallation(recordedInstallation)
+	for _, item := range recordedUpdate().Items[:7] {
+		view.Put(item.Section, item.Key, min(item.Revision, 9), item.Data)
+	}
+	view.Put(SectionHost, "host-2", 10, []byte("another host"))
+	view.Delete(SectionHost, "host-1", 11)
+	return view
+}
+
+// What a view gives a new subscriber, one that lags, and a snapshot is as recorded; views made of it give the same again.
+func TestRecordedView(t *testing.T) {
+	view := recordedView()
+	all, _ := view.SinceEncoded(0)
+	recorded.Check(t, "since-0", all)
+	changes, upTo := view.SinceEncoded(4)
+	recorded.Check(t, "since-4", changes)
+	if upTo != 11 {
+		t.Fatalf("up to %d", upTo)
+	}
+	recorded.Check(t, "export", view.Export().Encode())
+
+	update, err := DecodeUpdate(recorded.Read(t, "export"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := NewView()
+	restored.Restore(update)
+	recorded.Check(t, "export", restored.Export().Encode())
+	merged := NewView()
+	for _, name := range []string{"since-0", "since-4"} {
+		(&Subscriber{View: merged}).take(recorded.Read(t, name))
+	}
+	again, _ := merged.SinceEncoded(0)
+	recorded.Check(t, "since-0", again)
+}
+
+// recordedServer calls a handler for what arrives.
+func recordedServer(t *testing.T, handler rpc.Handler) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go rpc.Serve(listener, handler)
+	return listener.Addr().String()
+}
+
+// A subscriber asks for what it lacks as recorded, and takes the recorded update.
+func TestRecordedSubscription(t *testing.T) {
+	asked := make(chan []byte, 16)
+	address := recordedServer(t, func(m rpc.Message) {
+		if m.Kind == KindSubscribe {
+			asked <- m.Payload
+			m.Answer(codes.OK, nil)
+			m.Conn.Send(KindUpdate, recorded.Read(t, "since-4"))
+		}
+	})
+	view := NewView()
+	(&Subscriber{View: view}).take(recorded.Read(t, "since-0"))
+	view.revision = 4 // as if it had missed what came behind
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	changed := view.Changed()
+	subscriber := &Subscriber{View: view, Addresses: func() []string { return []string{address} }}
+	go subscriber.Run(ctx)
+	recorded.Check(t, "subscribe", <-asked)
+	select {
+	case <-changed:
+	case <-ctx.Done():
+		t.Fatal("the recorded update was not taken")
+	}
+	if view.Revision() != 11 {
+		t.Fatalf("revision %d", view.Revision())
+	}
+}
+
+// A publisher takes the recorded subscription and sends the recorded update.
+func TestRecordedPublication(t *testing.T) {
+	publisher := &Publisher{View: recordedView()}
+	address := recordedServer(t, publisher.Handle)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	updates := make(chan rpc.Message, 16)
+	conn, err := rpc.Dial(ctx, address, func(m rpc.Message) { updates <- m })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if answer, err := conn.Call(ctx, KindSubscribe, recorded.Read(t, "subscribe")); err != nil || len(answer) > 0 {
+		t.Fatalf("%q, %v", answer, err)
+	}
+	select {
+	case m := <-updates:
+		if m.Kind != KindUpdate || m.IsCall() {
+			t.Errorf("pushed: %+v", m)
+		}
+		recorded.Check(t, "since-4", m.Payload)
+	case <-ctx.Done():
+		t.Fatal("no update came")
+	}
+}
+
+// The numbers of the messages and of the sections are those recorded.
+func TestRecordedKinds(t *testing.T) {
+	var numbers []byte
+	for _, kind := range []rpc.Kind{KindSubscribe, KindUpdate} {
+		numbers = binary.BigEndian.AppendUint16(numbers, uint16(kind))
+	}
+	for section := Section(1); section <= SectionVerdict; section++ {
+		numbers = append(numbers, byte(section))
+		if section.isPublic() {
+			numbers = append(numbers, 'p')
+		}
+	}
+	recorded.Check(t, "kinds", numbers)
+}
