--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -26,7 +26,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedFolder holds the folders of three stores as processes of the code of 2026-12-01 left them when they were killed,
+// recordedFolder holds the folders of three stores as processes of the code of commit 1895881 left them when they were killed,
 // the database files compressed, and what had been acknowledged until then.
 const recordedFolder = "testdata/recorded"
 
--- a/quotastore/protocol/recorded_test.go
+++ b/quotastore/protocol/recorded_test.go
@@ -10,8 +10,8 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedFrames are the frames whose bytes lie in testdata/recorded, as the code of 2026-12-01 wrote them: stores and
-// gateways of that day understand no others.
+// recordedFrames are the frames whose bytes lie in testdata/recorded, as the code of commit 1895881 wrote them: stores and
+// gateways of that code understand no others.
 var recordedFrames = map[string]*Frame{
 	"greeting": Greeting(),
 	"hello":    {Kind: KindHello, Cluster: 0x1122334455667788, Life: 0xdeadbeef, Hello: &Hello{Number: 2, Life: 0xdeadbeef, Bulk: true}},
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -24,7 +24,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// The bytes in testdata/recorded are as the code of 2026-12-01 wrote them: its disks, operators' snapshots and callers have
+// The bytes in testdata/recorded are as the code of commit 1895881 wrote them: its disks, operators' snapshots and callers have
 // to be understood by any later one.
 
 // recordedIdentity is who wrote the recorded disk.
--- a/quotastore/statemachine/recorded_test.go
+++ b/quotastore/statemachine/recorded_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The bytes in testdata/recorded are as the code of 2026-12-01 wrote them: logs and snapshots on disks hold them, and so
+// The bytes in testdata/recorded are as the code of commit 1895881 wrote them: logs and snapshots on disks hold them, and so
 // does what copies of one group send each other.
 
 // recordedBatch has an entry of each kind, with all that it may carry.
