--- /dev/null
+++ b/tier/store/recorded_test.go
@@ -0,0 +1,81 @@
+package store
+
+import (
+	"context"
+	"net"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/sirupsen/logrus/hooks/test"
+
+	"otterseam/tier/internal/recorded"
+	"otterseam/tier/multigroup"
+	"otterseam/tier/programs"
+	"otterseam/tier/replica"
+	"otterseam/tier/rpc"
+	"otterseam/tier/storage"
+	"otterseam/tier/timeline"
+)
+
+const recordedShard = 37
+
+// leadingStore is a store process that leads one shard, in which a turn is kept.
+func leadingStore(ctx context.Context, t *testing.T) *Server {
+	t.Helper()
+	dir := t.TempDir()
+	state := programs.NewState()
+	state.Apply(1, programs.End{
+		Now: time.Now().UnixMilli(), Request: "request-2", Program: "program-a", Session: "session-1", Actual: 10, Keep: true,
+		KeepMS: 600_000, Input: []byte("input 2"), Output: []byte("output 2\n"), Host: "host-7",
+	}.Encode())
+	journal, _, err := storage.OpenJournal(filepath.Join(dir, "journal"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	snapshot := storage.Record{Kind: storage.RecordSnapshot, Group: recordedShard, Index: 1, Epoch: 1, Data: state.Snapshot()}
+	if err := journal.Append([]storage.Record{snapshot}); err != nil {
+		t.Fatal(err)
+	}
+	if err := journal.Close(); err != nil {
+		t.Fatal(err)
+	}
+	logger, _ := test.NewNullLogger()
+	log := logrus.NewEntry(logger)
+	host, err := multigroup.Open(dir, rpc.NewClients(nil), log, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &Server{host: host, log: log, timeline: timeline.New(log)}
+	s.openShard(recordedShard)
+	go host.Run(ctx)
+	only := []uint64{host.Identity}
+	host.SetView(recordedShard, replica.View{Epoch: 2, Primary: host.Identity, InSync: only, Replicas: only, MinCopies: 1})
+	for !host.IsPrimary(recordedShard) {
+		if ctx.Err() != nil {
+			t.Fatal("the shard has no primary")
+		}
+		time.Sleep(time.Millisecond)
+	}
+	return s
+}
+
+// A store takes the recorded call of a gateway and answers as recorded.
+func TestRecordedProgramCall(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	go rpc.Serve(listener, leadingStore(ctx, t).handle)
+	client := rpc.NewClient(listener.Addr().String(), nil)
+	defer client.Close()
+	answer, err := client.Call(ctx, KindProgram, recorded.Read(t, "program-call"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded.Check(t, "program-answer", answer)
+}
