--- /dev/null
+++ b/tier/status/recorded_test.go
@@ -0,0 +1,68 @@
+package status
+
+import (
+	"context"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
+	"otterseam/tier/controlclient"
+	"otterseam/tier/internal/recorded"
+	"otterseam/tier/rpc"
+	"otterseam/tier/timeline"
+)
+
+// answerRecorded is a process that answers calls of a kind with a recording.
+func answerRecorded(t *testing.T, kind rpc.Kind, name string) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	content := recorded.Read(t, name)
+	go rpc.Serve(listener, func(m rpc.Message) {
+		if m.Kind != kind || len(m.Payload) > 0 {
+			t.Errorf("kind %d, %q", m.Kind, m.Payload)
+		}
+		m.Answer(codes.OK, content)
+	})
+	return listener.Addr().String()
+}
+
+// The recorded answer of a control process is read; control's own test gives the same answer.
+func TestRecordedLocate(t *testing.T) {
+	want := consensus.Record{
+		Epoch: 0x0102030405060708, Primary: 0x1111111111111111, InSync: []uint64{0x1111111111111111, 0x2222222222222222},
+		Members: []consensus.Member{
+			{ID: 0x1111111111111111, Address: "10.0.0.1:7401", Node: "ctl-a"},
+			{ID: 0x2222222222222222, Address: "10.0.0.2:7402", Node: "ctl-b"},
+			{ID: 0x3333333333333333, Address: "10.0.0.3:7403", Node: "ctl-c"},
+		},
+		Previous:  []consensus.Member{{ID: 0x4444444444444444, Address: "10.0.0.4:7404", Node: "ctl-d"}},
+		MinCopies: 2, Learners: []consensus.Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
+		Installation: 0xfedcba9876543210,
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	address := answerRecorded(t, controlclient.KindLocate, "locate-answer")
+	if got := Record(ctx, []string{address}); !reflect.DeepEqual(got, want) {
+		t.Fatalf("read %+v", got)
+	}
+}
+
+// The recorded timeline of a process is read; the timeline's own test gives the same one.
+func TestRecordedTimeline(t *testing.T) {
+	address := answerRecorded(t, timeline.KindTimeline, "timeline")
+	got := readRecovery(context.Background(), []string{address})
+	want := []Recovery{{address, map[string]int64{
+		"process-up": 0, "disk-read": 74, "majority-contacted": 185, "primary-decided": 333, "primary-ready": 518, "view-received": 740,
+		"shard-led": 999, "first-begin-committed": 1295, "first-request-sent": 1628,
+	}}}
+	if !reflect.DeepEqual(got, want) {
+		t.Fatalf("read %+v", got)
+	}
+}
