--- a/tier/control/sim_test.go
+++ b/tier/control/sim_test.go
@@ -116,6 +116,7 @@
 	stores   []*simStore
 	follow   []*simFollower
 	operator *simOperator
+	digest   eventDigest
 }
 
 type simHeld struct {
@@ -640,6 +641,7 @@
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		event := heap.Pop(&s.queue).(simEvent)
 		s.now = event.at
+		s.digest.add(event)
 		event.run()
 	}
 	s.now = until
