--- /dev/null
+++ b/tier/control/recorded_primary_test.go
@@ -0,0 +1,163 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/sirupsen/logrus/hooks/test"
+
+	"otterseam/tier/codec"
+	"otterseam/tier/codes"
+	"otterseam/tier/controlclient"
+	"otterseam/tier/internal/recorded"
+	"otterseam/tier/membership"
+	"otterseam/tier/outlier"
+	"otterseam/tier/replica"
+	"otterseam/tier/rpc"
+	"otterseam/tier/settings"
+)
+
+// recordedPrimary is a whole control process that leads alone, without its periodic work.
+func recordedPrimary(ctx context.Context, t *testing.T) *Server {
+	t.Helper()
+	witness := recordedWitness()
+	witness.Value = recordedAlone()
+	logger, _ := test.NewNullLogger()
+	s, err := New(&settings.Settings{
+		DataDir: recordedDisk(t, recordedVoter, &witness), ListenControl: "10.0.0.1:7000", Node: "ctl-a", IP: "10.0.0.1",
+		FirstPort: 7401, LastPort: 7404,
+	}, logrus.NewEntry(logger))
+	if err != nil {
+		t.Fatal(err)
+	}
+	go s.host.Run(ctx)
+	s.host.SetView(controlGroup, membership.View(recordedAlone()))
+	for !s.host.IsPrimary(controlGroup) {
+		if ctx.Err() != nil {
+			t.Fatal("no primary")
+		}
+		time.Sleep(time.Millisecond)
+	}
+	return s
+}
+
+// callPatiently makes a call again that a slow disk left without an answer. All of the calls may be repeated.
+func callPatiently(ctx context.Context, t *testing.T, client *rpc.Client, kind rpc.Kind, payload []byte) ([]byte, codes.Code) {
+	t.Helper()
+	for {
+		answer, err := client.Call(ctx, kind, payload)
+		code := codes.OK
+		if err != nil && !errors.As(err, &code) {
+			t.Fatal(err)
+		}
+		if code != codes.Timeout || ctx.Err() != nil {
+			return answer, code
+		}
+	}
+}
+
+// rpcTranscript has a primary carry out calls of other processes, one after the other, and returns calls and answers.
+func rpcTranscript(ctx context.Context, t *testing.T, s *Server) []byte {
+	t.Helper()
+	client := rpc.NewClient(listenRecorded(t, s.handle), nil)
+	t.Cleanup(client.Close)
+	var transcript codec.Encoder
+	for _, each := range []struct {
+		kind    rpc.Kind
+		payload []byte
+	}{
+		{controlclient.KindSubmit, Command{Kind: CommandReadConfig}.Encode()},
+		{controlclient.KindSubmit, Command{Kind: CommandReplaceConfig, Version: 5, Body: []byte(`{"v":5}`)}.Encode()},
+		{controlclient.KindSubmit, Command{Kind: CommandReplaceConfig, Base: 4, Version: 9, Body: []byte(`{"v":9}`)}.Encode()},
+		{controlclient.KindSubmit, Command{Kind: CommandReadConfig}.Encode()},
+		{controlclient.KindSubmit, Command{Kind: CommandPutShard, Shard: recordedShard(37)}.Encode()},
+		{controlclient.KindStoreBeat, controlclient.StoreBeat{Store: recordedStore(11, "store-a")}.Encode()},
+		{controlclient.KindStoreBeat, controlclient.StoreBeat{Store: recordedStore(12, "store-b"), Leaving: true}.Encode()},
+		{controlclient.KindStoreBeat, controlclient.StoreBeat{Store: recordedStore(14, "store-d")}.Encode()},
+		{controlclient.KindHostBeat, controlclient.HostBeat{Host: recordedHost("host-1", false), Seq: 1}.Encode()},
+		{controlclient.KindHostBeat, controlclient.HostBeat{Host: recordedHost("host-2", true), Seq: 1}.Encode()},
+		{controlclient.KindHostBeat, controlclient.HostBeat{Host: recordedHost("host-2", false), Seq: 2}.Encode()},
+		{controlclient.KindHostGone, []byte("host-2")},
+		{controlclient.KindHostBeat, controlclient.HostBeat{Host: recordedHost("host-2", true), Seq: 3}.Encode()},
+		{controlclient.KindHostsHeard, controlclient.HostsHeard{By: recordedAsker, Question: replica.Stamp{Life: 2, At: 1}}.Encode()}, // of another life
+		{controlclient.KindShardChange, controlclient.ShardChange{Shard: 37, Epoch: 1, Replica: 13, Admit: true}.Encode()},
+		{controlclient.KindObserved, outlier.Window{Reporter: 1, Number: 2, Zone: "zone-a", Contacted: 3}.Encode()},
+		{controlclient.KindRetireRead, []byte("store-x")},
+		{controlclient.KindRetireRead, nil},
+		{999, []byte("a kind that nobody knows")},
+	} {
+		answer, code := callPatiently(ctx, t, client, each.kind, each.payload)
+		transcript.Uint32(uint32(each.kind))
+		transcript.Blob(each.payload)
+		transcript.Uint32(uint32(code))
+		transcript.Blob(answer)
+	}
+	return transcript.Bytes
+}
+
+// httpTranscript has a primary answer hosts and operators, one after the other, and returns requests and answers.
+func httpTranscript(ctx context.Context, t *testing.T, s *Server) []byte {
+	t.Helper()
+	const (
+		config = `{"version":7,"routes":[{"name":"a","path_prefix":"/","timeout_ms":1,"service":"chat"}],"services":[{"name":"chat"}]}`
+		beat   = `{"service":"chat","address":"10.0.1.1:8000","zone":"zone-a","version":"v1","slots":4,"state":"ready","stage":"canary","models":["m1"],"seq_no":1}`
+	)
+	handler := s.routes()
+	var transcript codec.Encoder
+	for _, each := range []struct{ method, path, base, body string }{
+		{http.MethodPost, "/v1/config/replace", "5", config},
+		{http.MethodPost, "/v1/config/replace", "5", config},
+		{http.MethodPost, "/v1/config/replace", "6", config},
+		{http.MethodPost, "/v1/config/replace", "", config},
+		{http.MethodPost, "/v1/config/replace", "7", `{"version":0}`},
+		{http.MethodGet, "/v1/config/read", "", ""},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", beat},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", `{}`},
+		{http.MethodPost, "/v1/instances/host-8/deregister", "", ""},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", beat},
+		{http.MethodGet, "/v1/retire/store-a/read", "", ""},
+		{http.MethodPost, "/v1/retire/store-x/begin", "", `{"deadline_s":30}`},
+		{http.MethodPost, "/v1/retire/store-a/begin", "", `{"deadline_s":30}`},
+		{http.MethodGet, "/v1/retire/store-a/read", "", ""},
+		{http.MethodPost, "/v1/retire/store-d/begin", "", `[`},
+		{http.MethodPost, "/v1/retire/store-d/begin", "", ""},
+		{http.MethodGet, "/v1/retire/store-d/read", "", ""},
+		{http.MethodPost, "/v1/retire/store-b/begin", "", ""},
+		{http.MethodGet, "/v1/nothing", "", ""},
+	} {
+		answer := httptest.NewRecorder()
+		for {
+			request := httptest.NewRequest(each.method, each.path, strings.NewReader(each.body))
+			if each.base != "" {
+				request.Header.Set("X-Base-Version", each.base)
+			}
+			handler.ServeHTTP(answer, request)
+			if answer.Code != http.StatusServiceUnavailable || ctx.Err() != nil {
+				break // else a slow disk left it without an answer; all of the requests may be repeated
+			}
+			answer = httptest.NewRecorder()
+		}
+		transcript.String(each.method + " " + each.path + " " + each.base + " " + each.body)
+		transcript.Uint32(uint32(answer.Code))
+		for _, name := range []string{"Content-Type", "Content-Length", "Retry-After"} {
+			transcript.String(answer.Header().Get(name))
+		}
+		transcript.Blob(answer.Body.Bytes())
+	}
+	return transcript.Bytes
+}
+
+// A primary's answers to other processes, to hosts and to operators are as recorded.
+func TestRecordedAnswersOfAPrimary(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	s := recordedPrimary(ctx, t)
+	recorded.Check(t, "primary-rpc", rpcTranscript(ctx, t, s))
+	recorded.Check(t, "primary-http", httpTranscript(ctx, t, s))
+}
