--- /dev/null
+++ b/gateway/server/recorded_test.go
@@ -0,0 +1,188 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"math"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"otterseam/gateway/http1"
+	"otterseam/gateway/membership"
+	"otterseam/gateway/policy"
+	"otterseam/harness/leakcheck"
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
+)
+
+// The bytes in testdata/recorded are as the code of commit 1895881 sent them.
+func recordedBytes(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata/recorded", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// recordedCalls makes calls on one connection to the counter, and gives what it is to send.
+func recordedCalls(t *testing.T) (text []byte, calls []*call) {
+	t.Helper()
+	k := &counterConn{up: true, wake: make(chan struct{}, 1)}
+	for _, c := range []struct {
+		name         uint64
+		amount, life float64
+	}{{1<<64 - 1, 0.1, 60}, {9041552, -3.25, 0.0001}, {0, 1e9, 1.5}} {
+		x := &call{name: c.name, amount: c.amount}
+		if !k.put(x, c.amount, c.life) {
+			t.Fatal("a call was not taken")
+		}
+		if x.until != int64(len(k.pending)) {
+			t.Errorf("a call ends at byte %d, %d are to be sent", x.until, len(k.pending))
+		}
+		calls = append(calls, x)
+	}
+	return k.pending, calls
+}
+
+func TestCounterCallsAreTheRecordedBytes(t *testing.T) {
+	text, calls := recordedCalls(t)
+	if want := recordedBytes(t, "counter-calls.bin"); !bytes.Equal(text, want) {
+		t.Errorf("sent is\n%s\nrecorded is\n%s", text, want)
+	}
+	answers := recordedBytes(t, "counter-answers.bin")
+	var m http1.Message
+	m.Begin(make([]byte, http1.Small), true)
+	n := copy(m.Space(), answers)
+	for i, want := range []struct {
+		how policy.Outcome
+		sum float64
+	}{{policy.Succeeded, 41.125}, {policy.TurnedAway, 0}, {policy.TurnedAway, 0}} {
+		whole, err := m.Got(n)
+		if !whole || err != nil {
+			t.Fatal(i, whole, err)
+		}
+		if x := calls[i]; !x.read(&m) || x.how != want.how || x.sum != want.sum {
+			t.Errorf("answer %d is read as %v, %v", i, x.how, x.sum)
+		}
+		n = m.Next()
+	}
+	if n != 0 {
+		t.Errorf("%d bytes stand behind the answers", n)
+	}
+}
+
+// A gateway says to its peers what its membership and its module hand over, with nothing round it.
+func TestDatagramsAreTheRecordedBytes(t *testing.T) {
+	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer peer.Close()
+	p, err := NewPeers(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", peer.LocalAddr().String()}, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	heard := make(chan string, 10)
+	p.heard = func(from int, text string) { heard <- strconv.Itoa(from) + text }
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	go p.Write(ctx)
+	go p.Read(ctx)
+	room := make([]byte, 300)
+	for i, text := range bytes.Split(recordedBytes(t, "datagrams.bin"), []byte("\n")) {
+		p.send([]int{1, membership.All}[i%2], string(text))
+		peer.SetReadDeadline(time.Now().Add(3 * time.Second))
+		n, _, err := peer.ReadFrom(room)
+		if err != nil || !bytes.Equal(room[:n], text) {
+			t.Errorf("the peer got %q (%v), recorded is %q", room[:n], err, text)
+		}
+		if _, err := peer.WriteTo(text, p.udp.LocalAddr()); err != nil {
+			t.Fatal(err)
+		}
+		select {
+		case got := <-heard:
+			if got != "1"+string(text) {
+				t.Errorf("heard is %q, recorded is %q", got, text)
+			}
+		case <-time.After(3 * time.Second):
+			t.Errorf("%q was not heard", text)
+		}
+	}
+}
+
+// storeStream has a gateway's stream to a store ask for a turn's worth, with a mark and use, and gives its other end.
+func storeStream(t *testing.T) (c *Copies, loop *Loop, other net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	ctx, stop := context.WithCancel(context.Background())
+	group, ctx := errgroup.WithContext(ctx)
+	loop = NewLoop(zerolog.Nop())
+	c = NewCopies(ctx, group, loop, []string{listener.Addr().String()}, "edge-3.7f00ba12", 0)
+	other, err = listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		stop()
+		other.Close()
+		group.Wait()
+	})
+	other.SetDeadline(time.Now().Add(10 * time.Second))
+	for until := time.Now().Add(10 * time.Second); !c.standing(); time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("the stream does not stand")
+		}
+	}
+	c.lodge.Mark("fc64a7745d3a91c4", "pool-a", 0.5)
+	c.lodge.Used("gold 0011", 2.5)
+	c.send(c.lodge.Turn(1))
+	return c, loop, other
+}
+
+func TestStoreStreamIsTheRecordedBytes(t *testing.T) {
+	leakcheck.Check(t)
+	c, loop, other := storeStream(t)
+	want := recordedBytes(t, "store-asks.bin")
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(other, got); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("asked is\n%x (%v)\nrecorded is\n%x", got, err, want)
+	}
+	// The recorded answer says that the stores have given this gateway up.
+	if _, err := other.Write(recordedBytes(t, "store-replies.bin")); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case told := <-loop.queue:
+		told()
+	case <-time.After(10 * time.Second):
+		t.Fatal("the recorded answer was not heard")
+	}
+	if c.lodge.Given != 1 || c.lodge.Holder() != "edge-3.7f00ba12.1" {
+		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.lodge.Given, c.lodge.Holder())
+	}
+}
+
+// recordedReplies is the answer that the recording holds.
+func recordedReplies() *protocol.Frame {
+	return protocol.Replies([]protocol.Replied{{Group: -1, Number: 2, Reply: statemachine.Reply{Code: statemachine.Gone, Clock: math.Pi}}})
+}
+
+func TestStoreRepliesAreTheRecordedBytes(t *testing.T) {
+	got, err := recordedReplies().Append(nil)
+	if want := recordedBytes(t, "store-replies.bin"); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("written is\n%x (%v)\nrecorded is\n%x", got, err, want)
+	}
+}
