--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test race lint fuzz run try try-tier hunt try-copies hunt-copies hunt-tier sites
+.PHONY: build test race lint format fuzz run try try-tier hunt try-copies hunt-copies hunt-tier sites
 
 build:
 	@sh -ec "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
@@ -9,11 +9,17 @@
 race:
 	go test -race -count=1 ./gateway/server ./gateway/http1 ./gateway/policy ./cmd/otterseam ./quotastore/server ./quotastore/protocol ./quotastore/client ./harness/netproxy ./harness/sockets ./tier/...
 
-lint:
-	@bad=$$(gofmt -l $$(go list -f '{{.Dir}}' ./...)); [ -z "$$bad" ] || { echo "gofmt: $$bad"; exit 1; }
+lint: bin/golangci-lint
+	bin/golangci-lint run ./...
 	go vet ./...
 	go tool staticcheck ./...
 
+format: bin/golangci-lint
+	bin/golangci-lint fmt ./...
+
+bin/golangci-lint: tools/go.mod tools/go.sum
+	go build -C tools -o ../bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
+
 fuzz:
 	go test -fuzz FuzzMessage -fuzztime 60s ./gateway/http1
 	go test -fuzz FuzzRestore -fuzztime 60s ./quotastore/statemachine
--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -115,8 +115,10 @@
 	for _, name := range slices.Sorted(maps.Keys(c.Env)) {
 		env = append(env, name+"="+c.Env[name])
 	}
-	return fleet.Play(ctx, script, seed, fleet.Options{Gateway: c.Gateway, Dir: dir, Memory: c.Memory, Env: env,
-		Tell: func(text string) { fmt.Fprintln(s.errs, text) }})
+	return fleet.Play(ctx, script, seed, fleet.Options{
+		Gateway: c.Gateway, Dir: dir, Memory: c.Memory, Env: env,
+		Tell: func(text string) { fmt.Fprintln(s.errs, text) },
+	})
 }
 
 // tell writes a result in the forms that were asked for.
--- a/cmd/otterseam-sim/member.go
+++ b/cmd/otterseam-sim/member.go
@@ -38,9 +38,11 @@
 			if n < 1 || n > 4000 || loss < 0 || loss >= 1 || c.Length < 20 || c.Mail <= 0 || c.Part <= 0 {
 				return badInput{fmt.Errorf("1 to 4000 members, a loss under 1, at least 20 s and mail over 0 are wanted")}
 			}
-			plans = append(plans, membershipsim.Plan{Members: n, Loss: loss, Length: c.Length, Mail: c.Mail, Part: c.Part, Delay: c.Delay,
+			plans = append(plans, membershipsim.Plan{
+				Members: n, Loss: loss, Length: c.Length, Mail: c.Mail, Part: c.Part, Delay: c.Delay,
 				Starved: c.Starved, Every: c.Every, Down: c.Down, MassAt: c.MassAt, Mass: c.Mass, CutAt: c.CutAt, CutEnds: c.CutEnds,
-				Cut: c.Cut, Seed: c.Seed})
+				Cut: c.Cut, Seed: c.Seed,
+			})
 		}
 	}
 	results := make([]*membershipsim.Result, len(plans))
--- a/cmd/otterseam-sim/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -38,8 +38,10 @@
 	if c.Tries < 1 || c.Part <= 0 || c.Part > 1 {
 		return badInput{errors.New("--tries is at least 1, and --part over 0 and at most 1")}
 	}
-	found, err := search.Worst(ctx, d, search.Options{Decider: c.Decider, Tries: c.Tries, Rounds: c.Rounds, Seed: c.Seed,
-		Workers: c.Workers, Keep: c.Part, Tell: func(t string) { fmt.Fprintln(s.errs, t) }})
+	found, err := search.Worst(ctx, d, search.Options{
+		Decider: c.Decider, Tries: c.Tries, Rounds: c.Rounds, Seed: c.Seed,
+		Workers: c.Workers, Keep: c.Part, Tell: func(t string) { fmt.Fprintln(s.errs, t) },
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/otterseam-sim/sockets.go
+++ b/cmd/otterseam-sim/sockets.go
@@ -40,8 +40,10 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	f, w, err := sockets.Play(ctx, d, c.Seed, sockets.Options{Gateway: c.Gateway, Dir: dir, Memory: c.Memory,
-		Tell: func(t string) { fmt.Fprintln(s.errs, t) }})
+	f, w, err := sockets.Play(ctx, d, c.Seed, sockets.Options{
+		Gateway: c.Gateway, Dir: dir, Memory: c.Memory,
+		Tell: func(t string) { fmt.Fprintln(s.errs, t) },
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/otterseam/process_test.go
+++ b/cmd/otterseam/process_test.go
@@ -108,9 +108,11 @@
 	p.host = script(t, func(m *http1.Message, n int) string { return text("served") })
 	p.counter = script(t, func(m *http1.Message, n int) string { return text("1") })
 	p.addr = free(t)
-	p.config = map[string]any{"name": "n", "listen": p.addr, "discovery": p.agent.Addr().String(), "seed": "1",
+	p.config = map[string]any{
+		"name": "n", "listen": p.addr, "discovery": p.agent.Addr().String(), "seed": "1",
 		"counter": p.counter.Addr().String(), "settings": json.RawMessage(operations),
-		"known": json.RawMessage(list(1, true, entry("h", p.host.Addr().String(), "Ready")))}
+		"known": json.RawMessage(list(1, true, entry("h", p.host.Addr().String(), "Ready"))),
+	}
 	return p
 }
 
--- a/gateway/http1/fields.go
+++ b/gateway/http1/fields.go
@@ -176,9 +176,11 @@
 	return append(ending(b, len(m.Body), last), m.Body...)
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 409: "Conflict", 413: "Content Too Large",
+var reasons = map[int]string{
+	200: "OK", 400: "Bad Request", 409: "Conflict", 413: "Content Too Large",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 502: "Bad Gateway", 503: "Service Unavailable",
-	504: "Gateway Timeout"}
+	504: "Gateway Timeout",
+}
 
 // AppendOwn writes an answer of the api gateway's own; retryAfter, in seconds, is left out where it is 0.
 func AppendOwn(b []byte, status int, retryAfter float64, last bool) []byte {
--- a/gateway/http1/http1_test.go
+++ b/gateway/http1/http1_test.go
@@ -133,14 +133,18 @@
 func TestCallIsReadFromTheHead(t *testing.T) {
 	m, _, _ := feed(request, false, 100)
 	c, ok := ReadCall(m)
-	want := Call{Ref: "9b1f03aa5c7e2d41", Operation: "pay", Customer: "00000000b4d65521", Plan: "team", Units: 2.5,
-		Limit: 0.48, Width: 3, First: 1}
+	want := Call{
+		Ref: "9b1f03aa5c7e2d41", Operation: "pay", Customer: "00000000b4d65521", Plan: "team", Units: 2.5,
+		Limit: 0.48, Width: 3, First: 1,
+	}
 	if !ok || c != want || !m.Close {
 		t.Fatalf("got %+v, %v", c, ok)
 	}
 	got := string(AppendRequest(nil, m, 0.3))
-	for _, part := range []string{"POST /pay/x?y=2 HTTP/1.1\r\n", "Req-Id: 9b1f03aa5c7e2d41\r\n",
-		"Req-Deadline-Ms: 300\r\n", "Content-Length: 2\r\n\r\nhi"} {
+	for _, part := range []string{
+		"POST /pay/x?y=2 HTTP/1.1\r\n", "Req-Id: 9b1f03aa5c7e2d41\r\n",
+		"Req-Deadline-Ms: 300\r\n", "Content-Length: 2\r\n\r\nhi",
+	} {
 		if strings.Count(got, part) != 1 {
 			t.Errorf("%q stands not once in %q", part, got)
 		}
@@ -165,8 +169,10 @@
 }
 
 func TestDeclinedProvesNotRun(t *testing.T) {
-	for text, want := range map[string]bool{"503 X\r\nSrv-Declined: 1": true, "504 X\r\nsrv-declined: 1": true,
-		"503 X": false, "500 X\r\nSrv-Declined: 1": false, "503 X\r\nSrv-Declined: 0": false} {
+	for text, want := range map[string]bool{
+		"503 X\r\nSrv-Declined: 1": true, "504 X\r\nsrv-declined: 1": true,
+		"503 X": false, "500 X\r\nSrv-Declined: 1": false, "503 X\r\nSrv-Declined: 0": false,
+	} {
 		if m, _, _ := feed("HTTP/1.1 "+text+"\r\n\r\n", true, 1000); Declined(m) != want {
 			t.Errorf("%q: want %v", text, want)
 		}
--- a/gateway/membership/membership.go
+++ b/gateway/membership/membership.go
@@ -96,8 +96,10 @@
 // purposes; part of it is for this, in quiet times.
 func New(me, n int, mail, part float64, seed uint64) *Group {
 	k := float64(min(watchers, n-1))
-	g := &Group{me: me, n: n, most: mail / 2, peers: make([]peer, n), gap: 1.1,
-		period: min(5, max(0.2, 1.2*k/max(0.01, mail*part))), chances: rng.By("member %d ", seed)}
+	g := &Group{
+		me: me, n: n, most: mail / 2, peers: make([]peer, n), gap: 1.1,
+		period: min(5, max(0.2, 1.2*k/max(0.01, mail*part))), chances: rng.By("member %d ", seed),
+	}
 	for i := range g.peers {
 		g.peers[i] = peer{heard: math.NaN(), patience: 1}
 	}
--- a/gateway/membership/membership_test.go
+++ b/gateway/membership/membership_test.go
@@ -251,8 +251,10 @@
 	g := x.all[0]
 	before := append([]peer(nil), g.peers...)
 	good := x.all[2].newsText([]int{4})
-	for i, text := range []string{"!", "!b", "!x" + good[2:], good[:len(good)-1], good + "A", "!b" + strings.Repeat("_", 7), strings.Repeat("!", 300),
-		"!n" + "__" + good[4:], "!nAAAAAAB", "!\x00\xff", x.all[0].beat('b')} {
+	for i, text := range []string{
+		"!", "!b", "!x" + good[2:], good[:len(good)-1], good + "A", "!b" + strings.Repeat("_", 7), strings.Repeat("!", 300),
+		"!n" + "__" + good[4:], "!nAAAAAAB", "!\x00\xff", x.all[0].beat('b'),
+	} {
 		if !g.Heard(x.now, 2, text) {
 			t.Errorf("%d: not taken as mail of ours", i)
 		}
--- a/gateway/operatorconfig/operatorconfig_test.go
+++ b/gateway/operatorconfig/operatorconfig_test.go
@@ -13,10 +13,12 @@
 	if w, err := Read(); err != nil || w.Members() != 0 {
 		t.Error(w, err)
 	}
-	for text, want := range map[string]string{`{"membership":{"on":true}}`: "", `{"membership":{"on":true,"mail":0.2}}`: "",
+	for text, want := range map[string]string{
+		`{"membership":{"on":true}}`: "", `{"membership":{"on":true,"mail":0.2}}`: "",
 		`{"membership":{"mail":0.2}}`: "", `{"membership":{"onn":true}}`: "onn", `{"membership":{"on":1}}`: "bool",
 		`{"membership":{"on":true,"mail":0.9}}`: "0.01 to 0.5", `{`: "EOF", `{"overload":{"on":"yes"}}`: "bool",
-		`{"membership":{"on":true},"overload":{"on":true}}`: ""} {
+		`{"membership":{"on":true},"overload":{"on":true}}`: "",
+	} {
 		path := filepath.Join(t.TempDir(), "o.json")
 		os.WriteFile(path, []byte(text), 0o644)
 		t.Setenv(Variable, path)
--- a/gateway/overload/overload.go
+++ b/gateway/overload/overload.go
@@ -102,8 +102,10 @@
 // New makes an instance's part.
 func New(t Terms) *Fleet {
 	n := float64(max(1, t.Gateways))
-	return &Fleet{all: n, live: n, mail: t.Mail, usual: 0.05, silences: map[int]float64{}, answers: map[int]float64{},
-		doubt: map[int]float64{}, hosts: map[string]*sight{}, chances: rng.By("damp %d ", t.Seed), budget: newBudget(n)}
+	return &Fleet{
+		all: n, live: n, mail: t.Mail, usual: 0.05, silences: map[int]float64{}, answers: map[int]float64{},
+		doubt: map[int]float64{}, hosts: map[string]*sight{}, chances: rng.By("damp %d ", t.Seed), budget: newBudget(n),
+	}
 }
 
 func (f *Fleet) chance() float64 { return f.chances.Next() }
--- a/gateway/overload/overload_test.go
+++ b/gateway/overload/overload_test.go
@@ -30,8 +30,10 @@
 }
 
 func newCrew(n, hosts int, mail float64) *crew {
-	c := &crew{now: 1000, hosts: hosts, up: func(int, int) bool { return true },
-		dice: rand.New(rand.NewPCG(uint64(n), 7)), work: 3000, each: make([]int, n)}
+	c := &crew{
+		now: 1000, hosts: hosts, up: func(int, int) bool { return true },
+		dice: rand.New(rand.NewPCG(uint64(n), 7)), work: 3000, each: make([]int, n),
+	}
 	for i := range n {
 		c.all = append(c.all, New(Terms{Gateways: n, Mail: mail, Seed: uint64(i)}))
 		c.all[i].Stand(float64(n), hosts)
--- a/gateway/policy/fake_test.go
+++ b/gateway/policy/fake_test.go
@@ -52,8 +52,10 @@
 func (f *fake) take(units float64, width int) *Invocation { return f.takeOp("read", units, width) }
 
 func (f *fake) takeOp(op string, units float64, width int) *Invocation {
-	inv := f.g.Take(f.now, Asked{Ref: "r", Operation: op, Customer: "c", Plan: "p", Units: units,
-		GiveUp: f.now + 4, Width: width})
+	inv := f.g.Take(f.now, Asked{
+		Ref: "r", Operation: op, Customer: "c", Plan: "p", Units: units,
+		GiveUp: f.now + 4, Width: width,
+	})
 	f.turns()
 	return inv
 }
--- a/gateway/policy/policy.go
+++ b/gateway/policy/policy.go
@@ -124,10 +124,12 @@
 
 func New(at Standing, ops []Operation, ps []Plan, ctr Counter, cold Cold, allow Allowed, out Out) *Gateway {
 	all := max(1, float64(at.Gateways))
-	g := &Gateway{at: at, counter: ctr, cold: cold, allow: allow, out: out, ops: map[string]*operation{},
+	g := &Gateway{
+		at: at, counter: ctr, cold: cold, allow: allow, out: out, ops: map[string]*operation{},
 		plans: map[string]*Plan{}, byAddr: map[string]*Host{}, customers: map[string]*customer{},
 		names: map[uint64][]*call{}, calls: overload.NewCalls(ctr.Present, ctr.Limit),
-		chances: rng.By("%d ", at.Seed), most: 12, wait: 0.2, all: all, live: all, own: min(1, 12/all)}
+		chances: rng.By("%d ", at.Seed), most: 12, wait: 0.2, all: all, live: all, own: min(1, 12/all),
+	}
 	for _, o := range ops {
 		g.ops[o.Name] = &operation{Operation: o, mean: o.Objective / 5, base: o.Objective / 8}
 		g.mean += o.Objective / 5 / float64(len(ops))
@@ -145,8 +147,10 @@
 		op = &operation{Operation: o, mean: given / 10, base: given / 16}
 		g.ops[a.Operation] = op
 	}
-	inv := &Invocation{Ref: a.Ref, op: op, cust: g.customer(now, a), size: a.Units, born: now,
-		wanted: now + op.Objective, giveUp: a.GiveUp, repeat: a.Repeat}
+	inv := &Invocation{
+		Ref: a.Ref, op: op, cust: g.customer(now, a), size: a.Units, born: now,
+		wanted: now + op.Objective, giveUp: a.GiveUp, repeat: a.Repeat,
+	}
 	if inv.cust.plan.Rate > 0 {
 		inv.units = a.Units
 	}
@@ -682,7 +686,8 @@
 var ends = map[Outcome]overload.How{
 	Succeeded: overload.Answered, Failed: overload.Answered, TurnedAway: overload.Refused,
 	TimedOut: overload.Unanswered, Reset: overload.Unanswered, NoConnection: overload.Unconnected,
-	Withdrawn: overload.Nothing, NotSent: overload.Nothing}
+	Withdrawn: overload.Nothing, NotSent: overload.Nothing,
+}
 
 func (g *Gateway) After(now float64, d *Delivery, e Ended) Answer {
 	inv := d.Inv
--- a/gateway/policy/policy_test.go
+++ b/gateway/policy/policy_test.go
@@ -86,12 +86,23 @@
 		again      bool
 		final      Do
 	}{
-		{"read", "F", true, NotYet}, {"read", "E", true, NotYet}, {"read", "T", true, NotYet},
-		{"read", "R", true, NotYet}, {"read", "X", true, NotYet}, {"read", "C", true, NotYet},
-		{"mark", "F", true, NotYet}, {"mark", "C", true, NotYet}, {"mark", "N", true, NotYet},
-		{"mark", "E", true, NotYet}, {"mark", "T", true, NotYet},
-		{"once", "F", true, NotYet}, {"once", "C", true, NotYet}, {"once", "N", true, NotYet},
-		{"once", "E", false, GiveUp}, {"once", "T", false, GiveUp}, {"once", "R", false, GiveUp},
+		{"read", "F", true, NotYet},
+		{"read", "E", true, NotYet},
+		{"read", "T", true, NotYet},
+		{"read", "R", true, NotYet},
+		{"read", "X", true, NotYet},
+		{"read", "C", true, NotYet},
+		{"mark", "F", true, NotYet},
+		{"mark", "C", true, NotYet},
+		{"mark", "N", true, NotYet},
+		{"mark", "E", true, NotYet},
+		{"mark", "T", true, NotYet},
+		{"once", "F", true, NotYet},
+		{"once", "C", true, NotYet},
+		{"once", "N", true, NotYet},
+		{"once", "E", false, GiveUp},
+		{"once", "T", false, GiveUp},
+		{"once", "R", false, GiveUp},
 		{"once", "X", false, GiveUp},
 	} {
 		f := newFake(t, Plan{Name: "p"})
@@ -760,8 +771,11 @@
 // One connection fell silent under its delivery, and with no other work for a moment its host counted as silent too.
 func TestOneDeliveryStuckIsNotAHostSilent(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "z", State: "active"},
-		{Addr: "c", Zone: "z", State: "active"}}, true)
+	f.g.Hosts(f.now, []Listed{
+		{Addr: "a", Zone: "z", State: "active"},
+		{Addr: "b", Zone: "z", State: "active"},
+		{Addr: "c", Zone: "z", State: "active"},
+	}, true)
 	f.warmUp(30)
 	stuck := f.takeOp("once", 1, 2)
 	h := stuck.Deliveries[0].Host
--- a/gateway/server/clients.go
+++ b/gateway/server/clients.go
@@ -99,7 +99,8 @@
 
 // NewClients opens the listener.
 func NewClients(ctx context.Context, group *errgroup.Group, loop *Loop, log zerolog.Logger, buffers *Buffers,
-	listen string, accepts Accepts, most int, ready func() bool) (*Clients, error) {
+	listen string, accepts Accepts, most int, ready func() bool,
+) (*Clients, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
 	if mutation.SharesName {
 		lc.Control = func(_, _ string, raw syscall.RawConn) error {
@@ -110,9 +111,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Clients{ctx: ctx, group: group, loop: loop, log: log, buffers: buffers, listener: l,
+	return &Clients{
+		ctx: ctx, group: group, loop: loop, log: log, buffers: buffers, listener: l,
 		accepts: accepts, ready: ready, most: most, slowest: requestTimeout, accepted: make(chan struct{}),
-		open: map[*client]bool{}}, nil
+		open: map[*client]bool{},
+	}, nil
 }
 
 // Accept takes connections until the listener is closed. Out of descriptors, or at its limit, it makes room by
@@ -151,8 +154,10 @@
 		return cs.count()
 	}
 	now := time.Now()
-	c := &client{clients: cs, tcp: tcp, raw: raw, answers: make(chan answer, 1), came: make(chan struct{}, 1),
-		ended: make(chan struct{}), born: now, since: now, first: true}
+	c := &client{
+		clients: cs, tcp: tcp, raw: raw, answers: make(chan answer, 1), came: make(chan struct{}, 1),
+		ended: make(chan struct{}), born: now, since: now, first: true,
+	}
 	c.arrived = func() { cs.loop.take(c.inv) }
 	c.left = func() { cs.loop.gone(c.inv) }
 	cs.mu.Lock()
--- a/gateway/server/copies.go
+++ b/gateway/server/copies.go
@@ -53,8 +53,10 @@
 
 // NewCopies begins to reach keepers, one after another from a place in their list on. name is of this process alone.
 func NewCopies(ctx context.Context, group *errgroup.Group, loop *Loop, addrs []string, name string, from int) *Copies {
-	c := &Copies{ctx: ctx, group: group, loop: loop, addrs: addrs, at: max(0, from) % len(addrs), lodge: quotaclient.New(name), calls: map[uint64]*call{},
-		marking: map[uint64]*invocation{}, wake: make(chan struct{}, 1)}
+	c := &Copies{
+		ctx: ctx, group: group, loop: loop, addrs: addrs, at: max(0, from) % len(addrs), lodge: quotaclient.New(name), calls: map[uint64]*call{},
+		marking: map[uint64]*invocation{}, wake: make(chan struct{}, 1),
+	}
 	group.Go(c.run)
 	return c
 }
--- a/gateway/server/discovery.go
+++ b/gateway/server/discovery.go
@@ -105,8 +105,10 @@
 var states = map[string]string{"Ready": "active", "Terminating": "leaving", "Gone": "left"}
 
 func NewDiscovery(ctx context.Context, group *errgroup.Group, loop *Loop, log zerolog.Logger) *Discovery {
-	return &Discovery{ctx: ctx, group: group, loop: loop, log: log, silence: streamSilence, word: firstWord,
-		lives: map[string]life{}}
+	return &Discovery{
+		ctx: ctx, group: group, loop: loop, log: log, silence: streamSilence, word: firstWord,
+		lives: map[string]life{},
+	}
 }
 
 // Watch watches at an address until the end. A new address is watched at once, from the whole list on, as its numbers are
@@ -176,8 +178,10 @@
 		}
 		d.lives[e.ID] = x
 		named[e.ID] = true
-		list = append(list, policy.Listed{Addr: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
-			Since: max(0, e.Started/1000), Weight: max(0, e.Weight)})
+		list = append(list, policy.Listed{
+			Addr: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
+			Since: max(0, e.Started/1000), Weight: max(0, e.Weight),
+		})
 		addrs = append(addrs, e.Addr)
 	}
 	for id, x := range d.lives {
@@ -343,8 +347,10 @@
 
 // read takes what a stream brings, message by message, until it ends or can't be followed.
 func (d *Discovery) read(x *stream) error {
-	in := &body{tcp: x.tcp, raw: make([]byte, 2*http1.HeadLimit), room: make([]byte, 0, 2*http1.HeadLimit),
-		blank: func() error { return d.hear(x, nil) }}
+	in := &body{
+		tcp: x.tcp, raw: make([]byte, 2*http1.HeadLimit), room: make([]byte, 0, 2*http1.HeadLimit),
+		blank: func() error { return d.hear(x, nil) },
+	}
 	for messages := json.NewDecoder(in); ; {
 		var r Roster
 		err := messages.Decode(&r)
--- a/gateway/server/discovery_test.go
+++ b/gateway/server/discovery_test.go
@@ -80,9 +80,11 @@
 // What can't be read is asked for again, as a whole, and what follows it on that stream is not used: it would lift the
 // version over what was missed.
 func TestAListThatCantBeReadIsAskedForAgain(t *testing.T) {
-	for _, bad := range []string{"no json\n", `{"version":6,"full":false,"servers":[{]}` + "\n", `{"version":"six","servers":[]}`,
+	for _, bad := range []string{
+		"no json\n", `{"version":6,"full":false,"servers":[{]}` + "\n", `{"version":"six","servers":[]}`,
 		`{"version":6,"full":true}`, `{}`, `{"version":-6,"full":true,"servers":[]}`, "}", `[]`,
-		roster(4, false, ready("x"))} { // a change to before what is known
+		roster(4, false, ready("x")),
+	} { // a change to before what is known
 		w, f := watched(t)
 		f.head()
 		f.say(roster(5, true, ready("a")) + "\n")
@@ -128,10 +130,12 @@
 // A stream that answers in no way a watch does, or ends before or after its head.
 func TestStreamsThatAreNone(t *testing.T) {
 	w, f := watched(t)
-	for _, text := range []string{"", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+	for _, text := range []string{
+		"", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200<<10), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 200<<10)} {
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 200<<10),
+	} {
 		g := f
 		go func() {
 			io.WriteString(g, text)
--- a/gateway/server/hosts.go
+++ b/gateway/server/hosts.go
@@ -83,7 +83,8 @@
 }
 
 func NewHosts(ctx context.Context, group *errgroup.Group, loop *Loop, buffers *Buffers, most int,
-	connect, idle float64) *Hosts {
+	connect, idle float64,
+) *Hosts {
 	if connect <= 0 {
 		connect = 1
 	}
@@ -91,8 +92,10 @@
 		idle = 10
 	}
 	dialer := net.Dialer{Timeout: time.Duration(connect * float64(time.Second)), KeepAlive: -1}
-	return &Hosts{ctx: ctx, group: group, loop: loop, buffers: buffers, most: most, byID: map[string]*host{},
-		connect: dialer.DialContext, idleFor: 0.6 * idle}
+	return &Hosts{
+		ctx: ctx, group: group, loop: loop, buffers: buffers, most: most, byID: map[string]*host{},
+		connect: dialer.DialContext, idleFor: 0.6 * idle,
+	}
 }
 
 // List takes over what discovery told of a host: where it is, and whether it takes new work. Its connections know their
--- a/gateway/server/hosts_test.go
+++ b/gateway/server/hosts_test.go
@@ -315,8 +315,10 @@
 
 // A reset after the last byte was written may have run, with a part of an answer or without.
 func TestAResetAfterTheWholeRequestMayHaveRun(t *testing.T) {
-	for _, text := range []string{"", "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
+	for _, text := range []string{
+		"", "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+	} {
 		h := newRawHost(t)
 		w := start(t, room)
 		w.list(2, h.entry("h0"))
@@ -355,9 +357,11 @@
 	h := newRawHost(t)
 	w := start(t, room)
 	w.list(2, h.entry("h0"))
-	for _, text := range []string{ok("in pieces"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("in pieces"),
+	for _, text := range []string{
+		ok("in pieces"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("in pieces"),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nin\r\n7\r\n pieces\r\n0\r\nA: b\r\n\r\n",
-		"HTTP/1.1 200 OK\r\n\r\nin pieces"} {
+		"HTTP/1.1 200 OK\r\n\r\nin pieces",
+	} {
 		tcp := w.dial()
 		io.WriteString(tcp, invoke("pay", 3000, "x"))
 		c := h.next(t)
@@ -396,8 +400,10 @@
 
 // Answers that never end, in length and in number, stop at their bounds.
 func TestAnswersWithoutEnd(t *testing.T) {
-	for _, text := range []string{"HTTP/1.1 200 OK\r\nA: ", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
+	for _, text := range []string{
+		"HTTP/1.1 200 OK\r\nA: ", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+	} {
 		h := newRawHost(t)
 		w := start(t, room)
 		w.list(2, h.entry("h0"))
--- a/gateway/server/loop.go
+++ b/gateway/server/loop.go
@@ -63,9 +63,11 @@
 
 func NewLoop(log zerolog.Logger) *Loop {
 	now := time.Now()
-	return &Loop{queue: make(chan func(), 1024), log: log, bad: log.Sample(&zerolog.BurstSampler{Burst: badLines, Period: time.Second}), inHand: map[*policy.Invocation]*invocation{},
+	return &Loop{
+		queue: make(chan func(), 1024), log: log, bad: log.Sample(&zerolog.BurstSampler{Burst: badLines, Period: time.Second}), inHand: map[*policy.Invocation]*invocation{},
 		refs: [2]map[string]bool{{}, {}},
-		base: float64(now.UnixNano()) / 1e9, start: now}
+		base: float64(now.UnixNano()) / 1e9, start: now,
+	}
 }
 
 // clock is the wall clock at start and the monotonic one since.
@@ -188,8 +190,10 @@
 
 // admit brings in an invocation that may be delivered as far as is known elsewhere.
 func (l *Loop) admit(inv *invocation) {
-	inv.in = l.module.Take(l.now, policy.Asked{Ref: inv.Ref, Operation: inv.Operation, Customer: inv.Customer,
-		Plan: inv.Plan, Units: inv.Units, GiveUp: inv.giveUp, First: inv.First, Width: inv.Width, Repeat: inv.Repeat})
+	inv.in = l.module.Take(l.now, policy.Asked{
+		Ref: inv.Ref, Operation: inv.Operation, Customer: inv.Customer,
+		Plan: inv.Plan, Units: inv.Units, GiveUp: inv.giveUp, First: inv.First, Width: inv.Width, Repeat: inv.Repeat,
+	})
 	l.inHand[inv.in] = inv
 }
 
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -20,7 +20,8 @@
 	w := start(t, room, h)
 	tcp := w.dial()
 	for _, x := range []struct{ operation, body, seen, answer string }{
-		{"look", "", "GET /look/1?x=2 ", "body of GET"}, {"pay", "amount", "POST /pay/1?x=2 amount", "body of POST"}} {
+		{"look", "", "GET /look/1?x=2 ", "body of GET"}, {"pay", "amount", "POST /pay/1?x=2 amount", "body of POST"},
+	} {
 		if status, body := ask(tcp, invoke(x.operation, 900, x.body)); status != 200 || body != x.answer {
 			t.Fatalf("%s: %d %q", x.operation, status, body)
 		}
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -184,8 +184,10 @@
 	var first Roster
 	first.Full = true
 	for i, h := range hosts {
-		first.Servers = append(first.Servers, RosterEntry{ID: fmt.Sprint("h", i), Addr: h.Addr().String(), Zone: "z",
-			State: "Ready", Weight: 1})
+		first.Servers = append(first.Servers, RosterEntry{
+			ID: fmt.Sprint("h", i), Addr: h.Addr().String(), Zone: "z",
+			State: "Ready", Weight: 1,
+		})
 	}
 	d.Known(ctx, first)
 	w.loop.tell(ctx, func() {}) // the list stands before the watch begins
--- a/gateway/simadapter/host.go
+++ b/gateway/simadapter/host.go
@@ -121,8 +121,10 @@
 func listed(entries []simprotocol.Entry) []policy.Listed {
 	list := make([]policy.Listed, 0, len(entries))
 	for _, e := range entries {
-		list = append(list, policy.Listed{Addr: e.Host, Zone: e.Zone, Cell: e.Cell, State: e.State,
-			Since: e.Since, Weight: e.Weight})
+		list = append(list, policy.Listed{
+			Addr: e.Host, Zone: e.Zone, Cell: e.Cell, State: e.State,
+			Since: e.Since, Weight: e.Weight,
+		})
 	}
 	return list
 }
@@ -139,11 +141,15 @@
 func (in *instance) event(now float64, m any) {
 	switch m := m.(type) {
 	case *simprotocol.JobIn:
-		in.Take(now, policy.Asked{Ref: m.Ref, Operation: m.Class, Customer: m.Client,
-			Plan: m.Plan, Units: m.Units, GiveUp: m.Deadline, First: m.First, Width: m.Width, Repeat: m.Options&2 != 0})
+		in.Take(now, policy.Asked{
+			Ref: m.Ref, Operation: m.Class, Customer: m.Client,
+			Plan: m.Plan, Units: m.Units, GiveUp: m.Deadline, First: m.First, Width: m.Width, Repeat: m.Options&2 != 0,
+		})
 	case *simprotocol.Verdict:
-		in.Ended(now, m.Ref, m.Attempt, policy.Ended{How: policy.Outcome(m.How[0]),
-			Over: m.Done, Took: m.Delay, Units: m.Actual})
+		in.Ended(now, m.Ref, m.Attempt, policy.Ended{
+			How:  policy.Outcome(m.How[0]),
+			Over: m.Done, Took: m.Delay, Units: m.Actual,
+		})
 	case *simprotocol.Hangup:
 		in.Instance.Gone(now, m.Ref)
 	case *simprotocol.Bell:
@@ -160,10 +166,12 @@
 func (in *instance) Send(ref, host string, within float64) {
 	in.reply.Put("PASS_ON", ref, within, host)
 }
+
 func (in *instance) Throttle(ref string, retryAfter float64) { in.reply.Put("SHED", ref, retryAfter) }
 func (in *instance) GiveUp(ref string)                       { in.reply.Put("SURRENDER", ref) }
 func (in *instance) Wake(nonce uint64, at float64)           { in.reply.Put("SCHEDULE", nonce, at) }
 func (in *instance) Cancel(ref string, number int)           { in.reply.Put("CALL_OFF", ref, number) }
+
 func (in *instance) Tell(to int, text string) {
 	if to == membership.All {
 		in.reply.Put("ANNOUNCE", nil, text)
--- a/gateway/simprotocol/simprotocol.go
+++ b/gateway/simprotocol/simprotocol.go
@@ -25,11 +25,14 @@
 	Seed  uint64
 	Start Start
 }
-type CrashNow struct{}
-type Directory struct {
-	Slot    int
-	Entries []Entry
-}
+type (
+	CrashNow  struct{}
+	Directory struct {
+		Slot    int
+		Entries []Entry
+	}
+)
+
 type Entry struct {
 	Host, Zone, Kind string
 	Cell             int
@@ -69,14 +72,17 @@
 	How      string
 	Pressure map[string]float64
 }
-type Hangup struct{ Ref string }
-type Bell struct{ Nonce uint64 }
-type StatusBack struct {
-	Host     string
-	How      string
-	Delay    float64
-	Pressure map[string]float64
-}
+type (
+	Hangup     struct{ Ref string }
+	Bell       struct{ Nonce uint64 }
+	StatusBack struct {
+		Host     string
+		How      string
+		Delay    float64
+		Pressure map[string]float64
+	}
+)
+
 type Message struct {
 	From int
 	Data string
--- a/gateway/simprotocol/start.go
+++ b/gateway/simprotocol/start.go
@@ -67,8 +67,10 @@
 	HardBurst float64 `json:"hard_burst"`
 }
 
-var effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Tokened,
-	"at_most_once": policy.NonIdempotent}
+var effects = map[string]policy.Effect{
+	"idempotent": policy.Idempotent, "deduplicated": policy.Tokened,
+	"at_most_once": policy.NonIdempotent,
+}
 
 // Module makes the deciding module as the settings want it.
 func (s *Start) Module(seed uint64, out policy.Out) (*policy.Gateway, error) {
@@ -78,13 +80,17 @@
 		if !ok {
 			return nil, fmt.Errorf("settings: unknown effect %q", k.Effect)
 		}
-		ops = append(ops, policy.Operation{Name: k.Name, Objective: k.Goal, Value: k.Gain, Late: k.Late, Effect: e,
-			Group: k.Group, TokenTime: k.KeyTTL})
+		ops = append(ops, policy.Operation{
+			Name: k.Name, Objective: k.Goal, Value: k.Gain, Late: k.Late, Effect: e,
+			Group: k.Group, TokenTime: k.KeyTTL,
+		})
 	}
 	var plans []policy.Plan
 	for _, t := range s.Plans {
-		plans = append(plans, policy.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxOut: t.MaxOut,
-			CeilingRate: t.NeverOver, CeilingBurst: t.HardBurst})
+		plans = append(plans, policy.Plan{
+			Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxOut: t.MaxOut,
+			CeilingRate: t.NeverOver, CeilingBurst: t.HardBurst,
+		})
 	}
 	var peers *membership.Group
 	if s.Members > 0 && s.Caps.PeerMessages && s.Balancers > 1 && s.Slot >= 0 && s.Slot < s.Balancers && s.Extra.Mail > 0 {
@@ -101,8 +107,10 @@
 	return policy.New(policy.Standing{Gateways: s.Balancers, Zone: s.Locality, Seed: seed, Peers: peers, Damp: bound}, ops, plans,
 		policy.Counter{Present: s.Extra.Counter, Limit: s.Extra.Limit, Settles: s.Extra.Settles, Most: s.Extra.Most},
 		policy.Cold{Share: s.Contract.Start, Warm: s.Contract.Warm, Factor: s.Contract.Factor},
-		policy.Allowed{Deliveries: s.Caps.TryLimit, Cancel: s.Caps.Cancel,
-			Peers: s.Caps.PeerMessages, Mail: s.Extra.Mail},
+		policy.Allowed{
+			Deliveries: s.Caps.TryLimit, Cancel: s.Caps.Cancel,
+			Peers: s.Caps.PeerMessages, Mail: s.Extra.Mail,
+		},
 		out), nil
 }
 
--- a/harness/fleet/fleet.go
+++ b/harness/fleet/fleet.go
@@ -121,8 +121,10 @@
 	}
 	res := &Result{Script: d, Seed: seed, Gateways: n, Runs: make([]bool, n)}
 	at := &atEnd{rig: r, res: res}
-	f, w, err := sockets.Play(ctx, d, seed, sockets.Options{Gateway: o.Gateway, Dir: o.Dir, Memory: o.Memory, Env: o.Env, EnvOf: envOf,
-		Tell: o.Tell, Rig: at})
+	f, w, err := sockets.Play(ctx, d, seed, sockets.Options{
+		Gateway: o.Gateway, Dir: o.Dir, Memory: o.Memory, Env: o.Env, EnvOf: envOf,
+		Tell: o.Tell, Rig: at,
+	})
 	if r.world != nil {
 		r.logs.end()
 	}
@@ -231,8 +233,10 @@
 		if res.Held == nil {
 			return 0, ""
 		}
-		return map[string]float64{"promised-lost": float64(len(res.Held.Lost)), "put-back-twice": float64(len(res.Held.Twice)),
-			"second-effects": float64(len(res.Held.Second)), "kept-answers": float64(res.Held.Answered)}[p.What], ""
+		return map[string]float64{
+			"promised-lost": float64(len(res.Held.Lost)), "put-back-twice": float64(len(res.Held.Twice)),
+			"second-effects": float64(len(res.Held.Second)), "kept-answers": float64(res.Held.Answered),
+		}[p.What], ""
 	case "mail":
 		return res.Mail / d.Length.V() / float64(res.Gateways), ""
 	case "struck":
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -67,8 +67,10 @@
 	defer func() { <-cores }()
 	for again := range 2 { // what could not begin has shown nothing; the second time it has to
 		var told []string
-		r, err := Play(context.Background(), d, seed, Options{Gateway: filepath.Join(dir, program), Keeper: filepath.Join(dir, "keeper"), Dir: t.TempDir(), Memory: 64, Env: env,
-			Tell: func(s string) { told = append(told, s) }})
+		r, err := Play(context.Background(), d, seed, Options{
+			Gateway: filepath.Join(dir, program), Keeper: filepath.Join(dir, "keeper"), Dir: t.TempDir(), Memory: 64, Env: env,
+			Tell: func(s string) { told = append(told, s) },
+		})
 		if err == nil {
 			return r
 		}
@@ -131,8 +133,10 @@
 // The scripts whose faults strike on an event, and those of processes, with the program as it stands: no rule is broken
 // and the races were really there. How fast answers come is not judged: the machine may be busy.
 func TestScriptsKeepTheRules(t *testing.T) {
-	for name, struck := range map[string]int{"frozen": 2, "twice": 1, "full-disk": 6, "ended-under-load": 2, "killed": 1, "host-slow": 0,
-		"drain-told-in-flight": 3, "added-not-answered": 3, "reset-in-answer": 3, "host-dropped": 3, "clients-cut": 2} {
+	for name, struck := range map[string]int{
+		"frozen": 2, "twice": 1, "full-disk": 6, "ended-under-load": 2, "killed": 1, "host-slow": 0,
+		"drain-told-in-flight": 3, "added-not-answered": 3, "reset-in-answer": 3, "host-dropped": 3, "clients-cut": 2,
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := script(t, name, "whole", nil, "length=4s")
@@ -223,8 +227,10 @@
 			used[s.Kind] = true
 		}
 	}
-	for _, k := range []string{"drop", "stall", "delay", "rate", "double", "disorder", "half-open", "reset", "refuse", "kill", "wipe", "freeze",
-		"term", "twice", "full-disk", "starve"} {
+	for _, k := range []string{
+		"drop", "stall", "delay", "rate", "double", "disorder", "half-open", "reset", "refuse", "kill", "wipe", "freeze",
+		"term", "twice", "full-disk", "starve",
+	} {
 		if !used[k] {
 			t.Errorf("no script has the fault %s", k)
 		}
--- a/harness/fleet/keepers_test.go
+++ b/harness/fleet/keepers_test.go
@@ -36,8 +36,10 @@
 // Machines of keepers are lost with their disks, killed, stopped, cut off or full, and api gateways die with what they owe:
 // nothing that was promised is lost, nothing is counted or delivered twice.
 func TestKeepersKeepTheirPromises(t *testing.T) {
-	for name, struck := range map[string]int{"keepers-lost-two": 4, "keepers-frozen": 2, "keepers-no-disk": 3, "keepers-adds": 3,
-		"keepers-restart": 4} {
+	for name, struck := range map[string]int{
+		"keepers-lost-two": 4, "keepers-frozen": 2, "keepers-no-disk": 3, "keepers-adds": 3,
+		"keepers-restart": 4,
+	} {
 		t.Run(name, func(t *testing.T) {
 			r, bad := kept(t, name)
 			if len(bad) > 0 || len(r.Held.Lost)+len(r.Held.Twice)+len(r.Held.Second) > 0 {
@@ -134,11 +136,15 @@
 			t.Fatal(err)
 		}
 		server := map[string]any{"id": "h", "addr": host.Addr().String(), "zone": "a", "kind": "x", "cell": 1, "state": "Ready", "weight": 1, "started_ms": 0}
-		config := map[string]any{"name": fmt.Sprint("edge-", i), "listen": addr, "discovery": discovery.Addr().String(), "seed": fmt.Sprint(i + 1),
+		config := map[string]any{
+			"name": fmt.Sprint("edge-", i), "listen": addr, "discovery": discovery.Addr().String(), "seed": fmt.Sprint(i + 1),
 			"limits": map[string]any{"memory_mb": 64, "sockets": 512}, "known": map[string]any{"version": 1, "full": true, "servers": []any{server}},
-			"settings": map[string]any{"balancers": 2, "slot_no": i, "caps": map[string]any{"try_limit": 1, "dial_timeout": 0.25, "idle_close": 10},
+			"settings": map[string]any{
+				"balancers": 2, "slot_no": i, "caps": map[string]any{"try_limit": 1, "dial_timeout": 0.25, "idle_close": 10},
 				"classes": []any{map[string]any{"name": "pay", "goal_time": 3, "deadline": 4, "gain": 1, "effect": "at_most_once"}},
-				"plans":   []any{map[string]any{"name": "team", "rate": 50, "burst": 1000}}}}
+				"plans":   []any{map[string]any{"name": "team", "rate": 50, "burst": 1000}},
+			},
+		}
 		text, _ := json.Marshal(config)
 		path := filepath.Join(dir, fmt.Sprintf("edge-%d.json", i))
 		os.WriteFile(path, text, 0o644)
--- a/harness/fleet/page.go
+++ b/harness/fleet/page.go
@@ -47,8 +47,10 @@
 	}
 	lines := r.Lines[:min(len(r.Lines), 400)]
 	var b bytes.Buffer
-	err = page.Execute(&b, map[string]any{"Name": r.Script.Name, "Seed": r.Seed, "About": r.Script.About, "Rows": rows, "Served": served,
-		"Kept": r.Kept, "Broken": r.Broken, "Lines": lines})
+	err = page.Execute(&b, map[string]any{
+		"Name": r.Script.Name, "Seed": r.Seed, "About": r.Script.About, "Rows": rows, "Served": served,
+		"Kept": r.Kept, "Broken": r.Broken, "Lines": lines,
+	})
 	return b.Bytes(), err
 }
 
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -68,8 +68,10 @@
 }
 
 func newRig(script *scenario.Day, seed uint64) *rig {
-	return &rig{script: script, seed: seed, links: map[string]*netproxy.Link{}, down: map[int]time.Time{},
-		stories: map[string][]string{}, kept: map[string][]string{}}
+	return &rig{
+		script: script, seed: seed, links: map[string]*netproxy.Link{}, down: map[int]time.Time{},
+		stories: map[string][]string{}, kept: map[string][]string{},
+	}
 }
 
 func edge(n int) string { return fmt.Sprintf("edge %d", n) }
--- a/harness/sockets/sockets_test.go
+++ b/harness/sockets/sockets_test.go
@@ -155,8 +155,10 @@
 	}
 	defer tcp.Close()
 	tcp.SetDeadline(time.Now().Add(10 * time.Second))
-	for _, target := range []string{"/counters/7?by=2.5&expire_ms=60000", "/counters/7?by=-1&expire_ms=1", "/counters/x?by=1&expire_ms=1",
-		"/counters/7?by=NaN&expire_ms=1", "/counters/9?by=4&expire_ms=60000"} {
+	for _, target := range []string{
+		"/counters/7?by=2.5&expire_ms=60000", "/counters/7?by=-1&expire_ms=1", "/counters/x?by=1&expire_ms=1",
+		"/counters/7?by=NaN&expire_ms=1", "/counters/9?by=4&expire_ms=60000",
+	} {
 		io.WriteString(tcp, "POST "+target+" HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n")
 	}
 	var got []string
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -48,8 +48,10 @@
 
 // stand opens all listeners. known finds an invocation by its ref.
 func stand(w *simulation.World, p *pump, gateways int, rig Rig) (*StandIns, error) {
-	s := &StandIns{World: w, pump: p, conns: map[*conn]bool{}, addrs: map[[2]int]string{}, known: map[string]*model.Invocation{}, seen: map[string]*model.Invocation{},
-		customers: map[string]*model.Customer{}, rig: rig}
+	s := &StandIns{
+		World: w, pump: p, conns: map[*conn]bool{}, addrs: map[[2]int]string{}, known: map[string]*model.Invocation{}, seen: map[string]*model.Invocation{},
+		customers: map[string]*model.Customer{}, rig: rig,
+	}
 	if rig == nil {
 		s.rig = direct{s}
 	}
@@ -164,9 +166,11 @@
 	}
 	for g := range gateways {
 		list, _ := s.entries(g, s.List(g))
-		c := map[string]any{"name": fmt.Sprintf("edge-%d", g), "listen": listens[g], "discovery": s.rosters[g], "seed": fmt.Sprintf("%x", s.Seed+uint64(g)),
+		c := map[string]any{
+			"name": fmt.Sprintf("edge-%d", g), "listen": listens[g], "discovery": s.rosters[g], "seed": fmt.Sprintf("%x", s.Seed+uint64(g)),
 			"limits": map[string]any{"cores": s.Day.Gateway.Core.V(), "memory_mb": memory, "sockets": 1024}, "counter": s.counters[g],
-			"known": map[string]any{"version": 1, "full": true, "servers": list}, "settings": settings(s.World, g, gateways)}
+			"known": map[string]any{"version": 1, "full": true, "servers": list}, "settings": settings(s.World, g, gateways),
+		}
 		if len(peers) > 0 {
 			c["peers"], c["peer_listen"] = known, peers[g]
 		}
--- a/harness/sourcepatch/sourcepatch_test.go
+++ b/harness/sourcepatch/sourcepatch_test.go
@@ -33,8 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Build(dir, program, "otterseam/cmd/wirehost", []Patch{{"Ends", "cmd/wirehost/main.go", "func main() {\n",
-		"func main() {\n\tif BUG {\n\t\tos.Exit(7)\n\t}\n"}}); err != nil {
+	if err := Build(dir, program, "otterseam/cmd/wirehost", []Patch{{
+		"Ends", "cmd/wirehost/main.go", "func main() {\n",
+		"func main() {\n\tif BUG {\n\t\tos.Exit(7)\n\t}\n",
+	}}); err != nil {
 		t.Fatal(err)
 	}
 	for env, want := range map[string]int{"": 0, "Other": 0, "Ends": 7} {
--- a/internal/mutation/some.go
+++ b/internal/mutation/some.go
@@ -7,8 +7,10 @@
 func on(name string) bool { return os.Getenv("EDGE_SEEDED") == name }
 
 // Names are all of them.
-var Names = []string{"ResetNeverRan", "DrainUnheard", "StartUnheard", "AnswerLost", "AnswerTwice", "KeepsWithdrawn", "LeavesOut",
-	"EndsLate", "Harmless", "TermCuts", "SecondCopy", "SharesName", "ResetPanics"}
+var Names = []string{
+	"ResetNeverRan", "DrainUnheard", "StartUnheard", "AnswerLost", "AnswerTwice", "KeepsWithdrawn", "LeavesOut",
+	"EndsLate", "Harmless", "TermCuts", "SecondCopy", "SharesName", "ResetPanics",
+}
 
 // Keepers are those of keepers.
 var Keepers = []string{"KeepLocalClock", "KeepEarly", "KeepUnsynced", "KeepEmptyVote", "KeepNoSession", "KeepForgets", "KeepTwice", "KeepUnfenced", "KeepNoPlaces", "KeepMarksAgain", "KeepTakesAnew"}
--- a/quotastore/protocol/recorded_test.go
+++ b/quotastore/protocol/recorded_test.go
@@ -19,17 +19,23 @@
 	"raft":     {Kind: KindRaft, Cluster: 1<<64 - 1, Life: 1<<32 - 1, Group: 255, Raft: []byte{0, 1, 2, 0xff}},
 	"leads": {Kind: KindLeads, Cluster: 7, Life: 9, Leads: []Leads{
 		{Group: 0, Term: 1, Index: 2, Members: []uint64{uint64(MakeID(0, 9)), uint64(MakeID(1, 10)), uint64(MakeID(2, 11))}},
-		{Group: 15, Term: 1 << 40, Index: 1 << 50, Members: []uint64{uint64(MakeID(4, 1<<32-1))}}}},
+		{Group: 15, Term: 1 << 40, Index: 1 << 50, Members: []uint64{uint64(MakeID(4, 1<<32-1))}},
+	}},
 	"asks":    Asks(recordedAsks()),
 	"replies": Replies(recordedReplies()),
 	"admin-who": Administer(&Admin{What: "who", Number: 1, Life: 9, Cluster: 7, Health: []Health{
 		{Group: 3, Leads: true, Leader: 1, Held: true, Holders: []ID{MakeID(0, 9), MakeID(2, 5)}, Settled: true, Alive: true, Names: 12, Index: 99},
-		{Group: 4, Leader: -1, Away: true}}}),
-	"admin-found": Administer(&Admin{What: "found", Founding: &Founding{Cluster: 7, Members: []ID{MakeID(0, 9), MakeID(1, 10)},
-		Groups: 16, Copies: 3, States: map[int][]byte{3: {1, 2, 3}}}}),
+		{Group: 4, Leader: -1, Away: true},
+	}}),
+	"admin-found": Administer(&Admin{What: "found", Founding: &Founding{
+		Cluster: 7, Members: []ID{MakeID(0, 9), MakeID(1, 10)},
+		Groups: 16, Copies: 3, States: map[int][]byte{3: {1, 2, 3}},
+	}}),
 	"admin-save": Administer(&Admin{What: "save", Number: 2, Life: 9, Cluster: 7, States: map[int][]byte{15: {9, 8, 7}}}),
-	"admin-take": Administer(&Admin{What: "take", Batch: 41, Number: 2, Life: 9, Cluster: 7,
-		Uses: []statemachine.Used{{Customer: "gold 0011", Units: 12.25}, {Customer: "free 0012", Units: 1e-3}}}),
+	"admin-take": Administer(&Admin{
+		What: "take", Batch: 41, Number: 2, Life: 9, Cluster: 7,
+		Uses: []statemachine.Used{{Customer: "gold 0011", Units: 12.25}, {Customer: "free 0012", Units: 1e-3}},
+	}),
 	"admin-failed": Administer(&Admin{What: "take", Batch: 3, Number: -1, Err: "not the batch handed out last, nor the one after it"}),
 }
 
@@ -37,9 +43,11 @@
 func recordedAsks() (all []Asked) {
 	for kind := statemachine.Tick; kind <= statemachine.Take; kind++ {
 		n := uint64(kind)
-		all = append(all, Asked{Group: int(kind), Number: 1<<40 + n, Entry: statemachine.Entry{Kind: kind, Session: "a01.ff.3.1", Number: 100 + n,
+		all = append(all, Asked{Group: int(kind), Number: 1<<40 + n, Entry: statemachine.Entry{
+			Kind: kind, Session: "a01.ff.3.1", Number: 100 + n,
 			Low: 90 + n, Name: "name-" + kind.String(), Amount: 1.5 + float64(n), Life: 60, Holder: "edge-3.7.1", Order: 1<<33 + n,
-			Places: 0.1, Scope: "pool-a", Clock: 1234.56789}})
+			Places: 0.1, Scope: "pool-a", Clock: 1234.56789,
+		}})
 	}
 	return append(all, Asked{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "bare", Amount: -2}})
 }
@@ -48,8 +56,10 @@
 func recordedReplies() (all []Replied) {
 	for code := statemachine.Done; code <= statemachine.Bad; code++ {
 		n := float64(code)
-		all = append(all, Replied{Group: int(code), Number: 77 + uint64(code), Lead: int(code) - 1, Reply: statemachine.Reply{Code: code, Total: 1e9 + n,
-			Own: 3.25 * n, Clock: 99.125, Who: "edge-3.7.1", Uses: []statemachine.Used{{Customer: "gold 0011", Units: n}}, Batch: 12}})
+		all = append(all, Replied{Group: int(code), Number: 77 + uint64(code), Lead: int(code) - 1, Reply: statemachine.Reply{
+			Code: code, Total: 1e9 + n,
+			Own: 3.25 * n, Clock: 99.125, Who: "edge-3.7.1", Uses: []statemachine.Used{{Customer: "gold 0011", Units: n}}, Batch: 12,
+		}})
 	}
 	return append(all, Replied{Group: 1, Number: 5, NotLeader: true, Lead: -1}, Replied{Number: 6, Unknown: true})
 }
--- a/quotastore/replication/core.go
+++ b/quotastore/replication/core.go
@@ -91,8 +91,10 @@
 	if terms.Groups < 1 || terms.Groups > 1024 || terms.Copies < 1 || terms.Copies > 7 || terms.Log < 16 || !(terms.Rate > 0) || me < 0 || me >= len(peers) || len(peers) > 200 || life == 0 {
 		return nil, errors.New("keeper: its place, life, groups, copies or log are out of range")
 	}
-	c := &Core{me: me, id: MakeID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
-		chances: rng.By("keeper %d %d ", me, seed), puttingBack: map[string]bool{}, run: seed, numbers: seed << 32 >> 1}
+	c := &Core{
+		me: me, id: MakeID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
+		chances: rng.By("keeper %d %d ", me, seed), puttingBack: map[string]bool{}, run: seed, numbers: seed << 32 >> 1,
+	}
 	c.setPeers(peers, seed)
 	c.lives[me] = life
 	for g := range terms.Groups {
--- a/quotastore/replication/group.go
+++ b/quotastore/replication/group.go
@@ -92,8 +92,10 @@
 }
 
 func newGroup(c *Core, number int, saved *Saved) (*group, error) {
-	g := &group{core: c, number: number, log: raft.NewMemoryStorage(), state: statemachine.New(), out: map[place]*proposal{},
-		copying: map[uint64]float64{}, conf: &pb.ConfState{}}
+	g := &group{
+		core: c, number: number, log: raft.NewMemoryStorage(), state: statemachine.New(), out: map[place]*proposal{},
+		copying: map[uint64]float64{}, conf: &pb.ConfState{},
+	}
 	if saved != nil {
 		if !raft.IsEmptySnap(saved.Snap) {
 			state, err := statemachine.Restore(saved.Snap.Data)
@@ -122,9 +124,11 @@
 }
 
 func (g *group) start() (err error) {
-	g.node, err = raft.NewRawNode(&raft.Config{ID: uint64(g.core.id), ElectionTick: beats, HeartbeatTick: 2, Storage: g.log,
+	g.node, err = raft.NewRawNode(&raft.Config{
+		ID: uint64(g.core.id), ElectionTick: beats, HeartbeatTick: 2, Storage: g.log,
 		Applied: g.applied, MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 32 << 20,
-		CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet})
+		CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet,
+	})
 	g.listen(g.core.now)
 	return err
 }
--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -259,8 +259,10 @@
 			t.Errorf("no frame of kind %d was sent", kind)
 		}
 	}
-	for _, kind := range []pb.MessageType{pb.MsgPreVote, pb.MsgPreVoteResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgApp, pb.MsgAppResp,
-		pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgSnap} {
+	for _, kind := range []pb.MessageType{
+		pb.MsgPreVote, pb.MsgPreVoteResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgApp, pb.MsgAppResp,
+		pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgSnap,
+	} {
 		if x.raft[kind] == 0 {
 			t.Errorf("no %v was sent: %v", kind, x.raft)
 		}
--- a/quotastore/replication/replication_test.go
+++ b/quotastore/replication/replication_test.go
@@ -147,9 +147,13 @@
 
 // Whatever comes on a stream is read or refused, and never ends the keeper.
 func FuzzFrame(f *testing.F) {
-	for _, x := range []*Frame{protocol.Greeting(), protocol.Asks([]Asked{{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "n"}}}),
-		{Kind: protocol.KindLeads, Leads: []Leads{{Group: 1, Members: []uint64{1}}}}, {Kind: protocol.KindRaft, Raft: []byte("x")},
-		{Kind: protocol.KindText, Text: "!b"}, protocol.Administer(&Admin{What: "who"})} {
+	for _, x := range []*Frame{
+		protocol.Greeting(), protocol.Asks([]Asked{{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "n"}}}),
+		{Kind: protocol.KindLeads, Leads: []Leads{{Group: 1, Members: []uint64{1}}}},
+		{Kind: protocol.KindRaft, Raft: []byte("x")},
+		{Kind: protocol.KindText, Text: "!b"},
+		protocol.Administer(&Admin{What: "who"}),
+	} {
 		text, _ := x.Bytes()
 		f.Add(text)
 	}
--- a/quotastore/server/doors.go
+++ b/quotastore/server/doors.go
@@ -254,9 +254,11 @@
 	case away > 0:
 		state = "turning calls away"
 	}
-	text, err := json.Marshal(map[string]any{"state": state, "groups": k.core.Groups(), "away": away, "led": led, "held": held,
+	text, err := json.Marshal(map[string]any{
+		"state": state, "groups": k.core.Groups(), "away": away, "led": led, "held": held,
 		"installation": fmt.Sprintf("%016x", k.core.Cluster()), "life": fmt.Sprintf("%08x", k.core.Life()), "disk": k.store.Disk(),
-		"put_back": k.core.PutBack, "moved": k.core.Changes})
+		"put_back": k.core.PutBack, "moved": k.core.Changes,
+	})
 	if err != nil {
 		d.say(a, "500 Internal Server Error", err.Error(), false)
 		return
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -149,7 +149,8 @@
 	s := statemachine.New()
 	s.Apply(&statemachine.Batch{Clock: 5, Entries: []statemachine.Entry{
 		{Kind: statemachine.Add, Name: fmt.Sprint("count-", group), Amount: 2.5 * float64(group+1), Life: 60},
-		{Kind: statemachine.Mark, Name: "invocation", Holder: "edge-1.1", Life: 60}}})
+		{Kind: statemachine.Mark, Name: "invocation", Holder: "edge-1.1", Life: 60},
+	}})
 	return s.Save()
 }
 
--- a/quotastore/server/streams.go
+++ b/quotastore/server/streams.go
@@ -84,8 +84,10 @@
 			s.to[i].mu.Unlock()
 			continue
 		}
-		x := &stream{all: s, to: i, addr: spot.Peer, out: make(chan []byte, mostQueued), bulk: make(chan []byte, 256),
-			limit: rate.NewLimiter(rate.Limit(l.Rate), 64<<10)}
+		x := &stream{
+			all: s, to: i, addr: spot.Peer, out: make(chan []byte, mostQueued), bulk: make(chan []byte, 256),
+			limit: rate.NewLimiter(rate.Limit(l.Rate), 64<<10),
+		}
 		s.to = append(s.to, x)
 		if i == s.me {
 			continue
--- a/quotastore/statemachine/recorded_test.go
+++ b/quotastore/statemachine/recorded_test.go
@@ -17,8 +17,10 @@
 	b := &Batch{Clock: 1234.56789, By: 0xdeadbeef01, Nth: 1 << 40}
 	for kind := Tick; kind < kinds; kind++ {
 		n := uint64(kind)
-		b.Entries = append(b.Entries, Entry{Kind: kind, Session: "a01.ff.3.1", Number: 100 + n, Low: 90 + n, Name: "name-" + kind.String(),
-			Amount: 1.5 + float64(n), Life: 60, Holder: "edge-3.7.1", Order: 1<<33 + n, Places: 0.1, Scope: "pool-a", Clock: 1234.5})
+		b.Entries = append(b.Entries, Entry{
+			Kind: kind, Session: "a01.ff.3.1", Number: 100 + n, Low: 90 + n, Name: "name-" + kind.String(),
+			Amount: 1.5 + float64(n), Life: 60, Holder: "edge-3.7.1", Order: 1<<33 + n, Places: 0.1, Scope: "pool-a", Clock: 1234.5,
+		})
 	}
 	b.Entries = append(b.Entries, Entry{Kind: Add, Name: "bare", Amount: -2})
 	return b
--- a/quotastore/statemachine/state.go
+++ b/quotastore/statemachine/state.go
@@ -63,8 +63,10 @@
 
 // New is the state of a group that has just been founded.
 func New() *State {
-	return &State{Sessions: map[string]*session{}, Counts: map[string]*count{}, Holders: map[string]*holder{},
-		Debts: map[string]*debts{}, Marks: map[string]*mark{}, Uses: newUses()}
+	return &State{
+		Sessions: map[string]*session{}, Counts: map[string]*count{}, Holders: map[string]*holder{},
+		Debts: map[string]*debts{}, Marks: map[string]*mark{}, Uses: newUses(),
+	}
 }
 
 // Apply takes a batch and answers its entries, in their order.
--- a/quotastore/statemachine/statemachine_test.go
+++ b/quotastore/statemachine/statemachine_test.go
@@ -193,9 +193,11 @@
 
 func drawn(r *rand.Rand) Entry {
 	names, holders := []string{"a", "b", "c"}, []string{"h", "i", ""}
-	return Entry{Kind: Kind(r.IntN(int(kinds) + 1)), Session: []string{"", "s", "t"}[r.IntN(3)], Number: uint64(r.IntN(20)), Low: uint64(r.IntN(10)),
+	return Entry{
+		Kind: Kind(r.IntN(int(kinds) + 1)), Session: []string{"", "s", "t"}[r.IntN(3)], Number: uint64(r.IntN(20)), Low: uint64(r.IntN(10)),
 		Name: names[r.IntN(3)], Amount: r.NormFloat64() * 10, Life: r.Float64() * 20, Holder: holders[r.IntN(3)], Order: uint64(r.IntN(20)),
-		Places: float64(r.IntN(2) * 1000), Scope: []string{"", "all"}[r.IntN(2)], Clock: r.Float64() * 50}
+		Places: float64(r.IntN(2) * 1000), Scope: []string{"", "all"}[r.IntN(2)], Clock: r.Float64() * 50,
+	}
 }
 
 // Two copies take the same log; one is cut in its middle, saved and restored. Both have the same bytes.
--- a/sim/batch/rules_test.go
+++ b/sim/batch/rules_test.go
@@ -30,6 +30,7 @@
 func (d *wicked) Gone(float64, string)                                      {}
 func (d *wicked) Counted(float64, uint64, policy.Outcome, float64, float64) {}
 func (d *wicked) Hosts(_ float64, list []policy.Listed, whole bool)         { d.list = append(d.list, list...) }
+
 func (d *wicked) Take(now float64, a policy.Asked) {
 	last := d.list[len(d.list)-1].Addr
 	switch {
--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -26,9 +26,12 @@
 
 // New makes the list of a day with the hosts it starts with; tell is called when an api gateway is told of a change.
 func New(q *eventqueue.Queue, d *scenario.Discovery, gateways int, seed uint64, hosts []policy.Listed,
-	tell func(int, policy.Listed)) *Registry {
-	r := &Registry{q: q, dice: randstream.New(seed, "registry"), delay: d.Delay.V(), changes: hosts,
-		told: make([]int, gateways), due: make([]float64, gateways), tell: tell}
+	tell func(int, policy.Listed),
+) *Registry {
+	r := &Registry{
+		q: q, dice: randstream.New(seed, "registry"), delay: d.Delay.V(), changes: hosts,
+		told: make([]int, gateways), due: make([]float64, gateways), tell: tell,
+	}
 	for i := range r.told {
 		r.told[i] = len(hosts) // the list at the start
 	}
--- a/sim/gatewaymodel/gatewaymodel.go
+++ b/sim/gatewaymodel/gatewaymodel.go
@@ -90,8 +90,10 @@
 
 // New makes an api gateway; Start starts it.
 func New(slot, zone int, q *eventqueue.Queue, net *network.Network, c *countermodel.Counter, d *scenario.Day, around Surroundings) *Edge {
-	e := &Edge{Slot: slot, Zone: zone, q: q, net: net, counter: c, day: d, around: around, starve: 1,
-		cost: d.Gateway.Cost.V() / d.Gateway.Core.V()}
+	e := &Edge{
+		Slot: slot, Zone: zone, q: q, net: net, counter: c, day: d, around: around, starve: 1,
+		cost: d.Gateway.Cost.V() / d.Gateway.Core.V(),
+	}
 	if d.Counter.Zone == "own" {
 		e.czone = zone
 	}
@@ -148,8 +150,10 @@
 		}
 		n := inv.Need
 		e.around.Note(e.Slot, inv.Ref, "taken")
-		e.Mind.Take(now, policy.Asked{Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
-			Units: n.Units, GiveUp: inv.GiveUp, First: n.Cust.First, Width: n.Cust.Width, Repeat: inv.Repeat})
+		e.Mind.Take(now, policy.Asked{
+			Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
+			Units: n.Units, GiveUp: inv.GiveUp, First: n.Cust.First, Width: n.Cust.Width, Repeat: inv.Repeat,
+		})
 	})
 	return true
 }
@@ -417,8 +421,10 @@
 		if how == policy.Succeeded && !over {
 			e.answer(inv, model.Served, 0)
 		}
-		e.Mind.Ended(now, inv.Ref, d.Number, policy.Ended{How: how, Over: over || how == policy.Succeeded,
-			Took: now - d.Sent, Units: settled(e.day, units, how)})
+		e.Mind.Ended(now, inv.Ref, d.Number, policy.Ended{
+			How: how, Over: over || how == policy.Succeeded,
+			Took: now - d.Sent, Units: settled(e.day, units, how),
+		})
 		e.drop(inv)
 	})
 }
--- a/sim/gossip/gossip.go
+++ b/sim/gossip/gossip.go
@@ -26,8 +26,10 @@
 
 // New makes the mail of a day.
 func New(q *eventqueue.Queue, d *scenario.Peers, gateways int, seed uint64) *Post {
-	p := &Post{q: q, dice: randstream.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: overlap.Stack{d.Loss.V()},
-		room: make([]float64, gateways), at: make([]float64, gateways)}
+	p := &Post{
+		q: q, dice: randstream.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: overlap.Stack{d.Loss.V()},
+		room: make([]float64, gateways), at: make([]float64, gateways),
+	}
 	for i := range p.room {
 		p.room[i] = p.rate
 	}
--- a/sim/hostmodel/hostmodel.go
+++ b/sim/hostmodel/hostmodel.go
@@ -85,9 +85,11 @@
 // New makes a host of a kind; its speed is drawn.
 func New(q *eventqueue.Queue, number int, addr string, kind *scenario.HostKind, cold *scenario.Cold, seed uint64) *Host {
 	d := randstream.New(seed, "host", number)
-	return &Host{Number: number, Addr: addr, Cores: kind.Cores.N(), Speed: d.Between(kind.Speed.Lo, kind.Speed.Hi),
+	return &Host{
+		Number: number, Addr: addr, Cores: kind.Cores.N(), Speed: d.Between(kind.Speed.Lo, kind.Speed.Hi),
 		ConnectWork: kind.ConnectWork.V(), q: q, dice: d, queue: kind.Queue.N(), most: kind.Connections.N(), cold: cold,
-		mute: map[int]*overlap.Stack{}}
+		mute: map[int]*overlap.Stack{},
+	}
 }
 
 // Warmth is the part of its capacity that it has now.
--- a/sim/metrics/metrics.go
+++ b/sim/metrics/metrics.go
@@ -103,9 +103,11 @@
 
 // New begins the count of a day.
 func New(day, decider string, seed uint64) *Figures {
-	return &Figures{Day: day, Decider: decider, Seed: seed, Plans: map[string]*Share{}, Classes: map[string]*Share{},
+	return &Figures{
+		Day: day, Decider: decider, Seed: seed, Plans: map[string]*Share{}, Classes: map[string]*Share{},
 		Operations: map[string]*Share{}, Latency: map[string]Latency{}, Logs: map[string]int{}, Ended: map[string]float64{},
-		hist: map[string]*hdrhistogram.Histogram{}, served: map[*model.Customer]*[2]float64{}}
+		hist: map[string]*hdrhistogram.Histogram{}, served: map[*model.Customer]*[2]float64{},
+	}
 }
 
 // At is the second of a clock time.
--- a/sim/network/network.go
+++ b/sim/network/network.go
@@ -19,8 +19,10 @@
 
 // New makes the network of a day.
 func New(d *scenario.Network, zones int, seed uint64) *Network {
-	return &Network{near: d.Near.V(), far: d.Far.V(), jitter: d.Jitter.V(), zones: make([]int, zones),
-		dice: randstream.New(seed, "network")}
+	return &Network{
+		near: d.Near.V(), far: d.Far.V(), jitter: d.Jitter.V(), zones: make([]int, zones),
+		dice: randstream.New(seed, "network"),
+	}
 }
 
 // Way is how long something takes from one zone to another, in seconds.
--- a/sim/oracle/oracle.go
+++ b/sim/oracle/oracle.go
@@ -81,8 +81,10 @@
 	u := r.uses[c]
 	if u == nil {
 		p, now := c.Plan, r.now()
-		u = &use{sent: store{p.Rate.V(), p.Burst.V(), p.Burst.V(), now}, asked: store{p.Rate.V(), p.Burst.V(), p.Burst.V(), now},
-			hard: store{p.CeilingRate.V(), p.CeilingBurst.V(), p.CeilingBurst.V(), now}}
+		u = &use{
+			sent: store{p.Rate.V(), p.Burst.V(), p.Burst.V(), now}, asked: store{p.Rate.V(), p.Burst.V(), p.Burst.V(), now},
+			hard: store{p.CeilingRate.V(), p.CeilingBurst.V(), p.CeilingBurst.V(), now},
+		}
 		r.uses[c] = u
 	}
 	return u
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -44,8 +44,10 @@
 		s.Damps = d == "damped"
 		return policydriver.New(out, func(o policy.Out) (*policy.Gateway, error) { return s.Module(seed, o) })
 	}
-	b := &plain{kind: string(d), w: w, out: out, dice: randstream.New(seed, "policy"), hosts: map[string]policy.Listed{},
-		invs: map[string]*held{}, calls: map[uint64][]*held{}, shares: map[string]*share{}}
+	b := &plain{
+		kind: string(d), w: w, out: out, dice: randstream.New(seed, "policy"), hosts: map[string]policy.Listed{},
+		invs: map[string]*held{}, calls: map[uint64][]*held{}, shares: map[string]*share{},
+	}
 	return b, nil
 }
 
--- a/sim/quotastoresim/bench.go
+++ b/sim/quotastoresim/bench.go
@@ -49,8 +49,10 @@
 	begin := time.Now()
 	for i := range n {
 		all.Go(func() {
-			c := &caller{number: i, of: n, load: l, told: t, mu: &mu, hist: hist, addr: l.Doors[i%len(l.Doors)], every: time.Duration(float64(n) / l.Rate * 1e9),
-				begin: begin.Add(time.Duration(float64(i) / l.Rate * 1e9)), dice: rand.New(rand.NewPCG(uint64(i), 7))}
+			c := &caller{
+				number: i, of: n, load: l, told: t, mu: &mu, hist: hist, addr: l.Doors[i%len(l.Doors)], every: time.Duration(float64(n) / l.Rate * 1e9),
+				begin: begin.Add(time.Duration(float64(i) / l.Rate * 1e9)), dice: rand.New(rand.NewPCG(uint64(i), 7)),
+			}
 			c.run(ctx)
 		})
 	}
--- a/sim/quotastoresim/quotastoresim_test.go
+++ b/sim/quotastoresim/quotastoresim_test.go
@@ -58,8 +58,10 @@
 	if out, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "otterseam/cmd/otterseam-sim").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	for _, name := range []string{"KeepLocalClock", "KeepEarly", "KeepUnsynced", "KeepEmptyVote", "KeepNoSession", "KeepForgets",
-		"KeepTwice", "KeepUnfenced", "KeepNoPlaces", "KeepMarksAgain", "KeepTakesAnew"} {
+	for _, name := range []string{
+		"KeepLocalClock", "KeepEarly", "KeepUnsynced", "KeepEmptyVote", "KeepNoSession", "KeepForgets",
+		"KeepTwice", "KeepUnfenced", "KeepNoPlaces", "KeepMarksAgain", "KeepTakesAnew",
+	} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.CommandContext(context.Background(), program, "keepers", "--seeds", "400", "--first")
 			cmd.Env = append(os.Environ(), "EDGE_SEEDED="+name)
--- a/sim/quotastoresim/sim.go
+++ b/sim/quotastoresim/sim.go
@@ -97,9 +97,11 @@
 			v.Lost = append(v.Lost, fmt.Sprint("a keeper ended: ", r))
 		}
 	}()
-	w := &world{o: o, dice: randstream.New(seed, "keepers"), seed: seed, cut: map[[2]int]int{}, streams: map[[2]int]int{},
+	w := &world{
+		o: o, dice: randstream.New(seed, "keepers"), seed: seed, cut: map[[2]int]int{}, streams: map[[2]int]int{},
 		lastAt: map[[2]int]float64{}, v: v, lives: 100,
-		terms: replication.Terms{Groups: 2, Copies: o.Copies, Log: []int{24, 4096}[seed/8%2], Rate: 1e6, Lost: 2}}
+		terms: replication.Terms{Groups: 2, Copies: o.Copies, Log: []int{24, 4096}[seed/8%2], Rate: 1e6, Lost: 2},
+	}
 	for n := range o.Keepers {
 		w.peers = append(w.peers, replication.Peer{Name: fmt.Sprintf("k%d", n), Zone: fmt.Sprint(n % 3)})
 	}
--- a/sim/report/html.go
+++ b/sim/report/html.go
@@ -24,8 +24,16 @@
 )
 
 // Colours that most people can tell apart, in the order of the causes.
-var colours = []color.RGBA{{0x3b, 0x8e, 0x5a, 255}, {0xb9, 0xc8, 0x4a, 255}, {0xe0, 0x8b, 0x2c, 255}, {0xf3, 0xd0, 0x8f, 255},
-	{0xb0, 0x3a, 0x5b, 255}, {0x6d, 0x4a, 0x8f, 255}, {0x22, 0x22, 0x22, 255}, {0x2a, 0x6f, 0xb5, 255}}
+var colours = []color.RGBA{
+	{0x3b, 0x8e, 0x5a, 255},
+	{0xb9, 0xc8, 0x4a, 255},
+	{0xe0, 0x8b, 0x2c, 255},
+	{0xf3, 0xd0, 0x8f, 255},
+	{0xb0, 0x3a, 0x5b, 255},
+	{0x6d, 0x4a, 0x8f, 255},
+	{0x22, 0x22, 0x22, 255},
+	{0x2a, 0x6f, 0xb5, 255},
+}
 
 // SVG draws a picture as part of a page.
 func SVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
@@ -65,8 +73,10 @@
 		}
 		box.Color, box.LineStyle.Width = color.RGBA{0x40, 0x40, 0x60, 0x22}, 0
 		p.Add(box)
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: t.At, Y: top * (0.96 - 0.06*float64(i%6))}},
-			Labels: []string{t.Kind}})
+		label, err := plotter.NewLabels(plotter.XYLabels{
+			XYs:    plotter.XYs{{X: t.At, Y: top * (0.96 - 0.06*float64(i%6))}},
+			Labels: []string{t.Kind},
+		})
 		if err == nil {
 			label.TextStyle[0].Font.Size = 8
 			p.Add(label)
@@ -186,7 +196,8 @@
 	for _, of := range []func(r *batch.Run) map[string]*metrics.Share{
 		func(r *batch.Run) map[string]*metrics.Share { return r.Plans },
 		func(r *batch.Run) map[string]*metrics.Share { return r.Classes },
-		func(r *batch.Run) map[string]*metrics.Share { return r.Operations }} {
+		func(r *batch.Run) map[string]*metrics.Share { return r.Operations },
+	} {
 		for _, name := range names(rs, of) {
 			labels = append(labels, name)
 			for i, g := range gs {
--- a/sim/report/text.go
+++ b/sim/report/text.go
@@ -162,9 +162,11 @@
 	for _, by := range []struct {
 		name string
 		of   func(r *batch.Run) map[string]*metrics.Share
-	}{{"plan", func(r *batch.Run) map[string]*metrics.Share { return r.Plans }},
+	}{
+		{"plan", func(r *batch.Run) map[string]*metrics.Share { return r.Plans }},
 		{"use", func(r *batch.Run) map[string]*metrics.Share { return r.Classes }},
-		{"operation", func(r *batch.Run) map[string]*metrics.Share { return r.Operations }}} {
+		{"operation", func(r *batch.Run) map[string]*metrics.Share { return r.Operations }},
+	} {
 		fmt.Fprintln(t, strings.Repeat("\t", len(gs)))
 		for _, name := range names(rs, by.of) {
 			line := fmt.Sprintf("served in time, %s %s", by.name, name)
--- a/sim/scenario/read.go
+++ b/sim/scenario/read.go
@@ -327,8 +327,10 @@
 	return s, nil
 }
 
-var units = map[string]string{"s": `a time with its unit, such as "250ms"`, "/s": `a rate with its unit, such as "40/s"`,
-	"share": "a share, such as 0.25", "n": "a whole number", "x": "a number"}
+var units = map[string]string{
+	"s": `a time with its unit, such as "250ms"`, "/s": `a rate with its unit, such as "40/s"`,
+	"share": "a share, such as 0.25", "n": "a whole number", "x": "a number",
+}
 
 func number(unit string, v any) (float64, error) {
 	wrong := fmt.Errorf("%v is not %s", v, units[unit])
--- a/sim/scenariogen/entry.go
+++ b/sim/scenariogen/entry.go
@@ -46,8 +46,10 @@
 // fields draws what an entry of a kind says.
 func (d *drawing) fields(kind Kind, round *uint64, at float64) Disruption {
 	s := specOf(kind)
-	entry := Disruption{At: rounded(at), Kind: kind.Name, Planned: s.planned,
-		Share: d.within(s.share), X: d.within(s.x), ForS: d.within(s.forS), GapS: d.within(s.gapS), Count: int(d.within(s.count))}
+	entry := Disruption{
+		At: rounded(at), Kind: kind.Name, Planned: s.planned,
+		Share: d.within(s.share), X: d.within(s.x), ForS: d.within(s.forS), GapS: d.within(s.gapS), Count: int(d.within(s.count)),
+	}
 	if s.wholeX {
 		entry.X = math.Round(entry.X)
 	}
--- a/sim/scenariogen/site.go
+++ b/sim/scenariogen/site.go
@@ -73,8 +73,10 @@
 	if f.Name == "" || f.LengthS <= 0 || len(f.Zones) == 0 || len(f.Machines) == 0 {
 		return nil, ErrNotASite
 	}
-	site := &Site{Name: f.Name, LengthS: f.LengthS, CatchUpS: f.Timing.CatchUpS, Machines: f.Tolerate.Machines,
-		Variants: map[string][]string{}, HasSpares: map[string]bool{}}
+	site := &Site{
+		Name: f.Name, LengthS: f.LengthS, CatchUpS: f.Timing.CatchUpS, Machines: f.Tolerate.Machines,
+		Variants: map[string][]string{}, HasSpares: map[string]bool{},
+	}
 	for _, zone := range f.Zones {
 		site.Zones = append(site.Zones, zone.Name)
 	}
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -88,8 +88,10 @@
 
 // New makes the world of a day, drawn by a seed, with a decider.
 func New(d *scenario.Day, seed uint64, dec Decider, opts ...Option) *World {
-	w := &World{Day: d.Draw(seed), Seed: seed, Queue: &eventqueue.Queue{}, byAddr: map[string]*hostmodel.Host{}, byKey: map[string]*model.Customer{},
-		decider: dec}
+	w := &World{
+		Day: d.Draw(seed), Seed: seed, Queue: &eventqueue.Queue{}, byAddr: map[string]*hostmodel.Host{}, byKey: map[string]*model.Customer{},
+		decider: dec,
+	}
 	d = w.Day
 	w.door, w.tell = w, w.told
 	for _, o := range opts {
@@ -159,12 +161,16 @@
 	s.Caps.Idle, s.Caps.Connect = d.Network.Idle.V(), d.Network.Dial.V()
 	for _, o := range d.Operations {
 		effect := map[string]string{"idempotent": "idempotent", "tokened": "deduplicated", "non-idempotent": "at_most_once"}[o.Effect]
-		s.Classes = append(s.Classes, simprotocol.Class{Name: o.Name, Goal: o.Objective.V(), Limit: o.Timeout.V(), Gain: o.Value.V(),
-			Late: o.Late.V(), Effect: effect, Group: o.Group, KeyTTL: o.TokenTime.V()})
+		s.Classes = append(s.Classes, simprotocol.Class{
+			Name: o.Name, Goal: o.Objective.V(), Limit: o.Timeout.V(), Gain: o.Value.V(),
+			Late: o.Late.V(), Effect: effect, Group: o.Group, KeyTTL: o.TokenTime.V(),
+		})
 	}
 	for _, p := range d.Plans {
-		s.Plans = append(s.Plans, simprotocol.Plan{Name: p.Name, Rate: p.Rate.V(), Burst: p.Burst.V(), MaxOut: p.MaxOut.N(),
-			NeverOver: p.CeilingRate.V(), HardBurst: p.CeilingBurst.V()})
+		s.Plans = append(s.Plans, simprotocol.Plan{
+			Name: p.Name, Rate: p.Rate.V(), Burst: p.Burst.V(), MaxOut: p.MaxOut.N(),
+			NeverOver: p.CeilingRate.V(), HardBurst: p.CeilingBurst.V(),
+		})
 	}
 	s.Contract.Start, s.Contract.Warm, s.Contract.Factor = d.Cold.Share.V(), d.Cold.Warm.V(), d.Cold.Factor.V()
 	s.Extra.Counter, s.Extra.Limit, s.Extra.Settles = d.Counter.Present, d.Counter.Limit.V(), d.Counter.Settles
--- a/sim/workload/workload.go
+++ b/sim/workload/workload.go
@@ -47,8 +47,10 @@
 // New draws the customers of a day. Each plan has so many that those far, near and over together ask for the plan's
 // part of the load inside their quotas.
 func New(q *eventqueue.Queue, d *scenario.Day, seed uint64, door Door) *Crowd {
-	c := &Crowd{q: q, day: d, door: door, gateways: d.Fleet.Gateways.N(), load: randstream.New(seed, "load"),
-		ways: randstream.New(seed, "ways"), mood: randstream.New(seed, "mood")}
+	c := &Crowd{
+		q: q, day: d, door: door, gateways: d.Fleet.Gateways.N(), load: randstream.New(seed, "load"),
+		ways: randstream.New(seed, "ways"), mood: randstream.New(seed, "mood"),
+	}
 	whole := 0.0
 	for i := range d.Operations {
 		c.ops = append(c.ops, model.Operation{Operation: &d.Operations[i], Number: i})
@@ -93,8 +95,10 @@
 	}
 	for inside := 0.0; inside < rate && len(c.Customers) < 1_000_000; {
 		n := len(c.Customers)
-		x := &model.Customer{Number: n, Key: fmt.Sprintf("%016x", 0x10000000+uint64(n)*2654435761%0xe0000000), Plan: p, PlanNumber: plan,
-			Times: 1, Short: 1, Width: min(c.gateways, max(1, k.Set.N()))}
+		x := &model.Customer{
+			Number: n, Key: fmt.Sprintf("%016x", 0x10000000+uint64(n)*2654435761%0xe0000000), Plan: p, PlanNumber: plan,
+			Times: 1, Short: 1, Width: min(c.gateways, max(1, k.Set.N())),
+		}
 		part := 0.0
 		switch u := who.Float64(); {
 		case u < k.Over.V():
@@ -165,8 +169,10 @@
 	n.Tries++
 	c.tries++
 	patience := c.mood.Between(c.day.Clients.Patience.V(), 1) * x.Short
-	inv := &model.Invocation{Ref: fmt.Sprintf("%016x", c.tries*0x9e3779b97f4a7c15), Number: c.tries, Need: n, Born: now,
-		GiveUp: min(n.Until, now+patience*n.Op.Timeout.V()), Repeat: repeat && c.day.Clients.Marked}
+	inv := &model.Invocation{
+		Ref: fmt.Sprintf("%016x", c.tries*0x9e3779b97f4a7c15), Number: c.tries, Need: n, Born: now,
+		GiveUp: min(n.Until, now+patience*n.Op.Timeout.V()), Repeat: repeat && c.day.Clients.Marked,
+	}
 	inv.Gateway = c.way(x)
 	c.door.Tried(inv)
 	if !c.door.Arrive(inv) {
@@ -242,6 +248,7 @@
 
 // Gather brings all of a customer's tries to its favourite; Move gives it another set for good.
 func (c *Crowd) Gather(x *model.Customer, begin bool) { x.Gathered = begin }
+
 func (c *Crowd) Move(x *model.Customer) {
 	x.First = (x.First + 1 + c.ways.IntN(max(1, c.gateways-1))) % c.gateways
 }
--- a/tier/consensus/consensus_test.go
+++ b/tier/consensus/consensus_test.go
@@ -238,8 +238,10 @@
 func TestWitnessSurvivesItsEncoding(t *testing.T) {
 	w := Witness{
 		Promised: Ballot{9, 2}, Accepted: Ballot{8, 1},
-		Value: Record{Epoch: 4, Primary: 2, InSync: []uint64{2, 3}, Members: []Member{{2, "a", "core-a"}, {3, "b", "core-b"}},
-			Previous: []Member{{1, "c", "core-c"}}, MinCopies: 2, Learners: []Member{{4, "d", "core-d"}}},
+		Value: Record{
+			Epoch: 4, Primary: 2, InSync: []uint64{2, 3}, Members: []Member{{2, "a", "core-a"}, {3, "b", "core-b"}},
+			Previous: []Member{{1, "c", "core-c"}}, MinCopies: 2, Learners: []Member{{4, "d", "core-d"}},
+		},
 	}
 	again, err := DecodeWitness(w.Encode())
 	if err != nil || again.Value.Epoch != 4 || len(again.Value.Previous) != 1 || again.Value.Members[1] != w.Value.Members[1] || again.Value.MinCopies != 2 || len(again.Value.Learners) != 1 || again.Promised != w.Promised {
--- a/tier/proxy/request_test.go
+++ b/tier/proxy/request_test.go
@@ -90,8 +90,14 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for _, header := range []map[string]string{
-		{"Budget": "ten"}, {"Budget": "-1"}, {"Budget": "1.5"}, {"X-Token-Count": "5"}, {"X-Token-Count": "a,5"}, {"X-Token-Count": "5,b"},
-		{"X-Token-Count": "5,-1"}, {"X-Token-Count": "5,6,7"},
+		{"Budget": "ten"},
+		{"Budget": "-1"},
+		{"Budget": "1.5"},
+		{"X-Token-Count": "5"},
+		{"X-Token-Count": "a,5"},
+		{"X-Token-Count": "5,b"},
+		{"X-Token-Count": "5,-1"},
+		{"X-Token-Count": "5,6,7"},
 	} {
 		if _, err := readTurn(newRequest(header, route), service); err == nil {
 			t.Errorf("%v was taken", header)
--- a/tier/storage/storage_test.go
+++ b/tier/storage/storage_test.go
@@ -152,7 +152,8 @@
 func TestFoldReplacesEntriesAtOrAboveARewrittenOne(t *testing.T) {
 	logs := Fold([]Record{
 		entry(1, 1, 1, "a"), entry(1, 2, 1, "b"), entry(1, 3, 1, "c"), entry(1, 2, 2, "B"),
-		entry(2, 1, 1, "gone"), {Kind: RecordDrop, Group: 2},
+		entry(2, 1, 1, "gone"),
+		{Kind: RecordDrop, Group: 2},
 	})
 	if log := logs[1]; len(log.Entries) != 2 || string(log.Entries[1].Data) != "B" {
 		t.Fatalf("folded %+v", log)
