--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -389,7 +389,7 @@
 		}
 		return
 	}
-	heard := p.group.PrimaryHeard()
+	heard := p.group.LastHeartbeat()
 	if p.replaced() {
 		heard = p.learnedAt // what is heard comes from the primary before
 	}
@@ -476,7 +476,7 @@
 	if p.group == nil || !p.group.IsPrimary() {
 		return
 	}
-	silent := p.group.Silent(p.play.Now)
+	silent := p.group.Unresponsive(p.play.Now)
 	switch {
 	case len(caughtUp) > 0:
 		p.change(func(record consensus.Record) (consensus.Record, bool) {
@@ -670,7 +670,7 @@
 	if p.group.IsPrimary() || p.known.Primary == p.identity {
 		return true
 	}
-	return len(p.known.Learners) > 0 || len(p.known.Previous) > 0 || membership.View(p.known).LeavesTooFew(p.identity)
+	return len(p.known.Learners) > 0 || len(p.known.Previous) > 0 || membership.View(p.known).WouldUnderReplicate(p.identity)
 }
 
 // handOver asks an in-sync member to take the lead.
--- a/sim/faultsim/node.go
+++ b/sim/faultsim/node.go
@@ -155,7 +155,7 @@
 func (n *node) open() {
 	n.machine = &journal{size: n.play.stateSize}
 	entries := append([]replica.Entry(nil), n.disk.entries...)
-	group, err := replica.NewGroup(n.identity, n.machine, n.disk.base, entries, replica.Options{EntriesKept: entriesKept, EagerCommit: n.play.eager})
+	group, err := replica.NewGroup(n.identity, n.machine, n.disk.base, entries, replica.Options{RetainedEntries: entriesKept, EagerCommit: n.play.eager})
 	if err != nil {
 		n.play.fail("a disk could not be read: " + err.Error())
 		return
@@ -232,8 +232,8 @@
 
 // carryOut does what the replica asks for.
 func (n *node) carryOut() {
-	output := n.group.Take()
-	if output.Dropped {
+	output := n.group.TakeOutput()
+	if output.SteppedDown {
 		n.waiting = map[uint64]uint32{}
 	}
 	n.queue = append(n.queue, output.Writes...)
@@ -301,10 +301,10 @@
 func (n *node) reportDurable(writes []replica.Write) {
 	for _, write := range writes {
 		if write.Snapshot != nil {
-			n.group.Durable(write.Snapshot.Index, write.Snapshot.Epoch, n.play.Now)
+			n.group.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, n.play.Now)
 		}
 		if last := len(write.Entries) - 1; last >= 0 {
-			n.group.Durable(write.Entries[last].Index, write.Entries[last].Epoch, n.play.Now)
+			n.group.MarkDurable(write.Entries[last].Index, write.Entries[last].Epoch, n.play.Now)
 		}
 	}
 }
@@ -314,7 +314,7 @@
 	if p.Chance(messageLoss) {
 		return
 	}
-	delay := p.Between(1, 4) + int64(len(out.Message.State)/linkBytes)
+	delay := p.Between(1, 4) + int64(len(out.Message.Chunk)/linkBytes)
 	p.After(delay, func() {
 		if to := p.find(out.To); to != nil && to.up && to.group != nil {
 			to.group.Step(from, out.Message, p.Now)
--- a/sim/faultsim/proposal.go
+++ b/sim/faultsim/proposal.go
@@ -118,7 +118,7 @@
 				}
 			})
 		}
-		sticky := !other.group.IsPrimary() && !other.replaced() && p.play.Now-other.group.PrimaryHeard() < stickyFor
+		sticky := !other.group.IsPrimary() && !other.replaced() && p.play.Now-other.group.LastHeartbeat() < stickyFor
 		if request.Kind == consensus.RequestPrepare && mode == prepareOnSilence && sticky {
 			return once(failed)
 		}
--- a/sim/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -225,7 +225,7 @@
 // put distributes a new map.
 func (s *shardPlay) put(shard directory.Shard) {
 	if s.options.Bugs.NoMinCopies {
-		shard.View.MinCopies = 0
+		shard.View.MinInSync = 0
 	}
 	s.shard = shard
 	for _, n := range s.nodes {
@@ -279,7 +279,7 @@
 			n.group.Admit(caughtUp[0])
 		}
 		change(caughtUp[0], true)
-	} else if silent := n.group.Silent(s.Now); len(silent) > 0 {
+	} else if silent := n.group.Unresponsive(s.Now); len(silent) > 0 {
 		change(silent[0], false)
 	}
 }
@@ -372,7 +372,7 @@
 	}
 	primary := s.find(s.shard.View.Primary)
 	ready := primary != nil && primary.group != nil && primary.group.IsReady() && alive == len(s.shard.View.InSync)
-	if ready && !s.repair.protected && s.shard.View.BearsLosses() >= s.options.Tolerate {
+	if ready && !s.repair.protected && s.shard.View.ToleratedLosses() >= s.options.Tolerate {
 		s.repair.protected = true
 		s.outcome.Protected = append(s.outcome.Protected, s.Now-s.repair.since)
 	}
--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -33,7 +33,7 @@
 // counts from before the question was sent.
 func (s *Server) beatPrimary(ctx context.Context) {
 	beat := controlclient.ControlBeat{Member: s.self, Leaving: s.isLeaving(), Refusals: s.refusals.Load()}
-	s.host.With(controlGroup, func(g *replica.Group) { beat.Question = g.LastQuestion() })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { beat.Question = g.LastProbe() })
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := multigroup.Now()
--- a/tier/control/elector.go
+++ b/tier/control/elector.go
@@ -40,7 +40,7 @@
 
 // Elector is a control process's part in the register: its witness, and what it knows of the group.
 type Elector struct {
-	host    *multigroup.Host
+	host    *multigroup.Node
 	clients *rpc.Clients
 	address string
 	policy  membership.Policy
@@ -60,7 +60,7 @@
 	led     bool             // whether this process has become primary in its present life
 }
 
-func newElector(host *multigroup.Host, clients *rpc.Clients, address string, policy membership.Policy, log *logrus.Entry) (*Elector, error) {
+func newElector(host *multigroup.Node, clients *rpc.Clients, address string, policy membership.Policy, log *logrus.Entry) (*Elector, error) {
 	e := &Elector{lost: func(uint64) bool { return false }, host: host, clients: clients, address: address, policy: policy, log: log, startedAt: multigroup.Now()}
 	content, err := host.Values.Read(witnessValue)
 	if err != nil {
@@ -100,7 +100,7 @@
 func (e *Elector) Learn(record consensus.Record) { e.note(record, false) }
 
 func (e *Elector) note(record consensus.Record, decided bool) {
-	if e.host.IsForeign(record.Installation) {
+	if e.host.IsForeignCluster(record.Installation) {
 		return
 	}
 	e.mu.Lock()
@@ -113,7 +113,7 @@
 	}
 	known := e.known
 	e.mu.Unlock()
-	e.host.With(controlGroup, func(g *replica.Group) { g.Voted(record.Epoch, record.Primary) })
+	e.host.WithGroup(controlGroup, func(g *replica.Group) { g.RecordVote(record.Epoch, record.Primary) })
 	for _, member := range append(known.Voters(), known.Learners...) {
 		e.host.SetAddress(member.ID, member.Address)
 	}
@@ -173,7 +173,7 @@
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
-	if e.host.IsForeign(record.Installation) {
+	if e.host.IsForeignCluster(record.Installation) {
 		message.Answer(codes.DiskForeign, nil)
 		return
 	}
@@ -306,7 +306,7 @@
 
 // lead has the replica act on a record that this process has decided.
 func (e *Elector) lead(record consensus.Record) {
-	if !e.host.Bind(record.Installation) {
+	if !e.host.BindCluster(record.Installation) {
 		return
 	}
 	e.mu.Lock()
--- a/tier/control/failover.go
+++ b/tier/control/failover.go
@@ -79,10 +79,10 @@
 		HasLed:        s.elector.hasLed(),
 		Rank:          rank(known, s.self.ID),
 		Jitter:        rand.Int64N(lease.SuspectStep),
-		DiskTroubled:  s.host.DiskTroubled(),
+		DiskTroubled:  s.host.DiskDegraded(),
 	}
-	s.host.With(controlGroup, func(g *replica.Group) {
-		situation.PrimaryProven = g.PrimaryProven()
+	s.host.WithGroup(controlGroup, func(g *replica.Group) {
+		situation.PrimaryProven = g.PrimaryConfirmedAt()
 		situation.Leads = g.IsPrimary()
 	})
 	return situation
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -84,7 +84,7 @@
 	if s.host.IsPrimary(controlGroup) {
 		return s.keepSessions(report, now), true
 	}
-	s.host.With(controlGroup, func(g *replica.Group) { report.Question = g.LastQuestion() })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { report.Question = g.LastProbe() })
 	call, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	answer, err := s.primary.Call(call, controlclient.KindHostsHeard, report.Encode())
@@ -116,7 +116,7 @@
 		return Result{}, err
 	}
 	asked, own := int64(0), false
-	s.host.With(controlGroup, func(g *replica.Group) { asked, own = g.AskedAt(report.Question, multigroup.Now()) })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Question, multigroup.Now()) })
 	if !own {
 		return Result{}, codes.Unavailable
 	}
--- a/tier/control/installation_test.go
+++ b/tier/control/installation_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	elector := &Elector{host: host, clients: clients, log: log}
-	host.Bind(7)
+	host.BindCluster(7)
 	own := consensus.Record{Epoch: 3, Primary: 1, Installation: 7}
 	elector.Learn(own)
 	elector.Learn(consensus.Record{Epoch: 90, Primary: 2, Installation: 8})
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -33,7 +33,7 @@
 // beginSessions starts sessions anew when this process has begun to lead.
 func (s *Server) beginSessions() {
 	opened := uint64(0)
-	s.host.With(controlGroup, func(g *replica.Group) { opened = g.OpenedAt() })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { opened = g.EpochStartIndex() })
 	s.mu.Lock()
 	began := s.leading != opened
 	s.leading = opened
@@ -127,10 +127,10 @@
 		if !changed {
 			continue
 		}
-		if shard.View.BearsLosses() != bears {
+		if shard.View.ToleratedLosses() != bears {
 			s.submitAll(ctx, commands)
 			commands = nil
-			bears = shard.View.BearsLosses()
+			bears = shard.View.ToleratedLosses()
 		}
 		commands = append(commands, Command{Kind: CommandPutShard, Epoch: shard.View.Epoch, Shard: next})
 	}
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -24,7 +24,7 @@
 // leadsControl tells whether this process is the primary of control, also while it waits for a copy and can commit nothing.
 func (s *Server) leadsControl() bool {
 	leads := false
-	s.host.With(controlGroup, func(g *replica.Group) { leads = g.IsPrimary() })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { leads = g.IsPrimary() })
 	return leads
 }
 
@@ -92,7 +92,7 @@
 func (s *Server) followRecord(ctx context.Context) {
 	known := s.elector.Known()
 	epoch := uint64(0)
-	s.host.With(controlGroup, func(g *replica.Group) { epoch = g.View().Epoch })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { epoch = g.View().Epoch })
 	if known.Primary == s.self.ID && known.Epoch > epoch {
 		_ = s.elector.Adjust(ctx, func(record consensus.Record) (consensus.Record, bool) { return record, true })
 	}
@@ -101,8 +101,8 @@
 // adjustInSync drops silent members of control and takes in those that have caught up.
 func (s *Server) adjustInSync(ctx context.Context) {
 	var silent, caughtUp []uint64
-	s.host.With(controlGroup, func(g *replica.Group) {
-		silent = g.Silent(multigroup.Now())
+	s.host.WithGroup(controlGroup, func(g *replica.Group) {
+		silent = g.Unresponsive(multigroup.Now())
 		for _, id := range g.CaughtUp(multigroup.Now()) {
 			if !consensus.Contains(g.View().Learners, id) {
 				g.Admit(id)
@@ -160,7 +160,7 @@
 // admit has commands wait for a replica that still holds the state.
 func (s *Server) admit(id uint64) bool {
 	admitted := false
-	s.host.With(controlGroup, func(g *replica.Group) {
+	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		if consensus.Contains(g.CaughtUp(multigroup.Now()), id) {
 			g.Admit(id)
 			admitted = true
@@ -179,7 +179,7 @@
 		Gone:     func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > controlGone },
 		Leaving:  s.sessions.ControlLeaving,
 	}
-	s.host.With(controlGroup, func(g *replica.Group) {
+	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		for _, id := range g.CaughtUp(multigroup.Now()) {
 			o.HasState[id] = true
 		}
@@ -232,8 +232,8 @@
 		return
 	}
 	s.sessions.HeardControl(beat.Member, beat.Leaving)
-	s.host.With(controlGroup, func(g *replica.Group) {
-		if asked, own := g.AskedAt(beat.Question, multigroup.Now()); own {
+	s.host.WithGroup(controlGroup, func(g *replica.Group) {
+		if asked, own := g.ProbeSentAt(beat.Question, multigroup.Now()); own {
 			s.sessions.HeardHolder(beat.Member.ID, beat.Refusals, asked)
 		}
 	})
--- a/tier/control/prevote.go
+++ b/tier/control/prevote.go
@@ -17,11 +17,11 @@
 func (e *Elector) voter() lease.Voter {
 	known := e.Known()
 	voter := lease.Voter{Now: multigroup.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
-	e.host.With(controlGroup, func(g *replica.Group) {
+	e.host.WithGroup(controlGroup, func(g *replica.Group) {
 		if view := g.View(); view.Epoch > known.Epoch {
 			voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
 		}
-		voter.PrimaryProven = g.PrimaryProven()
+		voter.PrimaryProven = g.PrimaryConfirmedAt()
 		standing := lease.Standing{Role: lease.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
 		voter.Leads = g.IsPrimary() && standing.HasLease(voter.Now)
 	})
--- a/tier/control/recorded_primary_test.go
+++ b/tier/control/recorded_primary_test.go
@@ -85,7 +85,7 @@
 		{controlclient.KindHostBeat, controlclient.HostBeat{Host: recordedHost("host-2", false), Seq: 2}.Encode()},
 		{controlclient.KindHostGone, []byte("host-2")},
 		{controlclient.KindHostBeat, controlclient.HostBeat{Host: recordedHost("host-2", true), Seq: 3}.Encode()},
-		{controlclient.KindHostsHeard, controlclient.HostsHeard{By: recordedAsker, Question: replica.Stamp{Life: 2, At: 1}}.Encode()}, // of another life
+		{controlclient.KindHostsHeard, controlclient.HostsHeard{By: recordedAsker, Question: replica.Timestamp{Incarnation: 2, At: 1}}.Encode()}, // of another life
 		{controlclient.KindShardChange, controlclient.ShardChange{Shard: 37, Epoch: 1, Replica: 13, Admit: true}.Encode()},
 		{controlclient.KindObserved, outlier.Window{Reporter: 1, Number: 2, Zone: "zone-a", Contacted: 3}.Encode()},
 		{controlclient.KindRetireRead, []byte("store-x")},
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -84,7 +84,7 @@
 	return directory.Shard{
 		ID: id, Total: 64, PrimaryBoot: 0x2122232425262728,
 		View: replica.View{
-			Epoch: 0x3132333435363738, Primary: 11, InSync: []uint64{11, 12}, Replicas: []uint64{11, 12, 13}, MinCopies: 2,
+			Epoch: 0x3132333435363738, Primary: 11, InSync: []uint64{11, 12}, Replicas: []uint64{11, 12, 13}, MinInSync: 2,
 		},
 	}
 }
@@ -424,7 +424,7 @@
 	witness := recordedWitness()
 	witness.Value = recordedAlone()
 	s := recordedServer(t, recordedDisk(t, recordedVoter, &witness))
-	if err := s.host.OpenGroup(controlGroup, s.state, replica.Options{Life: 9}); err != nil {
+	if err := s.host.OpenGroup(controlGroup, s.state, replica.Options{Incarnation: 9}); err != nil {
 		t.Fatal(err)
 	}
 	s.host.SetView(controlGroup, membership.View(recordedAlone()))
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -38,7 +38,7 @@
 	settings  *settings.Settings
 	seeds     *settings.Seeds
 	log       *logrus.Entry
-	host      *multigroup.Host
+	host      *multigroup.Node
 	elector   *Elector
 	state     *State
 	publisher *feed.Publisher
@@ -111,7 +111,7 @@
 	server.elector.lost = server.lost
 	server.elector.timeline = line
 	options := replica.Options{
-		EagerCommit: true, BytesKept: controlBytesKept, Life: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
+		EagerCommit: true, RetainedBytes: controlBytesKept, Incarnation: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
 	}
 	if err := host.OpenGroup(controlGroup, server.state, options); err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 		if !s.host.IsPrimary(controlGroup) {
 			s.endLeading()
 		}
-		if s.host.DiskTroubled() {
+		if s.host.DiskDegraded() {
 			s.stepAside(ctx)
 		}
 		switch {
--- a/tier/control/sim_test.go
+++ b/tier/control/sim_test.go
@@ -296,8 +296,8 @@
 func (m *simMember) mayServe() bool { return m.standing().MayServe(m.clock()) }
 
 func (m *simMember) carryOut() {
-	output := m.group.Take()
-	if output.Dropped {
+	output := m.group.TakeOutput()
+	if output.SteppedDown {
 		waiting := m.waiting
 		m.waiting = map[uint64]func(Result, error){}
 		for _, index := range sortedKeys(waiting) {
@@ -344,10 +344,10 @@
 func (m *simMember) written(write replica.Write) {
 	m.disk.write(write)
 	if write.Snapshot != nil {
-		m.group.Durable(write.Snapshot.Index, write.Snapshot.Epoch, m.clock())
+		m.group.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, m.clock())
 	}
 	if n := len(write.Entries); n > 0 {
-		m.group.Durable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, m.clock())
+		m.group.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, m.clock())
 	}
 	m.carryOut()
 }
@@ -377,7 +377,7 @@
 		m.learned = m.clock()
 		m.startedAt = m.clock()
 	}
-	m.group.Voted(record.Epoch, record.Primary)
+	m.group.RecordVote(record.Epoch, record.Primary)
 }
 
 // tick is the work that a member does all the time.
@@ -409,7 +409,7 @@
 
 func (m *simMember) lead() {
 	now := m.clock()
-	if opened := m.group.OpenedAt(); m.leading != opened {
+	if opened := m.group.EpochStartIndex(); m.leading != opened {
 		m.leading = opened
 		var hosts []string
 		for id := range m.machine.Hosts() {
@@ -528,7 +528,7 @@
 	if len(heard) == 0 {
 		return
 	}
-	sent, question := m.clock(), m.group.LastQuestion()
+	sent, question := m.clock(), m.group.LastProbe()
 	keep := func(p *simMember, written int64) bool {
 		for id, at := range heard {
 			if _, listed := p.machine.Host(id); listed {
@@ -542,7 +542,7 @@
 		return
 	}
 	onPrimary(m, func(p *simMember, answer func(bool)) {
-		asked, own := p.group.AskedAt(question, p.clock())
+		asked, own := p.group.ProbeSentAt(question, p.clock())
 		answer(own && keep(p, asked))
 	}, func(told, reached bool) {
 		if told && reached {
@@ -559,9 +559,9 @@
 	if m.group.IsReady() {
 		return
 	}
-	refusals, question := m.refusals, m.group.LastQuestion()
+	refusals, question := m.refusals, m.group.LastProbe()
 	onPrimary(m, func(p *simMember, answer func(consensus.Record)) {
-		if asked, own := p.group.AskedAt(question, p.clock()); own {
+		if asked, own := p.group.ProbeSentAt(question, p.clock()); own {
 			p.hosts.HeardHolder(m.id, refusals, asked, p.clock())
 		}
 		answer(p.known)
--- a/tier/control/simelect_test.go
+++ b/tier/control/simelect_test.go
@@ -12,7 +12,7 @@
 
 func (m *simMember) watchPrimary() {
 	situation := lease.Situation{
-		Now: m.clock(), StartedAt: m.origin, RecordLearned: m.learned, PrimaryProven: m.group.PrimaryProven(),
+		Now: m.clock(), StartedAt: m.origin, RecordLearned: m.learned, PrimaryProven: m.group.PrimaryConfirmedAt(),
 		InSync: m.known.IsInSync(m.id), Leads: m.group.IsPrimary(), NamedPrimary: m.known.Primary == m.id, HasLed: m.hasLed,
 		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.SuspectStep),
 	}
@@ -45,7 +45,7 @@
 
 func (m *simMember) voter() lease.Voter {
 	voter := lease.Voter{
-		Now: m.clock(), StartedAt: m.startedAt, KnownEpoch: m.known.Epoch, KnownPrimary: m.known.Primary, PrimaryProven: m.group.PrimaryProven(),
+		Now: m.clock(), StartedAt: m.startedAt, KnownEpoch: m.known.Epoch, KnownPrimary: m.known.Primary, PrimaryProven: m.group.PrimaryConfirmedAt(),
 	}
 	if view := m.group.View(); view.Epoch > m.known.Epoch {
 		voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
@@ -117,7 +117,7 @@
 		return
 	}
 	caughtUp := m.group.CaughtUp(m.clock())
-	silent := m.group.Silent(m.clock())
+	silent := m.group.Unresponsive(m.clock())
 	sort.Slice(silent, func(i, j int) bool { return silent[i] < silent[j] })
 	if len(caughtUp) == 0 && len(silent) == 0 {
 		return
--- a/tier/control/simlife_test.go
+++ b/tier/control/simlife_test.go
@@ -35,7 +35,7 @@
 		m.limit = limit
 		return nil
 	})
-	options := replica.Options{EagerCommit: true, Life: m.s.random.Uint64() | 1, StepDownAfter: lease.StepDownAfter}
+	options := replica.Options{EagerCommit: true, Incarnation: m.s.random.Uint64() | 1, StepDownAfter: lease.StepDownAfter}
 	entries := append([]replica.Entry(nil), m.disk.entries...)
 	group, err := replica.NewGroup(m.id, m.machine, m.disk.base, entries, options)
 	if err != nil {
--- a/tier/control/standing.go
+++ b/tier/control/standing.go
@@ -22,7 +22,7 @@
 		return lease.Standing{Role: lease.Outsider, ConfirmedSince: s.reachedSince}
 	}
 	standing := lease.Standing{Role: lease.Backup}
-	s.host.With(controlGroup, func(g *replica.Group) {
+	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		if g.IsPrimary() {
 			standing.Role = lease.Primary
 			standing.Ready = g.IsReady()
--- a/tier/control/stop.go
+++ b/tier/control/stop.go
@@ -64,7 +64,7 @@
 		return true
 	}
 	// a spare takes this member's vote while it is still there, so that no majority is missed; so does a change under way end
-	return len(known.Learners) > 0 || len(known.Previous) > 0 || membership.View(known).LeavesTooFew(s.self.ID)
+	return len(known.Learners) > 0 || len(known.Previous) > 0 || membership.View(known).WouldUnderReplicate(s.self.ID)
 }
 
 // handOver asks the in-sync members one after the other to take the lead, until one has it.
@@ -118,7 +118,7 @@
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	if s.isLeaving() || s.host.DiskTroubled() {
+	if s.isLeaving() || s.host.DiskDegraded() {
 		message.Answer(codes.Unavailable, nil)
 		return
 	}
--- a/tier/control/submit.go
+++ b/tier/control/submit.go
@@ -37,7 +37,7 @@
 // primaryAddress is where the primary is believed to be, as a hint for callers.
 func (s *Server) primaryAddress() string {
 	primary := uint64(0)
-	s.host.With(controlGroup, func(g *replica.Group) { primary = g.View().Primary })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { primary = g.View().Primary })
 	if primary == s.self.ID || !s.standing().HasLease(multigroup.Now()) {
 		return "" // it leads no more, or may have been replaced
 	}
--- a/tier/controlclient/heard.go
+++ b/tier/controlclient/heard.go
@@ -9,9 +9,9 @@
 // ControlBeat keeps a control process's session with the primary.
 type ControlBeat struct {
 	Member   consensus.Member
-	Leaving  bool          // it is about to end
-	Refusals uint64        // heartbeats of hosts that it has refused for want of a lease
-	Question replica.Stamp // the newest question of the primary that it has read
+	Leaving  bool              // it is about to end
+	Refusals uint64            // heartbeats of hosts that it has refused for want of a lease
+	Question replica.Timestamp // the newest question of the primary that it has read
 }
 
 // Encode is the message's form on the wire.
@@ -31,7 +31,7 @@
 	d := codec.NewDecoder(data)
 	b := ControlBeat{
 		Member:  consensus.Member{ID: d.Uint64(), Address: d.String(), Node: d.String()},
-		Leaving: d.Bool(), Refusals: d.Uint64(), Question: replica.DecodeStamp(d),
+		Leaving: d.Bool(), Refusals: d.Uint64(), Question: replica.DecodeTimestamp(d),
 	}
 	return b, d.Err()
 }
@@ -45,7 +45,7 @@
 // HostsHeard tells the primary of hosts that a backup has heard.
 type HostsHeard struct {
 	By       uint64
-	Question replica.Stamp // the newest question of the primary that the backup had read
+	Question replica.Timestamp // the newest question of the primary that the backup had read
 	Hosts    []HeardHost
 }
 
@@ -67,7 +67,7 @@
 // DecodeHostsHeard reads the message.
 func DecodeHostsHeard(data []byte) (HostsHeard, error) {
 	d := codec.NewDecoder(data)
-	h := HostsHeard{By: d.Uint64(), Question: replica.DecodeStamp(d)}
+	h := HostsHeard{By: d.Uint64(), Question: replica.DecodeTimestamp(d)}
 	for range d.Count(smallestHeard) {
 		h.Hosts = append(h.Hosts, HeardHost{ID: d.String(), Age: d.Uint32()})
 	}
--- a/tier/controlclient/recorded_test.go
+++ b/tier/controlclient/recorded_test.go
@@ -26,7 +26,7 @@
 		},
 		Seq: 0x3132333435363738,
 	}, HostBeat.Encode, DecodeHostBeat)
-	question := replica.Stamp{Life: 0x4142434445464748, At: 1_048_700}
+	question := replica.Timestamp{Incarnation: 0x4142434445464748, At: 1_048_700}
 	recorded.CheckBoth(t, "control-beat", ControlBeat{
 		Member: consensus.Member{ID: 0x5152535455565758, Address: "10.0.0.1:7401", Node: "ctl-a"}, Leaving: true, Refusals: 17,
 		Question: question,
--- a/tier/directory/directory.go
+++ b/tier/directory/directory.go
@@ -115,7 +115,7 @@
 	e.Uint64(s.PrimaryBoot)
 	e.Uint64s(s.View.InSync)
 	e.Uint64s(s.View.Replicas)
-	e.Uint32(uint32(s.View.MinCopies))
+	e.Uint32(uint32(s.View.MinInSync))
 	return e.Bytes
 }
 
@@ -128,7 +128,7 @@
 	s.PrimaryBoot = d.Uint64()
 	s.View.InSync = d.Uint64s()
 	s.View.Replicas = d.Uint64s()
-	s.View.MinCopies = int(d.Uint32())
+	s.View.MinInSync = int(d.Uint32())
 	return s, d.Err()
 }
 
--- a/tier/directory/recorded_test.go
+++ b/tier/directory/recorded_test.go
@@ -29,7 +29,7 @@
 		ID: 0x01020304, Total: 0x11121314, PrimaryBoot: 0x2122232425262728,
 		View: replica.View{
 			Epoch: 0x3132333435363738, Primary: 0x0102030405060708, InSync: []uint64{0x0102030405060708, 9},
-			Replicas: []uint64{0x0102030405060708, 9, 10}, MinCopies: 2,
+			Replicas: []uint64{0x0102030405060708, 9, 10}, MinInSync: 2,
 		},
 	}
 }
--- a/tier/membership/membership.go
+++ b/tier/membership/membership.go
@@ -27,7 +27,7 @@
 // WithCopies raises the copies that an acknowledgement needs to what the members allow, once so many are in sync. They are never
 // lowered: what was promised of an acknowledgement holds on when members leave.
 func (p Policy) WithCopies(record consensus.Record) consensus.Record {
-	wanted := replica.MinCopies(p.Tolerate, len(record.Members))
+	wanted := replica.MinInSync(p.Tolerate, len(record.Members))
 	if wanted > record.MinCopies && len(record.InSync) >= wanted {
 		record.MinCopies = wanted
 	}
@@ -250,7 +250,7 @@
 
 // View is how the replicas see a record.
 func View(record consensus.Record) replica.View {
-	view := replica.View{Epoch: record.Epoch, Primary: record.Primary, InSync: record.InSync, MinCopies: record.MinCopies}
+	view := replica.View{Epoch: record.Epoch, Primary: record.Primary, InSync: record.InSync, MinInSync: record.MinCopies}
 	for _, member := range record.Holders() {
 		view.Replicas = append(view.Replicas, member.ID)
 		if !consensus.HasMember(record.Members, member.ID) {
--- a/tier/multigroup/bench_test.go
+++ b/tier/multigroup/bench_test.go
@@ -31,7 +31,7 @@
 
 // benchNode is a process with one group, over real sockets and files.
 type benchNode struct {
-	host    *Host
+	host    *Node
 	machine *bulkMachine
 	address string
 }
@@ -44,7 +44,7 @@
 		b.Fatal(err)
 	}
 	machine := &bulkMachine{state: make([]byte, stateBytes)}
-	if err := host.OpenGroup(testGroup, machine, replica.Options{EagerCommit: true, BytesKept: 8 << 20}); err != nil {
+	if err := host.OpenGroup(testGroup, machine, replica.Options{EagerCommit: true, RetainedBytes: 8 << 20}); err != nil {
 		b.Fatal(err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 
 func caughtUp(primary *benchNode) bool {
 	found := false
-	primary.host.With(testGroup, func(g *replica.Group) { found = len(g.CaughtUp(Now())) > 0 })
+	primary.host.WithGroup(testGroup, func(g *replica.Group) { found = len(g.CaughtUp(Now())) > 0 })
 	return found
 }
 
--- a/tier/multigroup/diskwatch.go
+++ b/tier/multigroup/diskwatch.go
@@ -8,23 +8,23 @@
 	diskTrustedAfter = 3000
 )
 
-// DiskWatch judges a disk by how long its writes take. A member whose disk is full, stalled or very slow should not lead: whoever
+// DiskMonitor judges a disk by how long its writes take. A member whose disk is full, stalled or very slow should not lead: whoever
 // waits for it waits in vain. It is pure: the time goes in by the steady clock.
-type DiskWatch struct {
+type DiskMonitor struct {
 	begunAt  int64 // of the write under way, 0 for none
 	troubled bool
 	calmFrom int64 // since when the disk has done its work again
 }
 
-// Begin notes that a write begins. A write that is tried again goes on.
-func (d *DiskWatch) Begin(now int64) {
+// BeginWrite notes that a write begins. A write that is tried again goes on.
+func (d *DiskMonitor) BeginWrite(now int64) {
 	if d.begunAt == 0 {
 		d.begunAt = now
 	}
 }
 
-// Done notes that the write under way has reached the disk.
-func (d *DiskWatch) Done(now int64) {
+// EndWrite notes that the write under way has reached the disk.
+func (d *DiskMonitor) EndWrite(now int64) {
 	if d.isLate(now) {
 		d.troubled = true
 		d.calmFrom = now
@@ -32,12 +32,12 @@
 	d.begunAt = 0
 }
 
-func (d *DiskWatch) isLate(now int64) bool {
+func (d *DiskMonitor) isLate(now int64) bool {
 	return d.begunAt > 0 && now-d.begunAt > diskStalledAfter
 }
 
-// Troubled tells whether the member should leave leads to others.
-func (d *DiskWatch) Troubled(now int64) bool {
+// Degraded tells whether the member should leave leads to others.
+func (d *DiskMonitor) Degraded(now int64) bool {
 	if d.isLate(now) {
 		d.troubled = true
 		d.calmFrom = now
--- a/tier/multigroup/diskwatch_test.go
+++ b/tier/multigroup/diskwatch_test.go
@@ -8,30 +8,30 @@
 
 // A disk that does not end a write in time is troubled while the write is under way, and for a while after it.
 func TestAStalledDiskIsTroubledUntilItWorksAgain(t *testing.T) {
-	var d DiskWatch
-	d.Begin(1000)
-	if d.Troubled(1000 + diskStalledAfter) {
+	var d DiskMonitor
+	d.BeginWrite(1000)
+	if d.Degraded(1000 + diskStalledAfter) {
 		t.Fatal("troubled too soon")
 	}
-	if !d.Troubled(1001 + diskStalledAfter) {
+	if !d.Degraded(1001 + diskStalledAfter) {
 		t.Fatal("a stalled disk is trusted")
 	}
-	d.Begin(1200) // the same write is tried again
-	d.Done(9000)
-	if !d.Troubled(9000 + diskTrustedAfter) {
+	d.BeginWrite(1200) // the same write is tried again
+	d.EndWrite(9000)
+	if !d.Degraded(9000 + diskTrustedAfter) {
 		t.Fatal("trusted again at once")
 	}
-	if d.Troubled(9001 + diskTrustedAfter) {
+	if d.Degraded(9001 + diskTrustedAfter) {
 		t.Fatal("not trusted though it works")
 	}
 }
 
 // A late write counts although nobody asked while it was under way.
 func TestALateWriteThatHasEndedCounts(t *testing.T) {
-	var d DiskWatch
-	d.Begin(1000)
-	d.Done(1001 + diskStalledAfter)
-	if !d.Troubled(1002 + diskStalledAfter) {
+	var d DiskMonitor
+	d.BeginWrite(1000)
+	d.EndWrite(1001 + diskStalledAfter)
+	if !d.Degraded(1002 + diskStalledAfter) {
 		t.Fatal("a disk that was stalled a moment ago is trusted")
 	}
 }
@@ -39,17 +39,17 @@
 // However slow a disk is, one that ends each write in time is never troubled.
 func TestASlowDiskThatEndsItsWritesIsTrusted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var d DiskWatch
+		var d DiskMonitor
 		now := int64(1000)
 		for range rapid.IntRange(1, 100).Draw(rt, "writes") {
-			d.Begin(now)
+			d.BeginWrite(now)
 			now += int64(rapid.IntRange(0, diskStalledAfter).Draw(rt, "takes"))
-			if d.Troubled(now) {
+			if d.Degraded(now) {
 				rt.Fatal("troubled within a write that ends in time")
 			}
-			d.Done(now)
+			d.EndWrite(now)
 			now += int64(rapid.IntRange(0, 50).Draw(rt, "rest"))
-			if d.Troubled(now) {
+			if d.Degraded(now) {
 				rt.Fatal("troubled though each write ended in time")
 			}
 		}
--- a/tier/multigroup/host.go
+++ b/tier/multigroup/host.go
@@ -58,14 +58,14 @@
 	dropped bool
 }
 
-// Host holds the replicas of a process.
-type Host struct {
+// Node holds the replicas of a process.
+type Node struct {
 	Identity uint64
 	Values   *storage.Values
 
 	origin     *origin
 	journal    *storage.Journal
-	found      map[uint32]*storage.Log
+	found      map[uint32]*storage.GroupLog
 	clients    *rpc.Clients
 	log        *logrus.Entry
 	heartbeats bool
@@ -75,12 +75,12 @@
 	groups    map[uint32]*hosted
 	addresses map[uint64]string
 	queue     []pendingWrite
-	disk      DiskWatch
+	disk      DiskMonitor
 	wake      chan struct{}
 }
 
 // Open reads the folder. A process whose folder holds no identity draws one: it is a new member, whatever its address.
-func Open(dir string, clients *rpc.Clients, log *logrus.Entry, heartbeats bool) (*Host, error) {
+func Open(dir string, clients *rpc.Clients, log *logrus.Entry, heartbeats bool) (*Node, error) {
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
 	if err != nil {
 		return nil, oops.Wrapf(err, "data_dir")
@@ -89,10 +89,10 @@
 	if err != nil {
 		return nil, oops.Wrapf(err, "journal")
 	}
-	h := &Host{
+	h := &Node{
 		Values:     values,
 		journal:    journal,
-		found:      storage.Fold(records),
+		found:      storage.FoldRecords(records),
 		clients:    clients,
 		log:        log,
 		heartbeats: heartbeats,
@@ -122,8 +122,8 @@
 	return drawn, values.Write(identityValue, binary.BigEndian.AppendUint64(nil, drawn))
 }
 
-// Found lists the groups whose state is on disk and not yet open.
-func (h *Host) Found() []uint32 {
+// UnopenedGroups lists the groups whose state is on disk and not yet open.
+func (h *Node) UnopenedGroups() []uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var ids []uint32
@@ -134,13 +134,13 @@
 }
 
 // OpenGroup makes the replica of a group from what is on disk.
-func (h *Host) OpenGroup(id uint32, machine replica.StateMachine, options replica.Options) error {
+func (h *Node) OpenGroup(id uint32, machine replica.StateMachine, options replica.Options) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.groups[id] != nil {
 		return nil
 	}
-	options.Slots = h.slots
+	options.TransferSlots = h.slots
 	var base replica.Snapshot
 	var entries []replica.Entry
 	if log := h.found[id]; log != nil {
@@ -159,7 +159,7 @@
 }
 
 // DropGroup forgets a group's replica and its disk state.
-func (h *Host) DropGroup(id uint32) {
+func (h *Node) DropGroup(id uint32) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[id]; g != nil {
@@ -171,22 +171,22 @@
 	}
 }
 
-// Has tells whether a replica of the group is open.
-func (h *Host) Has(id uint32) bool {
+// HasGroup tells whether a replica of the group is open.
+func (h *Node) HasGroup(id uint32) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.groups[id] != nil
 }
 
 // SetAddress tells where a replica is reached.
-func (h *Host) SetAddress(identity uint64, address string) {
+func (h *Node) SetAddress(identity uint64, address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.addresses[identity] = address
 }
 
-// With runs a function on a group under the lock and carries out what follows.
-func (h *Host) With(id uint32, use func(*replica.Group)) bool {
+// WithGroup runs a function on a group under the lock and carries out what follows.
+func (h *Node) WithGroup(id uint32, use func(*replica.Group)) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.groups[id]
@@ -199,12 +199,12 @@
 }
 
 // SetView tells a group's view.
-func (h *Host) SetView(id uint32, view replica.View) {
-	h.With(id, func(g *replica.Group) { g.SetView(view, Now()) })
+func (h *Node) SetView(id uint32, view replica.View) {
+	h.WithGroup(id, func(g *replica.Group) { g.SetView(view, Now()) })
 }
 
 // IsPrimary tells whether commands for the group are taken here.
-func (h *Host) IsPrimary(id uint32) bool {
+func (h *Node) IsPrimary(id uint32) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.groups[id]
@@ -213,14 +213,14 @@
 
 // Submit proposes a command and waits until it is committed. NotPrimary says that it was not proposed; Timeout that it may
 // or may not be committed; Unavailable that too much waits to be committed and nothing was proposed.
-func (h *Host) Submit(ctx context.Context, id uint32, command []byte) (any, error) {
+func (h *Node) Submit(ctx context.Context, id uint32, command []byte) (any, error) {
 	h.mu.Lock()
 	g := h.groups[id]
 	if g == nil || !g.group.IsReady() {
 		h.mu.Unlock()
 		return nil, codes.NotPrimary
 	}
-	if !g.group.HasRoom() {
+	if !g.group.HasCapacity() {
 		h.mu.Unlock()
 		return nil, codes.Unavailable
 	}
@@ -251,9 +251,9 @@
 }
 
 // carryOut does what a group's events ask for; the lock is held.
-func (h *Host) carryOut(g *hosted) {
-	output := g.group.Take()
-	if output.Dropped {
+func (h *Node) carryOut(g *hosted) {
+	output := g.group.TakeOutput()
+	if output.SteppedDown {
 		g.failWaiters()
 	}
 	for _, write := range output.Writes {
@@ -278,14 +278,14 @@
 	g.group.Trim()
 }
 
-func (h *Host) wakeWriter() {
+func (h *Node) wakeWriter() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (h *Host) sendMessage(group uint32, out replica.Outgoing) {
+func (h *Node) sendMessage(group uint32, out replica.Outgoing) {
 	address := h.addresses[out.To]
 	if address == "" {
 		return
@@ -293,10 +293,10 @@
 	h.clients.To(address).Send(KindReplica, h.encodeMessage(group, out))
 }
 
-func (h *Host) encodeMessage(group uint32, out replica.Outgoing) []byte {
+func (h *Node) encodeMessage(group uint32, out replica.Outgoing) []byte {
 	var e codec.Encoder
 	e.Uint32(group)
-	e.Uint64(h.Installation())
+	e.Uint64(h.ClusterID())
 	e.Uint64(h.Identity)
 	e.Uint64(h.origin.starts)
 	e.Uint64(out.To)
@@ -307,7 +307,7 @@
 // HandleMessage takes a message between replicas. Those for another identity, of another installation, of an earlier start of
 // the sender, or for a group that is not held, are dropped.
 // unknown is called for a group that is not open.
-func (h *Host) HandleMessage(payload []byte, unknown func(group uint32)) {
+func (h *Node) HandleMessage(payload []byte, unknown func(group uint32)) {
 	d := codec.NewDecoder(payload)
 	id := d.Uint32()
 	installation := d.Uint64()
@@ -318,19 +318,19 @@
 	if d.Err() != nil || to != h.Identity || !h.origin.accepts(installation, from, starts) {
 		return
 	}
-	if !h.Has(id) && unknown != nil {
+	if !h.HasGroup(id) && unknown != nil {
 		unknown(id)
 	}
-	h.With(id, func(g *replica.Group) { g.Step(from, message, Now()) })
+	h.WithGroup(id, func(g *replica.Group) { g.Step(from, message, Now()) })
 }
 
 // Run writes and ticks until the context ends.
-func (h *Host) Run(ctx context.Context) {
+func (h *Node) Run(ctx context.Context) {
 	go h.writeLoop(ctx)
 	periodic.Run(ctx, tickEvery, h.tick)
 }
 
-func (h *Host) tick() {
+func (h *Node) tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := Now()
--- a/tier/multigroup/installation.go
+++ b/tier/multigroup/installation.go
@@ -63,16 +63,16 @@
 	return values.Write(name, binary.BigEndian.AppendUint64(nil, number))
 }
 
-// Installation is the installation to which this disk belongs, 0 as long as it belongs to none.
-func (h *Host) Installation() uint64 { return h.origin.installation.Load() }
+// ClusterID is the installation to which this disk belongs, 0 as long as it belongs to none.
+func (h *Node) ClusterID() uint64 { return h.origin.installation.Load() }
 
-// Bind binds the disk to an installation for good. It reports false for an installation other than the one it is bound to;
+// BindCluster binds the disk to an installation for good. It reports false for an installation other than the one it is bound to;
 // 0 stands for one that is not known yet and binds nothing.
-func (h *Host) Bind(installation uint64) bool { return h.origin.bind(installation) }
+func (h *Node) BindCluster(installation uint64) bool { return h.origin.bind(installation) }
 
-// IsForeign tells whether an installation is another one than that of this disk, and names it in the log.
-func (h *Host) IsForeign(installation uint64) bool {
-	own := h.Installation()
+// IsForeignCluster tells whether an installation is another one than that of this disk, and names it in the log.
+func (h *Node) IsForeignCluster(installation uint64) bool {
+	own := h.ClusterID()
 	return own != 0 && installation != 0 && !h.origin.bind(installation)
 }
 
--- a/tier/multigroup/installation_test.go
+++ b/tier/multigroup/installation_test.go
@@ -21,7 +21,7 @@
 func (silentMachine) Snapshot() []byte         { return nil }
 func (silentMachine) Restore([]byte) error     { return nil }
 
-func openTestHost(t *testing.T, dir string) (*Host, *test.Hook) {
+func openTestHost(t *testing.T, dir string) (*Node, *test.Hook) {
 	t.Helper()
 	logger, hook := test.NewNullLogger()
 	host, err := Open(dir, rpc.NewClients(nil), logrus.NewEntry(logger), false)
@@ -35,7 +35,7 @@
 }
 
 // appendTo is a message from a primary that puts one entry into the log of another host's replica.
-func appendTo(from, to *Host, index uint64) []byte {
+func appendTo(from, to *Node, index uint64) []byte {
 	message := replica.Message{
 		Kind: replica.MessageAppend, Epoch: 1, Index: index - 1, PrevEpoch: min(index-1, 1),
 		Entries: []replica.Entry{{Index: index, Epoch: 1, Data: []byte("a")}},
@@ -43,8 +43,8 @@
 	return from.encodeMessage(testGroup, replica.Outgoing{To: to.Identity, Message: message})
 }
 
-func lastIndex(h *Host) (last uint64) {
-	h.With(testGroup, func(g *replica.Group) { last = g.LastIndex() })
+func lastIndex(h *Node) (last uint64) {
+	h.WithGroup(testGroup, func(g *replica.Group) { last = g.LastIndex() })
 	return last
 }
 
@@ -63,22 +63,22 @@
 	member, _ := openTestHost(t, dir)
 	own, _ := openTestHost(t, t.TempDir())
 	other, _ := openTestHost(t, t.TempDir())
-	own.Bind(7)
-	other.Bind(8)
+	own.BindCluster(7)
+	other.BindCluster(8)
 	member.HandleMessage(appendTo(own, member, 1), nil)
-	if lastIndex(member) != 1 || member.Installation() != 7 {
-		t.Fatalf("last entry %d, installation %d", lastIndex(member), member.Installation())
+	if lastIndex(member) != 1 || member.ClusterID() != 7 {
+		t.Fatalf("last entry %d, installation %d", lastIndex(member), member.ClusterID())
 	}
 	again, hook := openTestHost(t, dir)
 	again.HandleMessage(appendTo(other, again, 2), nil)
 	again.HandleMessage(appendTo(other, again, 2), nil)
-	if lastIndex(again) != 0 || again.Installation() != 7 {
-		t.Fatalf("last entry %d, installation %d", lastIndex(again), again.Installation())
+	if lastIndex(again) != 0 || again.ClusterID() != 7 {
+		t.Fatalf("last entry %d, installation %d", lastIndex(again), again.ClusterID())
 	}
 	if got := namedCodes(hook); len(got) != 1 || got[0] != codes.DiskForeign {
 		t.Fatalf("named: %v", got)
 	}
-	if again.Bind(8) || !again.Bind(7) {
+	if again.BindCluster(8) || !again.BindCluster(7) {
 		t.Fatal("bound to a second installation")
 	}
 }
--- a/tier/multigroup/recorded_test.go
+++ b/tier/multigroup/recorded_test.go
@@ -32,7 +32,7 @@
 	"starts-0000000000000002":       "starts-2",
 }
 
-func openRecorded(t *testing.T, dir string) *Host {
+func openRecorded(t *testing.T, dir string) *Node {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
 	host, err := Open(dir, rpc.NewClients(nil), logrus.NewEntry(logger), false)
@@ -65,7 +65,7 @@
 }
 
 // installedHost is a host with a fixed identity and installation, at its second start.
-func installedHost(t *testing.T, dir string) *Host {
+func installedHost(t *testing.T, dir string) *Node {
 	t.Helper()
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
 	if err != nil {
@@ -74,7 +74,7 @@
 	if err := values.Write(identityValue, binary.BigEndian.AppendUint64(nil, recordedIdentity)); err != nil {
 		t.Fatal(err)
 	}
-	if first := openRecorded(t, dir); !first.Bind(recordedInstallation) {
+	if first := openRecorded(t, dir); !first.BindCluster(recordedInstallation) {
 		t.Fatal("not bound")
 	}
 	return openRecorded(t, dir)
@@ -94,8 +94,8 @@
 	restored := t.TempDir()
 	restoreFiles(t, filepath.Join(restored, "values"), recordedValues)
 	host := openRecorded(t, restored)
-	if host.Identity != recordedIdentity || host.Installation() != recordedInstallation || host.origin.starts != 3 {
-		t.Fatalf("identity %x, installation %x, start %d", host.Identity, host.Installation(), host.origin.starts)
+	if host.Identity != recordedIdentity || host.ClusterID() != recordedInstallation || host.origin.starts != 3 {
+		t.Fatalf("identity %x, installation %x, start %d", host.Identity, host.ClusterID(), host.origin.starts)
 	}
 }
 
@@ -132,12 +132,12 @@
 	}
 	receiver.HandleMessage(recorded.Read(t, "message"), func(group uint32) { t.Errorf("group %x is not known", group) })
 	view, last := replica.View{}, uint64(0)
-	receiver.With(recordedGroup, func(g *replica.Group) { view, last = g.View(), g.LastIndex() })
+	receiver.WithGroup(recordedGroup, func(g *replica.Group) { view, last = g.View(), g.LastIndex() })
 	if view.Primary != recordedIdentity || view.Epoch != 1 || last != 2 {
 		t.Fatalf("view %+v, last entry %d", view, last)
 	}
-	if receiver.Installation() != recordedInstallation || receiver.origin.seen[recordedIdentity] != 2 {
-		t.Fatalf("installation %x, starts %v", receiver.Installation(), receiver.origin.seen)
+	if receiver.ClusterID() != recordedInstallation || receiver.origin.seen[recordedIdentity] != 2 {
+		t.Fatalf("installation %x, starts %v", receiver.ClusterID(), receiver.origin.seen)
 	}
 	if KindReplica != 10 {
 		t.Errorf("kind %d", KindReplica)
@@ -165,7 +165,7 @@
 	restored := t.TempDir()
 	restoreFiles(t, filepath.Join(restored, "journal"), map[string]string{segment: "journal"})
 	found := openRecorded(t, restored).found
-	want := map[uint32]*storage.Log{3: {
+	want := map[uint32]*storage.GroupLog{3: {
 		Snapshot: []byte("a state"), SnapshotIndex: 7, SnapshotEpoch: 2,
 		Entries: []storage.Record{
 			{Kind: storage.RecordEntry, Group: 3, Index: 8, Epoch: 2, Data: []byte("eight")},
--- a/tier/multigroup/write.go
+++ b/tier/multigroup/write.go
@@ -13,7 +13,7 @@
 
 // This file owns what goes to the disk: commits of all that groups have queued, and the journal written anew.
 
-func (h *Host) writeLoop(ctx context.Context) {
+func (h *Node) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -26,12 +26,12 @@
 }
 
 // writeOnce makes all that is queued durable in one commit.
-func (h *Host) writeOnce(ctx context.Context) bool {
+func (h *Node) writeOnce(ctx context.Context) bool {
 	h.mu.Lock()
 	queue := h.queue
 	h.queue = nil
 	if len(queue) > 0 {
-		h.disk.Begin(Now())
+		h.disk.BeginWrite(Now())
 	}
 	h.mu.Unlock()
 	if len(queue) == 0 {
@@ -51,7 +51,7 @@
 		}
 	}
 	h.reportDurable(queue)
-	if h.journal.WantsRewrite() {
+	if h.journal.NeedsCompaction() {
 		h.rewrite()
 	}
 	return true
@@ -81,20 +81,20 @@
 	return storage.Record{Kind: storage.RecordEntry, Group: group, Index: e.Index, Epoch: e.Epoch, Data: e.Data}
 }
 
-func (h *Host) reportDurable(queue []pendingWrite) {
+func (h *Node) reportDurable(queue []pendingWrite) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := Now()
-	h.disk.Done(now)
+	h.disk.EndWrite(now)
 	touched := map[*hosted]bool{}
 	for _, pending := range queue {
-		pending.group.group.Wrote(pending.write)
+		pending.group.group.WriteCompleted(pending.write)
 		if snapshot := pending.write.Snapshot; snapshot != nil {
-			pending.group.group.Durable(snapshot.Index, snapshot.Epoch, now)
+			pending.group.group.MarkDurable(snapshot.Index, snapshot.Epoch, now)
 		}
 		if n := len(pending.write.Entries); n > 0 {
 			last := pending.write.Entries[n-1]
-			pending.group.group.Durable(last.Index, last.Epoch, now)
+			pending.group.group.MarkDurable(last.Index, last.Epoch, now)
 		}
 		touched[pending.group] = true
 	}
@@ -103,27 +103,27 @@
 	}
 }
 
-// DiskTroubled tells whether this process's disk holds up what it leads, so that others should.
-func (h *Host) DiskTroubled() bool {
+// DiskDegraded tells whether this process's disk holds up what it leads, so that others should.
+func (h *Node) DiskDegraded() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.disk.Troubled(Now())
+	return h.disk.Degraded(Now())
 }
 
 // rewrite replaces the journal by the present state of all groups. The lock is taken for one group at a time: what a group takes
 // in meanwhile is queued and written behind.
-func (h *Host) rewrite() {
+func (h *Node) rewrite() {
 	var records []storage.Record
 	for _, id := range h.heldGroups() {
 		records = append(records, h.stateRecords(id)...)
 	}
-	if err := h.journal.Rewrite(records); err != nil {
+	if err := h.journal.Compact(records); err != nil {
 		h.log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("journal could not be written anew; the old one stays")
 	}
 }
 
 // heldGroups lists the groups that are open or on disk.
-func (h *Host) heldGroups() []uint32 {
+func (h *Node) heldGroups() []uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ids := slices.Collect(maps.Keys(h.groups))
@@ -131,7 +131,7 @@
 }
 
 // stateRecords is the present state of a group; nothing if it was dropped.
-func (h *Host) stateRecords(id uint32) []storage.Record {
+func (h *Node) stateRecords(id uint32) []storage.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[id]; g != nil {
--- a/tier/placement/copies_test.go
+++ b/tier/placement/copies_test.go
@@ -12,17 +12,17 @@
 	for tolerate := range 3 {
 		c := Cluster{Machines: machines(2*tolerate+1, 3), Tolerate: tolerate}
 		shard, _ := c.Found(1)
-		if shard.View.MinCopies != tolerate+1 {
-			t.Fatalf("tolerate %d: %d copies", tolerate, shard.View.MinCopies)
+		if shard.View.MinInSync != tolerate+1 {
+			t.Fatalf("tolerate %d: %d copies", tolerate, shard.View.MinInSync)
 		}
 		decoded, err := directory.DecodeShard(shard.Encode())
-		if err != nil || decoded.View.MinCopies != tolerate+1 {
+		if err != nil || decoded.View.MinInSync != tolerate+1 {
 			t.Fatalf("read %+v, %v", decoded, err)
 		}
 		lost := shard.View.InSync[len(shard.View.InSync)-1]
 		if len(shard.View.InSync) > 1 {
 			delete(c.Machines, lost)
-			if next, _ := c.Next(shard); next.View.MinCopies != tolerate+1 || next.View.IsInSync(lost) {
+			if next, _ := c.Next(shard); next.View.MinInSync != tolerate+1 || next.View.IsInSync(lost) {
 				t.Fatalf("%+v", next.View)
 			}
 		}
@@ -106,7 +106,7 @@
 }
 
 func view(inSync int) replica.View {
-	v := replica.View{MinCopies: 2}
+	v := replica.View{MinInSync: 2}
 	for id := range uint64(inSync) {
 		v.InSync = append(v.InSync, id+1)
 	}
@@ -145,7 +145,7 @@
 
 // A machine that ends is needed while it leads or holds a copy that another is still to get.
 func TestWhenAMachineIsNeeded(t *testing.T) {
-	shard := directory.Shard{ID: 1, View: replica.View{Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinCopies: 2}}
+	shard := directory.Shard{ID: 1, View: replica.View{Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}}
 	shards := map[uint32]directory.Shard{1: shard}
 	if !Needed(shards, 1) || !Needed(shards, 2) || Needed(shards, 3) {
 		t.Fatalf("needed: %v %v %v", Needed(shards, 1), Needed(shards, 2), Needed(shards, 3))
--- a/tier/placement/leave.go
+++ b/tier/placement/leave.go
@@ -6,7 +6,7 @@
 // is still to get.
 func Needed(shards map[uint32]directory.Shard, identity uint64) bool {
 	for _, shard := range shards {
-		if shard.View.Primary == identity || shard.View.LeavesTooFew(identity) {
+		if shard.View.Primary == identity || shard.View.WouldUnderReplicate(identity) {
 			return true
 		}
 	}
@@ -19,7 +19,7 @@
 		return false
 	}
 	for _, shard := range shards {
-		if len(shard.View.InSync) < max(shard.View.MinCopies, len(c.Desired(shard.ID))) {
+		if len(shard.View.InSync) < max(shard.View.MinInSync, len(c.Desired(shard.ID))) {
 			return false
 		}
 	}
--- a/tier/placement/order.go
+++ b/tier/placement/order.go
@@ -13,7 +13,7 @@
 		ordered = append(ordered, shard)
 	}
 	sort.Slice(ordered, func(i, j int) bool {
-		a, b := ordered[i].View.BearsLosses(), ordered[j].View.BearsLosses()
+		a, b := ordered[i].View.ToleratedLosses(), ordered[j].View.ToleratedLosses()
 		if a != b {
 			return a < b
 		}
--- a/tier/placement/placement.go
+++ b/tier/placement/placement.go
@@ -41,7 +41,7 @@
 // floor is how many replicas stay in the in-sync set although their machine is silent: below the copies that an acknowledgement
 // needs, nothing would be gained by dropping one, and one that could lead would be lost.
 func (c Cluster) floor(view replica.View) int {
-	return max(view.MinCopies, min(c.Copies(), len(view.Replicas))-c.Tolerate)
+	return max(view.MinInSync, min(c.Copies(), len(view.Replicas))-c.Tolerate)
 }
 
 // DiskLost tells whether a machine's disk is provably lost: the same machine is heard at the same address with another identity,
@@ -73,7 +73,7 @@
 	}
 	primary := c.Machines[desired[0]].Store
 	view := replica.View{
-		Epoch: 1, Primary: primary.Identity, InSync: desired, Replicas: desired, MinCopies: replica.MinCopies(c.Tolerate, len(desired)),
+		Epoch: 1, Primary: primary.Identity, InSync: desired, Replicas: desired, MinInSync: replica.MinInSync(c.Tolerate, len(desired)),
 	}
 	return directory.Shard{ID: id, Total: ShardCount, View: view, PrimaryBoot: primary.Boot}, true
 }
--- a/tier/replica/bench_test.go
+++ b/tier/replica/bench_test.go
@@ -21,17 +21,17 @@
 		changeBytes = 10 << 10
 	)
 	for b.Loop() {
-		g := newPrimaryOfTwo(b, Options{BytesKept: 8 << 20})
+		g := newPrimaryOfTwo(b, Options{RetainedBytes: 8 << 20})
 		before := liveBytes()
 		early := uint64(0)
 		for i := range changes {
 			now := int64(11 + i)
 			index := g.Propose(make([]byte, changeBytes), now)
-			g.Durable(index, 1, now)
+			g.MarkDurable(index, 1, now)
 			if i%40 == 0 {
 				g.Tick(now, true)
 			}
-			g.Take()
+			g.TakeOutput()
 			g.Trim()
 			if i == changes/10 {
 				early = liveBytes()
--- a/tier/replica/bounds_test.go
+++ b/tier/replica/bounds_test.go
@@ -41,23 +41,23 @@
 		t.Fatal(err)
 	}
 	g.SetView(View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}}, 10)
-	g.Durable(1, 1, 10)
+	g.MarkDurable(1, 1, 10)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: 1}, 10)
-	g.Take()
+	g.TakeOutput()
 	return g
 }
 
 // A replica that acknowledged once and then fell silent does not keep the primary's entries in memory for ever.
 func TestASilentReplicaDoesNotFillThePrimarysMemory(t *testing.T) {
 	const kept = 1 << 20
-	g := newPrimaryOfTwo(t, Options{BytesKept: kept})
+	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
 	command := bytes.Repeat([]byte{1}, 10<<10)
 	most := 0
 	for now := int64(11); now < 5011; now++ {
 		index := g.Propose(command, now)
-		g.Durable(index, 1, now)
+		g.MarkDurable(index, 1, now)
 		g.Tick(now, true)
-		g.Take()
+		g.TakeOutput()
 		g.Trim()
 		most = max(most, keptBytes(g))
 	}
@@ -69,18 +69,18 @@
 // What has not been committed is bounded too: beyond the bound the primary takes no more commands.
 func TestAPrimaryTakesNoMoreThanItMayHold(t *testing.T) {
 	const kept = 1 << 20
-	g := newPrimaryOfTwo(t, Options{BytesKept: kept})
+	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
 	command := bytes.Repeat([]byte{1}, 10<<10)
 	taken := 0
-	for g.HasRoom() && taken < 10_000 {
+	for g.HasCapacity() && taken < 10_000 {
 		g.Propose(command, 11)
 		taken++
 	}
 	if held := keptBytes(g); held < kept || held > kept+2*uncommittedSlack {
 		t.Fatalf("%d bytes are held that are not committed", held)
 	}
-	g.Durable(g.LastIndex(), 1, 12)
-	if !g.HasRoom() {
+	g.MarkDurable(g.LastIndex(), 1, 12)
+	if !g.HasCapacity() {
 		t.Fatal("no room though all is committed")
 	}
 }
@@ -88,7 +88,7 @@
 // A backup's memory is bounded as well.
 func TestABackupsMemoryIsBounded(t *testing.T) {
 	const kept = 1 << 20
-	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{BytesKept: kept})
+	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: kept})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,8 +96,8 @@
 	most := 0
 	for index := uint64(1); index <= 1000; index++ {
 		g.Step(1, appendFrom(1, index-1, min(index-1, 1), index, Entry{index, 1, command}), int64(index))
-		g.Durable(index, 1, int64(index))
-		g.Take()
+		g.MarkDurable(index, 1, int64(index))
+		g.TakeOutput()
 		g.Trim()
 		most = max(most, keptBytes(g))
 	}
@@ -113,7 +113,7 @@
 	now := int64(1000)
 	step := func() {
 		index := g.Propose([]byte("a"), now)
-		g.Durable(index, 1, now)
+		g.MarkDurable(index, 1, now)
 		g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: index - 1}, now) // one behind
 		g.Tick(now, true)
 		now += 5
@@ -129,7 +129,7 @@
 	before := g.commit
 	for range joinWait { // it stops answering
 		index := g.Propose([]byte("a"), now)
-		g.Durable(index, 1, now)
+		g.MarkDurable(index, 1, now)
 		g.Tick(now, true)
 		now += 5
 	}
@@ -140,14 +140,14 @@
 
 // What is on its way to a replica is bounded, and what was sent is not sent again every moment while acknowledgements are late.
 func TestEntriesOnTheirWayAreBounded(t *testing.T) {
-	g := newPrimaryOfTwo(t, Options{BytesKept: 64 << 20})
+	g := newPrimaryOfTwo(t, Options{RetainedBytes: 64 << 20})
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 1000)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 1000)
-	g.Take()
+	g.TakeOutput()
 	command := make([]byte, 100<<10)
 	sent := 0
 	count := func() {
-		for _, out := range g.Take().Messages {
+		for _, out := range g.TakeOutput().Messages {
 			sent += sizeOf(out.Message.Entries)
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 	sent = 0
 	for now := int64(1000); now < 4000; now += 40 {
-		g.Step(2, Message{Kind: MessagePieceReceived, Epoch: 2}, now) // it is heard, but acknowledges nothing
+		g.Step(2, Message{Kind: MessageChunkAck, Epoch: 2}, now) // it is heard, but acknowledges nothing
 		g.Tick(now, true)
 		count()
 	}
@@ -171,7 +171,7 @@
 
 // A backup whose disk is stalled takes no more than it may hold unwritten, and goes on when the disk works again.
 func TestABackupWithAStalledDiskTakesNoMoreThanItMayHold(t *testing.T) {
-	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{BytesKept: 1 << 20})
+	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	var writes []Write
 	take := func(index uint64) {
 		g.Step(1, appendFrom(1, index-1, min(index-1, 1), index-1, Entry{index, 1, command}), int64(index))
-		for _, write := range g.Take().Writes {
+		for _, write := range g.TakeOutput().Writes {
 			unwritten += sizeOf(write.Entries)
 			writes = append(writes, write)
 		}
@@ -194,9 +194,9 @@
 	}
 	held := g.LastIndex()
 	for _, write := range writes {
-		g.Wrote(write)
+		g.WriteCompleted(write)
 	}
-	g.Durable(held, 1, 2000)
+	g.MarkDurable(held, 1, 2000)
 	take(held + 1)
 	if g.LastIndex() != held+1 {
 		t.Fatal("nothing is taken though the disk works again")
--- a/tier/replica/catchup_sim_test.go
+++ b/tier/replica/catchup_sim_test.go
@@ -239,7 +239,7 @@
 	node.machine = newCountedMachine(s.plan.padding)
 	node.slots = NewTransferSlots(1)
 	group, err := NewGroup(node.id, node.machine, node.disk.base, append([]Entry(nil), node.disk.entries...), Options{
-		EagerCommit: true, EntriesKept: 16, BytesKept: s.plan.bytesKept, PieceBytes: s.plan.pieceBytes, Slots: node.slots,
+		EagerCommit: true, RetainedEntries: 16, RetainedBytes: s.plan.bytesKept, SnapshotChunkBytes: s.plan.pieceBytes, TransferSlots: node.slots,
 	})
 	if err != nil {
 		s.t.Fatal(err)
@@ -298,14 +298,14 @@
 	if link.cut {
 		return
 	}
-	size := int64(100 + len(out.Message.State))
+	size := int64(100 + len(out.Message.Chunk))
 	for _, entry := range out.Message.Entries {
 		size += int64(20 + len(entry.Data))
 	}
 	rate := s.bandwidth(from.position, to.position)
 	link.freeAt = max(link.freeAt, s.now) + size*1_000_000/rate
 	s.mostOut = max(s.mostOut, (link.freeAt-s.now)*rate/1_000_000)
-	piece := int64(len(out.Message.State))
+	piece := int64(len(out.Message.Chunk))
 	link.pieces += piece
 	s.mostPieces = max(s.mostPieces, link.pieces)
 	life := link.life
@@ -326,8 +326,8 @@
 }
 
 func (s *catchupSim) carryOut(node *catchupNode) {
-	output := node.group.Take()
-	if output.Dropped {
+	output := node.group.TakeOutput()
+	if output.SteppedDown {
 		delete(s.waiting, node.boot)
 	}
 	node.queued = append(node.queued, output.Writes...)
@@ -392,12 +392,12 @@
 			node.disk.write(write)
 		}
 		for _, write := range writes {
-			node.group.Wrote(write)
+			node.group.WriteCompleted(write)
 			if write.Snapshot != nil {
-				node.group.Durable(write.Snapshot.Index, write.Snapshot.Epoch, s.ms())
+				node.group.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, s.ms())
 			}
 			if n := len(write.Entries); n > 0 {
-				node.group.Durable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.ms())
+				node.group.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.ms())
 			}
 		}
 		if s.random.Intn(50) == 0 {
@@ -422,7 +422,7 @@
 	}
 	s.at(s.plan.interval, s.propose)
 	for _, node := range s.nodes {
-		if !node.up || !node.group.IsReady() || !node.group.HasRoom() {
+		if !node.up || !node.group.IsReady() || !node.group.HasCapacity() {
 			continue
 		}
 		s.next++
@@ -509,7 +509,7 @@
 		s.setView(next)
 		return
 	}
-	for _, id := range primary.group.Silent(s.ms()) {
+	for _, id := range primary.group.Unresponsive(s.ms()) {
 		if len(s.view.InSync) > minimumSync || !s.view.IsInSync(id) {
 			next := s.view
 			next.InSync = consensus.Without(s.view.InSync, id)
--- a/tier/replica/contact.go
+++ b/tier/replica/contact.go
@@ -7,20 +7,20 @@
 	"otterseam/tier/consensus"
 )
 
-// Stamp names a question by the life of the process that asked it and by its steady clock at that moment. Whoever answers
+// Timestamp names a question by the life of the process that asked it and by its steady clock at that moment. Whoever answers
 // returns the stamp, so that the asker counts from when it asked and never from when it happened to read the answer.
-type Stamp struct {
-	Life uint64
-	At   int64
+type Timestamp struct {
+	Incarnation uint64
+	At          int64
 }
 
 // Probe is what a primary and a backup tell each other to prove their contact.
 type Probe struct {
-	Asked  Stamp // of the sender's own question
-	Echoed Stamp // the newest question of the receiver that the sender has read
-	// Age is, in a primary's probe, how long ago it asked the newest question that a majority has answered, in
+	Sent   Timestamp // of the sender's own question
+	Echoed Timestamp // the newest question of the receiver that the sender has read
+	// QuorumAge is, in a primary's probe, how long ago it asked the newest question that a majority has answered, in
 	// milliseconds, or noContact.
-	Age int64
+	QuorumAge int64
 }
 
 const (
@@ -34,16 +34,16 @@
 	life uint64 // of this process; 0 if no contact is kept
 
 	// of a primary
-	answered  map[uint64]int64 // by replica: when the newest of the own questions that it answered was asked
-	questions map[uint64]Stamp // by replica: the newest of its questions
+	answered  map[uint64]int64     // by replica: when the newest of the own questions that it answered was asked
+	questions map[uint64]Timestamp // by replica: the newest of its questions
 	probedAt  int64
 	tickedAt  int64
 	askedFrom int64 // since when silence counts
 
 	// of a backup
-	confirmed     int64 // start of the newest span for which the primary in force confirmed this backup's question
-	primaryProven int64 // when a majority stood behind the primary, as far as is known here
-	lastQuestion  Stamp // the newest question of the primary that was read
+	confirmed     int64     // start of the newest span for which the primary in force confirmed this backup's question
+	primaryProven int64     // when a majority stood behind the primary, as far as is known here
+	lastQuestion  Timestamp // the newest question of the primary that was read
 
 	voted View // the newest record that this process's witness accepted
 }
@@ -51,16 +51,16 @@
 // beginContact forgets what a primary knew when it begins to lead.
 func (g *Group) beginContact(now int64) {
 	g.contact.answered = map[uint64]int64{}
-	g.contact.questions = map[uint64]Stamp{}
+	g.contact.questions = map[uint64]Timestamp{}
 	g.contact.probedAt = 0
 	g.contact.tickedAt = now
 	g.contact.askedFrom = now
 	g.probeAll(now)
 }
 
-// Voted notes a record that this process's witness has accepted. From then on the replica confirms nothing to the primary
+// RecordVote notes a record that this process's witness has accepted. From then on the replica confirms nothing to the primary
 // that the record replaces, nor relies on what that one confirms.
-func (g *Group) Voted(epoch, primary uint64) {
+func (g *Group) RecordVote(epoch, primary uint64) {
 	if epoch > g.contact.voted.Epoch {
 		g.contact.voted = View{Epoch: epoch, Primary: primary}
 	}
@@ -87,16 +87,16 @@
 	return g.contact.confirmed
 }
 
-// PrimaryProven is when, by this replica's clock, a majority last stood behind the primary that it hears.
-func (g *Group) PrimaryProven() int64 { return g.contact.primaryProven }
+// PrimaryConfirmedAt is when, by this replica's clock, a majority last stood behind the primary that it hears.
+func (g *Group) PrimaryConfirmedAt() int64 { return g.contact.primaryProven }
 
-// LastQuestion is the newest question of the primary that this backup has read. A message that carries it was written later than
+// LastProbe is the newest question of the primary that this backup has read. A message that carries it was written later than
 // that, however late it is read.
-func (g *Group) LastQuestion() Stamp { return g.contact.lastQuestion }
+func (g *Group) LastProbe() Timestamp { return g.contact.lastQuestion }
 
-// AskedAt is when this replica asked a question of its present life; ok is false for any other question.
-func (g *Group) AskedAt(question Stamp, now int64) (at int64, ok bool) {
-	return question.At, g.contact.life != 0 && question.Life == g.contact.life && question.At <= now
+// ProbeSentAt is when this replica asked a question of its present life; ok is false for any other question.
+func (g *Group) ProbeSentAt(question Timestamp, now int64) (at int64, ok bool) {
+	return question.At, g.contact.life != 0 && question.Incarnation == g.contact.life && question.At <= now
 }
 
 // majorityAnswered is when the newest question was asked that a majority of the voters has answered, this replica included.
@@ -158,7 +158,7 @@
 		if id == g.self {
 			continue
 		}
-		probe := Probe{Asked: Stamp{g.contact.life, now}, Echoed: g.contact.questions[id], Age: age}
+		probe := Probe{Sent: Timestamp{g.contact.life, now}, Echoed: g.contact.questions[id], QuorumAge: age}
 		g.send(id, Message{Kind: MessageProbe, Epoch: g.view.Epoch, Commit: committed, Probe: probe})
 	}
 }
@@ -171,18 +171,18 @@
 	if c.life == 0 || (g.replaced() && c.voted.Primary != from) {
 		return
 	}
-	if probe.Age != noContact {
-		c.primaryProven = max(c.primaryProven, now-probe.Age)
-		if probe.Echoed.Life == c.life && probe.Echoed.At <= now && g.applied >= message.Commit {
+	if probe.QuorumAge != noContact {
+		c.primaryProven = max(c.primaryProven, now-probe.QuorumAge)
+		if probe.Echoed.Incarnation == c.life && probe.Echoed.At <= now && g.applied >= message.Commit {
 			// the primary read the question after it was asked, and a majority had answered it no longer than the age before
-			c.confirmed = max(c.confirmed, probe.Echoed.At-probe.Age)
+			c.confirmed = max(c.confirmed, probe.Echoed.At-probe.QuorumAge)
 		}
 	}
-	if c.lastQuestion.Life != probe.Asked.Life || c.lastQuestion.At < probe.Asked.At {
-		c.lastQuestion = probe.Asked
+	if c.lastQuestion.Incarnation != probe.Sent.Incarnation || c.lastQuestion.At < probe.Sent.At {
+		c.lastQuestion = probe.Sent
 	}
-	answer := Probe{Asked: Stamp{c.life, now}, Echoed: probe.Asked}
-	g.send(from, Message{Kind: MessageProbeAnswer, Epoch: g.view.Epoch, Probe: answer})
+	answer := Probe{Sent: Timestamp{c.life, now}, Echoed: probe.Sent}
+	g.send(from, Message{Kind: MessageProbeResponse, Epoch: g.view.Epoch, Probe: answer})
 }
 
 // stepProbeAnswer takes a replica's answer to a probe.
@@ -191,10 +191,10 @@
 	if c.life == 0 || !consensus.Contains(g.view.Replicas, from) {
 		return
 	}
-	if held := c.questions[from]; held.Life != probe.Asked.Life || held.At < probe.Asked.At {
-		c.questions[from] = probe.Asked
+	if held := c.questions[from]; held.Incarnation != probe.Sent.Incarnation || held.At < probe.Sent.At {
+		c.questions[from] = probe.Sent
 	}
-	if probe.Echoed.Life != c.life || probe.Echoed.At > now {
+	if probe.Echoed.Incarnation != c.life || probe.Echoed.At > now {
 		return
 	}
 	before := g.majorityAnswered(now)
@@ -205,20 +205,22 @@
 }
 
 // Encode appends a stamp to a message.
-func (s Stamp) Encode(e *codec.Encoder) {
-	e.Uint64(s.Life)
+func (s Timestamp) Encode(e *codec.Encoder) {
+	e.Uint64(s.Incarnation)
 	e.Int64(s.At)
 }
 
-// DecodeStamp reads a stamp from a message.
-func DecodeStamp(d *codec.Decoder) Stamp { return Stamp{Life: d.Uint64(), At: d.Int64()} }
+// DecodeTimestamp reads a stamp from a message.
+func DecodeTimestamp(d *codec.Decoder) Timestamp {
+	return Timestamp{Incarnation: d.Uint64(), At: d.Int64()}
+}
 
 func (p Probe) encode(e *codec.Encoder) {
-	p.Asked.Encode(e)
+	p.Sent.Encode(e)
 	p.Echoed.Encode(e)
-	e.Int64(p.Age)
+	e.Int64(p.QuorumAge)
 }
 
 func decodeProbe(d *codec.Decoder) Probe {
-	return Probe{Asked: DecodeStamp(d), Echoed: DecodeStamp(d), Age: d.Int64()}
+	return Probe{Sent: DecodeTimestamp(d), Echoed: DecodeTimestamp(d), QuorumAge: d.Int64()}
 }
--- a/tier/replica/contact_test.go
+++ b/tier/replica/contact_test.go
@@ -10,7 +10,7 @@
 
 func contactGroup(t *testing.T, self uint64) *Group {
 	t.Helper()
-	g, err := NewGroup(self, &journalMachine{}, Snapshot{}, nil, Options{Life: 100 + self, StepDownAfter: testStepDown})
+	g, err := NewGroup(self, &journalMachine{}, Snapshot{}, nil, Options{Incarnation: 100 + self, StepDownAfter: testStepDown})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 // probesTo are the probes that a group has sent to a replica since the last look.
 func probesTo(g *Group, to uint64) []Message {
 	var probes []Message
-	for _, out := range g.Take().Messages {
+	for _, out := range g.TakeOutput().Messages {
 		if out.To == to && out.Message.carriesProbe() {
 			probes = append(probes, out.Message)
 		}
@@ -59,7 +59,7 @@
 	primary := contactGroup(t, 1)
 	view := View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3, 4, 5}}
 	primary.SetView(view, 1000)
-	answer := Message{Kind: MessageProbeAnswer, Epoch: 1, Probe: Probe{Asked: Stamp{102, 7}, Echoed: Stamp{101, 1000}}}
+	answer := Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Sent: Timestamp{102, 7}, Echoed: Timestamp{101, 1000}}}
 	primary.Step(2, answer, 1010)
 	if since := primary.ConfirmedSince(1010); since != 0 {
 		t.Fatalf("confirmed since %d by two of five", since)
@@ -74,8 +74,8 @@
 func TestContactIgnoresAnswersToAnotherLife(t *testing.T) {
 	primary := contactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
-	for _, echoed := range []Stamp{{999, 1000}, {101, 2000}} {
-		primary.Step(2, Message{Kind: MessageProbeAnswer, Epoch: 1, Probe: Probe{Echoed: echoed}}, 1010)
+	for _, echoed := range []Timestamp{{999, 1000}, {101, 2000}} {
+		primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: echoed}}, 1010)
 		if since := primary.ConfirmedSince(1010); since != 0 {
 			t.Fatalf("confirmed since %d by an answer to %+v", since, echoed)
 		}
@@ -96,9 +96,9 @@
 	if now < 1000+testStepDown {
 		t.Fatalf("it gave up after %d ms already", now-1000)
 	}
-	primary.Take()
+	primary.TakeOutput()
 	primary.Tick(now+200, true)
-	if output := primary.Take(); len(output.Messages) != 0 {
+	if output := primary.TakeOutput(); len(output.Messages) != 0 {
 		t.Fatalf("it still sends: %+v", output.Messages)
 	}
 }
@@ -107,8 +107,8 @@
 func TestAPrimaryThatStoodStillAsksFirst(t *testing.T) {
 	primary := contactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
-	primary.Step(2, Message{Kind: MessageProbeAnswer, Epoch: 1, Probe: Probe{Echoed: Stamp{101, 1000}}}, 1010)
-	primary.Take()
+	primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: Timestamp{101, 1000}}}, 1010)
+	primary.TakeOutput()
 	primary.Tick(9000, true)
 	if !primary.IsPrimary() {
 		t.Fatal("it gave up though it has not asked since")
@@ -117,14 +117,14 @@
 		t.Fatalf("confirmed since %d", since)
 	}
 	onlyProbe(t, primary, 2)
-	primary.Step(2, Message{Kind: MessageProbeAnswer, Epoch: 1, Probe: Probe{Echoed: Stamp{101, 9000}}}, 9004)
+	primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: Timestamp{101, 9000}}}, 9004)
 	if since := primary.ConfirmedSince(9004); since != 9000 {
 		t.Fatalf("confirmed since %d after the answer", since)
 	}
 }
 
-func probeFrom(epoch uint64, echoed Stamp, age int64) Message {
-	return Message{Kind: MessageProbe, Epoch: epoch, Probe: Probe{Asked: Stamp{101, 1}, Echoed: echoed, Age: age}}
+func probeFrom(epoch uint64, echoed Timestamp, age int64) Message {
+	return Message{Kind: MessageProbe, Epoch: epoch, Probe: Probe{Sent: Timestamp{101, 1}, Echoed: echoed, QuorumAge: age}}
 }
 
 // A backup counts from its own question less the age of the primary's contact, and only what the primary has read.
@@ -134,11 +134,11 @@
 		message Message
 		since   int64
 	}{
-		"never read":            {probeFrom(1, Stamp{}, 10), 0},
-		"without a majority":    {probeFrom(1, Stamp{own, 900}, noContact), 0},
-		"of a former life":      {probeFrom(1, Stamp{77, 900}, 10), 0},
-		"of the future":         {probeFrom(1, Stamp{own, 5000}, 10), 0},
-		"read, with a majority": {probeFrom(1, Stamp{own, 900}, 70), 830},
+		"never read":            {probeFrom(1, Timestamp{}, 10), 0},
+		"without a majority":    {probeFrom(1, Timestamp{own, 900}, noContact), 0},
+		"of a former life":      {probeFrom(1, Timestamp{77, 900}, 10), 0},
+		"of the future":         {probeFrom(1, Timestamp{own, 5000}, 10), 0},
+		"read, with a majority": {probeFrom(1, Timestamp{own, 900}, 70), 830},
 	} {
 		backup := contactGroup(t, 2)
 		backup.Step(1, step.message, 1000)
@@ -151,7 +151,7 @@
 // A backup that lacks what was committed when it asked may not serve its copy.
 func TestABackupThatLagsIsNotConfirmed(t *testing.T) {
 	backup := contactGroup(t, 2)
-	message := probeFrom(1, Stamp{102, 900}, 70)
+	message := probeFrom(1, Timestamp{102, 900}, 70)
 	message.Commit = 1
 	backup.Step(1, message, 1000)
 	if since := backup.ConfirmedSince(1000); since != 0 {
@@ -169,16 +169,16 @@
 	primary := contactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	message := onlyProbe(t, primary, 2)
-	if primary.IsReady() || message.Commit < primary.OpenedAt() {
-		t.Fatalf("the probe asks for entry %d, the epoch opens with %d", message.Commit, primary.OpenedAt())
+	if primary.IsReady() || message.Commit < primary.EpochStartIndex() {
+		t.Fatalf("the probe asks for entry %d, the epoch opens with %d", message.Commit, primary.EpochStartIndex())
 	}
 }
 
 // What a backup reads late confirms it no later than when it asked.
 func TestABackupCountsFromItsQuestion(t *testing.T) {
 	backup := contactGroup(t, 2)
-	backup.Step(1, probeFrom(1, Stamp{102, 900}, 20), 1000)
-	backup.Step(1, probeFrom(1, Stamp{102, 980}, 20), 8000)
+	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
+	backup.Step(1, probeFrom(1, Timestamp{102, 980}, 20), 8000)
 	if since := backup.ConfirmedSince(8000); since != 960 {
 		t.Fatalf("confirmed since %d", since)
 	}
@@ -187,17 +187,17 @@
 // Whoever has voted for a successor confirms nothing to the one before, and relies on nothing that it says.
 func TestAVoteForASuccessorEndsTheConfirmation(t *testing.T) {
 	backup := contactGroup(t, 2)
-	backup.Step(1, probeFrom(1, Stamp{102, 900}, 20), 1000)
-	backup.Take()
-	backup.Voted(2, 3)
+	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
+	backup.TakeOutput()
+	backup.RecordVote(2, 3)
 	if since := backup.ConfirmedSince(1001); since != 0 {
 		t.Fatalf("confirmed since %d", since)
 	}
-	backup.Step(1, probeFrom(1, Stamp{102, 990}, 20), 1010)
+	backup.Step(1, probeFrom(1, Timestamp{102, 990}, 20), 1010)
 	if probes := probesTo(backup, 1); len(probes) != 0 {
 		t.Fatalf("it confirms the primary that it helped to replace: %+v", probes)
 	}
-	backup.Step(3, probeFrom(2, Stamp{102, 1005}, 5), 1015)
+	backup.Step(3, probeFrom(2, Timestamp{102, 1005}, 5), 1015)
 	if since := backup.ConfirmedSince(1015); since != 1000 {
 		t.Fatalf("confirmed since %d by the successor", since)
 	}
@@ -206,8 +206,8 @@
 // A change by the primary itself leaves its confirmation alone.
 func TestAVoteForTheSamePrimaryChangesNothing(t *testing.T) {
 	backup := contactGroup(t, 2)
-	backup.Step(1, probeFrom(1, Stamp{102, 900}, 20), 1000)
-	backup.Voted(2, 1)
+	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
+	backup.RecordVote(2, 1)
 	if since := backup.ConfirmedSince(1001); since != 880 {
 		t.Fatalf("confirmed since %d", since)
 	}
@@ -216,18 +216,18 @@
 // A primary without a majority does not count as well, however often it is heard.
 func TestAPrimaryWithoutAMajorityIsNotProven(t *testing.T) {
 	backup := contactGroup(t, 2)
-	backup.Step(1, probeFrom(1, Stamp{}, 30), 1000)
-	proven := backup.PrimaryProven()
+	backup.Step(1, probeFrom(1, Timestamp{}, 30), 1000)
+	proven := backup.PrimaryConfirmedAt()
 	for now := int64(1080); now < 3000; now += 80 {
-		backup.Step(1, probeFrom(1, Stamp{}, noContact), now)
+		backup.Step(1, probeFrom(1, Timestamp{}, noContact), now)
 	}
-	if backup.PrimaryProven() != proven {
-		t.Fatalf("proven at %d, before at %d", backup.PrimaryProven(), proven)
+	if backup.PrimaryConfirmedAt() != proven {
+		t.Fatalf("proven at %d, before at %d", backup.PrimaryConfirmedAt(), proven)
 	}
 }
 
 func TestAProbeKeepsItsFormOnTheWire(t *testing.T) {
-	sent := Message{Kind: MessageProbe, Epoch: 3, Probe: Probe{Asked: Stamp{1, 2}, Echoed: Stamp{3, 4}, Age: noContact}}
+	sent := Message{Kind: MessageProbe, Epoch: 3, Probe: Probe{Sent: Timestamp{1, 2}, Echoed: Timestamp{3, 4}, QuorumAge: noContact}}
 	var e codec.Encoder
 	sent.Encode(&e)
 	d := codec.NewDecoder(e.Bytes)
--- a/tier/replica/copies.go
+++ b/tier/replica/copies.go
@@ -2,14 +2,14 @@
 
 import "otterseam/tier/consensus"
 
-// MinCopies is how many durable copies an acknowledgement needs so that it outlives the loss of as many disks as are tolerated,
+// MinInSync is how many durable copies an acknowledgement needs so that it outlives the loss of as many disks as are tolerated,
 // in a group that has so many replicas at most.
-func MinCopies(tolerate, replicas int) int {
+func MinInSync(tolerate, replicas int) int {
 	return max(1, min(tolerate+1, replicas))
 }
 
-// HasCopies tells whether the in-sync set is large enough for the group to acknowledge anything.
-func (v View) HasCopies() bool { return len(v.InSync) >= v.MinCopies }
+// HasMinInSync tells whether the in-sync set is large enough for the group to acknowledge anything.
+func (v View) HasMinInSync() bool { return len(v.InSync) >= v.MinInSync }
 
 // Voters are the replicas whose votes decide for the group.
 func (v View) Voters() []uint64 {
@@ -22,16 +22,16 @@
 	return voters
 }
 
-// BearsLosses is how many disks of the group may be lost now, one after the other and without a repair between, with all that was
+// ToleratedLosses is how many disks of the group may be lost now, one after the other and without a repair between, with all that was
 // acknowledged still there.
-func (v View) BearsLosses() int { return max(0, len(v.InSync)-1) }
+func (v View) ToleratedLosses() int { return max(0, len(v.InSync)-1) }
 
-// LeavesTooFew tells whether, without a replica, fewer copies would be in sync than are demanded, while another replica is still
+// WouldUnderReplicate tells whether, without a replica, fewer copies would be in sync than are demanded, while another replica is still
 // being filled. A process that is about to end waits for that one.
-func (v View) LeavesTooFew(id uint64) bool {
+func (v View) WouldUnderReplicate(id uint64) bool {
 	if !v.IsInSync(id) {
 		return false
 	}
 	others := len(v.InSync) - 1
-	return others < v.MinCopies && len(consensus.Without(v.Replicas, id)) > others
+	return others < v.MinInSync && len(consensus.Without(v.Replicas, id)) > others
 }
--- a/tier/replica/example_test.go
+++ b/tier/replica/example_test.go
@@ -23,22 +23,22 @@
 	now := int64(1000)
 	primary.SetView(replica.View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, now)
 	carry := func(from *replica.Group, id uint64, to *replica.Group) []replica.Applied {
-		output := from.Take()
+		output := from.TakeOutput()
 		for _, out := range output.Messages {
 			to.Step(id, out.Message, now)
 		}
 		return output.Applied
 	}
 	// the entry that opens the epoch reaches both disks
-	primary.Durable(1, 1, now)
+	primary.MarkDurable(1, 1, now)
 	carry(primary, 1, backup)
-	backup.Durable(1, 1, now)
+	backup.MarkDurable(1, 1, now)
 	carry(backup, 2, primary)
 
 	index := primary.Propose([]byte("hello"), now)
-	primary.Durable(index, 1, now)
+	primary.MarkDurable(index, 1, now)
 	fmt.Println("on the primary's disk only:", len(carry(primary, 1, backup)), "committed")
-	backup.Durable(index, 1, now)
+	backup.MarkDurable(index, 1, now)
 	carry(backup, 2, primary)
 	for _, applied := range carry(primary, 1, backup) {
 		fmt.Printf("on both disks: %s committed, result %v\n", applied.Command, applied.Result)
--- a/tier/replica/group.go
+++ b/tier/replica/group.go
@@ -12,9 +12,9 @@
 	Primary  uint64
 	InSync   []uint64
 	Replicas []uint64 // all that are to hold the group, those in sync included
-	// MinCopies is how many replicas have to be in sync for anything to be committed. An in-sync set below it, after a lost disk,
-	// takes in another replica first.
-	MinCopies int
+	// MinInSync is how many replicas have to be in sync for anything to be committed. An in-sync set below it, after a lost disk,
+	// takes in another replica first. Its key in the status of a cluster is older than its name.
+	MinInSync int `json:"MinCopies"`
 	// Learners are the replicas that hold a copy without a vote, where the group's replicas vote.
 	Learners []uint64
 }
@@ -74,8 +74,8 @@
 	Writes   []Write
 	Messages []Outgoing
 	Applied  []Applied
-	// Dropped says that this replica is no longer primary: whether commands that it took will be committed is not known.
-	Dropped bool
+	// SteppedDown says that this replica is no longer primary: whether commands that it took will be committed is not known.
+	SteppedDown bool
 	// Regressed lists replicas whose log ends before what they acknowledged in this epoch, as after an older copy of a disk was
 	// put back.
 	Regressed []uint64
@@ -136,30 +136,30 @@
 type Options struct {
 	// EagerCommit has a primary tell backups of each commit at once, for groups whose backups serve reads of their own.
 	EagerCommit bool
-	// EntriesKept is how many applied entries stay in memory for replicas that lag; 0 means a standard number. Replicas that
+	// RetainedEntries is how many applied entries stay in memory for replicas that lag; 0 means a standard number. Replicas that
 	// lag further get a snapshot.
-	EntriesKept uint64
-	// BytesKept is how many bytes of applied entries stay in memory for replicas that lag; 0 means a standard number. It also
+	RetainedEntries uint64
+	// RetainedBytes is how many bytes of applied entries stay in memory for replicas that lag; 0 means a standard number. It also
 	// bounds what a primary holds that is not committed.
-	BytesKept int
-	// PieceBytes is the size of one piece of a snapshot; 0 means a standard size.
-	PieceBytes int
-	// Slots bounds the snapshots sent at once together with other groups; nil means no bound.
-	Slots *TransferSlots
-	// Life is a number drawn for the present life of the process. With one, the group keeps contact: its primary can prove that
+	RetainedBytes int
+	// SnapshotChunkBytes is the size of one piece of a snapshot; 0 means a standard size.
+	SnapshotChunkBytes int
+	// TransferSlots bounds the snapshots sent at once together with other groups; nil means no bound.
+	TransferSlots *TransferSlots
+	// Incarnation is a number drawn for the present life of the process. With one, the group keeps contact: its primary can prove that
 	// a majority answers it, and its backups that such a primary does.
-	Life uint64
+	Incarnation uint64
 	// StepDownAfter is how many milliseconds a primary leads on without the answers of a majority; 0 means for ever.
 	StepDownAfter int64
 }
 
 // NewGroup makes a replica from what was found on disk: a snapshot and the entries behind it.
 func NewGroup(self uint64, machine StateMachine, base Snapshot, entries []Entry, options Options) (*Group, error) {
-	g := &Group{self: self, machine: machine, base: base, log: entries, eagerCommit: options.EagerCommit, entriesKept: options.EntriesKept}
-	g.bytesKept = options.BytesKept
-	g.pieceBytes = options.PieceBytes
-	g.slots = options.Slots
-	g.contact.life = options.Life
+	g := &Group{self: self, machine: machine, base: base, log: entries, eagerCommit: options.EagerCommit, entriesKept: options.RetainedEntries}
+	g.bytesKept = options.RetainedBytes
+	g.pieceBytes = options.SnapshotChunkBytes
+	g.slots = options.TransferSlots
+	g.contact.life = options.Incarnation
 	g.stepDownAfter = options.StepDownAfter
 	if g.entriesKept == 0 {
 		g.entriesKept = standardEntriesKept
@@ -195,8 +195,8 @@
 // IsReady tells whether this primary has committed the entry that opened its epoch, so that its state is complete.
 func (g *Group) IsReady() bool { return g.role == Primary && g.applied >= g.openedEpochAt }
 
-// OpenedAt is the entry that opened the newest epoch led here, and so names that lead.
-func (g *Group) OpenedAt() uint64 { return g.openedEpochAt }
+// EpochStartIndex is the entry that opened the newest epoch led here, and so names that lead.
+func (g *Group) EpochStartIndex() uint64 { return g.openedEpochAt }
 
 // AppliedIndex is the last entry that the state machine has seen.
 func (g *Group) AppliedIndex() uint64 { return g.applied }
@@ -204,8 +204,8 @@
 // LastIndex is the last entry of the log.
 func (g *Group) LastIndex() uint64 { return g.lastIndex() }
 
-// PrimaryHeard is when the primary was last heard, by the clock given to Step.
-func (g *Group) PrimaryHeard() int64 { return g.primaryHeard }
+// LastHeartbeat is when the primary was last heard, by the clock given to Step.
+func (g *Group) LastHeartbeat() int64 { return g.primaryHeard }
 
 func (g *Group) lastIndex() uint64 {
 	if len(g.log) > 0 {
@@ -258,7 +258,7 @@
 
 func (g *Group) stepDown() {
 	if g.role == Primary {
-		g.output.Dropped = true
+		g.output.SteppedDown = true
 	}
 	g.Close()
 	g.role = Backup
@@ -323,11 +323,11 @@
 	*writes = append(*writes, Write{Entries: append([]Entry(nil), entries...)})
 }
 
-// Wrote tells that a write that was asked for has been carried out, whatever became of its entries since.
-func (g *Group) Wrote(write Write) { g.unwritten -= sizeOf(write.Entries) }
+// WriteCompleted tells that a write that was asked for has been carried out, whatever became of its entries since.
+func (g *Group) WriteCompleted(write Write) { g.unwritten -= sizeOf(write.Entries) }
 
-// Durable tells that all writes up to an entry have reached the disk. Entries overwritten since don't count.
-func (g *Group) Durable(index, epoch uint64, now int64) {
+// MarkDurable tells that all writes up to an entry have reached the disk. Entries overwritten since don't count.
+func (g *Group) MarkDurable(index, epoch uint64, now int64) {
 	held, known := g.epochAt(index)
 	if !known || held != epoch || index <= g.durable {
 		return
@@ -356,7 +356,7 @@
 // advanceCommit commits what every replica that counts has on disk, if the in-sync set has as many replicas as the view demands.
 // A replica that is being taken in counts only once a view holds it: until then it may not lead, so it is no copy to rely upon.
 func (g *Group) advanceCommit() {
-	if !g.view.HasCopies() {
+	if !g.view.HasMinInSync() {
 		return
 	}
 	lowest := g.durable
@@ -409,8 +409,8 @@
 	}
 }
 
-// Take returns what has to be done and forgets it.
-func (g *Group) Take() Output {
+// TakeOutput returns what has to be done and forgets it.
+func (g *Group) TakeOutput() Output {
 	output := g.output
 	g.output = Output{}
 	return output
--- a/tier/replica/group_test.go
+++ b/tier/replica/group_test.go
@@ -22,15 +22,15 @@
 // wholeInstall is a snapshot that fits into one piece.
 func wholeInstall(epoch, index, entryEpoch uint64, state []byte) Message {
 	return Message{
-		Kind: MessageInstall, Epoch: epoch, Index: index, PrevEpoch: entryEpoch, Commit: index,
-		Total: uint32(len(state)), Checksum: crc32.Checksum(state, checksumTable), State: state,
+		Kind: MessageSnapshotChunk, Epoch: epoch, Index: index, PrevEpoch: entryEpoch, Commit: index,
+		Total: uint32(len(state)), Checksum: crc32.Checksum(state, checksumTable), Chunk: state,
 	}
 }
 
 // acks are the positions that a group has acknowledged since the last look.
 func acks(g *Group) []uint64 {
 	var positions []uint64
-	for _, out := range g.Take().Messages {
+	for _, out := range g.TakeOutput().Messages {
 		if out.Message.Kind == MessageAck {
 			positions = append(positions, out.Message.Index)
 		}
@@ -42,7 +42,7 @@
 func TestABackupCommitsOnlyWhatIsKnownToBeAlike(t *testing.T) {
 	g, machine := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}, Entry{3, 1, []byte("c")}), 10)
-	g.Durable(3, 1, 11)
+	g.MarkDurable(3, 1, 11)
 	g.Step(3, appendFrom(2, 1, 1, 3), 12)
 	if len(machine.applied) != 1 || machine.applied[0] != "a" {
 		t.Fatalf("applied %v", machine.applied)
@@ -55,12 +55,12 @@
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}), 10)
 	acks(g)
 	g.SetView(View{Epoch: 2, Primary: 3, InSync: []uint64{2, 3}, Replicas: []uint64{2, 3}}, 11)
-	g.Durable(2, 1, 12)
+	g.MarkDurable(2, 1, 12)
 	if got := acks(g); len(got) != 0 {
 		t.Fatalf("acknowledged %v to the new primary", got)
 	}
 	g.Step(3, appendFrom(2, 1, 1, 0, Entry{2, 2, nil}), 13)
-	g.Durable(2, 2, 14)
+	g.MarkDurable(2, 2, 14)
 	if got := acks(g); len(got) != 1 || got[0] != 2 {
 		t.Fatalf("acknowledged %v", got)
 	}
@@ -75,7 +75,7 @@
 	if got := acks(g); len(got) != 0 {
 		t.Fatalf("acknowledged %v before the write", got)
 	}
-	g.Durable(2, 1, 12)
+	g.MarkDurable(2, 1, 12)
 	if got := acks(g); len(got) != 1 || got[0] != 2 {
 		t.Fatalf("acknowledged %v", got)
 	}
@@ -85,7 +85,7 @@
 func TestALateSnapshotKeepsTheEntriesBehindIt(t *testing.T) {
 	g, machine := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}, Entry{3, 1, []byte("c")}), 10)
-	g.Durable(3, 1, 11)
+	g.MarkDurable(3, 1, 11)
 	acks(g)
 	state := (&journalMachine{applied: []string{"a", "b"}}).Snapshot()
 	for range 2 { // the second one comes when the entries it covers have been applied
@@ -93,7 +93,7 @@
 		if g.LastIndex() != 3 || len(machine.applied) != 2 {
 			t.Fatalf("last entry %d, applied %v", g.LastIndex(), machine.applied)
 		}
-		if output := g.Take(); len(output.Writes) != 0 {
+		if output := g.TakeOutput(); len(output.Writes) != 0 {
 			t.Fatalf("the disk was replaced: %+v", output.Writes)
 		}
 	}
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 3}, Replicas: []uint64{1, 2, 3}}, 10)
-	g.Durable(2, 2, 11)
+	g.MarkDurable(2, 2, 11)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 12)
 	if got := g.CaughtUp(13); len(got) != 0 {
 		t.Fatalf("%v lacks the entry that opened the epoch", got)
@@ -150,15 +150,15 @@
 		t.Fatal(err)
 	}
 	g.SetView(View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 10)
-	g.Durable(1, 1, 11)
+	g.MarkDurable(1, 1, 11)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: 1}, 12)
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}}, 900)
 	if got := g.CaughtUp(900); len(got) != 0 {
 		t.Fatalf("taken in though silent: %v", got)
 	}
-	g.Take()
+	g.TakeOutput()
 	g.Tick(1100, false)
-	if output := g.Take(); len(output.Messages) != 1 {
+	if output := g.TakeOutput(); len(output.Messages) != 1 {
 		t.Fatalf("nobody asks whether it is back: %+v", output.Messages)
 	}
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 1101)
@@ -175,14 +175,14 @@
 		t.Fatal(err)
 	}
 	g.SetView(View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}}, 10)
-	g.Durable(1, 1, 11)
+	g.MarkDurable(1, 1, 11)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: 1}, 12)
 	if got := g.CaughtUp(13); len(got) != 1 {
 		t.Fatalf("caught up: %v", got)
 	}
 	g.Admit(2)
 	index := g.Propose([]byte("a"), 13)
-	g.Durable(index, 1, 14)
+	g.MarkDurable(index, 1, 14)
 	if len(machine.applied) != 0 {
 		t.Fatal("committed without the replica that is being taken in")
 	}
--- a/tier/replica/recorded_test.go
+++ b/tier/replica/recorded_test.go
@@ -8,7 +8,7 @@
 	"otterseam/tier/internal/recorded"
 )
 
-func recordedStamp() Stamp { return Stamp{Life: 0x0807060504030201, At: 1_048_700} }
+func recordedStamp() Timestamp { return Timestamp{Incarnation: 0x0807060504030201, At: 1_048_700} }
 
 // recordedMessage has all fields set, whatever its kind sends of them.
 func recordedMessage(kind MessageKind) Message {
@@ -19,10 +19,10 @@
 			{Index: 0x111213141516171a, Epoch: 0x0102030405060708, Data: []byte("first command")},
 			{Index: 0x111213141516171b, Epoch: 0x0102030405060708, Data: []byte{0, 1, 254, 255}},
 		},
-		Offset: 0x41424344, Total: 0x51525354, Checksum: 0x61626364, State: []byte("a piece of a snapshot"),
+		Offset: 0x41424344, Total: 0x51525354, Checksum: 0x61626364, Chunk: []byte("a piece of a snapshot"),
 	}
 	if m.carriesProbe() {
-		m.Probe = Probe{Asked: recordedStamp(), Echoed: Stamp{Life: 0x7172737475767778, At: 1_048_650}, Age: 75}
+		m.Probe = Probe{Sent: recordedStamp(), Echoed: Timestamp{Incarnation: 0x7172737475767778, At: 1_048_650}, QuorumAge: 75}
 	}
 	return m
 }
@@ -44,22 +44,22 @@
 
 func TestRecordedMessages(t *testing.T) {
 	for kind, name := range map[MessageKind]string{
-		MessageAppend: "append", MessageInstall: "install", MessageAck: "ack", MessageMismatch: "mismatch", MessageStale: "stale",
-		MessagePieceReceived: "piece-received", MessageProbe: "probe", MessageProbeAnswer: "probe-answer",
+		MessageAppend: "append", MessageSnapshotChunk: "install", MessageAck: "ack", MessageLogMismatch: "mismatch", MessageStaleEpoch: "stale",
+		MessageChunkAck: "piece-received", MessageProbe: "probe", MessageProbeResponse: "probe-answer",
 	} {
 		recorded.CheckBoth(t, "message-"+name, recordedMessage(kind), encodeMessage, decodeMessage)
 	}
 }
 
 func TestRecordedStamp(t *testing.T) {
-	encode := func(s Stamp) []byte {
+	encode := func(s Timestamp) []byte {
 		var e codec.Encoder
 		s.Encode(&e)
 		return e.Bytes
 	}
-	decode := func(data []byte) (Stamp, error) {
+	decode := func(data []byte) (Timestamp, error) {
 		d := codec.NewDecoder(data)
-		s := DecodeStamp(d)
+		s := DecodeTimestamp(d)
 		return s, d.Err()
 	}
 	recorded.CheckBoth(t, "stamp", recordedStamp(), encode, decode)
@@ -78,21 +78,21 @@
 // The pieces in which a snapshot goes to a replica, their checksum included, are those recorded, and a replica takes its state
 // from them.
 func TestRecordedPiecesOfASnapshot(t *testing.T) {
-	view := View{Epoch: 5, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}, MinCopies: 1}
+	view := View{Epoch: 5, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}, MinInSync: 1}
 	state := "the state of a group, in several pieces"
-	primary, err := NewGroup(1, &recordedMachine{}, Snapshot{Index: 9, Epoch: 4, State: []byte(state)}, nil, Options{PieceBytes: 16})
+	primary, err := NewGroup(1, &recordedMachine{}, Snapshot{Index: 9, Epoch: 4, State: []byte(state)}, nil, Options{SnapshotChunkBytes: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
 	primary.SetView(view, 1_000)
-	primary.Take()
+	primary.TakeOutput()
 	primary.startTransfer(2, primary.peers[2], 1_000)
-	messages := primary.Take().Messages
+	messages := primary.TakeOutput().Messages
 	if len(messages) != 3 {
 		t.Fatalf("%d pieces", len(messages))
 	}
 	machine := &recordedMachine{}
-	backup, err := NewGroup(2, machine, Snapshot{}, nil, Options{PieceBytes: 16})
+	backup, err := NewGroup(2, machine, Snapshot{}, nil, Options{SnapshotChunkBytes: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tier/replica/retention.go
+++ b/tier/replica/retention.go
@@ -40,8 +40,8 @@
 	return sizeOf(g.log[after-g.base.Index : upTo-g.base.Index])
 }
 
-// HasRoom tells whether a primary may take a command: what is not committed yet is bounded, whoever keeps it from being so.
-func (g *Group) HasRoom() bool {
+// HasCapacity tells whether a primary may take a command: what is not committed yet is bounded, whoever keeps it from being so.
+func (g *Group) HasCapacity() bool {
 	return g.logBytes-g.appliedBytes < g.bytesKept+uncommittedSlack
 }
 
--- a/tier/replica/sim_test.go
+++ b/tier/replica/sim_test.go
@@ -109,7 +109,7 @@
 	s.view.Epoch = 1
 	s.view.Primary = s.view.InSync[0]
 	s.view.Replicas = append([]uint64(nil), s.view.InSync...)
-	s.view.MinCopies = MinCopies(simTolerate, simNodes)
+	s.view.MinInSync = MinInSync(simTolerate, simNodes)
 	s.boot = s.nodes[0].boot
 	return s
 }
@@ -129,7 +129,7 @@
 	node.up = true
 	node.frozen = 0
 	node.slots = NewTransferSlots(1)
-	group, err := NewGroup(node.id, node.machine, node.disk.base, append([]Entry(nil), node.disk.entries...), Options{EagerCommit: true, EntriesKept: 6, PieceBytes: 400, Slots: node.slots})
+	group, err := NewGroup(node.id, node.machine, node.disk.base, append([]Entry(nil), node.disk.entries...), Options{EagerCommit: true, RetainedEntries: 6, SnapshotChunkBytes: 400, TransferSlots: node.slots})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 
 // carryOut takes a node's output.
 func (s *sim) carryOut(node *simNode) {
-	output := node.group.Take()
-	if output.Dropped {
+	output := node.group.TakeOutput()
+	if output.SteppedDown {
 		node.waiting = map[uint64]string{}
 	}
 	node.writes = append(node.writes, output.Writes...)
@@ -247,12 +247,12 @@
 		node.disk.write(write)
 	}
 	for _, write := range writes {
-		node.group.Wrote(write)
+		node.group.WriteCompleted(write)
 		if write.Snapshot != nil {
-			node.group.Durable(write.Snapshot.Index, write.Snapshot.Epoch, s.now)
+			node.group.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, s.now)
 		}
 		if n := len(write.Entries); n > 0 {
-			node.group.Durable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.now)
+			node.group.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.now)
 		}
 	}
 	s.carryOut(node)
@@ -356,7 +356,7 @@
 		s.setView(next)
 		return
 	}
-	if silent := node.group.Silent(s.now); len(silent) > 0 {
+	if silent := node.group.Unresponsive(s.now); len(silent) > 0 {
 		if s.view.IsInSync(silent[0]) && len(s.view.InSync)-1 < simNodes-simTolerate {
 			return
 		}
--- a/tier/replica/snapshot.go
+++ b/tier/replica/snapshot.go
@@ -122,8 +122,8 @@
 	t := peer.transfer
 	end := min(t.sent+g.pieceBytes, len(t.snapshot.state))
 	g.send(id, Message{
-		Kind: MessageInstall, Epoch: g.view.Epoch, Index: t.snapshot.index, PrevEpoch: t.snapshot.epoch, Commit: g.commit,
-		Offset: uint32(t.sent), Total: uint32(len(t.snapshot.state)), Checksum: t.snapshot.checksum, State: t.snapshot.state[t.sent:end],
+		Kind: MessageSnapshotChunk, Epoch: g.view.Epoch, Index: t.snapshot.index, PrevEpoch: t.snapshot.epoch, Commit: g.commit,
+		Offset: uint32(t.sent), Total: uint32(len(t.snapshot.state)), Checksum: t.snapshot.checksum, Chunk: t.snapshot.state[t.sent:end],
 	})
 	t.sent = end
 	peer.sentAt = now
@@ -242,7 +242,7 @@
 	}
 	incoming := g.incoming
 	if int(message.Offset) == len(incoming.state) {
-		incoming.state = append(incoming.state, message.State...)
+		incoming.state = append(incoming.state, message.Chunk...)
 	}
 	if len(incoming.state) < int(incoming.total) {
 		g.answerPiece(message, len(incoming.state))
@@ -282,7 +282,7 @@
 
 func (g *Group) answerPiece(message Message, received int) {
 	g.send(g.view.Primary, Message{
-		Kind: MessagePieceReceived, Epoch: g.view.Epoch, Index: message.Index, PrevEpoch: message.PrevEpoch,
+		Kind: MessageChunkAck, Epoch: g.view.Epoch, Index: message.Index, PrevEpoch: message.PrevEpoch,
 		Offset: uint32(received), Checksum: message.Checksum,
 	})
 }
--- a/tier/replica/snapshot_test.go
+++ b/tier/replica/snapshot_test.go
@@ -18,7 +18,7 @@
 
 func newTransferPair(t *testing.T) *transferPair {
 	t.Helper()
-	options := Options{EntriesKept: 1, BytesKept: 4000, PieceBytes: testPiece}
+	options := Options{RetainedEntries: 1, RetainedBytes: 4000, SnapshotChunkBytes: testPiece}
 	p := &transferPair{t: t, now: 1000, primary: newPrimaryOfTwo(t, options), state: bytes.Repeat([]byte("abcdefg"), 200)}
 	p.now = 2000 // replica 2 has been silent since
 	p.propose(bytes.Repeat([]byte("x"), 3000))
@@ -31,7 +31,7 @@
 
 func (p *transferPair) startBackup() {
 	p.t.Helper()
-	backup, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{PieceBytes: testPiece})
+	backup, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{SnapshotChunkBytes: testPiece})
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 
 func (p *transferPair) propose(command []byte) {
 	index := p.primary.Propose(command, p.now)
-	p.primary.Durable(index, 1, p.now)
+	p.primary.MarkDurable(index, 1, p.now)
 }
 
 // pieces are the positions of the snapshot's pieces among messages.
 func pieces(messages []Outgoing) []int {
 	var offsets []int
 	for _, out := range messages {
-		if out.Message.Kind == MessageInstall {
+		if out.Message.Kind == MessageSnapshotChunk {
 			offsets = append(offsets, int(out.Message.Offset))
 		}
 	}
@@ -56,9 +56,9 @@
 
 // begin has the backup say that it is empty and returns what the primary sends.
 func (p *transferPair) begin() []Outgoing {
-	p.primary.Take()
-	p.primary.Step(2, Message{Kind: MessageMismatch, Epoch: 1, Index: 0}, p.now)
-	return p.primary.Take().Messages
+	p.primary.TakeOutput()
+	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now)
+	return p.primary.TakeOutput().Messages
 }
 
 // exchange carries messages both ways until nobody says anything more, and makes writes durable.
@@ -67,20 +67,20 @@
 		for _, out := range toBackup {
 			p.backup.Step(1, out.Message, p.now)
 		}
-		output := p.backup.Take()
+		output := p.backup.TakeOutput()
 		for _, write := range output.Writes {
 			if write.Snapshot != nil {
-				p.backup.Durable(write.Snapshot.Index, write.Snapshot.Epoch, p.now)
+				p.backup.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, p.now)
 			}
 			if n := len(write.Entries); n > 0 {
-				p.backup.Durable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, p.now)
+				p.backup.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, p.now)
 			}
 		}
-		answers := append(output.Messages, p.backup.Take().Messages...)
+		answers := append(output.Messages, p.backup.TakeOutput().Messages...)
 		for _, out := range answers {
 			p.primary.Step(2, out.Message, p.now)
 		}
-		toBackup = p.primary.Take().Messages
+		toBackup = p.primary.TakeOutput().Messages
 	}
 }
 
@@ -94,16 +94,16 @@
 		t.Fatalf("sent %v", got)
 	}
 	p.backup.Step(1, sent[0].Message, p.now)
-	answer := p.backup.Take().Messages
+	answer := p.backup.TakeOutput().Messages
 	p.primary.Step(2, answer[0].Message, p.now)
-	if got := pieces(p.primary.Take().Messages); len(got) != 1 || got[0] != windowPieces*testPiece {
+	if got := pieces(p.primary.TakeOutput().Messages); len(got) != 1 || got[0] != windowPieces*testPiece {
 		t.Fatalf("after one answer: %v", got)
 	}
 	p.exchange(sent[1:])
 	for range 30 {
 		p.now += 100
 		p.primary.Tick(p.now, true)
-		p.exchange(p.primary.Take().Messages)
+		p.exchange(p.primary.TakeOutput().Messages)
 	}
 	if !p.caughtUp() || !bytes.Equal(p.backup.machine.(*blobMachine).last, p.state) {
 		t.Fatal("the snapshot did not arrive")
@@ -118,20 +118,20 @@
 	for _, out := range sent[:2] {
 		p.backup.Step(1, out.Message, p.now)
 	}
-	for _, out := range p.backup.Take().Messages {
+	for _, out := range p.backup.TakeOutput().Messages {
 		p.primary.Step(2, out.Message, p.now)
 	}
-	p.primary.Take() // lost with the connection, as are two of the first four
+	p.primary.TakeOutput() // lost with the connection, as are two of the first four
 	p.propose([]byte("newer"))
 	p.now += 1200
-	p.primary.Step(2, Message{Kind: MessageMismatch, Epoch: 1, Index: 0}, p.now) // the answer to a heartbeat
+	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now) // the answer to a heartbeat
 	p.primary.Tick(p.now, true)
-	again := p.primary.Take().Messages
+	again := p.primary.TakeOutput().Messages
 	if got := pieces(again); len(got) != 1 || got[0] != 2*testPiece {
 		t.Fatalf("after the break: %v", got)
 	}
 	for _, out := range again {
-		if out.Message.Kind == MessageInstall && out.Message.Index != index {
+		if out.Message.Kind == MessageSnapshotChunk && out.Message.Index != index {
 			t.Fatal("a newer snapshot was begun")
 		}
 	}
@@ -139,7 +139,7 @@
 	for range 4 {
 		p.now += 100
 		p.primary.Tick(p.now, true)
-		p.exchange(p.primary.Take().Messages)
+		p.exchange(p.primary.TakeOutput().Messages)
 	}
 	if !p.caughtUp() || string(p.backup.machine.(*blobMachine).last) != "newer" {
 		t.Fatal("the backup has not caught up")
@@ -153,15 +153,15 @@
 	for _, out := range sent {
 		p.backup.Step(1, out.Message, p.now)
 	}
-	for _, out := range p.backup.Take().Messages {
+	for _, out := range p.backup.TakeOutput().Messages {
 		p.primary.Step(2, out.Message, p.now)
 	}
 	p.startBackup()
-	p.exchange(p.primary.Take().Messages)
+	p.exchange(p.primary.TakeOutput().Messages)
 	for range 4 {
 		p.now += 100
 		p.primary.Tick(p.now, true)
-		p.exchange(p.primary.Take().Messages)
+		p.exchange(p.primary.TakeOutput().Messages)
 	}
 	if !p.caughtUp() || !bytes.Equal(p.backup.machine.(*blobMachine).last, p.state) {
 		t.Fatal("the backup has not caught up")
@@ -176,7 +176,7 @@
 	message := wholeInstall(1, 4, 1, state)
 	state[5] ^= 1
 	p.backup.Step(1, message, p.now)
-	if p.backup.AppliedIndex() != 0 || len(p.backup.Take().Writes) != 0 {
+	if p.backup.AppliedIndex() != 0 || len(p.backup.TakeOutput().Writes) != 0 {
 		t.Fatal("an altered snapshot was installed")
 	}
 }
@@ -194,9 +194,9 @@
 		t.Fatalf("the second sent %v without a slot", got)
 	}
 	first.primary.Tick(first.now+slotSilence+1, true)
-	second.primary.Step(2, Message{Kind: MessageMismatch, Epoch: 1, Index: 0}, second.now)
+	second.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, second.now)
 	second.primary.Tick(second.now+1, true)
-	if got := pieces(second.primary.Take().Messages); len(got) == 0 {
+	if got := pieces(second.primary.TakeOutput().Messages); len(got) == 0 {
 		t.Fatal("a silent replica keeps the slot")
 	}
 }
@@ -237,13 +237,13 @@
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 11)
 	index := g.Propose([]byte("a"), 12)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: index}, 13)
-	g.Take()
-	g.Step(2, Message{Kind: MessageMismatch, Epoch: 2, Index: 1}, 14)
-	output := g.Take()
+	g.TakeOutput()
+	g.Step(2, Message{Kind: MessageLogMismatch, Epoch: 2, Index: 1}, 14)
+	output := g.TakeOutput()
 	if len(output.Regressed) != 1 || output.Regressed[0] != 2 {
 		t.Fatalf("named: %v", output.Regressed)
 	}
-	g.Durable(index, 1, 15)
+	g.MarkDurable(index, 1, 15)
 	if g.AppliedIndex() >= index {
 		t.Fatal("committed by the word of a disk that no longer holds it")
 	}
@@ -253,14 +253,14 @@
 func TestASnapshotOfAnOlderEpochIsRefused(t *testing.T) {
 	g, machine := newBackup(t)
 	g.SetView(View{Epoch: 5, Primary: 3, InSync: []uint64{3}, Replicas: []uint64{2, 3}}, 10)
-	g.Take()
+	g.TakeOutput()
 	state := (&journalMachine{applied: []string{"old"}}).Snapshot()
 	g.Step(1, wholeInstall(4, 7, 4, state), 11)
-	output := g.Take()
+	output := g.TakeOutput()
 	if len(machine.applied) != 0 || g.AppliedIndex() != 0 || len(output.Writes) != 0 {
 		t.Fatalf("installed: %v", machine.applied)
 	}
-	if len(output.Messages) != 1 || output.Messages[0].Message.Kind != MessageStale || output.Messages[0].Message.Epoch != 5 {
+	if len(output.Messages) != 1 || output.Messages[0].Message.Kind != MessageStaleEpoch || output.Messages[0].Message.Epoch != 5 {
 		t.Fatalf("the sender is told %+v", output.Messages)
 	}
 }
--- a/tier/replica/step.go
+++ b/tier/replica/step.go
@@ -11,20 +11,20 @@
 const (
 	// MessageAppend carries entries behind one that both are to hold.
 	MessageAppend MessageKind = iota + 1
-	// MessageInstall carries a piece of a snapshot, for a replica whose log can't be continued.
-	MessageInstall
+	// MessageSnapshotChunk carries a piece of a snapshot, for a replica whose log can't be continued.
+	MessageSnapshotChunk
 	// MessageAck says what is durable at a replica.
 	MessageAck
-	// MessageMismatch says that the entry before the appended ones isn't held.
-	MessageMismatch
-	// MessageStale says that the sender's epoch has passed.
-	MessageStale
-	// MessagePieceReceived says how many bytes of a snapshot a replica holds.
-	MessagePieceReceived
+	// MessageLogMismatch says that the entry before the appended ones isn't held.
+	MessageLogMismatch
+	// MessageStaleEpoch says that the sender's epoch has passed.
+	MessageStaleEpoch
+	// MessageChunkAck says how many bytes of a snapshot a replica holds.
+	MessageChunkAck
 	// MessageProbe asks a backup to confirm the primary, and confirms the backup.
 	MessageProbe
-	// MessageProbeAnswer confirms the primary.
-	MessageProbeAnswer
+	// MessageProbeResponse confirms the primary.
+	MessageProbeResponse
 )
 
 // Message is what replicas of a group say to each other.
@@ -38,7 +38,7 @@
 	Offset    uint32 // of a piece in the snapshot, or bytes held of it
 	Total     uint32 // bytes of the snapshot
 	Checksum  uint32 // of the snapshot
-	State     []byte // a piece of the snapshot
+	Chunk     []byte // a piece of the snapshot
 	Probe     Probe  // of probes and their answers alone
 }
 
@@ -104,15 +104,15 @@
 func (g *Group) Step(from uint64, message Message, now int64) {
 	g.clock = max(g.clock, now)
 	if message.Epoch < g.view.Epoch {
-		if message.Kind == MessageAppend || message.Kind == MessageInstall || message.Kind == MessageProbe {
-			g.send(from, Message{Kind: MessageStale, Epoch: g.view.Epoch})
+		if message.Kind == MessageAppend || message.Kind == MessageSnapshotChunk || message.Kind == MessageProbe {
+			g.send(from, Message{Kind: MessageStaleEpoch, Epoch: g.view.Epoch})
 		}
 		return
 	}
 	switch message.Kind {
-	case MessageAppend, MessageInstall, MessageProbe:
+	case MessageAppend, MessageSnapshotChunk, MessageProbe:
 		g.stepAsBackup(from, message, now)
-	case MessageStale:
+	case MessageStaleEpoch:
 		if message.Epoch > g.view.Epoch {
 			g.view = View{Epoch: message.Epoch}
 			g.stepDown()
@@ -136,7 +136,7 @@
 	}
 	g.primaryHeard = now
 	switch message.Kind {
-	case MessageInstall:
+	case MessageSnapshotChunk:
 		g.receivePiece(message)
 	case MessageProbe:
 		g.stepProbe(from, message, now)
@@ -153,7 +153,7 @@
 		held = message.PrevEpoch
 	}
 	if !known || held != message.PrevEpoch {
-		g.send(from, Message{Kind: MessageMismatch, Epoch: g.view.Epoch, Index: min(g.lastIndex(), message.Index)})
+		g.send(from, Message{Kind: MessageLogMismatch, Epoch: g.view.Epoch, Index: min(g.lastIndex(), message.Index)})
 		return
 	}
 	fresh := g.skipHeld(message.Entries)
@@ -224,7 +224,7 @@
 	if peer == nil {
 		return
 	}
-	if message.Kind == MessageProbeAnswer {
+	if message.Kind == MessageProbeResponse {
 		g.stepProbeAnswer(from, message.Probe, now)
 		return
 	}
@@ -232,9 +232,9 @@
 	switch message.Kind {
 	case MessageAck:
 		g.stepAck(from, peer, message.Index, now)
-	case MessageMismatch:
+	case MessageLogMismatch:
 		g.stepMismatch(from, peer, message.Index, now)
-	case MessagePieceReceived:
+	case MessageChunkAck:
 		g.stepPieceReceived(from, peer, message, now)
 	}
 }
@@ -336,8 +336,8 @@
 	g.sendEntries(id, peer, now)
 }
 
-// Silent lists in-sync replicas from which an answer has been due for too long.
-func (g *Group) Silent(now int64) []uint64 {
+// Unresponsive lists in-sync replicas from which an answer has been due for too long.
+func (g *Group) Unresponsive(now int64) []uint64 {
 	var silent []uint64
 	if g.role != Primary {
 		return nil
@@ -399,13 +399,13 @@
 	e.Uint32(m.Offset)
 	e.Uint32(m.Total)
 	e.Uint32(m.Checksum)
-	e.Blob(m.State)
+	e.Blob(m.Chunk)
 	if m.carriesProbe() {
 		m.Probe.encode(e)
 	}
 }
 
-func (m Message) carriesProbe() bool { return m.Kind == MessageProbe || m.Kind == MessageProbeAnswer }
+func (m Message) carriesProbe() bool { return m.Kind == MessageProbe || m.Kind == MessageProbeResponse }
 
 // DecodeMessage reads a message.
 func DecodeMessage(d *codec.Decoder) Message {
@@ -418,7 +418,7 @@
 	m.Offset = d.Uint32()
 	m.Total = d.Uint32()
 	m.Checksum = d.Uint32()
-	m.State = d.Blob()
+	m.Chunk = d.Blob()
 	if m.carriesProbe() {
 		m.Probe = decodeProbe(d)
 	}
--- a/tier/status/protection.go
+++ b/tier/status/protection.go
@@ -71,10 +71,10 @@
 			lagging = append(lagging, id)
 		}
 	}
-	p := Protection{Bears: view.BearsLosses(), Acknowledges: view.HasCopies()}
+	p := Protection{Bears: view.ToleratedLosses(), Acknowledges: view.HasMinInSync()}
 	switch {
 	case !p.Acknowledges:
-		p.WhyNotMore = missingCopies(len(view.InSync), view.MinCopies, lagging, name)
+		p.WhyNotMore = missingCopies(len(view.InSync), view.MinInSync, lagging, name)
 	case len(lagging) > 0:
 		p.WhyNotMore = notInSync(lagging, name)
 	default:
--- a/tier/status/protection_test.go
+++ b/tier/status/protection_test.go
@@ -58,11 +58,11 @@
 		bears int
 		why   string
 	}{
-		{"whole", replica.View{InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}, MinCopies: 2}, 2, "all of 3 copies in sync"},
-		{"one lags", replica.View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinCopies: 2}, 1, "c is not in sync"},
-		{"two lag", replica.View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3, 4}, MinCopies: 2}, 1, "c, d are not in sync"},
-		{"below", replica.View{InSync: []uint64{2}, Replicas: []uint64{1, 2}, MinCopies: 2}, 0, "nothing is acknowledged until a caught up"},
-		{"no machine left", replica.View{InSync: []uint64{2}, Replicas: []uint64{2}, MinCopies: 2}, 0, "another machine is needed"},
+		{"whole", replica.View{InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, 2, "all of 3 copies in sync"},
+		{"one lags", replica.View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, 1, "c is not in sync"},
+		{"two lag", replica.View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3, 4}, MinInSync: 2}, 1, "c, d are not in sync"},
+		{"below", replica.View{InSync: []uint64{2}, Replicas: []uint64{1, 2}, MinInSync: 2}, 0, "nothing is acknowledged until a caught up"},
+		{"no machine left", replica.View{InSync: []uint64{2}, Replicas: []uint64{2}, MinInSync: 2}, 0, "another machine is needed"},
 	}
 	for _, c := range cases {
 		if got := OfShard(c.view, letter); got.Bears != c.bears || !strings.Contains(got.WhyNotMore, c.why) {
--- a/tier/status/recorded_json_test.go
+++ b/tier/status/recorded_json_test.go
@@ -23,7 +23,7 @@
 		Stores: []directory.Store{{Identity: 11, Boot: 12, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b"}},
 		Shards: []directory.Shard{{
 			ID: 3, Total: 64, PrimaryBoot: 12,
-			View: replica.View{Epoch: 6, Primary: 11, InSync: []uint64{11}, Replicas: []uint64{11, 13}, MinCopies: 1, Learners: []uint64{14}},
+			View: replica.View{Epoch: 6, Primary: 11, InSync: []uint64{11}, Replicas: []uint64{11, 13}, MinInSync: 1, Learners: []uint64{14}},
 		}},
 		Hosts: []directory.Host{{
 			ID: "host-1", Service: "chat", Address: "10.0.1.1:8000", Zone: "zone-a", Version: "v3", Slots: 8, Draining: true, Stage: "canary",
--- a/tier/storage/crash_test.go
+++ b/tier/storage/crash_test.go
@@ -48,7 +48,7 @@
 // wholeState is the state of all groups as records, as a compaction writes it.
 func wholeState(records []Record) []Record {
 	var whole []Record
-	logs := Fold(records)
+	logs := FoldRecords(records)
 	for group := uint32(1); group <= 2; group++ {
 		log := logs[group]
 		if log == nil {
@@ -80,7 +80,7 @@
 			continue
 		}
 		if step.compact {
-			if j.Rewrite(wholeState(done)) != nil {
+			if j.Compact(wholeState(done)) != nil {
 				return done, done
 			}
 			continue
@@ -128,7 +128,7 @@
 		t.Fatalf("%s: %v\n%s", where, err, on)
 	}
 	if !foldsAlike(read, done) && !foldsAlike(read, underWay) {
-		t.Fatalf("%s: read %+v, acknowledged %+v", where, Fold(read), Fold(done))
+		t.Fatalf("%s: read %+v, acknowledged %+v", where, FoldRecords(read), FoldRecords(done))
 	}
 	more := entry(3, 1, 9, "behind the loss of power")
 	if err := j.Append([]Record{more}); err != nil {
@@ -139,8 +139,8 @@
 	if err != nil {
 		t.Fatalf("%s, and once more: %v", where, err)
 	}
-	if !foldsAlike(again, read) || Fold(again)[3] == nil {
-		t.Fatalf("%s, and once more: read %+v, %+v before", where, Fold(again), Fold(read))
+	if !foldsAlike(again, read) || FoldRecords(again)[3] == nil {
+		t.Fatalf("%s, and once more: read %+v, %+v before", where, FoldRecords(again), FoldRecords(read))
 	}
 }
 
--- a/tier/storage/journal.go
+++ b/tier/storage/journal.go
@@ -255,11 +255,11 @@
 	return nil
 }
 
-// WantsRewrite tells whether the journal has grown so far that it should be written anew.
-func (j *Journal) WantsRewrite() bool { return j.bytes > 2*j.live+rewriteBytes }
+// NeedsCompaction tells whether the journal has grown so far that it should be written anew.
+func (j *Journal) NeedsCompaction() bool { return j.bytes > 2*j.live+rewriteBytes }
 
-// Rewrite replaces the journal by records that hold the whole state, and removes the old segments.
-func (j *Journal) Rewrite(records []Record) error {
+// Compact replaces the journal by records that hold the whole state, and removes the old segments.
+func (j *Journal) Compact(records []Record) error {
 	if err := j.startSegment(); err != nil {
 		return err
 	}
--- a/tier/storage/log.go
+++ b/tier/storage/log.go
@@ -2,17 +2,17 @@
 
 import "sort"
 
-// Log is the durable state of one group, folded from journal records.
-type Log struct {
+// GroupLog is the durable state of one group, folded from journal records.
+type GroupLog struct {
 	Snapshot      []byte
 	SnapshotIndex uint64
 	SnapshotEpoch uint64
 	Entries       []Record // from SnapshotIndex+1 on, without gaps
 }
 
-// Fold builds the state of each group from records in their order.
-func Fold(records []Record) map[uint32]*Log {
-	logs := map[uint32]*Log{}
+// FoldRecords builds the state of each group from records in their order.
+func FoldRecords(records []Record) map[uint32]*GroupLog {
+	logs := map[uint32]*GroupLog{}
 	for _, record := range records {
 		if record.Kind == RecordDrop {
 			delete(logs, record.Group)
@@ -20,7 +20,7 @@
 		}
 		log := logs[record.Group]
 		if log == nil {
-			log = &Log{}
+			log = &GroupLog{}
 			logs[record.Group] = log
 		}
 		log.add(record)
@@ -28,9 +28,9 @@
 	return logs
 }
 
-func (l *Log) add(record Record) {
+func (l *GroupLog) add(record Record) {
 	if record.Kind == RecordSnapshot {
-		*l = Log{Snapshot: record.Data, SnapshotIndex: record.Index, SnapshotEpoch: record.Epoch}
+		*l = GroupLog{Snapshot: record.Data, SnapshotIndex: record.Index, SnapshotEpoch: record.Epoch}
 		return
 	}
 	if record.Index <= l.SnapshotIndex {
--- a/tier/storage/recorded_test.go
+++ b/tier/storage/recorded_test.go
@@ -98,7 +98,7 @@
 	j, _ = openJournal(t, dir)
 	appendAll(t, j, all[1])
 	checkFolder(t, dir, second)
-	if err := j.Rewrite(all[:3]); err != nil {
+	if err := j.Compact(all[:3]); err != nil {
 		t.Fatal(err)
 	}
 	appendAll(t, j, all[3])
--- a/tier/storage/storage_test.go
+++ b/tier/storage/storage_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	snapshot := Record{Kind: RecordSnapshot, Group: 1, Index: 2, Epoch: 1, Data: []byte("state")}
-	if err := j.Rewrite([]Record{snapshot}); err != nil {
+	if err := j.Compact([]Record{snapshot}); err != nil {
 		t.Fatal(err)
 	}
 	appendAll(t, j, entry(1, 3, 1, "new"))
@@ -143,14 +143,14 @@
 		t.Fatal(err)
 	}
 	_, records := openJournal(t, dir)
-	log := Fold(records)[1]
+	log := FoldRecords(records)[1]
 	if string(log.Snapshot) != "state" || len(log.Entries) != 1 || string(log.Entries[0].Data) != "new" {
 		t.Fatalf("folded %+v", log)
 	}
 }
 
 func TestFoldReplacesEntriesAtOrAboveARewrittenOne(t *testing.T) {
-	logs := Fold([]Record{
+	logs := FoldRecords([]Record{
 		entry(1, 1, 1, "a"), entry(1, 2, 1, "b"), entry(1, 3, 1, "c"), entry(1, 2, 2, "B"),
 		entry(2, 1, 1, "gone"),
 		{Kind: RecordDrop, Group: 2},
--- a/tier/store/leave.go
+++ b/tier/store/leave.go
@@ -36,7 +36,7 @@
 	}
 	for id := range shards {
 		leads := false
-		s.host.With(id, func(g *replica.Group) { leads = g.IsPrimary() })
+		s.host.WithGroup(id, func(g *replica.Group) { leads = g.IsPrimary() })
 		if leads {
 			return true
 		}
--- a/tier/store/recorded_test.go
+++ b/tier/store/recorded_test.go
@@ -51,7 +51,7 @@
 	s.openShard(recordedShard)
 	go host.Run(ctx)
 	only := []uint64{host.Identity}
-	host.SetView(recordedShard, replica.View{Epoch: 2, Primary: host.Identity, InSync: only, Replicas: only, MinCopies: 1})
+	host.SetView(recordedShard, replica.View{Epoch: 2, Primary: host.Identity, InSync: only, Replicas: only, MinInSync: 1})
 	for !host.IsPrimary(recordedShard) {
 		if ctx.Err() != nil {
 			t.Fatal("the shard has no primary")
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -44,7 +44,7 @@
 type Server struct {
 	settings *settings.Settings
 	log      *logrus.Entry
-	host     *multigroup.Host
+	host     *multigroup.Node
 	clients  *rpc.Clients
 	control  *controlclient.Client
 	view     *feed.View
@@ -82,9 +82,9 @@
 			Identity: host.Identity, Boot: rand.Uint64(), Node: s.Node, Address: s.StoreAddress(), Zone: s.Zone,
 		},
 	}
-	server.view.SetInstallation(host.Installation())
+	server.view.SetInstallation(host.ClusterID())
 	server.control = controlclient.New(clients, server.controlAddresses)
-	for _, id := range host.Found() {
+	for _, id := range host.UnopenedGroups() {
 		server.openShard(id)
 	}
 	return server, nil
@@ -159,7 +159,7 @@
 // follow acts on the shard map: it opens and drops shards and tells the groups their views.
 func (s *Server) follow() {
 	s.timeline.Reach(timeline.ViewReceived)
-	if !s.host.Bind(s.view.Installation()) {
+	if !s.host.BindCluster(s.view.Installation()) {
 		return
 	}
 	for _, store := range directory.Stores(s.view) {
@@ -169,14 +169,14 @@
 		switch {
 		case consensus.Contains(shard.View.Replicas, s.self.Identity):
 			s.hold(id, shard)
-		case s.host.Has(id):
+		case s.host.HasGroup(id):
 			s.release(id, shard)
 		}
 	}
 }
 
 func (s *Server) hold(id uint32, shard directory.Shard) {
-	if !s.host.Has(id) {
+	if !s.host.HasGroup(id) {
 		s.openShard(id)
 	}
 	if shard.View.Primary == s.self.Identity && shard.PrimaryBoot != s.self.Boot {
@@ -188,7 +188,7 @@
 // release drops a shard that has moved away.
 func (s *Server) release(id uint32, shard directory.Shard) {
 	dropped := false
-	s.host.With(id, func(g *replica.Group) { dropped = shard.View.Epoch >= g.View().Epoch })
+	s.host.WithGroup(id, func(g *replica.Group) { dropped = shard.View.Epoch >= g.View().Epoch })
 	if dropped {
 		s.host.DropGroup(id)
 	}
@@ -216,11 +216,11 @@
 // knowsInstallation tells whether the control processes reached are of the installation of this disk: one that belongs to an
 // installation reports only once it was given a view of it.
 func (s *Server) knowsInstallation() bool {
-	return s.host.Installation() == 0 || s.view.Revision() > 0
+	return s.host.ClusterID() == 0 || s.view.Revision() > 0
 }
 
 func (s *Server) beatMessage() []byte {
-	troubled := s.host.DiskTroubled() // others lead its shards until its disk works again
+	troubled := s.host.DiskDegraded() // others lead its shards until its disk works again
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return controlclient.StoreBeat{Store: s.self, Leaving: s.leaving || troubled}.Encode()
@@ -255,7 +255,7 @@
 // neededChange tells which change of a shard's in-sync set its primary wants. A replica to be taken in counts from this moment
 // on, in the same step in which it was found to have caught up.
 func (s *Server) neededChange(id uint32) (change controlclient.ShardChange, wanted bool) {
-	s.host.With(id, func(g *replica.Group) {
+	s.host.WithGroup(id, func(g *replica.Group) {
 		change = controlclient.ShardChange{Shard: id, Epoch: g.View().Epoch}
 		// one that caught up comes first: the set may be too small to let a silent one go without it
 		if caughtUp := g.CaughtUp(multigroup.Now()); len(caughtUp) > 0 {
@@ -265,7 +265,7 @@
 			wanted = true
 			return
 		}
-		if silent := g.Silent(multigroup.Now()); len(silent) > 0 {
+		if silent := g.Unresponsive(multigroup.Now()); len(silent) > 0 {
 			change.Replica = silent[0]
 			wanted = true
 		}
