--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -20,6 +20,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"otterseam/harness/leakcheck"
+	"otterseam/quotastore/protocol"
 	"otterseam/quotastore/replication"
 	"otterseam/quotastore/statemachine"
 )
@@ -199,7 +200,16 @@
 func loneKeeper(t *testing.T) (l *List, k *Keeper) {
 	t.Helper()
 	l = &List{Groups: 2, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{{Name: "alone", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}}}
-	k, err := New(l, Place{Name: "alone"}, zerolog.Nop())
+	k = runStore(t, l, Place{Name: "alone"})
+	l.Keepers[0].Peer = k.streams.listener.Addr().String()
+	l.Keepers[0].Door = k.doors.listener.Addr().String()
+	return l, k
+}
+
+// runStore runs one store until the test ends.
+func runStore(t *testing.T, l *List, p Place) *Keeper {
+	t.Helper()
+	k, err := New(l, p, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,9 +222,7 @@
 			t.Error(err)
 		}
 	})
-	l.Keepers[0].Peer = k.streams.listener.Addr().String()
-	l.Keepers[0].Door = k.doors.listener.Addr().String()
-	return l, k
+	return k
 }
 
 // answered makes calls on one connection at once, and gives as many answers as they are, byte for byte.
@@ -289,3 +297,82 @@
 		t.Errorf("health before the founding is\n%s", text)
 	}
 }
+
+// A guest's stream before the founding: what it asks is turned away, and what only stores may ask makes no sense from it.
+func TestGuestsAreAnsweredTheRecordedBytes(t *testing.T) {
+	leakcheck.Check(t)
+	if got, want := guestAsks(t), recordedBytes(t, "guest-asks.bin"); !bytes.Equal(got, want) {
+		t.Fatalf("asked is\n%x\nrecorded is\n%x", got, want)
+	}
+	l, _ := loneKeeper(t)
+	if got, want := guestReplies(t, l.Keepers[0].Peer), recordedBytes(t, "guest-replies.bin"); !bytes.Equal(got, want) {
+		t.Errorf("answered is\n%x\nrecorded is\n%x", got, want)
+	}
+}
+
+// guestAsks is what the recorded guest sends: its greeting, then one frame.
+func guestAsks(t *testing.T) (text []byte) {
+	t.Helper()
+	asks := protocol.Asks([]protocol.Asked{{Number: 7, Entry: statemachine.Entry{Kind: statemachine.Add, Name: "count", Amount: 1, Life: 60}},
+		{Number: 8, Entry: statemachine.Entry{Kind: statemachine.Take, Order: 1}}, {Number: 9, Entry: statemachine.Entry{Kind: statemachine.Close, Holder: "a", Name: "b"}},
+		{Number: 10, Entry: statemachine.Entry{Kind: statemachine.Mark, Holder: "a", Name: "b", Life: 60}}})
+	for _, f := range []*protocol.Frame{protocol.Greeting(), asks} {
+		var err error
+		if text, err = f.Append(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return text
+}
+
+// guestReplies has a store asked by the recorded guest, and gives its four answers as they come on the stream.
+func guestReplies(t *testing.T, addr string) []byte {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	if _, err := c.Write(guestAsks(t)); err != nil {
+		t.Fatal(err)
+	}
+	var raw bytes.Buffer
+	r := io.TeeReader(c, &raw)
+	for range 4 {
+		if _, err := protocol.Read(r, protocol.Longest); err != nil {
+			t.Fatalf("%v after\n%x", err, raw.Bytes())
+		}
+	}
+	return raw.Bytes()
+}
+
+// The first thing on a stream between stores says who speaks: its number and its life.
+func TestStreamsBeginWithTheRecordedHello(t *testing.T) {
+	leakcheck.Check(t)
+	other, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	dir := t.TempDir()
+	unpackDisk(t, dir)
+	l := &List{Groups: 16, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{
+		{Name: "here", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}, {Name: "there", Peer: other.Addr().String(), Door: "127.0.0.1:0"}}}
+	runStore(t, l, Place{Name: "here", Dir: dir})
+	c, err := other.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	want := recordedBytes(t, "hello.bin")
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("it begins with\n%x (%v)\nrecorded is\n%x", got, err, want)
+	}
+	f, err := protocol.Read(bytes.NewReader(want), protocol.Longest)
+	if err != nil || f.Hello == nil || *f.Hello != (protocol.Hello{Number: 0, Life: recordedIdentity.Life}) {
+		t.Errorf("the recorded hello is read as %+v (%v)", f, err)
+	}
+}
