--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -199,11 +199,13 @@
 // loneKeeper runs one store without a disk, which holds everything alone once it is founded.
 func loneKeeper(t *testing.T) (l *List, k *Keeper) {
 	t.Helper()
-	l = &List{Groups: 2, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{{Name: "alone", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}}}
+	spot := Spot{Name: "alone", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}
+	l = &List{Groups: 2, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{spot}}
 	k = runStore(t, l, Place{Name: "alone"})
-	l.Keepers[0].Peer = k.streams.listener.Addr().String()
-	l.Keepers[0].Door = k.doors.listener.Addr().String()
-	return l, k
+	reached := *l // the store goes on reading the list that it was given
+	spot.Peer, spot.Door = k.streams.listener.Addr().String(), k.doors.listener.Addr().String()
+	reached.Keepers = []Spot{spot}
+	return &reached, k
 }
 
 // runStore runs one store until the test ends.
