--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -66,13 +66,13 @@
 	play      *controlPlay
 	bootstrap bool
 
-	witness consensus.Witness // durable
-	round   uint64            // durable
+	witness consensus.Acceptor // durable
+	round   uint64             // durable
 
 	known        consensus.Record
 	knownDecided bool
 	learnedAt    int64
-	seen         *membership.Sightings
+	seen         *membership.IdentityTracker
 	seeds        []string                    // of its settings, written when it started
 	founders     map[string]consensus.Member // who answered as founders, by address
 	sessions     map[uint64]controlSession
@@ -148,7 +148,7 @@
 		if old := c.members[n]; !c.bugs.KeepIdentity {
 			c.members[n] = &process{node: n, play: c}
 		} else {
-			old.witness = consensus.Witness{}
+			old.witness = consensus.Acceptor{}
 		}
 	}
 	return n
@@ -197,7 +197,7 @@
 	p := c.members[n]
 	p.known = p.witness.Value
 	p.knownDecided = false
-	p.seen = membership.NewSightings()
+	p.seen = membership.NewIdentityTracker()
 	p.founders = map[string]consensus.Member{}
 	p.seeds = c.presentSeeds()
 	p.sessions = map[uint64]controlSession{}
@@ -278,7 +278,7 @@
 		p.play.changed()
 	}
 	for _, member := range append(p.known.Voters(), p.known.Learners...) {
-		p.seen.Named(member, p.play.Now)
+		p.seen.ObserveListed(member, p.play.Now)
 	}
 }
 
@@ -294,7 +294,7 @@
 			there, record, founds := other.self(), other.known, other.bootstrap
 			return func() {
 				p.learn(record)
-				p.seen.Answered(there, asked)
+				p.seen.ObserveAnswer(there, asked)
 				delete(p.founders, address)
 				if founds {
 					p.founders[address] = there
@@ -317,7 +317,7 @@
 				return nil
 			}
 			other.sessions[me.ID] = controlSession{member: me, heardAt: p.play.Now, leaving: leaving}
-			other.seen.Answered(me, p.play.Now)
+			other.seen.ObserveAnswer(me, p.play.Now)
 			record := other.known
 			return func() { p.learn(record) }
 		})
@@ -333,12 +333,12 @@
 	if named && member.Address == p.address && member.Node == p.name {
 		return true
 	}
-	return p.seen.Lost(id)
+	return p.seen.DiskLost(id)
 }
 
 func (p *process) supervise() {
 	switch {
-	case !p.known.Known():
+	case !p.known.IsBootstrapped():
 		p.findOrFound()
 	case p.group.IsPrimary() && !p.replaced():
 		if p.ledSince == 0 {
@@ -366,18 +366,18 @@
 	if !p.bootstrap || !contains(p.play.seeds, p.address) || p.busy {
 		return
 	}
-	founding := membership.Founding{
-		Self: p.self(), Seeds: p.play.seeds, Founders: p.founders, Waited: p.play.Now-p.startedAt > foundAfter,
+	founding := membership.BootstrapInput{
+		Self: p.self(), Seeds: p.play.seeds, Candidates: p.founders, WaitElapsed: p.play.Now-p.startedAt > foundAfter,
 	}
 	members, may := founding.Members()
 	if !may {
 		return
 	}
 	p.propose(prepareBySelf, consensus.Record{Members: members}, func(current consensus.Record) (consensus.Record, bool) {
-		if current.Known() {
+		if current.IsBootstrapped() {
 			return current, false
 		}
-		return p.spoil(p.play.policy.Found(p.identity, members)), true
+		return p.spoil(p.play.policy.InitialRecord(p.identity, members)), true
 	})
 }
 
@@ -447,7 +447,7 @@
 
 func (p *process) spoil(next consensus.Record) consensus.Record {
 	if p.play.options.Bugs.NoMinCopies {
-		next.MinCopies = 0
+		next.MinInSync = 0
 	}
 	return next
 }
@@ -554,8 +554,8 @@
 		return func(id uint64) bool { return p.play.Now-max(p.ledSince, p.sessions[id].heardAt) > limit }
 	}
 	o := membership.Observation{
-		HasState: hasState, Lost: p.lost, Silent: silent(controlSilence), Gone: silent(controlGone),
-		Leaving: func(id uint64) bool { return p.sessions[id].leaving },
+		HasState: hasState, DiskLost: p.lost, Silent: silent(controlSilence), Departed: silent(controlGone),
+		Draining: func(id uint64) bool { return p.sessions[id].leaving },
 	}
 	for _, n := range p.play.nodes {
 		if session, heard := p.sessions[n.identity]; heard && p.play.Now-session.heardAt <= controlSilence {
@@ -575,7 +575,7 @@
 		if !wanted {
 			return current, false
 		}
-		next = p.play.policy.WithCopies(next)
+		next = p.play.policy.WithMinInSync(next)
 		next.Epoch = current.Epoch + 1
 		return p.spoil(next), true
 	})
--- a/sim/faultsim/proposal.go
+++ b/sim/faultsim/proposal.go
@@ -15,7 +15,7 @@
 type attempt struct {
 	process   *process
 	mode      prepareMode
-	own       consensus.OwnChange
+	own       consensus.IdempotentChange
 	confirmed consensus.Record
 	proposals int
 	ended     bool
@@ -29,7 +29,7 @@
 		return
 	}
 	p.busy = true
-	a := &attempt{process: p, mode: mode, own: consensus.OwnChange{Change: change}}
+	a := &attempt{process: p, mode: mode, own: consensus.IdempotentChange{Change: change}}
 	p.later(proposeTimeout, a.end)
 	a.begin(start)
 }
@@ -50,14 +50,14 @@
 	a.proposals++
 	p := a.process
 	p.round = max(p.round, p.witness.Promised.Round) + 1
-	proposal := consensus.NewProposal(consensus.Ballot{Round: p.round, Proposer: p.identity}, start, a.confirmed, a.own.Next)
+	proposal := consensus.NewProposal(consensus.ProposalNumber{Round: p.round, Proposer: p.identity}, start, a.confirmed, a.own.Apply)
 	a.send(proposal, proposal.Begin())
 	a.follow(proposal)
 }
 
 func (a *attempt) send(proposal *consensus.Proposal, requests []consensus.Request) {
 	for _, request := range requests {
-		a.process.vote(request, a.mode, func(promise consensus.Promise) {
+		a.process.vote(request, a.mode, func(promise consensus.Response) {
 			if !a.ended {
 				a.send(proposal, proposal.Answer(request.Kind, request.To.ID, promise))
 				a.follow(proposal)
@@ -73,7 +73,7 @@
 
 // follow acts on a proposal that has come to its end.
 func (a *attempt) follow(proposal *consensus.Proposal) {
-	if a.ended || proposal.Phase() == consensus.PhaseReading || proposal.Phase() == consensus.PhaseWriting {
+	if a.ended || proposal.Phase() == consensus.PhasePrepare || proposal.Phase() == consensus.PhaseAccept {
 		return
 	}
 	p := a.process
@@ -84,7 +84,7 @@
 	case proposal.OnlyConfirmed():
 		a.confirmed = proposal.Decided()
 		a.begin(proposal.Newest())
-	case a.own.Took():
+	case a.own.Applied():
 		a.end()
 		p.lead(proposal.Decided())
 	default:
@@ -97,7 +97,7 @@
 
 // vote has a witness act on a request and answer once that is durable. Another identity at the address gives no vote; it may be the
 // proof that the witness's disk is lost.
-func (p *process) vote(request consensus.Request, mode prepareMode, answered func(consensus.Promise), failed func()) {
+func (p *process) vote(request consensus.Request, mode prepareMode, answered func(consensus.Response), failed func()) {
 	done := false
 	once := func(act func()) func() {
 		return func() {
@@ -112,7 +112,7 @@
 		if other.identity != request.To.ID {
 			return once(func() {
 				if p.lost(request.To.ID) && !p.play.options.Bugs.LostBlocks {
-					answered(consensus.Promise{Lost: true})
+					answered(consensus.Response{DiskLost: true})
 				} else {
 					failed()
 				}
@@ -131,15 +131,15 @@
 }
 
 // decide has this process's witness act on a request.
-func (p *process) decide(request consensus.Request) consensus.Promise {
+func (p *process) decide(request consensus.Request) consensus.Response {
 	given := false
 	if request.Kind == consensus.RequestPrepare {
-		given = p.witness.Prepare(request.Ballot)
+		given = p.witness.Prepare(request.Number)
 	} else {
-		given = p.witness.Accept(request.Ballot, request.Value)
+		given = p.witness.Accept(request.Number, request.Value)
 	}
 	if given {
 		p.learn(p.witness.Value)
 	}
-	return consensus.Promise{Given: given, Promised: p.witness.Promised, Accepted: p.witness.Accepted, Value: p.witness.Value}
+	return consensus.Response{Granted: given, Promised: p.witness.Promised, Accepted: p.witness.Accepted, Value: p.witness.Value}
 }
--- a/sim/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -165,7 +165,7 @@
 		silence := s.Now - session.heardAt
 		machines[id] = placement.Machine{
 			Store: store, Alive: silence <= storeSilence && session.boot == store.Boot, Away: silence > storeAway,
-			Leaving: session.leaving, Retiring: s.retiring[store.Node],
+			Draining: session.leaving, Retiring: s.retiring[store.Node],
 		}
 	}
 	return placement.Cluster{Machines: machines, Tolerate: s.options.Tolerate}
@@ -191,7 +191,7 @@
 		if len(s.stores) < s.options.Stores {
 			return
 		}
-		if shard, placed := cluster.Found(shardNumber); placed {
+		if shard, placed := cluster.Place(shardNumber); placed {
 			s.put(shard)
 		}
 		return
@@ -267,7 +267,7 @@
 		}
 		s.After(delay, func() {
 			if epoch == s.shard.View.Epoch {
-				if next, allowed := s.cluster().Change(s.shard, id, admit); allowed {
+				if next, allowed := s.cluster().ChangeInSync(s.shard, id, admit); allowed {
 					s.put(next)
 				}
 			}
@@ -314,7 +314,7 @@
 // endWhenFree ends a leaving process once nothing depends on it.
 func (s *shardPlay) endWhenFree(n *node, limit int64, gone func()) {
 	shards := map[uint32]directory.Shard{shardNumber: s.known[n]}
-	needed := placement.Needed(shards, n.identity) || (n.group != nil && n.group.IsPrimary())
+	needed := placement.IsNeeded(shards, n.identity) || (n.group != nil && n.group.IsPrimary())
 	if s.options.Bugs.LeaveAtOnce {
 		needed = false
 	}
@@ -344,7 +344,7 @@
 	s.retiring[n.name] = true
 	var look func()
 	look = func() {
-		complete := s.cluster().Retired(map[uint32]directory.Shard{shardNumber: s.shard}, n.identity)
+		complete := s.cluster().IsRetired(map[uint32]directory.Shard{shardNumber: s.shard}, n.identity)
 		if s.options.Bugs.RetireEarly {
 			complete = s.shard.View.Primary != n.identity
 		}
@@ -376,7 +376,7 @@
 		s.repair.protected = true
 		s.outcome.Protected = append(s.outcome.Protected, s.Now-s.repair.since)
 	}
-	if ready && len(s.shard.View.InSync) >= s.cluster().Copies() {
+	if ready && len(s.shard.View.InSync) >= s.cluster().ReplicationFactor() {
 		s.outcome.Full = append(s.outcome.Full, s.Now-s.repair.since)
 		s.repair = repairClock{}
 	}
@@ -388,7 +388,7 @@
 	if primary == nil || primary.group == nil || !primary.group.IsReady() || primary.group.View().Epoch != s.shard.View.Epoch {
 		return false
 	}
-	return len(s.shard.View.InSync) >= s.cluster().Copies() && primary.group.AppliedIndex()+5 > primary.group.LastIndex() && s.copiesRun()
+	return len(s.shard.View.InSync) >= s.cluster().ReplicationFactor() && primary.group.AppliedIndex()+5 > primary.group.LastIndex() && s.copiesRun()
 }
 
 func (s *shardPlay) copiesRun() bool {
--- a/tier/configlog/configlog.go
+++ b/tier/configlog/configlog.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// takenKept is how many configurations stay known after they were taken, the newest ones. An operator has eight orders under way
+	// maxAccepted is how many configurations stay known after they were taken, the newest ones. An operator has eight orders under way
 	// at most and repeats each without a limit of time; a day is designed for 4,700 changes. One that is repeated after takenKept
 	// newer ones were taken gets no clear answer, and is never refused.
-	takenKept = 8192
-	// refusedKept is how many refusals stay known. A copy of a refused order may still be under way, to be read by a member that
+	maxAccepted = 8192
+	// maxRejected is how many refusals stay known. A copy of a refused order may still be under way, to be read by a member that
 	// stood still: it must not be taken then. Refusals that are forgotten hold by themselves unless the order named a version that
 	// was yet to come, which only an operator does whose order before got no clear answer: with eight orders under way there are
 	// a few of these at a time.
-	refusedKept = 256
+	maxRejected = 256
 
 	hashBytes = 16
 )
@@ -33,116 +33,116 @@
 	return Hash(sum[:hashBytes])
 }
 
-// Order is one configuration as the operator sends it. That it is taken is known by its version and body; that it is refused, by
+// Change is one configuration as the operator sends it. That it is taken is known by its version and body; that it is refused, by
 // the version it builds on besides, since a refused body may be sent anew on top of another version.
-type Order struct {
+type Change struct {
 	Base    uint64
 	Version uint64
 	Body    Hash
 }
 
-type taken struct {
+type acceptedChange struct {
 	version uint64
 	body    Hash
 }
 
-type refusal struct {
-	order  Order
-	answer codes.Code
+type rejection struct {
+	change Change
+	result codes.Code
 }
 
 // Log holds the answers given.
 type Log struct {
-	taken     []taken // by rising versions
-	forgotten uint64  // the highest version taken that is no longer known
-	refused   []refusal
+	accepted  []acceptedChange // by rising versions
+	compacted uint64           // the highest version taken that is no longer known
+	rejected  []rejection
 }
 
 // Decide answers an order, where current is the version in place. fresh says that it is taken by this very call and becomes the
 // current one.
-func (l *Log) Decide(order Order, current uint64) (answer codes.Code, fresh bool) {
-	if answer, known := l.answered(order); known {
+func (l *Log) Decide(order Change, current uint64) (answer codes.Code, fresh bool) {
+	if answer, known := l.resultOf(order); known {
 		return answer, false
 	}
 	switch {
 	case order.Base != current:
-		return l.refuse(order, codes.ConfigBase), false
+		return l.reject(order, codes.ConfigBase), false
 	case order.Version <= current:
-		return l.refuse(order, codes.ConfigInvalid), false
+		return l.reject(order, codes.ConfigInvalid), false
 	}
-	l.take(order)
+	l.accept(order)
 	return codes.OK, true
 }
 
-// answered returns the answer that an order got before.
-func (l *Log) answered(order Order) (codes.Code, bool) {
-	if order.Version <= l.forgotten {
+// resultOf returns the answer that an order got before.
+func (l *Log) resultOf(order Change) (codes.Code, bool) {
+	if order.Version <= l.compacted {
 		return codes.ConfigForgotten, true
 	}
-	position := sort.Search(len(l.taken), func(i int) bool { return l.taken[i].version >= order.Version })
+	position := sort.Search(len(l.accepted), func(i int) bool { return l.accepted[i].version >= order.Version })
 	// an order whose version is not above its base is invalid by itself and was never taken
-	if order.Base < order.Version && position < len(l.taken) && l.taken[position] == (taken{order.Version, order.Body}) {
+	if order.Base < order.Version && position < len(l.accepted) && l.accepted[position] == (acceptedChange{order.Version, order.Body}) {
 		return codes.OK, true
 	}
-	for _, each := range l.refused {
-		if each.order == order {
-			return each.answer, true
+	for _, each := range l.rejected {
+		if each.change == order {
+			return each.result, true
 		}
 	}
 	return codes.OK, false
 }
 
-func (l *Log) take(order Order) {
-	l.taken = append(l.taken, taken{order.Version, order.Body})
-	if excess := len(l.taken) - takenKept; excess > 0 {
-		l.forgotten = l.taken[excess-1].version
-		l.taken = append([]taken(nil), l.taken[excess:]...)
+func (l *Log) accept(order Change) {
+	l.accepted = append(l.accepted, acceptedChange{order.Version, order.Body})
+	if excess := len(l.accepted) - maxAccepted; excess > 0 {
+		l.compacted = l.accepted[excess-1].version
+		l.accepted = append([]acceptedChange(nil), l.accepted[excess:]...)
 	}
 }
 
-func (l *Log) refuse(order Order, answer codes.Code) codes.Code {
-	l.refused = append(l.refused, refusal{order, answer})
-	if excess := len(l.refused) - refusedKept; excess > 0 {
-		l.refused = append([]refusal(nil), l.refused[excess:]...)
+func (l *Log) reject(order Change, answer codes.Code) codes.Code {
+	l.rejected = append(l.rejected, rejection{order, answer})
+	if excess := len(l.rejected) - maxRejected; excess > 0 {
+		l.rejected = append([]rejection(nil), l.rejected[excess:]...)
 	}
 	return answer
 }
 
 // Encode appends the log to a snapshot.
 func (l *Log) Encode(e *codec.Encoder) {
-	e.Uint64(l.forgotten)
-	e.Uint32(uint32(len(l.taken)))
-	for _, each := range l.taken {
+	e.Uint64(l.compacted)
+	e.Uint32(uint32(len(l.accepted)))
+	for _, each := range l.accepted {
 		e.Uint64(each.version)
 		e.Blob(each.body[:])
 	}
-	e.Uint32(uint32(len(l.refused)))
-	for _, each := range l.refused {
-		e.Uint64(each.order.Base)
-		e.Uint64(each.order.Version)
-		e.Blob(each.order.Body[:])
-		e.Uint32(uint32(each.answer))
+	e.Uint32(uint32(len(l.rejected)))
+	for _, each := range l.rejected {
+		e.Uint64(each.change.Base)
+		e.Uint64(each.change.Version)
+		e.Blob(each.change.Body[:])
+		e.Uint32(uint32(each.result))
 	}
 }
 
 const (
-	smallestTaken   = 8 + 4 + hashBytes
-	smallestRefusal = 8 + 8 + 4 + hashBytes + 4
+	minAcceptedBytes  = 8 + 4 + hashBytes
+	minRejectionBytes = 8 + 8 + 4 + hashBytes + 4
 )
 
 // Decode reads a log from a snapshot.
 func Decode(d *codec.Decoder) Log {
-	l := Log{forgotten: d.Uint64()}
-	for range d.Count(smallestTaken) {
-		each := taken{version: d.Uint64()}
+	l := Log{compacted: d.Uint64()}
+	for range d.Count(minAcceptedBytes) {
+		each := acceptedChange{version: d.Uint64()}
 		copy(each.body[:], d.Blob())
-		l.taken = append(l.taken, each)
+		l.accepted = append(l.accepted, each)
 	}
-	for range d.Count(smallestRefusal) {
-		each := refusal{order: Order{Base: d.Uint64(), Version: d.Uint64()}}
-		copy(each.order.Body[:], d.Blob())
-		each.answer = codes.Code(d.Uint32())
-		l.refused = append(l.refused, each)
+	for range d.Count(minRejectionBytes) {
+		each := rejection{change: Change{Base: d.Uint64(), Version: d.Uint64()}}
+		copy(each.change.Body[:], d.Blob())
+		each.result = codes.Code(d.Uint32())
+		l.rejected = append(l.rejected, each)
 	}
 	return l
 }
--- a/tier/configlog/configlog_test.go
+++ b/tier/configlog/configlog_test.go
@@ -18,7 +18,7 @@
 }
 
 func (c *configurations) send(base, version uint64, body string) codes.Code {
-	answer, fresh := c.log.Decide(Order{base, version, HashOf([]byte(body))}, c.current)
+	answer, fresh := c.log.Decide(Change{base, version, HashOf([]byte(body))}, c.current)
 	if fresh {
 		c.current = version
 	}
@@ -68,7 +68,7 @@
 
 // A day of 4,700 changes is known whole. Beyond what is kept an order gets no clear answer; it is never refused and changes nothing.
 func TestWhatIsForgottenIsNeverRefused(t *testing.T) {
-	const day, total = 4700, takenKept + 500
+	const day, total = 4700, maxAccepted + 500
 	c := &configurations{}
 	body := func(version uint64) string { return fmt.Sprint("body ", version) }
 	for version := uint64(1); version <= total; version++ {
@@ -78,7 +78,7 @@
 	}
 	for version := uint64(1); version <= total; version++ {
 		want := codes.OK
-		if version <= total-takenKept {
+		if version <= total-maxAccepted {
 			want = codes.ConfigForgotten
 		}
 		if got := c.send(version-1, version, body(version)); got != want {
@@ -91,7 +91,7 @@
 	if c.current != total {
 		t.Fatalf("%d is in place", c.current)
 	}
-	if size := len(c.log.encoded()); size > takenKept*(smallestTaken+1)+refusedKept*smallestRefusal {
+	if size := len(c.log.encoded()); size > maxAccepted*(minAcceptedBytes+1)+maxRejected*minRejectionBytes {
 		t.Fatalf("the log takes %d bytes", size)
 	}
 }
@@ -99,11 +99,11 @@
 func TestRefusalsAreBounded(t *testing.T) {
 	c := &configurations{}
 	c.send(0, 5, "five")
-	for i := range uint64(10 * refusedKept) {
+	for i := range uint64(10 * maxRejected) {
 		c.send(100+i, 200+i, "later")
 	}
-	if len(c.log.refused) != refusedKept {
-		t.Fatalf("%d refusals are kept", len(c.log.refused))
+	if len(c.log.rejected) != maxRejected {
+		t.Fatalf("%d refusals are kept", len(c.log.rejected))
 	}
 }
 
@@ -112,10 +112,10 @@
 func TestAnOrderAlwaysGetsItsFirstAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := &configurations{}
-		answers := map[Order]codes.Code{}
-		onTop := map[uint64]Order{}
+		answers := map[Change]codes.Code{}
+		onTop := map[uint64]Change{}
 		for range rapid.IntRange(1, 80).Draw(rt, "orders") {
-			order := Order{
+			order := Change{
 				Base:    rapid.Uint64Range(0, 8).Draw(rt, "base"),
 				Version: rapid.Uint64Range(1, 8).Draw(rt, "version"),
 				Body:    HashOf([]byte{rapid.ByteRange(0, 2).Draw(rt, "body")}),
--- a/tier/configlog/recorded_test.go
+++ b/tier/configlog/recorded_test.go
@@ -10,11 +10,11 @@
 
 func TestRecordedLog(t *testing.T) {
 	log := Log{
-		taken:     []taken{{version: 8, body: HashOf([]byte(`{"v":8}`))}, {version: 11, body: HashOf([]byte(`{"v":11}`))}},
-		forgotten: 7,
-		refused: []refusal{
-			{order: Order{Base: 5, Version: 9, Body: HashOf([]byte(`{"v":9}`))}, answer: codes.ConfigBase},
-			{order: Order{Base: 8, Version: 6, Body: HashOf([]byte(`{"v":6}`))}, answer: codes.ConfigInvalid},
+		accepted:  []acceptedChange{{version: 8, body: HashOf([]byte(`{"v":8}`))}, {version: 11, body: HashOf([]byte(`{"v":11}`))}},
+		compacted: 7,
+		rejected: []rejection{
+			{change: Change{Base: 5, Version: 9, Body: HashOf([]byte(`{"v":9}`))}, result: codes.ConfigBase},
+			{change: Change{Base: 8, Version: 6, Body: HashOf([]byte(`{"v":6}`))}, result: codes.ConfigInvalid},
 		},
 	}
 	encode := func(l Log) []byte {
--- a/tier/consensus/consensus.go
+++ b/tier/consensus/consensus.go
@@ -25,14 +25,14 @@
 	InSync    []uint64
 	Members   []Member
 	Previous  []Member // the members before a change that is not yet known by a majority of both
-	MinCopies int      // in-sync replicas without which nothing is committed
-	Learners  []Member // spares that hold a copy, or are getting one, and have no vote
-	// Installation is drawn when the register is founded and never changes.
-	Installation uint64
+	MinInSync int      `json:"MinCopies"` // in-sync replicas without which nothing is committed
+	Learners  []Member // spares that hold a replica, or are getting one, and have no vote
+	// ClusterID is drawn at bootstrap and never changes.
+	ClusterID uint64 `json:"Installation"`
 }
 
-// Known tells whether the register has been founded.
-func (r Record) Known() bool { return r.Epoch > 0 }
+// IsBootstrapped tells whether the register has been founded.
+func (r Record) IsBootstrapped() bool { return r.Epoch > 0 }
 
 // Voters are all whose votes may be needed.
 func (r Record) Voters() []Member {
@@ -45,8 +45,8 @@
 	return voters
 }
 
-// Holders are all that are to hold a copy, with a vote or without.
-func (r Record) Holders() []Member {
+// Replicas are all that are to hold a copy, with a vote or without.
+func (r Record) Replicas() []Member {
 	holders := append([]Member(nil), r.Members...)
 	for _, learner := range r.Learners {
 		if !HasMember(holders, learner.ID) {
@@ -108,30 +108,30 @@
 	return rest
 }
 
-// Ballot orders attempts to change the register.
-type Ballot struct {
+// Number orders attempts to change the register.
+type ProposalNumber struct {
 	Round    uint64
 	Proposer uint64
 }
 
 // Less tells whether b is the lower ballot.
-func (b Ballot) Less(other Ballot) bool {
+func (b ProposalNumber) Less(other ProposalNumber) bool {
 	if b.Round != other.Round {
 		return b.Round < other.Round
 	}
 	return b.Proposer < other.Proposer
 }
 
-// Witness is what one voter keeps, durably, before it answers.
-type Witness struct {
-	Promised Ballot
-	Accepted Ballot
+// Acceptor is what one voter keeps, durably, before it answers.
+type Acceptor struct {
+	Promised ProposalNumber
+	Accepted ProposalNumber
 	Value    Record
 }
 
 // Prepare promises not to accept lower ballots. It reports whether the promise was given; the witness's state must be
 // durable before it is told to anyone.
-func (w *Witness) Prepare(ballot Ballot) bool {
+func (w *Acceptor) Prepare(ballot ProposalNumber) bool {
 	if ballot.Less(w.Promised) {
 		return false
 	}
@@ -141,7 +141,7 @@
 
 // Accept takes a value unless a higher ballot has been promised. Under one ballot it takes one value only: a second one would
 // come from two proposals that used the ballot, and might replace what is decided.
-func (w *Witness) Accept(ballot Ballot, value Record) bool {
+func (w *Acceptor) Accept(ballot ProposalNumber, value Record) bool {
 	if ballot.Less(w.Promised) {
 		return false
 	}
@@ -154,12 +154,12 @@
 	return true
 }
 
-// Promise is a witness's answer to a prepare.
-type Promise struct {
-	Given    bool
-	Lost     bool // the witness's disk is provably lost: it votes never again, and what it promised is gone
-	Promised Ballot
-	Accepted Ballot
+// Response is a witness's answer to a prepare.
+type Response struct {
+	Granted  bool
+	DiskLost bool // the witness's disk is provably lost: it votes never again, and what it promised is gone
+	Promised ProposalNumber
+	Accepted ProposalNumber
 	Value    Record
 }
 
@@ -182,12 +182,12 @@
 	return Majority(record.Members, voted) && Majority(record.Previous, voted)
 }
 
-// Newest picks the value with the highest accepted ballot among promises, or the standard one if none was accepted.
-func Newest(promises map[uint64]Promise, standard Record) Record {
-	best := Ballot{}
+// HighestAccepted picks the value with the highest accepted ballot among promises, or the standard one if none was accepted.
+func HighestAccepted(promises map[uint64]Response, standard Record) Record {
+	best := ProposalNumber{}
 	value := standard
 	for _, promise := range promises {
-		if promise.Given && promise.Value.Known() && best.Less(promise.Accepted) {
+		if promise.Granted && promise.Value.IsBootstrapped() && best.Less(promise.Accepted) {
 			best = promise.Accepted
 			value = promise.Value
 		}
@@ -202,9 +202,9 @@
 	e.Uint64s(r.InSync)
 	encodeMembers(e, r.Members)
 	encodeMembers(e, r.Previous)
-	e.Uint32(uint32(r.MinCopies))
+	e.Uint32(uint32(r.MinInSync))
 	encodeMembers(e, r.Learners)
-	e.Uint64(r.Installation)
+	e.Uint64(r.ClusterID)
 }
 
 // DecodeRecord reads a record from a message.
@@ -215,10 +215,10 @@
 		InSync:    d.Uint64s(),
 		Members:   decodeMembers(d),
 		Previous:  decodeMembers(d),
-		MinCopies: int(d.Uint32()),
+		MinInSync: int(d.Uint32()),
 		Learners:  decodeMembers(d),
 
-		Installation: d.Uint64(),
+		ClusterID: d.Uint64(),
 	}
 }
 
@@ -231,42 +231,42 @@
 	}
 }
 
-const smallestMember = 8 + 4 + 4
+const minMemberBytes = 8 + 4 + 4
 
 func decodeMembers(d *codec.Decoder) []Member {
 	var members []Member
-	for range d.Count(smallestMember) {
+	for range d.Count(minMemberBytes) {
 		members = append(members, Member{ID: d.Uint64(), Address: d.String(), Node: d.String()})
 	}
 	return members
 }
 
-// EncodeBallot appends a ballot to a message.
-func EncodeBallot(e *codec.Encoder, b Ballot) {
+// EncodeProposalNumber appends a ballot to a message.
+func EncodeProposalNumber(e *codec.Encoder, b ProposalNumber) {
 	e.Uint64(b.Round)
 	e.Uint64(b.Proposer)
 }
 
-// DecodeBallot reads a ballot from a message.
-func DecodeBallot(d *codec.Decoder) Ballot {
-	return Ballot{Round: d.Uint64(), Proposer: d.Uint64()}
+// DecodeProposalNumber reads a ballot from a message.
+func DecodeProposalNumber(d *codec.Decoder) ProposalNumber {
+	return ProposalNumber{Round: d.Uint64(), Proposer: d.Uint64()}
 }
 
 // Encode is the witness's durable form.
-func (w *Witness) Encode() []byte {
+func (w *Acceptor) Encode() []byte {
 	var e codec.Encoder
-	EncodeBallot(&e, w.Promised)
-	EncodeBallot(&e, w.Accepted)
+	EncodeProposalNumber(&e, w.Promised)
+	EncodeProposalNumber(&e, w.Accepted)
 	EncodeRecord(&e, w.Value)
 	return e.Bytes
 }
 
-// DecodeWitness reads a witness's durable form.
-func DecodeWitness(content []byte) (Witness, error) {
+// DecodeAcceptor reads a witness's durable form.
+func DecodeAcceptor(content []byte) (Acceptor, error) {
 	d := codec.NewDecoder(content)
-	w := Witness{Promised: DecodeBallot(d), Accepted: DecodeBallot(d), Value: DecodeRecord(d)}
+	w := Acceptor{Promised: DecodeProposalNumber(d), Accepted: DecodeProposalNumber(d), Value: DecodeRecord(d)}
 	if d.Err() != nil {
-		return Witness{}, codes.Malformed
+		return Acceptor{}, codes.Malformed
 	}
 	return w, nil
 }
--- a/tier/consensus/consensus_test.go
+++ b/tier/consensus/consensus_test.go
@@ -16,46 +16,46 @@
 type cluster struct {
 	mu        sync.Mutex
 	random    *rand.Rand
-	witnesses map[uint64]*Witness
+	witnesses map[uint64]*Acceptor
 	loss      float64 // share of calls whose request or answer is lost
 	dieAfter  int     // calls until the proposer dies; below 0 for never
 }
 
-func (c *cluster) reach(id uint64, act func(*Witness) bool) (Promise, error) {
+func (c *cluster) reach(id uint64, act func(*Acceptor) bool) (Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dieAfter == 0 {
-		return Promise{}, errUnreachable
+		return Response{}, errUnreachable
 	}
 	c.dieAfter--
 	witness := c.witnesses[id]
 	if witness == nil || c.random.Float64() < c.loss {
-		return Promise{}, errUnreachable
+		return Response{}, errUnreachable
 	}
 	given := act(witness)
 	if c.random.Float64() < c.loss {
-		return Promise{}, errUnreachable
+		return Response{}, errUnreachable
 	}
-	return Promise{Given: given, Promised: witness.Promised, Accepted: witness.Accepted, Value: witness.Value}, nil
+	return Response{Granted: given, Promised: witness.Promised, Accepted: witness.Accepted, Value: witness.Value}, nil
 }
 
-func (c *cluster) Prepare(_ context.Context, to Member, ballot Ballot) (Promise, error) {
-	return c.reach(to.ID, func(w *Witness) bool { return w.Prepare(ballot) })
+func (c *cluster) Prepare(_ context.Context, to Member, ballot ProposalNumber) (Response, error) {
+	return c.reach(to.ID, func(w *Acceptor) bool { return w.Prepare(ballot) })
 }
 
-func (c *cluster) Accept(_ context.Context, to Member, ballot Ballot, value Record) (Promise, error) {
-	return c.reach(to.ID, func(w *Witness) bool { return w.Accept(ballot, value) })
+func (c *cluster) Accept(_ context.Context, to Member, ballot ProposalNumber, value Record) (Response, error) {
+	return c.reach(to.ID, func(w *Acceptor) bool { return w.Accept(ballot, value) })
 }
 
 // set puts a witness in place, or takes it away; calls of an earlier proposal may still be under way.
-func (c *cluster) set(id uint64, witness *Witness) {
+func (c *cluster) set(id uint64, witness *Acceptor) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.witnesses[id] = witness
 }
 
 // get copies a witness.
-func (c *cluster) get(id uint64) Witness {
+func (c *cluster) get(id uint64) Acceptor {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *c.witnesses[id]
@@ -70,10 +70,10 @@
 }
 
 func newCluster(seed int64, members int) (*cluster, Record) {
-	c := &cluster{random: rand.New(rand.NewSource(seed)), witnesses: map[uint64]*Witness{}, dieAfter: -1}
+	c := &cluster{random: rand.New(rand.NewSource(seed)), witnesses: map[uint64]*Acceptor{}, dieAfter: -1}
 	var list []Member
 	for id := uint64(1); id <= uint64(members); id++ {
-		c.witnesses[id] = &Witness{}
+		c.witnesses[id] = &Acceptor{}
 		list = append(list, Member{ID: id})
 	}
 	return c, Record{Members: list}
@@ -99,12 +99,12 @@
 }
 
 // firstLife are the rounds of a proposer that never restarts.
-func firstLife() *Rounds { return NewRounds(0, func(uint64) error { return nil }) }
+func firstLife() *RoundAllocator { return NewRoundAllocator(0, func(uint64) error { return nil }) }
 
 // proposers are the rounds of several proposers.
-type proposers map[uint64]*Rounds
+type proposers map[uint64]*RoundAllocator
 
-func (p proposers) of(id uint64) *Rounds {
+func (p proposers) of(id uint64) *RoundAllocator {
 	if p[id] == nil {
 		p[id] = firstLife()
 	}
@@ -135,11 +135,11 @@
 		for mark := range uint64(rapid.IntRange(1, 30).Draw(rt, "proposals")) {
 			c.trouble(rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss"), rapid.IntRange(-1, 12).Draw(rt, "calls before death"))
 			remove, add := uint64(0), uint64(0)
-			if decided.Known() && rapid.IntRange(0, 3).Draw(rt, "change members") == 0 {
+			if decided.IsBootstrapped() && rapid.IntRange(0, 3).Draw(rt, "change members") == 0 {
 				remove = rapid.SampledFrom(decided.Members).Draw(rt, "removed").ID
 				add = nextID
 				nextID++
-				c.set(add, &Witness{})
+				c.set(add, &Acceptor{})
 			}
 			proposer := uint64(rapid.IntRange(1, 3).Draw(rt, "proposer"))
 			from := known
@@ -170,10 +170,10 @@
 			c.trouble([]float64{0, 0.05, 0.2}[random.Intn(3)], random.Intn(18)-2)
 			newest := records[len(records)-1]
 			remove, add := uint64(0), uint64(0)
-			if newest.Known() && random.Intn(2) == 0 {
+			if newest.IsBootstrapped() && random.Intn(2) == 0 {
 				remove = newest.Members[random.Intn(len(newest.Members))].ID
 				add = 100 + mark
-				c.set(add, &Witness{})
+				c.set(add, &Acceptor{})
 			}
 			proposer := uint64(1 + random.Intn(3))
 			from := records[max(0, len(records)-1-random.Intn(3))]
@@ -207,12 +207,12 @@
 		t.Fatal(err)
 	}
 	c.set(3, nil)
-	c.set(4, &Witness{})
+	c.set(4, &Acceptor{})
 	c.set(2, nil)
 	if _, err := Propose(context.Background(), c, 1, rounds, first, addMark(2, 0, 0)); err == nil {
 		t.Fatal("decided with one witness and an empty one")
 	}
-	c.set(2, &Witness{Promised: c.get(1).Promised, Accepted: c.get(1).Accepted, Value: first})
+	c.set(2, &Acceptor{Promised: c.get(1).Promised, Accepted: c.get(1).Accepted, Value: first})
 	replaced, err := Propose(context.Background(), c, 1, rounds, first, addMark(2, 3, 4))
 	if err != nil || !HasMember(replaced.Members, 4) || HasMember(replaced.Members, 3) {
 		t.Fatalf("replacing the lost member gave %+v, %v", replaced, err)
@@ -223,32 +223,32 @@
 }
 
 func TestWitnessRefusesLowerBallots(t *testing.T) {
-	var w Witness
-	if !w.Prepare(Ballot{Round: 5, Proposer: 1}) || w.Prepare(Ballot{Round: 4, Proposer: 9}) {
+	var w Acceptor
+	if !w.Prepare(ProposalNumber{Round: 5, Proposer: 1}) || w.Prepare(ProposalNumber{Round: 4, Proposer: 9}) {
 		t.Fatal("a lower ballot was promised")
 	}
-	if w.Accept(Ballot{Round: 4, Proposer: 9}, Record{Epoch: 1}) {
+	if w.Accept(ProposalNumber{Round: 4, Proposer: 9}, Record{Epoch: 1}) {
 		t.Fatal("a lower ballot was accepted")
 	}
-	if !w.Accept(Ballot{Round: 5, Proposer: 1}, Record{Epoch: 1}) {
+	if !w.Accept(ProposalNumber{Round: 5, Proposer: 1}, Record{Epoch: 1}) {
 		t.Fatal("the promised ballot was not accepted")
 	}
 }
 
 func TestWitnessSurvivesItsEncoding(t *testing.T) {
-	w := Witness{
-		Promised: Ballot{9, 2}, Accepted: Ballot{8, 1},
+	w := Acceptor{
+		Promised: ProposalNumber{9, 2}, Accepted: ProposalNumber{8, 1},
 		Value: Record{
 			Epoch: 4, Primary: 2, InSync: []uint64{2, 3}, Members: []Member{{2, "a", "core-a"}, {3, "b", "core-b"}},
-			Previous: []Member{{1, "c", "core-c"}}, MinCopies: 2, Learners: []Member{{4, "d", "core-d"}},
+			Previous: []Member{{1, "c", "core-c"}}, MinInSync: 2, Learners: []Member{{4, "d", "core-d"}},
 		},
 	}
-	again, err := DecodeWitness(w.Encode())
-	if err != nil || again.Value.Epoch != 4 || len(again.Value.Previous) != 1 || again.Value.Members[1] != w.Value.Members[1] || again.Value.MinCopies != 2 || len(again.Value.Learners) != 1 || again.Promised != w.Promised {
+	again, err := DecodeAcceptor(w.Encode())
+	if err != nil || again.Value.Epoch != 4 || len(again.Value.Previous) != 1 || again.Value.Members[1] != w.Value.Members[1] || again.Value.MinInSync != 2 || len(again.Value.Learners) != 1 || again.Promised != w.Promised {
 		t.Fatalf("read %+v, %v", again, err)
 	}
 	for cut := range w.Encode() {
-		if _, err := DecodeWitness(w.Encode()[:cut]); err == nil {
+		if _, err := DecodeAcceptor(w.Encode()[:cut]); err == nil {
 			t.Fatalf("%d bytes were taken for a witness", cut)
 		}
 	}
--- a/tier/consensus/explore_test.go
+++ b/tier/consensus/explore_test.go
@@ -74,7 +74,7 @@
 
 // exploredWitnessState is a witness in memory and on disk.
 type exploredWitnessState struct {
-	memory, disk Witness
+	memory, disk Acceptor
 	hash         uint64
 }
 
@@ -94,13 +94,13 @@
 	return xxhash.Sum64(e.Bytes)
 }
 
-func encodePromises(e *codec.Encoder, promises map[uint64]Promise) {
+func encodePromises(e *codec.Encoder, promises map[uint64]Response) {
 	for id := uint64(1); id <= exploredWitness; id++ {
 		promise, found := promises[id]
 		e.Bool(found)
 		if found {
-			e.Bool(promise.Given)
-			EncodeBallot(e, promise.Accepted)
+			e.Bool(promise.Granted)
+			EncodeProposalNumber(e, promise.Accepted)
 			EncodeRecord(e, promise.Value)
 		}
 	}
@@ -115,10 +115,10 @@
 		if p.proposal == nil {
 			return
 		}
-		EncodeBallot(e, p.proposal.ballot)
+		EncodeProposalNumber(e, p.proposal.number)
 		e.Uint8(uint8(p.proposal.phase))
-		e.Bool(p.proposal.confirms)
-		e.Uint64(p.proposal.promised)
+		e.Bool(p.proposal.onlyConfirms)
+		e.Uint64(p.proposal.highestRound)
 		EncodeRecord(e, p.proposal.start)
 		EncodeRecord(e, p.proposal.next)
 		EncodeRecord(e, p.proposal.current)
@@ -174,7 +174,7 @@
 	for i := range s.witnesses {
 		w := &exploredWitnessState{}
 		if i < exploredMembers {
-			w.memory = Witness{Promised: Ballot{1, 9}, Accepted: Ballot{1, 9}, Value: start}
+			w.memory = Acceptor{Promised: ProposalNumber{1, 9}, Accepted: ProposalNumber{1, 9}, Value: start}
 			w.disk = w.memory
 		}
 		s.witnesses[i] = w.sealed()
@@ -201,7 +201,7 @@
 		if p.proposal == nil && p.attempts < x.world.attempts[i] {
 			next = append(next, x.begin(s, i))
 		}
-		if p.proposal != nil && (!x.world.narrow || i == 0 || p.proposal.phase == PhaseWriting) {
+		if p.proposal != nil && (!x.world.narrow || i == 0 || p.proposal.phase == PhaseAccept) {
 			next = append(next, x.giveUp(s, i))
 		}
 		if p.life == 0 && x.world.restarts[i] {
@@ -231,7 +231,7 @@
 func (x *explorer) begin(s *exploredState, i int) *exploredState {
 	after := *s
 	p := *s.proposers[i]
-	rounds := &Rounds{last: p.last, limit: p.limit, reserve: func(limit uint64) error {
+	rounds := &RoundAllocator{last: p.last, limit: p.limit, reserve: func(limit uint64) error {
 		p.disk = limit
 		return nil
 	}}
@@ -247,7 +247,7 @@
 	if accepted := s.witnesses[i].memory.Value; accepted.Epoch > start.Epoch {
 		start = accepted
 	}
-	p.proposal = NewProposal(Ballot{round, uint64(i + 1)}, start, p.confirmed, x.change(i, p.life))
+	p.proposal = NewProposal(ProposalNumber{round, uint64(i + 1)}, start, p.confirmed, x.change(i, p.life))
 	p.proposal.rules = x.faults.rules
 	after.send(i, p.before+p.attempts-1, p.proposal.Begin())
 	after.proposers[i] = p.sealed()
@@ -263,7 +263,7 @@
 		hash := hashOf(func(e *codec.Encoder) {
 			e.Uint8(uint8(request.Kind))
 			e.Uint64(request.To.ID)
-			EncodeBallot(e, request.Ballot)
+			EncodeProposalNumber(e, request.Number)
 			EncodeRecord(e, request.Value)
 		})
 		s.sent = append(s.sent, sentRequest{proposer, attempt, request, hash})
@@ -310,7 +310,7 @@
 		lost = &after
 	}
 	p := s.proposers[sent.proposer]
-	if p.proposal == nil || p.proposal.ballot != sent.request.Ballot || !p.proposal.waitsFor(sent.request.Kind, sent.request.To.ID) {
+	if p.proposal == nil || p.proposal.number != sent.request.Number || !p.proposal.isAwaiting(sent.request.Kind, sent.request.To.ID) {
 		return lost, nil
 	}
 	if x.world.narrow {
@@ -325,7 +325,7 @@
 // voted is a witness after a request, with its answer.
 type voted struct {
 	witness *exploredWitnessState
-	promise Promise
+	promise Response
 }
 
 func (x *explorer) vote(before *exploredWitnessState, sent sentRequest) voted {
@@ -338,26 +338,26 @@
 	if !x.faults.unsynced {
 		w.disk = w.memory
 	}
-	promise := Promise{Given: given, Promised: w.memory.Promised, Accepted: w.memory.Accepted, Value: w.memory.Value}
+	promise := Response{Granted: given, Promised: w.memory.Promised, Accepted: w.memory.Accepted, Value: w.memory.Value}
 	if x.faults.hidesValue {
-		promise.Accepted, promise.Value = Ballot{}, Record{}
+		promise.Accepted, promise.Value = ProposalNumber{}, Record{}
 	}
 	result := voted{w.sealed(), promise}
 	x.votes[key] = result
 	return result
 }
 
-func (x *explorer) voteOnce(w *Witness, request Request) bool {
+func (x *explorer) voteOnce(w *Acceptor, request Request) bool {
 	if request.Kind == RequestPrepare {
-		return w.Prepare(request.Ballot)
+		return w.Prepare(request.Number)
 	}
 	if x.faults.acceptsBelow {
-		w.Promised = Ballot{}
+		w.Promised = ProposalNumber{}
 	}
-	if x.faults.secondValue && w.Accepted == request.Ballot {
-		w.Accepted = Ballot{}
+	if x.faults.secondValue && w.Accepted == request.Number {
+		w.Accepted = ProposalNumber{}
 	}
-	return w.Accept(request.Ballot, request.Value)
+	return w.Accept(request.Number, request.Value)
 }
 
 // answerKey names what a proposer's reaction to an answer depends on.
@@ -376,7 +376,7 @@
 
 func (x *explorer) answer(s *exploredState, sent sentRequest, vote voted) *exploredState {
 	p := s.proposers[sent.proposer]
-	key := answerKey{p.hash, sent.hash, vote.witness.hash, vote.promise.Given}
+	key := answerKey{p.hash, sent.hash, vote.witness.hash, vote.promise.Granted}
 	result, found := x.reactions[key]
 	if !found {
 		result = react(p, sent, vote.promise)
@@ -391,7 +391,7 @@
 	return &after
 }
 
-func react(before *exploredProposer, sent sentRequest, promise Promise) reaction {
+func react(before *exploredProposer, sent sentRequest, promise Response) reaction {
 	p := *before
 	proposal := *p.proposal
 	proposal.asked = maps.Clone(proposal.asked)
@@ -497,10 +497,10 @@
 	half := func(record Record, voted map[uint64]bool) bool {
 		return halfOf(record.Members, voted) && halfOf(record.Previous, voted)
 	}
-	lowest := func(promises map[uint64]Promise, standard Record) Record {
-		best, value := Ballot{Round: ^uint64(0)}, standard
+	lowest := func(promises map[uint64]Response, standard Record) Record {
+		best, value := ProposalNumber{Round: ^uint64(0)}, standard
 		for _, promise := range promises {
-			if promise.Given && promise.Value.Known() && promise.Accepted.Less(best) {
+			if promise.Granted && promise.Value.IsBootstrapped() && promise.Accepted.Less(best) {
 				best, value = promise.Accepted, promise.Value
 			}
 		}
@@ -516,12 +516,12 @@
 		{"a witness accepts below its promise", func(f *faults) { f.acceptsBelow = true }, onceEach},
 		{"a witness hides what it accepted", func(f *faults) { f.hidesValue = true }, onceEach},
 		{"half of the members are a quorum", func(f *faults) { f.rules.quorum = half }, wholeWorld(false)},
-		{"the lowest ballot's value is taken", func(f *faults) { f.rules.newest = lowest }, onceEach},
+		{"the lowest ballot's value is taken", func(f *faults) { f.rules.highestAccepted = lowest }, onceEach},
 		{"a pending change of members is forgotten", func(f *faults) {
-			f.rules.pending = func(Record, Record) []Member { return nil }
+			f.rules.previousMembers = func(Record, Record) []Member { return nil }
 		}, memberWorld},
 		{"an undecided change of members is followed", func(f *faults) {
-			f.rules.settled = func(Record, Record) bool { return true }
+			f.rules.mayBeFollowed = func(Record, Record) bool { return true }
 		}, memberWorld},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/tier/consensus/own.go
+++ b/tier/consensus/idempotent_change.go
@@ -1,33 +1,33 @@
 package consensus
 
-// OwnChange is a change of the register that one process wants, over all proposals that it takes. A proposal may meet the value of an
+// IdempotentChange is a change of the register that one process wants, over all proposals that it takes. A proposal may meet the value of an
 // earlier one, which has reached some witnesses; it is then decided as it stands, and the change is the process's own all the same.
-type OwnChange struct {
+type IdempotentChange struct {
 	// Change returns the record that is wanted in place of the current one, or false if none is.
 	Change func(current Record) (Record, bool)
 
-	made []Record // by earlier proposals
-	took bool
+	proposed []Record // by earlier proposals
+	applied  bool
 }
 
-// Next is the change as a proposal asks for it.
-func (c *OwnChange) Next(current Record, _ map[uint64]bool) (Record, bool) {
-	for _, made := range c.made {
+// Apply is the change as a proposal asks for it.
+func (c *IdempotentChange) Apply(current Record, _ map[uint64]bool) (Record, bool) {
+	for _, made := range c.proposed {
 		if made.withoutPrevious().Equal(current.withoutPrevious()) {
-			c.took = true
+			c.applied = true
 			return current, false
 		}
 	}
 	next, wanted := c.Change(current)
-	c.took = wanted
+	c.applied = wanted
 	if wanted {
-		c.made = append(c.made, next)
+		c.proposed = append(c.proposed, next)
 	}
 	return next, wanted
 }
 
-// Took tells whether the value of the newest proposal is that of this change.
-func (c *OwnChange) Took() bool { return c.took }
+// Applied tells whether the value of the newest proposal is that of this change.
+func (c *IdempotentChange) Applied() bool { return c.applied }
 
 // withoutPrevious is a record without the note that its members were changed, which each writing of it may set anew.
 func (r Record) withoutPrevious() Record {
--- a/tier/consensus/lost.go
+++ b/tier/consensus/lost_disks.go
@@ -1,13 +1,13 @@
 package consensus
 
-// QuorumWithLost tells whether the voters decide for a record where the disks of some members are provably lost. Half of an even
+// QuorumWithLostDisks tells whether the voters decide for a record where the disks of some members are provably lost. Half of an even
 // number may be lost if all others vote: every majority that decided something before holds one of these others, and all of them
 // are asked. Where more are lost, a decision may be lost with them.
-func QuorumWithLost(record Record, voted, lost map[uint64]bool) bool {
-	return majorityWithLost(record.Members, voted, lost) && majorityWithLost(record.Previous, voted, lost)
+func QuorumWithLostDisks(record Record, voted, lost map[uint64]bool) bool {
+	return majorityWithLostDisks(record.Members, voted, lost) && majorityWithLostDisks(record.Previous, voted, lost)
 }
 
-func majorityWithLost(members []Member, voted, lost map[uint64]bool) bool {
+func majorityWithLostDisks(members []Member, voted, lost map[uint64]bool) bool {
 	if Majority(members, voted) {
 		return true
 	}
--- a/tier/consensus/lost_test.go
+++ b/tier/consensus/lost_disks_test.go
@@ -36,7 +36,7 @@
 		{"during a change, the old ones silent", group(1, 7), group(1, 2), marked(1, 7), nil, false},
 	}
 	for _, c := range cases {
-		if got := QuorumWithLost(Record{Members: c.members, Previous: c.prev}, c.voted, c.lost); got != c.want {
+		if got := QuorumWithLostDisks(Record{Members: c.members, Previous: c.prev}, c.voted, c.lost); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -52,19 +52,19 @@
 // Of two members one lost its disk: the other decides alone, on what both had decided before.
 func TestOneOfTwoDecidesWhenTheOtherDiskIsLost(t *testing.T) {
 	both := Record{Epoch: 4, Members: []Member{{ID: 1}, {ID: 2}}}
-	held := Promise{Given: true, Accepted: Ballot{Round: 3, Proposer: 2}, Value: both}
-	p := NewProposal(Ballot{Round: 9, Proposer: 1}, both, Record{}, raiseEpoch)
+	held := Response{Granted: true, Accepted: ProposalNumber{Round: 3, Proposer: 2}, Value: both}
+	p := NewProposal(ProposalNumber{Round: 9, Proposer: 1}, both, Record{}, raiseEpoch)
 	p.Begin()
 	p.Answer(RequestPrepare, 1, held)
-	if p.Phase() != PhaseReading {
+	if p.Phase() != PhasePrepare {
 		t.Fatalf("phase %d after one of two votes", p.Phase())
 	}
-	p.Answer(RequestPrepare, 2, Promise{Lost: true})
-	if p.Phase() != PhaseWriting {
+	p.Answer(RequestPrepare, 2, Response{DiskLost: true})
+	if p.Phase() != PhaseAccept {
 		t.Fatalf("phase %d though the other disk is lost", p.Phase())
 	}
-	p.Answer(RequestAccept, 1, Promise{Given: true})
-	p.Answer(RequestAccept, 2, Promise{Lost: true})
+	p.Answer(RequestAccept, 1, Response{Granted: true})
+	p.Answer(RequestAccept, 2, Response{DiskLost: true})
 	if p.Phase() != PhaseDecided || p.Decided().Epoch != 5 {
 		t.Fatalf("phase %d, decided %+v", p.Phase(), p.Decided())
 	}
@@ -73,9 +73,9 @@
 // A member that is merely not reached may have voted for something else: nothing is decided without it.
 func TestOneOfTwoDecidesNothingWhileTheOtherIsSilent(t *testing.T) {
 	both := Record{Epoch: 4, Members: []Member{{ID: 1}, {ID: 2}}}
-	p := NewProposal(Ballot{Round: 9, Proposer: 1}, both, Record{}, raiseEpoch)
+	p := NewProposal(ProposalNumber{Round: 9, Proposer: 1}, both, Record{}, raiseEpoch)
 	p.Begin()
-	p.Answer(RequestPrepare, 1, Promise{Given: true, Accepted: Ballot{Round: 3, Proposer: 2}, Value: both})
+	p.Answer(RequestPrepare, 1, Response{Granted: true, Accepted: ProposalNumber{Round: 3, Proposer: 2}, Value: both})
 	p.Fail(RequestPrepare, 2)
 	if p.Phase() != PhaseFailed {
 		t.Fatalf("phase %d", p.Phase())
@@ -85,11 +85,11 @@
 // Two of three lost may have decided without the third.
 func TestOneOfThreeDecidesNothingThoughTheOthersAreLost(t *testing.T) {
 	three := Record{Epoch: 4, Members: []Member{{ID: 1}, {ID: 2}, {ID: 3}}}
-	p := NewProposal(Ballot{Round: 9, Proposer: 1}, three, Record{}, raiseEpoch)
+	p := NewProposal(ProposalNumber{Round: 9, Proposer: 1}, three, Record{}, raiseEpoch)
 	p.Begin()
-	p.Answer(RequestPrepare, 1, Promise{Given: true, Accepted: Ballot{Round: 3, Proposer: 2}, Value: three})
-	p.Answer(RequestPrepare, 2, Promise{Lost: true})
-	p.Answer(RequestPrepare, 3, Promise{Lost: true})
+	p.Answer(RequestPrepare, 1, Response{Granted: true, Accepted: ProposalNumber{Round: 3, Proposer: 2}, Value: three})
+	p.Answer(RequestPrepare, 2, Response{DiskLost: true})
+	p.Answer(RequestPrepare, 3, Response{DiskLost: true})
 	if p.Phase() != PhaseFailed {
 		t.Fatalf("phase %d", p.Phase())
 	}
--- a/tier/consensus/proposal.go
+++ b/tier/consensus/proposal.go
@@ -13,7 +13,7 @@
 type Request struct {
 	Kind   RequestKind
 	To     Member
-	Ballot Ballot
+	Number ProposalNumber
 	Value  Record // of an accept
 }
 
@@ -22,54 +22,54 @@
 
 // The phases of a proposal.
 const (
-	PhaseReading Phase = iota // collecting promises
-	PhaseWriting              // collecting accepts
+	PhasePrepare Phase = iota // collecting promises
+	PhaseAccept               // collecting accepts
 	PhaseDecided              // a quorum accepted the value
 	PhaseFailed               // no quorum can be reached; the value may or may not be decided later
 )
 
 // rules are the decisions of a proposal that tests replace by wrong ones, to see that wrong ones are found.
 type rules struct {
-	quorum  func(record Record, voted map[uint64]bool) bool
-	newest  func(promises map[uint64]Promise, standard Record) Record
-	pending func(current, next Record) []Member
-	settled func(current, confirmed Record) bool
+	quorum          func(record Record, voted map[uint64]bool) bool
+	highestAccepted func(promises map[uint64]Response, standard Record) Record
+	previousMembers func(current, next Record) []Member
+	mayBeFollowed   func(current, confirmed Record) bool
 }
 
-var standardRules = rules{quorum: Quorum, newest: Newest, pending: pending, settled: settled}
+var standardRules = rules{quorum: Quorum, highestAccepted: HighestAccepted, previousMembers: previousMembers, mayBeFollowed: mayBeFollowed}
 
-// settled tells whether a record may be followed by another. One that changed the members has to be decided before: a majority
+// mayBeFollowed tells whether a record may be followed by another. One that changed the members has to be decided before: a majority
 // of the old members must know the new ones, or a reader that begins at a follower would pass the old ones by.
-func settled(current, confirmed Record) bool {
+func mayBeFollowed(current, confirmed Record) bool {
 	return len(current.Previous) == 0 || current.Equal(confirmed)
 }
 
 // Proposal is one attempt to change the register under one ballot. It is pure: it returns the requests to send and takes the
 // answers, in any order. A ballot is used by one proposal only.
 type Proposal struct {
-	ballot    Ballot
+	number    ProposalNumber
 	start     Record
 	confirmed Record // a record known to be decided
 	change    Change
 	rules     rules
-	least     int // votes without which nothing is decided, whatever the record says
+	minVotes  int // votes without which nothing is decided, whatever the record says
 
-	phase    Phase
-	asked    map[uint64]bool    // in the present phase
-	answers  map[uint64]Promise // of the present phase
-	failed   map[uint64]bool    // members of the present phase from which no answer will come
-	current  Record             // what was read
-	next     Record             // what is written
-	confirms bool               // next is the current record, so that it is decided before it is followed
-	promised uint64             // the highest round that an answer named
+	phase        Phase
+	asked        map[uint64]bool     // in the present phase
+	answers      map[uint64]Response // of the present phase
+	failed       map[uint64]bool     // members of the present phase from which no answer will come
+	current      Record              // what was read
+	next         Record              // what is written
+	onlyConfirms bool                // next is the current record, so that it is decided before it is followed
+	highestRound uint64              // the highest round that an answer named
 }
 
 // NewProposal makes a proposal. start is the newest record known, which names the witnesses to begin with. confirmed is the record
 // that an earlier proposal of the same change confirmed, if any.
-func NewProposal(ballot Ballot, start, confirmed Record, change Change) *Proposal {
+func NewProposal(ballot ProposalNumber, start, confirmed Record, change Change) *Proposal {
 	return &Proposal{
-		ballot: ballot, start: start, current: start, confirmed: confirmed, change: change, rules: standardRules,
-		asked: map[uint64]bool{}, answers: map[uint64]Promise{}, failed: map[uint64]bool{},
+		number: ballot, start: start, current: start, confirmed: confirmed, change: change, rules: standardRules,
+		asked: map[uint64]bool{}, answers: map[uint64]Response{}, failed: map[uint64]bool{},
 	}
 }
 
@@ -80,13 +80,13 @@
 func (p *Proposal) Decided() Record { return p.next }
 
 // OnlyConfirmed tells, in PhaseDecided, that the current record was decided as it stood and that the change has yet to be made.
-func (p *Proposal) OnlyConfirmed() bool { return p.confirms }
+func (p *Proposal) OnlyConfirmed() bool { return p.onlyConfirms }
 
-// Newest is the newest record that the proposal has read so far.
+// HighestAccepted is the newest record that the proposal has read so far.
 func (p *Proposal) Newest() Record { return p.current }
 
 // HighestRound is the highest round that a witness named.
-func (p *Proposal) HighestRound() uint64 { return p.promised }
+func (p *Proposal) HighestRound() uint64 { return p.highestRound }
 
 // Begin returns the first requests. A start that names no witness can decide nothing.
 func (p *Proposal) Begin() []Request {
@@ -94,14 +94,14 @@
 		p.phase = PhaseFailed
 		return nil
 	}
-	return p.ask(RequestPrepare, p.start.Voters(), Record{})
+	return p.requestsFor(RequestPrepare, p.start.Voters(), Record{})
 }
 
 // Answer takes a witness's answer to a request of the kind and returns further requests. Answers of an earlier phase change
 // nothing.
-func (p *Proposal) Answer(kind RequestKind, from uint64, answer Promise) []Request {
-	p.promised = max(p.promised, answer.Promised.Round)
-	if !p.waitsFor(kind, from) {
+func (p *Proposal) Answer(kind RequestKind, from uint64, answer Response) []Request {
+	p.highestRound = max(p.highestRound, answer.Promised.Round)
+	if !p.isAwaiting(kind, from) {
 		return nil
 	}
 	p.answers[from] = answer
@@ -110,70 +110,70 @@
 
 // Fail notes that no answer to a request will come, and returns further requests.
 func (p *Proposal) Fail(kind RequestKind, from uint64) []Request {
-	if !p.waitsFor(kind, from) {
+	if !p.isAwaiting(kind, from) {
 		return nil
 	}
 	p.failed[from] = true
 	return p.advance()
 }
 
-func (p *Proposal) waitsFor(kind RequestKind, from uint64) bool {
-	expected := p.phase == PhaseReading && kind == RequestPrepare || p.phase == PhaseWriting && kind == RequestAccept
+func (p *Proposal) isAwaiting(kind RequestKind, from uint64) bool {
+	expected := p.phase == PhasePrepare && kind == RequestPrepare || p.phase == PhaseAccept && kind == RequestAccept
 	_, answered := p.answers[from]
 	return expected && p.asked[from] && !answered && !p.failed[from]
 }
 
 func (p *Proposal) advance() []Request {
-	if p.phase == PhaseReading {
-		return p.read()
+	if p.phase == PhasePrepare {
+		return p.evaluatePromises()
 	}
-	p.write()
+	p.evaluateAccepts()
 	return nil
 }
 
-// read looks whether the promises are a quorum of the start and of the newest record among them. Members that a newer record
+// evaluatePromises looks whether the promises are a quorum of the start and of the newest record among them. Members that a newer record
 // names are asked besides.
-func (p *Proposal) read() []Request {
-	p.current = p.rules.newest(p.answers, p.start)
-	voted := given(p.answers)
+func (p *Proposal) evaluatePromises() []Request {
+	p.current = p.rules.highestAccepted(p.answers, p.start)
+	voted := granted(p.answers)
 	if p.decides(p.start, voted) && p.decides(p.current, voted) {
-		return p.beginWriting(voted)
+		return p.beginAccept(voted)
 	}
-	more := p.ask(RequestPrepare, p.current.Voters(), Record{})
-	if possible := p.possible(); !p.mayDecide(p.start, possible) || !p.mayDecide(p.current, possible) {
+	more := p.requestsFor(RequestPrepare, p.current.Voters(), Record{})
+	if possible := p.possibleVotes(); !p.mayDecide(p.start, possible) || !p.mayDecide(p.current, possible) {
 		p.phase = PhaseFailed
 		return nil
 	}
 	return more
 }
 
-// beginWriting decides the next value and has it accepted by a quorum of the record that it replaces and by one of its own.
-func (p *Proposal) beginWriting(voted map[uint64]bool) []Request {
-	p.next = p.following(voted)
-	p.phase = PhaseWriting
+// beginAccept decides the next value and has it accepted by a quorum of the record that it replaces and by one of its own.
+func (p *Proposal) beginAccept(voted map[uint64]bool) []Request {
+	p.next = p.nextValue(voted)
+	p.phase = PhaseAccept
 	p.asked = map[uint64]bool{}
-	p.answers = map[uint64]Promise{}
+	p.answers = map[uint64]Response{}
 	p.failed = map[uint64]bool{}
 	both := Record{Members: p.current.Voters(), Previous: p.next.Voters()}
-	return p.ask(RequestAccept, both.Voters(), p.next)
+	return p.requestsFor(RequestAccept, both.Voters(), p.next)
 }
 
-// following is the value to write after the current one.
-func (p *Proposal) following(voted map[uint64]bool) Record {
-	if p.confirms = !p.rules.settled(p.current, p.confirmed); p.confirms {
+// nextValue is the value to write after the current one.
+func (p *Proposal) nextValue(voted map[uint64]bool) Record {
+	if p.onlyConfirms = !p.rules.mayBeFollowed(p.current, p.confirmed); p.onlyConfirms {
 		return p.current
 	}
 	next, wanted := p.change(p.current, voted)
 	if !wanted {
 		next = p.current
 	}
-	next.Previous = p.rules.pending(p.current, next)
+	next.Previous = p.rules.previousMembers(p.current, next)
 	return next
 }
 
-func (p *Proposal) write() {
-	voted := given(p.answers)
-	possible := p.possible()
+func (p *Proposal) evaluateAccepts() {
+	voted := granted(p.answers)
+	possible := p.possibleVotes()
 	switch {
 	case p.decides(p.current, voted) && p.decides(p.next, voted):
 		p.phase = PhaseDecided
@@ -184,28 +184,28 @@
 
 // decides tells whether the voters decide for a record.
 func (p *Proposal) decides(record Record, voted map[uint64]bool) bool {
-	return len(voted) >= p.least && (p.rules.quorum(record, voted) || QuorumWithLost(record, voted, p.lost()))
+	return len(voted) >= p.minVotes && (p.rules.quorum(record, voted) || QuorumWithLostDisks(record, voted, p.lostDisks()))
 }
 
 // mayDecide tells whether the members that have voted or still may could decide for a record.
 func (p *Proposal) mayDecide(record Record, possible map[uint64]bool) bool {
-	return len(possible) >= p.least && QuorumWithLost(record, possible, p.lost())
+	return len(possible) >= p.minVotes && QuorumWithLostDisks(record, possible, p.lostDisks())
 }
 
-// lost are the members whose disk is provably lost, by the answers of the present phase.
-func (p *Proposal) lost() map[uint64]bool {
+// lostDisks are the members whose disk is provably lost, by the answers of the present phase.
+func (p *Proposal) lostDisks() map[uint64]bool {
 	lost := map[uint64]bool{}
 	for id, promise := range p.answers {
-		if promise.Lost {
+		if promise.DiskLost {
 			lost[id] = true
 		}
 	}
 	return lost
 }
 
-// possible are the members that have voted or still may.
-func (p *Proposal) possible() map[uint64]bool {
-	possible := given(p.answers)
+// possibleVotes are the members that have voted or still may.
+func (p *Proposal) possibleVotes() map[uint64]bool {
+	possible := granted(p.answers)
 	for id := range p.asked {
 		if _, answered := p.answers[id]; !answered && !p.failed[id] {
 			possible[id] = true
@@ -214,15 +214,15 @@
 	return possible
 }
 
-// ask makes requests for the members that have not been asked in this phase.
-func (p *Proposal) ask(kind RequestKind, members []Member, value Record) []Request {
+// requestsFor makes requests for the members that have not been asked in this phase.
+func (p *Proposal) requestsFor(kind RequestKind, members []Member, value Record) []Request {
 	var requests []Request
 	for _, member := range members {
 		if p.asked[member.ID] {
 			continue
 		}
 		p.asked[member.ID] = true
-		requests = append(requests, Request{Kind: kind, To: member, Ballot: p.ballot, Value: value})
+		requests = append(requests, Request{Kind: kind, To: member, Number: p.number, Value: value})
 	}
 	return requests
 }
--- a/tier/consensus/settled_test.go
+++ b/tier/consensus/proposal_test.go
@@ -15,12 +15,12 @@
 			if request.To.ID != id {
 				continue
 			}
-			var answer Promise
+			var answer Response
 			var err error
 			if kind == RequestPrepare {
-				answer, err = c.Prepare(t.Context(), request.To, request.Ballot)
+				answer, err = c.Prepare(t.Context(), request.To, request.Number)
 			} else {
-				answer, err = c.Accept(t.Context(), request.To, request.Ballot, request.Value)
+				answer, err = c.Accept(t.Context(), request.To, request.Number, request.Value)
 			}
 			if err != nil {
 				t.Fatal(err)
@@ -38,23 +38,23 @@
 // TestDecisionsFormOneHistoryWhileMembersChange in about one run of 40, each of 1,500 seeds.
 func TestAnUndecidedChangeOfMembersIsConfirmedBeforeItIsFollowed(t *testing.T) {
 	c, start := newCluster(1, 3)
-	c.set(4, &Witness{})
+	c.set(4, &Acceptor{})
 	first, err := Propose(t.Context(), c, 9, firstLife(), start, addMark(1, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	// member 1 is replaced by 4; whoever reads it next cannot tell that it was decided
-	replacing := NewProposal(Ballot{100, 9}, first, Record{}, addMark(2, 1, 4))
+	replacing := NewProposal(ProposalNumber{100, 9}, first, Record{}, addMark(2, 1, 4))
 	step(t, c, replacing, replacing.Begin(), 1, 2, 3, 4)
 	if replacing.Phase() != PhaseDecided {
 		t.Fatal("the change of members was not decided with all witnesses up")
 	}
-	confirming := NewProposal(Ballot{101, 9}, replacing.Decided(), Record{}, addMark(3, 0, 0))
+	confirming := NewProposal(ProposalNumber{101, 9}, replacing.Decided(), Record{}, addMark(3, 0, 0))
 	step(t, c, confirming, confirming.Begin(), 2, 3, 4)
 	if confirming.Phase() != PhaseDecided || !confirming.OnlyConfirmed() || len(confirming.Decided().Previous) != 3 {
 		t.Fatalf("the change was followed by %+v before it was known to be decided", confirming.Decided())
 	}
-	following := NewProposal(Ballot{102, 9}, replacing.Decided(), confirming.Decided(), addMark(3, 0, 0))
+	following := NewProposal(ProposalNumber{102, 9}, replacing.Decided(), confirming.Decided(), addMark(3, 0, 0))
 	step(t, c, following, following.Begin(), 2, 3, 4)
 	if following.Phase() != PhaseDecided || following.OnlyConfirmed() || len(following.Decided().Previous) != 0 {
 		t.Fatalf("a confirmed change was not followed: %+v", following.Decided())
--- a/tier/consensus/change.go
+++ b/tier/consensus/propose.go
@@ -8,8 +8,8 @@
 
 // Transport reaches the witnesses. A witness of another identity at the address gives no promise.
 type Transport interface {
-	Prepare(ctx context.Context, to Member, ballot Ballot) (Promise, error)
-	Accept(ctx context.Context, to Member, ballot Ballot, value Record) (Promise, error)
+	Prepare(ctx context.Context, to Member, ballot ProposalNumber) (Response, error)
+	Accept(ctx context.Context, to Member, ballot ProposalNumber, value Record) (Response, error)
 }
 
 // Change is a compare-and-set: it returns the value that is to follow the current one, or false to leave it. It may be asked
@@ -21,22 +21,22 @@
 
 // Propose reads the register and changes it. start is the newest record known, which names the witnesses to begin with. On an
 // error the change may or may not take effect later.
-func Propose(ctx context.Context, transport Transport, proposer uint64, rounds *Rounds, start Record, change Change) (Record, error) {
+func Propose(ctx context.Context, transport Transport, proposer uint64, rounds *RoundAllocator, start Record, change Change) (Record, error) {
 	return propose(ctx, transport, proposer, rounds, start, 0, change)
 }
 
 // propose is Propose where at least a number of members have to vote.
-func propose(ctx context.Context, transport Transport, proposer uint64, rounds *Rounds, start Record, least int, change Change) (Record, error) {
+func propose(ctx context.Context, transport Transport, proposer uint64, rounds *RoundAllocator, start Record, least int, change Change) (Record, error) {
 	var confirmed Record
 	for range maxAttempts {
 		round, err := rounds.Next()
 		if err != nil {
 			return start, err
 		}
-		proposal := NewProposal(Ballot{Round: round, Proposer: proposer}, start, confirmed, change)
-		proposal.least = least
+		proposal := NewProposal(ProposalNumber{Round: round, Proposer: proposer}, start, confirmed, change)
+		proposal.minVotes = least
 		run(ctx, transport, proposal)
-		rounds.Saw(proposal.HighestRound())
+		rounds.Observe(proposal.HighestRound())
 		start = proposal.Newest()
 		if proposal.Phase() != PhaseDecided {
 			if ctx.Err() != nil {
@@ -55,7 +55,7 @@
 // reply is a witness's answer to a request.
 type reply struct {
 	request Request
-	promise Promise
+	promise Response
 	err     error
 }
 
@@ -77,7 +77,7 @@
 		}
 	}
 	send(proposal.Begin())
-	for proposal.Phase() == PhaseReading || proposal.Phase() == PhaseWriting {
+	for proposal.Phase() == PhasePrepare || proposal.Phase() == PhaseAccept {
 		got := <-replies
 		if got.err != nil {
 			send(proposal.Fail(got.request.Kind, got.request.To.ID))
@@ -90,15 +90,15 @@
 func sendRequest(ctx context.Context, transport Transport, request Request) reply {
 	got := reply{request: request}
 	if request.Kind == RequestPrepare {
-		got.promise, got.err = transport.Prepare(ctx, request.To, request.Ballot)
+		got.promise, got.err = transport.Prepare(ctx, request.To, request.Number)
 	} else {
-		got.promise, got.err = transport.Accept(ctx, request.To, request.Ballot, request.Value)
+		got.promise, got.err = transport.Accept(ctx, request.To, request.Number, request.Value)
 	}
 	return got
 }
 
-// pending are the members that a next writer has to ask besides, because a majority of them may not know the new ones yet.
-func pending(current, next Record) []Member {
+// previousMembers are the members that a next writer has to ask besides, because a majority of them may not know the new ones yet.
+func previousMembers(current, next Record) []Member {
 	if sameMembers(current.Members, next.Members) {
 		return nil
 	}
@@ -117,10 +117,10 @@
 	return true
 }
 
-func given(promises map[uint64]Promise) map[uint64]bool {
+func granted(promises map[uint64]Response) map[uint64]bool {
 	voted := map[uint64]bool{}
 	for id, promise := range promises {
-		if promise.Given {
+		if promise.Granted {
 			voted[id] = true
 		}
 	}
--- a/tier/consensus/recorded_test.go
+++ b/tier/consensus/recorded_test.go
@@ -20,8 +20,8 @@
 			{ID: 0x1111111111111111, Address: "10.0.0.1:7401", Node: "ctl-a"},
 			{ID: 0x4444444444444444, Address: "10.0.0.4:7404", Node: "ctl-d"},
 		},
-		MinCopies: 2, Learners: []Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
-		Installation: 0xfedcba9876543210,
+		MinInSync: 2, Learners: []Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
+		ClusterID: 0xfedcba9876543210,
 	}
 }
 
@@ -44,23 +44,23 @@
 func TestRecordedRecordAndBallot(t *testing.T) {
 	recorded.CheckBoth(t, "record", recordedRecord(), encodeAlone(EncodeRecord), decodeAlone(DecodeRecord))
 	recorded.CheckBoth(t, "record-empty", Record{}, encodeAlone(EncodeRecord), decodeAlone(DecodeRecord))
-	ballot := Ballot{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222}
-	recorded.CheckBoth(t, "ballot", ballot, encodeAlone(EncodeBallot), decodeAlone(DecodeBallot))
+	ballot := ProposalNumber{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222}
+	recorded.CheckBoth(t, "ballot", ballot, encodeAlone(EncodeProposalNumber), decodeAlone(DecodeProposalNumber))
 }
 
 func TestRecordedWitness(t *testing.T) {
-	witness := Witness{
-		Promised: Ballot{Round: 0x0a0b0c0d0e0f1012, Proposer: 0x3333333333333333},
-		Accepted: Ballot{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222},
+	witness := Acceptor{
+		Promised: ProposalNumber{Round: 0x0a0b0c0d0e0f1012, Proposer: 0x3333333333333333},
+		Accepted: ProposalNumber{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222},
 		Value:    recordedRecord(),
 	}
-	recorded.CheckBoth(t, "witness", witness, func(w Witness) []byte { return w.Encode() }, DecodeWitness)
+	recorded.CheckBoth(t, "witness", witness, func(w Acceptor) []byte { return w.Encode() }, DecodeAcceptor)
 }
 
 // What a proposer makes durable before its first round, and the round that its next life begins with, are those recorded.
 func TestRecordedRounds(t *testing.T) {
 	var stored []byte
-	first := NewRounds(41, func(limit uint64) error {
+	first := NewRoundAllocator(41, func(limit uint64) error {
 		stored = binary.BigEndian.AppendUint64(nil, limit)
 		return nil
 	})
@@ -69,7 +69,7 @@
 	}
 	recorded.Check(t, "rounds-limit", stored)
 	limit := binary.BigEndian.Uint64(recorded.Read(t, "rounds-limit"))
-	next := NewRounds(limit, func(uint64) error { return nil })
+	next := NewRoundAllocator(limit, func(uint64) error { return nil })
 	if round, err := next.Next(); err != nil || round != limit+1 {
 		t.Fatalf("first round of the next life: %d, %v", round, err)
 	}
--- a/tier/consensus/rounds.go
+++ b/tier/consensus/round_allocator.go
@@ -6,24 +6,24 @@
 // practice it writes once in each life, when it starts.
 const roundsReserved = 1 << 20
 
-// Rounds hands out the rounds of one proposer's ballots. No round is handed out twice, by concurrent proposals or by two
+// RoundAllocator hands out the rounds of one proposer's ballots. No round is handed out twice, by concurrent proposals or by two
 // lives of the proposer: before a round is used, a limit at or above it is durable, and the next life starts above that limit.
-type Rounds struct {
+type RoundAllocator struct {
 	mu      sync.Mutex
 	last    uint64 // the highest round handed out or seen
 	limit   uint64 // rounds up to this one may be handed out in this life
 	reserve func(limit uint64) error
 }
 
-// NewRounds makes the rounds of a new life. used is the limit that the last life made durable, or 0 for a first life; reserve
+// NewRoundAllocator makes the rounds of a new life. used is the limit that the last life made durable, or 0 for a first life; reserve
 // makes a new limit durable before it returns.
-func NewRounds(used uint64, reserve func(limit uint64) error) *Rounds {
-	return &Rounds{last: used, limit: used, reserve: reserve}
+func NewRoundAllocator(used uint64, reserve func(limit uint64) error) *RoundAllocator {
+	return &RoundAllocator{last: used, limit: used, reserve: reserve}
 }
 
-// UsedWithoutLimit is the limit to assume for a proposer whose disk holds no limit, because an older version of the software
+// AssumedRoundLimit is the limit to assume for a proposer whose disk holds no limit, because an older version of the software
 // wrote it: that version took its rounds from what its witness had promised and went a few rounds beyond at most.
-func UsedWithoutLimit(witness Witness) uint64 {
+func AssumedRoundLimit(witness Acceptor) uint64 {
 	if witness.Promised.Round == 0 {
 		return 0
 	}
@@ -31,14 +31,14 @@
 }
 
 // Reserve makes the next limit durable ahead of time, so that a later proposal need not wait for the disk.
-func (r *Rounds) Reserve() error {
+func (r *RoundAllocator) Reserve() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ensure(r.last + 1)
 }
 
-// Next returns a round above all that were handed out or seen.
-func (r *Rounds) Next() (uint64, error) {
+// Apply returns a round above all that were handed out or seen.
+func (r *RoundAllocator) Next() (uint64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := r.last + 1
@@ -49,15 +49,15 @@
 	return next, nil
 }
 
-// Saw notes a round of another proposer, so that later ballots are above it.
-func (r *Rounds) Saw(round uint64) {
+// Observe notes a round of another proposer, so that later ballots are above it.
+func (r *RoundAllocator) Observe(round uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = max(r.last, round)
 }
 
 // ensure makes a limit at or above a round durable; the lock is held.
-func (r *Rounds) ensure(round uint64) error {
+func (r *RoundAllocator) ensure(round uint64) error {
 	if round <= r.limit {
 		return nil
 	}
--- a/tier/consensus/rounds_test.go
+++ b/tier/consensus/round_allocator_test.go
@@ -31,7 +31,7 @@
 func TestNoRoundIsHandedOutTwice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		disk := &limitDisk{}
-		rounds := NewRounds(0, disk.reserve)
+		rounds := NewRoundAllocator(0, disk.reserve)
 		used := map[uint64]bool{}
 		highest := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
@@ -39,11 +39,11 @@
 			case 0:
 				disk.fails = rapid.Bool().Draw(rt, "disk fails")
 			case 1:
-				rounds = NewRounds(disk.limit, disk.reserve)
+				rounds = NewRoundAllocator(disk.limit, disk.reserve)
 				highest = 0 // what was only seen is forgotten
 			case 2:
 				seen := rapid.Uint64Range(0, 4*roundsReserved).Draw(rt, "seen")
-				rounds.Saw(seen)
+				rounds.Observe(seen)
 				highest = max(highest, seen)
 			default:
 				round, err := rounds.Next()
@@ -65,7 +65,7 @@
 
 func TestALifeWritesItsRoundsOnce(t *testing.T) {
 	disk := &limitDisk{}
-	rounds := NewRounds(0, disk.reserve)
+	rounds := NewRoundAllocator(0, disk.reserve)
 	if err := rounds.Reserve(); err != nil {
 		t.Fatal(err)
 	}
@@ -107,10 +107,10 @@
 
 // A disk of an older version holds no limit. The first life of this version starts far above what its witness promised.
 func TestADiskWithoutALimitStartsAboveWhatItMayHaveUsed(t *testing.T) {
-	if got := UsedWithoutLimit(Witness{}); got != 0 {
+	if got := AssumedRoundLimit(Acceptor{}); got != 0 {
 		t.Fatalf("a first life starts above %d", got)
 	}
-	if got := UsedWithoutLimit(Witness{Promised: Ballot{Round: 7, Proposer: 1}}); got < 7+maxAttempts*1000 {
+	if got := AssumedRoundLimit(Acceptor{Promised: ProposalNumber{Round: 7, Proposer: 1}}); got < 7+maxAttempts*1000 {
 		t.Fatalf("starts above %d", got)
 	}
 }
@@ -120,19 +120,19 @@
 func TestALateAcceptOfAFormerLifeReplacesNothing(t *testing.T) {
 	c, start := newCluster(1, 3)
 	disk := &limitDisk{}
-	first := NewRounds(disk.limit, disk.reserve)
+	first := NewRoundAllocator(disk.limit, disk.reserve)
 	round, err := first.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	former := Ballot{Round: round, Proposer: 1}
+	former := ProposalNumber{Round: round, Proposer: 1}
 	// the former life's own witness, number 1, has written nothing; 2 and 3 promised
 	for _, id := range []uint64{2, 3} {
-		if promise, err := c.Prepare(context.Background(), Member{ID: id}, former); err != nil || !promise.Given {
+		if promise, err := c.Prepare(context.Background(), Member{ID: id}, former); err != nil || !promise.Granted {
 			t.Fatalf("%+v, %v", promise, err)
 		}
 	}
-	decided, err := Propose(context.Background(), c, 1, NewRounds(disk.limit, disk.reserve), start, addMark(2, 0, 0))
+	decided, err := Propose(context.Background(), c, 1, NewRoundAllocator(disk.limit, disk.reserve), start, addMark(2, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,8 +146,8 @@
 }
 
 func TestAWitnessTakesOneValueUnderABallot(t *testing.T) {
-	var w Witness
-	ballot := Ballot{Round: 5, Proposer: 1}
+	var w Acceptor
+	ballot := ProposalNumber{Round: 5, Proposer: 1}
 	first := Record{Epoch: 1, Primary: 1, Members: []Member{{ID: 1}}}
 	for range 2 {
 		if !w.Accept(ballot, first) {
--- a/tier/control/api.go
+++ b/tier/control/api.go
@@ -121,7 +121,7 @@
 
 // mayPassOn tells whether this process can expect an answer of the primary in force, and else says at once that it can't.
 func (s *Server) mayPassOn(w http.ResponseWriter) bool {
-	err := s.standing().MayPassOn(multigroup.Now())
+	err := s.standing().MayForward(multigroup.Now())
 	if err != nil {
 		writeProblem(w, codes.Unavailable, "this process has no contact with the primary in force; call another")
 	}
--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -23,7 +23,7 @@
 	periodic.Run(ctx, controlBeatEvery, func() {
 		if s.leadsControl() {
 			s.sessions.HeardControl(s.self, s.isLeaving())
-		} else if s.elector.Known().Known() {
+		} else if s.elector.Known().IsBootstrapped() {
 			s.beatPrimary(ctx)
 		}
 	})
--- a/tier/control/elector.go
+++ b/tier/control/elector.go
@@ -48,12 +48,12 @@
 	log     *logrus.Entry
 
 	timeline  *timeline.Timeline
-	rounds    *consensus.Rounds
+	rounds    *consensus.RoundAllocator
 	startedAt int64 // of this process
 
 	voting  sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
 	mu      sync.Mutex
-	witness consensus.Witness
+	witness consensus.Acceptor
 	known   consensus.Record // the newest record seen: accepted here, told, or decided here
 	decided bool             // whether known was decided by a proposal of this process
 	learned int64            // when an epoch as new as that of known was seen first
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	if content != nil {
-		if e.witness, err = consensus.DecodeWitness(content); err != nil {
+		if e.witness, err = consensus.DecodeAcceptor(content); err != nil {
 			return nil, err
 		}
 		e.known = e.witness.Value
@@ -100,7 +100,7 @@
 func (e *Elector) Learn(record consensus.Record) { e.note(record, false) }
 
 func (e *Elector) note(record consensus.Record, decided bool) {
-	if e.host.IsForeignCluster(record.Installation) {
+	if e.host.IsForeignCluster(record.ClusterID) {
 		return
 	}
 	e.mu.Lock()
@@ -132,7 +132,7 @@
 	if record.Epoch != known.Epoch {
 		return record.Epoch > known.Epoch
 	}
-	return record.Known() && (decided || !knownDecided)
+	return record.IsBootstrapped() && (decided || !knownDecided)
 }
 
 // handlePrepare answers a prepare for this process's witness.
@@ -140,7 +140,7 @@
 	d := codec.NewDecoder(message.Payload)
 	to := d.Uint64()
 	mode := prepareMode(d.Uint8())
-	ballot := consensus.DecodeBallot(d)
+	ballot := consensus.DecodeProposalNumber(d)
 	if d.Err() != nil {
 		message.Answer(codes.Malformed, nil)
 		return
@@ -155,7 +155,7 @@
 	}
 	e.voting.Lock()
 	defer e.voting.Unlock()
-	given := e.vote(func(w *consensus.Witness) bool { return w.Prepare(ballot) })
+	given := e.vote(func(w *consensus.Acceptor) bool { return w.Prepare(ballot) })
 	message.Answer(codes.OK, e.promise(given))
 }
 
@@ -163,7 +163,7 @@
 func (e *Elector) handleAccept(message rpc.Message) {
 	d := codec.NewDecoder(message.Payload)
 	to := d.Uint64()
-	ballot := consensus.DecodeBallot(d)
+	ballot := consensus.DecodeProposalNumber(d)
 	record := consensus.DecodeRecord(d)
 	if d.Err() != nil {
 		message.Answer(codes.Malformed, nil)
@@ -173,12 +173,12 @@
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
-	if e.host.IsForeignCluster(record.Installation) {
+	if e.host.IsForeignCluster(record.ClusterID) {
 		message.Answer(codes.DiskForeign, nil)
 		return
 	}
 	e.voting.Lock()
-	given := e.vote(func(w *consensus.Witness) bool { return w.Accept(ballot, record) })
+	given := e.vote(func(w *consensus.Acceptor) bool { return w.Accept(ballot, record) })
 	answer := e.promise(given)
 	e.voting.Unlock()
 	if given {
@@ -188,7 +188,7 @@
 }
 
 // vote changes the witness and makes the change durable before it counts; the lock on voting is held.
-func (e *Elector) vote(change func(*consensus.Witness) bool) bool {
+func (e *Elector) vote(change func(*consensus.Acceptor) bool) bool {
 	e.mu.Lock()
 	next := e.witness
 	e.mu.Unlock()
@@ -210,16 +210,16 @@
 	defer e.mu.Unlock()
 	var enc codec.Encoder
 	enc.Bool(given)
-	consensus.EncodeBallot(&enc, e.witness.Promised)
-	consensus.EncodeBallot(&enc, e.witness.Accepted)
+	consensus.EncodeProposalNumber(&enc, e.witness.Promised)
+	consensus.EncodeProposalNumber(&enc, e.witness.Accepted)
 	consensus.EncodeRecord(&enc, e.witness.Value)
 	return enc.Bytes
 }
 
-func decodePromise(data []byte) (consensus.Promise, error) {
+func decodePromise(data []byte) (consensus.Response, error) {
 	d := codec.NewDecoder(data)
-	p := consensus.Promise{
-		Given: d.Bool(), Promised: consensus.DecodeBallot(d), Accepted: consensus.DecodeBallot(d), Value: consensus.DecodeRecord(d),
+	p := consensus.Response{
+		Granted: d.Bool(), Promised: consensus.DecodeProposalNumber(d), Accepted: consensus.DecodeProposalNumber(d), Value: consensus.DecodeRecord(d),
 	}
 	return p, d.Err()
 }
@@ -231,32 +231,32 @@
 }
 
 // Prepare asks a witness for its promise.
-func (t witnessTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.Ballot) (consensus.Promise, error) {
+func (t witnessTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
 	var e codec.Encoder
 	e.Uint64(to.ID)
 	e.Uint8(uint8(t.mode))
-	consensus.EncodeBallot(&e, ballot)
+	consensus.EncodeProposalNumber(&e, ballot)
 	return t.call(ctx, to, controlclient.KindPrepare, e.Bytes)
 }
 
 // Accept asks a witness to take a value.
-func (t witnessTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.Ballot, value consensus.Record) (consensus.Promise, error) {
+func (t witnessTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
 	var e codec.Encoder
 	e.Uint64(to.ID)
-	consensus.EncodeBallot(&e, ballot)
+	consensus.EncodeProposalNumber(&e, ballot)
 	consensus.EncodeRecord(&e, value)
 	return t.call(ctx, to, controlclient.KindAccept, e.Bytes)
 }
 
-func (t witnessTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Promise, error) {
+func (t witnessTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Response, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := t.elector.clients.To(to.Address).Call(call, kind, payload)
 	if errors.Is(err, codes.WrongIdentity) && t.elector.lost(to.ID) {
-		return consensus.Promise{Lost: true}, nil
+		return consensus.Response{DiskLost: true}, nil
 	}
 	if err != nil {
-		return consensus.Promise{}, err
+		return consensus.Response{}, err
 	}
 	return decodePromise(answer)
 }
@@ -271,7 +271,7 @@
 // decide runs a proposal and notes what it decided.
 func (e *Elector) decide(ctx context.Context, proposal func(context.Context) (consensus.Record, error)) (consensus.Record, error) {
 	e.mu.Lock()
-	e.rounds.Saw(e.witness.Promised.Round)
+	e.rounds.Observe(e.witness.Promised.Round)
 	e.mu.Unlock()
 	attempt, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -286,18 +286,18 @@
 
 // TakeOver makes this process primary in place of the one of the suspected epoch.
 func (e *Elector) TakeOver(ctx context.Context, mode prepareMode, suspected uint64, lost func(uint64) bool) error {
-	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
+	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		// a suspected epoch above the current one was proposed and never decided
 		if current.Epoch > suspected || !current.IsInSync(e.host.Identity) {
 			return current, false
 		}
 		return e.policy.Successor(current, e.host.Identity, lost), true
 	}}
-	record, err := e.propose(ctx, mode, e.Known(), attempt.Next)
+	record, err := e.propose(ctx, mode, e.Known(), attempt.Apply)
 	if err != nil {
 		return err
 	}
-	if !attempt.Took() {
+	if !attempt.Applied() {
 		return errNotWanted
 	}
 	e.lead(record)
@@ -306,7 +306,7 @@
 
 // lead has the replica act on a record that this process has decided.
 func (e *Elector) lead(record consensus.Record) {
-	if !e.host.BindCluster(record.Installation) {
+	if !e.host.BindCluster(record.ClusterID) {
 		return
 	}
 	e.mu.Lock()
@@ -319,7 +319,7 @@
 
 // Adjust changes the record while this process is its primary: members, or the in-sync set.
 func (e *Elector) Adjust(ctx context.Context, change func(consensus.Record) (consensus.Record, bool)) error {
-	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
+	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != e.host.Identity {
 			return current, false
 		}
@@ -327,15 +327,15 @@
 		if !wanted {
 			return current, false
 		}
-		next = e.policy.WithCopies(next)
+		next = e.policy.WithMinInSync(next)
 		next.Epoch = current.Epoch + 1
 		return next, true
 	}}
-	record, err := e.propose(ctx, prepareBySelf, e.Known(), attempt.Next)
+	record, err := e.propose(ctx, prepareBySelf, e.Known(), attempt.Apply)
 	if err != nil {
 		return err
 	}
-	if attempt.Took() {
+	if attempt.Applied() {
 		e.lead(record)
 	}
 	return nil
@@ -344,18 +344,18 @@
 // Found decides the first record, with the members that were found among a number of seeds.
 func (e *Elector) Found(ctx context.Context, members []consensus.Member, seeds int) error {
 	installation := rand.Uint64() | 1
-	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
-		if current.Known() {
+	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
+		if current.IsBootstrapped() {
 			return current, false
 		}
-		next := e.policy.Found(e.host.Identity, members)
-		next.Installation = installation
+		next := e.policy.InitialRecord(e.host.Identity, members)
+		next.ClusterID = installation
 		return next, true
 	}}
 	record, err := e.decide(ctx, func(call context.Context) (consensus.Record, error) {
-		return consensus.Found(call, witnessTransport{e, prepareBySelf}, e.host.Identity, e.rounds, members, seeds, attempt.Next)
+		return consensus.Bootstrap(call, witnessTransport{e, prepareBySelf}, e.host.Identity, e.rounds, members, seeds, attempt.Apply)
 	})
-	if err == nil && attempt.Took() {
+	if err == nil && attempt.Applied() {
 		e.lead(record)
 	}
 	return err
--- a/tier/control/elector_test.go
+++ b/tier/control/elector_test.go
@@ -13,29 +13,29 @@
 // localWitnesses are witnesses that answer at once, but that the first accepts reach the first witness alone, and that the third
 // one is cut off from then on.
 type localWitnesses struct {
-	witnesses map[uint64]*consensus.Witness
+	witnesses map[uint64]*consensus.Acceptor
 	cut       int // accepts that are still to be lost
 }
 
 var errCut = errors.New("cut off")
 
-func (l *localWitnesses) Prepare(_ context.Context, to consensus.Member, ballot consensus.Ballot) (consensus.Promise, error) {
+func (l *localWitnesses) Prepare(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
 	if l.cut == 0 && to.ID == 3 {
-		return consensus.Promise{}, errCut
+		return consensus.Response{}, errCut
 	}
 	w := l.witnesses[to.ID]
 	given := w.Prepare(ballot)
-	return consensus.Promise{Given: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
+	return consensus.Response{Granted: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
 }
 
-func (l *localWitnesses) Accept(_ context.Context, to consensus.Member, ballot consensus.Ballot, value consensus.Record) (consensus.Promise, error) {
+func (l *localWitnesses) Accept(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
 	if l.cut > 0 && to.ID != 1 {
 		l.cut--
-		return consensus.Promise{}, errCut
+		return consensus.Response{}, errCut
 	}
 	w := l.witnesses[to.ID]
 	given := w.Accept(ballot, value)
-	return consensus.Promise{Given: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
+	return consensus.Response{Granted: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
 }
 
 // serialTransport hands calls on one at a time.
@@ -44,13 +44,13 @@
 	inner consensus.Transport
 }
 
-func (s serialTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.Ballot) (consensus.Promise, error) {
+func (s serialTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
 	s.turn <- struct{}{}
 	defer func() { <-s.turn }()
 	return s.inner.Prepare(ctx, to, ballot)
 }
 
-func (s serialTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.Ballot, value consensus.Record) (consensus.Promise, error) {
+func (s serialTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
 	s.turn <- struct{}{}
 	defer func() { <-s.turn }()
 	return s.inner.Accept(ctx, to, ballot, value)
@@ -59,22 +59,22 @@
 // A takeover whose first attempt reached one witness only meets its own value at the second attempt. It has been taken, once.
 func TestAProposalThatMeetsItsOwnValueHasWon(t *testing.T) {
 	members := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}
-	local := &localWitnesses{witnesses: map[uint64]*consensus.Witness{}, cut: 2}
+	local := &localWitnesses{witnesses: map[uint64]*consensus.Acceptor{}, cut: 2}
 	start := consensus.Record{Epoch: 5, Primary: 2, InSync: []uint64{1, 2, 3}, Members: members}
 	for _, member := range members {
-		local.witnesses[member.ID] = &consensus.Witness{Accepted: consensus.Ballot{Round: 1, Proposer: 2}, Value: start}
+		local.witnesses[member.ID] = &consensus.Acceptor{Accepted: consensus.ProposalNumber{Round: 1, Proposer: 2}, Value: start}
 	}
-	attempt := &consensus.OwnChange{Change: func(current consensus.Record) (consensus.Record, bool) {
+	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Epoch > start.Epoch {
 			return current, false
 		}
 		return membership.Policy{Tolerate: 1}.Successor(current, 1, func(uint64) bool { return false }), true
 	}}
-	rounds := consensus.NewRounds(1, func(uint64) error { return nil })
+	rounds := consensus.NewRoundAllocator(1, func(uint64) error { return nil })
 	transport := serialTransport{make(chan struct{}, 1), local}
-	record, err := consensus.Propose(context.Background(), transport, 1, rounds, start, attempt.Next)
-	if err != nil || record.Epoch != 6 || record.Primary != 1 || !attempt.Took() {
-		t.Fatalf("%+v, %v, took %v", record, err, attempt.Took())
+	record, err := consensus.Propose(context.Background(), transport, 1, rounds, start, attempt.Apply)
+	if err != nil || record.Epoch != 6 || record.Primary != 1 || !attempt.Applied() {
+		t.Fatalf("%+v, %v, took %v", record, err, attempt.Applied())
 	}
 }
 
@@ -114,7 +114,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rounds, err := openRounds(values, consensus.Witness{})
+		rounds, err := openRounds(values, consensus.Acceptor{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/tier/control/failover.go
+++ b/tier/control/failover.go
@@ -68,21 +68,21 @@
 }
 
 // situation is what this process knows of its primary.
-func (s *Server) situation() lease.Situation {
+func (s *Server) situation() lease.FailoverInput {
 	known, learned := s.elector.KnownSince()
-	situation := lease.Situation{
-		Now:           multigroup.Now(),
-		StartedAt:     s.startedAt,
-		RecordLearned: learned,
-		InSync:        known.IsInSync(s.self.ID),
-		NamedPrimary:  known.Primary == s.self.ID,
-		HasLed:        s.elector.hasLed(),
-		Rank:          rank(known, s.self.ID),
-		Jitter:        rand.Int64N(lease.SuspectStep),
-		DiskTroubled:  s.host.DiskDegraded(),
+	situation := lease.FailoverInput{
+		Now:             multigroup.Now(),
+		StartedAt:       s.startedAt,
+		RecordLearnedAt: learned,
+		InSync:          known.IsInSync(s.self.ID),
+		NamedPrimary:    known.Primary == s.self.ID,
+		HasLed:          s.elector.hasLed(),
+		Rank:            rank(known, s.self.ID),
+		Jitter:          rand.Int64N(lease.SuspectStep),
+		DiskDegraded:    s.host.DiskDegraded(),
 	}
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
-		situation.PrimaryProven = g.PrimaryConfirmedAt()
+		situation.PrimaryConfirmedAt = g.PrimaryConfirmedAt()
 		situation.Leads = g.IsPrimary()
 	})
 	return situation
@@ -92,11 +92,11 @@
 func (s *Server) watchPrimary(ctx context.Context) {
 	epoch := s.elector.Known().Epoch
 	switch s.situation().Next() {
-	case lease.Locate:
+	case lease.ActionLocatePrimary:
 		s.locateNowAndThen(ctx)
-	case lease.ReplaceItself:
+	case lease.ActionResumeLead:
 		s.takeOver(ctx, prepareBySelf, epoch)
-	case lease.ReplaceOther:
+	case lease.ActionTakeOver:
 		s.takeOver(ctx, prepareOnSilence, epoch)
 	}
 }
--- a/tier/control/founding.go
+++ b/tier/control/founding.go
@@ -14,11 +14,11 @@
 func (s *Server) findOrFound(ctx context.Context) {
 	s.locate(ctx)
 	seeds := s.settings.SeedAddresses()
-	if s.elector.Known().Known() || !s.settings.Bootstrap || !containsText(seeds, s.self.Address) {
+	if s.elector.Known().IsBootstrapped() || !s.settings.Bootstrap || !containsText(seeds, s.self.Address) {
 		return
 	}
-	founding := membership.Founding{
-		Self: s.self, Seeds: seeds, Founders: s.foundersHeard(), Waited: multigroup.Now()-s.startedAt > foundAfter,
+	founding := membership.BootstrapInput{
+		Self: s.self, Seeds: seeds, Candidates: s.foundersHeard(), WaitElapsed: multigroup.Now()-s.startedAt > foundAfter,
 	}
 	members, may := founding.Members()
 	if !may {
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	reportHeardEvery = lease.ReportEvery * time.Millisecond
+	reportHeardEvery = lease.ReportInterval * time.Millisecond
 	reportTimeout    = lease.ReportTimeout * time.Millisecond
 )
 
--- a/tier/control/installation_test.go
+++ b/tier/control/installation_test.go
@@ -23,10 +23,10 @@
 	}
 	elector := &Elector{host: host, clients: clients, log: log}
 	host.BindCluster(7)
-	own := consensus.Record{Epoch: 3, Primary: 1, Installation: 7}
+	own := consensus.Record{Epoch: 3, Primary: 1, ClusterID: 7}
 	elector.Learn(own)
-	elector.Learn(consensus.Record{Epoch: 90, Primary: 2, Installation: 8})
-	if known := elector.Known(); known.Epoch != own.Epoch || known.Installation != own.Installation {
+	elector.Learn(consensus.Record{Epoch: 90, Primary: 2, ClusterID: 8})
+	if known := elector.Known(); known.Epoch != own.Epoch || known.ClusterID != own.ClusterID {
 		t.Fatalf("known: %+v", known)
 	}
 	if entry := hook.LastEntry(); entry == nil || entry.Data["code"] != uint16(codes.DiskForeign) {
@@ -48,7 +48,7 @@
 		t.Fatal("nothing says since when the record is known")
 	}
 	elector.learned = first - 10
-	elector.Learn(consensus.Record{Epoch: 3, Primary: 1, MinCopies: 2})
+	elector.Learn(consensus.Record{Epoch: 3, Primary: 1, MinInSync: 2})
 	if _, since := elector.KnownSince(); since != first-10 {
 		t.Fatalf("another record of the same epoch counts as new: %d, not %d", since, first-10)
 	}
@@ -61,7 +61,7 @@
 // The installation of the record that tells where control is becomes that of the view.
 func TestTheViewTakesTheInstallationOfTheRecord(t *testing.T) {
 	state := NewState()
-	state.Apply(1, Command{Kind: CommandMembers, Record: consensus.Record{Epoch: 1, Installation: 7}}.Encode())
+	state.Apply(1, Command{Kind: CommandMembers, Record: consensus.Record{Epoch: 1, ClusterID: 7}}.Encode())
 	restored := NewState()
 	if err := restored.Restore(state.Snapshot()); err != nil {
 		t.Fatal(err)
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -87,7 +87,7 @@
 	cluster := s.cluster()
 	for id, store := range stores {
 		replaced := cluster.DiskLost(id)
-		idle := cluster.Machines[id].Away && placement.Empty(shards, id) && s.sessions.storeSilentFor(id) > storeForget
+		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && s.sessions.storeSilentFor(id) > storeForget
 		if !replaced && !idle {
 			continue
 		}
@@ -156,7 +156,7 @@
 		if _, exists := shards[id]; exists {
 			continue
 		}
-		if shard, placed := cluster.Found(id); placed {
+		if shard, placed := cluster.Place(id); placed {
 			commands = append(commands, Command{Kind: CommandPutShard, Shard: shard})
 		}
 	}
@@ -175,7 +175,7 @@
 	shards := directory.Shards(s.state.View)
 	cluster := s.cluster()
 	for id, store := range directory.Stores(s.state.View) {
-		if store.Node == node && !cluster.Retired(shards, id) {
+		if store.Node == node && !cluster.IsRetired(shards, id) {
 			return Result{Body: []byte(retireRunning)}, nil
 		}
 	}
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -75,7 +75,7 @@
 func (s *Server) announce(ctx context.Context) {
 	known := s.elector.Known()
 	members := map[string]bool{}
-	for _, member := range known.Holders() {
+	for _, member := range known.Replicas() {
 		members[member.Address] = true
 	}
 	call, cancel := context.WithTimeout(ctx, callTimeout)
@@ -174,10 +174,10 @@
 	o := membership.Observation{
 		Alive:    s.sessions.Controls(),
 		HasState: map[uint64]bool{},
-		Lost:     s.lost,
-		Silent:   func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > lease.ControlSilence },
-		Gone:     func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > controlGone },
-		Leaving:  s.sessions.ControlLeaving,
+		DiskLost: s.lost,
+		Silent:   func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > lease.ControlTimeout },
+		Departed: func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > controlGone },
+		Draining: s.sessions.ControlLeaving,
 	}
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		for _, id := range g.CaughtUp(multigroup.Now()) {
@@ -193,13 +193,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noteNamed(known)
-	s.seen.Answered(there, since)
+	s.seen.ObserveAnswer(there, since)
 }
 
 // noteNamed notes the members that a record names; the lock is held.
 func (s *Server) noteNamed(record consensus.Record) {
 	for _, member := range append(record.Voters(), record.Learners...) {
-		s.seen.Named(member, multigroup.Now())
+		s.seen.ObserveListed(member, multigroup.Now())
 	}
 }
 
@@ -215,7 +215,7 @@
 	if member, named := known.Member(id); named && member.Address == s.self.Address && member.Node == s.self.Node {
 		return true // this process is the one that came up on the empty disk
 	}
-	return s.seen.Lost(id)
+	return s.seen.DiskLost(id)
 }
 
 // answerControlBeat keeps a control process's session. A primary does so also while it can commit nothing: the copy that it waits
--- a/tier/control/prevote.go
+++ b/tier/control/prevote.go
@@ -21,8 +21,8 @@
 		if view := g.View(); view.Epoch > known.Epoch {
 			voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
 		}
-		voter.PrimaryProven = g.PrimaryConfirmedAt()
-		standing := lease.Standing{Role: lease.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
+		voter.PrimaryConfirmedAt = g.PrimaryConfirmedAt()
+		standing := lease.Status{Role: lease.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
 		voter.Leads = g.IsPrimary() && standing.HasLease(voter.Now)
 	})
 	return voter
@@ -30,13 +30,13 @@
 
 // supports tells whether this process would help a candidate.
 func (e *Elector) supports(candidate, epoch uint64, mode prepareMode) bool {
-	return e.voter().Supports(lease.Ballot{Candidate: candidate, Epoch: epoch, OnRequest: mode == prepareOnTransfer})
+	return e.voter().Grants(lease.VoteRequest{Candidate: candidate, Epoch: epoch, LeadershipTransfer: mode == prepareOnTransfer})
 }
 
 // protectsPrimary tells whether a majority stood behind a primary so lately that this process helps nobody to replace it.
 func (e *Elector) protectsPrimary() bool {
 	voter := e.voter()
-	return !voter.Supports(lease.Ballot{Epoch: voter.KnownEpoch})
+	return !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch})
 }
 
 // handleSupport answers a candidate that asks whether it would be followed. Nothing is promised.
@@ -75,12 +75,12 @@
 		possible[voter.ID] = true
 		go func() { replies <- reply{voter.ID, e.askVoter(ctx, voter, mode, epoch)} }()
 	}
-	for consensus.QuorumWithLost(known, possible, lost) {
+	for consensus.QuorumWithLostDisks(known, possible, lost) {
 		got := <-replies
 		supporters[got.voter] = got.supported
 		possible[got.voter] = got.supported
 		lost[got.voter] = !got.supported && e.lost(got.voter)
-		if consensus.QuorumWithLost(known, supporters, lost) {
+		if consensus.QuorumWithLostDisks(known, supporters, lost) {
 			return true
 		}
 	}
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -42,22 +42,22 @@
 			{ID: 0x3333333333333333, Address: "10.0.0.3:7403", Node: "ctl-c"},
 		},
 		Previous:  []consensus.Member{{ID: 0x4444444444444444, Address: "10.0.0.4:7404", Node: "ctl-d"}},
-		MinCopies: 2, Learners: []consensus.Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
-		Installation: recordedInstallation,
+		MinInSync: 2, Learners: []consensus.Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
+		ClusterID: recordedInstallation,
 	}
 }
 
-func recordedWitness() consensus.Witness {
-	return consensus.Witness{
-		Promised: consensus.Ballot{Round: 0x0a0b0c0d0e0f1012, Proposer: 0x3333333333333333},
-		Accepted: consensus.Ballot{Round: 0x0a0b0c0d0e0f1011, Proposer: recordedAsker},
+func recordedWitness() consensus.Acceptor {
+	return consensus.Acceptor{
+		Promised: consensus.ProposalNumber{Round: 0x0a0b0c0d0e0f1012, Proposer: 0x3333333333333333},
+		Accepted: consensus.ProposalNumber{Round: 0x0a0b0c0d0e0f1011, Proposer: recordedAsker},
 		Value:    recordedRecord(),
 	}
 }
 
 // recordedBallot is above what the recorded witness has promised.
-func recordedBallot() consensus.Ballot {
-	return consensus.Ballot{Round: 0x0a0b0c0d0e0f1013, Proposer: recordedAsker}
+func recordedBallot() consensus.ProposalNumber {
+	return consensus.ProposalNumber{Round: 0x0a0b0c0d0e0f1013, Proposer: recordedAsker}
 }
 
 // recordedNext is the record that is proposed under the recorded ballot.
@@ -182,7 +182,7 @@
 }
 
 // recordedDisk makes the data folder of a process with such an identity, and with a witness unless it is nil.
-func recordedDisk(t *testing.T, identity uint64, witness *consensus.Witness) string {
+func recordedDisk(t *testing.T, identity uint64, witness *consensus.Acceptor) string {
 	t.Helper()
 	dir := t.TempDir()
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
@@ -215,7 +215,7 @@
 	s := &Server{
 		settings: own, seeds: settings.NewSeeds(own), log: entry, host: host, state: NewState(), clients: clients,
 		sessions: newSessions(host.Identity), self: consensus.Member{ID: host.Identity, Address: "10.0.0.2:7402", Node: "ctl-b"},
-		seen: membership.NewSightings(), founders: map[string]consensus.Member{}, heard: heardHosts{}, verdicts: newVerdicts(),
+		seen: membership.NewIdentityTracker(), founders: map[string]consensus.Member{}, heard: heardHosts{}, verdicts: newVerdicts(),
 		wake: make(chan struct{}, 1),
 	}
 	if s.elector, err = newElector(host, clients, s.self.Address, membership.Policy{Tolerate: 1}, entry); err != nil {
@@ -324,13 +324,13 @@
 	witness := recordedWitness()
 	to := consensus.Member{ID: recordedVoter, Address: answering(t, controlclient.KindPrepare, "prepare", "prepare-answer")}
 	got, err := transport.Prepare(recordedContext(t), to, recordedBallot())
-	want := consensus.Promise{Given: true, Promised: recordedBallot(), Accepted: witness.Accepted, Value: witness.Value}
+	want := consensus.Response{Granted: true, Promised: recordedBallot(), Accepted: witness.Accepted, Value: witness.Value}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("promise %+v, %v", got, err)
 	}
 	to.Address = answering(t, controlclient.KindAccept, "accept", "accept-answer")
 	got, err = transport.Accept(recordedContext(t), to, recordedBallot(), recordedNext())
-	want = consensus.Promise{Given: true, Promised: recordedBallot(), Accepted: recordedBallot(), Value: recordedNext()}
+	want = consensus.Response{Granted: true, Promised: recordedBallot(), Accepted: recordedBallot(), Value: recordedNext()}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("acceptance %+v, %v", got, err)
 	}
@@ -414,7 +414,7 @@
 	record.InSync = []uint64{recordedVoter}
 	record.Members = record.Members[:1]
 	record.Previous = nil
-	record.MinCopies = 1
+	record.MinInSync = 1
 	return record
 }
 
@@ -438,7 +438,7 @@
 		t.Fatalf("answer %x", answer)
 	}
 	age := answer[len(answer)-8:]
-	if measured := int64(binary.BigEndian.Uint64(age)); measured < 0 || measured >= lease.LeaseLength {
+	if measured := int64(binary.BigEndian.Uint64(age)); measured < 0 || measured >= lease.TTL {
 		t.Errorf("age %d", measured)
 	}
 	binary.BigEndian.PutUint64(age, recordedAge)
--- a/tier/control/rounds.go
+++ b/tier/control/rounds.go
@@ -12,19 +12,19 @@
 const roundsValue = "rounds"
 
 // openRounds reads the rounds that earlier lives of this process may have used. The rounds of this life lie above them.
-func openRounds(values *storage.Values, witness consensus.Witness) (*consensus.Rounds, error) {
+func openRounds(values *storage.Values, witness consensus.Acceptor) (*consensus.RoundAllocator, error) {
 	content, err := values.Read(roundsValue)
 	if err != nil {
 		return nil, err
 	}
-	used := consensus.UsedWithoutLimit(witness)
+	used := consensus.AssumedRoundLimit(witness)
 	if content != nil {
 		if len(content) != 8 {
 			return nil, codes.DiskDamaged
 		}
 		used = binary.BigEndian.Uint64(content)
 	}
-	return consensus.NewRounds(used, func(limit uint64) error {
+	return consensus.NewRoundAllocator(used, func(limit uint64) error {
 		return values.Write(roundsValue, binary.BigEndian.AppendUint64(nil, limit))
 	}), nil
 }
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -55,7 +55,7 @@
 	steppedAsideAt int64 // of the supervising goroutine
 
 	mu       sync.Mutex
-	seen     *membership.Sightings
+	seen     *membership.IdentityTracker
 	founders map[string]consensus.Member // by address
 	leaving  bool
 	heard    heardHosts // hosts heard since the primary was told
@@ -93,7 +93,7 @@
 		sessions:  newSessions(host.Identity),
 		self:      consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
 		startedAt: multigroup.Now(),
-		seen:      membership.NewSightings(),
+		seen:      membership.NewIdentityTracker(),
 		founders:  map[string]consensus.Member{},
 		heard:     heardHosts{},
 		timeline:  line,
@@ -171,7 +171,7 @@
 			s.stepAside(ctx)
 		}
 		switch {
-		case !s.elector.Known().Known():
+		case !s.elector.Known().IsBootstrapped():
 			s.findOrFound(ctx)
 		case s.host.IsPrimary(controlGroup):
 			s.lead(ctx)
--- a/tier/control/sessions.go
+++ b/tier/control/sessions.go
@@ -60,15 +60,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := multigroup.Now()
-	if stalled := now - s.tickedAt; s.tickedAt > 0 && stalled > lease.OwnStall {
-		s.stores.Stalled(stalled)
-		s.hosts.Doubt(now)
+	if stalled := now - s.tickedAt; s.tickedAt > 0 && stalled > lease.StallThreshold {
+		s.stores.ExtendAll(stalled)
+		s.hosts.Restart(now)
 		for id, session := range s.controls {
 			session.heardAt += stalled
 			s.controls[id] = session
 		}
 	}
-	s.hosts.HeardHolder(s.self, refusals, now, now)
+	s.hosts.RenewHolder(s.self, refusals, now, now)
 	s.tickedAt = now
 }
 
@@ -76,7 +76,7 @@
 func (s *Sessions) HeardStore(beat controlclient.StoreBeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores.Heard(beat.Store.Identity, beat.Store.Boot, beat.Leaving, multigroup.Now())
+	s.stores.Renew(beat.Store.Identity, beat.Store.Boot, beat.Leaving, multigroup.Now())
 }
 
 // HeardControl keeps a control process's session.
@@ -97,7 +97,7 @@
 func (s *Sessions) HeardHolder(id, refusals uint64, asked int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.HeardHolder(id, refusals, asked, multigroup.Now())
+	s.hosts.RenewHolder(id, refusals, asked, multigroup.Now())
 }
 
 // HeardHost keeps a host's session, for the control process that heard it at a time. It tells whether a removal of the host may be
@@ -105,28 +105,28 @@
 func (s *Sessions) HeardHost(id string, by uint64, at int64) (removing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts.Heard(id, by, at)
+	return s.hosts.Renew(id, by, at)
 }
 
 // KeptHost notes that a host was put on the list.
 func (s *Sessions) KeptHost(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.Kept(id)
+	s.hosts.Readmit(id)
 }
 
 // RemovingHost ends a host's session.
 func (s *Sessions) RemovingHost(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.Removing(id)
+	s.hosts.BeginRemoval(id)
 }
 
 // RemovedHost notes whether a removal was committed.
 func (s *Sessions) RemovedHost(id string, committed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.Removed(id, committed, multigroup.Now())
+	s.hosts.FinishRemoval(id, committed, multigroup.Now())
 }
 
 // ForgetHost ends the session of a host that is not on the list.
@@ -140,7 +140,7 @@
 func (s *Sessions) SilentHosts(heartbeat int64) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts.Silent(heartbeat, multigroup.Now())
+	return s.hosts.Expired(heartbeat, multigroup.Now())
 }
 
 // Machines describes the store machines for placement.
@@ -152,12 +152,12 @@
 	for id, store := range stores {
 		s.stores.Expect(id, store.Boot, now)
 		machines[id] = placement.Machine{
-			Store:    store,
-			Alive:    s.stores.IsAlive(id, store.Boot, now),
-			Unheard:  s.stores.IsUnheard(id),
-			Away:     s.stores.IsAway(id, now),
-			Leaving:  s.stores.IsLeaving(id),
-			Retiring: retiring(store.Node),
+			Store:       store,
+			Alive:       s.stores.IsAlive(id, store.Boot, now),
+			Unconfirmed: s.stores.IsUnconfirmed(id),
+			Away:        s.stores.IsAway(id, now),
+			Draining:    s.stores.IsDraining(id),
+			Retiring:    retiring(store.Node),
 		}
 	}
 	return machines
@@ -166,7 +166,7 @@
 func (s *Sessions) storeSilentFor(id uint64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stores.Silence(id, multigroup.Now())
+	return s.stores.SilentFor(id, multigroup.Now())
 }
 
 // Controls lists control processes that were heard lately.
@@ -176,7 +176,7 @@
 	now := multigroup.Now()
 	var members []consensus.Member
 	for _, session := range s.controls {
-		if now-session.heardAt <= lease.ControlSilence {
+		if now-session.heardAt <= lease.ControlTimeout {
 			members = append(members, session.member)
 		}
 	}
--- a/tier/control/shards.go
+++ b/tier/control/shards.go
@@ -18,7 +18,7 @@
 	if !known || shard.View.Epoch != change.Epoch {
 		return Result{Code: codes.HostStale}, nil
 	}
-	next, allowed := s.cluster().Change(shard, change.Replica, change.Admit)
+	next, allowed := s.cluster().ChangeInSync(shard, change.Replica, change.Admit)
 	if !allowed {
 		return Result{Code: codes.Unavailable}, nil
 	}
--- a/tier/control/sim_test.go
+++ b/tier/control/sim_test.go
@@ -259,11 +259,11 @@
 	backlog   []func()
 	group     *replica.Group
 	machine   *simMachine
-	witness   consensus.Witness
+	witness   consensus.Acceptor
 	known     consensus.Record
 	learned   int64
 	hasLed    bool
-	rounds    *consensus.Rounds
+	rounds    *consensus.RoundAllocator
 	limit     uint64 // of the rounds, on disk
 	disk      simDisk
 	synced    int64 // when the last write reaches the disk
@@ -284,8 +284,8 @@
 
 func (m *simMember) clock() int64 { return m.s.now + m.origin }
 
-func (m *simMember) standing() lease.Standing {
-	standing := lease.Standing{Role: lease.Backup, ConfirmedSince: m.group.ConfirmedSince(m.clock())}
+func (m *simMember) standing() lease.Status {
+	standing := lease.Status{Role: lease.Backup, ConfirmedSince: m.group.ConfirmedSince(m.clock())}
 	if m.group.IsPrimary() {
 		standing.Role = lease.Primary
 		standing.Ready = m.group.IsReady()
@@ -383,12 +383,12 @@
 // tick is the work that a member does all the time.
 func (m *simMember) tick() {
 	now := m.clock()
-	if m.ticked > 0 && now-m.ticked > lease.OwnStall {
-		m.stores.Stalled(now - m.ticked)
-		m.hosts.Doubt(now)
+	if m.ticked > 0 && now-m.ticked > lease.StallThreshold {
+		m.stores.ExtendAll(now - m.ticked)
+		m.hosts.Restart(now)
 	}
 	m.ticked = now
-	m.hosts.HeardHolder(m.id, m.refusals, now, now)
+	m.hosts.RenewHolder(m.id, m.refusals, now, now)
 	m.group.Tick(now, true)
 	m.carryOut()
 	m.supervise()
@@ -422,14 +422,14 @@
 		m.hosts.Begin(hosts, now)
 		m.stores.Begin(boots, now)
 	}
-	for _, id := range m.hosts.Silent(simHeartbeat, now) {
+	for _, id := range m.hosts.Expired(simHeartbeat, now) {
 		if _, listed := m.machine.Host(id); !listed {
 			m.hosts.Forget(id)
 			continue
 		}
-		m.hosts.Removing(id)
+		m.hosts.BeginRemoval(id)
 		m.submit(Command{Kind: CommandRemoveHost, Key: id}, func(_ Result, err error) {
-			m.hosts.Removed(id, err == nil, m.clock())
+			m.hosts.FinishRemoval(id, err == nil, m.clock())
 			if err == nil {
 				m.s.judgeRemoval(m, id)
 			}
@@ -444,14 +444,14 @@
 		answer(false)
 		return
 	}
-	removing := m.hosts.Heard(host.ID, m.id, m.clock())
+	removing := m.hosts.Renew(host.ID, m.id, m.clock())
 	if held, known := m.machine.Host(host.ID); known && held == host && !removing {
 		answer(m.standing().MayDecide(m.clock()) == nil)
 		return
 	}
 	m.submit(Command{Kind: CommandPutHost, Host: host, Seq: uint64(m.s.now)}, func(_ Result, err error) {
 		if err == nil {
-			m.hosts.Kept(host.ID)
+			m.hosts.Readmit(host.ID)
 		}
 		answer(err == nil)
 	})
@@ -466,12 +466,12 @@
 			answer(true)
 			return
 		}
-		if removing := m.hosts.Heard(host.ID, m.id, m.clock()); !removing {
+		if removing := m.hosts.Renew(host.ID, m.id, m.clock()); !removing {
 			answer(true)
 			return
 		}
 	}
-	if m.standing().MayPassOn(m.clock()) != nil {
+	if m.standing().MayForward(m.clock()) != nil {
 		m.refusals++
 		answer(false)
 		return
@@ -495,7 +495,7 @@
 		m.guess = place((int(to) + 1) % len(m.s.members))
 		to = m.guess
 	}
-	call(m.s, m.place, to, lease.PrimaryAttempt, func(answer func(reply)) {
+	call(m.s, m.place, to, lease.PrimaryAttemptTimeout, func(answer func(reply)) {
 		p := m.s.members[to]
 		if p.standing().MayDecide(p.clock()) != nil {
 			answer(reply{hint: p.hint()})
@@ -532,7 +532,7 @@
 	keep := func(p *simMember, written int64) bool {
 		for id, at := range heard {
 			if _, listed := p.machine.Host(id); listed {
-				p.hosts.Heard(id, m.id, written-(sent-at))
+				p.hosts.Renew(id, m.id, written-(sent-at))
 			}
 		}
 		return p.standing().MayDecide(p.clock()) == nil
@@ -562,7 +562,7 @@
 	refusals, question := m.refusals, m.group.LastProbe()
 	onPrimary(m, func(p *simMember, answer func(consensus.Record)) {
 		if asked, own := p.group.ProbeSentAt(question, p.clock()); own {
-			p.hosts.HeardHolder(m.id, refusals, asked, p.clock())
+			p.hosts.RenewHolder(m.id, refusals, asked, p.clock())
 		}
 		answer(p.known)
 	}, func(record consensus.Record, ok bool) {
@@ -599,7 +599,7 @@
 		first.Members = append(first.Members, consensus.Member{ID: uint64(i + 1), Address: fmt.Sprint("m", i)})
 		first.InSync = append(first.InSync, uint64(i+1))
 	}
-	first = membership.Policy{Tolerate: (count - 1) / 2}.WithCopies(first)
+	first = membership.Policy{Tolerate: (count - 1) / 2}.WithMinInSync(first)
 	for i := range count {
 		s.addMember(place(i), first)
 	}
@@ -610,7 +610,7 @@
 func (s *simNetwork) addMember(p place, first consensus.Record) {
 	m := &simMember{
 		s: s, place: p, id: uint64(p) + 1, origin: 1 << 20 * (1 + s.random.Int63n(9)), machine: &simMachine{State: NewState()},
-		witness: consensus.Witness{Promised: consensus.Ballot{Round: 1, Proposer: 1}, Accepted: consensus.Ballot{Round: 1, Proposer: 1}, Value: first},
+		witness: consensus.Acceptor{Promised: consensus.ProposalNumber{Round: 1, Proposer: 1}, Accepted: consensus.ProposalNumber{Round: 1, Proposer: 1}, Value: first},
 		known:   first, hosts: lease.NewHostSessions(), stores: lease.NewStoreSessions(),
 		heard: map[string]int64{}, waiting: map[uint64]func(Result, error){},
 	}
@@ -625,7 +625,7 @@
 		})
 	}
 	s.every(simTick, func() { s.run(p, m.tickUnlessFrozen) })
-	s.every(lease.ReportEvery, func() { s.run(p, m.report) })
+	s.every(lease.ReportInterval, func() { s.run(p, m.report) })
 	s.every(controlBeatEvery.Milliseconds(), func() { s.run(p, m.beat) })
 }
 
--- a/tier/control/simelect_test.go
+++ b/tier/control/simelect_test.go
@@ -11,17 +11,17 @@
 // This file plays the elections of the simulation: register.Proposal, one at a time for each member.
 
 func (m *simMember) watchPrimary() {
-	situation := lease.Situation{
-		Now: m.clock(), StartedAt: m.origin, RecordLearned: m.learned, PrimaryProven: m.group.PrimaryConfirmedAt(),
+	situation := lease.FailoverInput{
+		Now: m.clock(), StartedAt: m.origin, RecordLearnedAt: m.learned, PrimaryConfirmedAt: m.group.PrimaryConfirmedAt(),
 		InSync: m.known.IsInSync(m.id), Leads: m.group.IsPrimary(), NamedPrimary: m.known.Primary == m.id, HasLed: m.hasLed,
 		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.SuspectStep),
 	}
 	switch situation.Next() {
-	case lease.Locate:
+	case lease.ActionLocatePrimary:
 		m.locate()
-	case lease.ReplaceItself:
+	case lease.ActionResumeLead:
 		m.takeOver(prepareBySelf)
-	case lease.ReplaceOther:
+	case lease.ActionTakeOver:
 		m.takeOver(prepareOnSilence)
 	}
 }
@@ -45,7 +45,7 @@
 
 func (m *simMember) voter() lease.Voter {
 	voter := lease.Voter{
-		Now: m.clock(), StartedAt: m.startedAt, KnownEpoch: m.known.Epoch, KnownPrimary: m.known.Primary, PrimaryProven: m.group.PrimaryConfirmedAt(),
+		Now: m.clock(), StartedAt: m.startedAt, KnownEpoch: m.known.Epoch, KnownPrimary: m.known.Primary, PrimaryConfirmedAt: m.group.PrimaryConfirmedAt(),
 	}
 	if view := m.group.View(); view.Epoch > m.known.Epoch {
 		voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
@@ -68,7 +68,7 @@
 	decided := false
 	for _, peer := range m.s.members {
 		call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(bool)) {
-			answer(peer.voter().Supports(lease.Ballot{Candidate: m.id, Epoch: suspected}))
+			answer(peer.voter().Grants(lease.VoteRequest{Candidate: m.id, Epoch: suspected}))
 		}, func(supported, ok bool) {
 			supporters[peer.id] = supported && ok
 			possible[peer.id] = supported && ok
@@ -153,12 +153,12 @@
 
 // propose reads the register and changes it, in one attempt.
 func (m *simMember) propose(mode prepareMode, change func(consensus.Record) (consensus.Record, bool), done func(consensus.Record, bool)) {
-	m.rounds.Saw(m.witness.Promised.Round)
+	m.rounds.Observe(m.witness.Promised.Round)
 	round, err := m.rounds.Next()
 	if err != nil {
 		m.s.t.Fatal(err)
 	}
-	ballot := consensus.Ballot{Round: round, Proposer: m.id}
+	ballot := consensus.ProposalNumber{Round: round, Proposer: m.id}
 	proposal := consensus.NewProposal(ballot, m.known, consensus.Record{}, func(current consensus.Record, _ map[uint64]bool) (consensus.Record, bool) {
 		return change(current)
 	})
@@ -169,7 +169,7 @@
 		}
 		finished = true
 		m.busy = false
-		m.rounds.Saw(proposal.HighestRound())
+		m.rounds.Observe(proposal.HighestRound())
 		if ok {
 			m.learn(record)
 		}
@@ -180,8 +180,8 @@
 	send = func(requests []consensus.Request) {
 		for _, request := range requests {
 			peer := m.s.members[request.To.ID-1]
-			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(consensus.Promise)) { answer(peer.vote(mode, request)) },
-				func(promise consensus.Promise, reached bool) {
+			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(consensus.Response)) { answer(peer.vote(mode, request)) },
+				func(promise consensus.Response, reached bool) {
 					if finished || life != m.life {
 						return
 					}
@@ -203,24 +203,24 @@
 }
 
 // vote is a witness's answer to a request.
-func (m *simMember) vote(mode prepareMode, request consensus.Request) consensus.Promise {
+func (m *simMember) vote(mode prepareMode, request consensus.Request) consensus.Response {
 	if request.Kind == consensus.RequestPrepare {
-		return m.prepare(mode, request.Ballot)
+		return m.prepare(mode, request.Number)
 	}
-	given := m.accept(request.Ballot, request.Value)
-	return consensus.Promise{Given: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
+	given := m.accept(request.Number, request.Value)
+	return consensus.Response{Granted: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
 }
 
-func (m *simMember) prepare(mode prepareMode, ballot consensus.Ballot) consensus.Promise {
+func (m *simMember) prepare(mode prepareMode, ballot consensus.ProposalNumber) consensus.Response {
 	voter := m.voter()
-	if mode == prepareOnSilence && !voter.Supports(lease.Ballot{Epoch: voter.KnownEpoch}) {
-		return consensus.Promise{}
+	if mode == prepareOnSilence && !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch}) {
+		return consensus.Response{}
 	}
 	given := m.witness.Prepare(ballot)
-	return consensus.Promise{Given: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
+	return consensus.Response{Granted: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
 }
 
-func (m *simMember) accept(ballot consensus.Ballot, record consensus.Record) bool {
+func (m *simMember) accept(ballot consensus.ProposalNumber, record consensus.Record) bool {
 	given := m.witness.Accept(ballot, record)
 	if given {
 		m.learn(record)
--- a/tier/control/simjudge_test.go
+++ b/tier/control/simjudge_test.go
@@ -65,7 +65,7 @@
 		return
 	}
 	to := h.target
-	call(h.s, h.place, to, lease.HostAttempt, func(answer func(bool)) { h.s.members[to].heartbeat(h.host, answer) }, func(ok, reached bool) {
+	call(h.s, h.place, to, lease.HostAttemptTimeout, func(answer func(bool)) { h.s.members[to].heartbeat(h.host, answer) }, func(ok, reached bool) {
 		if ok && reached {
 			h.calling = false
 			h.ackedAt = h.s.now
@@ -87,7 +87,7 @@
 func (s *simNetwork) addStore(p place) {
 	store := &simStore{s: s, place: p, target: s.randomMember()}
 	s.stores = append(s.stores, store)
-	s.every(lease.StoreBeatEvery, store.beat)
+	s.every(lease.StoreHeartbeatInterval, store.beat)
 }
 
 func (t *simStore) beat() {
@@ -96,13 +96,13 @@
 	}
 	t.calling = true
 	to := t.target
-	call(t.s, t.place, to, lease.PrimaryAttempt, func(answer func(place)) {
+	call(t.s, t.place, to, lease.PrimaryAttemptTimeout, func(answer func(place)) {
 		m := t.s.members[to]
 		if m.standing().MayDecide(m.clock()) != nil {
 			answer(m.hint())
 			return
 		}
-		m.stores.Heard(uint64(t.place-firstStore), 1, false, m.clock())
+		m.stores.Renew(uint64(t.place-firstStore), 1, false, m.clock())
 		answer(to)
 	}, func(leader place, ok bool) {
 		t.calling = false
@@ -252,7 +252,7 @@
 
 func (m *simMember) servePrimary(work func(*simMember, func(codes.Code)), answer func(codes.Code)) {
 	switch {
-	case m.standing().MayPassOn(m.clock()) != nil:
+	case m.standing().MayForward(m.clock()) != nil:
 		answer(codes.Unavailable)
 	case m.group.IsReady():
 		work(m, answer)
@@ -289,7 +289,7 @@
 // judgeHandedOut condemns a configuration that was replaced longer ago than a lease lasts.
 func (s *simNetwork) judgeHandedOut(m *simMember, version uint64) {
 	for acked, at := range s.operator.acked {
-		if acked > version && at < s.now-lease.LeaseLength {
+		if acked > version && at < s.now-lease.TTL {
 			s.condemn(oldConfiguration, "member %d hands out %d, %d was confirmed %d ms ago", m.place, version, acked, s.now-at)
 		}
 	}
--- a/tier/control/simlife_test.go
+++ b/tier/control/simlife_test.go
@@ -31,7 +31,7 @@
 // open makes a member's process from its disk.
 func (m *simMember) open() {
 	m.machine = &simMachine{State: NewState()}
-	m.rounds = consensus.NewRounds(m.limit, func(limit uint64) error {
+	m.rounds = consensus.NewRoundAllocator(m.limit, func(limit uint64) error {
 		m.limit = limit
 		return nil
 	})
--- a/tier/control/standing.go
+++ b/tier/control/standing.go
@@ -12,16 +12,16 @@
 	"otterseam/tier/timeline"
 )
 
-const checkEvery = lease.CheckEvery * time.Millisecond
+const checkEvery = lease.CheckInterval * time.Millisecond
 
 // standing is what this process can prove of itself. All answers of control are given by it.
-func (s *Server) standing() lease.Standing {
+func (s *Server) standing() lease.Status {
 	if !consensus.HasMember(s.elector.Known().Members, s.self.ID) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return lease.Standing{Role: lease.Outsider, ConfirmedSince: s.reachedSince}
+		return lease.Status{Role: lease.Outsider, ConfirmedSince: s.reachedSince}
 	}
-	standing := lease.Standing{Role: lease.Backup}
+	standing := lease.Status{Role: lease.Backup}
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		if g.IsPrimary() {
 			standing.Role = lease.Primary
--- a/tier/control/state.go
+++ b/tier/control/state.go
@@ -61,7 +61,7 @@
 	case CommandRetire:
 		return Result{Code: s.retire(index, c)}
 	case CommandMembers:
-		s.View.SetInstallation(c.Record.Installation)
+		s.View.SetInstallation(c.Record.ClusterID)
 		s.View.Put(feed.SectionControl, directory.ConfigKey, index, directory.EncodeMembers(c.Record))
 	case CommandSetAside:
 		if held, known := s.hosts[c.Key]; known && !held.gone {
@@ -96,7 +96,7 @@
 
 // replaceConfig takes a configuration if it builds on the current one. The same order gets the same answer again.
 func (s *State) replaceConfig(index uint64, c Command) codes.Code {
-	order := configlog.Order{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
+	order := configlog.Change{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
 	answer, fresh := s.orders.Decide(order, s.currentVersion())
 	if fresh {
 		s.View.Put(feed.SectionConfig, directory.ConfigKey, index, configItem(c.Version, c.Body))
--- a/tier/control/verdicts.go
+++ b/tier/control/verdicts.go
@@ -16,18 +16,20 @@
 // decided lapses after its term at the latest.
 type verdicts struct {
 	mu    sync.Mutex
-	judge *outlier.Judge
+	judge *outlier.Detector
 	news  bool             // a window has come since the last decision
 	ends  map[string]int64 // when the terms of hosts that are set aside end
 }
 
-func newVerdicts() *verdicts { return &verdicts{judge: outlier.NewJudge(), ends: map[string]int64{}} }
+func newVerdicts() *verdicts {
+	return &verdicts{judge: outlier.NewDetector(), ends: map[string]int64{}}
+}
 
 // begin starts anew, with the terms that are in force.
 func (v *verdicts) begin(terms map[string]int64, now int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.judge = outlier.NewJudge()
+	v.judge = outlier.NewDetector()
 	v.news = false
 	v.ends = map[string]int64{}
 	for host, term := range terms {
@@ -39,12 +41,12 @@
 func (v *verdicts) take(window outlier.Window, now int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.judge.Take(window, now)
+	v.judge.Add(window, now)
 	v.news = true
 }
 
 // decide returns the hosts to set aside, if anything has come since the last time, and those whose terms have ended.
-func (v *verdicts) decide(fleet func() outlier.Fleet, now int64) (aside []outlier.Verdict, ended []string) {
+func (v *verdicts) decide(fleet func() outlier.Fleet, now int64) (aside []outlier.Ejection, ended []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for host, end := range v.ends {
@@ -59,7 +61,7 @@
 	v.news = false
 	aside = v.judge.Decide(fleet(), now)
 	for _, verdict := range aside {
-		v.ends[verdict.Host] = now + verdict.TermMS
+		v.ends[verdict.Host] = now + verdict.DurationMS
 	}
 	return aside, ended
 }
@@ -79,8 +81,8 @@
 	aside, ended := s.verdicts.decide(s.fleet, multigroup.Now())
 	var commands []Command
 	for _, verdict := range aside {
-		s.log.WithFields(logrus.Fields{"host": verdict.Host, "term_ms": verdict.TermMS}).Info("host set aside: it fails where its peers do not")
-		commands = append(commands, Command{Kind: CommandSetAside, Key: verdict.Host, TermMS: verdict.TermMS})
+		s.log.WithFields(logrus.Fields{"host": verdict.Host, "term_ms": verdict.DurationMS}).Info("host set aside: it fails where its peers do not")
+		commands = append(commands, Command{Kind: CommandSetAside, Key: verdict.Host, TermMS: verdict.DurationMS})
 	}
 	for _, host := range ended {
 		commands = append(commands, Command{Kind: CommandEndAside, Key: host})
--- a/tier/control/verdicts_test.go
+++ b/tier/control/verdicts_test.go
@@ -72,14 +72,14 @@
 	}
 	for reporter := range uint64(3) {
 		failed := outlier.Observation{Host: "b"}
-		failed.Failed[outlier.Hung] = 2
+		failed.Counts[outlier.Hung] = 2
 		v.take(outlier.Window{Reporter: reporter + 1, Number: 1, Contacted: 9, Hosts: []outlier.Observation{failed}}, 8000)
 	}
 	aside, _ := v.decide(fleet, 8050)
 	if len(aside) != 1 || aside[0].Host != "b" {
 		t.Fatal(aside)
 	}
-	if _, ended := v.decide(fleet, 8050+aside[0].TermMS); len(ended) != 1 {
+	if _, ended := v.decide(fleet, 8050+aside[0].DurationMS); len(ended) != 1 {
 		t.Fatal("the term never ends")
 	}
 }
--- a/tier/controlclient/client.go
+++ b/tier/controlclient/client.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	attemptTimeout = lease.PrimaryAttempt * time.Millisecond
-	attemptPause   = lease.PrimaryPause * time.Millisecond
+	attemptTimeout = lease.PrimaryAttemptTimeout * time.Millisecond
+	attemptPause   = lease.PrimaryRetryInterval * time.Millisecond
 )
 
 // Client calls the control primary, wherever it is.
--- a/tier/directory/recorded_test.go
+++ b/tier/directory/recorded_test.go
@@ -60,7 +60,7 @@
 
 func TestRecordedMembers(t *testing.T) {
 	record := consensus.Record{
-		Epoch: 5, Primary: 1, InSync: []uint64{1, 2}, MinCopies: 2, Installation: 0xfedcba9876543210,
+		Epoch: 5, Primary: 1, InSync: []uint64{1, 2}, MinInSync: 2, ClusterID: 0xfedcba9876543210,
 		Members:  []consensus.Member{{ID: 1, Address: "10.0.0.1:7401", Node: "ctl-a"}, {ID: 2, Address: "10.0.0.2:7402", Node: "ctl-b"}},
 		Previous: []consensus.Member{{ID: 1, Address: "10.0.0.1:7401", Node: "ctl-a"}},
 		Learners: []consensus.Member{{ID: 3, Address: "10.0.0.3:7403", Node: "ctl-c"}},
--- a/tier/lease/bounds.go
+++ b/tier/lease/bounds.go
@@ -6,51 +6,51 @@
 // The bounds of control, in milliseconds. How they hang together is checked by TestTheSuccessorOutwaitsEveryPromise and the
 // other tests of this file.
 const (
-	// LeaseLength is how long after the start of its newest confirmed question a process may stand behind its answers.
-	LeaseLength = 800
+	// TTL is how long after the start of its newest confirmed question a process may stand behind its answers.
+	TTL = 800
 	// StepDownAfter is how long a primary leads on without the answers of a majority.
 	StepDownAfter = 1000
 	// SuspectAfter is how long after the last proof that a majority stands behind the primary a backup tries to replace it.
 	SuspectAfter = 620
 	// SuspectStep is how much longer each further candidate waits.
 	SuspectStep = 120
-	// TroubledWait is how much longer a candidate waits whose disk does not do its work, so that others come first.
-	TroubledWait = 1000
+	// DegradedDelay is how much longer a candidate waits whose disk does not do its work, so that others come first.
+	DegradedDelay = 1000
 	// StickyFor is how long after such a proof a voter helps nobody to replace the primary.
 	StickyFor = 400
 
-	// HeartbeatsLost is how many of its heartbeats a host may miss.
-	HeartbeatsLost = 4
-	// HostAttempt is how long a host waits for the answer to a heartbeat before it calls another control process.
-	HostAttempt = 1000
-	// HostAttempts is how many silent control processes a host may meet in a row without losing its session.
-	HostAttempts = 2
-	// ReportEvery is how often a backup tells the primary which hosts it has heard.
-	ReportEvery = 300
+	// MaxMissedHeartbeats is how many of its heartbeats a host may miss.
+	MaxMissedHeartbeats = 4
+	// HostAttemptTimeout is how long a host waits for the answer to a heartbeat before it calls another control process.
+	HostAttemptTimeout = 1000
+	// MaxHostAttempts is how many silent control processes a host may meet in a row without losing its session.
+	MaxHostAttempts = 2
+	// ReportInterval is how often a backup tells the primary which hosts it has heard.
+	ReportInterval = 300
 	// ReportTimeout is how long it waits for the answer.
 	ReportTimeout = 350
 	// HostGrace is how much longer a host's session lasts when its silence may be the fault of control.
 	HostGrace = 3500
-	// HolderSilence is how long the primary may miss a control process before it doubts the silence of the hosts kept there.
-	HolderSilence = 440
+	// HolderTimeout is how long the primary may miss a control process before it doubts the silence of the hosts kept there.
+	HolderTimeout = 440
 
-	// StoreBeatEvery is how often a store keeps its session.
-	StoreBeatEvery = 120
-	// PrimaryAttempt is how long a caller of the primary waits before it calls another control process.
-	PrimaryAttempt = 450
-	// PrimaryPause is how long it waits between two calls.
-	PrimaryPause = 15
-	// StoreSilence is how long a store may be silent before its session ends.
-	StoreSilence = 650
-	// StoreFirstSilence is the same for a store that a new primary has not heard yet.
-	StoreFirstSilence = 1500
-	// StoreAway is how long a store may be silent before its shards are placed elsewhere.
-	StoreAway = 4000
+	// StoreHeartbeatInterval is how often a store keeps its session.
+	StoreHeartbeatInterval = 120
+	// PrimaryAttemptTimeout is how long a caller of the primary waits before it calls another control process.
+	PrimaryAttemptTimeout = 450
+	// PrimaryRetryInterval is how long it waits between two calls.
+	PrimaryRetryInterval = 15
+	// StoreTimeout is how long a store may be silent before its session ends.
+	StoreTimeout = 650
+	// StoreFirstTimeout is the same for a store that a new primary has not heard yet.
+	StoreFirstTimeout = 1500
+	// StoreAwayAfter is how long a store may be silent before its shards are placed elsewhere.
+	StoreAwayAfter = 4000
 
-	// ControlSilence is how long a control process may be silent before another may take its place as a member.
-	ControlSilence = 2500
-	// OwnStall is how long a process may go without a tick of its own before it doubts what it holds of others.
-	OwnStall = 300
-	// CheckEvery is how often a process looks whether it still has authority.
-	CheckEvery = 50
+	// ControlTimeout is how long a control process may be silent before another may take its place as a member.
+	ControlTimeout = 2500
+	// StallThreshold is how long a process may go without a tick of its own before it doubts what it holds of others.
+	StallThreshold = 300
+	// CheckInterval is how often a process looks whether it still has authority.
+	CheckInterval = 50
 )
--- a/tier/lease/hosts.go
+++ b/tier/lease/host_sessions.go
@@ -37,30 +37,30 @@
 	}
 }
 
-// Doubt starts all sessions anew, after this process stood still.
-func (s *HostSessions) Doubt(now int64) {
+// Restart starts all sessions anew, after this process stood still.
+func (s *HostSessions) Restart(now int64) {
 	for id := range s.hosts {
 		s.hosts[id] = hostSession{heardAt: now, doubtedAt: now}
 	}
 }
 
-// Heard keeps a host's session, for the control process that heard the host at a time. It tells whether a removal of the host may be under way: then the heartbeat is worth nothing
+// Renew keeps a host's session, for the control process that heard the host at a time. It tells whether a removal of the host may be under way: then the heartbeat is worth nothing
 // unless it is committed behind the removal.
-func (s *HostSessions) Heard(id string, by uint64, at int64) (removing bool) {
+func (s *HostSessions) Renew(id string, by uint64, at int64) (removing bool) {
 	if held := s.hosts[id]; at > held.heardAt {
 		s.hosts[id] = hostSession{heardAt: at, holder: by, doubtedAt: held.doubtedAt}
 	}
 	return s.removing[id]
 }
 
-// Removing notes that a host is to be removed; its session ends.
-func (s *HostSessions) Removing(id string) {
+// BeginRemoval notes that a host is to be removed; its session ends.
+func (s *HostSessions) BeginRemoval(id string) {
 	delete(s.hosts, id)
 	s.removing[id] = true
 }
 
-// Removed notes what became of a removal. One that may still be committed leaves the host under suspicion.
-func (s *HostSessions) Removed(id string, committed bool, now int64) {
+// FinishRemoval notes what became of a removal. One that may still be committed leaves the host under suspicion.
+func (s *HostSessions) FinishRemoval(id string, committed bool, now int64) {
 	if committed {
 		delete(s.removing, id)
 		return
@@ -70,14 +70,14 @@
 	}
 }
 
-// Kept notes that a host was put on the list behind any removal.
-func (s *HostSessions) Kept(id string) { delete(s.removing, id) }
+// Readmit notes that a host was put on the list behind any removal.
+func (s *HostSessions) Readmit(id string) { delete(s.removing, id) }
 
-// HeardHolder notes that a control process has answered what this one asked at a time, and how many heartbeats it has refused for
+// RenewHolder notes that a control process has answered what this one asked at a time, and how many heartbeats it has refused for
 // want of a lease: the hosts that it sent away are on their way to another.
-func (s *HostSessions) HeardHolder(id, refusals uint64, asked, now int64) {
+func (s *HostSessions) RenewHolder(id, refusals uint64, asked, now int64) {
 	held, known := s.holders[id]
-	if known && (now-held.heardAt > HolderSilence || refusals != held.refusals) {
+	if known && (now-held.heardAt > HolderTimeout || refusals != held.refusals) {
 		held.recoveredAt = now
 	}
 	held.refusals = refusals
@@ -88,11 +88,11 @@
 // Forget ends a host's session.
 func (s *HostSessions) Forget(id string) { delete(s.hosts, id) }
 
-// Silent lists the hosts whose sessions have ended, for heartbeats of the given length.
-func (s *HostSessions) Silent(heartbeat, now int64) []string {
+// Expired lists the hosts whose sessions have ended, for heartbeats of the given length.
+func (s *HostSessions) Expired(heartbeat, now int64) []string {
 	var silent []string
 	for id, session := range s.hosts {
-		if now > s.endOf(session, heartbeat, now) {
+		if now > s.expiryOf(session, heartbeat, now) {
 			silent = append(silent, id)
 		}
 	}
@@ -100,17 +100,17 @@
 	return silent
 }
 
-// endOf is when a session ends unless the host is heard. The silence of a host may be the fault of the control process that
+// expiryOf is when a session ends unless the host is heard. The silence of a host may be the fault of the control process that
 // kept it, or of the one that led before; then there is time for the host to find another. That time is never cut short by a
 // report, which may have been on its way for long.
-func (s *HostSessions) endOf(session hostSession, heartbeat, now int64) int64 {
-	patience := HeartbeatsLost * heartbeat
+func (s *HostSessions) expiryOf(session hostSession, heartbeat, now int64) int64 {
+	patience := MaxMissedHeartbeats * heartbeat
 	end := session.heardAt + patience
 	if session.doubtedAt > 0 {
 		end = max(end, session.doubtedAt+patience+HostGrace)
 	}
 	held := s.holders[session.holder]
-	if now-held.heardAt > HolderSilence {
+	if now-held.heardAt > HolderTimeout {
 		return max(end, max(session.heardAt, held.heardAt)+patience+HostGrace)
 	}
 	if held.recoveredAt > 0 {
--- a/tier/lease/standing.go
+++ b/tier/lease/status.go
@@ -7,11 +7,11 @@
 
 // The kinds of answers.
 const (
-	ConfigOrder Answer = iota
+	ConfigChange Answer = iota
 	ConfigRead
 	HostHeartbeat
 	HostDeregistration
-	RetireOrder
+	RetireRequest
 	RetireRead
 	Subscription
 	StoreSession
@@ -31,11 +31,11 @@
 
 // bases says for each kind of answer what it rests on.
 var bases = map[Answer]Basis{
-	ConfigOrder:        OnCommit,
+	ConfigChange:       OnCommit,
 	ConfigRead:         OnCommit,
 	HostHeartbeat:      OnLease,
 	HostDeregistration: OnCommit,
-	RetireOrder:        OnCommit,
+	RetireRequest:      OnCommit,
 	RetireRead:         OnCommit,
 	Subscription:       OnLease,
 	StoreSession:       OnLease,
@@ -57,8 +57,8 @@
 	Primary
 )
 
-// Standing is what a control process can prove of itself at a moment.
-type Standing struct {
+// Status is what a control process can prove of itself at a moment.
+type Status struct {
 	Role Role
 	// Ready says that a primary has committed the entry that opened its epoch.
 	Ready bool
@@ -68,15 +68,15 @@
 }
 
 // HasLease tells whether the proof is recent enough to stand behind an answer.
-func (s Standing) HasLease(now int64) bool {
-	return s.ConfirmedSince > 0 && now-s.ConfirmedSince < LeaseLength
+func (s Status) HasLease(now int64) bool {
+	return s.ConfirmedSince > 0 && now-s.ConfirmedSince < TTL
 }
 
 // Age is how old the proof is.
-func (s Standing) Age(now int64) int64 { return now - s.ConfirmedSince }
+func (s Status) Age(now int64) int64 { return now - s.ConfirmedSince }
 
 // MayDecide tells whether this process may give an answer of its own as the primary.
-func (s Standing) MayDecide(now int64) error {
+func (s Status) MayDecide(now int64) error {
 	if s.Role != Primary || !s.Ready {
 		return codes.NotPrimary
 	}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// MayPassOn tells whether this process can expect the primary to answer what it passes on.
-func (s Standing) MayPassOn(now int64) error {
+// MayForward tells whether this process can expect the primary to answer what it passes on.
+func (s Status) MayForward(now int64) error {
 	if !s.HasLease(now) {
 		return codes.Unavailable
 	}
@@ -95,7 +95,7 @@
 }
 
 // MayServe tells whether this process may serve its copy of the state, and keep sessions for the primary.
-func (s Standing) MayServe(now int64) bool {
+func (s Status) MayServe(now int64) bool {
 	if s.Role == Outsider || (s.Role == Primary && !s.Ready) {
 		return false
 	}
--- a/tier/lease/stores.go
+++ b/tier/lease/store_sessions.go
@@ -6,10 +6,10 @@
 }
 
 type storeSession struct {
-	heardAt int64
-	boot    uint64
-	leaving bool
-	unheard bool // this primary has not heard the store yet
+	heardAt     int64
+	boot        uint64
+	draining    bool
+	unconfirmed bool // this primary has not heard the store yet
 }
 
 // NewStoreSessions makes an empty table.
@@ -21,7 +21,7 @@
 func (s *StoreSessions) Begin(boots map[uint64]uint64, now int64) {
 	s.stores = make(map[uint64]storeSession, len(boots))
 	for id, boot := range boots {
-		s.stores[id] = storeSession{heardAt: now, boot: boot, unheard: true}
+		s.stores[id] = storeSession{heardAt: now, boot: boot, unconfirmed: true}
 	}
 }
 
@@ -29,21 +29,21 @@
 // sessions were begun.
 func (s *StoreSessions) Expect(id, boot uint64, now int64) {
 	if _, known := s.stores[id]; !known {
-		s.stores[id] = storeSession{heardAt: now, boot: boot, unheard: true}
+		s.stores[id] = storeSession{heardAt: now, boot: boot, unconfirmed: true}
 	}
 }
 
-// Stalled makes up for the time in which this process stood still.
-func (s *StoreSessions) Stalled(span int64) {
+// ExtendAll makes up for the time in which this process stood still.
+func (s *StoreSessions) ExtendAll(span int64) {
 	for id, session := range s.stores {
 		session.heardAt += span
 		s.stores[id] = session
 	}
 }
 
-// Heard keeps a store's session.
-func (s *StoreSessions) Heard(id, boot uint64, leaving bool, now int64) {
-	s.stores[id] = storeSession{heardAt: now, boot: boot, leaving: leaving}
+// Renew keeps a store's session.
+func (s *StoreSessions) Renew(id, boot uint64, leaving bool, now int64) {
+	s.stores[id] = storeSession{heardAt: now, boot: boot, draining: leaving}
 }
 
 // IsAlive tells whether a store's session of that start of its holds.
@@ -52,24 +52,24 @@
 	if !known || session.boot != boot {
 		return false
 	}
-	patience := int64(StoreSilence)
-	if session.unheard {
-		patience = StoreFirstSilence
+	patience := int64(StoreTimeout)
+	if session.unconfirmed {
+		patience = StoreFirstTimeout
 	}
 	return now-session.heardAt <= patience
 }
 
-// IsUnheard tells whether this primary has not heard the store yet.
-func (s *StoreSessions) IsUnheard(id uint64) bool { return s.stores[id].unheard }
+// IsUnconfirmed tells whether this primary has not heard the store yet.
+func (s *StoreSessions) IsUnconfirmed(id uint64) bool { return s.stores[id].unconfirmed }
 
 // IsAway tells whether a store was silent for so long that what it holds is placed elsewhere.
 func (s *StoreSessions) IsAway(id uint64, now int64) bool {
 	session, known := s.stores[id]
-	return !known || now-session.heardAt > StoreAway
+	return !known || now-session.heardAt > StoreAwayAfter
 }
 
-// IsLeaving tells whether a store said that it is about to end.
-func (s *StoreSessions) IsLeaving(id uint64) bool { return s.stores[id].leaving }
+// IsDraining tells whether a store said that it is about to end.
+func (s *StoreSessions) IsDraining(id uint64) bool { return s.stores[id].draining }
 
-// Silence is how long a store has been silent.
-func (s *StoreSessions) Silence(id uint64, now int64) int64 { return now - s.stores[id].heardAt }
+// SilentFor is how long a store has been silent.
+func (s *StoreSessions) SilentFor(id uint64, now int64) int64 { return now - s.stores[id].heardAt }
--- a/tier/membership/founding_test.go
+++ b/tier/membership/bootstrap_test.go
@@ -6,13 +6,13 @@
 	"otterseam/tier/consensus"
 )
 
-func founding(self uint64, heard ...uint64) Founding {
-	f := Founding{Self: member(self), Founders: map[string]consensus.Member{}}
+func founding(self uint64, heard ...uint64) BootstrapInput {
+	f := BootstrapInput{Self: member(self), Candidates: map[string]consensus.Member{}}
 	for _, id := range []uint64{1, 2, 3} {
 		f.Seeds = append(f.Seeds, member(id).Address)
 	}
 	for _, id := range heard {
-		f.Founders[member(id).Address] = member(id)
+		f.Candidates[member(id).Address] = member(id)
 	}
 	return f
 }
@@ -29,19 +29,19 @@
 		t.Fatal("founded without waiting for the third")
 	}
 	waited := founding(2, 1)
-	waited.Waited = true
+	waited.WaitElapsed = true
 	if two, may := waited.Members(); !may || len(two) != 2 {
 		t.Fatalf("two of three after the wait: %v %v", two, may)
 	}
 	alone := founding(1)
-	alone.Waited = true
+	alone.WaitElapsed = true
 	if _, may := alone.Members(); may {
 		t.Fatal("one of three founded")
 	}
 }
 
 func TestASingleSeedFoundsAlone(t *testing.T) {
-	f := Founding{Self: member(1), Seeds: []string{member(1).Address}}
+	f := BootstrapInput{Self: member(1), Seeds: []string{member(1).Address}}
 	if all, may := f.Members(); !may || len(all) != 1 {
 		t.Fatalf("%v %v", all, may)
 	}
--- a/tier/membership/sightings.go
+++ b/tier/membership/identity.go
@@ -2,10 +2,10 @@
 
 import "otterseam/tier/consensus"
 
-// Sightings is where each identity was last seen, from which follows whose disk is lost. The proof is the member's own machine,
+// IdentityTracker is where each identity was last seen, from which follows whose disk is lost. The proof is the member's own machine,
 // at its own address, answering with another identity after the last sign of the member: an identity is drawn only on an empty
 // disk. An address that another machine has taken proves nothing, nor does silence, nor an answer from before the member came.
-type Sightings struct {
+type IdentityTracker struct {
 	members   map[uint64]sighting
 	addresses map[string]occupant
 }
@@ -24,20 +24,20 @@
 	at       int64
 }
 
-// NewSightings makes an empty record of sightings.
-func NewSightings() *Sightings {
-	return &Sightings{members: map[uint64]sighting{}, addresses: map[string]occupant{}}
+// NewIdentityTracker makes an empty record of sightings.
+func NewIdentityTracker() *IdentityTracker {
+	return &IdentityTracker{members: map[uint64]sighting{}, addresses: map[string]occupant{}}
 }
 
-// Named notes that a record names a member. Only the first time counts as a sign of it.
-func (s *Sightings) Named(member consensus.Member, now int64) {
+// ObserveListed notes that a record names a member. Only the first time counts as a sign of it.
+func (s *IdentityTracker) ObserveListed(member consensus.Member, now int64) {
 	if _, known := s.members[member.ID]; !known {
 		s.members[member.ID] = sighting{address: member.Address, node: member.Node, at: now}
 	}
 }
 
-// Answered notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
-func (s *Sightings) Answered(member consensus.Member, since int64) {
+// ObserveAnswer notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
+func (s *IdentityTracker) ObserveAnswer(member consensus.Member, since int64) {
 	if held := s.members[member.ID]; held.at <= since {
 		s.members[member.ID] = sighting{address: member.Address, node: member.Node, at: since}
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Lost tells whether a member's disk is provably lost.
-func (s *Sightings) Lost(id uint64) bool {
+// DiskLost tells whether a member's disk is provably lost.
+func (s *IdentityTracker) DiskLost(id uint64) bool {
 	seen, known := s.members[id]
 	if !known {
 		return false
--- a/tier/membership/sightings_test.go
+++ b/tier/membership/identity_test.go
@@ -14,72 +14,72 @@
 
 // The same machine at the same address with another identity has lost its disk.
 func TestAnotherIdentityOfTheSameMachineProvesALostDisk(t *testing.T) {
-	s := NewSightings()
-	s.Named(first, 10)
-	if s.Lost(first.ID) {
+	s := NewIdentityTracker()
+	s.ObserveListed(first, 10)
+	if s.DiskLost(first.ID) {
 		t.Fatal("lost though nobody answered")
 	}
-	s.Answered(wiped, 20)
-	if !s.Lost(first.ID) || s.Lost(wiped.ID) {
-		t.Fatalf("lost: %v, the new one %v", s.Lost(first.ID), s.Lost(wiped.ID))
+	s.ObserveAnswer(wiped, 20)
+	if !s.DiskLost(first.ID) || s.DiskLost(wiped.ID) {
+		t.Fatalf("lost: %v, the new one %v", s.DiskLost(first.ID), s.DiskLost(wiped.ID))
 	}
 }
 
 // An address that another machine has taken proves nothing: the member's disk is wherever its machine is.
 func TestAnAddressThatAnotherMachineTookProvesNothing(t *testing.T) {
-	s := NewSightings()
-	s.Named(first, 10)
-	s.Answered(elsewhere, 20)
-	if s.Lost(first.ID) {
+	s := NewIdentityTracker()
+	s.ObserveListed(first, 10)
+	s.ObserveAnswer(elsewhere, 20)
+	if s.DiskLost(first.ID) {
 		t.Fatal("the disk of a machine that moved counts as lost")
 	}
 }
 
 // A member that is alive at another address is not lost, whoever answers at the former one.
 func TestAMemberThatMovedIsNotLost(t *testing.T) {
-	s := NewSightings()
-	s.Named(first, 10)
-	s.Answered(wiped, 20)
+	s := NewIdentityTracker()
+	s.ObserveListed(first, 10)
+	s.ObserveAnswer(wiped, 20)
 	moved := first
 	moved.Address = "y"
-	s.Answered(moved, 30)
-	s.Answered(wiped, 40)
-	if s.Lost(first.ID) {
+	s.ObserveAnswer(moved, 30)
+	s.ObserveAnswer(wiped, 40)
+	if s.DiskLost(first.ID) {
 		t.Fatal("a member that answers elsewhere counts as lost")
 	}
 }
 
 // A process that starts slowly answers nothing, which proves nothing.
 func TestASlowStartProvesNothing(t *testing.T) {
-	s := NewSightings()
-	s.Answered(first, 10)
-	s.Named(first, 20)
-	if s.Lost(first.ID) {
+	s := NewIdentityTracker()
+	s.ObserveAnswer(first, 10)
+	s.ObserveListed(first, 20)
+	if s.DiskLost(first.ID) {
 		t.Fatal("silence counts as a lost disk")
 	}
 }
 
 // Who answered at the address before the member came says nothing of the member, however long that answer is kept.
 func TestAnAnswerFromBeforeTheMemberProvesNothing(t *testing.T) {
-	s := NewSightings()
-	s.Answered(first, 10)
-	s.Named(wiped, 20)
-	if s.Lost(wiped.ID) {
+	s := NewIdentityTracker()
+	s.ObserveAnswer(first, 10)
+	s.ObserveListed(wiped, 20)
+	if s.DiskLost(wiped.ID) {
 		t.Fatal("the former identity proves that the present one's disk is lost")
 	}
-	s.Answered(first, 15) // asked before, answered late
-	if s.Lost(wiped.ID) {
+	s.ObserveAnswer(first, 15) // asked before, answered late
+	if s.DiskLost(wiped.ID) {
 		t.Fatal("a late answer proves that the present one's disk is lost")
 	}
 }
 
 // A member whose disk was away and is back is not lost any more.
 func TestAMemberBackWithItsDiskIsNotLost(t *testing.T) {
-	s := NewSightings()
-	s.Named(first, 10)
-	s.Answered(wiped, 20)
-	s.Answered(first, 30)
-	if s.Lost(first.ID) {
+	s := NewIdentityTracker()
+	s.ObserveListed(first, 10)
+	s.ObserveAnswer(wiped, 20)
+	s.ObserveAnswer(first, 30)
+	if s.DiskLost(first.ID) {
 		t.Fatal("lost though it answered since")
 	}
 }
--- a/tier/membership/membership_test.go
+++ b/tier/membership/membership_test.go
@@ -24,7 +24,7 @@
 
 // observed is a quiet group.
 func observed(alive ...uint64) Observation {
-	return Observation{Alive: members(alive...), HasState: map[uint64]bool{}, Lost: set(), Silent: set(), Gone: set(), Leaving: set()}
+	return Observation{Alive: members(alive...), HasState: map[uint64]bool{}, DiskLost: set(), Silent: set(), Departed: set(), Draining: set()}
 }
 
 func ids(list []consensus.Member) []uint64 {
@@ -46,23 +46,23 @@
 
 func TestCopiesRiseWithTheMembersAndNeverFall(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	if alone := p.Found(1, members(1)); alone.MinCopies != 1 {
-		t.Fatalf("a group of one demands %d copies", alone.MinCopies)
+	if alone := p.InitialRecord(1, members(1)); alone.MinInSync != 1 {
+		t.Fatalf("a group of one demands %d copies", alone.MinInSync)
 	}
-	record := p.Found(1, members(1, 2, 3))
-	if record.MinCopies != 2 || p.Floor(record) != 2 {
-		t.Fatalf("copies %d, floor %d", record.MinCopies, p.Floor(record))
+	record := p.InitialRecord(1, members(1, 2, 3))
+	if record.MinInSync != 2 || p.Floor(record) != 2 {
+		t.Fatalf("copies %d, floor %d", record.MinInSync, p.Floor(record))
 	}
 	record.Members = members(1)
 	record.InSync = []uint64{1}
-	if p.WithCopies(record).MinCopies != 2 {
+	if p.WithMinInSync(record).MinInSync != 2 {
 		t.Fatal("the copies fell with the members")
 	}
-	grown := consensus.Record{Members: members(1, 2), InSync: []uint64{1}, MinCopies: 1}
-	if p.WithCopies(grown).MinCopies != 1 {
+	grown := consensus.Record{Members: members(1, 2), InSync: []uint64{1}, MinInSync: 1}
+	if p.WithMinInSync(grown).MinInSync != 1 {
 		t.Fatal("the copies rose before so many were in sync")
 	}
-	if grown.InSync = []uint64{1, 2}; p.WithCopies(grown).MinCopies != 2 {
+	if grown.InSync = []uint64{1, 2}; p.WithMinInSync(grown).MinInSync != 2 {
 		t.Fatal("the copies did not rise")
 	}
 }
@@ -71,15 +71,15 @@
 // may be the one that is left to lead.
 func TestTheInSyncSetStaysAtTheCopies(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2))
+	record := p.InitialRecord(1, members(1, 2))
 	next := p.Successor(record, 2, set())
 	if !same(next.InSync, []uint64{1, 2}) || next.Epoch != 2 || next.Primary != 2 {
 		t.Fatalf("%+v", next)
 	}
-	if next = p.Successor(record, 2, set(1)); !same(next.InSync, []uint64{2}) || next.MinCopies != 2 {
+	if next = p.Successor(record, 2, set(1)); !same(next.InSync, []uint64{2}) || next.MinInSync != 2 {
 		t.Fatalf("a lost disk: %+v", next)
 	}
-	three := p.Found(1, members(1, 2, 3))
+	three := p.InitialRecord(1, members(1, 2, 3))
 	if next = p.Successor(three, 2, set()); !same(next.InSync, []uint64{2, 3}) {
 		t.Fatalf("%+v", next)
 	}
@@ -88,10 +88,10 @@
 // The vote of a lost disk goes to another at once; it is not in sync before it holds the state.
 func TestALostVoteIsGivenToAnotherAtOnce(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2, 3))
+	record := p.InitialRecord(1, members(1, 2, 3))
 	record.InSync = []uint64{1, 2}
 	o := observed(1, 2, 7)
-	o.Lost = set(3)
+	o.DiskLost = set(3)
 	step, wanted := p.Next(record, o)
 	if !wanted || !same(ids(step.Record.Members), []uint64{1, 2, 7}) || step.Record.IsInSync(7) || step.Admit != 0 {
 		t.Fatalf("%v %+v", wanted, step)
@@ -101,11 +101,11 @@
 // A spare that holds the state goes before the empty process on the lost machine.
 func TestASpareWithTheStateTakesALostVote(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2, 3))
+	record := p.InitialRecord(1, members(1, 2, 3))
 	record.InSync = []uint64{1, 2}
 	record.Learners = members(9)
 	o := observed(1, 2, 7, 9)
-	o.Lost = set(3)
+	o.DiskLost = set(3)
 	o.HasState[9] = true
 	step, _ := p.Next(record, o)
 	if !same(ids(step.Record.Members), []uint64{1, 2, 9}) || len(step.Record.Learners) != 0 {
@@ -116,7 +116,7 @@
 // A spare is given a copy before it is needed, and a vote only when it holds the state.
 func TestANewMemberVotesWhenItHoldsTheState(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2))
+	record := p.InitialRecord(1, members(1, 2))
 	o := observed(1, 2, 3)
 	step, wanted := p.Next(record, o)
 	if !wanted || len(step.Record.Members) != 2 || !same(ids(step.Record.Learners), []uint64{3}) {
@@ -135,19 +135,19 @@
 // A spare that holds the state takes the place of a member that leaves before that one has ended, and of one that is silent.
 func TestASpareTakesThePlaceOfOneThatLeaves(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2, 3))
+	record := p.InitialRecord(1, members(1, 2, 3))
 	record.Learners = members(4)
 	o := observed(1, 2, 3, 4)
 	o.HasState[4] = true
 	if _, wanted := p.Next(record, o); wanted {
 		t.Fatal("a whole group changed its members")
 	}
-	o.Leaving = set(2)
+	o.Draining = set(2)
 	step, wanted := p.Next(record, o)
 	if !wanted || !same(ids(step.Record.Members), []uint64{1, 3, 4}) || !same(step.Record.InSync, []uint64{1, 3, 4}) || step.Admit != 4 {
 		t.Fatalf("%+v", step)
 	}
-	o.Leaving = set()
+	o.Draining = set()
 	o.Silent = set(2)
 	for _, inSync := range [][]uint64{{1, 2, 3}, {1, 3}} { // a group at rest does not notice by its acknowledgements that one is silent
 		record.InSync = inSync
@@ -161,15 +161,15 @@
 // The primary's own place is given away by another primary only, and leaving processes are no spares.
 func TestThePrimaryReplacesOthersOnly(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2, 3))
+	record := p.InitialRecord(1, members(1, 2, 3))
 	record.Learners = members(4)
 	o := observed(1, 2, 3, 4)
 	o.HasState[4] = true
-	o.Leaving = set(1)
+	o.Draining = set(1)
 	if _, wanted := p.Next(record, o); wanted {
 		t.Fatal("the primary gave its own place away")
 	}
-	o.Leaving = set(2, 4)
+	o.Draining = set(2, 4)
 	if step, _ := p.Next(record, o); consensus.HasMember(step.Record.Members, 4) {
 		t.Fatalf("a leaving spare became a member: %+v", step)
 	}
@@ -178,15 +178,15 @@
 // Of five members two leave for good: three are left, which bear the loss of one.
 func TestMembersThatAreGoneAreTakenOutInPairs(t *testing.T) {
 	p := Policy{Tolerate: 2}
-	record := p.Found(1, members(1, 2, 3, 4, 5))
+	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
 	record.InSync = []uint64{1, 2, 3}
 	o := observed(1, 2, 3, 4)
-	o.Gone = set(5)
+	o.Departed = set(5)
 	if _, wanted := p.Next(record, o); wanted {
 		t.Fatal("one of five was taken out: four bear no more losses than five with one gone")
 	}
 	o = observed(1, 2, 3)
-	o.Gone = set(4, 5)
+	o.Departed = set(4, 5)
 	for range 2 {
 		step, wanted := p.Next(record, o)
 		if !wanted {
@@ -194,7 +194,7 @@
 		}
 		record = step.Record
 	}
-	if !same(ids(record.Members), []uint64{1, 2, 3}) || record.MinCopies != 3 {
+	if !same(ids(record.Members), []uint64{1, 2, 3}) || record.MinInSync != 3 {
 		t.Fatalf("%+v", record)
 	}
 	if _, wanted := p.Next(record, o); wanted {
@@ -206,9 +206,9 @@
 // to the copies that are needed.
 func TestMembersThatAreGoneLeaveTheInSyncSet(t *testing.T) {
 	p := Policy{Tolerate: 2}
-	record := p.Found(1, members(1, 2, 3, 4, 5))
+	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
 	o := observed(1, 2, 3)
-	o.Gone = set(4, 5)
+	o.Departed = set(4, 5)
 	for range 2 {
 		step, wanted := p.Next(record, o)
 		if !wanted {
@@ -219,8 +219,8 @@
 	if !same(ids(record.Members), []uint64{1, 2, 3}) || !same(record.InSync, []uint64{1, 2, 3}) {
 		t.Fatalf("%+v", record)
 	}
-	o.Gone = set(2, 3)
-	record = p.Found(1, members(1, 2, 3, 4))
+	o.Departed = set(2, 3)
+	record = p.InitialRecord(1, members(1, 2, 3, 4))
 	record.InSync = []uint64{1, 2, 3}
 	if step, wanted := p.Next(record, o); wanted {
 		t.Fatalf("the in-sync set fell below the copies: %+v", step.Record)
@@ -230,10 +230,10 @@
 // A member that is gone is not taken out while another process can follow it.
 func TestNoneIsTakenOutWhileASpareIsThere(t *testing.T) {
 	p := Policy{Tolerate: 2}
-	record := p.Found(1, members(1, 2, 3, 4, 5))
+	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
 	record.InSync = []uint64{1, 2, 3}
 	o := observed(1, 2, 3, 6)
-	o.Gone = set(4, 5)
+	o.Departed = set(4, 5)
 	o.Silent = set(4, 5)
 	if step, _ := p.Next(record, o); len(step.Record.Members) != 5 || len(step.Record.Learners) != 1 {
 		t.Fatalf("%+v", step)
@@ -242,7 +242,7 @@
 
 func TestASilentSpareIsForgotten(t *testing.T) {
 	p := Policy{Tolerate: 1}
-	record := p.Found(1, members(1, 2, 3))
+	record := p.InitialRecord(1, members(1, 2, 3))
 	record.Learners = members(4)
 	o := observed(1, 2, 3)
 	o.Silent = set(4)
--- a/tier/outlier/outlier_test.go
+++ b/tier/outlier/outlier_test.go
@@ -18,7 +18,7 @@
 	pending  []int64 // when each gateway's window ends, 0 for none
 	hosts    []string
 	near     float64 // share of requests that stay in the gateway's zone
-	judge    *Judge
+	judge    *Detector
 	asideTil map[string]int64
 	now      int64
 	perMS    float64 // requests of the fleet in a millisecond
@@ -30,7 +30,7 @@
 
 func newFleet(seed uint64, gateways, hosts, zones int, perHost float64) *fleet {
 	f := &fleet{
-		stream: rand.New(rand.NewPCG(seed, 7)), judge: NewJudge(), asideTil: map[string]int64{}, accused: map[string]int64{},
+		stream: rand.New(rand.NewPCG(seed, 7)), judge: NewDetector(), asideTil: map[string]int64{}, accused: map[string]int64{},
 		pending: make([]int64, gateways), now: 1 << 20, perMS: perHost * float64(hosts) / 1000, zones: zones,
 	}
 	for i := range gateways {
@@ -60,7 +60,7 @@
 		f.report()
 		if f.now%50 == 0 {
 			for _, verdict := range f.judge.Decide(f.known(), f.now) {
-				f.asideTil[verdict.Host] = f.now + verdict.TermMS
+				f.asideTil[verdict.Host] = f.now + verdict.DurationMS
 				if _, accused := f.accused[verdict.Host]; !accused {
 					f.accused[verdict.Host] = f.now
 				}
@@ -86,12 +86,12 @@
 	if f.asideTil[f.hosts[host]] > f.now {
 		return // goes elsewhere
 	}
-	f.gateways[gateway].Sent(f.hosts[host])
+	f.gateways[gateway].RecordRequest(f.hosts[host])
 	if !fails(gateway, host) {
 		return
 	}
 	f.lost++
-	if f.gateways[gateway].Failed(f.hosts[host], BrokenOff) {
+	if f.gateways[gateway].RecordFailure(f.hosts[host], ConnectionBroken) {
 		f.pending[gateway] = f.now + window
 	}
 }
@@ -100,7 +100,7 @@
 	for i, due := range f.pending {
 		if due != 0 && f.now >= due {
 			f.pending[i] = 0
-			f.judge.Take(f.gateways[i].Take(), f.now)
+			f.judge.Add(f.gateways[i].Flush(), f.now)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 			f.run(100, func(_, host int) bool { return host >= hosts/2 })
 			most = max(most, f.outNow())
 		}
-		if allowed := mayBeOut(hosts); most > allowed {
+		if allowed := maxEjected(hosts); most > allowed {
 			t.Errorf("%d of %d hosts out", most, hosts)
 		}
 	}
@@ -217,7 +217,7 @@
 	f := newFleet(1, 20, 20, 4, 20)
 	f.run(20_000, func(_, host int) bool { return host == 0 })
 	bad := f.judge.hosts["h0"]
-	if bad == nil || bad.terms < 3 {
+	if bad == nil || bad.ejections < 3 {
 		t.Fatalf("%+v", bad)
 	}
 	lost := f.lost
@@ -232,28 +232,28 @@
 
 // Windows may come late, twice and in any order; each counts once.
 func TestAWindowCountsOnce(t *testing.T) {
-	judge := NewJudge()
-	first := Window{Reporter: 1, Number: 1, Zone: "a", Contacted: 9, Hosts: []Observation{{Host: "h", Failed: [failureKinds]uint32{0, 2, 0, 1}}}}
+	judge := NewDetector()
+	first := Window{Reporter: 1, Number: 1, Zone: "a", Contacted: 9, Hosts: []Observation{{Host: "h", Counts: [failureKinds]uint32{0, 2, 0, 1}}}}
 	for range 5 {
-		judge.Take(first, 1000)
+		judge.Add(first, 1000)
 	}
-	if got := judge.hosts["h"].failures; got != 2+erredWeight {
+	if got := judge.hosts["h"].failures; got != 2+serverErrorWeight {
 		t.Fatalf("%v failures", got)
 	}
 }
 
 func TestWindowsAreBoundedAndRead(t *testing.T) {
 	c := NewCollector(7, "zone")
-	for i := range 10 * MostHosts {
+	for i := range 10 * MaxHosts {
 		host := fmt.Sprint("h", i)
-		c.Sent(host)
+		c.RecordRequest(host)
 		for range 1 + i%3 {
-			c.Failed(host, Failure(i%int(failureKinds)))
+			c.RecordFailure(host, Failure(i%int(failureKinds)))
 		}
 	}
-	w := c.Take()
-	if len(w.Hosts) != MostHosts || w.Hosts[0].Failures() != 3 || len(w.Encode()) > 2000 {
-		t.Fatalf("%d hosts, the first with %d failures, %d bytes", len(w.Hosts), w.Hosts[0].Failures(), len(w.Encode()))
+	w := c.Flush()
+	if len(w.Hosts) != MaxHosts || w.Hosts[0].Total() != 3 || len(w.Encode()) > 2000 {
+		t.Fatalf("%d hosts, the first with %d failures, %d bytes", len(w.Hosts), w.Hosts[0].Total(), len(w.Encode()))
 	}
 	again, err := DecodeWindow(w.Encode())
 	if err != nil || !reflect.DeepEqual(w, again) {
@@ -264,7 +264,7 @@
 			t.Fatalf("%d bytes are taken for a window", n)
 		}
 	}
-	if next := c.Take(); next.Number != w.Number+1 || len(next.Hosts) != 0 || next.Contacted != 0 {
+	if next := c.Flush(); next.Number != w.Number+1 || len(next.Hosts) != 0 || next.Contacted != 0 {
 		t.Fatalf("%+v", next)
 	}
 }
@@ -272,7 +272,7 @@
 // seen is a window in which one host failed so often.
 func seen(reporter, number uint64, zone string, failures uint32) Window {
 	failed := Observation{Host: "h0"}
-	failed.Failed[BrokenOff] = failures
+	failed.Counts[ConnectionBroken] = failures
 	return Window{Reporter: reporter, Number: number, Zone: zone, Contacted: 20, Hosts: []Observation{failed}}
 }
 
@@ -285,25 +285,25 @@
 }
 
 func TestTermsDoubleUntilTheHostIsWell(t *testing.T) {
-	r := &record{reports: map[uint64]report{}}
+	r := &hostRecord{reports: map[uint64]report{}}
 	now := int64(1 << 20)
 	for _, want := range []int64{2000, 4000, 8000, 16000, 16000} {
-		if got := r.setAside(now); got != want {
+		if got := r.eject(now); got != want {
 			t.Fatalf("a term of %d, not %d", got, want)
 		}
-		now = r.outUntil + 1000
+		now = r.ejectedUntil + 1000
 	}
-	if got := r.setAside(r.outUntil + forgetAfter + 1); got != firstTerm {
+	if got := r.eject(r.ejectedUntil + ejectionMemory + 1); got != baseEjectionTime {
 		t.Fatalf("after a long time well: a term of %d", got)
 	}
 }
 
 // A few failures in a minute are no evidence.
 func TestOldFailuresAreForgotten(t *testing.T) {
-	judge := NewJudge()
+	judge := NewDetector()
 	for i := range uint64(30) {
 		now := int64(1<<20) + int64(i)*2500
-		judge.Take(seen(1+i%3, i+1, "a", 1), now)
+		judge.Add(seen(1+i%3, i+1, "a", 1), now)
 		if verdicts := judge.Decide(someHosts(), now); len(verdicts) > 0 {
 			t.Fatalf("set aside after %d failures in %d s", i+1, i*5/2)
 		}
@@ -312,16 +312,16 @@
 
 // What a host did before its term does not count against it afterwards.
 func TestATermBeginsAnew(t *testing.T) {
-	judge := NewJudge()
+	judge := NewDetector()
 	now := int64(1 << 20)
-	judge.Take(seen(1, 1, "a", 40), now)
-	judge.Take(seen(2, 1, "b", 40), now)
+	judge.Add(seen(1, 1, "a", 40), now)
+	judge.Add(seen(2, 1, "b", 40), now)
 	if verdicts := judge.Decide(someHosts(), now); len(verdicts) != 1 {
 		t.Fatal(verdicts)
 	}
-	judge.Take(seen(1, 2, "a", 1), now+firstTerm)
-	judge.Take(seen(2, 2, "b", 1), now+firstTerm)
-	if verdicts := judge.Decide(someHosts(), now+firstTerm); len(verdicts) != 0 {
+	judge.Add(seen(1, 2, "a", 1), now+baseEjectionTime)
+	judge.Add(seen(2, 2, "b", 1), now+baseEjectionTime)
+	if verdicts := judge.Decide(someHosts(), now+baseEjectionTime); len(verdicts) != 0 {
 		t.Fatal(verdicts)
 	}
 }
@@ -331,13 +331,13 @@
 	for failed, believed := range map[int]bool{2: true, 4: true, 5: false, 8: false} {
 		c := NewCollector(1, "a")
 		for i := range 8 {
-			c.Sent(fmt.Sprint("h", i))
+			c.RecordRequest(fmt.Sprint("h", i))
 			if i < failed {
-				c.Failed(fmt.Sprint("h", i), NoConnection)
+				c.RecordFailure(fmt.Sprint("h", i), ConnectFailed)
 			}
 		}
-		judge := NewJudge()
-		judge.Take(c.Take(), 1<<20)
+		judge := NewDetector()
+		judge.Add(c.Flush(), 1<<20)
 		if got := len(judge.hosts) > 0; got != believed {
 			t.Errorf("%d of 8 hosts failed it: believed %v", failed, got)
 		}
--- a/tier/outlier/window.go
+++ b/tier/outlier/window.go
@@ -15,26 +15,26 @@
 
 // The kinds of failures.
 const (
-	NoConnection Failure = iota // the host could not be reached
-	BrokenOff                   // the connection or the answer broke off
-	Hung                        // nothing came for out of the ordinary long
-	Errored                     // the host said that it failed
+	ConnectFailed    Failure = iota // the host could not be reached
+	ConnectionBroken                // the connection or the answer broke off
+	Hung                            // nothing came for out of the ordinary long
+	ServerError                     // the host said that it failed
 
 	failureKinds
 )
 
-// MostHosts bounds the hosts that one window names, so that its size is bounded whatever fails: those with most failures.
-const MostHosts = 24
+// MaxHosts bounds the hosts that one window names, so that its size is bounded whatever fails: those with most failures.
+const MaxHosts = 24
 
 // Observation is what a gateway saw of one host.
 type Observation struct {
 	Host   string
-	Failed [failureKinds]uint32
+	Counts [failureKinds]uint32
 }
 
-// Failures is the sum over all kinds.
-func (o Observation) Failures() (sum uint32) {
-	for _, count := range o.Failed {
+// Total is the sum over all kinds.
+func (o Observation) Total() (sum uint32) {
+	for _, count := range o.Counts {
 		sum += count
 	}
 	return sum
@@ -49,8 +49,8 @@
 	Hosts     []Observation
 }
 
-// Blind tells whether most of the hosts that the reporter used failed it: then the cause is more likely its own.
-func (w Window) Blind() bool { return len(w.Hosts) > 2 && 2*len(w.Hosts) > int(w.Contacted) }
+// IsReporterFault tells whether most of the hosts that the reporter used failed it: then the cause is more likely its own.
+func (w Window) IsReporterFault() bool { return len(w.Hosts) > 2 && 2*len(w.Hosts) > int(w.Contacted) }
 
 // Encode is the window's form on the wire.
 func (w Window) Encode() []byte {
@@ -62,23 +62,23 @@
 	e.Uint32(uint32(len(w.Hosts)))
 	for _, each := range w.Hosts {
 		e.String(each.Host)
-		for _, count := range each.Failed {
+		for _, count := range each.Counts {
 			e.Uint32(count)
 		}
 	}
 	return e.Bytes
 }
 
-const smallestObservation = 4 + 4*int(failureKinds)
+const minObservationBytes = 4 + 4*int(failureKinds)
 
 // DecodeWindow reads a window.
 func DecodeWindow(data []byte) (Window, error) {
 	d := codec.NewDecoder(data)
 	w := Window{Reporter: d.Uint64(), Number: d.Uint64(), Zone: d.String(), Contacted: d.Uint32()}
-	for range d.Count(smallestObservation) {
+	for range d.Count(minObservationBytes) {
 		each := Observation{Host: d.String()}
-		for kind := range each.Failed {
-			each.Failed[kind] = d.Uint32()
+		for kind := range each.Counts {
+			each.Counts[kind] = d.Uint32()
 		}
 		w.Hosts = append(w.Hosts, each)
 	}
@@ -99,36 +99,36 @@
 	return &Collector{reporter: reporter, zone: zone, contacted: map[string]bool{}, failed: map[string]*Observation{}}
 }
 
-// Sent notes that a request went to a host.
-func (c *Collector) Sent(host string) { c.contacted[host] = true }
+// RecordRequest notes that a request went to a host.
+func (c *Collector) RecordRequest(host string) { c.contacted[host] = true }
 
-// Failed notes a failure there. It reports whether it is the first of the window, which is then to be taken soon.
-func (c *Collector) Failed(host string, how Failure) (first bool) {
+// Counts notes a failure there. It reports whether it is the first of the window, which is then to be taken soon.
+func (c *Collector) RecordFailure(host string, how Failure) (first bool) {
 	first = len(c.failed) == 0
 	held := c.failed[host]
 	if held == nil {
 		held = &Observation{Host: host}
 		c.failed[host] = held
 	}
-	held.Failed[how]++
+	held.Counts[how]++
 	return first
 }
 
-// Take ends the window and begins another one.
-func (c *Collector) Take() Window {
+// Flush ends the window and begins another one.
+func (c *Collector) Flush() Window {
 	c.number++
 	w := Window{Reporter: c.reporter, Number: c.number, Zone: c.zone, Contacted: uint32(len(c.contacted))}
 	for _, each := range c.failed {
 		w.Hosts = append(w.Hosts, *each)
 	}
 	slices.SortFunc(w.Hosts, func(a, b Observation) int {
-		if a.Failures() != b.Failures() {
-			return int(b.Failures()) - int(a.Failures())
+		if a.Total() != b.Total() {
+			return int(b.Total()) - int(a.Total())
 		}
 		return strings.Compare(a.Host, b.Host)
 	})
-	if len(w.Hosts) > MostHosts {
-		w.Hosts = w.Hosts[:MostHosts]
+	if len(w.Hosts) > MaxHosts {
+		w.Hosts = w.Hosts[:MaxHosts]
 	}
 	clear(c.failed)
 	clear(c.contacted)
--- a/tier/placement/placement.go
+++ b/tier/placement/placement.go
@@ -17,16 +17,16 @@
 
 // Machine is a store machine as control sees it now.
 type Machine struct {
-	Store    directory.Store
-	Alive    bool // its session holds
-	Unheard  bool // it counts as alive only because this primary is new: it has not been heard yet
-	Away     bool // silent for so long that its replicas are placed elsewhere
-	Leaving  bool // it is about to stop: it leads nothing
-	Retiring bool // it is to be emptied
+	Store       directory.Store
+	Alive       bool // its session holds
+	Unconfirmed bool // it counts as alive only because this primary is new: it has not been heard yet
+	Away        bool // silent for so long that its replicas are placed elsewhere
+	Draining    bool // it is about to stop: it leads nothing
+	Retiring    bool // it is to be emptied
 }
 
-// isHeard tells whether the machine's own heartbeats hold its session.
-func (m Machine) isHeard() bool { return m.Alive && !m.Unheard }
+// isConfirmed tells whether the machine's own heartbeats hold its session.
+func (m Machine) isConfirmed() bool { return m.Alive && !m.Unconfirmed }
 
 // Cluster is what placement decides from.
 type Cluster struct {
@@ -34,14 +34,14 @@
 	Tolerate int // machines whose loss at once has to be borne
 }
 
-// Copies is how many replicas a shard has where there are enough machines: after the loss of as many as are tolerated, one
+// ReplicationFactor is how many replicas a shard has where there are enough machines: after the loss of as many as are tolerated, one
 // more than those is left, so that none has to be taken out of the in-sync set below that.
-func (c Cluster) Copies() int { return 2*c.Tolerate + 1 }
+func (c Cluster) ReplicationFactor() int { return 2*c.Tolerate + 1 }
 
 // floor is how many replicas stay in the in-sync set although their machine is silent: below the copies that an acknowledgement
 // needs, nothing would be gained by dropping one, and one that could lead would be lost.
 func (c Cluster) floor(view replica.View) int {
-	return max(view.MinInSync, min(c.Copies(), len(view.Replicas))-c.Tolerate)
+	return max(view.MinInSync, min(c.ReplicationFactor(), len(view.Replicas))-c.Tolerate)
 }
 
 // DiskLost tells whether a machine's disk is provably lost: the same machine is heard at the same address with another identity,
@@ -49,19 +49,19 @@
 // a new primary gives the former identity the benefit of the doubt is no sign of it.
 func (c Cluster) DiskLost(id uint64) bool {
 	lost, known := c.Machines[id]
-	if !known || lost.isHeard() {
+	if !known || lost.isConfirmed() {
 		return false
 	}
 	for other, machine := range c.Machines {
-		if other != id && machine.isHeard() && machine.Store.Address == lost.Store.Address && machine.Store.Node == lost.Store.Node {
+		if other != id && machine.isConfirmed() && machine.Store.Address == lost.Store.Address && machine.Store.Node == lost.Store.Node {
 			return true
 		}
 	}
 	return false
 }
 
-// Found places a new shard. It reports false while too few machines are alive.
-func (c Cluster) Found(id uint32) (directory.Shard, bool) {
+// Place places a new shard. It reports false while too few machines are alive.
+func (c Cluster) Place(id uint32) (directory.Shard, bool) {
 	desired := c.Desired(id)
 	if len(desired) <= c.Tolerate {
 		return directory.Shard{}, false
@@ -99,7 +99,7 @@
 		}
 		return candidates[i].store.Identity < candidates[j].store.Identity
 	})
-	want := min(c.Copies(), len(candidates))
+	want := min(c.ReplicationFactor(), len(candidates))
 	var chosen []uint64
 	for perZone := 1; len(chosen) < want; perZone++ {
 		chosen = spread(candidates, perZone, want)
@@ -231,7 +231,7 @@
 	present := c.Machines[next.Primary]
 	moved := !consensus.Contains(desired, next.Primary) && allIn(next.InSync, desired)
 	fits := consensus.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Boot == shard.PrimaryBoot
-	if fits && !moved && !present.Leaving {
+	if fits && !moved && !present.Draining {
 		return next.Primary
 	}
 	best := uint64(0)
@@ -242,7 +242,7 @@
 			continue
 		}
 		score := 0
-		if !machine.Leaving {
+		if !machine.Draining {
 			score += 4
 		}
 		if consensus.Contains(desired, id) {
@@ -256,14 +256,14 @@
 			bestScore = score
 		}
 	}
-	if fits && (best == 0 || c.Machines[best].Leaving) {
+	if fits && (best == 0 || c.Machines[best].Draining) {
 		return next.Primary // one that leaves too would only hand it on
 	}
 	return best
 }
 
-// Change takes a replica into a shard's in-sync set, or out of it, as the shard's primary asks. It reports false if it may not.
-func (c Cluster) Change(shard directory.Shard, id uint64, admit bool) (directory.Shard, bool) {
+// ChangeInSync takes a replica into a shard's in-sync set, or out of it, as the shard's primary asks. It reports false if it may not.
+func (c Cluster) ChangeInSync(shard directory.Shard, id uint64, admit bool) (directory.Shard, bool) {
 	next := shard
 	next.View.Epoch++
 	next.View.InSync = consensus.Without(shard.View.InSync, id)
@@ -282,8 +282,8 @@
 	return len(view.InSync)-1 >= max(1, c.floor(view))
 }
 
-// Empty tells whether a machine holds no shard any more.
-func Empty(shards map[uint32]directory.Shard, identity uint64) bool {
+// IsEmpty tells whether a machine holds no shard any more.
+func IsEmpty(shards map[uint32]directory.Shard, identity uint64) bool {
 	for _, shard := range shards {
 		if consensus.Contains(shard.View.Replicas, identity) || consensus.Contains(shard.View.InSync, identity) {
 			return false
--- a/tier/placement/placement_test.go
+++ b/tier/placement/placement_test.go
@@ -68,7 +68,7 @@
 	c := Cluster{Machines: machines(6, 3), Tolerate: 1}
 	primaries := map[uint64]int{}
 	for id := range uint32(ShardCount) {
-		shard, placed := c.Found(id)
+		shard, placed := c.Place(id)
 		if !placed || len(shard.View.Replicas) != 3 {
 			t.Fatalf("shard %d: %+v", id, shard)
 		}
@@ -90,14 +90,14 @@
 
 func TestFoundWaitsForEnoughMachines(t *testing.T) {
 	c := Cluster{Machines: machines(1, 1), Tolerate: 1}
-	if _, placed := c.Found(0); placed {
+	if _, placed := c.Place(0); placed {
 		t.Fatal("one machine was enough to bear the loss of one")
 	}
 }
 
 func TestALostPrimaryIsFollowedByAnInSyncReplica(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	lost := shard.View.Primary
 	change(c, lost, func(m *Machine) { m.Alive = false })
 	next, changed := c.Next(shard)
@@ -110,7 +110,7 @@
 func TestOnlyAnInSyncReplicaLeads(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	for id := range uint32(ShardCount) {
-		shard, _ := c.Found(id)
+		shard, _ := c.Place(id)
 		filled := shard.View.Replicas[0]
 		shard.View.InSync = consensus.Without(shard.View.InSync, filled)
 		shard.View.Primary = shard.View.InSync[0]
@@ -125,7 +125,7 @@
 // After all were stopped, the first one back does not drop the others: they are coming back too.
 func TestTheFirstOneBackDropsNobody(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	for id := range c.Machines {
 		change(c, id, func(m *Machine) { m.Alive = false; m.Store.Boot++ })
 	}
@@ -145,7 +145,7 @@
 // With as many lost as are tolerated, no further silent replica leaves the set: it may be the one that survives.
 func TestTheInSyncSetStaysAboveItsFloor(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	first, second := shard.View.InSync[1], shard.View.InSync[2]
 	change(c, first, func(m *Machine) { m.Alive = false })
 	next, _ := c.Next(shard)
@@ -164,7 +164,7 @@
 // A replica whose disk is gone leaves the set whatever its size: it will never hold anything again.
 func TestALostDiskLeavesTheSet(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	survivor := shard.View.InSync[2]
 	for _, id := range shard.View.InSync[:2] {
 		delete(c.Machines, id)
@@ -177,7 +177,7 @@
 
 func TestARestartedPrimaryGetsANewEpoch(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	change(c, shard.View.Primary, func(m *Machine) { m.Store.Boot++ })
 	next, changed := c.Next(shard)
 	if !changed || next.View.Epoch != shard.View.Epoch+1 {
@@ -189,7 +189,7 @@
 	c := Cluster{Machines: machines(4, 4), Tolerate: 1}
 	shards := map[uint32]directory.Shard{}
 	for id := range uint32(ShardCount) {
-		shards[id], _ = c.Found(id)
+		shards[id], _ = c.Place(id)
 	}
 	change(c, 2, func(m *Machine) { m.Retiring = true })
 	for id, shard := range shards {
@@ -198,16 +198,16 @@
 			t.Fatalf("shard %d has %d copies", id, len(shards[id].View.InSync))
 		}
 	}
-	if !Empty(shards, 2) {
+	if !IsEmpty(shards, 2) {
 		t.Fatal("the machine still holds shards")
 	}
 }
 
 func TestALeavingMachineLeadsNothing(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	leaving := shard.View.Primary
-	change(c, leaving, func(m *Machine) { m.Leaving = true })
+	change(c, leaving, func(m *Machine) { m.Draining = true })
 	next, changed := c.Next(shard)
 	if !changed || next.View.Primary == leaving || !next.View.IsInSync(leaving) {
 		t.Fatalf("%+v", next.View)
@@ -219,7 +219,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		tolerate := rapid.IntRange(0, 2).Draw(rt, "tolerate")
 		c := Cluster{Machines: machines(rapid.IntRange(2*tolerate+1, 12).Draw(rt, "machines"), rapid.IntRange(1, 4).Draw(rt, "zones")), Tolerate: tolerate}
-		shard, placed := c.Found(rapid.Uint32Range(0, ShardCount-1).Draw(rt, "shard"))
+		shard, placed := c.Place(rapid.Uint32Range(0, ShardCount-1).Draw(rt, "shard"))
 		if !placed {
 			rt.Fatalf("not placed on %d machines", len(c.Machines))
 		}
@@ -246,8 +246,8 @@
 			change(c, id, func(m *Machine) { m.Alive, m.Away = true, false })
 		}
 		shard = settle(rt, c, shard)
-		if len(shard.View.InSync) != c.Copies() {
-			rt.Fatalf("%d of %d copies are in sync", len(shard.View.InSync), c.Copies())
+		if len(shard.View.InSync) != c.ReplicationFactor() {
+			rt.Fatalf("%d of %d copies are in sync", len(shard.View.InSync), c.ReplicationFactor())
 		}
 	})
 }
--- a/tier/placement/copies_test.go
+++ b/tier/placement/replicas_test.go
@@ -11,7 +11,7 @@
 func TestAShardDemandsItsCopies(t *testing.T) {
 	for tolerate := range 3 {
 		c := Cluster{Machines: machines(2*tolerate+1, 3), Tolerate: tolerate}
-		shard, _ := c.Found(1)
+		shard, _ := c.Place(1)
 		if shard.View.MinInSync != tolerate+1 {
 			t.Fatalf("tolerate %d: %d copies", tolerate, shard.View.MinInSync)
 		}
@@ -32,7 +32,7 @@
 // On two machines that have to bear the loss of one, a silent replica stays in the set: nothing could be acknowledged without it.
 func TestASilentReplicaStaysWhereTheCopiesNeedIt(t *testing.T) {
 	c := Cluster{Machines: machines(2, 2), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	silent := shard.View.InSync[1]
 	change(c, silent, func(m *Machine) { m.Alive = false })
 	if next, changed := c.Next(shard); changed {
@@ -64,11 +64,11 @@
 	if c.DiskLost(1) {
 		t.Fatal("a store that is heard counts as lost")
 	}
-	change(c, 1, func(m *Machine) { m.Unheard = true })
+	change(c, 1, func(m *Machine) { m.Unconfirmed = true })
 	if !c.DiskLost(1) {
 		t.Fatal("the benefit of the doubt, after all were without power, holds up the repair of a lost disk")
 	}
-	change(c, 9, func(m *Machine) { m.Unheard = true })
+	change(c, 9, func(m *Machine) { m.Unconfirmed = true })
 	if c.DiskLost(1) || c.DiskLost(9) {
 		t.Fatal("one that was not heard proves something")
 	}
@@ -78,9 +78,9 @@
 func TestLeavingMachinesDoNotHandOverToEachOther(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	for id := range uint32(ShardCount) {
-		shard, _ := c.Found(id)
+		shard, _ := c.Place(id)
 		for machine := range c.Machines {
-			change(c, machine, func(m *Machine) { m.Leaving = true })
+			change(c, machine, func(m *Machine) { m.Draining = true })
 		}
 		for _, primary := range shard.View.InSync {
 			shard.View.Primary = primary
@@ -95,10 +95,10 @@
 // Of two that leave at once, the third leads.
 func TestTheOneThatStaysLeads(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	stays := shard.View.InSync[2]
 	for _, id := range shard.View.InSync[:2] {
-		change(c, id, func(m *Machine) { m.Leaving = true })
+		change(c, id, func(m *Machine) { m.Draining = true })
 	}
 	if next, _ := c.Next(shard); next.View.Primary != stays {
 		t.Fatalf("%d leads", next.View.Primary)
@@ -128,17 +128,17 @@
 // A machine may go for good once every shard has all its copies on others, not when it is merely empty.
 func TestARetiredMachineIsNeededUntilAllCopiesAreElsewhere(t *testing.T) {
 	c := Cluster{Machines: machines(4, 4), Tolerate: 1}
-	shard, _ := c.Found(1)
+	shard, _ := c.Place(1)
 	retiring := shard.View.InSync[0]
 	change(c, retiring, func(m *Machine) { m.Retiring = true })
 	shard = settle(t, c, shard)
 	shards := map[uint32]directory.Shard{1: shard}
-	if !c.Retired(shards, retiring) {
+	if !c.IsRetired(shards, retiring) {
 		t.Fatalf("not retired: %+v", shard.View)
 	}
 	short := shard
 	short.View.InSync = shard.View.InSync[:2]
-	if c.Retired(map[uint32]directory.Shard{1: short}, retiring) {
+	if c.IsRetired(map[uint32]directory.Shard{1: short}, retiring) {
 		t.Fatal("retired while a copy is missing")
 	}
 }
@@ -147,12 +147,12 @@
 func TestWhenAMachineIsNeeded(t *testing.T) {
 	shard := directory.Shard{ID: 1, View: replica.View{Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}}
 	shards := map[uint32]directory.Shard{1: shard}
-	if !Needed(shards, 1) || !Needed(shards, 2) || Needed(shards, 3) {
-		t.Fatalf("needed: %v %v %v", Needed(shards, 1), Needed(shards, 2), Needed(shards, 3))
+	if !IsNeeded(shards, 1) || !IsNeeded(shards, 2) || IsNeeded(shards, 3) {
+		t.Fatalf("needed: %v %v %v", IsNeeded(shards, 1), IsNeeded(shards, 2), IsNeeded(shards, 3))
 	}
 	shard.View.InSync = []uint64{1, 2, 3}
 	shards[1] = shard
-	if !Needed(shards, 1) || Needed(shards, 2) {
-		t.Fatalf("with all copies: %v %v", Needed(shards, 1), Needed(shards, 2))
+	if !IsNeeded(shards, 1) || IsNeeded(shards, 2) {
+		t.Fatalf("with all copies: %v %v", IsNeeded(shards, 1), IsNeeded(shards, 2))
 	}
 }
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -148,19 +148,19 @@
 
 // observe counts an outcome for the fleet's judge; the lock is held.
 func (t *hostTable) observe(host *target, how outcome) {
-	t.seen.Sent(host.ID)
+	t.seen.RecordRequest(host.ID)
 	switch how {
 	case outcomeErred:
-		t.failed(host, outlier.Errored)
+		t.failed(host, outlier.ServerError)
 	case outcomeFailed:
-		t.failed(host, outlier.BrokenOff)
+		t.failed(host, outlier.ConnectionBroken)
 	case outcomeUnreached:
-		t.failed(host, outlier.NoConnection)
+		t.failed(host, outlier.ConnectFailed)
 	}
 }
 
 func (t *hostTable) failed(host *target, how outlier.Failure) {
-	if t.seen.Failed(host.ID, how) && t.firstSeen != nil {
+	if t.seen.RecordFailure(host.ID, how) && t.firstSeen != nil {
 		t.firstSeen()
 	}
 }
@@ -169,7 +169,7 @@
 func (t *hostTable) takeWindow() outlier.Window {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.seen.Take()
+	return t.seen.Flush()
 }
 
 // told takes a host's load header: running, waiting, slots.
--- a/tier/proxy/outages.go
+++ b/tier/proxy/outages.go
@@ -21,7 +21,7 @@
 
 	// assumedFailover is how long the view or a shard is taken to be away before that has been seen: until a silent primary's
 	// session has ended and another one leads.
-	assumedFailover = (lease.StoreSilence + lease.StoreBeatEvery) * time.Millisecond
+	assumedFailover = (lease.StoreTimeout + lease.StoreHeartbeatInterval) * time.Millisecond
 	// assumedFull is how long the hosts of a service are taken to turn requests away.
 	assumedFull = 200 * time.Millisecond
 
--- a/tier/proxy/recorded_test.go
+++ b/tier/proxy/recorded_test.go
@@ -72,12 +72,12 @@
 	defer client.Close()
 	seen := outlier.NewCollector(0x0102030405060708, "zone-b")
 	for host, failures := range map[string][]outlier.Failure{
-		"host-1": {outlier.Hung}, "host-2": {outlier.NoConnection, outlier.Errored, outlier.Errored}, "host-3": {outlier.BrokenOff, outlier.Hung},
+		"host-1": {outlier.Hung}, "host-2": {outlier.ConnectFailed, outlier.ServerError, outlier.ServerError}, "host-3": {outlier.ConnectionBroken, outlier.Hung},
 		"host-4": nil,
 	} {
-		seen.Sent(host)
+		seen.RecordRequest(host)
 		for _, failure := range failures {
-			seen.Failed(host, failure)
+			seen.RecordFailure(host, failure)
 		}
 	}
 	p := &Proxy{agent: client, hosts: &hostTable{seen: seen}}
--- a/tier/status/protection.go
+++ b/tier/status/protection.go
@@ -23,7 +23,7 @@
 
 // OfControl is the protection of the control state. Members that are not in sync count as lost: they may be.
 func OfControl(record consensus.Record, name Name) Protection {
-	if !record.Known() {
+	if !record.IsBootstrapped() {
 		return Protection{WhyNotMore: "control is not founded, or nobody answers"}
 	}
 	var lagging []uint64
@@ -37,11 +37,11 @@
 	if len(record.Previous) > 0 {
 		votes = min(votes, spareVotes(record, record.Previous))
 	}
-	p := Protection{Bears: min(copies, votes), Acknowledges: len(record.InSync) >= record.MinCopies}
+	p := Protection{Bears: min(copies, votes), Acknowledges: len(record.InSync) >= record.MinInSync}
 	switch {
 	case !p.Acknowledges:
 		p.Bears = 0
-		p.WhyNotMore = missingCopies(len(record.InSync), record.MinCopies, lagging, name)
+		p.WhyNotMore = missingCopies(len(record.InSync), record.MinInSync, lagging, name)
 	case len(lagging) > 0:
 		p.WhyNotMore = notInSync(lagging, name)
 	case votes <= copies:
--- a/tier/status/protection_test.go
+++ b/tier/status/protection_test.go
@@ -11,7 +11,7 @@
 func letter(id uint64) string { return string(rune('a' + id - 1)) }
 
 func record(inSync []uint64, minCopies int, members ...uint64) consensus.Record {
-	r := consensus.Record{Epoch: 3, Primary: inSync[0], InSync: inSync, MinCopies: minCopies}
+	r := consensus.Record{Epoch: 3, Primary: inSync[0], InSync: inSync, MinInSync: minCopies}
 	for _, id := range members {
 		r.Members = append(r.Members, consensus.Member{ID: id})
 	}
--- a/tier/status/recorded_json_test.go
+++ b/tier/status/recorded_json_test.go
@@ -16,8 +16,8 @@
 	members := []consensus.Member{{ID: 1, Address: "10.0.0.1:7401", Node: "ctl-a"}, {ID: 2, Address: "10.0.0.2:7402", Node: "ctl-b"}}
 	s := Status{
 		Control: consensus.Record{
-			Epoch: 5, Primary: 1, InSync: []uint64{1, 2}, Members: members, Previous: members[:1], MinCopies: 2,
-			Learners: []consensus.Member{{ID: 3, Address: "10.0.0.3:7403", Node: "ctl-c"}}, Installation: 99,
+			Epoch: 5, Primary: 1, InSync: []uint64{1, 2}, Members: members, Previous: members[:1], MinInSync: 2,
+			Learners: []consensus.Member{{ID: 3, Address: "10.0.0.3:7403", Node: "ctl-c"}}, ClusterID: 99,
 		},
 		Version: 7, Revision: 41,
 		Stores: []directory.Store{{Identity: 11, Boot: 12, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b"}},
--- a/tier/status/recorded_test.go
+++ b/tier/status/recorded_test.go
@@ -43,8 +43,8 @@
 			{ID: 0x3333333333333333, Address: "10.0.0.3:7403", Node: "ctl-c"},
 		},
 		Previous:  []consensus.Member{{ID: 0x4444444444444444, Address: "10.0.0.4:7404", Node: "ctl-d"}},
-		MinCopies: 2, Learners: []consensus.Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
-		Installation: 0xfedcba9876543210,
+		MinInSync: 2, Learners: []consensus.Member{{ID: 0x5555555555555555, Address: "10.0.0.5:7405", Node: "ctl-e"}},
+		ClusterID: 0xfedcba9876543210,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/tier/store/leave.go
+++ b/tier/store/leave.go
@@ -31,7 +31,7 @@
 // still leads.
 func (s *Server) needed() bool {
 	shards := directory.Shards(s.view)
-	if placement.Needed(shards, s.self.Identity) {
+	if placement.IsNeeded(shards, s.self.Identity) {
 		return true
 	}
 	for id := range shards {
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -34,7 +34,7 @@
 const KindProgram rpc.Kind = 40
 
 const (
-	beatEvery     = lease.StoreBeatEvery * time.Millisecond
+	beatEvery     = lease.StoreHeartbeatInterval * time.Millisecond
 	beatTimeout   = 500 * time.Millisecond
 	watchEvery    = 60 * time.Millisecond
 	submitTimeout = 1500 * time.Millisecond
