--- a/tier/proxy/recorded_test.go
+++ b/tier/proxy/recorded_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"net/http"
 	"reflect"
 	"sync/atomic"
 	"testing"
@@ -13,6 +14,7 @@
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
 	"otterseam/tier/internal/recorded"
+	"otterseam/tier/opconfig"
 	"otterseam/tier/outlier"
 	"otterseam/tier/programs"
 	"otterseam/tier/replica"
@@ -92,3 +94,22 @@
 		t.Fatal("nothing was reported")
 	}
 }
+
+// What goes to a host is as recorded. The client's time has run out here, so that the deadline told to the host is the lowest; one
+// header of the client alone is passed on, since several go in no fixed order.
+func TestRecordedRequestsToAHost(t *testing.T) {
+	turn := &request{
+		method: http.MethodPost, uri: "/v1/chat?x=1", host: "chat.example",
+		header: http.Header{
+			"X-Custom": {"first", "second"}, "Connection": {"keep-alive, X-Named"}, "X-Named": {"dropped"}, "X-Deadline-Ms": {"7"},
+			"Transfer-Encoding": {"chunked"},
+		},
+		route: &opconfig.Route{RouteType: opconfig.RouteStreaming, Priority: 2}, deadline: time.Now().Add(-time.Hour),
+	}
+	recorded.Check(t, "request-streaming", turn.encode("host-7", "event-41", []byte(`{"input":"x"}`)))
+	plain := &request{
+		method: http.MethodGet, uri: "/files/a", host: "files.example", header: http.Header{"Accept": {"*/*"}},
+		route: &opconfig.Route{RouteType: opconfig.RouteSafe}, deadline: time.Now().Add(-time.Hour),
+	}
+	recorded.Check(t, "request-plain", plain.encode("host-8", "", nil))
+}
