--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
@@ -186,7 +187,7 @@
 func (c *controlPlay) counted() []uint64 {
 	all := append([]uint64(nil), c.newest.InSync...)
 	for _, member := range c.newest.Voters() {
-		if !consensus.Contains(all, member.ID) {
+		if !slices.Contains(all, member.ID) {
 			all = append(all, member.ID)
 		}
 	}
@@ -467,7 +468,7 @@
 	hasState := map[uint64]bool{}
 	for _, id := range p.caughtUp() {
 		hasState[id] = true
-		if !consensus.Contains(p.group.View().Learners, id) {
+		if !slices.Contains(p.group.View().Learners, id) {
 			p.group.Admit(id)
 			caughtUp = append(caughtUp, id)
 		}
@@ -624,7 +625,7 @@
 // mayRemove tells whether a machine may go for good. One that the group still counts upon is a loss, which waits its turn.
 func (c *controlPlay) mayRemove(n *node, a *adversary) bool {
 	odd := len(c.newest.Members)%2 == 1 && (len(c.newest.Previous) == 0 || len(c.newest.Previous)%2 == 1)
-	if consensus.Contains(c.counted(), n.identity) {
+	if slices.Contains(c.counted(), n.identity) {
 		return odd && a.mayStrike()
 	}
 	return odd || len(a.open) == 0 // where half of the votes are lost, the machine's answer is the proof
@@ -632,7 +633,7 @@
 
 // remove takes a machine away for good.
 func (c *controlPlay) remove(n *node, a *adversary) {
-	if consensus.Contains(c.counted(), n.identity) {
+	if slices.Contains(c.counted(), n.identity) {
 		a.open[n.identity] = loss{}
 	}
 	n.removed = true
--- a/sim/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
@@ -176,7 +177,7 @@
 	s.After(placeEvery, s.place)
 	cluster := s.cluster()
 	for id := range s.stores {
-		idle := cluster.Machines[id].Away && !consensus.Contains(s.shard.View.Replicas, id) && s.Now-s.sessions[id].heardAt > storeForget
+		idle := cluster.Machines[id].Away && !slices.Contains(s.shard.View.Replicas, id) && s.Now-s.sessions[id].heardAt > storeForget
 		lost := cluster.DiskLost(id)
 		if s.options.Bugs.LostBySilence {
 			lost = !cluster.Machines[id].Alive
@@ -241,7 +242,7 @@
 	}
 	s.known[n] = shard
 	switch {
-	case !consensus.Contains(shard.View.Replicas, n.identity):
+	case !slices.Contains(shard.View.Replicas, n.identity):
 		if n.group != nil && shard.View.Epoch >= n.group.View().Epoch {
 			n.disk = disk{}
 			n.open()
--- a/tier/consensus/consensus.go
+++ b/tier/consensus/consensus.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"slices"
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
@@ -67,7 +68,7 @@
 }
 
 // IsInSync tells whether a replica holds all that was acknowledged.
-func (r Record) IsInSync(id uint64) bool { return Contains(r.InSync, id) }
+func (r Record) IsInSync(id uint64) bool { return slices.Contains(r.InSync, id) }
 
 // Equal tells whether two records are the same.
 func (r Record) Equal(other Record) bool {
@@ -87,16 +88,6 @@
 	return false
 }
 
-// Contains tells whether a list holds an identity.
-func Contains(ids []uint64, id uint64) bool {
-	for _, each := range ids {
-		if each == id {
-			return true
-		}
-	}
-	return false
-}
-
 // Without returns the list without one identity.
 func Without(ids []uint64, id uint64) []uint64 {
 	var rest []uint64
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
@@ -104,7 +105,7 @@
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		silent = g.Unresponsive(multigroup.Now())
 		for _, id := range g.CaughtUp(multigroup.Now()) {
-			if !consensus.Contains(g.View().Learners, id) {
+			if !slices.Contains(g.View().Learners, id) {
 				g.Admit(id)
 				caughtUp = append(caughtUp, id)
 			}
@@ -161,7 +162,7 @@
 func (s *Server) admit(id uint64) bool {
 	admitted := false
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
-		if consensus.Contains(g.CaughtUp(multigroup.Now()), id) {
+		if slices.Contains(g.CaughtUp(multigroup.Now()), id) {
 			g.Admit(id)
 			admitted = true
 		}
--- a/tier/control/retirement.go
+++ b/tier/control/retirement.go
@@ -1,10 +1,10 @@
 package control
 
 import (
+	"slices"
 	"sort"
 
 	"otterseam/tier/codec"
-	"otterseam/tier/consensus"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
 )
@@ -60,7 +60,7 @@
 // it is the same machine with another disk; afterwards another machine has the name, and the retirement is over.
 func (s *State) retirementMeetsStore(index uint64, store directory.Store) {
 	r, found := s.retirementOf(store.Node)
-	if !found || consensus.Contains(r.Identities, store.Identity) {
+	if !found || slices.Contains(r.Identities, store.Identity) {
 		return
 	}
 	if r.Left {
--- a/tier/membership/membership_test.go
+++ b/tier/membership/membership_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"slices"
 	"testing"
 
 	"otterseam/tier/consensus"
@@ -19,7 +20,7 @@
 }
 
 func set(ids ...uint64) func(uint64) bool {
-	return func(id uint64) bool { return consensus.Contains(ids, id) }
+	return func(id uint64) bool { return slices.Contains(ids, id) }
 }
 
 // observed is a quiet group.
@@ -37,7 +38,7 @@
 
 func same(a, b []uint64) bool {
 	for _, id := range a {
-		if !consensus.Contains(b, id) {
+		if !slices.Contains(b, id) {
 			return false
 		}
 	}
--- a/tier/placement/placement.go
+++ b/tier/placement/placement.go
@@ -4,6 +4,7 @@
 
 import (
 	"hash/crc32"
+	"slices"
 	"sort"
 	"strconv"
 
@@ -195,12 +196,12 @@
 	var replicas []uint64
 	for _, id := range view.Replicas {
 		_, exists := c.Machines[id]
-		if exists && (consensus.Contains(desired, id) || !allIn(view.InSync, desired) || id == view.Primary) {
+		if exists && (slices.Contains(desired, id) || !allIn(view.InSync, desired) || id == view.Primary) {
 			replicas = append(replicas, id)
 		}
 	}
 	for _, id := range desired {
-		if !consensus.Contains(replicas, id) && c.Machines[id].Alive {
+		if !slices.Contains(replicas, id) && c.Machines[id].Alive {
 			replicas = append(replicas, id)
 		}
 	}
@@ -210,7 +211,7 @@
 func onlyIn(ids, allowed []uint64) []uint64 {
 	var rest []uint64
 	for _, id := range ids {
-		if consensus.Contains(allowed, id) {
+		if slices.Contains(allowed, id) {
 			rest = append(rest, id)
 		}
 	}
@@ -219,7 +220,7 @@
 
 func allIn(set, wanted []uint64) bool {
 	for _, id := range wanted {
-		if !consensus.Contains(set, id) {
+		if !slices.Contains(set, id) {
 			return false
 		}
 	}
@@ -229,8 +230,8 @@
 // primary chooses who leads: the present primary while it can, else an in-sync replica that is alive.
 func (c Cluster) primary(shard directory.Shard, next replica.View, desired []uint64) uint64 {
 	present := c.Machines[next.Primary]
-	moved := !consensus.Contains(desired, next.Primary) && allIn(next.InSync, desired)
-	fits := consensus.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Boot == shard.PrimaryBoot
+	moved := !slices.Contains(desired, next.Primary) && allIn(next.InSync, desired)
+	fits := slices.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Boot == shard.PrimaryBoot
 	if fits && !moved && !present.Draining {
 		return next.Primary
 	}
@@ -245,7 +246,7 @@
 		if !machine.Draining {
 			score += 4
 		}
-		if consensus.Contains(desired, id) {
+		if slices.Contains(desired, id) {
 			score += 2
 		}
 		if len(desired) > 0 && desired[0] == id {
@@ -271,12 +272,12 @@
 		return next, c.MayDrop(shard.View, id)
 	}
 	next.View.InSync = append(next.View.InSync, id)
-	return next, consensus.Contains(shard.View.Replicas, id) && c.Machines[id].Alive
+	return next, slices.Contains(shard.View.Replicas, id) && c.Machines[id].Alive
 }
 
 // MayDrop tells whether a replica may be taken out of the in-sync set because its primary does not hear it.
 func (c Cluster) MayDrop(view replica.View, id uint64) bool {
-	if !consensus.Contains(view.InSync, id) {
+	if !slices.Contains(view.InSync, id) {
 		return true
 	}
 	return len(view.InSync)-1 >= max(1, c.floor(view))
@@ -285,7 +286,7 @@
 // IsEmpty tells whether a machine holds no shard any more.
 func IsEmpty(shards map[uint32]directory.Shard, identity uint64) bool {
 	for _, shard := range shards {
-		if consensus.Contains(shard.View.Replicas, identity) || consensus.Contains(shard.View.InSync, identity) {
+		if slices.Contains(shard.View.Replicas, identity) || slices.Contains(shard.View.InSync, identity) {
 			return false
 		}
 	}
--- a/tier/placement/placement_test.go
+++ b/tier/placement/placement_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -54,7 +55,7 @@
 			t.Fatalf("primary %d is not in sync: %+v", next.View.Primary, next.View)
 		}
 		for _, id := range next.View.InSync {
-			if !consensus.Contains(shard.View.InSync, id) {
+			if !slices.Contains(shard.View.InSync, id) {
 				t.Fatalf("%d came into the in-sync set by itself", id)
 			}
 		}
--- a/tier/replica/contact.go
+++ b/tier/replica/contact.go
@@ -1,10 +1,10 @@
 package replica
 
 import (
+	"slices"
 	"sort"
 
 	"otterseam/tier/codec"
-	"otterseam/tier/consensus"
 )
 
 // Timestamp names a question by the life of the process that asked it and by its steady clock at that moment. Whoever answers
@@ -188,7 +188,7 @@
 // stepProbeAnswer takes a replica's answer to a probe.
 func (g *Group) stepProbeAnswer(from uint64, probe Probe, now int64) {
 	c := &g.contact
-	if c.life == 0 || !consensus.Contains(g.view.Replicas, from) {
+	if c.life == 0 || !slices.Contains(g.view.Replicas, from) {
 		return
 	}
 	if held := c.questions[from]; held.Incarnation != probe.Sent.Incarnation || held.At < probe.Sent.At {
--- a/tier/replica/copies.go
+++ b/tier/replica/copies.go
@@ -1,6 +1,10 @@
 package replica
 
-import "otterseam/tier/consensus"
+import (
+	"slices"
+
+	"otterseam/tier/consensus"
+)
 
 // MinInSync is how many durable copies an acknowledgement needs so that it outlives the loss of as many disks as are tolerated,
 // in a group that has so many replicas at most.
@@ -15,7 +19,7 @@
 func (v View) Voters() []uint64 {
 	var voters []uint64
 	for _, id := range v.Replicas {
-		if !consensus.Contains(v.Learners, id) {
+		if !slices.Contains(v.Learners, id) {
 			voters = append(voters, id)
 		}
 	}
--- a/tier/replica/group.go
+++ b/tier/replica/group.go
@@ -4,7 +4,7 @@
 // time, messages and finished writes go in; messages, writes and committed commands come out.
 package replica
 
-import "otterseam/tier/consensus"
+import "slices"
 
 // View names the primary and the replicas of a group during one epoch.
 type View struct {
@@ -280,7 +280,7 @@
 // updatePeers follows the replicas of the view.
 func (g *Group) updatePeers(now int64) {
 	for id, peer := range g.peers {
-		if !consensus.Contains(g.view.Replicas, id) {
+		if !slices.Contains(g.view.Replicas, id) {
 			g.endTransfer(peer)
 			delete(g.peers, id)
 		}
@@ -293,7 +293,7 @@
 }
 
 // IsInSync tells whether a replica is in the in-sync set.
-func (v View) IsInSync(id uint64) bool { return consensus.Contains(v.InSync, id) }
+func (v View) IsInSync(id uint64) bool { return slices.Contains(v.InSync, id) }
 
 // Propose appends a command and returns its index. Only a primary may be asked.
 func (g *Group) Propose(command []byte, now int64) uint64 {
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -6,6 +6,7 @@
 	"context"
 	"math/rand/v2"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -15,7 +16,6 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
-	"otterseam/tier/consensus"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
@@ -167,7 +167,7 @@
 	}
 	for id, shard := range directory.Shards(s.view) {
 		switch {
-		case consensus.Contains(shard.View.Replicas, s.self.Identity):
+		case slices.Contains(shard.View.Replicas, s.self.Identity):
 			s.hold(id, shard)
 		case s.host.HasGroup(id):
 			s.release(id, shard)
