--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -36,10 +36,10 @@
 
 // acknowledged is what the recorded stores had answered for.
 type acknowledged struct {
-	Cluster uint64              `json:"cluster"`
-	Lives   []uint32            `json:"lives"`
-	Totals  map[string]float64  `json:"totals"`
-	Batch   []statemachine.Used `json:"batch"`
+	Cluster uint64                       `json:"cluster"`
+	Lives   []uint32                     `json:"lives"`
+	Totals  map[string]float64           `json:"totals"`
+	Batch   []statemachine.CustomerUsage `json:"batch"`
 }
 
 // unpack copies a recorded store's folder, and unpacks its database.
@@ -179,7 +179,7 @@
 }
 
 // ask asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
-func (g *guest) ask(e statemachine.Entry) statemachine.Reply {
+func (g *guest) ask(e statemachine.Command) statemachine.Reply {
 	g.t.Helper()
 	var last protocol.Replied
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
@@ -250,21 +250,21 @@
 	g := newGuest(t, list.Keepers[1].Peer)
 	for i := range 6 {
 		name := fmt.Sprint("name-", i)
-		part := g.ask(statemachine.Entry{Kind: statemachine.Put, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
-		if part.Code != statemachine.Done || part.Own != 100+float64(i) || part.Total != want.Totals[name] {
+		part := g.ask(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
+		if part.Code != statemachine.Done || part.HolderTotal != 100+float64(i) || part.Total != want.Totals[name] {
 			t.Errorf("the holder's part of %s is answered %+v", name, part)
 		}
-		debt := g.ask(statemachine.Entry{Kind: statemachine.Owe, Holder: "edge-a.1", Name: name, Amount: 1, Order: 1, Life: 60})
-		if debt.Code != statemachine.Done || debt.Own != 110+float64(i) {
+		debt := g.ask(statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
+		if debt.Code != statemachine.Done || debt.HolderTotal != 110+float64(i) {
 			t.Errorf("the holder's debt for %s is answered %+v", name, debt)
 		}
-		mark := g.ask(statemachine.Entry{Kind: statemachine.Mark, Holder: "edge-b.1", Name: fmt.Sprint("invocation-", i), Scope: "elsewhere", Life: 60})
-		if mark.Code != statemachine.Known || mark.Who != "edge-a.1" {
+		mark := g.ask(statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-b.1", Key: fmt.Sprint("invocation-", i), Scope: "elsewhere", TTL: 60})
+		if mark.Code != statemachine.MarkerHeld || mark.MarkerHolder != "edge-a.1" {
 			t.Errorf("a second delivery of invocation %d is answered %+v", i, mark)
 		}
 	}
-	dead := g.ask(statemachine.Entry{Kind: statemachine.Put, Holder: "edge-gone.1", Name: "put-back", Amount: 99, Order: 9, Life: 60})
-	if dead.Code != statemachine.Gone || dead.Own != 9.5 || dead.Total != want.Totals["put-back"] {
+	dead := g.ask(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-gone.1", Key: "put-back", Amount: 99, Version: 9, TTL: 60})
+	if dead.Code != statemachine.LeaseExpired || dead.HolderTotal != 9.5 || dead.Total != want.Totals["put-back"] {
 		t.Errorf("a dead holder's word is answered %+v", dead)
 	}
 	checkUse(t, list, want)
@@ -273,7 +273,7 @@
 // checkUse asks for the batch handed out last once more, and for the next: what was counted after the one before.
 func checkUse(t *testing.T, list *server.List, want *acknowledged) {
 	t.Helper()
-	take := func(batch uint64) []statemachine.Used {
+	take := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			answer, err := server.Command(list.Keepers[2].Peer, &replication.Admin{What: "take", Batch: batch}, 5*time.Second)
@@ -290,13 +290,13 @@
 	if got := take(1); !reflect.DeepEqual(sorted(got), sorted(want.Batch)) {
 		t.Errorf("batch 1 is %+v, %+v was handed out", got, want.Batch)
 	}
-	if got := take(2); !reflect.DeepEqual(got, []statemachine.Used{{Customer: "plan-a customer-1", Units: 7.75}}) {
+	if got := take(2); !reflect.DeepEqual(got, []statemachine.CustomerUsage{{Customer: "plan-a customer-1", Units: 7.75}}) {
 		t.Errorf("batch 2 is %+v", got)
 	}
 }
 
 // sorted gives a batch's lines in one order: groups answer in any.
-func sorted(uses []statemachine.Used) (all []string) {
+func sorted(uses []statemachine.CustomerUsage) (all []string) {
 	for _, u := range uses {
 		all = append(all, fmt.Sprint(u.Customer, " ", u.Units))
 	}
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -177,7 +177,7 @@
 
 // recordedReplies is the answer that the recording holds.
 func recordedReplies() *protocol.Frame {
-	return protocol.Replies([]protocol.Replied{{Group: -1, Number: 2, Reply: statemachine.Reply{Code: statemachine.Gone, Clock: math.Pi}}})
+	return protocol.Replies([]protocol.Replied{{Group: -1, Number: 2, Reply: statemachine.Reply{Code: statemachine.LeaseExpired, Clock: math.Pi}}})
 }
 
 func TestStoreRepliesAreTheRecordedBytes(t *testing.T) {
--- a/harness/fleet/witness.go
+++ b/harness/fleet/witness.go
@@ -53,7 +53,7 @@
 
 // asking is something asked that has no answer yet, and its number among all that was asked.
 type asking struct {
-	entry  statemachine.Entry
+	entry  statemachine.Command
 	number int
 }
 
@@ -81,11 +81,11 @@
 	return w.streams
 }
 
-func (w *witness) claim(e *statemachine.Entry) *claim {
-	key := e.Holder + " " + e.Name
+func (w *witness) claim(e *statemachine.Command) *claim {
+	key := e.Holder + " " + e.Key
 	c := w.claims[key]
 	if c == nil {
-		c = &claim{holder: e.Holder, name: e.Name, first: time.Now(), life: e.Life}
+		c = &claim{holder: e.Holder, name: e.Key, first: time.Now(), life: e.TTL}
 		w.claims[key] = c
 	}
 	return c
@@ -99,24 +99,24 @@
 		w.Asked++
 		w.out[[2]int{stream, int(f.Asks[i].Number)}] = asking{e, w.Asked}
 		switch e.Kind {
-		case statemachine.Put:
-			if e.Order > 0 {
+		case statemachine.ReportUsage:
+			if e.Version > 0 {
 				c := w.claim(&e)
-				c.puts = append(c.puts, told{e.Order, e.Amount - e.Places})
+				c.puts = append(c.puts, told{e.Version, e.Amount - e.Reserved})
 			}
-		case statemachine.Owe:
-			if e.Order > 0 {
+		case statemachine.RecordUnreported:
+			if e.Version > 0 {
 				c := w.claim(&e)
-				c.owes = append(c.owes, told{e.Order, e.Amount})
+				c.owes = append(c.owes, told{e.Version, e.Amount})
 			}
-		case statemachine.Unmark:
+		case statemachine.ReleaseMarker:
 			// From here on it may have been let go of, though the answer that says so is lost on its way.
-			w.marks[e.Name] = slices.DeleteFunc(w.marks[e.Name], func(h string) bool { return h == e.Holder })
-			w.unmarked[e.Name+" "+e.Holder] = w.Asked
-		case statemachine.Use:
-			key := e.Holder + " " + e.Name
+			w.marks[e.Key] = slices.DeleteFunc(w.marks[e.Key], func(h string) bool { return h == e.Holder })
+			w.unmarked[e.Key+" "+e.Holder] = w.Asked
+		case statemachine.MeterUsage:
+			key := e.Holder + " " + e.Key
 			if w.uses[key] == nil {
-				w.uses[key] = &usage{customer: e.Name}
+				w.uses[key] = &usage{customer: e.Key}
 			}
 			w.uses[key].sent = max(w.uses[key].sent, e.Amount)
 		}
@@ -147,23 +147,23 @@
 		}
 		w.Answered++
 		switch e.Kind {
-		case statemachine.Put:
-			if e.Order > 0 {
+		case statemachine.ReportUsage:
+			if e.Version > 0 {
 				c := w.claim(&e)
-				c.put = max(c.put, e.Order)
+				c.put = max(c.put, e.Version)
 			}
-		case statemachine.Owe:
-			if e.Order > 0 {
+		case statemachine.RecordUnreported:
+			if e.Version > 0 {
 				c := w.claim(&e)
-				c.owe = max(c.owe, e.Order)
+				c.owe = max(c.owe, e.Version)
 			}
-		case statemachine.Mark:
-			if e.Scope == "" && a.number > w.unmarked[e.Name+" "+e.Holder] {
-				w.marks[e.Name] = append(w.marks[e.Name], e.Holder)
-				w.marked[e.Name] = time.Now()
+		case statemachine.AcquireMarker:
+			if e.Scope == "" && a.number > w.unmarked[e.Key+" "+e.Holder] {
+				w.marks[e.Key] = append(w.marks[e.Key], e.Holder)
+				w.marked[e.Key] = time.Now()
 			}
-		case statemachine.Use:
-			u := w.uses[e.Holder+" "+e.Name]
+		case statemachine.MeterUsage:
+			u := w.uses[e.Holder+" "+e.Key]
 			u.acked = max(u.acked, e.Amount)
 		}
 	}
@@ -286,7 +286,7 @@
 					return res
 				}
 				states = append(states, state)
-				settled = settled && !state.Alive() && len(state.Open(1)) == 0
+				settled = settled && !state.HasLiveHolder() && len(state.UnrecoveredUsage(1)) == 0
 			}
 		}
 		if settled || time.Since(begun) > 12*time.Second {
@@ -311,7 +311,7 @@
 		if !lives(c.first, c.life) {
 			continue // its name has lapsed, as it should
 		}
-		own := at(c.name).Own(c.name, c.holder)
+		own := at(c.name).HolderTotal(c.name, c.holder)
 		least, most := c.bounds()
 		res.Claims++
 		if own < least-1e-6 {
@@ -346,7 +346,7 @@
 			continue
 		}
 		res.Claims++
-		if !at(ref).Marked(ref) && lives(w.marked[ref], 60) {
+		if !at(ref).HasMarker(ref) && lives(w.marked[ref], 60) {
 			res.Lost = append(res.Lost, fmt.Sprintf("the mark of %s, held for %s", ref, w.marks[ref][0]))
 		}
 		if len(w.marks[ref]) > 1 {
--- a/quotastore/client/client.go
+++ b/quotastore/client/client.go
@@ -62,7 +62,7 @@
 type asked struct {
 	kind  kind
 	name  string
-	entry statemachine.Entry
+	entry statemachine.Command
 }
 
 // account is this api gateway's part of a count.
@@ -112,7 +112,7 @@
 // Holder is under which name the keepers know it at present.
 func (l *Lodge) Holder() string { return l.name + "." + strconv.Itoa(l.lives) }
 
-func (l *Lodge) ask(k kind, name string, e statemachine.Entry) uint64 {
+func (l *Lodge) ask(k kind, name string, e statemachine.Command) uint64 {
 	l.number++
 	if e.Holder == "" {
 		e.Holder = l.Holder()
@@ -142,7 +142,7 @@
 	opened = places - a.places
 	a.sum, a.places = a.sum+amount, places
 	l.order++
-	return l.ask(putting, name, statemachine.Entry{Kind: statemachine.Put, Name: name, Amount: a.sum, Places: a.places, Order: l.order, Life: life}), opened, true
+	return l.ask(putting, name, statemachine.Command{Kind: statemachine.ReportUsage, Key: name, Amount: a.sum, Reserved: a.places, Version: l.order, TTL: life}), opened, true
 }
 
 // Missed: what was told with a number will be told again, as the deciding module owes it once more; opened of it stays told if
@@ -173,12 +173,12 @@
 
 // Mark asks whether a delivery of an invocation may begin. scope says where a repeat is harmless; "": nowhere.
 func (l *Lodge) Mark(ref, scope string, life float64) uint64 {
-	return l.ask(marking, ref, statemachine.Entry{Kind: statemachine.Mark, Name: ref, Scope: scope, Life: max(markLife, 2*life)})
+	return l.ask(marking, ref, statemachine.Command{Kind: statemachine.AcquireMarker, Key: ref, Scope: scope, TTL: max(markLife, 2*life)})
 }
 
 // Unmark says that nothing of an invocation ever ran.
 func (l *Lodge) Unmark(ref string) {
-	l.ask(unmarking, ref, statemachine.Entry{Kind: statemachine.Unmark, Name: ref})
+	l.ask(unmarking, ref, statemachine.Command{Kind: statemachine.ReleaseMarker, Key: ref})
 }
 
 // Used counts what a customer has used.
@@ -198,7 +198,7 @@
 func (l *Lodge) Turn(now float64) []protocol.Asked {
 	if now >= l.renewAt {
 		l.renewAt = now + renewing
-		l.ask(renew, "", statemachine.Entry{Kind: statemachine.Renew, Life: 3 * renewing})
+		l.ask(renew, "", statemachine.Command{Kind: statemachine.RenewLease, TTL: 3 * renewing})
 	}
 	if now >= l.oweAt {
 		l.oweAt = now + owing + l.wait
@@ -234,7 +234,7 @@
 			continue
 		}
 		l.order++
-		a.noting = l.ask(owe, name, statemachine.Entry{Kind: statemachine.Owe, Name: name, Amount: due, Order: l.order, Life: a.life})
+		a.noting = l.ask(owe, name, statemachine.Command{Kind: statemachine.RecordUnreported, Key: name, Amount: due, Version: l.order, TTL: a.life})
 	}
 }
 
@@ -251,7 +251,7 @@
 	for _, c := range l.customers() {
 		u := l.uses[c]
 		if u.out == 0 && u.noted < u.sum {
-			u.out = l.ask(use, c, statemachine.Entry{Kind: statemachine.Use, Name: c, Amount: u.sum, Holder: fmt.Sprintf("%s/%d", l.name, l.epochs)})
+			u.out = l.ask(use, c, statemachine.Command{Kind: statemachine.MeterUsage, Key: c, Amount: u.sum, Holder: fmt.Sprintf("%s/%d", l.name, l.epochs)})
 		}
 	}
 }
@@ -270,7 +270,7 @@
 	failed := r.NotLeader || r.Unknown
 	l.pace(now, failed)
 	w := Word{Number: r.Number, Total: r.Reply.Total, Refused: r.NotLeader, Unknown: r.Unknown}
-	if !failed && r.Reply.Code == statemachine.Gone && a.entry.Holder == l.Holder() {
+	if !failed && r.Reply.Code == statemachine.LeaseExpired && a.entry.Holder == l.Holder() {
 		l.given(now)
 	}
 	switch a.kind {
@@ -282,9 +282,9 @@
 		return w
 	case marking:
 		switch {
-		case failed || r.Reply.Code != statemachine.Done && r.Reply.Code != statemachine.Known:
+		case failed || r.Reply.Code != statemachine.Done && r.Reply.Code != statemachine.MarkerHeld:
 			w.What = Unmarked
-		case r.Reply.Code == statemachine.Known:
+		case r.Reply.Code == statemachine.MarkerHeld:
 			w.What = Before
 		default:
 			w.What = Marked
@@ -344,8 +344,8 @@
 
 func (l *Lodge) asking(name string, a *account) {
 	a.answers = 2
-	l.ask(oldOwe, name, statemachine.Entry{Kind: statemachine.Owe, Name: name, Holder: a.old, Life: a.life})
-	l.ask(oldPut, name, statemachine.Entry{Kind: statemachine.Put, Name: name, Holder: a.old, Life: a.life})
+	l.ask(oldOwe, name, statemachine.Command{Kind: statemachine.RecordUnreported, Key: name, Holder: a.old, TTL: a.life})
+	l.ask(oldPut, name, statemachine.Command{Kind: statemachine.ReportUsage, Key: name, Holder: a.old, TTL: a.life})
 }
 
 // learned: what of a count is this one's under its former name, now or once it is put back. The rest is told under the new.
@@ -354,14 +354,14 @@
 	if a == nil || a.old != q.entry.Holder || a.answers == 0 {
 		return
 	}
-	if failed || r.Reply.Code != statemachine.Gone {
+	if failed || r.Reply.Code != statemachine.LeaseExpired {
 		a.answers = 0 // asked again with the next notes
 		return
 	}
 	if q.kind == oldOwe {
-		a.oldOwed = r.Reply.Own
+		a.oldOwed = r.Reply.HolderTotal
 	} else {
-		a.oldSum = r.Reply.Own
+		a.oldSum = r.Reply.HolderTotal
 	}
 	if a.answers--; a.answers > 0 {
 		return
--- a/quotastore/client/client_test.go
+++ b/quotastore/client/client_test.go
@@ -24,7 +24,7 @@
 			k.l.Heard(k.now, &protocol.Replied{Number: a.Number, NotLeader: true})
 			continue
 		}
-		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{a.Entry}})[0]
+		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Entry}})[0]
 		if k.lost {
 			continue
 		}
@@ -71,8 +71,8 @@
 		k.state.Apply(&statemachine.Batch{Clock: k.now})
 	}
 	for range 2 {
-		for _, d := range k.state.Open(9) {
-			k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{{Kind: statemachine.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life}}})
+		for _, d := range k.state.UnrecoveredUsage(9) {
+			k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL}}})
 		}
 	}
 	if k.total() != 9 {
@@ -92,8 +92,8 @@
 		k.turn()
 		k.state.Apply(&statemachine.Batch{Clock: k.now})
 	}
-	for _, d := range k.state.Open(9) {
-		k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{{Kind: statemachine.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life}}})
+	for _, d := range k.state.UnrecoveredUsage(9) {
+		k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL}}})
 	}
 	if k.total() != 9 {
 		t.Fatalf("after it was given up: %v", k.total())
@@ -141,7 +141,7 @@
 	other := New("edge/2")
 	n := other.Mark("a", "", 1)
 	for _, a := range other.Turn(k.now) {
-		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Entries: []statemachine.Entry{a.Entry}})[0]
+		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Entry}})[0]
 		if w := other.Heard(k.now, &protocol.Replied{Number: a.Number, Reply: r}); a.Number == n && w.What != Before {
 			t.Fatalf("%+v", w)
 		}
--- a/quotastore/client/recorded_test.go
+++ b/quotastore/client/recorded_test.go
@@ -39,8 +39,8 @@
 	turn(1)
 	first, second := put(1.01, "9041552", 3, 2), put(1.02, "9041552", 0.125, 0.5)
 	turn(1.02)
-	words = append(words, l.Heard(1.03, recordedAnswer(first, statemachine.Reply{Total: 40, Own: 3, Clock: 99})),
-		l.Heard(1.04, recordedAnswer(second, statemachine.Reply{Total: 41.5, Own: 3.125, Clock: 99.5})))
+	words = append(words, l.Heard(1.03, recordedAnswer(first, statemachine.Reply{Total: 40, HolderTotal: 3, Clock: 99})),
+		l.Heard(1.04, recordedAnswer(second, statemachine.Reply{Total: 41.5, HolderTotal: 3.125, Clock: 99.5})))
 	l.Settled()
 	l.Owes(1.1, "9041552", 7.5, 60)
 	l.Owes(1.1, "77", 0.1, 30)
@@ -50,7 +50,7 @@
 	l.Used("free 0012", 0.25)
 	turn(1.3)
 	words = append(words, l.Heard(1.31, recordedAnswer(mark, statemachine.Reply{Clock: 100})),
-		l.Heard(1.32, recordedAnswer(again, statemachine.Reply{Code: statemachine.Known, Who: "edge-1.1.0"})))
+		l.Heard(1.32, recordedAnswer(again, statemachine.Reply{Code: statemachine.MarkerHeld, MarkerHolder: "edge-1.1.0"})))
 	l.Unmark("fc64a7745d3a91c4")
 	for _, a := range turn(1.4) { // turned away, and said again
 		words = append(words, l.Heard(1.41, &protocol.Replied{Number: a.Number, NotLeader: true, Lead: -1}))
@@ -61,12 +61,12 @@
 	words = append(words, l.Heard(1.71, &protocol.Replied{Number: lost, Unknown: true}))
 	l.Missed("77", 4, 4, false)
 	for _, a := range turn(2.6) { // given up: it goes on under another name, and asks for what was its own
-		words = append(words, l.Heard(2.61, recordedAnswer(a.Number, statemachine.Reply{Code: statemachine.Gone, Clock: 110})))
+		words = append(words, l.Heard(2.61, recordedAnswer(a.Number, statemachine.Reply{Code: statemachine.LeaseExpired, Clock: 110})))
 	}
 	for _, a := range turn(2.7) {
 		reply := statemachine.Reply{Clock: 111}
 		if a.Entry.Holder != l.Holder() {
-			reply = statemachine.Reply{Code: statemachine.Gone, Own: 1.5, Total: 50, Clock: 111}
+			reply = statemachine.Reply{Code: statemachine.LeaseExpired, HolderTotal: 1.5, Total: 50, Clock: 111}
 		}
 		words = append(words, l.Heard(2.71, recordedAnswer(a.Number, reply)))
 	}
@@ -94,7 +94,7 @@
 			kinds[a.Entry.Kind] = true
 		}
 	}
-	for _, kind := range []statemachine.Kind{statemachine.Put, statemachine.Renew, statemachine.Owe, statemachine.Mark, statemachine.Unmark, statemachine.Use} {
+	for _, kind := range []statemachine.Kind{statemachine.ReportUsage, statemachine.RenewLease, statemachine.RecordUnreported, statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage} {
 		if !kinds[kind] {
 			t.Errorf("%v was never asked for", kind)
 		}
--- a/quotastore/protocol/frame.go
+++ b/quotastore/protocol/frame.go
@@ -41,16 +41,16 @@
 
 // Admin is what an operator's command asks a keeper, and the answer.
 type Admin struct {
-	What     string              `cbor:"1,keyasint"` // "who", "found", "save", "take"
-	Founding *Founding           `cbor:"2,keyasint,omitempty"`
-	Batch    uint64              `cbor:"3,keyasint,omitempty"`
-	Number   int                 `cbor:"4,keyasint"`
-	Life     uint32              `cbor:"5,keyasint,omitempty"`
-	Cluster  uint64              `cbor:"6,keyasint,omitempty"`
-	Health   []Health            `cbor:"7,keyasint,omitempty"`
-	States   map[int][]byte      `cbor:"8,keyasint,omitempty"`
-	Uses     []statemachine.Used `cbor:"9,keyasint,omitempty"`
-	Err      string              `cbor:"10,keyasint,omitempty"`
+	What     string                       `cbor:"1,keyasint"` // "who", "found", "save", "take"
+	Founding *Founding                    `cbor:"2,keyasint,omitempty"`
+	Batch    uint64                       `cbor:"3,keyasint,omitempty"`
+	Number   int                          `cbor:"4,keyasint"`
+	Life     uint32                       `cbor:"5,keyasint,omitempty"`
+	Cluster  uint64                       `cbor:"6,keyasint,omitempty"`
+	Health   []Health                     `cbor:"7,keyasint,omitempty"`
+	States   map[int][]byte               `cbor:"8,keyasint,omitempty"`
+	Uses     []statemachine.CustomerUsage `cbor:"9,keyasint,omitempty"`
+	Err      string                       `cbor:"10,keyasint,omitempty"`
 }
 
 // Guest is the number of one who speaks and is no keeper: an api gateway, or an operator's command.
@@ -73,9 +73,9 @@
 
 // Asked is something wanted of a group; its number names it in the reply.
 type Asked struct {
-	Group  int                `cbor:"1,keyasint"`
-	Number uint64             `cbor:"2,keyasint"`
-	Entry  statemachine.Entry `cbor:"3,keyasint"`
+	Group  int                  `cbor:"1,keyasint"`
+	Number uint64               `cbor:"2,keyasint"`
+	Entry  statemachine.Command `cbor:"3,keyasint"`
 }
 
 // Replied is what became of it.
--- a/quotastore/protocol/recorded_test.go
+++ b/quotastore/protocol/recorded_test.go
@@ -34,31 +34,31 @@
 	"admin-save": Administer(&Admin{What: "save", Number: 2, Life: 9, Cluster: 7, States: map[int][]byte{15: {9, 8, 7}}}),
 	"admin-take": Administer(&Admin{
 		What: "take", Batch: 41, Number: 2, Life: 9, Cluster: 7,
-		Uses: []statemachine.Used{{Customer: "gold 0011", Units: 12.25}, {Customer: "free 0012", Units: 1e-3}},
+		Uses: []statemachine.CustomerUsage{{Customer: "gold 0011", Units: 12.25}, {Customer: "free 0012", Units: 1e-3}},
 	}),
 	"admin-failed": Administer(&Admin{What: "take", Batch: 3, Number: -1, Err: "not the batch handed out last, nor the one after it"}),
 }
 
 // recordedAsks has an entry of each kind, with all that it may carry.
 func recordedAsks() (all []Asked) {
-	for kind := statemachine.Tick; kind <= statemachine.Take; kind++ {
+	for kind := statemachine.Tick; kind <= statemachine.CollectUsage; kind++ {
 		n := uint64(kind)
-		all = append(all, Asked{Group: int(kind), Number: 1<<40 + n, Entry: statemachine.Entry{
-			Kind: kind, Session: "a01.ff.3.1", Number: 100 + n,
-			Low: 90 + n, Name: "name-" + kind.String(), Amount: 1.5 + float64(n), Life: 60, Holder: "edge-3.7.1", Order: 1<<33 + n,
-			Places: 0.1, Scope: "pool-a", Clock: 1234.56789,
+		all = append(all, Asked{Group: int(kind), Number: 1<<40 + n, Entry: statemachine.Command{
+			Kind: kind, Session: "a01.ff.3.1", Sequence: 100 + n,
+			AckedBelow: 90 + n, Key: "name-" + kind.String(), Amount: 1.5 + float64(n), TTL: 60, Holder: "edge-3.7.1", Version: 1<<33 + n,
+			Reserved: 0.1, Scope: "pool-a", Clock: 1234.56789,
 		}})
 	}
-	return append(all, Asked{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "bare", Amount: -2}})
+	return append(all, Asked{Entry: statemachine.Command{Kind: statemachine.Add, Key: "bare", Amount: -2}})
 }
 
 // recordedReplies has a reply of each code, with all that it may carry.
 func recordedReplies() (all []Replied) {
-	for code := statemachine.Done; code <= statemachine.Bad; code++ {
+	for code := statemachine.Done; code <= statemachine.Invalid; code++ {
 		n := float64(code)
 		all = append(all, Replied{Group: int(code), Number: 77 + uint64(code), Lead: int(code) - 1, Reply: statemachine.Reply{
 			Code: code, Total: 1e9 + n,
-			Own: 3.25 * n, Clock: 99.125, Who: "edge-3.7.1", Uses: []statemachine.Used{{Customer: "gold 0011", Units: n}}, Batch: 12,
+			HolderTotal: 3.25 * n, Clock: 99.125, MarkerHolder: "edge-3.7.1", Usage: []statemachine.CustomerUsage{{Customer: "gold 0011", Units: n}}, Batch: 12,
 		}})
 	}
 	return append(all, Replied{Group: 1, Number: 5, NotLeader: true, Lead: -1}, Replied{Number: 6, Unknown: true})
--- a/quotastore/replication/ask.go
+++ b/quotastore/replication/ask.go
@@ -21,7 +21,7 @@
 )
 
 type askState struct {
-	entry  statemachine.Entry
+	entry  statemachine.Command
 	number uint64
 	born   float64
 	sentAt float64
@@ -56,12 +56,12 @@
 )
 
 // Ask asks a group for something; then hears once what became of it, within a call of this keeper.
-func (c *Core) Ask(group int, e statemachine.Entry, then func(Outcome, statemachine.Reply)) {
+func (c *Core) Ask(group int, e statemachine.Command, then func(Outcome, statemachine.Reply)) {
 	l := c.asks[group]
 	c.numbers++
 	a := &askState{entry: e, number: c.numbers, born: c.now, then: then}
 	switch e.Kind {
-	case statemachine.Put, statemachine.Renew, statemachine.Owe, statemachine.Close, statemachine.Paid, statemachine.Use, statemachine.Take:
+	case statemachine.ReportUsage, statemachine.RenewLease, statemachine.RecordUnreported, statemachine.RecoverUnreported, statemachine.ClearUnreported, statemachine.MeterUsage, statemachine.CollectUsage:
 		a.free = true // by what they say, they are made once however often they come
 	}
 	if c.cluster == 0 || l.away(c.now) {
@@ -132,7 +132,7 @@
 	}
 	if l.state == open && now-l.at > rested {
 		l.at = now
-		l.core.Ask(l.group, statemachine.Entry{Kind: statemachine.Tick}, func(Outcome, statemachine.Reply) {})
+		l.core.Ask(l.group, statemachine.Command{Kind: statemachine.Tick}, func(Outcome, statemachine.Reply) {})
 	}
 	l.push(now)
 }
@@ -154,7 +154,7 @@
 		a.sends++
 		e := a.entry
 		if !a.free {
-			e.Session, e.Number, e.Low = l.session, a.number, l.low()
+			e.Session, e.Sequence, e.AckedBelow = l.session, a.number, l.low()
 			if mutation.KeepNoSession && a.sends > 1 {
 				e.Session = ""
 			}
@@ -202,9 +202,9 @@
 			l.state, l.at = open, l.core.now
 			l.push(l.core.now)
 		})
-		l.core.out(l.lead, []Asked{{Group: l.group, Number: l.core.numbers, Entry: statemachine.Entry{Kind: statemachine.Open, Session: l.session, Clock: r.Clock}}})
+		l.core.out(l.lead, []Asked{{Group: l.group, Number: l.core.numbers, Entry: statemachine.Command{Kind: statemachine.OpenSession, Session: l.session, Clock: r.Clock}}})
 	})
-	l.core.out(l.lead, []Asked{{Group: l.group, Number: probe, Entry: statemachine.Entry{Kind: statemachine.Tick}}})
+	l.core.out(l.lead, []Asked{{Group: l.group, Number: probe, Entry: statemachine.Command{Kind: statemachine.Tick}}})
 }
 
 // probes notes what is to be done with an answer to something that is not told again.
@@ -294,7 +294,7 @@
 		return
 	}
 	switch {
-	case r.Reply.Code == statemachine.NoSession && !a.free:
+	case r.Reply.Code == statemachine.UnknownSession && !a.free:
 		if l.state == open {
 			l.state, l.probeAt = shut, 0
 		}
@@ -304,11 +304,11 @@
 		a.sends, a.sentAt = 0, -1
 		l.push(c.now)
 		return
-	case r.Reply.Code == statemachine.Passed:
+	case r.Reply.Code == statemachine.ResultDiscarded:
 		return // an answer that nobody waits for
 	}
 	l.pending = slices.Delete(l.pending, at, at+1)
-	if r.Reply.Code == statemachine.NoSession {
+	if r.Reply.Code == statemachine.UnknownSession {
 		a.then(Unknown, r.Reply)
 		return
 	}
--- a/quotastore/replication/core.go
+++ b/quotastore/replication/core.go
@@ -199,7 +199,7 @@
 		if !slices.Contains(conf.Voters, uint64(c.id)) {
 			continue
 		}
-		data := statemachine.New().Save()
+		data := statemachine.New().Snapshot()
 		if f.States != nil {
 			if _, err := statemachine.Restore(f.States[g]); err != nil {
 				return nil, fmt.Errorf("group %d of the snapshot: %w", g, err)
--- a/quotastore/replication/group.go
+++ b/quotastore/replication/group.go
@@ -75,7 +75,7 @@
 	base, since, stamped float64 // the group's clock: at the beginning of this leadership, which was then; last given
 	clockKnown           bool
 
-	entries []statemachine.Entry // to be proposed
+	entries []statemachine.Command // to be proposed
 	askers  []asked
 	nth     uint64
 	out     map[place]*proposal // by term and number: a number comes again in a later life on the same disk
@@ -211,7 +211,7 @@
 }
 
 // ask takes what is to be proposed; false: this copy does not lead.
-func (g *group) ask(e statemachine.Entry, from asked) bool {
+func (g *group) ask(e statemachine.Command, from asked) bool {
 	if !g.leads {
 		return false
 	}
@@ -240,18 +240,18 @@
 		return
 	}
 	g.nth++
-	b := statemachine.Batch{Clock: g.clock(now), Entries: g.entries, By: uint64(g.core.id), Nth: g.nth}
+	b := statemachine.Batch{Clock: g.clock(now), Commands: g.entries, Proposer: uint64(g.core.id), Sequence: g.nth}
 	if mutation.KeepLocalClock {
 		b.Clock = now
 	}
-	if g.node.Propose(b.Bytes()) != nil {
+	if g.node.Propose(b.Encode()) != nil {
 		g.giveBack()
 		return
 	}
 	g.lateAt = now
 	g.out[place{g.term, g.nth}] = &proposal{at: now, asked: slices.Clone(g.askers)}
 	if mutation.KeepEarly { // answered before the others have it
-		for i, r := range g.state.Apply(&statemachine.Batch{Clock: b.Clock, Entries: slices.Clone(g.entries)}) {
+		for i, r := range g.state.Apply(&statemachine.Batch{Clock: b.Clock, Commands: slices.Clone(g.entries)}) {
 			g.answer(g.askers[i], r)
 		}
 		delete(g.out, place{g.term, g.nth})
@@ -337,7 +337,7 @@
 	g.state, g.conf = state, s.GetMetadata().GetConfState()
 	g.applied = s.GetMetadata().GetIndex()
 	g.snapAt = g.applied
-	g.core.log("group %d: copied, %d names, index %d", g.number, g.state.Names(), g.applied)
+	g.core.log("group %d: copied, %d names, index %d", g.number, g.state.CounterCount(), g.applied)
 }
 
 func (g *group) apply(e *pb.Entry) {
@@ -359,19 +359,19 @@
 		if len(e.Data) == 0 {
 			return
 		}
-		b, err := statemachine.ReadBatch(e.Data)
+		b, err := statemachine.DecodeBatch(e.Data)
 		if err != nil {
 			g.core.fail(err)
 			return
 		}
-		if mutation.KeepEarly && b.By == uint64(g.core.id) {
+		if mutation.KeepEarly && b.Proposer == uint64(g.core.id) {
 			return
 		}
 		replies := g.state.Apply(b)
-		if b.By != uint64(g.core.id) {
+		if b.Proposer != uint64(g.core.id) {
 			return
 		}
-		at := place{e.GetTerm(), b.Nth}
+		at := place{e.GetTerm(), b.Sequence}
 		if p := g.out[at]; p != nil {
 			delete(g.out, at)
 			for i, a := range p.asked {
@@ -401,7 +401,7 @@
 	}
 	g.core.savedAt = g.core.now
 	g.newcomer = false
-	s, err := g.log.CreateSnapshot(g.applied, g.conf, g.state.Save())
+	s, err := g.log.CreateSnapshot(g.applied, g.conf, g.state.Snapshot())
 	if err != nil {
 		g.core.fail(err)
 		return
@@ -445,7 +445,7 @@
 		}
 	}
 	if !g.state.Idle() && now-g.lateAt > 0.25 {
-		g.ask(statemachine.Entry{Kind: statemachine.Tick}, asked{from: -1})
+		g.ask(statemachine.Command{Kind: statemachine.Tick}, asked{from: -1})
 	}
 	for _, id := range sortedKeys(g.copying) {
 		if now > g.copying[id] {
@@ -466,22 +466,22 @@
 
 // putBack has what dead holders owe added to the names' counts, wherever those lie.
 func (g *group) putBack() {
-	for _, d := range g.state.Open(64) {
-		key := d.Holder + "\x00" + d.Name
+	for _, d := range g.state.UnrecoveredUsage(64) {
+		key := d.Holder + "\x00" + d.Key
 		if g.core.puttingBack[key] {
 			continue
 		}
 		paid := func() {
-			g.core.Ask(g.number, statemachine.Entry{Kind: statemachine.Paid, Holder: d.Holder, Name: d.Name, Order: d.Order}, func(Outcome, statemachine.Reply) {
+			g.core.Ask(g.number, statemachine.Command{Kind: statemachine.ClearUnreported, Holder: d.Holder, Key: d.Key, Version: d.Version}, func(Outcome, statemachine.Reply) {
 				delete(g.core.puttingBack, key)
 			})
 		}
 		g.core.puttingBack[key] = true
-		if d.Life <= 0 { // its window is over
+		if d.TTL <= 0 { // its window is over
 			paid()
 			continue
 		}
-		g.core.Ask(GroupOf(d.Name, g.core.terms.Groups), statemachine.Entry{Kind: statemachine.Close, Holder: d.Holder, Name: d.Name, Amount: d.Amount, Life: d.Life},
+		g.core.Ask(GroupOf(d.Key, g.core.terms.Groups), statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL},
 			func(how Outcome, r statemachine.Reply) {
 				if how != Answered || r.Code != statemachine.Done {
 					delete(g.core.puttingBack, key) // it is tried again, and changes nothing if it was made
--- a/quotastore/replication/guest.go
+++ b/quotastore/replication/guest.go
@@ -7,12 +7,12 @@
 )
 
 // key is by which name an entry finds its group; "": it has none of its own.
-func key(e *statemachine.Entry) string {
+func key(e *statemachine.Command) string {
 	switch e.Kind {
-	case statemachine.Owe, statemachine.Use:
+	case statemachine.RecordUnreported, statemachine.MeterUsage:
 		return e.Holder
 	default:
-		return e.Name
+		return e.Key
 	}
 }
 
@@ -20,8 +20,8 @@
 func (c *Core) Guest(now float64, a Asked, then func(Replied)) {
 	c.now = now
 	switch a.Entry.Kind {
-	case statemachine.Add, statemachine.Put, statemachine.Owe, statemachine.Mark, statemachine.Unmark, statemachine.Use:
-	case statemachine.Renew: // a holder is held to be there by all groups or by none
+	case statemachine.Add, statemachine.ReportUsage, statemachine.RecordUnreported, statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage:
+	case statemachine.RenewLease: // a holder is held to be there by all groups or by none
 		left, worst := len(c.asks), statemachine.Done
 		for g := range c.asks {
 			c.Ask(g, a.Entry, func(how Outcome, r statemachine.Reply) {
@@ -35,11 +35,11 @@
 		}
 		return
 	default:
-		then(Replied{Number: a.Number, Reply: statemachine.Reply{Code: statemachine.Bad}})
+		then(Replied{Number: a.Number, Reply: statemachine.Reply{Code: statemachine.Invalid}})
 		return
 	}
 	e := a.Entry
-	e.Session, e.Number, e.Low = "", 0, 0
+	e.Session, e.Sequence, e.AckedBelow = "", 0, 0
 	c.Ask(c.GroupFor(key(&e)), e, func(how Outcome, r statemachine.Reply) {
 		then(Replied{Number: a.Number, NotLeader: how == Refused, Unknown: how == Unknown, Reply: r})
 	})
@@ -70,13 +70,13 @@
 		r.States = map[int][]byte{}
 		for g := range c.held {
 			if g.leads && g.current() {
-				r.States[g.number] = g.state.Save()
+				r.States[g.number] = g.state.Snapshot()
 			}
 		}
 	case "take":
 		left := len(c.asks)
 		for g := range c.asks {
-			c.Ask(g, statemachine.Entry{Kind: statemachine.Take, Order: a.Batch}, func(how Outcome, x statemachine.Reply) {
+			c.Ask(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: a.Batch}, func(how Outcome, x statemachine.Reply) {
 				switch {
 				case how != Answered:
 					r.Err = "a group did not answer: ask for the same batch again"
@@ -84,7 +84,7 @@
 					r.Err = "not the batch handed out last, nor the one after it"
 					r.Batch = max(r.Batch, x.Batch)
 				default:
-					r.Uses = append(r.Uses, x.Uses...)
+					r.Uses = append(r.Uses, x.Usage...)
 				}
 				if left--; left == 0 {
 					then(r)
--- a/quotastore/replication/health.go
+++ b/quotastore/replication/health.go
@@ -12,7 +12,7 @@
 	for i := range all {
 		h := Health{Group: i, Leader: c.asks[i].lead, Away: c.cluster == 0 || c.asks[i].away(c.now)}
 		if g := c.group[i]; g != nil && g.applied > 0 {
-			h.Held, h.Leads, h.Names, h.Index = true, g.leads, g.state.Names(), g.applied
+			h.Held, h.Leads, h.Names, h.Index = true, g.leads, g.state.CounterCount(), g.applied
 			for _, id := range g.conf.Voters {
 				h.Holders = append(h.Holders, ID(id))
 			}
--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -144,7 +144,7 @@
 }
 
 // ask has a store ask for something as a gateway would, and wants it done.
-func (x *exchange) ask(who int, e statemachine.Entry) statemachine.Reply {
+func (x *exchange) ask(who int, e statemachine.Command) statemachine.Reply {
 	x.t.Helper()
 	var r *Replied
 	x.cores[who].Guest(x.now, Asked{Number: 1, Entry: e}, func(a Replied) { r = &a })
@@ -193,21 +193,21 @@
 		x.write(i, writes)
 	}
 	x.run(2)
-	x.ask(0, statemachine.Entry{Kind: statemachine.Renew, Holder: "edge-dead.1", Life: 0.5})
-	x.ask(1, statemachine.Entry{Kind: statemachine.Renew, Holder: "edge-alive.1", Life: 60})
-	x.ask(2, statemachine.Entry{Kind: statemachine.Put, Holder: "edge-dead.1", Name: "shared", Amount: 10, Places: 4, Order: 1, Life: 60})
-	x.ask(0, statemachine.Entry{Kind: statemachine.Owe, Holder: "edge-dead.1", Name: "shared", Amount: 9.5, Order: 2, Life: 60})
+	x.ask(0, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-dead.1", TTL: 0.5})
+	x.ask(1, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-alive.1", TTL: 60})
+	x.ask(2, statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-dead.1", Key: "shared", Amount: 10, Reserved: 4, Version: 1, TTL: 60})
+	x.ask(0, statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-dead.1", Key: "shared", Amount: 9.5, Version: 2, TTL: 60})
 	for i := range 12 {
-		x.ask(i%3, statemachine.Entry{Kind: statemachine.Add, Name: fmt.Sprint("name-", i%4), Amount: 0.5 * float64(i+1), Life: 60})
-		x.ask(i%3, statemachine.Entry{Kind: statemachine.Mark, Holder: "edge-alive.1", Name: fmt.Sprint("invocation-", i), Scope: "pool-a", Life: 60})
+		x.ask(i%3, statemachine.Command{Kind: statemachine.Add, Key: fmt.Sprint("name-", i%4), Amount: 0.5 * float64(i+1), TTL: 60})
+		x.ask(i%3, statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-alive.1", Key: fmt.Sprint("invocation-", i), Scope: "pool-a", TTL: 60})
 	}
-	x.ask(1, statemachine.Entry{Kind: statemachine.Unmark, Holder: "edge-alive.1", Name: "invocation-3"})
-	x.ask(2, statemachine.Entry{Kind: statemachine.Use, Holder: "edge-alive.1/0", Name: "gold 0011", Amount: 12.25, Order: 1})
+	x.ask(1, statemachine.Command{Kind: statemachine.ReleaseMarker, Holder: "edge-alive.1", Key: "invocation-3"})
+	x.ask(2, statemachine.Command{Kind: statemachine.MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 12.25, Version: 1})
 	if got := x.take(0, 1); len(got.Uses) != 1 || got.Uses[0].Units != 12.25 {
 		t.Fatalf("batch 1 is %+v", got.Uses)
 	}
 	x.run(4) // the dead holder's debt is put back
-	if r := x.ask(2, statemachine.Entry{Kind: statemachine.Add, Name: "shared", Life: 60}); r.Total != 9.5 {
+	if r := x.ask(2, statemachine.Command{Kind: statemachine.Add, Key: "shared", TTL: 60}); r.Total != 9.5 {
 		t.Fatalf("shared stands at %v", r.Total)
 	}
 	list := peers(4, 3)
@@ -227,7 +227,7 @@
 		name string
 		want float64
 	}{{"name-0", 0.5 + 2.5 + 4.5}, {"name-3", 2 + 4 + 6}, {"shared", 9.5}} {
-		if r := x.ask(3, statemachine.Entry{Kind: statemachine.Add, Name: count.name, Life: 60}); r.Total != count.want {
+		if r := x.ask(3, statemachine.Command{Kind: statemachine.Add, Key: count.name, TTL: 60}); r.Total != count.want {
 			t.Fatalf("%s stands at %v at the new store, wanted is %v", count.name, r.Total, count.want)
 		}
 	}
@@ -301,8 +301,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(s.Save(), data) {
-			t.Fatalf("state: restored and saved again as\n%x\nrecorded is\n%x", s.Save(), data)
+		if !bytes.Equal(s.Snapshot(), data) {
+			t.Fatalf("state: restored and saved again as\n%x\nrecorded is\n%x", s.Snapshot(), data)
 		}
 	}
 	batch := func(e *pb.Entry) {
@@ -310,12 +310,12 @@
 		if e.GetType() != pb.EntryNormal || len(e.Data) == 0 {
 			return
 		}
-		b, err := statemachine.ReadBatch(e.Data)
+		b, err := statemachine.DecodeBatch(e.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(b.Bytes(), e.Data) {
-			t.Fatalf("batch: read and encoded again as\n%x\nrecorded is\n%x", b.Bytes(), e.Data)
+		if !bytes.Equal(b.Encode(), e.Data) {
+			t.Fatalf("batch: read and encoded again as\n%x\nrecorded is\n%x", b.Encode(), e.Data)
 		}
 	}
 	for rest := recordedExchange(t); len(rest) > 0; {
--- a/quotastore/replication/replication_test.go
+++ b/quotastore/replication/replication_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	refused := false
-	c.Ask(0, statemachine.Entry{Kind: statemachine.Add, Name: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Refused })
+	c.Ask(0, statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Refused })
 	if !refused || said != 1 {
 		t.Fatalf("refused %v, said %d times", refused, said)
 	}
@@ -136,10 +136,10 @@
 // A guest can't ask for what only keepers may.
 func TestGuests(t *testing.T) {
 	c := core(t, 5)
-	for _, k := range []statemachine.Kind{statemachine.Close, statemachine.Paid, statemachine.Take, statemachine.Open, statemachine.Tick, 200} {
+	for _, k := range []statemachine.Kind{statemachine.RecoverUnreported, statemachine.ClearUnreported, statemachine.CollectUsage, statemachine.OpenSession, statemachine.Tick, 200} {
 		code := statemachine.Done
-		c.Guest(1, Asked{Entry: statemachine.Entry{Kind: k, Name: "n", Holder: "h"}}, func(r Replied) { code = r.Reply.Code })
-		if code != statemachine.Bad {
+		c.Guest(1, Asked{Entry: statemachine.Command{Kind: k, Key: "n", Holder: "h"}}, func(r Replied) { code = r.Reply.Code })
+		if code != statemachine.Invalid {
 			t.Fatalf("kind %d: %v", k, code)
 		}
 	}
@@ -148,7 +148,7 @@
 // Whatever comes on a stream is read or refused, and never ends the keeper.
 func FuzzFrame(f *testing.F) {
 	for _, x := range []*Frame{
-		protocol.Greeting(), protocol.Asks([]Asked{{Entry: statemachine.Entry{Kind: statemachine.Add, Name: "n"}}}),
+		protocol.Greeting(), protocol.Asks([]Asked{{Entry: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
 		{Kind: protocol.KindLeads, Leads: []Leads{{Group: 1, Members: []uint64{1}}}},
 		{Kind: protocol.KindRaft, Raft: []byte("x")},
 		{Kind: protocol.KindText, Text: "!b"},
--- a/quotastore/server/doors.go
+++ b/quotastore/server/doors.go
@@ -217,11 +217,11 @@
 		d.say(a, "400 Bad Request", "", false)
 		return
 	}
-	core.Ask(core.GroupFor(c.name), statemachine.Entry{Kind: statemachine.Add, Name: c.name, Amount: c.by, Life: c.life}, func(how replication.Outcome, r statemachine.Reply) {
+	core.Ask(core.GroupFor(c.name), statemachine.Command{Kind: statemachine.Add, Key: c.name, Amount: c.by, TTL: c.life}, func(how replication.Outcome, r statemachine.Reply) {
 		switch {
 		case how == replication.Answered && r.Code == statemachine.Done:
 			d.say(a, "200 OK", strconv.FormatFloat(r.Total, 'f', -1, 64), false)
-		case how == replication.Answered && r.Code == statemachine.Bad:
+		case how == replication.Answered && r.Code == statemachine.Invalid:
 			d.say(a, "400 Bad Request", "", false)
 		case how == replication.Refused:
 			d.say(a, "503 Service Unavailable", "", false)
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -148,11 +148,11 @@
 // recordedGroup is one group's state in the recorded snapshot of an operator.
 func recordedGroup(group int) []byte {
 	s := statemachine.New()
-	s.Apply(&statemachine.Batch{Clock: 5, Entries: []statemachine.Entry{
-		{Kind: statemachine.Add, Name: fmt.Sprint("count-", group), Amount: 2.5 * float64(group+1), Life: 60},
-		{Kind: statemachine.Mark, Name: "invocation", Holder: "edge-1.1", Life: 60},
+	s.Apply(&statemachine.Batch{Clock: 5, Commands: []statemachine.Command{
+		{Kind: statemachine.Add, Key: fmt.Sprint("count-", group), Amount: 2.5 * float64(group+1), TTL: 60},
+		{Kind: statemachine.AcquireMarker, Key: "invocation", Holder: "edge-1.1", TTL: 60},
 	}})
-	return s.Save()
+	return s.Snapshot()
 }
 
 func TestOperatorsSnapshotIsTheRecordedBytes(t *testing.T) {
@@ -315,9 +315,9 @@
 // guestAsks is what the recorded guest sends: its greeting, then one frame.
 func guestAsks(t *testing.T) (text []byte) {
 	t.Helper()
-	asks := protocol.Asks([]protocol.Asked{{Number: 7, Entry: statemachine.Entry{Kind: statemachine.Add, Name: "count", Amount: 1, Life: 60}},
-		{Number: 8, Entry: statemachine.Entry{Kind: statemachine.Take, Order: 1}}, {Number: 9, Entry: statemachine.Entry{Kind: statemachine.Close, Holder: "a", Name: "b"}},
-		{Number: 10, Entry: statemachine.Entry{Kind: statemachine.Mark, Holder: "a", Name: "b", Life: 60}}})
+	asks := protocol.Asks([]protocol.Asked{{Number: 7, Entry: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
+		{Number: 8, Entry: statemachine.Command{Kind: statemachine.CollectUsage, Version: 1}}, {Number: 9, Entry: statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: "a", Key: "b"}},
+		{Number: 10, Entry: statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "a", Key: "b", TTL: 60}}})
 	for _, f := range []*protocol.Frame{protocol.Greeting(), asks} {
 		var err error
 		if text, err = f.Append(text); err != nil {
--- a/quotastore/server/store.go
+++ b/quotastore/server/store.go
@@ -77,7 +77,7 @@
 		switch {
 		case err == nil:
 			return s, saved, s.anew(path, beside, saved)
-		case errors.Is(err, statemachine.ErrLater), errors.Is(err, errBusy), errors.Is(err, os.ErrPermission):
+		case errors.Is(err, statemachine.ErrNewerVersion), errors.Is(err, errBusy), errors.Is(err, os.ErrPermission):
 			return nil, nil, fmt.Errorf("%s: %w", path, err) // nothing is wrong with what lies there
 		}
 		s.Spoilt = err.Error()
--- a/quotastore/server/store_test.go
+++ b/quotastore/server/store_test.go
@@ -26,7 +26,7 @@
 }
 
 func snap(index uint64) *pb.Snapshot {
-	return &pb.Snapshot{Data: statemachine.New().Save(), Metadata: &pb.SnapshotMetadata{
+	return &pb.Snapshot{Data: statemachine.New().Snapshot(), Metadata: &pb.SnapshotMetadata{
 		Index: new(index), Term: new(uint64(1)),
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}},
 	}}
--- a/quotastore/statemachine/recorded_test.go
+++ b/quotastore/statemachine/recorded_test.go
@@ -14,45 +14,45 @@
 
 // recordedBatch has an entry of each kind, with all that it may carry.
 func recordedBatch() *Batch {
-	b := &Batch{Clock: 1234.56789, By: 0xdeadbeef01, Nth: 1 << 40}
-	for kind := Tick; kind < kinds; kind++ {
+	b := &Batch{Clock: 1234.56789, Proposer: 0xdeadbeef01, Sequence: 1 << 40}
+	for kind := Tick; kind < kindCount; kind++ {
 		n := uint64(kind)
-		b.Entries = append(b.Entries, Entry{
-			Kind: kind, Session: "a01.ff.3.1", Number: 100 + n, Low: 90 + n, Name: "name-" + kind.String(),
-			Amount: 1.5 + float64(n), Life: 60, Holder: "edge-3.7.1", Order: 1<<33 + n, Places: 0.1, Scope: "pool-a", Clock: 1234.5,
+		b.Commands = append(b.Commands, Command{
+			Kind: kind, Session: "a01.ff.3.1", Sequence: 100 + n, AckedBelow: 90 + n, Key: "name-" + kind.String(),
+			Amount: 1.5 + float64(n), TTL: 60, Holder: "edge-3.7.1", Version: 1<<33 + n, Reserved: 0.1, Scope: "pool-a", Clock: 1234.5,
 		})
 	}
-	b.Entries = append(b.Entries, Entry{Kind: Add, Name: "bare", Amount: -2})
+	b.Commands = append(b.Commands, Command{Kind: Add, Key: "bare", Amount: -2})
 	return b
 }
 
 // recordedLife is what a group was asked for over some time, so that each part of its state holds something.
 func recordedLife() (all []*Batch) {
-	at := func(clock float64, entries ...Entry) {
-		all = append(all, &Batch{Clock: clock, Entries: entries, By: 513, Nth: uint64(len(all) + 1)})
-	}
-	at(0.5, Entry{Kind: Open, Session: "s1"}, Entry{Kind: Open, Session: "s2"}, Entry{Kind: Renew, Holder: "edge-dead.1", Life: 1},
-		Entry{Kind: Renew, Holder: "edge-alive.1", Life: 60})
-	at(0.75, Entry{Kind: Put, Holder: "edge-dead.1", Name: "shared", Amount: 10, Places: 4, Order: 1, Life: 60},
-		Entry{Kind: Put, Holder: "edge-alive.1", Name: "shared", Amount: 7.5, Places: 1.25, Order: 1, Life: 60},
-		Entry{Kind: Owe, Holder: "edge-dead.1", Name: "shared", Amount: 9, Order: 2, Life: 60},
-		Entry{Kind: Owe, Holder: "edge-dead.1", Name: "closed", Amount: 3, Order: 3, Life: 30},
-		Entry{Kind: Owe, Holder: "edge-alive.1", Name: "shared", Amount: 8.125, Order: 2, Life: 60})
+	at := func(clock float64, entries ...Command) {
+		all = append(all, &Batch{Clock: clock, Commands: entries, Proposer: 513, Sequence: uint64(len(all) + 1)})
+	}
+	at(0.5, Command{Kind: OpenSession, Session: "s1"}, Command{Kind: OpenSession, Session: "s2"}, Command{Kind: RenewLease, Holder: "edge-dead.1", TTL: 1},
+		Command{Kind: RenewLease, Holder: "edge-alive.1", TTL: 60})
+	at(0.75, Command{Kind: ReportUsage, Holder: "edge-dead.1", Key: "shared", Amount: 10, Reserved: 4, Version: 1, TTL: 60},
+		Command{Kind: ReportUsage, Holder: "edge-alive.1", Key: "shared", Amount: 7.5, Reserved: 1.25, Version: 1, TTL: 60},
+		Command{Kind: RecordUnreported, Holder: "edge-dead.1", Key: "shared", Amount: 9, Version: 2, TTL: 60},
+		Command{Kind: RecordUnreported, Holder: "edge-dead.1", Key: "closed", Amount: 3, Version: 3, TTL: 30},
+		Command{Kind: RecordUnreported, Holder: "edge-alive.1", Key: "shared", Amount: 8.125, Version: 2, TTL: 60})
 	for i := range 8 {
 		n := uint64(i)
-		at(1+float64(i)/8, Entry{Kind: Add, Session: "s1", Number: n, Low: n / 2, Name: fmt.Sprint("count-", i%3), Amount: 0.1 * float64(i), Life: 45},
-			Entry{Kind: Mark, Session: "s2", Number: n, Name: fmt.Sprint("invocation-", i), Holder: "edge-alive.1", Scope: []string{"", "pool-a"}[i%2], Life: 600})
-	}
-	at(2.5, Entry{Kind: Mark, Session: "s2", Number: 20, Name: "invocation-0", Holder: "edge-other.1", Life: 600},
-		Entry{Kind: Unmark, Name: "invocation-1", Holder: "edge-alive.1"},
-		Entry{Kind: Use, Holder: "edge-alive.1/0", Name: "gold 0011", Amount: 12.25, Order: 1},
-		Entry{Kind: Use, Holder: "edge-dead.1/0", Name: "gold 0011", Amount: 2, Order: 1},
-		Entry{Kind: Use, Holder: "edge-dead.1/0", Name: "free 0012", Amount: 1e-3, Order: 1},
-		Entry{Kind: Take, Session: "s1", Number: 30, Low: 6, Order: 1})
-	at(6, Entry{Kind: Tick}, Entry{Kind: Close, Holder: "edge-dead.1", Name: "closed", Amount: 3, Life: 20},
-		Entry{Kind: Paid, Holder: "edge-dead.1", Name: "closed", Order: 3},
-		Entry{Kind: Use, Holder: "edge-alive.1/0", Name: "gold 0011", Amount: 20, Order: 2},
-		Entry{Kind: Put, Session: "s1", Number: 31, Low: 6, Holder: "edge-dead.1", Name: "shared", Amount: 11, Order: 5, Life: 60})
+		at(1+float64(i)/8, Command{Kind: Add, Session: "s1", Sequence: n, AckedBelow: n / 2, Key: fmt.Sprint("count-", i%3), Amount: 0.1 * float64(i), TTL: 45},
+			Command{Kind: AcquireMarker, Session: "s2", Sequence: n, Key: fmt.Sprint("invocation-", i), Holder: "edge-alive.1", Scope: []string{"", "pool-a"}[i%2], TTL: 600})
+	}
+	at(2.5, Command{Kind: AcquireMarker, Session: "s2", Sequence: 20, Key: "invocation-0", Holder: "edge-other.1", TTL: 600},
+		Command{Kind: ReleaseMarker, Key: "invocation-1", Holder: "edge-alive.1"},
+		Command{Kind: MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 12.25, Version: 1},
+		Command{Kind: MeterUsage, Holder: "edge-dead.1/0", Key: "gold 0011", Amount: 2, Version: 1},
+		Command{Kind: MeterUsage, Holder: "edge-dead.1/0", Key: "free 0012", Amount: 1e-3, Version: 1},
+		Command{Kind: CollectUsage, Session: "s1", Sequence: 30, AckedBelow: 6, Version: 1})
+	at(6, Command{Kind: Tick}, Command{Kind: RecoverUnreported, Holder: "edge-dead.1", Key: "closed", Amount: 3, TTL: 20},
+		Command{Kind: ClearUnreported, Holder: "edge-dead.1", Key: "closed", Version: 3},
+		Command{Kind: MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 20, Version: 2},
+		Command{Kind: ReportUsage, Session: "s1", Sequence: 31, AckedBelow: 6, Holder: "edge-dead.1", Key: "shared", Amount: 11, Version: 5, TTL: 60})
 	return all
 }
 
@@ -76,10 +76,10 @@
 func TestBatchesAreTheRecordedBytes(t *testing.T) {
 	for name, batch := range map[string]*Batch{"batch": recordedBatch(), "batch-empty": {}} {
 		want := recorded(t, name)
-		if got := batch.Bytes(); !bytes.Equal(got, want) {
+		if got := batch.Encode(); !bytes.Equal(got, want) {
 			t.Errorf("%s: encoded as\n%x\nrecorded is\n%x", name, got, want)
 		}
-		back, err := ReadBatch(want)
+		back, err := DecodeBatch(want)
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -92,14 +92,14 @@
 func TestSavedStateIsTheRecordedBytes(t *testing.T) {
 	for name, state := range map[string]*State{"state": recordedState(), "state-empty": New()} {
 		want := recorded(t, name)
-		if got := state.Save(); !bytes.Equal(got, want) {
+		if got := state.Snapshot(); !bytes.Equal(got, want) {
 			t.Errorf("%s: saved as\n%x\nrecorded is\n%x", name, got, want)
 		}
 		back, err := Restore(want)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if again := back.Save(); !bytes.Equal(again, want) {
+		if again := back.Snapshot(); !bytes.Equal(again, want) {
 			t.Errorf("%s: restored and saved again as\n%x\nrecorded is\n%x", name, again, want)
 		}
 	}
@@ -111,36 +111,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if total, ok := s.Total("shared"); !ok || total != 13.5 || s.Own("shared", "edge-alive.1") != 7.5 {
-		t.Errorf("shared stands at %v (%v), own part %v", total, ok, s.Own("shared", "edge-alive.1"))
+	if total, ok := s.Total("shared"); !ok || total != 13.5 || s.HolderTotal("shared", "edge-alive.1") != 7.5 {
+		t.Errorf("shared stands at %v (%v), own part %v", total, ok, s.HolderTotal("shared", "edge-alive.1"))
 	}
 	if total, ok := s.Total("closed"); !ok || total != 3 {
 		t.Errorf("closed stands at %v (%v)", total, ok)
 	}
-	want := []Debt{{Holder: "edge-dead.1", Name: "shared", Amount: 9, Life: 54.75, Order: 2}}
-	if got := s.Open(64); !reflect.DeepEqual(got, want) {
+	want := []UnreportedUsage{{Holder: "edge-dead.1", Key: "shared", Amount: 9, TTL: 54.75, Version: 2}}
+	if got := s.UnrecoveredUsage(64); !reflect.DeepEqual(got, want) {
 		t.Errorf("debts of the dead are %+v, wanted is %+v", got, want)
 	}
-	if !s.Marked("invocation-0") || s.Marked("invocation-1") || !s.Marked("invocation-7") {
+	if !s.HasMarker("invocation-0") || s.HasMarker("invocation-1") || !s.HasMarker("invocation-7") {
 		t.Error("marks of deliveries are not as recorded")
 	}
-	replies := s.Apply(&Batch{Clock: 6, Entries: []Entry{
-		{Kind: Add, Session: "s1", Number: 7, Name: "count-1", Amount: 99, Life: 45}, // told again: answered as at first
-		{Kind: Mark, Session: "s2", Number: 40, Name: "invocation-0", Holder: "edge-other.1", Life: 600},
-		{Kind: Take, Order: 1},
-		{Kind: Take, Order: 2},
+	replies := s.Apply(&Batch{Clock: 6, Commands: []Command{
+		{Kind: Add, Session: "s1", Sequence: 7, Key: "count-1", Amount: 99, TTL: 45}, // told again: answered as at first
+		{Kind: AcquireMarker, Session: "s2", Sequence: 40, Key: "invocation-0", Holder: "edge-other.1", TTL: 600},
+		{Kind: CollectUsage, Version: 1},
+		{Kind: CollectUsage, Version: 2},
 	}})
 	if r := replies[0]; r.Code != Done || r.Total != 1.2000000000000002 {
 		t.Errorf("an add told again is answered %+v", r)
 	}
-	if r := replies[1]; r.Code != Known || r.Who != "edge-alive.1" {
+	if r := replies[1]; r.Code != MarkerHeld || r.MarkerHolder != "edge-alive.1" {
 		t.Errorf("a mark held by another is answered %+v", r)
 	}
-	first := []Used{{"free 0012", 1e-3}, {"gold 0011", 14.25}}
-	if r := replies[2]; r.Code != Done || !reflect.DeepEqual(r.Uses, first) {
+	first := []CustomerUsage{{"free 0012", 1e-3}, {"gold 0011", 14.25}}
+	if r := replies[2]; r.Code != Done || !reflect.DeepEqual(r.Usage, first) {
 		t.Errorf("the batch handed out last is %+v", r)
 	}
-	if r := replies[3]; r.Code != Done || !reflect.DeepEqual(r.Uses, []Used{{"gold 0011", 7.75}}) {
+	if r := replies[3]; r.Code != Done || !reflect.DeepEqual(r.Usage, []CustomerUsage{{"gold 0011", 7.75}}) {
 		t.Errorf("the next batch is %+v", r)
 	}
 }
--- a/quotastore/statemachine/save.go
+++ b/quotastore/statemachine/save.go
@@ -15,7 +15,7 @@
 )
 
 // Version of the saved form.
-const Version = 1
+const FormatVersion = 1
 
 var (
 	encoder = must(cbor.CoreDetEncOptions().EncMode())
@@ -30,10 +30,10 @@
 }
 
 // Bytes is the encoded form of a batch.
-func (b *Batch) Bytes() []byte { return must(encoder.Marshal(b)) }
+func (b *Batch) Encode() []byte { return must(encoder.Marshal(b)) }
 
 // ReadBatch reads one.
-func ReadBatch(text []byte) (*Batch, error) {
+func DecodeBatch(text []byte) (*Batch, error) {
 	b := &Batch{}
 	if err := decoder.Unmarshal(text, b); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
@@ -43,15 +43,15 @@
 
 var (
 	// ErrSpoilt: bytes that are not what was written.
-	ErrSpoilt = errors.New("spoilt: its check does not fit")
+	ErrCorrupt = errors.New("spoilt: its check does not fit")
 	// ErrLater: written by a later version of the program.
-	ErrLater = errors.New("written by a later version of the program")
+	ErrNewerVersion = errors.New("written by a later version of the program")
 )
 
 // Seal puts a version and a check round bytes.
 func Seal(body []byte) []byte {
 	out := make([]byte, 0, len(body)+12)
-	out = binary.BigEndian.AppendUint32(out, Version)
+	out = binary.BigEndian.AppendUint32(out, FormatVersion)
 	out = append(out, body...)
 	return append(out, check(out)...)
 }
@@ -61,16 +61,16 @@
 // Unseal takes them off again. A version is believed only if the check fits.
 func Unseal(text []byte) ([]byte, error) {
 	if len(text) < 12 || xxhash.Sum64(text[:len(text)-8]) != binary.BigEndian.Uint64(text[len(text)-8:]) {
-		return nil, ErrSpoilt
+		return nil, ErrCorrupt
 	}
-	if binary.BigEndian.Uint32(text) > Version {
-		return nil, ErrLater
+	if binary.BigEndian.Uint32(text) > FormatVersion {
+		return nil, ErrNewerVersion
 	}
 	return text[4 : len(text)-8], nil
 }
 
 // Save gives the state's bytes, the same at every copy.
-func (s *State) Save() []byte {
+func (s *State) Snapshot() []byte {
 	if mutation.KeepForgets {
 		bare := *s
 		bare.Sessions = map[string]*session{}
@@ -89,15 +89,15 @@
 	if err := decoder.Unmarshal(body, s); err != nil {
 		return nil, fmt.Errorf("held state: %w", err)
 	}
-	if err := s.whole(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("held state: %w", err)
 	}
 	return s, nil
 }
 
 // whole refuses forms that decode and can't have been written: they would end the program later.
-func (s *State) whole() error {
-	if s.Sessions == nil || s.Counts == nil || s.Holders == nil || s.Debts == nil || s.Marks == nil || s.Uses == nil || s.Uses.Of == nil {
+func (s *State) validate() error {
+	if s.Sessions == nil || s.Counters == nil || s.Leases == nil || s.Unreported == nil || s.Markers == nil || s.Metering == nil || s.Metering.ByHolder == nil {
 		return errors.New("a part is missing")
 	}
 	hollow := errors.New("an entry is empty")
@@ -106,37 +106,37 @@
 			return hollow
 		}
 	}
-	for _, x := range s.Counts {
+	for _, x := range s.Counters {
 		if x == nil {
 			return hollow
 		}
-		for _, p := range x.Of {
+		for _, p := range x.ByHolder {
 			if p == nil {
 				return hollow
 			}
 		}
 	}
-	for _, x := range s.Holders {
+	for _, x := range s.Leases {
 		if x == nil {
 			return hollow
 		}
 	}
-	for _, x := range s.Debts {
-		if x == nil || x.Names == nil {
+	for _, x := range s.Unreported {
+		if x == nil || x.ByKey == nil {
 			return hollow
 		}
-		for _, d := range x.Names {
+		for _, d := range x.ByKey {
 			if d == nil {
 				return hollow
 			}
 		}
 	}
-	for _, x := range s.Marks {
+	for _, x := range s.Markers {
 		if x == nil {
 			return hollow
 		}
 	}
-	for _, of := range s.Uses.Of {
+	for _, of := range s.Metering.ByHolder {
 		if of == nil {
 			return hollow
 		}
@@ -151,12 +151,12 @@
 
 // Total is what a name stands at; false: it is not known.
 func (s *State) Total(name string) (float64, bool) {
-	c := s.Counts[name]
-	if c == nil || c.Ends <= s.Clock {
+	c := s.Counters[name]
+	if c == nil || c.ExpiresAt <= s.Clock {
 		return 0, false
 	}
-	return c.Sum, true
+	return c.Total, true
 }
 
 // Names is how many counts are held.
-func (s *State) Names() int { return len(s.Counts) }
+func (s *State) CounterCount() int { return len(s.Counters) }
--- a/quotastore/statemachine/state.go
+++ b/quotastore/statemachine/state.go
@@ -13,59 +13,59 @@
 
 const (
 	// SessionLife is how long a session without an entry is remembered, in seconds of the group's clock.
-	SessionLife = 60.0
+	SessionTTL = 60.0
 	// OpenFresh is how old the clock in an Open may be. It is below SessionLife, so that an Open that was held up on its way
 	// can't bring back a session whose answers are forgotten.
-	OpenFresh = 20.0
+	MaxOpenSessionAge = 20.0
 	// longest is the longest life of a name, as the counter's protocol says, and of a mark.
-	longest     = 60.0
-	longestMark = 3600.0
+	maxCounterTTL = 60.0
+	maxMarkerTTL  = 3600.0
 	// rest is for how long it is remembered that a holder was given up: nothing of it may come after that.
-	rest = 600.0
+	expiredLeaseTTL = 600.0
 )
 
 // State is what one group of copies holds.
 type State struct {
-	Clock    float64             `cbor:"1,keyasint"`
-	SweepAt  float64             `cbor:"2,keyasint"`
-	Sessions map[string]*session `cbor:"3,keyasint"`
-	Counts   map[string]*count   `cbor:"4,keyasint"`
-	Holders  map[string]*holder  `cbor:"5,keyasint"`
-	Debts    map[string]*debts   `cbor:"6,keyasint"` // by holder
-	Marks    map[string]*mark    `cbor:"7,keyasint"` // by invocation
-	Uses     *uses               `cbor:"8,keyasint"`
+	Clock      float64                     `cbor:"1,keyasint"`
+	NextSweep  float64                     `cbor:"2,keyasint"`
+	Sessions   map[string]*session         `cbor:"3,keyasint"`
+	Counters   map[string]*counter         `cbor:"4,keyasint"`
+	Leases     map[string]*lease           `cbor:"5,keyasint"`
+	Unreported map[string]*unreportedByKey `cbor:"6,keyasint"` // by holder
+	Markers    map[string]*marker          `cbor:"7,keyasint"` // by invocation
+	Metering   *metering                   `cbor:"8,keyasint"`
 }
 
 type session struct {
-	Low     uint64           `cbor:"1,keyasint"`
-	Answers map[uint64]Reply `cbor:"2,keyasint,omitempty"`
-	Last    float64          `cbor:"3,keyasint"`
+	AckedBelow uint64           `cbor:"1,keyasint"`
+	Replies    map[uint64]Reply `cbor:"2,keyasint,omitempty"`
+	LastUsed   float64          `cbor:"3,keyasint"`
 }
 
 // count is a name's sum, and what of it is whose, where that is known.
-type count struct {
-	Sum  float64          `cbor:"1,keyasint"`
-	Ends float64          `cbor:"2,keyasint"`
-	Of   map[string]*part `cbor:"3,keyasint,omitempty"`
+type counter struct {
+	Total     float64             `cbor:"1,keyasint"`
+	ExpiresAt float64             `cbor:"2,keyasint"`
+	ByHolder  map[string]*account `cbor:"3,keyasint,omitempty"`
 }
 
-type part struct {
-	Sum    float64 `cbor:"1,keyasint"`
-	Places float64 `cbor:"2,keyasint,omitempty"`
-	Order  uint64  `cbor:"3,keyasint"`
-	Closed bool    `cbor:"4,keyasint,omitempty"` // put back for its dead holder
+type account struct {
+	Reported  float64 `cbor:"1,keyasint"`
+	Reserved  float64 `cbor:"2,keyasint,omitempty"`
+	Version   uint64  `cbor:"3,keyasint"`
+	Recovered bool    `cbor:"4,keyasint,omitempty"` // put back for its dead holder
 }
 
-type holder struct {
-	Ends float64 `cbor:"1,keyasint"`
-	Gone bool    `cbor:"2,keyasint,omitempty"`
+type lease struct {
+	ExpiresAt float64 `cbor:"1,keyasint"`
+	Expired   bool    `cbor:"2,keyasint,omitempty"`
 }
 
 // New is the state of a group that has just been founded.
 func New() *State {
 	return &State{
-		Sessions: map[string]*session{}, Counts: map[string]*count{}, Holders: map[string]*holder{},
-		Debts: map[string]*debts{}, Marks: map[string]*mark{}, Uses: newUses(),
+		Sessions: map[string]*session{}, Counters: map[string]*counter{}, Leases: map[string]*lease{},
+		Unreported: map[string]*unreportedByKey{}, Markers: map[string]*marker{}, Metering: newMetering(),
 	}
 }
 
@@ -74,13 +74,13 @@
 	if b.Clock > s.Clock && !math.IsInf(b.Clock, 0) { // NaN compares false; a clock never goes back
 		s.Clock = b.Clock
 	}
-	if s.Clock >= s.SweepAt {
-		s.sweep()
-		s.SweepAt = s.Clock + 0.25
+	if s.Clock >= s.NextSweep {
+		s.expire()
+		s.NextSweep = s.Clock + 0.25
 	}
-	replies := make([]Reply, len(b.Entries))
-	for i := range b.Entries {
-		replies[i] = s.one(&b.Entries[i])
+	replies := make([]Reply, len(b.Commands))
+	for i := range b.Commands {
+		replies[i] = s.applyCommand(&b.Commands[i])
 		replies[i].Clock = s.Clock
 	}
 	return replies
@@ -88,216 +88,216 @@
 
 // Idle says that nothing here runs out with time.
 func (s *State) Idle() bool {
-	return len(s.Sessions)+len(s.Counts)+len(s.Holders)+len(s.Debts)+len(s.Marks) == 0
+	return len(s.Sessions)+len(s.Counters)+len(s.Leases)+len(s.Unreported)+len(s.Markers) == 0
 }
 
-func (s *State) one(e *Entry) Reply {
-	if e.Kind >= kinds || bad(e.Amount) || bad(e.Places) || bad(e.Life) || len(e.Name) > 256 || len(e.Holder) > 128 {
-		return Reply{Code: Bad}
+func (s *State) applyCommand(e *Command) Reply {
+	if e.Kind >= kindCount || notFinite(e.Amount) || notFinite(e.Reserved) || notFinite(e.TTL) || len(e.Key) > 256 || len(e.Holder) > 128 {
+		return Reply{Code: Invalid}
 	}
-	if e.Kind == Open {
-		return s.open(e)
+	if e.Kind == OpenSession {
+		return s.openSession(e)
 	}
 	if e.Session == "" {
-		return s.do(e)
+		return s.execute(e)
 	}
 	own := s.Sessions[e.Session]
 	if own == nil {
-		return Reply{Code: NoSession}
+		return Reply{Code: UnknownSession}
 	}
-	own.Last = s.Clock
-	if e.Number < own.Low {
-		return Reply{Code: Passed}
+	own.LastUsed = s.Clock
+	if e.Sequence < own.AckedBelow {
+		return Reply{Code: ResultDiscarded}
 	}
-	if r, known := own.Answers[e.Number]; known {
+	if r, known := own.Replies[e.Sequence]; known {
 		return r
 	}
-	if e.Low > own.Low {
-		own.Low = e.Low
-		maps.DeleteFunc(own.Answers, func(n uint64, _ Reply) bool { return n < e.Low })
+	if e.AckedBelow > own.AckedBelow {
+		own.AckedBelow = e.AckedBelow
+		maps.DeleteFunc(own.Replies, func(n uint64, _ Reply) bool { return n < e.AckedBelow })
 	}
-	r := s.do(e)
-	if own.Answers == nil {
-		own.Answers = map[uint64]Reply{}
+	r := s.execute(e)
+	if own.Replies == nil {
+		own.Replies = map[uint64]Reply{}
 	}
-	own.Answers[e.Number] = r
+	own.Replies[e.Sequence] = r
 	return r
 }
 
-func bad(x float64) bool { return math.IsNaN(x) || math.IsInf(x, 0) }
+func notFinite(x float64) bool { return math.IsNaN(x) || math.IsInf(x, 0) }
 
 // open begins a session. One that comes after its time is not: what follows it may have been made already.
-func (s *State) open(e *Entry) Reply {
-	if e.Session == "" || s.Clock-e.Clock > OpenFresh {
-		return Reply{Code: Bad}
+func (s *State) openSession(e *Command) Reply {
+	if e.Session == "" || s.Clock-e.Clock > MaxOpenSessionAge {
+		return Reply{Code: Invalid}
 	}
 	if s.Sessions[e.Session] == nil {
 		s.Sessions[e.Session] = &session{}
 	}
-	s.Sessions[e.Session].Last = s.Clock
+	s.Sessions[e.Session].LastUsed = s.Clock
 	return Reply{}
 }
 
-func (s *State) do(e *Entry) Reply {
+func (s *State) execute(e *Command) Reply {
 	switch e.Kind {
 	case Tick:
 		return Reply{}
 	case Add:
 		return s.add(e)
-	case Put:
-		return s.put(e)
-	case Renew:
-		if !s.there(e.Holder, e.Life) {
-			return Reply{Code: Gone}
+	case ReportUsage:
+		return s.reportUsage(e)
+	case RenewLease:
+		if !s.renewLease(e.Holder, e.TTL) {
+			return Reply{Code: LeaseExpired}
 		}
 		return Reply{}
-	case Owe:
-		return s.owe(e)
-	case Close:
-		return s.close(e)
-	case Paid:
-		return s.paid(e)
-	case Mark:
-		return s.mark(e)
-	case Unmark:
-		return s.unmark(e)
-	case Use:
-		return s.use(e)
-	case Take:
-		return s.take(e)
+	case RecordUnreported:
+		return s.recordUnreported(e)
+	case RecoverUnreported:
+		return s.recoverUnreported(e)
+	case ClearUnreported:
+		return s.clearUnreported(e)
+	case AcquireMarker:
+		return s.acquireMarker(e)
+	case ReleaseMarker:
+		return s.releaseMarker(e)
+	case MeterUsage:
+		return s.meterUsage(e)
+	case CollectUsage:
+		return s.collectUsage(e)
 	}
-	return Reply{Code: Bad}
+	return Reply{Code: Invalid}
 }
 
 // named gives a name's count; a new one begins at nought and lives as long as its first add says.
-func (s *State) named(name string, life float64) *count {
-	c := s.Counts[name]
-	if c == nil || c.Ends <= s.Clock {
-		c = &count{Ends: s.Clock + min(max(life, 0.001), longest)}
-		s.Counts[name] = c
+func (s *State) counter(name string, life float64) *counter {
+	c := s.Counters[name]
+	if c == nil || c.ExpiresAt <= s.Clock {
+		c = &counter{ExpiresAt: s.Clock + min(max(life, 0.001), maxCounterTTL)}
+		s.Counters[name] = c
 	}
 	return c
 }
 
-func (s *State) add(e *Entry) Reply {
-	if e.Name == "" {
-		return Reply{Code: Bad}
+func (s *State) add(e *Command) Reply {
+	if e.Key == "" {
+		return Reply{Code: Invalid}
 	}
-	c := s.named(e.Name, e.Life)
-	c.Sum += e.Amount
-	return Reply{Total: c.Sum}
+	c := s.counter(e.Key, e.TTL)
+	c.Total += e.Amount
+	return Reply{Total: c.Total}
 }
 
 // there renews a holder; false: it was given up, and what it says no longer counts.
-func (s *State) there(id string, life float64) bool {
+func (s *State) renewLease(id string, life float64) bool {
 	if id == "" {
 		return false
 	}
-	h := s.holder(id)
-	if h.Gone && !mutation.KeepUnfenced {
+	h := s.lease(id)
+	if h.Expired && !mutation.KeepUnfenced {
 		return false
 	}
-	h.Ends = max(h.Ends, s.Clock+min(max(life, 0.1), longest))
+	h.ExpiresAt = max(h.ExpiresAt, s.Clock+min(max(life, 0.1), maxCounterTTL))
 	return true
 }
 
-func (s *State) holder(id string) *holder {
-	h := s.Holders[id]
+func (s *State) lease(id string) *lease {
+	h := s.Leases[id]
 	if h == nil {
-		h = &holder{}
-		s.Holders[id] = h
+		h = &lease{}
+		s.Leases[id] = h
 	}
 	return h
 }
 
 // part is what of a count is a holder's.
-func (c *count) part(holder string) *part {
-	if c.Of == nil {
-		c.Of = map[string]*part{}
+func (c *counter) account(holder string) *account {
+	if c.ByHolder == nil {
+		c.ByHolder = map[string]*account{}
 	}
-	p := c.Of[holder]
+	p := c.ByHolder[holder]
 	if p == nil {
-		p = &part{}
-		c.Of[holder] = p
+		p = &account{}
+		c.ByHolder[holder] = p
 	}
 	return p
 }
 
 // put brings a holder's part of a name to what it says. Guards against an add that was made and not answered: told again,
 // it changes nothing.
-func (s *State) put(e *Entry) Reply {
-	if e.Name == "" {
-		return Reply{Code: Bad}
+func (s *State) reportUsage(e *Command) Reply {
+	if e.Key == "" {
+		return Reply{Code: Invalid}
 	}
-	if !s.there(e.Holder, holderLife) {
-		r := Reply{Code: Gone}
-		if c := s.Counts[e.Name]; c != nil && c.Ends > s.Clock {
-			if r.Total = c.Sum; c.Of[e.Holder] != nil {
-				r.Own = c.Of[e.Holder].Sum
+	if !s.renewLease(e.Holder, implicitLeaseTTL) {
+		r := Reply{Code: LeaseExpired}
+		if c := s.Counters[e.Key]; c != nil && c.ExpiresAt > s.Clock {
+			if r.Total = c.Total; c.ByHolder[e.Holder] != nil {
+				r.HolderTotal = c.ByHolder[e.Holder].Reported
 			}
 		}
 		return r
 	}
-	c := s.named(e.Name, e.Life)
-	p := c.part(e.Holder)
-	if e.Order > p.Order {
-		c.Sum += e.Amount - p.Sum
-		p.Sum, p.Places, p.Order = e.Amount, e.Places, e.Order
+	c := s.counter(e.Key, e.TTL)
+	p := c.account(e.Holder)
+	if e.Version > p.Version {
+		c.Total += e.Amount - p.Reported
+		p.Reported, p.Reserved, p.Version = e.Amount, e.Reserved, e.Version
 	}
-	return Reply{Total: c.Sum, Own: p.Sum}
+	return Reply{Total: c.Total, HolderTotal: p.Reported}
 }
 
 // holderLife is for how long a holder is held to be there after what it said last, in seconds.
-const holderLife = 3.0
+const implicitLeaseTTL = 3.0
 
 // sweep lets go of what has run out. What a dead holder held of names is given back here, in the order of their names, since
 // sums of floating point numbers depend on their order.
-func (s *State) sweep() {
-	maps.DeleteFunc(s.Sessions, func(_ string, x *session) bool { return s.Clock-x.Last > SessionLife })
-	maps.DeleteFunc(s.Counts, func(_ string, c *count) bool { return c.Ends <= s.Clock })
-	maps.DeleteFunc(s.Marks, func(_ string, m *mark) bool { return m.Ends <= s.Clock })
+func (s *State) expire() {
+	maps.DeleteFunc(s.Sessions, func(_ string, x *session) bool { return s.Clock-x.LastUsed > SessionTTL })
+	maps.DeleteFunc(s.Counters, func(_ string, c *counter) bool { return c.ExpiresAt <= s.Clock })
+	maps.DeleteFunc(s.Markers, func(_ string, m *marker) bool { return m.ExpiresAt <= s.Clock })
 	var dead []string
-	for id, h := range s.Holders {
-		if h.Ends > s.Clock {
+	for id, h := range s.Leases {
+		if h.ExpiresAt > s.Clock {
 			continue
 		}
-		if !h.Gone {
+		if !h.Expired {
 			dead = append(dead, id)
-		} else if h.Ends+rest <= s.Clock && s.Debts[id] == nil {
-			delete(s.Holders, id)
+		} else if h.ExpiresAt+expiredLeaseTTL <= s.Clock && s.Unreported[id] == nil {
+			delete(s.Leases, id)
 		}
 	}
 	if len(dead) == 0 {
 		return
 	}
 	slices.Sort(dead)
-	for _, name := range slices.Sorted(maps.Keys(s.Counts)) {
-		c := s.Counts[name]
+	for _, name := range slices.Sorted(maps.Keys(s.Counters)) {
+		c := s.Counters[name]
 		for _, id := range dead {
-			if p := c.Of[id]; p != nil && p.Places != 0 && !mutation.KeepNoPlaces {
-				c.Sum -= p.Places
-				p.Sum -= p.Places
-				p.Places = 0
+			if p := c.ByHolder[id]; p != nil && p.Reserved != 0 && !mutation.KeepNoPlaces {
+				c.Total -= p.Reserved
+				p.Reported -= p.Reserved
+				p.Reserved = 0
 			}
 		}
 	}
 	for _, id := range dead {
-		s.Holders[id].Gone = true
+		s.Leases[id].Expired = true
 	}
 }
 
 // Own is what a holder has added to a name in all.
-func (s *State) Own(name, holder string) float64 {
-	if c := s.Counts[name]; c != nil && c.Of[holder] != nil {
-		return c.Of[holder].Sum
+func (s *State) HolderTotal(name, holder string) float64 {
+	if c := s.Counters[name]; c != nil && c.ByHolder[holder] != nil {
+		return c.ByHolder[holder].Reported
 	}
 	return 0
 }
 
 // Alive says that a holder is held to be there.
-func (s *State) Alive() bool {
-	for _, h := range s.Holders {
-		if !h.Gone {
+func (s *State) HasLiveHolder() bool {
+	for _, h := range s.Leases {
+		if !h.Expired {
 			return true
 		}
 	}
--- a/quotastore/statemachine/statemachine_test.go
+++ b/quotastore/statemachine/statemachine_test.go
@@ -8,13 +8,13 @@
 )
 
 // told applies one entry at a time of the group's clock.
-func told(s *State, clock float64, e Entry) Reply {
-	return s.Apply(&Batch{Clock: clock, Entries: []Entry{e}})[0]
+func told(s *State, clock float64, e Command) Reply {
+	return s.Apply(&Batch{Clock: clock, Commands: []Command{e}})[0]
 }
 
 func opened(t *testing.T, s *State, name string) {
 	t.Helper()
-	if r := told(s, s.Clock, Entry{Kind: Open, Session: name, Clock: s.Clock}); r.Code != Done {
+	if r := told(s, s.Clock, Command{Kind: OpenSession, Session: name, Clock: s.Clock}); r.Code != Done {
 		t.Fatalf("session: %v", r.Code)
 	}
 }
@@ -23,9 +23,9 @@
 func TestToldAgainIsMadeOnce(t *testing.T) {
 	s := New()
 	opened(t, s, "a")
-	add := Entry{Kind: Add, Session: "a", Number: 7, Name: "n", Amount: 3, Life: 60}
+	add := Command{Kind: Add, Session: "a", Sequence: 7, Key: "n", Amount: 3, TTL: 60}
 	first := told(s, 1, add)
-	told(s, 1, Entry{Kind: Add, Session: "a", Number: 8, Name: "n", Amount: 10, Life: 60})
+	told(s, 1, Command{Kind: Add, Session: "a", Sequence: 8, Key: "n", Amount: 10, TTL: 60})
 	if again := told(s, 2, add); again.Total != 3 || first.Total != 3 {
 		t.Fatalf("first %v, again %v", first, again)
 	}
@@ -33,8 +33,8 @@
 		t.Fatalf("total %v", total)
 	}
 	// Once no answer is wanted any more it is still not made again.
-	told(s, 2, Entry{Kind: Add, Session: "a", Number: 9, Low: 9, Name: "n", Amount: 1, Life: 60})
-	if r := told(s, 2, add); r.Code != Passed {
+	told(s, 2, Command{Kind: Add, Session: "a", Sequence: 9, AckedBelow: 9, Key: "n", Amount: 1, TTL: 60})
+	if r := told(s, 2, add); r.Code != ResultDiscarded {
 		t.Fatalf("an add whose answer was let go of: %v", r.Code)
 	}
 	if total, _ := s.Total("n"); total != 14 {
@@ -45,18 +45,18 @@
 // A wish for a session that was held up for a minute must not bring back one whose answers are forgotten.
 func TestOldSessionStaysClosed(t *testing.T) {
 	s := New()
-	old := Entry{Kind: Open, Session: "a", Clock: 0}
+	old := Command{Kind: OpenSession, Session: "a", Clock: 0}
 	told(s, 0, old)
-	add := Entry{Kind: Add, Session: "a", Number: 1, Name: "n", Amount: 5, Life: 60}
+	add := Command{Kind: Add, Session: "a", Sequence: 1, Key: "n", Amount: 5, TTL: 60}
 	told(s, 1, add)
-	told(s, 1+SessionLife+1, Entry{Kind: Tick})
-	if r := told(s, s.Clock, add); r.Code != NoSession {
+	told(s, 1+SessionTTL+1, Command{Kind: Tick})
+	if r := told(s, s.Clock, add); r.Code != UnknownSession {
 		t.Fatalf("after its life: %v", r.Code)
 	}
-	if r := told(s, s.Clock, old); r.Code != Bad {
+	if r := told(s, s.Clock, old); r.Code != Invalid {
 		t.Fatalf("an old wish: %v", r.Code)
 	}
-	if r := told(s, s.Clock, add); r.Code != NoSession {
+	if r := told(s, s.Clock, add); r.Code != UnknownSession {
 		t.Fatalf("after the old wish: %v", r.Code)
 	}
 }
@@ -64,18 +64,18 @@
 // A leader with its clock set back by minutes stamps old times: nobody's life is longer for it than by the gap, none shorter.
 func TestClockNeverGoesBack(t *testing.T) {
 	s := New()
-	told(s, 100, Entry{Kind: Add, Name: "n", Amount: 1, Life: 2})
-	told(s, 5, Entry{Kind: Add, Name: "m", Amount: 1, Life: 2})
-	told(s, math.NaN(), Entry{Kind: Tick})
-	told(s, math.Inf(1), Entry{Kind: Tick})
+	told(s, 100, Command{Kind: Add, Key: "n", Amount: 1, TTL: 2})
+	told(s, 5, Command{Kind: Add, Key: "m", Amount: 1, TTL: 2})
+	told(s, math.NaN(), Command{Kind: Tick})
+	told(s, math.Inf(1), Command{Kind: Tick})
 	if s.Clock != 100 {
 		t.Fatalf("clock %v", s.Clock)
 	}
-	told(s, 101.9, Entry{Kind: Tick})
+	told(s, 101.9, Command{Kind: Tick})
 	if _, ok := s.Total("m"); !ok {
 		t.Fatal("a name lapsed before its life was over")
 	}
-	if r := told(s, 102.1, Entry{Kind: Add, Name: "n", Amount: 4, Life: 2}); r.Total != 4 {
+	if r := told(s, 102.1, Command{Kind: Add, Key: "n", Amount: 4, TTL: 2}); r.Total != 4 {
 		t.Fatalf("a name that lapsed begins at nought: %v", r.Total)
 	}
 }
@@ -84,36 +84,36 @@
 // once, and its last word, held up on the way, changes nothing.
 func TestDeadHolder(t *testing.T) {
 	s := New()
-	put := Entry{Kind: Put, Name: "n", Holder: "h", Amount: 1003, Places: 1000, Order: 1, Life: 60}
+	put := Command{Kind: ReportUsage, Key: "n", Holder: "h", Amount: 1003, Reserved: 1000, Version: 1, TTL: 60}
 	told(s, 0, put)
-	told(s, 0, Entry{Kind: Put, Name: "n", Holder: "other", Amount: 7, Order: 1, Life: 60})
-	told(s, 0, Entry{Kind: Owe, Name: "n", Holder: "h", Amount: 5, Order: 2, Life: 60})
-	if len(s.Open(9)) != 0 {
+	told(s, 0, Command{Kind: ReportUsage, Key: "n", Holder: "other", Amount: 7, Version: 1, TTL: 60})
+	told(s, 0, Command{Kind: RecordUnreported, Key: "n", Holder: "h", Amount: 5, Version: 2, TTL: 60})
+	if len(s.UnrecoveredUsage(9)) != 0 {
 		t.Fatal("the debt of one that lives was put back")
 	}
 	for c := 1.0; c < 8; c++ {
-		told(s, c, Entry{Kind: Renew, Holder: "other", Life: 3})
+		told(s, c, Command{Kind: RenewLease, Holder: "other", TTL: 3})
 	}
 	if total, _ := s.Total("n"); total != 10 {
 		t.Fatalf("its place was not given back once: %v", total)
 	}
-	open := s.Open(9)
+	open := s.UnrecoveredUsage(9)
 	if len(open) != 1 || open[0].Amount != 5 {
 		t.Fatalf("open debts %v", open)
 	}
 	for range 3 {
-		told(s, 8, Entry{Kind: Close, Name: "n", Holder: "h", Amount: 5, Life: 60})
+		told(s, 8, Command{Kind: RecoverUnreported, Key: "n", Holder: "h", Amount: 5, TTL: 60})
 	}
 	late := put
-	late.Amount, late.Order = 2003, 9
-	if r := told(s, 8, late); r.Code != Gone || r.Own != 5 {
+	late.Amount, late.Version = 2003, 9
+	if r := told(s, 8, late); r.Code != LeaseExpired || r.HolderTotal != 5 {
 		t.Fatalf("the last word of a dead holder: %+v", r)
 	}
 	if total, _ := s.Total("n"); total != 12 {
 		t.Fatalf("total %v", total)
 	}
-	told(s, 8, Entry{Kind: Paid, Name: "n", Holder: "h", Order: 2})
-	if len(s.Open(9)) != 0 {
+	told(s, 8, Command{Kind: ClearUnreported, Key: "n", Holder: "h", Version: 2})
+	if len(s.UnrecoveredUsage(9)) != 0 {
 		t.Fatal("a debt that was put back is still open")
 	}
 }
@@ -121,11 +121,11 @@
 // Words of a holder come out of order: the newest counts.
 func TestPutsOutOfOrder(t *testing.T) {
 	s := New()
-	told(s, 0, Entry{Kind: Put, Name: "n", Holder: "h", Amount: 9, Order: 3, Life: 60})
-	if r := told(s, 0, Entry{Kind: Put, Name: "n", Holder: "h", Amount: 4, Order: 2, Life: 60}); r.Total != 9 {
+	told(s, 0, Command{Kind: ReportUsage, Key: "n", Holder: "h", Amount: 9, Version: 3, TTL: 60})
+	if r := told(s, 0, Command{Kind: ReportUsage, Key: "n", Holder: "h", Amount: 4, Version: 2, TTL: 60}); r.Total != 9 {
 		t.Fatalf("an older word counted: %v", r.Total)
 	}
-	if r := told(s, 0, Entry{Kind: Put, Name: "n", Holder: "h", Amount: 6, Order: 4, Life: 60}); r.Total != 6 {
+	if r := told(s, 0, Command{Kind: ReportUsage, Key: "n", Holder: "h", Amount: 6, Version: 4, TTL: 60}); r.Total != 6 {
 		t.Fatalf("units taken off: %v", r.Total)
 	}
 }
@@ -134,20 +134,20 @@
 func TestSecondDeliveryIsKnown(t *testing.T) {
 	s := New()
 	mark := func(holder, scope string) Code {
-		return told(s, s.Clock, Entry{Kind: Mark, Name: "ref", Holder: holder, Scope: scope, Life: 10}).Code
+		return told(s, s.Clock, Command{Kind: AcquireMarker, Key: "ref", Holder: holder, Scope: scope, TTL: 10}).Code
 	}
-	if mark("a", "") != Done || mark("b", "") != Known {
+	if mark("a", "") != Done || mark("b", "") != MarkerHeld {
 		t.Fatal("a second delivery was let through")
 	}
-	told(s, 0, Entry{Kind: Unmark, Name: "ref", Holder: "b"})
-	if mark("b", "") != Known {
+	told(s, 0, Command{Kind: ReleaseMarker, Key: "ref", Holder: "b"})
+	if mark("b", "") != MarkerHeld {
 		t.Fatal("another took the mark off")
 	}
-	told(s, 0, Entry{Kind: Unmark, Name: "ref", Holder: "a"})
-	if mark("b", "all") != Done || mark("c", "all") != Done || mark("c", "zone") != Known {
+	told(s, 0, Command{Kind: ReleaseMarker, Key: "ref", Holder: "a"})
+	if mark("b", "all") != Done || mark("c", "all") != Done || mark("c", "zone") != MarkerHeld {
 		t.Fatal("a repeat is harmless in its group and nowhere else")
 	}
-	told(s, 11, Entry{Kind: Tick})
+	told(s, 11, Command{Kind: Tick})
 	if mark("c", "") != Done {
 		t.Fatal("a mark outlived its time")
 	}
@@ -157,11 +157,11 @@
 func TestUseIsHandedOutOnce(t *testing.T) {
 	s := New()
 	use := func(holder string, units float64) {
-		told(s, s.Clock, Entry{Kind: Use, Name: "cust", Holder: holder, Amount: units})
+		told(s, s.Clock, Command{Kind: MeterUsage, Key: "cust", Holder: holder, Amount: units})
 	}
 	take := func(n uint64) (sum float64, code Code) {
-		r := told(s, s.Clock, Entry{Kind: Take, Order: n})
-		for _, u := range r.Uses {
+		r := told(s, s.Clock, Command{Kind: CollectUsage, Version: n})
+		for _, u := range r.Usage {
 			sum += u.Units
 		}
 		return sum, r.Code
@@ -176,27 +176,27 @@
 	if sum, _ := take(1); sum != 7 {
 		t.Fatalf("the same batch again %v", sum)
 	}
-	if _, code := take(3); code != Bad {
+	if _, code := take(3); code != Invalid {
 		t.Fatal("a batch was left out")
 	}
 	if sum, _ := take(2); sum != 2 {
 		t.Fatalf("next batch %v", sum)
 	}
-	if _, code := take(1); code != Bad {
+	if _, code := take(1); code != Invalid {
 		t.Fatal("a batch that was taken over came again")
 	}
-	told(s, rest+1, Entry{Kind: Tick})
-	if take(3); len(s.Uses.Of) != 0 {
+	told(s, expiredLeaseTTL+1, Command{Kind: Tick})
+	if take(3); len(s.Metering.ByHolder) != 0 {
 		t.Fatal("use that is billed is never forgotten")
 	}
 }
 
-func drawn(r *rand.Rand) Entry {
+func drawn(r *rand.Rand) Command {
 	names, holders := []string{"a", "b", "c"}, []string{"h", "i", ""}
-	return Entry{
-		Kind: Kind(r.IntN(int(kinds) + 1)), Session: []string{"", "s", "t"}[r.IntN(3)], Number: uint64(r.IntN(20)), Low: uint64(r.IntN(10)),
-		Name: names[r.IntN(3)], Amount: r.NormFloat64() * 10, Life: r.Float64() * 20, Holder: holders[r.IntN(3)], Order: uint64(r.IntN(20)),
-		Places: float64(r.IntN(2) * 1000), Scope: []string{"", "all"}[r.IntN(2)], Clock: r.Float64() * 50,
+	return Command{
+		Kind: Kind(r.IntN(int(kindCount) + 1)), Session: []string{"", "s", "t"}[r.IntN(3)], Sequence: uint64(r.IntN(20)), AckedBelow: uint64(r.IntN(10)),
+		Key: names[r.IntN(3)], Amount: r.NormFloat64() * 10, TTL: r.Float64() * 20, Holder: holders[r.IntN(3)], Version: uint64(r.IntN(20)),
+		Reserved: float64(r.IntN(2) * 1000), Scope: []string{"", "all"}[r.IntN(2)], Clock: r.Float64() * 50,
 	}
 }
 
@@ -208,11 +208,11 @@
 		for i := range 400 {
 			batch := &Batch{Clock: float64(i) * r.Float64() * 0.3}
 			for range 1 + r.IntN(4) {
-				batch.Entries = append(batch.Entries, drawn(r))
+				batch.Commands = append(batch.Commands, drawn(r))
 			}
-			text := batch.Bytes()
+			text := batch.Encode()
 			for _, s := range []*State{a, b} {
-				read, err := ReadBatch(text)
+				read, err := DecodeBatch(text)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -220,12 +220,12 @@
 			}
 			if i == 200 {
 				var err error
-				if b, err = Restore(b.Save()); err != nil {
+				if b, err = Restore(b.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		if string(a.Save()) != string(b.Save()) {
+		if string(a.Snapshot()) != string(b.Snapshot()) {
 			t.Fatalf("seed %d: two copies of one log differ", seed)
 		}
 	}
@@ -234,22 +234,22 @@
 // A snapshot was cut off, a byte of it flipped, or a later version wrote it.
 func TestSpoiltSnapshot(t *testing.T) {
 	s := New()
-	told(s, 1, Entry{Kind: Add, Name: "n", Amount: 1, Life: 9})
-	text := s.Save()
+	told(s, 1, Command{Kind: Add, Key: "n", Amount: 1, TTL: 9})
+	text := s.Snapshot()
 	for i := range text {
 		bad := append([]byte(nil), text...)
 		bad[i] ^= 4
-		if _, err := Restore(bad); !errors.Is(err, ErrSpoilt) {
+		if _, err := Restore(bad); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("byte %d: %v", i, err)
 		}
-		if _, err := Restore(text[:i]); !errors.Is(err, ErrSpoilt) {
+		if _, err := Restore(text[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	}
 	later := Seal(nil)
 	later = later[:4]
 	later[3]++
-	if _, err := Restore(sealed(later)); !errors.Is(err, ErrLater) {
+	if _, err := Restore(sealed(later)); !errors.Is(err, ErrNewerVersion) {
 		t.Fatal(err)
 	}
 }
@@ -263,28 +263,28 @@
 
 func FuzzRestore(f *testing.F) {
 	s := New()
-	told(s, 1, Entry{Kind: Put, Name: "n", Holder: "h", Amount: 1, Order: 1, Life: 9})
-	body, _ := Unseal(s.Save())
+	told(s, 1, Command{Kind: ReportUsage, Key: "n", Holder: "h", Amount: 1, Version: 1, TTL: 9})
+	body, _ := Unseal(s.Snapshot())
 	f.Add(body)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := Restore(Seal(body))
 		if err != nil {
 			return
 		}
-		for k := range kinds { // whatever was accepted can be gone on with
-			told(s, s.Clock+1, Entry{Kind: k, Name: "n", Holder: "h", Session: "s", Amount: 1, Life: 1})
+		for k := range kindCount { // whatever was accepted can be gone on with
+			told(s, s.Clock+1, Command{Kind: k, Key: "n", Holder: "h", Session: "s", Amount: 1, TTL: 1})
 		}
-		s.Save()
+		s.Snapshot()
 	})
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add((&Batch{Clock: 1, Entries: []Entry{{Kind: Add, Name: "n", Amount: 1}}}).Bytes())
+	f.Add((&Batch{Clock: 1, Commands: []Command{{Kind: Add, Key: "n", Amount: 1}}}).Encode())
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if b, err := ReadBatch(text); err == nil {
+		if b, err := DecodeBatch(text); err == nil {
 			s := New()
 			s.Apply(b)
-			if _, err := Restore(s.Save()); err != nil {
+			if _, err := Restore(s.Snapshot()); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/sim/quotastoresim/load.go
+++ b/sim/quotastoresim/load.go
@@ -81,7 +81,7 @@
 
 func (l *load) add(x *node, client int, name string, amount float64, next func()) {
 	begun := l.w.q.Now()
-	l.w.ask(x, name, statemachine.Entry{Kind: statemachine.Add, Name: name, Amount: amount, Life: 60}, func(how replication.Outcome, r statemachine.Reply) {
+	l.w.ask(x, name, statemachine.Command{Kind: statemachine.Add, Key: name, Amount: amount, TTL: 60}, func(how replication.Outcome, r statemachine.Reply) {
 		op := porcupine.Operation{ClientId: client, Input: amount, Call: int64(begun * 1e9), Return: int64(l.w.q.Now() * 1e9), Output: added{amount, r.Total, true}}
 		switch how {
 		case replication.Unknown:
@@ -129,11 +129,11 @@
 		h.names[name] = a
 	}
 	h.order++
-	e := statemachine.Entry{Name: name, Holder: h.id, Order: h.order, Life: 60}
+	e := statemachine.Command{Key: name, Holder: h.id, Version: h.order, TTL: 60}
 	switch w.dice.IntN(4) {
 	case 0: // let in while the counter was away
 		a.sum += float64(1 + w.dice.IntN(5))
-		e.Kind, e.Amount = statemachine.Owe, a.sum
+		e.Kind, e.Amount = statemachine.RecordUnreported, a.sum
 	case 1: // uses
 		u := l.used[h.id+" "+name]
 		if u == nil {
@@ -141,7 +141,7 @@
 			l.used[h.id+" "+name] = u
 		}
 		u.sent += float64(1 + w.dice.IntN(5))
-		e.Kind, e.Amount = statemachine.Use, u.sent
+		e.Kind, e.Amount = statemachine.MeterUsage, u.sent
 		w.ask(x, h.id, e, func(how replication.Outcome, r statemachine.Reply) {
 			if how == replication.Answered && r.Code == statemachine.Done {
 				u.acked = max(u.acked, e.Amount)
@@ -150,13 +150,13 @@
 		return
 	default:
 		a.sum += float64(1 + w.dice.IntN(5))
-		e.Kind, e.Places = statemachine.Put, float64(1000*w.dice.IntN(3))
-		e.Amount = a.sum + e.Places
+		e.Kind, e.Reserved = statemachine.ReportUsage, float64(1000*w.dice.IntN(3))
+		e.Amount = a.sum + e.Reserved
 	}
 	mine := a.sum
 	a.sent = mine
 	key := name
-	if e.Kind == statemachine.Owe {
+	if e.Kind == statemachine.RecordUnreported {
 		key = h.id
 	}
 	w.ask(x, key, e, func(how replication.Outcome, r statemachine.Reply) {
@@ -165,7 +165,7 @@
 		}
 		if r.Code == statemachine.Done {
 			a.acked = max(a.acked, mine)
-		} else if r.Code == statemachine.Gone {
+		} else if r.Code == statemachine.LeaseExpired {
 			h.gone = true // given up though it lived: it would go on under another name
 		}
 	})
@@ -187,7 +187,7 @@
 				return
 			}
 			who := fmt.Sprintf("edge-%d", i)
-			w.ask(x, ref, statemachine.Entry{Kind: statemachine.Mark, Name: ref, Holder: who, Life: 30}, func(how replication.Outcome, r statemachine.Reply) {
+			w.ask(x, ref, statemachine.Command{Kind: statemachine.AcquireMarker, Key: ref, Holder: who, TTL: 30}, func(how replication.Outcome, r statemachine.Reply) {
 				if how == replication.Answered && r.Code == statemachine.Done {
 					l.marks[ref] = append(l.marks[ref], who)
 				}
@@ -225,7 +225,7 @@
 			}
 			l.batch = n
 			for _, r := range got {
-				for _, u := range r.Uses {
+				for _, u := range r.Usage {
 					l.taken[u.Customer] += u.Units
 				}
 			}
@@ -252,7 +252,7 @@
 	x.open[o] = true
 	run := x.run
 	w.do(x, func() {
-		x.core.Ask(g, statemachine.Entry{Kind: statemachine.Take, Order: n}, func(how replication.Outcome, r statemachine.Reply) {
+		x.core.Ask(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: n}, func(how replication.Outcome, r statemachine.Reply) {
 			w.q.After(0.0005, func() {
 				if x.run != run {
 					return
@@ -307,7 +307,7 @@
 			if a == nil {
 				continue
 			}
-			own := s.Own(name, h.id)
+			own := s.HolderTotal(name, h.id)
 			sum += own
 			if own < a.acked {
 				v.Lost = append(v.Lost, fmt.Sprintf("%s: %s was promised %g and has %g", name, h.id, a.acked, own))
--- a/sim/quotastoresim/sim.go
+++ b/sim/quotastoresim/sim.go
@@ -496,10 +496,10 @@
 			continue
 		}
 		state := lead.core.State(g)
-		bytes := string(state.Save())
+		bytes := string(state.Snapshot())
 		for _, id := range lead.core.Health()[g].Holders {
 			x := w.nodes[id.Number()]
-			if x.up && x.life == id.Life() && x.core.State(g) != nil && x.core.Index(g) == lead.core.Index(g) && string(x.core.State(g).Save()) != bytes {
+			if x.up && x.life == id.Life() && x.core.State(g) != nil && x.core.Index(g) == lead.core.Index(g) && string(x.core.State(g).Snapshot()) != bytes {
 				w.v.Lost = append(w.v.Lost, fmt.Sprintf("group %d: keeper %d holds other bytes than the leader, keeper %d", g, x.number, lead.number))
 			}
 		}
@@ -531,7 +531,7 @@
 }
 
 // ask asks a keeper; then hears of the answer, or that the connection broke.
-func (w *world) ask(x *node, name string, e statemachine.Entry, then func(how replication.Outcome, r statemachine.Reply)) {
+func (w *world) ask(x *node, name string, e statemachine.Command, then func(how replication.Outcome, r statemachine.Reply)) {
 	done := false
 	l := w.load
 	l.asked++
