--- /dev/null
+++ b/tier/replica/digest_test.go
@@ -0,0 +1,78 @@
+package replica
+
+import (
+	"testing"
+
+	"otterseam/internal/digesttest"
+)
+
+func digestView(d *digesttest.Digest, view View) {
+	d.Uint(view.Epoch, view.Primary, uint64(view.MinInSync), uint64(len(view.Replicas)))
+	d.Uint(view.Replicas...)
+	d.Uint(uint64(len(view.InSync)))
+	d.Uint(view.InSync...)
+}
+
+func digestGroup(d *digesttest.Digest, group *Group) {
+	digestView(d, group.View())
+	d.Bool(group.IsPrimary(), group.IsReady())
+	d.Uint(group.AppliedIndex(), group.LastIndex())
+}
+
+// Each step of the simulation of a group, and the commands that its replicas applied.
+func TestGroupDigests(t *testing.T) {
+	digesttest.Check(t, "group", func(t *testing.T, seed int64, d *digesttest.Digest) {
+		s := newSim(t, seed)
+		for range simSteps {
+			s.step(true)
+			d.Int(s.now, int64(len(s.network)), int64(s.next), int64(len(s.acked)))
+			digestView(d, s.view)
+			for _, node := range s.nodes {
+				d.Bool(node.up)
+				d.Uint(node.id, node.boot, node.seen)
+				d.Int(int64(node.frozen), int64(len(node.writes)), int64(len(node.waiting)))
+				digestGroup(d, node.group)
+			}
+		}
+		s.settle()
+		s.judge()
+		for _, node := range s.nodes {
+			d.Int(s.now, int64(len(node.machine.applied)))
+			d.Text(node.machine.applied...)
+		}
+	})
+}
+
+// The simulation of members that catch up, looked at again and again, and the changes that they applied.
+func TestCatchUpDigests(t *testing.T) {
+	const lookEvery = 5 * millisecond
+	digesttest.Check(t, "catchup", func(t *testing.T, seed int64, d *digesttest.Digest) {
+		s := newCatchupSim(t, seed)
+		var look func()
+		look = func() {
+			s.at(lookEvery, look)
+			d.Int(s.now, int64(s.next), int64(len(s.acked)), s.mostOut, s.mostPieces, int64(s.mostMem))
+			digestView(d, s.view)
+			for _, node := range s.nodes {
+				d.Bool(node.up, node.ready)
+				d.Uint(node.id, node.boot, node.seen)
+				d.Int(int64(len(node.queued)), int64(len(node.syncing)))
+				digestGroup(d, node.group)
+			}
+			for from := range s.links {
+				for to := range s.links[from] {
+					link := &s.links[from][to]
+					d.Int(link.freeAt, int64(link.life), link.pieces)
+				}
+			}
+		}
+		s.at(0, look)
+		took, bound := s.run()
+		d.Int(took, bound)
+		for _, node := range s.nodes {
+			for _, number := range node.machine.applied {
+				d.Uint(uint64(number))
+			}
+		}
+	})
+}
