--- /dev/null
+++ b/tier/outlier/digest_test.go
@@ -0,0 +1,43 @@
+package outlier
+
+import (
+	"testing"
+
+	"otterseam/internal/digesttest"
+)
+
+// digestFleet plays a fleet and adds where it stands again and again.
+func digestFleet(d *digesttest.Digest, f *fleet, looks int, fails func(gateway, host int) bool) {
+	const lookEvery = 50 // milliseconds
+	for range looks {
+		f.run(lookEvery, fails)
+		d.Int(f.now, int64(f.lost), int64(f.outNow()))
+		for _, host := range f.hosts {
+			d.Int(f.asideTil[host], f.accused[host])
+		}
+		for i := range f.gateways {
+			d.Int(f.pending[i])
+		}
+	}
+	for _, gateway := range f.gateways {
+		d.Bytes(gateway.Flush().Encode())
+	}
+}
+
+// Fleets in which some hosts fail, all do, or a zone is cut off: who is set aside, when and for how long.
+func TestFleetDigests(t *testing.T) {
+	digesttest.Check(t, "bad-hosts", func(_ *testing.T, seed int64, d *digesttest.Digest) {
+		f := newFleet(uint64(seed), 20, 40, 4, 30)
+		f.near = 0.5 * float64(seed%2)
+		digestFleet(d, f, 200, func(_, host int) bool { return host < 4 && f.stream.Float64() < 0.5 })
+		digestFleet(d, f, 100, func(int, int) bool { return false })
+	})
+	digesttest.Check(t, "everywhere", func(_ *testing.T, seed int64, d *digesttest.Digest) {
+		f := newFleet(uint64(seed), 68, 106, 5, 9)
+		digestFleet(d, f, 60, func(int, int) bool { return f.stream.Float64() < 0.3 })
+	})
+	digesttest.Check(t, "zone-cut", func(_ *testing.T, seed int64, d *digesttest.Digest) {
+		f := newFleet(uint64(seed), 68, 106, 5, 9)
+		digestFleet(d, f, 60, func(gateway, host int) bool { return gateway%5 == 0 && host%5 == 1 })
+	})
+}
