--- a/cmd/otterseam-quotastore/main.go
+++ b/cmd/otterseam-quotastore/main.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"otterseam/quotastore/replication"
+	"otterseam/quotastore/protocol"
 	"otterseam/quotastore/server"
 )
 
@@ -137,10 +137,10 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
-	leads := map[int]replication.Health{}
+	leads := map[int]protocol.Health{}
 	fmt.Fprintln(w, "keeper\tzone\tlife\tleads\tholds\t")
 	for _, spot := range l.Keepers {
-		a, err := server.Command(spot.Peer, &replication.Admin{What: "who"}, 2*time.Second)
+		a, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, 2*time.Second)
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%s\t%v\t\t\t\n", spot.Name, spot.Zone, err)
 			continue
@@ -214,7 +214,7 @@
 	}
 	var all []error
 	for _, spot := range l.Keepers {
-		a, err := server.Command(spot.Peer, &replication.Admin{What: "take", Batch: c.Batch}, 5*time.Second)
+		a, err := server.Command(spot.Peer, &protocol.Admin{What: "take", Batch: c.Batch}, 5*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -21,7 +21,6 @@
 	"otterseam/harness/leakcheck"
 	"otterseam/harness/sockets"
 	"otterseam/quotastore/protocol"
-	"otterseam/quotastore/replication"
 	"otterseam/quotastore/server"
 	"otterseam/quotastore/statemachine"
 )
@@ -130,7 +129,7 @@
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
 		for _, spot := range list.Keepers {
-			answer, err := server.Command(spot.Peer, &replication.Admin{What: "who"}, time.Second)
+			answer, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, time.Second)
 			if err != nil {
 				continue
 			}
@@ -232,7 +231,7 @@
 	leakcheck.Check(t)
 	list, want := startRecorded(t)
 	for i, spot := range list.Keepers {
-		answer, err := server.Command(spot.Peer, &replication.Admin{What: "who"}, 5*time.Second)
+		answer, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -276,7 +275,7 @@
 	take := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			answer, err := server.Command(list.Keepers[2].Peer, &replication.Admin{What: "take", Batch: batch}, 5*time.Second)
+			answer, err := server.Command(list.Keepers[2].Peer, &protocol.Admin{What: "take", Batch: batch}, 5*time.Second)
 			if err == nil {
 				return answer.Uses
 			}
--- a/cmd/otterseam-sim/adds.go
+++ b/cmd/otterseam-sim/adds.go
@@ -25,13 +25,13 @@
 	if !(c.Rate > 0) || c.Conns < 1 || c.Names < 1 || c.Length <= 0 {
 		return badInput{fmt.Errorf("a rate, a length, connections and names over 0 are wanted")}
 	}
-	l := quotastoresim.Load{Doors: c.Doors, Rate: c.Rate, Length: c.Length, Conns: c.Conns, Names: c.Names, Third: c.Third, Prefix: c.Prefix}
+	l := quotastoresim.Load{Addresses: c.Doors, Rate: c.Rate, Duration: c.Length, Conns: c.Conns, Keys: c.Names, HotKey: c.Third, Prefix: c.Prefix}
 	t, err := l.Run(ctx)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "%.0f a second: %d answered (%.0f a second), %d turned away, %d without an answer; p50 %.2f ms, p99 %.2f ms, most %.1f ms\n",
-		c.Rate, t.Answered, t.Rate, t.Refused, t.Broken, 1e3*t.P50, 1e3*t.P99, 1e3*t.Most)
+		c.Rate, t.Answered, t.Rate, t.Rejected, t.Broken, 1e3*t.P50, 1e3*t.P99, 1e3*t.Max)
 	if !c.Check {
 		return nil
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%d names: answered and missing: %d, counted too often: %d\n", len(t.Sum), lost, twice)
+	fmt.Fprintf(s.out, "%d names: answered and missing: %d, counted too often: %d\n", len(t.Acknowledged), lost, twice)
 	if lost+twice > 0 {
 		return errBroken
 	}
--- a/cmd/otterseam-sim/takeover.go
+++ b/cmd/otterseam-sim/takeover.go
@@ -39,7 +39,7 @@
 			return err
 		}
 		fmt.Fprintf(s.out, "%d names: held again after %.2f s; adds before p50 %.2f, p99 %.2f ms; meanwhile p50 %.2f, p99 %.2f ms, %d turned away, %d without an answer\n",
-			c.Names, took, 1e3*calm.P50, 1e3*calm.P99, 1e3*meanwhile.P50, 1e3*meanwhile.P99, meanwhile.Refused, meanwhile.Broken)
+			c.Names, took, 1e3*calm.P50, 1e3*calm.P99, 1e3*meanwhile.P50, 1e3*meanwhile.P99, meanwhile.Rejected, meanwhile.Broken)
 		return nil
 	}
 	took, failed, err := fleet.Takeovers(ctx, o, c.Copies, c.Groups, c.Times, c.Disk)
--- a/harness/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -116,7 +116,7 @@
 
 // Recopied fills keepers with names, takes one machine with its disk, and gives how long it takes to hold its part again, and
 // what adds took before and meanwhile.
-func Recopied(ctx context.Context, o Options, copies, groups, names int, disk bool, rate float64) (took float64, calm, meanwhile *sim.Told, err error) {
+func Recopied(ctx context.Context, o Options, copies, groups, names int, disk bool, rate float64) (took float64, calm, meanwhile *sim.LoadResult, err error) {
 	k, end, err := bare(ctx, o, copies, groups, disk)
 	defer end()
 	if err != nil {
@@ -126,8 +126,8 @@
 	for _, spot := range k.direct.Keepers[:copies-1] {
 		doors = append(doors, spot.Door)
 	}
-	run := func(turn bool, rate float64, length time.Duration) (*sim.Told, error) {
-		l := sim.Load{Doors: doors, Rate: rate, Length: length, Conns: 4, Names: names, Third: !turn, Turn: turn}
+	run := func(turn bool, rate float64, length time.Duration) (*sim.LoadResult, error) {
+		l := sim.Load{Addresses: doors, Rate: rate, Duration: length, Conns: 4, Keys: names, HotKey: !turn, RoundRobin: turn}
 		return l.Run(ctx)
 	}
 	if _, err = run(true, 10000, time.Duration(float64(names)/10000*1.05e9)); err != nil {
--- a/quotastore/replication/ask.go
+++ b/quotastore/replication/ask.go
@@ -33,7 +33,7 @@
 
 // lane is the way to one group.
 type lane struct {
-	core    *Core
+	core    *Node
 	group   int
 	lead    int // number of the keeper that leads; -1: not known
 	term    uint64
@@ -56,7 +56,7 @@
 )
 
 // Ask asks a group for something; then hears once what became of it, within a call of this keeper.
-func (c *Core) Ask(group int, e statemachine.Command, then func(Outcome, statemachine.Reply)) {
+func (c *Node) Ask(group int, e statemachine.Command, then func(Outcome, statemachine.Reply)) {
 	l := c.asks[group]
 	c.numbers++
 	a := &askState{entry: e, number: c.numbers, born: c.now, then: then}
@@ -65,7 +65,7 @@
 		a.free = true // by what they say, they are made once however often they come
 	}
 	if c.cluster == 0 || l.away(c.now) {
-		then(Refused, statemachine.Reply{})
+		then(Rejected, statemachine.Reply{})
 		return
 	}
 	l.pending = append(l.pending, a)
@@ -73,10 +73,10 @@
 }
 
 // GroupFor is the group that holds a name.
-func (c *Core) GroupFor(name string) int { return GroupOf(name, c.terms.Groups) }
+func (c *Node) GroupOf(name string) int { return GroupOf(name, c.terms.Groups) }
 
 // Groups is how many there are.
-func (c *Core) Groups() int { return c.terms.Groups }
+func (c *Node) Groups() int { return c.terms.Groups }
 
 // away says that the group has had no leader for long.
 func (l *lane) away(now float64) bool { return l.lead < 0 && now-l.noLead > awayFor }
@@ -120,7 +120,7 @@
 		late := now-a.born > limit
 		if a.sends == 0 && (late || now-a.born > patient && l.lead < 0 || l.away(now)) {
 			l.pending = slices.Delete(l.pending, i, i+1)
-			a.then(Refused, statemachine.Reply{})
+			a.then(Rejected, statemachine.Reply{})
 			continue
 		}
 		if late {
@@ -145,7 +145,7 @@
 	if l.state != open {
 		l.begin(now)
 	}
-	var going []Asked
+	var going []protocol.Asked
 	for _, a := range l.pending {
 		if a.probe || now-a.sentAt < again && a.sends > 0 || !a.free && l.state != open {
 			continue
@@ -160,7 +160,7 @@
 			}
 			l.at = now
 		}
-		going = append(going, Asked{Group: l.group, Number: a.number, Entry: e})
+		going = append(going, protocol.Asked{Group: l.group, Number: a.number, Entry: e})
 	}
 	l.core.out(l.lead, going)
 }
@@ -202,13 +202,13 @@
 			l.state, l.at = open, l.core.now
 			l.push(l.core.now)
 		})
-		l.core.out(l.lead, []Asked{{Group: l.group, Number: l.core.numbers, Entry: statemachine.Command{Kind: statemachine.OpenSession, Session: l.session, Clock: r.Clock}}})
+		l.core.out(l.lead, []protocol.Asked{{Group: l.group, Number: l.core.numbers, Entry: statemachine.Command{Kind: statemachine.OpenSession, Session: l.session, Clock: r.Clock}}})
 	})
-	l.core.out(l.lead, []Asked{{Group: l.group, Number: probe, Entry: statemachine.Command{Kind: statemachine.Tick}}})
+	l.core.out(l.lead, []protocol.Asked{{Group: l.group, Number: probe, Entry: statemachine.Command{Kind: statemachine.Tick}}})
 }
 
 // probes notes what is to be done with an answer to something that is not told again.
-func (c *Core) probes(number uint64, l *lane, then func(statemachine.Reply)) {
+func (c *Node) probes(number uint64, l *lane, then func(statemachine.Reply)) {
 	a := &askState{number: number, born: c.now, sentAt: c.now, sends: 1, free: true, probe: true}
 	a.then = func(how Outcome, r statemachine.Reply) {
 		if how == Answered {
@@ -219,7 +219,7 @@
 }
 
 // out brings asks to a leader, which may be here.
-func (c *Core) out(lead int, all []Asked) {
+func (c *Node) out(lead int, all []protocol.Asked) {
 	if len(all) == 0 {
 		return
 	}
@@ -231,13 +231,13 @@
 	}
 	for len(all) > 0 { // frames stay small enough not to hold up others
 		n := min(len(all), 512)
-		c.send(lead, &Frame{Kind: protocol.KindAsks, Asks: all[:n]}, false)
+		c.send(lead, &protocol.Frame{Kind: protocol.KindAsks, Asks: all[:n]}, false)
 		all = all[n:]
 	}
 }
 
 // asked takes what another keeper, or this one, wants of a group.
-func (c *Core) asked(from int, a *Asked) {
+func (c *Node) asked(from int, a *protocol.Asked) {
 	if a.Group < 0 || a.Group >= c.terms.Groups {
 		return
 	}
@@ -249,10 +249,10 @@
 	if g != nil {
 		lead = g.leader()
 	}
-	c.replyTo(from, Replied{Group: a.Group, Number: a.Number, NotLeader: true, Lead: lead})
+	c.replyTo(from, protocol.Replied{Group: a.Group, Number: a.Number, NotLeader: true, Lead: lead})
 }
 
-func (c *Core) replyTo(to int, r Replied) {
+func (c *Node) replyTo(to int, r protocol.Replied) {
 	switch {
 	case to < 0:
 	case to == c.me:
@@ -262,12 +262,12 @@
 			c.letters[n-1].Frame.Replies = append(c.letters[n-1].Frame.Replies, r)
 			return
 		}
-		c.send(to, &Frame{Kind: protocol.KindReplies, Replies: []Replied{r}}, false)
+		c.send(to, &protocol.Frame{Kind: protocol.KindReplies, Replies: []protocol.Replied{r}}, false)
 	}
 }
 
 // replied takes an answer.
-func (c *Core) replied(r *Replied) {
+func (c *Node) replied(r *protocol.Replied) {
 	if r.Group < 0 || r.Group >= len(c.asks) {
 		return
 	}
--- a/quotastore/replication/core.go
+++ b/quotastore/replication/core.go
@@ -23,12 +23,12 @@
 )
 
 // Terms are what all keepers of an installation have to agree on.
-type Terms struct {
-	Groups int     // parts into which names are spread
-	Copies int     // keepers that hold each part: 3 or 5
-	Log    int     // entries of a log after which a snapshot takes their place
-	Rate   float64 // bytes a second at which copies are made anew to one keeper
-	Lost   float64 // seconds after which a silent keeper's part is copied to another
+type Config struct {
+	Groups        int     // parts into which names are spread
+	Replicas      int     // keepers that hold each part: 3 or 5
+	MaxLogEntries int     // entries of a log after which a snapshot takes their place
+	SnapshotRate  float64 // bytes a second at which copies are made anew to one keeper
+	ReplaceAfter  float64 // seconds after which a silent keeper's part is copied to another
 }
 
 // Outcome is what is known of something that was asked.
@@ -36,30 +36,30 @@
 
 const (
 	Answered Outcome = iota
-	Refused          // nothing was done, and nothing will be
+	Rejected         // nothing was done, and nothing will be
 	Unknown          // it may have been done, or may yet be
 )
 
 // Letter is a frame for another keeper. Bulk: it is large, and must not hold up others.
-type Letter struct {
+type Message struct {
 	To    int
-	Frame *Frame
+	Frame *protocol.Frame
 	Bulk  bool
 }
 
 // Work is what has to be written.
-type Work struct {
+type Ready struct {
 	Writes []Write
 	groups []*group
 }
 
 // Core is one keeper.
-type Core struct {
+type Node struct {
 	me      int
-	id      ID
+	id      protocol.ID
 	cluster uint64 // 0: it belongs to none yet
 	peers   []Peer
-	terms   Terms
+	terms   Config
 	chances rng.Line
 	run     uint64 // another one in each process: a life on a disk may have several
 	now     float64
@@ -75,24 +75,24 @@
 	savedAt     float64 // when a group's state was saved last
 	announceAt  float64
 	helloAt     float64
-	letters     []Letter
+	letters     []Message
 	lines       []string
 	refusing    bool
 	failed      error
 	dropped     []Write
 
 	// PutBack and Changes count debts of the dead put back, and changes of who holds a copy.
-	PutBack, Changes int
+	RecoveredUsages, MembershipChanges int
 }
 
 // New makes a keeper: its place in the list, its life, the founding it belongs to (0: none yet), a seed that no process of
 // it had before, and what it had written.
-func New(me int, life uint32, cluster uint64, peers []Peer, terms Terms, seed uint64, saved map[int]*Saved) (*Core, error) {
-	if terms.Groups < 1 || terms.Groups > 1024 || terms.Copies < 1 || terms.Copies > 7 || terms.Log < 16 || !(terms.Rate > 0) || me < 0 || me >= len(peers) || len(peers) > 200 || life == 0 {
+func New(me int, life uint32, cluster uint64, peers []Peer, terms Config, seed uint64, saved map[int]*PersistentState) (*Node, error) {
+	if terms.Groups < 1 || terms.Groups > 1024 || terms.Replicas < 1 || terms.Replicas > 7 || terms.MaxLogEntries < 16 || !(terms.SnapshotRate > 0) || me < 0 || me >= len(peers) || len(peers) > 200 || life == 0 {
 		return nil, errors.New("keeper: its place, life, groups, copies or log are out of range")
 	}
-	c := &Core{
-		me: me, id: MakeID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
+	c := &Node{
+		me: me, id: protocol.MakeID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
 		chances: rng.By("keeper %d %d ", me, seed), puttingBack: map[string]bool{}, run: seed, numbers: seed << 32 >> 1,
 	}
 	c.setPeers(peers, seed)
@@ -114,7 +114,7 @@
 }
 
 // setPeers takes the list; keepers are known by their place in it.
-func (c *Core) setPeers(peers []Peer, seed uint64) {
+func (c *Node) setPeers(peers []Peer, seed uint64) {
 	c.peers = peers
 	for len(c.lives) < len(peers) {
 		c.lives, c.heard = append(c.lives, 0), append(c.heard, -1e9)
@@ -125,7 +125,7 @@
 }
 
 // Peers takes up a list to which keepers were added, or in which some are to leave.
-func (c *Core) Peers(now float64, peers []Peer, seed uint64) error {
+func (c *Node) SetPeers(now float64, peers []Peer, seed uint64) error {
 	if len(peers) < len(c.peers) {
 		return errors.New("keepers can't be taken off the list: say that they are leaving")
 	}
@@ -139,42 +139,42 @@
 	return nil
 }
 
-func (c *Core) chance() float64 { return c.chances.Next() }
+func (c *Node) chance() float64 { return c.chances.Next() }
 
-func (c *Core) log(form string, args ...any) { c.lines = append(c.lines, fmt.Sprintf(form, args...)) }
+func (c *Node) log(form string, args ...any) { c.lines = append(c.lines, fmt.Sprintf(form, args...)) }
 
 // Lines gives what the log should hear.
-func (c *Core) Lines() (all []string) {
+func (c *Node) TakeLogLines() (all []string) {
 	all, c.lines = c.lines, nil
 	return all
 }
 
 // Failed says why this keeper can't go on; nil: it can.
-func (c *Core) Failed() error { return c.failed }
+func (c *Node) Err() error { return c.failed }
 
-func (c *Core) fail(err error) {
+func (c *Node) fail(err error) {
 	if c.failed == nil {
 		c.failed = err
 	}
 }
 
 // Cluster is the founding it belongs to; 0: none yet.
-func (c *Core) Cluster() uint64 { return c.cluster }
+func (c *Node) Cluster() uint64 { return c.cluster }
 
 // Life is which of its lives this is.
-func (c *Core) Life() uint32 { return c.id.Life() }
+func (c *Node) Incarnation() uint32 { return c.id.Life() }
 
 // Found takes part in a founding. One that belongs to an installation, or has another life by now, does not: it might be
 // asked to begin anew what others still hold. One that heard of this installation by those founded before it, and holds nothing
 // yet, takes its part: else what a founding from a snapshot was answered for would lie on the others alone until it is copied. It
 // gives what has to be written first.
-func (c *Core) Found(now float64, f *Founding) ([]Write, error) {
+func (c *Node) Bootstrap(now float64, f *protocol.Founding) ([]Write, error) {
 	switch {
 	case c.cluster == f.Cluster && c.cluster != 0 && c.holds():
 		return nil, nil
 	case c.cluster != 0 && c.cluster != f.Cluster || c.holds(): // it may hold what was said to it before it wrote to whom it belongs
 		return nil, fmt.Errorf("keeper %d belongs to installation %016x", c.me, c.cluster)
-	case f.Cluster == 0 || f.Groups != c.terms.Groups || f.Copies != c.terms.Copies || !slices.Contains(f.Members, c.id):
+	case f.Cluster == 0 || f.Groups != c.terms.Groups || f.Copies != c.terms.Replicas || !slices.Contains(f.Members, c.id):
 		return nil, fmt.Errorf("keeper %d, life %08x: not in this founding, or of other groups or copies", c.me, c.id.Life())
 	}
 	c.now = now
@@ -188,7 +188,7 @@
 	}
 	for g := range f.Groups {
 		conf := &pb.ConfState{}
-		for _, n := range Choose(g, c.peers, c.terms.Copies, func(n int) bool { return there[n] }) {
+		for _, n := range PlaceReplicas(g, c.peers, c.terms.Replicas, func(n int) bool { return there[n] }) {
 			for _, id := range f.Members {
 				if id.Number() == n {
 					conf.Voters = append(conf.Voters, uint64(id))
@@ -208,12 +208,12 @@
 		}
 		snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}}
 		hard := &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}
-		x, err := newGroup(c, g, &Saved{Hard: hard, Snap: snap})
+		x, err := newGroup(c, g, &PersistentState{HardState: hard, Snapshot: snap})
 		if err != nil {
 			return nil, err
 		}
 		c.group[g] = x
-		writes = append(writes, Write{Group: g, Hard: hard, Snap: snap, Reset: true})
+		writes = append(writes, Write{Group: g, HardState: hard, Snapshot: snap, ReplaceLog: true})
 	}
 	c.cluster = f.Cluster
 	c.helloAt, c.announceAt = 0, 0
@@ -221,7 +221,7 @@
 }
 
 // Tick lets time go on; it is to be called every 40 ms or so.
-func (c *Core) Tick(now float64) {
+func (c *Node) Tick(now float64) {
 	c.now = now
 	for _, l := range c.members.Due(now) {
 		c.text(l)
@@ -270,16 +270,16 @@
 	}
 }
 
-func (c *Core) text(l membership.Letter) {
+func (c *Node) text(l membership.Letter) {
 	for n := range c.peers {
 		if n != c.me && (l.To == n || l.To == membership.All) {
-			c.send(n, &Frame{Kind: protocol.KindText, Text: l.Text}, false)
+			c.send(n, &protocol.Frame{Kind: protocol.KindText, Text: l.Text}, false)
 		}
 	}
 }
 
 // held goes through the groups held here, in their order.
-func (c *Core) held(each func(g *group) bool) {
+func (c *Node) held(each func(g *group) bool) {
 	for _, g := range c.group {
 		if g != nil && !each(g) {
 			return
@@ -290,18 +290,18 @@
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
 // Hello is what a keeper says of itself at the beginning of a stream, and now and then.
-func (c *Core) Hello() *Frame {
-	return &Frame{Kind: protocol.KindHello, Hello: &Hello{Number: c.me, Life: c.id.Life()}}
+func (c *Node) Hello() *protocol.Frame {
+	return &protocol.Frame{Kind: protocol.KindHello, Hello: &protocol.Hello{Number: c.me, Life: c.id.Life()}}
 }
 
 // announce tells all who leads what, and who holds it.
-func (c *Core) announce() {
-	var all []Leads
+func (c *Node) announce() {
+	var all []protocol.Leads
 	for g := range c.held {
 		if g.leads && g.current() { // else it may not know yet who holds the group
 			members := append(slices.Clone(g.conf.Voters), g.conf.Learners...)
 			members = append(append(members, g.conf.VotersOutgoing...), g.conf.LearnersNext...)
-			all = append(all, Leads{Group: g.number, Term: g.term, Index: g.applied, Members: members})
+			all = append(all, protocol.Leads{Group: g.number, Term: g.term, Index: g.applied, Members: members})
 			c.asks[g.number].led(c.me, g.term)
 		}
 	}
@@ -310,28 +310,28 @@
 	}
 	for n := range c.peers {
 		if n != c.me {
-			c.send(n, &Frame{Kind: protocol.KindLeads, Leads: all}, false)
+			c.send(n, &protocol.Frame{Kind: protocol.KindLeads, Leads: all}, false)
 		}
 	}
 }
 
-func (c *Core) send(to int, f *Frame, bulk bool) {
+func (c *Node) send(to int, f *protocol.Frame, bulk bool) {
 	if to < 0 || to >= len(c.peers) {
 		return
 	}
 	f.Cluster, f.Life = c.cluster, c.id.Life()
-	c.letters = append(c.letters, Letter{to, f, bulk})
+	c.letters = append(c.letters, Message{to, f, bulk})
 }
 
 // Letters gives what is to be sent.
-func (c *Core) Letters() (all []Letter) {
+func (c *Node) TakeMessages() (all []Message) {
 	all, c.letters = c.letters, nil
 	return all
 }
 
 // Work gives what has to be written now; nil: nothing, and all has been said.
-func (c *Core) Work() *Work {
-	w := &Work{Writes: c.dropped}
+func (c *Node) Ready() *Ready {
+	w := &Ready{Writes: c.dropped}
 	c.dropped = nil
 	for g := range c.held {
 		g.propose(c.now)
@@ -344,14 +344,14 @@
 }
 
 // Written says that all of a Work lies where it outlives the process, or that there is no such place.
-func (c *Core) Written(w *Work) {
+func (c *Node) Advance(w *Ready) {
 	for _, g := range w.groups {
 		g.written()
 	}
 }
 
 // Broken: the stream to a keeper ended, and it does not listen any more: its process is gone.
-func (c *Core) Broken(now float64, n int) {
+func (c *Node) PeerDown(now float64, n int) {
 	c.now = now
 	for g := range c.held {
 		g.orphan(n)
@@ -364,11 +364,11 @@
 }
 
 // Unsent: a bulk letter to a keeper could not be sent.
-func (c *Core) Unsent(now float64, to int) {
+func (c *Node) SnapshotFailed(now float64, to int) {
 	c.now = now
 	for g := range c.held {
 		for _, id := range sortedKeys(g.copying) {
-			if ID(id).Number() == to {
+			if protocol.ID(id).Number() == to {
 				g.copyFailed(id)
 			}
 		}
@@ -376,7 +376,7 @@
 }
 
 // Hear takes a frame of another keeper.
-func (c *Core) Hear(now float64, from int, f *Frame) {
+func (c *Node) Receive(now float64, from int, f *protocol.Frame) {
 	c.now = now
 	if from < 0 || from >= len(c.peers) || from == c.me || f.Life == 0 {
 		return
@@ -419,12 +419,12 @@
 	}
 }
 
-func (c *Core) raft(f *Frame) {
+func (c *Node) raft(f *protocol.Frame) {
 	m := &pb.Message{}
 	if proto.Unmarshal(f.Raft, m) != nil || f.Group < 0 || f.Group >= c.terms.Groups || c.cluster == 0 {
 		return
 	}
-	if ID(m.GetTo()) != c.id {
+	if protocol.ID(m.GetTo()) != c.id {
 		return // for a life before this one
 	}
 	g := c.group[f.Group]
@@ -440,7 +440,7 @@
 }
 
 // leads hears who leads a group; a copy here that no longer belongs to it is let go of, but for its votes.
-func (c *Core) leads(from int, a *Leads) {
+func (c *Node) leads(from int, a *protocol.Leads) {
 	if a.Group < 0 || a.Group >= c.terms.Groups {
 		return
 	}
@@ -452,24 +452,24 @@
 			return
 		}
 		c.log("group %d: not held here any more", a.Group)
-		fresh, err := newGroup(c, a.Group, &Saved{Hard: &pb.HardState{Term: hard.Term, Vote: hard.Vote}})
+		fresh, err := newGroup(c, a.Group, &PersistentState{HardState: &pb.HardState{Term: hard.Term, Vote: hard.Vote}})
 		if err != nil {
 			c.fail(err)
 			return
 		}
 		c.group[a.Group] = fresh
-		c.dropped = append(c.dropped, Write{Group: a.Group, Hard: &pb.HardState{Term: hard.Term, Vote: hard.Vote}, Drop: true})
+		c.dropped = append(c.dropped, Write{Group: a.Group, HardState: &pb.HardState{Term: hard.Term, Vote: hard.Vote}, DropReplica: true})
 	}
 }
 
 // former says that a copy is of a life of its keeper that is over.
-func (c *Core) former(id ID) bool {
+func (c *Node) former(id protocol.ID) bool {
 	n := id.Number()
 	return n < len(c.lives) && c.lives[n] != 0 && c.lives[n] != id.Life()
 }
 
 // holds says that any group is held here.
-func (c *Core) holds() bool {
+func (c *Node) holds() bool {
 	for range c.held {
 		return true
 	}
@@ -477,7 +477,7 @@
 }
 
 // moving says that a group led here is being copied to somebody: one after another, as each copy costs all others time.
-func (c *Core) moving() bool {
+func (c *Node) moving() bool {
 	for g := range c.held {
 		if g.leads && len(g.conf.Learners) > 0 {
 			return true
@@ -487,11 +487,11 @@
 }
 
 // lost says that a keeper has been away for so long that another should hold what it held.
-func (c *Core) lost(now float64, n int) bool {
-	return n >= len(c.peers) || now-c.heard[n] > c.terms.Lost
+func (c *Node) lost(now float64, n int) bool {
+	return n >= len(c.peers) || now-c.heard[n] > c.terms.ReplaceAfter
 }
 
 // fit says that a keeper can hold copies.
-func (c *Core) fit(now float64, n int) bool {
-	return !c.peers[n].Leaving && c.lives[n] != 0 && !c.lost(now, n)
+func (c *Node) fit(now float64, n int) bool {
+	return !c.peers[n].Draining && c.lives[n] != 0 && !c.lost(now, n)
 }
--- a/quotastore/replication/group.go
+++ b/quotastore/replication/group.go
@@ -28,20 +28,20 @@
 
 // Write is what has to outlive the process before anything is said that rests on it.
 type Write struct {
-	Group   int
-	Hard    *pb.HardState // nil: unchanged
-	Entries []*pb.Entry
-	Snap    *pb.Snapshot // nil: none; entries up to it go, but for those kept
-	Keep    uint64       // with Snap: entries up to this index go
-	Reset   bool         // with Snap: all entries go
-	Drop    bool         // all but the hard state goes
+	Group       int
+	HardState   *pb.HardState // nil: unchanged
+	Entries     []*pb.Entry
+	Snapshot    *pb.Snapshot // nil: none; entries up to it go, but for those kept
+	CompactTo   uint64       // with Snap: entries up to this index go
+	ReplaceLog  bool         // with Snap: all entries go
+	DropReplica bool         // all but the hard state goes
 }
 
 // Saved is what a copy had written when its process ended.
-type Saved struct {
-	Hard    *pb.HardState
-	Snap    *pb.Snapshot
-	Entries []*pb.Entry
+type PersistentState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry
 }
 
 type asked struct {
@@ -57,7 +57,7 @@
 type place struct{ term, nth uint64 }
 
 type group struct {
-	core        *Core
+	core        *Node
 	number      int
 	node        *raft.RawNode
 	log         *raft.MemoryStorage
@@ -91,25 +91,25 @@
 	copying   map[uint64]float64 // snapshots on their way, and until when they are waited for
 }
 
-func newGroup(c *Core, number int, saved *Saved) (*group, error) {
+func newGroup(c *Node, number int, saved *PersistentState) (*group, error) {
 	g := &group{
 		core: c, number: number, log: raft.NewMemoryStorage(), state: statemachine.New(), out: map[place]*proposal{},
 		copying: map[uint64]float64{}, conf: &pb.ConfState{},
 	}
 	if saved != nil {
-		if !raft.IsEmptySnap(saved.Snap) {
-			state, err := statemachine.Restore(saved.Snap.Data)
+		if !raft.IsEmptySnap(saved.Snapshot) {
+			state, err := statemachine.Restore(saved.Snapshot.Data)
 			if err != nil {
 				return nil, err
 			}
-			g.state, g.conf = state, saved.Snap.GetMetadata().GetConfState()
-			if err := g.log.ApplySnapshot(saved.Snap); err != nil {
+			g.state, g.conf = state, saved.Snapshot.GetMetadata().GetConfState()
+			if err := g.log.ApplySnapshot(saved.Snapshot); err != nil {
 				return nil, err
 			}
-			g.applied = saved.Snap.GetMetadata().GetIndex()
+			g.applied = saved.Snapshot.GetMetadata().GetIndex()
 			g.snapAt = g.applied
 		}
-		if h := saved.Hard; h != nil {
+		if h := saved.HardState; h != nil {
 			if h.GetCommit() < g.applied { // a snapshot holds only what was agreed on, and is written without saying so again
 				h = &pb.HardState{Term: h.Term, Vote: h.Vote, Commit: new(g.applied)}
 			}
@@ -154,7 +154,7 @@
 
 // orphan: the leader's process is known to be gone; no need to wait for its silence.
 func (g *group) orphan(number int) {
-	if g.leads || g.lead == 0 || ID(g.lead).Number() != number {
+	if g.leads || g.lead == 0 || protocol.ID(g.lead).Number() != number {
 		return
 	}
 	g.node.ForgetLeader()
@@ -197,7 +197,7 @@
 // giveBack says of what was not proposed that it was not; of the rest nothing is known here.
 func (g *group) giveBack() {
 	for _, a := range g.askers {
-		g.core.replyTo(a.from, Replied{Group: g.number, Number: a.number, NotLeader: true, Lead: g.leader()})
+		g.core.replyTo(a.from, protocol.Replied{Group: g.number, Number: a.number, NotLeader: true, Lead: g.leader()})
 	}
 	g.entries, g.askers = g.entries[:0], g.askers[:0]
 }
@@ -207,7 +207,7 @@
 	if g.lead == 0 {
 		return -1
 	}
-	return ID(g.lead).Number()
+	return protocol.ID(g.lead).Number()
 }
 
 // ask takes what is to be proposed; false: this copy does not lead.
@@ -266,7 +266,7 @@
 }
 
 // ready gathers what is to be written; messages of a leader need not wait for that.
-func (g *group) ready(w *Work) {
+func (g *group) ready(w *Ready) {
 	if !g.pending && g.node.HasReady() {
 		g.gather(w)
 	}
@@ -276,7 +276,7 @@
 	}
 }
 
-func (g *group) gather(w *Work) {
+func (g *group) gather(w *Ready) {
 	g.rd, g.pending, g.early = g.node.Ready(), true, false
 	w.groups = append(w.groups, g)
 	wr := Write{Group: g.number, Entries: g.rd.Entries}
@@ -287,17 +287,17 @@
 	}
 	moved := g.hard.GetTerm() != g.saved.GetTerm() || g.hard.GetVote() != g.saved.GetVote()
 	if g.unsaid && (moved || len(wr.Entries) > 0 || !raft.IsEmptySnap(g.rd.Snapshot)) {
-		wr.Hard, g.saved, g.unsaid = g.hard, g.hard, false
+		wr.HardState, g.saved, g.unsaid = g.hard, g.hard, false
 	}
 	if !raft.IsEmptySnap(g.rd.Snapshot) {
-		wr.Snap, wr.Reset = g.rd.Snapshot, true
+		wr.Snapshot, wr.ReplaceLog = g.rd.Snapshot, true
 		g.snap = nil // written after it, an older one of its own would take its place
 	}
 	if g.leads && !moved || mutation.KeepUnsynced {
 		g.early = true
 		g.send(g.rd.Messages)
 	}
-	if wr.Hard != nil || wr.Snap != nil || len(wr.Entries) > 0 {
+	if wr.HardState != nil || wr.Snapshot != nil || len(wr.Entries) > 0 {
 		w.Writes = append(w.Writes, wr)
 	}
 }
@@ -382,7 +382,7 @@
 }
 
 func (g *group) answer(a asked, r statemachine.Reply) {
-	g.core.replyTo(a.from, Replied{Group: g.number, Number: a.number, Lead: g.leader(), Reply: r})
+	g.core.replyTo(a.from, protocol.Replied{Group: g.number, Number: a.number, Lead: g.leader(), Reply: r})
 }
 
 // savedApart is the least time between two states saved at one keeper because their logs are long, in seconds.
@@ -390,7 +390,7 @@
 
 // compact lets a snapshot take the place of a long log.
 func (g *group) compact() {
-	behind, most := g.applied-min(g.applied, g.snapAt), uint64(g.core.terms.Log)
+	behind, most := g.applied-min(g.applied, g.snapAt), uint64(g.core.terms.MaxLogEntries)
 	long := behind >= most
 	if g.snap != nil || g.applied <= g.snapAt || !long && !g.newcomer {
 		return
@@ -408,27 +408,27 @@
 	}
 	keep := g.kept
 	if long {
-		keep = g.applied - uint64(g.core.terms.Log/8) // for copies that are a little behind
+		keep = g.applied - uint64(g.core.terms.MaxLogEntries/8) // for copies that are a little behind
 		g.log.Compact(keep)
 		g.kept = keep
 	}
 	g.snapAt = g.applied
-	g.snap = &Write{Group: g.number, Snap: s, Keep: keep}
+	g.snap = &Write{Group: g.number, Snapshot: s, CompactTo: keep}
 }
 
 func (g *group) send(all []*pb.Message) {
 	for _, m := range all {
-		to := ID(m.GetTo())
+		to := protocol.ID(m.GetTo())
 		bulk := m.GetType() == pb.MsgSnap
 		if bulk {
-			g.copying[m.GetTo()] = g.core.now + 3 + 10*float64(len(m.GetSnapshot().GetData()))/g.core.terms.Rate
+			g.copying[m.GetTo()] = g.core.now + 3 + 10*float64(len(m.GetSnapshot().GetData()))/g.core.terms.SnapshotRate
 		}
 		text, err := proto.Marshal(m)
 		if err != nil {
 			g.core.fail(err)
 			return
 		}
-		g.core.send(to.Number(), &Frame{Kind: protocol.KindRaft, Group: g.number, Raft: text}, bulk)
+		g.core.send(to.Number(), &protocol.Frame{Kind: protocol.KindRaft, Group: g.number, Raft: text}, bulk)
 	}
 }
 
@@ -487,7 +487,7 @@
 					delete(g.core.puttingBack, key) // it is tried again, and changes nothing if it was made
 					return
 				}
-				g.core.PutBack++
+				g.core.RecoveredUsages++
 				paid()
 			})
 	}
@@ -499,18 +499,18 @@
 		return
 	}
 	st := g.node.Status()
-	want := Choose(g.number, g.core.peers, g.core.terms.Copies, func(n int) bool { return g.core.fit(now, n) })
+	want := PlaceReplicas(g.number, g.core.peers, g.core.terms.Replicas, func(n int) bool { return g.core.fit(now, n) })
 	holds := func(n int) bool { return slices.Contains(want, n) }
 	// A copy of a former life comes first, as it remembers nothing; then the lost, those that should leave, those not wanted.
 	worst, how := uint64(0), 0
 	for _, id := range g.conf.Voters {
-		n, x := ID(id).Number(), 0
+		n, x := protocol.ID(id).Number(), 0
 		switch {
-		case g.core.former(ID(id)):
+		case g.core.former(protocol.ID(id)):
 			x = 4
 		case g.core.lost(now, n):
 			x = 3
-		case n >= len(g.core.peers) || g.core.peers[n].Leaving:
+		case n >= len(g.core.peers) || g.core.peers[n].Draining:
 			x = 2
 		case !holds(n):
 			x = 1
@@ -521,8 +521,8 @@
 	}
 	if len(g.conf.Learners) > 0 { // there is one at most; it is brought in, or taken out, before anything else
 		id := g.conf.Learners[0]
-		pr, n := st.Progress[id], ID(id).Number()
-		if g.core.former(ID(id)) || !holds(n) || g.core.lost(now, n) {
+		pr, n := st.Progress[id], protocol.ID(id).Number()
+		if g.core.former(protocol.ID(id)) || !holds(n) || g.core.lost(now, n) {
 			g.change(&pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: &id})
 			return
 		}
@@ -541,14 +541,14 @@
 		g.change(add, &pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: &worst})
 		return
 	}
-	if worst == 0 && len(g.conf.Voters) >= g.core.terms.Copies {
+	if worst == 0 && len(g.conf.Voters) >= g.core.terms.Replicas {
 		return
 	}
 	if g.core.moving() {
 		return
 	}
 	for _, n := range want {
-		id := uint64(MakeID(n, g.core.lives[n]))
+		id := uint64(protocol.MakeID(n, g.core.lives[n]))
 		if slices.Contains(g.conf.Voters, id) {
 			continue
 		}
@@ -573,9 +573,9 @@
 
 func (g *group) change(all ...*pb.ConfChangeSingle) {
 	if g.node.ProposeConfChange(&pb.ConfChangeV2{Changes: all}) == nil {
-		g.core.Changes++
+		g.core.MembershipChanges++
 		for _, c := range all {
-			id := ID(c.GetNodeId())
+			id := protocol.ID(c.GetNodeId())
 			g.core.log("group %d: %v keeper %d, life %08x", g.number, c.GetType(), id.Number(), id.Life())
 		}
 	}
@@ -589,7 +589,7 @@
 )
 
 // stale says that this copy no longer belongs to its group.
-func (g *group) stale(a *Leads) bool {
+func (g *group) stale(a *protocol.Leads) bool {
 	last, err := g.log.LastIndex()
 	if g.leads || g.applied == 0 || err != nil || slices.Contains(a.Members, uint64(g.core.id)) || a.Term < g.term || a.Index < last {
 		g.strange = 0
@@ -602,16 +602,16 @@
 }
 
 // Take brings what was saved to what it is after a write; stores that keep it in another form do the same to theirs.
-func (s *Saved) Take(w *Write) {
-	if w.Drop {
-		*s = Saved{}
+func (s *PersistentState) Apply(w *Write) {
+	if w.DropReplica {
+		*s = PersistentState{}
 	}
-	if w.Hard != nil {
-		s.Hard = w.Hard
+	if w.HardState != nil {
+		s.HardState = w.HardState
 	}
-	if w.Snap != nil {
-		s.Snap = w.Snap
-		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return w.Reset || e.GetIndex() <= w.Keep })
+	if w.Snapshot != nil {
+		s.Snapshot = w.Snapshot
+		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return w.ReplaceLog || e.GetIndex() <= w.CompactTo })
 	}
 	if len(w.Entries) > 0 {
 		first := w.Entries[0].GetIndex()
@@ -621,10 +621,10 @@
 }
 
 // Trim leaves what a start needs: the entries behind the snapshot.
-func (s *Saved) Trim() *Saved {
+func (s *PersistentState) AfterSnapshot() *PersistentState {
 	t := *s
-	if s.Snap != nil {
-		at := s.Snap.GetMetadata().GetIndex()
+	if s.Snapshot != nil {
+		at := s.Snapshot.GetMetadata().GetIndex()
 		t.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return e.GetIndex() <= at })
 	}
 	return &t
--- a/quotastore/replication/guest.go
+++ b/quotastore/replication/guest.go
@@ -3,6 +3,7 @@
 // This file owns what guests want: api gateways, and operators' commands. It must never let a guest speak for a keeper.
 
 import (
+	"otterseam/quotastore/protocol"
 	"otterseam/quotastore/statemachine"
 )
 
@@ -17,7 +18,7 @@
 }
 
 // Guest asks for a guest; then hears once for each. What only keepers may ask is answered as bad.
-func (c *Core) Guest(now float64, a Asked, then func(Replied)) {
+func (c *Node) HandleClient(now float64, a protocol.Asked, then func(protocol.Replied)) {
 	c.now = now
 	switch a.Entry.Kind {
 	case statemachine.Add, statemachine.ReportUsage, statemachine.RecordUnreported, statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage:
@@ -29,27 +30,27 @@
 					worst = r.Code
 				}
 				if left--; left == 0 {
-					then(Replied{Group: -1, Number: a.Number, Reply: statemachine.Reply{Code: worst, Clock: r.Clock}})
+					then(protocol.Replied{Group: -1, Number: a.Number, Reply: statemachine.Reply{Code: worst, Clock: r.Clock}})
 				}
 			})
 		}
 		return
 	default:
-		then(Replied{Number: a.Number, Reply: statemachine.Reply{Code: statemachine.Invalid}})
+		then(protocol.Replied{Number: a.Number, Reply: statemachine.Reply{Code: statemachine.Invalid}})
 		return
 	}
 	e := a.Entry
 	e.Session, e.Sequence, e.AckedBelow = "", 0, 0
-	c.Ask(c.GroupFor(key(&e)), e, func(how Outcome, r statemachine.Reply) {
-		then(Replied{Number: a.Number, NotLeader: how == Refused, Unknown: how == Unknown, Reply: r})
+	c.Ask(c.GroupOf(key(&e)), e, func(how Outcome, r statemachine.Reply) {
+		then(protocol.Replied{Number: a.Number, NotLeader: how == Rejected, Unknown: how == Unknown, Reply: r})
 	})
 }
 
 // Administer does what an operator's command asks; then hears the answer. What a founding writes has to be written before
 // that.
-func (c *Core) Administer(now float64, a *Admin, write func([]Write) error, then func(*Admin)) {
+func (c *Node) HandleAdmin(now float64, a *protocol.Admin, write func([]Write) error, then func(*protocol.Admin)) {
 	c.now = now
-	r := &Admin{What: a.What, Number: c.me, Life: c.id.Life(), Cluster: c.cluster}
+	r := &protocol.Admin{What: a.What, Number: c.me, Life: c.id.Life(), Cluster: c.cluster}
 	switch a.What {
 	case "who":
 		r.Health = c.Health()
@@ -58,7 +59,7 @@
 			r.Err = "no founding was given"
 			break
 		}
-		writes, err := c.Found(now, a.Founding)
+		writes, err := c.Bootstrap(now, a.Founding)
 		if err == nil {
 			err = write(writes)
 		}
--- a/quotastore/replication/health.go
+++ b/quotastore/replication/health.go
@@ -3,24 +3,25 @@
 // This file owns what others may look at: for the health answer, the log, and the laboratory's judges. It changes nothing.
 
 import (
+	"otterseam/quotastore/protocol"
 	"otterseam/quotastore/statemachine"
 )
 
 // Health tells of all groups, by number.
-func (c *Core) Health() []Health {
-	all := make([]Health, c.terms.Groups)
+func (c *Node) Health() []protocol.Health {
+	all := make([]protocol.Health, c.terms.Groups)
 	for i := range all {
-		h := Health{Group: i, Leader: c.asks[i].lead, Away: c.cluster == 0 || c.asks[i].away(c.now)}
+		h := protocol.Health{Group: i, Leader: c.asks[i].lead, Away: c.cluster == 0 || c.asks[i].away(c.now)}
 		if g := c.group[i]; g != nil && g.applied > 0 {
 			h.Held, h.Leads, h.Names, h.Index = true, g.leads, g.state.CounterCount(), g.applied
 			for _, id := range g.conf.Voters {
-				h.Holders = append(h.Holders, ID(id))
+				h.Holders = append(h.Holders, protocol.ID(id))
 			}
 			h.Settled = len(g.conf.VotersOutgoing)+len(g.conf.Learners)+len(g.conf.LearnersNext) == 0
 			if g.leads {
 				h.Alive = true
 				for id, p := range g.node.Status().Progress {
-					if id != uint64(c.id) && (c.now-c.heard[ID(id).Number()] > 1 || p.Match+64 < g.applied) {
+					if id != uint64(c.id) && (c.now-c.heard[protocol.ID(id).Number()] > 1 || p.Match+64 < g.applied) {
 						h.Alive = false
 					}
 				}
@@ -32,7 +33,7 @@
 }
 
 // State is a copy's state, to be looked at only; nil: it isn't held here.
-func (c *Core) State(group int) *statemachine.State {
+func (c *Node) GroupState(group int) *statemachine.State {
 	if g := c.group[group]; g != nil {
 		return g.state
 	}
@@ -40,7 +41,7 @@
 }
 
 // Index is how far a copy's state has come.
-func (c *Core) Index(group int) uint64 {
+func (c *Node) AppliedIndex(group int) uint64 {
 	if g := c.group[group]; g != nil {
 		return g.applied
 	}
--- a/quotastore/replication/place.go
+++ b/quotastore/replication/place.go
@@ -13,9 +13,9 @@
 
 // Peer is a keeper as the operator's list has it; its number is its place there.
 type Peer struct {
-	Name    string
-	Zone    string // "": none is known
-	Leaving bool   // it is to hold nothing any more
+	Name     string
+	Zone     string // "": none is known
+	Draining bool   // it is to hold nothing any more
 }
 
 // GroupOf is the group that holds a name.
@@ -50,7 +50,7 @@
 
 // Choose gives the keepers that should hold a group: the first of its order that can, from different zones as far as there
 // are zones enough.
-func Choose(group int, peers []Peer, copies int, can func(number int) bool) []int {
+func PlaceReplicas(group int, peers []Peer, copies int, can func(number int) bool) []int {
 	order := rank(group, peers)
 	var chosen []int
 	zones := map[string]bool{}
--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -27,19 +27,19 @@
 type exchange struct {
 	t     *testing.T
 	now   float64
-	cores []*Core
-	mail  [][]Letter // by sender
+	cores []*Node
+	mail  [][]Message // by sender
 	raw   bytes.Buffer
 	kinds map[uint8]int
 	raft  map[pb.MessageType]int
 	wrote map[string]int
 }
 
-var exchangeTerms = Terms{Groups: 2, Copies: 3, Log: 16, Rate: 1e6, Lost: 2}
+var exchangeTerms = Config{Groups: 2, Replicas: 3, MaxLogEntries: 16, SnapshotRate: 1e6, ReplaceAfter: 2}
 
 func newExchange(t *testing.T, n int) *exchange {
 	t.Helper()
-	x := &exchange{t: t, mail: make([][]Letter, n), kinds: map[uint8]int{}, raft: map[pb.MessageType]int{}, wrote: map[string]int{}}
+	x := &exchange{t: t, mail: make([][]Message, n), kinds: map[uint8]int{}, raft: map[pb.MessageType]int{}, wrote: map[string]int{}}
 	for i := range n {
 		c, err := New(i, uint32(1000+i), 0, peers(n, 3), exchangeTerms, uint64(20+i), nil)
 		if err != nil {
@@ -71,12 +71,12 @@
 func (x *exchange) write(who int, all []Write) {
 	for i := range all {
 		w := &all[i]
-		x.note(who, 'w', fmt.Appendf(nil, "group %d, keep %d, reset %v, drop %v", w.Group, w.Keep, w.Reset, w.Drop))
-		if w.Hard != nil {
-			x.noteMessage(who, 'h', w.Hard)
+		x.note(who, 'w', fmt.Appendf(nil, "group %d, keep %d, reset %v, drop %v", w.Group, w.CompactTo, w.ReplaceLog, w.DropReplica))
+		if w.HardState != nil {
+			x.noteMessage(who, 'h', w.HardState)
 		}
-		if w.Snap != nil {
-			x.noteMessage(who, 's', w.Snap)
+		if w.Snapshot != nil {
+			x.noteMessage(who, 's', w.Snapshot)
 		}
 		for _, e := range w.Entries {
 			x.noteMessage(who, 'e', e)
@@ -87,14 +87,14 @@
 // settle lets one store write all that it has to, and takes what it sends.
 func (x *exchange) settle(who int) {
 	c := x.cores[who]
-	for w := c.Work(); w != nil; w = c.Work() {
+	for w := c.Ready(); w != nil; w = c.Ready() {
 		x.write(who, w.Writes)
-		c.Written(w)
+		c.Advance(w)
 	}
-	if err := c.Failed(); err != nil {
+	if err := c.Err(); err != nil {
 		x.t.Fatal(err)
 	}
-	x.mail[who] = append(x.mail[who], c.Letters()...)
+	x.mail[who] = append(x.mail[who], c.TakeMessages()...)
 }
 
 // run lets time go on by steps of 20 ms, in which each store gets what was sent in the step before.
@@ -116,7 +116,7 @@
 	}
 }
 
-func (x *exchange) deliver(from int, l Letter) {
+func (x *exchange) deliver(from int, l Message) {
 	x.t.Helper()
 	text, err := l.Frame.Append(nil)
 	if err != nil {
@@ -139,15 +139,15 @@
 		}
 		x.raft[m.GetType()]++
 	}
-	x.cores[l.To].Hear(x.now, from, f)
+	x.cores[l.To].Receive(x.now, from, f)
 	x.settle(l.To)
 }
 
 // ask has a store ask for something as a gateway would, and wants it done.
 func (x *exchange) ask(who int, e statemachine.Command) statemachine.Reply {
 	x.t.Helper()
-	var r *Replied
-	x.cores[who].Guest(x.now, Asked{Number: 1, Entry: e}, func(a Replied) { r = &a })
+	var r *protocol.Replied
+	x.cores[who].HandleClient(x.now, protocol.Asked{Number: 1, Entry: e}, func(a protocol.Replied) { r = &a })
 	for range 100 {
 		if r != nil {
 			break
@@ -160,10 +160,10 @@
 	return r.Reply
 }
 
-func (x *exchange) take(who int, batch uint64) *Admin {
+func (x *exchange) take(who int, batch uint64) *protocol.Admin {
 	x.t.Helper()
-	var r *Admin
-	x.cores[who].Administer(x.now, &Admin{What: "take", Batch: batch}, nil, func(a *Admin) { r = a })
+	var r *protocol.Admin
+	x.cores[who].HandleAdmin(x.now, &protocol.Admin{What: "take", Batch: batch}, nil, func(a *protocol.Admin) { r = a })
 	for range 100 {
 		if r != nil {
 			break
@@ -181,12 +181,12 @@
 func play(t *testing.T) *exchange {
 	t.Helper()
 	x := newExchange(t, 3)
-	f := &Founding{Cluster: 0x1122334455667789, Groups: exchangeTerms.Groups, Copies: exchangeTerms.Copies}
+	f := &protocol.Founding{Cluster: 0x1122334455667789, Groups: exchangeTerms.Groups, Copies: exchangeTerms.Replicas}
 	for i := range x.cores {
-		f.Members = append(f.Members, MakeID(i, uint32(1000+i)))
+		f.Members = append(f.Members, protocol.MakeID(i, uint32(1000+i)))
 	}
 	for i, c := range x.cores {
-		writes, err := c.Found(x.now, f)
+		writes, err := c.Bootstrap(x.now, f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -211,14 +211,14 @@
 		t.Fatalf("shared stands at %v", r.Total)
 	}
 	list := peers(4, 3)
-	list[0].Leaving = true
+	list[0].Draining = true
 	c, err := New(3, 1003, 0, list, exchangeTerms, 23, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.cores, x.mail = append(x.cores, c), append(x.mail, nil)
 	for i := range 3 {
-		if err := x.cores[i].Peers(x.now, list, uint64(30+i)); err != nil {
+		if err := x.cores[i].SetPeers(x.now, list, uint64(30+i)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/quotastore/replication/replication_test.go
+++ b/quotastore/replication/replication_test.go
@@ -24,8 +24,8 @@
 	const groups = 256
 	moved, kept := 0, 0
 	for g := range groups {
-		before := Choose(g, peers(6, 1), 3, anyone)
-		after := Choose(g, peers(7, 1), 3, anyone)
+		before := PlaceReplicas(g, peers(6, 1), 3, anyone)
+		after := PlaceReplicas(g, peers(7, 1), 3, anyone)
 		for _, n := range before {
 			if slices.Contains(after, n) {
 				kept++
@@ -44,25 +44,25 @@
 	for g := range 100 {
 		in := map[string]bool{}
 		ps := peers(9, 3)
-		chosen := Choose(g, ps, 3, anyone)
+		chosen := PlaceReplicas(g, ps, 3, anyone)
 		for _, n := range chosen {
 			in[ps[n].Zone] = true
 		}
 		if len(in) != 3 {
 			t.Fatalf("group %d lies in %d zones: %v", g, len(in), chosen)
 		}
-		if five := Choose(g, ps, 5, anyone); len(five) != 5 || len(slices.Compact(slices.Sorted(slices.Values(five)))) != 5 {
+		if five := PlaceReplicas(g, ps, 5, anyone); len(five) != 5 || len(slices.Compact(slices.Sorted(slices.Values(five)))) != 5 {
 			t.Fatalf("five copies over three zones: %v", five)
 		}
-		if two := Choose(g, ps, 3, func(n int) bool { return n < 2 }); len(two) != 2 {
+		if two := PlaceReplicas(g, ps, 3, func(n int) bool { return n < 2 }); len(two) != 2 {
 			t.Fatalf("two keepers are left: %v", two)
 		}
 	}
 }
 
-func core(t *testing.T, cluster uint64) *Core {
+func core(t *testing.T, cluster uint64) *Node {
 	t.Helper()
-	c, err := New(0, 9, cluster, peers(3, 3), Terms{Groups: 4, Copies: 3, Log: 64, Rate: 1e6, Lost: 5}, 1, nil)
+	c, err := New(0, 9, cluster, peers(3, 3), Config{Groups: 4, Replicas: 3, MaxLogEntries: 64, SnapshotRate: 1e6, ReplaceAfter: 5}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,15 +72,15 @@
 // A founding made for a life that is over, or for another installation, is not taken part in: the machine may have been
 // lost and come back while others hold what it held.
 func TestFoundingOfAnotherLife(t *testing.T) {
-	f := &Founding{Cluster: 5, Groups: 4, Copies: 3, Members: []ID{MakeID(0, 8), MakeID(1, 1), MakeID(2, 1)}}
-	if _, err := core(t, 0).Found(0, f); err == nil {
+	f := &protocol.Founding{Cluster: 5, Groups: 4, Copies: 3, Members: []protocol.ID{protocol.MakeID(0, 8), protocol.MakeID(1, 1), protocol.MakeID(2, 1)}}
+	if _, err := core(t, 0).Bootstrap(0, f); err == nil {
 		t.Fatal("a founding for a former life")
 	}
-	f.Members[0] = MakeID(0, 9)
-	if _, err := core(t, 6).Found(0, f); err == nil {
+	f.Members[0] = protocol.MakeID(0, 9)
+	if _, err := core(t, 6).Bootstrap(0, f); err == nil {
 		t.Fatal("a founding where it belongs to another installation")
 	}
-	if _, err := core(t, 0).Found(0, f); err != nil {
+	if _, err := core(t, 0).Bootstrap(0, f); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -88,24 +88,24 @@
 // Two of three keepers are away: calls are refused at once, with one line in the log, and nothing is taken.
 func TestTooManyLost(t *testing.T) {
 	c := core(t, 0)
-	if _, err := c.Found(0, &Founding{Cluster: 5, Groups: 4, Copies: 3, Members: []ID{MakeID(0, 9), MakeID(1, 1), MakeID(2, 1)}}); err != nil {
+	if _, err := c.Bootstrap(0, &protocol.Founding{Cluster: 5, Groups: 4, Copies: 3, Members: []protocol.ID{protocol.MakeID(0, 9), protocol.MakeID(1, 1), protocol.MakeID(2, 1)}}); err != nil {
 		t.Fatal(err)
 	}
 	said := 0
 	for now := 0.0; now < 6; now += 0.04 {
 		c.Tick(now)
-		for w := c.Work(); w != nil; w = c.Work() {
-			c.Written(w)
+		for w := c.Ready(); w != nil; w = c.Ready() {
+			c.Advance(w)
 		}
-		c.Letters()
-		for _, line := range c.Lines() {
+		c.TakeMessages()
+		for _, line := range c.TakeLogLines() {
 			if strings.Contains(line, "turned away") {
 				said++
 			}
 		}
 	}
 	refused := false
-	c.Ask(0, statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Refused })
+	c.Ask(0, statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Rejected })
 	if !refused || said != 1 {
 		t.Fatalf("refused %v, said %d times", refused, said)
 	}
@@ -119,15 +119,15 @@
 // The list is changed while keepers run: ones at the end are new, none may change its place.
 func TestListChanges(t *testing.T) {
 	c := core(t, 5)
-	if c.Peers(1, peers(2, 3), 1) == nil {
+	if c.SetPeers(1, peers(2, 3), 1) == nil {
 		t.Fatal("a keeper was taken off the list")
 	}
 	other := peers(4, 3)
 	other[1].Name = "else"
-	if c.Peers(1, other, 1) == nil {
+	if c.SetPeers(1, other, 1) == nil {
 		t.Fatal("a keeper changed its name")
 	}
-	if err := c.Peers(1, peers(5, 3), 1); err != nil {
+	if err := c.SetPeers(1, peers(5, 3), 1); err != nil {
 		t.Fatal(err)
 	}
 	c.Tick(2)
@@ -138,7 +138,7 @@
 	c := core(t, 5)
 	for _, k := range []statemachine.Kind{statemachine.RecoverUnreported, statemachine.ClearUnreported, statemachine.CollectUsage, statemachine.OpenSession, statemachine.Tick, 200} {
 		code := statemachine.Done
-		c.Guest(1, Asked{Entry: statemachine.Command{Kind: k, Key: "n", Holder: "h"}}, func(r Replied) { code = r.Reply.Code })
+		c.HandleClient(1, protocol.Asked{Entry: statemachine.Command{Kind: k, Key: "n", Holder: "h"}}, func(r protocol.Replied) { code = r.Reply.Code })
 		if code != statemachine.Invalid {
 			t.Fatalf("kind %d: %v", k, code)
 		}
@@ -147,12 +147,12 @@
 
 // Whatever comes on a stream is read or refused, and never ends the keeper.
 func FuzzFrame(f *testing.F) {
-	for _, x := range []*Frame{
-		protocol.Greeting(), protocol.Asks([]Asked{{Entry: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
-		{Kind: protocol.KindLeads, Leads: []Leads{{Group: 1, Members: []uint64{1}}}},
+	for _, x := range []*protocol.Frame{
+		protocol.Greeting(), protocol.Asks([]protocol.Asked{{Entry: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
+		{Kind: protocol.KindLeads, Leads: []protocol.Leads{{Group: 1, Members: []uint64{1}}}},
 		{Kind: protocol.KindRaft, Raft: []byte("x")},
 		{Kind: protocol.KindText, Text: "!b"},
-		protocol.Administer(&Admin{What: "who"}),
+		protocol.Administer(&protocol.Admin{What: "who"}),
 	} {
 		text, _ := x.Bytes()
 		f.Add(text)
@@ -166,13 +166,13 @@
 		if x.Kind == protocol.KindRaft { // a message of the library is believed, as its sender is a keeper
 			return
 		}
-		c, err := New(0, 9, 5, peers(3, 3), Terms{Groups: 4, Copies: 3, Log: 64, Rate: 1e6, Lost: 5}, 1, nil)
+		c, err := New(0, 9, 5, peers(3, 3), Config{Groups: 4, Replicas: 3, MaxLogEntries: 64, SnapshotRate: 1e6, ReplaceAfter: 5}, 1, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Hear(1, 1, x)
+		c.Receive(1, 1, x)
 		for _, a := range x.Asks {
-			c.Guest(1, a, func(Replied) {})
+			c.HandleClient(1, a, func(protocol.Replied) {})
 		}
 		c.Tick(2)
 	})
@@ -181,35 +181,35 @@
 // The first keeper is founded, and its word gets to the second before the founding does, as on a busy machine. The second
 // takes its part all the same: else a founding is answered that one keeper alone holds, until copies are made.
 func TestFoundedAfterHearsay(t *testing.T) {
-	members := []ID{MakeID(0, 7), MakeID(1, 7), MakeID(2, 7)}
-	f := &Founding{Cluster: 9, Groups: 4, Copies: 3, Members: members}
-	var all []*Core
+	members := []protocol.ID{protocol.MakeID(0, 7), protocol.MakeID(1, 7), protocol.MakeID(2, 7)}
+	f := &protocol.Founding{Cluster: 9, Groups: 4, Copies: 3, Members: members}
+	var all []*Node
 	for i := range 3 {
-		c, err := New(i, 7, 0, peers(3, 1), Terms{Groups: 4, Copies: 3, Log: 64, Rate: 1e6, Lost: 30}, uint64(i+1), nil)
+		c, err := New(i, 7, 0, peers(3, 1), Config{Groups: 4, Replicas: 3, MaxLogEntries: 64, SnapshotRate: 1e6, ReplaceAfter: 30}, uint64(i+1), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		all = append(all, c)
 	}
-	if _, err := all[0].Found(1, f); err != nil {
+	if _, err := all[0].Bootstrap(1, f); err != nil {
 		t.Fatal(err)
 	}
 	all[0].Tick(1.1)
-	for _, l := range all[0].Letters() {
-		all[l.To].Hear(1.1, 0, l.Frame)
+	for _, l := range all[0].TakeMessages() {
+		all[l.To].Receive(1.1, 0, l.Frame)
 	}
 	for i, c := range all[1:] {
 		if c.Cluster() != 9 {
 			t.Fatalf("keeper %d has not heard of it", i+1)
 		}
-		writes, err := c.Found(1.2, f)
+		writes, err := c.Bootstrap(1.2, f)
 		if err != nil || len(writes) != 4 {
 			t.Errorf("keeper %d takes %d of 4 parts: %v", i+1, len(writes), err)
 		}
-		if again, err := c.Found(1.3, f); err != nil || len(again) > 0 {
+		if again, err := c.Bootstrap(1.3, f); err != nil || len(again) > 0 {
 			t.Errorf("the same founding again: %d writes, %v", len(again), err)
 		}
-		if _, err := c.Found(1.3, &Founding{Cluster: 8, Groups: 4, Copies: 3, Members: members}); err == nil {
+		if _, err := c.Bootstrap(1.3, &protocol.Founding{Cluster: 8, Groups: 4, Copies: 3, Members: members}); err == nil {
 			t.Error("another founding was followed")
 		}
 	}
--- a/quotastore/server/command.go
+++ b/quotastore/server/command.go
@@ -16,19 +16,18 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"otterseam/quotastore/protocol"
-	"otterseam/quotastore/replication"
 	"otterseam/quotastore/statemachine"
 )
 
 // Command asks one keeper something.
-func Command(addr string, a *replication.Admin, limit time.Duration) (*replication.Admin, error) {
+func Command(addr string, a *protocol.Admin, limit time.Duration) (*protocol.Admin, error) {
 	c, err := net.DialTimeout("tcp", addr, min(limit, 2*time.Second))
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(limit))
-	for _, f := range []*replication.Frame{protocol.Greeting(), protocol.Administer(a)} {
+	for _, f := range []*protocol.Frame{protocol.Greeting(), protocol.Administer(a)} {
 		text, err := f.Append(nil)
 		if err != nil {
 			return nil, err
@@ -53,7 +52,7 @@
 // Found founds an installation: all keepers of the list have to be there, and belong to none. states are of a snapshot;
 // nil: it begins empty.
 func Found(l *List, states map[int][]byte, limit time.Duration) (cluster uint64, err error) {
-	f := &replication.Founding{Groups: l.Groups, Copies: l.Copies, States: states}
+	f := &protocol.Founding{Groups: l.Groups, Copies: l.Copies, States: states}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
@@ -61,9 +60,9 @@
 	f.Cluster = binary.BigEndian.Uint64(b[:]) | 1
 	until := time.Now().Add(limit)
 	for i, spot := range l.Keepers {
-		var who *replication.Admin
+		var who *protocol.Admin
 		for {
-			if who, err = Command(spot.Peer, &replication.Admin{What: "who"}, 2*time.Second); err == nil || time.Now().After(until) {
+			if who, err = Command(spot.Peer, &protocol.Admin{What: "who"}, 2*time.Second); err == nil || time.Now().After(until) {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -76,11 +75,11 @@
 		case who.Cluster != 0:
 			return 0, fmt.Errorf("keeper %s belongs to installation %016x already; nothing was founded", spot.Name, who.Cluster)
 		}
-		f.Members = append(f.Members, replication.MakeID(i, who.Life))
+		f.Members = append(f.Members, protocol.MakeID(i, who.Life))
 	}
 	var missed []error
 	for i, spot := range l.Keepers {
-		if _, err := Command(spot.Peer, &replication.Admin{What: "found", Founding: f}, max(5*time.Second, time.Until(until))); err != nil {
+		if _, err := Command(spot.Peer, &protocol.Admin{What: "found", Founding: f}, max(5*time.Second, time.Until(until))); err != nil {
 			if i == 0 {
 				return 0, fmt.Errorf("keeper %s: %w; nothing was founded", spot.Name, err)
 			}
@@ -102,7 +101,7 @@
 	s := &Snapshot{Taken: now.Unix(), Groups: l.Groups, States: map[int][]byte{}}
 	var all []error
 	for _, spot := range l.Keepers {
-		a, err := Command(spot.Peer, &replication.Admin{What: "save"}, 30*time.Second)
+		a, err := Command(spot.Peer, &protocol.Admin{What: "save"}, 30*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
--- a/quotastore/server/doors.go
+++ b/quotastore/server/doors.go
@@ -217,13 +217,13 @@
 		d.say(a, "400 Bad Request", "", false)
 		return
 	}
-	core.Ask(core.GroupFor(c.name), statemachine.Command{Kind: statemachine.Add, Key: c.name, Amount: c.by, TTL: c.life}, func(how replication.Outcome, r statemachine.Reply) {
+	core.Ask(core.GroupOf(c.name), statemachine.Command{Kind: statemachine.Add, Key: c.name, Amount: c.by, TTL: c.life}, func(how replication.Outcome, r statemachine.Reply) {
 		switch {
 		case how == replication.Answered && r.Code == statemachine.Done:
 			d.say(a, "200 OK", strconv.FormatFloat(r.Total, 'f', -1, 64), false)
 		case how == replication.Answered && r.Code == statemachine.Invalid:
 			d.say(a, "400 Bad Request", "", false)
-		case how == replication.Refused:
+		case how == replication.Rejected:
 			d.say(a, "503 Service Unavailable", "", false)
 		default:
 			a.cut = true
@@ -256,8 +256,8 @@
 	}
 	text, err := json.Marshal(map[string]any{
 		"state": state, "groups": k.core.Groups(), "away": away, "led": led, "held": held,
-		"installation": fmt.Sprintf("%016x", k.core.Cluster()), "life": fmt.Sprintf("%08x", k.core.Life()), "disk": k.store.Disk(),
-		"put_back": k.core.PutBack, "moved": k.core.Changes,
+		"installation": fmt.Sprintf("%016x", k.core.Cluster()), "life": fmt.Sprintf("%08x", k.core.Incarnation()), "disk": k.store.Disk(),
+		"put_back": k.core.RecoveredUsages, "moved": k.core.MembershipChanges,
 	})
 	if err != nil {
 		d.say(a, "500 Internal Server Error", err.Error(), false)
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := s.Write([]replication.Write{{Group: 9, Hard: hard(7, 0), Drop: true}}); err != nil {
+	if err := s.Write([]replication.Write{{Group: 9, HardState: hard(7, 0), DropReplica: true}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -129,16 +129,16 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	want := map[int]*replication.Saved{9: {Hard: hard(7, 0)}}
+	want := map[int]*replication.PersistentState{9: {HardState: hard(7, 0)}}
 	for i := range life {
 		g := life[i].Group
 		if want[g] == nil {
-			want[g] = &replication.Saved{}
+			want[g] = &replication.PersistentState{}
 		}
-		want[g].Take(&life[i])
+		want[g].Apply(&life[i])
 	}
 	for g := range want {
-		want[g] = want[g].Trim()
+		want[g] = want[g].AfterSnapshot()
 	}
 	if s.Identity() != recordedIdentity || s.Spoilt != "" || !same(saved, want) {
 		t.Errorf("%+v, spoilt %q\n%v\nwanted\n%v", s.Identity(), s.Spoilt, saved, want)
@@ -315,9 +315,12 @@
 // guestAsks is what the recorded guest sends: its greeting, then one frame.
 func guestAsks(t *testing.T) (text []byte) {
 	t.Helper()
-	asks := protocol.Asks([]protocol.Asked{{Number: 7, Entry: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
-		{Number: 8, Entry: statemachine.Command{Kind: statemachine.CollectUsage, Version: 1}}, {Number: 9, Entry: statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: "a", Key: "b"}},
-		{Number: 10, Entry: statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "a", Key: "b", TTL: 60}}})
+	asks := protocol.Asks([]protocol.Asked{
+		{Number: 7, Entry: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
+		{Number: 8, Entry: statemachine.Command{Kind: statemachine.CollectUsage, Version: 1}},
+		{Number: 9, Entry: statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: "a", Key: "b"}},
+		{Number: 10, Entry: statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "a", Key: "b", TTL: 60}},
+	})
 	for _, f := range []*protocol.Frame{protocol.Greeting(), asks} {
 		var err error
 		if text, err = f.Append(text); err != nil {
@@ -360,7 +363,8 @@
 	dir := t.TempDir()
 	unpackDisk(t, dir)
 	l := &List{Groups: 16, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{
-		{Name: "here", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}, {Name: "there", Peer: other.Addr().String(), Door: "127.0.0.1:0"}}}
+		{Name: "here", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}, {Name: "there", Peer: other.Addr().String(), Door: "127.0.0.1:0"},
+	}}
 	runStore(t, l, Place{Name: "here", Dir: dir})
 	c, err := other.Accept()
 	if err != nil {
--- a/quotastore/server/server.go
+++ b/quotastore/server/server.go
@@ -84,7 +84,7 @@
 
 func (l *List) peers() (all []replication.Peer) {
 	for _, k := range l.Keepers {
-		all = append(all, replication.Peer{Name: k.Name, Zone: k.Zone, Leaving: k.Leaving})
+		all = append(all, replication.Peer{Name: k.Name, Zone: k.Zone, Draining: k.Leaving})
 	}
 	return all
 }
@@ -99,8 +99,8 @@
 	return -1
 }
 
-func (l *List) terms() replication.Terms {
-	return replication.Terms{Groups: l.Groups, Copies: l.Copies, Log: l.Log, Rate: l.Rate, Lost: l.Lost}
+func (l *List) terms() replication.Config {
+	return replication.Config{Groups: l.Groups, Replicas: l.Copies, MaxLogEntries: l.Log, SnapshotRate: l.Rate, ReplaceAfter: l.Lost}
 }
 
 // Place is where one keeper runs.
@@ -115,7 +115,7 @@
 	ctx     context.Context
 	log     zerolog.Logger
 	list    *List
-	core    *replication.Core
+	core    *replication.Node
 	store   *Store
 	queue   chan func()
 	streams *streams
@@ -123,7 +123,7 @@
 	seed    uint64
 	failed  error
 	doors   *doors
-	writes  chan *replication.Work
+	writes  chan *replication.Ready
 	writing bool // of the loop alone
 }
 
@@ -137,8 +137,8 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	k := &Keeper{log: log.With().Str("keeper", p.Name).Logger(), list: l, queue: make(chan func(), 1024), writes: make(chan *replication.Work, 1), base: time.Now(), seed: binary.BigEndian.Uint64(b[:])}
-	var saved map[int]*replication.Saved
+	k := &Keeper{log: log.With().Str("keeper", p.Name).Logger(), list: l, queue: make(chan func(), 1024), writes: make(chan *replication.Ready, 1), base: time.Now(), seed: binary.BigEndian.Uint64(b[:])}
+	var saved map[int]*replication.PersistentState
 	var err error
 	if k.store, saved, err = OpenStore(p.Dir, k.base); err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 			}
 			k.tell(func() {
 				k.writing = false
-				k.core.Written(w)
+				k.core.Advance(w)
 			})
 		}
 	}
@@ -249,7 +249,7 @@
 // flush has written what has to be written, and lets out what rests on what is. While the disk is busy all else goes on.
 func (k *Keeper) flush() error {
 	for !k.writing {
-		w := k.core.Work()
+		w := k.core.Ready()
 		if w == nil {
 			break
 		}
@@ -258,8 +258,8 @@
 			k.writes <- w // always has room: one is out at a time
 			break
 		}
-		k.core.Written(w)
-		if err := k.core.Failed(); err != nil {
+		k.core.Advance(w)
+		if err := k.core.Err(); err != nil {
 			return err
 		}
 	}
@@ -269,15 +269,15 @@
 			return fmt.Errorf("the installation's number could not be written: %w", err)
 		}
 	}
-	for _, line := range k.core.Lines() {
+	for _, line := range k.core.TakeLogLines() {
 		k.log.Info().Msg(line)
 	}
 	k.doors.flush()
-	return errors.Join(k.failed, k.core.Failed())
+	return errors.Join(k.failed, k.core.Err())
 }
 
 func (k *Keeper) post() {
-	for _, l := range k.core.Letters() {
+	for _, l := range k.core.TakeMessages() {
 		k.streams.send(l)
 	}
 }
@@ -289,7 +289,7 @@
 			k.log.Error().Msg("new list not taken up: groups and copies are fixed at the founding")
 			return
 		}
-		if err := k.core.Peers(k.now(), l.peers(), k.seed); err != nil {
+		if err := k.core.SetPeers(k.now(), l.peers(), k.seed); err != nil {
 			k.log.Error().Err(err).Msg("new list not taken up")
 			return
 		}
--- a/quotastore/server/store.go
+++ b/quotastore/server/store.go
@@ -62,7 +62,7 @@
 }
 
 // OpenStore opens what lies in a folder, or begins there.
-func OpenStore(dir string, now time.Time) (s *Store, saved map[int]*replication.Saved, err error) {
+func OpenStore(dir string, now time.Time) (s *Store, saved map[int]*replication.PersistentState, err error) {
 	s = &Store{}
 	if dir == "" {
 		s.id.Life, err = newLife()
@@ -120,7 +120,7 @@
 // load reads all that lies there, and nothing is written: bytes that were changed may lead the database astray, into a panic
 // or beyond the file, and that counts as spoilt. It does not look at the list of free pages, where it would do so on a
 // goroutine of its own.
-func (s *Store) load(path, beside string) (saved map[int]*replication.Saved, err error) {
+func (s *Store) load(path, beside string) (saved map[int]*replication.PersistentState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -134,14 +134,14 @@
 	if s.beside, err = os.OpenFile(beside, os.O_CREATE|os.O_RDWR, 0o644); err != nil {
 		return nil, err
 	}
-	saved = map[int]*replication.Saved{}
+	saved = map[int]*replication.PersistentState{}
 	err = s.db.View(func(tx *bolt.Tx) error { return s.read(tx, saved) })
 	return saved, err
 }
 
 // anew writes what was read into a file of its own, which takes the place of the one read: pages that nothing was read from
 // may be spoilt too, and would be written over in their turn.
-func (s *Store) anew(path, beside string, saved map[int]*replication.Saved) error {
+func (s *Store) anew(path, beside string, saved map[int]*replication.PersistentState) error {
 	fresh := path + ".new"
 	os.Remove(fresh)
 	if err := s.open(fresh, beside); err != nil {
@@ -149,7 +149,7 @@
 	}
 	var all []replication.Write
 	for _, g := range slices.Sorted(maps.Keys(saved)) {
-		all = append(all, replication.Write{Group: g, Hard: saved[g].Hard, Snap: saved[g].Snap, Entries: saved[g].Entries, Reset: true})
+		all = append(all, replication.Write{Group: g, HardState: saved[g].HardState, Snapshot: saved[g].Snapshot, Entries: saved[g].Entries, ReplaceLog: true})
 	}
 	if err := s.update(all); err != nil {
 		return err
@@ -164,7 +164,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (s *Store) read(tx *bolt.Tx, saved map[int]*replication.Saved) error {
+func (s *Store) read(tx *bolt.Tx, saved map[int]*replication.PersistentState) error {
 	node := tx.Bucket(bucketNode)
 	hard, snap, log := tx.Bucket(bucketHard), tx.Bucket(bucketSnap), tx.Bucket(bucketLog)
 	if node == nil || hard == nil || snap == nil || log == nil {
@@ -216,8 +216,8 @@
 func logKey(g int, index uint64) []byte { return binary.BigEndian.AppendUint64(groupKey(g), index) }
 
 // readGroup reads one copy, and checks that nothing of it is missing or older than what was written last.
-func readGroup(want tail, hard, snap, log *bolt.Bucket) (*replication.Saved, error) {
-	s, g := &replication.Saved{}, want.group
+func readGroup(want tail, hard, snap, log *bolt.Bucket) (*replication.PersistentState, error) {
+	s, g := &replication.PersistentState{}, want.group
 	if sum(hard.Get(groupKey(g))) != want.hard || sum(snap.Get(groupKey(g))) != want.snap {
 		return nil, errors.New("votes or snapshot: not what was written last")
 	}
@@ -225,8 +225,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("votes: %w", err)
 	}
-	s.Hard = &pb.HardState{}
-	if err := proto.Unmarshal(text, s.Hard); err != nil {
+	s.HardState = &pb.HardState{}
+	if err := proto.Unmarshal(text, s.HardState); err != nil {
 		return nil, fmt.Errorf("votes: %w", err)
 	}
 	var from, term uint64
@@ -234,11 +234,11 @@
 		if text, err = statemachine.Unseal(v); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
 		}
-		s.Snap = &pb.Snapshot{}
-		if err := proto.Unmarshal(text, s.Snap); err != nil {
+		s.Snapshot = &pb.Snapshot{}
+		if err := proto.Unmarshal(text, s.Snapshot); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
 		}
-		from, term = s.Snap.GetMetadata().GetIndex(), s.Snap.GetMetadata().GetTerm()
+		from, term = s.Snapshot.GetMetadata().GetIndex(), s.Snapshot.GetMetadata().GetTerm()
 	}
 	next := from + 1
 	c := log.Cursor()
@@ -333,26 +333,26 @@
 
 func put(w *replication.Write, t *tail, hard, snap, log *bolt.Bucket) (err error) {
 	key := groupKey(w.Group)
-	if w.Drop {
+	if w.DropReplica {
 		t.snap, t.last, t.term = 0, 0, 0
 		if err := errors.Join(snap.Delete(key), cut(log, w.Group, 0, math.MaxUint64)); err != nil {
 			return err
 		}
 	}
-	if w.Hard != nil || t.hard == 0 {
-		if err = lay(hard, key, w.Hard, &t.hard); err != nil {
+	if w.HardState != nil || t.hard == 0 {
+		if err = lay(hard, key, w.HardState, &t.hard); err != nil {
 			return err
 		}
 	}
-	if w.Snap != nil {
-		until := w.Keep
-		if w.Reset {
+	if w.Snapshot != nil {
+		until := w.CompactTo
+		if w.ReplaceLog {
 			until = math.MaxUint64
 		}
-		if err := errors.Join(lay(snap, key, w.Snap, &t.snap), cut(log, w.Group, 0, until)); err != nil {
+		if err := errors.Join(lay(snap, key, w.Snapshot, &t.snap), cut(log, w.Group, 0, until)); err != nil {
 			return err
 		}
-		if m := w.Snap.GetMetadata(); w.Reset || m.GetIndex() >= t.last {
+		if m := w.Snapshot.GetMetadata(); w.ReplaceLog || m.GetIndex() >= t.last {
 			t.last, t.term = m.GetIndex(), m.GetTerm()
 		}
 	}
--- a/quotastore/server/store_test.go
+++ b/quotastore/server/store_test.go
@@ -38,16 +38,16 @@
 
 // life is what a keeper wrote over some time: founded, entries, a tail replaced by another leader's, a snapshot in their place.
 var life = []replication.Write{
-	{Group: 3, Hard: hard(1, 1), Snap: snap(1), Reset: true},
-	{Group: 5, Hard: hard(1, 1), Snap: snap(1), Reset: true},
+	{Group: 3, HardState: hard(1, 1), Snapshot: snap(1), ReplaceLog: true},
+	{Group: 5, HardState: hard(1, 1), Snapshot: snap(1), ReplaceLog: true},
 	{Group: 3, Entries: entries(2, 40, 1)},
-	{Group: 5, Hard: hard(2, 9), Entries: entries(2, 9, 2)},
-	{Group: 3, Hard: hard(4, 30), Entries: entries(31, 35, 4)},
-	{Group: 3, Snap: snap(30), Keep: 20},
-	{Group: 3, Hard: hard(4, 35), Entries: entries(36, 50, 4)},
+	{Group: 5, HardState: hard(2, 9), Entries: entries(2, 9, 2)},
+	{Group: 3, HardState: hard(4, 30), Entries: entries(31, 35, 4)},
+	{Group: 3, Snapshot: snap(30), CompactTo: 20},
+	{Group: 3, HardState: hard(4, 35), Entries: entries(36, 50, 4)},
 }
 
-func written(t *testing.T, dir string) (id Identity, want map[int]*replication.Saved) {
+func written(t *testing.T, dir string) (id Identity, want map[int]*replication.PersistentState) {
 	t.Helper()
 	s, saved, err := OpenStore(dir, time.Now())
 	if err != nil || len(saved) != 0 {
@@ -56,31 +56,31 @@
 	if err := s.Join(77); err != nil {
 		t.Fatal(err)
 	}
-	want = map[int]*replication.Saved{}
+	want = map[int]*replication.PersistentState{}
 	for i := range life {
 		if err := s.Write(life[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 		g := life[i].Group
 		if want[g] == nil {
-			want[g] = &replication.Saved{}
+			want[g] = &replication.PersistentState{}
 		}
-		want[g].Take(&life[i])
+		want[g].Apply(&life[i])
 	}
 	for g := range want {
-		want[g] = want[g].Trim()
+		want[g] = want[g].AfterSnapshot()
 	}
 	id = s.Identity()
 	s.Close()
 	return id, want
 }
 
-func same(a, b map[int]*replication.Saved) bool {
+func same(a, b map[int]*replication.PersistentState) bool {
 	if len(a) != len(b) {
 		return false
 	}
-	text := func(s *replication.Saved) (all []string) {
-		all = append(all, s.Hard.String(), s.Snap.String())
+	text := func(s *replication.PersistentState) (all []string) {
+		all = append(all, s.HardState.String(), s.Snapshot.String())
 		for _, e := range s.Entries {
 			all = append(all, e.String())
 		}
--- a/quotastore/server/streams.go
+++ b/quotastore/server/streams.go
@@ -117,7 +117,7 @@
 }
 
 // send hands a frame to the stream of its keeper; it runs on the loop.
-func (s *streams) send(l replication.Letter) {
+func (s *streams) send(l replication.Message) {
 	text, err := l.Frame.Append(nil)
 	if err != nil {
 		s.keeper.failed = err
@@ -134,7 +134,7 @@
 	case to <- text:
 	default: // it does not read; what is lost is told again
 		if l.Bulk {
-			s.keeper.core.Unsent(s.keeper.now(), l.To)
+			s.keeper.core.SnapshotFailed(s.keeper.now(), l.To)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		}
 		if was && errors.Is(err, syscall.ECONNREFUSED) {
 			was = false
-			s.keeper.tell(func() { s.keeper.core.Broken(s.keeper.now(), x.to) })
+			s.keeper.tell(func() { s.keeper.core.PeerDown(s.keeper.now(), x.to) })
 		}
 		for drained := false; !drained; { // what waits was for the one before
 			select {
@@ -223,7 +223,7 @@
 		case text = <-x.bulk:
 		}
 		if x.copy(text) != nil {
-			s.keeper.tell(func() { s.keeper.core.Unsent(s.keeper.now(), x.to) })
+			s.keeper.tell(func() { s.keeper.core.SnapshotFailed(s.keeper.now(), x.to) })
 		}
 	}
 }
@@ -312,7 +312,7 @@
 			return
 		}
 		now := f
-		if !k.tell(func() { k.core.Hear(k.now(), from, now) }) {
+		if !k.tell(func() { k.core.Receive(k.now(), from, now) }) {
 			return
 		}
 	}
@@ -321,7 +321,7 @@
 // guest serves an api gateway or a command: each thing asked gets its answer, as it comes.
 func (s *streams) guest(c net.Conn, r *bufio.Reader) {
 	k := s.keeper
-	out := make(chan *replication.Frame, 1024)
+	out := make(chan *protocol.Frame, 1024)
 	gone := make(chan bool)
 	defer close(gone)
 	s.group.Go(func() error {
@@ -334,7 +334,7 @@
 				for more := true; more; {
 					text, err := f.Append(nil)
 					if err != nil {
-						text, _ = protocol.Administer(&replication.Admin{Err: err.Error()}).Append(nil)
+						text, _ = protocol.Administer(&protocol.Admin{Err: err.Error()}).Append(nil)
 					}
 					c.SetWriteDeadline(time.Now().Add(5 * time.Second))
 					w.Write(text)
@@ -351,7 +351,7 @@
 			}
 		}
 	})
-	send := func(f *replication.Frame) { // on the loop, which must not wait
+	send := func(f *protocol.Frame) { // on the loop, which must not wait
 		select {
 		case out <- f:
 		default:
@@ -365,16 +365,16 @@
 		}
 		ok := k.tell(func() {
 			if f.Admin != nil {
-				k.core.Administer(k.now(), f.Admin, func(all []replication.Write) error {
+				k.core.HandleAdmin(k.now(), f.Admin, func(all []replication.Write) error {
 					if err := k.store.Write(all); err != nil { // nothing else is being written: it holds nothing yet
 						return err
 					}
 					return k.store.Join(k.core.Cluster())
-				}, func(a *replication.Admin) { send(protocol.Administer(a)) })
+				}, func(a *protocol.Admin) { send(protocol.Administer(a)) })
 				return
 			}
 			for _, a := range f.Asks {
-				k.core.Guest(k.now(), a, func(r replication.Replied) { send(protocol.Replies([]replication.Replied{r})) })
+				k.core.HandleClient(k.now(), a, func(r protocol.Replied) { send(protocol.Replies([]protocol.Replied{r})) })
 			}
 		})
 		if !ok {
--- a/sim/quotastoresim/bench.go
+++ b/sim/quotastoresim/bench.go
@@ -20,52 +20,52 @@
 
 // Load is what is asked of doors.
 type Load struct {
-	Doors  []string
-	Rate   float64 // calls a second in all
-	Length time.Duration
-	Conns  int // to each door
-	Names  int
-	Turn   bool // names come in turn, else they are drawn
-	Third  bool // one name gets a third of all
-	Prefix string
+	Addresses  []string
+	Rate       float64 // calls a second in all
+	Duration   time.Duration
+	Conns      int // to each door
+	Keys       int
+	RoundRobin bool // names come in turn, else they are drawn
+	HotKey     bool // one name gets a third of all
+	Prefix     string
 }
 
 // Told is what became of it.
-type Told struct {
-	Answered, Refused, Broken int64
-	P50, P99, Most            float64 // of the answered, in seconds
-	Rate                      float64 // answered a second
+type LoadResult struct {
+	Answered, Rejected, Broken int64
+	P50, P99, Max              float64 // of the answered, in seconds
+	Rate                       float64 // answered a second
 	// Sum is what was answered as added, by name; Maybe what may have been.
-	Sum, Maybe map[string]float64
+	Acknowledged, Uncertain map[string]float64
 }
 
 // Run asks, and waits for the answers.
-func (l *Load) Run(ctx context.Context) (*Told, error) {
-	t := &Told{Sum: map[string]float64{}, Maybe: map[string]float64{}}
+func (l *Load) Run(ctx context.Context) (*LoadResult, error) {
+	t := &LoadResult{Acknowledged: map[string]float64{}, Uncertain: map[string]float64{}}
 	hist := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	n := l.Conns * len(l.Doors)
+	n := l.Conns * len(l.Addresses)
 	begin := time.Now()
 	for i := range n {
 		all.Go(func() {
 			c := &caller{
-				number: i, of: n, load: l, told: t, mu: &mu, hist: hist, addr: l.Doors[i%len(l.Doors)], every: time.Duration(float64(n) / l.Rate * 1e9),
+				number: i, of: n, load: l, told: t, mu: &mu, hist: hist, addr: l.Addresses[i%len(l.Addresses)], every: time.Duration(float64(n) / l.Rate * 1e9),
 				begin: begin.Add(time.Duration(float64(i) / l.Rate * 1e9)), dice: rand.New(rand.NewPCG(uint64(i), 7)),
 			}
 			c.run(ctx)
 		})
 	}
 	all.Wait()
-	t.P50, t.P99, t.Most = float64(hist.ValueAtQuantile(50))/1e6, float64(hist.ValueAtQuantile(99))/1e6, float64(hist.Max())/1e6
-	t.Rate = float64(t.Answered) / l.Length.Seconds()
+	t.P50, t.P99, t.Max = float64(hist.ValueAtQuantile(50))/1e6, float64(hist.ValueAtQuantile(99))/1e6, float64(hist.Max())/1e6
+	t.Rate = float64(t.Answered) / l.Duration.Seconds()
 	return t, nil
 }
 
 // caller has one connection after another.
 type caller struct {
 	load       *Load
-	told       *Told
+	told       *LoadResult
 	mu         *sync.Mutex
 	hist       *hdrhistogram.Histogram
 	addr       string
@@ -83,7 +83,7 @@
 }
 
 func (c *caller) run(ctx context.Context) {
-	end := c.begin.Add(c.load.Length)
+	end := c.begin.Add(c.load.Duration)
 	for ctx.Err() == nil && time.Now().Before(end) {
 		tcp, err := net.DialTimeout("tcp", c.addr, time.Second)
 		if err != nil {
@@ -126,11 +126,11 @@
 			}
 			time.Sleep(wait)
 		}
-		o := out{due, fmt.Sprintf("%s%d", c.load.Prefix, c.dice.IntN(c.load.Names)), float64(1 + c.dice.IntN(9))}
-		if c.load.Turn {
-			o.name = fmt.Sprintf("%s%d", c.load.Prefix, (c.nth*c.of+c.number)%c.load.Names)
+		o := out{due, fmt.Sprintf("%s%d", c.load.Prefix, c.dice.IntN(c.load.Keys)), float64(1 + c.dice.IntN(9))}
+		if c.load.RoundRobin {
+			o.name = fmt.Sprintf("%s%d", c.load.Prefix, (c.nth*c.of+c.number)%c.load.Keys)
 		}
-		if c.load.Third && c.dice.IntN(3) == 0 {
+		if c.load.HotKey && c.dice.IntN(3) == 0 {
 			o.name = c.load.Prefix + "0"
 		}
 		c.nth++
@@ -152,7 +152,7 @@
 	c.mu.Lock()
 	for o := range orders {
 		c.told.Broken++
-		c.told.Maybe[o.name] += o.amount
+		c.told.Uncertain[o.name] += o.amount
 	}
 	c.mu.Unlock()
 }
@@ -166,13 +166,13 @@
 		switch {
 		case err != nil:
 			c.told.Broken++
-			c.told.Maybe[o.name] += o.amount
+			c.told.Uncertain[o.name] += o.amount
 		case status == 200:
 			c.told.Answered++
-			c.told.Sum[o.name] += o.amount
+			c.told.Acknowledged[o.name] += o.amount
 			c.hist.RecordValue(min(59_000_000, max(1, now.Sub(o.due).Microseconds())))
 		default:
-			c.told.Refused++
+			c.told.Rejected++
 		}
 		c.mu.Unlock()
 		if err != nil {
@@ -211,10 +211,10 @@
 }
 
 // Check asks for each name's total and holds it against what was answered and what may have been added.
-func (l *Load) Check(t *Told) (lost, twice int, err error) {
+func (l *Load) Check(t *LoadResult) (lost, twice int, err error) {
 	totals := map[string]float64{}
 	for try := range 40 { // a keeper may have just been lost
-		if err = l.totals(t, l.Doors[try%len(l.Doors)], totals); err == nil {
+		if err = l.totals(t, l.Addresses[try%len(l.Addresses)], totals); err == nil {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -222,18 +222,18 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	for name, sum := range t.Sum {
+	for name, sum := range t.Acknowledged {
 		if totals[name] < sum-1e-6 {
 			lost++
 		}
-		if totals[name] > sum+t.Maybe[name]+1e-6 {
+		if totals[name] > sum+t.Uncertain[name]+1e-6 {
 			twice++
 		}
 	}
 	return lost, twice, nil
 }
 
-func (l *Load) totals(t *Told, addr string, totals map[string]float64) error {
+func (l *Load) totals(t *LoadResult, addr string, totals map[string]float64) error {
 	tcp, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
@@ -241,7 +241,7 @@
 	defer tcp.Close()
 	tcp.SetDeadline(time.Now().Add(10 * time.Second))
 	r := bufio.NewReader(tcp)
-	for name := range t.Sum {
+	for name := range t.Acknowledged {
 		if _, known := totals[name]; known {
 			continue
 		}
--- a/sim/quotastoresim/digest_test.go
+++ b/sim/quotastoresim/digest_test.go
@@ -30,15 +30,15 @@
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			sum := fnv.New128a()
-			o := Drawn(seed, 8)
-			o.Log = func(at float64, keeper int, _ string) {
+			o := OptionsForSeed(seed, 8)
+			o.OnLogLine = func(at float64, keeper int, _ string) {
 				var b [9]byte
 				binary.BigEndian.PutUint64(b[:], math.Float64bits(at))
 				b[8] = byte(keeper)
 				sum.Write(b[:])
 			}
-			v := Play(seed, o)
-			fmt.Fprint(sum, v.Answered, v.Refused, v.Unknown, v.Faults, v.Wipes, v.Undecided, len(v.Lost), len(v.Twice), len(v.Second), len(v.Stuck))
+			v := RunSeed(seed, o)
+			fmt.Fprint(sum, v.Answered, v.Rejected, v.Unknown, v.Faults, v.Wipes, v.Undecided, len(v.Lost), len(v.DoubleCounted), len(v.DuplicateEffects), len(v.NotRecovered))
 			if got := fmt.Sprintf("%x", sum.Sum(nil)); got != playDigests[seed] {
 				t.Errorf("digest\n%d: %q, want %q", seed, got, playDigests[seed])
 			}
--- a/sim/quotastoresim/load.go
+++ b/sim/quotastoresim/load.go
@@ -86,7 +86,7 @@
 		switch how {
 		case replication.Unknown:
 			op.Output, op.Return = added{amount, 0, false}, math.MaxInt64
-		case replication.Refused:
+		case replication.Rejected:
 			next()
 			return
 		}
@@ -313,21 +313,21 @@
 				v.Lost = append(v.Lost, fmt.Sprintf("%s: %s was promised %g and has %g", name, h.id, a.acked, own))
 			}
 			if own > a.sent {
-				v.Twice = append(v.Twice, fmt.Sprintf("%s: %s told of %g and has %g", name, h.id, a.sent, own))
+				v.DoubleCounted = append(v.DoubleCounted, fmt.Sprintf("%s: %s told of %g and has %g", name, h.id, a.sent, own))
 			}
 		}
 		if total, ok := s.Total(name); ok && total > sum {
-			v.Twice = append(v.Twice, fmt.Sprintf("%s: holders have %g, the total is %g", name, sum, total))
+			v.DoubleCounted = append(v.DoubleCounted, fmt.Sprintf("%s: holders have %g, the total is %g", name, sum, total))
 		} else if ok && total < sum {
 			v.Lost = append(v.Lost, fmt.Sprintf("%s: holders have %g, the total is %g", name, sum, total))
 		}
 	}
 	for ref, who := range l.marks {
 		if len(who) > 1 {
-			v.Second = append(v.Second, fmt.Sprintf("%s was let through by %v", ref, who))
+			v.DuplicateEffects = append(v.DuplicateEffects, fmt.Sprintf("%s was let through by %v", ref, who))
 		}
 	}
-	slices.Sort(v.Second)
+	slices.Sort(v.DuplicateEffects)
 	for _, customer := range []string{"plan-0", "plan-1"} {
 		acked, sent := 0.0, 0.0
 		for _, h := range l.holders {
@@ -336,14 +336,14 @@
 			}
 		}
 		if l.batch < 1000 {
-			v.Stuck = append(v.Stuck, "the last batch of use was not handed out")
+			v.NotRecovered = append(v.NotRecovered, "the last batch of use was not handed out")
 			continue
 		}
 		if l.taken[customer] < acked {
 			v.Lost = append(v.Lost, fmt.Sprintf("use of %s: %g promised, %g handed out", customer, acked, l.taken[customer]))
 		}
 		if l.taken[customer] > sent {
-			v.Twice = append(v.Twice, fmt.Sprintf("use of %s: %g counted, %g handed out", customer, sent, l.taken[customer]))
+			v.DoubleCounted = append(v.DoubleCounted, fmt.Sprintf("use of %s: %g counted, %g handed out", customer, sent, l.taken[customer]))
 		}
 	}
 }
--- a/sim/quotastoresim/many.go
+++ b/sim/quotastoresim/many.go
@@ -10,40 +10,40 @@
 )
 
 // Drawn gives what a seed is played with: three or five copies, with disks or without, now and then with a keeper to spare.
-func Drawn(seed uint64, length float64) Options {
-	o := Options{Keepers: 3, Copies: 3, Disk: seed%2 == 0, Length: length}
+func OptionsForSeed(seed uint64, length float64) Options {
+	o := Options{Servers: 3, Replicas: 3, Durable: seed%2 == 0, FaultSeconds: length}
 	if seed%4 > 1 {
-		o.Keepers, o.Copies = 5, 5
+		o.Servers, o.Replicas = 5, 5
 	}
 	if seed%8 == 3 {
-		o.Keepers, o.Copies = 6, 3
+		o.Servers, o.Replicas = 6, 3
 	}
 	return o
 }
 
 // Sum is what became of many seeds.
-type Sum struct {
-	Seeds, Lost, Twice, Second, Stuck                    int
-	Answered, Refused, Unknown, Faults, Wipes, Undecided int
-	Bad                                                  []*Verdict // the first of them
+type Summary struct {
+	Seeds, Lost, DoubleCounted, DuplicateEffects, NotRecovered int
+	Answered, Rejected, Unknown, Faults, Wipes, Undecided      int
+	Failed                                                     []*Verdict // the first of them
 }
 
 // Add adds one.
-func (s *Sum) Add(v *Verdict) {
+func (s *Summary) Add(v *Verdict) {
 	s.Seeds++
-	s.Lost, s.Twice, s.Second, s.Stuck = s.Lost+len(v.Lost), s.Twice+len(v.Twice), s.Second+len(v.Second), s.Stuck+len(v.Stuck)
-	s.Answered, s.Refused, s.Unknown = s.Answered+v.Answered, s.Refused+v.Refused, s.Unknown+v.Unknown
+	s.Lost, s.DoubleCounted, s.DuplicateEffects, s.NotRecovered = s.Lost+len(v.Lost), s.DoubleCounted+len(v.DoubleCounted), s.DuplicateEffects+len(v.DuplicateEffects), s.NotRecovered+len(v.NotRecovered)
+	s.Answered, s.Rejected, s.Unknown = s.Answered+v.Answered, s.Rejected+v.Rejected, s.Unknown+v.Unknown
 	s.Faults, s.Wipes, s.Undecided = s.Faults+v.Faults, s.Wipes+v.Wipes, s.Undecided+v.Undecided
-	if !v.OK() && len(s.Bad) < 8 {
-		s.Bad = append(s.Bad, v)
+	if !v.OK() && len(s.Failed) < 8 {
+		s.Failed = append(s.Failed, v)
 	}
 }
 
 // OK says that all that was promised held.
-func (s *Sum) OK() bool { return s.Lost+s.Twice+s.Second+s.Stuck == 0 }
+func (s *Summary) OK() bool { return s.Lost+s.DoubleCounted+s.DuplicateEffects+s.NotRecovered == 0 }
 
 // Many plays seeds on all cores, until stop says so of a verdict.
-func Many(ctx context.Context, first uint64, seeds int, length float64, stop func(*Verdict) bool) *Sum {
+func RunSeeds(ctx context.Context, first uint64, seeds int, length float64, stop func(*Verdict) bool) *Summary {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	var g errgroup.Group
@@ -57,7 +57,7 @@
 			g.Go(func() error {
 				if ctx.Err() == nil {
 					seed := first + uint64(i)
-					all <- Play(seed, Drawn(seed, length))
+					all <- RunSeed(seed, OptionsForSeed(seed, length))
 				}
 				return nil
 			})
@@ -65,7 +65,7 @@
 		g.Wait()
 		close(all)
 	}()
-	s := &Sum{}
+	s := &Summary{}
 	for v := range all {
 		s.Add(v)
 		if stop(v) {
--- a/sim/quotastoresim/quotastoresim_test.go
+++ b/sim/quotastoresim/quotastoresim_test.go
@@ -20,7 +20,7 @@
 	for _, seed := range all {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			v := Play(seed, Drawn(seed, 10))
+			v := RunSeed(seed, OptionsForSeed(seed, 10))
 			if !v.OK() || v.Undecided > 0 || v.Answered < 20 {
 				t.Error(v)
 			}
@@ -31,11 +31,11 @@
 // The same seed is the same play: a fault that a seed found can be looked at.
 func TestSameSeedSamePlay(t *testing.T) {
 	said := func() (all []string) {
-		o := Drawn(7, 8)
-		o.Log = func(at float64, keeper int, line string) {
+		o := OptionsForSeed(7, 8)
+		o.OnLogLine = func(at float64, keeper int, line string) {
 			all = append(all, strconv.FormatFloat(at, 'g', -1, 64)+line)
 		}
-		Play(7, o)
+		RunSeed(7, o)
 		return all
 	}
 	a, b := said(), said()
@@ -46,8 +46,8 @@
 
 // With nothing going wrong nothing is refused or unknown.
 func TestCalm(t *testing.T) {
-	v := Play(3, Options{Keepers: 3, Copies: 3, Disk: true, Length: 8, Calm: true})
-	if !v.OK() || v.Refused+v.Unknown > 0 || v.Answered < 100 {
+	v := RunSeed(3, Options{Servers: 3, Replicas: 3, Durable: true, FaultSeconds: 8, NoFaults: true})
+	if !v.OK() || v.Rejected+v.Unknown > 0 || v.Answered < 100 {
 		t.Fatal(v)
 	}
 }
--- a/sim/quotastoresim/sim.go
+++ b/sim/quotastoresim/sim.go
@@ -16,31 +16,33 @@
 
 // Options say what is played.
 type Options struct {
-	Keepers, Copies int
-	Disk            bool                                      // copies lie on disks too; without, a process that ends has lost all
-	Length          float64                                   // seconds of faults
-	Calm            bool                                      // no faults
-	Log             func(at float64, keeper int, line string) // hears what keepers log; nil: nobody
+	Servers, Replicas int
+	Durable           bool                                      // copies lie on disks too; without, a process that ends has lost all
+	FaultSeconds      float64                                   // seconds of faults
+	NoFaults          bool                                      // no faults
+	OnLogLine         func(at float64, keeper int, line string) // hears what keepers log; nil: nobody
 }
 
 // Verdict is what became of one seed.
 type Verdict struct {
-	Seed                                          uint64
-	Lost                                          []string // promised and lost
-	Twice                                         []string // put back twice
-	Second                                        []string // second effects
-	Stuck                                         []string // not whole again at the end
-	Answered, Refused, Unknown, Faults, Undecided int
-	Wipes                                         int
+	Seed                                           uint64
+	Lost                                           []string // promised and lost
+	DoubleCounted                                  []string // put back twice
+	DuplicateEffects                               []string // second effects
+	NotRecovered                                   []string // not whole again at the end
+	Answered, Rejected, Unknown, Faults, Undecided int
+	Wipes                                          int
 }
 
 // OK says that all that was promised held.
-func (v *Verdict) OK() bool { return len(v.Lost)+len(v.Twice)+len(v.Second)+len(v.Stuck) == 0 }
+func (v *Verdict) OK() bool {
+	return len(v.Lost)+len(v.DoubleCounted)+len(v.DuplicateEffects)+len(v.NotRecovered) == 0
+}
 
 func (v *Verdict) String() string {
 	s := fmt.Sprintf("seed %d: %d answered, %d refused, %d unknown, %d faults, %d wipes; promised and lost: %d; put back twice: %d; second effects: %d; not whole: %d",
-		v.Seed, v.Answered, v.Refused, v.Unknown, v.Faults, v.Wipes, len(v.Lost), len(v.Twice), len(v.Second), len(v.Stuck))
-	for _, list := range [][]string{v.Lost, v.Twice, v.Second, v.Stuck} {
+		v.Seed, v.Answered, v.Rejected, v.Unknown, v.Faults, v.Wipes, len(v.Lost), len(v.DoubleCounted), len(v.DuplicateEffects), len(v.NotRecovered))
+	for _, list := range [][]string{v.Lost, v.DoubleCounted, v.DuplicateEffects, v.NotRecovered} {
 		for _, x := range list[:min(9, len(list))] {
 			s += "\n  " + x
 		}
@@ -51,12 +53,12 @@
 // node is the process of one keeper, with its disk.
 type node struct {
 	number  int
-	core    *replication.Core
+	core    *replication.Node
 	up      bool
 	run     int // of its processes; what is meant for one before is not for this one
 	life    uint32
 	cluster uint64
-	disk    map[int]*replication.Saved
+	disk    map[int]*replication.PersistentState
 	offset  float64 // of its clock
 	frozen  bool
 	busy    bool // writing
@@ -86,11 +88,11 @@
 	v       *Verdict
 	load    *load
 	quiet   bool
-	terms   replication.Terms
+	terms   replication.Config
 }
 
 // Play plays one seed.
-func Play(seed uint64, o Options) (v *Verdict) {
+func RunSeed(seed uint64, o Options) (v *Verdict) {
 	v = &Verdict{Seed: seed}
 	defer func() {
 		if r := recover(); r != nil { // the consensus library ends a process whose log can't be what it was told
@@ -100,41 +102,41 @@
 	w := &world{
 		o: o, dice: randstream.New(seed, "keepers"), seed: seed, cut: map[[2]int]int{}, streams: map[[2]int]int{},
 		lastAt: map[[2]int]float64{}, v: v, lives: 100,
-		terms: replication.Terms{Groups: 2, Copies: o.Copies, Log: []int{24, 4096}[seed/8%2], Rate: 1e6, Lost: 2},
+		terms: replication.Config{Groups: 2, Replicas: o.Replicas, MaxLogEntries: []int{24, 4096}[seed/8%2], SnapshotRate: 1e6, ReplaceAfter: 2},
 	}
-	for n := range o.Keepers {
+	for n := range o.Servers {
 		w.peers = append(w.peers, replication.Peer{Name: fmt.Sprintf("k%d", n), Zone: fmt.Sprint(n % 3)})
 	}
-	for n := range o.Keepers {
-		x := &node{number: n, disk: map[int]*replication.Saved{}, offset: w.dice.Between(0, 400), slow: 0.002}
+	for n := range o.Servers {
+		x := &node{number: n, disk: map[int]*replication.PersistentState{}, offset: w.dice.Between(0, 400), slow: 0.002}
 		w.nodes = append(w.nodes, x)
 		w.wipe(x)
 		w.start(x)
 	}
 	w.found()
 	w.load = newLoad(w)
-	if !o.Calm {
+	if !o.NoFaults {
 		w.q.At(1.5, w.trouble)
 	}
-	w.q.Run(o.Length)
+	w.q.Run(o.FaultSeconds)
 	w.heal()
-	w.q.Run(o.Length + 2)
+	w.q.Run(o.FaultSeconds + 2)
 	w.load.stop()
-	w.q.Run(o.Length + 14) // leases run out, debts are put back, copies are made
+	w.q.Run(o.FaultSeconds + 14) // leases run out, debts are put back, copies are made
 	w.load.last()
-	w.q.Run(o.Length + 18)
+	w.q.Run(o.FaultSeconds + 18)
 	w.judge()
 	return v
 }
 
 func (w *world) found() {
-	f := &replication.Founding{Cluster: 77, Groups: w.terms.Groups, Copies: w.terms.Copies}
+	f := &protocol.Founding{Cluster: 77, Groups: w.terms.Groups, Copies: w.terms.Replicas}
 	for _, x := range w.nodes {
-		f.Members = append(f.Members, replication.MakeID(x.number, x.life))
+		f.Members = append(f.Members, protocol.MakeID(x.number, x.life))
 	}
 	for _, x := range w.nodes {
 		w.do(x, func() {
-			writes, err := x.core.Found(w.clock(x), f)
+			writes, err := x.core.Bootstrap(w.clock(x), f)
 			if err != nil {
 				panic(err)
 			}
@@ -148,7 +150,7 @@
 
 // wipe takes all that a keeper had; it will have another life.
 func (w *world) wipe(x *node) {
-	x.disk, x.cluster = map[int]*replication.Saved{}, 0
+	x.disk, x.cluster = map[int]*replication.PersistentState{}, 0
 	if !mutation.KeepEmptyVote || x.life == 0 {
 		w.lives++
 		x.life = w.lives
@@ -156,14 +158,14 @@
 }
 
 func (w *world) start(x *node) {
-	saved := map[int]*replication.Saved{}
+	saved := map[int]*replication.PersistentState{}
 	for g, s := range x.disk {
-		saved[g] = s.Trim()
+		saved[g] = s.AfterSnapshot()
 	}
 	w.runs++
 	core, err := replication.New(x.number, x.life, x.cluster, w.peers, w.terms, w.seed<<16+w.runs, saved)
 	if err != nil {
-		w.v.Stuck = append(w.v.Stuck, fmt.Sprintf("keeper %d does not start: %v", x.number, err))
+		w.v.NotRecovered = append(w.v.NotRecovered, fmt.Sprintf("keeper %d does not start: %v", x.number, err))
 		return
 	}
 	x.core, x.up, x.busy, x.backlog, x.open = core, true, false, nil, map[*op]bool{}
@@ -202,7 +204,7 @@
 		w.streams[[2]int{x.number, y.number}]++
 		w.streams[[2]int{y.number, x.number}]++
 		if w.cut[[2]int{x.number, y.number}]+w.cut[[2]int{y.number, x.number}] == 0 && w.dice.Chance(0.7) {
-			w.q.After(0.005, func() { w.do(y, func() { y.core.Broken(w.clock(y), x.number) }) })
+			w.q.After(0.005, func() { w.do(y, func() { y.core.PeerDown(w.clock(y), x.number) }) })
 		}
 	}
 }
@@ -231,24 +233,24 @@
 	for i := range all {
 		s := x.disk[all[i].Group]
 		if s == nil {
-			s = &replication.Saved{}
+			s = &replication.PersistentState{}
 			x.disk[all[i].Group] = s
 		}
-		s.Take(&all[i])
+		s.Apply(&all[i])
 	}
 }
 
 func (w *world) drain(x *node) {
 	for {
-		for _, line := range x.core.Lines() {
-			if w.o.Log != nil {
-				w.o.Log(w.q.Now(), x.number, line)
+		for _, line := range x.core.TakeLogLines() {
+			if w.o.OnLogLine != nil {
+				w.o.OnLogLine(w.q.Now(), x.number, line)
 			}
 		}
-		work := x.core.Work()
+		work := x.core.Ready()
 		w.post(x) // a leader's messages need not wait for its disk
-		if err := x.core.Failed(); err != nil {
-			w.v.Stuck = append(w.v.Stuck, fmt.Sprintf("keeper %d: %v", x.number, err))
+		if err := x.core.Err(); err != nil {
+			w.v.NotRecovered = append(w.v.NotRecovered, fmt.Sprintf("keeper %d: %v", x.number, err))
 			w.stop(x)
 			return
 		}
@@ -258,8 +260,8 @@
 		if work == nil {
 			return
 		}
-		if !w.o.Disk || len(work.Writes) == 0 {
-			x.core.Written(work)
+		if !w.o.Durable || len(work.Writes) == 0 {
+			x.core.Advance(work)
 			continue
 		}
 		x.busy, x.writing = true, work.Writes
@@ -271,10 +273,10 @@
 			w.write(x, work.Writes)
 			x.busy, x.writing = false, nil
 			if x.frozen { // it has written, and goes on when it wakes
-				x.backlog = append([]func(){func() { x.core.Written(work) }}, x.backlog...)
+				x.backlog = append([]func(){func() { x.core.Advance(work) }}, x.backlog...)
 				return
 			}
-			x.core.Written(work)
+			x.core.Advance(work)
 			w.drain(x)
 			w.wake(x)
 		})
@@ -294,7 +296,7 @@
 
 // post sends what a keeper has to say: in order on each stream, lost with it.
 func (w *world) post(x *node) {
-	for _, l := range x.core.Letters() {
+	for _, l := range x.core.TakeMessages() {
 		to, link := w.nodes[l.To], [2]int{x.number, l.To}
 		text, err := l.Frame.Bytes()
 		if err != nil {
@@ -329,7 +331,7 @@
 			if err != nil {
 				panic(err)
 			}
-			w.do(to, func() { to.core.Hear(w.clock(to), x.number, f) })
+			w.do(to, func() { to.core.Receive(w.clock(to), x.number, f) })
 		})
 	}
 }
@@ -339,7 +341,7 @@
 	if run := x.run; w.dice.Chance(0.8) {
 		w.q.After(0.2, func() {
 			if x.run == run {
-				w.do(x, func() { x.core.Unsent(w.clock(x), to) })
+				w.do(x, func() { x.core.SnapshotFailed(w.clock(x), to) })
 			}
 		})
 	}
@@ -354,7 +356,7 @@
 				continue
 			}
 			if h := x.core.Health()[g]; h.Leads {
-				ok = len(h.Holders) >= min(w.o.Copies, w.o.Keepers) && h.Settled && h.Alive
+				ok = len(h.Holders) >= min(w.o.Replicas, w.o.Servers) && h.Settled && h.Alive
 				for _, id := range h.Holders {
 					// A copy that has not heard yet that a change is over would want votes of those that left.
 					y := w.nodes[id.Number()]
@@ -375,7 +377,7 @@
 }
 
 // lostNow is how many machines with their disks may be lost at once.
-func (w *world) lostNow() int { return (w.o.Copies - 1) / 2 }
+func (w *world) lostNow() int { return (w.o.Replicas - 1) / 2 }
 
 func (w *world) trouble() {
 	if w.quiet {
@@ -386,7 +388,7 @@
 	w.v.Faults++
 	switch w.dice.IntN(7) {
 	case 0: // ended and started again
-		if !w.o.Disk {
+		if !w.o.Durable {
 			w.lose(x)
 			return
 		}
@@ -492,25 +494,25 @@
 	for g := range w.terms.Groups {
 		lead := w.leader(g)
 		if lead == nil {
-			w.v.Stuck = append(w.v.Stuck, fmt.Sprintf("group %d has no leader at the end", g))
+			w.v.NotRecovered = append(w.v.NotRecovered, fmt.Sprintf("group %d has no leader at the end", g))
 			continue
 		}
-		state := lead.core.State(g)
+		state := lead.core.GroupState(g)
 		bytes := string(state.Snapshot())
 		for _, id := range lead.core.Health()[g].Holders {
 			x := w.nodes[id.Number()]
-			if x.up && x.life == id.Life() && x.core.State(g) != nil && x.core.Index(g) == lead.core.Index(g) && string(x.core.State(g).Snapshot()) != bytes {
+			if x.up && x.life == id.Life() && x.core.GroupState(g) != nil && x.core.AppliedIndex(g) == lead.core.AppliedIndex(g) && string(x.core.GroupState(g).Snapshot()) != bytes {
 				w.v.Lost = append(w.v.Lost, fmt.Sprintf("group %d: keeper %d holds other bytes than the leader, keeper %d", g, x.number, lead.number))
 			}
 		}
 	}
 	if !w.whole() {
-		w.v.Stuck = append(w.v.Stuck, "not all copies are made again at the end")
+		w.v.NotRecovered = append(w.v.NotRecovered, "not all copies are made again at the end")
 	}
 	w.load.judge(func(name string) *statemachine.State {
 		g := replication.GroupOf(name, w.terms.Groups)
 		if lead := w.leader(g); lead != nil {
-			return lead.core.State(g)
+			return lead.core.GroupState(g)
 		}
 		return nil
 	})
@@ -545,8 +547,8 @@
 		switch how {
 		case replication.Answered:
 			w.v.Answered++
-		case replication.Refused:
-			w.v.Refused++
+		case replication.Rejected:
+			w.v.Rejected++
 		default:
 			w.v.Unknown++
 		}
@@ -556,7 +558,7 @@
 	x.open[o] = true
 	run := x.run
 	w.do(x, func() {
-		x.core.Ask(x.core.GroupFor(name), e, func(how replication.Outcome, r statemachine.Reply) {
+		x.core.Ask(x.core.GroupOf(name), e, func(how replication.Outcome, r statemachine.Reply) {
 			w.q.After(0.0005, func() { // the way back; lost with the process
 				if x.run == run {
 					say(how, r)
