--- a/tier/replica/bounds_test.go
+++ b/tier/replica/bounds_test.go
@@ -27,7 +27,7 @@
 // keptBytes is what the entries in memory hold.
 func keptBytes(g *Group) int {
 	total := 0
-	for _, entry := range g.log {
+	for _, entry := range g.log.entries {
 		total += len(entry.Data)
 	}
 	return total
@@ -126,15 +126,15 @@
 	if !caughtUp {
 		t.Fatal("never caught up though it follows closely")
 	}
-	before := g.commit
-	for range joinWait { // it stops answering
+	before := g.commit.committed
+	for range catchUpWaitLimit { // it stops answering
 		index := g.Propose([]byte("a"), now)
 		g.MarkDurable(index, 1, now)
 		g.Tick(now, true)
 		now += 5
 	}
-	if g.commit < before+100 {
-		t.Fatalf("a silent replica holds the group up: %d commands committed", g.commit-before)
+	if g.commit.committed < before+100 {
+		t.Fatalf("a silent replica holds the group up: %d commands committed", g.commit.committed-before)
 	}
 }
 
@@ -189,7 +189,7 @@
 	for index := uint64(1); index <= 1000; index++ {
 		take(index)
 	}
-	if unwritten > maxUnwritten+2*len(command) {
+	if unwritten > maxUnwrittenBytes+2*len(command) {
 		t.Fatalf("%d bytes wait for the disk", unwritten)
 	}
 	held := g.LastIndex()
--- a/tier/replica/catchup_sim_test.go
+++ b/tier/replica/catchup_sim_test.go
@@ -353,11 +353,11 @@
 	if node.group.IsPrimary() {
 		bound += s.plan.bytesKept + 2*state // behind a snapshot that is under way
 	}
-	s.mostMem = max(s.mostMem, node.group.logBytes)
+	s.mostMem = max(s.mostMem, node.group.log.bytes)
 	if s.order%memoryCheckEvery != 0 {
 		return
 	}
-	if applied := sizeOf(node.group.log[:node.group.applied-node.group.base.Index]); applied > bound {
+	if applied := node.group.log.bytesBetween(node.group.log.base.index, node.group.commit.applied); applied > bound {
 		s.t.Fatalf("%d bytes of applied entries in memory, %d are allowed: %+v", applied, bound, s.plan)
 	}
 }
@@ -641,7 +641,7 @@
 	state := int64(s.plan.padding + 16 + 4*s.plan.changes)
 	log := int64(2*s.plan.bytesKept) + 2*state + uncommittedSlack/8
 	rest := s.plan.slowLink / 2
-	waits := int64(primaryLost/millisecond+2*pieceResend+2*retryPause+1000) * millisecond
+	waits := int64(primaryLost/millisecond+2*chunkResendAfter+2*transferBackoffFirst+1000) * millisecond
 	return waits + 20*s.plan.sync + (2*state+log)*1_000_000/rest
 }
 
@@ -665,12 +665,12 @@
 	if s.insync == 0 {
 		s.t.Fatalf("not all members are in sync %d ms after the last trouble: %+v", s.bound()/millisecond, s.plan)
 	}
-	queue := int64(maxInFlight+2*maxAppendBytes) + int64(2*windowPieces*s.plan.pieceBytes+s.plan.changeBytes) + 200_000
+	queue := int64(maxInFlight+2*maxAppendBytes) + int64(2*windowChunks*s.plan.pieceBytes+s.plan.changeBytes) + 200_000
 	if s.mostOut > queue {
 		s.t.Fatalf("up to %d bytes waited on a link, %d are allowed: %+v", s.mostOut, queue, s.plan)
 	}
 	// a window, and what was asked for again while pieces were late
-	if window := int64((windowPieces + 3) * s.plan.pieceBytes); s.mostPieces > window {
+	if window := int64((windowChunks + 3) * s.plan.pieceBytes); s.mostPieces > window {
 		s.t.Fatalf("up to %d bytes of a snapshot waited on a link, %d are allowed: %+v", s.mostPieces, window, s.plan)
 	}
 	for int(s.next) < s.plan.changes { // the changes that are left
@@ -738,7 +738,7 @@
 			t.Parallel()
 			s := newPlannedSim(t, rand.New(rand.NewSource(1)), catchupPlan{
 				changes: 1200, changeBytes: 100_000, interval: 50 * millisecond, padding: test.state, bytesKept: 8 << 20,
-				pieceBytes: standardPieceBytes, slowLink: test.link, link: 4 * test.link, delay: test.delay, sync: 5 * millisecond,
+				pieceBytes: DefaultSnapshotChunkBytes, slowLink: test.link, link: 4 * test.link, delay: test.delay, sync: 5 * millisecond,
 				trouble: test.trouble, upFor: 700 * millisecond,
 			})
 			took, bound := s.run()
--- a/tier/replica/contact_test.go
+++ b/tier/replica/contact_test.go
@@ -135,7 +135,7 @@
 		since   int64
 	}{
 		"never read":            {probeFrom(1, Timestamp{}, 10), 0},
-		"without a majority":    {probeFrom(1, Timestamp{own, 900}, noContact), 0},
+		"without a majority":    {probeFrom(1, Timestamp{own, 900}, noQuorum), 0},
 		"of a former life":      {probeFrom(1, Timestamp{77, 900}, 10), 0},
 		"of the future":         {probeFrom(1, Timestamp{own, 5000}, 10), 0},
 		"read, with a majority": {probeFrom(1, Timestamp{own, 900}, 70), 830},
@@ -219,7 +219,7 @@
 	backup.Step(1, probeFrom(1, Timestamp{}, 30), 1000)
 	proven := backup.PrimaryConfirmedAt()
 	for now := int64(1080); now < 3000; now += 80 {
-		backup.Step(1, probeFrom(1, Timestamp{}, noContact), now)
+		backup.Step(1, probeFrom(1, Timestamp{}, noQuorum), now)
 	}
 	if backup.PrimaryConfirmedAt() != proven {
 		t.Fatalf("proven at %d, before at %d", backup.PrimaryConfirmedAt(), proven)
@@ -227,7 +227,7 @@
 }
 
 func TestAProbeKeepsItsFormOnTheWire(t *testing.T) {
-	sent := Message{Kind: MessageProbe, Epoch: 3, Probe: Probe{Sent: Timestamp{1, 2}, Echoed: Timestamp{3, 4}, QuorumAge: noContact}}
+	sent := Message{Kind: MessageProbe, Epoch: 3, Probe: Probe{Sent: Timestamp{1, 2}, Echoed: Timestamp{3, 4}, QuorumAge: noQuorum}}
 	var e codec.Encoder
 	sent.Encode(&e)
 	d := codec.NewDecoder(e.Bytes)
--- /dev/null
+++ b/tier/replica/incoming.go
@@ -0,0 +1,98 @@
+package replica
+
+import "hash/crc32"
+
+// incomingSnapshot is a state that arrives in chunks. It is put aside until it is complete and its checksum is right.
+type incomingSnapshot struct {
+	position    position
+	checksum    uint32
+	total       uint32
+	senderEpoch uint64 // of the primary that began it
+	state       []byte
+}
+
+// isOf tells whether a chunk belongs to the snapshot.
+func (s *incomingSnapshot) isOf(chunk Message) bool {
+	return s.position == snapshotPosition(chunk) && s.checksum == chunk.Checksum && s.total == chunk.Total
+}
+
+// isValid tells whether all bytes are there and are those that were sent.
+func (s *incomingSnapshot) isValid() bool {
+	return len(s.state) == int(s.total) && crc32.Checksum(s.state, checksumTable) == s.checksum
+}
+
+func snapshotPosition(chunk Message) position {
+	return position{index: chunk.Index, epoch: chunk.PrevEpoch}
+}
+
+// receiveChunk puts a chunk of a snapshot aside and installs the snapshot once it is complete.
+func (g *Group) receiveChunk(chunk Message) {
+	if g.covers(snapshotPosition(chunk)) {
+		g.backup.incoming = nil
+		g.follow(chunk.Index, chunk.Index)
+		return
+	}
+	if !g.expectChunksOf(chunk) {
+		return
+	}
+	incoming := g.backup.incoming
+	if int(chunk.Offset) == len(incoming.state) {
+		incoming.state = append(incoming.state, chunk.Chunk...)
+	}
+	if len(incoming.state) < int(incoming.total) {
+		g.acknowledgeChunk(chunk, len(incoming.state))
+		return
+	}
+	g.backup.incoming = nil
+	if !incoming.isValid() {
+		g.acknowledgeChunk(chunk, 0)
+		return
+	}
+	if g.install(incoming) {
+		g.acknowledgeChunk(chunk, int(incoming.total))
+	}
+}
+
+// covers tells whether the log reaches as far as a snapshot already, and is alike there.
+func (g *Group) covers(snapshot position) bool {
+	epoch, known := g.log.epochAt(snapshot.index)
+	return snapshot.index <= g.commit.applied || (known && epoch == snapshot.epoch)
+}
+
+// expectChunksOf makes ready for the snapshot that a chunk belongs to. A late chunk of an older snapshot of the same primary is
+// not wanted.
+func (g *Group) expectChunksOf(chunk Message) bool {
+	incoming := g.backup.incoming
+	if incoming != nil && incoming.isOf(chunk) {
+		return true
+	}
+	if incoming != nil && chunk.Epoch == incoming.senderEpoch && chunk.Index < incoming.position.index {
+		return false
+	}
+	g.backup.incoming = &incomingSnapshot{
+		position: snapshotPosition(chunk), checksum: chunk.Checksum, total: chunk.Total, senderEpoch: chunk.Epoch,
+	}
+	return true
+}
+
+func (g *Group) acknowledgeChunk(chunk Message, received int) {
+	g.send(g.view.Primary, Message{
+		Kind: MessageChunkAck, Epoch: g.view.Epoch, Index: chunk.Index, PrevEpoch: chunk.PrevEpoch,
+		Offset: uint32(received), Checksum: chunk.Checksum,
+	})
+}
+
+// install replaces the state and the log by a complete snapshot. One that the state machine can't restore is not acknowledged, so
+// that the primary sends it again.
+func (g *Group) install(incoming *incomingSnapshot) bool {
+	if err := g.machine.Restore(incoming.state); err != nil {
+		return false
+	}
+	index := incoming.position.index
+	g.log.restartAt(incoming.position)
+	g.commit = commitState{committed: index, applied: index}
+	g.backup.matched = index
+	snapshot := Snapshot{Index: index, Epoch: incoming.position.epoch, State: incoming.state}
+	g.output.Writes = append(g.output.Writes, Write{Snapshot: &snapshot})
+	return true
+}
--- a/tier/replica/recorded_test.go
+++ b/tier/replica/recorded_test.go
@@ -86,7 +86,7 @@
 	}
 	primary.SetView(view, 1_000)
 	primary.TakeOutput()
-	primary.startTransfer(2, primary.peers[2], 1_000)
+	primary.startTransfer(primary.peer(2), 1_000)
 	messages := primary.TakeOutput().Messages
 	if len(messages) != 3 {
 		t.Fatalf("%d pieces", len(messages))
--- a/tier/replica/snapshot_test.go
+++ b/tier/replica/snapshot_test.go
@@ -90,13 +90,13 @@
 func TestASnapshotGoesInPiecesWithinAWindow(t *testing.T) {
 	p := newTransferPair(t)
 	sent := p.begin()
-	if got := pieces(sent); len(got) != windowPieces || got[0] != 0 || got[1] != testPiece {
+	if got := pieces(sent); len(got) != windowChunks || got[0] != 0 || got[1] != testPiece {
 		t.Fatalf("sent %v", got)
 	}
 	p.backup.Step(1, sent[0].Message, p.now)
 	answer := p.backup.TakeOutput().Messages
 	p.primary.Step(2, answer[0].Message, p.now)
-	if got := pieces(p.primary.TakeOutput().Messages); len(got) != 1 || got[0] != windowPieces*testPiece {
+	if got := pieces(p.primary.TakeOutput().Messages); len(got) != 1 || got[0] != windowChunks*testPiece {
 		t.Fatalf("after one answer: %v", got)
 	}
 	p.exchange(sent[1:])
@@ -185,15 +185,15 @@
 func TestTransfersShareTheSlots(t *testing.T) {
 	slots := NewTransferSlots(1)
 	first, second := newTransferPair(t), newTransferPair(t)
-	first.primary.slots = slots
-	second.primary.slots = slots
-	if got := pieces(first.begin()); len(got) != windowPieces {
+	first.primary.options.TransferSlots = slots
+	second.primary.options.TransferSlots = slots
+	if got := pieces(first.begin()); len(got) != windowChunks {
 		t.Fatalf("the first sent %v", got)
 	}
 	if got := pieces(second.begin()); len(got) != 0 {
 		t.Fatalf("the second sent %v without a slot", got)
 	}
-	first.primary.Tick(first.now+slotSilence+1, true)
+	first.primary.Tick(first.now+slotReleaseAfter+1, true)
 	second.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, second.now)
 	second.primary.Tick(second.now+1, true)
 	if got := pieces(second.primary.TakeOutput().Messages); len(got) == 0 {
@@ -205,8 +205,8 @@
 func TestTheSnapshotOfASilentReplicaIsForgotten(t *testing.T) {
 	p := newTransferPair(t)
 	p.begin()
-	p.primary.Tick(p.now+transferPatience+1, true)
-	if p.primary.peers[2].transfer != nil {
+	p.primary.Tick(p.now+transferAbandonAfter+1, true)
+	if p.primary.peer(2).transfer != nil {
 		t.Fatal("the snapshot is still kept")
 	}
 }
@@ -219,14 +219,14 @@
 		p.propose(bytes.Repeat([]byte("y"), 3000))
 		p.primary.Trim()
 	}
-	if p.primary.peers[2].transfer != nil || keptBytes(p.primary) > 2*4000 {
+	if p.primary.peer(2).transfer != nil || keptBytes(p.primary) > 2*4000 {
 		t.Fatalf("%d bytes are kept", keptBytes(p.primary))
 	}
 	if got := pieces(p.begin()); len(got) != 0 {
 		t.Fatalf("sent again at once: %v", got)
 	}
-	p.now += 2 * retryPause
-	if got := pieces(p.begin()); len(got) != windowPieces {
+	p.now += 2 * transferBackoffFirst
+	if got := pieces(p.begin()); len(got) != windowChunks {
 		t.Fatalf("not sent again later: %v", got)
 	}
 }
