--- a/tier/control/api.go
+++ b/tier/control/api.go
@@ -15,6 +15,7 @@
 	"github.com/samber/oops"
 
 	"otterseam/tier/codes"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/multigroup"
@@ -107,7 +108,7 @@
 }
 
 // answer writes what became of a command.
-func answer(w http.ResponseWriter, result Result, err error) bool {
+func answer(w http.ResponseWriter, result state.Result, err error) bool {
 	if err != nil {
 		writeProblem(w, codes.Unavailable, err.Error())
 		return false
@@ -162,7 +163,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	command := Command{Kind: CommandReplaceConfig, Base: base, Version: config.Version, Body: body}
+	command := state.ReplaceConfig{Base: base, Version: config.Version, Body: body}
 	result, err := s.submit(ctx, command)
 	if answer(w, result, err) {
 		writeJSON(w, http.StatusOK, map[string]uint64{"version": config.Version})
@@ -175,7 +176,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.submit(ctx, Command{Kind: CommandReadConfig})
+	result, err := s.submit(ctx, state.ReadConfig{})
 	if !answer(w, result, err) {
 		return
 	}
@@ -209,7 +210,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.onPrimary(ctx, controlclient.KindHostBeat, message.Encode(), func() (Result, error) {
+	result, err := s.onPrimary(ctx, controlclient.KindHostBeat, message.Encode(), func() (state.Result, error) {
 		return s.hostBeat(ctx, message)
 	})
 	if answer(w, result, err) {
@@ -230,18 +231,18 @@
 }
 
 // onPrimary does something here if this process leads, and else has the primary do it.
-func (s *Server) onPrimary(ctx context.Context, kind rpc.Kind, payload []byte, here func() (Result, error)) (Result, error) {
+func (s *Server) onPrimary(ctx context.Context, kind rpc.Kind, payload []byte, here func() (state.Result, error)) (state.Result, error) {
 	if s.host.IsPrimary(controlGroup) {
 		if result, err := here(); err != codes.NotPrimary {
-			return settled(result, err)
+			return state.Settled(result, err)
 		}
 	}
 	body, err := s.primary.Call(ctx, kind, payload)
 	code, isCode := err.(codes.Code)
 	if err != nil && (!isCode || code == codes.Timeout) {
-		return Result{}, codes.Timeout
+		return state.Result{}, codes.Timeout
 	}
-	return settled(Result{Code: code, Body: body}, nil)
+	return state.Settled(state.Result{Code: code, Body: body}, nil)
 }
 
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) {
@@ -251,7 +252,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.onPrimary(ctx, controlclient.KindHostGone, []byte(id), func() (Result, error) { return s.hostGone(ctx, id, true) })
+	result, err := s.onPrimary(ctx, controlclient.KindHostGone, []byte(id), func() (state.Result, error) { return s.hostGone(ctx, id, true) })
 	if answer(w, result, err) {
 		writeJSON(w, http.StatusOK, struct{}{})
 	}
@@ -275,7 +276,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
 	needed := uint32(s.settings.TolerateMachine + 1)
-	result, err := s.submit(ctx, Command{Kind: CommandRetire, Key: chi.URLParam(r, "node"), Needed: needed})
+	result, err := s.submit(ctx, state.RetireNode{Node: chi.URLParam(r, "node"), Needed: needed})
 	if answer(w, result, err) {
 		writeJSON(w, http.StatusOK, struct{}{})
 	}
@@ -288,7 +289,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.onPrimary(ctx, controlclient.KindRetireRead, []byte(node), func() (Result, error) {
+	result, err := s.onPrimary(ctx, controlclient.KindRetireRead, []byte(node), func() (state.Result, error) {
 		return s.retireState(ctx, node)
 	})
 	if answer(w, result, err) {
--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -7,6 +7,7 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
@@ -51,28 +52,28 @@
 }
 
 // storeBeat keeps a store's session, and registers a store that is new or was started again.
-func (s *Server) storeBeat(ctx context.Context, payload []byte) (Result, error) {
+func (s *Server) storeBeat(ctx context.Context, payload []byte) (state.Result, error) {
 	beat, err := controlclient.DecodeStoreBeat(payload)
 	if err != nil {
-		return Result{}, err
+		return state.Result{}, err
 	}
 	s.sessions.HeardStore(beat)
 	held, known := s.state.View.Get(feed.SectionStore, directory.StoreKey(beat.Store.Identity))
 	if known && bytes.Equal(held, beat.Store.Encode()) {
-		return Result{}, s.standing().MayDecide(multigroup.Now())
+		return state.Result{}, s.standing().MayDecide(multigroup.Now())
 	}
 	defer s.wakeSupervisor() // shards may have waited for this store
-	return s.submitHere(ctx, Command{Kind: CommandPutStore, Store: beat.Store}.Encode())
+	return s.submitHere(ctx, state.PutStore{Store: beat.Store}.Encode())
 }
 
 // hostBeat keeps a host's session; only what changed is replicated.
-func (s *Server) hostBeat(ctx context.Context, beat controlclient.HostBeat) (Result, error) {
+func (s *Server) hostBeat(ctx context.Context, beat controlclient.HostBeat) (state.Result, error) {
 	removing := s.sessions.HeardHost(beat.Host.ID, s.self.ID, multigroup.Now())
 	held, known := s.state.Host(beat.Host.ID)
 	if known && held == beat.Host && !removing {
-		return Result{}, s.standing().MayDecide(multigroup.Now())
+		return state.Result{}, s.standing().MayDecide(multigroup.Now())
 	}
-	result, err := s.submitHere(ctx, Command{Kind: CommandPutHost, Host: beat.Host, Seq: beat.Seq}.Encode())
+	result, err := s.submitHere(ctx, state.PutHost{Host: beat.Host, Seq: beat.Seq}.Encode())
 	if err == nil {
 		s.sessions.KeptHost(beat.Host.ID)
 	}
@@ -80,13 +81,13 @@
 }
 
 // hostGone removes a host. One that deregistered never comes back, whatever heartbeats of its arrive late.
-func (s *Server) hostGone(ctx context.Context, id string, deregistered bool) (Result, error) {
+func (s *Server) hostGone(ctx context.Context, id string, deregistered bool) (state.Result, error) {
 	if _, known := s.state.Host(id); !known && !deregistered {
 		s.sessions.ForgetHost(id)
-		return Result{}, nil
+		return state.Result{}, nil
 	}
 	s.sessions.RemovingHost(id)
-	result, err := s.submitHere(ctx, Command{Kind: CommandRemoveHost, Key: id, Final: deregistered}.Encode())
+	result, err := s.submitHere(ctx, state.RemoveHost{ID: id, Deregistered: deregistered}.Encode())
 	s.sessions.RemovedHost(id, err == nil)
 	return result, err
 }
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"otterseam/tier/codes"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/lease"
 	"otterseam/tier/multigroup"
@@ -100,7 +101,7 @@
 	for _, id := range missing {
 		beat := heard[id].beat
 		call, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := s.onPrimary(call, controlclient.KindHostBeat, beat.Encode(), func() (Result, error) { return s.hostBeat(call, beat) })
+		_, err := s.onPrimary(call, controlclient.KindHostBeat, beat.Encode(), func() (state.Result, error) { return s.hostBeat(call, beat) })
 		cancel()
 		if err != nil {
 			s.keepHeard(heardHosts{id: heard[id]})
@@ -110,18 +111,18 @@
 
 // hostsHeard keeps the sessions of hosts that another control process heard, and answers which of them are not on the list. The
 // report counts from the question of this process that its sender had read.
-func (s *Server) hostsHeard(payload []byte) (Result, error) {
+func (s *Server) hostsHeard(payload []byte) (state.Result, error) {
 	report, err := controlclient.DecodeHostsHeard(payload)
 	if err != nil {
-		return Result{}, err
+		return state.Result{}, err
 	}
 	asked, own := int64(0), false
 	s.host.WithGroup(controlGroup, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Question, multigroup.Now()) })
 	if !own {
-		return Result{}, codes.Unavailable
+		return state.Result{}, codes.Unavailable
 	}
 	missing := s.keepSessions(report, asked)
-	return Result{Body: controlclient.EncodeMissing(missing)}, s.standing().MayDecide(multigroup.Now())
+	return state.Result{Body: controlclient.EncodeMissing(missing)}, s.standing().MayDecide(multigroup.Now())
 }
 
 // keepSessions keeps the sessions of hosts by a report written no earlier than a time. It returns those that are not on the list,
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -6,6 +6,7 @@
 	"sync"
 
 	"otterseam/tier/codes"
+	"otterseam/tier/control/state"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
 	"otterseam/tier/multigroup"
@@ -65,7 +66,7 @@
 	if strings.Join(addresses, " ") == strings.Join(directory.ControlAddresses(s.state.View), " ") {
 		return
 	}
-	_, _ = s.submitHere(ctx, Command{Kind: CommandMembers, Record: known}.Encode())
+	_, _ = s.submitHere(ctx, state.SetMembers{Record: known}.Encode())
 }
 
 func (s *Server) removeSilentHosts(ctx context.Context) {
@@ -92,7 +93,7 @@
 			continue
 		}
 		s.log.WithField("store", store.Node).Info("store removed: its disk is gone or it holds nothing")
-		_, _ = s.submitHere(ctx, Command{Kind: CommandRemoveStore, Store: store}.Encode())
+		_, _ = s.submitHere(ctx, state.RemoveStore{Store: store}.Encode())
 	}
 }
 
@@ -120,7 +121,7 @@
 			s.submitAll(ctx, s.foundShards(cluster, shards))
 		}
 	}
-	var commands []Command
+	var commands []state.Command
 	bears := -1
 	for _, shard := range placement.LeastProtectedFirst(shards) {
 		next, changed := cluster.Next(shard)
@@ -132,13 +133,13 @@
 			commands = nil
 			bears = shard.View.ToleratedLosses()
 		}
-		commands = append(commands, Command{Kind: CommandPutShard, Epoch: shard.View.Epoch, Shard: next})
+		commands = append(commands, state.PutShard{Epoch: shard.View.Epoch, Shard: next})
 	}
 	s.submitAll(ctx, commands)
 }
 
 // submitAll has commands carried out side by side and waits for them.
-func (s *Server) submitAll(ctx context.Context, commands []Command) {
+func (s *Server) submitAll(ctx context.Context, commands []state.Command) {
 	var wait sync.WaitGroup
 	for _, command := range commands {
 		wait.Add(1)
@@ -150,14 +151,14 @@
 	wait.Wait()
 }
 
-func (s *Server) foundShards(cluster placement.Cluster, shards map[uint32]directory.Shard) []Command {
-	var commands []Command
+func (s *Server) foundShards(cluster placement.Cluster, shards map[uint32]directory.Shard) []state.Command {
+	var commands []state.Command
 	for id := range uint32(placement.ShardCount) {
 		if _, exists := shards[id]; exists {
 			continue
 		}
 		if shard, placed := cluster.Place(id); placed {
-			commands = append(commands, Command{Kind: CommandPutShard, Shard: shard})
+			commands = append(commands, state.PutShard{Shard: shard})
 		}
 	}
 	return commands
@@ -165,19 +166,19 @@
 
 // retireState tells whether a store machine is still being emptied. The answer waits for a command of its own, so that a
 // primary that has been replaced cannot give it.
-func (s *Server) retireState(ctx context.Context, node string) (Result, error) {
-	if _, err := s.submitHere(ctx, Command{Kind: CommandReadConfig}.Encode()); err != nil {
-		return Result{}, err
+func (s *Server) retireState(ctx context.Context, node string) (state.Result, error) {
+	if _, err := s.submitHere(ctx, state.ReadConfig{}.Encode()); err != nil {
+		return state.Result{}, err
 	}
 	if _, retiring := s.state.View.Get(feed.SectionRetire, node); !retiring {
-		return Result{Code: codes.RetireUnknown}, nil
+		return state.Result{Code: codes.RetireUnknown}, nil
 	}
 	shards := directory.Shards(s.state.View)
 	cluster := s.cluster()
 	for id, store := range directory.Stores(s.state.View) {
 		if store.Node == node && !cluster.IsRetired(shards, id) {
-			return Result{Body: []byte(retireRunning)}, nil
+			return state.Result{Body: []byte(retireRunning)}, nil
 		}
 	}
-	return Result{Body: []byte(retireCompleted)}, nil
+	return state.Result{Body: []byte(retireCompleted)}, nil
 }
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -13,6 +13,7 @@
 
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/feed"
 	"otterseam/tier/lease"
@@ -40,7 +41,7 @@
 	log       *logrus.Entry
 	host      *multigroup.Node
 	elector   *Elector
-	state     *State
+	state     *state.State
 	publisher *feed.Publisher
 	clients   *rpc.Clients
 	primary   *controlclient.Client
@@ -88,7 +89,7 @@
 		seeds:     settings.NewSeeds(s),
 		log:       log,
 		host:      host,
-		state:     NewState(),
+		state:     state.New(),
 		clients:   clients,
 		sessions:  newSessions(host.Identity),
 		self:      consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
@@ -235,7 +236,7 @@
 	message.Answer(result.Code, result.Body)
 }
 
-func (s *Server) decide(ctx context.Context, message rpc.Message) (Result, error) {
+func (s *Server) decide(ctx context.Context, message rpc.Message) (state.Result, error) {
 	switch message.Kind {
 	case controlclient.KindSubmit:
 		return s.submitHere(ctx, message.Payload)
@@ -246,7 +247,7 @@
 	case controlclient.KindHostBeat:
 		beat, err := controlclient.DecodeHostBeat(message.Payload)
 		if err != nil {
-			return Result{}, err
+			return state.Result{}, err
 		}
 		return s.hostBeat(ctx, beat)
 	case controlclient.KindObserved:
@@ -258,6 +259,6 @@
 	case controlclient.KindRetireRead:
 		return s.retireState(ctx, string(message.Payload))
 	default:
-		return Result{}, codes.Malformed
+		return state.Result{}, codes.Malformed
 	}
 }
--- a/tier/control/sessions.go
+++ b/tier/control/sessions.go
@@ -4,6 +4,7 @@
 	"sync"
 
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/lease"
@@ -37,7 +38,7 @@
 }
 
 // Begin starts sessions anew for all that the state knows.
-func (s *Sessions) Begin(state *State) {
+func (s *Sessions) Begin(state *state.State) {
 	boots := map[uint64]uint64{}
 	for id, store := range directory.Stores(state.View) {
 		boots[id] = store.Boot
--- /dev/null
+++ b/tier/control/state/ejection.go
@@ -0,0 +1,37 @@
+package state
+
+import (
+	"otterseam/tier/codes"
+	"otterseam/tier/directory"
+	"otterseam/tier/feed"
+)
+
+func (c EjectHost) apply(s *State, index uint64) Result {
+	if held, known := s.hosts[c.ID]; known && !held.departed {
+		s.View.Put(feed.SectionVerdict, c.ID, index, directory.EncodeTerm(c.TermMS))
+	}
+	return Result{Code: codes.OK}
+}
+
+func (c ReinstateHost) apply(s *State, index uint64) Result {
+	s.reinstate(index, c.ID)
+	return Result{Code: codes.OK}
+}
+
+// reinstate takes back that a host is ejected.
+func (s *State) reinstate(index uint64, id string) {
+	if _, ejected := s.View.Get(feed.SectionVerdict, id); ejected {
+		s.View.Delete(feed.SectionVerdict, id, index)
+	}
+}
+
+// EjectionTerms lists the hosts that are ejected, with their terms in milliseconds.
+func (s *State) EjectionTerms() map[string]int64 {
+	terms := map[string]int64{}
+	for _, item := range s.View.All(feed.SectionVerdict) {
+		if term, err := directory.DecodeTerm(item.Data); err == nil {
+			terms[item.Key] = term
+		}
+	}
+	return terms
+}
--- a/tier/control/retirement.go
+++ b/tier/control/state/retirement.go
@@ -1,10 +1,11 @@
-package control
+package state
 
 import (
 	"slices"
 	"sort"
 
 	"otterseam/tier/codec"
+	"otterseam/tier/codes"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
 )
@@ -103,3 +104,33 @@
 		s.View.Delete(feed.SectionRetire, item.Key, index)
 	}
 }
+
+// apply marks a store machine to be emptied.
+func (c RetireNode) apply(s *State, index uint64) Result {
+	if s.IsRetiring(c.Node) {
+		return Result{Code: codes.OK}
+	}
+	known := false
+	remaining := 0
+	for _, store := range directory.Stores(s.View) {
+		if store.Node == c.Node {
+			known = true
+		} else if !s.IsRetiring(store.Node) {
+			remaining++
+		}
+	}
+	if !known {
+		return Result{Code: codes.RetireUnknown}
+	}
+	if remaining < int(c.Needed) {
+		return Result{Code: codes.RetireTooFew}
+	}
+	s.beginRetirement(index, c.Node)
+	return Result{Code: codes.OK}
+}
+
+// IsRetiring tells whether a store machine was ordered to be emptied, also when it has been.
+func (s *State) IsRetiring(node string) bool {
+	_, found := s.View.Get(feed.SectionRetire, node)
+	return found
+}
--- /dev/null
+++ b/tier/control/state/shards.go
@@ -0,0 +1,40 @@
+package state
+
+import (
+	"otterseam/tier/codes"
+	"otterseam/tier/directory"
+	"otterseam/tier/feed"
+)
+
+func (c PutStore) apply(s *State, index uint64) Result {
+	s.View.Put(feed.SectionStore, directory.StoreKey(c.Store.Identity), index, c.Store.Encode())
+	s.retirementMeetsStore(index, c.Store)
+	return Result{Code: codes.OK}
+}
+
+func (c RemoveStore) apply(s *State, index uint64) Result {
+	s.View.Delete(feed.SectionStore, directory.StoreKey(c.Store.Identity), index)
+	s.retirementLosesStore(index, c.Store.Node)
+	return Result{Code: codes.OK}
+}
+
+func (c PutShard) apply(s *State, index uint64) Result {
+	key := directory.ShardKey(c.Shard.ID)
+	epoch := uint64(0)
+	if data, found := s.View.Get(feed.SectionShard, key); found {
+		if held, err := directory.DecodeShard(data); err == nil {
+			epoch = held.View.Epoch
+		}
+	}
+	if epoch != c.Epoch {
+		return Result{Code: codes.NotPrimary}
+	}
+	s.View.Put(feed.SectionShard, key, index, c.Shard.Encode())
+	return Result{Code: codes.OK}
+}
+
+func (c SetMembers) apply(s *State, index uint64) Result {
+	s.View.SetInstallation(c.Record.ClusterID)
+	s.View.Put(feed.SectionControl, directory.ConfigKey, index, directory.EncodeMembers(c.Record))
+	return Result{Code: codes.OK}
+}
--- a/tier/control/verdicts.go
+++ b/tier/control/verdicts.go
@@ -6,6 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"otterseam/tier/control/state"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
 	"otterseam/tier/multigroup"
@@ -67,25 +68,25 @@
 }
 
 // observed takes a window of a gateway.
-func (s *Server) observed(payload []byte) (Result, error) {
+func (s *Server) observed(payload []byte) (state.Result, error) {
 	window, err := outlier.DecodeWindow(payload)
 	if err != nil {
-		return Result{}, err
+		return state.Result{}, err
 	}
 	s.verdicts.take(window, multigroup.Now())
-	return Result{}, nil
+	return state.Result{}, nil
 }
 
 // judgeHosts sets hosts aside that fail where their peers do not, and takes back what has lapsed.
 func (s *Server) judgeHosts(ctx context.Context) {
 	aside, ended := s.verdicts.decide(s.fleet, multigroup.Now())
-	var commands []Command
+	var commands []state.Command
 	for _, verdict := range aside {
 		s.log.WithFields(logrus.Fields{"host": verdict.Host, "term_ms": verdict.DurationMS}).Info("host set aside: it fails where its peers do not")
-		commands = append(commands, Command{Kind: CommandSetAside, Key: verdict.Host, TermMS: verdict.DurationMS})
+		commands = append(commands, state.EjectHost{ID: verdict.Host, TermMS: verdict.DurationMS})
 	}
 	for _, host := range ended {
-		commands = append(commands, Command{Kind: CommandEndAside, Key: host})
+		commands = append(commands, state.ReinstateHost{ID: host})
 	}
 	s.submitAll(ctx, commands)
 }
--- a/tier/proxy/proxy.go
+++ b/tier/proxy/proxy.go
@@ -21,7 +21,7 @@
 	"github.com/sirupsen/logrus"
 
 	"otterseam/tier/codes"
-	"otterseam/tier/control"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/feed"
 	"otterseam/tier/httpguard"
@@ -181,7 +181,7 @@
 }
 
 func (p *Proxy) takeConfig(data []byte) {
-	version, body := control.SplitConfig(data)
+	version, body := state.SplitConfig(data)
 	config, err := opconfig.Parse(body)
 	if err != nil {
 		p.log.WithField("code", uint16(codes.ConfigInvalid)).WithError(err).Error("a distributed configuration cannot be read; the one before stays")
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
-	"otterseam/tier/control"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
@@ -40,7 +40,7 @@
 	}
 	s := Status{Control: Record(ctx, addresses), Revision: view.Revision()}
 	if data, found := view.Get(feed.SectionConfig, directory.ConfigKey); found {
-		s.Version, _ = control.SplitConfig(data)
+		s.Version, _ = state.SplitConfig(data)
 	}
 	for _, store := range directory.Stores(view) {
 		s.Stores = append(s.Stores, store)
