--- a/tier/consensus/consensus_test.go
+++ b/tier/consensus/consensus_test.go
@@ -12,11 +12,11 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// cluster is a set of witnesses reached over a network that breaks.
+// cluster is a set of acceptors reached over a network that breaks.
 type cluster struct {
 	mu        sync.Mutex
 	random    *rand.Rand
-	witnesses map[uint64]*Acceptor
+	acceptors map[uint64]*Acceptor
 	loss      float64 // share of calls whose request or answer is lost
 	dieAfter  int     // calls until the proposer dies; below 0 for never
 }
@@ -28,37 +28,42 @@
 		return Response{}, errUnreachable
 	}
 	c.dieAfter--
-	witness := c.witnesses[id]
-	if witness == nil || c.random.Float64() < c.loss {
+	acceptor := c.acceptors[id]
+	if acceptor == nil || c.random.Float64() < c.loss {
 		return Response{}, errUnreachable
 	}
-	given := act(witness)
+	given := act(acceptor)
 	if c.random.Float64() < c.loss {
 		return Response{}, errUnreachable
 	}
-	return Response{Granted: given, Promised: witness.Promised, Accepted: witness.Accepted, Value: witness.Value}, nil
+	return Response{Granted: given, Promised: acceptor.Promised, Accepted: acceptor.Accepted, Value: acceptor.Value}, nil
 }
 
-func (c *cluster) Prepare(_ context.Context, to Member, ballot ProposalNumber) (Response, error) {
-	return c.reach(to.ID, func(w *Acceptor) bool { return w.Prepare(ballot) })
+func (c *cluster) Prepare(_ context.Context, to Member, number ProposalNumber) (Response, error) {
+	return c.reach(to.ID, func(w *Acceptor) bool { return w.Prepare(number) })
 }
 
-func (c *cluster) Accept(_ context.Context, to Member, ballot ProposalNumber, value Record) (Response, error) {
-	return c.reach(to.ID, func(w *Acceptor) bool { return w.Accept(ballot, value) })
+func (c *cluster) Accept(_ context.Context, to Member, number ProposalNumber, value Record) (Response, error) {
+	return c.reach(to.ID, func(w *Acceptor) bool { return w.Accept(number, value) })
 }
 
-// set puts a witness in place, or takes it away; calls of an earlier proposal may still be under way.
-func (c *cluster) set(id uint64, witness *Acceptor) {
+// proposer proposes over the cluster.
+func (c *cluster) proposer(id uint64, rounds *RoundAllocator) Proposer {
+	return Proposer{ID: id, Rounds: rounds, Transport: c}
+}
+
+// set puts an acceptor in place, or takes it away; calls of an earlier proposal may still be under way.
+func (c *cluster) set(id uint64, acceptor *Acceptor) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.witnesses[id] = witness
+	c.acceptors[id] = acceptor
 }
 
-// get copies a witness.
+// get copies an acceptor.
 func (c *cluster) get(id uint64) Acceptor {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return *c.witnesses[id]
+	return *c.acceptors[id]
 }
 
 // trouble sets what is lost and when the proposer dies.
@@ -70,10 +75,10 @@
 }
 
 func newCluster(seed int64, members int) (*cluster, Record) {
-	c := &cluster{random: rand.New(rand.NewSource(seed)), witnesses: map[uint64]*Acceptor{}, dieAfter: -1}
+	c := &cluster{random: rand.New(rand.NewSource(seed)), acceptors: map[uint64]*Acceptor{}, dieAfter: -1}
 	var list []Member
 	for id := uint64(1); id <= uint64(members); id++ {
-		c.witnesses[id] = &Acceptor{}
+		c.acceptors[id] = &Acceptor{}
 		list = append(list, Member{ID: id})
 	}
 	return c, Record{Members: list}
@@ -98,15 +103,17 @@
 	}
 }
 
-// firstLife are the rounds of a proposer that never restarts.
-func firstLife() *RoundAllocator { return NewRoundAllocator(0, func(uint64) error { return nil }) }
+// firstIncarnation are the rounds of a proposer that never restarts.
+func firstIncarnation() *RoundAllocator {
+	return NewRoundAllocator(0, func(uint64) error { return nil })
+}
 
 // proposers are the rounds of several proposers.
 type proposers map[uint64]*RoundAllocator
 
 func (p proposers) of(id uint64) *RoundAllocator {
 	if p[id] == nil {
-		p[id] = firstLife()
+		p[id] = firstIncarnation()
 	}
 	return p[id]
 }
@@ -146,7 +153,7 @@
 			if rapid.Bool().Draw(rt, "knows the newest") {
 				from = decided
 			}
-			record, err := Propose(context.Background(), c, proposer, rounds.of(proposer), from, addMark(mark+1, remove, add))
+			record, err := c.proposer(proposer, rounds.of(proposer)).Propose(context.Background(), from, addMark(mark+1, remove, add))
 			if err != nil {
 				continue
 			}
@@ -177,7 +184,7 @@
 			}
 			proposer := uint64(1 + random.Intn(3))
 			from := records[max(0, len(records)-1-random.Intn(3))]
-			record, err := Propose(context.Background(), c, proposer, rounds.of(proposer), from, addMark(mark+1, remove, add))
+			record, err := c.proposer(proposer, rounds.of(proposer)).Propose(context.Background(), from, addMark(mark+1, remove, add))
 			if err != nil {
 				continue
 			}
@@ -193,27 +200,27 @@
 	c, start := newCluster(1, 3)
 	c.set(2, nil)
 	c.set(3, nil)
-	if _, err := Propose(context.Background(), c, 1, firstLife(), start, addMark(1, 0, 0)); err == nil {
-		t.Fatal("one of three witnesses decided")
+	if _, err := c.proposer(1, firstIncarnation()).Propose(context.Background(), start, addMark(1, 0, 0)); err == nil {
+		t.Fatal("one of three acceptors decided")
 	}
 }
 
-// A witness that lost its disk comes back under another identity, which no record names: it must not count.
-func TestAnEmptyWitnessDoesNotCountForTheOneBefore(t *testing.T) {
+// An acceptor that lost its disk comes back under another identity, which no record names: it must not count.
+func TestAnEmptyAcceptorDoesNotCountForTheOneBefore(t *testing.T) {
 	c, start := newCluster(1, 3)
-	rounds := firstLife()
-	first, err := Propose(context.Background(), c, 1, rounds, start, addMark(1, 0, 0))
+	rounds := firstIncarnation()
+	first, err := c.proposer(1, rounds).Propose(context.Background(), start, addMark(1, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.set(3, nil)
 	c.set(4, &Acceptor{})
 	c.set(2, nil)
-	if _, err := Propose(context.Background(), c, 1, rounds, first, addMark(2, 0, 0)); err == nil {
-		t.Fatal("decided with one witness and an empty one")
+	if _, err := c.proposer(1, rounds).Propose(context.Background(), first, addMark(2, 0, 0)); err == nil {
+		t.Fatal("decided with one acceptor and an empty one")
 	}
 	c.set(2, &Acceptor{Promised: c.get(1).Promised, Accepted: c.get(1).Accepted, Value: first})
-	replaced, err := Propose(context.Background(), c, 1, rounds, first, addMark(2, 3, 4))
+	replaced, err := c.proposer(1, rounds).Propose(context.Background(), first, addMark(2, 3, 4))
 	if err != nil || !HasMember(replaced.Members, 4) || HasMember(replaced.Members, 3) {
 		t.Fatalf("replacing the lost member gave %+v, %v", replaced, err)
 	}
@@ -222,20 +229,20 @@
 	}
 }
 
-func TestWitnessRefusesLowerBallots(t *testing.T) {
+func TestAcceptorRefusesLowerProposalNumbers(t *testing.T) {
 	var w Acceptor
 	if !w.Prepare(ProposalNumber{Round: 5, Proposer: 1}) || w.Prepare(ProposalNumber{Round: 4, Proposer: 9}) {
-		t.Fatal("a lower ballot was promised")
+		t.Fatal("a lower number was promised")
 	}
 	if w.Accept(ProposalNumber{Round: 4, Proposer: 9}, Record{Epoch: 1}) {
-		t.Fatal("a lower ballot was accepted")
+		t.Fatal("a lower number was accepted")
 	}
 	if !w.Accept(ProposalNumber{Round: 5, Proposer: 1}, Record{Epoch: 1}) {
-		t.Fatal("the promised ballot was not accepted")
+		t.Fatal("the promised number was not accepted")
 	}
 }
 
-func TestWitnessSurvivesItsEncoding(t *testing.T) {
+func TestAcceptorSurvivesItsEncoding(t *testing.T) {
 	w := Acceptor{
 		Promised: ProposalNumber{9, 2}, Accepted: ProposalNumber{8, 1},
 		Value: Record{
@@ -249,7 +256,7 @@
 	}
 	for cut := range w.Encode() {
 		if _, err := DecodeAcceptor(w.Encode()[:cut]); err == nil {
-			t.Fatalf("%d bytes were taken for a witness", cut)
+			t.Fatalf("%d bytes were taken for an acceptor", cut)
 		}
 	}
 }
--- a/tier/consensus/explore_test.go
+++ b/tier/consensus/explore_test.go
@@ -12,38 +12,38 @@
 	"otterseam/tier/codec"
 )
 
-// The exploration plays every interleaving of two proposers and their witnesses, up to a number of steps. Each proposer runs in
-// a process that also holds a witness and may restart once; one of them replaces a member. Requests are never used up: each may
+// The exploration plays every interleaving of two proposers and their acceptors, up to a number of steps. Each proposer runs in
+// a process that also holds an acceptor and may restart once; one of them replaces a member. Requests are never used up: each may
 // arrive again, and late, after its proposer has given up or restarted. An answer arrives with the request or not at all: one
 // that comes later could only be taken while its proposer waits in the same phase, which is the same as having come at once.
 
 // faults are wrong decisions that the exploration must find.
 type faults struct {
-	rules            rules
-	roundFromWitness bool // a new life takes its round from its own witness
-	unsynced         bool // a witness answers before its state is durable
-	secondValue      bool // a witness takes a second value under a ballot
-	acceptsBelow     bool // a witness accepts below its promise
-	hidesValue       bool // a witness doesn't tell what it accepted
+	rules             rules
+	roundFromAcceptor bool // a new incarnation takes its round from its own acceptor
+	unsynced          bool // an acceptor answers before its state is durable
+	secondValue       bool // an acceptor takes a second value under a number
+	acceptsBelow      bool // an acceptor accepts below its promise
+	hidesValue        bool // an acceptor doesn't tell what it accepted
 }
 
 const (
-	exploredMembers = 3
-	exploredWitness = 4 // the fourth is the new member
+	exploredMembers  = 3
+	exploredAcceptor = 4 // the fourth is the new member
 )
 
 // sentRequest is a request that is on its way for ever.
 type sentRequest struct {
 	proposer int
-	attempt  int // of the proposer, over all its lives
+	attempt  int // of the proposer, over all its incarnations
 	request  Request
 	hash     uint64
 }
 
 // world says what may happen.
 type world struct {
-	changeMembers bool    // the second proposer's first life replaces member 3 by 4
-	attempts      [2]int  // proposals of each proposer in one life
+	changeMembers bool    // the second proposer's first incarnation replaces member 3 by 4
+	attempts      [2]int  // proposals of each proposer in one incarnation
 	restarts      [2]bool // whether each proposer's process may restart
 	reach         reach   // which requests may arrive at all
 	narrow        bool    // answers are lost only late, and the second proposer gives up only when it writes
@@ -57,30 +57,30 @@
 	return world{changeMembers: changeMembers, attempts: [2]int{2, 2}, restarts: [2]bool{true, true}, reach: everyone}
 }
 
-// exploredProposer is a proposer's process without its witness. It is not changed once it belongs to a state.
+// exploredProposer is a proposer's process without its acceptor. It is not changed once it belongs to a state.
 type exploredProposer struct {
-	life      int
-	attempts  int // begun in this life
-	before    int // begun in the life before
-	last      uint64
-	limit     uint64
-	disk      uint64
-	known     Record
-	confirmed Record
-	floor     []uint64 // the longest history decided when the proposal began
-	proposal  *Proposal
-	hash      uint64
-}
-
-// exploredWitnessState is a witness in memory and on disk.
-type exploredWitnessState struct {
+	incarnation int
+	attempts    int // begun in this incarnation
+	before      int // begun in the incarnation before
+	last        uint64
+	limit       uint64
+	disk        uint64
+	known       Record
+	confirmed   Record
+	floor       []uint64 // the longest history decided when the proposal began
+	proposal    *Proposal
+	hash        uint64
+}
+
+// exploredAcceptorState is an acceptor in memory and on disk.
+type exploredAcceptorState struct {
 	memory, disk Acceptor
 	hash         uint64
 }
 
 // exploredState is a state of all processes and of the network. Its parts are shared with other states and never changed.
 type exploredState struct {
-	witnesses [exploredWitness]*exploredWitnessState
+	acceptors [exploredAcceptor]*exploredAcceptorState
 	proposers [2]*exploredProposer
 	sent      []sentRequest
 	sentHash  uint64
@@ -95,7 +95,7 @@
 }
 
 func encodePromises(e *codec.Encoder, promises map[uint64]Response) {
-	for id := uint64(1); id <= exploredWitness; id++ {
+	for id := uint64(1); id <= exploredAcceptor; id++ {
 		promise, found := promises[id]
 		e.Bool(found)
 		if found {
@@ -108,7 +108,7 @@
 
 func (p *exploredProposer) sealed() *exploredProposer {
 	p.hash = hashOf(func(e *codec.Encoder) {
-		e.Uint64s([]uint64{uint64(p.life), uint64(p.attempts), uint64(p.before), p.last, p.limit, p.disk})
+		e.Uint64s([]uint64{uint64(p.incarnation), uint64(p.attempts), uint64(p.before), p.last, p.limit, p.disk})
 		EncodeRecord(e, p.known)
 		EncodeRecord(e, p.confirmed)
 		e.Uint64s(p.floor)
@@ -122,15 +122,15 @@
 		EncodeRecord(e, p.proposal.start)
 		EncodeRecord(e, p.proposal.next)
 		EncodeRecord(e, p.proposal.current)
-		encodePromises(e, p.proposal.answers)
-		for id := uint64(1); id <= exploredWitness; id++ {
+		encodePromises(e, p.proposal.responses)
+		for id := uint64(1); id <= exploredAcceptor; id++ {
 			e.Bool(p.proposal.asked[id])
 		}
 	})
 	return p
 }
 
-func (w *exploredWitnessState) sealed() *exploredWitnessState {
+func (w *exploredAcceptorState) sealed() *exploredAcceptorState {
 	w.hash = hashOf(func(e *codec.Encoder) {
 		e.Bytes = append(e.Bytes, w.memory.Encode()...)
 		e.Bytes = append(e.Bytes, w.disk.Encode()...)
@@ -140,8 +140,8 @@
 
 func (s *exploredState) hash() uint64 {
 	var bytes []byte
-	for _, witness := range s.witnesses {
-		bytes = binary.BigEndian.AppendUint64(bytes, witness.hash)
+	for _, acceptor := range s.acceptors {
+		bytes = binary.BigEndian.AppendUint64(bytes, acceptor.hash)
 	}
 	for _, proposer := range s.proposers {
 		bytes = binary.BigEndian.AppendUint64(bytes, proposer.hash)
@@ -171,13 +171,13 @@
 	for id := uint64(1); id <= exploredMembers; id++ {
 		start.Members = append(start.Members, Member{ID: id})
 	}
-	for i := range s.witnesses {
-		w := &exploredWitnessState{}
+	for i := range s.acceptors {
+		w := &exploredAcceptorState{}
 		if i < exploredMembers {
 			w.memory = Acceptor{Promised: ProposalNumber{1, 9}, Accepted: ProposalNumber{1, 9}, Value: start}
 			w.disk = w.memory
 		}
-		s.witnesses[i] = w.sealed()
+		s.acceptors[i] = w.sealed()
 	}
 	for i := range s.proposers {
 		s.proposers[i] = (&exploredProposer{known: start, last: 1, limit: 1, disk: 1}).sealed()
@@ -185,10 +185,10 @@
 	return s
 }
 
-// change is what a proposer wants in a life. The second proposer's first life replaces member 3 by 4.
-func (x *explorer) change(proposer, life int) Change {
-	mark := uint64(1 + proposer + 2*life)
-	if x.world.changeMembers && proposer == 1 && life == 0 {
+// change is what a proposer wants in an incarnation. The second proposer's first incarnation replaces member 3 by 4.
+func (x *explorer) change(proposer, incarnation int) Change {
+	mark := uint64(1 + proposer + 2*incarnation)
+	if x.world.changeMembers && proposer == 1 && incarnation == 0 {
 		return addMark(mark, 3, 4)
 	}
 	return addMark(mark, 0, 0)
@@ -196,18 +196,7 @@
 
 // steps lists the states that may follow.
 func (x *explorer) steps(s *exploredState) []*exploredState {
-	var next []*exploredState
-	for i, p := range s.proposers {
-		if p.proposal == nil && p.attempts < x.world.attempts[i] {
-			next = append(next, x.begin(s, i))
-		}
-		if p.proposal != nil && (!x.world.narrow || i == 0 || p.proposal.phase == PhaseAccept) {
-			next = append(next, x.giveUp(s, i))
-		}
-		if p.life == 0 && x.world.restarts[i] {
-			next = append(next, x.restart(s, i))
-		}
-	}
+	next := x.proposerSteps(s)
 	for _, sent := range s.sent {
 		if !x.world.reach(sent.proposer, sent.attempt, sent.request.Kind, sent.request.To.ID) {
 			continue
@@ -221,13 +210,30 @@
 		}
 	}
 	if x.faults.unsynced {
-		for i := range s.witnesses {
+		for i := range s.acceptors {
 			next = append(next, x.sync(s, i))
 		}
 	}
 	return next
 }
 
+// proposerSteps lists the states that follow when a proposer begins, gives up or restarts.
+func (x *explorer) proposerSteps(s *exploredState) []*exploredState {
+	var next []*exploredState
+	for i, p := range s.proposers {
+		if p.proposal == nil && p.attempts < x.world.attempts[i] {
+			next = append(next, x.begin(s, i))
+		}
+		if p.proposal != nil && (!x.world.narrow || i == 0 || p.proposal.phase == PhaseAccept) {
+			next = append(next, x.giveUp(s, i))
+		}
+		if p.incarnation == 0 && x.world.restarts[i] {
+			next = append(next, x.restart(s, i))
+		}
+	}
+	return next
+}
+
 func (x *explorer) begin(s *exploredState, i int) *exploredState {
 	after := *s
 	p := *s.proposers[i]
@@ -235,8 +241,8 @@
 		p.disk = limit
 		return nil
 	}}
-	if x.faults.roundFromWitness {
-		rounds.last = max(p.last, s.witnesses[i].memory.Promised.Round)
+	if x.faults.roundFromAcceptor {
+		rounds.last = max(p.last, s.acceptors[i].memory.Promised.Round)
 		rounds.limit = ^uint64(0)
 	}
 	round, _ := rounds.Next()
@@ -244,10 +250,10 @@
 	p.attempts++
 	p.floor = s.decided
 	start := p.known
-	if accepted := s.witnesses[i].memory.Value; accepted.Epoch > start.Epoch {
+	if accepted := s.acceptors[i].memory.Value; accepted.Epoch > start.Epoch {
 		start = accepted
 	}
-	p.proposal = NewProposal(ProposalNumber{round, uint64(i + 1)}, start, p.confirmed, x.change(i, p.life))
+	p.proposal = NewProposal(ProposalNumber{round, uint64(i + 1)}, start, p.confirmed, x.change(i, p.incarnation))
 	p.proposal.rules = x.faults.rules
 	after.send(i, p.before+p.attempts-1, p.proposal.Begin())
 	after.proposers[i] = p.sealed()
@@ -283,10 +289,10 @@
 
 func (x *explorer) restart(s *exploredState, i int) *exploredState {
 	after := *s
-	w := exploredWitnessState{memory: s.witnesses[i].disk, disk: s.witnesses[i].disk}
-	after.witnesses[i] = w.sealed()
-	p := exploredProposer{life: 1, before: s.proposers[i].attempts, last: s.proposers[i].disk, limit: s.proposers[i].disk, disk: s.proposers[i].disk, known: w.disk.Value}
-	if x.faults.roundFromWitness {
+	w := exploredAcceptorState{memory: s.acceptors[i].disk, disk: s.acceptors[i].disk}
+	after.acceptors[i] = w.sealed()
+	p := exploredProposer{incarnation: 1, before: s.proposers[i].attempts, last: s.proposers[i].disk, limit: s.proposers[i].disk, disk: s.proposers[i].disk, known: w.disk.Value}
+	if x.faults.roundFromAcceptor {
 		p.last = 0
 	}
 	after.proposers[i] = p.sealed()
@@ -295,18 +301,18 @@
 
 func (x *explorer) sync(s *exploredState, i int) *exploredState {
 	after := *s
-	after.witnesses[i] = (&exploredWitnessState{memory: s.witnesses[i].memory, disk: s.witnesses[i].memory}).sealed()
+	after.acceptors[i] = (&exploredAcceptorState{memory: s.acceptors[i].memory, disk: s.acceptors[i].memory}).sealed()
 	return &after
 }
 
-// deliver has a request reach its witness: without an answer, and with one where the proposer still waits for it.
+// deliver has a request reach its acceptor: without an answer, and with one where the proposer still waits for it.
 func (x *explorer) deliver(s *exploredState, sent sentRequest) (lost, answered *exploredState) {
 	position := int(sent.request.To.ID) - 1
-	before := s.witnesses[position]
+	before := s.acceptors[position]
 	vote := x.vote(before, sent)
 	after := *s
-	after.witnesses[position] = vote.witness
-	if vote.witness.hash != before.hash {
+	after.acceptors[position] = vote.acceptor
+	if vote.acceptor.hash != before.hash {
 		lost = &after
 	}
 	p := s.proposers[sent.proposer]
@@ -320,15 +326,15 @@
 }
 
 // voteKey names what a vote depends on.
-type voteKey struct{ witness, request uint64 }
+type voteKey struct{ acceptor, request uint64 }
 
-// voted is a witness after a request, with its answer.
+// voted is an acceptor after a request, with its answer.
 type voted struct {
-	witness *exploredWitnessState
-	promise Response
+	acceptor *exploredAcceptorState
+	promise  Response
 }
 
-func (x *explorer) vote(before *exploredWitnessState, sent sentRequest) voted {
+func (x *explorer) vote(before *exploredAcceptorState, sent sentRequest) voted {
 	key := voteKey{before.hash, sent.hash}
 	if known, found := x.votes[key]; found {
 		return known
@@ -362,8 +368,8 @@
 
 // answerKey names what a proposer's reaction to an answer depends on.
 type answerKey struct {
-	proposer, request, witness uint64
-	given                      bool
+	proposer, request, acceptor uint64
+	given                       bool
 }
 
 // reaction is a proposer after an answer.
@@ -376,7 +382,7 @@
 
 func (x *explorer) answer(s *exploredState, sent sentRequest, vote voted) *exploredState {
 	p := s.proposers[sent.proposer]
-	key := answerKey{p.hash, sent.hash, vote.witness.hash, vote.promise.Granted}
+	key := answerKey{p.hash, sent.hash, vote.acceptor.hash, vote.promise.Granted}
 	result, found := x.reactions[key]
 	if !found {
 		result = react(p, sent, vote.promise)
@@ -395,7 +401,7 @@
 	p := *before
 	proposal := *p.proposal
 	proposal.asked = maps.Clone(proposal.asked)
-	proposal.answers = maps.Clone(proposal.answers)
+	proposal.responses = maps.Clone(proposal.responses)
 	p.proposal = &proposal
 	result := reaction{requests: proposal.Answer(sent.request.Kind, sent.request.To.ID, promise)}
 	switch proposal.Phase() {
@@ -511,12 +517,12 @@
 		wrong func(*faults)
 		world world
 	}{
-		{"a ballot is used by two lives", func(f *faults) { f.roundFromWitness, f.secondValue = true, true }, restartWorld},
-		{"a witness answers before its state is durable", func(f *faults) { f.unsynced = true }, unsyncedWorld},
-		{"a witness accepts below its promise", func(f *faults) { f.acceptsBelow = true }, onceEach},
-		{"a witness hides what it accepted", func(f *faults) { f.hidesValue = true }, onceEach},
+		{"a number is used by two incarnations", func(f *faults) { f.roundFromAcceptor, f.secondValue = true, true }, restartWorld},
+		{"an acceptor answers before its state is durable", func(f *faults) { f.unsynced = true }, unsyncedWorld},
+		{"an acceptor accepts below its promise", func(f *faults) { f.acceptsBelow = true }, onceEach},
+		{"an acceptor hides what it accepted", func(f *faults) { f.hidesValue = true }, onceEach},
 		{"half of the members are a quorum", func(f *faults) { f.rules.quorum = half }, wholeWorld(false)},
-		{"the lowest ballot's value is taken", func(f *faults) { f.rules.highestAccepted = lowest }, onceEach},
+		{"the lowest number's value is taken", func(f *faults) { f.rules.highestAccepted = lowest }, onceEach},
 		{"a pending change of members is forgotten", func(f *faults) {
 			f.rules.previousMembers = func(Record, Record) []Member { return nil }
 		}, memberWorld},
--- a/tier/consensus/idempotent_change.go
+++ b/tier/consensus/idempotent_change.go
@@ -1,7 +1,8 @@
 package consensus
 
-// IdempotentChange is a change of the register that one process wants, over all proposals that it takes. A proposal may meet the value of an
-// earlier one, which has reached some witnesses; it is then decided as it stands, and the change is the process's own all the same.
+// IdempotentChange is a change of the register that one process wants, over all proposals that it takes. A proposal may meet the
+// value of an earlier one, which has reached some acceptors; it is then decided as it stands, and the change is applied once all
+// the same. Its method Apply is the [Change] to propose.
 type IdempotentChange struct {
 	// Change returns the record that is wanted in place of the current one, or false if none is.
 	Change func(current Record) (Record, bool)
@@ -12,8 +13,8 @@
 
 // Apply is the change as a proposal asks for it.
 func (c *IdempotentChange) Apply(current Record, _ map[uint64]bool) (Record, bool) {
-	for _, made := range c.proposed {
-		if made.withoutPrevious().Equal(current.withoutPrevious()) {
+	for _, earlier := range c.proposed {
+		if earlier.withoutPrevious().Equal(current.withoutPrevious()) {
 			c.applied = true
 			return current, false
 		}
@@ -28,9 +29,3 @@
 
 // Applied tells whether the value of the newest proposal is that of this change.
 func (c *IdempotentChange) Applied() bool { return c.applied }
-
-// withoutPrevious is a record without the note that its members were changed, which each writing of it may set anew.
-func (r Record) withoutPrevious() Record {
-	r.Previous = nil
-	return r
-}
--- a/tier/consensus/proposal_test.go
+++ b/tier/consensus/proposal_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// step drives a proposal by hand: the named witnesses answer its requests, in the order of their ids.
+// step drives a proposal by hand: the named acceptors answer its requests, in the order of their ids.
 func step(t *testing.T, c *cluster, p *Proposal, requests []Request, reached ...uint64) {
 	t.Helper()
 	kind := RequestKind(0)
@@ -39,7 +39,7 @@
 func TestAnUndecidedChangeOfMembersIsConfirmedBeforeItIsFollowed(t *testing.T) {
 	c, start := newCluster(1, 3)
 	c.set(4, &Acceptor{})
-	first, err := Propose(t.Context(), c, 9, firstLife(), start, addMark(1, 0, 0))
+	first, err := c.proposer(9, firstIncarnation()).Propose(t.Context(), start, addMark(1, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	replacing := NewProposal(ProposalNumber{100, 9}, first, Record{}, addMark(2, 1, 4))
 	step(t, c, replacing, replacing.Begin(), 1, 2, 3, 4)
 	if replacing.Phase() != PhaseDecided {
-		t.Fatal("the change of members was not decided with all witnesses up")
+		t.Fatal("the change of members was not decided with all acceptors up")
 	}
 	confirming := NewProposal(ProposalNumber{101, 9}, replacing.Decided(), Record{}, addMark(3, 0, 0))
 	step(t, c, confirming, confirming.Begin(), 2, 3, 4)
--- a/tier/consensus/propose.go
+++ b/tier/consensus/propose.go
@@ -6,37 +6,53 @@
 	"otterseam/tier/codes"
 )
 
-// Transport reaches the witnesses. A witness of another identity at the address gives no promise.
+// Transport reaches the acceptors. An acceptor of another identity at the address grants nothing.
 type Transport interface {
-	Prepare(ctx context.Context, to Member, ballot ProposalNumber) (Response, error)
-	Accept(ctx context.Context, to Member, ballot ProposalNumber, value Record) (Response, error)
+	Prepare(ctx context.Context, to Member, number ProposalNumber) (Response, error)
+	Accept(ctx context.Context, to Member, number ProposalNumber, value Record) (Response, error)
 }
 
-// Change is a compare-and-set: it returns the value that is to follow the current one, or false to leave it. It may be asked
-// several times for one proposal, and the current value may then be one that it returned before.
+// Change is the compare-and-set of a proposal: it returns the value that is to follow the current one, or false to leave it.
+// reached are the members that granted the prepare. It may be called several times for one proposal, and the current value may
+// then be one that it returned before.
 type Change func(current Record, reached map[uint64]bool) (next Record, wanted bool)
 
 // maxAttempts bounds the proposals of one change: failed ones, and those that only confirm a change of members.
 const maxAttempts = 5
 
-// Propose reads the register and changes it. start is the newest record known, which names the witnesses to begin with. On an
-// error the change may or may not take effect later.
-func Propose(ctx context.Context, transport Transport, proposer uint64, rounds *RoundAllocator, start Record, change Change) (Record, error) {
-	return propose(ctx, transport, proposer, rounds, start, 0, change)
+// Proposer changes the register over a transport.
+type Proposer struct {
+	ID        uint64 // the identity of the process, part of its proposal numbers
+	Rounds    *RoundAllocator
+	Transport Transport
 }
 
-// propose is Propose where at least a number of members have to vote.
-func propose(ctx context.Context, transport Transport, proposer uint64, rounds *RoundAllocator, start Record, least int, change Change) (Record, error) {
+// Propose reads the register and changes it. start is the newest record known, which names the acceptors to begin with. The
+// record returned is the one decided or, with an error, the newest one read; the change may then take effect later or not.
+func (p Proposer) Propose(ctx context.Context, start Record, change Change) (Record, error) {
+	return p.propose(ctx, start, 0, change)
+}
+
+// Bootstrap decides the first record, for members that are more than half of the seeds. Several processes may bootstrap at once
+// with other members of the seeds: a majority of the members of one list and a majority of another's need not meet, so that more
+// than half of all seeds have to vote. Any two such votes meet in one seed, and the later proposer reads there what the earlier
+// one decided.
+func (p Proposer) Bootstrap(ctx context.Context, members []Member, seeds int, change Change) (Record, error) {
+	return p.propose(ctx, Record{Members: members}, seeds/2+1, change)
+}
+
+// propose is Propose where at least minVotes members have to vote.
+func (p Proposer) propose(ctx context.Context, start Record, minVotes int, change Change) (Record, error) {
 	var confirmed Record
 	for range maxAttempts {
-		round, err := rounds.Next()
+		round, err := p.Rounds.Next()
 		if err != nil {
 			return start, err
 		}
-		proposal := NewProposal(ProposalNumber{Round: round, Proposer: proposer}, start, confirmed, change)
-		proposal.minVotes = least
-		run(ctx, transport, proposal)
-		rounds.Observe(proposal.HighestRound())
+		proposal := NewProposal(ProposalNumber{Round: round, Proposer: p.ID}, start, confirmed, change)
+		proposal.minVotes = minVotes
+		run(ctx, p.Transport, proposal)
+		p.Rounds.Observe(proposal.HighestRound())
 		start = proposal.Newest()
 		if proposal.Phase() != PhaseDecided {
 			if ctx.Err() != nil {
@@ -52,15 +68,15 @@
 	return start, codes.Unavailable
 }
 
-// reply is a witness's answer to a request.
+// reply is what became of a request: the response, or the transport's error.
 type reply struct {
-	request Request
-	promise Response
-	err     error
+	request  Request
+	response Response
+	err      error
 }
 
-// run sends a proposal's requests and hands it the answers until it is decided or has failed. Requests may still be under way
-// when it returns; they carry the proposal's own ballot and value and so change nothing that is decided.
+// run sends a proposal's requests and hands it the replies until it is decided or has failed. Requests may still be in flight
+// when it returns; they carry the proposal's own number and value and so change nothing that is decided.
 func run(ctx context.Context, transport Transport, proposal *Proposal) {
 	ended := make(chan struct{})
 	defer close(ended)
@@ -68,61 +84,31 @@
 	send := func(requests []Request) {
 		for _, request := range requests {
 			go func() {
-				answer := sendRequest(ctx, transport, request)
+				received := sendRequest(ctx, transport, request)
 				select {
-				case replies <- answer:
+				case replies <- received:
 				case <-ended:
 				}
 			}()
 		}
 	}
 	send(proposal.Begin())
-	for proposal.Phase() == PhasePrepare || proposal.Phase() == PhaseAccept {
-		got := <-replies
-		if got.err != nil {
-			send(proposal.Fail(got.request.Kind, got.request.To.ID))
+	for !proposal.IsOver() {
+		received := <-replies
+		if received.err != nil {
+			send(proposal.Fail(received.request.Kind, received.request.To.ID))
 		} else {
-			send(proposal.Answer(got.request.Kind, got.request.To.ID, got.promise))
+			send(proposal.Answer(received.request.Kind, received.request.To.ID, received.response))
 		}
 	}
 }
 
 func sendRequest(ctx context.Context, transport Transport, request Request) reply {
-	got := reply{request: request}
+	received := reply{request: request}
 	if request.Kind == RequestPrepare {
-		got.promise, got.err = transport.Prepare(ctx, request.To, request.Number)
+		received.response, received.err = transport.Prepare(ctx, request.To, request.Number)
 	} else {
-		got.promise, got.err = transport.Accept(ctx, request.To, request.Number, request.Value)
-	}
-	return got
-}
-
-// previousMembers are the members that a next writer has to ask besides, because a majority of them may not know the new ones yet.
-func previousMembers(current, next Record) []Member {
-	if sameMembers(current.Members, next.Members) {
-		return nil
-	}
-	return current.Members
-}
-
-func sameMembers(a, b []Member) bool {
-	if len(a) != len(b) {
-		return false
-	}
-	for _, member := range a {
-		if !HasMember(b, member.ID) {
-			return false
-		}
-	}
-	return true
-}
-
-func granted(promises map[uint64]Response) map[uint64]bool {
-	voted := map[uint64]bool{}
-	for id, promise := range promises {
-		if promise.Granted {
-			voted[id] = true
-		}
+		received.response, received.err = transport.Accept(ctx, request.To, request.Number, request.Value)
 	}
-	return voted
+	return received
 }
--- a/tier/consensus/recorded_test.go
+++ b/tier/consensus/recorded_test.go
@@ -41,23 +41,23 @@
 	}
 }
 
-func TestRecordedRecordAndBallot(t *testing.T) {
+func TestRecordedRecordAndProposalNumber(t *testing.T) {
 	recorded.CheckBoth(t, "record", recordedRecord(), encodeAlone(EncodeRecord), decodeAlone(DecodeRecord))
 	recorded.CheckBoth(t, "record-empty", Record{}, encodeAlone(EncodeRecord), decodeAlone(DecodeRecord))
-	ballot := ProposalNumber{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222}
-	recorded.CheckBoth(t, "ballot", ballot, encodeAlone(EncodeProposalNumber), decodeAlone(DecodeProposalNumber))
+	number := ProposalNumber{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222}
+	recorded.CheckBoth(t, "ballot", number, encodeAlone(EncodeProposalNumber), decodeAlone(DecodeProposalNumber))
 }
 
-func TestRecordedWitness(t *testing.T) {
-	witness := Acceptor{
+func TestRecordedAcceptor(t *testing.T) {
+	acceptor := Acceptor{
 		Promised: ProposalNumber{Round: 0x0a0b0c0d0e0f1012, Proposer: 0x3333333333333333},
 		Accepted: ProposalNumber{Round: 0x0a0b0c0d0e0f1011, Proposer: 0x2222222222222222},
 		Value:    recordedRecord(),
 	}
-	recorded.CheckBoth(t, "witness", witness, func(w Acceptor) []byte { return w.Encode() }, DecodeAcceptor)
+	recorded.CheckBoth(t, "witness", acceptor, func(w Acceptor) []byte { return w.Encode() }, DecodeAcceptor)
 }
 
-// What a proposer makes durable before its first round, and the round that its next life begins with, are those recorded.
+// What a proposer makes durable before its first round, and the round that its next incarnation begins with, are those recorded.
 func TestRecordedRounds(t *testing.T) {
 	var stored []byte
 	first := NewRoundAllocator(41, func(limit uint64) error {
@@ -71,6 +71,6 @@
 	limit := binary.BigEndian.Uint64(recorded.Read(t, "rounds-limit"))
 	next := NewRoundAllocator(limit, func(uint64) error { return nil })
 	if round, err := next.Next(); err != nil || round != limit+1 {
-		t.Fatalf("first round of the next life: %d, %v", round, err)
+		t.Fatalf("first round of the next incarnation: %d, %v", round, err)
 	}
 }
--- a/tier/consensus/round_allocator_test.go
+++ b/tier/consensus/round_allocator_test.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// Whatever a life used or saw, and however often it restarts, no round comes twice and each is above all seen before.
+// Whatever an incarnation used or saw, and however often it restarts, no round comes twice and each is above all seen before.
 func TestNoRoundIsHandedOutTwice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		disk := &limitDisk{}
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestALifeWritesItsRoundsOnce(t *testing.T) {
+func TestAnIncarnationReservesItsRoundsOnce(t *testing.T) {
 	disk := &limitDisk{}
 	rounds := NewRoundAllocator(0, disk.reserve)
 	if err := rounds.Reserve(); err != nil {
@@ -80,7 +80,7 @@
 }
 
 func TestProposalsSideBySideUseDifferentRounds(t *testing.T) {
-	rounds := firstLife()
+	rounds := firstIncarnation()
 	const each, proposals = 200, 4
 	taken := make(chan uint64, each*proposals)
 	var wait sync.WaitGroup
@@ -105,19 +105,19 @@
 	}
 }
 
-// A disk of an older version holds no limit. The first life of this version starts far above what its witness promised.
+// A disk of an older version holds no limit. The first incarnation of this version starts far above what its acceptor promised.
 func TestADiskWithoutALimitStartsAboveWhatItMayHaveUsed(t *testing.T) {
 	if got := AssumedRoundLimit(Acceptor{}); got != 0 {
-		t.Fatalf("a first life starts above %d", got)
+		t.Fatalf("a first incarnation starts above %d", got)
 	}
 	if got := AssumedRoundLimit(Acceptor{Promised: ProposalNumber{Round: 7, Proposer: 1}}); got < 7+maxAttempts*1000 {
 		t.Fatalf("starts above %d", got)
 	}
 }
 
-// A proposer whose own witness never wrote its ballot restarts and proposes another value. The former life's accept, which
+// A proposer whose own acceptor never wrote its number restarts and proposes another value. The former incarnation's accept, which
 // comes last, must not replace the decided value.
-func TestALateAcceptOfAFormerLifeReplacesNothing(t *testing.T) {
+func TestALateAcceptOfAFormerIncarnationReplacesNothing(t *testing.T) {
 	c, start := newCluster(1, 3)
 	disk := &limitDisk{}
 	first := NewRoundAllocator(disk.limit, disk.reserve)
@@ -126,42 +126,42 @@
 		t.Fatal(err)
 	}
 	former := ProposalNumber{Round: round, Proposer: 1}
-	// the former life's own witness, number 1, has written nothing; 2 and 3 promised
+	// the former incarnation's own acceptor, number 1, has written nothing; 2 and 3 promised
 	for _, id := range []uint64{2, 3} {
 		if promise, err := c.Prepare(context.Background(), Member{ID: id}, former); err != nil || !promise.Granted {
 			t.Fatalf("%+v, %v", promise, err)
 		}
 	}
-	decided, err := Propose(context.Background(), c, 1, NewRoundAllocator(disk.limit, disk.reserve), start, addMark(2, 0, 0))
+	decided, err := c.proposer(1, NewRoundAllocator(disk.limit, disk.reserve)).Propose(context.Background(), start, addMark(2, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []uint64{1, 2, 3} {
 		_, _ = c.Accept(context.Background(), Member{ID: id}, former, Record{Epoch: 1, InSync: []uint64{1}, Members: start.Members})
 	}
-	read, err := Propose(context.Background(), c, 2, firstLife(), start, func(r Record, _ map[uint64]bool) (Record, bool) { return r, false })
+	read, err := c.proposer(2, firstIncarnation()).Propose(context.Background(), start, func(r Record, _ map[uint64]bool) (Record, bool) { return r, false })
 	if err != nil || !read.Equal(decided) {
 		t.Fatalf("decided %+v, then read %+v, %v", decided, read, err)
 	}
 }
 
-func TestAWitnessTakesOneValueUnderABallot(t *testing.T) {
+func TestAnAcceptorTakesOneValueUnderANumber(t *testing.T) {
 	var w Acceptor
-	ballot := ProposalNumber{Round: 5, Proposer: 1}
+	number := ProposalNumber{Round: 5, Proposer: 1}
 	first := Record{Epoch: 1, Primary: 1, Members: []Member{{ID: 1}}}
 	for range 2 {
-		if !w.Accept(ballot, first) {
+		if !w.Accept(number, first) {
 			t.Fatal("an accept was refused, or the same one again")
 		}
 	}
-	if w.Accept(ballot, Record{Epoch: 1, Primary: 2, Members: []Member{{ID: 1}}}) || !w.Value.Equal(first) {
-		t.Fatal("a second value was accepted under one ballot")
+	if w.Accept(number, Record{Epoch: 1, Primary: 2, Members: []Member{{ID: 1}}}) || !w.Value.Equal(first) {
+		t.Fatal("a second value was accepted under one number")
 	}
 }
 
-func TestAProposalWithoutWitnessesDecidesNothing(t *testing.T) {
+func TestAProposalWithoutAcceptorsDecidesNothing(t *testing.T) {
 	c, _ := newCluster(1, 3)
-	if record, err := Propose(context.Background(), c, 1, firstLife(), Record{}, addMark(1, 0, 0)); err == nil {
-		t.Fatalf("decided %+v without a witness", record)
+	if record, err := c.proposer(1, firstIncarnation()).Propose(context.Background(), Record{}, addMark(1, 0, 0)); err == nil {
+		t.Fatalf("decided %+v without an acceptor", record)
 	}
 }
--- a/tier/control/elector.go
+++ b/tier/control/elector.go
@@ -261,10 +261,15 @@
 	return decodePromise(answer)
 }
 
+// proposer proposes in this process's name.
+func (e *Elector) proposer(mode prepareMode) consensus.Proposer {
+	return consensus.Proposer{ID: e.host.Identity, Rounds: e.rounds, Transport: witnessTransport{e, mode}}
+}
+
 // propose changes the register. Proposals may run side by side: each has ballots of its own.
 func (e *Elector) propose(ctx context.Context, mode prepareMode, start consensus.Record, change consensus.Change) (consensus.Record, error) {
 	return e.decide(ctx, func(attempt context.Context) (consensus.Record, error) {
-		return consensus.Propose(attempt, witnessTransport{e, mode}, e.host.Identity, e.rounds, start, change)
+		return e.proposer(mode).Propose(attempt, start, change)
 	})
 }
 
@@ -353,7 +358,7 @@
 		return next, true
 	}}
 	record, err := e.decide(ctx, func(call context.Context) (consensus.Record, error) {
-		return consensus.Bootstrap(call, witnessTransport{e, prepareBySelf}, e.host.Identity, e.rounds, members, seeds, attempt.Apply)
+		return e.proposer(prepareBySelf).Bootstrap(call, members, seeds, attempt.Apply)
 	})
 	if err == nil && attempt.Applied() {
 		e.lead(record)
--- a/tier/control/elector_test.go
+++ b/tier/control/elector_test.go
@@ -72,7 +72,7 @@
 	}}
 	rounds := consensus.NewRoundAllocator(1, func(uint64) error { return nil })
 	transport := serialTransport{make(chan struct{}, 1), local}
-	record, err := consensus.Propose(context.Background(), transport, 1, rounds, start, attempt.Apply)
+	record, err := consensus.Proposer{ID: 1, Rounds: rounds, Transport: transport}.Propose(context.Background(), start, attempt.Apply)
 	if err != nil || record.Epoch != 6 || record.Primary != 1 || !attempt.Applied() {
 		t.Fatalf("%+v, %v, took %v", record, err, attempt.Applied())
 	}
