--- a/gateway/policy/digest_test.go
+++ b/gateway/policy/digest_test.go
@@ -31,24 +31,24 @@
 	now        float64
 	gateway    *policy.Gateway
 	asked      []*policy.Invocation // that are not finished
-	deliveries []*policy.Delivery   // that are out
+	deliveries []*policy.Attempt    // that are out
 	calls      []countedCall
 	totals     map[uint64]float64
 	taken      int
 }
 
-func (c *caller) Count(name uint64, amount, life float64) {
+func (c *caller) AddCount(name uint64, amount, life float64) {
 	c.digest.Uint(1, name)
 	c.digest.Float(amount, life)
 	c.calls = append(c.calls, countedCall{name, amount})
 }
 
-func (c *caller) Cancel(d *policy.Delivery) {
+func (c *caller) CancelAttempt(d *policy.Attempt) {
 	c.digest.Uint(2, uint64(d.Number))
-	c.digest.Text(d.Inv.Ref, d.Host.Addr)
+	c.digest.Text(d.Invocation.Ref, d.Host.Addr)
 }
 
-func (c *caller) Tell(to int, text string) {
+func (c *caller) SendPeer(to int, text string) {
 	c.digest.Uint(3)
 	c.digest.Int(int64(to))
 	c.digest.Text(text)
@@ -59,31 +59,31 @@
 
 func newCaller(seed int64, d *digesttest.Digest) *caller {
 	c := &caller{digest: d, random: rand.New(rand.NewSource(seed)), now: 1000, totals: map[uint64]float64{}}
-	at := policy.Standing{Gateways: digestedGateways, Zone: "zone-0", Seed: uint64(seed)}
+	at := policy.Instance{Gateways: digestedGateways, Zone: "zone-0", Seed: uint64(seed)}
 	if seed%3 > 0 {
 		at.Peers = membership.New(0, digestedGateways, digestedMail, 0.1, uint64(seed))
 	}
 	if seed%3 > 1 {
-		at.Damp = overload.New(overload.Terms{Gateways: digestedGateways, Mail: digestedMail, Seed: uint64(seed)})
+		at.Overload = overload.New(overload.Terms{Gateways: digestedGateways, Mail: digestedMail, Seed: uint64(seed)})
 	}
 	operations := []policy.Operation{
-		{Name: "read", Objective: 0.3, Value: 1, Effect: policy.Idempotent},
-		{Name: "late", Objective: 0.3, Value: 2, Late: 0.5, Effect: policy.Idempotent},
-		{Name: "zone", Objective: 0.5, Value: 5, Effect: policy.Tokened, Group: "zone", TokenTime: 2},
-		{Name: "cell", Objective: 0.5, Value: 5, Effect: policy.Tokened, Group: "cell", TokenTime: 2},
-		{Name: "all", Objective: 0.5, Value: 5, Effect: policy.Tokened, Group: "all", TokenTime: 1},
-		{Name: "once", Objective: 0.5, Value: 9, Effect: policy.NonIdempotent},
+		{Name: "read", LatencyTarget: 0.3, Value: 1, Effect: policy.Idempotent},
+		{Name: "late", LatencyTarget: 0.3, Value: 2, LateValue: 0.5, Effect: policy.Idempotent},
+		{Name: "zone", LatencyTarget: 0.5, Value: 5, Effect: policy.Deduplicated, DedupScope: "zone", DedupWindow: 2},
+		{Name: "cell", LatencyTarget: 0.5, Value: 5, Effect: policy.Deduplicated, DedupScope: "cell", DedupWindow: 2},
+		{Name: "all", LatencyTarget: 0.5, Value: 5, Effect: policy.Deduplicated, DedupScope: "all", DedupWindow: 1},
+		{Name: "once", LatencyTarget: 0.5, Value: 9, Effect: policy.NonIdempotent},
 	}
 	plans := []policy.Plan{
 		{Name: "free"},
 		{Name: "rate", Rate: 40, Burst: 60},
-		{Name: "open", MaxOut: 6},
-		{Name: "both", Rate: 20, Burst: 40, MaxOut: 8, CeilingRate: 60, CeilingBurst: 90},
+		{Name: "open", MaxConcurrent: 6},
+		{Name: "both", Rate: 20, Burst: 40, MaxConcurrent: 8, CeilingRate: 60, CeilingBurst: 90},
 	}
 	c.gateway = policy.New(at, operations, plans,
-		policy.Counter{Present: true, Limit: 0.05, Settles: seed%2 == 0, Most: 8},
-		policy.Cold{Share: 0.2, Warm: 5, Factor: 2},
-		policy.Allowed{Deliveries: 4, Cancel: true, Peers: true, Mail: digestedMail}, c)
+		policy.CounterConfig{Present: true, Timeout: 0.05, SettlesUnits: seed%2 == 0, MaxUnits: 8},
+		policy.SlowStart{InitialCapacity: 0.2, Duration: 5, OverloadFactor: 2},
+		policy.Limits{MaxAttempts: 4, CanCancel: true, PeerMessages: true, PeerMessageRate: digestedMail}, c)
 	c.list(true)
 	return c
 }
@@ -91,21 +91,21 @@
 // list tells of all hosts or of some.
 func (c *caller) list(whole bool) {
 	states := []string{"active", "active", "active", "active", "active", "active", "leaving", "left"}
-	var list []policy.Listed
+	var list []policy.HostEntry
 	for host := range digestedHosts {
 		if !whole && c.random.Intn(4) > 0 {
 			continue
 		}
-		listed := policy.Listed{
+		listed := policy.HostEntry{
 			Addr: address(host), Zone: fmt.Sprintf("zone-%d", host%3), Cell: host / 2,
 			State: states[c.random.Intn(len(states))], Weight: float64(1 + host%2),
 		}
 		if c.random.Intn(3) == 0 {
-			listed.Since = c.now
+			listed.StartedAt = c.now
 		}
 		list = append(list, listed)
 	}
-	c.gateway.Hosts(c.now, list, whole)
+	c.gateway.UpdateHosts(c.now, list, whole)
 }
 
 func address(host int) string { return fmt.Sprintf("10.0.0.%d:9000", host) }
@@ -116,11 +116,11 @@
 func (c *caller) take() {
 	c.taken++
 	first := c.random.Intn(digestedGateways)
-	inv := c.gateway.Take(c.now, policy.Asked{
+	inv := c.gateway.Accept(c.now, policy.Request{
 		Ref: fmt.Sprint("r", c.taken), Operation: pick(c, "read", "read", "late", "zone", "cell", "all", "once", "unnamed"),
 		Customer: fmt.Sprint("c", c.random.Intn(6)), Plan: pick(c, "free", "rate", "open", "both", "both"),
-		Units: float64(1 + c.random.Intn(8)), GiveUp: c.now + 0.2 + 2*c.random.Float64(), First: first,
-		Width: 1 + c.random.Intn(digestedGateways), Repeat: c.random.Intn(8) == 0,
+		Units: float64(1 + c.random.Intn(8)), Deadline: c.now + 0.2 + 2*c.random.Float64(), FirstGateway: first,
+		GatewayCount: 1 + c.random.Intn(digestedGateways), ClientRetry: c.random.Intn(8) == 0,
 	})
 	c.asked = append(c.asked, inv)
 	c.turns()
@@ -128,24 +128,24 @@
 
 // turns asks about each invocation whose turn it is.
 func (c *caller) turns() {
-	for inv := c.gateway.Turn(c.now); inv != nil; inv = c.gateway.Turn(c.now) {
+	for inv := c.gateway.Next(c.now); inv != nil; inv = c.gateway.Next(c.now) {
 		c.digest.Text(inv.Ref)
-		c.act(inv, c.gateway.Where(c.now, inv))
+		c.act(inv, c.gateway.Decide(c.now, inv))
 	}
 }
 
-func (c *caller) act(inv *policy.Invocation, answer policy.Answer) {
-	c.digest.Int(int64(answer.Do))
-	c.digest.Float(answer.RetryAfter, answer.Within)
-	if answer.Do != policy.Send {
+func (c *caller) act(inv *policy.Invocation, answer policy.Decision) {
+	c.digest.Int(int64(answer.Action))
+	c.digest.Float(answer.RetryAfter, answer.Timeout)
+	if answer.Action != policy.Send {
 		return
 	}
 	c.digest.Text(answer.Host.Addr)
-	delivery := inv.Deliveries[len(inv.Deliveries)-1]
+	delivery := inv.Attempts[len(inv.Attempts)-1]
 	if c.random.Intn(4) == 0 {
-		c.gateway.Dialled(c.now)
+		c.gateway.DialStarted(c.now)
 	}
-	goes := c.gateway.Goes(c.now, delivery)
+	goes := c.gateway.ConfirmSend(c.now, delivery)
 	c.digest.Bool(goes)
 	if !goes {
 		c.ended(delivery, policy.NotSent)
@@ -154,12 +154,12 @@
 	c.deliveries = append(c.deliveries, delivery)
 }
 
-func (c *caller) ended(d *policy.Delivery, how policy.Outcome) {
-	ended := policy.Ended{How: how, Over: how == policy.Succeeded, Took: 0.01 + 0.3*c.random.Float64()}
+func (c *caller) ended(d *policy.Attempt, how policy.Outcome) {
+	ended := policy.AttemptResult{Outcome: how, Final: how == policy.Succeeded, Duration: 0.01 + 0.3*c.random.Float64()}
 	if how == policy.Succeeded {
-		ended.Units = float64(1 + c.random.Intn(8))
+		ended.ActualUnits = float64(1 + c.random.Intn(8))
 	}
-	c.act(d.Inv, c.gateway.After(c.now, d, ended))
+	c.act(d.Invocation, c.gateway.AttemptEnded(c.now, d, ended))
 }
 
 // end ends one delivery. Two hosts of the eight end most of theirs badly.
@@ -172,7 +172,7 @@
 	c.deliveries = append(c.deliveries[:position], c.deliveries[position+1:]...)
 	how := policy.Succeeded
 	if bad := d.Host.Addr == address(0) || d.Host.Addr == address(1); bad && c.random.Intn(4) > 0 || c.random.Intn(12) == 0 {
-		how = pick(c, policy.Failed, policy.TurnedAway, policy.TimedOut, policy.NoConnection, policy.Reset, policy.Withdrawn)
+		how = pick(c, policy.Failed, policy.Rejected, policy.TimedOut, policy.NoConnection, policy.Reset, policy.Cancelled)
 	}
 	c.ended(d, how)
 	c.turns()
@@ -187,7 +187,7 @@
 	c.calls = c.calls[1:]
 	how := policy.Succeeded
 	if c.random.Intn(15) == 0 {
-		how = pick(c, policy.Failed, policy.TurnedAway, policy.TimedOut, policy.NoConnection, policy.Reset)
+		how = pick(c, policy.Failed, policy.Rejected, policy.TimedOut, policy.NoConnection, policy.Reset)
 	}
 	if how == policy.Succeeded || c.random.Intn(2) == 0 {
 		c.totals[call.name] += call.amount
@@ -195,16 +195,16 @@
 	if c.random.Intn(20) == 0 { // another api gateway's units
 		c.totals[call.name] += float64(c.random.Intn(20))
 	}
-	c.gateway.Counted(c.now, call.name, how, c.totals[call.name], 0.05*c.random.Float64())
+	c.gateway.CounterReplied(c.now, call.name, how, c.totals[call.name], 0.05*c.random.Float64())
 	if how != policy.Succeeded && c.random.Intn(3) == 0 {
-		c.gateway.Lost(call.name, call.amount)
+		c.gateway.CounterCallLost(call.name, call.amount)
 	}
 	c.turns()
 }
 
 func (c *caller) gone() {
 	if len(c.asked) > 0 {
-		c.gateway.Gone(c.now, pick(c, c.asked...))
+		c.gateway.Abandon(c.now, pick(c, c.asked...))
 		c.turns()
 	}
 }
@@ -213,13 +213,13 @@
 	from := 1 + c.random.Intn(digestedGateways-1)
 	host := address(c.random.Intn(digestedHosts))
 	customer := fmt.Sprint("c", c.random.Intn(6))
-	c.gateway.Told(c.now, from, pick(c, "-"+host, "+"+host, "=rate "+customer, "=both "+customer))
+	c.gateway.PeerMessage(c.now, from, pick(c, "-"+host, "+"+host, "=rate "+customer, "=both "+customer))
 	c.turns()
 }
 
 // pass lets time pass, with a look at things where it is due, as the two waits tell.
 func (c *caller) pass() {
-	wait, meets := c.gateway.Wait(c.now), c.gateway.Meets(c.now)
+	wait, meets := c.gateway.TickDelay(c.now), c.gateway.MembershipDelay(c.now)
 	c.digest.Float(wait, meets)
 	c.now += wait * c.random.Float64()
 	if c.random.Intn(400) == 0 {
@@ -229,7 +229,7 @@
 		c.gateway.Tick(c.now)
 	}
 	if meets < 0.5 || c.random.Intn(20) == 0 {
-		c.gateway.Meet(c.now)
+		c.gateway.RefreshMembership(c.now)
 	}
 	c.turns()
 	c.books()
@@ -237,14 +237,14 @@
 
 // books adds what others may know of the gateway's books.
 func (c *caller) books() {
-	c.gateway.Debts(func(name uint64, units, life float64) {
+	c.gateway.UnreportedUnits(func(name uint64, units, life float64) {
 		c.digest.Uint(name)
 		c.digest.Float(units, life)
 	})
 	for _, call := range c.calls {
-		c.digest.Float(c.gateway.Places(call.name))
+		c.digest.Float(c.gateway.CountedSlots(call.name))
 	}
-	scope, needs := c.gateway.Marked(pick(c, "read", "zone", "cell", "all", "once", "nobody's"))
+	scope, needs := c.gateway.DedupScope(pick(c, "read", "zone", "cell", "all", "once", "nobody's"))
 	c.digest.Text(scope)
 	c.digest.Bool(needs)
 }
--- a/gateway/policy/fake_test.go
+++ b/gateway/policy/fake_test.go
@@ -11,11 +11,11 @@
 	now   float64
 	g     *Gateway
 	calls []fakeCall
-	last  map[*Invocation]Answer
-	sends []*Delivery
+	last  map[*Invocation]Decision
+	sends []*Attempt
 	told  []string
 	logs  []string
-	off   []*Delivery
+	off   []*Attempt
 	n     int
 }
 
@@ -24,65 +24,65 @@
 	amount float64
 }
 
-func (f *fake) Count(name uint64, amount, life float64) {
+func (f *fake) AddCount(name uint64, amount, life float64) {
 	f.calls = append(f.calls, fakeCall{name, amount})
 }
-func (f *fake) Cancel(d *Delivery)       { f.off = append(f.off, d) }
-func (f *fake) Tell(to int, text string) { f.told = append(f.told, text) }
-func (f *fake) Log(text string)          { f.logs = append(f.logs, text) }
+func (f *fake) CancelAttempt(d *Attempt)     { f.off = append(f.off, d) }
+func (f *fake) SendPeer(to int, text string) { f.told = append(f.told, text) }
+func (f *fake) Log(text string)              { f.logs = append(f.logs, text) }
 
 var fakeOps = []Operation{
-	{Name: "read", Objective: 1, Value: 1, Effect: Idempotent},
-	{Name: "mark", Objective: 1, Value: 5, Effect: Tokened, Group: "zone", TokenTime: 2},
-	{Name: "once", Objective: 1, Value: 5, Effect: NonIdempotent},
+	{Name: "read", LatencyTarget: 1, Value: 1, Effect: Idempotent},
+	{Name: "mark", LatencyTarget: 1, Value: 5, Effect: Deduplicated, DedupScope: "zone", DedupWindow: 2},
+	{Name: "once", LatencyTarget: 1, Value: 5, Effect: NonIdempotent},
 }
 
 // newFake starts an api gateway, one of three, with the plan and two hosts.
 func newFake(t *testing.T, p Plan) *fake { return newFakeOf(t, p, 3) }
 
 func newFakeOf(t *testing.T, p Plan, gateways int) *fake {
-	f := &fake{t: t, now: 1000, last: map[*Invocation]Answer{}}
-	f.g = New(Standing{Gateways: gateways, Zone: "z"}, fakeOps, []Plan{p},
-		Counter{Present: true, Limit: 0.05, Most: 8}, Cold{Share: 0.2, Warm: 10, Factor: 2},
-		Allowed{Deliveries: 4, Cancel: true, Peers: true, Mail: 60}, f)
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "active"}}, true)
+	f := &fake{t: t, now: 1000, last: map[*Invocation]Decision{}}
+	f.g = New(Instance{Gateways: gateways, Zone: "z"}, fakeOps, []Plan{p},
+		CounterConfig{Present: true, Timeout: 0.05, MaxUnits: 8}, SlowStart{InitialCapacity: 0.2, Duration: 10, OverloadFactor: 2},
+		Limits{MaxAttempts: 4, CanCancel: true, PeerMessages: true, PeerMessageRate: 60}, f)
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "active"}}, true)
 	return f
 }
 
 func (f *fake) take(units float64, width int) *Invocation { return f.takeOp("read", units, width) }
 
 func (f *fake) takeOp(op string, units float64, width int) *Invocation {
-	inv := f.g.Take(f.now, Asked{
+	inv := f.g.Accept(f.now, Request{
 		Ref: "r", Operation: op, Customer: "c", Plan: "p", Units: units,
-		GiveUp: f.now + 4, Width: width,
+		Deadline: f.now + 4, GatewayCount: width,
 	})
 	f.turns()
 	return inv
 }
 
 func (f *fake) turns() {
-	for inv := f.g.Turn(f.now); inv != nil; inv = f.g.Turn(f.now) {
-		f.note(inv, f.g.Where(f.now, inv))
+	for inv := f.g.Next(f.now); inv != nil; inv = f.g.Next(f.now) {
+		f.note(inv, f.g.Decide(f.now, inv))
 	}
 }
 
-func (f *fake) note(inv *Invocation, a Answer) {
-	if a.Do == NotYet {
+func (f *fake) note(inv *Invocation, a Decision) {
+	if a.Action == Pending {
 		return
 	}
-	if a.Do != Send && f.last[inv].Do > Send {
+	if a.Action != Send && f.last[inv].Action > Send {
 		f.t.Fatalf("a second final answer: %+v after %+v", a, f.last[inv])
 	}
 	f.last[inv] = a
-	if a.Do == Send {
-		f.sends = append(f.sends, inv.Deliveries[len(inv.Deliveries)-1])
+	if a.Action == Send {
+		f.sends = append(f.sends, inv.Attempts[len(inv.Attempts)-1])
 	}
 }
 
 // wait lets time pass, with a Tick whenever the module asks for one.
 func (f *fake) wait(s float64) {
 	for end := f.now + s; f.now < end; {
-		f.now = math.Min(end, f.now+f.g.Wait(f.now))
+		f.now = math.Min(end, f.now+f.g.TickDelay(f.now))
 		f.g.Tick(f.now)
 		f.turns()
 	}
@@ -104,24 +104,24 @@
 		f.t.Fatal("no counter call is out")
 	}
 	f.n++
-	f.g.Counted(f.now, f.calls[f.n-1].name, how, sum, 0.002)
+	f.g.CounterReplied(f.now, f.calls[f.n-1].name, how, sum, 0.002)
 	f.turns()
 }
 
 func (f *fake) wantSent(inv *Invocation, n int) {
 	f.t.Helper()
-	if len(inv.Deliveries) != n {
-		f.t.Fatalf("want %d deliveries, got %d (%+v)", n, len(inv.Deliveries), f.last[inv])
+	if len(inv.Attempts) != n {
+		f.t.Fatalf("want %d deliveries, got %d (%+v)", n, len(inv.Attempts), f.last[inv])
 	}
 }
 
 // ends ends the newest delivery of an invocation.
-func (f *fake) ends(inv *Invocation, how Outcome) { f.endsWith(inv, Ended{How: how}) }
+func (f *fake) ends(inv *Invocation, how Outcome) { f.endsWith(inv, AttemptResult{Outcome: how}) }
 
-func (f *fake) endsWith(inv *Invocation, e Ended) {
-	d := inv.Deliveries[len(inv.Deliveries)-1]
-	e.Over, e.Took = e.Over || e.How == Succeeded, f.now-d.sent
-	f.note(inv, f.g.After(f.now, d, e))
+func (f *fake) endsWith(inv *Invocation, e AttemptResult) {
+	d := inv.Attempts[len(inv.Attempts)-1]
+	e.Final, e.Duration = e.Final || e.Outcome == Succeeded, f.now-d.sentAt
+	f.note(inv, f.g.AttemptEnded(f.now, d, e))
 	f.turns()
 }
 
@@ -137,8 +137,8 @@
 // answerAll lets everything succeed that has been out for 10 ms.
 func (f *fake) answerAll() {
 	for _, d := range f.sends {
-		if d.Inv.out > 0 && f.now-d.sent > 0.0099 {
-			f.ends(d.Inv, Succeeded)
+		if d.Invocation.inFlight > 0 && f.now-d.sentAt > 0.0099 {
+			f.ends(d.Invocation, Succeeded)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 // passes says whether an invocation goes out now; it is answered at once.
 func (f *fake) passes(units float64, width int) bool {
 	inv := f.take(units, width)
-	if len(inv.Deliveries) == 0 {
+	if len(inv.Attempts) == 0 {
 		return false
 	}
 	f.ends(inv, Succeeded)
--- a/gateway/policy/policy.go
+++ b/gateway/policy/policy.go
@@ -26,113 +26,113 @@
 	"otterseam/internal/rng"
 )
 
-type Delivery struct {
-	Inv    *Invocation
-	Host   *Host
-	Number int
-	sent   float64
-	since  float64 // its host's start when it was chosen
+type Attempt struct {
+	Invocation    *Invocation
+	Host          *Host
+	Number        int
+	sentAt        float64
+	hostStartedAt float64 // its host's start when it was chosen
 }
 
 // stage: to be counted, its counter call out, over the quota, in line, a delivery out, has its final answer.
 type stage int
 
-const fresh, asking, refused, waiting, sent, finished stage = 0, 1, 2, 3, 4, 5
+const stageNew, stageCounting, stageThrottled, stageQueued, stageSent, stageFinished stage = 0, 1, 2, 3, 4, 5
 
 type Invocation struct {
-	Ref                   string
-	Deliveries            []*Delivery
-	op                    *operation
-	cust                  *customer
-	size, units, comeBack float64 // as it says, as the quota on the rate counts it; when to come back
-	born, wanted, giveUp  float64 // it came, its latency objective ends, its client gives up
-	stage                 stage
-	repeat, charged       bool      // it is marked as a client's repeat; it holds units and an open place
-	out                   int       // deliveries out
-	mayRun                *Delivery // the first delivery not proved not run
-	toHost                *Host     // chosen by Turn
+	Ref                           string
+	Attempts                      []*Attempt
+	operation                     *operation
+	customer                      *customer
+	units, quotaUnits, retryAfter float64 // as it says, as the quota on the rate counts it; when to come back
+	arrivedAt, targetAt, deadline float64 // it came, its latency objective ends, its client gives up
+	stage                         stage
+	clientRetry, reserved         bool     // it is marked as a client's repeat; it holds units and an open place
+	inFlight                      int      // deliveries out
+	unprovenAttempt               *Attempt // the first delivery not proved not run
+	host                          *Host    // chosen by Turn
 }
 
-func (inv *Invocation) Finished() bool { return inv.stage == finished && inv.out == 0 }
+func (inv *Invocation) Finished() bool { return inv.stage == stageFinished && inv.inFlight == 0 }
 
 type Host struct {
-	Addr, zone           string
-	cell, fails          int  // fails: bad endings since the last good one
-	listed, aside, asked bool // active in the list; set aside here; by a peer that asks for word of it
-	out                  []*Delivery
-	since, coldNext, let float64 // its last start; cold: nothing new, nothing let go before it has grown so far
-	places, restAt       float64 // how many deliveries this instance may have out there; nothing new before
-	slow, best           float64 // time of its answers over their operation's base; the least of it
-	pace, odd            float64 // mean gap between good answers times deliveries out; how odd its silence is
-	sign                 float64 // last good answer, or when it was given work after none
-	trialAt, trialGap    float64 // set aside: next trial, and how far apart
-	powOf, pow           float64 // what bestHost last raised to a power for it, and the result
+	Addr, zone                                   string
+	cell, consecutiveFailures                    int  // fails: bad endings since the last good one
+	active, ejected, peerAsked                   bool // active in the list; set aside here; by a peer that asks for word of it
+	inFlight                                     []*Attempt
+	startedAt, nextSendGrowth, nextReleaseGrowth float64 // its last start; cold: nothing new, nothing let go before it has grown so far
+	concurrencyLimit, backoffUntil               float64 // how many deliveries this instance may have out there; nothing new before
+	slowness, bestSlowness                       float64 // time of its answers over their operation's base; the least of it
+	answerGap, suspicion                         float64 // mean gap between good answers times deliveries out; how odd its silence is
+	lastAnswerAt                                 float64 // last good answer, or when it was given work after none
+	probeAt, probeInterval                       float64 // set aside: next trial, and how far apart
+	costSlowness, costFactor                     float64 // what bestHost last raised to a power for it, and the result
 }
 
 type operation struct {
 	Operation
-	mean, base float64 // time of good answers: of late, unpressed
+	meanLatency, baseLatency float64 // time of good answers: of late, unpressed
 }
 
 type customer struct {
-	key                 string
-	plan                *Plan
+	id                                        string
+	plan                                      *Plan
+	window                                    int64
+	counterName                               uint64
+	firstGateway, gatewayCount, shareGateways float64 // api gateways it comes in through; by how many its share was divided
+	othersOpen, ownOpen, usualOpen            float64 // open places, means: others' and its own in totals; its own here, at each try
+	available, availableAt, pendingUnits      float64 // units that may still be let in, as of at, less those of calls that are out
+	unreported, reportedAt                    float64 // units to add with the next call, and when the last was
+	openSlots, countedSlots                   int     // open places held here, and of them on the counter
+	recentRequested                           float64 // units asked for here of late, repeats left out
+	recentLocal, recentTotal, localShare      float64 // units let in of late: here, everywhere; its part of the quota without a call
+	localBudget, localBudgetAt                float64 // what may be let in without a call, as of then (0: a total came since)
+	admitFraction, admitFractionAt            float64 // of its tries let in without a call, as of when a total last left no room
+	lastTotal, lastTotalAt, overAdmitted      float64 // units in the last total, when it was, others' in it beyond the room there was
+	ceilingTokens, ceilingAt                  float64 // units under the hard ceiling, as of hardAt
+}
+
+type counterCall struct {
+	customer            *customer
+	invocation          *Invocation
 	window              int64
-	name                uint64
-	first, width, apart float64 // api gateways it comes in through; by how many its share was divided
-	open, held, busy    float64 // open places, means: others' and its own in totals; its own here, at each try
-	room, at, asking    float64 // units that may still be let in, as of at, less those of calls that are out
-	owed, told          float64 // units to add with the next call, and when the last was
-	out, standing       int     // open places held here, and of them on the counter
-	asks                float64 // units asked for here of late, repeats left out
-	mine, all, share    float64 // units let in of late: here, everywhere; its part of the quota without a call
-	lent, lentAt        float64 // what may be let in without a call, as of then (0: a total came since)
-	part, overAt        float64 // of its tries let in without a call, as of when a total last left no room
-	seen, sawAt, excess float64 // units in the last total, when it was, others' in it beyond the room there was
-	hard, hardAt        float64 // units under the hard ceiling, as of hardAt
-}
-
-type call struct {
-	cust        *customer
-	inv         *Invocation
-	window      int64
-	units, est  float64 // added, est of them the estimate
-	open, stood int     // open places added, and held here on the counter with them
+	added, estimate     float64 // added, est of them the estimate
+	slots, countedSlots int     // open places added, and held here on the counter with them
 }
 
 type Gateway struct {
-	at               Standing
-	counter          Counter
-	cold             Cold
-	allow            Allowed
-	out              Out
-	ops              map[string]*operation
-	plans            map[string]*Plan
-	hosts            []*Host // in the order of their addresses
-	byAddr           map[string]*Host
-	customers        map[string]*customer
-	inOrder          []*customer
-	names            map[uint64][]*call
-	calls            overload.Calls // to the counter, that may be made
-	chances          rng.Line
-	tellAt, shut     float64 // no message to the peers before; share of deliveries of late with no connection
-	ready, line      []*Invocation
-	abroad, most     float64 // deliveries out; how many there may be a host, from all api gateways
-	wait, mean, luck float64 // of late: answer times over objectives, answer times; a chance
-	all, live, own   float64 // api gateways; by how many shares divide; part of a host one judges alone
-}
-
-func New(at Standing, ops []Operation, ps []Plan, ctr Counter, cold Cold, allow Allowed, out Out) *Gateway {
+	instance                                         Instance
+	counterConfig                                    CounterConfig
+	slowStart                                        SlowStart
+	limits                                           Limits
+	output                                           Output
+	operations                                       map[string]*operation
+	plans                                            map[string]*Plan
+	hosts                                            []*Host // in the order of their addresses
+	hostsByAddr                                      map[string]*Host
+	customers                                        map[string]*customer
+	customersInOrder                                 []*customer
+	pendingCalls                                     map[uint64][]*counterCall
+	callLimiter                                      overload.Calls // to the counter, that may be made
+	random                                           rng.Line
+	peerMessageAt, connectFailureRate                float64 // no message to the peers before; share of deliveries of late with no connection
+	decidable, queue                                 []*Invocation
+	inFlight, perHostLimit                           float64 // deliveries out; how many there may be a host, from all api gateways
+	meanLatencyRatio, meanLatency, limitDither       float64 // of late: answer times over objectives, answer times; a chance
+	configuredGateways, liveGateways, judgementShare float64 // api gateways; by how many shares divide; part of a host one judges alone
+}
+
+func New(at Instance, ops []Operation, ps []Plan, ctr CounterConfig, cold SlowStart, allow Limits, out Output) *Gateway {
 	all := max(1, float64(at.Gateways))
 	g := &Gateway{
-		at: at, counter: ctr, cold: cold, allow: allow, out: out, ops: map[string]*operation{},
-		plans: map[string]*Plan{}, byAddr: map[string]*Host{}, customers: map[string]*customer{},
-		names: map[uint64][]*call{}, calls: overload.NewCalls(ctr.Present, ctr.Limit),
-		chances: rng.By("%d ", at.Seed), most: 12, wait: 0.2, all: all, live: all, own: min(1, 12/all),
+		instance: at, counterConfig: ctr, slowStart: cold, limits: allow, output: out, operations: map[string]*operation{},
+		plans: map[string]*Plan{}, hostsByAddr: map[string]*Host{}, customers: map[string]*customer{},
+		pendingCalls: map[uint64][]*counterCall{}, callLimiter: overload.NewCalls(ctr.Present, ctr.Timeout),
+		random: rng.By("%d ", at.Seed), perHostLimit: 12, meanLatencyRatio: 0.2, configuredGateways: all, liveGateways: all, judgementShare: min(1, 12/all),
 	}
 	for _, o := range ops {
-		g.ops[o.Name] = &operation{Operation: o, mean: o.Objective / 5, base: o.Objective / 8}
-		g.mean += o.Objective / 5 / float64(len(ops))
+		g.operations[o.Name] = &operation{Operation: o, meanLatency: o.LatencyTarget / 5, baseLatency: o.LatencyTarget / 8}
+		g.meanLatency += o.LatencyTarget / 5 / float64(len(ops))
 	}
 	for _, p := range ps {
 		g.plans[p.Name] = &p
@@ -140,28 +140,28 @@
 	return g
 }
 
-func (g *Gateway) Take(now float64, a Asked) *Invocation {
-	op, given := g.ops[a.Operation], a.GiveUp-now
+func (g *Gateway) Accept(now float64, a Request) *Invocation {
+	op, given := g.operations[a.Operation], a.Deadline-now
 	if op == nil { // the start did not name it: the strictest kind, wanted by half of its time
-		o := Operation{Name: a.Operation, Objective: given / 2, Value: 1, Effect: NonIdempotent}
-		op = &operation{Operation: o, mean: given / 10, base: given / 16}
-		g.ops[a.Operation] = op
+		o := Operation{Name: a.Operation, LatencyTarget: given / 2, Value: 1, Effect: NonIdempotent}
+		op = &operation{Operation: o, meanLatency: given / 10, baseLatency: given / 16}
+		g.operations[a.Operation] = op
 	}
 	inv := &Invocation{
-		Ref: a.Ref, op: op, cust: g.customer(now, a), size: a.Units, born: now,
-		wanted: now + op.Objective, giveUp: a.GiveUp, repeat: a.Repeat,
+		Ref: a.Ref, operation: op, customer: g.customer(now, a), units: a.Units, arrivedAt: now,
+		targetAt: now + op.LatencyTarget, deadline: a.Deadline, clientRetry: a.ClientRetry,
 	}
-	if inv.cust.plan.Rate > 0 {
-		inv.units = a.Units
+	if inv.customer.plan.Rate > 0 {
+		inv.quotaUnits = a.Units
 	}
-	g.ready = append(g.ready, inv)
-	if !a.Repeat {
-		g.at.Damp.Wished(now)
+	g.decidable = append(g.decidable, inv)
+	if !a.ClientRetry {
+		g.instance.Overload.Wished(now)
 	}
 	return inv
 }
 
-func (g *Gateway) customer(now float64, a Asked) *customer {
+func (g *Gateway) customer(now float64, a Request) *customer {
 	id := a.Plan + " " + a.Customer
 	c := g.customers[id]
 	if c == nil {
@@ -169,96 +169,96 @@
 		if plan == nil { // a plan that the start did not name promises nothing and limits nothing
 			plan = &Plan{Name: a.Plan}
 			g.plans[a.Plan] = plan
-			g.out.Log("a plan is unknown: no quota for " + a.Plan)
+			g.output.Log("a plan is unknown: no quota for " + a.Plan)
 		}
-		c = &customer{key: id, plan: plan, window: math.MinInt64, at: now, hardAt: now, part: 1, overAt: now - 60}
+		c = &customer{id: id, plan: plan, window: math.MinInt64, availableAt: now, ceilingAt: now, admitFraction: 1, admitFractionAt: now - 60}
 		g.customers[id] = c
-		g.inOrder = append(g.inOrder, c)
+		g.customersInOrder = append(g.customersInOrder, c)
 	}
-	c.first, c.width = float64(a.First), max(1, float64(a.Width))
+	c.firstGateway, c.gatewayCount = float64(a.FirstGateway), max(1, float64(a.GatewayCount))
 	return c
 }
 
-func (g *Gateway) Turn(now float64) *Invocation {
-	if len(g.ready) == 0 {
-		return g.fromLine(now)
+func (g *Gateway) Next(now float64) *Invocation {
+	if len(g.decidable) == 0 {
+		return g.nextQueued(now)
 	}
-	inv := g.ready[0]
-	g.ready = g.ready[1:]
+	inv := g.decidable[0]
+	g.decidable = g.decidable[1:]
 	return inv
 }
 
-func (g *Gateway) Where(now float64, inv *Invocation) Answer {
+func (g *Gateway) Decide(now float64, inv *Invocation) Decision {
 	switch {
-	case inv.stage == fresh:
+	case inv.stage == stageNew:
 		return g.admit(now, inv)
-	case inv.stage == waiting && inv.toHost != nil:
-		return g.send(now, inv, inv.toHost)
-	case inv.stage == refused, inv.stage == waiting && now >= g.lapse(inv):
-		return g.end(now, inv)
+	case inv.stage == stageQueued && inv.host != nil:
+		return g.send(now, inv, inv.host)
+	case inv.stage == stageThrottled, inv.stage == stageQueued && now >= g.queueDeadline(inv):
+		return g.finish(now, inv)
 	}
-	return Answer{}
+	return Decision{}
 }
 
-func (g *Gateway) Wait(now float64) float64 {
+func (g *Gateway) TickDelay(now float64) float64 {
 	next := 0.25
-	for _, inv := range g.line {
-		next = min(next, g.lapse(inv)-now)
+	for _, inv := range g.queue {
+		next = min(next, g.queueDeadline(inv)-now)
 	}
-	if len(g.line) > 0 || g.abroad > 0 {
+	if len(g.queue) > 0 || g.inFlight > 0 {
 		next = min(next, 0.05)
 	}
-	return max(min(next, g.at.Damp.Wait(now)), 0.001)
+	return max(min(next, g.instance.Overload.Wait(now)), 0.001)
 }
 
 // Meet keeps up who of the api gateways is there: what all do is divided by that, but for the rules.
-func (g *Gateway) Meet(now float64) {
-	g.at.Peers.Act(now, g.out.Tell, g.out.Log)
-	g.live = g.at.Peers.Apart(now, 0, int(g.all))
-	g.own = min(1, 12/g.live)
-	g.at.Damp.Stand(g.live, len(g.hosts))
+func (g *Gateway) RefreshMembership(now float64) {
+	g.instance.Peers.Act(now, g.output.SendPeer, g.output.Log)
+	g.liveGateways = g.instance.Peers.Apart(now, 0, int(g.configuredGateways))
+	g.judgementShare = min(1, 12/g.liveGateways)
+	g.instance.Overload.Stand(g.liveGateways, len(g.hosts))
 }
 
-func (g *Gateway) Meets(now float64) float64 { return g.at.Peers.Wait(now) }
+func (g *Gateway) MembershipDelay(now float64) float64 { return g.instance.Peers.Wait(now) }
 
 func (g *Gateway) Tick(now float64) {
-	g.watch(now)
-	g.at.Damp.Look(now)
-	g.at.Damp.Act(now, g.out.Tell, g.out.Log)
-	g.inOrder = slices.DeleteFunc(g.inOrder, func(c *customer) bool {
-		much := math.Abs(c.owed) > c.plan.Burst/4 || c.standing > c.out // the others should hear
-		if much && c.plan.limited() && now-c.told > 0.25 && g.calls.May(now, 1) {
-			g.roll(now, c)
-			g.tell(now, c, nil)
+	g.judgeSilence(now)
+	g.instance.Overload.Look(now)
+	g.instance.Overload.Act(now, g.output.SendPeer, g.output.Log)
+	g.customersInOrder = slices.DeleteFunc(g.customersInOrder, func(c *customer) bool {
+		much := math.Abs(c.unreported) > c.plan.Burst/4 || c.countedSlots > c.openSlots // the others should hear
+		if much && c.plan.limited() && now-c.reportedAt > 0.25 && g.callLimiter.May(now, 1) {
+			g.refill(now, c)
+			g.report(now, c, nil)
 		}
-		quiet := c.quiet(now)
+		quiet := c.forgettable(now)
 		if quiet {
-			delete(g.customers, c.key)
+			delete(g.customers, c.id)
 		}
 		return quiet
 	})
 }
 
 // quiet: to forget it changes no decision. Guards against memory that grows with all who ever came.
-func (c *customer) quiet(now float64) bool {
-	idle, rate := now-c.at, c.plan.Rate // a ceiling starts empty, and so is remembered for longer
-	return c.out == 0 && c.standing == 0 && c.asking == 0 && c.room+rate*idle >= c.plan.Burst &&
-		c.partNow(now) == 1 && idle > c.plan.windowLength() && (idle > 60 || c.plan.CeilingRate == 0)
+func (c *customer) forgettable(now float64) bool {
+	idle, rate := now-c.availableAt, c.plan.Rate // a ceiling starts empty, and so is remembered for longer
+	return c.openSlots == 0 && c.countedSlots == 0 && c.pendingUnits == 0 && c.available+rate*idle >= c.plan.Burst &&
+		c.admitFractionNow(now) == 1 && idle > c.plan.windowLength() && (idle > 60 || c.plan.CeilingRate == 0)
 }
 
 // end gives the final answer. A throttling needs proof that nothing ran, or an operation that may run again.
-func (g *Gateway) end(now float64, inv *Invocation) Answer {
-	op, repeatable := inv.op, inv.repeatable(now)
-	g.Gone(now, inv)
-	if !repeatable || inv.mayRun != nil && op.Effect == Tokened && op.Group != "all" {
-		return Answer{Do: GiveUp}
+func (g *Gateway) finish(now float64, inv *Invocation) Decision {
+	op, repeatable := inv.operation, inv.repeatable(now)
+	g.Abandon(now, inv)
+	if !repeatable || inv.unprovenAttempt != nil && op.Effect == Deduplicated && op.DedupScope != "all" {
+		return Decision{Action: Fail}
 	}
-	return Answer{Do: Throttle, RetryAfter: max(inv.comeBack, inv.op.mean/2)}
+	return Decision{Action: Throttle, RetryAfter: max(inv.retryAfter, inv.operation.meanLatency/2)}
 }
 
-func (g *Gateway) Gone(now float64, inv *Invocation) {
-	g.line = slices.DeleteFunc(g.line, func(x *Invocation) bool { return x == inv })
-	if inv.stage = finished; inv.out == 0 {
+func (g *Gateway) Abandon(now float64, inv *Invocation) {
+	g.queue = slices.DeleteFunc(g.queue, func(x *Invocation) bool { return x == inv })
+	if inv.stage = stageFinished; inv.inFlight == 0 {
 		g.release(now, inv)
 	}
 }
@@ -272,355 +272,357 @@
 }
 
 // pack is what one open place adds to a count that also keeps units; totals have seven digits.
-func (p *Plan) pack() float64 {
+func (p *Plan) slotUnit() float64 {
 	return math.Pow(10, math.Ceil(math.Log10(max(1000, 4*(p.Burst+p.Rate*p.windowLength())))))
 }
 
-func (p *Plan) limited() bool { return p.Rate > 0 || p.MaxOut > 0 }
+func (p *Plan) limited() bool { return p.Rate > 0 || p.MaxConcurrent > 0 }
 
 // roll brings a customer's room up to now and, at a window's edge, to the new name. Room is what the
 // last total leaves. What passes one burst is lost once a total has come: an edge carries over one at most.
-func (g *Gateway) roll(now float64, c *customer) {
+func (g *Gateway) refill(now float64, c *customer) {
 	p := c.plan
-	c.room += p.Rate * (now - c.at)
+	c.available += p.Rate * (now - c.availableAt)
 	if w := int64(math.Floor(now / p.windowLength())); w != c.window {
 		if c.window == math.MinInt64 { // no total seen: the whole burst counts as unused
-			c.room = p.Burst + (1-g.own)*p.Rate*math.Mod(now, p.windowLength())
+			c.available = p.Burst + (1-g.judgementShare)*p.Rate*math.Mod(now, p.windowLength())
 		}
-		c.window, c.seen, c.standing, c.excess = w, 0, 0, 0
+		c.window, c.lastTotal, c.countedSlots, c.overAdmitted = w, 0, 0, 0
 		f := fnv.New64a()
-		fmt.Fprintf(f, "%s %d", c.key, w)
-		c.name = f.Sum64() >> 1
+		fmt.Fprintf(f, "%s %d", c.id, w)
+		c.counterName = f.Sum64() >> 1
 	}
-	fade := math.Exp(-(now - c.at) / 8)
-	c.mine, c.all, c.asks, c.at = c.mine*fade, c.all*fade, c.asks*fade, now
+	fade := math.Exp(-(now - c.availableAt) / 8)
+	c.recentLocal, c.recentTotal, c.recentRequested, c.availableAt = c.recentLocal*fade, c.recentTotal*fade, c.recentRequested*fade, now
 }
 
-func (g *Gateway) admit(now float64, inv *Invocation) Answer {
-	c, p := inv.cust, inv.cust.plan
-	if now >= inv.giveUp-0.7*inv.op.mean || !g.underCeiling(now, inv) { // too late for any answer, or too much
-		return g.end(now, inv)
+func (g *Gateway) admit(now float64, inv *Invocation) Decision {
+	c, p := inv.customer, inv.customer.plan
+	if now >= inv.deadline-0.7*inv.operation.meanLatency || !g.underCeiling(now, inv) { // too late for any answer, or too much
+		return g.finish(now, inv)
 	}
-	if g.roll(now, c); !p.limited() {
-		g.join(inv)
-		return Answer{}
+	if g.refill(now, c); !p.limited() {
+		g.enqueue(inv)
+		return Decision{}
 	}
-	c.busy += 0.1 * (float64(c.out) - c.busy)
-	if !inv.repeat {
-		c.asks += inv.units
+	c.usualOpen += 0.1 * (float64(c.openSlots) - c.usualOpen)
+	if !inv.clientRetry {
+		c.recentRequested += inv.quotaUnits
 	}
-	recent, full := now-c.sawAt < 0.07 || g.calls.Crowded && now-c.sawAt < 1, p.MaxOut > 0 && c.out >= p.MaxOut
-	if short := inv.units - c.room; short > 0 && recent || full { // by a total just seen, or by what is out here
-		inv.comeBack = max(inv.op.mean, short/max(p.Rate, 0.001))
-		return g.end(now, inv)
+	recent, full := now-c.lastTotalAt < 0.07 || g.callLimiter.Crowded && now-c.lastTotalAt < 1, p.MaxConcurrent > 0 && c.openSlots >= p.MaxConcurrent
+	if short := inv.quotaUnits - c.available; short > 0 && recent || full { // by a total just seen, or by what is out here
+		inv.retryAfter = max(inv.operation.meanLatency, short/max(p.Rate, 0.001))
+		return g.finish(now, inv)
 	}
-	inv.charged, c.out, c.room = true, c.out+1, c.room-inv.units
-	if !g.calls.May(now, 1) || inv.giveUp-now < g.counter.Limit+0.01 {
-		g.bridge(now, inv)
+	inv.reserved, c.openSlots, c.available = true, c.openSlots+1, c.available-inv.quotaUnits
+	if !g.callLimiter.May(now, 1) || inv.deadline-now < g.counterConfig.Timeout+0.01 {
+		g.admitLocally(now, inv)
 	} else {
-		inv.stage = asking
-		g.tell(now, c, inv)
+		inv.stage = stageCounting
+		g.report(now, c, inv)
 	}
-	return Answer{}
+	return Decision{}
 }
 
-func (g *Gateway) tell(now float64, c *customer, inv *Invocation) {
-	k := &call{cust: c, window: c.window, inv: inv}
+func (g *Gateway) report(now float64, c *customer, inv *Invocation) {
+	k := &counterCall{customer: c, window: c.window, invocation: inv}
 	if inv != nil {
-		k.est = inv.units
+		k.estimate = inv.quotaUnits
 	}
-	k.units, c.asking = c.owed+k.est, c.asking+k.est
-	amount := k.units
-	if c.plan.MaxOut > 0 {
-		k.open = c.out - c.standing
-		amount += float64(k.open) * c.plan.pack()
+	k.added, c.pendingUnits = c.unreported+k.estimate, c.pendingUnits+k.estimate
+	amount := k.added
+	if c.plan.MaxConcurrent > 0 {
+		k.slots = c.openSlots - c.countedSlots
+		amount += float64(k.slots) * c.plan.slotUnit()
 	}
-	g.calls.Room, c.owed, c.told = g.calls.Room-1, 0, now
-	c.standing, k.stood = c.standing+k.open, c.standing+k.open
-	g.names[c.name] = append(g.names[c.name], k)
-	g.out.Count(c.name, amount, min(60, 2.2*c.plan.windowLength()))
+	g.callLimiter.Room, c.unreported, c.reportedAt = g.callLimiter.Room-1, 0, now
+	c.countedSlots, k.countedSlots = c.countedSlots+k.slots, c.countedSlots+k.slots
+	g.pendingCalls[c.counterName] = append(g.pendingCalls[c.counterName], k)
+	g.output.AddCount(c.counterName, amount, min(60, 2.2*c.plan.windowLength()))
 }
 
-func (g *Gateway) Counted(now float64, name uint64, how Outcome, sum, took float64) {
-	q := g.names[name]
+func (g *Gateway) CounterReplied(now float64, name uint64, how Outcome, sum, took float64) {
+	q := g.pendingCalls[name]
 	if len(q) == 0 {
 		return
 	}
 	k := q[0]
-	if g.names[name] = q[1:]; len(q) == 1 {
-		delete(g.names, name)
+	if g.pendingCalls[name] = q[1:]; len(q) == 1 {
+		delete(g.pendingCalls, name)
 	}
-	c, inv := k.cust, k.inv
-	g.roll(now, c)
-	if g.calls.Ended(now, g.live, how == Succeeded, strings.ContainsRune("FTC", rune(how)), took) {
-		g.out.Log(fmt.Sprintf("counter: last %c in %.3f s, at most %.1f calls a second", how, took, g.calls.Rate))
+	c, inv := k.customer, k.invocation
+	g.refill(now, c)
+	if g.callLimiter.Ended(now, g.liveGateways, how == Succeeded, strings.ContainsRune("FTC", rune(how)), took) {
+		g.output.Log(fmt.Sprintf("counter: last %c in %.3f s, at most %.1f calls a second", how, took, g.callLimiter.Rate))
 	}
-	if c.asking -= k.est; how != Succeeded {
-		g.missed(now, k, how)
+	if c.pendingUnits -= k.estimate; how != Succeeded {
+		g.counterMissed(now, k, how)
 		return
 	}
-	if c.lentAt = 0; k.window == c.window {
-		g.read(now, k, sum)
+	if c.localBudgetAt = 0; k.window == c.window {
+		g.applyTotal(now, k, sum)
 	}
-	if inv == nil || inv.stage != asking {
+	if inv == nil || inv.stage != stageCounting {
 		return
-	} else if inv.comeBack == 0 {
-		g.join(inv)
+	} else if inv.retryAfter == 0 {
+		g.enqueue(inv)
 	} else { // over: the estimate is taken off again, at once
-		g.tellPeers(now, "="+c.key)
-		g.over(now, c, 0.5)
-		g.refuse(now, inv)
+		g.broadcast(now, "="+c.id)
+		g.overQuota(now, c, 0.5)
+		g.throttle(now, inv)
 	}
 }
 
-func (g *Gateway) refuse(now float64, inv *Invocation) {
+func (g *Gateway) throttle(now float64, inv *Invocation) {
 	g.release(now, inv)
-	inv.stage = refused
-	g.ready = append(g.ready, inv)
+	inv.stage = stageThrottled
+	g.decidable = append(g.decidable, inv)
 }
 
-func (g *Gateway) read(now float64, k *call, sum float64) {
-	c, p, units, open := k.cust, k.cust.plan, sum, 0.0
-	if p.MaxOut > 0 {
-		units, open = math.Remainder(sum, p.pack()), math.Round(sum/p.pack())
+func (g *Gateway) applyTotal(now float64, k *counterCall, sum float64) {
+	c, p, units, open := k.customer, k.customer.plan, sum, 0.0
+	if p.MaxConcurrent > 0 {
+		units, open = math.Remainder(sum, p.slotUnit()), math.Round(sum/p.slotUnit())
 	}
-	others := units - k.units - c.seen
-	if others < -(4*g.counter.Most + p.Burst/4) {
+	others := units - k.added - c.lastTotal
+	if others < -(4*g.counterConfig.MaxUnits + p.Burst/4) {
 		// Guards against a forgotten count: no take-offs explain so low a total. What was used stays used.
-		g.out.Log(fmt.Sprintf("a count was forgotten: %.0f after %.0f", units-k.units, c.seen))
-		others = max(0, units-k.units)
+		g.output.Log(fmt.Sprintf("a count was forgotten: %.0f after %.0f", units-k.added, c.lastTotal))
+		others = max(0, units-k.added)
 	}
-	blind := now - c.sawAt
+	blind := now - c.lastTotalAt
 	if age := math.Mod(now, p.windowLength()); p.Rate > 0 && others > 0 && blind > age {
-		if use := others / max(1, age); c.sawAt == 0 { // none of this window yet: used before it as in it
-			others += (1 - g.own) * p.Burst * min(1, max(0, 2*use/p.Rate-1))
+		if use := others / max(1, age); c.lastTotalAt == 0 { // none of this window yet: used before it as in it
+			others += (1 - g.judgementShare) * p.Burst * min(1, max(0, 2*use/p.Rate-1))
 		} else {
-			others += (1 - g.own) * use * (blind - age)
+			others += (1 - g.judgementShare) * use * (blind - age)
 		}
 	}
-	usual := max((c.all-c.mine)/8*blind, max(0, others)*blind/(blind+4))
-	held := c.asking
-	if k.inv != nil && k.inv.stage == asking {
-		held += k.inv.units
+	usual := max((c.recentTotal-c.recentLocal)/8*blind, max(0, others)*blind/(blind+4))
+	held := c.pendingUnits
+	if k.invocation != nil && k.invocation.stage == stageCounting {
+		held += k.invocation.quotaUnits
 	}
-	back := min(c.excess, max(0, -others))
-	c.room = min(p.Burst-held, min(c.room, p.Burst-held+usual)-others-back)
+	back := min(c.overAdmitted, max(0, -others))
+	c.available = min(p.Burst-held, min(c.available, p.Burst-held+usual)-others-back)
 	// What others added beyond the room took nothing: it is no debt, nor room when it is taken off.
-	if c.excess -= back; !g.counter.Settles { // settlements may take it below
-		c.room, c.excess = max(c.room, -held), c.excess+max(0, -held-c.room)
+	if c.overAdmitted -= back; !g.counterConfig.SettlesUnits { // settlements may take it below
+		c.available, c.overAdmitted = max(c.available, -held), c.overAdmitted+max(0, -held-c.available)
 	}
-	c.all += max(0, others)
-	c.seen, c.sawAt = units, now
-	if k.inv == nil {
+	c.recentTotal += max(0, others)
+	c.lastTotal, c.lastTotalAt = units, now
+	if k.invocation == nil {
 		return
 	}
-	c.open += 0.1 * (max(0, open-float64(k.stood)) - c.open)
-	c.held += 0.1 * (max(0, float64(k.stood)-1) - c.held)
-	if short := -(c.room + c.asking); p.Rate > 0 && short > 0 {
-		k.inv.comeBack = short / p.Rate
-	} else if p.MaxOut > 0 && open > float64(p.MaxOut) {
-		k.inv.comeBack = k.inv.op.mean
+	c.othersOpen += 0.1 * (max(0, open-float64(k.countedSlots)) - c.othersOpen)
+	c.ownOpen += 0.1 * (max(0, float64(k.countedSlots)-1) - c.ownOpen)
+	if short := -(c.available + c.pendingUnits); p.Rate > 0 && short > 0 {
+		k.invocation.retryAfter = short / p.Rate
+	} else if p.MaxConcurrent > 0 && open > float64(p.MaxConcurrent) {
+		k.invocation.retryAfter = k.invocation.operation.meanLatency
 	}
 }
 
-func (c *customer) partNow(now float64) float64 { return min(1, c.part*math.Exp(0.05*(now-c.overAt))) }
+func (c *customer) admitFractionNow(now float64) float64 {
+	return min(1, c.admitFraction*math.Exp(0.05*(now-c.admitFractionAt)))
+}
 
-func (g *Gateway) over(now float64, c *customer, cut float64) {
-	if now-c.overAt > 1 {
-		c.part, c.overAt = cut*c.partNow(now), now
+func (g *Gateway) overQuota(now float64, c *customer, cut float64) {
+	if now-c.admitFractionAt > 1 {
+		c.admitFraction, c.admitFractionAt = cut*c.admitFractionNow(now), now
 	}
 }
 
 // missed handles a call without a total, as if nothing was added: in doubt a count is too high, not too low.
-func (g *Gateway) missed(now float64, k *call, how Outcome) {
-	bridged := k.inv != nil && k.inv.stage == asking
+func (g *Gateway) counterMissed(now float64, k *counterCall, how Outcome) {
+	bridged := k.invocation != nil && k.invocation.stage == stageCounting
 	if how != Failed {
-		k.cust.owed += k.units - k.est
-		if k.window == k.cust.window && how != TimedOut { // late, most often: added twice, a place would be lost
-			k.cust.standing -= k.open
+		k.customer.unreported += k.added - k.estimate
+		if k.window == k.customer.window && how != TimedOut { // late, most often: added twice, a place would be lost
+			k.customer.countedSlots -= k.slots
 		}
 	} else if bridged { // answered by what can't be read: added all the same, and bridge would add it again
-		k.cust.owed -= k.est
+		k.customer.unreported -= k.estimate
 	}
 	if bridged {
-		g.bridge(now, k.inv)
+		g.admitLocally(now, k.invocation)
 	}
 }
 
 // Lost: a late call of so much will never be answered. Its open places were taken for added; now for not.
-func (g *Gateway) Lost(name uint64, amount float64) {
-	i := slices.IndexFunc(g.inOrder, func(c *customer) bool { return c.name == name && c.plan.MaxOut > 0 })
+func (g *Gateway) CounterCallLost(name uint64, amount float64) {
+	i := slices.IndexFunc(g.customersInOrder, func(c *customer) bool { return c.counterName == name && c.plan.MaxConcurrent > 0 })
 	if i >= 0 { // guards against places that stay in a total until its window ends
-		g.inOrder[i].standing -= int(math.Round(amount / g.inOrder[i].plan.pack()))
+		g.customersInOrder[i].countedSlots -= int(math.Round(amount / g.customersInOrder[i].plan.slotUnit()))
 	}
 }
 
 // bridge decides without a call, by this instance's share of the quota; the counter is told later. Where it
 // sees little of a customer, it lends to one far from its quota, and lets in a part of the tries (see over).
-func (g *Gateway) bridge(now float64, inv *Invocation) {
-	c, p := inv.cust, inv.cust.plan
-	width := g.at.Peers.Apart(now, int(c.first), int(c.width))
-	if c.lentAt == 0 {
+func (g *Gateway) admitLocally(now float64, inv *Invocation) {
+	c, p := inv.customer, inv.customer.plan
+	width := g.instance.Peers.Apart(now, int(c.firstGateway), int(c.gatewayCount))
+	if c.localBudgetAt == 0 {
 		prior := max(1, p.Burst/2)
-		c.share = max(0.5/width, (c.mine+prior/width)/(c.all+prior))
+		c.localShare = max(0.5/width, (c.recentLocal+prior/width)/(c.recentTotal+prior))
 		// Guards against throttling those far from their quota, as most are, whose traffic comes in unevenly:
 		// no total has said that it is near its quota, nor does what is asked for here alone.
-		if c.partNow(now) == 1 && c.asks < 8*0.3*p.Rate {
-			c.share = min(1, c.share*(2-g.own))
+		if c.admitFractionNow(now) == 1 && c.recentRequested < 8*0.3*p.Rate {
+			c.localShare = min(1, c.localShare*(2-g.judgementShare))
 		}
-		room := max(0, min(p.Burst, c.room+inv.units))
-		if c.lent, c.lentAt, c.apart = c.share*room, now, width; room > p.Burst/2 && !inv.repeat {
-			c.lent = max(c.lent, min(room, inv.units)) // far from its quota, as most are
+		room := max(0, min(p.Burst, c.available+inv.quotaUnits))
+		if c.localBudget, c.localBudgetAt, c.shareGateways = c.localShare*room, now, width; room > p.Burst/2 && !inv.clientRetry {
+			c.localBudget = max(c.localBudget, min(room, inv.quotaUnits)) // far from its quota, as most are
 		}
 	}
-	share := min(1, c.share*c.apart/width) // as it was, and by who has gone or come back since
-	c.lent, c.lentAt = min(c.lent+share*p.Rate*(now-c.lentAt), max(c.lent, share*p.Burst, inv.units)), now
-	others := c.busy * (c.open + 0.1*(width-1)) / (c.held + 0.1) // of both a total holds the same part
-	if g.own < 1 && g.chances.Next() > c.partNow(now) {
-		inv.comeBack = 0.5
-	} else if inv.units > c.lent {
-		inv.comeBack = (inv.units - c.lent) / (share * p.Rate)
-	} else if p.MaxOut > 0 && float64(c.out)+math.Round(others) > float64(p.MaxOut) {
-		inv.comeBack = inv.op.mean
-	}
-	if c.owed += inv.units; inv.comeBack > 0 {
-		g.refuse(now, inv)
+	share := min(1, c.localShare*c.shareGateways/width) // as it was, and by who has gone or come back since
+	c.localBudget, c.localBudgetAt = min(c.localBudget+share*p.Rate*(now-c.localBudgetAt), max(c.localBudget, share*p.Burst, inv.quotaUnits)), now
+	others := c.usualOpen * (c.othersOpen + 0.1*(width-1)) / (c.ownOpen + 0.1) // of both a total holds the same part
+	if g.judgementShare < 1 && g.random.Next() > c.admitFractionNow(now) {
+		inv.retryAfter = 0.5
+	} else if inv.quotaUnits > c.localBudget {
+		inv.retryAfter = (inv.quotaUnits - c.localBudget) / (share * p.Rate)
+	} else if p.MaxConcurrent > 0 && float64(c.openSlots)+math.Round(others) > float64(p.MaxConcurrent) {
+		inv.retryAfter = inv.operation.meanLatency
+	}
+	if c.unreported += inv.quotaUnits; inv.retryAfter > 0 {
+		g.throttle(now, inv)
 		return
 	}
-	c.lent -= inv.units
-	g.join(inv)
+	c.localBudget -= inv.quotaUnits
+	g.enqueue(inv)
 }
 
 func (g *Gateway) release(now float64, inv *Invocation) {
-	if !inv.charged {
+	if !inv.reserved {
 		return
 	}
-	c := inv.cust
-	inv.charged, c.out = false, c.out-1
-	if g.roll(now, c); inv.mayRun == nil {
-		c.owed, c.room = c.owed-inv.units, c.room+inv.units
+	c := inv.customer
+	inv.reserved, c.openSlots = false, c.openSlots-1
+	if g.refill(now, c); inv.unprovenAttempt == nil {
+		c.unreported, c.available = c.unreported-inv.quotaUnits, c.available+inv.quotaUnits
 	}
 	// Guards against places given back that stay counted, and so refuse others: told first, by a call lent.
-	least := 1 - g.calls.Rate/8*float64(min(1, max(0, c.standing-c.out)))
-	if (inv.mayRun == nil && c.owed < 0 || c.standing > c.out) && g.calls.May(now, least) {
-		g.tell(now, c, nil)
+	least := 1 - g.callLimiter.Rate/8*float64(min(1, max(0, c.countedSlots-c.openSlots)))
+	if (inv.unprovenAttempt == nil && c.unreported < 0 || c.countedSlots > c.openSlots) && g.callLimiter.May(now, least) {
+		g.report(now, c, nil)
 	}
 }
 
 // underCeiling holds a hard ceiling by this instance's part, empty at first: restarts grant nothing twice.
 func (g *Gateway) underCeiling(now float64, inv *Invocation) bool {
-	c, p := inv.cust, inv.cust.plan
-	c.hard, c.hardAt = min(c.hard+p.CeilingRate/c.width*(now-c.hardAt), p.CeilingBurst/c.width), now
-	if p.CeilingRate > 0 && inv.size > c.hard {
-		inv.comeBack = (inv.size - c.hard) * c.width / p.CeilingRate
+	c, p := inv.customer, inv.customer.plan
+	c.ceilingTokens, c.ceilingAt = min(c.ceilingTokens+p.CeilingRate/c.gatewayCount*(now-c.ceilingAt), p.CeilingBurst/c.gatewayCount), now
+	if p.CeilingRate > 0 && inv.units > c.ceilingTokens {
+		inv.retryAfter = (inv.units - c.ceilingTokens) * c.gatewayCount / p.CeilingRate
 		return false
 	}
-	c.hard -= inv.size
+	c.ceilingTokens -= inv.units
 	return true
 }
 
-func (g *Gateway) join(inv *Invocation) {
-	if c := inv.cust; inv.stage < waiting {
-		c.mine, c.all = c.mine+inv.units, c.all+inv.units
+func (g *Gateway) enqueue(inv *Invocation) {
+	if c := inv.customer; inv.stage < stageQueued {
+		c.recentLocal, c.recentTotal = c.recentLocal+inv.quotaUnits, c.recentTotal+inv.quotaUnits
 	}
-	inv.stage, inv.toHost = waiting, nil
-	g.line = append(g.line, inv)
+	inv.stage, inv.host = stageQueued, nil
+	g.queue = append(g.queue, inv)
 }
 
 // lapse is when an invocation in line is given up, early, so that its client's next try may still be in time.
-func (g *Gateway) lapse(inv *Invocation) float64 {
-	return min(inv.giveUp-0.7*inv.op.mean,
-		max(inv.born, min(inv.wanted-1.3*inv.op.mean, inv.born+0.5*inv.op.Objective)))
+func (g *Gateway) queueDeadline(inv *Invocation) float64 {
+	return min(inv.deadline-0.7*inv.operation.meanLatency,
+		max(inv.arrivedAt, min(inv.targetAt-1.3*inv.operation.meanLatency, inv.arrivedAt+0.5*inv.operation.LatencyTarget)))
 }
 
 // fromLine gives what the next free place should take, by billed value for unpressed time, or what lapsed.
-func (g *Gateway) fromLine(now float64) *Invocation {
+func (g *Gateway) nextQueued(now float64) *Invocation {
 	var free []*Host
-	most := math.Floor(max(1, g.most*float64(len(g.hosts))/g.live) + g.luck)
-	if len(g.line) > 0 && g.abroad < most && g.at.Damp.Open(now) {
-		free = slices.DeleteFunc(slices.Clone(g.hosts), func(h *Host) bool { return !g.free(now, h) })
+	most := math.Floor(max(1, g.perHostLimit*float64(len(g.hosts))/g.liveGateways) + g.limitDither)
+	if len(g.queue) > 0 && g.inFlight < most && g.instance.Overload.Open(now) {
+		free = slices.DeleteFunc(slices.Clone(g.hosts), func(h *Host) bool { return !g.hasSlot(now, h) })
 	}
 	best, dear := (*Invocation)(nil), 0.0
-	for _, inv := range g.line {
-		worth := inv.op.Value / inv.op.base
-		if inv.repeat {
+	for _, inv := range g.queue {
+		worth := inv.operation.Value / inv.operation.baseLatency
+		if inv.clientRetry {
 			worth /= 4
-		} else if inv.cust.plan.MaxOut > 0 { // it holds an open place that its customer lacks meanwhile
+		} else if inv.customer.plan.MaxConcurrent > 0 { // it holds an open place that its customer lacks meanwhile
 			worth *= 1.5
 		}
-		pressed := now-inv.born > 0.2*inv.op.Objective
+		pressed := now-inv.arrivedAt > 0.2*inv.operation.LatencyTarget
 		if best == nil || worth > dear*1.2 || pressed && worth > dear*0.8 {
-			if h := g.bestHost(now, inv, free); h != nil {
-				best, dear, inv.toHost = inv, worth, h
+			if h := g.pickHost(now, inv, free); h != nil {
+				best, dear, inv.host = inv, worth, h
 				continue
 			}
 		}
-		if now >= g.lapse(inv) {
-			inv.toHost = nil
+		if now >= g.queueDeadline(inv) {
+			inv.host = nil
 			return inv
 		}
 	}
-	g.line = slices.DeleteFunc(g.line, func(x *Invocation) bool { return x == best })
+	g.queue = slices.DeleteFunc(g.queue, func(x *Invocation) bool { return x == best })
 	return best
 }
 
-func (g *Gateway) free(now float64, h *Host) bool {
-	w, places := g.warmth(now, h), max(1, h.places)
+func (g *Gateway) hasSlot(now float64, h *Host) bool {
+	w, places := g.warmth(now, h), max(1, h.concurrencyLimit)
 	if w < 1 {
 		places = min(places, 1+3*w)
 	}
-	if !h.listed || now < h.restAt || w < 1 && g.grown(now, h) < h.coldNext {
+	if !h.active || now < h.backoffUntil || w < 1 && g.growth(now, h) < h.nextSendGrowth {
 		return false
 	}
-	placed := !h.aside && float64(len(h.out))+1 <= places
-	return placed || h.doubtful() || h.aside && now >= h.trialAt && len(h.out) == 0
+	placed := !h.ejected && float64(len(h.inFlight))+1 <= places
+	return placed || h.doubtful() || h.ejected && now >= h.probeAt && len(h.inFlight) == 0
 }
 
 // doubtful: one delivery alone is silent, as its connection may be: one more, that may run again, will tell.
-func (h *Host) doubtful() bool { return !h.aside && len(h.out) == 1 && h.odd > 2 }
+func (h *Host) doubtful() bool { return !h.ejected && len(h.inFlight) == 1 && h.suspicion > 2 }
 
 func (g *Gateway) warmth(now float64, h *Host) float64 {
-	if h.since <= 0 {
+	if h.startedAt <= 0 {
 		return 1
 	}
-	return min(1, max(0, (now-h.since)/max(g.cold.Warm, 0.001)))
+	return min(1, max(0, (now-h.startedAt)/max(g.slowStart.Duration, 0.001)))
 }
 
-func (g *Gateway) grown(now float64, h *Host) float64 {
-	return (now - h.since) * (g.cold.Share + (1-g.cold.Share)*g.warmth(now, h)/2)
+func (g *Gateway) growth(now float64, h *Host) float64 {
+	return (now - h.startedAt) * (g.slowStart.InitialCapacity + (1-g.slowStart.InitialCapacity)*g.warmth(now, h)/2)
 }
 
 // coldGap is the cold budget: how much a host grows between deliveries from here; the first waits by chance.
-func (g *Gateway) coldGap() float64 {
-	return 0.5 * g.mean * g.all / min(1, g.cold.Factor/2)
+func (g *Gateway) growthGap() float64 {
+	return 0.5 * g.meanLatency * g.configuredGateways / min(1, g.slowStart.OverloadFactor/2)
 }
 
-func (g *Gateway) bestHost(now float64, inv *Invocation, free []*Host) *Host {
+func (g *Gateway) pickHost(now float64, inv *Invocation, free []*Host) *Host {
 	best, least := (*Host)(nil), math.Inf(1)
 	for _, h := range free {
-		trial := h.aside || h.doubtful() || g.at.Damp.Sparing()
-		if !g.mayGo(now, inv, h) || trial && inv.op.Effect == NonIdempotent {
+		trial := h.ejected || h.doubtful() || g.instance.Overload.Sparing()
+		if !g.mayRunAt(now, inv, h) || trial && inv.operation.Effect == NonIdempotent {
 			continue
 		}
-		slow := max(h.slow, 1/max(0.01, g.cold.Share+(1-g.cold.Share)*g.warmth(now, h)))
-		if slow != h.powOf {
-			h.powOf, h.pow = slow, math.Pow(slow, 2-g.own)
+		slow := max(h.slowness, 1/max(0.01, g.slowStart.InitialCapacity+(1-g.slowStart.InitialCapacity)*g.warmth(now, h)))
+		if slow != h.costSlowness {
+			h.costSlowness, h.costFactor = slow, math.Pow(slow, 2-g.judgementShare)
 		}
-		cost, luck := h.pow*(1+0.5*float64(len(h.out))), g.chances.Next()
-		if !h.aside && cost*luck >= least { // what follows is never less: spares large fleets two powers a host
+		cost, luck := h.costFactor*(1+0.5*float64(len(h.inFlight))), g.random.Next()
+		if !h.ejected && cost*luck >= least { // what follows is never less: spares large fleets two powers a host
 			continue
 		}
 		// Guards against all choosing the same host: the less one knows of hosts, the more it goes by chance.
-		cost *= math.Pow(-math.Log(1-luck), 1-g.own)
-		if h.pace == 0 { // guards against hosts that hold all the connections they take: stay where one is in
-			cost *= 1 + 100*g.shut
+		cost *= math.Pow(-math.Log(1-luck), 1-g.judgementShare)
+		if h.answerGap == 0 { // guards against hosts that hold all the connections they take: stay where one is in
+			cost *= 1 + 100*g.connectFailureRate
 		}
-		if h.zone != g.at.Zone {
+		if h.zone != g.instance.Zone {
 			cost += 0.05
 		}
-		if slices.ContainsFunc(inv.Deliveries, func(d *Delivery) bool { return d.Host == h }) {
+		if slices.ContainsFunc(inv.Attempts, func(d *Attempt) bool { return d.Host == h }) {
 			cost += 10
-		} else if h.aside {
+		} else if h.ejected {
 			cost = 0 // the sparing trial of a host set aside
 		}
 		if cost < least {
@@ -632,34 +634,34 @@
 
 // repeatable holds the second rule: nothing may have run, or running again does no harm; mayGo for one host.
 func (inv *Invocation) repeatable(now float64) bool {
-	return inv.mayRun == nil || inv.op.Effect == Idempotent ||
-		inv.op.Effect == Tokened && now < inv.mayRun.sent+inv.op.TokenTime
+	return inv.unprovenAttempt == nil || inv.operation.Effect == Idempotent ||
+		inv.operation.Effect == Deduplicated && now < inv.unprovenAttempt.sentAt+inv.operation.DedupWindow
 }
 
-func (g *Gateway) mayGo(now float64, inv *Invocation, h *Host) bool {
-	d, group := inv.mayRun, inv.op.Group
-	return inv.out == 0 && inv.repeatable(now) && (d == nil || inv.op.Effect == Idempotent || group == "all" ||
+func (g *Gateway) mayRunAt(now float64, inv *Invocation, h *Host) bool {
+	d, group := inv.unprovenAttempt, inv.operation.DedupScope
+	return inv.inFlight == 0 && inv.repeatable(now) && (d == nil || inv.operation.Effect == Idempotent || group == "all" ||
 		group == "zone" && h.zone == d.Host.zone || group == "cell" && h.cell == d.Host.cell)
 }
 
-func (g *Gateway) send(now float64, inv *Invocation, h *Host) Answer {
-	inv.toHost, inv.stage = nil, sent
-	d := &Delivery{Inv: inv, Host: h, Number: len(inv.Deliveries), sent: now, since: h.since}
-	g.at.Damp.Sent(now, h.Addr, d.Number > 0)
-	inv.Deliveries = append(inv.Deliveries, d)
-	inv.out, g.abroad = inv.out+1, g.abroad+1
-	g.luck, h.coldNext = g.chances.Next(), g.grown(now, h)+g.coldGap()
-	h.trialAt = now + g.at.Damp.Trial(now, h.Addr, h.trialGap)
-	if inv.mayRun == nil {
-		inv.mayRun = d
+func (g *Gateway) send(now float64, inv *Invocation, h *Host) Decision {
+	inv.host, inv.stage = nil, stageSent
+	d := &Attempt{Invocation: inv, Host: h, Number: len(inv.Attempts), sentAt: now, hostStartedAt: h.startedAt}
+	g.instance.Overload.Sent(now, h.Addr, d.Number > 0)
+	inv.Attempts = append(inv.Attempts, d)
+	inv.inFlight, g.inFlight = inv.inFlight+1, g.inFlight+1
+	g.limitDither, h.nextSendGrowth = g.random.Next(), g.growth(now, h)+g.growthGap()
+	h.probeAt = now + g.instance.Overload.Trial(now, h.Addr, h.probeInterval)
+	if inv.unprovenAttempt == nil {
+		inv.unprovenAttempt = d
 	}
-	if len(h.out) == 0 { // its silence begins now
-		h.sign = now
+	if len(h.inFlight) == 0 { // its silence begins now
+		h.lastAnswerAt = now
 	}
-	h.out = append(h.out, d)
-	a := Answer{Do: Send, Host: h}
-	if inv.op.Late == 0 && inv.op.Effect != NonIdempotent {
-		a.Within = max(inv.wanted-now, inv.op.base) // guards against silence that holds places for nothing
+	h.inFlight = append(h.inFlight, d)
+	a := Decision{Action: Send, Host: h}
+	if inv.operation.LateValue == 0 && inv.operation.Effect != NonIdempotent {
+		a.Timeout = max(inv.targetAt-now, inv.operation.baseLatency) // guards against silence that holds places for nothing
 	}
 	return a
 }
@@ -667,142 +669,142 @@
 // Goes looks once more at a delivery that waited for a connection, as it is let go. Guards against hosts that left
 // or started anew meanwhile, repeats whose token's time is over, and against all that waited for a cold host going
 // out together, however far apart they were chosen.
-func (g *Gateway) Goes(now float64, d *Delivery) bool {
-	h, grown, inv := d.Host, g.grown(now, d.Host), d.Inv
-	if !h.listed || h.since != d.since || inv.mayRun != d && !inv.repeatable(now) ||
-		g.warmth(now, h) < 1 && grown < h.let {
+func (g *Gateway) ConfirmSend(now float64, d *Attempt) bool {
+	h, grown, inv := d.Host, g.growth(now, d.Host), d.Invocation
+	if !h.active || h.startedAt != d.hostStartedAt || inv.unprovenAttempt != d && !inv.repeatable(now) ||
+		g.warmth(now, h) < 1 && grown < h.nextReleaseGrowth {
 		return false
 	}
-	h.let = grown + g.coldGap()/2
+	h.nextReleaseGrowth = grown + g.growthGap()/2
 	return true
 }
 
-func (g *Gateway) another(now float64, inv *Invocation) bool {
-	return len(inv.Deliveries) < g.allow.Deliveries && now < min(inv.wanted, inv.giveUp)-inv.op.mean &&
-		g.at.Damp.Further()
+func (g *Gateway) mayRetry(now float64, inv *Invocation) bool {
+	return len(inv.Attempts) < g.limits.MaxAttempts && now < min(inv.targetAt, inv.deadline)-inv.operation.meanLatency &&
+		g.instance.Overload.Further()
 }
 
 // ends is what an ending says of all hosts.
 var ends = map[Outcome]overload.How{
-	Succeeded: overload.Answered, Failed: overload.Answered, TurnedAway: overload.Refused,
+	Succeeded: overload.Answered, Failed: overload.Answered, Rejected: overload.Refused,
 	TimedOut: overload.Unanswered, Reset: overload.Unanswered, NoConnection: overload.Unconnected,
-	Withdrawn: overload.Nothing, NotSent: overload.Nothing,
+	Cancelled: overload.Nothing, NotSent: overload.Nothing,
 }
 
-func (g *Gateway) After(now float64, d *Delivery, e Ended) Answer {
-	inv := d.Inv
-	inv.out, g.abroad = inv.out-1, g.abroad-1
-	d.Host.out = slices.DeleteFunc(d.Host.out, func(x *Delivery) bool { return x == d })
-	if strings.ContainsRune("FCN", rune(e.How)) && inv.mayRun == d { // proved not run
-		inv.mayRun = nil
+func (g *Gateway) AttemptEnded(now float64, d *Attempt, e AttemptResult) Decision {
+	inv := d.Invocation
+	inv.inFlight, g.inFlight = inv.inFlight-1, g.inFlight-1
+	d.Host.inFlight = slices.DeleteFunc(d.Host.inFlight, func(x *Attempt) bool { return x == d })
+	if strings.ContainsRune("FCN", rune(e.Outcome)) && inv.unprovenAttempt == d { // proved not run
+		inv.unprovenAttempt = nil
 	}
-	g.at.Damp.Ended(now, d.Host.Addr, d.sent, ends[e.How])
-	g.learn(now, d, e)
-	if c := inv.cust; g.counter.Settles && e.How == Succeeded && e.Units > 0 && inv.charged && inv.units > 0 {
-		c.owed, c.room = c.owed+e.Units-inv.units, c.room-e.Units+inv.units // the rest rides with the next call
+	g.instance.Overload.Ended(now, d.Host.Addr, d.sentAt, ends[e.Outcome])
+	g.observe(now, d, e)
+	if c := inv.customer; g.counterConfig.SettlesUnits && e.Outcome == Succeeded && e.ActualUnits > 0 && inv.reserved && inv.quotaUnits > 0 {
+		c.unreported, c.available = c.unreported+e.ActualUnits-inv.quotaUnits, c.available-e.ActualUnits+inv.quotaUnits // the rest rides with the next call
 	}
-	if inv.stage == finished || e.Over {
-		g.Gone(now, inv)
-		return Answer{}
+	if inv.stage == stageFinished || e.Final {
+		g.Abandon(now, inv)
+		return Decision{}
 	}
-	if g.another(now, inv) && inv.repeatable(now) {
-		g.join(inv)
-		return Answer{}
+	if g.mayRetry(now, inv) && inv.repeatable(now) {
+		g.enqueue(inv)
+		return Decision{}
 	}
-	return g.end(now, inv)
+	return g.finish(now, inv)
 }
 
-func (g *Gateway) Hosts(now float64, list []Listed, whole bool) {
+func (g *Gateway) UpdateHosts(now float64, list []HostEntry, whole bool) {
 	for _, h := range g.hosts {
-		h.listed = h.listed && !whole
+		h.active = h.active && !whole
 	}
 	size := 0.0
 	for _, l := range list {
 		size += l.Weight / float64(len(list))
 	}
 	for _, l := range list {
-		h := g.byAddr[l.Addr]
+		h := g.hostsByAddr[l.Addr]
 		if h == nil {
 			h = &Host{Addr: l.Addr}
-			g.byAddr[l.Addr] = h
+			g.hostsByAddr[l.Addr] = h
 			g.hosts = append(g.hosts, h)
 		}
-		if h.places == 0 || l.Since != h.since { // what was learned of an earlier life is forgotten
-			h.places, h.slow, h.best, h.pace, h.fails, h.aside, h.restAt = min(4, 12/g.live), 1, 1, 0, 0, false, 0
-			if h.since = l.Since; l.Weight > 0 { // till it is known: by its size
-				h.slow, h.best = size/l.Weight, size/l.Weight
+		if h.concurrencyLimit == 0 || l.StartedAt != h.startedAt { // what was learned of an earlier life is forgotten
+			h.concurrencyLimit, h.slowness, h.bestSlowness, h.answerGap, h.consecutiveFailures, h.ejected, h.backoffUntil = min(4, 12/g.liveGateways), 1, 1, 0, 0, false, 0
+			if h.startedAt = l.StartedAt; l.Weight > 0 { // till it is known: by its size
+				h.slowness, h.bestSlowness = size/l.Weight, size/l.Weight
 			}
-			h.coldNext, h.let = g.grown(now, h)+g.chances.Next()*g.coldGap(), 0
+			h.nextSendGrowth, h.nextReleaseGrowth = g.growth(now, h)+g.random.Next()*g.growthGap(), 0
 		}
-		h.zone, h.cell, h.listed = l.Zone, l.Cell, l.State == "active"
+		h.zone, h.cell, h.active = l.Zone, l.Cell, l.State == "active"
 	}
-	left := func(h *Host) bool { return !h.listed && len(h.out) == 0 } // it is forgotten
+	left := func(h *Host) bool { return !h.active && len(h.inFlight) == 0 } // it is forgotten
 	g.hosts = slices.DeleteFunc(g.hosts, left)
-	maps.DeleteFunc(g.byAddr, func(_ string, h *Host) bool { return left(h) })
+	maps.DeleteFunc(g.hostsByAddr, func(_ string, h *Host) bool { return left(h) })
 	slices.SortFunc(g.hosts, func(a, b *Host) int { return strings.Compare(a.Addr, b.Addr) })
-	g.at.Damp.Stand(g.live, len(g.hosts))
+	g.instance.Overload.Stand(g.liveGateways, len(g.hosts))
 }
 
-func (g *Gateway) learn(now float64, d *Delivery, e Ended) {
-	h, op := d.Host, d.Inv.op
+func (g *Gateway) observe(now float64, d *Attempt, e AttemptResult) {
+	h, op := d.Host, d.Invocation.operation
 	// One stuck, while others sent since are answered, tells nothing; nor does what all hosts have in common.
-	if e.How == TimedOut && (d.sent < h.sign || g.at.Damp.Sparing()) {
+	if e.Outcome == TimedOut && (d.sentAt < h.lastAnswerAt || g.instance.Overload.Sparing()) {
 		return
 	}
-	if g.shut *= 0.97; e.How == NoConnection {
-		g.shut += 0.03
+	if g.connectFailureRate *= 0.97; e.Outcome == NoConnection {
+		g.connectFailureRate += 0.03
 	}
 	// Guards against all hosts pressed at once, which no host's few answers here would tell: fewer go out.
-	if strings.ContainsRune("SF", rune(e.How)) {
-		if g.wait += 0.1 * (e.Took/op.Objective - g.wait); g.wait > 0.4 || e.How == TurnedAway {
-			g.most = max(2.5, g.most*0.9)
+	if strings.ContainsRune("SF", rune(e.Outcome)) {
+		if g.meanLatencyRatio += 0.1 * (e.Duration/op.LatencyTarget - g.meanLatencyRatio); g.meanLatencyRatio > 0.4 || e.Outcome == Rejected {
+			g.perHostLimit = max(2.5, g.perHostLimit*0.9)
 		} else {
-			g.most = min(32, g.most+0.3)
+			g.perHostLimit = min(32, g.perHostLimit+0.3)
 		}
 	}
-	switch e.How {
+	switch e.Outcome {
 	case Succeeded:
-		op.mean, g.mean = op.mean+0.05*(e.Took-op.mean), g.mean+0.05*(e.Took-g.mean)
-		op.base = min(op.mean, op.base*1.0001)
-		h.slow += 0.2 * (e.Took/op.base - h.slow)
-		if h.pace == 0 {
-			h.pace = op.mean
+		op.meanLatency, g.meanLatency = op.meanLatency+0.05*(e.Duration-op.meanLatency), g.meanLatency+0.05*(e.Duration-g.meanLatency)
+		op.baseLatency = min(op.meanLatency, op.baseLatency*1.0001)
+		h.slowness += 0.2 * (e.Duration/op.baseLatency - h.slowness)
+		if h.answerGap == 0 {
+			h.answerGap = op.meanLatency
 		}
-		h.pace += 0.1 * ((now-h.sign)*float64(len(h.out)+1) - h.pace)
-		h.sign, h.fails, h.trialGap, h.odd = now, 0, 0, 0
+		h.answerGap += 0.1 * ((now-h.lastAnswerAt)*float64(len(h.inFlight)+1) - h.answerGap)
+		h.lastAnswerAt, h.consecutiveFailures, h.probeInterval, h.suspicion = now, 0, 0, 0
 		// Forgotten slowly: else a long press would teach that slow is normal, and places would creep up.
-		if h.best = min(h.slow, h.best*1.0005); h.slow > 1.7*h.best { // its queue has grown: work waits better here
-			h.places = max(1, h.places*0.93)
-		} else if h.slow < 1.35*h.best && float64(len(h.out))+2 > h.places {
-			h.places = min(32, h.places+0.1)
+		if h.bestSlowness = min(h.slowness, h.bestSlowness*1.0005); h.slowness > 1.7*h.bestSlowness { // its queue has grown: work waits better here
+			h.concurrencyLimit = max(1, h.concurrencyLimit*0.93)
+		} else if h.slowness < 1.35*h.bestSlowness && float64(len(h.inFlight))+2 > h.concurrencyLimit {
+			h.concurrencyLimit = min(32, h.concurrencyLimit+0.1)
 		}
-		if !g.at.Damp.Answers(h.Addr, d.sent, h.aside) && (h.aside || h.asked) {
-			h.asked = false
-			g.tellPeers(now, "+"+h.Addr)
+		if !g.instance.Overload.Answers(h.Addr, d.sentAt, h.ejected) && (h.ejected || h.peerAsked) {
+			h.peerAsked = false
+			g.broadcast(now, "+"+h.Addr)
 		}
-		g.comeBack(h, fmt.Sprintf("answered in %.3f s", e.Took))
-	case TimedOut, TurnedAway, Failed, NoConnection, Reset: // time-outs in a row are silence too
+		g.restore(h, fmt.Sprintf("answered in %.3f s", e.Duration))
+	case TimedOut, Rejected, Failed, NoConnection, Reset: // time-outs in a row are silence too
 		// Guards against hosts that end work fast and badly and so draw it all: each bad ending rests longer.
-		h.fails++
-		h.restAt = max(h.restAt, now+min(1, 0.02*math.Exp2(float64(h.fails))))
-		if e.How == TimedOut {
-			h.slow += 0.12 * (max(h.slow, e.Took/op.base) - h.slow)
+		h.consecutiveFailures++
+		h.backoffUntil = max(h.backoffUntil, now+min(1, 0.02*math.Exp2(float64(h.consecutiveFailures))))
+		if e.Outcome == TimedOut {
+			h.slowness += 0.12 * (max(h.slowness, e.Duration/op.baseLatency) - h.slowness)
 		}
-		if h.places = max(1, h.places*0.75); h.fails >= 3 && e.How != TurnedAway {
-			g.setAside(now, h, fmt.Sprintf("%d bad endings in a row", h.fails))
+		if h.concurrencyLimit = max(1, h.concurrencyLimit*0.75); h.consecutiveFailures >= 3 && e.Outcome != Rejected {
+			g.eject(now, h, fmt.Sprintf("%d bad endings in a row", h.consecutiveFailures))
 		}
 	}
 }
 
 // watch judges each host by how unusual its silence is, given its gaps so far and its fellows' silence.
-func (g *Gateway) watch(now float64) {
+func (g *Gateway) judgeSilence(now float64) {
 	var odd []float64
 	for _, h := range g.hosts {
-		old := func(d *Delivery) bool { return d.sent < h.sign && g.free(now, h) } // guards against one stuck
-		mute := slices.DeleteFunc(slices.Clone(h.out), old)
-		if h.odd = 0; h.listed && !h.aside && len(mute) > 0 && h.pace > 0 {
-			h.odd = (now - max(h.sign, mute[0].sent)) / h.pace * math.Pow(float64(len(mute)), 1.5) / 3
-			odd = append(odd, h.odd)
+		old := func(d *Attempt) bool { return d.sentAt < h.lastAnswerAt && g.hasSlot(now, h) } // guards against one stuck
+		mute := slices.DeleteFunc(slices.Clone(h.inFlight), old)
+		if h.suspicion = 0; h.active && !h.ejected && len(mute) > 0 && h.answerGap > 0 {
+			h.suspicion = (now - max(h.lastAnswerAt, mute[0].sentAt)) / h.answerGap * math.Pow(float64(len(mute)), 1.5) / 3
+			odd = append(odd, h.suspicion)
 		}
 	}
 	usual := 0.0 // a host alone at work has no fellows
@@ -810,64 +812,64 @@
 		usual = odd[(len(odd)-1)/2]
 	}
 	for _, h := range g.hosts {
-		if h.odd > 12 && h.odd > 4*usual {
-			g.setAside(now, h, fmt.Sprintf("silent %.2f s, %.0f gaps, fellows %.1f", now-h.sign, h.odd, usual))
-		} else if !h.aside && (h.fails > 0 || h.odd > 2 && h.odd > 4*usual) && g.at.Damp.Agreed(now, h.Addr) {
-			g.setAside(now, h, fmt.Sprintf("%d bad endings, %.1f gaps, and peers say the same", h.fails, h.odd))
-		} else if g.at.Damp.Believed(now, h.Addr) {
-			g.comeBack(h, "a peer had an answer")
+		if h.suspicion > 12 && h.suspicion > 4*usual {
+			g.eject(now, h, fmt.Sprintf("silent %.2f s, %.0f gaps, fellows %.1f", now-h.lastAnswerAt, h.suspicion, usual))
+		} else if !h.ejected && (h.consecutiveFailures > 0 || h.suspicion > 2 && h.suspicion > 4*usual) && g.instance.Overload.Agreed(now, h.Addr) {
+			g.eject(now, h, fmt.Sprintf("%d bad endings, %.1f gaps, and peers say the same", h.consecutiveFailures, h.suspicion))
+		} else if g.instance.Overload.Believed(now, h.Addr) {
+			g.restore(h, "a peer had an answer")
 		}
 	}
 }
 
-func (g *Gateway) setAside(now float64, h *Host, why string) {
-	idle := slices.DeleteFunc(slices.Clone(g.hosts), func(x *Host) bool { return x.listed && !x.aside })
-	h.trialGap = min(8, max(1, 2*h.trialGap))
-	h.trialAt = now + g.at.Damp.Trial(now, h.Addr, h.trialGap)
-	spoken := g.at.Damp.Aside(now, h.Addr, h.aside)
-	if h.aside || 2*(1+len(idle)) > len(g.hosts) {
+func (g *Gateway) eject(now float64, h *Host, why string) {
+	idle := slices.DeleteFunc(slices.Clone(g.hosts), func(x *Host) bool { return x.active && !x.ejected })
+	h.probeInterval = min(8, max(1, 2*h.probeInterval))
+	h.probeAt = now + g.instance.Overload.Trial(now, h.Addr, h.probeInterval)
+	spoken := g.instance.Overload.Aside(now, h.Addr, h.ejected)
+	if h.ejected || 2*(1+len(idle)) > len(g.hosts) {
 		return
 	}
-	h.aside = true
-	g.out.Log("host " + h.Addr + " set aside: " + why)
+	h.ejected = true
+	g.output.Log("host " + h.Addr + " set aside: " + why)
 	if !spoken {
-		g.tellPeers(now, "-"+h.Addr)
+		g.broadcast(now, "-"+h.Addr)
 	}
-	for _, d := range h.out {
-		if inv := d.Inv; g.allow.Cancel && inv.stage == sent && g.another(now, inv) &&
-			inv.op.Effect != NonIdempotent {
-			g.out.Cancel(d)
+	for _, d := range h.inFlight {
+		if inv := d.Invocation; g.limits.CanCancel && inv.stage == stageSent && g.mayRetry(now, inv) &&
+			inv.operation.Effect != NonIdempotent {
+			g.output.CancelAttempt(d)
 		}
 	}
 }
 
-func (g *Gateway) tellPeers(now float64, text string) {
+func (g *Gateway) broadcast(now float64, text string) {
 	// Guards against peers drowning each other: few say the same, and all together half of what one takes in.
-	if g.allow.Peers && now >= g.tellAt && g.chances.Next() < g.own {
-		g.tellAt = now + 2*g.own*g.all/max(1, g.allow.Mail)
-		g.out.Tell(toAll, text)
+	if g.limits.PeerMessages && now >= g.peerMessageAt && g.random.Next() < g.judgementShare {
+		g.peerMessageAt = now + 2*g.judgementShare*g.configuredGateways/max(1, g.limits.PeerMessageRate)
+		g.output.SendPeer(allPeers, text)
 	}
 }
 
-func (g *Gateway) comeBack(h *Host, why string) {
-	if h.aside {
-		h.aside, h.fails, h.places, h.pace = false, 0, 1, 0
-		g.out.Log("host " + h.Addr + " back: " + why)
+func (g *Gateway) restore(h *Host, why string) {
+	if h.ejected {
+		h.ejected, h.consecutiveFailures, h.concurrencyLimit, h.answerGap = false, 0, 1, 0
+		g.output.Log("host " + h.Addr + " back: " + why)
 	}
 }
 
 // Told brings a peer's message: "=plan customer" has no room, "-host" asks for word of it, "+host" answers.
-func (g *Gateway) Told(now float64, from int, text string) {
-	if g.at.Peers.Heard(now, from, text) || g.at.Damp.Heard(now, from, text) {
-		g.Meet(now)
+func (g *Gateway) PeerMessage(now float64, from int, text string) {
+	if g.instance.Peers.Heard(now, from, text) || g.instance.Overload.Heard(now, from, text) {
+		g.RefreshMembership(now)
 	} else if plan, key, ok := strings.Cut(strings.TrimPrefix(text, "="), " "); ok && g.plans[plan] != nil {
-		g.over(now, g.customer(now, Asked{Plan: plan, Customer: key, Width: g.at.Gateways}), 0.6)
+		g.overQuota(now, g.customer(now, Request{Plan: plan, Customer: key, GatewayCount: g.instance.Gateways}), 0.6)
 		return
 	}
-	h := g.byAddr[strings.TrimLeft(text, "+-")]
+	h := g.hostsByAddr[strings.TrimLeft(text, "+-")]
 	if h != nil && text[0] == '-' {
-		h.asked = true
-	} else if h != nil && text[0] == '+' && h.listed && h.trialGap <= 1 { // a second time: by trial alone
-		g.comeBack(h, "a peer reports good answers")
+		h.peerAsked = true
+	} else if h != nil && text[0] == '+' && h.active && h.probeInterval <= 1 { // a second time: by trial alone
+		g.restore(h, "a peer reports good answers")
 	}
 }
--- a/gateway/policy/policy_test.go
+++ b/gateway/policy/policy_test.go
@@ -27,19 +27,19 @@
 	f.wantCall(4)
 	f.total(12) // others have 8 of the 10
 	f.wantCall(-4)
-	if a := f.last[inv]; a.Do != Throttle || a.RetryAfter < 0.9 || a.RetryAfter > 1.1 {
+	if a := f.last[inv]; a.Action != Throttle || a.RetryAfter < 0.9 || a.RetryAfter > 1.1 {
 		t.Fatalf("want a throttling that says 1 s, got %+v", a)
 	}
 }
 
 func TestSettlesByTheTrueUnitsUpAndDown(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.counter.Settles = true
+	f.g.counterConfig.SettlesUnits = true
 	for _, c := range []struct{ actual, rides float64 }{{5, 4}, {1, 0}} {
 		f.wait(1)
 		inv := f.take(3, 2)
 		f.total(3)
-		f.endsWith(inv, Ended{How: Succeeded, Units: c.actual})
+		f.endsWith(inv, AttemptResult{Outcome: Succeeded, ActualUnits: c.actual})
 		f.wait(0.1)
 		f.take(2, 2) // the difference rides with the next add
 		f.wantCall(c.rides)
@@ -49,11 +49,11 @@
 
 func TestSettlesAtNoughtWhenNothingRan(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.Hosts(f.now, nil, true) // no host: it waits in line and is given up
+	f.g.UpdateHosts(f.now, nil, true) // no host: it waits in line and is given up
 	inv := f.take(3, 2)
 	f.total(3)
 	f.wait(1)
-	if f.last[inv].Do != Throttle {
+	if f.last[inv].Action != Throttle {
 		t.Fatalf("want a throttling, got %+v", f.last[inv])
 	}
 	f.wantCall(-3)
@@ -74,7 +74,7 @@
 	inv := f.take(8, 2)
 	f.wantCall(8)
 	f.total(16)
-	if f.last[inv].Do != Throttle {
+	if f.last[inv].Action != Throttle {
 		t.Fatalf("16 units passed at once after an edge: %+v", f.last[inv])
 	}
 }
@@ -84,38 +84,38 @@
 	for _, c := range []struct {
 		op, ending string
 		again      bool
-		final      Do
+		final      Action
 	}{
-		{"read", "F", true, NotYet},
-		{"read", "E", true, NotYet},
-		{"read", "T", true, NotYet},
-		{"read", "R", true, NotYet},
-		{"read", "X", true, NotYet},
-		{"read", "C", true, NotYet},
-		{"mark", "F", true, NotYet},
-		{"mark", "C", true, NotYet},
-		{"mark", "N", true, NotYet},
-		{"mark", "E", true, NotYet},
-		{"mark", "T", true, NotYet},
-		{"once", "F", true, NotYet},
-		{"once", "C", true, NotYet},
-		{"once", "N", true, NotYet},
-		{"once", "E", false, GiveUp},
-		{"once", "T", false, GiveUp},
-		{"once", "R", false, GiveUp},
-		{"once", "X", false, GiveUp},
+		{"read", "F", true, Pending},
+		{"read", "E", true, Pending},
+		{"read", "T", true, Pending},
+		{"read", "R", true, Pending},
+		{"read", "X", true, Pending},
+		{"read", "C", true, Pending},
+		{"mark", "F", true, Pending},
+		{"mark", "C", true, Pending},
+		{"mark", "N", true, Pending},
+		{"mark", "E", true, Pending},
+		{"mark", "T", true, Pending},
+		{"once", "F", true, Pending},
+		{"once", "C", true, Pending},
+		{"once", "N", true, Pending},
+		{"once", "E", false, Fail},
+		{"once", "T", false, Fail},
+		{"once", "R", false, Fail},
+		{"once", "X", false, Fail},
 	} {
 		f := newFake(t, Plan{Name: "p"})
 		inv := f.takeOp(c.op, 1, 2)
 		f.wantSent(inv, 1)
 		f.ends(inv, Outcome(c.ending[0]))
-		if again := len(inv.Deliveries) == 2; again != c.again && c.op != "mark" || f.last[inv].Do == Throttle {
-			t.Errorf("%s after %s: %d deliveries, %+v", c.op, c.ending, len(inv.Deliveries), f.last[inv])
-		} else if !c.again && f.last[inv].Do != c.final {
+		if again := len(inv.Attempts) == 2; again != c.again && c.op != "mark" || f.last[inv].Action == Throttle {
+			t.Errorf("%s after %s: %d deliveries, %+v", c.op, c.ending, len(inv.Attempts), f.last[inv])
+		} else if !c.again && f.last[inv].Action != c.final {
 			t.Errorf("%s after %s: want %v, got %+v", c.op, c.ending, c.final, f.last[inv])
 		}
-		if c.op == "mark" && strings.Contains("ET", c.ending) && len(inv.Deliveries) == 2 {
-			if h := inv.Deliveries[0].Host; h.zone != inv.Deliveries[1].Host.zone {
+		if c.op == "mark" && strings.Contains("ET", c.ending) && len(inv.Attempts) == 2 {
+			if h := inv.Attempts[0].Host; h.zone != inv.Attempts[1].Host.zone {
 				t.Errorf("a tokened repeat left its zone after %s", c.ending)
 			}
 		}
@@ -125,20 +125,20 @@
 func TestTokenedIsNotRepeatedAfterItsTimeNorThrottled(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
 	inv := f.takeOp("mark", 1, 2)
-	f.g.ops["mark"].Objective, inv.wanted = 4, f.now+4
+	f.g.operations["mark"].LatencyTarget, inv.targetAt = 4, f.now+4
 	f.now += 2.1 // its token lives for 2 s
 	f.ends(inv, Failed)
 	f.wantSent(inv, 1)
-	if f.last[inv].Do != GiveUp {
+	if f.last[inv].Action != Fail {
 		t.Fatalf("want errored, got %+v", f.last[inv])
 	}
 }
 
 func TestNothingNewToADrainingHost(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "leaving"}}, false)
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "leaving"}}, false)
 	for range 6 {
-		if inv := f.take(1, 2); len(inv.Deliveries) > 0 && inv.Deliveries[0].Host.Addr == "a" {
+		if inv := f.take(1, 2); len(inv.Attempts) > 0 && inv.Attempts[0].Host.Addr == "a" {
 			t.Fatal("sent to a draining host")
 		}
 	}
@@ -146,8 +146,8 @@
 
 func TestAColdHostGetsItsPartOnly(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active", Since: f.now}}, true)
-	f.g.mean = 0.01
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active", StartedAt: f.now}}, true)
+	f.g.meanLatency = 0.01
 	for range 300 { // 3 s, each answered within 10 ms
 		f.take(1, 2)
 		f.wait(0.01)
@@ -162,9 +162,9 @@
 
 func TestAClientWithLittleTimeIsAnsweredAtOnce(t *testing.T) {
 	f := newFake(t, ten)
-	inv := f.g.Take(f.now, Asked{Operation: "read", Customer: "c", Plan: "p", Units: 1, GiveUp: f.now + 0.02})
+	inv := f.g.Accept(f.now, Request{Operation: "read", Customer: "c", Plan: "p", Units: 1, Deadline: f.now + 0.02})
 	f.turns()
-	if f.last[inv].Do != Throttle || len(f.calls) > 0 {
+	if f.last[inv].Action != Throttle || len(f.calls) > 0 {
 		t.Fatalf("want a throttling with no call, got %+v and %d calls", f.last[inv], len(f.calls))
 	}
 }
@@ -178,7 +178,7 @@
 	for range 30 { // 6 s of silence at 5 units a second, where the plan fills 2
 		inv := f.take(1, 2)
 		f.noTotals()
-		if len(inv.Deliveries) > 0 {
+		if len(inv.Attempts) > 0 {
 			let++
 			f.ends(inv, Succeeded)
 		}
@@ -198,7 +198,7 @@
 func TestRefusingCounterOwesWhatItLetIn(t *testing.T) {
 	f := newFake(t, ten)
 	inv := f.take(4, 2)
-	f.counted(TurnedAway, 0)
+	f.counted(Rejected, 0)
 	f.wantSent(inv, 1)
 	f.wait(0.1)
 	f.take(1, 2)
@@ -235,8 +235,8 @@
 		f.totals()
 		f.wait(0.1)
 	}
-	if f.g.calls.Rate < 20 {
-		t.Fatalf("%.1f calls a second 10 s after the counter is back", f.g.calls.Rate)
+	if f.g.callLimiter.Rate < 20 {
+		t.Fatalf("%.1f calls a second 10 s after the counter is back", f.g.callLimiter.Rate)
 	}
 	if len(f.logs) != 2 {
 		t.Fatalf("want one line for each change of mode, got %q", f.logs)
@@ -251,7 +251,7 @@
 	inv := f.take(8, 2)
 	f.wantCall(8)
 	f.total(8) // the count began again at nothing
-	if f.last[inv].Do != Throttle {
+	if f.last[inv].Action != Throttle {
 		t.Fatalf("a forgotten count let in %+v", f.last[inv])
 	}
 	if len(f.logs) != 1 || !strings.Contains(f.logs[0], "forgotten") {
@@ -272,14 +272,14 @@
 }
 
 func TestOpenCapIsHeldAndAPlaceToldAtOnce(t *testing.T) {
-	f := newFake(t, Plan{Name: "p", MaxOut: 2})
+	f := newFake(t, Plan{Name: "p", MaxConcurrent: 2})
 	first := f.take(1, 2)
 	f.wantCall(1000)
 	f.total(2000) // another api gateway has one out
 	f.wantSent(first, 1)
 	second := f.take(1, 2)
 	f.total(3000)
-	if f.last[second].Do != Throttle {
+	if f.last[second].Action != Throttle {
 		t.Fatalf("a third went out: %+v", f.last[second])
 	}
 	f.wantCall(-1000)
@@ -292,14 +292,14 @@
 	f := newFake(t, Plan{Name: "p"})
 	f.warmUp(40)
 	inv := f.take(1, 2)
-	h := inv.Deliveries[0].Host
+	h := inv.Attempts[0].Host
 	f.wait(0.9)
-	if !h.aside || len(f.off) != 1 || f.told[0] != "-"+h.Addr {
-		t.Fatalf("set aside %v, cancels %d, told %q", h.aside, len(f.off), f.told)
+	if !h.ejected || len(f.off) != 1 || f.told[0] != "-"+h.Addr {
+		t.Fatalf("set aside %v, cancels %d, told %q", h.ejected, len(f.off), f.told)
 	}
-	f.ends(inv, Withdrawn)
+	f.ends(inv, Cancelled)
 	f.wantSent(inv, 2)
-	if inv.Deliveries[1].Host == h {
+	if inv.Attempts[1].Host == h {
 		t.Fatal("sent again to the silent host")
 	}
 }
@@ -308,21 +308,21 @@
 	for _, word := range []string{"+a", ""} {
 		f := newFake(t, Plan{Name: "p"})
 		f.warmUp(20)
-		h := f.g.byAddr["a"]
-		f.g.setAside(f.now, h, "for the story")
-		f.g.Told(f.now, 0, "+nobody")
-		f.g.Told(f.now, 0, "\x00")
-		f.g.Told(f.now, 0, word)
-		if h.aside != (word == "") {
-			t.Fatalf("aside %v after %q", h.aside, word)
+		h := f.g.hostsByAddr["a"]
+		f.g.eject(f.now, h, "for the story")
+		f.g.PeerMessage(f.now, 0, "+nobody")
+		f.g.PeerMessage(f.now, 0, "\x00")
+		f.g.PeerMessage(f.now, 0, word)
+		if h.ejected != (word == "") {
+			t.Fatalf("aside %v after %q", h.ejected, word)
 		}
 		f.wait(1.1)
 		inv := f.take(1, 2)
-		if word == "" && inv.Deliveries[0].Host != h {
+		if word == "" && inv.Attempts[0].Host != h {
 			t.Fatal("no trial")
 		}
 		f.ends(inv, Succeeded)
-		if h.aside {
+		if h.ejected {
 			t.Fatal("a good answer did not bring it back")
 		}
 	}
@@ -330,7 +330,7 @@
 
 func TestAPeerThatAsksHearsOfAGoodAnswer(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Told(f.now, 0, "-a")
+	f.g.PeerMessage(f.now, 0, "-a")
 	f.warmUp(4)
 	if len(f.told) != 1 || f.told[0] != "+a" {
 		t.Fatalf("told %q", f.told)
@@ -340,13 +340,13 @@
 func TestAllSlowSetsNoneAside(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
 	f.warmUp(20)
-	f.g.byAddr["b"].pace = f.g.byAddr["a"].pace
+	f.g.hostsByAddr["b"].answerGap = f.g.hostsByAddr["a"].answerGap
 	for range 8 { // all places of both
 		f.take(1, 2)
 	}
 	f.wait(3)
 	for _, h := range f.g.hosts {
-		if h.aside {
+		if h.ejected {
 			t.Fatalf("host %s set aside: %q", h.Addr, f.logs)
 		}
 	}
@@ -354,17 +354,17 @@
 
 func TestFastErrorsSetAHostAside(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.byAddr["a"]
+	h := f.g.hostsByAddr["a"]
 	for range 20 {
 		f.wait(0.2)
 		inv := f.takeOp("once", 1, 2)
-		if inv.Deliveries[0].Host == h {
+		if inv.Attempts[0].Host == h {
 			f.ends(inv, Failed)
 		} else {
 			f.ends(inv, Succeeded)
 		}
 	}
-	if !h.aside {
+	if !h.ejected {
 		t.Fatal("still in use")
 	}
 }
@@ -381,7 +381,7 @@
 	f.wantSent(dear, 1)
 	f.wantSent(cheap, 0)
 	f.wait(0.6)
-	if f.last[cheap].Do != Throttle {
+	if f.last[cheap].Action != Throttle {
 		t.Fatalf("want it given up early, got %+v", f.last[cheap])
 	}
 }
@@ -389,15 +389,15 @@
 func TestPlacesFallWhenAnswersSlow(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
 	f.warmUp(10)
-	h := f.g.byAddr["a"]
+	h := f.g.hostsByAddr["a"]
 	f.g.hosts = []*Host{h}
 	for range 30 {
 		inv := f.take(1, 2)
 		f.now += 0.5
 		f.ends(inv, Succeeded)
 	}
-	if h.places > 1 {
-		t.Fatalf("%.1f places", h.places)
+	if h.concurrencyLimit > 1 {
+		t.Fatalf("%.1f places", h.concurrencyLimit)
 	}
 }
 
@@ -407,13 +407,13 @@
 		f.take(1, 2)
 		f.wait(0.05)
 		for _, d := range f.sends {
-			if d.Inv.out > 0 && f.now-d.sent > 0.8 {
-				f.ends(d.Inv, Succeeded)
+			if d.Invocation.inFlight > 0 && f.now-d.sentAt > 0.8 {
+				f.ends(d.Invocation, Succeeded)
 			}
 		}
 	}
-	if f.g.most > 3 {
-		t.Fatalf("%.1f a host from all", f.g.most)
+	if f.g.perHostLimit > 3 {
+		t.Fatalf("%.1f a host from all", f.g.perHostLimit)
 	}
 }
 
@@ -421,8 +421,8 @@
 	n := 0
 	for seed := range uint64(300) {
 		f := newFakeOf(t, Plan{Name: "p"}, 300)
-		f.g.chances = rng.By("%d ", seed)
-		f.g.Hosts(f.now, []Listed{{Addr: "c", Zone: "z", State: "active", Since: f.now}}, true)
+		f.g.random = rng.By("%d ", seed)
+		f.g.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active", StartedAt: f.now}}, true)
 		for range 10 {
 			f.take(1, 2)
 			f.wait(0.1)
@@ -439,8 +439,8 @@
 	told := 0
 	for seed := range uint64(100) {
 		f := newFakeOf(t, Plan{Name: "p"}, 300)
-		f.g.chances = rng.By("%d ", seed)
-		f.g.setAside(f.now, f.g.hosts[0], "for the story")
+		f.g.random = rng.By("%d ", seed)
+		f.g.eject(f.now, f.g.hosts[0], "for the story")
 		told += len(f.told)
 	}
 	if told == 0 || told > 15 {
@@ -452,7 +452,7 @@
 	let := 0.0
 	for range 4 { // four lives of 5 s
 		f := newFake(t, Plan{Name: "p", CeilingRate: 4, CeilingBurst: 40})
-		f.g.calls = overload.NewCalls(false, 0)
+		f.g.callLimiter = overload.NewCalls(false, 0)
 		for range 50 {
 			if f.passes(1, 2) {
 				let++
@@ -467,7 +467,7 @@
 
 func TestOddStarts(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.calls = overload.NewCalls(false, 0) // no counter: its share of the quota
+	f.g.callLimiter = overload.NewCalls(false, 0) // no counter: its share of the quota
 	let := 0
 	for range 10 {
 		if f.passes(2, 2) {
@@ -478,23 +478,23 @@
 		t.Fatalf("%d let in without a counter, %d calls", let, len(f.calls))
 	}
 	f = newFake(t, ten) // a customer of an unknown plan: no quota, and a line in the log
-	inv := f.g.Take(f.now, Asked{Operation: "read", Customer: "c", Plan: "q", Units: 500, GiveUp: f.now + 4})
+	inv := f.g.Accept(f.now, Request{Operation: "read", Customer: "c", Plan: "q", Units: 500, Deadline: f.now + 4})
 	f.turns()
 	f.wantSent(inv, 1)
 	if len(f.logs) != 1 {
 		t.Fatalf("logs %q", f.logs)
 	}
-	inv = f.g.Take(f.now, Asked{Operation: "new", Customer: "c", Plan: "q", GiveUp: f.now + 4}) // unknown operation
+	inv = f.g.Accept(f.now, Request{Operation: "new", Customer: "c", Plan: "q", Deadline: f.now + 4}) // unknown operation
 	f.turns()
 	f.ends(inv, TimedOut) // taken as non-idempotent
-	if f.last[inv].Do != GiveUp {
+	if f.last[inv].Action != Fail {
 		t.Fatalf("got %+v", f.last[inv])
 	}
 	f = newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, nil, true) // no hosts: answered in time
+	f.g.UpdateHosts(f.now, nil, true) // no hosts: answered in time
 	inv = f.take(1, 2)
 	f.wait(1)
-	if f.last[inv].Do != Throttle {
+	if f.last[inv].Action != Throttle {
 		t.Fatalf("got %+v", f.last[inv])
 	}
 }
@@ -502,7 +502,7 @@
 func TestAGoneClientGetsNothingMore(t *testing.T) {
 	f := newFake(t, ten)
 	inv := f.take(3, 2)
-	f.g.Gone(f.now, inv)
+	f.g.Abandon(f.now, inv)
 	f.total(3)
 	f.wait(0.5)
 	f.wantSent(inv, 0)
@@ -523,7 +523,7 @@
 	f := newFake(t, Plan{Name: "p"})
 	for range 200 { // 2 s, both hosts refuse at once
 		inv := f.take(1, 2)
-		for len(inv.Deliveries) > 0 && inv.out > 0 {
+		for len(inv.Attempts) > 0 && inv.inFlight > 0 {
 			f.ends(inv, NoConnection)
 		}
 		f.wait(0.01)
@@ -535,44 +535,44 @@
 
 func TestPeersWordCountsOnceForAHostNotReachedFromHere(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.byAddr["a"]
-	f.g.setAside(f.now, h, "for the story")
-	f.g.Told(f.now, 0, "+a")
-	f.g.setAside(f.now, h, "again")
-	f.g.Told(f.now, 0, "+a")
-	if !h.aside {
+	h := f.g.hostsByAddr["a"]
+	f.g.eject(f.now, h, "for the story")
+	f.g.PeerMessage(f.now, 0, "+a")
+	f.g.eject(f.now, h, "again")
+	f.g.PeerMessage(f.now, 0, "+a")
+	if !h.ejected {
 		t.Fatal("back by peers' word although it failed here again")
 	}
 }
 
 func TestPlacesDoNotCreepUpWhileAHostStaysPressed(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.byAddr["a"]
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active"}}, true)
+	h := f.g.hostsByAddr["a"]
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}}, true)
 	f.warmUp(200)
 	for range 600 {
 		inv := f.take(1, 2)
 		f.now += 0.06 // three times its best
 		f.ends(inv, Succeeded)
 	}
-	if h.places > 1.2 {
-		t.Fatalf("%.1f places after a long press", h.places)
+	if h.concurrencyLimit > 1.2 {
+		t.Fatalf("%.1f places after a long press", h.concurrencyLimit)
 	}
 }
 
 func TestAHostThatHangsEveryTimeIsSetAside(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.byAddr["a"]
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "leaving"}}, true)
+	h := f.g.hostsByAddr["a"]
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "leaving"}}, true)
 	f.warmUp(5)
-	f.g.Hosts(f.now, []Listed{{Addr: "b", Zone: "y", State: "active"}}, false)
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "b", Zone: "y", State: "active"}}, false)
 	for range 3 { // one at a time, so that its silence begins anew with each
-		inv := &Invocation{op: f.g.ops["once"], cust: f.g.inOrder[0], wanted: f.now + 1, giveUp: f.now + 4}
+		inv := &Invocation{operation: f.g.operations["once"], customer: f.g.customersInOrder[0], targetAt: f.now + 1, deadline: f.now + 4}
 		f.g.send(f.now, inv, h)
 		f.now += 0.1
-		f.g.After(f.now, inv.Deliveries[0], Ended{How: TimedOut, Took: 0.1})
+		f.g.AttemptEnded(f.now, inv.Attempts[0], AttemptResult{Outcome: TimedOut, Duration: 0.1})
 	}
-	if !h.aside {
+	if !h.ejected {
 		t.Fatal("still in use")
 	}
 }
@@ -585,7 +585,7 @@
 	inv := f.take(4, 2)
 	f.total(10)
 	f.total(14)
-	if f.last[inv].Do != Throttle {
+	if f.last[inv].Action != Throttle {
 		t.Fatalf("let in after a total that left no room: %+v", f.last[inv])
 	}
 }
@@ -604,7 +604,7 @@
 
 func TestATotalOverTheQuotaCutsWhatIsLetInWithoutACallHereAndAtPeers(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 20, Burst: 100}, 100)
-	f.g.calls = overload.NewCalls(false, 0)
+	f.g.callLimiter = overload.NewCalls(false, 0)
 	let := func() (n int) {
 		for range 200 {
 			f.wait(0.1)
@@ -616,9 +616,9 @@
 	}
 	all := let()
 	for range 4 {
-		f.g.Told(f.now, 0, "=p c")
-		f.g.Told(f.now, 0, "=q c") // an unknown plan, and nonsense: dropped
-		f.g.Told(f.now, 0, "= ")
+		f.g.PeerMessage(f.now, 0, "=p c")
+		f.g.PeerMessage(f.now, 0, "=q c") // an unknown plan, and nonsense: dropped
+		f.g.PeerMessage(f.now, 0, "= ")
 		f.wait(1.1)
 	}
 	if cut := let(); all < 190 || cut > all*2/3 || cut == 0 {
@@ -629,12 +629,12 @@
 func TestAFirstTotalInTheMiddleOfAWindowAllowsForWhatItGained(t *testing.T) {
 	for _, c := range []struct {
 		total float64
-		want  Do
+		want  Action
 	}{{14, Send}, {40, Throttle}} { // 2 a second for 10 s of a window, and a burst of 10: well under, and over
 		f := newFakeOf(t, ten, 300)
 		inv := f.take(2, 2) // the clock stands at 1000, its window began at 990
 		f.total(c.total)
-		if f.last[inv].Do != c.want {
+		if f.last[inv].Action != c.want {
 			t.Fatalf("a first total of %v: %+v", c.total, f.last[inv])
 		}
 	}
@@ -642,16 +642,16 @@
 
 func TestHostsThatHoldAllTheConnectionsTheyTakeAreLeftToThoseWhoAreIn(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p"}, 300)
-	list := []Listed{{Addr: "in", Zone: "z", State: "active"}}
+	list := []HostEntry{{Addr: "in", Zone: "z", State: "active"}}
 	for _, a := range strings.Split("abcdefghijklmnopqrst", "") {
-		list = append(list, Listed{Addr: a, Zone: "z", State: "active"})
+		list = append(list, HostEntry{Addr: a, Zone: "z", State: "active"})
 	}
-	f.g.Hosts(f.now, list, true)
+	f.g.UpdateHosts(f.now, list, true)
 	met := map[*Host]bool{}
 	for range 300 {
 		inv := f.take(1, 2)
-		for inv.out > 0 {
-			d := inv.Deliveries[len(inv.Deliveries)-1]
+		for inv.inFlight > 0 {
+			d := inv.Attempts[len(inv.Attempts)-1]
 			if met[d.Host] = true; d.Host.Addr == "in" {
 				f.ends(inv, Succeeded)
 			} else {
@@ -667,9 +667,9 @@
 
 func TestADeliveryEndsWithTheObjectiveWhereALateAnswerIsWorthNothing(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.ops["mark"].Late = 0.2
+	f.g.operations["mark"].LateValue = 0.2
 	for op, want := range map[string]float64{"read": 1, "mark": 0, "once": 0} {
-		if a := f.last[f.takeOp(op, 1, 2)]; a.Do != Send || a.Within != want {
+		if a := f.last[f.takeOp(op, 1, 2)]; a.Action != Send || a.Timeout != want {
 			t.Errorf("%s: want %v s, got %+v", op, want, a)
 		}
 	}
@@ -683,24 +683,24 @@
 		f.totals()
 		f.wait(0.01)
 	}
-	before := f.g.calls.Rate
+	before := f.g.callLimiter.Rate
 	for range 12 {
 		f.take(1, 2)
 	}
 	f.now += 0.05
-	if f.noTotals(); f.g.calls.Rate < 0.7*before || f.g.calls.Rate >= before {
-		t.Fatalf("%.0f calls a second after a jam, %.0f before", f.g.calls.Rate, before)
+	if f.noTotals(); f.g.callLimiter.Rate < 0.7*before || f.g.callLimiter.Rate >= before {
+		t.Fatalf("%.0f calls a second after a jam, %.0f before", f.g.callLimiter.Rate, before)
 	}
 	for range 20 { // slow answers are a sign of it before any is missing
 		f.take(1, 2)
-		for before = f.g.calls.Rate; f.n < len(f.calls); {
+		for before = f.g.callLimiter.Rate; f.n < len(f.calls); {
 			f.n++
-			f.g.Counted(f.now, f.calls[f.n-1].name, Succeeded, 1, 0.04)
+			f.g.CounterReplied(f.now, f.calls[f.n-1].name, Succeeded, 1, 0.04)
 		}
 		f.wait(0.1)
 	}
-	if f.g.calls.Rate >= before {
-		t.Fatalf("%.0f calls a second with slow answers, %.0f before the last", f.g.calls.Rate, before)
+	if f.g.callLimiter.Rate >= before {
+		t.Fatalf("%.0f calls a second with slow answers, %.0f before the last", f.g.callLimiter.Rate, before)
 	}
 }
 
@@ -715,19 +715,19 @@
 		f.wait(1)
 		f.noTotals()
 	}
-	if len(f.g.customers)+len(f.g.inOrder) > 0 {
+	if len(f.g.customers)+len(f.g.customersInOrder) > 0 {
 		t.Fatalf("%d customers are kept, a full burst and nothing out", len(f.g.customers))
 	}
 	inv = f.take(4, 2)
 	f.total(4)
-	d := inv.Deliveries[0]
-	f.g.Hosts(f.now, []Listed{{Addr: "c", Zone: "z", State: "active"}}, true)
-	if len(f.g.hosts) != 2 || f.g.byAddr[d.Host.Addr] != d.Host {
+	d := inv.Attempts[0]
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active"}}, true)
+	if len(f.g.hosts) != 2 || f.g.hostsByAddr[d.Host.Addr] != d.Host {
 		t.Fatalf("%d hosts: want the new one and the one with a delivery out", len(f.g.hosts))
 	}
 	f.ends(inv, Succeeded)
-	f.g.Hosts(f.now, []Listed{{Addr: "c", Zone: "z", State: "active"}}, false)
-	if len(f.g.hosts) != 1 || len(f.g.byAddr) != 1 {
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active"}}, false)
+	if len(f.g.hosts) != 1 || len(f.g.hostsByAddr) != 1 {
 		t.Fatalf("%d hosts are kept", len(f.g.hosts))
 	}
 }
@@ -735,7 +735,7 @@
 // The counter's answer can't be read: the estimate was added all the same and is not owed again, and the calls go on.
 func TestAnAnswerOfTheCounterThatCantBeReadWasAdded(t *testing.T) {
 	f := newFake(t, ten)
-	before := f.g.calls.Rate
+	before := f.g.callLimiter.Rate
 	inv := f.take(1, 1)
 	f.wantCall(1)
 	f.counted(Failed, 0)
@@ -745,12 +745,12 @@
 	f.wantCall(2)
 	f.total(9)
 	f.wait(0.1)
-	if f.g.calls.Rate < before {
-		t.Fatalf("%.1f calls a second, %.1f before", f.g.calls.Rate, before)
+	if f.g.callLimiter.Rate < before {
+		t.Fatalf("%.1f calls a second, %.1f before", f.g.callLimiter.Rate, before)
 	}
 	inv = f.take(8, 1) // over its room, and what was added is taken off
 	f.counted(Failed, 0)
-	if f.last[inv].Do != Throttle {
+	if f.last[inv].Action != Throttle {
 		t.Fatalf("got %+v", f.last[inv])
 	}
 	f.wantCall(-8)
@@ -758,27 +758,27 @@
 
 // A call whose answer is late has most often been added: its open place, added again, was one that nobody held.
 func TestAnOpenPlaceOfALateCallIsNotAddedAgain(t *testing.T) {
-	p := Plan{Name: "p", MaxOut: 2}
+	p := Plan{Name: "p", MaxConcurrent: 2}
 	f := newFake(t, p)
 	inv := f.take(1, 2)
-	f.wantCall(p.pack())
+	f.wantCall(p.slotUnit())
 	f.counted(TimedOut, 0)
 	f.wantSent(inv, 1)
 	f.ends(inv, Succeeded)
-	f.wantCall(-p.pack())
+	f.wantCall(-p.slotUnit())
 }
 
 // One connection fell silent under its delivery, and with no other work for a moment its host counted as silent too.
 func TestOneDeliveryStuckIsNotAHostSilent(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, []Listed{
+	f.g.UpdateHosts(f.now, []HostEntry{
 		{Addr: "a", Zone: "z", State: "active"},
 		{Addr: "b", Zone: "z", State: "active"},
 		{Addr: "c", Zone: "z", State: "active"},
 	}, true)
 	f.warmUp(30)
 	stuck := f.takeOp("once", 1, 2)
-	h := stuck.Deliveries[0].Host
+	h := stuck.Attempts[0].Host
 	for range 30 { // all else is answered
 		one, two, three := f.take(1, 2), f.take(1, 2), f.take(1, 2)
 		f.now += 0.02
@@ -786,40 +786,40 @@
 		f.ends(two, Succeeded)
 		f.ends(three, Succeeded)
 	}
-	if h.sign <= stuck.Deliveries[0].sent {
+	if h.lastAnswerAt <= stuck.Attempts[0].sentAt {
 		t.Fatal("the host has answered nothing since: no story")
 	}
-	h.places = 4
-	if f.wait(0.5); h.aside {
+	h.concurrencyLimit = 4
+	if f.wait(0.5); h.ejected {
 		t.Fatalf("set aside: %q", f.logs)
 	}
-	places, slow := h.places, h.slow // nor is it slow, or to be sent less, when that one is given up
-	if f.ends(stuck, TimedOut); h.places != places || h.slow != slow || h.fails > 0 {
-		t.Fatalf("%.1f places after %.1f, slow %.2f after %.2f, %d bad endings", h.places, places, h.slow, slow, h.fails)
+	places, slow := h.concurrencyLimit, h.slowness // nor is it slow, or to be sent less, when that one is given up
+	if f.ends(stuck, TimedOut); h.concurrencyLimit != places || h.slowness != slow || h.consecutiveFailures > 0 {
+		t.Fatalf("%.1f places after %.1f, slow %.2f after %.2f, %d bad endings", h.concurrencyLimit, places, h.slowness, slow, h.consecutiveFailures)
 	}
 	for range 9 { // it really is silent now
 		f.takeOp("once", 1, 2)
 	}
-	if f.wait(1); !slices.ContainsFunc(f.g.hosts, func(h *Host) bool { return h.odd > 12 }) {
+	if f.wait(1); !slices.ContainsFunc(f.g.hosts, func(h *Host) bool { return h.suspicion > 12 }) {
 		t.Fatal("silence is no longer seen")
 	}
 }
 
 // Without a call an open cap of two was one for each of two api gateways, though the other has seldom anything out.
 func TestWithoutACallAnOpenCapGoesByWhatOthersUsuallyHold(t *testing.T) {
-	p := Plan{Name: "p", MaxOut: 2}
+	p := Plan{Name: "p", MaxConcurrent: 2}
 	for others, want := range map[float64]int{0: 1, 1: 0} {
 		f := newFake(t, p)
 		for range 5 {
 			inv := f.take(1, 2)
-			f.total((1 + others) * p.pack())
+			f.total((1 + others) * p.slotUnit())
 			f.wait(0.1)
 			f.ends(inv, Succeeded)
-			f.total(others * p.pack())
+			f.total(others * p.slotUnit())
 		}
 		f.take(1, 2)
-		f.total((1 + others) * p.pack())
-		f.g.calls.Room, f.g.calls.Rate, f.g.calls.At = 0, 0, f.now
+		f.total((1 + others) * p.slotUnit())
+		f.g.callLimiter.Room, f.g.callLimiter.Rate, f.g.callLimiter.At = 0, 0, f.now
 		f.now += 0.5
 		f.wantSent(f.take(1, 2), want)
 		f.wantSent(f.take(1, 2), 0)
@@ -829,7 +829,7 @@
 // With its open places full by what is out here, a customer's next try can only be refused: the call that adds it and the
 // one that takes it off again would be spent for nothing, and meanwhile its place counts against other api gateways.
 func TestAnOpenCapFullHereCostsNoCall(t *testing.T) {
-	f := newFake(t, Plan{Name: "p", MaxOut: 2})
+	f := newFake(t, Plan{Name: "p", MaxConcurrent: 2})
 	first, second := f.take(1, 3), f.take(1, 3)
 	f.total(1)
 	f.total(2)
@@ -837,7 +837,7 @@
 	f.wantSent(second, 1)
 	calls := len(f.calls)
 	third := f.take(1, 3)
-	if a := f.last[third]; a.Do != Throttle || a.RetryAfter <= 0 || len(f.calls) != calls {
+	if a := f.last[third]; a.Action != Throttle || a.RetryAfter <= 0 || len(f.calls) != calls {
 		t.Fatalf("got %+v after %d further calls", a, len(f.calls)-calls)
 	}
 	f.now += 0.02
@@ -855,25 +855,25 @@
 		f := newFake(t, Plan{Name: "p"})
 		f.warmUp(40)
 		for _, h := range f.g.hosts {
-			h.places, h.pace = 1, 0.02
+			h.concurrencyLimit, h.answerGap = 1, 0.02
 		}
 		stuck := f.takeOp("once", 1, 2)
-		h := stuck.Deliveries[0].Host
+		h := stuck.Attempts[0].Host
 		f.wait(0.3)
 		other := f.take(1, 2) // takes the other host's place
 		unsafe := f.takeOp("once", 1, 2)
 		f.wantSent(unsafe, 0)
 		beside := f.take(1, 2)
 		f.wantSent(beside, 1)
-		if beside.Deliveries[0].Host != h || h.aside {
-			t.Fatalf("went to %s, not %s; set aside %v", beside.Deliveries[0].Host.Addr, h.Addr, h.aside)
+		if beside.Attempts[0].Host != h || h.ejected {
+			t.Fatalf("went to %s, not %s; set aside %v", beside.Attempts[0].Host.Addr, h.Addr, h.ejected)
 		}
 		f.ends(other, Succeeded)
 		if good {
 			f.ends(beside, Succeeded)
 		}
-		if f.wait(0.2); h.aside == good {
-			t.Fatalf("answered %v, set aside %v: %q", good, h.aside, f.logs)
+		if f.wait(0.2); h.ejected == good {
+			t.Fatalf("answered %v, set aside %v: %q", good, h.ejected, f.logs)
 		}
 	}
 }
@@ -882,29 +882,29 @@
 // quick answers must bring back most of what is wanted.
 func TestCallsGrowSoonAfterTheCounterIsBack(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 1000, Burst: 10000}, 4)
-	f.g.calls.Rate, f.g.calls.Room = 15.3, 1
+	f.g.callLimiter.Rate, f.g.callLimiter.Room = 15.3, 1
 	for range 250 {
 		f.take(1, 2)
 		f.totals()
 		f.wait(0.01)
 		f.answerAll()
 	}
-	if f.g.calls.Rate < 60 {
-		t.Fatalf("%.1f calls a second 2.5 s after the counter is back, 100 are wanted", f.g.calls.Rate)
+	if f.g.callLimiter.Rate < 60 {
+		t.Fatalf("%.1f calls a second 2.5 s after the counter is back, 100 are wanted", f.g.callLimiter.Rate)
 	}
 }
 
 // A place given back stays counted until the counter hears of it, and refuses the customer elsewhere: with no call left
 // it is told all the same, by a call lent, and the next invocations wait for it.
 func TestAPlaceGivenBackIsToldByACallLent(t *testing.T) {
-	p := Plan{Name: "p", MaxOut: 2}
+	p := Plan{Name: "p", MaxConcurrent: 2}
 	f := newFake(t, p)
 	inv := f.take(1, 2)
-	f.total(p.pack())
-	f.g.calls.Room, f.g.calls.Rate, f.g.calls.At = 0, 32, f.now
+	f.total(p.slotUnit())
+	f.g.callLimiter.Room, f.g.callLimiter.Rate, f.g.callLimiter.At = 0, 32, f.now
 	f.ends(inv, Succeeded)
 	f.n = 1
-	f.wantCall(-p.pack())
+	f.wantCall(-p.slotUnit())
 	f.total(0)
 	if f.take(1, 2); len(f.calls) != 2 {
 		t.Fatalf("a call was left: %+v", f.calls)
@@ -914,25 +914,25 @@
 // Each of four api gateways let one in at any time while the counter was late, and a customer with an open cap of two had
 // four out. What totals last told of the others, for each place here, keeps all together near the cap.
 func TestWithoutCallsABusyOpenCapIsSharedByAllOrTakenByOne(t *testing.T) {
-	p := Plan{Name: "p", MaxOut: 2}
+	p := Plan{Name: "p", MaxConcurrent: 2}
 	for others, want := range map[float64]float64{0: 1.5, 3: 0.5} { // their places for each one here
 		f := newFakeOf(t, p, 4)
 		inv := f.take(1, 4)
-		f.total(p.pack())
+		f.total(p.slotUnit())
 		f.ends(inv, Succeeded)
 		f.total(0)
 		for range 30 { // totals: one place held here beside the one that is tried for, and the others'
-			f.g.read(f.now, &call{cust: inv.cust, inv: &Invocation{op: inv.op}, open: 1, stood: 2}, (2+others)*p.pack())
+			f.g.applyTotal(f.now, &counterCall{customer: inv.customer, invocation: &Invocation{operation: inv.operation}, slots: 1, countedSlots: 2}, (2+others)*p.slotUnit())
 		}
-		f.g.calls.Room, f.g.calls.Rate, f.g.calls.At = -1e6, 0, f.now
+		f.g.callLimiter.Room, f.g.callLimiter.Rate, f.g.callLimiter.At = -1e6, 0, f.now
 		out, tries := 0, 2000
 		var at []*Invocation
 		for range tries { // one every 10 ms, served in 50 ms
 			at = append(at, f.take(1, 4))
-			if n := len(at); n > 5 && at[n-6].out > 0 {
+			if n := len(at); n > 5 && at[n-6].inFlight > 0 {
 				f.ends(at[n-6], Succeeded)
 			}
-			out += f.g.customers["p c"].out
+			out += f.g.customers["p c"].openSlots
 			f.wait(0.01)
 		}
 		if mean := float64(out) / float64(tries); mean < want-0.3 || mean > want+0.3 {
@@ -943,20 +943,20 @@
 
 // A late take-off was taken for added; when it is lost with its connection, its place is told again and not left in the total.
 func TestAPlaceWhoseTakeOffIsLostIsToldAgain(t *testing.T) {
-	p := Plan{Name: "p", MaxOut: 2}
+	p := Plan{Name: "p", MaxConcurrent: 2}
 	f := newFake(t, p)
 	inv := f.take(1, 2)
-	f.total(p.pack())
+	f.total(p.slotUnit())
 	f.ends(inv, Succeeded)
 	f.counted(TimedOut, 0)
 	f.wait(0.3)
 	if len(f.calls) != 2 {
 		t.Fatalf("told again while it may have been added: %+v", f.calls)
 	}
-	f.g.Lost(f.calls[1].name, f.calls[1].amount)
+	f.g.CounterCallLost(f.calls[1].name, f.calls[1].amount)
 	f.wait(0.3)
 	f.n = 2
-	f.wantCall(-p.pack())
+	f.wantCall(-p.slotUnit())
 }
 
 // A customer far under its quota came in mostly through one api gateway: without calls it was throttled there by an even
@@ -964,9 +964,9 @@
 func TestWithoutCallsTheFavouriteOfAFarCustomerLetsItIn(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		f := newFakeOf(t, Plan{Name: "p", Rate: 10, Burst: 60}, 300)
-		f.g.calls = overload.NewCalls(false, 0)
+		f.g.callLimiter = overload.NewCalls(false, 0)
 		if known {
-			f.g.Told(f.now, 0, "=p c")
+			f.g.PeerMessage(f.now, 0, "=p c")
 			f.wait(1)
 		}
 		let := 0.0
@@ -987,14 +987,14 @@
 func TestSharesByWhoIsThere(t *testing.T) {
 	letIn := func(p Plan, peers *membership.Group) (n int) {
 		f := newFakeOf(t, p, 4)
-		f.g.at.Peers = peers
-		f.g.calls = overload.NewCalls(false, 0)
+		f.g.instance.Peers = peers
+		f.g.callLimiter = overload.NewCalls(false, 0)
 		for range 400 {
 			f.wait(0.05)
 			inv := f.take(1, 4)
-			if len(inv.Deliveries) > 0 {
+			if len(inv.Attempts) > 0 {
 				n++
-				f.g.After(f.now, inv.Deliveries[0], Ended{How: Succeeded, Over: true, Took: 0.01})
+				f.g.AttemptEnded(f.now, inv.Attempts[0], AttemptResult{Outcome: Succeeded, Final: true, Duration: 0.01})
 			}
 		}
 		return n
@@ -1027,18 +1027,18 @@
 
 // A delivery that waited for its connection may find its host gone, or in another life, which may be cold.
 func TestADeliveryIsJudgedOnceMoreAsItLeaves(t *testing.T) {
-	for name, list := range map[string][]Listed{
+	for name, list := range map[string][]HostEntry{
 		"leaves":   {{Addr: "a", Zone: "z", State: "leaving"}, {Addr: "b", Zone: "y", State: "leaving"}},
 		"is gone":  {},
-		"is anew":  {{Addr: "a", Zone: "z", State: "active", Since: 1000.1}, {Addr: "b", Zone: "y", State: "active", Since: 1000.1}},
+		"is anew":  {{Addr: "a", Zone: "z", State: "active", StartedAt: 1000.1}, {Addr: "b", Zone: "y", State: "active", StartedAt: 1000.1}},
 		"is there": {{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "active"}},
 	} {
 		f := newFake(t, Plan{Name: "p"})
 		inv := f.take(1, 1)
 		f.wantSent(inv, 1)
 		f.now += 0.2
-		f.g.Hosts(f.now, list, true)
-		if goes := f.g.Goes(f.now, inv.Deliveries[0]); goes != (name == "is there") {
+		f.g.UpdateHosts(f.now, list, true)
+		if goes := f.g.ConfirmSend(f.now, inv.Attempts[0]); goes != (name == "is there") {
 			t.Errorf("its host %s: %v", name, goes)
 		}
 	}
@@ -1047,17 +1047,17 @@
 // Connections to a cold host that come up late, and together: what was chosen one by one goes out one by one.
 func TestWhatWaitedForAColdHostDoesNotGoOutTogether(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active", Since: f.now}}, true)
-	var waiting []*Delivery
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active", StartedAt: f.now}}, true)
+	var waiting []*Attempt
 	for len(waiting) < 3 {
 		inv := f.take(1, 1)
 		f.wait(1)
-		waiting = append(waiting, inv.Deliveries...)
+		waiting = append(waiting, inv.Attempts...)
 	}
 	let := 0
 	for range 2 {
 		for _, d := range waiting {
-			if f.g.Goes(f.now, d) {
+			if f.g.ConfirmSend(f.now, d) {
 				let++
 			}
 		}
@@ -1066,7 +1066,7 @@
 		t.Fatalf("%d of %d went out at one moment", let, len(waiting))
 	}
 	f.now += 2
-	if !f.g.Goes(f.now, waiting[1]) {
+	if !f.g.ConfirmSend(f.now, waiting[1]) {
 		t.Fatal("the next one does not go when its time has come")
 	}
 }
@@ -1074,21 +1074,21 @@
 // A repeat of what carries a token may wait for its connection until the token's time is over.
 func TestARepeatIsNotLetGoAfterItsTokensTime(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	f.g.Hosts(f.now, []Listed{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "z", State: "active"}}, true)
+	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "z", State: "active"}}, true)
 	inv := f.takeOp("mark", 1, 1)
-	first := inv.Deliveries[0]
-	if !f.g.Goes(f.now, first) {
+	first := inv.Attempts[0]
+	if !f.g.ConfirmSend(f.now, first) {
 		t.Fatal("the first one does not go")
 	}
 	f.now += 0.3
 	f.ends(inv, Reset)
 	f.wait(0.1)
 	f.wantSent(inv, 2)
-	again := inv.Deliveries[1]
-	if f.now = first.sent + 1.99; !f.g.Goes(f.now, again) {
+	again := inv.Attempts[1]
+	if f.now = first.sentAt + 1.99; !f.g.ConfirmSend(f.now, again) {
 		t.Error("a repeat in time does not go")
 	}
-	if f.now = first.sent + 2; f.g.Goes(f.now, again) {
+	if f.now = first.sentAt + 2; f.g.ConfirmSend(f.now, again) {
 		t.Error("a repeat goes as its token is forgotten")
 	}
 }
--- a/gateway/policydriver/policydriver.go
+++ b/gateway/policydriver/policydriver.go
@@ -9,9 +9,9 @@
 )
 
 // Turns asks the module about each invocation whose turn it is, until there is none.
-func Turns(m *policy.Gateway, now float64, act func(*policy.Invocation, policy.Answer)) {
-	for inv := m.Turn(now); inv != nil; inv = m.Turn(now) {
-		act(inv, m.Where(now, inv))
+func Turns(m *policy.Gateway, now float64, act func(*policy.Invocation, policy.Decision)) {
+	for inv := m.Next(now); inv != nil; inv = m.Next(now) {
+		act(inv, m.Decide(now, inv))
 	}
 }
 
@@ -42,9 +42,9 @@
 	Send(ref, host string, within float64) // within, in seconds, 0: until its client gives up
 	Throttle(ref string, retryAfter float64)
 	GiveUp(ref string)
-	Cancel(ref string, number int)
-	Count(name uint64, amount, life float64)
-	Tell(to int, text string)
+	CancelAttempt(ref string, number int)
+	AddCount(name uint64, amount, life float64)
+	SendPeer(to int, text string)
 	Log(text string)
 	Wake(nonce uint64, at float64)
 }
@@ -61,7 +61,7 @@
 }
 
 // New makes an instance whose module is made by start, with the instance as its way out.
-func New(out Out, start func(policy.Out) (*policy.Gateway, error)) (*Instance, error) {
+func New(out Out, start func(policy.Output) (*policy.Gateway, error)) (*Instance, error) {
 	in := &Instance{out: out, invs: map[string]*policy.Invocation{}, met: 1}
 	var err error
 	in.module, err = start(in)
@@ -69,21 +69,21 @@
 }
 
 // Hosts tells of the list of hosts, or of changes to it.
-func (in *Instance) Hosts(now float64, list []policy.Listed, whole bool) {
-	in.module.Hosts(now, list, whole)
+func (in *Instance) Hosts(now float64, list []policy.HostEntry, whole bool) {
+	in.module.UpdateHosts(now, list, whole)
 	in.turns(now)
 }
 
 // Take brings in an invocation.
-func (in *Instance) Take(now float64, a policy.Asked) {
-	in.invs[a.Ref] = in.module.Take(now, a)
+func (in *Instance) Take(now float64, a policy.Request) {
+	in.invs[a.Ref] = in.module.Accept(now, a)
 	in.turns(now)
 }
 
 // Ended tells how a delivery ended. A ref or number that is not in hand is passed over.
-func (in *Instance) Ended(now float64, ref string, number int, e policy.Ended) {
-	if inv := in.invs[ref]; inv != nil && number >= 0 && number < len(inv.Deliveries) {
-		in.act(inv, in.module.After(now, inv.Deliveries[number], e))
+func (in *Instance) Ended(now float64, ref string, number int, e policy.AttemptResult) {
+	if inv := in.invs[ref]; inv != nil && number >= 0 && number < len(inv.Attempts) {
+		in.act(inv, in.module.AttemptEnded(now, inv.Attempts[number], e))
 	}
 	in.turns(now)
 }
@@ -91,7 +91,7 @@
 // Gone tells that a client has left, or that its invocation is over in another way.
 func (in *Instance) Gone(now float64, ref string) {
 	if inv := in.invs[ref]; inv != nil {
-		in.module.Gone(now, inv)
+		in.module.Abandon(now, inv)
 		in.drop(inv)
 	}
 	in.turns(now)
@@ -102,7 +102,7 @@
 	if nonce%2 == 1 {
 		if nonce == in.met {
 			in.meets.Rang()
-			in.module.Meet(now)
+			in.module.RefreshMembership(now)
 		}
 		return
 	}
@@ -115,23 +115,23 @@
 
 // Told brings a peer's message.
 func (in *Instance) Told(now float64, from int, text string) {
-	in.module.Told(now, from, text)
+	in.module.PeerMessage(now, from, text)
 	in.turns(now)
 }
 
 // Counted brings the answer to a call to the counter.
 func (in *Instance) Counted(now float64, name uint64, how policy.Outcome, sum, took float64) {
-	in.module.Counted(now, name, how, sum, took)
+	in.module.CounterReplied(now, name, how, sum, took)
 	in.turns(now)
 }
 
 // Settle ends a batch of what was told at one moment: the timer is set anew if it must ring sooner.
 func (in *Instance) Settle(now float64) {
-	if at, news := in.timer.Next(in.module.Wait(now), now); news {
+	if at, news := in.timer.Next(in.module.TickDelay(now), now); news {
 		in.nonce += 2
 		in.out.Wake(in.nonce, at)
 	}
-	if at, news := in.meets.Next(in.module.Meets(now), now); news {
+	if at, news := in.meets.Next(in.module.MembershipDelay(now), now); news {
 		in.met += 2
 		in.out.Wake(in.met, at)
 	}
@@ -139,13 +139,13 @@
 
 func (in *Instance) turns(now float64) { Turns(in.module, now, in.act) }
 
-func (in *Instance) act(inv *policy.Invocation, a policy.Answer) {
-	switch a.Do {
+func (in *Instance) act(inv *policy.Invocation, a policy.Decision) {
+	switch a.Action {
 	case policy.Send:
-		in.out.Send(inv.Ref, a.Host.Addr, a.Within)
+		in.out.Send(inv.Ref, a.Host.Addr, a.Timeout)
 	case policy.Throttle:
 		in.out.Throttle(inv.Ref, a.RetryAfter)
-	case policy.GiveUp:
+	case policy.Fail:
 		in.out.GiveUp(inv.Ref)
 	}
 	in.drop(inv)
@@ -159,7 +159,9 @@
 
 // What belongs to no single invocation leaves here.
 
-func (in *Instance) Count(name uint64, amount, life float64) { in.out.Count(name, amount, life) }
-func (in *Instance) Cancel(d *policy.Delivery)               { in.out.Cancel(d.Inv.Ref, d.Number) }
-func (in *Instance) Tell(to int, text string)                { in.out.Tell(to, text) }
-func (in *Instance) Log(text string)                         { in.out.Log(text) }
+func (in *Instance) AddCount(name uint64, amount, life float64) { in.out.AddCount(name, amount, life) }
+func (in *Instance) CancelAttempt(d *policy.Attempt) {
+	in.out.CancelAttempt(d.Invocation.Ref, d.Number)
+}
+func (in *Instance) SendPeer(to int, text string) { in.out.SendPeer(to, text) }
+func (in *Instance) Log(text string)              { in.out.Log(text) }
--- a/gateway/server/copies.go
+++ b/gateway/server/copies.go
@@ -92,7 +92,7 @@
 		c.turnAt = now + copiesTurn
 		if c.counts {
 			c.lodge.Settled()
-			c.loop.module.Debts(func(name uint64, units, life float64) { c.lodge.Owes(now, nameOf(name), units, life) })
+			c.loop.module.UnreportedUnits(func(name uint64, units, life float64) { c.lodge.Owes(now, nameOf(name), units, life) })
 		}
 		for _, inv := range c.marking { // each by itself: the order does not show
 			if now > inv.giveUp-(1-markWait)*inv.Limit {
@@ -113,7 +113,7 @@
 	if !c.standing() {
 		return false
 	}
-	k.asked, k.opened, ok = c.lodge.Put(c.loop.now, nameOf(k.name), k.amount, c.loop.module.Places(k.name), life)
+	k.asked, k.opened, ok = c.lodge.Put(c.loop.now, nameOf(k.name), k.amount, c.loop.module.CountedSlots(k.name), life)
 	if !ok {
 		k.asked = 0
 		return false
@@ -138,7 +138,7 @@
 	if c == nil || !c.marks {
 		return false
 	}
-	scope, needs := c.loop.module.Marked(inv.Operation)
+	scope, needs := c.loop.module.DedupScope(inv.Operation)
 	if !needs {
 		return false
 	}
@@ -205,7 +205,7 @@
 		how := policy.Succeeded
 		switch {
 		case w.Refused:
-			how = policy.TurnedAway
+			how = policy.Rejected
 		case w.Unknown:
 			how = policy.Reset
 		}
--- a/gateway/server/counter.go
+++ b/gateway/server/counter.go
@@ -261,7 +261,7 @@
 	} else {
 		at.n--
 	}
-	c.loop.module.Counted(c.loop.now, k.name, how, sum, c.loop.now-k.made)
+	c.loop.module.CounterReplied(c.loop.now, k.name, how, sum, c.loop.now-k.made)
 }
 
 // answered runs on the loop, once for each call that was made, late or not.
@@ -270,7 +270,7 @@
 		k.counter.newest = max(k.counter.newest, k.made)
 	}
 	if k.told && k.how == policy.Reset {
-		k.counter.loop.module.Lost(k.name, k.amount)
+		k.counter.loop.module.CounterCallLost(k.name, k.amount)
 	}
 	if !k.told {
 		k.counter.tellOf(k, k.how, k.sum)
@@ -484,7 +484,7 @@
 		x.how, x.sum = policy.Succeeded, sum
 		return ok
 	case 503, 400, 404:
-		x.how = policy.TurnedAway
+		x.how = policy.Rejected
 		return true
 	}
 	return false
--- a/gateway/server/discovery.go
+++ b/gateway/server/discovery.go
@@ -152,7 +152,7 @@
 // use hands a list to the loop, entries that make no sense left out; it says how many. It runs under the lock, so that
 // lists reach the loop in their order. odd: its numbers can't be compared with those of what was told before.
 func (d *Discovery) use(ctx context.Context, r Roster, odd bool) (dropped int) {
-	var list []policy.Listed
+	var list []policy.HostEntry
 	var addrs []string
 	named, now := map[string]bool{}, d.loop.clock()
 	for _, e := range r.Servers {
@@ -178,9 +178,9 @@
 		}
 		d.lives[e.ID] = x
 		named[e.ID] = true
-		list = append(list, policy.Listed{
+		list = append(list, policy.HostEntry{
 			Addr: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
-			Since: max(0, e.Started/1000), Weight: max(0, e.Weight),
+			StartedAt: max(0, e.Started/1000), Weight: max(0, e.Weight),
 		})
 		addrs = append(addrs, e.Addr)
 	}
@@ -198,7 +198,7 @@
 }
 
 // list tells sockets and module of the hosts; a host that is left goes on being known.
-func (l *Loop) list(list []policy.Listed, addrs []string, whole bool) {
+func (l *Loop) list(list []policy.HostEntry, addrs []string, whole bool) {
 	listed := map[string]bool{}
 	for i, e := range list {
 		listed[e.Addr] = true
@@ -207,7 +207,7 @@
 	if whole {
 		l.hosts.Only(listed)
 	}
-	l.module.Hosts(l.now, list, whole)
+	l.module.UpdateHosts(l.now, list, whole)
 }
 
 // run keeps a stream standing at one address: another is opened when the one there has ended or was silent for long. The
--- a/gateway/server/hosts.go
+++ b/gateway/server/hosts.go
@@ -48,7 +48,7 @@
 // delivery is one on its way to a host.
 type delivery struct {
 	inv       *invocation
-	in        *policy.Delivery
+	in        *policy.Attempt
 	host      *host
 	conn      *hostConn
 	sent, due float64
@@ -173,7 +173,7 @@
 		hs.end(d, policy.NoConnection)
 		return false
 	}
-	if !hs.loop.module.Goes(hs.loop.now, d.in) {
+	if !hs.loop.module.ConfirmSend(hs.loop.now, d.in) {
 		hs.end(d, policy.NotSent)
 		return false
 	}
@@ -254,7 +254,7 @@
 func (hs *Hosts) dial(h *host) {
 	h.dialing++
 	hs.open++
-	hs.loop.module.Dialled(hs.loop.now)
+	hs.loop.module.DialStarted(hs.loop.now)
 	addr := h.addr
 	hs.group.Go(func() error {
 		tcp, err := hs.connect(hs.ctx, "tcp", addr)
@@ -486,7 +486,7 @@
 	case b.Status == 200:
 		return policy.Succeeded
 	case http1.Declined(&b.Message):
-		return policy.TurnedAway
+		return policy.Rejected
 	}
 	return policy.Failed
 }
--- a/gateway/server/loop.go
+++ b/gateway/server/loop.go
@@ -127,11 +127,11 @@
 		l.turns()
 		l.copies.turn()
 		if meet.Due(l.now) {
-			l.module.Meet(l.now)
+			l.module.RefreshMembership(l.now)
 			meet.Rang()
 		}
-		next, _ := tick.Next(l.module.Wait(l.now), l.now)
-		if at, _ := meet.Next(l.module.Meets(l.now), l.now); at > 0 {
+		next, _ := tick.Next(l.module.TickDelay(l.now), l.now)
+		if at, _ := meet.Next(l.module.MembershipDelay(l.now), l.now); at > 0 {
 			next = min(next, at)
 		}
 		if len(l.due) > 0 {
@@ -166,7 +166,7 @@
 func (l *Loop) turns() {
 	l.counter.refused() // calls of the tick and of what the queue brought
 	l.settle()
-	policydriver.Turns(l.module, l.now, func(in *policy.Invocation, a policy.Answer) {
+	policydriver.Turns(l.module, l.now, func(in *policy.Invocation, a policy.Decision) {
 		l.act(l.inHand[in], a)
 		l.counter.refused()
 		l.settle()
@@ -190,9 +190,9 @@
 
 // admit brings in an invocation that may be delivered as far as is known elsewhere.
 func (l *Loop) admit(inv *invocation) {
-	inv.in = l.module.Take(l.now, policy.Asked{
+	inv.in = l.module.Accept(l.now, policy.Request{
 		Ref: inv.Ref, Operation: inv.Operation, Customer: inv.Customer,
-		Plan: inv.Plan, Units: inv.Units, GiveUp: inv.giveUp, First: inv.First, Width: inv.Width, Repeat: inv.Repeat,
+		Plan: inv.Plan, Units: inv.Units, Deadline: inv.giveUp, FirstGateway: inv.First, GatewayCount: inv.Width, ClientRetry: inv.Repeat,
 	})
 	l.inHand[inv.in] = inv
 }
@@ -214,30 +214,30 @@
 	if l.copies.left(inv) || l.inHand[inv.in] != inv {
 		return
 	}
-	l.module.Gone(l.now, inv.in)
+	l.module.Abandon(l.now, inv.in)
 	if inv.out != nil {
-		l.hosts.withdraw(inv.out, policy.Withdrawn)
+		l.hosts.withdraw(inv.out, policy.Cancelled)
 	}
 	l.finish(inv, 0, 0, nil)
 }
 
-func (l *Loop) act(inv *invocation, a policy.Answer) {
-	switch a.Do {
+func (l *Loop) act(inv *invocation, a policy.Decision) {
+	switch a.Action {
 	case policy.Send:
 		within := inv.giveUp - l.now - early
 		if mutation.EndsLate {
 			within += 0.3
 		}
-		if a.Within > 0 {
-			within = min(within, a.Within)
+		if a.Timeout > 0 {
+			within = min(within, a.Timeout)
 		}
-		d := &delivery{inv: inv, in: inv.in.Deliveries[len(inv.in.Deliveries)-1], sent: l.now, due: l.now + within}
+		d := &delivery{inv: inv, in: inv.in.Attempts[len(inv.in.Attempts)-1], sent: l.now, due: l.now + within}
 		inv.out, inv.timeout, inv.sent = d, false, true
 		heap.Push(&l.due, d)
 		l.hosts.send(d, a.Host.Addr)
 	case policy.Throttle:
 		l.finish(inv, 429, a.RetryAfter, nil)
-	case policy.GiveUp:
+	case policy.Fail:
 		status := 502
 		if mutation.Harmless {
 			l.finish(inv, 429, 1, nil)
@@ -258,7 +258,7 @@
 	}
 	inv.timeout = how == policy.TimedOut
 	over := how == policy.Succeeded || l.inHand[inv.in] != inv
-	a := l.module.After(l.now, d.in, policy.Ended{How: how, Over: over, Took: l.now - d.sent})
+	a := l.module.AttemptEnded(l.now, d.in, policy.AttemptResult{Outcome: how, Final: over, Duration: l.now - d.sent})
 	if how == policy.Succeeded {
 		l.finish(inv, 200, 0, reply)
 		return
@@ -284,16 +284,16 @@
 }
 
 // Count, Cancel, Tell and Log are the module's way out for what belongs to no single invocation.
-func (l *Loop) Count(name uint64, amount, life float64) { l.counter.add(name, amount, life) }
+func (l *Loop) AddCount(name uint64, amount, life float64) { l.counter.add(name, amount, life) }
 
-func (l *Loop) Cancel(in *policy.Delivery) {
-	if inv := l.inHand[in.Inv]; inv != nil && inv.out != nil && inv.out.in == in {
-		l.hosts.withdraw(inv.out, policy.Withdrawn)
+func (l *Loop) CancelAttempt(in *policy.Attempt) {
+	if inv := l.inHand[in.Invocation]; inv != nil && inv.out != nil && inv.out.in == in {
+		l.hosts.withdraw(inv.out, policy.Cancelled)
 	}
 }
 
-func (l *Loop) Tell(to int, text string) { l.peers.send(to, text) }
-func (l *Loop) Log(text string)          { l.log.Info().Msg(text) }
+func (l *Loop) SendPeer(to int, text string) { l.peers.send(to, text) }
+func (l *Loop) Log(text string)              { l.log.Info().Msg(text) }
 
 // deliveries is a heap by due time.
 type deliveries []*delivery
--- a/gateway/server/peers.go
+++ b/gateway/server/peers.go
@@ -132,7 +132,7 @@
 // toLoop passes a message on unless the loop is behind: the crowd of them must not hold up what matters more.
 func (p *Peers) toLoop(from int, text string) {
 	select {
-	case p.loop.queue <- func() { p.loop.module.Told(p.loop.now, from, text) }:
+	case p.loop.queue <- func() { p.loop.module.PeerMessage(p.loop.now, from, text) }:
 	default:
 	}
 }
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -65,7 +65,7 @@
 	for i, want := range []struct {
 		how policy.Outcome
 		sum float64
-	}{{policy.Succeeded, 41.125}, {policy.TurnedAway, 0}, {policy.TurnedAway, 0}} {
+	}{{policy.Succeeded, 41.125}, {policy.Rejected, 0}, {policy.Rejected, 0}} {
 		whole, err := m.Got(n)
 		if !whole || err != nil {
 			t.Fatal(i, whole, err)
--- a/gateway/simadapter/host.go
+++ b/gateway/simadapter/host.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	p := &process{members: wishes.Members(), damps: wishes.Overload.On, gateways: map[int]*instance{}, lists: map[int][]policy.Listed{}}
+	p := &process{members: wishes.Members(), damps: wishes.Overload.On, gateways: map[int]*instance{}, lists: map[int][]policy.HostEntry{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for {
 		line, err := r.ReadBytes('\n')
@@ -50,7 +50,7 @@
 	members  float64 // part of the mail for membership, as the operator wishes
 	damps    bool    // what all do while hosts don't answer is bounded, as the operator wishes
 	gateways map[int]*instance
-	lists    map[int][]policy.Listed
+	lists    map[int][]policy.HostEntry
 	reply    simprotocol.Reply
 }
 
@@ -118,19 +118,19 @@
 	return nil
 }
 
-func listed(entries []simprotocol.Entry) []policy.Listed {
-	list := make([]policy.Listed, 0, len(entries))
+func listed(entries []simprotocol.Entry) []policy.HostEntry {
+	list := make([]policy.HostEntry, 0, len(entries))
 	for _, e := range entries {
-		list = append(list, policy.Listed{
+		list = append(list, policy.HostEntry{
 			Addr: e.Host, Zone: e.Zone, Cell: e.Cell, State: e.State,
-			Since: e.Since, Weight: e.Weight,
+			StartedAt: e.Since, Weight: e.Weight,
 		})
 	}
 	return list
 }
 
 func (in *instance) create(c *simprotocol.Create) (err error) {
-	in.Instance, err = policydriver.New(in, func(out policy.Out) (*policy.Gateway, error) { return c.Start.Module(c.Seed, out) })
+	in.Instance, err = policydriver.New(in, func(out policy.Output) (*policy.Gateway, error) { return c.Start.Module(c.Seed, out) })
 	if err == nil && c.Start.Registry == "on_request" {
 		in.reply.Put("TRACK", true)
 	}
@@ -141,14 +141,14 @@
 func (in *instance) event(now float64, m any) {
 	switch m := m.(type) {
 	case *simprotocol.JobIn:
-		in.Take(now, policy.Asked{
+		in.Take(now, policy.Request{
 			Ref: m.Ref, Operation: m.Class, Customer: m.Client,
-			Plan: m.Plan, Units: m.Units, GiveUp: m.Deadline, First: m.First, Width: m.Width, Repeat: m.Options&2 != 0,
+			Plan: m.Plan, Units: m.Units, Deadline: m.Deadline, FirstGateway: m.First, GatewayCount: m.Width, ClientRetry: m.Options&2 != 0,
 		})
 	case *simprotocol.Verdict:
-		in.Ended(now, m.Ref, m.Attempt, policy.Ended{
-			How:  policy.Outcome(m.How[0]),
-			Over: m.Done, Took: m.Delay, Units: m.Actual,
+		in.Ended(now, m.Ref, m.Attempt, policy.AttemptResult{
+			Outcome: policy.Outcome(m.How[0]),
+			Final:   m.Done, Duration: m.Delay, ActualUnits: m.Actual,
 		})
 	case *simprotocol.Hangup:
 		in.Instance.Gone(now, m.Ref)
@@ -170,9 +170,9 @@
 func (in *instance) Throttle(ref string, retryAfter float64) { in.reply.Put("SHED", ref, retryAfter) }
 func (in *instance) GiveUp(ref string)                       { in.reply.Put("SURRENDER", ref) }
 func (in *instance) Wake(nonce uint64, at float64)           { in.reply.Put("SCHEDULE", nonce, at) }
-func (in *instance) Cancel(ref string, number int)           { in.reply.Put("CALL_OFF", ref, number) }
+func (in *instance) CancelAttempt(ref string, number int)    { in.reply.Put("CALL_OFF", ref, number) }
 
-func (in *instance) Tell(to int, text string) {
+func (in *instance) SendPeer(to int, text string) {
 	if to == membership.All {
 		in.reply.Put("ANNOUNCE", nil, text)
 	} else {
@@ -180,6 +180,6 @@
 	}
 }
 func (in *instance) Log(text string) { in.reply.Put("TRACE", text) }
-func (in *instance) Count(name uint64, amount, life float64) {
+func (in *instance) AddCount(name uint64, amount, life float64) {
 	in.reply.Put("BUMP", name, amount, life)
 }
--- a/gateway/simprotocol/start.go
+++ b/gateway/simprotocol/start.go
@@ -68,12 +68,12 @@
 }
 
 var effects = map[string]policy.Effect{
-	"idempotent": policy.Idempotent, "deduplicated": policy.Tokened,
+	"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
 	"at_most_once": policy.NonIdempotent,
 }
 
 // Module makes the deciding module as the settings want it.
-func (s *Start) Module(seed uint64, out policy.Out) (*policy.Gateway, error) {
+func (s *Start) Module(seed uint64, out policy.Output) (*policy.Gateway, error) {
 	var ops []policy.Operation
 	for _, k := range s.Classes {
 		e, ok := effects[k.Effect]
@@ -81,14 +81,14 @@
 			return nil, fmt.Errorf("settings: unknown effect %q", k.Effect)
 		}
 		ops = append(ops, policy.Operation{
-			Name: k.Name, Objective: k.Goal, Value: k.Gain, Late: k.Late, Effect: e,
-			Group: k.Group, TokenTime: k.KeyTTL,
+			Name: k.Name, LatencyTarget: k.Goal, Value: k.Gain, LateValue: k.Late, Effect: e,
+			DedupScope: k.Group, DedupWindow: k.KeyTTL,
 		})
 	}
 	var plans []policy.Plan
 	for _, t := range s.Plans {
 		plans = append(plans, policy.Plan{
-			Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxOut: t.MaxOut,
+			Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxConcurrent: t.MaxOut,
 			CeilingRate: t.NeverOver, CeilingBurst: t.HardBurst,
 		})
 	}
@@ -104,12 +104,12 @@
 		}
 		bound = overload.New(t)
 	}
-	return policy.New(policy.Standing{Gateways: s.Balancers, Zone: s.Locality, Seed: seed, Peers: peers, Damp: bound}, ops, plans,
-		policy.Counter{Present: s.Extra.Counter, Limit: s.Extra.Limit, Settles: s.Extra.Settles, Most: s.Extra.Most},
-		policy.Cold{Share: s.Contract.Start, Warm: s.Contract.Warm, Factor: s.Contract.Factor},
-		policy.Allowed{
-			Deliveries: s.Caps.TryLimit, Cancel: s.Caps.Cancel,
-			Peers: s.Caps.PeerMessages, Mail: s.Extra.Mail,
+	return policy.New(policy.Instance{Gateways: s.Balancers, Zone: s.Locality, Seed: seed, Peers: peers, Overload: bound}, ops, plans,
+		policy.CounterConfig{Present: s.Extra.Counter, Timeout: s.Extra.Limit, SettlesUnits: s.Extra.Settles, MaxUnits: s.Extra.Most},
+		policy.SlowStart{InitialCapacity: s.Contract.Start, Duration: s.Contract.Warm, OverloadFactor: s.Contract.Factor},
+		policy.Limits{
+			MaxAttempts: s.Caps.TryLimit, CanCancel: s.Caps.Cancel,
+			PeerMessages: s.Caps.PeerMessages, PeerMessageRate: s.Extra.Mail,
 		},
 		out), nil
 }
--- a/harness/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -53,7 +53,7 @@
 	}
 	door := &nobodyAsks{}
 	var s *StandIns
-	w := simulation.New(d, seed, nobody("stand-ins"), simulation.Outside(door, func(g int, l policy.Listed) { s.Told(g, l) }))
+	w := simulation.New(d, seed, nobody("stand-ins"), simulation.Outside(door, func(g int, l policy.HostEntry) { s.Told(g, l) }))
 	w.Referee.Second = true
 	p := newPump(w.Queue)
 	n := w.Day.Fleet.Gateways.N()
@@ -94,7 +94,7 @@
 		}
 	}
 	c := &Clients{addrs: addrs}
-	w := simulation.New(d, seed, nobody("load"), simulation.Outside(c, func(int, policy.Listed) {}))
+	w := simulation.New(d, seed, nobody("load"), simulation.Outside(c, func(int, policy.HostEntry) {}))
 	c.attach(w)
 	w.Begin()
 	c.pump.run(ctx, w.Ends())
@@ -152,7 +152,7 @@
 	defer stop()
 	c := &Clients{judge: true}
 	var s *StandIns
-	w := simulation.New(d, seed, nobody("sockets"), simulation.Outside(c, func(g int, l policy.Listed) { s.Told(g, l) }))
+	w := simulation.New(d, seed, nobody("sockets"), simulation.Outside(c, func(g int, l policy.HostEntry) { s.Told(g, l) }))
 	w.Referee.Second = true
 	n := w.Day.Fleet.Gateways.N()
 	for range n {
@@ -189,13 +189,13 @@
 	pumped := make(chan bool)
 	go func() { c.pump.run(starting, 3600); close(pumped) }()
 	g := &Gateways{ctx: ctx, o: o, clients: c, paths: paths, addrs: addrs, procs: make([]*childprocess.Child, n)}
-	first := make([][]policy.Listed, n)
+	first := make([][]policy.HostEntry, n)
 	for slot := range n {
 		first[slot] = s.List(slot)
 	}
 	g.anew = func(slot int) {
 		w.Referee.Started(slot)
-		s.told[slot] = map[string]policy.Listed{}
+		s.told[slot] = map[string]policy.HostEntry{}
 		s.tell(slot, first[slot], true)
 	}
 	for slot := range n {
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -43,7 +43,7 @@
 	lost      func(ref string)             // called where a host got a ref that it should not have got
 	customers map[string]*model.Customer
 	rig       Rig
-	told      []map[string]policy.Listed // by api gateway: what has got through of the list
+	told      []map[string]policy.HostEntry // by api gateway: what has got through of the list
 }
 
 // stand opens all listeners. known finds an invocation by its ref.
@@ -61,7 +61,7 @@
 	for g := range gateways {
 		s.watches = append(s.watches, map[*conn]bool{})
 		s.versions = append(s.versions, 1)
-		s.told = append(s.told, map[string]policy.Listed{})
+		s.told = append(s.told, map[string]policy.HostEntry{})
 		c, err := s.rig.Between(g, "counter", func(tcp net.Conn) { s.count(g, tcp) })
 		if err != nil {
 			return s, err
@@ -226,7 +226,7 @@
 	Started int64   `json:"started_ms"`
 }
 
-func (s *StandIns) entries(gateway int, list []policy.Listed) ([]entry, error) {
+func (s *StandIns) entries(gateway int, list []policy.HostEntry) ([]entry, error) {
 	all := []entry{}
 	for _, l := range list {
 		h := s.Host(l.Addr)
@@ -235,8 +235,8 @@
 			return all, err
 		}
 		started := int64(0)
-		if l.Since > 0 {
-			started = int64((s.base + l.Since) * 1000)
+		if l.StartedAt > 0 {
+			started = int64((s.base + l.StartedAt) * 1000)
 		}
 		state := map[string]string{"active": "Ready", "leaving": "Terminating", "left": "Gone"}[l.State]
 		all = append(all, entry{fmt.Sprintf("host-%d", h.Number), addr, l.Zone, "stand-in", l.Cell, state, l.Weight, started})
@@ -245,35 +245,35 @@
 }
 
 // Told brings a change of the list to an api gateway's watches.
-func (s *StandIns) Told(gateway int, l policy.Listed) {
+func (s *StandIns) Told(gateway int, l policy.HostEntry) {
 	s.versions[gateway]++
 	s.rig.Seen("told", gateway)
-	line := s.line(gateway, false, []policy.Listed{l})
+	line := s.line(gateway, false, []policy.HostEntry{l})
 	for c := range s.watches[gateway] {
-		c.writeThen(chunk(line), func() { s.pump.Do(func() { s.tell(gateway, []policy.Listed{l}, false) }) })
+		c.writeThen(chunk(line), func() { s.pump.Do(func() { s.tell(gateway, []policy.HostEntry{l}, false) }) })
 	}
 }
 
 // tell has the referee know what has got through of the list; a host that a whole list lacks has left.
-func (s *StandIns) tell(gateway int, list []policy.Listed, whole bool) {
+func (s *StandIns) tell(gateway int, list []policy.HostEntry, whole bool) {
 	told, now := s.told[gateway], map[string]bool{}
 	for _, l := range list {
 		now[l.Addr] = true
 		if old, known := told[l.Addr]; !known || old != l {
 			told[l.Addr] = l
-			s.Referee.Told(gateway, s.Host(l.Addr).Number, l.State, l.Since)
+			s.Referee.Told(gateway, s.Host(l.Addr).Number, l.State, l.StartedAt)
 		}
 	}
 	for addr, l := range told { // each by itself: the order does not show
 		if whole && !now[addr] && l.State != "left" {
 			l.State = "left"
 			told[addr] = l
-			s.Referee.Told(gateway, s.Host(addr).Number, "left", l.Since)
+			s.Referee.Told(gateway, s.Host(addr).Number, "left", l.StartedAt)
 		}
 	}
 }
 
-func (s *StandIns) line(gateway int, full bool, list []policy.Listed) string {
+func (s *StandIns) line(gateway int, full bool, list []policy.HostEntry) string {
 	es, _ := s.entries(gateway, list)
 	b, _ := json.Marshal(map[string]any{"version": s.versions[gateway], "full": full, "servers": es}) // numbers and texts only
 	return string(b) + "\n"
--- a/sim/batch/rules_test.go
+++ b/sim/batch/rules_test.go
@@ -14,7 +14,7 @@
 	rule int
 	w    *simulation.World
 	out  policydriver.Out
-	list []policy.Listed
+	list []policy.HostEntry
 }
 
 func (d *wicked) Name() string { return "wicked" }
@@ -29,9 +29,11 @@
 func (d *wicked) Ring(float64, uint64)                                      {}
 func (d *wicked) Gone(float64, string)                                      {}
 func (d *wicked) Counted(float64, uint64, policy.Outcome, float64, float64) {}
-func (d *wicked) Hosts(_ float64, list []policy.Listed, whole bool)         { d.list = append(d.list, list...) }
+func (d *wicked) Hosts(_ float64, list []policy.HostEntry, whole bool) {
+	d.list = append(d.list, list...)
+}
 
-func (d *wicked) Take(now float64, a policy.Asked) {
+func (d *wicked) Take(now float64, a policy.Request) {
 	last := d.list[len(d.list)-1].Addr
 	switch {
 	case d.rule == 1: // no answer at all
@@ -48,12 +50,12 @@
 	case d.rule == 4: // all to the host that came last
 		d.out.Send(a.Ref, last, 0)
 	default:
-		d.out.Send(a.Ref, d.list[int(a.GiveUp*1e4)%6].Addr, 0)
+		d.out.Send(a.Ref, d.list[int(a.Deadline*1e4)%6].Addr, 0)
 	}
 }
 
-func (d *wicked) Ended(now float64, ref string, number int, e policy.Ended) {
-	if !e.Over {
+func (d *wicked) Ended(now float64, ref string, number int, e policy.AttemptResult) {
+	if !e.Final {
 		d.out.GiveUp(ref)
 	}
 }
--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -17,16 +17,16 @@
 	delay   float64
 	late    overlap.Stack
 	silent  int
-	changes []policy.Listed
+	changes []policy.HostEntry
 	told    []int
 	due     []float64 // the last change on its way to each arrives then
 	held    []func()  // what waits for the list to speak again
-	tell    func(gateway int, change policy.Listed)
+	tell    func(gateway int, change policy.HostEntry)
 }
 
 // New makes the list of a day with the hosts it starts with; tell is called when an api gateway is told of a change.
-func New(q *eventqueue.Queue, d *scenario.Discovery, gateways int, seed uint64, hosts []policy.Listed,
-	tell func(int, policy.Listed),
+func New(q *eventqueue.Queue, d *scenario.Discovery, gateways int, seed uint64, hosts []policy.HostEntry,
+	tell func(int, policy.HostEntry),
 ) *Registry {
 	r := &Registry{
 		q: q, dice: randstream.New(seed, "registry"), delay: d.Delay.V(), changes: hosts,
@@ -39,7 +39,7 @@
 }
 
 // Change puts a change on its way to all.
-func (r *Registry) Change(l policy.Listed) {
+func (r *Registry) Change(l policy.HostEntry) {
 	r.changes = append(r.changes, l)
 	n := len(r.changes)
 	if r.silent > 0 {
@@ -61,9 +61,9 @@
 }
 
 // List is the list as an api gateway was last told of it, in the order in which hosts came.
-func (r *Registry) List(gateway int) []policy.Listed {
+func (r *Registry) List(gateway int) []policy.HostEntry {
 	at := map[string]int{}
-	var list []policy.Listed
+	var list []policy.HostEntry
 	for _, l := range r.changes[:r.told[gateway]] {
 		if i, ok := at[l.Addr]; ok {
 			list[i] = l
--- a/sim/gatewaymodel/clock.go
+++ b/sim/gatewaymodel/clock.go
@@ -22,22 +22,22 @@
 	by   float64
 }
 
-func (s *shifted) Hosts(now float64, list []policy.Listed, whole bool) {
-	later := append([]policy.Listed(nil), list...)
+func (s *shifted) Hosts(now float64, list []policy.HostEntry, whole bool) {
+	later := append([]policy.HostEntry(nil), list...)
 	for i := range later {
-		if later[i].Since > 0 { // 0: long ago
-			later[i].Since += s.by
+		if later[i].StartedAt > 0 { // 0: long ago
+			later[i].StartedAt += s.by
 		}
 	}
 	s.mind.Hosts(now+s.by, later, whole)
 }
 
-func (s *shifted) Take(now float64, a policy.Asked) {
-	a.GiveUp += s.by
+func (s *shifted) Take(now float64, a policy.Request) {
+	a.Deadline += s.by
 	s.mind.Take(now+s.by, a)
 }
 
-func (s *shifted) Ended(now float64, ref string, number int, e policy.Ended) {
+func (s *shifted) Ended(now float64, ref string, number int, e policy.AttemptResult) {
 	s.mind.Ended(now+s.by, ref, number, e)
 }
 func (s *shifted) Gone(now float64, ref string)            { s.mind.Gone(now+s.by, ref) }
--- a/sim/gatewaymodel/gatewaymodel.go
+++ b/sim/gatewaymodel/gatewaymodel.go
@@ -22,9 +22,9 @@
 // Mind decides for one api gateway. Its answers leave through the drive.Out that it was made with; after each call, or
 // several at one moment, Settle is called.
 type Mind interface {
-	Hosts(now float64, list []policy.Listed, whole bool)
-	Take(now float64, a policy.Asked)
-	Ended(now float64, ref string, number int, e policy.Ended)
+	Hosts(now float64, list []policy.HostEntry, whole bool)
+	Take(now float64, a policy.Request)
+	Ended(now float64, ref string, number int, e policy.AttemptResult)
 	Gone(now float64, ref string)
 	Ring(now float64, nonce uint64)
 	Told(now float64, from int, text string)
@@ -101,7 +101,7 @@
 }
 
 // Start begins a life with empty hands and the list as it was last told.
-func (e *Edge) Start(mind Mind, list []policy.Listed) {
+func (e *Edge) Start(mind Mind, list []policy.HostEntry) {
 	e.life++
 	e.Alive, e.Admits, e.Mind, e.busy = true, true, mind, e.q.Now()
 	e.inHand, e.rest = map[string]*model.Invocation{}, map[*hostmodel.Host][]connection{}
@@ -150,9 +150,9 @@
 		}
 		n := inv.Need
 		e.around.Note(e.Slot, inv.Ref, "taken")
-		e.Mind.Take(now, policy.Asked{
+		e.Mind.Take(now, policy.Request{
 			Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
-			Units: n.Units, GiveUp: inv.GiveUp, First: n.Cust.First, Width: n.Cust.Width, Repeat: inv.Repeat,
+			Units: n.Units, Deadline: inv.GiveUp, FirstGateway: n.Cust.First, GatewayCount: n.Cust.Width, ClientRetry: inv.Repeat,
 		})
 	})
 	return true
@@ -175,7 +175,7 @@
 			}
 			e.around.Answered(inv, model.Unanswered)
 			for _, d := range inv.Deliveries {
-				e.end(d, policy.Withdrawn)
+				e.end(d, policy.Cancelled)
 			}
 			e.Mind.Gone(now, inv.Ref)
 			e.drop(inv)
@@ -196,9 +196,9 @@
 }
 
 // Told brings a change of the list; Mailed a peer's message.
-func (e *Edge) Told(change policy.Listed) {
+func (e *Edge) Told(change policy.HostEntry) {
 	if e.Alive {
-		e.hear(func(now float64) { e.Mind.Hosts(now, []policy.Listed{change}, false) })
+		e.hear(func(now float64) { e.Mind.Hosts(now, []policy.HostEntry{change}, false) })
 	}
 }
 
@@ -359,7 +359,7 @@
 		how := policy.Outcome(policy.Failed)
 		switch {
 		case a == hostmodel.TurnedAway:
-			how = policy.TurnedAway
+			how = policy.Rejected
 		case reset, a == hostmodel.Reset:
 			how = policy.Reset
 		case a == hostmodel.Good:
@@ -394,7 +394,7 @@
 	if f := e.flying[d]; f != nil && !d.Over {
 		if !d.Written && how == policy.TimedOut {
 			how = policy.NoConnection
-		} else if !d.Written && how == policy.Withdrawn {
+		} else if !d.Written && how == policy.Cancelled {
 			how = policy.NotSent
 		}
 		e.finish(f, how, 0)
@@ -405,9 +405,9 @@
 func (e *Edge) finish(f *flight, how policy.Outcome, units float64) {
 	d, inv := f.d, f.d.Inv
 	d.Over = true
-	d.Proved = how == policy.TurnedAway || how == policy.NoConnection || how == policy.NotSent
+	d.Proved = how == policy.Rejected || how == policy.NoConnection || how == policy.NotSent
 	switch how {
-	case policy.Succeeded, policy.TurnedAway, policy.Failed:
+	case policy.Succeeded, policy.Rejected, policy.Failed:
 		if f.up && f.life == f.h.Life {
 			e.rest[f.h] = append(e.rest[f.h], connection{f.life, e.q.Now()})
 		}
@@ -421,9 +421,9 @@
 		if how == policy.Succeeded && !over {
 			e.answer(inv, model.Served, 0)
 		}
-		e.Mind.Ended(now, inv.Ref, d.Number, policy.Ended{
-			How: how, Over: over || how == policy.Succeeded,
-			Took: now - d.Sent, Units: settled(e.day, units, how),
+		e.Mind.Ended(now, inv.Ref, d.Number, policy.AttemptResult{
+			Outcome: how, Final: over || how == policy.Succeeded,
+			Duration: now - d.Sent, ActualUnits: settled(e.day, units, how),
 		})
 		e.drop(inv)
 	})
@@ -481,14 +481,14 @@
 }
 
 // Cancel withdraws a delivery.
-func (e *Edge) Cancel(ref string, number int) {
+func (e *Edge) CancelAttempt(ref string, number int) {
 	if inv := e.inHand[ref]; inv != nil && number >= 0 && number < len(inv.Deliveries) {
-		e.end(inv.Deliveries[number], policy.Withdrawn)
+		e.end(inv.Deliveries[number], policy.Cancelled)
 	}
 }
 
 // Count calls the counter. The mind hears one outcome, at the latest when the call is given up.
-func (e *Edge) Count(name uint64, amount, life float64) {
+func (e *Edge) AddCount(name uint64, amount, life float64) {
 	now, mine := e.q.Now(), e.life
 	heard := false
 	tell := func(how policy.Outcome, sum float64) {
@@ -522,7 +522,7 @@
 				case countermodel.Added:
 					tell(policy.Succeeded, sum)
 				case countermodel.TurnedAway:
-					tell(policy.TurnedAway, 0)
+					tell(policy.Rejected, 0)
 				case countermodel.Refused:
 					tell(policy.NoConnection, 0)
 				}
@@ -532,8 +532,8 @@
 }
 
 // Tell mails a text to a peer or all; Log notes a line; Wake sets the timer.
-func (e *Edge) Tell(to int, text string) { e.around.Mail(e.Slot, to, text) }
-func (e *Edge) Log(text string)          { e.around.Note(e.Slot, "", text) }
+func (e *Edge) SendPeer(to int, text string) { e.around.Mail(e.Slot, to, text) }
+func (e *Edge) Log(text string)              { e.around.Note(e.Slot, "", text) }
 
 func (e *Edge) Wake(nonce uint64, at float64) {
 	life := e.life
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -42,10 +42,10 @@
 			s.Members = 0.1
 		}
 		s.Damps = d == "damped"
-		return policydriver.New(out, func(o policy.Out) (*policy.Gateway, error) { return s.Module(seed, o) })
+		return policydriver.New(out, func(o policy.Output) (*policy.Gateway, error) { return s.Module(seed, o) })
 	}
 	b := &plain{
-		kind: string(d), w: w, out: out, dice: randstream.New(seed, "policy"), hosts: map[string]policy.Listed{},
+		kind: string(d), w: w, out: out, dice: randstream.New(seed, "policy"), hosts: map[string]policy.HostEntry{},
 		invs: map[string]*held{}, calls: map[uint64][]*held{}, shares: map[string]*share{},
 	}
 	return b, nil
@@ -57,7 +57,7 @@
 	w      *simulation.World
 	out    policydriver.Out
 	dice   randstream.Stream
-	hosts  map[string]policy.Listed
+	hosts  map[string]policy.HostEntry
 	active []string
 	invs   map[string]*held
 	calls  map[uint64][]*held
@@ -65,7 +65,7 @@
 }
 
 type held struct {
-	policy.Asked
+	policy.Request
 	sent   int
 	maybe  bool // a delivery may have run
 	window float64
@@ -79,7 +79,7 @@
 func (p *plain) Ring(float64, uint64)       {}
 func (p *plain) Gone(_ float64, ref string) { delete(p.invs, ref) }
 
-func (p *plain) Hosts(now float64, list []policy.Listed, whole bool) {
+func (p *plain) Hosts(now float64, list []policy.HostEntry, whole bool) {
 	if whole {
 		clear(p.hosts)
 	}
@@ -104,8 +104,8 @@
 	return 0, 0
 }
 
-func (p *plain) Take(now float64, a policy.Asked) {
-	h := &held{Asked: a}
+func (p *plain) Take(now float64, a policy.Request) {
+	h := &held{Request: a}
 	p.invs[a.Ref] = h
 	rate, burst := p.plan(a.Plan)
 	switch {
@@ -114,7 +114,7 @@
 		return
 	case p.kind == "share" && rate > 0:
 		// An even part of each quota, whatever the traffic.
-		width := float64(max(1, a.Width))
+		width := float64(max(1, a.GatewayCount))
 		s := p.shares[a.Customer]
 		if s == nil {
 			s = &share{level: burst / width, at: now}
@@ -126,14 +126,14 @@
 			return
 		}
 		s.level -= a.Units
-	case p.kind == "design" && rate > 0 && p.w.Day.Counter.Present && a.GiveUp-now > p.w.Day.Counter.Limit.V()+0.02:
+	case p.kind == "design" && rate > 0 && p.w.Day.Counter.Present && a.Deadline-now > p.w.Day.Counter.Limit.V()+0.02:
 		// The post's own rule, nothing beside it: one call an invocation, by customer and window. What has no time left to
 		// hear the total passes, as what hears none does: a final answer is owed.
 		length := burst / rate
 		h.window = math.Floor(now / length)
 		h.name = name(a.Customer, h.window)
 		p.calls[h.name] = append(p.calls[h.name], h)
-		p.out.Count(h.name, a.Units, min(60, 2.2*length))
+		p.out.AddCount(h.name, a.Units, min(60, 2.2*length))
 		return
 	}
 	p.send(now, h)
@@ -172,7 +172,7 @@
 		s.level = sum
 		if sum > burst+s.before {
 			p.calls[n] = append(p.calls[n], nil)
-			p.out.Count(n, -h.Units, min(60, 2.2*burst/rate))
+			p.out.AddCount(n, -h.Units, min(60, 2.2*burst/rate))
 			p.throttle(h, (h.window+1)*burst/rate-now)
 			return
 		}
@@ -218,19 +218,19 @@
 	return "non-idempotent"
 }
 
-func (p *plain) Ended(now float64, ref string, number int, e policy.Ended) {
+func (p *plain) Ended(now float64, ref string, number int, e policy.AttemptResult) {
 	h := p.invs[ref]
 	if h == nil {
 		return
 	}
-	if e.Over {
+	if e.Final {
 		delete(p.invs, ref)
 		return
 	}
-	if !strings.ContainsRune("FCN", rune(e.How)) {
+	if !strings.ContainsRune("FCN", rune(e.Outcome)) {
 		h.maybe = true
 	}
-	if again := p.effect(h.Operation) == "idempotent" || !h.maybe; again && h.sent < p.w.Day.Gateway.Deliveries.N() && now < h.GiveUp-0.05 {
+	if again := p.effect(h.Operation) == "idempotent" || !h.maybe; again && h.sent < p.w.Day.Gateway.Deliveries.N() && now < h.Deadline-0.05 {
 		p.send(now, h)
 		return
 	}
--- a/sim/policyprocess/policyprocess.go
+++ b/sim/policyprocess/policyprocess.go
@@ -110,10 +110,10 @@
 	m.inbox.WriteByte(']')
 }
 
-func (m *mind) Hosts(now float64, list []policy.Listed, whole bool) {
+func (m *mind) Hosts(now float64, list []policy.HostEntry, whole bool) {
 	rows := make([][]any, len(list))
 	for i, l := range list {
-		rows[i] = []any{l.Addr, l.Zone, "host", l.Cell, l.State, l.Weight, l.Since}
+		rows[i] = []any{l.Addr, l.Zone, "host", l.Cell, l.State, l.Weight, l.StartedAt}
 	}
 	mode := "patch"
 	if whole {
@@ -126,16 +126,16 @@
 	m.put("DISCOVERY", mode, 1, 0)
 }
 
-func (m *mind) Take(now float64, a policy.Asked) {
+func (m *mind) Take(now float64, a policy.Request) {
 	options := 0
-	if a.Repeat {
+	if a.ClientRetry {
 		options = 2
 	}
-	m.put("JOB_IN", a.Ref, a.Width, a.Units, a.Operation, a.Customer, a.GiveUp, a.Plan, options, a.First)
+	m.put("JOB_IN", a.Ref, a.GatewayCount, a.Units, a.Operation, a.Customer, a.Deadline, a.Plan, options, a.FirstGateway)
 }
 
-func (m *mind) Ended(now float64, ref string, number int, e policy.Ended) {
-	m.put("VERDICT", ref, e.Over, 0, e.Took, "", e.Units, number, string(e.How), nil)
+func (m *mind) Ended(now float64, ref string, number int, e policy.AttemptResult) {
+	m.put("VERDICT", ref, e.Final, 0, e.Duration, "", e.ActualUnits, number, string(e.Outcome), nil)
 }
 
 func (m *mind) Gone(now float64, ref string)            { m.put("HANGUP", ref) }
@@ -229,11 +229,11 @@
 		}
 	case "CALL_OFF":
 		if read(&ref, &k) {
-			out.Cancel(ref, k)
+			out.CancelAttempt(ref, k)
 		}
 	case "BUMP":
 		if read(&n, &x, &y) {
-			out.Count(n, x, y)
+			out.AddCount(n, x, y)
 		}
 	case "SCHEDULE":
 		if read(&n, &x) {
@@ -246,7 +246,7 @@
 			if one != nil {
 				to = *one
 			}
-			out.Tell(to, text)
+			out.SendPeer(to, text)
 		}
 	case "TRACE":
 		if read(&text) {
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -61,7 +61,7 @@
 	err     error
 
 	door workload.Door
-	tell func(gateway int, change policy.Listed)
+	tell func(gateway int, change policy.HostEntry)
 
 	// Heard is told all that is noted of invocations, where it is set.
 	Heard func(from int, ref, text string)
@@ -79,7 +79,7 @@
 
 // Outside has the day's api gateways stand elsewhere, on sockets: tries go to door, and tell is called when one of them is
 // told of a change of the list. The world then has hosts, counter, list and customers of its own, and no edges.
-func Outside(door workload.Door, tell func(gateway int, change policy.Listed)) Option {
+func Outside(door workload.Door, tell func(gateway int, change policy.HostEntry)) Option {
 	return func(w *World) { w.door, w.tell = door, tell }
 }
 
@@ -102,7 +102,7 @@
 	w.Counter = countermodel.New(w.Queue, &d.Counter, seed)
 	w.Referee = oracle.New(d, n, w.Queue.Now)
 	w.Figures = metrics.New(d.Name, dec.Name(), seed)
-	var list []policy.Listed
+	var list []policy.HostEntry
 	for range d.Fleet.Hosts.N() {
 		list = append(list, w.listed(w.newHost(0), "active"))
 	}
@@ -149,8 +149,8 @@
 // Zone is how a zone is called.
 func Zone(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-func (w *World) listed(h *hostmodel.Host, state string) policy.Listed {
-	return policy.Listed{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, Since: h.Started, Weight: 1}
+func (w *World) listed(h *hostmodel.Host, state string) policy.HostEntry {
+	return policy.HostEntry{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, StartedAt: h.Started, Weight: 1}
 }
 
 // Settings are the start settings of an api gateway of this day, as the platform would give them.
@@ -242,8 +242,8 @@
 }
 
 // Net is the way between the day's machines; List what an api gateway was last told.
-func (w *World) Net() *network.Network            { return w.net }
-func (w *World) List(gateway int) []policy.Listed { return w.list.List(gateway) }
+func (w *World) Net() *network.Network               { return w.net }
+func (w *World) List(gateway int) []policy.HostEntry { return w.list.List(gateway) }
 
 // Told is the story that was asked for, in time order.
 func (w *World) Told() []string { return w.lines }
@@ -265,15 +265,15 @@
 	w.Referee.Started(slot)
 	list := w.list.List(slot)
 	for _, l := range list {
-		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.Since)
+		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
 	}
 	e.Start(mind, list)
 	w.alive++
 }
 
-func (w *World) told(slot int, l policy.Listed) {
+func (w *World) told(slot int, l policy.HostEntry) {
 	if w.Edges[slot].Alive {
-		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.Since)
+		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
 		w.Edges[slot].Told(l)
 	}
 }
