--- /dev/null
+++ b/quotastore/statemachine/marker.go
@@ -0,0 +1,46 @@
+package statemachine
+
+import "otterseam/internal/mutation"
+
+const (
+	// minMarkerTTL and maxMarkerTTL bound the time to live of a marker, in seconds.
+	minMarkerTTL = 0.1
+	maxMarkerTTL = 3600.0
+)
+
+// marker is the idempotency marker of an invocation: a delivery of it has begun.
+type marker struct {
+	Holder    string  `cbor:"1,keyasint"`
+	Scope     string  `cbor:"2,keyasint,omitempty"`
+	ExpiresAt float64 `cbor:"3,keyasint"`
+}
+
+// acquireMarker notes that a delivery is about to begin. A second one is let through where a repeat is harmless: in the same scope,
+// until the marker expires.
+func (s *State) acquireMarker(c *Command) Reply {
+	if c.Key == "" || c.Holder == "" {
+		return Reply{Code: Invalid}
+	}
+	if m := s.Markers[c.Key]; m != nil && m.ExpiresAt > s.Clock {
+		if (c.Scope == "" || c.Scope != m.Scope) && !mutation.KeepMarksAgain {
+			return Reply{Code: MarkerHeld, MarkerHolder: m.Holder}
+		}
+		return Reply{MarkerHolder: m.Holder}
+	}
+	s.Markers[c.Key] = &marker{Holder: c.Holder, Scope: c.Scope, ExpiresAt: s.expiry(c.TTL, minMarkerTTL, maxMarkerTTL)}
+	return Reply{}
+}
+
+// releaseMarker removes the marker of a delivery that never ran; only its holder may do so.
+func (s *State) releaseMarker(c *Command) Reply {
+	if m := s.Markers[c.Key]; m != nil && m.Holder == c.Holder {
+		delete(s.Markers, c.Key)
+	}
+	return Reply{}
+}
+
+// HasMarker reports whether the marker of an invocation is held.
+func (s *State) HasMarker(invocation string) bool {
+	m := s.Markers[invocation]
+	return m != nil && m.ExpiresAt > s.Clock
+}
--- a/quotastore/statemachine/recorded_test.go
+++ b/quotastore/statemachine/recorded_test.go
@@ -111,19 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if total, ok := s.Total("shared"); !ok || total != 13.5 || s.HolderTotal("shared", "edge-alive.1") != 7.5 {
-		t.Errorf("shared stands at %v (%v), own part %v", total, ok, s.HolderTotal("shared", "edge-alive.1"))
-	}
-	if total, ok := s.Total("closed"); !ok || total != 3 {
-		t.Errorf("closed stands at %v (%v)", total, ok)
-	}
-	want := []UnreportedUsage{{Holder: "edge-dead.1", Key: "shared", Amount: 9, TTL: 54.75, Version: 2}}
-	if got := s.UnrecoveredUsage(64); !reflect.DeepEqual(got, want) {
-		t.Errorf("debts of the dead are %+v, wanted is %+v", got, want)
-	}
-	if !s.HasMarker("invocation-0") || s.HasMarker("invocation-1") || !s.HasMarker("invocation-7") {
-		t.Error("marks of deliveries are not as recorded")
-	}
+	checkRecordedTotals(t, s)
 	replies := s.Apply(&Batch{Clock: 6, Commands: []Command{
 		{Kind: Add, Session: "s1", Sequence: 7, Key: "count-1", Amount: 99, TTL: 45}, // told again: answered as at first
 		{Kind: AcquireMarker, Session: "s2", Sequence: 40, Key: "invocation-0", Holder: "edge-other.1", TTL: 600},
@@ -144,3 +132,20 @@
 		t.Errorf("the next batch is %+v", r)
 	}
 }
+
+func checkRecordedTotals(t *testing.T, s *State) {
+	t.Helper()
+	if total, ok := s.Total("shared"); !ok || total != 13.5 || s.HolderTotal("shared", "edge-alive.1") != 7.5 {
+		t.Errorf("shared stands at %v (%v), own part %v", total, ok, s.HolderTotal("shared", "edge-alive.1"))
+	}
+	if total, ok := s.Total("closed"); !ok || total != 3 {
+		t.Errorf("closed stands at %v (%v)", total, ok)
+	}
+	want := []UnreportedUsage{{Holder: "edge-dead.1", Key: "shared", Amount: 9, TTL: 54.75, Version: 2}}
+	if got := s.UnrecoveredUsage(64); !reflect.DeepEqual(got, want) {
+		t.Errorf("debts of the dead are %+v, wanted is %+v", got, want)
+	}
+	if !s.HasMarker("invocation-0") || s.HasMarker("invocation-1") || !s.HasMarker("invocation-7") {
+		t.Error("marks of deliveries are not as recorded")
+	}
+}
