--- a/cmd/otterseam-quotastore/main.go
+++ b/cmd/otterseam-quotastore/main.go
@@ -137,27 +137,27 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
-	leads := map[int]protocol.Health{}
+	leads := map[int]protocol.GroupHealth{}
 	fmt.Fprintln(w, "keeper\tzone\tlife\tleads\tholds\t")
 	for _, spot := range l.Keepers {
-		a, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, 2*time.Second)
+		a, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second)
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%s\t%v\t\t\t\n", spot.Name, spot.Zone, err)
 			continue
 		}
 		led, held := 0, 0
 		for _, h := range a.Health {
-			if h.Held {
+			if h.HasReplica {
 				held++
 			}
-			if h.Leads {
+			if h.IsLeader {
 				led++
-				if h.Index >= leads[h.Group].Index {
+				if h.AppliedIndex >= leads[h.Group].AppliedIndex {
 					leads[h.Group] = h
 				}
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%08x\t%d\t%d\t\n", spot.Name, spot.Zone, a.Life, led, held)
+		fmt.Fprintf(w, "%s\t%s\t%08x\t%d\t%d\t\n", spot.Name, spot.Zone, a.Incarnation, led, held)
 	}
 	w.Flush()
 	fmt.Fprintln(w, "\ngroup\tled by\theld by\tnames\t")
@@ -168,15 +168,15 @@
 			continue
 		}
 		by := ""
-		for _, id := range h.Holders {
+		for _, id := range h.Replicas {
 			if n := id.Number(); n < len(l.Keepers) {
 				by += l.Keepers[n].Name + " "
 			}
 		}
-		if !h.Settled {
+		if !h.Stable {
 			by += "(changing)"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t\n", g, l.Keepers[h.Leader].Name, by, h.Names)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t\n", g, l.Keepers[h.Leader].Name, by, h.Counters)
 	}
 	w.Flush()
 	if len(leads) < l.Groups {
@@ -214,14 +214,14 @@
 	}
 	var all []error
 	for _, spot := range l.Keepers {
-		a, err := server.Command(spot.Peer, &protocol.Admin{What: "take", Batch: c.Batch}, 5*time.Second)
+		a, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: c.Batch}, 5*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
 		}
 		sum := map[string]float64{}
 		var order []string
-		for _, u := range a.Uses {
+		for _, u := range a.Usage {
 			if _, known := sum[u.Customer]; !known {
 				order = append(order, u.Customer)
 			}
--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -129,12 +129,12 @@
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
 		for _, spot := range list.Keepers {
-			answer, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, time.Second)
+			answer, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 			if err != nil {
 				continue
 			}
 			for _, health := range answer.Health {
-				if health.Leads {
+				if health.IsLeader {
 					led[health.Group] = true
 				}
 			}
@@ -162,13 +162,13 @@
 	}
 	t.Cleanup(func() { stream.Close() })
 	g := &guest{t: t, stream: stream, reader: bufio.NewReader(stream)}
-	g.send(protocol.Greeting())
+	g.send(protocol.ClientHello())
 	return g
 }
 
 func (g *guest) send(f *protocol.Frame) {
 	g.t.Helper()
-	text, err := f.Append(nil)
+	text, err := f.AppendTo(nil)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -180,19 +180,19 @@
 // ask asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
 func (g *guest) ask(e statemachine.Command) statemachine.Reply {
 	g.t.Helper()
-	var last protocol.Replied
+	var last protocol.Response
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		g.number++
-		g.send(protocol.Asks([]protocol.Asked{{Number: g.number, Entry: e}}))
+		g.send(protocol.RequestsFrame([]protocol.Request{{ID: g.number, Command: e}}))
 		g.stream.SetReadDeadline(until)
-		f, err := protocol.Read(g.reader, protocol.Longest)
+		f, err := protocol.ReadFrame(g.reader, protocol.MaxFrameBytes)
 		if err != nil {
 			g.t.Fatal(err)
 		}
-		if len(f.Replies) != 1 || f.Replies[0].Number != g.number {
+		if len(f.Responses) != 1 || f.Responses[0].RequestID != g.number {
 			g.t.Fatalf("%+v is answered %+v", e, f)
 		}
-		if last = f.Replies[0]; !last.NotLeader && !last.Unknown {
+		if last = f.Responses[0]; !last.NotLeader && !last.Unknown {
 			return last.Reply
 		}
 	}
@@ -231,13 +231,13 @@
 	leakcheck.Check(t)
 	list, want := startRecorded(t)
 	for i, spot := range list.Keepers {
-		answer, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, 5*time.Second)
+		answer, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer.Number != i || answer.Life != want.Lives[i] || answer.Cluster != want.Cluster {
-			t.Errorf("store %d is number %d, life %08x of installation %016x; life %08x of %016x was recorded", i, answer.Number,
-				answer.Life, answer.Cluster, want.Lives[i], want.Cluster)
+		if answer.Replica != i || answer.Incarnation != want.Lives[i] || answer.Cluster != want.Cluster {
+			t.Errorf("store %d is number %d, life %08x of installation %016x; life %08x of %016x was recorded", i, answer.Replica,
+				answer.Incarnation, answer.Cluster, want.Lives[i], want.Cluster)
 		}
 		for name, sum := range want.Totals {
 			if got := total(t, spot.Door, name); got != fmt.Sprint(sum) {
@@ -275,9 +275,9 @@
 	take := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			answer, err := server.Command(list.Keepers[2].Peer, &protocol.Admin{What: "take", Batch: batch}, 5*time.Second)
+			answer, err := server.Command(list.Keepers[2].Peer, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
 			if err == nil {
-				return answer.Uses
+				return answer.Usage
 			}
 			if last = err.Error(); !strings.Contains(last, "did not answer") {
 				break
--- a/gateway/server/copies.go
+++ b/gateway/server/copies.go
@@ -184,7 +184,7 @@
 }
 
 // heard takes an answer. It runs on the loop.
-func (c *Copies) heard(r *protocol.Replied) { c.means(c.lodge.Heard(c.loop.now, r)) }
+func (c *Copies) heard(r *protocol.Response) { c.means(c.lodge.Heard(c.loop.now, r)) }
 
 func (c *Copies) means(w quotaclient.Word) {
 	switch w.What {
@@ -242,11 +242,11 @@
 	return c.up
 }
 
-func (c *Copies) send(all []protocol.Asked) {
+func (c *Copies) send(all []protocol.Request) {
 	if len(all) == 0 {
 		return
 	}
-	text, err := protocol.Asks(all).Append(nil)
+	text, err := protocol.RequestsFrame(all).AppendTo(nil)
 	if err != nil {
 		c.loop.Log("copies: " + err.Error())
 		return
@@ -294,7 +294,7 @@
 
 // live uses one connection until it ends; it says whether anything was answered.
 func (c *Copies) live(tcp net.Conn) (answered bool) {
-	hello, err := protocol.Greeting().Append(nil)
+	hello, err := protocol.ClientHello().AppendTo(nil)
 	if err != nil {
 		return false
 	}
@@ -313,13 +313,13 @@
 	for {
 		// A keeper answers the word that the holder is there each second: silence is a keeper that is gone.
 		tcp.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
-		f, err := protocol.Read(r, mostSaid)
+		f, err := protocol.ReadFrame(r, mostSaid)
 		if err != nil {
 			break
 		}
 		answered = true
-		for i := range f.Replies {
-			reply := &f.Replies[i]
+		for i := range f.Responses {
+			reply := &f.Responses[i]
 			c.loop.tell(c.ctx, func() { c.heard(reply) })
 		}
 	}
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -177,11 +177,11 @@
 
 // recordedReplies is the answer that the recording holds.
 func recordedReplies() *protocol.Frame {
-	return protocol.Replies([]protocol.Replied{{Group: -1, Number: 2, Reply: statemachine.Reply{Code: statemachine.LeaseExpired, Clock: math.Pi}}})
+	return protocol.ResponsesFrame([]protocol.Response{{Group: -1, RequestID: 2, Reply: statemachine.Reply{Code: statemachine.LeaseExpired, Clock: math.Pi}}})
 }
 
 func TestStoreRepliesAreTheRecordedBytes(t *testing.T) {
-	got, err := recordedReplies().Append(nil)
+	got, err := recordedReplies().AppendTo(nil)
 	if want := recordedBytes(t, "store-replies.bin"); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written is\n%x (%v)\nrecorded is\n%x", got, err, want)
 	}
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -141,7 +141,7 @@
 // who asks all keepers how they stand.
 func (k *keepers) who() (all []*protocol.Admin) {
 	for _, spot := range k.direct.Keepers {
-		a, err := server.Command(spot.Peer, &protocol.Admin{What: "who"}, time.Second)
+		a, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 		if err != nil {
 			a = nil
 		}
@@ -151,9 +151,9 @@
 }
 
 // led are the groups that a keeper says it leads.
-func led(a *protocol.Admin) (all []protocol.Health) {
+func led(a *protocol.Admin) (all []protocol.GroupHealth) {
 	for i := 0; a != nil && i < len(a.Health); i++ {
-		if a.Health[i].Leads {
+		if a.Health[i].IsLeader {
 			all = append(all, a.Health[i])
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // leading is the keeper that leads most groups, and which.
-func (k *keepers) leading() (best int, most []protocol.Health) {
+func (k *keepers) leading() (best int, most []protocol.GroupHealth) {
 	for i, a := range k.who() {
 		if mine := led(a); len(mine) > len(most) {
 			best, most = i, mine
@@ -311,13 +311,13 @@
 		defer up.Close()
 		passed(c, up, func(f *protocol.Frame) {
 			k.witness.asked(from, f)
-			if len(f.Asks) > 0 {
+			if len(f.Requests) > 0 {
 				k.seen("called", e)
 			}
 		})
 	}()
 	passed(up, c, func(f *protocol.Frame) {
-		if len(f.Replies) > 0 {
+		if len(f.Responses) > 0 {
 			k.seen("added", e)
 		}
 		k.witness.replied(from, f)
@@ -330,11 +330,11 @@
 func passed(from io.Reader, to io.Writer, tell func(f *protocol.Frame)) {
 	r := bufio.NewReader(from)
 	for {
-		body, err := protocol.ReadBody(r, protocol.Longest)
+		body, err := protocol.ReadBody(r, protocol.MaxFrameBytes)
 		if err != nil {
 			return
 		}
-		if f, err := protocol.ReadFrame(body); err == nil {
+		if f, err := protocol.DecodeFrame(body); err == nil {
 			tell(f)
 		}
 		if _, err := to.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)); err != nil {
--- a/harness/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -100,10 +100,10 @@
 			ok = ok && a != nil
 			for _, h := range led(a) {
 				leaders++
-				ok = ok && h.Settled && h.Alive && len(h.Holders) == k.direct.Copies
-				for _, id := range h.Holders {
+				ok = ok && h.Stable && h.AllInSync && len(h.Replicas) == k.direct.Copies
+				for _, id := range h.Replicas {
 					b := all[id.Number()]
-					ok = ok && b != nil && b.Life == id.Life() && b.Health[h.Group].Settled && slices.Equal(b.Health[h.Group].Holders, h.Holders)
+					ok = ok && b != nil && b.Incarnation == id.Incarnation() && b.Health[h.Group].Stable && slices.Equal(b.Health[h.Group].Replicas, h.Replicas)
 				}
 			}
 		}
@@ -136,7 +136,7 @@
 	held := 0
 	for _, a := range k.who() {
 		for _, h := range led(a) {
-			held += h.Names
+			held += h.Counters
 		}
 	}
 	if held < names*95/100 {
--- a/harness/fleet/witness.go
+++ b/harness/fleet/witness.go
@@ -94,10 +94,10 @@
 func (w *witness) asked(stream int, f *protocol.Frame) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range f.Asks {
-		e := f.Asks[i].Entry
+	for i := range f.Requests {
+		e := f.Requests[i].Command
 		w.Asked++
-		w.out[[2]int{stream, int(f.Asks[i].Number)}] = asking{e, w.Asked}
+		w.out[[2]int{stream, int(f.Requests[i].ID)}] = asking{e, w.Asked}
 		switch e.Kind {
 		case statemachine.ReportUsage:
 			if e.Version > 0 {
@@ -126,9 +126,9 @@
 func (w *witness) replied(stream int, f *protocol.Frame) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range f.Replies {
-		r := &f.Replies[i]
-		key := [2]int{stream, int(r.Number)}
+	for i := range f.Responses {
+		r := &f.Responses[i]
+		key := [2]int{stream, int(r.RequestID)}
 		a, ok := w.out[key]
 		if !ok {
 			continue
@@ -388,7 +388,7 @@
 		var err error
 		for try := range 20 {
 			spot := k.direct.Keepers[try%len(k.direct.Keepers)]
-			if a, err = server.Command(spot.Peer, &protocol.Admin{What: "take", Batch: batch}, 3*time.Second); err == nil {
+			if a, err = server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 3*time.Second); err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -397,7 +397,7 @@
 			res.Lost = append(res.Lost, fmt.Sprintf("use: batch %d was not handed out: %v", batch, err))
 			return
 		}
-		for _, u := range a.Uses {
+		for _, u := range a.Usage {
 			got[u.Customer] += u.Units
 		}
 	}
--- a/quotastore/client/client.go
+++ b/quotastore/client/client.go
@@ -98,7 +98,7 @@
 	renewAt, oweAt, useAt float64
 	wait                  float64 // on top, while words are turned away: what all say again must not be what keeps the keepers down
 	waitAt                float64
-	asks                  []protocol.Asked
+	asks                  []protocol.Request
 	lines                 []string
 	// Given counts how often this api gateway was given up by the keepers though it lived.
 	Given int
@@ -118,7 +118,7 @@
 		e.Holder = l.Holder()
 	}
 	l.out[l.number] = &asked{k, name, e}
-	l.asks = append(l.asks, protocol.Asked{Number: l.number, Entry: e})
+	l.asks = append(l.asks, protocol.Request{ID: l.number, Command: e})
 	return l.number
 }
 
@@ -195,7 +195,7 @@
 }
 
 // Turn gives what is to be asked now.
-func (l *Lodge) Turn(now float64) []protocol.Asked {
+func (l *Lodge) Turn(now float64) []protocol.Request {
 	if now >= l.renewAt {
 		l.renewAt = now + renewing
 		l.ask(renew, "", statemachine.Command{Kind: statemachine.RenewLease, TTL: 3 * renewing})
@@ -261,15 +261,15 @@
 }
 
 // Heard takes an answer.
-func (l *Lodge) Heard(now float64, r *protocol.Replied) Word {
-	a := l.out[r.Number]
+func (l *Lodge) Heard(now float64, r *protocol.Response) Word {
+	a := l.out[r.RequestID]
 	if a == nil {
 		return Word{}
 	}
-	delete(l.out, r.Number)
+	delete(l.out, r.RequestID)
 	failed := r.NotLeader || r.Unknown
 	l.pace(now, failed)
-	w := Word{Number: r.Number, Total: r.Reply.Total, Refused: r.NotLeader, Unknown: r.Unknown}
+	w := Word{Number: r.RequestID, Total: r.Reply.Total, Refused: r.NotLeader, Unknown: r.Unknown}
 	if !failed && r.Reply.Code == statemachine.LeaseExpired && a.entry.Holder == l.Holder() {
 		l.given(now)
 	}
@@ -291,7 +291,7 @@
 		}
 		return w
 	case owe:
-		if x := l.names[a.name]; x != nil && x.noting == r.Number {
+		if x := l.names[a.name]; x != nil && x.noting == r.RequestID {
 			x.noting = 0
 			x.noted, x.isNoted = a.entry.Amount, true
 			if failed || r.Reply.Code != statemachine.Done {
@@ -299,7 +299,7 @@
 			}
 		}
 	case use:
-		if u := l.uses[a.name]; u != nil && u.out == r.Number {
+		if u := l.uses[a.name]; u != nil && u.out == r.RequestID {
 			u.out = 0
 			if !failed && r.Reply.Code == statemachine.Done {
 				u.noted = max(u.noted, a.entry.Amount)
@@ -349,7 +349,7 @@
 }
 
 // learned: what of a count is this one's under its former name, now or once it is put back. The rest is told under the new.
-func (l *Lodge) learned(q *asked, r *protocol.Replied, failed bool) {
+func (l *Lodge) learned(q *asked, r *protocol.Response, failed bool) {
 	a := l.names[q.name]
 	if a == nil || a.old != q.entry.Holder || a.answers == 0 {
 		return
--- a/quotastore/client/client_test.go
+++ b/quotastore/client/client_test.go
@@ -21,14 +21,14 @@
 	k.now += 0.5
 	for _, a := range k.l.Turn(k.now) {
 		if k.away {
-			k.l.Heard(k.now, &protocol.Replied{Number: a.Number, NotLeader: true})
+			k.l.Heard(k.now, &protocol.Response{RequestID: a.ID, NotLeader: true})
 			continue
 		}
-		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Entry}})[0]
+		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Command}})[0]
 		if k.lost {
 			continue
 		}
-		if w := k.l.Heard(k.now, &protocol.Replied{Number: a.Number, Reply: r}); w.What != Nothing {
+		if w := k.l.Heard(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); w.What != Nothing {
 			words = append(words, w)
 		}
 	}
@@ -123,7 +123,7 @@
 	for now := 0.0; now < 10; now += 0.05 {
 		for _, a := range l.Turn(now) {
 			said++
-			l.Heard(now, &protocol.Replied{Number: a.Number, NotLeader: true})
+			l.Heard(now, &protocol.Response{RequestID: a.ID, NotLeader: true})
 		}
 	}
 	if said > 50*10 {
@@ -141,8 +141,8 @@
 	other := New("edge/2")
 	n := other.Mark("a", "", 1)
 	for _, a := range other.Turn(k.now) {
-		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Entry}})[0]
-		if w := other.Heard(k.now, &protocol.Replied{Number: a.Number, Reply: r}); a.Number == n && w.What != Before {
+		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Command}})[0]
+		if w := other.Heard(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); a.ID == n && w.What != Before {
 			t.Fatalf("%+v", w)
 		}
 	}
--- a/quotastore/client/recorded_test.go
+++ b/quotastore/client/recorded_test.go
@@ -13,8 +13,8 @@
 )
 
 // recordedAnswer makes what a store answers; a zero code means that all was done.
-func recordedAnswer(number uint64, reply statemachine.Reply) *protocol.Replied {
-	return &protocol.Replied{Number: number, Lead: 1, Reply: reply}
+func recordedAnswer(number uint64, reply statemachine.Reply) *protocol.Response {
+	return &protocol.Response{RequestID: number, Leader: 1, Reply: reply}
 }
 
 // recordedLife has a gateway tell all that it can: counts, debts, marks, use, words that fail and are told again, being given
@@ -23,9 +23,9 @@
 func recordedLife(t *testing.T) (asked []*protocol.Frame, words []Word) {
 	t.Helper()
 	l := New("edge-3.7f00ba12")
-	turn := func(now float64) (all []protocol.Asked) {
+	turn := func(now float64) (all []protocol.Request) {
 		if all = l.Turn(now); len(all) > 0 {
-			asked = append(asked, protocol.Asks(all))
+			asked = append(asked, protocol.RequestsFrame(all))
 		}
 		return all
 	}
@@ -53,22 +53,22 @@
 		l.Heard(1.32, recordedAnswer(again, statemachine.Reply{Code: statemachine.MarkerHeld, MarkerHolder: "edge-1.1.0"})))
 	l.Unmark("fc64a7745d3a91c4")
 	for _, a := range turn(1.4) { // turned away, and said again
-		words = append(words, l.Heard(1.41, &protocol.Replied{Number: a.Number, NotLeader: true, Lead: -1}))
+		words = append(words, l.Heard(1.41, &protocol.Response{RequestID: a.ID, NotLeader: true, Leader: -1}))
 	}
 	l.Used("gold 0011", 1)
 	lost := put(1.5, "77", 4, 4)
 	turn(1.7)
-	words = append(words, l.Heard(1.71, &protocol.Replied{Number: lost, Unknown: true}))
+	words = append(words, l.Heard(1.71, &protocol.Response{RequestID: lost, Unknown: true}))
 	l.Missed("77", 4, 4, false)
 	for _, a := range turn(2.6) { // given up: it goes on under another name, and asks for what was its own
-		words = append(words, l.Heard(2.61, recordedAnswer(a.Number, statemachine.Reply{Code: statemachine.LeaseExpired, Clock: 110})))
+		words = append(words, l.Heard(2.61, recordedAnswer(a.ID, statemachine.Reply{Code: statemachine.LeaseExpired, Clock: 110})))
 	}
 	for _, a := range turn(2.7) {
 		reply := statemachine.Reply{Clock: 111}
-		if a.Entry.Holder != l.Holder() {
+		if a.Command.Holder != l.Holder() {
 			reply = statemachine.Reply{Code: statemachine.LeaseExpired, HolderTotal: 1.5, Total: 50, Clock: 111}
 		}
-		words = append(words, l.Heard(2.71, recordedAnswer(a.Number, reply)))
+		words = append(words, l.Heard(2.71, recordedAnswer(a.ID, reply)))
 	}
 	l.Settled()
 	l.Owes(2.8, "9041552", 1.25, 60)
@@ -85,13 +85,13 @@
 	asked, words := recordedLife(t)
 	var got []byte
 	kinds := map[statemachine.Kind]bool{}
-	for _, f := range append([]*protocol.Frame{protocol.Greeting()}, asked...) {
+	for _, f := range append([]*protocol.Frame{protocol.ClientHello()}, asked...) {
 		var err error
-		if got, err = f.Append(got); err != nil {
+		if got, err = f.AppendTo(got); err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range f.Asks {
-			kinds[a.Entry.Kind] = true
+		for _, a := range f.Requests {
+			kinds[a.Command.Kind] = true
 		}
 	}
 	for _, kind := range []statemachine.Kind{statemachine.ReportUsage, statemachine.RenewLease, statemachine.RecordUnreported, statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage} {
@@ -107,8 +107,8 @@
 		t.Errorf("asked is\n%x\nrecorded is\n%x", got, want)
 	}
 	r := bytes.NewReader(want)
-	for i, f := range append([]*protocol.Frame{protocol.Greeting()}, asked...) {
-		back, err := protocol.Read(r, protocol.Longest)
+	for i, f := range append([]*protocol.Frame{protocol.ClientHello()}, asked...) {
+		back, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
 		if err != nil {
 			t.Fatal(i, err)
 		}
--- a/quotastore/protocol/frame.go
+++ b/quotastore/protocol/frame.go
@@ -1,123 +1,88 @@
-// Package protocol is the one form of what keepers say to each other, and what guests say to them: api gateways and operators'
-// commands. It must never know what becomes of it.
 package protocol
 
 import (
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 
 	"github.com/fxamacker/cbor/v2"
-
-	"otterseam/quotastore/statemachine"
 )
 
+// The kinds of a Frame. Their numbers are part of the wire format.
 const (
-	KindHello uint8 = iota + 1
-	KindText        // membership
-	KindRaft        // a message of the consensus library
-	KindLeads
-	KindAsks
-	KindReplies
-	KindAdmin // of an operator
+	KindHello      uint8 = iota + 1 // the first frame of a stream
+	KindMembership                  // a message of the failure detector
+	KindRaft                        // a message of the Raft library
+	KindLeaders                     // which groups the sender leads
+	KindRequests
+	KindResponses
+	KindAdmin // an operator's command, or its answer
 	kindEnd
 )
 
-// Frame is one thing said.
+// Frame is one message on a stream.
 type Frame struct {
-	Kind    uint8     `cbor:"1,keyasint"`
-	Cluster uint64    `cbor:"2,keyasint,omitempty"`
-	Life    uint32    `cbor:"3,keyasint"`
-	Group   int       `cbor:"4,keyasint,omitempty"`
-	Raft    []byte    `cbor:"5,keyasint,omitempty"`
-	Asks    []Asked   `cbor:"6,keyasint,omitempty"`
-	Replies []Replied `cbor:"7,keyasint,omitempty"`
-	Leads   []Leads   `cbor:"8,keyasint,omitempty"`
-	Text    string    `cbor:"9,keyasint,omitempty"`
-	Hello   *Hello    `cbor:"10,keyasint,omitempty"`
-	Admin   *Admin    `cbor:"11,keyasint,omitempty"`
+	Kind        uint8                `cbor:"1,keyasint"`
+	Cluster     uint64               `cbor:"2,keyasint,omitempty"` // the sender's cluster; 0: it belongs to none, or is a client
+	Incarnation uint32               `cbor:"3,keyasint"`           // the sender's
+	Group       int                  `cbor:"4,keyasint,omitempty"` // of Raft
+	Raft        []byte               `cbor:"5,keyasint,omitempty"`
+	Requests    []Request            `cbor:"6,keyasint,omitempty"`
+	Responses   []Response           `cbor:"7,keyasint,omitempty"`
+	Leaders     []LeaderAnnouncement `cbor:"8,keyasint,omitempty"`
+	Membership  string               `cbor:"9,keyasint,omitempty"`
+	Hello       *Hello               `cbor:"10,keyasint,omitempty"`
+	Admin       *Admin               `cbor:"11,keyasint,omitempty"`
 }
 
-// Admin is what an operator's command asks a keeper, and the answer.
-type Admin struct {
-	What     string                       `cbor:"1,keyasint"` // "who", "found", "save", "take"
-	Founding *Founding                    `cbor:"2,keyasint,omitempty"`
-	Batch    uint64                       `cbor:"3,keyasint,omitempty"`
-	Number   int                          `cbor:"4,keyasint"`
-	Life     uint32                       `cbor:"5,keyasint,omitempty"`
-	Cluster  uint64                       `cbor:"6,keyasint,omitempty"`
-	Health   []Health                     `cbor:"7,keyasint,omitempty"`
-	States   map[int][]byte               `cbor:"8,keyasint,omitempty"`
-	Uses     []statemachine.CustomerUsage `cbor:"9,keyasint,omitempty"`
-	Err      string                       `cbor:"10,keyasint,omitempty"`
-}
+// MaxFrameBytes is the longest encoded frame, in bytes.
+const MaxFrameBytes = 64 << 20
 
-// Guest is the number of one who speaks and is no keeper: an api gateway, or an operator's command.
-const Guest = -1
+// lengthBytes is the size of the length in front of each frame.
+const lengthBytes = 4
 
-// Hello says who speaks.
-type Hello struct {
-	Number int    `cbor:"1,keyasint"`
-	Life   uint32 `cbor:"2,keyasint"`
-	Bulk   bool   `cbor:"3,keyasint,omitempty"`
-}
-
-// Leads says that the sender leads a group, and who holds it.
-type Leads struct {
-	Group   int      `cbor:"1,keyasint"`
-	Term    uint64   `cbor:"2,keyasint"`
-	Index   uint64   `cbor:"3,keyasint"`
-	Members []uint64 `cbor:"4,keyasint"`
-}
-
-// Asked is something wanted of a group; its number names it in the reply.
-type Asked struct {
-	Group  int                  `cbor:"1,keyasint"`
-	Number uint64               `cbor:"2,keyasint"`
-	Entry  statemachine.Command `cbor:"3,keyasint"`
-}
-
-// Replied is what became of it.
-type Replied struct {
-	Group     int                `cbor:"1,keyasint"`
-	Number    uint64             `cbor:"2,keyasint"`
-	NotLeader bool               `cbor:"3,keyasint,omitempty"` // it was not proposed here
-	Lead      int                `cbor:"4,keyasint"`           // who leads, as far as is known; -1: nobody
-	Reply     statemachine.Reply `cbor:"5,keyasint"`
-	Unknown   bool               `cbor:"6,keyasint,omitempty"` // to a guest: it may have been done, or may yet be
-}
-
-// Longest is the longest frame, in bytes.
-const Longest = 64 << 20
+// Limits of what a decoded frame may hold. They are far over what any sender puts in one, and bound the memory that a
+// malformed frame takes.
+const (
+	maxArrayElements = 1 << 20
+	maxMapPairs      = 1 << 16
+	maxNestedLevels  = 16
+)
 
-var frames, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
+// frameDecoding can't fail to be made: its options are constants within the library's bounds.
+var frameDecoding, _ = cbor.DecOptions{
+	MaxArrayElements: maxArrayElements,
+	MaxMapPairs:      maxMapPairs,
+	MaxNestedLevels:  maxNestedLevels,
+}.DecMode()
 
-// Bytes is its encoded form.
-func (f *Frame) Bytes() ([]byte, error) { return cbor.Marshal(f) }
+// Encode returns the frame's encoded form, without its length.
+func (f *Frame) Encode() ([]byte, error) { return cbor.Marshal(f) }
 
-// Append puts it behind b as it goes on a stream: its length in four bytes, then its encoded form.
-func (f *Frame) Append(b []byte) ([]byte, error) {
-	body, err := f.Bytes()
+// AppendTo appends the frame to b as it goes on a stream: its length, then its encoded form. The error of a frame that is too
+// long is a *FrameTooLongError, and b is returned as it was.
+func (f *Frame) AppendTo(b []byte) ([]byte, error) {
+	body, err := f.Encode()
 	if err != nil {
 		return b, err
 	}
-	if len(body) > Longest {
-		return b, fmt.Errorf("a frame of %d bytes is longer than any may be", len(body))
+	if len(body) > MaxFrameBytes {
+		return b, &FrameTooLongError{Bytes: len(body)}
 	}
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(body))), body...), nil
 }
 
-// ReadBody reads the encoded form of the next frame on a stream, of at most so many bytes. Its room grows with what comes, so
-// that a length alone takes no memory.
-func ReadBody(r io.Reader, most uint32) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// ReadBody reads the encoded form of the next frame on a stream, of at most limit bytes. Its buffer grows with what arrives,
+// so that an announced length alone takes no memory. It returns io.EOF at the end of the stream, io.ErrUnexpectedEOF within a
+// frame, and a *FrameSizeError for a length out of range.
+func ReadBody(r io.Reader, limit uint32) ([]byte, error) {
+	var length [lengthBytes]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n == 0 || n > most {
-		return nil, fmt.Errorf("a frame of %d bytes", n)
+	n := binary.BigEndian.Uint32(length[:])
+	if n == 0 || n > limit {
+		return nil, &FrameSizeError{Bytes: n, Limit: limit}
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
@@ -129,68 +94,43 @@
 	return body, nil
 }
 
-// Read reads the next frame on a stream.
-func Read(r io.Reader, most uint32) (*Frame, error) {
-	body, err := ReadBody(r, most)
+// ReadFrame reads the next frame on a stream, of at most limit bytes. Its errors are those of ReadBody and DecodeFrame.
+func ReadFrame(r io.Reader, limit uint32) (*Frame, error) {
+	body, err := ReadBody(r, limit)
 	if err != nil {
 		return nil, err
 	}
-	return ReadFrame(body)
+	return DecodeFrame(body)
 }
 
-// ReadFrame reads one.
-func ReadFrame(text []byte) (*Frame, error) {
+// DecodeFrame decodes what Encode returned. A frame of an unknown kind, or without the body of its kind, is
+// ErrMalformedFrame; other errors are the CBOR library's.
+func DecodeFrame(body []byte) (*Frame, error) {
 	f := &Frame{}
-	if err := frames.Unmarshal(text, f); err != nil {
+	if err := frameDecoding.Unmarshal(body, f); err != nil {
 		return nil, fmt.Errorf("frame: %w", err)
 	}
-	if f.Kind == 0 || f.Kind >= kindEnd || f.Kind == KindHello && f.Hello == nil || f.Kind == KindAdmin && f.Admin == nil {
-		return nil, errors.New("frame: of no kind that is known")
+	switch {
+	case f.Kind == 0 || f.Kind >= kindEnd:
+		return nil, ErrMalformedFrame
+	case f.Kind == KindHello && f.Hello == nil:
+		return nil, ErrMalformedFrame
+	case f.Kind == KindAdmin && f.Admin == nil:
+		return nil, ErrMalformedFrame
 	}
 	return f, nil
 }
 
-// Greeting is the hello of one who is no keeper.
-func Greeting() *Frame { return &Frame{Kind: KindHello, Hello: &Hello{Number: Guest}} }
-
-// Asks and Replies are what a guest wants, and what became of it.
-func Asks(all []Asked) *Frame      { return &Frame{Kind: KindAsks, Asks: all} }
-func Replies(all []Replied) *Frame { return &Frame{Kind: KindReplies, Replies: all} }
+// ClientHello returns the first frame of a client's stream.
+func ClientHello() *Frame { return &Frame{Kind: KindHello, Hello: &Hello{Sender: ClientSender}} }
 
-// Administer is a frame of an operator's command, or its answer.
-func Administer(a *Admin) *Frame { return &Frame{Kind: KindAdmin, Admin: a} }
+// RequestsFrame returns a frame with a client's requests.
+func RequestsFrame(requests []Request) *Frame { return &Frame{Kind: KindRequests, Requests: requests} }
 
-// ID is a keeper's name in a group: its number and its life. One that has lost what it held has another life, and so never
-// votes or acknowledges for the one before.
-type ID uint64
-
-// MakeID makes one.
-func MakeID(number int, life uint32) ID { return ID(uint64(life)<<8 | uint64(number+1)) }
-
-// Number is the keeper's place in the list, Life which of its lives.
-func (id ID) Number() int  { return int(id&0xff) - 1 }
-func (id ID) Life() uint32 { return uint32(id >> 8) }
-
-// Founding is what begins an installation: who is there, each in the life it has now.
-type Founding struct {
-	Cluster uint64 `cbor:"1,keyasint"`
-	Members []ID   `cbor:"2,keyasint"`
-	Groups  int    `cbor:"3,keyasint"`
-	Copies  int    `cbor:"4,keyasint"`
-	// States are what the groups begin with, from an operator's snapshot; none: empty.
-	States map[int][]byte `cbor:"5,keyasint,omitempty"`
+// ResponsesFrame returns a frame with the responses to a client.
+func ResponsesFrame(responses []Response) *Frame {
+	return &Frame{Kind: KindResponses, Responses: responses}
 }
 
-// Health is how one group stands as seen by a keeper.
-type Health struct {
-	Group   int
-	Leads   bool
-	Leader  int // number of the keeper that leads; -1: none is known
-	Held    bool
-	Holders []ID // as the leader here has them
-	Settled bool // nobody is joining or leaving
-	Alive   bool // all of them answer
-	Away    bool // calls for it are turned away
-	Names   int
-	Index   uint64
-}
+// AdminFrame returns a frame with an operator's command, or the answer to one.
+func AdminFrame(a *Admin) *Frame { return &Frame{Kind: KindAdmin, Admin: a} }
--- a/quotastore/replication/ask.go
+++ b/quotastore/replication/ask.go
@@ -145,7 +145,7 @@
 	if l.state != open {
 		l.begin(now)
 	}
-	var going []protocol.Asked
+	var going []protocol.Request
 	for _, a := range l.pending {
 		if a.probe || now-a.sentAt < again && a.sends > 0 || !a.free && l.state != open {
 			continue
@@ -160,7 +160,7 @@
 			}
 			l.at = now
 		}
-		going = append(going, protocol.Asked{Group: l.group, Number: a.number, Entry: e})
+		going = append(going, protocol.Request{Group: l.group, ID: a.number, Command: e})
 	}
 	l.core.out(l.lead, going)
 }
@@ -202,9 +202,9 @@
 			l.state, l.at = open, l.core.now
 			l.push(l.core.now)
 		})
-		l.core.out(l.lead, []protocol.Asked{{Group: l.group, Number: l.core.numbers, Entry: statemachine.Command{Kind: statemachine.OpenSession, Session: l.session, Clock: r.Clock}}})
+		l.core.out(l.lead, []protocol.Request{{Group: l.group, ID: l.core.numbers, Command: statemachine.Command{Kind: statemachine.OpenSession, Session: l.session, Clock: r.Clock}}})
 	})
-	l.core.out(l.lead, []protocol.Asked{{Group: l.group, Number: probe, Entry: statemachine.Command{Kind: statemachine.Tick}}})
+	l.core.out(l.lead, []protocol.Request{{Group: l.group, ID: probe, Command: statemachine.Command{Kind: statemachine.Tick}}})
 }
 
 // probes notes what is to be done with an answer to something that is not told again.
@@ -219,7 +219,7 @@
 }
 
 // out brings asks to a leader, which may be here.
-func (c *Node) out(lead int, all []protocol.Asked) {
+func (c *Node) out(lead int, all []protocol.Request) {
 	if len(all) == 0 {
 		return
 	}
@@ -231,48 +231,48 @@
 	}
 	for len(all) > 0 { // frames stay small enough not to hold up others
 		n := min(len(all), 512)
-		c.send(lead, &protocol.Frame{Kind: protocol.KindAsks, Asks: all[:n]}, false)
+		c.send(lead, &protocol.Frame{Kind: protocol.KindRequests, Requests: all[:n]}, false)
 		all = all[n:]
 	}
 }
 
 // asked takes what another keeper, or this one, wants of a group.
-func (c *Node) asked(from int, a *protocol.Asked) {
+func (c *Node) asked(from int, a *protocol.Request) {
 	if a.Group < 0 || a.Group >= c.terms.Groups {
 		return
 	}
 	g := c.group[a.Group]
-	if g != nil && g.ask(a.Entry, asked{from, a.Number}) {
+	if g != nil && g.ask(a.Command, asked{from, a.ID}) {
 		return
 	}
 	lead := -1
 	if g != nil {
 		lead = g.leader()
 	}
-	c.replyTo(from, protocol.Replied{Group: a.Group, Number: a.Number, NotLeader: true, Lead: lead})
+	c.replyTo(from, protocol.Response{Group: a.Group, RequestID: a.ID, NotLeader: true, Leader: lead})
 }
 
-func (c *Node) replyTo(to int, r protocol.Replied) {
+func (c *Node) replyTo(to int, r protocol.Response) {
 	switch {
 	case to < 0:
 	case to == c.me:
 		c.replied(&r)
 	default:
-		if n := len(c.letters); n > 0 && c.letters[n-1].To == to && c.letters[n-1].Frame.Kind == protocol.KindReplies && len(c.letters[n-1].Frame.Replies) < 512 {
-			c.letters[n-1].Frame.Replies = append(c.letters[n-1].Frame.Replies, r)
+		if n := len(c.letters); n > 0 && c.letters[n-1].To == to && c.letters[n-1].Frame.Kind == protocol.KindResponses && len(c.letters[n-1].Frame.Responses) < 512 {
+			c.letters[n-1].Frame.Responses = append(c.letters[n-1].Frame.Responses, r)
 			return
 		}
-		c.send(to, &protocol.Frame{Kind: protocol.KindReplies, Replies: []protocol.Replied{r}}, false)
+		c.send(to, &protocol.Frame{Kind: protocol.KindResponses, Responses: []protocol.Response{r}}, false)
 	}
 }
 
 // replied takes an answer.
-func (c *Node) replied(r *protocol.Replied) {
+func (c *Node) replied(r *protocol.Response) {
 	if r.Group < 0 || r.Group >= len(c.asks) {
 		return
 	}
 	l := c.asks[r.Group]
-	at := slices.IndexFunc(l.pending, func(a *askState) bool { return a.number == r.Number })
+	at := slices.IndexFunc(l.pending, func(a *askState) bool { return a.number == r.RequestID })
 	if at < 0 {
 		return
 	}
@@ -287,8 +287,8 @@
 				a.sends = 0
 			}
 		}
-		if l.lead >= 0 && r.Lead != l.lead {
-			l.lead = r.Lead
+		if l.lead >= 0 && r.Leader != l.lead {
+			l.lead = r.Leader
 			l.push(c.now)
 		}
 		return
--- a/quotastore/replication/core.go
+++ b/quotastore/replication/core.go
@@ -56,7 +56,7 @@
 // Core is one keeper.
 type Node struct {
 	me      int
-	id      protocol.ID
+	id      protocol.ReplicaID
 	cluster uint64 // 0: it belongs to none yet
 	peers   []Peer
 	terms   Config
@@ -92,7 +92,7 @@
 		return nil, errors.New("keeper: its place, life, groups, copies or log are out of range")
 	}
 	c := &Node{
-		me: me, id: protocol.MakeID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
+		me: me, id: protocol.NewReplicaID(me, life), cluster: cluster, peers: peers, terms: terms, group: make([]*group, terms.Groups),
 		chances: rng.By("keeper %d %d ", me, seed), puttingBack: map[string]bool{}, run: seed, numbers: seed << 32 >> 1,
 	}
 	c.setPeers(peers, seed)
@@ -162,20 +162,20 @@
 func (c *Node) Cluster() uint64 { return c.cluster }
 
 // Life is which of its lives this is.
-func (c *Node) Incarnation() uint32 { return c.id.Life() }
+func (c *Node) Incarnation() uint32 { return c.id.Incarnation() }
 
 // Found takes part in a founding. One that belongs to an installation, or has another life by now, does not: it might be
 // asked to begin anew what others still hold. One that heard of this installation by those founded before it, and holds nothing
 // yet, takes its part: else what a founding from a snapshot was answered for would lie on the others alone until it is copied. It
 // gives what has to be written first.
-func (c *Node) Bootstrap(now float64, f *protocol.Founding) ([]Write, error) {
+func (c *Node) Bootstrap(now float64, f *protocol.Bootstrap) ([]Write, error) {
 	switch {
 	case c.cluster == f.Cluster && c.cluster != 0 && c.holds():
 		return nil, nil
 	case c.cluster != 0 && c.cluster != f.Cluster || c.holds(): // it may hold what was said to it before it wrote to whom it belongs
 		return nil, fmt.Errorf("keeper %d belongs to installation %016x", c.me, c.cluster)
-	case f.Cluster == 0 || f.Groups != c.terms.Groups || f.Copies != c.terms.Replicas || !slices.Contains(f.Members, c.id):
-		return nil, fmt.Errorf("keeper %d, life %08x: not in this founding, or of other groups or copies", c.me, c.id.Life())
+	case f.Cluster == 0 || f.Groups != c.terms.Groups || f.Replicas != c.terms.Replicas || !slices.Contains(f.Members, c.id):
+		return nil, fmt.Errorf("keeper %d, life %08x: not in this founding, or of other groups or copies", c.me, c.id.Incarnation())
 	}
 	c.now = now
 	var writes []Write
@@ -183,7 +183,7 @@
 	for _, id := range f.Members {
 		there[id.Number()] = true
 		if n := id.Number(); n >= 0 && n < len(c.lives) && c.lives[n] == 0 {
-			c.lives[n] = id.Life()
+			c.lives[n] = id.Incarnation()
 		}
 	}
 	for g := range f.Groups {
@@ -200,11 +200,11 @@
 			continue
 		}
 		data := statemachine.New().Snapshot()
-		if f.States != nil {
-			if _, err := statemachine.Restore(f.States[g]); err != nil {
+		if f.Snapshots != nil {
+			if _, err := statemachine.Restore(f.Snapshots[g]); err != nil {
 				return nil, fmt.Errorf("group %d of the snapshot: %w", g, err)
 			}
-			data = f.States[g]
+			data = f.Snapshots[g]
 		}
 		snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}}
 		hard := &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}
@@ -273,7 +273,7 @@
 func (c *Node) text(l membership.Letter) {
 	for n := range c.peers {
 		if n != c.me && (l.To == n || l.To == membership.All) {
-			c.send(n, &protocol.Frame{Kind: protocol.KindText, Text: l.Text}, false)
+			c.send(n, &protocol.Frame{Kind: protocol.KindMembership, Membership: l.Text}, false)
 		}
 	}
 }
@@ -291,17 +291,17 @@
 
 // Hello is what a keeper says of itself at the beginning of a stream, and now and then.
 func (c *Node) Hello() *protocol.Frame {
-	return &protocol.Frame{Kind: protocol.KindHello, Hello: &protocol.Hello{Number: c.me, Life: c.id.Life()}}
+	return &protocol.Frame{Kind: protocol.KindHello, Hello: &protocol.Hello{Sender: c.me, Incarnation: c.id.Incarnation()}}
 }
 
 // announce tells all who leads what, and who holds it.
 func (c *Node) announce() {
-	var all []protocol.Leads
+	var all []protocol.LeaderAnnouncement
 	for g := range c.held {
 		if g.leads && g.current() { // else it may not know yet who holds the group
 			members := append(slices.Clone(g.conf.Voters), g.conf.Learners...)
 			members = append(append(members, g.conf.VotersOutgoing...), g.conf.LearnersNext...)
-			all = append(all, protocol.Leads{Group: g.number, Term: g.term, Index: g.applied, Members: members})
+			all = append(all, protocol.LeaderAnnouncement{Group: g.number, Term: g.term, Index: g.applied, Members: members})
 			c.asks[g.number].led(c.me, g.term)
 		}
 	}
@@ -310,7 +310,7 @@
 	}
 	for n := range c.peers {
 		if n != c.me {
-			c.send(n, &protocol.Frame{Kind: protocol.KindLeads, Leads: all}, false)
+			c.send(n, &protocol.Frame{Kind: protocol.KindLeaders, Leaders: all}, false)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 	if to < 0 || to >= len(c.peers) {
 		return
 	}
-	f.Cluster, f.Life = c.cluster, c.id.Life()
+	f.Cluster, f.Incarnation = c.cluster, c.id.Incarnation()
 	c.letters = append(c.letters, Message{to, f, bulk})
 }
 
@@ -368,7 +368,7 @@
 	c.now = now
 	for g := range c.held {
 		for _, id := range sortedKeys(g.copying) {
-			if protocol.ID(id).Number() == to {
+			if protocol.ReplicaID(id).Number() == to {
 				g.copyFailed(id)
 			}
 		}
@@ -378,7 +378,7 @@
 // Hear takes a frame of another keeper.
 func (c *Node) Receive(now float64, from int, f *protocol.Frame) {
 	c.now = now
-	if from < 0 || from >= len(c.peers) || from == c.me || f.Life == 0 {
+	if from < 0 || from >= len(c.peers) || from == c.me || f.Incarnation == 0 {
 		return
 	}
 	if c.cluster == 0 && f.Cluster != 0 {
@@ -388,33 +388,33 @@
 	if f.Cluster != 0 && f.Cluster != c.cluster {
 		return
 	}
-	if c.lives[from] != f.Life {
+	if c.lives[from] != f.Incarnation {
 		if c.lives[from] != 0 {
-			c.log("keeper %d has a new life, %08x: what it held is to be copied to it", from, f.Life)
+			c.log("keeper %d has a new life, %08x: what it held is to be copied to it", from, f.Incarnation)
 		}
-		c.lives[from] = f.Life
+		c.lives[from] = f.Incarnation
 	}
 	switch f.Kind {
-	case protocol.KindText:
+	case protocol.KindMembership:
 		if c.members != nil {
-			c.members.Heard(now, from, f.Text)
+			c.members.Heard(now, from, f.Membership)
 			for _, l := range c.members.Due(now) {
 				c.text(l)
 			}
 		}
 	case protocol.KindRaft:
 		c.raft(f)
-	case protocol.KindLeads:
-		for i := range f.Leads {
-			c.leads(from, &f.Leads[i])
+	case protocol.KindLeaders:
+		for i := range f.Leaders {
+			c.leads(from, &f.Leaders[i])
 		}
-	case protocol.KindAsks:
-		for i := range f.Asks {
-			c.asked(from, &f.Asks[i])
+	case protocol.KindRequests:
+		for i := range f.Requests {
+			c.asked(from, &f.Requests[i])
 		}
-	case protocol.KindReplies:
-		for i := range f.Replies {
-			c.replied(&f.Replies[i])
+	case protocol.KindResponses:
+		for i := range f.Responses {
+			c.replied(&f.Responses[i])
 		}
 	}
 }
@@ -424,7 +424,7 @@
 	if proto.Unmarshal(f.Raft, m) != nil || f.Group < 0 || f.Group >= c.terms.Groups || c.cluster == 0 {
 		return
 	}
-	if protocol.ID(m.GetTo()) != c.id {
+	if protocol.ReplicaID(m.GetTo()) != c.id {
 		return // for a life before this one
 	}
 	g := c.group[f.Group]
@@ -440,7 +440,7 @@
 }
 
 // leads hears who leads a group; a copy here that no longer belongs to it is let go of, but for its votes.
-func (c *Node) leads(from int, a *protocol.Leads) {
+func (c *Node) leads(from int, a *protocol.LeaderAnnouncement) {
 	if a.Group < 0 || a.Group >= c.terms.Groups {
 		return
 	}
@@ -463,9 +463,9 @@
 }
 
 // former says that a copy is of a life of its keeper that is over.
-func (c *Node) former(id protocol.ID) bool {
+func (c *Node) former(id protocol.ReplicaID) bool {
 	n := id.Number()
-	return n < len(c.lives) && c.lives[n] != 0 && c.lives[n] != id.Life()
+	return n < len(c.lives) && c.lives[n] != 0 && c.lives[n] != id.Incarnation()
 }
 
 // holds says that any group is held here.
--- a/quotastore/replication/group.go
+++ b/quotastore/replication/group.go
@@ -154,7 +154,7 @@
 
 // orphan: the leader's process is known to be gone; no need to wait for its silence.
 func (g *group) orphan(number int) {
-	if g.leads || g.lead == 0 || protocol.ID(g.lead).Number() != number {
+	if g.leads || g.lead == 0 || protocol.ReplicaID(g.lead).Number() != number {
 		return
 	}
 	g.node.ForgetLeader()
@@ -197,7 +197,7 @@
 // giveBack says of what was not proposed that it was not; of the rest nothing is known here.
 func (g *group) giveBack() {
 	for _, a := range g.askers {
-		g.core.replyTo(a.from, protocol.Replied{Group: g.number, Number: a.number, NotLeader: true, Lead: g.leader()})
+		g.core.replyTo(a.from, protocol.Response{Group: g.number, RequestID: a.number, NotLeader: true, Leader: g.leader()})
 	}
 	g.entries, g.askers = g.entries[:0], g.askers[:0]
 }
@@ -207,7 +207,7 @@
 	if g.lead == 0 {
 		return -1
 	}
-	return protocol.ID(g.lead).Number()
+	return protocol.ReplicaID(g.lead).Number()
 }
 
 // ask takes what is to be proposed; false: this copy does not lead.
@@ -382,7 +382,7 @@
 }
 
 func (g *group) answer(a asked, r statemachine.Reply) {
-	g.core.replyTo(a.from, protocol.Replied{Group: g.number, Number: a.number, Lead: g.leader(), Reply: r})
+	g.core.replyTo(a.from, protocol.Response{Group: g.number, RequestID: a.number, Leader: g.leader(), Reply: r})
 }
 
 // savedApart is the least time between two states saved at one keeper because their logs are long, in seconds.
@@ -418,7 +418,7 @@
 
 func (g *group) send(all []*pb.Message) {
 	for _, m := range all {
-		to := protocol.ID(m.GetTo())
+		to := protocol.ReplicaID(m.GetTo())
 		bulk := m.GetType() == pb.MsgSnap
 		if bulk {
 			g.copying[m.GetTo()] = g.core.now + 3 + 10*float64(len(m.GetSnapshot().GetData()))/g.core.terms.SnapshotRate
@@ -504,9 +504,9 @@
 	// A copy of a former life comes first, as it remembers nothing; then the lost, those that should leave, those not wanted.
 	worst, how := uint64(0), 0
 	for _, id := range g.conf.Voters {
-		n, x := protocol.ID(id).Number(), 0
+		n, x := protocol.ReplicaID(id).Number(), 0
 		switch {
-		case g.core.former(protocol.ID(id)):
+		case g.core.former(protocol.ReplicaID(id)):
 			x = 4
 		case g.core.lost(now, n):
 			x = 3
@@ -521,8 +521,8 @@
 	}
 	if len(g.conf.Learners) > 0 { // there is one at most; it is brought in, or taken out, before anything else
 		id := g.conf.Learners[0]
-		pr, n := st.Progress[id], protocol.ID(id).Number()
-		if g.core.former(protocol.ID(id)) || !holds(n) || g.core.lost(now, n) {
+		pr, n := st.Progress[id], protocol.ReplicaID(id).Number()
+		if g.core.former(protocol.ReplicaID(id)) || !holds(n) || g.core.lost(now, n) {
 			g.change(&pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: &id})
 			return
 		}
@@ -548,7 +548,7 @@
 		return
 	}
 	for _, n := range want {
-		id := uint64(protocol.MakeID(n, g.core.lives[n]))
+		id := uint64(protocol.NewReplicaID(n, g.core.lives[n]))
 		if slices.Contains(g.conf.Voters, id) {
 			continue
 		}
@@ -575,8 +575,8 @@
 	if g.node.ProposeConfChange(&pb.ConfChangeV2{Changes: all}) == nil {
 		g.core.MembershipChanges++
 		for _, c := range all {
-			id := protocol.ID(c.GetNodeId())
-			g.core.log("group %d: %v keeper %d, life %08x", g.number, c.GetType(), id.Number(), id.Life())
+			id := protocol.ReplicaID(c.GetNodeId())
+			g.core.log("group %d: %v keeper %d, life %08x", g.number, c.GetType(), id.Number(), id.Incarnation())
 		}
 	}
 }
@@ -589,7 +589,7 @@
 )
 
 // stale says that this copy no longer belongs to its group.
-func (g *group) stale(a *protocol.Leads) bool {
+func (g *group) stale(a *protocol.LeaderAnnouncement) bool {
 	last, err := g.log.LastIndex()
 	if g.leads || g.applied == 0 || err != nil || slices.Contains(a.Members, uint64(g.core.id)) || a.Term < g.term || a.Index < last {
 		g.strange = 0
--- a/quotastore/replication/guest.go
+++ b/quotastore/replication/guest.go
@@ -18,31 +18,31 @@
 }
 
 // Guest asks for a guest; then hears once for each. What only keepers may ask is answered as bad.
-func (c *Node) HandleClient(now float64, a protocol.Asked, then func(protocol.Replied)) {
+func (c *Node) HandleClient(now float64, a protocol.Request, then func(protocol.Response)) {
 	c.now = now
-	switch a.Entry.Kind {
+	switch a.Command.Kind {
 	case statemachine.Add, statemachine.ReportUsage, statemachine.RecordUnreported, statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage:
 	case statemachine.RenewLease: // a holder is held to be there by all groups or by none
 		left, worst := len(c.asks), statemachine.Done
 		for g := range c.asks {
-			c.Ask(g, a.Entry, func(how Outcome, r statemachine.Reply) {
+			c.Ask(g, a.Command, func(how Outcome, r statemachine.Reply) {
 				if how == Answered && r.Code != statemachine.Done {
 					worst = r.Code
 				}
 				if left--; left == 0 {
-					then(protocol.Replied{Group: -1, Number: a.Number, Reply: statemachine.Reply{Code: worst, Clock: r.Clock}})
+					then(protocol.Response{Group: -1, RequestID: a.ID, Reply: statemachine.Reply{Code: worst, Clock: r.Clock}})
 				}
 			})
 		}
 		return
 	default:
-		then(protocol.Replied{Number: a.Number, Reply: statemachine.Reply{Code: statemachine.Invalid}})
+		then(protocol.Response{RequestID: a.ID, Reply: statemachine.Reply{Code: statemachine.Invalid}})
 		return
 	}
-	e := a.Entry
+	e := a.Command
 	e.Session, e.Sequence, e.AckedBelow = "", 0, 0
 	c.Ask(c.GroupOf(key(&e)), e, func(how Outcome, r statemachine.Reply) {
-		then(protocol.Replied{Number: a.Number, NotLeader: how == Rejected, Unknown: how == Unknown, Reply: r})
+		then(protocol.Response{RequestID: a.ID, NotLeader: how == Rejected, Unknown: how == Unknown, Reply: r})
 	})
 }
 
@@ -50,42 +50,42 @@
 // that.
 func (c *Node) HandleAdmin(now float64, a *protocol.Admin, write func([]Write) error, then func(*protocol.Admin)) {
 	c.now = now
-	r := &protocol.Admin{What: a.What, Number: c.me, Life: c.id.Life(), Cluster: c.cluster}
-	switch a.What {
-	case "who":
+	r := &protocol.Admin{Operation: a.Operation, Replica: c.me, Incarnation: c.id.Incarnation(), Cluster: c.cluster}
+	switch a.Operation {
+	case protocol.OperationStatus:
 		r.Health = c.Health()
-	case "found":
-		if a.Founding == nil {
-			r.Err = "no founding was given"
+	case protocol.OperationBootstrap:
+		if a.Bootstrap == nil {
+			r.Failure = "no founding was given"
 			break
 		}
-		writes, err := c.Bootstrap(now, a.Founding)
+		writes, err := c.Bootstrap(now, a.Bootstrap)
 		if err == nil {
 			err = write(writes)
 		}
 		if err != nil {
-			r.Err = err.Error()
+			r.Failure = err.Error()
 		}
 		r.Cluster = c.cluster
-	case "save":
-		r.States = map[int][]byte{}
+	case protocol.OperationSnapshot:
+		r.Snapshots = map[int][]byte{}
 		for g := range c.held {
 			if g.leads && g.current() {
-				r.States[g.number] = g.state.Snapshot()
+				r.Snapshots[g.number] = g.state.Snapshot()
 			}
 		}
-	case "take":
+	case protocol.OperationCollectUsage:
 		left := len(c.asks)
 		for g := range c.asks {
 			c.Ask(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: a.Batch}, func(how Outcome, x statemachine.Reply) {
 				switch {
 				case how != Answered:
-					r.Err = "a group did not answer: ask for the same batch again"
+					r.Failure = "a group did not answer: ask for the same batch again"
 				case x.Code != statemachine.Done:
-					r.Err = "not the batch handed out last, nor the one after it"
+					r.Failure = "not the batch handed out last, nor the one after it"
 					r.Batch = max(r.Batch, x.Batch)
 				default:
-					r.Uses = append(r.Uses, x.Usage...)
+					r.Usage = append(r.Usage, x.Usage...)
 				}
 				if left--; left == 0 {
 					then(r)
@@ -94,7 +94,7 @@
 		}
 		return
 	default:
-		r.Err = "nothing that a keeper knows"
+		r.Failure = "nothing that a keeper knows"
 	}
 	then(r)
 }
--- a/quotastore/replication/health.go
+++ b/quotastore/replication/health.go
@@ -8,21 +8,21 @@
 )
 
 // Health tells of all groups, by number.
-func (c *Node) Health() []protocol.Health {
-	all := make([]protocol.Health, c.terms.Groups)
+func (c *Node) Health() []protocol.GroupHealth {
+	all := make([]protocol.GroupHealth, c.terms.Groups)
 	for i := range all {
-		h := protocol.Health{Group: i, Leader: c.asks[i].lead, Away: c.cluster == 0 || c.asks[i].away(c.now)}
+		h := protocol.GroupHealth{Group: i, Leader: c.asks[i].lead, Unavailable: c.cluster == 0 || c.asks[i].away(c.now)}
 		if g := c.group[i]; g != nil && g.applied > 0 {
-			h.Held, h.Leads, h.Names, h.Index = true, g.leads, g.state.CounterCount(), g.applied
+			h.HasReplica, h.IsLeader, h.Counters, h.AppliedIndex = true, g.leads, g.state.CounterCount(), g.applied
 			for _, id := range g.conf.Voters {
-				h.Holders = append(h.Holders, protocol.ID(id))
+				h.Replicas = append(h.Replicas, protocol.ReplicaID(id))
 			}
-			h.Settled = len(g.conf.VotersOutgoing)+len(g.conf.Learners)+len(g.conf.LearnersNext) == 0
+			h.Stable = len(g.conf.VotersOutgoing)+len(g.conf.Learners)+len(g.conf.LearnersNext) == 0
 			if g.leads {
-				h.Alive = true
+				h.AllInSync = true
 				for id, p := range g.node.Status().Progress {
-					if id != uint64(c.id) && (c.now-c.heard[protocol.ID(id).Number()] > 1 || p.Match+64 < g.applied) {
-						h.Alive = false
+					if id != uint64(c.id) && (c.now-c.heard[protocol.ReplicaID(id).Number()] > 1 || p.Match+64 < g.applied) {
+						h.AllInSync = false
 					}
 				}
 			}
--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -118,7 +118,7 @@
 
 func (x *exchange) deliver(from int, l Message) {
 	x.t.Helper()
-	text, err := l.Frame.Append(nil)
+	text, err := l.Frame.AppendTo(nil)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 		bulk = 'b'
 	}
 	x.note(from, bulk, append([]byte{byte(l.To)}, text...))
-	f, err := protocol.Read(bytes.NewReader(text), protocol.Longest)
+	f, err := protocol.ReadFrame(bytes.NewReader(text), protocol.MaxFrameBytes)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -146,8 +146,8 @@
 // ask has a store ask for something as a gateway would, and wants it done.
 func (x *exchange) ask(who int, e statemachine.Command) statemachine.Reply {
 	x.t.Helper()
-	var r *protocol.Replied
-	x.cores[who].HandleClient(x.now, protocol.Asked{Number: 1, Entry: e}, func(a protocol.Replied) { r = &a })
+	var r *protocol.Response
+	x.cores[who].HandleClient(x.now, protocol.Request{ID: 1, Command: e}, func(a protocol.Response) { r = &a })
 	for range 100 {
 		if r != nil {
 			break
@@ -163,14 +163,14 @@
 func (x *exchange) take(who int, batch uint64) *protocol.Admin {
 	x.t.Helper()
 	var r *protocol.Admin
-	x.cores[who].HandleAdmin(x.now, &protocol.Admin{What: "take", Batch: batch}, nil, func(a *protocol.Admin) { r = a })
+	x.cores[who].HandleAdmin(x.now, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, nil, func(a *protocol.Admin) { r = a })
 	for range 100 {
 		if r != nil {
 			break
 		}
 		x.run(0.02)
 	}
-	if r == nil || r.Err != "" {
+	if r == nil || r.Failure != "" {
 		x.t.Fatalf("batch %d is answered %+v", batch, r)
 	}
 	return r
@@ -181,9 +181,9 @@
 func play(t *testing.T) *exchange {
 	t.Helper()
 	x := newExchange(t, 3)
-	f := &protocol.Founding{Cluster: 0x1122334455667789, Groups: exchangeTerms.Groups, Copies: exchangeTerms.Replicas}
+	f := &protocol.Bootstrap{Cluster: 0x1122334455667789, Groups: exchangeTerms.Groups, Replicas: exchangeTerms.Replicas}
 	for i := range x.cores {
-		f.Members = append(f.Members, protocol.MakeID(i, uint32(1000+i)))
+		f.Members = append(f.Members, protocol.NewReplicaID(i, uint32(1000+i)))
 	}
 	for i, c := range x.cores {
 		writes, err := c.Bootstrap(x.now, f)
@@ -203,8 +203,8 @@
 	}
 	x.ask(1, statemachine.Command{Kind: statemachine.ReleaseMarker, Holder: "edge-alive.1", Key: "invocation-3"})
 	x.ask(2, statemachine.Command{Kind: statemachine.MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 12.25, Version: 1})
-	if got := x.take(0, 1); len(got.Uses) != 1 || got.Uses[0].Units != 12.25 {
-		t.Fatalf("batch 1 is %+v", got.Uses)
+	if got := x.take(0, 1); len(got.Usage) != 1 || got.Usage[0].Units != 12.25 {
+		t.Fatalf("batch 1 is %+v", got.Usage)
 	}
 	x.run(4) // the dead holder's debt is put back
 	if r := x.ask(2, statemachine.Command{Kind: statemachine.Add, Key: "shared", TTL: 60}); r.Total != 9.5 {
@@ -254,7 +254,7 @@
 
 func TestExchangeIsTheRecordedBytes(t *testing.T) {
 	x := play(t)
-	for kind := protocol.KindHello; kind <= protocol.KindReplies; kind++ {
+	for kind := protocol.KindHello; kind <= protocol.KindResponses; kind++ {
 		if x.kinds[kind] == 0 {
 			t.Errorf("no frame of kind %d was sent", kind)
 		}
@@ -334,11 +334,11 @@
 			again("entry", e, body)
 			batch(e)
 		case 'f', 'b':
-			f, err := protocol.Read(bytes.NewReader(body[1:]), protocol.Longest)
+			f, err := protocol.ReadFrame(bytes.NewReader(body[1:]), protocol.MaxFrameBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			text, err := f.Append(nil)
+			text, err := f.AppendTo(nil)
 			if err != nil || !bytes.Equal(text, body[1:]) {
 				t.Fatalf("frame: read and encoded again as\n%x (%v)\nrecorded is\n%x", text, err, body[1:])
 			}
--- a/quotastore/replication/replication_test.go
+++ b/quotastore/replication/replication_test.go
@@ -72,11 +72,11 @@
 // A founding made for a life that is over, or for another installation, is not taken part in: the machine may have been
 // lost and come back while others hold what it held.
 func TestFoundingOfAnotherLife(t *testing.T) {
-	f := &protocol.Founding{Cluster: 5, Groups: 4, Copies: 3, Members: []protocol.ID{protocol.MakeID(0, 8), protocol.MakeID(1, 1), protocol.MakeID(2, 1)}}
+	f := &protocol.Bootstrap{Cluster: 5, Groups: 4, Replicas: 3, Members: []protocol.ReplicaID{protocol.NewReplicaID(0, 8), protocol.NewReplicaID(1, 1), protocol.NewReplicaID(2, 1)}}
 	if _, err := core(t, 0).Bootstrap(0, f); err == nil {
 		t.Fatal("a founding for a former life")
 	}
-	f.Members[0] = protocol.MakeID(0, 9)
+	f.Members[0] = protocol.NewReplicaID(0, 9)
 	if _, err := core(t, 6).Bootstrap(0, f); err == nil {
 		t.Fatal("a founding where it belongs to another installation")
 	}
@@ -88,7 +88,7 @@
 // Two of three keepers are away: calls are refused at once, with one line in the log, and nothing is taken.
 func TestTooManyLost(t *testing.T) {
 	c := core(t, 0)
-	if _, err := c.Bootstrap(0, &protocol.Founding{Cluster: 5, Groups: 4, Copies: 3, Members: []protocol.ID{protocol.MakeID(0, 9), protocol.MakeID(1, 1), protocol.MakeID(2, 1)}}); err != nil {
+	if _, err := c.Bootstrap(0, &protocol.Bootstrap{Cluster: 5, Groups: 4, Replicas: 3, Members: []protocol.ReplicaID{protocol.NewReplicaID(0, 9), protocol.NewReplicaID(1, 1), protocol.NewReplicaID(2, 1)}}); err != nil {
 		t.Fatal(err)
 	}
 	said := 0
@@ -110,7 +110,7 @@
 		t.Fatalf("refused %v, said %d times", refused, said)
 	}
 	for _, h := range c.Health() {
-		if !h.Away || h.Leads {
+		if !h.Unavailable || h.IsLeader {
 			t.Fatalf("%+v", h)
 		}
 	}
@@ -138,7 +138,7 @@
 	c := core(t, 5)
 	for _, k := range []statemachine.Kind{statemachine.RecoverUnreported, statemachine.ClearUnreported, statemachine.CollectUsage, statemachine.OpenSession, statemachine.Tick, 200} {
 		code := statemachine.Done
-		c.HandleClient(1, protocol.Asked{Entry: statemachine.Command{Kind: k, Key: "n", Holder: "h"}}, func(r protocol.Replied) { code = r.Reply.Code })
+		c.HandleClient(1, protocol.Request{Command: statemachine.Command{Kind: k, Key: "n", Holder: "h"}}, func(r protocol.Response) { code = r.Reply.Code })
 		if code != statemachine.Invalid {
 			t.Fatalf("kind %d: %v", k, code)
 		}
@@ -148,21 +148,21 @@
 // Whatever comes on a stream is read or refused, and never ends the keeper.
 func FuzzFrame(f *testing.F) {
 	for _, x := range []*protocol.Frame{
-		protocol.Greeting(), protocol.Asks([]protocol.Asked{{Entry: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
-		{Kind: protocol.KindLeads, Leads: []protocol.Leads{{Group: 1, Members: []uint64{1}}}},
+		protocol.ClientHello(), protocol.RequestsFrame([]protocol.Request{{Command: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
+		{Kind: protocol.KindLeaders, Leaders: []protocol.LeaderAnnouncement{{Group: 1, Members: []uint64{1}}}},
 		{Kind: protocol.KindRaft, Raft: []byte("x")},
-		{Kind: protocol.KindText, Text: "!b"},
-		protocol.Administer(&protocol.Admin{What: "who"}),
+		{Kind: protocol.KindMembership, Membership: "!b"},
+		protocol.AdminFrame(&protocol.Admin{Operation: protocol.OperationStatus}),
 	} {
-		text, _ := x.Bytes()
+		text, _ := x.Encode()
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		x, err := protocol.ReadFrame(text)
+		x, err := protocol.DecodeFrame(text)
 		if err != nil {
 			return
 		}
-		x.Life = max(x.Life, 1)
+		x.Incarnation = max(x.Incarnation, 1)
 		if x.Kind == protocol.KindRaft { // a message of the library is believed, as its sender is a keeper
 			return
 		}
@@ -171,8 +171,8 @@
 			t.Fatal(err)
 		}
 		c.Receive(1, 1, x)
-		for _, a := range x.Asks {
-			c.HandleClient(1, a, func(protocol.Replied) {})
+		for _, a := range x.Requests {
+			c.HandleClient(1, a, func(protocol.Response) {})
 		}
 		c.Tick(2)
 	})
@@ -181,8 +181,8 @@
 // The first keeper is founded, and its word gets to the second before the founding does, as on a busy machine. The second
 // takes its part all the same: else a founding is answered that one keeper alone holds, until copies are made.
 func TestFoundedAfterHearsay(t *testing.T) {
-	members := []protocol.ID{protocol.MakeID(0, 7), protocol.MakeID(1, 7), protocol.MakeID(2, 7)}
-	f := &protocol.Founding{Cluster: 9, Groups: 4, Copies: 3, Members: members}
+	members := []protocol.ReplicaID{protocol.NewReplicaID(0, 7), protocol.NewReplicaID(1, 7), protocol.NewReplicaID(2, 7)}
+	f := &protocol.Bootstrap{Cluster: 9, Groups: 4, Replicas: 3, Members: members}
 	var all []*Node
 	for i := range 3 {
 		c, err := New(i, 7, 0, peers(3, 1), Config{Groups: 4, Replicas: 3, MaxLogEntries: 64, SnapshotRate: 1e6, ReplaceAfter: 30}, uint64(i+1), nil)
@@ -209,7 +209,7 @@
 		if again, err := c.Bootstrap(1.3, f); err != nil || len(again) > 0 {
 			t.Errorf("the same founding again: %d writes, %v", len(again), err)
 		}
-		if _, err := c.Bootstrap(1.3, &protocol.Founding{Cluster: 8, Groups: 4, Copies: 3, Members: members}); err == nil {
+		if _, err := c.Bootstrap(1.3, &protocol.Bootstrap{Cluster: 8, Groups: 4, Replicas: 3, Members: members}); err == nil {
 			t.Error("another founding was followed")
 		}
 	}
--- a/quotastore/server/command.go
+++ b/quotastore/server/command.go
@@ -27,8 +27,8 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(limit))
-	for _, f := range []*protocol.Frame{protocol.Greeting(), protocol.Administer(a)} {
-		text, err := f.Append(nil)
+	for _, f := range []*protocol.Frame{protocol.ClientHello(), protocol.AdminFrame(a)} {
+		text, err := f.AppendTo(nil)
 		if err != nil {
 			return nil, err
 		}
@@ -36,15 +36,15 @@
 			return nil, err
 		}
 	}
-	f, err := protocol.Read(bufio.NewReader(c), protocol.Longest)
+	f, err := protocol.ReadFrame(bufio.NewReader(c), protocol.MaxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
 	if f.Admin == nil {
 		return nil, errors.New("the answer is of another kind")
 	}
-	if f.Admin.Err != "" {
-		return f.Admin, errors.New(f.Admin.Err)
+	if f.Admin.Failure != "" {
+		return f.Admin, errors.New(f.Admin.Failure)
 	}
 	return f.Admin, nil
 }
@@ -52,7 +52,7 @@
 // Found founds an installation: all keepers of the list have to be there, and belong to none. states are of a snapshot;
 // nil: it begins empty.
 func Found(l *List, states map[int][]byte, limit time.Duration) (cluster uint64, err error) {
-	f := &protocol.Founding{Groups: l.Groups, Copies: l.Copies, States: states}
+	f := &protocol.Bootstrap{Groups: l.Groups, Replicas: l.Copies, Snapshots: states}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
@@ -62,7 +62,7 @@
 	for i, spot := range l.Keepers {
 		var who *protocol.Admin
 		for {
-			if who, err = Command(spot.Peer, &protocol.Admin{What: "who"}, 2*time.Second); err == nil || time.Now().After(until) {
+			if who, err = Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second); err == nil || time.Now().After(until) {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -70,16 +70,16 @@
 		switch {
 		case err != nil:
 			return 0, fmt.Errorf("keeper %s: %w; nothing was founded", spot.Name, err)
-		case who.Number != i:
-			return 0, fmt.Errorf("keeper %s says that it is number %d of its list, not %d; nothing was founded", spot.Name, who.Number, i)
+		case who.Replica != i:
+			return 0, fmt.Errorf("keeper %s says that it is number %d of its list, not %d; nothing was founded", spot.Name, who.Replica, i)
 		case who.Cluster != 0:
 			return 0, fmt.Errorf("keeper %s belongs to installation %016x already; nothing was founded", spot.Name, who.Cluster)
 		}
-		f.Members = append(f.Members, protocol.MakeID(i, who.Life))
+		f.Members = append(f.Members, protocol.NewReplicaID(i, who.Incarnation))
 	}
 	var missed []error
 	for i, spot := range l.Keepers {
-		if _, err := Command(spot.Peer, &protocol.Admin{What: "found", Founding: f}, max(5*time.Second, time.Until(until))); err != nil {
+		if _, err := Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationBootstrap, Bootstrap: f}, max(5*time.Second, time.Until(until))); err != nil {
 			if i == 0 {
 				return 0, fmt.Errorf("keeper %s: %w; nothing was founded", spot.Name, err)
 			}
@@ -101,12 +101,12 @@
 	s := &Snapshot{Taken: now.Unix(), Groups: l.Groups, States: map[int][]byte{}}
 	var all []error
 	for _, spot := range l.Keepers {
-		a, err := Command(spot.Peer, &protocol.Admin{What: "save"}, 30*time.Second)
+		a, err := Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationSnapshot}, 30*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
 		}
-		for g, text := range a.States {
+		for g, text := range a.Snapshots {
 			s.States[g] = text
 		}
 	}
--- a/quotastore/server/doors.go
+++ b/quotastore/server/doors.go
@@ -237,13 +237,13 @@
 	k := d.doors.keeper
 	away, led, held := 0, 0, 0
 	for _, h := range k.core.Health() {
-		if h.Away {
+		if h.Unavailable {
 			away++
 		}
-		if h.Leads {
+		if h.IsLeader {
 			led++
 		}
-		if h.Held {
+		if h.HasReplica {
 			held++
 		}
 	}
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -315,15 +315,15 @@
 // guestAsks is what the recorded guest sends: its greeting, then one frame.
 func guestAsks(t *testing.T) (text []byte) {
 	t.Helper()
-	asks := protocol.Asks([]protocol.Asked{
-		{Number: 7, Entry: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
-		{Number: 8, Entry: statemachine.Command{Kind: statemachine.CollectUsage, Version: 1}},
-		{Number: 9, Entry: statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: "a", Key: "b"}},
-		{Number: 10, Entry: statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "a", Key: "b", TTL: 60}},
+	asks := protocol.RequestsFrame([]protocol.Request{
+		{ID: 7, Command: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
+		{ID: 8, Command: statemachine.Command{Kind: statemachine.CollectUsage, Version: 1}},
+		{ID: 9, Command: statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: "a", Key: "b"}},
+		{ID: 10, Command: statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "a", Key: "b", TTL: 60}},
 	})
-	for _, f := range []*protocol.Frame{protocol.Greeting(), asks} {
+	for _, f := range []*protocol.Frame{protocol.ClientHello(), asks} {
 		var err error
-		if text, err = f.Append(text); err != nil {
+		if text, err = f.AppendTo(text); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -345,7 +345,7 @@
 	var raw bytes.Buffer
 	r := io.TeeReader(c, &raw)
 	for range 4 {
-		if _, err := protocol.Read(r, protocol.Longest); err != nil {
+		if _, err := protocol.ReadFrame(r, protocol.MaxFrameBytes); err != nil {
 			t.Fatalf("%v after\n%x", err, raw.Bytes())
 		}
 	}
@@ -377,8 +377,8 @@
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("it begins with\n%x (%v)\nrecorded is\n%x", got, err, want)
 	}
-	f, err := protocol.Read(bytes.NewReader(want), protocol.Longest)
-	if err != nil || f.Hello == nil || *f.Hello != (protocol.Hello{Number: 0, Life: recordedIdentity.Life}) {
+	f, err := protocol.ReadFrame(bytes.NewReader(want), protocol.MaxFrameBytes)
+	if err != nil || f.Hello == nil || *f.Hello != (protocol.Hello{Sender: 0, Incarnation: recordedIdentity.Life}) {
 		t.Errorf("the recorded hello is read as %+v (%v)", f, err)
 	}
 }
--- a/quotastore/server/streams.go
+++ b/quotastore/server/streams.go
@@ -118,7 +118,7 @@
 
 // send hands a frame to the stream of its keeper; it runs on the loop.
 func (s *streams) send(l replication.Message) {
-	text, err := l.Frame.Append(nil)
+	text, err := l.Frame.AppendTo(nil)
 	if err != nil {
 		s.keeper.failed = err
 		return
@@ -188,7 +188,7 @@
 		return nil
 	})
 	w := bufio.NewWriterSize(c, 64<<10)
-	hello, err := x.all.keeper.core.Hello().Append(nil) // what it says never changes
+	hello, err := x.all.keeper.core.Hello().AppendTo(nil) // what it says never changes
 	if err != nil {
 		return
 	}
@@ -237,7 +237,7 @@
 		return context.Canceled
 	}
 	defer x.all.drop(c)
-	hello, err := x.all.keeper.core.Hello().Append(nil)
+	hello, err := x.all.keeper.core.Hello().AppendTo(nil)
 	if err != nil {
 		return err
 	}
@@ -296,19 +296,19 @@
 func (s *streams) hear(c net.Conn) {
 	r := bufio.NewReaderSize(c, 64<<10)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	f, err := protocol.Read(r, protocol.Longest)
+	f, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
 	if err != nil || f.Hello == nil {
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	from := f.Hello.Number
-	if from == protocol.Guest {
+	from := f.Hello.Sender
+	if from == protocol.ClientSender {
 		s.guest(c, r)
 		return
 	}
 	k := s.keeper
 	for {
-		if f, err = protocol.Read(r, protocol.Longest); err != nil {
+		if f, err = protocol.ReadFrame(r, protocol.MaxFrameBytes); err != nil {
 			return
 		}
 		now := f
@@ -332,9 +332,9 @@
 				return nil
 			case f := <-out:
 				for more := true; more; {
-					text, err := f.Append(nil)
+					text, err := f.AppendTo(nil)
 					if err != nil {
-						text, _ = protocol.Administer(&protocol.Admin{Err: err.Error()}).Append(nil)
+						text, _ = protocol.AdminFrame(&protocol.Admin{Failure: err.Error()}).AppendTo(nil)
 					}
 					c.SetWriteDeadline(time.Now().Add(5 * time.Second))
 					w.Write(text)
@@ -359,7 +359,7 @@
 		}
 	}
 	for {
-		f, err := protocol.Read(r, protocol.Longest)
+		f, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
 		if err != nil {
 			return
 		}
@@ -370,11 +370,11 @@
 						return err
 					}
 					return k.store.Join(k.core.Cluster())
-				}, func(a *protocol.Admin) { send(protocol.Administer(a)) })
+				}, func(a *protocol.Admin) { send(protocol.AdminFrame(a)) })
 				return
 			}
-			for _, a := range f.Asks {
-				k.core.HandleClient(k.now(), a, func(r protocol.Replied) { send(protocol.Replies([]protocol.Replied{r})) })
+			for _, a := range f.Requests {
+				k.core.HandleClient(k.now(), a, func(r protocol.Response) { send(protocol.ResponsesFrame([]protocol.Response{r})) })
 			}
 		})
 		if !ok {
--- a/sim/quotastoresim/sim.go
+++ b/sim/quotastoresim/sim.go
@@ -130,9 +130,9 @@
 }
 
 func (w *world) found() {
-	f := &protocol.Founding{Cluster: 77, Groups: w.terms.Groups, Copies: w.terms.Replicas}
+	f := &protocol.Bootstrap{Cluster: 77, Groups: w.terms.Groups, Replicas: w.terms.Replicas}
 	for _, x := range w.nodes {
-		f.Members = append(f.Members, protocol.MakeID(x.number, x.life))
+		f.Members = append(f.Members, protocol.NewReplicaID(x.number, x.life))
 	}
 	for _, x := range w.nodes {
 		w.do(x, func() {
@@ -298,7 +298,7 @@
 func (w *world) post(x *node) {
 	for _, l := range x.core.TakeMessages() {
 		to, link := w.nodes[l.To], [2]int{x.number, l.To}
-		text, err := l.Frame.Bytes()
+		text, err := l.Frame.Encode()
 		if err != nil {
 			panic(err)
 		}
@@ -327,7 +327,7 @@
 				}
 				return
 			}
-			f, err := protocol.ReadFrame(text)
+			f, err := protocol.DecodeFrame(text)
 			if err != nil {
 				panic(err)
 			}
@@ -355,17 +355,17 @@
 			if !x.up || x.frozen {
 				continue
 			}
-			if h := x.core.Health()[g]; h.Leads {
-				ok = len(h.Holders) >= min(w.o.Replicas, w.o.Servers) && h.Settled && h.Alive
-				for _, id := range h.Holders {
+			if h := x.core.Health()[g]; h.IsLeader {
+				ok = len(h.Replicas) >= min(w.o.Replicas, w.o.Servers) && h.Stable && h.AllInSync
+				for _, id := range h.Replicas {
 					// A copy that has not heard yet that a change is over would want votes of those that left.
 					y := w.nodes[id.Number()]
-					if id.Life() != y.life || !y.up {
+					if id.Incarnation() != y.life || !y.up {
 						ok = false
 						continue
 					}
 					own := y.core.Health()[g]
-					ok = ok && own.Settled && slices.Equal(own.Holders, h.Holders)
+					ok = ok && own.Stable && slices.Equal(own.Replicas, h.Replicas)
 				}
 			}
 		}
@@ -483,7 +483,7 @@
 // leader is the keeper that leads a group.
 func (w *world) leader(g int) *node {
 	for _, x := range w.nodes {
-		if x.up && x.core.Health()[g].Leads {
+		if x.up && x.core.Health()[g].IsLeader {
 			return x
 		}
 	}
@@ -499,9 +499,9 @@
 		}
 		state := lead.core.GroupState(g)
 		bytes := string(state.Snapshot())
-		for _, id := range lead.core.Health()[g].Holders {
+		for _, id := range lead.core.Health()[g].Replicas {
 			x := w.nodes[id.Number()]
-			if x.up && x.life == id.Life() && x.core.GroupState(g) != nil && x.core.AppliedIndex(g) == lead.core.AppliedIndex(g) && string(x.core.GroupState(g).Snapshot()) != bytes {
+			if x.up && x.life == id.Incarnation() && x.core.GroupState(g) != nil && x.core.AppliedIndex(g) == lead.core.AppliedIndex(g) && string(x.core.GroupState(g).Snapshot()) != bytes {
 				w.v.Lost = append(w.v.Lost, fmt.Sprintf("group %d: keeper %d holds other bytes than the leader, keeper %d", g, x.number, lead.number))
 			}
 		}
