--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -23,7 +23,7 @@
 func (s *Server) beat(ctx context.Context) {
 	periodic.Run(ctx, controlBeatEvery, func() {
 		if s.leadsControl() {
-			s.sessions.HeardControl(s.self, s.isLeaving())
+			s.sessions.RenewControl(s.self, s.isLeaving())
 		} else if s.elector.Known().IsBootstrapped() {
 			s.beatPrimary(ctx)
 		}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return state.Result{}, err
 	}
-	s.sessions.HeardStore(beat)
+	s.sessions.RenewStore(beat)
 	held, known := s.state.View.Get(feed.SectionStore, directory.StoreKey(beat.Store.Identity))
 	if known && bytes.Equal(held, beat.Store.Encode()) {
 		return state.Result{}, s.standing().MayDecide(multigroup.Now())
@@ -68,14 +68,14 @@
 
 // hostBeat keeps a host's session; only what changed is replicated.
 func (s *Server) hostBeat(ctx context.Context, beat controlclient.HostBeat) (state.Result, error) {
-	removing := s.sessions.HeardHost(beat.Host.ID, s.self.ID, multigroup.Now())
+	removing := s.sessions.RenewHost(beat.Host.ID, s.self.ID, multigroup.Now())
 	held, known := s.state.Host(beat.Host.ID)
 	if known && held == beat.Host && !removing {
 		return state.Result{}, s.standing().MayDecide(multigroup.Now())
 	}
 	result, err := s.submitHere(ctx, state.PutHost{Host: beat.Host, Seq: beat.Seq}.Encode())
 	if err == nil {
-		s.sessions.KeptHost(beat.Host.ID)
+		s.sessions.ReadmitHost(beat.Host.ID)
 	}
 	return result, err
 }
@@ -86,8 +86,8 @@
 		s.sessions.ForgetHost(id)
 		return state.Result{}, nil
 	}
-	s.sessions.RemovingHost(id)
+	s.sessions.BeginHostRemoval(id)
 	result, err := s.submitHere(ctx, state.RemoveHost{ID: id, Deregistered: deregistered}.Encode())
-	s.sessions.RemovedHost(id, err == nil)
+	s.sessions.FinishHostRemoval(id, err == nil)
 	return result, err
 }
--- a/tier/control/verdicts_test.go
+++ b/tier/control/ejection/ejector_test.go
@@ -1,4 +1,4 @@
-package control
+package ejection
 
 import (
 	"testing"
@@ -8,27 +8,27 @@
 
 // A new primary knows nothing of what was seen before, and ends the terms that it finds.
 func TestVerdictsEndUnderANewPrimary(t *testing.T) {
-	v := newVerdicts()
+	e := New()
 	fleet := func() outlier.Fleet {
 		return outlier.Fleet{"s": {{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}}
 	}
-	v.begin(map[string]int64{"a": 2000}, 5000)
-	if aside, ended := v.decide(fleet, 6999); len(aside)+len(ended) != 0 {
-		t.Fatal(aside, ended)
+	e.Begin(map[string]int64{"a": 2000}, 5000)
+	if eject, ended := e.Decide(fleet, 6999); len(eject)+len(ended) != 0 {
+		t.Fatal(eject, ended)
 	}
-	if _, ended := v.decide(fleet, 7000); len(ended) != 1 || ended[0] != "a" {
+	if _, ended := e.Decide(fleet, 7000); len(ended) != 1 || ended[0] != "a" {
 		t.Fatal(ended)
 	}
 	for reporter := range uint64(3) {
 		failed := outlier.Observation{Host: "b"}
 		failed.Counts[outlier.Hung] = 2
-		v.take(outlier.Window{Reporter: reporter + 1, Number: 1, Contacted: 9, Hosts: []outlier.Observation{failed}}, 8000)
+		e.Observe(outlier.Window{Reporter: reporter + 1, Number: 1, Contacted: 9, Hosts: []outlier.Observation{failed}}, 8000)
 	}
-	aside, _ := v.decide(fleet, 8050)
-	if len(aside) != 1 || aside[0].Host != "b" {
-		t.Fatal(aside)
+	eject, _ := e.Decide(fleet, 8050)
+	if len(eject) != 1 || eject[0].Host != "b" {
+		t.Fatal(eject)
 	}
-	if _, ended := v.decide(fleet, 8050+aside[0].DurationMS); len(ended) != 1 {
+	if _, ended := e.Decide(fleet, 8050+eject[0].DurationMS); len(ended) != 1 {
 		t.Fatal("the term never ends")
 	}
 }
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -5,10 +5,12 @@
 	"time"
 
 	"otterseam/tier/codes"
+	"otterseam/tier/control/session"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/lease"
 	"otterseam/tier/multigroup"
+	"otterseam/tier/outlier"
 	"otterseam/tier/periodic"
 	"otterseam/tier/replica"
 )
@@ -18,15 +20,6 @@
 	reportTimeout    = lease.ReportTimeout * time.Millisecond
 )
 
-// heardHost is a host's heartbeat that this process acknowledged.
-type heardHost struct {
-	beat controlclient.HostBeat
-	at   int64
-}
-
-// heardHosts is the newest such heartbeat of each host since the primary was told, by id.
-type heardHosts map[string]heardHost
-
 // keepsHost tells whether a heartbeat says what is committed already, and then keeps the host's session. Backups do so by
 // themselves and tell the primary in lists.
 func (s *Server) keepsHost(beat controlclient.HostBeat) bool {
@@ -36,51 +29,35 @@
 		return false
 	}
 	if s.host.IsPrimary(controlGroup) {
-		if removing := s.sessions.HeardHost(id, s.self.ID, multigroup.Now()); removing {
+		if removing := s.sessions.RenewHost(id, s.self.ID, multigroup.Now()); removing {
 			return false
 		}
 		return s.mayServe()
 	}
-	s.mu.Lock()
-	s.heard[id] = heardHost{beat, multigroup.Now()}
-	s.mu.Unlock()
+	s.unreported.Add(session.HostHeartbeat{Beat: beat, At: multigroup.Now()})
 	return s.mayServe()
 }
 
 func (s *Server) reportHeard(ctx context.Context) {
 	periodic.Run(ctx, reportHeardEvery, func() {
-		s.mu.Lock()
-		heard := s.heard
-		s.heard = heardHosts{}
-		s.mu.Unlock()
+		heard := s.unreported.Take()
 		if len(heard) == 0 {
 			return
 		}
 		if missing, told := s.sendHeard(ctx, heard); told {
 			s.putMissing(ctx, heard, missing)
 		} else {
-			s.keepHeard(heard)
+			s.unreported.PutBack(heard)
 		}
 	})
 }
 
-// keepHeard puts hosts back that the primary could not be told of.
-func (s *Server) keepHeard(heard heardHosts) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for id, host := range heard {
-		if _, newer := s.heard[id]; !newer {
-			s.heard[id] = host
-		}
-	}
-}
-
 // sendHeard tells the primary which hosts were heard. It returns those that the primary has removed meanwhile.
-func (s *Server) sendHeard(ctx context.Context, heard heardHosts) (missing []string, told bool) {
+func (s *Server) sendHeard(ctx context.Context, heard session.HostHeartbeats) (missing []string, told bool) {
 	report := controlclient.HostsHeard{By: s.self.ID}
 	now := multigroup.Now()
 	for id, host := range heard {
-		report.Hosts = append(report.Hosts, controlclient.HeardHost{ID: id, Age: uint32(now - host.at)})
+		report.Hosts = append(report.Hosts, controlclient.HeardHost{ID: id, Age: uint32(now - host.At)})
 	}
 	if s.host.IsPrimary(controlGroup) {
 		return s.keepSessions(report, now), true
@@ -97,14 +74,14 @@
 }
 
 // putMissing puts hosts back on the list whose heartbeats were acknowledged here while the primary removed them.
-func (s *Server) putMissing(ctx context.Context, heard heardHosts, missing []string) {
+func (s *Server) putMissing(ctx context.Context, heard session.HostHeartbeats, missing []string) {
 	for _, id := range missing {
-		beat := heard[id].beat
+		beat := heard[id].Beat
 		call, cancel := context.WithTimeout(ctx, reportTimeout)
 		_, err := s.onPrimary(call, controlclient.KindHostBeat, beat.Encode(), func() (state.Result, error) { return s.hostBeat(call, beat) })
 		cancel()
 		if err != nil {
-			s.keepHeard(heardHosts{id: heard[id]})
+			s.unreported.PutBack(session.HostHeartbeats{id: heard[id]})
 		}
 	}
 }
@@ -130,9 +107,19 @@
 func (s *Server) keepSessions(report controlclient.HostsHeard, written int64) (missing []string) {
 	for _, host := range report.Hosts {
 		_, listed := s.state.Host(host.ID)
-		if !listed || s.sessions.HeardHost(host.ID, report.By, written-int64(host.Age)) {
+		if !listed || s.sessions.RenewHost(host.ID, report.By, written-int64(host.Age)) {
 			missing = append(missing, host.ID)
 		}
 	}
 	return missing
 }
+
+// observed takes a window of a gateway.
+func (s *Server) observed(payload []byte) (state.Result, error) {
+	window, err := outlier.DecodeWindow(payload)
+	if err != nil {
+		return state.Result{}, err
+	}
+	s.ejector.Observe(window, multigroup.Now())
+	return state.Result{}, nil
+}
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -5,11 +5,15 @@
 	"strings"
 	"sync"
 
+	"github.com/sirupsen/logrus"
+
 	"otterseam/tier/codes"
+	"otterseam/tier/control/ejection"
 	"otterseam/tier/control/state"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
 	"otterseam/tier/multigroup"
+	"otterseam/tier/outlier"
 	"otterseam/tier/placement"
 	"otterseam/tier/replica"
 	"otterseam/tier/timeline"
@@ -28,7 +32,7 @@
 	s.removeSilentHosts(ctx)
 	s.removeLostStores(ctx)
 	s.placeShards(ctx)
-	s.judgeHosts(ctx)
+	s.ejectOutliers(ctx)
 }
 
 // beginSessions starts sessions anew when this process has begun to lead.
@@ -45,7 +49,7 @@
 	if began {
 		s.timeline.Reach(timeline.PrimaryReady)
 		s.sessions.Begin(s.state)
-		s.verdicts.begin(s.termsInForce(), multigroup.Now())
+		s.ejector.Begin(s.state.EjectionTerms(), multigroup.Now())
 	}
 }
 
@@ -70,7 +74,7 @@
 }
 
 func (s *Server) removeSilentHosts(ctx context.Context) {
-	for _, id := range s.sessions.SilentHosts(s.settings.Heartbeat.Milliseconds()) {
+	for _, id := range s.sessions.ExpiredHosts(s.settings.Heartbeat.Milliseconds()) {
 		if _, listed := s.state.Host(id); !listed { // a late heartbeat of one that deregistered
 			s.sessions.ForgetHost(id)
 			continue
@@ -88,7 +92,7 @@
 	cluster := s.cluster()
 	for id, store := range stores {
 		replaced := cluster.DiskLost(id)
-		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && s.sessions.storeSilentFor(id) > storeForget
+		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && s.sessions.StoreSilentFor(id) > storeForget
 		if !replaced && !idle {
 			continue
 		}
@@ -182,3 +186,17 @@
 	}
 	return state.Result{Body: []byte(retireCompleted)}, nil
 }
+
+// ejectOutliers ejects hosts that fail where their peers do not, and takes back what has lapsed.
+func (s *Server) ejectOutliers(ctx context.Context) {
+	eject, ended := s.ejector.Decide(func() outlier.Fleet { return ejection.FleetOf(s.state) }, multigroup.Now())
+	var commands []state.Command
+	for _, each := range eject {
+		s.log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host set aside: it fails where its peers do not")
+		commands = append(commands, state.EjectHost{ID: each.Host, TermMS: each.DurationMS})
+	}
+	for _, host := range ended {
+		commands = append(commands, state.ReinstateHost{ID: host})
+	}
+	s.submitAll(ctx, commands)
+}
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -173,12 +173,12 @@
 // observe gathers what is known of the control processes.
 func (s *Server) observe(ledSince int64) membership.Observation {
 	o := membership.Observation{
-		Alive:    s.sessions.Controls(),
+		Alive:    s.sessions.LiveControls(),
 		HasState: map[uint64]bool{},
 		DiskLost: s.lost,
 		Silent:   func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > lease.ControlTimeout },
 		Departed: func(id uint64) bool { return s.sessions.ControlSilentFor(id, ledSince) > controlGone },
-		Draining: s.sessions.ControlLeaving,
+		Draining: s.sessions.IsControlDraining,
 	}
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		for _, id := range g.CaughtUp(multigroup.Now()) {
@@ -232,10 +232,10 @@
 		message.Answer(codes.NotPrimary, []byte(s.primaryAddress()))
 		return
 	}
-	s.sessions.HeardControl(beat.Member, beat.Leaving)
+	s.sessions.RenewControl(beat.Member, beat.Leaving)
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
 		if asked, own := g.ProbeSentAt(beat.Question, multigroup.Now()); own {
-			s.sessions.HeardHolder(beat.Member.ID, beat.Refusals, asked)
+			s.sessions.RenewHolder(beat.Member.ID, beat.Refusals, asked)
 		}
 	})
 	var e codec.Encoder
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -15,7 +15,9 @@
 
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/ejection"
 	"otterseam/tier/control/internal/fixture"
+	"otterseam/tier/control/session"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/internal/recorded"
@@ -40,8 +42,8 @@
 	own := &settings.Settings{Bootstrap: true}
 	s := &Server{
 		settings: own, seeds: settings.NewSeeds(own), log: entry, host: host, state: state.New(), clients: clients,
-		sessions: newSessions(host.Identity), self: consensus.Member{ID: host.Identity, Address: "10.0.0.2:7402", Node: "ctl-b"},
-		seen: membership.NewIdentityTracker(), founders: map[string]consensus.Member{}, heard: heardHosts{}, verdicts: newVerdicts(),
+		sessions: session.New(host.Identity, multigroup.Now), self: consensus.Member{ID: host.Identity, Address: "10.0.0.2:7402", Node: "ctl-b"},
+		seen: membership.NewIdentityTracker(), founders: map[string]consensus.Member{}, unreported: session.NewUnreportedHosts(), ejector: ejection.New(),
 		wake: make(chan struct{}, 1),
 	}
 	if s.elector, err = newElector(host, clients, s.self.Address, membership.Policy{Tolerate: 1}, entry); err != nil {
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -13,6 +13,8 @@
 
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/ejection"
+	"otterseam/tier/control/session"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/feed"
@@ -45,7 +47,7 @@
 	publisher *feed.Publisher
 	clients   *rpc.Clients
 	primary   *controlclient.Client
-	sessions  *Sessions
+	sessions  *session.Sessions
 	self      consensus.Member
 	startedAt int64
 
@@ -59,16 +61,16 @@
 	seen     *membership.IdentityTracker
 	founders map[string]consensus.Member // by address
 	leaving  bool
-	heard    heardHosts // hosts heard since the primary was told
-	leading  uint64     // the entry that opened the lead for which sessions were begun
+	leading  uint64 // the entry that opened the lead for which sessions were begun
 	ledSince int64
 
 	reachedSince int64 // start of the newest question that the primary answered
 
-	wake     chan struct{} // has Supervise look at once; holds one at the start
-	refusals atomic.Uint64 // heartbeats refused for want of a lease
-	timeline *timeline.Timeline
-	verdicts *verdicts
+	wake       chan struct{} // has Supervise look at once; holds one at the start
+	refusals   atomic.Uint64 // heartbeats refused for want of a lease
+	timeline   *timeline.Timeline
+	ejector    *ejection.Ejector
+	unreported *session.UnreportedHosts
 }
 
 // New opens the state of a control process.
@@ -85,21 +87,21 @@
 	}
 	line.Reach(timeline.DiskRead)
 	server := &Server{
-		settings:  s,
-		seeds:     settings.NewSeeds(s),
-		log:       log,
-		host:      host,
-		state:     state.New(),
-		clients:   clients,
-		sessions:  newSessions(host.Identity),
-		self:      consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
-		startedAt: multigroup.Now(),
-		seen:      membership.NewIdentityTracker(),
-		founders:  map[string]consensus.Member{},
-		heard:     heardHosts{},
-		timeline:  line,
-		verdicts:  newVerdicts(),
-		wake:      make(chan struct{}, 1),
+		settings:   s,
+		seeds:      settings.NewSeeds(s),
+		log:        log,
+		host:       host,
+		state:      state.New(),
+		clients:    clients,
+		sessions:   session.New(host.Identity, multigroup.Now),
+		self:       consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
+		startedAt:  multigroup.Now(),
+		seen:       membership.NewIdentityTracker(),
+		founders:   map[string]consensus.Member{},
+		unreported: session.NewUnreportedHosts(),
+		timeline:   line,
+		ejector:    ejection.New(),
+		wake:       make(chan struct{}, 1),
 
 		beatHere:      []byte(`{"beat_target":"` + s.ListenControl + `"}`),
 		beatElsewhere: []byte(`{}`),
--- /dev/null
+++ b/tier/control/session/stores.go
@@ -0,0 +1,41 @@
+package session
+
+import (
+	"otterseam/tier/controlclient"
+	"otterseam/tier/directory"
+	"otterseam/tier/placement"
+)
+
+// RenewStore keeps a store's session.
+func (s *Sessions) RenewStore(beat controlclient.StoreBeat) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stores.Renew(beat.Store.Identity, beat.Store.Boot, beat.Leaving, s.now())
+}
+
+// Machines describes the store machines for placement.
+func (s *Sessions) Machines(stores map[uint64]directory.Store, retiring func(node string) bool) map[uint64]placement.Machine {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	machines := make(map[uint64]placement.Machine, len(stores))
+	for id, store := range stores {
+		s.stores.Expect(id, store.Boot, now)
+		machines[id] = placement.Machine{
+			Store:       store,
+			Alive:       s.stores.IsAlive(id, store.Boot, now),
+			Unconfirmed: s.stores.IsUnconfirmed(id),
+			Away:        s.stores.IsAway(id, now),
+			Draining:    s.stores.IsDraining(id),
+			Retiring:    retiring(store.Node),
+		}
+	}
+	return machines
+}
+
+// StoreSilentFor is for how many milliseconds a store was not heard.
+func (s *Sessions) StoreSilentFor(id uint64) int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stores.SilentFor(id, s.now())
+}
--- /dev/null
+++ b/tier/control/session/unreported.go
@@ -0,0 +1,52 @@
+package session
+
+import (
+	"sync"
+
+	"otterseam/tier/controlclient"
+)
+
+// HostHeartbeat is a host's heartbeat that this process acknowledged.
+type HostHeartbeat struct {
+	Beat controlclient.HostBeat
+	At   int64 // when it came, on this process's clock in milliseconds
+}
+
+// HostHeartbeats is the newest such heartbeat of each host, by id.
+type HostHeartbeats map[string]HostHeartbeat
+
+// UnreportedHosts holds the heartbeats of hosts that the primary was not told of yet.
+type UnreportedHosts struct {
+	mu    sync.Mutex // guards hosts
+	hosts HostHeartbeats
+}
+
+// NewUnreportedHosts makes an empty list.
+func NewUnreportedHosts() *UnreportedHosts { return &UnreportedHosts{hosts: HostHeartbeats{}} }
+
+// Add notes a heartbeat in place of an older one of the host.
+func (u *UnreportedHosts) Add(heartbeat HostHeartbeat) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.hosts[heartbeat.Beat.Host.ID] = heartbeat
+}
+
+// Take returns what was noted since the last time.
+func (u *UnreportedHosts) Take() HostHeartbeats {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	taken := u.hosts
+	u.hosts = HostHeartbeats{}
+	return taken
+}
+
+// PutBack notes heartbeats again that the primary could not be told of, unless newer ones have come.
+func (u *UnreportedHosts) PutBack(heartbeats HostHeartbeats) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for id, heartbeat := range heartbeats {
+		if _, newer := u.hosts[id]; !newer {
+			u.hosts[id] = heartbeat
+		}
+	}
+}
--- a/tier/control/stop.go
+++ b/tier/control/stop.go
@@ -72,7 +72,7 @@
 	known := s.elector.Known()
 	for _, id := range known.InSync {
 		member, found := known.Member(id)
-		if id == s.self.ID || !found || s.sessions.ControlLeaving(id) {
+		if id == s.self.ID || !found || s.sessions.IsControlDraining(id) {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, proposeTimeout)
