--- a/tier/control/failover.go
+++ b/tier/control/failover.go
@@ -78,7 +78,7 @@
 		NamedPrimary:    known.Primary == s.self.ID,
 		HasLed:          s.elector.hasLed(),
 		Rank:            rank(known, s.self.ID),
-		Jitter:          rand.Int64N(lease.SuspectStep),
+		Jitter:          rand.Int64N(lease.ElectionStagger),
 		DiskDegraded:    s.host.DiskDegraded(),
 	}
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
--- a/tier/control/simelect_test.go
+++ b/tier/control/simelect_test.go
@@ -14,7 +14,7 @@
 	situation := lease.FailoverInput{
 		Now: m.clock(), StartedAt: m.origin, RecordLearnedAt: m.learned, PrimaryConfirmedAt: m.group.PrimaryConfirmedAt(),
 		InSync: m.known.IsInSync(m.id), Leads: m.group.IsPrimary(), NamedPrimary: m.known.Primary == m.id, HasLed: m.hasLed,
-		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.SuspectStep),
+		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.ElectionStagger),
 	}
 	switch situation.Next() {
 	case lease.ActionLocatePrimary:
--- a/tier/lease/host_sessions.go
+++ b/tier/lease/host_sessions.go
@@ -13,7 +13,7 @@
 type hostSession struct {
 	heardAt   int64
 	holder    uint64 // the control process that heard it last, 0 if no one has told this primary
-	doubtedAt int64  // when this primary last knew nothing of the host's way; what is heard later may be old
+	graceFrom int64  // when this primary last knew nothing of the host's way; what is heard later may be old
 }
 
 // holder is a control process that keeps sessions of hosts.
@@ -33,22 +33,22 @@
 	s.hosts = make(map[string]hostSession, len(hosts))
 	clear(s.removing)
 	for _, id := range hosts {
-		s.hosts[id] = hostSession{heardAt: now, doubtedAt: now}
+		s.hosts[id] = hostSession{heardAt: now, graceFrom: now}
 	}
 }
 
 // Restart starts all sessions anew, after this process stood still.
 func (s *HostSessions) Restart(now int64) {
 	for id := range s.hosts {
-		s.hosts[id] = hostSession{heardAt: now, doubtedAt: now}
+		s.hosts[id] = hostSession{heardAt: now, graceFrom: now}
 	}
 }
 
-// Renew keeps a host's session, for the control process that heard the host at a time. It tells whether a removal of the host may be under way: then the heartbeat is worth nothing
-// unless it is committed behind the removal.
+// Renew renews a host's session, for the control process that heard the host at a time. It tells whether a removal of the host may
+// be in flight: then the heartbeat is worth nothing unless it is committed behind the removal.
 func (s *HostSessions) Renew(id string, by uint64, at int64) (removing bool) {
-	if held := s.hosts[id]; at > held.heardAt {
-		s.hosts[id] = hostSession{heardAt: at, holder: by, doubtedAt: held.doubtedAt}
+	if session := s.hosts[id]; at > session.heardAt {
+		s.hosts[id] = hostSession{heardAt: at, holder: by, graceFrom: session.graceFrom}
 	}
 	return s.removing[id]
 }
@@ -66,7 +66,7 @@
 		return
 	}
 	if _, heard := s.hosts[id]; !heard {
-		s.hosts[id] = hostSession{heardAt: now, doubtedAt: now}
+		s.hosts[id] = hostSession{heardAt: now, graceFrom: now}
 	}
 }
 
@@ -76,45 +76,45 @@
 // RenewHolder notes that a control process has answered what this one asked at a time, and how many heartbeats it has refused for
 // want of a lease: the hosts that it sent away are on their way to another.
 func (s *HostSessions) RenewHolder(id, refusals uint64, asked, now int64) {
-	held, known := s.holders[id]
-	if known && (now-held.heardAt > HolderTimeout || refusals != held.refusals) {
-		held.recoveredAt = now
+	observed, known := s.holders[id]
+	if known && (now-observed.heardAt > HolderTimeout || refusals != observed.refusals) {
+		observed.recoveredAt = now
 	}
-	held.refusals = refusals
-	held.heardAt = max(held.heardAt, asked)
-	s.holders[id] = held
+	observed.refusals = refusals
+	observed.heardAt = max(observed.heardAt, asked)
+	s.holders[id] = observed
 }
 
 // Forget ends a host's session.
 func (s *HostSessions) Forget(id string) { delete(s.hosts, id) }
 
-// Expired lists the hosts whose sessions have ended, for heartbeats of the given length.
+// Expired lists the hosts whose sessions have expired, in order, where a host sends a heartbeat each heartbeat milliseconds.
 func (s *HostSessions) Expired(heartbeat, now int64) []string {
-	var silent []string
+	var expired []string
 	for id, session := range s.hosts {
 		if now > s.expiryOf(session, heartbeat, now) {
-			silent = append(silent, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Strings(silent)
-	return silent
+	sort.Strings(expired)
+	return expired
 }
 
 // expiryOf is when a session ends unless the host is heard. The silence of a host may be the fault of the control process that
 // kept it, or of the one that led before; then there is time for the host to find another. That time is never cut short by a
 // report, which may have been on its way for long.
 func (s *HostSessions) expiryOf(session hostSession, heartbeat, now int64) int64 {
-	patience := MaxMissedHeartbeats * heartbeat
-	end := session.heardAt + patience
-	if session.doubtedAt > 0 {
-		end = max(end, session.doubtedAt+patience+HostGrace)
+	timeout := MaxMissedHeartbeats * heartbeat
+	end := session.heardAt + timeout
+	if session.graceFrom > 0 {
+		end = max(end, session.graceFrom+timeout+HostGrace)
 	}
-	held := s.holders[session.holder]
-	if now-held.heardAt > HolderTimeout {
-		return max(end, max(session.heardAt, held.heardAt)+patience+HostGrace)
+	keeper := s.holders[session.holder]
+	if now-keeper.heardAt > HolderTimeout {
+		return max(end, max(session.heardAt, keeper.heardAt)+timeout+HostGrace)
 	}
-	if held.recoveredAt > 0 {
-		return max(end, held.recoveredAt+patience+HostGrace)
+	if keeper.recoveredAt > 0 {
+		return max(end, keeper.recoveredAt+timeout+HostGrace)
 	}
 	return end
 }
--- /dev/null
+++ b/tier/lease/status_test.go
@@ -0,0 +1,41 @@
+package lease
+
+import (
+	"errors"
+	"testing"
+
+	"otterseam/tier/codes"
+)
+
+func TestEveryAnswerHasABasis(t *testing.T) {
+	for answer := ConfigChange; answer <= SessionEnd; answer++ {
+		if _, found := bases[answer]; !found {
+			t.Errorf("answer %d rests on nothing", answer)
+		}
+	}
+}
+
+func TestNobodyAnswersWithoutALease(t *testing.T) {
+	const now = 10_000
+	fresh, old := int64(now-TTL+1), int64(now-TTL)
+	for name, step := range map[string]struct {
+		status  Status
+		decide  error
+		forward error
+		serve   bool
+	}{
+		"primary":                  {Status{Primary, true, fresh}, nil, nil, true},
+		"primary, lease over":      {Status{Primary, true, old}, codes.Unavailable, codes.Unavailable, false},
+		"primary, never answered":  {Status{Primary, true, 0}, codes.Unavailable, codes.Unavailable, false},
+		"primary, not ready":       {Status{Primary, false, fresh}, codes.NotPrimary, nil, false},
+		"backup":                   {Status{Backup, false, fresh}, codes.NotPrimary, nil, true},
+		"backup, lease over":       {Status{Backup, false, old}, codes.NotPrimary, codes.Unavailable, false},
+		"outsider":                 {Status{Outsider, false, fresh}, codes.NotPrimary, nil, false},
+		"outsider, out of contact": {Status{Outsider, false, old}, codes.NotPrimary, codes.Unavailable, false},
+	} {
+		s := step.status
+		if !errors.Is(s.MayDecide(now), step.decide) || !errors.Is(s.MayForward(now), step.forward) || s.MayServe(now) != step.serve {
+			t.Errorf("%s: decide %v, forward %v, serve %v", name, s.MayDecide(now), s.MayForward(now), s.MayServe(now))
+		}
+	}
+}
--- a/tier/lease/store_sessions.go
+++ b/tier/lease/store_sessions.go
@@ -1,6 +1,6 @@
 package lease
 
-// StoreSessions is who of the stores was heard when. The primary keeps it.
+// StoreSessions is who of the stores was heard when, and in which of its boots. The primary keeps it.
 type StoreSessions struct {
 	stores map[uint64]storeSession
 }
@@ -41,9 +41,9 @@
 	}
 }
 
-// Renew keeps a store's session.
-func (s *StoreSessions) Renew(id, boot uint64, leaving bool, now int64) {
-	s.stores[id] = storeSession{heardAt: now, boot: boot, draining: leaving}
+// Renew renews the session of a store, by the boot that sent the heartbeat.
+func (s *StoreSessions) Renew(id, boot uint64, draining bool, now int64) {
+	s.stores[id] = storeSession{heardAt: now, boot: boot, draining: draining}
 }
 
 // IsAlive tells whether a store's session of that start of its holds.
@@ -52,11 +52,11 @@
 	if !known || session.boot != boot {
 		return false
 	}
-	patience := int64(StoreTimeout)
+	timeout := int64(StoreTimeout)
 	if session.unconfirmed {
-		patience = StoreFirstTimeout
+		timeout = StoreFirstTimeout
 	}
-	return now-session.heardAt <= patience
+	return now-session.heardAt <= timeout
 }
 
 // IsUnconfirmed tells whether this primary has not heard the store yet.
--- a/tier/lease/bounds.go
+++ b/tier/lease/timeouts.go
@@ -1,24 +1,27 @@
-// Package lease decides what a control process may stand behind: for how long its proof of contact carries an answer, when
-// it gives up the lead, when it may try to replace a primary, and when a session has ended. The package is pure: times are given
-// to it, in milliseconds of the process's own steady clock.
 package lease
 
-// The bounds of control, in milliseconds. How they hang together is checked by TestTheSuccessorOutwaitsEveryPromise and the
-// other tests of this file.
+// The lease of a primary and its succession, in milliseconds. They stand in the order
+// LeaderStickiness < ElectionTimeout < TTL < StepDownAfter.
 const (
-	// TTL is how long after the start of its newest confirmed question a process may stand behind its answers.
+	// TTL is how long after the start of its newest confirmed question a process may answer for the group.
 	TTL = 800
 	// StepDownAfter is how long a primary leads on without the answers of a majority.
 	StepDownAfter = 1000
-	// SuspectAfter is how long after the last proof that a majority stands behind the primary a backup tries to replace it.
-	SuspectAfter = 620
-	// SuspectStep is how much longer each further candidate waits.
-	SuspectStep = 120
-	// DegradedDelay is how much longer a candidate waits whose disk does not do its work, so that others come first.
+	// ElectionTimeout is how long after the last proof that a majority stands behind the primary a backup tries to replace it.
+	ElectionTimeout = 620
+	// ElectionStagger is how much longer each further candidate waits.
+	ElectionStagger = 120
+	// DegradedDelay is how much longer a candidate waits whose disk does not do its work, so that others come first. It is longer
+	// than the stagger of two candidates.
 	DegradedDelay = 1000
-	// StickyFor is how long after such a proof a voter helps nobody to replace the primary.
-	StickyFor = 400
+	// LeaderStickiness is how long after such a proof a voter helps nobody to replace the primary.
+	LeaderStickiness = 400
+)
 
+// Sessions of hosts, in milliseconds where they are times. A new primary waits longer than a host may need to reach it:
+// TTL + 1.5 heartbeats + MaxHostAttempts*HostAttemptTimeout + ReportInterval + ReportTimeout <
+// MaxMissedHeartbeats heartbeats + HostGrace.
+const (
 	// MaxMissedHeartbeats is how many of its heartbeats a host may miss.
 	MaxMissedHeartbeats = 4
 	// HostAttemptTimeout is how long a host waits for the answer to a heartbeat before it calls another control process.
@@ -27,14 +30,20 @@
 	MaxHostAttempts = 2
 	// ReportInterval is how often a backup tells the primary which hosts it has heard.
 	ReportInterval = 300
-	// ReportTimeout is how long it waits for the answer.
+	// ReportTimeout is how long a backup waits for the answer to a report.
 	ReportTimeout = 350
 	// HostGrace is how much longer a host's session lasts when its silence may be the fault of control.
 	HostGrace = 3500
-	// HolderTimeout is how long the primary may miss a control process before it doubts the silence of the hosts kept there.
+	// HolderTimeout is how long the primary may miss a control process before it doubts the silence of the hosts whose sessions
+	// are kept there. It ends before such a host has missed its heartbeats:
+	// HolderTimeout + 1.5 heartbeats + ReportInterval < MaxMissedHeartbeats heartbeats.
 	HolderTimeout = 440
+)
 
-	// StoreHeartbeatInterval is how often a store keeps its session.
+// Sessions of stores, in milliseconds. A new primary waits longer than a store may need to reach it:
+// TTL + StoreHeartbeatInterval + PrimaryAttemptTimeout + 2*PrimaryRetryInterval < StoreFirstTimeout.
+const (
+	// StoreHeartbeatInterval is how often a store renews its session.
 	StoreHeartbeatInterval = 120
 	// PrimaryAttemptTimeout is how long a caller of the primary waits before it calls another control process.
 	PrimaryAttemptTimeout = 450
@@ -46,11 +55,14 @@
 	StoreFirstTimeout = 1500
 	// StoreAwayAfter is how long a store may be silent before its shards are placed elsewhere.
 	StoreAwayAfter = 4000
+)
 
+// Control processes of each other and of themselves, in milliseconds.
+const (
 	// ControlTimeout is how long a control process may be silent before another may take its place as a member.
 	ControlTimeout = 2500
-	// StallThreshold is how long a process may go without a tick of its own before it doubts what it holds of others.
+	// StallThreshold is how long a process may go without a tick of its own before it distrusts what it holds of others.
 	StallThreshold = 300
-	// CheckInterval is how often a process looks whether it still has authority.
+	// CheckInterval is how often a process checks whether it still has a lease.
 	CheckInterval = 50
 )
