--- a/cmd/otterseam-quotastore/main.go
+++ b/cmd/otterseam-quotastore/main.go
@@ -49,11 +49,11 @@
 	debug.SetGCPercent(300)
 	debug.SetMemoryLimit(int64(0.7 * c.Memory * (1 << 20)))
 	signal.Ignore(syscall.SIGXFSZ) // a file that can't grow is an error of the write, which is handled
-	l, err := server.ReadList(c.List)
+	l, err := server.ReadClusterConfig(c.List)
 	if err != nil {
 		return err
 	}
-	k, err := server.New(l, server.Place{Name: c.Name, Dir: c.Dir, Peer: c.Peer, Door: c.Door}, log)
+	k, err := server.New(l, server.Options{Name: c.Name, Dir: c.Dir, PeerAddress: c.Peer, CounterAddress: c.Door}, log)
 	if err != nil {
 		return err
 	}
@@ -72,12 +72,12 @@
 			case <-ctx.Done():
 				return nil
 			case <-again:
-				l, err := server.ReadList(c.List)
+				l, err := server.ReadClusterConfig(c.List)
 				if err != nil {
 					log.Error().Err(err).Msg("new list not taken up")
 					continue
 				}
-				k.Take(l)
+				k.Reconfigure(l)
 			}
 		}
 	})
@@ -96,7 +96,7 @@
 }
 
 func (c *foundCmd) Run() error {
-	l, err := server.ReadList(c.List)
+	l, err := server.ReadClusterConfig(c.List)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		s, err := server.ReadSnapshot(text)
+		s, err := server.DecodeSnapshot(text)
 		if err != nil {
 			return err
 		}
@@ -121,26 +121,26 @@
 			"- use counted since is not handed out, and batches taken over since come again under their numbers.\n",
 			time.Unix(s.Taken, 0).UTC().Format(time.RFC3339), time.Since(time.Unix(s.Taken, 0)).Seconds())
 	}
-	id, err := server.Found(l, states, c.Wait)
+	id, err := server.Bootstrap(l, states, c.Wait)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("founded installation %016x: %d keepers, %d groups of %d copies\n", id, len(l.Keepers), l.Groups, l.Copies)
+	fmt.Printf("founded installation %016x: %d keepers, %d groups of %d copies\n", id, len(l.Servers), l.Groups, l.Replicas)
 	return nil
 }
 
 type statusCmd struct{ listed }
 
 func (c *statusCmd) Run() error {
-	l, err := server.ReadList(c.List)
+	l, err := server.ReadClusterConfig(c.List)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	leads := map[int]protocol.GroupHealth{}
 	fmt.Fprintln(w, "keeper\tzone\tlife\tleads\tholds\t")
-	for _, spot := range l.Keepers {
-		a, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second)
+	for _, spot := range l.Servers {
+		a, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second)
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%s\t%v\t\t\t\n", spot.Name, spot.Zone, err)
 			continue
@@ -169,14 +169,14 @@
 		}
 		by := ""
 		for _, id := range h.Replicas {
-			if n := id.Number(); n < len(l.Keepers) {
-				by += l.Keepers[n].Name + " "
+			if n := id.Number(); n < len(l.Servers) {
+				by += l.Servers[n].Name + " "
 			}
 		}
 		if !h.Stable {
 			by += "(changing)"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t\n", g, l.Keepers[h.Leader].Name, by, h.Counters)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t\n", g, l.Servers[h.Leader].Name, by, h.Counters)
 	}
 	w.Flush()
 	if len(leads) < l.Groups {
@@ -191,15 +191,15 @@
 }
 
 func (c *saveCmd) Run() error {
-	l, err := server.ReadList(c.List)
+	l, err := server.ReadClusterConfig(c.List)
 	if err != nil {
 		return err
 	}
-	s, err := server.Save(l, time.Now())
+	s, err := server.TakeSnapshot(l, time.Now())
 	if err != nil {
 		return err
 	}
-	return s.Put(c.To)
+	return s.WriteFile(c.To)
 }
 
 type takeCmd struct {
@@ -208,13 +208,13 @@
 }
 
 func (c *takeCmd) Run() error {
-	l, err := server.ReadList(c.List)
+	l, err := server.ReadClusterConfig(c.List)
 	if err != nil {
 		return err
 	}
 	var all []error
-	for _, spot := range l.Keepers {
-		a, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: c.Batch}, 5*time.Second)
+	for _, spot := range l.Servers {
+		a, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: c.Batch}, 5*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -72,7 +72,7 @@
 }
 
 // startRecorded starts three stores of this build on the recorded folders, and waits until each group has a leader.
-func startRecorded(t *testing.T) (*server.List, *acknowledged) {
+func startRecorded(t *testing.T) (*server.ClusterConfig, *acknowledged) {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "store")
@@ -87,15 +87,15 @@
 	if err := json.Unmarshal(text, want); err != nil {
 		t.Fatal(err)
 	}
-	list := &server.List{Groups: 3, Copies: 3, Lost: 30, Rate: 4e6, Log: 64}
+	list := &server.ClusterConfig{Groups: 3, Replicas: 3, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64}
 	for i := range want.Lives {
-		spot := server.Spot{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
-		for _, to := range []*string{&spot.Peer, &spot.Door} {
+		spot := server.ServerConfig{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
+		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
 			if *to, err = sockets.Free(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		list.Keepers = append(list.Keepers, spot)
+		list.Servers = append(list.Servers, spot)
 	}
 	path := filepath.Join(dir, "list.json")
 	if text, err = json.Marshal(list); err != nil {
@@ -104,7 +104,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for _, spot := range list.Keepers {
+	for _, spot := range list.Servers {
 		unpack(t, filepath.Join(recordedFolder, spot.Name), filepath.Join(dir, spot.Name, "held"))
 		process, err := childprocess.StartWith([]string{program, "run", "--list", path, "--name", spot.Name, "--dir", "held"}, spot.Name, dir)
 		if err != nil {
@@ -123,13 +123,13 @@
 	return list, want
 }
 
-func awaitLeaders(t *testing.T, list *server.List) {
+func awaitLeaders(t *testing.T, list *server.ClusterConfig) {
 	t.Helper()
 	led := map[int]bool{}
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
-		for _, spot := range list.Keepers {
-			answer, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
+		for _, spot := range list.Servers {
+			answer, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 			if err != nil {
 				continue
 			}
@@ -230,8 +230,8 @@
 func TestRecordedFoldersAreServed(t *testing.T) {
 	leakcheck.Check(t)
 	list, want := startRecorded(t)
-	for i, spot := range list.Keepers {
-		answer, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, 5*time.Second)
+	for i, spot := range list.Servers {
+		answer, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,13 +240,13 @@
 				answer.Incarnation, answer.Cluster, want.Lives[i], want.Cluster)
 		}
 		for name, sum := range want.Totals {
-			if got := total(t, spot.Door, name); got != fmt.Sprint(sum) {
+			if got := total(t, spot.CounterAddress, name); got != fmt.Sprint(sum) {
 				t.Errorf("%s stands at %s at store %d, %v was acknowledged", name, got, i, sum)
 			}
 		}
 	}
 	// Words of a lower order than the recorded ones change nothing, and are answered with what stands.
-	g := newGuest(t, list.Keepers[1].Peer)
+	g := newGuest(t, list.Servers[1].PeerAddress)
 	for i := range 6 {
 		name := fmt.Sprint("name-", i)
 		part := g.ask(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
@@ -270,12 +270,12 @@
 }
 
 // checkUse asks for the batch handed out last once more, and for the next: what was counted after the one before.
-func checkUse(t *testing.T, list *server.List, want *acknowledged) {
+func checkUse(t *testing.T, list *server.ClusterConfig, want *acknowledged) {
 	t.Helper()
 	take := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			answer, err := server.Command(list.Keepers[2].Peer, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
+			answer, err := server.SendCommand(list.Servers[2].PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
 			if err == nil {
 				return answer.Usage
 			}
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -31,7 +31,7 @@
 	o       Options
 	day     *scenario.Keepers
 	seed    uint64
-	direct  *server.List // at their own addresses
+	direct  *server.ClusterConfig // at their own addresses
 	lists   []string     // files, by keeper
 	procs   []*childprocess.Child
 	all     []*childprocess.Child
@@ -45,30 +45,30 @@
 func newKeepers(ctx context.Context, r *rig, o Options, d *scenario.Keepers, seed uint64) (*keepers, error) {
 	k := &keepers{rig: r, o: o, day: d, seed: seed, witness: newWitness()}
 	n := d.Count.N()
-	k.direct = &server.List{Groups: d.Groups.N(), Copies: min(d.Copies.N(), n), Lost: d.Lost.V(), Rate: 4e6, Log: 4096}
+	k.direct = &server.ClusterConfig{Groups: d.Groups.N(), Replicas: min(d.Copies.N(), n), ReplaceAfter: d.Lost.V(), SnapshotRate: 4e6, MaxLogEntries: 4096}
 	for i := range n {
-		spot := server.Spot{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
-		for _, to := range []*string{&spot.Peer, &spot.Door} {
+		spot := server.ServerConfig{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
+		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
 			addr, err := sockets.Free()
 			if err != nil {
 				return k, err
 			}
 			*to = addr
 		}
-		k.direct.Keepers = append(k.direct.Keepers, spot)
+		k.direct.Servers = append(k.direct.Servers, spot)
 	}
 	for i := range n {
 		l := *k.direct
-		l.Keepers = slices.Clone(k.direct.Keepers)
-		for j := range l.Keepers {
+		l.Servers = slices.Clone(k.direct.Servers)
+		for j := range l.Servers {
 			if j == i || o.direct {
 				continue
 			}
-			addr, err := r.link(keeperEnd(i), keeperEnd(j)).Serve(func() (net.Conn, error) { return net.Dial("tcp", k.direct.Keepers[j].Peer) })
+			addr, err := r.link(keeperEnd(i), keeperEnd(j)).Serve(func() (net.Conn, error) { return net.Dial("tcp", k.direct.Servers[j].PeerAddress) })
 			if err != nil {
 				return k, err
 			}
-			l.Keepers[j].Peer = addr
+			l.Servers[j].PeerAddress = addr
 		}
 		text, err := json.Marshal(&l)
 		if err != nil {
@@ -89,7 +89,7 @@
 			return k, err
 		}
 	}
-	if _, err := server.Found(k.direct, nil, 30*time.Second); err != nil {
+	if _, err := server.Bootstrap(k.direct, nil, 30*time.Second); err != nil {
 		return k, err
 	}
 	return k, k.whole(ctx, 30*time.Second)
@@ -98,8 +98,8 @@
 func keeperEnd(n int) string { return fmt.Sprintf("keeper %d", n) }
 
 func (k *keepers) start(i int) error {
-	spot := k.direct.Keepers[i]
-	args := []string{k.o.Keeper, "run", "--list", k.lists[i], "--name", spot.Name, "--peer", spot.Peer, "--door", spot.Door}
+	spot := k.direct.Servers[i]
+	args := []string{k.o.Keeper, "run", "--list", k.lists[i], "--name", spot.Name, "--peer", spot.PeerAddress, "--door", spot.CounterAddress}
 	if k.day.Disk {
 		args = append(args, "--dir", "held")
 	}
@@ -140,8 +140,8 @@
 
 // who asks all keepers how they stand.
 func (k *keepers) who() (all []*protocol.Admin) {
-	for _, spot := range k.direct.Keepers {
-		a, err := server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
+	for _, spot := range k.direct.Servers {
+		a, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 		if err != nil {
 			a = nil
 		}
@@ -282,8 +282,8 @@
 // operator writes the operator's file of an api gateway, by which it has keepers hold things, each over a link of its own.
 func (k *keepers) operator(e int) (string, error) {
 	var addrs []string
-	for i, spot := range k.direct.Keepers {
-		addr, err := k.rig.link(edge(e), keeperEnd(i)).Inside(func(c net.Conn) { k.frames(e, c, spot.Peer) })
+	for i, spot := range k.direct.Servers {
+		addr, err := k.rig.link(edge(e), keeperEnd(i)).Inside(func(c net.Conn) { k.frames(e, c, spot.PeerAddress) })
 		if err != nil {
 			return "", err
 		}
@@ -365,8 +365,8 @@
 
 // door leads an api gateway's calls in the counter's protocol to a keeper's door, and notes them.
 func (k *keepers) door(e int, c net.Conn) {
-	spot := k.direct.Keepers[e%len(k.procs)]
-	up, err := net.Dial("tcp", spot.Door)
+	spot := k.direct.Servers[e%len(k.procs)]
+	up, err := net.Dial("tcp", spot.CounterAddress)
 	if err != nil {
 		c.(interface{ SetLinger(int) error }).SetLinger(0)
 		c.Close()
--- a/harness/fleet/keepers_test.go
+++ b/harness/fleet/keepers_test.go
@@ -121,8 +121,8 @@
 			t.Fatal(err)
 		}
 		var peers []string
-		for _, spot := range k.direct.Keepers {
-			peers = append(peers, spot.Peer)
+		for _, spot := range k.direct.Servers {
+			peers = append(peers, spot.PeerAddress)
 		}
 		text, _ := json.Marshal(map[string]any{"copies": map[string]any{"keepers": peers, "marks": true}})
 		path := filepath.Join(dir, "operator.json")
--- a/harness/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -55,7 +55,7 @@
 	}
 	for range times {
 		leader, lost := k.leading()
-		door := k.direct.Keepers[(leader+1)%copies].Door
+		door := k.direct.Servers[(leader+1)%copies].CounterAddress
 		p := k.process(leader)
 		begin := time.Now()
 		p.Kill()
@@ -100,7 +100,7 @@
 			ok = ok && a != nil
 			for _, h := range led(a) {
 				leaders++
-				ok = ok && h.Stable && h.AllInSync && len(h.Replicas) == k.direct.Copies
+				ok = ok && h.Stable && h.AllInSync && len(h.Replicas) == k.direct.Replicas
 				for _, id := range h.Replicas {
 					b := all[id.Number()]
 					ok = ok && b != nil && b.Incarnation == id.Incarnation() && b.Health[h.Group].Stable && slices.Equal(b.Health[h.Group].Replicas, h.Replicas)
@@ -123,8 +123,8 @@
 		return 0, nil, nil, err
 	}
 	var doors []string
-	for _, spot := range k.direct.Keepers[:copies-1] {
-		doors = append(doors, spot.Door)
+	for _, spot := range k.direct.Servers[:copies-1] {
+		doors = append(doors, spot.CounterAddress)
 	}
 	run := func(turn bool, rate float64, length time.Duration) (*sim.LoadResult, error) {
 		l := sim.Load{Addresses: doors, Rate: rate, Duration: length, Conns: 4, Keys: names, HotKey: !turn, RoundRobin: turn}
--- a/harness/fleet/witness.go
+++ b/harness/fleet/witness.go
@@ -275,7 +275,7 @@
 	begun := time.Now()
 	var states []*statemachine.State
 	for {
-		s, err := server.Save(k.direct, time.Now())
+		s, err := server.TakeSnapshot(k.direct, time.Now())
 		states = nil
 		settled := err == nil
 		if err == nil {
@@ -387,8 +387,8 @@
 		var a *protocol.Admin
 		var err error
 		for try := range 20 {
-			spot := k.direct.Keepers[try%len(k.direct.Keepers)]
-			if a, err = server.Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 3*time.Second); err == nil {
+			spot := k.direct.Servers[try%len(k.direct.Servers)]
+			if a, err = server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 3*time.Second); err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/quotastore/server/command.go
+++ b/quotastore/server/command.go
@@ -20,7 +20,7 @@
 )
 
 // Command asks one keeper something.
-func Command(addr string, a *protocol.Admin, limit time.Duration) (*protocol.Admin, error) {
+func SendCommand(addr string, a *protocol.Admin, limit time.Duration) (*protocol.Admin, error) {
 	c, err := net.DialTimeout("tcp", addr, min(limit, 2*time.Second))
 	if err != nil {
 		return nil, err
@@ -51,18 +51,18 @@
 
 // Found founds an installation: all keepers of the list have to be there, and belong to none. states are of a snapshot;
 // nil: it begins empty.
-func Found(l *List, states map[int][]byte, limit time.Duration) (cluster uint64, err error) {
-	f := &protocol.Bootstrap{Groups: l.Groups, Replicas: l.Copies, Snapshots: states}
+func Bootstrap(l *ClusterConfig, states map[int][]byte, limit time.Duration) (cluster uint64, err error) {
+	f := &protocol.Bootstrap{Groups: l.Groups, Replicas: l.Replicas, Snapshots: states}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
 	}
 	f.Cluster = binary.BigEndian.Uint64(b[:]) | 1
 	until := time.Now().Add(limit)
-	for i, spot := range l.Keepers {
+	for i, spot := range l.Servers {
 		var who *protocol.Admin
 		for {
-			if who, err = Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second); err == nil || time.Now().After(until) {
+			if who, err = SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second); err == nil || time.Now().After(until) {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -78,8 +78,8 @@
 		f.Members = append(f.Members, protocol.NewReplicaID(i, who.Incarnation))
 	}
 	var missed []error
-	for i, spot := range l.Keepers {
-		if _, err := Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationBootstrap, Bootstrap: f}, max(5*time.Second, time.Until(until))); err != nil {
+	for i, spot := range l.Servers {
+		if _, err := SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationBootstrap, Bootstrap: f}, max(5*time.Second, time.Until(until))); err != nil {
 			if i == 0 {
 				return 0, fmt.Errorf("keeper %s: %w; nothing was founded", spot.Name, err)
 			}
@@ -97,11 +97,11 @@
 }
 
 // Save asks all keepers for the groups that they lead.
-func Save(l *List, now time.Time) (*Snapshot, error) {
+func TakeSnapshot(l *ClusterConfig, now time.Time) (*Snapshot, error) {
 	s := &Snapshot{Taken: now.Unix(), Groups: l.Groups, States: map[int][]byte{}}
 	var all []error
-	for _, spot := range l.Keepers {
-		a, err := Command(spot.Peer, &protocol.Admin{Operation: protocol.OperationSnapshot}, 30*time.Second)
+	for _, spot := range l.Servers {
+		a, err := SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationSnapshot}, 30*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
 			continue
@@ -117,7 +117,7 @@
 }
 
 // Put writes a snapshot to a file, whole or not at all.
-func (s *Snapshot) Put(path string) error {
+func (s *Snapshot) WriteFile(path string) error {
 	body, err := cbor.Marshal(s)
 	if err != nil {
 		return err
@@ -135,7 +135,7 @@
 }
 
 // ReadSnapshot reads one, and all that it holds.
-func ReadSnapshot(text []byte) (*Snapshot, error) {
+func DecodeSnapshot(text []byte) (*Snapshot, error) {
 	body, err := statemachine.Unseal(text)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
--- a/quotastore/server/doors.go
+++ b/quotastore/server/doors.go
@@ -28,18 +28,18 @@
 	idle      = 30 * time.Second
 )
 
-type doors struct {
-	keeper   *Keeper
+type counterListener struct {
+	keeper   *Server
 	listener net.Listener
 	ctx      context.Context
 	mu       sync.Mutex
-	open     map[*door]bool
-	touched  []*door // with answers that wait to be written; only the loop looks
+	open     map[*counterConn]bool
+	touched  []*counterConn // with answers that wait to be written; only the loop looks
 }
 
 // door is one connection.
-type door struct {
-	doors *doors
+type counterConn struct {
+	doors *counterListener
 	tcp   net.Conn
 	wake  chan struct{}
 	room  chan struct{} // a place for each call that is out
@@ -58,15 +58,15 @@
 	cut  bool
 }
 
-func newDoors(k *Keeper, addr string) (*doors, error) {
+func newDoors(k *Server, addr string) (*counterListener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("door: %w", err)
 	}
-	return &doors{keeper: k, listener: l, open: map[*door]bool{}}, nil
+	return &counterListener{keeper: k, listener: l, open: map[*counterConn]bool{}}, nil
 }
 
-func (ds *doors) run(ctx context.Context, group *errgroup.Group) {
+func (ds *counterListener) run(ctx context.Context, group *errgroup.Group) {
 	ds.ctx = ctx
 	group.Go(func() error {
 		for {
@@ -78,7 +78,7 @@
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			d := &door{doors: ds, tcp: tcp, wake: make(chan struct{}, 1), room: make(chan struct{}, mostOut)}
+			d := &counterConn{doors: ds, tcp: tcp, wake: make(chan struct{}, 1), room: make(chan struct{}, mostOut)}
 			ds.mu.Lock()
 			if len(ds.open) >= mostDoors || ctx.Err() != nil {
 				ds.mu.Unlock()
@@ -106,7 +106,7 @@
 }
 
 // serve reads calls until the connection ends, and closes it.
-func (d *door) serve(group *errgroup.Group) {
+func (d *counterConn) serve(group *errgroup.Group) {
 	ds := d.doors
 	gone := make(chan struct{})
 	group.Go(func() error { d.write(gone); return nil })
@@ -126,7 +126,7 @@
 	other    string // "/_health"
 }
 
-func (d *door) read() {
+func (d *counterConn) read() {
 	k := d.doors.keeper
 	var m http1.Message
 	m.Begin(make([]byte, 16<<10), false)
@@ -154,7 +154,7 @@
 					return
 				}
 			}
-			if !k.tell(func() {
+			if !k.enqueue(func() {
 				for i := range calls {
 					d.ask(&calls[i])
 				}
@@ -163,7 +163,7 @@
 			}
 		}
 		if bad != nil {
-			k.tell(func() { d.say(d.slot(), "400 Bad Request", "", true) })
+			k.enqueue(func() { d.say(d.slot(), "400 Bad Request", "", true) })
 			return
 		}
 		if err != nil {
@@ -200,15 +200,15 @@
 }
 
 // slot is the place of an answer in the order of the calls.
-func (d *door) slot() *answer {
+func (d *counterConn) slot() *answer {
 	a := &answer{}
 	d.order = append(d.order, a)
 	return a
 }
 
 // ask brings a call to its group. It runs on the loop.
-func (d *door) ask(c *call) {
-	a, core := d.slot(), d.doors.keeper.core
+func (d *counterConn) ask(c *call) {
+	a, core := d.slot(), d.doors.keeper.node
 	if c.other != "" {
 		d.health(a)
 		return
@@ -233,10 +233,10 @@
 }
 
 // health says how the groups stand: 200 if all can be asked here.
-func (d *door) health(a *answer) {
+func (d *counterConn) health(a *answer) {
 	k := d.doors.keeper
 	away, led, held := 0, 0, 0
-	for _, h := range k.core.Health() {
+	for _, h := range k.node.Health() {
 		if h.Unavailable {
 			away++
 		}
@@ -249,15 +249,15 @@
 	}
 	state := "whole"
 	switch {
-	case k.core.Cluster() == 0:
+	case k.node.Cluster() == 0:
 		state = "not founded"
 	case away > 0:
 		state = "turning calls away"
 	}
 	text, err := json.Marshal(map[string]any{
-		"state": state, "groups": k.core.Groups(), "away": away, "led": led, "held": held,
-		"installation": fmt.Sprintf("%016x", k.core.Cluster()), "life": fmt.Sprintf("%08x", k.core.Incarnation()), "disk": k.store.Disk(),
-		"put_back": k.core.RecoveredUsages, "moved": k.core.MembershipChanges,
+		"state": state, "groups": k.node.Groups(), "away": away, "led": led, "held": held,
+		"installation": fmt.Sprintf("%016x", k.node.Cluster()), "life": fmt.Sprintf("%08x", k.node.Incarnation()), "disk": k.storage.persistent(),
+		"put_back": k.node.RecoveredUsages, "moved": k.node.MembershipChanges,
 	})
 	if err != nil {
 		d.say(a, "500 Internal Server Error", err.Error(), false)
@@ -270,7 +270,7 @@
 	d.say(a, status, string(text), false)
 }
 
-func (d *door) say(a *answer, status, text string, last bool) {
+func (d *counterConn) say(a *answer, status, text string, last bool) {
 	end := ""
 	if last {
 		end = "Connection: close\r\n"
@@ -280,7 +280,7 @@
 	d.touch()
 }
 
-func (d *door) touch() {
+func (d *counterConn) touch() {
 	if !d.waiting {
 		d.waiting = true
 		d.doors.touched = append(d.doors.touched, d)
@@ -288,7 +288,7 @@
 }
 
 // flush hands over the answers whose turn it is. It runs on the loop, after what they rest on is written.
-func (ds *doors) flush() {
+func (ds *counterListener) flush() {
 	for _, d := range ds.touched {
 		d.waiting = false
 		n := 0
@@ -319,7 +319,7 @@
 	ds.touched = ds.touched[:0]
 }
 
-func (d *door) write(gone chan struct{}) {
+func (d *counterConn) write(gone chan struct{}) {
 	var going []byte
 	for {
 		select {
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -29,7 +29,7 @@
 // to be understood by any later one.
 
 // recordedIdentity is who wrote the recorded disk.
-var recordedIdentity = Identity{Life: 0xdeadbeef, Cluster: 0x1122334455667789}
+var recordedIdentity = identity{incarnation: 0xdeadbeef, cluster: 0x1122334455667789}
 
 func recordedBytes(t *testing.T, name string) []byte {
 	t.Helper()
@@ -43,21 +43,21 @@
 // writeRecordedLife writes to a new disk what the recorded one was given.
 func writeRecordedLife(t *testing.T, dir string) {
 	t.Helper()
-	s, _, err := OpenStore(dir, time.Now())
+	s, _, err := openStorage(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	s.id.Life = recordedIdentity.Life
-	if err := s.Join(recordedIdentity.Cluster); err != nil {
+	defer s.close()
+	s.id.incarnation = recordedIdentity.incarnation
+	if err := s.setCluster(recordedIdentity.cluster); err != nil {
 		t.Fatal(err)
 	}
 	for i := range life {
-		if err := s.Write(life[i : i+1]); err != nil {
+		if err := s.write(life[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Write([]replication.Write{{Group: 9, HardState: hard(7, 0), DropReplica: true}}); err != nil {
+	if err := s.write([]replication.Write{{Group: 9, HardState: hard(7, 0), DropReplica: true}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -124,11 +124,11 @@
 	if got, want := listed(t, filepath.Join(dir, "held.db")), recordedBytes(t, "buckets.bin"); !bytes.Equal(got, want) {
 		t.Fatalf("the recorded database holds\n%s\nrecorded are\n%s", got, want)
 	}
-	s, saved, err := OpenStore(dir, time.Now())
+	s, saved, err := openStorage(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer s.close()
 	want := map[int]*replication.PersistentState{9: {HardState: hard(7, 0)}}
 	for i := range life {
 		g := life[i].Group
@@ -140,8 +140,8 @@
 	for g := range want {
 		want[g] = want[g].AfterSnapshot()
 	}
-	if s.Identity() != recordedIdentity || s.Spoilt != "" || !same(saved, want) {
-		t.Errorf("%+v, spoilt %q\n%v\nwanted\n%v", s.Identity(), s.Spoilt, saved, want)
+	if s.Identity() != recordedIdentity || s.discarded != "" || !same(saved, want) {
+		t.Errorf("%+v, spoilt %q\n%v\nwanted\n%v", s.Identity(), s.discarded, saved, want)
 	}
 }
 
@@ -159,7 +159,7 @@
 	one := &Snapshot{Taken: 1796000000, Groups: 1, States: map[int][]byte{0: recordedGroup(0)}}
 	three := &Snapshot{Taken: 1796000001, Groups: 3, States: map[int][]byte{0: recordedGroup(0), 1: recordedGroup(1), 2: recordedGroup(2)}}
 	path := filepath.Join(t.TempDir(), "snapshot")
-	if err := one.Put(path); err != nil {
+	if err := one.WriteFile(path); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(path)
@@ -171,7 +171,7 @@
 	}
 	// Groups stand in a snapshot of several in any order, so that one is only read.
 	for name, want := range map[string]*Snapshot{"snapshot-one.bin": one, "snapshot-three.bin": three} {
-		back, err := ReadSnapshot(recordedBytes(t, name))
+		back, err := DecodeSnapshot(recordedBytes(t, name))
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -197,19 +197,19 @@
 }
 
 // loneKeeper runs one store without a disk, which holds everything alone once it is founded.
-func loneKeeper(t *testing.T) (l *List, k *Keeper) {
+func loneKeeper(t *testing.T) (l *ClusterConfig, k *Server) {
 	t.Helper()
-	spot := Spot{Name: "alone", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}
-	l = &List{Groups: 2, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{spot}}
-	k = runStore(t, l, Place{Name: "alone"})
+	spot := ServerConfig{Name: "alone", PeerAddress: "127.0.0.1:0", CounterAddress: "127.0.0.1:0"}
+	l = &ClusterConfig{Groups: 2, Replicas: 1, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64, Servers: []ServerConfig{spot}}
+	k = runStore(t, l, Options{Name: "alone"})
 	reached := *l // the store goes on reading the list that it was given
-	spot.Peer, spot.Door = k.streams.listener.Addr().String(), k.doors.listener.Addr().String()
-	reached.Keepers = []Spot{spot}
+	spot.PeerAddress, spot.CounterAddress = k.transport.listener.Addr().String(), k.counter.listener.Addr().String()
+	reached.Servers = []ServerConfig{spot}
 	return &reached, k
 }
 
 // runStore runs one store until the test ends.
-func runStore(t *testing.T, l *List, p Place) *Keeper {
+func runStore(t *testing.T, l *ClusterConfig, p Options) *Server {
 	t.Helper()
 	k, err := New(l, p, zerolog.Nop())
 	if err != nil {
@@ -259,11 +259,11 @@
 		t.Fatal("the calls are not the recorded ones")
 	}
 	l, _ := loneKeeper(t)
-	door := l.Keepers[0].Door
+	door := l.Servers[0].CounterAddress
 	if got, want := answered(t, door, recordedCalls[0]), recordedBytes(t, "answers-not-founded.bin"); !bytes.Equal(got, want) {
 		t.Errorf("before the founding it answers\n%s\nrecorded is\n%s", got, want)
 	}
-	if _, err := Found(l, nil, 20*time.Second); err != nil {
+	if _, err := Bootstrap(l, nil, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	awaitServing(t, door)
@@ -291,7 +291,7 @@
 func TestHealthHasTheRecordedNames(t *testing.T) {
 	leakcheck.Check(t)
 	l, _ := loneKeeper(t)
-	text := answered(t, l.Keepers[0].Door, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+	text := answered(t, l.Servers[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
 	head, rest, _ := strings.Cut(string(text), "\r\n\r\n")
 	want := `{"away":2,"disk":false,"groups":2,"held":0,"installation":"0000000000000000","led":0,"life":"`
 	if !strings.HasPrefix(head, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: ") || !strings.HasPrefix(rest, want) ||
@@ -307,7 +307,7 @@
 		t.Fatalf("asked is\n%x\nrecorded is\n%x", got, want)
 	}
 	l, _ := loneKeeper(t)
-	if got, want := guestReplies(t, l.Keepers[0].Peer), recordedBytes(t, "guest-replies.bin"); !bytes.Equal(got, want) {
+	if got, want := guestReplies(t, l.Servers[0].PeerAddress), recordedBytes(t, "guest-replies.bin"); !bytes.Equal(got, want) {
 		t.Errorf("answered is\n%x\nrecorded is\n%x", got, want)
 	}
 }
@@ -362,10 +362,10 @@
 	defer other.Close()
 	dir := t.TempDir()
 	unpackDisk(t, dir)
-	l := &List{Groups: 16, Copies: 1, Lost: 30, Rate: 4e6, Log: 64, Keepers: []Spot{
-		{Name: "here", Peer: "127.0.0.1:0", Door: "127.0.0.1:0"}, {Name: "there", Peer: other.Addr().String(), Door: "127.0.0.1:0"},
+	l := &ClusterConfig{Groups: 16, Replicas: 1, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64, Servers: []ServerConfig{
+		{Name: "here", PeerAddress: "127.0.0.1:0", CounterAddress: "127.0.0.1:0"}, {Name: "there", PeerAddress: other.Addr().String(), CounterAddress: "127.0.0.1:0"},
 	}}
-	runStore(t, l, Place{Name: "here", Dir: dir})
+	runStore(t, l, Options{Name: "here", Dir: dir})
 	c, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -378,7 +378,7 @@
 		t.Errorf("it begins with\n%x (%v)\nrecorded is\n%x", got, err, want)
 	}
 	f, err := protocol.ReadFrame(bytes.NewReader(want), protocol.MaxFrameBytes)
-	if err != nil || f.Hello == nil || *f.Hello != (protocol.Hello{Sender: 0, Incarnation: recordedIdentity.Life}) {
+	if err != nil || f.Hello == nil || *f.Hello != (protocol.Hello{Sender: 0, Incarnation: recordedIdentity.incarnation}) {
 		t.Errorf("the recorded hello is read as %+v (%v)", f, err)
 	}
 }
--- a/quotastore/server/store.go
+++ b/quotastore/server/store.go
@@ -26,21 +26,21 @@
 )
 
 // Identity is who a keeper is, for as long as it has what it held.
-type Identity struct {
-	Life    uint32
-	Cluster uint64
+type identity struct {
+	incarnation uint32
+	cluster     uint64
 }
 
 // Store is where a keeper's writes outlive its process; without a folder there is no such place, and each process has a life
 // of its own.
-type Store struct {
+type storage struct {
 	db     *bolt.DB
 	beside *os.File
-	id     Identity
+	id     identity
 	count  uint64 // of writes
 	tails  []tail // of every copy that was ever written
 	// Spoilt says why what lay there is not trusted; "": it is, or nothing lay there.
-	Spoilt string
+	discarded string
 }
 
 var (
@@ -62,10 +62,10 @@
 }
 
 // OpenStore opens what lies in a folder, or begins there.
-func OpenStore(dir string, now time.Time) (s *Store, saved map[int]*replication.PersistentState, err error) {
-	s = &Store{}
+func openStorage(dir string, now time.Time) (s *storage, saved map[int]*replication.PersistentState, err error) {
+	s = &storage{}
 	if dir == "" {
-		s.id.Life, err = newLife()
+		s.id.incarnation, err = newLife()
 		return s, nil, err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -77,18 +77,18 @@
 		switch {
 		case err == nil:
 			return s, saved, s.anew(path, beside, saved)
-		case errors.Is(err, statemachine.ErrNewerVersion), errors.Is(err, errBusy), errors.Is(err, os.ErrPermission):
+		case errors.Is(err, statemachine.ErrNewerVersion), errors.Is(err, ErrInUse), errors.Is(err, os.ErrPermission):
 			return nil, nil, fmt.Errorf("%s: %w", path, err) // nothing is wrong with what lies there
 		}
-		s.Spoilt = err.Error()
+		s.discarded = err.Error()
 		aside := fmt.Sprintf("%s.spoilt-%d", path, now.UnixNano())
 		if err := os.Rename(path, aside); err != nil {
-			return nil, nil, fmt.Errorf("%s can't be trusted (%s) nor set aside: %w", path, s.Spoilt, err)
+			return nil, nil, fmt.Errorf("%s can't be trusted (%s) nor set aside: %w", path, s.discarded, err)
 		}
-		s.Spoilt += "; set aside as " + filepath.Base(aside)
+		s.discarded += "; set aside as " + filepath.Base(aside)
 		os.Remove(beside)
 	}
-	if s.id.Life, err = newLife(); err != nil {
+	if s.id.incarnation, err = newLife(); err != nil {
 		return nil, nil, err
 	}
 	if err := s.open(path, beside); err != nil {
@@ -97,9 +97,9 @@
 	return s, nil, s.update(nil)
 }
 
-var errBusy = errors.New("another process uses it")
+var ErrInUse = errors.New("another process uses it")
 
-func (s *Store) open(path, beside string) (err error) {
+func (s *storage) open(path, beside string) (err error) {
 	if s.db, err = bolt.Open(path, 0o644, &bolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bolt.FreelistMapType}); err != nil {
 		return opened(err)
 	}
@@ -112,7 +112,7 @@
 
 func opened(err error) error {
 	if errors.Is(err, berrors.ErrTimeout) {
-		return errBusy
+		return ErrInUse
 	}
 	return err
 }
@@ -120,13 +120,13 @@
 // load reads all that lies there, and nothing is written: bytes that were changed may lead the database astray, into a panic
 // or beyond the file, and that counts as spoilt. It does not look at the list of free pages, where it would do so on a
 // goroutine of its own.
-func (s *Store) load(path, beside string) (saved map[int]*replication.PersistentState, err error) {
+func (s *storage) load(path, beside string) (saved map[int]*replication.PersistentState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("spoilt: %v", r)
 		}
-		s.Close()
+		s.close()
 	}()
 	if s.db, err = bolt.Open(path, 0o644, &bolt.Options{Timeout: time.Second, ReadOnly: true}); err != nil {
 		return nil, opened(err)
@@ -141,7 +141,7 @@
 
 // anew writes what was read into a file of its own, which takes the place of the one read: pages that nothing was read from
 // may be spoilt too, and would be written over in their turn.
-func (s *Store) anew(path, beside string, saved map[int]*replication.PersistentState) error {
+func (s *storage) anew(path, beside string, saved map[int]*replication.PersistentState) error {
 	fresh := path + ".new"
 	os.Remove(fresh)
 	if err := s.open(fresh, beside); err != nil {
@@ -164,7 +164,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (s *Store) read(tx *bolt.Tx, saved map[int]*replication.PersistentState) error {
+func (s *storage) read(tx *bolt.Tx, saved map[int]*replication.PersistentState) error {
 	node := tx.Bucket(bucketNode)
 	hard, snap, log := tx.Bucket(bucketHard), tx.Bucket(bucketSnap), tx.Bucket(bucketLog)
 	if node == nil || hard == nil || snap == nil || log == nil {
@@ -177,7 +177,7 @@
 	if len(id) != 12 {
 		return errors.New("identity: of another length")
 	}
-	s.id = Identity{binary.BigEndian.Uint32(id), binary.BigEndian.Uint64(id[4:])}
+	s.id = identity{binary.BigEndian.Uint32(id), binary.BigEndian.Uint64(id[4:])}
 	count, err := statemachine.Unseal(node.Get(keyCount))
 	if err != nil || len(count) != 8 {
 		return fmt.Errorf("count of writes: %w", errors.Join(err, errShort(count)))
@@ -272,29 +272,29 @@
 }
 
 // Identity is who this keeper is.
-func (s *Store) Identity() Identity { return s.id }
+func (s *storage) Identity() identity { return s.id }
 
 // Disk says that writes outlive the process.
-func (s *Store) Disk() bool { return s.db != nil }
+func (s *storage) persistent() bool { return s.db != nil }
 
 // Join notes the installation that the keeper belongs to.
-func (s *Store) Join(cluster uint64) error {
-	if s.id.Cluster == cluster {
+func (s *storage) setCluster(cluster uint64) error {
+	if s.id.cluster == cluster {
 		return nil
 	}
-	s.id.Cluster = cluster
+	s.id.cluster = cluster
 	return s.update(nil)
 }
 
 // Write has all of it on disk when it returns without an error: one commit for all groups.
-func (s *Store) Write(all []replication.Write) error {
+func (s *storage) write(all []replication.Write) error {
 	if len(all) == 0 {
 		return nil
 	}
 	return s.update(all)
 }
 
-func (s *Store) update(all []replication.Write) error {
+func (s *storage) update(all []replication.Write) error {
 	if s.db == nil {
 		return nil
 	}
@@ -307,7 +307,7 @@
 			}
 		}
 		node := in[0]
-		id := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, s.id.Life), s.id.Cluster)
+		id := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, s.id.incarnation), s.id.cluster)
 		if err := errors.Join(node.Put(keyCount, statemachine.Seal(binary.BigEndian.AppendUint64(nil, count))), node.Put(keyNode, statemachine.Seal(id))); err != nil {
 			return err
 		}
@@ -416,7 +416,7 @@
 }
 
 // Close lets go of the file.
-func (s *Store) Close() {
+func (s *storage) close() {
 	if s.db != nil {
 		s.db.Close()
 		s.db = nil
--- a/quotastore/server/store_test.go
+++ b/quotastore/server/store_test.go
@@ -47,18 +47,18 @@
 	{Group: 3, HardState: hard(4, 35), Entries: entries(36, 50, 4)},
 }
 
-func written(t *testing.T, dir string) (id Identity, want map[int]*replication.PersistentState) {
+func written(t *testing.T, dir string) (id identity, want map[int]*replication.PersistentState) {
 	t.Helper()
-	s, saved, err := OpenStore(dir, time.Now())
+	s, saved, err := openStorage(dir, time.Now())
 	if err != nil || len(saved) != 0 {
 		t.Fatal(saved, err)
 	}
-	if err := s.Join(77); err != nil {
+	if err := s.setCluster(77); err != nil {
 		t.Fatal(err)
 	}
 	want = map[int]*replication.PersistentState{}
 	for i := range life {
-		if err := s.Write(life[i : i+1]); err != nil {
+		if err := s.write(life[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 		g := life[i].Group
@@ -71,7 +71,7 @@
 		want[g] = want[g].AfterSnapshot()
 	}
 	id = s.Identity()
-	s.Close()
+	s.close()
 	return id, want
 }
 
@@ -99,15 +99,15 @@
 	leakcheck.Check(t)
 	dir := t.TempDir()
 	id, want := written(t, dir)
-	s, saved, err := OpenStore(dir, time.Now())
+	s, saved, err := openStorage(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if s.Identity() != id || s.Spoilt != "" || !same(saved, want) {
-		t.Fatalf("%+v, spoilt %q\n%v\n%v", s.Identity(), s.Spoilt, saved, want)
+	defer s.close()
+	if s.Identity() != id || s.discarded != "" || !same(saved, want) {
+		t.Fatalf("%+v, spoilt %q\n%v\n%v", s.Identity(), s.discarded, saved, want)
 	}
-	if _, _, err := OpenStore(dir, time.Now()); !errors.Is(err, errBusy) {
+	if _, _, err := openStorage(dir, time.Now()); !errors.Is(err, ErrInUse) {
 		t.Fatalf("a second process on one disk: %v", err)
 	}
 }
@@ -138,23 +138,23 @@
 		}
 		os.WriteFile(filepath.Join(dir, "held.db"), bad, 0o644)
 		os.WriteFile(filepath.Join(dir, "held.count"), count, 0o644)
-		s, saved, err := OpenStore(dir, time.Now())
+		s, saved, err := openStorage(dir, time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Spoilt == "" && (s.Identity() != id || !same(saved, want)) {
+		if s.discarded == "" && (s.Identity() != id || !same(saved, want)) {
 			t.Fatalf("spoilt bytes were believed: %+v %v", s.Identity(), saved)
 		}
-		if s.Spoilt != "" {
+		if s.discarded != "" {
 			set++
-			if s.Identity().Life == id.Life || len(saved) > 0 {
+			if s.Identity().incarnation == id.incarnation || len(saved) > 0 {
 				t.Fatal("a spoilt disk, and it goes on under its old life")
 			}
 			if aside, _ := filepath.Glob(filepath.Join(dir, "held.db.spoilt-*")); len(aside) != 1 {
 				t.Fatal("what was spoilt is gone")
 			}
 		}
-		s.Close()
+		s.close()
 	}
 	if set < 50 {
 		t.Fatalf("only %d of 300 files were found to be spoilt", set)
@@ -174,25 +174,25 @@
 	f.ReadAt(n[:], 0)
 	f.WriteAt(binary.BigEndian.AppendUint64(nil, binary.BigEndian.Uint64(n[:])+1), 0)
 	f.Close()
-	s, saved, err := OpenStore(dir, time.Now())
+	s, saved, err := openStorage(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if s.Identity().Life == id.Life || len(saved) > 0 || !strings.Contains(s.Spoilt, "was made") {
-		t.Fatalf("%+v %q", s.Identity(), s.Spoilt)
+	defer s.close()
+	if s.Identity().incarnation == id.incarnation || len(saved) > 0 || !strings.Contains(s.discarded, "was made") {
+		t.Fatalf("%+v %q", s.Identity(), s.discarded)
 	}
 }
 
 // Without a disk each process is another one.
 func TestWithoutDisk(t *testing.T) {
 	leakcheck.Check(t)
-	a, _, err := OpenStore("", time.Now())
+	a, _, err := openStorage("", time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _, _ := OpenStore("", time.Now())
-	if a.Identity().Life == b.Identity().Life || a.Disk() || a.Write(life) != nil {
+	b, _, _ := openStorage("", time.Now())
+	if a.Identity().incarnation == b.Identity().incarnation || a.persistent() || a.write(life) != nil {
 		t.Fatal("two processes without a disk have one life")
 	}
 }
--- a/quotastore/server/streams.go
+++ b/quotastore/server/streams.go
@@ -27,8 +27,8 @@
 	mostGuests = 512  // streams that come in
 )
 
-type streams struct {
-	keeper   *Keeper
+type transport struct {
+	keeper   *Server
 	me       int
 	listener net.Listener
 	ctx      context.Context
@@ -40,7 +40,7 @@
 
 // stream is the way to one keeper.
 type stream struct {
-	all   *streams
+	all   *transport
 	to    int
 	mu    sync.Mutex
 	addr  string
@@ -49,17 +49,17 @@
 	limit *rate.Limiter
 }
 
-func newStreams(k *Keeper, me int, addr string) (*streams, error) {
+func newStreams(k *Server, me int, addr string) (*transport, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	return &streams{keeper: k, me: me, listener: l, open: map[net.Conn]bool{}}, nil
+	return &transport{keeper: k, me: me, listener: l, open: map[net.Conn]bool{}}, nil
 }
 
-func (s *streams) run(ctx context.Context, group *errgroup.Group) {
+func (s *transport) run(ctx context.Context, group *errgroup.Group) {
 	s.ctx, s.group = ctx, group
-	s.reach(s.keeper.list)
+	s.reach(s.keeper.config)
 	group.Go(s.accept)
 	group.Go(func() error {
 		<-ctx.Done()
@@ -74,19 +74,19 @@
 }
 
 // reach begins streams to keepers that are new in the list, and takes up new addresses.
-func (s *streams) reach(l *List) {
+func (s *transport) reach(l *ClusterConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, spot := range l.Keepers {
+	for i, spot := range l.Servers {
 		if i < len(s.to) {
 			s.to[i].mu.Lock()
-			s.to[i].addr = spot.Peer
+			s.to[i].addr = spot.PeerAddress
 			s.to[i].mu.Unlock()
 			continue
 		}
 		x := &stream{
-			all: s, to: i, addr: spot.Peer, out: make(chan []byte, mostQueued), bulk: make(chan []byte, 256),
-			limit: rate.NewLimiter(rate.Limit(l.Rate), 64<<10),
+			all: s, to: i, addr: spot.PeerAddress, out: make(chan []byte, mostQueued), bulk: make(chan []byte, 256),
+			limit: rate.NewLimiter(rate.Limit(l.SnapshotRate), 64<<10),
 		}
 		s.to = append(s.to, x)
 		if i == s.me {
@@ -98,7 +98,7 @@
 }
 
 // keep notes a connection, so that it ends with the keeper; false: it has ended.
-func (s *streams) keep(c net.Conn) bool {
+func (s *transport) keep(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx.Err() != nil {
@@ -109,7 +109,7 @@
 	return true
 }
 
-func (s *streams) drop(c net.Conn) {
+func (s *transport) drop(c net.Conn) {
 	s.mu.Lock()
 	delete(s.open, c)
 	s.mu.Unlock()
@@ -117,7 +117,7 @@
 }
 
 // send hands a frame to the stream of its keeper; it runs on the loop.
-func (s *streams) send(l replication.Message) {
+func (s *transport) send(l replication.Message) {
 	text, err := l.Frame.AppendTo(nil)
 	if err != nil {
 		s.keeper.failed = err
@@ -134,7 +134,7 @@
 	case to <- text:
 	default: // it does not read; what is lost is told again
 		if l.Bulk {
-			s.keeper.core.SnapshotFailed(s.keeper.now(), l.To)
+			s.keeper.node.SnapshotFailed(s.keeper.now(), l.To)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		}
 		if was && errors.Is(err, syscall.ECONNREFUSED) {
 			was = false
-			s.keeper.tell(func() { s.keeper.core.PeerDown(s.keeper.now(), x.to) })
+			s.keeper.enqueue(func() { s.keeper.node.PeerDown(s.keeper.now(), x.to) })
 		}
 		for drained := false; !drained; { // what waits was for the one before
 			select {
@@ -188,7 +188,7 @@
 		return nil
 	})
 	w := bufio.NewWriterSize(c, 64<<10)
-	hello, err := x.all.keeper.core.Hello().AppendTo(nil) // what it says never changes
+	hello, err := x.all.keeper.node.Hello().AppendTo(nil) // what it says never changes
 	if err != nil {
 		return
 	}
@@ -223,7 +223,7 @@
 		case text = <-x.bulk:
 		}
 		if x.copy(text) != nil {
-			s.keeper.tell(func() { s.keeper.core.SnapshotFailed(s.keeper.now(), x.to) })
+			s.keeper.enqueue(func() { s.keeper.node.SnapshotFailed(s.keeper.now(), x.to) })
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		return context.Canceled
 	}
 	defer x.all.drop(c)
-	hello, err := x.all.keeper.core.Hello().AppendTo(nil)
+	hello, err := x.all.keeper.node.Hello().AppendTo(nil)
 	if err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 	return nil
 }
 
-func (s *streams) accept() error {
+func (s *transport) accept() error {
 	guests := make(chan bool, mostGuests)
 	for {
 		c, err := s.listener.Accept()
@@ -293,7 +293,7 @@
 }
 
 // hear reads what one who came in says.
-func (s *streams) hear(c net.Conn) {
+func (s *transport) hear(c net.Conn) {
 	r := bufio.NewReaderSize(c, 64<<10)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	f, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
@@ -312,14 +312,14 @@
 			return
 		}
 		now := f
-		if !k.tell(func() { k.core.Receive(k.now(), from, now) }) {
+		if !k.enqueue(func() { k.node.Receive(k.now(), from, now) }) {
 			return
 		}
 	}
 }
 
 // guest serves an api gateway or a command: each thing asked gets its answer, as it comes.
-func (s *streams) guest(c net.Conn, r *bufio.Reader) {
+func (s *transport) guest(c net.Conn, r *bufio.Reader) {
 	k := s.keeper
 	out := make(chan *protocol.Frame, 1024)
 	gone := make(chan bool)
@@ -363,18 +363,18 @@
 		if err != nil {
 			return
 		}
-		ok := k.tell(func() {
+		ok := k.enqueue(func() {
 			if f.Admin != nil {
-				k.core.HandleAdmin(k.now(), f.Admin, func(all []replication.Write) error {
-					if err := k.store.Write(all); err != nil { // nothing else is being written: it holds nothing yet
+				k.node.HandleAdmin(k.now(), f.Admin, func(all []replication.Write) error {
+					if err := k.storage.write(all); err != nil { // nothing else is being written: it holds nothing yet
 						return err
 					}
-					return k.store.Join(k.core.Cluster())
+					return k.storage.setCluster(k.node.Cluster())
 				}, func(a *protocol.Admin) { send(protocol.AdminFrame(a)) })
 				return
 			}
 			for _, a := range f.Requests {
-				k.core.HandleClient(k.now(), a, func(r protocol.Response) { send(protocol.ResponsesFrame([]protocol.Response{r})) })
+				k.node.HandleClient(k.now(), a, func(r protocol.Response) { send(protocol.ResponsesFrame([]protocol.Response{r})) })
 			}
 		})
 		if !ok {
