--- a/quotastore/replication/ask.go
+++ b/quotastore/replication/ask.go
@@ -56,7 +56,7 @@
 )
 
 // Ask asks a group for something; then hears once what became of it, within a call of this keeper.
-func (c *Node) Ask(group int, e statemachine.Command, then func(Outcome, statemachine.Reply)) {
+func (c *Node) Submit(group int, e statemachine.Command, then func(Outcome, statemachine.Reply)) {
 	l := c.asks[group]
 	c.numbers++
 	a := &askState{entry: e, number: c.numbers, born: c.now, then: then}
@@ -132,7 +132,7 @@
 	}
 	if l.state == open && now-l.at > rested {
 		l.at = now
-		l.core.Ask(l.group, statemachine.Command{Kind: statemachine.Tick}, func(Outcome, statemachine.Reply) {})
+		l.core.Submit(l.group, statemachine.Command{Kind: statemachine.Tick}, func(Outcome, statemachine.Reply) {})
 	}
 	l.push(now)
 }
--- a/quotastore/replication/group.go
+++ b/quotastore/replication/group.go
@@ -472,7 +472,7 @@
 			continue
 		}
 		paid := func() {
-			g.core.Ask(g.number, statemachine.Command{Kind: statemachine.ClearUnreported, Holder: d.Holder, Key: d.Key, Version: d.Version}, func(Outcome, statemachine.Reply) {
+			g.core.Submit(g.number, statemachine.Command{Kind: statemachine.ClearUnreported, Holder: d.Holder, Key: d.Key, Version: d.Version}, func(Outcome, statemachine.Reply) {
 				delete(g.core.puttingBack, key)
 			})
 		}
@@ -481,7 +481,7 @@
 			paid()
 			continue
 		}
-		g.core.Ask(GroupOf(d.Key, g.core.terms.Groups), statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL},
+		g.core.Submit(GroupOf(d.Key, g.core.terms.Groups), statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL},
 			func(how Outcome, r statemachine.Reply) {
 				if how != Answered || r.Code != statemachine.Done {
 					delete(g.core.puttingBack, key) // it is tried again, and changes nothing if it was made
--- a/quotastore/replication/guest.go
+++ b/quotastore/replication/guest.go
@@ -25,7 +25,7 @@
 	case statemachine.RenewLease: // a holder is held to be there by all groups or by none
 		left, worst := len(c.asks), statemachine.Done
 		for g := range c.asks {
-			c.Ask(g, a.Command, func(how Outcome, r statemachine.Reply) {
+			c.Submit(g, a.Command, func(how Outcome, r statemachine.Reply) {
 				if how == Answered && r.Code != statemachine.Done {
 					worst = r.Code
 				}
@@ -41,7 +41,7 @@
 	}
 	e := a.Command
 	e.Session, e.Sequence, e.AckedBelow = "", 0, 0
-	c.Ask(c.GroupOf(key(&e)), e, func(how Outcome, r statemachine.Reply) {
+	c.Submit(c.GroupOf(key(&e)), e, func(how Outcome, r statemachine.Reply) {
 		then(protocol.Response{RequestID: a.ID, NotLeader: how == Rejected, Unknown: how == Unknown, Reply: r})
 	})
 }
@@ -77,7 +77,7 @@
 	case protocol.OperationCollectUsage:
 		left := len(c.asks)
 		for g := range c.asks {
-			c.Ask(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: a.Batch}, func(how Outcome, x statemachine.Reply) {
+			c.Submit(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: a.Batch}, func(how Outcome, x statemachine.Reply) {
 				switch {
 				case how != Answered:
 					r.Failure = "a group did not answer: ask for the same batch again"
--- a/quotastore/replication/replication_test.go
+++ b/quotastore/replication/replication_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	refused := false
-	c.Ask(0, statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Rejected })
+	c.Submit(0, statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1}, func(how Outcome, _ statemachine.Reply) { refused = how == Rejected })
 	if !refused || said != 1 {
 		t.Fatalf("refused %v, said %d times", refused, said)
 	}
--- a/quotastore/server/doors.go
+++ b/quotastore/server/doors.go
@@ -217,7 +217,7 @@
 		d.say(a, "400 Bad Request", "", false)
 		return
 	}
-	core.Ask(core.GroupOf(c.name), statemachine.Command{Kind: statemachine.Add, Key: c.name, Amount: c.by, TTL: c.life}, func(how replication.Outcome, r statemachine.Reply) {
+	core.Submit(core.GroupOf(c.name), statemachine.Command{Kind: statemachine.Add, Key: c.name, Amount: c.by, TTL: c.life}, func(how replication.Outcome, r statemachine.Reply) {
 		switch {
 		case how == replication.Answered && r.Code == statemachine.Done:
 			d.say(a, "200 OK", strconv.FormatFloat(r.Total, 'f', -1, 64), false)
--- a/sim/quotastoresim/load.go
+++ b/sim/quotastoresim/load.go
@@ -252,7 +252,7 @@
 	x.open[o] = true
 	run := x.run
 	w.do(x, func() {
-		x.core.Ask(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: n}, func(how replication.Outcome, r statemachine.Reply) {
+		x.core.Submit(g, statemachine.Command{Kind: statemachine.CollectUsage, Version: n}, func(how replication.Outcome, r statemachine.Reply) {
 			w.q.After(0.0005, func() {
 				if x.run != run {
 					return
--- a/sim/quotastoresim/sim.go
+++ b/sim/quotastoresim/sim.go
@@ -558,7 +558,7 @@
 	x.open[o] = true
 	run := x.run
 	w.do(x, func() {
-		x.core.Ask(x.core.GroupOf(name), e, func(how replication.Outcome, r statemachine.Reply) {
+		x.core.Submit(x.core.GroupOf(name), e, func(how replication.Outcome, r statemachine.Reply) {
 			w.q.After(0.0005, func() { // the way back; lost with the process
 				if x.run == run {
 					say(how, r)
