--- a/tier/replica/backup.go
+++ b/tier/replica/backup.go
@@ -35,7 +35,7 @@
 func (g *Group) handleAppend(from uint64, message Message) {
 	prevEpoch, known := g.log.epochAt(message.Index)
 	if message.Index < g.log.base.index {
-		// what stands before the base is committed and therefore alike
+		// what stands before the base is committed and therefore the same
 		g.skipBelowBase(&message)
 		prevEpoch = message.PrevEpoch
 		known = true
--- a/tier/replica/bench_test.go
+++ b/tier/replica/bench_test.go
@@ -13,9 +13,9 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkPrimaryWithASilentMember takes 100,000 changes of 10 KB while a member that acknowledged once says nothing, and reports
+// BenchmarkPrimaryWithASilentReplica takes 100,000 changes of 10 KB while a replica that acknowledged once says nothing, and reports
 // what the heap holds after a tenth of them and after all.
-func BenchmarkPrimaryWithASilentMember(b *testing.B) {
+func BenchmarkPrimaryWithASilentReplica(b *testing.B) {
 	const (
 		changes     = 100_000
 		changeBytes = 10 << 10
--- a/tier/replica/catchup_sim_test.go
+++ b/tier/replica/catchup_sim_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math/rand"
 	"os"
+	"slices"
 	"strconv"
 	"testing"
 
@@ -13,13 +14,13 @@
 	"otterseam/tier/consensus"
 )
 
-// This simulation plays hundreds to thousands of changes against a group of which members are down, wiped, cut off or started
+// This simulation plays hundreds to thousands of changes against a group of which replicas are down, wiped, cut off or started
 // again and again while they catch up. Time is virtual. Links have a bandwidth and a delay and keep the order of messages; disks
 // have a delay and a bandwidth; what was not synced is lost with the power.
 
 const (
 	catchupSeedsVariable = "TIER_CATCHUP_SEEDS"
-	standardCatchupSeeds = 200
+	defaultCatchupSeeds  = 200
 
 	millisecond  = int64(1000) // virtual time is counted in microseconds
 	catchupNodes = 3
@@ -74,34 +75,34 @@
 
 // catchupPlan is what one seed plays.
 type catchupPlan struct {
-	changes     int
-	changeBytes int
-	interval    int64 // between changes
-	padding     int   // of the state
-	bytesKept   int
-	pieceBytes  int
-	slowLink    int64 // bytes a second of the member that is troubled
-	link        int64 // bytes a second of the others
-	delay       int64
-	sync        int64 // of a disk
-	trouble     string
-	upFor       int64 // between restarts
-}
-
-var troubles = []string{"down", "down for all", "wiped", "wiped twice", "restarted often", "cut off often", "primary lost", "power lost", "primary lost in a transfer"}
+	changes       int
+	changeBytes   int
+	interval      int64 // between changes
+	padding       int   // of the state
+	retainedBytes int
+	chunkBytes    int
+	slowLink      int64 // bytes a second of the replica that is faulty
+	link          int64 // bytes a second of the others
+	delay         int64
+	sync          int64 // of a disk
+	fault         string
+	upFor         int64 // between restarts
+}
+
+var catchupFaults = []string{"down", "down for all", "wiped", "wiped twice", "restarted often", "cut off often", "primary lost", "power lost", "primary lost in a transfer"}
 
 func drawPlan(random *rand.Rand) catchupPlan {
 	p := catchupPlan{
-		changes:     500 + random.Intn(700),
-		changeBytes: 200 + random.Intn(2000),
-		interval:    (5 + random.Int63n(45)) * millisecond,
-		padding:     random.Intn(200_000),
-		bytesKept:   (8 + random.Intn(120)) << 10,
-		pieceBytes:  (1 + random.Intn(16)) << 10,
-		delay:       (100 + random.Int63n(5000)),
-		sync:        (1 + random.Int63n(8)) * millisecond,
-		trouble:     troubles[random.Intn(len(troubles))],
-		upFor:       (50 + random.Int63n(1500)) * millisecond,
+		changes:       500 + random.Intn(700),
+		changeBytes:   200 + random.Intn(2000),
+		interval:      (5 + random.Int63n(45)) * millisecond,
+		padding:       random.Intn(200_000),
+		retainedBytes: (8 + random.Intn(120)) << 10,
+		chunkBytes:    (1 + random.Intn(16)) << 10,
+		delay:         (100 + random.Int63n(5000)),
+		sync:          (1 + random.Int63n(8)) * millisecond,
+		fault:         catchupFaults[random.Intn(len(catchupFaults))],
+		upFor:         (50 + random.Int63n(1500)) * millisecond,
 	}
 	if random.Intn(20) == 0 {
 		p.changes = 5000
@@ -116,27 +117,27 @@
 }
 
 type catchupNode struct {
-	position int
-	id       uint64
-	life     int
-	boot     uint64
-	up       bool
-	group    *Group
-	machine  *countedMachine
-	slots    *TransferSlots
-	disk     simDisk
-	queued   []Write
-	syncing  []Write
-	seen     uint64
-	ready    bool
-	lostAt   int64
+	position    int
+	id          uint64
+	starts      int
+	incarnation uint64
+	up          bool
+	group       *Group
+	machine     *countedMachine
+	slots       *TransferSlots
+	disk        simDisk
+	queued      []Write
+	syncing     []Write
+	viewEpoch   uint64
+	ready       bool
+	lostAt      int64
 }
 
 type catchupLink struct {
-	freeAt int64
-	cut    bool
-	life   int   // of the connection
-	pieces int64 // bytes of snapshots that wait
+	freeAt           int64
+	cut              bool
+	connection       int   // of the connection
+	queuedChunkBytes int64 // bytes of snapshots that wait
 }
 
 type event struct {
@@ -161,26 +162,26 @@
 }
 
 type catchupSim struct {
-	t          testing.TB
-	random     *rand.Rand
-	plan       catchupPlan
-	now        int64
-	order      int
-	events     eventQueue
-	nodes      []*catchupNode
-	links      [catchupNodes][catchupNodes]catchupLink
-	view       View
-	boot       uint64
-	nextID     uint64
-	waiting    map[uint64]map[uint64]uint32 // by boot of the primary and index
-	acked      map[uint32]bool
-	next       uint32
-	calmAt     int64 // when the last trouble ended
-	insync     int64 // when all were in sync for good
-	ended      bool
-	mostMem    int
-	mostOut    int64 // longest queue of a link, in bytes
-	mostPieces int64 // most bytes of snapshots that waited on a link
+	t                   testing.TB
+	random              *rand.Rand
+	plan                catchupPlan
+	now                 int64
+	order               int
+	events              eventQueue
+	nodes               []*catchupNode
+	links               [catchupNodes][catchupNodes]catchupLink
+	view                View
+	primaryIncarnation  uint64
+	nextID              uint64
+	waiting             map[uint64]map[uint64]uint32 // by incarnation of the primary and index
+	acknowledged        map[uint32]bool
+	lastChange          uint32
+	faultEndedAt        int64 // when the last fault ended
+	inSyncAt            int64 // when all were in sync for good
+	faultEnded          bool
+	maxLogBytes         int
+	maxQueuedBytes      int64 // longest queue of a link, in bytes
+	maxQueuedChunkBytes int64 // most bytes of snapshots that waited on a link
 }
 
 func newCatchupSim(t testing.TB, seed int64) *catchupSim {
@@ -191,7 +192,7 @@
 func newPlannedSim(t testing.TB, random *rand.Rand, plan catchupPlan) *catchupSim {
 	s := &catchupSim{
 		t: t, random: random, plan: plan, now: 1000 * millisecond, nextID: 1,
-		waiting: map[uint64]map[uint64]uint32{}, acked: map[uint32]bool{},
+		waiting: map[uint64]map[uint64]uint32{}, acknowledged: map[uint32]bool{},
 	}
 	for position := range catchupNodes {
 		node := &catchupNode{position: position}
@@ -203,11 +204,11 @@
 	s.view.Replicas = append([]uint64(nil), s.view.InSync...)
 	s.view.Primary = s.view.InSync[0]
 	s.view.Epoch = 1
-	s.boot = s.nodes[0].boot
+	s.primaryIncarnation = s.nodes[0].incarnation
 	return s
 }
 
-func (s *catchupSim) at(after int64, run func()) {
+func (s *catchupSim) schedule(after int64, run func()) {
 	s.order++
 	heap.Push(&s.events, event{s.now + after, s.order, run})
 }
@@ -230,32 +231,32 @@
 }
 
 func (s *catchupSim) start(node *catchupNode) {
-	node.life++
-	node.boot = s.random.Uint64()
+	node.starts++
+	node.incarnation = s.random.Uint64()
 	node.up = true
 	node.ready = false
-	node.seen = 0
+	node.viewEpoch = 0
 	node.queued, node.syncing = nil, nil
 	node.machine = newCountedMachine(s.plan.padding)
 	node.slots = NewTransferSlots(1)
 	group, err := NewGroup(node.id, node.machine, node.disk.base, append([]Entry(nil), node.disk.entries...), Options{
-		EagerCommit: true, RetainedEntries: 16, RetainedBytes: s.plan.bytesKept, SnapshotChunkBytes: s.plan.pieceBytes, TransferSlots: node.slots,
+		EagerCommit: true, RetainedEntries: 16, RetainedBytes: s.plan.retainedBytes, SnapshotChunkBytes: s.plan.chunkBytes, TransferSlots: node.slots,
 	})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	node.group = group
-	life := node.life
+	starts := node.starts
 	var tick func()
 	tick = func() {
-		if node.life != life || !node.up {
+		if node.starts != starts || !node.up {
 			return
 		}
 		node.group.Tick(s.ms(), true)
 		s.carryOut(node)
-		s.at(tickPeriod, tick)
+		s.schedule(tickPeriod, tick)
 	}
-	s.at(s.random.Int63n(tickPeriod), tick)
+	s.schedule(s.random.Int63n(tickPeriod), tick)
 }
 
 // stop loses the power: some prefix of the writes that are not synced may be on the disk.
@@ -265,21 +266,21 @@
 	}
 	node.up = false
 	node.lostAt = s.now
-	pending := append(node.syncing, node.queued...)
+	pending := slices.Concat(node.syncing, node.queued)
 	for _, write := range pending[:s.random.Intn(len(pending)+1)] {
 		node.disk.write(write)
 	}
 	for other := range s.nodes {
-		s.links[node.position][other].breakOff(s.now)
-		s.links[other][node.position].breakOff(s.now)
+		s.links[node.position][other].disconnect(s.now)
+		s.links[other][node.position].disconnect(s.now)
 	}
 }
 
-// breakOff ends the connection; what waited on it is lost.
-func (l *catchupLink) breakOff(now int64) {
-	l.life++
+// disconnect ends the connection; what waited on it is lost.
+func (l *catchupLink) disconnect(now int64) {
+	l.connection++
 	l.freeAt = now
-	l.pieces = 0
+	l.queuedChunkBytes = 0
 }
 
 func (s *catchupSim) bandwidth(from, to int) int64 {
@@ -304,20 +305,20 @@
 	}
 	rate := s.bandwidth(from.position, to.position)
 	link.freeAt = max(link.freeAt, s.now) + size*1_000_000/rate
-	s.mostOut = max(s.mostOut, (link.freeAt-s.now)*rate/1_000_000)
-	piece := int64(len(out.Message.Chunk))
-	link.pieces += piece
-	s.mostPieces = max(s.mostPieces, link.pieces)
-	life := link.life
-	s.at(link.freeAt-s.now, func() {
-		if link.life == life {
-			link.pieces -= piece
+	s.maxQueuedBytes = max(s.maxQueuedBytes, (link.freeAt-s.now)*rate/1_000_000)
+	chunk := int64(len(out.Message.Chunk))
+	link.queuedChunkBytes += chunk
+	s.maxQueuedChunkBytes = max(s.maxQueuedChunkBytes, link.queuedChunkBytes)
+	connection := link.connection
+	s.schedule(link.freeAt-s.now, func() {
+		if link.connection == connection {
+			link.queuedChunkBytes -= chunk
 		}
 	})
 	message := out.Message
 	sender := from.id
-	s.at(link.freeAt-s.now+s.plan.delay, func() {
-		if link.life != life || !to.up || to.id != out.To {
+	s.schedule(link.freeAt-s.now+s.plan.delay, func() {
+		if link.connection != connection || !to.up || to.id != out.To {
 			return
 		}
 		to.group.Step(sender, message, s.ms())
@@ -328,7 +329,7 @@
 func (s *catchupSim) carryOut(node *catchupNode) {
 	output := node.group.TakeOutput()
 	if output.SteppedDown {
-		delete(s.waiting, node.boot)
+		delete(s.waiting, node.incarnation)
 	}
 	node.queued = append(node.queued, output.Writes...)
 	s.sync(node)
@@ -336,24 +337,24 @@
 		s.send(node, out)
 	}
 	for _, applied := range output.Applied {
-		if number, waits := s.waiting[node.boot][applied.Index]; waits {
-			s.acked[number] = true
-			delete(s.waiting[node.boot], applied.Index)
+		if number, waits := s.waiting[node.incarnation][applied.Index]; waits {
+			s.acknowledged[number] = true
+			delete(s.waiting[node.incarnation], applied.Index)
 		}
 	}
 	node.group.Trim()
 	s.checkMemory(node)
-	s.checkLead(node)
+	s.checkLeadership(node)
 }
 
 // checkMemory holds the log in memory against its bound: what is kept, what is not committed, and what stays behind a snapshot.
 func (s *catchupSim) checkMemory(node *catchupNode) {
 	state := s.plan.padding + 8 + 4*len(node.machine.applied)
-	bound := s.plan.bytesKept*5/4 + 2*(s.plan.changeBytes+entryOverhead)
+	bound := s.plan.retainedBytes*5/4 + 2*(s.plan.changeBytes+entryOverhead)
 	if node.group.IsPrimary() {
-		bound += s.plan.bytesKept + 2*state // behind a snapshot that is under way
+		bound += s.plan.retainedBytes + 2*state // behind a snapshot that is under way
 	}
-	s.mostMem = max(s.mostMem, node.group.log.bytes)
+	s.maxLogBytes = max(s.maxLogBytes, node.group.log.bytes)
 	if s.order%memoryCheckEvery != 0 {
 		return
 	}
@@ -362,11 +363,11 @@
 	}
 }
 
-// checkLead checks that a primary begins with all that was acknowledged.
-func (s *catchupSim) checkLead(node *catchupNode) {
+// checkLeadership checks that a primary begins with all that was acknowledged.
+func (s *catchupSim) checkLeadership(node *catchupNode) {
 	ready := node.group.IsReady()
 	if ready && !node.ready {
-		for number := range s.acked {
+		for number := range s.acknowledged {
 			if !node.machine.held[number] {
 				s.t.Fatalf("primary of epoch %d leads without change %d: %+v", node.group.View().Epoch, number, s.plan)
 			}
@@ -381,9 +382,9 @@
 		return
 	}
 	node.syncing, node.queued = node.queued, nil
-	life := node.life
-	s.at(s.plan.sync, func() {
-		if node.life != life || !node.up {
+	starts := node.starts
+	s.schedule(s.plan.sync, func() {
+		if node.starts != starts || !node.up {
 			return
 		}
 		writes := node.syncing
@@ -417,21 +418,21 @@
 }
 
 func (s *catchupSim) propose() {
-	if int(s.next) >= s.plan.changes {
+	if int(s.lastChange) >= s.plan.changes {
 		return
 	}
-	s.at(s.plan.interval, s.propose)
+	s.schedule(s.plan.interval, s.propose)
 	for _, node := range s.nodes {
 		if !node.up || !node.group.IsReady() || !node.group.HasCapacity() {
 			continue
 		}
-		s.next++
+		s.lastChange++
 		command := make([]byte, s.plan.changeBytes)
-		binary.BigEndian.PutUint32(command, s.next)
-		if s.waiting[node.boot] == nil {
-			s.waiting[node.boot] = map[uint64]uint32{}
+		binary.BigEndian.PutUint32(command, s.lastChange)
+		if s.waiting[node.incarnation] == nil {
+			s.waiting[node.incarnation] = map[uint64]uint32{}
 		}
-		s.waiting[node.boot][node.group.Propose(command, s.ms())] = s.next
+		s.waiting[node.incarnation][node.group.Propose(command, s.ms())] = s.lastChange
 		s.carryOut(node)
 		return
 	}
@@ -439,18 +440,18 @@
 
 // watch is the authority that control is for a group.
 func (s *catchupSim) watch() {
-	s.at(watchPeriod, s.watch)
+	s.schedule(watchPeriod, s.watch)
 	s.adjustView()
 	for _, node := range s.nodes {
-		if !node.up || node.seen == s.view.Epoch || (s.view.Primary == node.id && s.boot != node.boot) {
+		if !node.up || node.viewEpoch == s.view.Epoch || (s.view.Primary == node.id && s.primaryIncarnation != node.incarnation) {
 			continue
 		}
-		node.seen = s.view.Epoch
+		node.viewEpoch = s.view.Epoch
 		node.group.SetView(s.view, s.ms())
 		s.carryOut(node)
 	}
-	if s.ended && s.insync == 0 && s.allInSync() {
-		s.insync = s.now
+	if s.faultEnded && s.inSyncAt == 0 && s.allInSync() {
+		s.inSyncAt = s.now
 	}
 }
 
@@ -472,7 +473,7 @@
 		}
 	}
 	primary := s.find(next.Primary)
-	if !s.alive(next.Primary) || primary.boot != s.boot {
+	if !s.alive(next.Primary) || primary.incarnation != s.primaryIncarnation {
 		next.Primary = 0
 		for _, id := range next.InSync {
 			if node := s.find(id); node.up && next.Primary == 0 {
@@ -485,7 +486,7 @@
 		s.setView(next)
 		return
 	}
-	if len(next.InSync) != len(s.view.InSync) || fmt.Sprint(next.Replicas) != fmt.Sprint(s.view.Replicas) {
+	if len(next.InSync) != len(s.view.InSync) || !slices.Equal(next.Replicas, s.view.Replicas) {
 		s.setView(next)
 		return
 	}
@@ -495,7 +496,7 @@
 func (s *catchupSim) setView(next View) {
 	next.Epoch = s.view.Epoch + 1
 	s.view = next
-	s.boot = s.find(next.Primary).boot
+	s.primaryIncarnation = s.find(next.Primary).incarnation
 }
 
 func (s *catchupSim) admitOrDrop(primary *catchupNode) {
@@ -528,8 +529,8 @@
 	return true
 }
 
-// play runs events until a moment.
-func (s *catchupSim) play(until int64) {
+// runUntil runs events until a moment.
+func (s *catchupSim) runUntil(until int64) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		each := heap.Pop(&s.events).(event)
 		s.now = each.at
@@ -551,59 +552,77 @@
 	return up >= minimumSync
 }
 
-// bringTrouble plays what the plan has for the last node, for a part of the changes or all, and returns when it is over.
-func (s *catchupSim) bringTrouble() {
+// injectFault plays what the plan has for the last node, for a part of the changes or all, and returns when it is over.
+func (s *catchupSim) injectFault() {
 	node := s.backup()
 	length := s.plan.interval * int64(s.plan.changes) / 4
-	switch s.plan.trouble {
+	switch s.plan.fault {
 	case "down":
-		s.stop(node)
-		s.play(s.now + length)
-		s.start(node)
+		s.stopFor(node, length)
 	case "down for all":
-		s.stop(node)
-		s.play(s.now + length*7/2)
-		s.start(node)
-	case "wiped", "wiped twice":
+		s.stopFor(node, length*7/2)
+	case "wiped":
 		s.loseDisk(node, length)
-		if s.plan.trouble == "wiped twice" {
-			s.play(s.now + length/2)
-			s.loseDisk(node, length/8)
-		}
+	case "wiped twice":
+		s.loseDisk(node, length)
+		s.runUntil(s.now + length/2)
+		s.loseDisk(node, length/8)
 	case "restarted often":
-		s.stop(node)
-		s.play(s.now + length)
-		for range 8 {
-			s.start(node)
-			s.play(s.now + s.plan.upFor)
-			s.stop(node)
-			s.play(s.now + 100*millisecond)
-		}
-		s.start(node)
+		s.restartOften(node, length)
 	case "cut off often":
-		s.loseDisk(node, length)
-		for range 8 {
-			s.play(s.now + s.plan.upFor)
-			s.setCut(node, true)
-			s.play(s.now + 700*millisecond)
-			s.setCut(node, false)
-		}
+		s.cutOffOften(node, length)
 	case "primary lost":
 		s.loseDisk(node, length)
-		s.loseOther(length / 2)
+		s.stopFor(s.find(s.view.Primary), length/2)
 	case "primary lost in a transfer":
 		s.loseDisk(node, length)
-		s.play(s.now + s.plan.upFor/4)
-		s.loseOther(2000 * millisecond)
+		s.runUntil(s.now + s.plan.upFor/4)
+		s.stopFor(s.find(s.view.Primary), 2000*millisecond)
 	case "power lost":
 		s.stop(node)
-		s.play(s.now + length)
-		for _, each := range s.nodes {
-			s.stop(each)
-		}
-		for _, each := range s.nodes {
-			s.start(each)
-		}
+		s.runUntil(s.now + length)
+		s.losePower()
+	}
+}
+
+// stopFor stops a node for a while.
+func (s *catchupSim) stopFor(node *catchupNode, away int64) {
+	s.stop(node)
+	s.runUntil(s.now + away)
+	s.start(node)
+}
+
+// restartOften stops a node for a while and then starts it again and again.
+func (s *catchupSim) restartOften(node *catchupNode, away int64) {
+	s.stop(node)
+	s.runUntil(s.now + away)
+	for range 8 {
+		s.start(node)
+		s.runUntil(s.now + s.plan.upFor)
+		s.stop(node)
+		s.runUntil(s.now + 100*millisecond)
+	}
+	s.start(node)
+}
+
+// cutOffOften loses a node's disk and cuts its links again and again while it catches up.
+func (s *catchupSim) cutOffOften(node *catchupNode, away int64) {
+	s.loseDisk(node, away)
+	for range 8 {
+		s.runUntil(s.now + s.plan.upFor)
+		s.setCut(node, true)
+		s.runUntil(s.now + 700*millisecond)
+		s.setCut(node, false)
+	}
+}
+
+// losePower stops and starts all nodes.
+func (s *catchupSim) losePower() {
+	for _, node := range s.nodes {
+		s.stop(node)
+	}
+	for _, node := range s.nodes {
+		s.start(node)
 	}
 }
 
@@ -613,82 +632,74 @@
 	}
 	s.stop(node)
 	s.wipe(node)
-	s.play(s.now + away)
+	s.runUntil(s.now + away)
 	s.start(node)
 }
 
-// loseOther stops the primary for a while.
-func (s *catchupSim) loseOther(away int64) {
-	primary := s.find(s.view.Primary)
-	s.stop(primary)
-	s.play(s.now + away)
-	s.start(primary)
-}
-
 func (s *catchupSim) setCut(node *catchupNode, cut bool) {
 	for other := range s.nodes {
 		for _, link := range []*catchupLink{&s.links[node.position][other], &s.links[other][node.position]} {
 			link.cut = cut
-			link.breakOff(s.now)
+			link.disconnect(s.now)
 		}
 	}
 }
 
-// bound is how long a member may need to be in sync again: the time to be heard, replaced as primary or taken in, waits of
-// transfers (a piece asked for again, a pause after the log outgrew one), and the bytes of the state and of the log over what the
+// bound is how long a replica may need to be in sync again: the time to be heard, replaced as primary or admitted, waits of
+// transfers (a chunk asked for again, a pause after the log outgrew one), and the bytes of the state and of the log over what the
 // changes leave of the link. A link carries at least twice the changes.
 func (s *catchupSim) bound() int64 {
 	state := int64(s.plan.padding + 16 + 4*s.plan.changes)
-	log := int64(2*s.plan.bytesKept) + 2*state + uncommittedSlack/8
+	log := int64(2*s.plan.retainedBytes) + 2*state + uncommittedSlack/8
 	rest := s.plan.slowLink / 2
 	waits := int64(primaryLost/millisecond+2*chunkResendAfter+2*transferBackoffFirst+1000) * millisecond
 	return waits + 20*s.plan.sync + (2*state+log)*1_000_000/rest
 }
 
-// run plays the plan and returns how long the last member needed after the trouble.
+// run plays the plan and returns how long the last replica needed after the fault.
 func (s *catchupSim) run() (took, bound int64) {
-	s.at(0, s.watch)
-	s.play(s.now + 500*millisecond)
+	s.schedule(0, s.watch)
+	s.runUntil(s.now + 500*millisecond)
 	s.propose()
-	s.play(s.now + s.plan.interval*int64(s.plan.changes)/10)
-	s.bringTrouble()
-	s.calmAt = s.now
-	s.ended = true
+	s.runUntil(s.now + s.plan.interval*int64(s.plan.changes)/10)
+	s.injectFault()
+	s.faultEndedAt = s.now
+	s.faultEnded = true
 	bound = s.bound()
-	s.play(s.now + bound)
-	took = s.insync - s.calmAt
-	s.judge()
+	s.runUntil(s.now + bound)
+	took = s.inSyncAt - s.faultEndedAt
+	s.verify()
 	return took, bound
 }
 
-func (s *catchupSim) judge() {
-	if s.insync == 0 {
-		s.t.Fatalf("not all members are in sync %d ms after the last trouble: %+v", s.bound()/millisecond, s.plan)
+func (s *catchupSim) verify() {
+	if s.inSyncAt == 0 {
+		s.t.Fatalf("not all replicas are in sync %d ms after the last fault: %+v", s.bound()/millisecond, s.plan)
 	}
-	queue := int64(maxInFlight+2*maxAppendBytes) + int64(2*windowChunks*s.plan.pieceBytes+s.plan.changeBytes) + 200_000
-	if s.mostOut > queue {
-		s.t.Fatalf("up to %d bytes waited on a link, %d are allowed: %+v", s.mostOut, queue, s.plan)
+	queue := int64(maxInFlight+2*maxAppendBytes) + int64(2*windowChunks*s.plan.chunkBytes+s.plan.changeBytes) + 200_000
+	if s.maxQueuedBytes > queue {
+		s.t.Fatalf("up to %d bytes waited on a link, %d are allowed: %+v", s.maxQueuedBytes, queue, s.plan)
 	}
-	// a window, and what was asked for again while pieces were late
-	if window := int64((windowChunks + 3) * s.plan.pieceBytes); s.mostPieces > window {
-		s.t.Fatalf("up to %d bytes of a snapshot waited on a link, %d are allowed: %+v", s.mostPieces, window, s.plan)
+	// a window, and what was asked for again while chunks were late
+	if window := int64((windowChunks + 3) * s.plan.chunkBytes); s.maxQueuedChunkBytes > window {
+		s.t.Fatalf("up to %d bytes of a snapshot waited on a link, %d are allowed: %+v", s.maxQueuedChunkBytes, window, s.plan)
 	}
-	for int(s.next) < s.plan.changes { // the changes that are left
-		s.play(s.now + 1000*millisecond)
+	for int(s.lastChange) < s.plan.changes { // the changes that are left
+		s.runUntil(s.now + 1000*millisecond)
 	}
-	s.play(s.now + s.bound())
+	s.runUntil(s.now + s.bound())
 	primary := s.find(s.view.Primary)
-	for number := range s.acked {
+	for number := range s.acknowledged {
 		if !primary.machine.held[number] {
 			s.t.Fatalf("change %d was acknowledged and is lost: %+v", number, s.plan)
 		}
 	}
-	if len(s.acked) < s.plan.changes*9/10-50 {
-		s.t.Fatalf("only %d of %d changes were acknowledged: %+v", len(s.acked), s.plan.changes, s.plan)
+	if len(s.acknowledged) < s.plan.changes*9/10-50 {
+		s.t.Fatalf("only %d of %d changes were acknowledged: %+v", len(s.acknowledged), s.plan.changes, s.plan)
 	}
 	for _, node := range s.nodes {
 		if fmt.Sprint(node.machine.applied) != fmt.Sprint(primary.machine.applied) {
-			s.t.Fatalf("member %d holds %d changes, the primary %d: %+v", node.id, len(node.machine.applied), len(primary.machine.applied), s.plan)
+			s.t.Fatalf("replica %d holds %d changes, the primary %d: %+v", node.id, len(node.machine.applied), len(primary.machine.applied), s.plan)
 		}
 	}
 }
@@ -697,12 +708,12 @@
 	if n, err := strconv.Atoi(os.Getenv(catchupSeedsVariable)); err == nil {
 		return n
 	}
-	return standardCatchupSeeds
+	return defaultCatchupSeeds
 }
 
-// Every member is in sync within the bound after the last trouble, nothing acknowledged is lost, no primary begins with an old
+// Every replica is in sync within the bound after the last fault, nothing acknowledged is lost, no primary begins with an old
 // state, and memory and queues stay bounded. TIER_CATCHUP_SEEDS sets how many seeds.
-func TestMembersCatchUpAfterHundredsOfChanges(t *testing.T) {
+func TestReplicasCatchUpAfterHundredsOfChanges(t *testing.T) {
 	for seed := range int64(catchupSeeds()) {
 		t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
 			t.Parallel()
@@ -710,21 +721,21 @@
 			took, bound := s.run()
 			if testing.Verbose() {
 				t.Logf("%-28s %5d changes, in sync after %6d ms, bound %6d ms, log in memory up to %7d bytes",
-					s.plan.trouble, s.plan.changes, took/millisecond, bound/millisecond, s.mostMem)
+					s.plan.fault, s.plan.changes, took/millisecond, bound/millisecond, s.maxLogBytes)
 			}
 		})
 	}
 }
 
-// Under 20 configurations of 100 KB a second, a member that was away for 15 s, or is empty, is in sync again while the changes go on:
-// after the waits, and the state and the log over what the changes leave of the link. A window of pieces a round trip bounds the
+// Under 20 configurations of 100 KB a second, a replica that was away for 15 s, or is empty, is in sync again while the changes go on:
+// after the waits, and the state and the log over what the changes leave of the link. A window of chunks a round trip bounds the
 // transfer besides.
-func TestAMemberCatchesUpUnderTwentyConfigurationsASecond(t *testing.T) {
+func TestAReplicaCatchesUpUnderTwentyConfigurationsASecond(t *testing.T) {
 	for _, test := range []struct {
-		trouble string
-		link    int64 // bytes a second
-		delay   int64 // one way
-		state   int
+		fault string
+		link  int64 // bytes a second
+		delay int64 // one way
+		state int
 	}{
 		{"down", 12_500_000, millisecond / 2, 1 << 20},
 		{"down", 12_500_000, millisecond / 2, 8 << 20},
@@ -734,15 +745,15 @@
 		{"restarted often", 12_500_000, millisecond / 2, 8 << 20},
 		{"cut off often", 12_500_000, millisecond / 2, 8 << 20},
 	} {
-		t.Run(fmt.Sprintf("%s,%dMB/s,%dus,%dMB", test.trouble, test.link/1_000_000, test.delay, test.state>>20), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s,%dMB/s,%dus,%dMB", test.fault, test.link/1_000_000, test.delay, test.state>>20), func(t *testing.T) {
 			t.Parallel()
 			s := newPlannedSim(t, rand.New(rand.NewSource(1)), catchupPlan{
-				changes: 1200, changeBytes: 100_000, interval: 50 * millisecond, padding: test.state, bytesKept: 8 << 20,
-				pieceBytes: DefaultSnapshotChunkBytes, slowLink: test.link, link: 4 * test.link, delay: test.delay, sync: 5 * millisecond,
-				trouble: test.trouble, upFor: 700 * millisecond,
+				changes: 1200, changeBytes: 100_000, interval: 50 * millisecond, padding: test.state, retainedBytes: 8 << 20,
+				chunkBytes: DefaultSnapshotChunkBytes, slowLink: test.link, link: 4 * test.link, delay: test.delay, sync: 5 * millisecond,
+				fault: test.fault, upFor: 700 * millisecond,
 			})
 			took, bound := s.run()
-			t.Logf("in sync after %d ms, bound %d ms, log in memory up to %.1f MB", took/millisecond, bound/millisecond, float64(s.mostMem)/(1<<20))
+			t.Logf("in sync after %d ms, bound %d ms, log in memory up to %.1f MB", took/millisecond, bound/millisecond, float64(s.maxLogBytes)/(1<<20))
 		})
 	}
 }
--- a/tier/replica/contact_test.go
+++ b/tier/replica/contact_test.go
@@ -8,7 +8,7 @@
 
 const testStepDown = 1000
 
-func contactGroup(t *testing.T, self uint64) *Group {
+func newContactGroup(t *testing.T, self uint64) *Group {
 	t.Helper()
 	g, err := NewGroup(self, &journalMachine{}, Snapshot{}, nil, Options{Incarnation: 100 + self, StepDownAfter: testStepDown})
 	if err != nil {
@@ -39,9 +39,9 @@
 	return probes[0]
 }
 
-// An answer proves contact as of the question, however late it is read.
-func TestContactCountsFromTheQuestion(t *testing.T) {
-	primary, backup := contactGroup(t, 1), contactGroup(t, 2)
+// An answer proves contact as of the probe, however late it is read.
+func TestContactCountsFromTheProbe(t *testing.T) {
+	primary, backup := newContactGroup(t, 1), newContactGroup(t, 2)
 	primary.SetView(threeReplicas, 1000)
 	backup.Step(1, onlyProbe(t, primary, 2), 1005)
 	answer := onlyProbe(t, backup, 1)
@@ -50,13 +50,13 @@
 	}
 	primary.Step(2, answer, 6000) // out of the socket buffer, after a freeze
 	if since := primary.ConfirmedSince(6000); since != 1000 {
-		t.Fatalf("confirmed since %d, but the question was asked at 1000", since)
+		t.Fatalf("confirmed since %d, but the probe was sent at 1000", since)
 	}
 }
 
 // One answer of four is no majority of five.
 func TestContactNeedsAMajority(t *testing.T) {
-	primary := contactGroup(t, 1)
+	primary := newContactGroup(t, 1)
 	view := View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3, 4, 5}}
 	primary.SetView(view, 1000)
 	answer := Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Sent: Timestamp{102, 7}, Echoed: Timestamp{101, 1000}}}
@@ -70,9 +70,9 @@
 	}
 }
 
-// Answers to a former life of the process, or to what it has not asked yet, prove nothing.
-func TestContactIgnoresAnswersToAnotherLife(t *testing.T) {
-	primary := contactGroup(t, 1)
+// Answers to a former incarnation of the process, or to what it has not sent yet, prove nothing.
+func TestContactIgnoresResponsesToAnotherIncarnation(t *testing.T) {
+	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	for _, echoed := range []Timestamp{{999, 1000}, {101, 2000}} {
 		primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: echoed}}, 1010)
@@ -83,8 +83,8 @@
 }
 
 // A primary that no majority answers gives up within the bound, though the others still read what it sends.
-func TestAPrimaryThatNobodyAnswersGivesUp(t *testing.T) {
-	primary := contactGroup(t, 1)
+func TestAPrimaryThatNobodyAnswersStepsDown(t *testing.T) {
+	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	now := int64(1000)
 	for ; primary.IsPrimary(); now += 40 {
@@ -94,7 +94,7 @@
 		primary.Tick(now, true)
 	}
 	if now < 1000+testStepDown {
-		t.Fatalf("it gave up after %d ms already", now-1000)
+		t.Fatalf("it stepped down after %d ms already", now-1000)
 	}
 	primary.TakeOutput()
 	primary.Tick(now+200, true)
@@ -104,14 +104,14 @@
 }
 
 // A primary that stood still asks before it gives up; until it is answered it proves nothing.
-func TestAPrimaryThatStoodStillAsksFirst(t *testing.T) {
-	primary := contactGroup(t, 1)
+func TestAPrimaryThatStoodStillProbesFirst(t *testing.T) {
+	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: Timestamp{101, 1000}}}, 1010)
 	primary.TakeOutput()
 	primary.Tick(9000, true)
 	if !primary.IsPrimary() {
-		t.Fatal("it gave up though it has not asked since")
+		t.Fatal("it stepped down though it has not asked since")
 	}
 	if since := primary.ConfirmedSince(9000); since != 1000 {
 		t.Fatalf("confirmed since %d", since)
@@ -127,20 +127,20 @@
 	return Message{Kind: MessageProbe, Epoch: epoch, Probe: Probe{Sent: Timestamp{101, 1}, Echoed: echoed, QuorumAge: age}}
 }
 
-// A backup counts from its own question less the age of the primary's contact, and only what the primary has read.
+// A backup counts from its own probe less the age of the primary's contact, and only what the primary has read.
 func TestABackupIsConfirmedForWhatThePrimaryRead(t *testing.T) {
 	own := uint64(102)
 	for name, step := range map[string]struct {
 		message Message
 		since   int64
 	}{
-		"never read":            {probeFrom(1, Timestamp{}, 10), 0},
-		"without a majority":    {probeFrom(1, Timestamp{own, 900}, noQuorum), 0},
-		"of a former life":      {probeFrom(1, Timestamp{77, 900}, 10), 0},
-		"of the future":         {probeFrom(1, Timestamp{own, 5000}, 10), 0},
-		"read, with a majority": {probeFrom(1, Timestamp{own, 900}, 70), 830},
+		"never read":              {probeFrom(1, Timestamp{}, 10), 0},
+		"without a majority":      {probeFrom(1, Timestamp{own, 900}, noQuorum), 0},
+		"of a former incarnation": {probeFrom(1, Timestamp{77, 900}, 10), 0},
+		"of the future":           {probeFrom(1, Timestamp{own, 5000}, 10), 0},
+		"read, with a majority":   {probeFrom(1, Timestamp{own, 900}, 70), 830},
 	} {
-		backup := contactGroup(t, 2)
+		backup := newContactGroup(t, 2)
 		backup.Step(1, step.message, 1000)
 		if since := backup.ConfirmedSince(1000); since != step.since {
 			t.Errorf("%s: confirmed since %d, not %d", name, since, step.since)
@@ -148,9 +148,9 @@
 	}
 }
 
-// A backup that lacks what was committed when it asked may not serve its copy.
+// A backup that lacks what was committed when it sent its probe may not serve reads.
 func TestABackupThatLagsIsNotConfirmed(t *testing.T) {
-	backup := contactGroup(t, 2)
+	backup := newContactGroup(t, 2)
 	message := probeFrom(1, Timestamp{102, 900}, 70)
 	message.Commit = 1
 	backup.Step(1, message, 1000)
@@ -165,8 +165,8 @@
 }
 
 // A new primary does not know what its predecessor committed until the entry that opens its epoch is committed.
-func TestANewPrimaryConfirmsNoCopyBeforeItIsReady(t *testing.T) {
-	primary := contactGroup(t, 1)
+func TestANewPrimaryConfirmsNoBackupBeforeItIsReady(t *testing.T) {
+	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	message := onlyProbe(t, primary, 2)
 	if primary.IsReady() || message.Commit < primary.EpochStartIndex() {
@@ -174,9 +174,9 @@
 	}
 }
 
-// What a backup reads late confirms it no later than when it asked.
-func TestABackupCountsFromItsQuestion(t *testing.T) {
-	backup := contactGroup(t, 2)
+// What a backup reads late confirms it no later than when it sent its probe.
+func TestABackupCountsFromItsProbe(t *testing.T) {
+	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
 	backup.Step(1, probeFrom(1, Timestamp{102, 980}, 20), 8000)
 	if since := backup.ConfirmedSince(8000); since != 960 {
@@ -184,9 +184,9 @@
 	}
 }
 
-// Whoever has voted for a successor confirms nothing to the one before, and relies on nothing that it says.
+// Whoever has voted for a successor confirms nothing to the one before, and relies on nothing that it sends.
 func TestAVoteForASuccessorEndsTheConfirmation(t *testing.T) {
-	backup := contactGroup(t, 2)
+	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
 	backup.TakeOutput()
 	backup.RecordVote(2, 3)
@@ -205,7 +205,7 @@
 
 // A change by the primary itself leaves its confirmation alone.
 func TestAVoteForTheSamePrimaryChangesNothing(t *testing.T) {
-	backup := contactGroup(t, 2)
+	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
 	backup.RecordVote(2, 1)
 	if since := backup.ConfirmedSince(1001); since != 880 {
@@ -214,8 +214,8 @@
 }
 
 // A primary without a majority does not count as well, however often it is heard.
-func TestAPrimaryWithoutAMajorityIsNotProven(t *testing.T) {
-	backup := contactGroup(t, 2)
+func TestAPrimaryWithoutAMajorityIsNotConfirmed(t *testing.T) {
+	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{}, 30), 1000)
 	proven := backup.PrimaryConfirmedAt()
 	for now := int64(1080); now < 3000; now += 80 {
--- a/tier/replica/digest_test.go
+++ b/tier/replica/digest_test.go
@@ -25,17 +25,17 @@
 		s := newSim(t, seed)
 		for range simSteps {
 			s.step(true)
-			d.Int(s.now, int64(len(s.network)), int64(s.next), int64(len(s.acked)))
+			d.Int(s.now, int64(len(s.network)), int64(s.lastCommand), int64(len(s.acknowledged)))
 			digestView(d, s.view)
 			for _, node := range s.nodes {
 				d.Bool(node.up)
-				d.Uint(node.id, node.boot, node.seen)
+				d.Uint(node.id, node.incarnation, node.viewEpoch)
 				d.Int(int64(node.frozen), int64(len(node.writes)), int64(len(node.waiting)))
 				digestGroup(d, node.group)
 			}
 		}
-		s.settle()
-		s.judge()
+		s.healAndWait()
+		s.verify()
 		for _, node := range s.nodes {
 			d.Int(s.now, int64(len(node.machine.applied)))
 			d.Text(node.machine.applied...)
@@ -43,30 +43,30 @@
 	})
 }
 
-// The simulation of members that catch up, looked at again and again, and the changes that they applied.
+// The simulation of replicas that catch up, looked at again and again, and the changes that they applied.
 func TestCatchUpDigests(t *testing.T) {
 	const lookEvery = 5 * millisecond
 	digesttest.Check(t, "catchup", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		s := newCatchupSim(t, seed)
 		var look func()
 		look = func() {
-			s.at(lookEvery, look)
-			d.Int(s.now, int64(s.next), int64(len(s.acked)), s.mostOut, s.mostPieces, int64(s.mostMem))
+			s.schedule(lookEvery, look)
+			d.Int(s.now, int64(s.lastChange), int64(len(s.acknowledged)), s.maxQueuedBytes, s.maxQueuedChunkBytes, int64(s.maxLogBytes))
 			digestView(d, s.view)
 			for _, node := range s.nodes {
 				d.Bool(node.up, node.ready)
-				d.Uint(node.id, node.boot, node.seen)
+				d.Uint(node.id, node.incarnation, node.viewEpoch)
 				d.Int(int64(len(node.queued)), int64(len(node.syncing)))
 				digestGroup(d, node.group)
 			}
 			for from := range s.links {
 				for to := range s.links[from] {
 					link := &s.links[from][to]
-					d.Int(link.freeAt, int64(link.life), link.pieces)
+					d.Int(link.freeAt, int64(link.connection), link.queuedChunkBytes)
 				}
 			}
 		}
-		s.at(0, look)
+		s.schedule(0, look)
 		took, bound := s.run()
 		d.Int(took, bound)
 		for _, node := range s.nodes {
--- a/tier/replica/group_test.go
+++ b/tier/replica/group_test.go
@@ -19,8 +19,8 @@
 	return Message{Kind: MessageAppend, Epoch: epoch, Index: index, PrevEpoch: prevEpoch, Commit: commit, Entries: entries}
 }
 
-// wholeInstall is a snapshot that fits into one piece.
-func wholeInstall(epoch, index, entryEpoch uint64, state []byte) Message {
+// singleChunkSnapshot is a snapshot that fits into one chunk.
+func singleChunkSnapshot(epoch, index, entryEpoch uint64, state []byte) Message {
 	return Message{
 		Kind: MessageSnapshotChunk, Epoch: epoch, Index: index, PrevEpoch: entryEpoch, Commit: index,
 		Total: uint32(len(state)), Checksum: crc32.Checksum(state, checksumTable), Chunk: state,
@@ -39,7 +39,7 @@
 }
 
 // A backup may hold entries that the primary lacks behind those that the message speaks of: they are not committed by it.
-func TestABackupCommitsOnlyWhatIsKnownToBeAlike(t *testing.T) {
+func TestABackupCommitsOnlyWhatIsKnownToMatch(t *testing.T) {
 	g, machine := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}, Entry{3, 1, []byte("c")}), 10)
 	g.MarkDurable(3, 1, 11)
@@ -49,8 +49,8 @@
 	}
 }
 
-// What becomes durable after the epoch has changed is acknowledged only once the new primary's log is known to be alike.
-func TestABackupAcknowledgesOnlyWhatIsKnownToBeAlike(t *testing.T) {
+// What becomes durable after the epoch has changed is acknowledged only once the new primary's log is known to match.
+func TestABackupAcknowledgesOnlyWhatIsKnownToMatch(t *testing.T) {
 	g, _ := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}), 10)
 	acks(g)
@@ -70,7 +70,7 @@
 func TestASnapshotIsAcknowledgedWhenItIsDurable(t *testing.T) {
 	g, _ := newBackup(t)
 	state := (&journalMachine{applied: []string{"a", "b"}}).Snapshot()
-	g.Step(1, wholeInstall(1, 2, 1, state), 10)
+	g.Step(1, singleChunkSnapshot(1, 2, 1, state), 10)
 	g.Step(1, appendFrom(1, 2, 1, 2), 11)
 	if got := acks(g); len(got) != 0 {
 		t.Fatalf("acknowledged %v before the write", got)
@@ -89,7 +89,7 @@
 	acks(g)
 	state := (&journalMachine{applied: []string{"a", "b"}}).Snapshot()
 	for range 2 { // the second one comes when the entries it covers have been applied
-		g.Step(1, wholeInstall(1, 2, 1, state), 12)
+		g.Step(1, singleChunkSnapshot(1, 2, 1, state), 12)
 		if g.LastIndex() != 3 || len(machine.applied) != 2 {
 			t.Fatalf("last entry %d, applied %v", g.LastIndex(), machine.applied)
 		}
@@ -104,7 +104,7 @@
 }
 
 // The process that led an epoch before its restart may have sent entries that it no longer knows.
-func TestARestartedPrimaryDoesNotLeadItsOldEpoch(t *testing.T) {
+func TestARestartedPrimaryDoesNotLeadItsFormerEpoch(t *testing.T) {
 	g, err := NewGroup(1, &journalMachine{}, Snapshot{}, []Entry{{1, 4, nil}}, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 }
 
 // A primary that waits for a replica which will not come back can still take another one in.
-func TestAReplicaCanBeTakenInWhileThePrimaryWaits(t *testing.T) {
+func TestAReplicaCanBeAdmittedWhileThePrimaryWaits(t *testing.T) {
 	machine := &journalMachine{}
 	g, err := NewGroup(1, machine, Snapshot{}, []Entry{{1, 1, []byte("a")}}, Options{})
 	if err != nil {
@@ -143,7 +143,7 @@
 	}
 }
 
-// A replica that held everything when it was dropped is not taken in again while it is silent.
+// A replica that held everything when it was dropped is not admitted again while it is silent.
 func TestASilentReplicaIsNotCaughtUp(t *testing.T) {
 	g, err := NewGroup(1, &journalMachine{}, Snapshot{}, nil, Options{})
 	if err != nil {
@@ -154,7 +154,7 @@
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: 1}, 12)
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}}, 900)
 	if got := g.CaughtUp(900); len(got) != 0 {
-		t.Fatalf("taken in though silent: %v", got)
+		t.Fatalf("admitted though silent: %v", got)
 	}
 	g.TakeOutput()
 	g.Tick(1100, false)
@@ -163,11 +163,11 @@
 	}
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 1101)
 	if got := g.CaughtUp(1102); len(got) != 1 {
-		t.Fatalf("not taken in though it answers: %v", got)
+		t.Fatalf("not admitted though it answers: %v", got)
 	}
 }
 
-// A replica taken in counts from the moment it is asked in, and until the next epoch says otherwise.
+// An admitted replica counts from the moment it is admitted, and until the next epoch says otherwise.
 func TestAnAdmittedReplicaCountsAtOnce(t *testing.T) {
 	machine := &journalMachine{}
 	g, err := NewGroup(1, machine, Snapshot{}, nil, Options{})
--- a/tier/replica/incoming.go
+++ b/tier/replica/incoming.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// covers tells whether the log reaches as far as a snapshot already, and is alike there.
+// covers tells whether the log reaches as far as a snapshot already, and matches it there.
 func (g *Group) covers(snapshot position) bool {
 	epoch, known := g.log.epochAt(snapshot.index)
 	return snapshot.index <= g.commit.applied || (known && epoch == snapshot.epoch)
--- a/tier/replica/progress.go
+++ b/tier/replica/progress.go
@@ -18,7 +18,7 @@
 	id        uint64
 	match     uint64 // the last entry known to be durable there
 	next      uint64 // the next entry to send
-	probing   bool   // it is not known yet up to where the logs are alike
+	probing   bool   // it is not known yet up to where the logs match
 	inFlight  int    // bytes of entries sent and not acknowledged
 	resends   int    // of entries, without progress
 	lastHeard int64
--- a/tier/replica/recorded_test.go
+++ b/tier/replica/recorded_test.go
@@ -8,7 +8,7 @@
 	"otterseam/tier/internal/recorded"
 )
 
-func recordedStamp() Timestamp { return Timestamp{Incarnation: 0x0807060504030201, At: 1_048_700} }
+func recordedTimestamp() Timestamp { return Timestamp{Incarnation: 0x0807060504030201, At: 1_048_700} }
 
 // recordedMessage has all fields set, whatever its kind sends of them.
 func recordedMessage(kind MessageKind) Message {
@@ -22,7 +22,7 @@
 		Offset: 0x41424344, Total: 0x51525354, Checksum: 0x61626364, Chunk: []byte("a piece of a snapshot"),
 	}
 	if m.carriesProbe() {
-		m.Probe = Probe{Sent: recordedStamp(), Echoed: Timestamp{Incarnation: 0x7172737475767778, At: 1_048_650}, QuorumAge: 75}
+		m.Probe = Probe{Sent: recordedTimestamp(), Echoed: Timestamp{Incarnation: 0x7172737475767778, At: 1_048_650}, QuorumAge: 75}
 	}
 	return m
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestRecordedStamp(t *testing.T) {
+func TestRecordedTimestamp(t *testing.T) {
 	encode := func(s Timestamp) []byte {
 		var e codec.Encoder
 		s.Encode(&e)
@@ -62,7 +62,7 @@
 		s := DecodeTimestamp(d)
 		return s, d.Err()
 	}
-	recorded.CheckBoth(t, "stamp", recordedStamp(), encode, decode)
+	recorded.CheckBoth(t, "stamp", recordedTimestamp(), encode, decode)
 }
 
 // recordedMachine is a state machine whose state is its bytes.
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// The pieces in which a snapshot goes to a replica, their checksum included, are those recorded, and a replica takes its state
+// The chunks in which a snapshot goes to a replica, their checksum included, are those recorded, and a replica takes its state
 // from them.
-func TestRecordedPiecesOfASnapshot(t *testing.T) {
+func TestRecordedSnapshotChunks(t *testing.T) {
 	view := View{Epoch: 5, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}, MinInSync: 1}
 	state := "the state of a group, in several pieces"
 	primary, err := NewGroup(1, &recordedMachine{}, Snapshot{Index: 9, Epoch: 4, State: []byte(state)}, nil, Options{SnapshotChunkBytes: 16})
@@ -89,7 +89,7 @@
 	primary.startTransfer(primary.peer(2), 1_000)
 	messages := primary.TakeOutput().Messages
 	if len(messages) != 3 {
-		t.Fatalf("%d pieces", len(messages))
+		t.Fatalf("%d chunks", len(messages))
 	}
 	machine := &recordedMachine{}
 	backup, err := NewGroup(2, machine, Snapshot{}, nil, Options{SnapshotChunkBytes: 16})
--- a/tier/replica/sim_test.go
+++ b/tier/replica/sim_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand"
 	"os"
+	"slices"
 	"strconv"
 	"testing"
 
@@ -12,7 +13,7 @@
 )
 
 // The simulation plays one group on a network and disks that lose, delay and repeat, under a view authority that behaves as
-// control does: it replaces primaries, drops silent replicas down to a floor and takes in those that caught up.
+// control does: it replaces primaries, drops silent replicas down to a floor and admits those that caught up.
 
 const (
 	simNodes    = 3
@@ -66,17 +67,17 @@
 }
 
 type simNode struct {
-	id      uint64
-	boot    uint64
-	up      bool
-	frozen  int
-	group   *Group
-	machine *journalMachine
-	disk    simDisk
-	writes  []Write
-	waiting map[uint64]string // commands taken as primary, by index
-	seen    uint64            // epoch of the newest view told
-	slots   *TransferSlots
+	id          uint64
+	incarnation uint64
+	up          bool
+	frozen      int
+	group       *Group
+	machine     *journalMachine
+	disk        simDisk
+	writes      []Write
+	waiting     map[uint64]string // commands taken as primary, by index
+	viewEpoch   uint64            // epoch of the newest view delivered
+	slots       *TransferSlots
 }
 
 type envelope struct {
@@ -85,20 +86,20 @@
 }
 
 type sim struct {
-	t       testing.TB
-	random  *rand.Rand
-	now     int64
-	nodes   []*simNode
-	network []envelope
-	view    View
-	boot    uint64 // of the view's primary
-	nextID  uint64
-	next    int
-	acked   map[string]bool
+	t                  testing.TB
+	random             *rand.Rand
+	now                int64
+	nodes              []*simNode
+	network            []envelope
+	view               View
+	primaryIncarnation uint64 // of the view's primary
+	nextID             uint64
+	lastCommand        int
+	acknowledged       map[string]bool
 }
 
 func newSim(t testing.TB, seed int64) *sim {
-	s := &sim{t: t, random: rand.New(rand.NewSource(seed)), now: 1000, acked: map[string]bool{}, nextID: 1}
+	s := &sim{t: t, random: rand.New(rand.NewSource(seed)), now: 1000, acknowledged: map[string]bool{}, nextID: 1}
 	for range simNodes {
 		node := &simNode{}
 		s.nodes = append(s.nodes, node)
@@ -110,7 +111,7 @@
 	s.view.Primary = s.view.InSync[0]
 	s.view.Replicas = append([]uint64(nil), s.view.InSync...)
 	s.view.MinInSync = MinInSync(simTolerate, simNodes)
-	s.boot = s.nodes[0].boot
+	s.primaryIncarnation = s.nodes[0].incarnation
 	return s
 }
 
@@ -124,8 +125,8 @@
 	node.machine = &journalMachine{}
 	node.writes = nil
 	node.waiting = map[uint64]string{}
-	node.seen = 0
-	node.boot = s.random.Uint64()
+	node.viewEpoch = 0
+	node.incarnation = s.random.Uint64()
 	node.up = true
 	node.frozen = 0
 	node.slots = NewTransferSlots(1)
@@ -166,14 +167,14 @@
 			if command != string(applied.Command) {
 				s.t.Fatalf("index %d was answered for %q and holds %q", applied.Index, command, applied.Command)
 			}
-			s.acked[command] = true
+			s.acknowledged[command] = true
 			delete(node.waiting, applied.Index)
 		}
 	}
 	node.group.Trim()
 }
 
-func (s *sim) lost() int {
+func (s *sim) countUnavailable() int {
 	count := 0
 	for _, node := range s.nodes {
 		if !node.up || node.frozen > 0 {
@@ -197,22 +198,32 @@
 			s.propose()
 		}
 	case 8:
-		if node.up && node.frozen == 0 {
-			node.group.Tick(s.now, true)
-			s.carryOut(node)
-		}
+		s.tick(node)
 	case 9:
-		s.tellView(node)
+		s.deliverView(node)
 	case 10:
-		s.authority()
+		s.changeView()
 	case 11:
 		if faults {
-			s.fault(node)
+			s.injectFault(node)
 		}
 	}
-	for _, each := range s.nodes {
-		if each.frozen > 0 {
-			each.frozen--
+	s.thaw()
+}
+
+// tick lets a node's time go on, unless it is frozen.
+func (s *sim) tick(node *simNode) {
+	if node.up && node.frozen == 0 {
+		node.group.Tick(s.now, true)
+		s.carryOut(node)
+	}
+}
+
+// thaw brings the end of each freeze one step nearer.
+func (s *sim) thaw() {
+	for _, node := range s.nodes {
+		if node.frozen > 0 {
+			node.frozen--
 		}
 	}
 }
@@ -221,9 +232,9 @@
 	if len(s.network) == 0 {
 		return
 	}
-	position := s.random.Intn(min(len(s.network), 8))
-	sent := s.network[position]
-	s.network = append(s.network[:position:position], s.network[position+1:]...)
+	i := s.random.Intn(min(len(s.network), 8))
+	sent := s.network[i]
+	s.network = append(s.network[:i:i], s.network[i+1:]...)
 	node := s.find(sent.to)
 	if node == nil || !node.up {
 		return
@@ -263,22 +274,22 @@
 		if !node.up || node.frozen > 0 || !node.group.IsReady() || s.random.Intn(2) == 0 {
 			continue
 		}
-		s.next++
-		command := fmt.Sprintf("c%d", s.next)
+		s.lastCommand++
+		command := fmt.Sprintf("c%d", s.lastCommand)
 		node.waiting[node.group.Propose([]byte(command), s.now)] = command
 		s.carryOut(node)
 	}
 }
 
-// tellView gives a node the authority's view, as the feed would, some time late.
-func (s *sim) tellView(node *simNode) {
-	if !node.up || node.frozen > 0 || node.seen == s.view.Epoch {
+// deliverView gives a node the authority's view, as the feed would, some time late.
+func (s *sim) deliverView(node *simNode) {
+	if !node.up || node.frozen > 0 || node.viewEpoch == s.view.Epoch {
 		return
 	}
-	if s.view.Primary == node.id && s.boot != node.boot {
+	if s.view.Primary == node.id && s.primaryIncarnation != node.incarnation {
 		return
 	}
-	node.seen = s.view.Epoch
+	node.viewEpoch = s.view.Epoch
 	node.group.SetView(s.view, s.now)
 	s.carryOut(node)
 }
@@ -288,8 +299,8 @@
 	return node != nil && node.up && node.frozen == 0
 }
 
-// authority changes the view as control would.
-func (s *sim) authority() {
+// changeView changes the view as control would.
+func (s *sim) changeView() {
 	next := s.view
 	next.InSync = s.remaining()
 	var replicas []uint64
@@ -297,30 +308,47 @@
 		replicas = append(replicas, node.id)
 	}
 	next.Replicas = replicas
-	primary := s.find(next.Primary)
-	if !s.alive(next.Primary) || primary.boot != s.boot || !next.IsInSync(next.Primary) || s.random.Intn(12) == 0 {
-		next.Primary = 0
-		for _, id := range next.InSync {
-			if s.alive(id) && (next.Primary == 0 || s.random.Intn(2) == 0) {
-				next.Primary = id
-			}
-		}
+	if s.replacesPrimary(next) {
+		next.Primary = s.drawPrimary(next.InSync)
 	}
 	if next.Primary == 0 || len(next.InSync) == 0 {
 		return
 	}
-	boot := s.find(next.Primary).boot
-	if next.Primary != s.view.Primary || boot != s.boot || len(next.InSync) != len(s.view.InSync) || fmt.Sprint(next.Replicas) != fmt.Sprint(s.view.Replicas) {
+	if s.differs(next) {
 		s.setView(next)
 		return
 	}
 	s.admitOrDrop()
 }
 
+// replacesPrimary tells whether a view's primary may not go on, or is replaced by chance.
+func (s *sim) replacesPrimary(next View) bool {
+	return !s.alive(next.Primary) || s.find(next.Primary).incarnation != s.primaryIncarnation || !next.IsInSync(next.Primary) || s.random.Intn(12) == 0
+}
+
+// drawPrimary draws one of the in-sync replicas that are alive, 0 if there is none.
+func (s *sim) drawPrimary(inSync []uint64) uint64 {
+	primary := uint64(0)
+	for _, id := range inSync {
+		if s.alive(id) && (primary == 0 || s.random.Intn(2) == 0) {
+			primary = id
+		}
+	}
+	return primary
+}
+
+// differs tells whether a view is another one than that in force.
+func (s *sim) differs(next View) bool {
+	if next.Primary != s.view.Primary || s.find(next.Primary).incarnation != s.primaryIncarnation {
+		return true
+	}
+	return len(next.InSync) != len(s.view.InSync) || !slices.Equal(next.Replicas, s.view.Replicas)
+}
+
 func (s *sim) setView(next View) {
 	next.Epoch = s.view.Epoch + 1
 	s.view = next
-	s.boot = s.find(next.Primary).boot
+	s.primaryIncarnation = s.find(next.Primary).incarnation
 }
 
 // remaining is the in-sync set without replicas whose disk is gone and, down to the floor, without dead ones.
@@ -366,36 +394,47 @@
 	}
 }
 
-// fault strikes within what is tolerated: one machine at a time, and a disk only while the others hold everything.
-func (s *sim) fault(node *simNode) {
+// injectFault strikes within what is tolerated: one machine at a time, and a disk only while the others hold everything.
+func (s *sim) injectFault(node *simNode) {
 	switch s.random.Intn(4) {
 	case 0:
-		if s.lost() == 0 {
+		if s.countUnavailable() == 0 {
 			node.frozen = 20 + s.random.Intn(300)
 		}
 	case 1:
-		if s.lost() == 0 && node.up {
-			s.crash(node)
-		} else if !node.up {
-			s.start(node)
-		}
+		s.crashOrStart(node)
 	case 2:
-		if s.lost() == 0 && node.up && s.othersInSync(node) {
+		if s.countUnavailable() == 0 && node.up && s.othersInSync(node) {
 			s.wipe(node)
 			s.start(node)
 		}
 	case 3:
 		if s.random.Intn(10) == 0 {
-			for _, each := range s.nodes {
-				s.crash(each)
-			}
-			for _, each := range s.nodes {
-				s.start(each)
-			}
+			s.losePower()
 		}
 	}
 }
 
+// crashOrStart starts a node that is down, and crashes one that is up if no other is unavailable.
+func (s *sim) crashOrStart(node *simNode) {
+	switch {
+	case !node.up:
+		s.start(node)
+	case s.countUnavailable() == 0:
+		s.crash(node)
+	}
+}
+
+// losePower crashes and starts all nodes.
+func (s *sim) losePower() {
+	for _, node := range s.nodes {
+		s.crash(node)
+	}
+	for _, node := range s.nodes {
+		s.start(node)
+	}
+}
+
 // crash ends a process; of the writes not synced some prefix may have reached the disk.
 func (s *sim) crash(node *simNode) {
 	if !node.up {
@@ -418,8 +457,8 @@
 	return held >= simNodes-simTolerate
 }
 
-// settle heals everything and plays until all replicas have applied all.
-func (s *sim) settle() {
+// healAndWait heals everything and plays until all replicas have applied all.
+func (s *sim) healAndWait() {
 	for _, node := range s.nodes {
 		if !node.up {
 			s.start(node)
@@ -428,15 +467,15 @@
 	}
 	for range 60000 {
 		s.step(false)
-		if s.settled() {
+		if s.allCaughtUp() {
 			return
 		}
 	}
 	s.t.Fatalf("the group did not settle: view %+v", s.view)
 }
 
-func (s *sim) settled() bool {
-	if len(s.view.InSync) < simNodes || len(s.acked) == 0 {
+func (s *sim) allCaughtUp() bool {
+	if len(s.view.InSync) < simNodes || len(s.acknowledged) == 0 {
 		return false
 	}
 	for _, node := range s.nodes {
@@ -447,8 +486,8 @@
 	return true
 }
 
-// judge checks that nothing acknowledged is missing and that all replicas applied the same commands.
-func (s *sim) judge() {
+// verify checks that nothing acknowledged is missing and that all replicas applied the same commands.
+func (s *sim) verify() {
 	primary := s.find(s.view.Primary)
 	held := map[string]bool{}
 	for _, command := range primary.machine.applied {
@@ -457,7 +496,7 @@
 		}
 		held[command] = true
 	}
-	for command := range s.acked {
+	for command := range s.acknowledged {
 		if !held[command] {
 			s.t.Fatalf("%s was acknowledged and is lost", command)
 		}
@@ -474,14 +513,14 @@
 
 const (
 	seedsVariable = "TIER_SEEDS"
-	standardSeeds = 300
+	defaultSeeds  = 300
 )
 
 func seeds() int {
 	if n, err := strconv.Atoi(os.Getenv(seedsVariable)); err == nil {
 		return n
 	}
-	return standardSeeds
+	return defaultSeeds
 }
 
 // Nothing acknowledged is lost and replicas never differ, over seeds of loss, delay, repetition, crashes, lost disks, freezes and
@@ -494,9 +533,9 @@
 			for range simSteps {
 				s.step(true)
 			}
-			s.settle()
-			s.judge()
-			acked += len(s.acked)
+			s.healAndWait()
+			s.verify()
+			acked += len(s.acknowledged)
 		})
 		if t.Failed() {
 			return
--- a/tier/replica/snapshot_test.go
+++ b/tier/replica/transfer_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
+	"slices"
 	"testing"
 )
 
-// transferPair is a primary with a state of several pieces and an empty backup, which the primary's log cannot reach.
+// transferPair is a primary with a state of several chunks and an empty backup, which the primary's log cannot reach.
 type transferPair struct {
 	t       *testing.T
 	now     int64
@@ -14,11 +15,11 @@
 	state   []byte
 }
 
-const testPiece = 100
+const testChunkBytes = 100
 
 func newTransferPair(t *testing.T) *transferPair {
 	t.Helper()
-	options := Options{RetainedEntries: 1, RetainedBytes: 4000, SnapshotChunkBytes: testPiece}
+	options := Options{RetainedEntries: 1, RetainedBytes: 4000, SnapshotChunkBytes: testChunkBytes}
 	p := &transferPair{t: t, now: 1000, primary: newPrimaryOfTwo(t, options), state: bytes.Repeat([]byte("abcdefg"), 200)}
 	p.now = 2000 // replica 2 has been silent since
 	p.propose(bytes.Repeat([]byte("x"), 3000))
@@ -31,7 +32,7 @@
 
 func (p *transferPair) startBackup() {
 	p.t.Helper()
-	backup, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{SnapshotChunkBytes: testPiece})
+	backup, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{SnapshotChunkBytes: testChunkBytes})
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -43,8 +44,8 @@
 	p.primary.MarkDurable(index, 1, p.now)
 }
 
-// pieces are the positions of the snapshot's pieces among messages.
-func pieces(messages []Outgoing) []int {
+// queuedChunkBytes are the positions of the snapshot's chunks among messages.
+func chunkOffsets(messages []Outgoing) []int {
 	var offsets []int
 	for _, out := range messages {
 		if out.Message.Kind == MessageSnapshotChunk {
@@ -76,7 +77,7 @@
 				p.backup.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, p.now)
 			}
 		}
-		answers := append(output.Messages, p.backup.TakeOutput().Messages...)
+		answers := slices.Concat(output.Messages, p.backup.TakeOutput().Messages)
 		for _, out := range answers {
 			p.primary.Step(2, out.Message, p.now)
 		}
@@ -86,17 +87,17 @@
 
 func (p *transferPair) caughtUp() bool { return len(p.primary.CaughtUp(p.now)) == 1 }
 
-// A snapshot goes in pieces, no more of them at once than the window, and the next one on an answer.
-func TestASnapshotGoesInPiecesWithinAWindow(t *testing.T) {
+// A snapshot goes in chunks, no more of them at once than the window, and the next one on an answer.
+func TestASnapshotIsSentInChunksWithinAWindow(t *testing.T) {
 	p := newTransferPair(t)
 	sent := p.begin()
-	if got := pieces(sent); len(got) != windowChunks || got[0] != 0 || got[1] != testPiece {
+	if got := chunkOffsets(sent); len(got) != windowChunks || got[0] != 0 || got[1] != testChunkBytes {
 		t.Fatalf("sent %v", got)
 	}
 	p.backup.Step(1, sent[0].Message, p.now)
 	answer := p.backup.TakeOutput().Messages
 	p.primary.Step(2, answer[0].Message, p.now)
-	if got := pieces(p.primary.TakeOutput().Messages); len(got) != 1 || got[0] != windowChunks*testPiece {
+	if got := chunkOffsets(p.primary.TakeOutput().Messages); len(got) != 1 || got[0] != windowChunks*testChunkBytes {
 		t.Fatalf("after one answer: %v", got)
 	}
 	p.exchange(sent[1:])
@@ -110,8 +111,8 @@
 	}
 }
 
-// After a break the transfer goes on with the piece that was lost, although the state has changed meanwhile.
-func TestATransferGoesOnAfterABreak(t *testing.T) {
+// After a break the transfer goes on with the chunk that was lost, although the state has changed meanwhile.
+func TestATransferResumesAfterABreak(t *testing.T) {
 	p := newTransferPair(t)
 	sent := p.begin()
 	index := sent[0].Message.Index
@@ -127,7 +128,7 @@
 	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now) // the answer to a heartbeat
 	p.primary.Tick(p.now, true)
 	again := p.primary.TakeOutput().Messages
-	if got := pieces(again); len(got) != 1 || got[0] != 2*testPiece {
+	if got := chunkOffsets(again); len(got) != 1 || got[0] != 2*testChunkBytes {
 		t.Fatalf("after the break: %v", got)
 	}
 	for _, out := range again {
@@ -147,7 +148,7 @@
 }
 
 // A backup that starts again in the middle gets the same snapshot from its beginning.
-func TestABackupThatStartsAgainGetsTheSameSnapshot(t *testing.T) {
+func TestARestartedBackupGetsTheSameSnapshot(t *testing.T) {
 	p := newTransferPair(t)
 	sent := p.begin()
 	for _, out := range sent {
@@ -168,12 +169,12 @@
 	}
 }
 
-// An altered piece is found by the checksum; nothing is installed.
+// An altered chunk is found by the checksum; nothing is installed.
 func TestAnAlteredSnapshotIsNotInstalled(t *testing.T) {
 	p := newTransferPair(t)
 	p.now = 2001
 	state := append([]byte(nil), p.state...)
-	message := wholeInstall(1, 4, 1, state)
+	message := singleChunkSnapshot(1, 4, 1, state)
 	state[5] ^= 1
 	p.backup.Step(1, message, p.now)
 	if p.backup.AppliedIndex() != 0 || len(p.backup.TakeOutput().Writes) != 0 {
@@ -182,21 +183,21 @@
 }
 
 // Two groups that share one slot send their snapshots one after the other, and a silent replica gives the slot back.
-func TestTransfersShareTheSlots(t *testing.T) {
+func TestTransfersShareSlots(t *testing.T) {
 	slots := NewTransferSlots(1)
 	first, second := newTransferPair(t), newTransferPair(t)
 	first.primary.options.TransferSlots = slots
 	second.primary.options.TransferSlots = slots
-	if got := pieces(first.begin()); len(got) != windowChunks {
+	if got := chunkOffsets(first.begin()); len(got) != windowChunks {
 		t.Fatalf("the first sent %v", got)
 	}
-	if got := pieces(second.begin()); len(got) != 0 {
+	if got := chunkOffsets(second.begin()); len(got) != 0 {
 		t.Fatalf("the second sent %v without a slot", got)
 	}
 	first.primary.Tick(first.now+slotReleaseAfter+1, true)
 	second.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, second.now)
 	second.primary.Tick(second.now+1, true)
-	if got := pieces(second.primary.TakeOutput().Messages); len(got) == 0 {
+	if got := chunkOffsets(second.primary.TakeOutput().Messages); len(got) == 0 {
 		t.Fatal("a silent replica keeps the slot")
 	}
 }
@@ -219,20 +220,20 @@
 		p.propose(bytes.Repeat([]byte("y"), 3000))
 		p.primary.Trim()
 	}
-	if p.primary.peer(2).transfer != nil || keptBytes(p.primary) > 2*4000 {
-		t.Fatalf("%d bytes are kept", keptBytes(p.primary))
+	if p.primary.peer(2).transfer != nil || retainedBytes(p.primary) > 2*4000 {
+		t.Fatalf("%d bytes are kept", retainedBytes(p.primary))
 	}
-	if got := pieces(p.begin()); len(got) != 0 {
+	if got := chunkOffsets(p.begin()); len(got) != 0 {
 		t.Fatalf("sent again at once: %v", got)
 	}
 	p.now += 2 * transferBackoffFirst
-	if got := pieces(p.begin()); len(got) != windowChunks {
+	if got := chunkOffsets(p.begin()); len(got) != windowChunks {
 		t.Fatalf("not sent again later: %v", got)
 	}
 }
 
 // A replica whose log ends before what it acknowledged is named, and counts no longer for what it lost.
-func TestAReplicaThatLostAcknowledgedEntriesIsNamed(t *testing.T) {
+func TestAReplicaThatLostAcknowledgedEntriesIsReported(t *testing.T) {
 	g := newPrimaryOfTwo(t, Options{})
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 11)
 	index := g.Propose([]byte("a"), 12)
@@ -249,13 +250,13 @@
 	}
 }
 
-// A piece of a primary whose epoch has passed is refused, and the sender is told.
-func TestASnapshotOfAnOlderEpochIsRefused(t *testing.T) {
+// A chunk of a primary whose epoch has passed is rejected, and the sender is notified.
+func TestASnapshotOfAnOlderEpochIsRejected(t *testing.T) {
 	g, machine := newBackup(t)
 	g.SetView(View{Epoch: 5, Primary: 3, InSync: []uint64{3}, Replicas: []uint64{2, 3}}, 10)
 	g.TakeOutput()
 	state := (&journalMachine{applied: []string{"old"}}).Snapshot()
-	g.Step(1, wholeInstall(4, 7, 4, state), 11)
+	g.Step(1, singleChunkSnapshot(4, 7, 4, state), 11)
 	output := g.TakeOutput()
 	if len(machine.applied) != 0 || g.AppliedIndex() != 0 || len(output.Writes) != 0 {
 		t.Fatalf("installed: %v", machine.applied)
--- a/tier/replica/bounds_test.go
+++ b/tier/replica/truncation_test.go
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// keptBytes is what the entries in memory hold.
-func keptBytes(g *Group) int {
+// retainedBytes is what the entries in memory hold.
+func retainedBytes(g *Group) int {
 	total := 0
 	for _, entry := range g.log.entries {
 		total += len(entry.Data)
@@ -59,7 +59,7 @@
 		g.Tick(now, true)
 		g.TakeOutput()
 		g.Trim()
-		most = max(most, keptBytes(g))
+		most = max(most, retainedBytes(g))
 	}
 	if most > 2*kept {
 		t.Fatalf("up to %d bytes of entries were kept, %d are allowed", most, kept)
@@ -67,7 +67,7 @@
 }
 
 // What has not been committed is bounded too: beyond the bound the primary takes no more commands.
-func TestAPrimaryTakesNoMoreThanItMayHold(t *testing.T) {
+func TestAPrimaryBoundsUncommittedCommands(t *testing.T) {
 	const kept = 1 << 20
 	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
 	command := bytes.Repeat([]byte{1}, 10<<10)
@@ -76,7 +76,7 @@
 		g.Propose(command, 11)
 		taken++
 	}
-	if held := keptBytes(g); held < kept || held > kept+2*uncommittedSlack {
+	if held := retainedBytes(g); held < kept || held > kept+2*uncommittedSlack {
 		t.Fatalf("%d bytes are held that are not committed", held)
 	}
 	g.MarkDurable(g.LastIndex(), 1, 12)
@@ -99,7 +99,7 @@
 		g.MarkDurable(index, 1, int64(index))
 		g.TakeOutput()
 		g.Trim()
-		most = max(most, keptBytes(g))
+		most = max(most, retainedBytes(g))
 	}
 	if most > 2*kept {
 		t.Fatalf("up to %d bytes of entries were kept, %d are allowed", most, kept)
@@ -139,7 +139,7 @@
 }
 
 // What is on its way to a replica is bounded, and what was sent is not sent again every moment while acknowledgements are late.
-func TestEntriesOnTheirWayAreBounded(t *testing.T) {
+func TestEntriesInFlightAreBounded(t *testing.T) {
 	g := newPrimaryOfTwo(t, Options{RetainedBytes: 64 << 20})
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 1000)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 1000)
@@ -170,7 +170,7 @@
 }
 
 // A backup whose disk is stalled takes no more than it may hold unwritten, and goes on when the disk works again.
-func TestABackupWithAStalledDiskTakesNoMoreThanItMayHold(t *testing.T) {
+func TestABackupWithAStalledDiskBoundsUnwrittenEntries(t *testing.T) {
 	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
--- a/tier/replica/view.go
+++ b/tier/replica/view.go
@@ -13,7 +13,7 @@
 	InSync   []uint64
 	Replicas []uint64 // all that are to hold the group, those in sync included
 	// MinInSync is how many replicas have to be in sync for anything to be committed. An in-sync set below it, after a lost disk,
-	// takes in another replica first. Its key in the status of a cluster is older than its name.
+	// admits another replica first. Its key in the status of a cluster is older than its name.
 	MinInSync int `json:"MinCopies"`
 	// Learners are the replicas that hold the group without a vote, where the group's replicas vote.
 	Learners []uint64
--- a/tier/replica/copies_test.go
+++ b/tier/replica/view_test.go
@@ -16,7 +16,7 @@
 }
 
 // With one tolerated loss, a primary that is in sync alone acknowledges nothing.
-func TestNothingIsCommittedOnFewerCopiesThanTheViewDemands(t *testing.T) {
+func TestNothingIsCommittedBelowMinInSync(t *testing.T) {
 	g, machine := newPrimary(t, View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3}, MinInSync: 2})
 	g.MarkDurable(g.Propose([]byte("a"), 12), 1, 13)
 	if g.IsReady() || len(machine.applied) != 0 {
@@ -25,7 +25,7 @@
 }
 
 // An in-sync set that is too small takes in a replica although nothing commits, and commits once the next view holds it.
-func TestAGroupBelowItsCopiesTakesInAnother(t *testing.T) {
+func TestAGroupBelowMinInSyncAdmitsAnotherReplica(t *testing.T) {
 	g, machine := newPrimary(t, View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3}, MinInSync: 2})
 	index := g.Propose([]byte("a"), 12)
 	g.MarkDurable(index, 1, 13)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestMinCopiesFitsTheGroup(t *testing.T) {
+func TestMinInSyncFitsTheGroup(t *testing.T) {
 	cases := []struct{ tolerate, replicas, want int }{{0, 3, 1}, {1, 1, 1}, {1, 2, 2}, {1, 3, 2}, {2, 5, 3}, {2, 2, 2}, {1, 0, 1}}
 	for _, c := range cases {
 		if got := MinInSync(c.tolerate, c.replicas); got != c.want {
@@ -67,7 +67,7 @@
 }
 
 // A replica that ends is waited for only where another one is on its way in.
-func TestAReplicaThatLeavesWaitsForTheCopyOnItsWay(t *testing.T) {
+func TestALeavingReplicaWaitsForOneThatCatchesUp(t *testing.T) {
 	cases := []struct {
 		name string
 		view View
