--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -143,7 +143,7 @@
 	}
 	discovery := server.NewDiscovery(ctx, group, loop, log)
 	if wishes.Overload.On {
-		counter.Pauses, discovery.Pauses = overload.Among(f.Settings.Balancers, seed), overload.Among(f.Settings.Balancers, seed+1)
+		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Balancers, seed), overload.DecorrelatedBackoffs(f.Settings.Balancers, seed+1)
 	}
 	clients, err := server.NewClients(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
 		func() bool { return f.counter() == "" || counter.Known() })
--- a/gateway/membership/membership.go
+++ b/gateway/membership/membership.go
@@ -17,14 +17,14 @@
 // watchers are how many watch each; each death is missed only if all of them miss it.
 const watchers = 2
 
-// Letter is a message that is to be sent.
-type Letter struct {
-	To   int // number of an api gateway; All: every one
+// Message is a message that is to be sent.
+type Message struct {
+	To   int // number of an api gateway; Broadcast: every one
 	Text string
 }
 
-// All stands for every other api gateway.
-const All = -1
+// Broadcast stands for every other api gateway.
+const Broadcast = -1
 
 // mark numbers a member's lives and what is said of them: even, it is there; odd, it was given up. A newer one counts.
 type mark uint32
@@ -57,46 +57,46 @@
 	mine     float64 // when I gave it up myself; 0: I did not
 }
 
-// Group is one api gateway's knowledge of all.
-type Group struct {
-	me, n   int
-	period  float64 // between beats, in seconds
-	most    float64 // messages a second that may be about membership while much happens
-	peers   []peer
-	chances rng.Line
-	began   bool
-	last    float64 // when Due was asked last
-	beatAt  float64
-	gap     float64 // mean of periods between beats of late: over 1 by those that did not come
-	from    int     // where the next window of marks begins
-	news    []int   // members of whom all should hear
-	newsAt  float64 // not before
-	again   int     // times the news last sent are to be said once more
-	told    []int   // them
-	heardAt float64 // when anybody was heard last
-	deaf    bool    // nobody is
-	reached float64 // when one of those that are gone was asked last
-	spacing float64 // of the usual time until the next
-	asks    float64 // questions that may be asked now, as of last
-	loud    float64 // messages to all heard or sent of late, by the second
-	loudAt  float64
-	found   float64 // how many I found of late, as of foundAt
-	foundAt float64
-	away    int // how many are gone
-	letters []Letter
-	left    []int // who was given up, and who is back, since the last line for the log
-	came    []int
-	note    string // something else that the log should hear
-	saidAt  float64
-	Bad     int // messages that made no sense
-	Changes int // of what is believed of anyone
+// Detector is one api gateway's knowledge of all.
+type Detector struct {
+	me, n     int
+	period    float64 // between beats, in seconds
+	most      float64 // messages a second that may be about membership while much happens
+	peers     []peer
+	chances   rng.Line
+	began     bool
+	last      float64 // when Due was asked last
+	beatAt    float64
+	gap       float64 // mean of periods between beats of late: over 1 by those that did not come
+	from      int     // where the next window of marks begins
+	news      []int   // members of whom all should hear
+	newsAt    float64 // not before
+	again     int     // times the news last sent are to be said once more
+	told      []int   // them
+	heardAt   float64 // when anybody was heard last
+	deaf      bool    // nobody is
+	reached   float64 // when one of those that are gone was asked last
+	spacing   float64 // of the usual time until the next
+	asks      float64 // questions that may be asked now, as of last
+	loud      float64 // messages to all heard or sent of late, by the second
+	loudAt    float64
+	found     float64 // how many I found of late, as of foundAt
+	foundAt   float64
+	away      int // how many are gone
+	letters   []Message
+	left      []int // who was given up, and who is back, since the last line for the log
+	came      []int
+	note      string // something else that the log should hear
+	saidAt    float64
+	Malformed int // messages that made no sense
+	Changes   int // of what is believed of anyone
 }
 
 // New makes the knowledge of api gateway me of n. mail is how many messages a second one takes in from all for all
 // purposes; part of it is for this, in quiet times.
-func New(me, n int, mail, part float64, seed uint64) *Group {
+func New(me, n int, mail, part float64, seed uint64) *Detector {
 	k := float64(min(watchers, n-1))
-	g := &Group{
+	g := &Detector{
 		me: me, n: n, most: mail / 2, peers: make([]peer, n), gap: 1.1,
 		period: min(5, max(0.2, 1.2*k/max(0.01, mail*part))), chances: rng.By("member %d ", seed),
 	}
@@ -107,24 +107,24 @@
 }
 
 // Act sends what is due and logs what is new.
-func (g *Group) Act(now float64, tell func(to int, text string), log func(text string)) {
-	for _, l := range g.Due(now) {
+func (g *Detector) Flush(now float64, tell func(to int, text string), log func(text string)) {
+	for _, l := range g.Tick(now) {
 		tell(l.To, l.Text)
 	}
-	if line := g.Said(now); line != "" {
+	if line := g.LogLine(now); line != "" {
 		log(line)
 	}
 }
 
 // Said gives a line for the log, "" where there is nothing new: one for all that changed within half a second, so that a
 // death of hundreds is a few lines.
-func (g *Group) Said(now float64) string {
+func (g *Detector) LogLine(now float64) string {
 	if g == nil || now-g.saidAt < 0.5 || len(g.left)+len(g.came) == 0 && g.note == "" {
 		return ""
 	}
 	g.saidAt = now
 	var b strings.Builder
-	fmt.Fprintf(&b, "membership: %d of %d are there; %.2f of the beats missing", g.Count(), g.n, g.missing())
+	fmt.Fprintf(&b, "membership: %d of %d are there; %.2f of the beats missing", g.AliveCount(), g.n, g.missing())
 	some := func(what string, in []int) {
 		if len(in) > 0 {
 			fmt.Fprintf(&b, "; %s %d:", what, len(in))
@@ -141,7 +141,7 @@
 }
 
 // begin sets out at the first moment: a new life, numbered by the clock, with nobody heard of.
-func (g *Group) begin(now float64) {
+func (g *Detector) begin(now float64) {
 	if g.began {
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 // Wait is how long Due need not be asked, in seconds.
-func (g *Group) Wait(now float64) float64 {
+func (g *Detector) Wait(now float64) float64 {
 	if g == nil {
 		return math.Inf(1)
 	}
@@ -163,7 +163,7 @@
 }
 
 // Due gives what is to be sent now.
-func (g *Group) Due(now float64) []Letter {
+func (g *Detector) Tick(now float64) []Message {
 	if g == nil {
 		return nil
 	}
@@ -190,11 +190,11 @@
 	return out
 }
 
-func (g *Group) send(to int, text string) { g.letters = append(g.letters, Letter{to, text}) }
+func (g *Detector) send(to int, text string) { g.letters = append(g.letters, Message{to, text}) }
 
 // listen notes whether anybody is heard at all. Guards against a member whose own link is dead, or mail that nobody gets:
 // all others at once are seldom gone, so while none is heard nobody is given up, and who is gone counts as there.
-func (g *Group) listen(now float64) {
+func (g *Detector) listen(now float64) {
 	deaf := now-g.heardAt > 3*g.period
 	if deaf != g.deaf {
 		g.deaf = deaf
@@ -210,7 +210,7 @@
 // slept: this api gateway did not look for so long. Guards against one that is stopped or starved and then takes its own
 // deafness for the others' silence: what it could not hear does not count, and after a long sleep nobody counts as gone
 // for its shares until that is seen again.
-func (g *Group) slept(now, gap float64) {
+func (g *Detector) slept(now, gap float64) {
 	g.heardAt += gap
 	g.shift(gap)
 	if gap > 1 {
@@ -220,7 +220,7 @@
 }
 
 // shift lets a time in which nothing could be heard not count as anybody's silence.
-func (g *Group) shift(gap float64) {
+func (g *Detector) shift(gap float64) {
 	for i := range g.peers {
 		p := &g.peers[i]
 		p.heard, p.watched, p.beat, p.asked = p.heard+gap, p.watched+gap, p.beat+gap, 0
@@ -228,14 +228,14 @@
 }
 
 // doubt lets all that are gone count as there again, and less only as time goes on.
-func (g *Group) doubt(now float64) {
+func (g *Detector) doubt(now float64) {
 	for i := range g.peers {
 		g.peers[i].goneAt = max(g.peers[i].goneAt, now)
 	}
 }
 
 // ring gives the next so many in a direction that are there.
-func (g *Group) ring(step, most int) (in []int) {
+func (g *Detector) ring(step, most int) (in []int) {
 	for i := 1; i < g.n && len(in) < most; i++ {
 		if k := ((g.me+step*i)%g.n + g.n) % g.n; !g.peers[k].mark.gone() {
 			in = append(in, k)
@@ -245,13 +245,13 @@
 }
 
 // silent is for how long a member has been unusually silent, in periods.
-func (g *Group) silent(now float64, p *peer) float64 { return (now - p.heard) / g.period }
+func (g *Detector) silent(now float64, p *peer) float64 { return (now - p.heard) / g.period }
 
 // limit is after how many periods of silence a member is given up: the more messages get lost, the later.
-func (g *Group) limit(p *peer) float64 { return (3.3 + 8*min(0.6, g.missing())) * p.patience }
+func (g *Detector) limit(p *peer) float64 { return (3.3 + 8*min(0.6, g.missing())) * p.patience }
 
 // missing is the part of the beats of late that did not come.
-func (g *Group) missing() float64 { return 1 - 1/g.gap }
+func (g *Detector) missing() float64 { return 1 - 1/g.gap }
 
 // nudge is after how many periods of silence a member is asked whether it is there, further when those behind it are
 // looked after as well.
@@ -259,7 +259,7 @@
 
 // watch looks after those before this one in the ring, and further back the more of them are silent: most of their
 // watchers may have gone with them.
-func (g *Group) watch(now float64) {
+func (g *Detector) watch(now float64) {
 	most := watchers
 	for i, seen := 1, 0; i < g.n && seen < most; i++ {
 		k := (g.me - i + g.n) % g.n
@@ -297,11 +297,11 @@
 
 // reach asks one of those that are gone now and then. Guards against a cut that has healed and of which neither side would
 // hear, since each sends the other nothing.
-func (g *Group) reach(now float64) {
+func (g *Detector) reach(now float64) {
 	if g.away == 0 {
 		return
 	}
-	each := max(4*g.period, float64(g.Count())/(2*float64(g.away))) // all together ask each of them twice a second at most
+	each := max(4*g.period, float64(g.AliveCount())/(2*float64(g.away))) // all together ask each of them twice a second at most
 	if now < g.reached+g.spacing*each {
 		return
 	}
@@ -314,7 +314,7 @@
 	}
 }
 
-func (g *Group) giveUp(now float64, k int) {
+func (g *Detector) giveUp(now float64, k int) {
 	p := &g.peers[k]
 	p.mark, p.mine = p.mark|1, now
 	g.gone(now, k)
@@ -322,7 +322,7 @@
 	g.publish(now, k)
 }
 
-func (g *Group) gone(now float64, k int) {
+func (g *Detector) gone(now float64, k int) {
 	p := &g.peers[k]
 	p.goneAt, p.heard, p.asked = now, math.NaN(), 0
 	g.away++
@@ -331,7 +331,7 @@
 }
 
 // publish has all hear of a member soon: the more I found of late, the more others found, and the later I speak.
-func (g *Group) publish(now float64, k int) {
+func (g *Detector) publish(now float64, k int) {
 	for _, x := range g.news {
 		if x == k {
 			return
@@ -343,12 +343,12 @@
 }
 
 // heardAll counts a message to all, and fades the count.
-func (g *Group) heardAll(now float64) {
+func (g *Detector) heardAll(now float64) {
 	g.loud, g.loudAt = g.loud*math.Exp(g.loudAt-now)+1, now
 }
 
 // spread says the news, and once more a little later; it holds back while many speak.
-func (g *Group) spread(now float64) {
+func (g *Detector) spread(now float64) {
 	if len(g.news)+g.again == 0 || now < g.newsAt {
 		return
 	}
@@ -364,20 +364,20 @@
 	} else {
 		g.again--
 	}
-	g.send(All, g.newsText(g.told))
+	g.send(Broadcast, g.newsText(g.told))
 	g.heardAll(now)
 	g.newsAt = now + 0.3 + 0.3*g.chances.Next()
 }
 
 // Heard brings a message; Due may have an answer to it at once. false: it is not one about membership.
-func (g *Group) Heard(now float64, from int, text string) bool {
+func (g *Detector) Receive(now float64, from int, text string) bool {
 	if g == nil || len(text) == 0 || text[0] != '!' {
 		return false
 	}
 	g.begin(now)
 	m, ok := read(text, g.n)
 	if !ok || m.who == g.me || from >= 0 && m.who != from { // spoilt or forged: nothing is believed of it
-		g.Bad++
+		g.Malformed++
 		return true
 	}
 	if g.deaf { // what it could not hear does not count
@@ -396,7 +396,7 @@
 }
 
 // sign: a member has spoken for itself.
-func (g *Group) sign(now float64, m *message) {
+func (g *Detector) sign(now float64, m *message) {
 	p := &g.peers[m.who]
 	if p.mark.newer(m.mark) { // of a former life, or of one that does not know it was given up, or whose clock went back
 		g.send(m.who, g.newsText([]int{m.who}))
@@ -427,7 +427,7 @@
 }
 
 // back: a member that had been given up, or an earlier life of it, is there.
-func (g *Group) back(now float64, k int, was mark) {
+func (g *Detector) back(now float64, k int, was mark) {
 	p := &g.peers[k]
 	if was.gone() {
 		g.away--
@@ -442,7 +442,7 @@
 }
 
 // sync tells a member that comes back empty of those that are gone.
-func (g *Group) sync(to int) {
+func (g *Detector) sync(to int) {
 	var gone []int
 	for i := range g.peers {
 		if g.peers[i].mark.gone() {
@@ -457,7 +457,7 @@
 }
 
 // learn takes what another says of a member.
-func (g *Group) learn(now float64, by int, e entry) {
+func (g *Detector) learn(now float64, by int, e entry) {
 	if e.who == g.me {
 		g.ofMe(now, by, e.mark)
 		return
@@ -485,7 +485,7 @@
 
 // ofMe: somebody has given this api gateway up, or knows a later life of its name. It says so before it acts on shares:
 // those it holds for gone may have gone on without it.
-func (g *Group) ofMe(now float64, by int, m mark) {
+func (g *Detector) ofMe(now float64, by int, m mark) {
 	me := &g.peers[g.me]
 	if !m.newer(me.mark) {
 		return
--- a/gateway/membership/membership_test.go
+++ b/gateway/membership/membership_test.go
@@ -10,7 +10,7 @@
 // tribe is members on one clock, with ways between them that may be cut one way.
 type tribe struct {
 	now    float64
-	all    []*Group
+	all    []*Detector
 	asleep []bool
 	cut    func(from, to int) bool
 	dice   *rand.Rand
@@ -33,8 +33,8 @@
 	for until := t.now + seconds; t.now < until; t.now += 0.05 {
 		for i, g := range t.all {
 			if g != nil && !t.asleep[i] {
-				t.post(i, g.Due(t.now), 0)
-				if s := g.Said(t.now); s != "" {
+				t.post(i, g.Tick(t.now), 0)
+				if s := g.LogLine(t.now); s != "" {
 					t.notes = append(t.notes, s)
 				}
 			}
@@ -42,22 +42,22 @@
 		sum := 0.0
 		for _, g := range t.all {
 			if g != nil {
-				sum += 1 / g.Apart(t.now, 0, len(t.all))
+				sum += 1 / g.ShareDivisor(t.now, 0, len(t.all))
 			}
 		}
 		t.share = max(t.share, sum)
 	}
 }
 
-func (t *tribe) post(from int, letters []Letter, deep int) {
+func (t *tribe) post(from int, letters []Message, deep int) {
 	for _, l := range letters {
 		for to, g := range t.all {
-			if g == nil || to == from || l.To != All && l.To != to || t.cut(from, to) || t.dice.Float64() < t.loss || t.asleep[to] {
+			if g == nil || to == from || l.To != Broadcast && l.To != to || t.cut(from, to) || t.dice.Float64() < t.loss || t.asleep[to] {
 				continue
 			}
-			g.Heard(t.now, from, l.Text)
+			g.Receive(t.now, from, l.Text)
 			if deep < 8 {
-				t.post(to, g.Due(t.now), deep+1)
+				t.post(to, g.Tick(t.now), deep+1)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 func (t *tribe) wrong() (n int) {
 	for i, g := range t.all {
 		for k := range t.all {
-			if g != nil && i != k && (g.Is(t.now, k) == Gone) != (t.all[k] == nil) {
+			if g != nil && i != k && (g.StateOf(t.now, k) == Dead) != (t.all[k] == nil) {
 				n++
 			}
 		}
@@ -87,16 +87,16 @@
 	if x.wrong() != 0 {
 		t.Errorf("%d do not know after 2 s", x.wrong())
 	}
-	if a := x.all[0].Apart(x.now, 0, 12); a < 11 || a > 12 {
+	if a := x.all[0].ShareDivisor(x.now, 0, 12); a < 11 || a > 12 {
 		t.Errorf("at first it goes on counting: %.2f", a)
 	}
 	x.run(5)
-	if a := x.all[0].Apart(x.now, 0, 12); math.Abs(a-12*math.Sqrt(11.0/12)) > 1e-9 {
+	if a := x.all[0].ShareDivisor(x.now, 0, 12); math.Abs(a-12*math.Sqrt(11.0/12)) > 1e-9 {
 		t.Errorf("then by the root of what is there: %.3f", a)
 	}
 	x.all[5] = New(5, 12, 60, 0.1, 99)
 	x.run(1)
-	if x.wrong() != 0 || x.all[0].Apart(x.now, 0, 12) != 12 {
+	if x.wrong() != 0 || x.all[0].ShareDivisor(x.now, 0, 12) != 12 {
 		t.Errorf("it is back, and %d do not know", x.wrong())
 	}
 }
@@ -150,7 +150,7 @@
 	x.run(0.3)
 	x.all[3] = New(3, 20, 60, 0.1, 77)
 	x.run(12)
-	if x.wrong() != 0 || x.all[0].Apart(x.now, 0, 20) != 20 {
+	if x.wrong() != 0 || x.all[0].ShareDivisor(x.now, 0, 20) != 20 {
 		t.Errorf("%d wrong after it healed", x.wrong())
 	}
 }
@@ -192,14 +192,14 @@
 		x.all[i] = nil
 	}
 	x.run(12)
-	if a := x.all[8].Apart(x.now, 0, 10); a > 10*math.Sqrt(0.4)+1e-9 {
+	if a := x.all[8].ShareDivisor(x.now, 0, 10); a > 10*math.Sqrt(0.4)+1e-9 {
 		t.Fatalf("four of ten divide by %.2f", a)
 	}
 	x.asleep[8] = true
 	x.run(6)
 	x.notes, x.asleep[8] = nil, false
-	x.all[8].Due(x.now)
-	if a := x.all[8].Apart(x.now, 0, 10); a != 10 {
+	x.all[8].Tick(x.now)
+	if a := x.all[8].ShareDivisor(x.now, 0, 10); a != 10 {
 		t.Errorf("awake it divides by %.2f", a)
 	}
 	x.run(2)
@@ -229,7 +229,7 @@
 	if x.wrong() != 0 {
 		t.Errorf("two lives in one tick: %d wrong", x.wrong())
 	}
-	x.all[0].Heard(x.now, 3, old)
+	x.all[0].Receive(x.now, 3, old)
 	x.run(1)
 	if x.wrong() != 0 || x.all[0].peers[3].mark.newer(x.all[3].peers[3].mark) {
 		t.Error("mail of a former life was taken for the present one's")
@@ -255,19 +255,19 @@
 		"!", "!b", "!x" + good[2:], good[:len(good)-1], good + "A", "!b" + strings.Repeat("_", 7), strings.Repeat("!", 300),
 		"!n" + "__" + good[4:], "!nAAAAAAB", "!\x00\xff", x.all[0].beat('b'),
 	} {
-		if !g.Heard(x.now, 2, text) {
+		if !g.Receive(x.now, 2, text) {
 			t.Errorf("%d: not taken as mail of ours", i)
 		}
 	}
-	if g.Heard(x.now, 3, good); g.Bad != 12 { // signed with another's number
-		t.Errorf("%d bad ones", g.Bad)
+	if g.Receive(x.now, 3, good); g.Malformed != 12 { // signed with another's number
+		t.Errorf("%d bad ones", g.Malformed)
 	}
 	for i := range before {
 		if a, b := before[i], g.peers[i]; a.mark != b.mark || a.goneAt != b.goneAt {
 			t.Errorf("%d is believed otherwise", i)
 		}
 	}
-	if g.Heard(x.now, 2, "=plan key") || g.Heard(x.now, 2, "") || (*Group)(nil).Heard(0, 1, good) {
+	if g.Receive(x.now, 2, "=plan key") || g.Receive(x.now, 2, "") || (*Detector)(nil).Receive(0, 1, good) {
 		t.Error("mail of others was taken")
 	}
 }
@@ -291,7 +291,7 @@
 			if dice.IntN(20) == 0 {
 				g.ofMe(now, 1, g.peers[0].mark+1)
 			}
-			a := g.Apart(now, 0, n)
+			a := g.ShareDivisor(now, 0, n)
 			if a > float64(n)+1e-9 || a < float64(n)/2-1e-9 {
 				t.Fatalf("%d divide by %.3f", n, a)
 			}
@@ -326,8 +326,8 @@
 				t.Fatalf("%+v", e)
 			}
 		}
-		g.Heard(5001, m.who, s)
-		if a := g.Apart(5001, 0, 40); a < 20 || a > 40 {
+		g.Receive(5001, m.who, s)
+		if a := g.ShareDivisor(5001, 0, 40); a < 20 || a > 40 {
 			t.Fatalf("divides by %g", a)
 		}
 	})
--- a/gateway/membership/recorded_test.go
+++ b/gateway/membership/recorded_test.go
@@ -13,7 +13,7 @@
 // a line for each message: when and by whom it was sent, to whom, and its text.
 func recordedLetters() string {
 	const n, silent = 5, 3
-	var groups []*Group
+	var groups []*Detector
 	for i := range n {
 		groups = append(groups, New(i, n, 60, 0.5, uint64(40+i)))
 	}
@@ -28,11 +28,11 @@
 			if away && from == silent {
 				continue
 			}
-			for _, l := range g.Due(now) {
+			for _, l := range g.Tick(now) {
 				fmt.Fprintf(&b, "%.2f %d %d %s\n", now, from, l.To, l.Text)
 				for to, other := range groups {
-					if to != from && (l.To == to || l.To == All) && !(away && to == silent) {
-						other.Heard(now, from, l.Text)
+					if to != from && (l.To == to || l.To == Broadcast) && !(away && to == silent) {
+						other.Receive(now, from, l.Text)
 					}
 				}
 			}
--- a/gateway/membership/shares.go
+++ b/gateway/membership/shares.go
@@ -17,30 +17,30 @@
 type State int
 
 const (
-	There State = iota
-	Suspected
-	Gone
+	Alive State = iota
+	Suspect
+	Dead
 )
 
 // Is says what is believed of a member.
-func (g *Group) Is(now float64, k int) State {
+func (g *Detector) StateOf(now float64, k int) State {
 	p := &g.peers[k]
 	switch {
 	case k == g.me:
-		return There
+		return Alive
 	case p.mark.gone():
-		return Gone
+		return Dead
 	case !math.IsNaN(p.heard) && g.silent(now, p) > further:
-		return Suspected
+		return Suspect
 	}
-	return There
+	return Alive
 }
 
 // Count is how many are there, this one with them.
-func (g *Group) Count() int { return g.n - g.away }
+func (g *Detector) AliveCount() int { return g.n - g.away }
 
 // counts is what a member counts for: 1, and less and less once it is gone.
-func (g *Group) counts(now float64, k int) float64 {
+func (g *Detector) counts(now float64, k int) float64 {
 	p := &g.peers[k]
 	if k == g.me || !p.mark.gone() {
 		return 1
@@ -55,7 +55,7 @@
 // times the whole for two. Survivors of a death get the root of their part, so 0.55 of the whole where three in ten
 // are left, not 0.3. Those who come back count at once, and begin by dividing by all: with survivors that have not heard
 // of it yet, at most root(x) + 1 - x, 1.25. Whatever is believed, no share is more than twice its listed part.
-func (g *Group) Apart(now float64, first, width int) float64 {
+func (g *Detector) ShareDivisor(now float64, first, width int) float64 {
 	if g == nil || width <= 1 || g.away == 0 {
 		return float64(max(1, width))
 	}
--- a/gateway/membership/text.go
+++ b/gateway/membership/text.go
@@ -55,13 +55,13 @@
 }
 
 // head begins a message of a kind, with room for so many bytes more: who says it, in which life.
-func (g *Group) head(kind byte, more int) []byte {
+func (g *Detector) head(kind byte, more int) []byte {
 	b := append(make([]byte, 0, 9+more), '!', kind)
 	return put(put(b, uint32(g.me), 2), uint32(g.peers[g.me].mark), 5)
 }
 
 // beat is a sign of life, with some of what is known of the others.
-func (g *Group) beat(kind byte) string {
+func (g *Detector) beat(kind byte) string {
 	b := put(g.head(kind, 2+5*window), uint32(g.from), 2)
 	n := min(window, g.n)
 	for i := range n {
@@ -71,7 +71,7 @@
 }
 
 // newsText says what is known of some members.
-func (g *Group) newsText(of []int) string {
+func (g *Detector) newsText(of []int) string {
 	b := g.head('n', 7*len(of))
 	for _, k := range of {
 		b = put(put(b, uint32(k), 2), uint32(g.peers[k].mark), 5)
@@ -80,7 +80,7 @@
 }
 
 // ofOne passes on to a member what another said of it.
-func ofOne(g *Group, e entry) string {
+func ofOne(g *Detector, e entry) string {
 	return string(put(put(g.head('n', 7), uint32(e.who), 2), uint32(e.mark), 5))
 }
 
--- a/gateway/overload/budget.go
+++ b/gateway/overload/budget.go
@@ -33,7 +33,7 @@
 }
 
 // Further says whether an invocation may have one more delivery.
-func (f *Fleet) Further() bool { return f == nil || f.budget.have >= 1 }
+func (f *Controller) AllowsRetry() bool { return f == nil || f.budget.have >= 1 }
 
 // amplified is how much more goes out than clients wish, of late.
 type amplified struct {
@@ -54,7 +54,7 @@
 }
 
 // Wished: a client asked for something for the first time.
-func (f *Fleet) Wished(now float64) {
+func (f *Controller) RequestArrived(now float64) {
 	if f != nil {
 		f.amplified.fade(now)
 		f.amplified.wishes++
@@ -62,7 +62,7 @@
 }
 
 // Dialled: a connection to a host was begun.
-func (f *Fleet) Dialled(now float64) {
+func (f *Controller) DialStarted(now float64) {
 	if f != nil {
 		f.amplified.fade(now)
 		f.amplified.dials++
--- a/gateway/overload/hosts.go
+++ b/gateway/overload/hosts.go
@@ -30,7 +30,7 @@
 	cameBy    int
 }
 
-func (f *Fleet) sight(host string) *sight {
+func (f *Controller) sight(host string) *sight {
 	s := f.hosts[host]
 	if s == nil {
 		s = &sight{bad: map[int]float64{}, good: map[int]float64{}, cameAt: -1e9}
@@ -40,7 +40,7 @@
 }
 
 // talks says whether words on hosts are exchanged at all.
-func (f *Fleet) talks() bool { return f != nil && f.mail > 0 && f.all > 1 }
+func (f *Controller) talks() bool { return f != nil && f.mail > 0 && f.all > 1 }
 
 func count(by map[int]float64, now, within float64) (n int) {
 	for _, at := range by { // counted: the order does not show
@@ -52,7 +52,7 @@
 }
 
 // Aside: a host was set aside here, or its trial failed; again: it was aside already. false: nothing is said by this way.
-func (f *Fleet) Aside(now float64, host string, again bool) bool {
+func (f *Controller) HostEjected(now float64, host string, again bool) bool {
 	if !f.talks() {
 		return false
 	}
@@ -67,7 +67,7 @@
 }
 
 // Answers: a host answered what was sent then; aside: it is set aside here. false: nothing is said by this way.
-func (f *Fleet) Answers(host string, sent float64, aside bool) bool {
+func (f *Controller) HostAnswered(host string, sent float64, aside bool) bool {
 	if !f.talks() {
 		return false
 	}
@@ -89,7 +89,7 @@
 }
 
 // Agreed says that peers have set a host aside too, by what they saw themselves.
-func (f *Fleet) Agreed(now float64, host string) bool {
+func (f *Controller) EjectionConfirmed(now float64, host string) bool {
 	if !f.talks() || f.hosts[host] == nil {
 		return false
 	}
@@ -100,15 +100,15 @@
 
 // Trial is until the next trial of a host that is set aside, gap what one alone would wait: longer where all have it aside, so
 // that all together try it as often at any number of them. One who alone has it aside may be wrong, and waits for itself.
-func (f *Fleet) Trial(now float64, host string, gap float64) float64 {
-	if gap == 0 || !f.Agreed(now, host) {
+func (f *Controller) ProbeInterval(now float64, host string, gap float64) float64 {
+	if gap == 0 || !f.EjectionConfirmed(now, host) {
 		return gap
 	}
 	return max(gap, 2*f.live/single*f.chance()) // from the first moment on some are due
 }
 
 // Believed says that a host answers again by a peer's word, once for each.
-func (f *Fleet) Believed(now float64, host string) bool {
+func (f *Controller) TakeRecovery(now float64, host string) bool {
 	if !f.talks() || f.hosts[host] == nil {
 		return false
 	}
@@ -124,19 +124,19 @@
 }
 
 // queue has a word on a host go with the next letter.
-func (f *Fleet) queue(word string) {
+func (f *Controller) queue(word string) {
 	if !slices.Contains(f.words, word) && len(f.words) < 4*perLetter {
 		f.words = append(f.words, word)
 	}
 }
 
 // unsay takes a word back that has not gone yet and is no longer so.
-func (f *Fleet) unsay(word string) {
+func (f *Controller) unsay(word string) {
 	f.words = slices.DeleteFunc(f.words, func(x string) bool { return x == word })
 }
 
 // write puts words on hosts into a letter, where it is time.
-func (f *Fleet) write(now float64) {
+func (f *Controller) write(now float64) {
 	if len(f.words) == 0 || now < f.wordsAt {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // read takes a peer's letter on hosts.
-func (f *Fleet) read(now float64, from int, text string) {
+func (f *Controller) read(now float64, from int, text string) {
 	for _, word := range strings.Fields(text) {
 		if len(word) < 2 {
 			continue
@@ -182,7 +182,7 @@
 }
 
 // forget lets go of hosts of which nothing was said for long.
-func (f *Fleet) forget(now float64) {
+func (f *Controller) forget(now float64) {
 	if now < f.forgetAt {
 		return
 	}
--- a/gateway/overload/overload.go
+++ b/gateway/overload/overload.go
@@ -4,7 +4,7 @@
 //
 // How to call it. Sent and Ended tell of deliveries, Heard of peers' words; Look is to be called often while any is out. Open
 // says whether a delivery may begin, Further whether one more of the same invocation may; Act gives what is to be said.
-// A nil Fleet bounds nothing.
+// A nil Controller bounds nothing.
 package overload
 
 import (
@@ -58,15 +58,15 @@
 	weight float64 // of its silence
 }
 
-// Terms say where an instance stands.
-type Terms struct {
-	Gateways int     // of the list
-	Mail     float64 // messages a second that one takes in from all; 0: there is no mail
-	Seed     uint64
+// Config say where an instance stands.
+type Config struct {
+	Gateways    int     // of the list
+	MessageRate float64 // messages a second that one takes in from all; 0: there is no mail
+	Seed        uint64
 }
 
-// Fleet is one api gateway's part in what all do.
-type Fleet struct {
+// Controller is one api gateway's part in what all do.
+type Controller struct {
 	all, live float64 // api gateways of the list, and those that are there
 	listed    int     // hosts
 	mail      float64
@@ -100,25 +100,25 @@
 }
 
 // New makes an instance's part.
-func New(t Terms) *Fleet {
+func New(t Config) *Controller {
 	n := float64(max(1, t.Gateways))
-	return &Fleet{
-		all: n, live: n, mail: t.Mail, usual: 0.05, silences: map[int]float64{}, answers: map[int]float64{},
+	return &Controller{
+		all: n, live: n, mail: t.MessageRate, usual: 0.05, silences: map[int]float64{}, answers: map[int]float64{},
 		doubt: map[int]float64{}, hosts: map[string]*sight{}, chances: rng.By("damp %d ", t.Seed), budget: newBudget(n),
 	}
 }
 
-func (f *Fleet) chance() float64 { return f.chances.Next() }
+func (f *Controller) chance() float64 { return f.chances.Next() }
 
 // Stand says how many api gateways are there, and how many hosts are listed.
-func (f *Fleet) Stand(live float64, hosts int) {
+func (f *Controller) SetFleet(live float64, hosts int) {
 	if f != nil {
 		f.live, f.listed = max(1, live), hosts
 	}
 }
 
 // Open says whether a delivery may begin now.
-func (f *Fleet) Open(now float64) bool {
+func (f *Controller) AllowsAttempt(now float64) bool {
 	if f == nil {
 		return true
 	}
@@ -132,11 +132,11 @@
 }
 
 // Sparing says that what begins now is a trial, and so must be something that may run again.
-func (f *Fleet) Sparing() bool {
+func (f *Controller) ProbesOnly() bool {
 	return f != nil && (f.is == silent || f.is == returning && f.most < 3)
 }
 
-func (f *Fleet) outSince(at float64) (n float64) {
+func (f *Controller) outSince(at float64) (n float64) {
 	for i := range f.out {
 		if !f.out[i].ended && f.out[i].at >= at {
 			n++
@@ -146,7 +146,7 @@
 }
 
 // Sent: a delivery begins; further: not the first of its invocation.
-func (f *Fleet) Sent(now float64, host string, further bool) {
+func (f *Controller) AttemptStarted(now float64, host string, further bool) {
 	if f == nil {
 		return
 	}
@@ -164,7 +164,7 @@
 
 // gap is until this instance's next trial: drawn, so that all together try as often as they should at any number of them, and no
 // two that lost sight in the same moment try in the same one. Whoever is dead is simply not drawn.
-func (f *Fleet) gap() float64 {
+func (f *Controller) gap() float64 {
 	sum := trials
 	if f.mail == 0 {
 		sum = apart
@@ -172,19 +172,19 @@
 	return max(1/each, f.live/sum) * (0.5 + f.chance())
 }
 
-// How a delivery ended.
-type How int
+// AttemptResult a delivery ended.
+type AttemptResult int
 
 const (
-	Answered    How = iota // by its host, well or not
-	Unanswered             // given up, or its connection broke
-	Unconnected            // no connection came up
-	Nothing                // withdrawn here, or never begun: it tells nothing
-	Refused                // its host turned it away: it is there
+	Answered      AttemptResult = iota // by its host, well or not
+	Unanswered                         // given up, or its connection broke
+	ConnectFailed                      // no connection came up
+	Inconclusive                       // withdrawn here, or never begun: it tells nothing
+	Rejected                           // its host turned it away: it is there
 )
 
 // Ended: a delivery ended; sent is when it began.
-func (f *Fleet) Ended(now float64, host string, sent float64, how How) {
+func (f *Controller) AttemptEnded(now float64, host string, sent float64, how AttemptResult) {
 	if f == nil {
 		return
 	}
@@ -202,15 +202,15 @@
 		return
 	}
 	switch how {
-	case Answered, Refused:
+	case Answered, Rejected:
 		f.out = append(f.out[:at], f.out[at+1:]...)
 		if how == Answered {
 			f.usual += 0.1 * (min(now-sent, 4*f.usual+0.02) - f.usual)
 		}
 		f.life(now, sent)
-	case Nothing:
+	case Inconclusive:
 		f.out = append(f.out[:at], f.out[at+1:]...)
-	case Unconnected: // refused at once it costs little, and may be for want of descriptors here
+	case ConnectFailed: // refused at once it costs little, and may be for want of descriptors here
 		f.out[at].ended, f.out[at].weight = true, 0.5
 	case Unanswered:
 		f.out[at].ended = true
@@ -219,11 +219,11 @@
 
 // late is after how long a delivery counts as unanswered. Guards against hosts that are only slow: all of them would have to
 // be four times as slow as of late from one moment to the next.
-func (f *Fleet) late() float64 { return max(0.08, 4*f.usual) }
+func (f *Controller) late() float64 { return max(0.08, 4*f.usual) }
 
 // mute is how much is unanswered, on how many hosts, with no answer to anything sent since. What was sent into a silence tells
 // nothing of the return.
-func (f *Fleet) mute(now float64) (sum float64, hosts int) {
+func (f *Controller) mute(now float64) (sum float64, hosts int) {
 	seen, from := map[string]bool{}, math.Inf(-1)
 	if f.is == returning {
 		from = f.openAt
@@ -240,7 +240,7 @@
 }
 
 // Look judges. Guards against an api gateway that was stopped: what it could not hear meanwhile does not count.
-func (f *Fleet) Look(now float64) {
+func (f *Controller) Evaluate(now float64) {
 	if f == nil {
 		return
 	}
@@ -279,7 +279,7 @@
 }
 
 // shut: only trials from here on.
-func (f *Fleet) shut(now float64, why string) {
+func (f *Controller) shut(now float64, why string) {
 	if f.is == calm {
 		f.began, f.tried = now, 0
 		f.sayAmong("s")
@@ -288,7 +288,7 @@
 	f.tryAt, f.sayAt = now+f.gap()*f.chance(), now+f.live/words*2*f.chance()
 }
 
-func (f *Fleet) change(now float64, to state, why string) {
+func (f *Controller) change(now float64, to state, why string) {
 	if f.is != to {
 		f.lines = append(f.lines, fmt.Sprintf("overload: hosts %v, were %v: %s; %s, %.0f trials", to, f.is, why, f.amplified.text(now), f.tried))
 	}
@@ -296,7 +296,7 @@
 }
 
 // life: a delivery that was sent then was answered.
-func (f *Fleet) life(now, sent float64) {
+func (f *Controller) life(now, sent float64) {
 	f.since, f.suspects = max(f.since, sent), false
 	switch f.is {
 	case calm:
@@ -321,7 +321,7 @@
 }
 
 // Heard brings a peer's word; false: it is not one about overload.
-func (f *Fleet) Heard(now float64, from int, text string) bool {
+func (f *Controller) Receive(now float64, from int, text string) bool {
 	if len(text) < 2 || text[0] != '~' {
 		return false
 	}
@@ -350,24 +350,24 @@
 	return true
 }
 
-func (f *Fleet) say(kind string) {
+func (f *Controller) say(kind string) {
 	if f.mail > 0 {
 		f.letters = append(f.letters, "~"+kind)
 	}
 }
 
 // sayAmong says what many have to say at the same moment: some of them do.
-func (f *Fleet) sayAmong(kind string) {
+func (f *Controller) sayAmong(kind string) {
 	if f.among() {
 		f.say(kind)
 	}
 }
 
 // among says whether this one speaks where all have the same to say.
-func (f *Fleet) among() bool { return f.chance() < voices/f.live }
+func (f *Controller) among() bool { return f.chance() < voices/f.live }
 
 // Act gives what is to be said to all peers and to the log.
-func (f *Fleet) Act(now float64, tell func(to int, text string), log func(text string)) {
+func (f *Controller) Flush(now float64, tell func(to int, text string), log func(text string)) {
 	if f == nil {
 		return
 	}
@@ -378,7 +378,7 @@
 	f.write(now)
 	f.forget(now)
 	for _, text := range f.letters {
-		tell(membership.All, text)
+		tell(membership.Broadcast, text)
 	}
 	for _, line := range f.lines {
 		log(line)
@@ -387,7 +387,7 @@
 }
 
 // Wait is how long Look and Act need not be called, in seconds.
-func (f *Fleet) Wait(now float64) float64 {
+func (f *Controller) Wait(now float64) float64 {
 	switch {
 	case f == nil || f.is == calm && len(f.out) == 0:
 		return math.Inf(1)
--- a/gateway/overload/overload_test.go
+++ b/gateway/overload/overload_test.go
@@ -11,7 +11,7 @@
 // crew is api gateways on one clock with hosts that answer after a while or not at all, and mail that arrives at once.
 type crew struct {
 	now    float64
-	all    []*Fleet
+	all    []*Controller
 	hosts  int
 	up     func(by, host int) bool
 	dice   *rand.Rand
@@ -26,7 +26,7 @@
 type ending struct {
 	at, sent float64
 	by, host int
-	how      How
+	how      AttemptResult
 }
 
 func newCrew(n, hosts int, mail float64) *crew {
@@ -35,8 +35,8 @@
 		dice: rand.New(rand.NewPCG(uint64(n), 7)), work: 3000, each: make([]int, n),
 	}
 	for i := range n {
-		c.all = append(c.all, New(Terms{Gateways: n, Mail: mail, Seed: uint64(i)}))
-		c.all[i].Stand(float64(n), hosts)
+		c.all = append(c.all, New(Config{Gateways: n, MessageRate: mail, Seed: uint64(i)}))
+		c.all[i].SetFleet(float64(n), hosts)
 	}
 	return c
 }
@@ -57,7 +57,7 @@
 			e := c.due[0]
 			c.due = c.due[1:]
 			if f := c.all[e.by]; f != nil {
-				f.Ended(c.now, c.name(e.host), e.sent, e.how)
+				f.AttemptEnded(c.now, c.name(e.host), e.sent, e.how)
 			}
 			if e.how == Answered {
 				c.served++
@@ -73,11 +73,11 @@
 			if f == nil {
 				continue
 			}
-			f.Look(c.now)
-			f.Act(c.now, func(_ int, text string) {
+			f.Evaluate(c.now)
+			f.Flush(c.now, func(_ int, text string) {
 				for to, g := range c.all {
 					if g != nil && to != i && c.dice.Float64() >= c.loss {
-						g.Heard(c.now, i, text)
+						g.Receive(c.now, i, text)
 					}
 				}
 			}, func(string) {})
@@ -87,12 +87,12 @@
 
 func (c *crew) try(by int) {
 	f := c.all[by]
-	if f == nil || !f.Open(c.now) {
+	if f == nil || !f.AllowsAttempt(c.now) {
 		return
 	}
 	h := c.dice.IntN(c.hosts)
-	f.Wished(c.now)
-	f.Sent(c.now, c.name(h), false)
+	f.RequestArrived(c.now)
+	f.AttemptStarted(c.now, c.name(h), false)
 	c.sent++
 	c.each[by]++
 	e := ending{c.now + 0.03 + 0.02*c.dice.Float64(), c.now, by, h, Answered}
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	if off := (*Fleet)(nil); !off.Open(0) || !off.Further() || off.Sparing() {
+	if off := (*Controller)(nil); !off.AllowsAttempt(0) || !off.AllowsRetry() || off.ProbesOnly() {
 		t.Error("where it is off something is bounded")
 	}
 }
@@ -221,7 +221,7 @@
 	c.sent = 0
 	for range 80 {
 		for _, f := range c.all[1:] {
-			f.Heard(c.now, 0, "~l")
+			f.Receive(c.now, 0, "~l")
 		}
 		c.run(0.1)
 	}
@@ -237,8 +237,8 @@
 	c.up = func(int, int) bool { return false }
 	c.run(3)
 	for i := range 150 {
-		c.all[i] = New(Terms{Gateways: 300, Mail: 60, Seed: uint64(1000 + i)})
-		c.all[i].Stand(300, 40)
+		c.all[i] = New(Config{Gateways: 300, MessageRate: 60, Seed: uint64(1000 + i)})
+		c.all[i].SetFleet(300, 40)
 	}
 	c.sent = 0
 	c.run(5)
@@ -260,9 +260,9 @@
 	c.run(2)
 	f := c.all[3]
 	for i := range 8 {
-		f.Sent(c.now, c.name(i), false)
+		f.AttemptStarted(c.now, c.name(i), false)
 	}
-	f.Look(c.now + 4)
+	f.Evaluate(c.now + 4)
 	if f.is != calm {
 		t.Error("its own sleep is taken for the hosts' silence")
 	}
@@ -270,23 +270,23 @@
 
 // All hosts are three times as slow from one moment on: no silence.
 func TestSlowIsNotSilent(t *testing.T) {
-	f := New(Terms{Gateways: 30, Mail: 60, Seed: 1})
-	f.Stand(30, 40)
+	f := New(Config{Gateways: 30, MessageRate: 60, Seed: 1})
+	f.SetFleet(30, 40)
 	now := 10.0
 	var out []float64
 	for i := range 400 {
 		now += 0.01
-		f.Sent(now, fmt.Sprint(i%40), false)
+		f.AttemptStarted(now, fmt.Sprint(i%40), false)
 		out = append(out, now)
 		took := 0.05
 		if i > 200 {
 			took = 0.15
 		}
 		for len(out) > 0 && now-out[0] >= took {
-			f.Ended(now, fmt.Sprint((400+i-len(out)+1)%40), out[0], Answered)
+			f.AttemptEnded(now, fmt.Sprint((400+i-len(out)+1)%40), out[0], Answered)
 			out = out[1:]
 		}
-		f.Look(now)
+		f.Evaluate(now)
 		if f.is != calm {
 			t.Fatalf("after %d deliveries: %v", i, f.is)
 		}
@@ -298,12 +298,12 @@
 	for _, n := range []int{3, 300, 1000} {
 		sum, first := 0, 0
 		for i := range n {
-			f := New(Terms{Gateways: n, Seed: uint64(i)})
+			f := New(Config{Gateways: n, Seed: uint64(i)})
 			for k := range 20 {
-				f.Sent(float64(k), "h", false)
+				f.AttemptStarted(float64(k), "h", false)
 				first++
-				for f.Further() {
-					f.Sent(float64(k), "h", true)
+				for f.AllowsRetry() {
+					f.AttemptStarted(float64(k), "h", true)
 					sum++
 				}
 			}
@@ -316,13 +316,13 @@
 
 // Whatever else comes as mail is left to others, and nonsense of this kind changes nothing.
 func TestForgedWords(t *testing.T) {
-	f := New(Terms{Gateways: 3, Mail: 60})
+	f := New(Config{Gateways: 3, MessageRate: 60})
 	for _, text := range []string{"", "~", "!b", "+host"} {
-		if f.Heard(1, 1, text) {
+		if f.Receive(1, 1, text) {
 			t.Errorf("%q was taken", text)
 		}
 	}
-	if !f.Heard(1, 99, "~s") || !f.Heard(1, -1, "~l") || !f.Heard(1, 1, "~?") || !f.Heard(1, 1, "~- + =") || !f.Heard(1, 1, "~sx") || len(f.silences)+len(f.answers)+len(f.words) > 0 {
+	if !f.Receive(1, 99, "~s") || !f.Receive(1, -1, "~l") || !f.Receive(1, 1, "~?") || !f.Receive(1, 1, "~- + =") || !f.Receive(1, 1, "~sx") || len(f.silences)+len(f.answers)+len(f.words) > 0 {
 		t.Error("a word of nobody counts")
 	}
 	if strings.Contains(fmt.Sprint(f.letters), "~") {
@@ -335,7 +335,7 @@
 // they come in step.
 func TestDialsOfAll(t *testing.T) {
 	for _, n := range []int{3, 300, 1000} {
-		worst := func(make func(i int) *Pauses) (most, sum int) {
+		worst := func(make func(i int) *Backoffs) (most, sum int) {
 			slots := map[int]int{}
 			for i := range n {
 				x := make(i).New(0.01)
@@ -351,11 +351,11 @@
 			}
 			return most, sum
 		}
-		most, sum := worst(func(i int) *Pauses { return Among(n, uint64(i)) })
+		most, sum := worst(func(i int) *Backoffs { return DecorrelatedBackoffs(n, uint64(i)) })
 		if limit := 7 * max(dialled, float64(n)/longest) * 2.2; float64(sum) > limit || most > 8+5*sum/700 {
 			t.Errorf("%d api gateways: %d dials in 7 s, %.0f may be; %d in a hundredth of a second", n, sum, limit, most)
 		}
-		if most, _ := worst(func(int) *Pauses { return Alone() }); most != n {
+		if most, _ := worst(func(int) *Backoffs { return ExponentialBackoffs() }); most != n {
 			t.Errorf("each alone: %d of %d in step", most, n)
 		}
 	}
@@ -365,10 +365,10 @@
 // finds out, and all know; meanwhile one alone with a broken link has every host aside, and is believed by nobody.
 func TestOneHostIsTriedByAll(t *testing.T) {
 	for _, n := range []int{30, 300} {
-		var all []*Fleet
+		var all []*Controller
 		for i := range n {
-			all = append(all, New(Terms{Gateways: n, Mail: 60, Seed: uint64(i)}))
-			all[i].Stand(float64(n), 40)
+			all = append(all, New(Config{Gateways: n, MessageRate: 60, Seed: uint64(i)}))
+			all[i].SetFleet(float64(n), 40)
 		}
 		now, trials, back, letters := 100.0, 0, 0, 0
 		up := false
@@ -379,7 +379,7 @@
 		for ; now < 130; now += 0.05 {
 			up = now > 125
 			for i, f := range all {
-				if aside[i] && f.Believed(now, "h") {
+				if aside[i] && f.TakeRecovery(now, "h") {
 					aside[i], back = false, back+1
 				}
 				if now < at[i] || up && !aside[i] {
@@ -389,19 +389,19 @@
 					trials++
 				}
 				if up {
-					f.Answers("h", now, true)
+					f.HostAnswered("h", now, true)
 					aside[i], back = false, back+1
 				} else {
-					f.Aside(now, "h", aside[i])
-					aside[i], at[i] = true, now+f.Trial(now, "h", 2)
+					f.HostEjected(now, "h", aside[i])
+					aside[i], at[i] = true, now+f.ProbeInterval(now, "h", 2)
 				}
 			}
 			for i, f := range all {
-				f.Act(now, func(_ int, text string) {
+				f.Flush(now, func(_ int, text string) {
 					letters++
 					for to, g := range all {
 						if to != i {
-							g.Heard(now, i, text)
+							g.Receive(now, i, text)
 						}
 					}
 				}, func(string) {})
@@ -413,17 +413,17 @@
 		if back != n {
 			t.Errorf("%d of %d have it back", back, n)
 		}
-		if all[5].Agreed(now, "h") {
+		if all[5].EjectionConfirmed(now, "h") {
 			t.Error("it counts as set aside by all though it is back")
 		}
-		all[0].Aside(now, "k", false)
+		all[0].HostEjected(now, "k", false)
 		for i := 1; i < n; i++ {
-			all[i].Heard(now, 0, "~-k")
-			if all[i].Agreed(now, "k") || all[i].Believed(now, "k") {
+			all[i].Receive(now, 0, "~-k")
+			if all[i].EjectionConfirmed(now, "k") || all[i].TakeRecovery(now, "k") {
 				t.Fatal("one alone is believed")
 			}
 		}
-		if all[0].Trial(now, "k", 2) != 2 {
+		if all[0].ProbeInterval(now, "k", 2) != 2 {
 			t.Error("one alone waits for all")
 		}
 	}
@@ -431,21 +431,21 @@
 
 // A peer says again and again that a host answers, and it does not: after the first time it is not believed for a while.
 func TestAWrongWordOnAHost(t *testing.T) {
-	f := New(Terms{Gateways: 30, Mail: 60})
-	f.Stand(30, 4)
+	f := New(Config{Gateways: 30, MessageRate: 60})
+	f.SetFleet(30, 4)
 	times := 0
 	for now := 100.0; now < 109; now += 0.1 {
-		f.Heard(now, 7, "~+h")
-		if f.Believed(now, "h") {
+		f.Receive(now, 7, "~+h")
+		if f.TakeRecovery(now, "h") {
 			times++
-			f.Aside(now+0.05, "h", false)
+			f.HostEjected(now+0.05, "h", false)
 		}
 	}
 	if times != 1 {
 		t.Errorf("believed %d times", times)
 	}
 	for i := range 1000 {
-		f.Heard(110, 7, fmt.Sprint("~-x", i))
+		f.Receive(110, 7, fmt.Sprint("~-x", i))
 	}
 	if len(f.hosts) > 40 {
 		t.Errorf("%d hosts that nobody knows are kept", len(f.hosts))
--- a/gateway/overload/pause.go
+++ b/gateway/overload/pause.go
@@ -11,31 +11,31 @@
 	longest, dialled = 0.25, 600.0
 )
 
-// Pauses make the pauses of an api gateway's connections to what is not a host: the counter, discovery.
-type Pauses struct {
+// Backoffs make the pauses of an api gateway's connections to what is not a host: the counter, discovery.
+type Backoffs struct {
 	all     float64 // api gateways; 0: each pauses as if it were alone
 	chances rng.Line
 }
 
-// Alone doubles each pause up to a quarter of a second.
-func Alone() *Pauses { return &Pauses{} }
+// ExponentialBackoffs doubles each pause up to a quarter of a second.
+func ExponentialBackoffs() *Backoffs { return &Backoffs{} }
 
-// Among draws each pause anew (decorrelated jitter: up to three times the one before), and the longer the more api gateways
+// DecorrelatedBackoffs draws each pause anew (decorrelated jitter: up to three times the one before), and the longer the more api gateways
 // there are. Guards against three hundred that lost the counter in the same millisecond and meet it together, again and again.
-func Among(gateways int, seed uint64) *Pauses {
-	return &Pauses{all: float64(max(1, gateways)), chances: rng.By("pauses %d ", seed)}
+func DecorrelatedBackoffs(gateways int, seed uint64) *Backoffs {
+	return &Backoffs{all: float64(max(1, gateways)), chances: rng.By("pauses %d ", seed)}
 }
 
-// Pause is that of one connection; one goroutine uses it.
-type Pause struct {
+// Backoff is that of one connection; one goroutine uses it.
+type Backoff struct {
 	base, most, last float64
 	apart            bool
 	chances          rng.Line
 }
 
 // New gives the pause of a connection whose first is base seconds; it is to be called from one goroutine.
-func (p *Pauses) New(base float64) *Pause {
-	x := &Pause{base: base, most: longest, last: base}
+func (p *Backoffs) New(base float64) *Backoff {
+	x := &Backoff{base: base, most: longest, last: base}
 	if p != nil && p.all > 0 {
 		x.apart, x.most = true, max(longest, p.all/dialled)
 		x.chances = rng.By("pause %g ", p.chances.Next())
@@ -44,7 +44,7 @@
 }
 
 // Next is how long to wait now, in seconds.
-func (x *Pause) Next() float64 {
+func (x *Backoff) Next() float64 {
 	if !x.apart {
 		now := x.last
 		x.last = min(2*x.last, x.most)
@@ -55,4 +55,4 @@
 }
 
 // Over: the connection stood, and the next pause is a first one again.
-func (x *Pause) Over() { x.last = x.base }
+func (x *Backoff) Reset() { x.last = x.base }
--- a/gateway/overload/rapid_test.go
+++ b/gateway/overload/rapid_test.go
@@ -37,10 +37,10 @@
 			dice = dice*6364136223846793005 + 1442695040888963407
 			return float64(dice>>33) / (1 << 31)
 		}
-		all, lives, sent, now := make([]*Fleet, n), 0, 0, 500.0
+		all, lives, sent, now := make([]*Controller, n), 0, 0, 500.0
 		begin := func(i int) {
-			all[i] = New(Terms{Gateways: n, Mail: mail, Seed: dice + uint64(i)})
-			all[i].Stand(float64(n), hosts)
+			all[i] = New(Config{Gateways: n, MessageRate: mail, Seed: dice + uint64(i)})
+			all[i].SetFleet(float64(n), hosts)
 			lives++
 		}
 		for i := range all {
@@ -48,7 +48,7 @@
 		}
 		type out struct {
 			by   int
-			of   *Fleet
+			of   *Controller
 			host string
 			at   float64
 		}
@@ -60,33 +60,33 @@
 				}
 				f := all[i]
 				for k := 0; k < 3 && chance() < wishes*step/3; k++ {
-					if f.Open(now) {
+					if f.AllowsAttempt(now) {
 						x := out{i, f, fmt.Sprint(int(chance() * float64(hosts))), now}
-						f.Sent(now, x.host, false)
+						f.AttemptStarted(now, x.host, false)
 						sent, flying = sent+1, append(flying, x)
 					}
 				}
 				if chance() < 0.1 {
 					continue // it looks a little later
 				}
-				f.Look(now)
-				f.Act(now, func(_ int, text string) {
+				f.Evaluate(now)
+				f.Flush(now, func(_ int, text string) {
 					for to := range all {
 						if to != i && chance() >= loss {
-							all[to].Heard(now, i, text)
+							all[to].Receive(now, i, text)
 						}
 					}
 				}, func(string) {})
 			}
 			if mail > 0 && n > 3 && liars > 0 && chance() < 0.2 {
 				for to := liars; to < n; to++ {
-					all[to].Heard(now, int(chance()*float64(liars)), "~l")
+					all[to].Receive(now, int(chance()*float64(liars)), "~l")
 				}
 			}
 			kept := flying[:0]
 			for _, x := range flying {
 				if now-x.at > 0.1 && chance() < 0.2*ends {
-					x.of.Ended(now, x.host, x.at, []How{Unanswered, Unconnected, Nothing}[int(chance()*3)])
+					x.of.AttemptEnded(now, x.host, x.at, []AttemptResult{Unanswered, ConnectFailed, Inconclusive}[int(chance()*3)])
 					continue
 				}
 				kept = append(kept, x)
--- a/gateway/policy/books.go
+++ b/gateway/policy/books.go
@@ -40,4 +40,4 @@
 }
 
 // Dialled tells that a connection to a host was begun, for the figures by which load is seen to be multiplied.
-func (g *Gateway) DialStarted(now float64) { g.instance.Overload.Dialled(now) }
+func (g *Gateway) DialStarted(now float64) { g.instance.Overload.DialStarted(now) }
--- a/gateway/policy/digest_test.go
+++ b/gateway/policy/digest_test.go
@@ -64,7 +64,7 @@
 		at.Peers = membership.New(0, digestedGateways, digestedMail, 0.1, uint64(seed))
 	}
 	if seed%3 > 1 {
-		at.Overload = overload.New(overload.Terms{Gateways: digestedGateways, Mail: digestedMail, Seed: uint64(seed)})
+		at.Overload = overload.New(overload.Config{Gateways: digestedGateways, MessageRate: digestedMail, Seed: uint64(seed)})
 	}
 	operations := []policy.Operation{
 		{Name: "read", LatencyTarget: 0.3, Value: 1, Effect: policy.Idempotent},
--- a/gateway/policy/policy.go
+++ b/gateway/policy/policy.go
@@ -113,7 +113,7 @@
 	customers                                        map[string]*customer
 	customersInOrder                                 []*customer
 	pendingCalls                                     map[uint64][]*counterCall
-	callLimiter                                      overload.Calls // to the counter, that may be made
+	callLimiter                                      overload.CallLimiter // to the counter, that may be made
 	random                                           rng.Line
 	peerMessageAt, connectFailureRate                float64 // no message to the peers before; share of deliveries of late with no connection
 	decidable, queue                                 []*Invocation
@@ -127,7 +127,7 @@
 	g := &Gateway{
 		instance: at, counterConfig: ctr, slowStart: cold, limits: allow, output: out, operations: map[string]*operation{},
 		plans: map[string]*Plan{}, hostsByAddr: map[string]*Host{}, customers: map[string]*customer{},
-		pendingCalls: map[uint64][]*counterCall{}, callLimiter: overload.NewCalls(ctr.Present, ctr.Timeout),
+		pendingCalls: map[uint64][]*counterCall{}, callLimiter: overload.NewCallLimiter(ctr.Present, ctr.Timeout),
 		random: rng.By("%d ", at.Seed), perHostLimit: 12, meanLatencyRatio: 0.2, configuredGateways: all, liveGateways: all, judgementShare: min(1, 12/all),
 	}
 	for _, o := range ops {
@@ -156,7 +156,7 @@
 	}
 	g.decidable = append(g.decidable, inv)
 	if !a.ClientRetry {
-		g.instance.Overload.Wished(now)
+		g.instance.Overload.RequestArrived(now)
 	}
 	return inv
 }
@@ -213,21 +213,21 @@
 
 // Meet keeps up who of the api gateways is there: what all do is divided by that, but for the rules.
 func (g *Gateway) RefreshMembership(now float64) {
-	g.instance.Peers.Act(now, g.output.SendPeer, g.output.Log)
-	g.liveGateways = g.instance.Peers.Apart(now, 0, int(g.configuredGateways))
+	g.instance.Peers.Flush(now, g.output.SendPeer, g.output.Log)
+	g.liveGateways = g.instance.Peers.ShareDivisor(now, 0, int(g.configuredGateways))
 	g.judgementShare = min(1, 12/g.liveGateways)
-	g.instance.Overload.Stand(g.liveGateways, len(g.hosts))
+	g.instance.Overload.SetFleet(g.liveGateways, len(g.hosts))
 }
 
 func (g *Gateway) MembershipDelay(now float64) float64 { return g.instance.Peers.Wait(now) }
 
 func (g *Gateway) Tick(now float64) {
 	g.judgeSilence(now)
-	g.instance.Overload.Look(now)
-	g.instance.Overload.Act(now, g.output.SendPeer, g.output.Log)
+	g.instance.Overload.Evaluate(now)
+	g.instance.Overload.Flush(now, g.output.SendPeer, g.output.Log)
 	g.customersInOrder = slices.DeleteFunc(g.customersInOrder, func(c *customer) bool {
 		much := math.Abs(c.unreported) > c.plan.Burst/4 || c.countedSlots > c.openSlots // the others should hear
-		if much && c.plan.limited() && now-c.reportedAt > 0.25 && g.callLimiter.May(now, 1) {
+		if much && c.plan.limited() && now-c.reportedAt > 0.25 && g.callLimiter.Allows(now, 1) {
 			g.refill(now, c)
 			g.report(now, c, nil)
 		}
@@ -309,13 +309,13 @@
 	if !inv.clientRetry {
 		c.recentRequested += inv.quotaUnits
 	}
-	recent, full := now-c.lastTotalAt < 0.07 || g.callLimiter.Crowded && now-c.lastTotalAt < 1, p.MaxConcurrent > 0 && c.openSlots >= p.MaxConcurrent
+	recent, full := now-c.lastTotalAt < 0.07 || g.callLimiter.Limited && now-c.lastTotalAt < 1, p.MaxConcurrent > 0 && c.openSlots >= p.MaxConcurrent
 	if short := inv.quotaUnits - c.available; short > 0 && recent || full { // by a total just seen, or by what is out here
 		inv.retryAfter = max(inv.operation.meanLatency, short/max(p.Rate, 0.001))
 		return g.finish(now, inv)
 	}
 	inv.reserved, c.openSlots, c.available = true, c.openSlots+1, c.available-inv.quotaUnits
-	if !g.callLimiter.May(now, 1) || inv.deadline-now < g.counterConfig.Timeout+0.01 {
+	if !g.callLimiter.Allows(now, 1) || inv.deadline-now < g.counterConfig.Timeout+0.01 {
 		g.admitLocally(now, inv)
 	} else {
 		inv.stage = stageCounting
@@ -335,7 +335,7 @@
 		k.slots = c.openSlots - c.countedSlots
 		amount += float64(k.slots) * c.plan.slotUnit()
 	}
-	g.callLimiter.Room, c.unreported, c.reportedAt = g.callLimiter.Room-1, 0, now
+	g.callLimiter.Tokens, c.unreported, c.reportedAt = g.callLimiter.Tokens-1, 0, now
 	c.countedSlots, k.countedSlots = c.countedSlots+k.slots, c.countedSlots+k.slots
 	g.pendingCalls[c.counterName] = append(g.pendingCalls[c.counterName], k)
 	g.output.AddCount(c.counterName, amount, min(60, 2.2*c.plan.windowLength()))
@@ -352,7 +352,7 @@
 	}
 	c, inv := k.customer, k.invocation
 	g.refill(now, c)
-	if g.callLimiter.Ended(now, g.liveGateways, how == Succeeded, strings.ContainsRune("FTC", rune(how)), took) {
+	if g.callLimiter.CallEnded(now, g.liveGateways, how == Succeeded, strings.ContainsRune("FTC", rune(how)), took) {
 		g.output.Log(fmt.Sprintf("counter: last %c in %.3f s, at most %.1f calls a second", how, took, g.callLimiter.Rate))
 	}
 	if c.pendingUnits -= k.estimate; how != Succeeded {
@@ -461,7 +461,7 @@
 // sees little of a customer, it lends to one far from its quota, and lets in a part of the tries (see over).
 func (g *Gateway) admitLocally(now float64, inv *Invocation) {
 	c, p := inv.customer, inv.customer.plan
-	width := g.instance.Peers.Apart(now, int(c.firstGateway), int(c.gatewayCount))
+	width := g.instance.Peers.ShareDivisor(now, int(c.firstGateway), int(c.gatewayCount))
 	if c.localBudgetAt == 0 {
 		prior := max(1, p.Burst/2)
 		c.localShare = max(0.5/width, (c.recentLocal+prior/width)/(c.recentTotal+prior))
@@ -504,7 +504,7 @@
 	}
 	// Guards against places given back that stay counted, and so refuse others: told first, by a call lent.
 	least := 1 - g.callLimiter.Rate/8*float64(min(1, max(0, c.countedSlots-c.openSlots)))
-	if (inv.unprovenAttempt == nil && c.unreported < 0 || c.countedSlots > c.openSlots) && g.callLimiter.May(now, least) {
+	if (inv.unprovenAttempt == nil && c.unreported < 0 || c.countedSlots > c.openSlots) && g.callLimiter.Allows(now, least) {
 		g.report(now, c, nil)
 	}
 }
@@ -539,7 +539,7 @@
 func (g *Gateway) nextQueued(now float64) *Invocation {
 	var free []*Host
 	most := math.Floor(max(1, g.perHostLimit*float64(len(g.hosts))/g.liveGateways) + g.limitDither)
-	if len(g.queue) > 0 && g.inFlight < most && g.instance.Overload.Open(now) {
+	if len(g.queue) > 0 && g.inFlight < most && g.instance.Overload.AllowsAttempt(now) {
 		free = slices.DeleteFunc(slices.Clone(g.hosts), func(h *Host) bool { return !g.hasSlot(now, h) })
 	}
 	best, dear := (*Invocation)(nil), 0.0
@@ -600,7 +600,7 @@
 func (g *Gateway) pickHost(now float64, inv *Invocation, free []*Host) *Host {
 	best, least := (*Host)(nil), math.Inf(1)
 	for _, h := range free {
-		trial := h.ejected || h.doubtful() || g.instance.Overload.Sparing()
+		trial := h.ejected || h.doubtful() || g.instance.Overload.ProbesOnly()
 		if !g.mayRunAt(now, inv, h) || trial && inv.operation.Effect == NonIdempotent {
 			continue
 		}
@@ -647,11 +647,11 @@
 func (g *Gateway) send(now float64, inv *Invocation, h *Host) Decision {
 	inv.host, inv.stage = nil, stageSent
 	d := &Attempt{Invocation: inv, Host: h, Number: len(inv.Attempts), sentAt: now, hostStartedAt: h.startedAt}
-	g.instance.Overload.Sent(now, h.Addr, d.Number > 0)
+	g.instance.Overload.AttemptStarted(now, h.Addr, d.Number > 0)
 	inv.Attempts = append(inv.Attempts, d)
 	inv.inFlight, g.inFlight = inv.inFlight+1, g.inFlight+1
 	g.limitDither, h.nextSendGrowth = g.random.Next(), g.growth(now, h)+g.growthGap()
-	h.probeAt = now + g.instance.Overload.Trial(now, h.Addr, h.probeInterval)
+	h.probeAt = now + g.instance.Overload.ProbeInterval(now, h.Addr, h.probeInterval)
 	if inv.unprovenAttempt == nil {
 		inv.unprovenAttempt = d
 	}
@@ -681,14 +681,14 @@
 
 func (g *Gateway) mayRetry(now float64, inv *Invocation) bool {
 	return len(inv.Attempts) < g.limits.MaxAttempts && now < min(inv.targetAt, inv.deadline)-inv.operation.meanLatency &&
-		g.instance.Overload.Further()
+		g.instance.Overload.AllowsRetry()
 }
 
 // ends is what an ending says of all hosts.
-var ends = map[Outcome]overload.How{
-	Succeeded: overload.Answered, Failed: overload.Answered, Rejected: overload.Refused,
-	TimedOut: overload.Unanswered, Reset: overload.Unanswered, NoConnection: overload.Unconnected,
-	Cancelled: overload.Nothing, NotSent: overload.Nothing,
+var ends = map[Outcome]overload.AttemptResult{
+	Succeeded: overload.Answered, Failed: overload.Answered, Rejected: overload.Rejected,
+	TimedOut: overload.Unanswered, Reset: overload.Unanswered, NoConnection: overload.ConnectFailed,
+	Cancelled: overload.Inconclusive, NotSent: overload.Inconclusive,
 }
 
 func (g *Gateway) AttemptEnded(now float64, d *Attempt, e AttemptResult) Decision {
@@ -698,7 +698,7 @@
 	if strings.ContainsRune("FCN", rune(e.Outcome)) && inv.unprovenAttempt == d { // proved not run
 		inv.unprovenAttempt = nil
 	}
-	g.instance.Overload.Ended(now, d.Host.Addr, d.sentAt, ends[e.Outcome])
+	g.instance.Overload.AttemptEnded(now, d.Host.Addr, d.sentAt, ends[e.Outcome])
 	g.observe(now, d, e)
 	if c := inv.customer; g.counterConfig.SettlesUnits && e.Outcome == Succeeded && e.ActualUnits > 0 && inv.reserved && inv.quotaUnits > 0 {
 		c.unreported, c.available = c.unreported+e.ActualUnits-inv.quotaUnits, c.available-e.ActualUnits+inv.quotaUnits // the rest rides with the next call
@@ -742,13 +742,13 @@
 	g.hosts = slices.DeleteFunc(g.hosts, left)
 	maps.DeleteFunc(g.hostsByAddr, func(_ string, h *Host) bool { return left(h) })
 	slices.SortFunc(g.hosts, func(a, b *Host) int { return strings.Compare(a.Addr, b.Addr) })
-	g.instance.Overload.Stand(g.liveGateways, len(g.hosts))
+	g.instance.Overload.SetFleet(g.liveGateways, len(g.hosts))
 }
 
 func (g *Gateway) observe(now float64, d *Attempt, e AttemptResult) {
 	h, op := d.Host, d.Invocation.operation
 	// One stuck, while others sent since are answered, tells nothing; nor does what all hosts have in common.
-	if e.Outcome == TimedOut && (d.sentAt < h.lastAnswerAt || g.instance.Overload.Sparing()) {
+	if e.Outcome == TimedOut && (d.sentAt < h.lastAnswerAt || g.instance.Overload.ProbesOnly()) {
 		return
 	}
 	if g.connectFailureRate *= 0.97; e.Outcome == NoConnection {
@@ -778,7 +778,7 @@
 		} else if h.slowness < 1.35*h.bestSlowness && float64(len(h.inFlight))+2 > h.concurrencyLimit {
 			h.concurrencyLimit = min(32, h.concurrencyLimit+0.1)
 		}
-		if !g.instance.Overload.Answers(h.Addr, d.sentAt, h.ejected) && (h.ejected || h.peerAsked) {
+		if !g.instance.Overload.HostAnswered(h.Addr, d.sentAt, h.ejected) && (h.ejected || h.peerAsked) {
 			h.peerAsked = false
 			g.broadcast(now, "+"+h.Addr)
 		}
@@ -814,9 +814,9 @@
 	for _, h := range g.hosts {
 		if h.suspicion > 12 && h.suspicion > 4*usual {
 			g.eject(now, h, fmt.Sprintf("silent %.2f s, %.0f gaps, fellows %.1f", now-h.lastAnswerAt, h.suspicion, usual))
-		} else if !h.ejected && (h.consecutiveFailures > 0 || h.suspicion > 2 && h.suspicion > 4*usual) && g.instance.Overload.Agreed(now, h.Addr) {
+		} else if !h.ejected && (h.consecutiveFailures > 0 || h.suspicion > 2 && h.suspicion > 4*usual) && g.instance.Overload.EjectionConfirmed(now, h.Addr) {
 			g.eject(now, h, fmt.Sprintf("%d bad endings, %.1f gaps, and peers say the same", h.consecutiveFailures, h.suspicion))
-		} else if g.instance.Overload.Believed(now, h.Addr) {
+		} else if g.instance.Overload.TakeRecovery(now, h.Addr) {
 			g.restore(h, "a peer had an answer")
 		}
 	}
@@ -825,8 +825,8 @@
 func (g *Gateway) eject(now float64, h *Host, why string) {
 	idle := slices.DeleteFunc(slices.Clone(g.hosts), func(x *Host) bool { return x.active && !x.ejected })
 	h.probeInterval = min(8, max(1, 2*h.probeInterval))
-	h.probeAt = now + g.instance.Overload.Trial(now, h.Addr, h.probeInterval)
-	spoken := g.instance.Overload.Aside(now, h.Addr, h.ejected)
+	h.probeAt = now + g.instance.Overload.ProbeInterval(now, h.Addr, h.probeInterval)
+	spoken := g.instance.Overload.HostEjected(now, h.Addr, h.ejected)
 	if h.ejected || 2*(1+len(idle)) > len(g.hosts) {
 		return
 	}
@@ -860,7 +860,7 @@
 
 // Told brings a peer's message: "=plan customer" has no room, "-host" asks for word of it, "+host" answers.
 func (g *Gateway) PeerMessage(now float64, from int, text string) {
-	if g.instance.Peers.Heard(now, from, text) || g.instance.Overload.Heard(now, from, text) {
+	if g.instance.Peers.Receive(now, from, text) || g.instance.Overload.Receive(now, from, text) {
 		g.RefreshMembership(now)
 	} else if plan, key, ok := strings.Cut(strings.TrimPrefix(text, "="), " "); ok && g.plans[plan] != nil {
 		g.overQuota(now, g.customer(now, Request{Plan: plan, Customer: key, GatewayCount: g.instance.Gateways}), 0.6)
--- a/gateway/policy/policy_test.go
+++ b/gateway/policy/policy_test.go
@@ -452,7 +452,7 @@
 	let := 0.0
 	for range 4 { // four lives of 5 s
 		f := newFake(t, Plan{Name: "p", CeilingRate: 4, CeilingBurst: 40})
-		f.g.callLimiter = overload.NewCalls(false, 0)
+		f.g.callLimiter = overload.NewCallLimiter(false, 0)
 		for range 50 {
 			if f.passes(1, 2) {
 				let++
@@ -467,7 +467,7 @@
 
 func TestOddStarts(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.callLimiter = overload.NewCalls(false, 0) // no counter: its share of the quota
+	f.g.callLimiter = overload.NewCallLimiter(false, 0) // no counter: its share of the quota
 	let := 0
 	for range 10 {
 		if f.passes(2, 2) {
@@ -604,7 +604,7 @@
 
 func TestATotalOverTheQuotaCutsWhatIsLetInWithoutACallHereAndAtPeers(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 20, Burst: 100}, 100)
-	f.g.callLimiter = overload.NewCalls(false, 0)
+	f.g.callLimiter = overload.NewCallLimiter(false, 0)
 	let := func() (n int) {
 		for range 200 {
 			f.wait(0.1)
@@ -819,7 +819,7 @@
 		}
 		f.take(1, 2)
 		f.total((1 + others) * p.slotUnit())
-		f.g.callLimiter.Room, f.g.callLimiter.Rate, f.g.callLimiter.At = 0, 0, f.now
+		f.g.callLimiter.Tokens, f.g.callLimiter.Rate, f.g.callLimiter.UpdatedAt = 0, 0, f.now
 		f.now += 0.5
 		f.wantSent(f.take(1, 2), want)
 		f.wantSent(f.take(1, 2), 0)
@@ -882,7 +882,7 @@
 // quick answers must bring back most of what is wanted.
 func TestCallsGrowSoonAfterTheCounterIsBack(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 1000, Burst: 10000}, 4)
-	f.g.callLimiter.Rate, f.g.callLimiter.Room = 15.3, 1
+	f.g.callLimiter.Rate, f.g.callLimiter.Tokens = 15.3, 1
 	for range 250 {
 		f.take(1, 2)
 		f.totals()
@@ -901,7 +901,7 @@
 	f := newFake(t, p)
 	inv := f.take(1, 2)
 	f.total(p.slotUnit())
-	f.g.callLimiter.Room, f.g.callLimiter.Rate, f.g.callLimiter.At = 0, 32, f.now
+	f.g.callLimiter.Tokens, f.g.callLimiter.Rate, f.g.callLimiter.UpdatedAt = 0, 32, f.now
 	f.ends(inv, Succeeded)
 	f.n = 1
 	f.wantCall(-p.slotUnit())
@@ -924,7 +924,7 @@
 		for range 30 { // totals: one place held here beside the one that is tried for, and the others'
 			f.g.applyTotal(f.now, &counterCall{customer: inv.customer, invocation: &Invocation{operation: inv.operation}, slots: 1, countedSlots: 2}, (2+others)*p.slotUnit())
 		}
-		f.g.callLimiter.Room, f.g.callLimiter.Rate, f.g.callLimiter.At = -1e6, 0, f.now
+		f.g.callLimiter.Tokens, f.g.callLimiter.Rate, f.g.callLimiter.UpdatedAt = -1e6, 0, f.now
 		out, tries := 0, 2000
 		var at []*Invocation
 		for range tries { // one every 10 ms, served in 50 ms
@@ -964,7 +964,7 @@
 func TestWithoutCallsTheFavouriteOfAFarCustomerLetsItIn(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		f := newFakeOf(t, Plan{Name: "p", Rate: 10, Burst: 60}, 300)
-		f.g.callLimiter = overload.NewCalls(false, 0)
+		f.g.callLimiter = overload.NewCallLimiter(false, 0)
 		if known {
 			f.g.PeerMessage(f.now, 0, "=p c")
 			f.wait(1)
@@ -985,10 +985,10 @@
 // Without a call a customer's quota is shared by who is there: with half of the four gone for good, each lets in the root of
 // two times its part, and the hard ceiling goes on being divided by all four.
 func TestSharesByWhoIsThere(t *testing.T) {
-	letIn := func(p Plan, peers *membership.Group) (n int) {
+	letIn := func(p Plan, peers *membership.Detector) (n int) {
 		f := newFakeOf(t, p, 4)
 		f.g.instance.Peers = peers
-		f.g.callLimiter = overload.NewCalls(false, 0)
+		f.g.callLimiter = overload.NewCallLimiter(false, 0)
 		for range 400 {
 			f.wait(0.05)
 			inv := f.take(1, 4)
@@ -999,19 +999,19 @@
 		}
 		return n
 	}
-	half := func() *membership.Group { // one of four that has heard of one other only
+	half := func() *membership.Detector { // one of four that has heard of one other only
 		me, other := membership.New(0, 4, 60, 0.1, 1), membership.New(1, 4, 60, 0.1, 2)
 		for now := 980.0; now < 1000; now += 0.05 {
-			for _, l := range other.Due(now) {
-				me.Heard(now, 1, l.Text)
+			for _, l := range other.Tick(now) {
+				me.Receive(now, 1, l.Text)
 			}
-			for _, l := range me.Due(now) {
-				other.Heard(now, 0, l.Text)
+			for _, l := range me.Tick(now) {
+				other.Receive(now, 0, l.Text)
 			}
 		}
 		return me
 	}
-	if n := half().Count(); n != 2 {
+	if n := half().AliveCount(); n != 2 {
 		t.Fatalf("%d are there", n)
 	}
 	p := Plan{Name: "p", Rate: 20, Burst: 20}
--- a/gateway/policy/values.go
+++ b/gateway/policy/values.go
@@ -6,7 +6,7 @@
 )
 
 // toAll is every other api gateway.
-const allPeers = membership.All
+const allPeers = membership.Broadcast
 
 // Effect says whether an operation may run again.
 type Effect int
@@ -55,9 +55,9 @@
 type Instance struct {
 	Gateways int
 	Zone     string
-	Seed     uint64            // for its chances
-	Peers    *membership.Group // who of the api gateways is there; nil: the list alone says it
-	Overload *overload.Fleet   // its part in what all do while hosts don't answer; nil: nothing is bounded
+	Seed     uint64               // for its chances
+	Peers    *membership.Detector // who of the api gateways is there; nil: the list alone says it
+	Overload *overload.Controller // its part in what all do while hosts don't answer; nil: nothing is bounded
 }
 
 // Allowed is what the deployment lets an api gateway do.
--- a/gateway/server/counter.go
+++ b/gateway/server/counter.go
@@ -41,8 +41,8 @@
 	spare  []*call      // to be used again
 	tried  atomic.Int32 // connections whose first attempt is over
 	copies *Copies      // keepers hold the counts; nil: a counter service does
-	// Pauses are those of its connections; nil: as of one alone.
-	Pauses *overload.Pauses
+	// Backoffs are those of its connections; nil: as of one alone.
+	Backoffs *overload.Backoffs
 }
 
 // nameCalls are the calls out on one name: all on one connection, so that their answers keep their order.
@@ -72,8 +72,8 @@
 	addr    string
 	ctx     context.Context
 	stop    context.CancelFunc
-	pause   *overload.Pause // before it dials again
-	wake    chan struct{}   // something is to be written; always room for one
+	pause   *overload.Backoff // before it dials again
+	wake    chan struct{}     // something is to be written; always room for one
 
 	mu      sync.Mutex
 	up      bool
@@ -115,7 +115,7 @@
 	}
 	c.addr, c.old, c.conns = addr, append(c.old, c.conns...), nil
 	for range counterConns {
-		k := &counterConn{counter: c, addr: addr, wake: make(chan struct{}, 1), pause: c.Pauses.New(0.01)}
+		k := &counterConn{counter: c, addr: addr, wake: make(chan struct{}, 1), pause: c.Backoffs.New(0.01)}
 		k.ctx, k.stop = context.WithCancel(c.ctx)
 		c.conns = append(c.conns, k)
 		c.group.Go(func() error { return k.run(addr) })
@@ -308,7 +308,7 @@
 			first = false
 		}
 		if err == nil && k.live(ctx, tcp) {
-			k.pause.Over()
+			k.pause.Reset()
 			continue
 		}
 		select {
--- a/gateway/server/discovery.go
+++ b/gateway/server/discovery.go
@@ -40,8 +40,8 @@
 	group *errgroup.Group
 	loop  *Loop
 	log   zerolog.Logger
-	// Pauses are those between its streams; nil: as of one alone.
-	Pauses *overload.Pauses
+	// Backoffs are those between its streams; nil: as of one alone.
+	Backoffs *overload.Backoffs
 	// silence and word are streamSilence and firstWord, but in tests.
 	silence, word time.Duration
 
@@ -57,12 +57,12 @@
 	addr   string
 	ctx    context.Context
 	stop   context.CancelFunc
-	pause  *overload.Pause // between streams
-	held   int64           // the version of what was told here last; 0: nothing was
-	from   int64           // the version from which changes are asked for; 0: the whole list
-	partly int64           // the version of a list of which entries were dropped: it was asked for once more
-	stream *stream         // the one that is heard; nil: none
-	since  time.Time       // when it was heard last
+	pause  *overload.Backoff // between streams
+	held   int64             // the version of what was told here last; 0: nothing was
+	from   int64             // the version from which changes are asked for; 0: the whole list
+	partly int64             // the version of a list of which entries were dropped: it was asked for once more
+	stream *stream           // the one that is heard; nil: none
+	since  time.Time         // when it was heard last
 }
 
 // stream is one watch on one connection.
@@ -130,7 +130,7 @@
 	if d.inForce != nil && d.inForce.addr == addr { // back to the one that is still heard
 		return
 	}
-	s := &source{addr: addr, pause: d.Pauses.New(0.05)}
+	s := &source{addr: addr, pause: d.Backoffs.New(0.05)}
 	s.ctx, s.stop = context.WithCancel(d.ctx)
 	if d.inForce == nil {
 		d.inForce, s.held, s.from = s, d.version, d.version
@@ -220,7 +220,7 @@
 		d.whileHeard(s)
 		if !opened.IsZero() {
 			if last != nil && last.hasSpoken() && time.Since(opened) > time.Second {
-				s.pause.Over()
+				s.pause.Reset()
 			}
 			select {
 			case <-s.ctx.Done():
--- a/gateway/server/peers.go
+++ b/gateway/server/peers.go
@@ -92,7 +92,7 @@
 			return nil
 		case l := <-p.lines:
 			to := p.to
-			if l.to != membership.All {
+			if l.to != membership.Broadcast {
 				to = nil
 				if l.to >= 0 && l.to < len(p.one) {
 					to = p.one[l.to : l.to+1]
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -99,7 +99,7 @@
 	go p.Read(ctx)
 	room := make([]byte, 300)
 	for i, text := range bytes.Split(recordedBytes(t, "datagrams.bin"), []byte("\n")) {
-		p.send([]int{1, membership.All}[i%2], string(text))
+		p.send([]int{1, membership.Broadcast}[i%2], string(text))
 		peer.SetReadDeadline(time.Now().Add(3 * time.Second))
 		n, _, err := peer.ReadFrom(room)
 		if err != nil || !bytes.Equal(room[:n], text) {
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -361,7 +361,7 @@
 	}
 	p.send(7, "to nobody")
 	p.send(1, "to one")
-	p.send(membership.All, "-h0")
+	p.send(membership.Broadcast, "-h0")
 	b := make([]byte, 300)
 	friend.SetReadDeadline(time.Now().Add(3 * time.Second))
 	for _, want := range []string{"to one", "-h0"} {
@@ -751,7 +751,7 @@
 		w.loop.tell(t.Context(), func() {
 			c := w.counter
 			c.limit = 0.01
-			k := &counterConn{counter: c, wake: make(chan struct{}, 1), pause: c.Pauses.New(0.01)}
+			k := &counterConn{counter: c, wake: make(chan struct{}, 1), pause: c.Backoffs.New(0.01)}
 			k.ctx, k.stop = context.WithCancel(c.ctx)
 			c.conns = append(c.conns, k)
 			c.group.Go(func() error { return k.run(silent) })
--- a/gateway/simadapter/host.go
+++ b/gateway/simadapter/host.go
@@ -173,7 +173,7 @@
 func (in *instance) CancelAttempt(ref string, number int)    { in.reply.Put("CALL_OFF", ref, number) }
 
 func (in *instance) SendPeer(to int, text string) {
-	if to == membership.All {
+	if to == membership.Broadcast {
 		in.reply.Put("ANNOUNCE", nil, text)
 	} else {
 		in.reply.Put("ANNOUNCE", to, text)
--- a/gateway/simprotocol/start.go
+++ b/gateway/simprotocol/start.go
@@ -92,15 +92,15 @@
 			CeilingRate: t.NeverOver, CeilingBurst: t.HardBurst,
 		})
 	}
-	var peers *membership.Group
+	var peers *membership.Detector
 	if s.Members > 0 && s.Caps.PeerMessages && s.Balancers > 1 && s.Slot >= 0 && s.Slot < s.Balancers && s.Extra.Mail > 0 {
 		peers = membership.New(s.Slot, s.Balancers, s.Extra.Mail, s.Members, seed)
 	}
-	var bound *overload.Fleet
+	var bound *overload.Controller
 	if s.Damps {
-		t := overload.Terms{Gateways: s.Balancers, Seed: seed}
+		t := overload.Config{Gateways: s.Balancers, Seed: seed}
 		if s.Caps.PeerMessages {
-			t.Mail = s.Extra.Mail
+			t.MessageRate = s.Extra.Mail
 		}
 		bound = overload.New(t)
 	}
--- a/quotastore/replication/core.go
+++ b/quotastore/replication/core.go
@@ -67,7 +67,7 @@
 	group   []*group  // by number; nil: not held here
 	lives   []uint32  // by keeper, as it says; 0: never heard of
 	heard   []float64 // when it was last known to be there
-	members *membership.Group
+	members *membership.Detector
 
 	asks        []*lane // by group
 	numbers     uint64
@@ -223,14 +223,14 @@
 // Tick lets time go on; it is to be called every 40 ms or so.
 func (c *Node) Tick(now float64) {
 	c.now = now
-	for _, l := range c.members.Due(now) {
+	for _, l := range c.members.Tick(now) {
 		c.text(l)
 	}
-	if line := c.members.Said(now); line != "" {
+	if line := c.members.LogLine(now); line != "" {
 		c.log("%s", line)
 	}
 	for n := range c.peers {
-		if n == c.me || c.members != nil && c.members.Is(now, n) != membership.Gone && c.lives[n] != 0 {
+		if n == c.me || c.members != nil && c.members.StateOf(now, n) != membership.Dead && c.lives[n] != 0 {
 			c.heard[n] = now
 		}
 	}
@@ -270,9 +270,9 @@
 	}
 }
 
-func (c *Node) text(l membership.Letter) {
+func (c *Node) text(l membership.Message) {
 	for n := range c.peers {
-		if n != c.me && (l.To == n || l.To == membership.All) {
+		if n != c.me && (l.To == n || l.To == membership.Broadcast) {
 			c.send(n, &protocol.Frame{Kind: protocol.KindMembership, Membership: l.Text}, false)
 		}
 	}
@@ -397,8 +397,8 @@
 	switch f.Kind {
 	case protocol.KindMembership:
 		if c.members != nil {
-			c.members.Heard(now, from, f.Membership)
-			for _, l := range c.members.Due(now) {
+			c.members.Receive(now, from, f.Membership)
+			for _, l := range c.members.Tick(now) {
 				c.text(l)
 			}
 		}
--- a/sim/membershipsim/membershipsim.go
+++ b/sim/membershipsim/membershipsim.go
@@ -51,7 +51,7 @@
 }
 
 type one struct {
-	group  *membership.Group
+	group  *membership.Detector
 	alive  bool
 	life   int
 	zone   int
@@ -158,7 +158,7 @@
 			return
 		}
 		now := w.q.Now()
-		for _, l := range o.group.Due(now) {
+		for _, l := range o.group.Tick(now) {
 			w.post(i, l)
 		}
 		w.note(i)
@@ -166,8 +166,8 @@
 	})
 }
 
-func (w *play) post(from int, l membership.Letter) {
-	if l.To != membership.All {
+func (w *play) post(from int, l membership.Message) {
+	if l.To != membership.Broadcast {
 		w.letter(from, l.To, l.Text)
 		return
 	}
@@ -199,8 +199,8 @@
 		life := o.life
 		w.run(o, func() {
 			if o.alive && o.life == life {
-				o.group.Heard(w.q.Now(), from, text)
-				for _, l := range o.group.Due(w.q.Now()) {
+				o.group.Receive(w.q.Now(), from, text)
+				for _, l := range o.group.Tick(w.q.Now()) {
 					w.post(to, l)
 				}
 				w.note(to)
@@ -217,7 +217,7 @@
 	}
 	o.seen = o.group.Changes
 	for k, x := range w.all {
-		gone := o.group.Is(now, k) == membership.Gone
+		gone := o.group.StateOf(now, k) == membership.Dead
 		if gone == o.knows[k] {
 			continue
 		}
@@ -277,7 +277,7 @@
 	now, sum := w.q.Now(), 0.0
 	for _, o := range w.all {
 		if o.alive {
-			sum += 1 / o.group.Apart(now, 0, w.Members)
+			sum += 1 / o.group.ShareDivisor(now, 0, w.Members)
 		}
 	}
 	w.share = max(w.share, sum)
@@ -328,7 +328,7 @@
 	r.Dropped = w.lost / max(1, w.lost+w.passed)
 	for i, o := range w.all {
 		for k, x := range w.all {
-			if o.alive && i != k && (o.group.Is(w.q.Now(), k) == membership.Gone) == x.alive {
+			if o.alive && i != k && (o.group.StateOf(w.q.Now(), k) == membership.Dead) == x.alive {
 				r.Wrong++
 			}
 		}
--- a/sim/policyprocess/policyprocess.go
+++ b/sim/policyprocess/policyprocess.go
@@ -242,7 +242,7 @@
 	case "ANNOUNCE":
 		var one *int
 		if read(&one, &text) {
-			to := membership.All
+			to := membership.Broadcast
 			if one != nil {
 				to = *one
 			}
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -420,7 +420,7 @@
 		return
 	}
 	for i, e := range w.Edges {
-		if (to == membership.All && i != from || i == to) && e.Alive && !w.net.Cut(w.Edges[from].Zone, e.Zone) {
+		if (to == membership.Broadcast && i != from || i == to) && e.Alive && !w.net.Cut(w.Edges[from].Zone, e.Zone) {
 			w.post.Send(i, text, func() { e.Mailed(from, text) })
 		}
 	}
