--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -493,7 +493,7 @@
 		p.change(func(record consensus.Record) (consensus.Record, bool) {
 			next := record
 			for _, id := range silent {
-				if p.lost(id) || len(next.InSync) > p.play.policy.Floor(record) {
+				if p.lost(id) || len(next.InSync) > p.play.policy.InSyncFloor(record) {
 					next.InSync = consensus.Without(next.InSync, id)
 				}
 			}
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -128,7 +128,7 @@
 		_ = s.elector.Adjust(ctx, func(record consensus.Record) (consensus.Record, bool) {
 			next := record
 			for _, id := range silent {
-				if s.lost(id) || len(next.InSync) > s.elector.policy.Floor(record) {
+				if s.lost(id) || len(next.InSync) > s.elector.policy.InSyncFloor(record) {
 					next.InSync = consensus.Without(next.InSync, id)
 				}
 			}
--- a/tier/control/simelect_test.go
+++ b/tier/control/simelect_test.go
@@ -137,7 +137,7 @@
 			next.InSync = append(consensus.Without(next.InSync, id), id)
 		}
 		for _, id := range silent {
-			if len(caughtUp) == 0 && len(next.InSync) > m.s.policy().Floor(current) {
+			if len(caughtUp) == 0 && len(next.InSync) > m.s.policy().InSyncFloor(current) {
 				next.InSync = consensus.Without(next.InSync, id)
 			}
 		}
--- a/tier/membership/bootstrap.go
+++ b/tier/membership/bootstrap.go
@@ -1,39 +1,37 @@
 package membership
 
 import (
-	"sort"
+	"slices"
 
 	"otterseam/tier/consensus"
 )
 
-// BootstrapInput is what a process knows when it might found the group.
+// BootstrapInput is what a process knows when it might bootstrap the group.
 type BootstrapInput struct {
 	Self        consensus.Member
-	Seeds       []string                    // addresses that the settings of all founders name
-	Candidates  map[string]consensus.Member // who answered at a seed's address and was started to found, too
-	WaitElapsed bool                        // the other founders had time to answer
+	Seeds       []string                    // addresses that the settings of all processes that may bootstrap name
+	Candidates  map[string]consensus.Member // who answered at a seed's address and was started to bootstrap, too
+	WaitElapsed bool                        // the other candidates had time to answer
 }
 
-// Members are the members to found the group with. It reports false while this process must not found it: before it has heard
-// more than half of the seeds no other part of them could have founded another group, and only processes that were started to
-// found count, since one with an empty disk may have lost that of a group that exists.
-func (f BootstrapInput) Members() ([]consensus.Member, bool) {
-	members := []consensus.Member{f.Self}
-	for _, seed := range f.Seeds {
-		if founder, answered := f.Candidates[seed]; answered && seed != f.Self.Address {
-			members = append(members, founder)
+// Members are the members to bootstrap the group with. It reports false while this process must not do so: until it has heard
+// more than half of the seeds, another part of them may bootstrap another group; and only processes that were started to bootstrap
+// count, since one with an empty disk may have lost that of a group that exists.
+func (b BootstrapInput) Members() ([]consensus.Member, bool) {
+	members := []consensus.Member{b.Self}
+	for _, seed := range b.Seeds {
+		if candidate, answered := b.Candidates[seed]; answered && seed != b.Self.Address {
+			members = append(members, candidate)
 		}
 	}
-	if len(members) <= len(f.Seeds)/2 {
+	if len(members) <= len(b.Seeds)/2 {
 		return nil, false
 	}
-	complete := len(members) == len(f.Seeds)
-	return members, f.WaitElapsed || (complete && f.isFirstSeed())
+	complete := len(members) == len(b.Seeds)
+	return members, b.WaitElapsed || (complete && b.isFirstSeed())
 }
 
-// isFirstSeed tells whether this process founds before the others do.
-func (f BootstrapInput) isFirstSeed() bool {
-	seeds := append([]string(nil), f.Seeds...)
-	sort.Strings(seeds)
-	return len(seeds) > 0 && seeds[0] == f.Self.Address
+// isFirstSeed tells whether this process bootstraps before the others do: its address is the lowest of the seeds.
+func (b BootstrapInput) isFirstSeed() bool {
+	return len(b.Seeds) > 0 && slices.Min(b.Seeds) == b.Self.Address
 }
--- a/tier/membership/bootstrap_test.go
+++ b/tier/membership/bootstrap_test.go
@@ -6,43 +6,43 @@
 	"otterseam/tier/consensus"
 )
 
-func founding(self uint64, heard ...uint64) BootstrapInput {
-	f := BootstrapInput{Self: member(self), Candidates: map[string]consensus.Member{}}
+func bootstrapping(self uint64, heard ...uint64) BootstrapInput {
+	b := BootstrapInput{Self: member(self), Candidates: map[string]consensus.Member{}}
 	for _, id := range []uint64{1, 2, 3} {
-		f.Seeds = append(f.Seeds, member(id).Address)
+		b.Seeds = append(b.Seeds, member(id).Address)
 	}
 	for _, id := range heard {
-		f.Candidates[member(id).Address] = member(id)
+		b.Candidates[member(id).Address] = member(id)
 	}
-	return f
+	return b
 }
 
-// The first of the seeds founds with all of them at once; others, and fewer, only after a wait; half of them never.
-func TestWhoFounds(t *testing.T) {
-	if all, may := founding(1, 2, 3).Members(); !may || len(all) != 3 {
-		t.Fatalf("the first with all: %v %v", all, may)
-	}
-	if _, may := founding(2, 1, 3).Members(); may {
-		t.Fatal("the second did not leave it to the first")
-	}
-	if _, may := founding(1, 2).Members(); may {
-		t.Fatal("founded without waiting for the third")
-	}
-	waited := founding(2, 1)
-	waited.WaitElapsed = true
-	if two, may := waited.Members(); !may || len(two) != 2 {
-		t.Fatalf("two of three after the wait: %v %v", two, may)
-	}
-	alone := founding(1)
-	alone.WaitElapsed = true
-	if _, may := alone.Members(); may {
-		t.Fatal("one of three founded")
+// The first of the seeds bootstraps with all of them at once; others, and fewer, only after a wait; half of them never.
+func TestWhoBootstrapsTheGroup(t *testing.T) {
+	waited := func(b BootstrapInput) BootstrapInput {
+		b.WaitElapsed = true
+		return b
+	}
+	for name, step := range map[string]struct {
+		input   BootstrapInput
+		members int // 0 if it must not bootstrap
+	}{
+		"the first with all":                {bootstrapping(1, 2, 3), 3},
+		"the second leaves it to the first": {bootstrapping(2, 1, 3), 0},
+		"the first waits for the third":     {bootstrapping(1, 2), 0},
+		"two of three after the wait":       {waited(bootstrapping(2, 1)), 2},
+		"one of three after the wait":       {waited(bootstrapping(1)), 0},
+	} {
+		members, may := step.input.Members()
+		if may != (step.members > 0) || may && len(members) != step.members {
+			t.Errorf("%s: %v %v", name, members, may)
+		}
 	}
 }
 
-func TestASingleSeedFoundsAlone(t *testing.T) {
-	f := BootstrapInput{Self: member(1), Seeds: []string{member(1).Address}}
-	if all, may := f.Members(); !may || len(all) != 1 {
+func TestASingleSeedBootstrapsAlone(t *testing.T) {
+	b := BootstrapInput{Self: member(1), Seeds: []string{member(1).Address}}
+	if all, may := b.Members(); !may || len(all) != 1 {
 		t.Fatalf("%v %v", all, may)
 	}
 }
--- a/tier/membership/identity.go
+++ b/tier/membership/identity.go
@@ -2,15 +2,16 @@
 
 import "otterseam/tier/consensus"
 
-// IdentityTracker is where each identity was last seen, from which follows whose disk is lost. The proof is the member's own machine,
-// at its own address, answering with another identity after the last sign of the member: an identity is drawn only on an empty
-// disk. An address that another machine has taken proves nothing, nor does silence, nor an answer from before the member came.
+// IdentityTracker is where each identity was last seen, from which follows whose disk is lost. The proof is the member's own
+// machine, at its own address, answering with another identity after the last sign of the member: an identity is drawn only on an
+// empty disk. An address that another machine has taken proves nothing, nor does silence, nor an answer from before the member
+// came.
 type IdentityTracker struct {
 	members   map[uint64]sighting
 	addresses map[string]occupant
 }
 
-// sighting is the last sign of an identity.
+// sighting is where and when an identity was seen last.
 type sighting struct {
 	address string
 	node    string
@@ -24,34 +25,34 @@
 	at       int64
 }
 
-// NewIdentityTracker makes an empty record of sightings.
+// NewIdentityTracker makes a tracker that has seen nobody.
 func NewIdentityTracker() *IdentityTracker {
 	return &IdentityTracker{members: map[uint64]sighting{}, addresses: map[string]occupant{}}
 }
 
 // ObserveListed notes that a record names a member. Only the first time counts as a sign of it.
-func (s *IdentityTracker) ObserveListed(member consensus.Member, now int64) {
-	if _, known := s.members[member.ID]; !known {
-		s.members[member.ID] = sighting{address: member.Address, node: member.Node, at: now}
+func (t *IdentityTracker) ObserveListed(member consensus.Member, now int64) {
+	if _, known := t.members[member.ID]; !known {
+		t.members[member.ID] = sighting{address: member.Address, node: member.Node, at: now}
 	}
 }
 
 // ObserveAnswer notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
-func (s *IdentityTracker) ObserveAnswer(member consensus.Member, since int64) {
-	if held := s.members[member.ID]; held.at <= since {
-		s.members[member.ID] = sighting{address: member.Address, node: member.Node, at: since}
+func (t *IdentityTracker) ObserveAnswer(member consensus.Member, since int64) {
+	if held := t.members[member.ID]; held.at <= since {
+		t.members[member.ID] = sighting{address: member.Address, node: member.Node, at: since}
 	}
-	if held := s.addresses[member.Address]; held.at <= since {
-		s.addresses[member.Address] = occupant{identity: member.ID, node: member.Node, at: since}
+	if held := t.addresses[member.Address]; held.at <= since {
+		t.addresses[member.Address] = occupant{identity: member.ID, node: member.Node, at: since}
 	}
 }
 
 // DiskLost tells whether a member's disk is provably lost.
-func (s *IdentityTracker) DiskLost(id uint64) bool {
-	seen, known := s.members[id]
+func (t *IdentityTracker) DiskLost(id uint64) bool {
+	seen, known := t.members[id]
 	if !known {
 		return false
 	}
-	there, answered := s.addresses[seen.address]
+	there, answered := t.addresses[seen.address]
 	return answered && there.identity != id && there.node == seen.node && there.at > seen.at
 }
--- a/tier/membership/membership_test.go
+++ b/tier/membership/steps_test.go
@@ -45,14 +45,14 @@
 	return len(a) == len(b)
 }
 
-func TestCopiesRiseWithTheMembersAndNeverFall(t *testing.T) {
+func TestMinInSyncRisesWithTheMembersAndNeverFalls(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	if alone := p.InitialRecord(1, members(1)); alone.MinInSync != 1 {
 		t.Fatalf("a group of one demands %d copies", alone.MinInSync)
 	}
 	record := p.InitialRecord(1, members(1, 2, 3))
-	if record.MinInSync != 2 || p.Floor(record) != 2 {
-		t.Fatalf("copies %d, floor %d", record.MinInSync, p.Floor(record))
+	if record.MinInSync != 2 || p.InSyncFloor(record) != 2 {
+		t.Fatalf("copies %d, floor %d", record.MinInSync, p.InSyncFloor(record))
 	}
 	record.Members = members(1)
 	record.InSync = []uint64{1}
@@ -70,7 +70,7 @@
 
 // With two members in sync and two copies demanded, a silent one stays: nothing could be acknowledged without it anyway, and it
 // may be the one that is left to lead.
-func TestTheInSyncSetStaysAtTheCopies(t *testing.T) {
+func TestTheInSyncSetStaysAtMinInSync(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2))
 	next := p.Successor(record, 2, set())
