--- a/sim/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -147,13 +147,13 @@
 }
 
 func (s *shardPlay) storeOf(n *node) directory.Store {
-	return directory.Store{Identity: n.identity, Boot: n.boot, Node: n.name, Address: n.address, Zone: "z"}
+	return directory.Store{Identity: n.identity, Incarnation: n.boot, Node: n.name, Address: n.address, Zone: "z"}
 }
 
 func (s *shardPlay) beat(n *node) {
 	store, leaving := s.storeOf(n), n.leaving
 	s.After(s.Between(1, 6), func() {
-		s.sessions[store.Identity] = storeSession{heardAt: s.Now, boot: store.Boot, leaving: leaving}
+		s.sessions[store.Identity] = storeSession{heardAt: s.Now, boot: store.Incarnation, leaving: leaving}
 		s.stores[store.Identity] = store
 	})
 }
@@ -165,7 +165,7 @@
 		session := s.sessions[id]
 		silence := s.Now - session.heardAt
 		machines[id] = placement.Machine{
-			Store: store, Alive: silence <= storeSilence && session.boot == store.Boot, Away: silence > storeAway,
+			Store: store, Alive: silence <= storeSilence && session.boot == store.Incarnation, Away: silence > storeAway,
 			Draining: session.leaving, Retiring: s.retiring[store.Node],
 		}
 	}
@@ -216,7 +216,7 @@
 		for _, id := range next.View.Replicas {
 			if s.cluster().Machines[id].Alive {
 				next.View.Primary = id
-				next.PrimaryBoot = s.stores[id].Boot
+				next.PrimaryIncarnation = s.stores[id].Incarnation
 			}
 		}
 	}
@@ -247,7 +247,7 @@
 			n.disk = disk{}
 			n.open()
 		}
-	case shard.View.Primary == n.identity && shard.PrimaryBoot != n.boot:
+	case shard.View.Primary == n.identity && shard.PrimaryIncarnation != n.boot:
 	default:
 		n.group.SetView(shard.View, s.Now)
 		n.carryOut()
--- a/tier/agent/agent.go
+++ b/tier/agent/agent.go
@@ -56,7 +56,7 @@
 		switch message.Kind {
 		case feed.KindSubscribe:
 			publisher.Handle(message)
-		case controlclient.KindObserved:
+		case controlclient.KindHostObservations:
 			a.forward(message.Payload)
 		case timeline.KindTimeline:
 			message.Answer(codes.OK, a.timeline.Encode())
@@ -65,7 +65,7 @@
 		}
 	})
 	viewReceived := func([]feed.Item) { a.timeline.Reach(timeline.ViewReceived) }
-	subscriber := &feed.Subscriber{View: a.view, Addresses: a.controlAddresses, Changed: viewReceived}
+	subscriber := &feed.Subscriber{View: a.view, Addresses: a.controlAddresses, OnChange: viewReceived}
 	go a.report(ctx)
 	subscriber.Run(ctx)
 	return nil
@@ -86,7 +86,7 @@
 		case <-ctx.Done():
 			return
 		case report := <-a.reports:
-			if _, err := a.control.Try(ctx, controlclient.KindObserved, report); err != nil {
+			if _, err := a.control.CallOnce(ctx, controlclient.KindHostObservations, report); err != nil {
 				a.log.WithError(err).Debug("a report of hosts was not taken")
 			}
 		}
--- a/tier/control/api.go
+++ b/tier/control/api.go
@@ -199,7 +199,7 @@
 		ID: chi.URLParam(r, "id"), Service: beat.Service, Address: beat.Address, Zone: beat.Zone, Version: beat.Version,
 		Slots: beat.Slots, Draining: beat.State == opconfig.StateDraining, Stage: beat.Stage, Models: string(beat.Models),
 	}
-	message := controlclient.HostBeat{Host: host, Seq: beat.SeqNo}
+	message := controlclient.HostHeartbeat{Host: host, Seq: beat.SeqNo}
 	if s.keepsHost(message) {
 		s.writeBeatAnswer(w)
 		return
@@ -210,7 +210,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.onPrimary(ctx, controlclient.KindHostBeat, message.Encode(), func() (state.Result, error) {
+	result, err := s.onPrimary(ctx, controlclient.KindHostHeartbeat, message.Encode(), func() (state.Result, error) {
 		return s.hostBeat(ctx, message)
 	})
 	if answer(w, result, err) {
@@ -252,7 +252,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.onPrimary(ctx, controlclient.KindHostGone, []byte(id), func() (state.Result, error) { return s.hostGone(ctx, id, true) })
+	result, err := s.onPrimary(ctx, controlclient.KindDeregisterHost, []byte(id), func() (state.Result, error) { return s.hostGone(ctx, id, true) })
 	if answer(w, result, err) {
 		writeJSON(w, http.StatusOK, struct{}{})
 	}
@@ -289,7 +289,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	result, err := s.onPrimary(ctx, controlclient.KindRetireRead, []byte(node), func() (state.Result, error) {
+	result, err := s.onPrimary(ctx, controlclient.KindRetirementState, []byte(node), func() (state.Result, error) {
 		return s.retireState(ctx, node)
 	})
 	if answer(w, result, err) {
--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -33,12 +33,12 @@
 // beatPrimary tells the primary that this process is there. The answer says how old the primary's contact with a majority is; it
 // counts from before the question was sent.
 func (s *Server) beatPrimary(ctx context.Context) {
-	beat := controlclient.ControlBeat{Member: s.self, Leaving: s.isLeaving(), Refusals: s.refusals.Load()}
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { beat.Question = g.LastProbe() })
+	beat := controlclient.MemberHeartbeat{Member: s.self, Leaving: s.isLeaving(), RejectedHeartbeats: s.refusals.Load()}
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { beat.Echoed = g.LastProbe() })
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := multigroup.Now()
-	answer, err := s.primary.Call(call, controlclient.KindControlBeat, beat.Encode())
+	answer, err := s.primary.Call(call, controlclient.KindMemberHeartbeat, beat.Encode())
 	if err != nil {
 		return
 	}
@@ -53,7 +53,7 @@
 
 // storeBeat keeps a store's session, and registers a store that is new or was started again.
 func (s *Server) storeBeat(ctx context.Context, payload []byte) (state.Result, error) {
-	beat, err := controlclient.DecodeStoreBeat(payload)
+	beat, err := controlclient.DecodeStoreHeartbeat(payload)
 	if err != nil {
 		return state.Result{}, err
 	}
@@ -67,7 +67,7 @@
 }
 
 // hostBeat keeps a host's session; only what changed is replicated.
-func (s *Server) hostBeat(ctx context.Context, beat controlclient.HostBeat) (state.Result, error) {
+func (s *Server) hostBeat(ctx context.Context, beat controlclient.HostHeartbeat) (state.Result, error) {
 	removing := s.sessions.RenewHost(beat.Host.ID, s.self.ID, multigroup.Now())
 	held, known := s.state.Host(beat.Host.ID)
 	if known && held == beat.Host && !removing {
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -22,7 +22,7 @@
 
 // keepsHost tells whether a heartbeat says what is committed already, and then keeps the host's session. Backups do so by
 // themselves and tell the primary in lists.
-func (s *Server) keepsHost(beat controlclient.HostBeat) bool {
+func (s *Server) keepsHost(beat controlclient.HostHeartbeat) bool {
 	id := beat.Host.ID
 	held, known := s.state.Host(id)
 	if !known || held != beat.Host || !s.mayServe() {
@@ -54,22 +54,22 @@
 
 // sendHeard tells the primary which hosts were heard. It returns those that the primary has removed meanwhile.
 func (s *Server) sendHeard(ctx context.Context, heard session.HostHeartbeats) (missing []string, told bool) {
-	report := controlclient.HostsHeard{By: s.self.ID}
+	report := controlclient.HeartbeatReport{From: s.self.ID}
 	now := multigroup.Now()
 	for id, host := range heard {
-		report.Hosts = append(report.Hosts, controlclient.HeardHost{ID: id, Age: uint32(now - host.At)})
+		report.Hosts = append(report.Hosts, controlclient.ReportedHost{ID: id, AgeMS: uint32(now - host.At)})
 	}
 	if s.host.IsPrimary(controlGroup) {
 		return s.keepSessions(report, now), true
 	}
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { report.Question = g.LastProbe() })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { report.Echoed = g.LastProbe() })
 	call, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	answer, err := s.primary.Call(call, controlclient.KindHostsHeard, report.Encode())
+	answer, err := s.primary.Call(call, controlclient.KindHeartbeatReport, report.Encode())
 	if err != nil {
 		return nil, false
 	}
-	missing, err = controlclient.DecodeMissing(answer)
+	missing, err = controlclient.DecodeUnregisteredHosts(answer)
 	return missing, err == nil
 }
 
@@ -78,7 +78,7 @@
 	for _, id := range missing {
 		beat := heard[id].Beat
 		call, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := s.onPrimary(call, controlclient.KindHostBeat, beat.Encode(), func() (state.Result, error) { return s.hostBeat(call, beat) })
+		_, err := s.onPrimary(call, controlclient.KindHostHeartbeat, beat.Encode(), func() (state.Result, error) { return s.hostBeat(call, beat) })
 		cancel()
 		if err != nil {
 			s.unreported.PutBack(session.HostHeartbeats{id: heard[id]})
@@ -89,25 +89,25 @@
 // hostsHeard keeps the sessions of hosts that another control process heard, and answers which of them are not on the list. The
 // report counts from the question of this process that its sender had read.
 func (s *Server) hostsHeard(payload []byte) (state.Result, error) {
-	report, err := controlclient.DecodeHostsHeard(payload)
+	report, err := controlclient.DecodeHeartbeatReport(payload)
 	if err != nil {
 		return state.Result{}, err
 	}
 	asked, own := int64(0), false
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Question, multigroup.Now()) })
+	s.host.WithGroup(controlGroup, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Echoed, multigroup.Now()) })
 	if !own {
 		return state.Result{}, codes.Unavailable
 	}
 	missing := s.keepSessions(report, asked)
-	return state.Result{Body: controlclient.EncodeMissing(missing)}, s.standing().MayDecide(multigroup.Now())
+	return state.Result{Body: controlclient.EncodeUnregisteredHosts(missing)}, s.standing().MayDecide(multigroup.Now())
 }
 
 // keepSessions keeps the sessions of hosts by a report written no earlier than a time. It returns those that are not on the list,
 // or may be about to leave it.
-func (s *Server) keepSessions(report controlclient.HostsHeard, written int64) (missing []string) {
+func (s *Server) keepSessions(report controlclient.HeartbeatReport, written int64) (missing []string) {
 	for _, host := range report.Hosts {
 		_, listed := s.state.Host(host.ID)
-		if !listed || s.sessions.RenewHost(host.ID, report.By, written-int64(host.Age)) {
+		if !listed || s.sessions.RenewHost(host.ID, report.From, written-int64(host.AgeMS)) {
 			missing = append(missing, host.ID)
 		}
 	}
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -103,7 +103,7 @@
 
 func (s *Server) cluster() placement.Cluster {
 	retiring := func(node string) bool {
-		_, found := s.state.View.Get(feed.SectionRetire, node)
+		_, found := s.state.View.Get(feed.SectionRetirement, node)
 		return found
 	}
 	machines := s.sessions.Machines(directory.Stores(s.state.View), retiring)
@@ -174,7 +174,7 @@
 	if _, err := s.submitHere(ctx, state.ReadConfig{}.Encode()); err != nil {
 		return state.Result{}, err
 	}
-	if _, retiring := s.state.View.Get(feed.SectionRetire, node); !retiring {
+	if _, retiring := s.state.View.Get(feed.SectionRetirement, node); !retiring {
 		return state.Result{Code: codes.RetireUnknown}, nil
 	}
 	shards := directory.Shards(s.state.View)
--- a/tier/control/members.go
+++ b/tier/control/members.go
@@ -222,7 +222,7 @@
 // answerControlBeat keeps a control process's session. A primary does so also while it can commit nothing: the copy that it waits
 // for may come with this very beat.
 func (s *Server) answerControlBeat(message rpc.Message) {
-	beat, err := controlclient.DecodeControlBeat(message.Payload)
+	beat, err := controlclient.DecodeMemberHeartbeat(message.Payload)
 	if err != nil {
 		message.Answer(codes.Malformed, nil)
 		return
@@ -234,8 +234,8 @@
 	}
 	s.sessions.RenewControl(beat.Member, beat.Leaving)
 	s.host.WithGroup(controlGroup, func(g *replica.Group) {
-		if asked, own := g.ProbeSentAt(beat.Question, multigroup.Now()); own {
-			s.sessions.RenewHolder(beat.Member.ID, beat.Refusals, asked)
+		if asked, own := g.ProbeSentAt(beat.Echoed, multigroup.Now()); own {
+			s.sessions.RenewHolder(beat.Member.ID, beat.RejectedHeartbeats, asked)
 		}
 	})
 	var e codec.Encoder
--- a/tier/control/prevote.go
+++ b/tier/control/prevote.go
@@ -98,7 +98,7 @@
 	question.Uint8(uint8(mode))
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer, err := e.clients.To(voter.Address).Call(call, controlclient.KindSupport, question.Bytes)
+	answer, err := e.clients.To(voter.Address).Call(call, controlclient.KindPreVote, question.Bytes)
 	if err != nil {
 		return false
 	}
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -167,7 +167,7 @@
 // A candidate asks for support as recorded and learns from the recorded answer; a voter takes the question and gives that answer.
 func TestRecordedSupport(t *testing.T) {
 	elector := recordedServer(t, fixture.Disk(t, fixture.Asker, nil)).elector
-	voter := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindSupport, "support", "support-answer")}
+	voter := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindPreVote, "support", "support-answer")}
 	if !elector.askVoter(recordedContext(t), voter, prepareOnTransfer, fixture.Record().Epoch) {
 		t.Error("no support")
 	}
@@ -176,7 +176,7 @@
 	}
 	witness := fixture.Witness()
 	s := recordedServer(t, fixture.Disk(t, fixture.Voter, &witness))
-	recorded.Check(t, "support-answer", asked(t, s, controlclient.KindSupport, "support"))
+	recorded.Check(t, "support-answer", asked(t, s, controlclient.KindPreVote, "support"))
 }
 
 // A process says who it is as recorded, and reads the recorded answer of another one.
@@ -221,7 +221,7 @@
 // A control process keeps its session as recorded, and reads the recorded answer.
 func TestRecordedControlBeat(t *testing.T) {
 	s := recordedServer(t, fixture.Disk(t, fixture.Asker, nil))
-	address := answering(t, controlclient.KindControlBeat, "control-beat", "control-beat-answer")
+	address := answering(t, controlclient.KindMemberHeartbeat, "control-beat", "control-beat-answer")
 	s.primary = controlclient.New(s.clients, func() []string { return []string{address} })
 	s.leaving = true
 	s.refusals.Store(17)
@@ -251,7 +251,7 @@
 
 // A primary answers the recorded beat as recorded but for the age of its contact, which is as measured.
 func TestRecordedAnswerToAControlBeat(t *testing.T) {
-	answer := asked(t, leadingServer(t), controlclient.KindControlBeat, "control-beat")
+	answer := asked(t, leadingServer(t), controlclient.KindMemberHeartbeat, "control-beat")
 	if len(answer) < 8 {
 		t.Fatalf("answer %x", answer)
 	}
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -106,7 +106,7 @@
 		beatHere:      []byte(`{"beat_target":"` + s.ListenControl + `"}`),
 		beatElsewhere: []byte(`{}`),
 	}
-	server.publisher = &feed.Publisher{View: server.state.View, Fresh: server.mayServe}
+	server.publisher = &feed.Publisher{View: server.state.View, IsFresh: server.mayServe}
 	server.primary = controlclient.New(clients, server.otherAddresses)
 	if server.elector, err = newElector(host, clients, server.self.Address, membership.Policy{Tolerate: s.TolerateMachine}, log); err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 		message.Answer(codes.OK, s.timeline.Encode())
 	case controlclient.KindLocate:
 		s.answerLocate(message)
-	case controlclient.KindSupport:
+	case controlclient.KindPreVote:
 		go s.elector.handleSupport(message)
 	case controlclient.KindPrepare:
 		go s.elector.handlePrepare(message)
@@ -211,7 +211,7 @@
 		go s.elector.handleAccept(message)
 	case KindTakeOver:
 		go s.answerTakeOver(message)
-	case controlclient.KindControlBeat:
+	case controlclient.KindMemberHeartbeat:
 		go s.answerControlBeat(message)
 	default:
 		go s.handleAsPrimary(message)
@@ -242,23 +242,23 @@
 	switch message.Kind {
 	case controlclient.KindSubmit:
 		return s.submitHere(ctx, message.Payload)
-	case controlclient.KindStoreBeat:
+	case controlclient.KindStoreHeartbeat:
 		return s.storeBeat(ctx, message.Payload)
-	case controlclient.KindShardChange:
+	case controlclient.KindInSyncChange:
 		return s.shardChange(ctx, message.Payload)
-	case controlclient.KindHostBeat:
-		beat, err := controlclient.DecodeHostBeat(message.Payload)
+	case controlclient.KindHostHeartbeat:
+		beat, err := controlclient.DecodeHostHeartbeat(message.Payload)
 		if err != nil {
 			return state.Result{}, err
 		}
 		return s.hostBeat(ctx, beat)
-	case controlclient.KindObserved:
+	case controlclient.KindHostObservations:
 		return s.observed(message.Payload)
-	case controlclient.KindHostsHeard:
+	case controlclient.KindHeartbeatReport:
 		return s.hostsHeard(message.Payload)
-	case controlclient.KindHostGone:
+	case controlclient.KindDeregisterHost:
 		return s.hostGone(ctx, string(message.Payload), true)
-	case controlclient.KindRetireRead:
+	case controlclient.KindRetirementState:
 		return s.retireState(ctx, string(message.Payload))
 	default:
 		return state.Result{}, codes.Malformed
--- a/tier/control/session/sessions.go
+++ b/tier/control/session/sessions.go
@@ -38,7 +38,7 @@
 func (s *Sessions) Begin(st *state.State) {
 	boots := map[uint64]uint64{}
 	for id, store := range directory.Stores(st.View) {
-		boots[id] = store.Boot
+		boots[id] = store.Incarnation
 	}
 	hosts := slices.Collect(maps.Keys(st.Hosts()))
 	s.mu.Lock()
--- a/tier/control/session/stores.go
+++ b/tier/control/session/stores.go
@@ -7,10 +7,10 @@
 )
 
 // RenewStore keeps a store's session.
-func (s *Sessions) RenewStore(beat controlclient.StoreBeat) {
+func (s *Sessions) RenewStore(beat controlclient.StoreHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores.Renew(beat.Store.Identity, beat.Store.Boot, beat.Leaving, s.now())
+	s.stores.Renew(beat.Store.Identity, beat.Store.Incarnation, beat.Leaving, s.now())
 }
 
 // Machines describes the store machines for placement.
@@ -20,10 +20,10 @@
 	now := s.now()
 	machines := make(map[uint64]placement.Machine, len(stores))
 	for id, store := range stores {
-		s.stores.Expect(id, store.Boot, now)
+		s.stores.Expect(id, store.Incarnation, now)
 		machines[id] = placement.Machine{
 			Store:       store,
-			Alive:       s.stores.IsAlive(id, store.Boot, now),
+			Alive:       s.stores.IsAlive(id, store.Incarnation, now),
 			Unconfirmed: s.stores.IsUnconfirmed(id),
 			Away:        s.stores.IsAway(id, now),
 			Draining:    s.stores.IsDraining(id),
--- a/tier/control/session/unreported.go
+++ b/tier/control/session/unreported.go
@@ -8,7 +8,7 @@
 
 // HostHeartbeat is a host's heartbeat that this process acknowledged.
 type HostHeartbeat struct {
-	Beat controlclient.HostBeat
+	Beat controlclient.HostHeartbeat
 	At   int64 // when it came, on this process's clock in milliseconds
 }
 
--- a/tier/control/shards.go
+++ b/tier/control/shards.go
@@ -11,7 +11,7 @@
 
 // shardChange takes a replica into a shard's in-sync set, or out of it, for the shard's primary.
 func (s *Server) shardChange(ctx context.Context, payload []byte) (state.Result, error) {
-	change, err := controlclient.DecodeShardChange(payload)
+	change, err := controlclient.DecodeInSyncChange(payload)
 	if err != nil {
 		return state.Result{}, err
 	}
--- a/tier/control/sim_test.go
+++ b/tier/control/sim_test.go
@@ -90,7 +90,7 @@
 
 // readConfig reads the configuration without a commit, as no member may.
 func (m *simMachine) readConfig() state.Result {
-	data, found := m.View.Get(feed.SectionConfig, directory.ConfigKey)
+	data, found := m.View.Get(feed.SectionConfig, directory.CurrentKey)
 	if !found {
 		return state.Result{Code: codes.ConfigNone}
 	}
--- a/tier/control/state/config.go
+++ b/tier/control/state/config.go
@@ -27,7 +27,7 @@
 
 // ConfigVersion is the version of the configuration in place, 0 if there is none.
 func (s *State) ConfigVersion() uint64 {
-	data, _ := s.View.Get(feed.SectionConfig, directory.ConfigKey)
+	data, _ := s.View.Get(feed.SectionConfig, directory.CurrentKey)
 	version, _ := SplitConfig(data)
 	return version
 }
@@ -37,13 +37,13 @@
 	order := configlog.Change{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
 	answer, fresh := s.orders.Decide(order, s.ConfigVersion())
 	if fresh {
-		s.View.Put(feed.SectionConfig, directory.ConfigKey, index, configItem(c.Version, c.Body))
+		s.View.Put(feed.SectionConfig, directory.CurrentKey, index, configItem(c.Version, c.Body))
 	}
 	return Result{Code: answer}
 }
 
 func (ReadConfig) apply(s *State, _ uint64) Result {
-	data, found := s.View.Get(feed.SectionConfig, directory.ConfigKey)
+	data, found := s.View.Get(feed.SectionConfig, directory.CurrentKey)
 	if !found {
 		return Result{Code: codes.ConfigNone}
 	}
--- a/tier/control/state/ejection.go
+++ b/tier/control/state/ejection.go
@@ -8,7 +8,7 @@
 
 func (c EjectHost) apply(s *State, index uint64) Result {
 	if held, known := s.hosts[c.ID]; known && !held.departed {
-		s.View.Put(feed.SectionVerdict, c.ID, index, directory.EncodeTerm(c.TermMS))
+		s.View.Put(feed.SectionEjection, c.ID, index, directory.EncodeEjectionTerm(c.TermMS))
 	}
 	return Result{Code: codes.OK}
 }
@@ -20,16 +20,16 @@
 
 // reinstate takes back that a host is ejected.
 func (s *State) reinstate(index uint64, id string) {
-	if _, ejected := s.View.Get(feed.SectionVerdict, id); ejected {
-		s.View.Delete(feed.SectionVerdict, id, index)
+	if _, ejected := s.View.Get(feed.SectionEjection, id); ejected {
+		s.View.Delete(feed.SectionEjection, id, index)
 	}
 }
 
 // EjectionTerms lists the hosts that are ejected, with their terms in milliseconds.
 func (s *State) EjectionTerms() map[string]int64 {
 	terms := map[string]int64{}
-	for _, item := range s.View.All(feed.SectionVerdict) {
-		if term, err := directory.DecodeTerm(item.Data); err == nil {
+	for _, item := range s.View.All(feed.SectionEjection) {
+		if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
 			terms[item.Key] = term
 		}
 	}
--- a/tier/control/state/ejection_test.go
+++ b/tier/control/state/ejection_test.go
@@ -31,7 +31,7 @@
 	}
 	distributed := 0
 	for _, item := range state.View.Since(0).Items {
-		if item.Section == feed.SectionVerdict {
+		if item.Section == feed.SectionEjection {
 			distributed++
 		}
 	}
--- a/tier/control/state/growth_test.go
+++ b/tier/control/state/growth_test.go
@@ -52,7 +52,7 @@
 }
 
 func (l *commandLog) retires(node string) bool {
-	_, found := l.state.View.Get(feed.SectionRetire, node)
+	_, found := l.state.View.Get(feed.SectionRetirement, node)
 	return found
 }
 
@@ -95,7 +95,7 @@
 		}
 		l.removeStore(10+i, node)
 	}
-	if held := len(l.state.View.All(feed.SectionRetire)); held != retirementsKept {
+	if held := len(l.state.View.All(feed.SectionRetirement)); held != retirementsKept {
 		t.Fatalf("%d retirements are known", held)
 	}
 }
--- a/tier/control/state/members_test.go
+++ b/tier/control/state/members_test.go
@@ -14,7 +14,7 @@
 	if err := restored.Restore(state.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if state.View.Installation() != 7 || restored.View.Installation() != 7 {
-		t.Fatalf("installation %d, restored %d", state.View.Installation(), restored.View.Installation())
+	if state.View.ClusterID() != 7 || restored.View.ClusterID() != 7 {
+		t.Fatalf("installation %d, restored %d", state.View.ClusterID(), restored.View.ClusterID())
 	}
 }
--- a/tier/control/state/retirement.go
+++ b/tier/control/state/retirement.go
@@ -34,7 +34,7 @@
 
 // retirementOf returns the retirement of a machine.
 func (s *State) retirementOf(node string) (retirement, bool) {
-	data, found := s.View.Get(feed.SectionRetire, node)
+	data, found := s.View.Get(feed.SectionRetirement, node)
 	if !found {
 		return retirement{}, false
 	}
@@ -42,7 +42,7 @@
 }
 
 func (s *State) putRetirement(index uint64, node string, r retirement) {
-	s.View.Put(feed.SectionRetire, node, index, r.encode())
+	s.View.Put(feed.SectionRetirement, node, index, r.encode())
 }
 
 // beginRetirement notes that the disks which a machine has now are to be emptied.
@@ -65,7 +65,7 @@
 		return
 	}
 	if r.Left {
-		s.View.Delete(feed.SectionRetire, store.Node, index)
+		s.View.Delete(feed.SectionRetirement, store.Node, index)
 		return
 	}
 	r.Identities = append(r.Identities, store.Identity)
@@ -91,7 +91,7 @@
 
 func (s *State) forgetRetirements(index uint64) {
 	var left []feed.Item
-	for _, item := range s.View.All(feed.SectionRetire) {
+	for _, item := range s.View.All(feed.SectionRetirement) {
 		if decodeRetirement(item.Data).Left {
 			left = append(left, item)
 		}
@@ -101,7 +101,7 @@
 	}
 	sort.Slice(left, func(i, j int) bool { return left[i].Revision < left[j].Revision })
 	for _, item := range left[:len(left)-retirementsKept] {
-		s.View.Delete(feed.SectionRetire, item.Key, index)
+		s.View.Delete(feed.SectionRetirement, item.Key, index)
 	}
 }
 
@@ -131,6 +131,6 @@
 
 // IsRetiring tells whether a store machine was ordered to be emptied, also when it has been.
 func (s *State) IsRetiring(node string) bool {
-	_, found := s.View.Get(feed.SectionRetire, node)
+	_, found := s.View.Get(feed.SectionRetirement, node)
 	return found
 }
--- a/tier/control/state/shards.go
+++ b/tier/control/state/shards.go
@@ -34,7 +34,7 @@
 }
 
 func (c SetMembers) apply(s *State, index uint64) Result {
-	s.View.SetInstallation(c.Record.ClusterID)
-	s.View.Put(feed.SectionControl, directory.ConfigKey, index, directory.EncodeMembers(c.Record))
+	s.View.SetClusterID(c.Record.ClusterID)
+	s.View.Put(feed.SectionControl, directory.CurrentKey, index, directory.EncodeControlMembers(c.Record))
 	return Result{Code: codes.OK}
 }
--- a/tier/controlclient/client.go
+++ b/tier/controlclient/client.go
@@ -35,7 +35,7 @@
 // no clear answer is made again, so it has to be idempotent.
 func (c *Client) Call(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
 	for {
-		result, err := c.Try(ctx, kind, payload)
+		result, err := c.CallOnce(ctx, kind, payload)
 		if err == nil || !tryElsewhere(err) {
 			return result, err
 		}
@@ -47,9 +47,9 @@
 	}
 }
 
-// Try asks one control process: the primary, if it is known. A call that got no clear answer is not made again; the next one goes
+// CallOnce asks one control process: the primary, if it is known. A call that got no clear answer is not made again; the next one goes
 // elsewhere.
-func (c *Client) Try(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
+func (c *Client) CallOnce(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
 	address := c.target()
 	if address == "" {
 		return nil, codes.Unavailable
--- a/tier/controlclient/client_test.go
+++ b/tier/controlclient/client_test.go
@@ -39,7 +39,7 @@
 	}{
 		{codes.Unavailable, 1, 0, 0}, {codes.NotPrimary, 1, 1, 0}, {nil, 1, 1, 1}, {nil, 1, 1, 2},
 	} {
-		if _, err := client.Try(t.Context(), KindObserved, nil); !errors.Is(err, want.err) {
+		if _, err := client.CallOnce(t.Context(), KindHostObservations, nil); !errors.Is(err, want.err) {
 			t.Errorf("try %d: %v, not %v", i, err, want.err)
 		}
 		if atAlone.Load() != want.alone || atBackup.Load() != want.backup || atPrimary.Load() != want.primary {
@@ -54,7 +54,7 @@
 	backup, _ := member(t, codes.NotPrimary, primary)
 	alone, _ := member(t, codes.Unavailable, "")
 	client := New(rpc.NewClients(nil), func() []string { return []string{alone, backup} })
-	if got, err := client.Call(t.Context(), KindObserved, nil); err != nil || string(got) != "done" {
+	if got, err := client.Call(t.Context(), KindHostObservations, nil); err != nil || string(got) != "done" {
 		t.Fatalf("%q, %v", got, err)
 	}
 }
--- a/tier/directory/directory.go
+++ b/tier/directory/directory.go
@@ -11,8 +11,8 @@
 	"otterseam/tier/replica"
 )
 
-// ConfigKey is the key of the configuration in its section.
-const ConfigKey = "current"
+// CurrentKey is the key of the configuration in its section.
+const CurrentKey = "current"
 
 // Host is a host of a service, as it described itself.
 type Host struct {
@@ -52,15 +52,15 @@
 	return h, d.Err()
 }
 
-// EncodeTerm is the form in a feed of the term, in milliseconds, for which a host is set aside.
-func EncodeTerm(ms int64) []byte {
+// EncodeEjectionTerm is the form in a feed of the term, in milliseconds, for which a host is set aside.
+func EncodeEjectionTerm(ms int64) []byte {
 	var e codec.Encoder
 	e.Int64(ms)
 	return e.Bytes
 }
 
-// DecodeTerm reads a term in milliseconds.
-func DecodeTerm(data []byte) (int64, error) {
+// DecodeEjectionTerm reads a term in milliseconds.
+func DecodeEjectionTerm(data []byte) (int64, error) {
 	d := codec.NewDecoder(data)
 	ms := d.Int64()
 	return ms, d.Err()
@@ -68,18 +68,18 @@
 
 // Store is a store process in one incarnation. Its identity belongs to its disk, its boot to the process.
 type Store struct {
-	Identity uint64
-	Boot     uint64
-	Node     string
-	Address  string
-	Zone     string
+	Identity    uint64
+	Incarnation uint64 `json:"Boot"`
+	Node        string
+	Address     string
+	Zone        string
 }
 
 // Encode is the store's form in a feed.
 func (s Store) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(s.Identity)
-	e.Uint64(s.Boot)
+	e.Uint64(s.Incarnation)
 	e.String(s.Node)
 	e.String(s.Address)
 	e.String(s.Zone)
@@ -89,7 +89,7 @@
 // DecodeStore reads a store.
 func DecodeStore(data []byte) (Store, error) {
 	d := codec.NewDecoder(data)
-	s := Store{Identity: d.Uint64(), Boot: d.Uint64(), Node: d.String(), Address: d.String(), Zone: d.String()}
+	s := Store{Identity: d.Uint64(), Incarnation: d.Uint64(), Node: d.String(), Address: d.String(), Zone: d.String()}
 	return s, d.Err()
 }
 
@@ -99,10 +99,10 @@
 // Shard is a group of programs and who holds it. PrimaryBoot names the incarnation that may act as primary. Each shard tells how
 // many there are in all, so that a view that is not complete yet sends no program to the wrong one.
 type Shard struct {
-	ID          uint32
-	Total       uint32
-	View        replica.View
-	PrimaryBoot uint64
+	ID                 uint32
+	Total              uint32
+	View               replica.View
+	PrimaryIncarnation uint64 `json:"PrimaryBoot"`
 }
 
 // Encode is the shard's form in a feed.
@@ -112,7 +112,7 @@
 	e.Uint32(s.Total)
 	e.Uint64(s.View.Epoch)
 	e.Uint64(s.View.Primary)
-	e.Uint64(s.PrimaryBoot)
+	e.Uint64(s.PrimaryIncarnation)
 	e.Uint64s(s.View.InSync)
 	e.Uint64s(s.View.Replicas)
 	e.Uint32(uint32(s.View.MinInSync))
@@ -125,7 +125,7 @@
 	s := Shard{ID: d.Uint32(), Total: d.Uint32()}
 	s.View.Epoch = d.Uint64()
 	s.View.Primary = d.Uint64()
-	s.PrimaryBoot = d.Uint64()
+	s.PrimaryIncarnation = d.Uint64()
 	s.View.InSync = d.Uint64s()
 	s.View.Replicas = d.Uint64s()
 	s.View.MinInSync = int(d.Uint32())
@@ -135,8 +135,8 @@
 // ShardKey is the shard's key in its section.
 func ShardKey(id uint32) string { return strconv.FormatUint(uint64(id), 10) }
 
-// ShardOf returns the shard of a program, if the map holds it.
-func ShardOf(program string, shards map[uint32]Shard) (Shard, bool) {
+// ShardOfProgram returns the shard of a program, if the map holds it.
+func ShardOfProgram(program string, shards map[uint32]Shard) (Shard, bool) {
 	for _, any := range shards {
 		shard, found := shards[crc32.ChecksumIEEE([]byte(program))%max(any.Total, 1)]
 		return shard, found
@@ -166,8 +166,8 @@
 	return stores
 }
 
-// EncodeMembers is the form of the control members in a feed.
-func EncodeMembers(record consensus.Record) []byte {
+// EncodeControlMembers is the form of the control members in a feed.
+func EncodeControlMembers(record consensus.Record) []byte {
 	var e codec.Encoder
 	consensus.EncodeRecord(&e, record)
 	return e.Bytes
@@ -175,7 +175,7 @@
 
 // ControlAddresses reads the addresses of the control members from a view.
 func ControlAddresses(view *feed.View) []string {
-	data, found := view.Get(feed.SectionControl, ConfigKey)
+	data, found := view.Get(feed.SectionControl, CurrentKey)
 	if !found {
 		return nil
 	}
--- a/tier/directory/recorded_test.go
+++ b/tier/directory/recorded_test.go
@@ -20,13 +20,13 @@
 
 func recordedStore() Store {
 	return Store{
-		Identity: 0x0102030405060708, Boot: 0x1112131415161718, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b",
+		Identity: 0x0102030405060708, Incarnation: 0x1112131415161718, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b",
 	}
 }
 
 func recordedShard() Shard {
 	return Shard{
-		ID: 0x01020304, Total: 0x11121314, PrimaryBoot: 0x2122232425262728,
+		ID: 0x01020304, Total: 0x11121314, PrimaryIncarnation: 0x2122232425262728,
 		View: replica.View{
 			Epoch: 0x3132333435363738, Primary: 0x0102030405060708, InSync: []uint64{0x0102030405060708, 9},
 			Replicas: []uint64{0x0102030405060708, 9, 10}, MinInSync: 2,
@@ -38,13 +38,13 @@
 	recorded.CheckBoth(t, "host", recordedHost(), Host.Encode, DecodeHost)
 	recorded.CheckBoth(t, "store", recordedStore(), Store.Encode, DecodeStore)
 	recorded.CheckBoth(t, "shard", recordedShard(), Shard.Encode, DecodeShard)
-	recorded.CheckBoth(t, "term", int64(90_000), EncodeTerm, DecodeTerm)
+	recorded.CheckBoth(t, "term", int64(90_000), EncodeEjectionTerm, DecodeEjectionTerm)
 }
 
 // The keys of the items, and the shard of a program, which all processes have to compute alike.
 func TestRecordedKeys(t *testing.T) {
 	var e codec.Encoder
-	e.String(ConfigKey)
+	e.String(CurrentKey)
 	e.String(StoreKey(0x0102030405060708))
 	e.String(ShardKey(37))
 	shards := map[uint32]Shard{}
@@ -52,7 +52,7 @@
 		shards[id] = Shard{ID: id, Total: 64}
 	}
 	for _, program := range []string{"program-a", "program-b", "", "ü"} {
-		shard, _ := ShardOf(program, shards)
+		shard, _ := ShardOfProgram(program, shards)
 		e.Uint32(shard.ID)
 	}
 	recorded.Check(t, "keys", e.Bytes)
@@ -65,9 +65,9 @@
 		Previous: []consensus.Member{{ID: 1, Address: "10.0.0.1:7401", Node: "ctl-a"}},
 		Learners: []consensus.Member{{ID: 3, Address: "10.0.0.3:7403", Node: "ctl-c"}},
 	}
-	recorded.Check(t, "members", EncodeMembers(record))
+	recorded.Check(t, "members", EncodeControlMembers(record))
 	view := feed.NewView()
-	view.Put(feed.SectionControl, ConfigKey, 1, recorded.Read(t, "members"))
+	view.Put(feed.SectionControl, CurrentKey, 1, recorded.Read(t, "members"))
 	if got := ControlAddresses(view); !slices.Equal(got, []string{"10.0.0.1:7401", "10.0.0.2:7402"}) {
 		t.Fatalf("addresses: %v", got)
 	}
--- a/tier/feed/bounds_test.go
+++ b/tier/feed/bounds_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	update := source.Since(away.Revision())
-	if !update.Whole {
+	if !update.Snapshot {
 		t.Fatal("one that was away for long gets changes only")
 	}
 	away.Merge(update)
--- a/tier/feed/feed_test.go
+++ b/tier/feed/feed_test.go
@@ -14,8 +14,8 @@
 
 func TestMergeNeverGoesBack(t *testing.T) {
 	v := NewView()
-	v.Merge(Update{Revision: 5, Whole: true, Items: []Item{{Section: SectionConfig, Key: "k", Revision: 5, Data: []byte("new")}}})
-	v.Merge(Update{Revision: 3, Whole: true, Items: []Item{{Section: SectionConfig, Key: "k", Revision: 3, Data: []byte("old")}}})
+	v.Merge(Update{Revision: 5, Snapshot: true, Items: []Item{{Section: SectionConfig, Key: "k", Revision: 5, Data: []byte("new")}}})
+	v.Merge(Update{Revision: 3, Snapshot: true, Items: []Item{{Section: SectionConfig, Key: "k", Revision: 3, Data: []byte("old")}}})
 	if data, _ := v.Get(SectionConfig, "k"); string(data) != "new" || v.Revision() != 5 {
 		t.Fatalf("%q at %d", data, v.Revision())
 	}
@@ -24,7 +24,7 @@
 func TestAWholeUpdateRemovesWhatItLacks(t *testing.T) {
 	v := NewView()
 	v.Put(SectionHost, "gone", 1, []byte("x"))
-	changed := v.Merge(Update{Revision: 9, Whole: true, Items: []Item{{Section: SectionHost, Key: "here", Revision: 7, Data: []byte("y")}}})
+	changed := v.Merge(Update{Revision: 9, Snapshot: true, Items: []Item{{Section: SectionHost, Key: "here", Revision: 7, Data: []byte("y")}}})
 	if len(v.All(SectionHost)) != 1 || len(changed) != 2 {
 		t.Fatalf("%d hosts, %d changes", len(v.All(SectionHost)), len(changed))
 	}
@@ -69,7 +69,7 @@
 
 func TestPrivateSectionsAreNotDistributed(t *testing.T) {
 	v := NewView()
-	v.Put(SectionRetire, "4", 1, []byte("hash"))
+	v.Put(SectionRetirement, "4", 1, []byte("hash"))
 	v.Put(SectionHost, "h", 2, []byte("x"))
 	if update := v.Since(0); len(update.Items) != 1 || update.Items[0].Section != SectionHost {
 		t.Fatalf("%+v", update.Items)
@@ -149,7 +149,7 @@
 	stale.Put(SectionHost, "h", 1, []byte("one"))
 	fresh.Put(SectionHost, "h", 1, []byte("one"))
 	isStale := make(chan struct{})
-	first := &Publisher{View: stale, Fresh: func() bool {
+	first := &Publisher{View: stale, IsFresh: func() bool {
 		select {
 		case <-isStale:
 			return false
--- a/tier/feed/installation_test.go
+++ b/tier/feed/installation_test.go
@@ -4,7 +4,7 @@
 
 func viewOfInstallation(installation uint64, revision uint64, data string) *View {
 	v := NewView()
-	v.SetInstallation(installation)
+	v.SetClusterID(installation)
 	v.Put(SectionConfig, "config", revision, []byte(data))
 	return v
 }
@@ -15,8 +15,8 @@
 	other := viewOfInstallation(8, 900, "other")
 	subscriber := NewView()
 	subscriber.Merge(own.Since(0))
-	if subscriber.Installation() != 7 {
-		t.Fatalf("installation %d", subscriber.Installation())
+	if subscriber.ClusterID() != 7 {
+		t.Fatalf("installation %d", subscriber.ClusterID())
 	}
 	for _, revision := range []uint64{0, 10} {
 		if changed := subscriber.Merge(other.Since(revision)); len(changed) != 0 {
@@ -26,7 +26,7 @@
 	if data, _ := subscriber.Get(SectionConfig, "config"); string(data) != "own" || subscriber.Revision() != 10 {
 		t.Fatalf("holds %q at revision %d", data, subscriber.Revision())
 	}
-	if !subscriber.Refuses(8) || subscriber.Refuses(7) || subscriber.Refuses(0) {
+	if !subscriber.RejectsCluster(8) || subscriber.RejectsCluster(7) || subscriber.RejectsCluster(0) {
 		t.Fatal("refuses the wrong installations")
 	}
 }
@@ -35,12 +35,12 @@
 func TestTheInstallationIsKeptInUpdatesAndSnapshots(t *testing.T) {
 	own := viewOfInstallation(7, 10, "own")
 	decoded, err := DecodeUpdate(own.Export().Encode())
-	if err != nil || decoded.Installation != 7 {
-		t.Fatalf("decoded %d, %v", decoded.Installation, err)
+	if err != nil || decoded.ClusterID != 7 {
+		t.Fatalf("decoded %d, %v", decoded.ClusterID, err)
 	}
 	restored := NewView()
 	restored.Restore(decoded)
-	if restored.Installation() != 7 {
-		t.Fatalf("restored %d", restored.Installation())
+	if restored.ClusterID() != 7 {
+		t.Fatalf("restored %d", restored.ClusterID())
 	}
 }
--- a/tier/feed/recorded_test.go
+++ b/tier/feed/recorded_test.go
@@ -16,15 +16,15 @@
 
 func recordedUpdate() Update {
 	return Update{
-		Installation: recordedInstallation, Revision: 0x0102030405060708, Whole: true,
+		ClusterID: recordedInstallation, Revision: 0x0102030405060708, Snapshot: true,
 		Items: []Item{
 			{Section: SectionConfig, Key: "current", Revision: 1, Data: []byte("\x00\x00\x00\x00\x00\x00\x00\x05{}")},
 			{Section: SectionHost, Key: "host-1", Revision: 2, Data: []byte("a host")},
 			{Section: SectionStore, Key: "102030405060708", Revision: 3, Data: []byte("a store")},
 			{Section: SectionShard, Key: "37", Revision: 4, Data: []byte("a shard")},
 			{Section: SectionControl, Key: "current", Revision: 5, Data: []byte("members")},
-			{Section: SectionRetire, Key: "store-a", Revision: 6, Data: []byte("a retirement")},
-			{Section: SectionVerdict, Key: "host-1", Revision: 0x1112131415161718, Data: []byte("a term")},
+			{Section: SectionRetirement, Key: "store-a", Revision: 6, Data: []byte("a retirement")},
+			{Section: SectionEjection, Key: "host-1", Revision: 0x1112131415161718, Data: []byte("a term")},
 			{Section: SectionHost, Key: "host-2", Revision: 7, Deleted: true, Data: []byte{}},
 		},
 	}
@@ -37,7 +37,7 @@
 // recordedView holds public and other items, one of them deleted.
 func recordedView() *View {
 	view := NewView()
-	view.SetInstallation(recordedInstallation)
+	view.SetClusterID(recordedInstallation)
 	for _, item := range recordedUpdate().Items[:7] {
 		view.Put(item.Section, item.Key, min(item.Revision, 9), item.Data)
 	}
@@ -146,7 +146,7 @@
 	for _, kind := range []rpc.Kind{KindSubscribe, KindUpdate} {
 		numbers = binary.BigEndian.AppendUint16(numbers, uint16(kind))
 	}
-	for section := Section(1); section <= SectionVerdict; section++ {
+	for section := Section(1); section <= SectionEjection; section++ {
 		numbers = append(numbers, byte(section))
 		if section.isPublic() {
 			numbers = append(numbers, 'p')
--- a/tier/feed/subscribe.go
+++ b/tier/feed/subscribe.go
@@ -30,8 +30,8 @@
 // Publisher serves a view to subscribers.
 type Publisher struct {
 	View *View
-	// Fresh tells whether the view may be served; nil means always.
-	Fresh func() bool
+	// IsFresh tells whether the view may be served; nil means always.
+	IsFresh func() bool
 
 	mu      sync.Mutex
 	expired chan struct{} // closed when the subscriptions are to end; nil until one begins
@@ -70,7 +70,7 @@
 		message.Answer(codes.SubscriptionStale, nil)
 		return
 	}
-	if p.View.Refuses(installation) {
+	if p.View.RejectsCluster(installation) {
 		message.Answer(codes.DiskForeign, nil)
 		return
 	}
@@ -78,7 +78,7 @@
 	go p.serve(message.Conn, revision)
 }
 
-func (p *Publisher) stale() bool { return p.Fresh != nil && !p.Fresh() }
+func (p *Publisher) stale() bool { return p.IsFresh != nil && !p.IsFresh() }
 
 func (p *Publisher) serve(conn *rpc.Conn, revision uint64) {
 	expired := p.expiry()
@@ -112,10 +112,10 @@
 	View *View
 	// Addresses returns where publishers are, the preferred first.
 	Addresses func() []string
-	// Changed is called with the items that an update changed; nil if not wanted.
-	Changed func(items []Item)
+	// OnChange is called with the items that an update changed; nil if not wanted.
+	OnChange func(items []Item)
 
-	namedForeign bool
+	loggedForeign bool
 }
 
 // Run subscribes until the context ends.
@@ -153,12 +153,12 @@
 	defer conn.Close()
 	var e codec.Encoder
 	e.Uint64(s.View.Revision())
-	e.Uint64(s.View.Installation())
+	e.Uint64(s.View.ClusterID())
 	call, cancel := context.WithTimeout(ctx, subscribeTimeout)
 	_, err = conn.Call(call, KindSubscribe, e.Bytes)
 	cancel()
 	if errors.Is(err, codes.DiskForeign) {
-		s.nameForeign(address)
+		s.logForeignPublisher(address)
 	}
 	if err != nil {
 		return
@@ -189,7 +189,7 @@
 		return
 	}
 	changed := s.View.Merge(update)
-	if len(changed) > 0 && s.Changed != nil {
-		s.Changed(changed)
+	if len(changed) > 0 && s.OnChange != nil {
+		s.OnChange(changed)
 	}
 }
--- a/tier/feed/view.go
+++ b/tier/feed/view.go
@@ -21,14 +21,14 @@
 	SectionShard
 	SectionControl
 	sectionPublicEnd
-	// SectionRetire holds the store machines that are to be emptied; it is not distributed.
-	SectionRetire
-	// SectionVerdict holds the hosts that are set aside for a time.
-	SectionVerdict
+	// SectionRetirement holds the store machines that are to be emptied; it is not distributed.
+	SectionRetirement
+	// SectionEjection holds the hosts that are set aside for a time.
+	SectionEjection
 )
 
 // isPublic tells whether a section is distributed.
-func (s Section) isPublic() bool { return s < sectionPublicEnd || s == SectionVerdict }
+func (s Section) isPublic() bool { return s < sectionPublicEnd || s == SectionEjection }
 
 // Item is one piece of what was decided.
 type Item struct {
@@ -46,10 +46,10 @@
 
 // Update carries the items that changed after From, up to Revision. Whole says that it replaces all items.
 type Update struct {
-	Installation uint64 // whose revisions these are; 0 if it is not known yet
-	Revision     uint64
-	Whole        bool
-	Items        []Item
+	ClusterID uint64 // whose revisions these are; 0 if it is not known yet
+	Revision  uint64
+	Snapshot  bool
+	Items     []Item
 }
 
 // tombstonesKept bounds how many deleted items are remembered for subscribers that lag.
@@ -59,10 +59,10 @@
 type View struct {
 	mu       sync.Mutex
 	sections map[Section]map[string]Item
-	// installation is the one whose revisions these are; 0 as long as it is not known.
-	installation uint64
-	revision     uint64
-	deletions    int // items that are remembered as deleted
+	// clusterID is the one whose revisions these are; 0 as long as it is not known.
+	clusterID uint64
+	revision  uint64
+	deletions int // items that are remembered as deleted
 	// forgotten is the newest revision whose deletion is no longer remembered: subscribers that lag behind it get all.
 	forgotten uint64
 	changed   chan struct{}
@@ -247,8 +247,8 @@
 }
 
 func (v *View) sinceLocked(revision uint64, include func(Section) bool) Update {
-	update := Update{Installation: v.installation, Revision: v.revision, Whole: revision == 0 || revision < v.forgotten}
-	if !update.Whole && revision >= v.orderFrom {
+	update := Update{ClusterID: v.clusterID, Revision: v.revision, Snapshot: revision == 0 || revision < v.forgotten}
+	if !update.Snapshot && revision >= v.orderFrom {
 		update.Items = v.changesSince(revision, include)
 		return update
 	}
@@ -257,7 +257,7 @@
 			continue
 		}
 		for _, item := range items {
-			if update.Whole && !item.Deleted || !update.Whole && item.Revision > revision {
+			if update.Snapshot && !item.Deleted || !update.Snapshot && item.Revision > revision {
 				update.Items = append(update.Items, item)
 			}
 		}
@@ -298,14 +298,14 @@
 func (v *View) Merge(update Update) []Item {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if update.Revision < v.revision || v.isForeign(update.Installation) {
+	if update.Revision < v.revision || v.isForeign(update.ClusterID) {
 		return nil
 	}
-	if update.Installation != 0 {
-		v.installation = update.Installation
+	if update.ClusterID != 0 {
+		v.clusterID = update.ClusterID
 	}
 	var changed []Item
-	if update.Whole {
+	if update.Snapshot {
 		changed = v.removeMissing(update)
 		// items of a whole update are older than changes known here may be: the order starts anew behind it
 		defer func() {
@@ -361,7 +361,7 @@
 	for _, item := range update.Items {
 		v.store(item)
 	}
-	v.installation = update.Installation
+	v.clusterID = update.ClusterID
 	v.revision = update.Revision
 	v.forgotten = update.Revision
 	v.order = nil
@@ -374,9 +374,9 @@
 // Encode is the update's form on the wire and on disk.
 func (u Update) Encode() []byte {
 	var e codec.Encoder
-	e.Uint64(u.Installation)
+	e.Uint64(u.ClusterID)
 	e.Uint64(u.Revision)
-	e.Bool(u.Whole)
+	e.Bool(u.Snapshot)
 	e.Uint32(uint32(len(u.Items)))
 	for _, item := range u.Items {
 		e.Uint8(uint8(item.Section))
@@ -391,7 +391,7 @@
 // DecodeUpdate reads an update.
 func DecodeUpdate(message []byte) (Update, error) {
 	d := codec.NewDecoder(message)
-	u := Update{Installation: d.Uint64(), Revision: d.Uint64(), Whole: d.Bool()}
+	u := Update{ClusterID: d.Uint64(), Revision: d.Uint64(), Snapshot: d.Bool()}
 	for range d.Count(smallestItem) {
 		u.Items = append(u.Items, Item{
 			Section: Section(d.Uint8()), Key: d.String(), Revision: d.Uint64(), Deleted: d.Bool(), Data: d.Blob(),
--- a/tier/placement/placement.go
+++ b/tier/placement/placement.go
@@ -76,7 +76,7 @@
 	view := replica.View{
 		Epoch: 1, Primary: primary.Identity, InSync: desired, Replicas: desired, MinInSync: replica.MinInSync(c.Tolerate, len(desired)),
 	}
-	return directory.Shard{ID: id, Total: ShardCount, View: view, PrimaryBoot: primary.Boot}, true
+	return directory.Shard{ID: id, Total: ShardCount, View: view, PrimaryIncarnation: primary.Incarnation}, true
 }
 
 // candidate is a machine that could hold a shard, with its weight for it.
@@ -151,12 +151,12 @@
 		return shard, false
 	}
 	next.Primary = primary
-	boot := c.Machines[primary].Store.Boot
-	if next.Primary == view.Primary && boot == shard.PrimaryBoot && same(next.InSync, view.InSync) && same(next.Replicas, view.Replicas) {
+	boot := c.Machines[primary].Store.Incarnation
+	if next.Primary == view.Primary && boot == shard.PrimaryIncarnation && same(next.InSync, view.InSync) && same(next.Replicas, view.Replicas) {
 		return shard, false
 	}
 	next.Epoch = view.Epoch + 1
-	return directory.Shard{ID: shard.ID, Total: shard.Total, View: next, PrimaryBoot: boot}, true
+	return directory.Shard{ID: shard.ID, Total: shard.Total, View: next, PrimaryIncarnation: boot}, true
 }
 
 // remaining is the in-sync set without replicas whose disk is gone and, down to the floor, without silent ones.
@@ -231,7 +231,7 @@
 func (c Cluster) primary(shard directory.Shard, next replica.View, desired []uint64) uint64 {
 	present := c.Machines[next.Primary]
 	moved := !slices.Contains(desired, next.Primary) && allIn(next.InSync, desired)
-	fits := slices.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Boot == shard.PrimaryBoot
+	fits := slices.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Incarnation == shard.PrimaryIncarnation
 	if fits && !moved && !present.Draining {
 		return next.Primary
 	}
--- a/tier/placement/placement_test.go
+++ b/tier/placement/placement_test.go
@@ -18,7 +18,7 @@
 		id := uint64(i + 1)
 		all[id] = Machine{
 			Alive: true,
-			Store: directory.Store{Identity: id, Boot: 100 + id, Node: fmt.Sprintf("store-%d", id), Zone: fmt.Sprintf("z%d", i%zones)},
+			Store: directory.Store{Identity: id, Incarnation: 100 + id, Node: fmt.Sprintf("store-%d", id), Zone: fmt.Sprintf("z%d", i%zones)},
 		}
 	}
 	return all
@@ -128,7 +128,7 @@
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	for id := range c.Machines {
-		change(c, id, func(m *Machine) { m.Alive = false; m.Store.Boot++ })
+		change(c, id, func(m *Machine) { m.Alive = false; m.Store.Incarnation++ })
 	}
 	first := shard.View.InSync[2]
 	change(c, first, func(m *Machine) { m.Alive = true })
@@ -179,7 +179,7 @@
 func TestARestartedPrimaryGetsANewEpoch(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
-	change(c, shard.View.Primary, func(m *Machine) { m.Store.Boot++ })
+	change(c, shard.View.Primary, func(m *Machine) { m.Store.Incarnation++ })
 	next, changed := c.Next(shard)
 	if !changed || next.View.Epoch != shard.View.Epoch+1 {
 		t.Fatalf("changed %v: %+v", changed, next)
--- a/tier/placement/replicas_test.go
+++ b/tier/placement/replicas_test.go
@@ -50,7 +50,7 @@
 	if c.DiskLost(1) {
 		t.Fatal("silence counts as a lost disk")
 	}
-	other := directory.Store{Identity: 9, Boot: 1, Node: "store-9", Address: "x", Zone: "z0"}
+	other := directory.Store{Identity: 9, Incarnation: 1, Node: "store-9", Address: "x", Zone: "z0"}
 	c.Machines[9] = Machine{Store: other, Alive: true}
 	if c.DiskLost(1) {
 		t.Fatal("another machine at the address counts as proof")
@@ -84,7 +84,7 @@
 		}
 		for _, primary := range shard.View.InSync {
 			shard.View.Primary = primary
-			shard.PrimaryBoot = c.Machines[primary].Store.Boot
+			shard.PrimaryIncarnation = c.Machines[primary].Store.Incarnation
 			if next, _ := c.Next(shard); next.View.Primary != primary {
 				t.Fatalf("shard %d: %d handed over to %d, which leaves too", id, primary, next.View.Primary)
 			}
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -45,7 +45,7 @@
 	defer t.mu.Unlock()
 	changed := false
 	for _, item := range items {
-		if item.Section == feed.SectionVerdict {
+		if item.Section == feed.SectionEjection {
 			defer t.setAside(item) // behind the hosts of the same update
 		}
 		if item.Section != feed.SectionHost {
@@ -69,7 +69,7 @@
 	if held == nil || item.Deleted {
 		return
 	}
-	if term, err := directory.DecodeTerm(item.Data); err == nil {
+	if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
 		held.SetAside(time.Now().Add(time.Duration(term) * time.Millisecond))
 	}
 }
--- a/tier/proxy/programs.go
+++ b/tier/proxy/programs.go
@@ -61,7 +61,7 @@
 func (p *programClient) shardOf(program string) (uint32, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held, found := directory.ShardOf(program, p.shards)
+	held, found := directory.ShardOfProgram(program, p.shards)
 	return held.ID, found
 }
 
--- a/tier/proxy/proxy.go
+++ b/tier/proxy/proxy.go
@@ -110,7 +110,7 @@
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	agentAddress := []string{p.settings.AgentAddress()}
-	subscriber := &feed.Subscriber{View: p.view, Addresses: func() []string { return agentAddress }, Changed: p.update}
+	subscriber := &feed.Subscriber{View: p.view, Addresses: func() []string { return agentAddress }, OnChange: p.update}
 	go subscriber.Run(background)
 	go periodic.Run(background, sweepEvery, p.hosts.sweep)
 	go func() { _ = http.Serve(readiness, p.readinessRoutes()) }()
@@ -124,7 +124,9 @@
 const windowLength = 150 * time.Millisecond
 
 // report tells the judge of the fleet what was seen of hosts.
-func (p *Proxy) report() { p.agent.Send(controlclient.KindObserved, p.hosts.takeWindow().Encode()) }
+func (p *Proxy) report() {
+	p.agent.Send(controlclient.KindHostObservations, p.hosts.takeWindow().Encode())
+}
 
 // newServer makes the server for clients. Its requests end with the process's life, and its connections have to come from the
 // guard.
--- a/tier/proxy/turn_test.go
+++ b/tier/proxy/turn_test.go
@@ -109,7 +109,7 @@
 	}()
 	host := directory.Host{ID: "h", Service: "hosts", Address: "127.0.0.1:1", Zone: "z", Slots: 8}
 	g.proxy.update([]feed.Item{
-		{Section: feed.SectionConfig, Key: directory.ConfigKey, Data: append(binary.BigEndian.AppendUint64(nil, 1), testConfig...)},
+		{Section: feed.SectionConfig, Key: directory.CurrentKey, Data: append(binary.BigEndian.AppendUint64(nil, 1), testConfig...)},
 		{Section: feed.SectionHost, Key: host.ID, Data: host.Encode()},
 	})
 	if !<-known {
--- a/tier/status/recorded_json_test.go
+++ b/tier/status/recorded_json_test.go
@@ -20,9 +20,9 @@
 			Learners: []consensus.Member{{ID: 3, Address: "10.0.0.3:7403", Node: "ctl-c"}}, ClusterID: 99,
 		},
 		Version: 7, Revision: 41,
-		Stores: []directory.Store{{Identity: 11, Boot: 12, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b"}},
+		Stores: []directory.Store{{Identity: 11, Incarnation: 12, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b"}},
 		Shards: []directory.Shard{{
-			ID: 3, Total: 64, PrimaryBoot: 12,
+			ID: 3, Total: 64, PrimaryIncarnation: 12,
 			View: replica.View{Epoch: 6, Primary: 11, InSync: []uint64{11}, Replicas: []uint64{11, 13}, MinInSync: 1, Learners: []uint64{14}},
 		}},
 		Hosts: []directory.Host{{
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -39,7 +39,7 @@
 		return Status{}, err
 	}
 	s := Status{Control: Record(ctx, addresses), Revision: view.Revision()}
-	if data, found := view.Get(feed.SectionConfig, directory.ConfigKey); found {
+	if data, found := view.Get(feed.SectionConfig, directory.CurrentKey); found {
 		s.Version, _ = state.SplitConfig(data)
 	}
 	for _, store := range directory.Stores(view) {
@@ -54,8 +54,8 @@
 		}
 	}
 	s.Aside = map[string]int64{}
-	for _, item := range view.All(feed.SectionVerdict) {
-		if term, err := directory.DecodeTerm(item.Data); err == nil {
+	for _, item := range view.All(feed.SectionEjection) {
+		if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
 			s.Aside[item.Key] = term
 		}
 	}
@@ -75,7 +75,7 @@
 	view := feed.NewView()
 	reading, cancel := context.WithCancel(ctx)
 	defer cancel()
-	subscriber := &feed.Subscriber{View: view, Addresses: func() []string { return addresses }, Changed: func([]feed.Item) { cancel() }}
+	subscriber := &feed.Subscriber{View: view, Addresses: func() []string { return addresses }, OnChange: func([]feed.Item) { cancel() }}
 	subscriber.Run(reading)
 	if view.Revision() == 0 {
 		return nil, codes.Unavailable
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -79,10 +79,10 @@
 		asking:   map[uint32]bool{},
 		timeline: line,
 		self: directory.Store{
-			Identity: host.Identity, Boot: rand.Uint64(), Node: s.Node, Address: s.StoreAddress(), Zone: s.Zone,
+			Identity: host.Identity, Incarnation: rand.Uint64(), Node: s.Node, Address: s.StoreAddress(), Zone: s.Zone,
 		},
 	}
-	server.view.SetInstallation(host.ClusterID())
+	server.view.SetClusterID(host.ClusterID())
 	server.control = controlclient.New(clients, server.controlAddresses)
 	for _, id := range host.UnopenedGroups() {
 		server.openShard(id)
@@ -112,7 +112,7 @@
 	go s.host.Run(ctx)
 	go s.beat(ctx)
 	go s.watch(ctx)
-	subscriber := &feed.Subscriber{View: s.view, Addresses: s.controlAddresses, Changed: func([]feed.Item) { s.follow() }}
+	subscriber := &feed.Subscriber{View: s.view, Addresses: s.controlAddresses, OnChange: func([]feed.Item) { s.follow() }}
 	subscriber.Run(ctx)
 	return nil
 }
@@ -159,7 +159,7 @@
 // follow acts on the shard map: it opens and drops shards and tells the groups their views.
 func (s *Server) follow() {
 	s.timeline.Reach(timeline.ViewReceived)
-	if !s.host.BindCluster(s.view.Installation()) {
+	if !s.host.BindCluster(s.view.ClusterID()) {
 		return
 	}
 	for _, store := range directory.Stores(s.view) {
@@ -179,7 +179,7 @@
 	if !s.host.HasGroup(id) {
 		s.openShard(id)
 	}
-	if shard.View.Primary == s.self.Identity && shard.PrimaryBoot != s.self.Boot {
+	if shard.View.Primary == s.self.Identity && shard.PrimaryIncarnation != s.self.Incarnation {
 		return // it names an earlier life of this process
 	}
 	s.host.SetView(id, shard.View)
@@ -200,7 +200,7 @@
 		call, cancel := context.WithTimeout(ctx, beatTimeout)
 		var err error
 		if s.knowsInstallation() {
-			_, err = s.control.Call(call, controlclient.KindStoreBeat, s.beatMessage())
+			_, err = s.control.Call(call, controlclient.KindStoreHeartbeat, s.beatMessage())
 		}
 		cancel()
 		if err != nil {
@@ -223,7 +223,7 @@
 	troubled := s.host.DiskDegraded() // others lead its shards until its disk works again
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return controlclient.StoreBeat{Store: s.self, Leaving: s.leaving || troubled}.Encode()
+	return controlclient.StoreHeartbeat{Store: s.self, Leaving: s.leaving || troubled}.Encode()
 }
 
 // watch asks control to change the in-sync sets of shards led here: silent replicas out, those that caught up in.
@@ -254,9 +254,9 @@
 
 // neededChange tells which change of a shard's in-sync set its primary wants. A replica to be taken in counts from this moment
 // on, in the same step in which it was found to have caught up.
-func (s *Server) neededChange(id uint32) (change controlclient.ShardChange, wanted bool) {
+func (s *Server) neededChange(id uint32) (change controlclient.InSyncChange, wanted bool) {
 	s.host.WithGroup(id, func(g *replica.Group) {
-		change = controlclient.ShardChange{Shard: id, Epoch: g.View().Epoch}
+		change = controlclient.InSyncChange{Shard: id, Epoch: g.View().Epoch}
 		// one that caught up comes first: the set may be too small to let a silent one go without it
 		if caughtUp := g.CaughtUp(multigroup.Now()); len(caughtUp) > 0 {
 			g.Admit(caughtUp[0])
@@ -273,9 +273,9 @@
 	return change, wanted
 }
 
-func (s *Server) askChange(ctx context.Context, change controlclient.ShardChange) {
+func (s *Server) askChange(ctx context.Context, change controlclient.InSyncChange) {
 	call, cancel := context.WithTimeout(ctx, beatTimeout)
-	_, err := s.control.Call(call, controlclient.KindShardChange, change.Encode())
+	_, err := s.control.Call(call, controlclient.KindInSyncChange, change.Encode())
 	cancel()
 	if err != nil {
 		s.log.WithFields(logrus.Fields{"shard": change.Shard, "admit": change.Admit}).WithError(err).Debug("change of in-sync set refused")
