--- a/tier/control/api.go
+++ b/tier/control/api.go
@@ -18,7 +18,6 @@
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
-	"otterseam/tier/multigroup"
 	"otterseam/tier/opconfig"
 	"otterseam/tier/rpc"
 )
@@ -122,7 +121,7 @@
 
 // mayPassOn tells whether this process can expect an answer of the primary in force, and else says at once that it can't.
 func (s *Server) mayPassOn(w http.ResponseWriter) bool {
-	err := s.standing().MayForward(multigroup.Now())
+	err := s.status.MayForward()
 	if err != nil {
 		writeProblem(w, codes.Unavailable, "this process has no contact with the primary in force; call another")
 	}
@@ -222,7 +221,7 @@
 // spread over the control processes and none has to pass their heartbeats on.
 func (s *Server) writeBeatAnswer(w http.ResponseWriter) {
 	body := s.beatElsewhere
-	if s.mayServe() {
+	if s.status.MayServe() {
 		body = s.beatHere
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -232,7 +231,7 @@
 
 // onPrimary does something here if this process leads, and else has the primary do it.
 func (s *Server) onPrimary(ctx context.Context, kind rpc.Kind, payload []byte, here func() (state.Result, error)) (state.Result, error) {
-	if s.host.IsPrimary(controlGroup) {
+	if s.host.IsPrimary(state.Group) {
 		if result, err := here(); err != codes.NotPrimary {
 			return state.Settled(result, err)
 		}
--- a/tier/control/beats.go
+++ b/tier/control/beats.go
@@ -7,6 +7,7 @@
 
 	"otterseam/tier/codec"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/election"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
@@ -22,8 +23,8 @@
 // beat keeps this process's session with the primary.
 func (s *Server) beat(ctx context.Context) {
 	periodic.Run(ctx, controlBeatEvery, func() {
-		if s.leadsControl() {
-			s.sessions.RenewControl(s.self, s.isLeaving())
+		if s.status.Leads() {
+			s.sessions.RenewControl(s.self, s.draining.Load())
 		} else if s.elector.Known().IsBootstrapped() {
 			s.beatPrimary(ctx)
 		}
@@ -33,9 +34,9 @@
 // beatPrimary tells the primary that this process is there. The answer says how old the primary's contact with a majority is; it
 // counts from before the question was sent.
 func (s *Server) beatPrimary(ctx context.Context) {
-	beat := controlclient.MemberHeartbeat{Member: s.self, Leaving: s.isLeaving(), RejectedHeartbeats: s.refusals.Load()}
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { beat.Echoed = g.LastProbe() })
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	beat := controlclient.MemberHeartbeat{Member: s.self, Leaving: s.draining.Load(), RejectedHeartbeats: s.refusals.Load()}
+	s.host.WithGroup(state.Group, func(g *replica.Group) { beat.Echoed = g.LastProbe() })
+	call, cancel := context.WithTimeout(ctx, election.CallTimeout)
 	defer cancel()
 	asked := multigroup.Now()
 	answer, err := s.primary.Call(call, controlclient.KindMemberHeartbeat, beat.Encode())
@@ -47,7 +48,7 @@
 	age := d.Int64()
 	if d.Err() == nil {
 		s.elector.Learn(record)
-		s.noteReached(asked - age)
+		s.status.ObserveReached(asked - age)
 	}
 }
 
@@ -60,7 +61,7 @@
 	s.sessions.RenewStore(beat)
 	held, known := s.state.View.Get(feed.SectionStore, directory.StoreKey(beat.Store.Identity))
 	if known && bytes.Equal(held, beat.Store.Encode()) {
-		return state.Result{}, s.standing().MayDecide(multigroup.Now())
+		return state.Result{}, s.status.MayDecide()
 	}
 	defer s.wakeSupervisor() // shards may have waited for this store
 	return s.submitHere(ctx, state.PutStore{Store: beat.Store}.Encode())
@@ -71,7 +72,7 @@
 	removing := s.sessions.RenewHost(beat.Host.ID, s.self.ID, multigroup.Now())
 	held, known := s.state.Host(beat.Host.ID)
 	if known && held == beat.Host && !removing {
-		return state.Result{}, s.standing().MayDecide(multigroup.Now())
+		return state.Result{}, s.status.MayDecide()
 	}
 	result, err := s.submitHere(ctx, state.PutHost{Host: beat.Host, Seq: beat.Seq}.Encode())
 	if err == nil {
--- /dev/null
+++ b/tier/control/election/bootstrap.go
@@ -0,0 +1,81 @@
+package election
+
+import (
+	"context"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sync"
+
+	"otterseam/tier/consensus"
+	"otterseam/tier/membership"
+)
+
+// bootstrapWait is how long a process that bootstraps waits for all seeds, in milliseconds. It is twice CallTimeout, so that a seed
+// that is up was asked at least once.
+const bootstrapWait = 700
+
+// FindOrBootstrap looks for a cluster, or founds it where the settings say that there is none.
+func (f *Failover) FindOrBootstrap(ctx context.Context) {
+	f.locate(ctx)
+	seeds := f.elector.BootstrapSeeds()
+	if f.elector.Known().IsBootstrapped() || !f.elector.Bootstrap || !slices.Contains(seeds, f.elector.Self.Address) {
+		return
+	}
+	input := membership.BootstrapInput{
+		Self: f.elector.Self, Seeds: seeds, Candidates: f.candidates.all(), WaitElapsed: f.elector.Now()-f.elector.startedAt > bootstrapWait,
+	}
+	members, may := input.Members()
+	if !may {
+		return
+	}
+	if err := f.elector.bootstrap(ctx, members, len(seeds)); err != nil {
+		f.elector.Log.WithError(err).Warn("founding did not succeed; trying again")
+	}
+}
+
+// bootstrap decides the first record, with the members that were found among a number of seeds.
+func (e *Elector) bootstrap(ctx context.Context, members []consensus.Member, seeds int) error {
+	clusterID := rand.Uint64() | 1
+	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
+		if current.IsBootstrapped() {
+			return current, false
+		}
+		next := e.Policy.InitialRecord(e.Node.Identity, members)
+		next.ClusterID = clusterID
+		return next, true
+	}}
+	record, err := e.decide(ctx, func(call context.Context) (consensus.Record, error) {
+		return e.proposer(PrepareBySelf).Bootstrap(call, members, seeds, attempt.Apply)
+	})
+	if err == nil && attempt.Applied() {
+		e.lead(record)
+	}
+	return err
+}
+
+// candidates are the processes that answered and were started to bootstrap the cluster.
+type candidates struct {
+	mu        sync.Mutex // guards byAddress
+	byAddress map[string]consensus.Member
+}
+
+func newCandidates() *candidates { return &candidates{byAddress: map[string]consensus.Member{}} }
+
+// note notes whether the process that answered at an address was started to bootstrap the cluster.
+func (c *candidates) note(there consensus.Member, bootstraps bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if bootstraps {
+		c.byAddress[there.Address] = there
+	} else {
+		delete(c.byAddress, there.Address)
+	}
+}
+
+// all returns the candidates by their address.
+func (c *candidates) all() map[string]consensus.Member {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.byAddress)
+}
--- a/tier/control/installation_test.go
+++ b/tier/control/election/cluster_test.go
@@ -1,4 +1,4 @@
-package control
+package election
 
 import (
 	"testing"
@@ -12,8 +12,8 @@
 	"otterseam/tier/rpc"
 )
 
-// A record of another installation is not learnt, however high its epoch, and is named with a code.
-func TestARecordOfAnotherInstallationIsNotLearnt(t *testing.T) {
+// A record of another cluster is not learnt, however high its epoch, and is named with a code.
+func TestARecordOfAnotherClusterIsNotLearnt(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	log := logrus.NewEntry(logger)
 	clients := rpc.NewClients(nil)
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector := &Elector{host: host, clients: clients, log: log}
+	elector := &Elector{Config: Config{Node: host, Clients: clients, Log: log, Now: multigroup.Now}}
 	host.BindCluster(7)
 	own := consensus.Record{Epoch: 3, Primary: 1, ClusterID: 7}
 	elector.Learn(own)
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector := &Elector{host: host, clients: clients}
+	elector := &Elector{Config: Config{Node: host, Clients: clients, Now: multigroup.Now}}
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 1})
 	_, first := elector.KnownSince()
 	if first == 0 {
--- a/tier/control/elector_test.go
+++ b/tier/control/election/elector_test.go
@@ -1,4 +1,4 @@
-package control
+package election
 
 import (
 	"context"
--- /dev/null
+++ b/tier/control/election/failover.go
@@ -0,0 +1,97 @@
+package election
+
+import (
+	"context"
+	"math/rand/v2"
+
+	"otterseam/tier/consensus"
+	"otterseam/tier/control/state"
+	"otterseam/tier/lease"
+	"otterseam/tier/replica"
+)
+
+// Failover decides when this process tries to become primary. Watch, FindOrBootstrap and StepAside are of one goroutine, the
+// supervisor's; the handlers may be called from any.
+type Failover struct {
+	elector    *Elector
+	candidates *candidates
+	draining   func() bool // whether this process is about to stop
+
+	locatedAt      int64 // of the supervisor
+	steppedAsideAt int64 // of the supervisor
+}
+
+// NewFailover makes the failover of a process. draining tells whether the process is about to stop.
+func NewFailover(elector *Elector, draining func() bool) *Failover {
+	return &Failover{elector: elector, candidates: newCandidates(), draining: draining}
+}
+
+// input is what this process knows of its primary.
+func (f *Failover) input() lease.FailoverInput {
+	e := f.elector
+	known, learned := e.KnownSince()
+	input := lease.FailoverInput{
+		Now:             e.Now(),
+		StartedAt:       e.startedAt,
+		RecordLearnedAt: learned,
+		InSync:          known.IsInSync(e.Self.ID),
+		NamedPrimary:    known.Primary == e.Self.ID,
+		HasLed:          e.hasLed(),
+		Rank:            Rank(known, e.Self.ID),
+		Jitter:          rand.Int64N(lease.ElectionStagger),
+		DiskDegraded:    e.Node.DiskDegraded(),
+	}
+	e.Node.WithGroup(state.Group, func(g *replica.Group) {
+		input.PrimaryConfirmedAt = g.PrimaryConfirmedAt()
+		input.Leads = g.IsPrimary()
+	})
+	return input
+}
+
+// Watch takes over when the primary has been silent, or without a majority, for too long.
+func (f *Failover) Watch(ctx context.Context) {
+	epoch := f.elector.Known().Epoch
+	switch f.input().Next() {
+	case lease.ActionLocatePrimary:
+		f.locateUnlessRecent(ctx)
+	case lease.ActionResumeLead:
+		f.takeOver(ctx, PrepareBySelf, epoch)
+	case lease.ActionTakeOver:
+		f.takeOver(ctx, PrepareOnSilence, epoch)
+	}
+}
+
+// Rank is a replica's place among those that may follow the primary, from 0 on.
+func Rank(record consensus.Record, id uint64) int {
+	place := 0
+	for _, each := range record.InSync {
+		if each == id {
+			return place
+		}
+		if each != record.Primary {
+			place++
+		}
+	}
+	return place
+}
+
+// takeOver asks the others first whether they would follow, and only then for their promises, so that a process that could not
+// win disturbs nobody. One without support looks around: whom it knows may have been replaced, or it may have the disk of another
+// cluster.
+func (f *Failover) takeOver(ctx context.Context, mode PrepareMode, epoch uint64) {
+	if !f.elector.hasSupport(ctx, mode, epoch) {
+		if mode != PrepareOnTransfer {
+			f.locateUnlessRecent(ctx)
+		}
+		return
+	}
+	if mode != PrepareOnTransfer {
+		f.locate(ctx) // whose disks are lost
+	}
+	if f.elector.Known().Epoch != epoch {
+		return
+	}
+	if err := f.elector.TakeOver(ctx, mode, epoch); err != nil {
+		f.elector.Log.WithField("epoch", epoch).WithError(err).Info("takeover did not succeed")
+	}
+}
--- a/tier/control/learn_test.go
+++ b/tier/control/election/learn_test.go
@@ -1,4 +1,4 @@
-package control
+package election
 
 import (
 	"testing"
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector, err := newElector(host, clients, "", membership.Policy{Tolerate: 1}, log)
+	elector, err := New(Config{Node: host, Clients: clients, Policy: membership.Policy{Tolerate: 1}, Log: log, Now: multigroup.Now})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/tier/control/election/locate.go
@@ -0,0 +1,82 @@
+package election
+
+import (
+	"context"
+	"sync"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
+	"otterseam/tier/controlclient"
+	"otterseam/tier/rpc"
+)
+
+// LocateInterval is how often a process that has no primary looks around, in milliseconds.
+const LocateInterval = 200
+
+// locate asks all control processes known who they are and what they know.
+func (f *Failover) locate(ctx context.Context) {
+	f.locatedAt = f.elector.Now()
+	call, cancel := context.WithTimeout(ctx, CallTimeout)
+	defer cancel()
+	var wait sync.WaitGroup
+	for _, address := range f.elector.Addresses() {
+		if address == f.elector.Self.Address {
+			continue
+		}
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			f.locateAt(call, address)
+		}()
+	}
+	wait.Wait()
+}
+
+// locateAt asks who is at an address.
+func (f *Failover) locateAt(ctx context.Context, address string) {
+	asked := f.elector.Now()
+	answer, err := f.elector.Clients.To(address).Call(ctx, controlclient.KindLocate, nil)
+	if err != nil {
+		return
+	}
+	response, err := decodeLocateResponse(answer)
+	if err != nil {
+		return
+	}
+	there := consensus.Member{ID: response.ID, Address: address, Node: response.Node}
+	f.elector.Learn(response.Record)
+	f.elector.ObserveAnswer(there, asked)
+	f.candidates.note(there, response.Bootstraps)
+}
+
+// locateUnlessRecent asks unless it has asked a moment ago.
+func (f *Failover) locateUnlessRecent(ctx context.Context) {
+	if f.elector.Now()-f.locatedAt > LocateInterval {
+		f.locate(ctx)
+	}
+}
+
+// HandleLocate tells who this process is and what it knows, and takes what the asker may have told.
+func (e *Elector) HandleLocate(message rpc.Message) {
+	if len(message.Payload) > 0 {
+		e.learnEncoded(message.Payload)
+	}
+	response := locateResponse{ID: e.Self.ID, Node: e.Self.Node, Bootstraps: e.Bootstrap, Record: e.Known()}
+	message.Answer(codes.OK, response.encode())
+}
+
+// Announce tells the seeds that are no members where the group is: a process that comes up on an empty disk may know them alone.
+func (e *Elector) Announce(ctx context.Context) {
+	known := e.Known()
+	members := map[string]bool{}
+	for _, member := range known.Replicas() {
+		members[member.Address] = true
+	}
+	call, cancel := context.WithTimeout(ctx, CallTimeout)
+	defer cancel()
+	for _, seed := range e.Seeds() {
+		if !members[seed] {
+			_, _ = e.Clients.To(seed).Call(call, controlclient.KindLocate, encodeRecord(known)) // the next announcement repeats it
+		}
+	}
+}
--- /dev/null
+++ b/tier/control/election/messages.go
@@ -0,0 +1,176 @@
+package election
+
+import (
+	"otterseam/tier/codec"
+	"otterseam/tier/consensus"
+	"otterseam/tier/rpc"
+)
+
+// KindTakeOver asks a backup to become primary, since the primary is about to stop. The answer comes when it has become primary,
+// or tells that it has not.
+const KindTakeOver rpc.Kind = 30
+
+// PrepareMode tells a witness why it is asked.
+type PrepareMode uint8
+
+// The reasons to ask a witness.
+const (
+	PrepareBySelf     PrepareMode = iota // the primary itself, or a process that bootstraps
+	PrepareOnSilence                     // the primary is not heard
+	PrepareOnTransfer                    // the primary asked for it
+)
+
+// prepareRequest asks a witness to promise a proposal number. A proposer sends it with controlclient.KindPrepare.
+type prepareRequest struct {
+	To     uint64 // identity of the witness
+	Mode   PrepareMode
+	Number consensus.ProposalNumber
+}
+
+func (r prepareRequest) encode() []byte {
+	var e codec.Encoder
+	e.Uint64(r.To)
+	e.Uint8(uint8(r.Mode))
+	consensus.EncodeProposalNumber(&e, r.Number)
+	return e.Bytes
+}
+
+func decodePrepareRequest(payload []byte) (prepareRequest, error) {
+	d := codec.NewDecoder(payload)
+	r := prepareRequest{To: d.Uint64(), Mode: PrepareMode(d.Uint8()), Number: consensus.DecodeProposalNumber(d)}
+	return r, d.Err()
+}
+
+// acceptRequest asks a witness to accept a record. A proposer sends it with controlclient.KindAccept.
+type acceptRequest struct {
+	To     uint64 // identity of the witness
+	Number consensus.ProposalNumber
+	Record consensus.Record
+}
+
+func (r acceptRequest) encode() []byte {
+	var e codec.Encoder
+	e.Uint64(r.To)
+	consensus.EncodeProposalNumber(&e, r.Number)
+	consensus.EncodeRecord(&e, r.Record)
+	return e.Bytes
+}
+
+func decodeAcceptRequest(payload []byte) (acceptRequest, error) {
+	d := codec.NewDecoder(payload)
+	r := acceptRequest{To: d.Uint64(), Number: consensus.DecodeProposalNumber(d), Record: consensus.DecodeRecord(d)}
+	return r, d.Err()
+}
+
+// encodeResponse is a witness's answer to both.
+func encodeResponse(r consensus.Response) []byte {
+	var e codec.Encoder
+	e.Bool(r.Granted)
+	consensus.EncodeProposalNumber(&e, r.Promised)
+	consensus.EncodeProposalNumber(&e, r.Accepted)
+	consensus.EncodeRecord(&e, r.Value)
+	return e.Bytes
+}
+
+func decodeResponse(data []byte) (consensus.Response, error) {
+	d := codec.NewDecoder(data)
+	r := consensus.Response{
+		Granted: d.Bool(), Promised: consensus.DecodeProposalNumber(d), Accepted: consensus.DecodeProposalNumber(d), Value: consensus.DecodeRecord(d),
+	}
+	return r, d.Err()
+}
+
+// supportRequest asks a voter whether it would follow a candidate. A candidate sends it with controlclient.KindPreVote.
+type supportRequest struct {
+	To        uint64 // identity of the voter
+	Candidate uint64
+	Epoch     uint64 // whose primary is to be replaced
+	Mode      PrepareMode
+}
+
+func (r supportRequest) encode() []byte {
+	var e codec.Encoder
+	e.Uint64(r.To)
+	e.Uint64(r.Candidate)
+	e.Uint64(r.Epoch)
+	e.Uint8(uint8(r.Mode))
+	return e.Bytes
+}
+
+func decodeSupportRequest(payload []byte) (supportRequest, error) {
+	d := codec.NewDecoder(payload)
+	r := supportRequest{To: d.Uint64(), Candidate: d.Uint64(), Epoch: d.Uint64(), Mode: PrepareMode(d.Uint8())}
+	return r, d.Err()
+}
+
+// supportResponse is a voter's answer, with the record that it knows.
+type supportResponse struct {
+	Supported bool
+	Record    consensus.Record
+}
+
+func (r supportResponse) encode() []byte {
+	var e codec.Encoder
+	e.Bool(r.Supported)
+	consensus.EncodeRecord(&e, r.Record)
+	return e.Bytes
+}
+
+func decodeSupportResponse(data []byte) (supportResponse, error) {
+	d := codec.NewDecoder(data)
+	r := supportResponse{Supported: d.Bool(), Record: consensus.DecodeRecord(d)}
+	return r, d.Err()
+}
+
+// locateResponse tells who answers at an address and what it knows. It answers controlclient.KindLocate, which carries nothing or the
+// record that the asker knows.
+type locateResponse struct {
+	ID         uint64
+	Node       string
+	Bootstraps bool // the process was started to bootstrap the cluster
+	Record     consensus.Record
+}
+
+func (r locateResponse) encode() []byte {
+	var e codec.Encoder
+	e.Uint64(r.ID)
+	e.String(r.Node)
+	e.Bool(r.Bootstraps)
+	consensus.EncodeRecord(&e, r.Record)
+	return e.Bytes
+}
+
+func decodeLocateResponse(data []byte) (locateResponse, error) {
+	d := codec.NewDecoder(data)
+	r := locateResponse{ID: d.Uint64(), Node: d.String(), Bootstraps: d.Bool(), Record: consensus.DecodeRecord(d)}
+	return r, d.Err()
+}
+
+// encodeTakeOver names the epoch that is handed over, so that a request which is read late replaces no later primary.
+func encodeTakeOver(epoch uint64) []byte {
+	var e codec.Encoder
+	e.Uint64(epoch)
+	return e.Bytes
+}
+
+func decodeTakeOver(payload []byte) (epoch uint64, err error) {
+	d := codec.NewDecoder(payload)
+	epoch = d.Uint64()
+	return epoch, d.Err()
+}
+
+// encodeRecord is the record as processes tell each other.
+func encodeRecord(record consensus.Record) []byte {
+	var e codec.Encoder
+	consensus.EncodeRecord(&e, record)
+	return e.Bytes
+}
+
+// learnEncoded takes a record that another process sent.
+func (e *Elector) learnEncoded(data []byte) {
+	d := codec.NewDecoder(data)
+	record := consensus.DecodeRecord(d)
+	if d.Err() == nil {
+		e.Learn(record)
+	}
+}
--- a/tier/control/prevote.go
+++ b/tier/control/election/prevote.go
@@ -1,14 +1,13 @@
-package control
+package election
 
 import (
 	"context"
 
-	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/lease"
-	"otterseam/tier/multigroup"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 )
@@ -16,21 +15,21 @@
 // voter is what this process knows when it is asked to help to replace a primary.
 func (e *Elector) voter() lease.Voter {
 	known := e.Known()
-	voter := lease.Voter{Now: multigroup.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
-	e.host.WithGroup(controlGroup, func(g *replica.Group) {
+	voter := lease.Voter{Now: e.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
+	e.Node.WithGroup(state.Group, func(g *replica.Group) {
 		if view := g.View(); view.Epoch > known.Epoch {
 			voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
 		}
 		voter.PrimaryConfirmedAt = g.PrimaryConfirmedAt()
-		standing := lease.Status{Role: lease.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
-		voter.Leads = g.IsPrimary() && standing.HasLease(voter.Now)
+		status := lease.Status{Role: lease.Primary, Ready: g.IsReady(), ConfirmedSince: g.ConfirmedSince(voter.Now)}
+		voter.Leads = g.IsPrimary() && status.HasLease(voter.Now)
 	})
 	return voter
 }
 
 // supports tells whether this process would help a candidate.
-func (e *Elector) supports(candidate, epoch uint64, mode prepareMode) bool {
-	return e.voter().Grants(lease.VoteRequest{Candidate: candidate, Epoch: epoch, LeadershipTransfer: mode == prepareOnTransfer})
+func (e *Elector) supports(candidate, epoch uint64, mode PrepareMode) bool {
+	return e.voter().Grants(lease.VoteRequest{Candidate: candidate, Epoch: epoch, LeadershipTransfer: mode == PrepareOnTransfer})
 }
 
 // protectsPrimary tells whether a majority stood behind a primary so lately that this process helps nobody to replace it.
@@ -39,30 +38,24 @@
 	return !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch})
 }
 
-// handleSupport answers a candidate that asks whether it would be followed. Nothing is promised.
-func (e *Elector) handleSupport(message rpc.Message) {
-	d := codec.NewDecoder(message.Payload)
-	to := d.Uint64()
-	candidate := d.Uint64()
-	epoch := d.Uint64()
-	mode := prepareMode(d.Uint8())
-	if d.Err() != nil {
+// HandleSupport answers a candidate that asks whether it would be followed. Nothing is promised.
+func (e *Elector) HandleSupport(message rpc.Message) {
+	request, err := decodeSupportRequest(message.Payload)
+	if err != nil {
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	if to != e.host.Identity {
+	if request.To != e.Node.Identity {
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
-	var answer codec.Encoder
-	answer.Bool(e.supports(candidate, epoch, mode))
-	consensus.EncodeRecord(&answer, e.Known())
-	message.Answer(codes.OK, answer.Bytes)
+	supported := e.supports(request.Candidate, request.Epoch, request.Mode)
+	message.Answer(codes.OK, supportResponse{Supported: supported, Record: e.Known()}.encode())
 }
 
-// askSupport asks all voters whether they would help this process to replace the primary of an epoch. It returns once enough
+// hasSupport asks all voters whether they would help this process to replace the primary of an epoch. It returns once enough
 // would, or enough would not.
-func (e *Elector) askSupport(ctx context.Context, mode prepareMode, epoch uint64) bool {
+func (e *Elector) hasSupport(ctx context.Context, mode PrepareMode, epoch uint64) bool {
 	known := e.Known()
 	voters := known.Voters()
 	type reply struct {
@@ -79,7 +72,7 @@
 		got := <-replies
 		supporters[got.voter] = got.supported
 		possible[got.voter] = got.supported
-		lost[got.voter] = !got.supported && e.lost(got.voter)
+		lost[got.voter] = !got.supported && e.DiskLost(got.voter)
 		if consensus.QuorumWithLostDisks(known, supporters, lost) {
 			return true
 		}
@@ -87,27 +80,21 @@
 	return false
 }
 
-func (e *Elector) askVoter(ctx context.Context, voter consensus.Member, mode prepareMode, epoch uint64) bool {
-	if voter.ID == e.host.Identity {
+func (e *Elector) askVoter(ctx context.Context, voter consensus.Member, mode PrepareMode, epoch uint64) bool {
+	if voter.ID == e.Node.Identity {
 		return e.supports(voter.ID, epoch, mode)
 	}
-	var question codec.Encoder
-	question.Uint64(voter.ID)
-	question.Uint64(e.host.Identity)
-	question.Uint64(epoch)
-	question.Uint8(uint8(mode))
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	request := supportRequest{To: voter.ID, Candidate: e.Node.Identity, Epoch: epoch, Mode: mode}
+	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	answer, err := e.clients.To(voter.Address).Call(call, controlclient.KindPreVote, question.Bytes)
+	answer, err := e.Clients.To(voter.Address).Call(call, controlclient.KindPreVote, request.encode())
 	if err != nil {
 		return false
 	}
-	d := codec.NewDecoder(answer)
-	supported := d.Bool()
-	record := consensus.DecodeRecord(d)
-	if d.Err() != nil {
+	response, err := decodeSupportResponse(answer)
+	if err != nil {
 		return false
 	}
-	e.Learn(record)
-	return supported
+	e.Learn(response.Record)
+	return response.Supported
 }
--- /dev/null
+++ b/tier/control/election/recorded_test.go
@@ -0,0 +1,222 @@
+package election
+
+import (
+	"context"
+	"encoding/binary"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/sirupsen/logrus/hooks/test"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
+	"otterseam/tier/control/internal/fixture"
+	"otterseam/tier/controlclient"
+	"otterseam/tier/internal/recorded"
+	"otterseam/tier/membership"
+	"otterseam/tier/multigroup"
+	"otterseam/tier/rpc"
+)
+
+// recordedFailover is the election's part of a control process on a data folder.
+func recordedFailover(t *testing.T, dir string) *Failover {
+	t.Helper()
+	logger, _ := test.NewNullLogger()
+	entry := logrus.NewEntry(logger)
+	clients := rpc.NewClients(nil)
+	node, err := multigroup.Open(dir, clients, entry, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	elector, err := New(Config{
+		Node: node, Clients: clients, Self: consensus.Member{ID: node.Identity, Address: "10.0.0.2:7402", Node: "ctl-b"},
+		Policy: membership.Policy{Tolerate: 1}, Log: entry, Now: multigroup.Now, Seeds: func() []string { return nil }, Bootstrap: true,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return NewFailover(elector, func() bool { return false })
+}
+
+// handler has the election take messages as the server of control does.
+func handler(f *Failover) rpc.Handler {
+	return func(m rpc.Message) {
+		switch m.Kind {
+		case controlclient.KindLocate:
+			f.elector.HandleLocate(m)
+		case controlclient.KindPreVote:
+			go f.elector.HandleSupport(m)
+		case controlclient.KindPrepare:
+			go f.elector.HandlePrepare(m)
+		case controlclient.KindAccept:
+			go f.elector.HandleAccept(m)
+		}
+	}
+}
+
+// listenRecorded has a handler take what arrives at the address returned.
+func listenRecorded(t *testing.T, handler rpc.Handler) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go rpc.Serve(listener, handler)
+	return listener.Addr().String()
+}
+
+// answering is a process that holds the calls of a kind to one recording and answers with another one.
+func answering(t *testing.T, kind rpc.Kind, question, answer string) string {
+	t.Helper()
+	return listenRecorded(t, func(m rpc.Message) {
+		if m.Kind != kind {
+			t.Errorf("kind %d, not %d", m.Kind, kind)
+		}
+		recorded.Check(t, question, m.Payload)
+		m.Answer(codes.OK, recorded.Read(t, answer))
+	})
+}
+
+// asked calls a process with a recording, or with nothing, and returns its answer.
+func asked(t *testing.T, s *Failover, kind rpc.Kind, question string) []byte {
+	t.Helper()
+	client := rpc.NewClient(listenRecorded(t, handler(s)), nil)
+	t.Cleanup(client.Close)
+	var payload []byte
+	if question != "" {
+		payload = recorded.Read(t, question)
+	}
+	answer, err := client.Call(recordedContext(t), kind, payload)
+	if err != nil {
+		t.Fatalf("kind %d: %v", kind, err)
+	}
+	return answer
+}
+
+func recordedContext(t *testing.T) context.Context {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+// The files of the witness and of the rounds are those recorded, and a process that is started on them goes on from them.
+func TestRecordedStoredVotes(t *testing.T) {
+	files := map[string]string{"witness-0000000000000001": "stored-witness", "rounds-0000000000000001": "stored-rounds"}
+	witness := fixture.Witness()
+	dir := fixture.Disk(t, fixture.Voter, &witness)
+	recordedFailover(t, dir)
+	restored := fixture.Disk(t, fixture.Voter, nil)
+	for file, name := range files {
+		content, err := os.ReadFile(filepath.Join(dir, "values", file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		recorded.Check(t, name, content)
+		if err := os.WriteFile(filepath.Join(restored, "values", file), recorded.Read(t, name), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	elector := recordedFailover(t, restored).elector
+	if !reflect.DeepEqual(elector.witness, witness) || !reflect.DeepEqual(elector.Known(), witness.Value) {
+		t.Errorf("witness %+v, known %+v", elector.witness, elector.Known())
+	}
+	stored := recorded.Read(t, "stored-rounds")
+	limit := binary.BigEndian.Uint64(stored[len(stored)-8:])
+	if round, err := elector.rounds.Next(); err != nil || round != limit+1 {
+		t.Errorf("round %x behind the limit %x, %v", round, limit, err)
+	}
+}
+
+// A witness takes the recorded prepare and accept, answers as recorded, and stores its votes as recorded.
+func TestRecordedVotes(t *testing.T) {
+	witness := fixture.Witness()
+	dir := fixture.Disk(t, fixture.Voter, &witness)
+	s := recordedFailover(t, dir)
+	recorded.Check(t, "prepare-answer", asked(t, s, controlclient.KindPrepare, "prepare"))
+	recorded.Check(t, "accept-answer", asked(t, s, controlclient.KindAccept, "accept"))
+	content, err := os.ReadFile(filepath.Join(dir, "values", "witness-0000000000000003"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded.Check(t, "stored-witness-after", content)
+	if !reflect.DeepEqual(s.elector.Known(), fixture.Next()) {
+		t.Errorf("known %+v", s.elector.Known())
+	}
+}
+
+// A proposer asks for votes as recorded, and reads the recorded answers.
+func TestRecordedCallsForVotes(t *testing.T) {
+	elector := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
+	transport := witnessTransport{elector, PrepareOnTransfer}
+	witness := fixture.Witness()
+	to := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindPrepare, "prepare", "prepare-answer")}
+	got, err := transport.Prepare(recordedContext(t), to, fixture.Ballot())
+	want := consensus.Response{Granted: true, Promised: fixture.Ballot(), Accepted: witness.Accepted, Value: witness.Value}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("promise %+v, %v", got, err)
+	}
+	to.Address = answering(t, controlclient.KindAccept, "accept", "accept-answer")
+	got, err = transport.Accept(recordedContext(t), to, fixture.Ballot(), fixture.Next())
+	want = consensus.Response{Granted: true, Promised: fixture.Ballot(), Accepted: fixture.Ballot(), Value: fixture.Next()}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("acceptance %+v, %v", got, err)
+	}
+}
+
+// A candidate asks for support as recorded and learns from the recorded answer; a voter takes the question and gives that answer.
+func TestRecordedSupport(t *testing.T) {
+	elector := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
+	voter := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindPreVote, "support", "support-answer")}
+	if !elector.askVoter(recordedContext(t), voter, PrepareOnTransfer, fixture.Record().Epoch) {
+		t.Error("no support")
+	}
+	if !reflect.DeepEqual(elector.Known(), fixture.Record()) {
+		t.Errorf("learnt %+v", elector.Known())
+	}
+	witness := fixture.Witness()
+	s := recordedFailover(t, fixture.Disk(t, fixture.Voter, &witness))
+	recorded.Check(t, "support-answer", asked(t, s, controlclient.KindPreVote, "support"))
+}
+
+// A process says who it is as recorded, and reads the recorded answer of another one.
+func TestRecordedLocate(t *testing.T) {
+	witness := fixture.Witness()
+	there := recordedFailover(t, fixture.Disk(t, fixture.Voter, &witness))
+	recorded.Check(t, "locate-answer", asked(t, there, controlclient.KindLocate, ""))
+
+	s := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil))
+	address := listenRecorded(t, func(m rpc.Message) {
+		if m.Kind != controlclient.KindLocate || len(m.Payload) > 0 {
+			t.Errorf("kind %d, %q", m.Kind, m.Payload)
+		}
+		m.Answer(codes.OK, recorded.Read(t, "locate-answer"))
+	})
+	s.elector.Learn(consensus.Record{Epoch: 1, Members: []consensus.Member{{ID: fixture.Voter, Address: address}}})
+	s.locate(recordedContext(t))
+	if !reflect.DeepEqual(s.elector.Known(), fixture.Record()) {
+		t.Errorf("learnt %+v", s.elector.Known())
+	}
+	if want := (consensus.Member{ID: fixture.Voter, Address: address, Node: "ctl-b"}); s.candidates.all()[address] != want {
+		t.Errorf("founders: %+v", s.candidates.all())
+	}
+}
+
+func TestRecordedTakeOver(t *testing.T) {
+	recorded.CheckBoth(t, "take-over", 0x0102030405060708, encodeTakeOver, decodeTakeOver)
+	recorded.Check(t, "record", encodeRecord(fixture.Record()))
+	s := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil))
+	s.elector.learnEncoded(recorded.Read(t, "record"))
+	if !reflect.DeepEqual(s.elector.Known(), fixture.Record()) {
+		t.Errorf("learnt %+v", s.elector.Known())
+	}
+	if KindTakeOver != 30 {
+		t.Errorf("kind %d", KindTakeOver)
+	}
+}
--- /dev/null
+++ b/tier/control/election/status.go
@@ -0,0 +1,100 @@
+package election
+
+import (
+	"sync"
+
+	"otterseam/tier/consensus"
+	"otterseam/tier/control/state"
+	"otterseam/tier/lease"
+	"otterseam/tier/replica"
+)
+
+// LeaseStatus is what this process can prove of itself at a moment. All answers of control are given by it. Its methods may be called
+// from any goroutine.
+type LeaseStatus struct {
+	elector *Elector
+
+	mu           sync.Mutex // guards reachedSince
+	reachedSince int64      // start of the newest probe that the primary answered
+}
+
+// NewLeaseStatus makes the lease status of a process.
+func NewLeaseStatus(elector *Elector) *LeaseStatus { return &LeaseStatus{elector: elector} }
+
+// Status is what this process can prove now.
+func (s *LeaseStatus) Status() lease.Status {
+	if !consensus.HasMember(s.elector.Known().Members, s.elector.Self.ID) {
+		return lease.Status{Role: lease.Outsider, ConfirmedSince: s.reached()}
+	}
+	status := lease.Status{Role: lease.Backup}
+	s.elector.Node.WithGroup(state.Group, func(g *replica.Group) {
+		if g.IsPrimary() {
+			status.Role = lease.Primary
+			status.Ready = g.IsReady()
+		}
+		status.ConfirmedSince = g.ConfirmedSince(s.elector.Now())
+	})
+	return status
+}
+
+// MayServe tells whether this process may serve its copy of the state now.
+func (s *LeaseStatus) MayServe() bool { return s.Status().MayServe(s.elector.Now()) }
+
+// MayDecide returns an error unless this process may give an answer of its own as the primary now.
+func (s *LeaseStatus) MayDecide() error { return s.Status().MayDecide(s.elector.Now()) }
+
+// MayForward returns an error unless this process can expect the primary in force to answer what it forwards now.
+func (s *LeaseStatus) MayForward() error { return s.Status().MayForward(s.elector.Now()) }
+
+// ObserveReached notes that the primary in force answered a probe of this process that began at a time.
+func (s *LeaseStatus) ObserveReached(since int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reachedSince = max(s.reachedSince, since)
+}
+
+func (s *LeaseStatus) reached() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.reachedSince
+}
+
+// Leads tells whether this process is the primary of control, also while it waits for a replica and can commit nothing.
+func (s *LeaseStatus) Leads() bool { return s.elector.Leads() }
+
+// MayAdjust tells whether this process may change members and the in-sync set: it is the primary of control, and a majority has
+// answered it lately or can't.
+func (s *LeaseStatus) MayAdjust() bool { return s.leadsWithLease() || s.leadsWithoutVotes() }
+
+// leadsWithLease tells whether this process is the primary of control and a majority has answered it lately.
+func (s *LeaseStatus) leadsWithLease() bool {
+	status := s.Status()
+	return status.Role == lease.Primary && status.HasLease(s.elector.Now())
+}
+
+// leadsWithoutVotes tells whether this process is the primary of control while the disk of a voter is provably lost: it may have no
+// majority until another has that vote, and looks for one that can have it.
+func (s *LeaseStatus) leadsWithoutVotes() bool {
+	if !s.Leads() {
+		return false
+	}
+	for _, voter := range s.elector.Known().Voters() {
+		if s.elector.DiskLost(voter.ID) {
+			return true
+		}
+	}
+	return false
+}
+
+// PrimaryAddress is where the primary is believed to be, as a hint for callers; "" if this process can't tell.
+func (s *LeaseStatus) PrimaryAddress() string {
+	primary := uint64(0)
+	s.elector.Node.WithGroup(state.Group, func(g *replica.Group) { primary = g.View().Primary })
+	if primary == s.elector.Self.ID || !s.Status().HasLease(s.elector.Now()) {
+		return "" // it leads no more, or may have been replaced
+	}
+	if member, known := s.elector.Known().Member(primary); known {
+		return member.Address
+	}
+	return ""
+}
--- /dev/null
+++ b/tier/control/election/witness.go
@@ -0,0 +1,118 @@
+package election
+
+import (
+	"context"
+	"errors"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/consensus"
+	"otterseam/tier/controlclient"
+	"otterseam/tier/rpc"
+)
+
+// witnessValue is the stored value that holds the witness.
+const witnessValue = "witness"
+
+// HandlePrepare answers a prepare for this process's witness.
+func (e *Elector) HandlePrepare(message rpc.Message) {
+	request, err := decodePrepareRequest(message.Payload)
+	if err != nil {
+		message.Answer(codes.Malformed, nil)
+		return
+	}
+	if request.To != e.Node.Identity {
+		message.Answer(codes.WrongIdentity, nil)
+		return
+	}
+	if request.Mode == PrepareOnSilence && e.protectsPrimary() {
+		message.Answer(codes.PrimaryAlive, nil)
+		return
+	}
+	e.voting.Lock()
+	defer e.voting.Unlock()
+	granted := e.vote(func(w *consensus.Acceptor) bool { return w.Prepare(request.Number) })
+	message.Answer(codes.OK, e.response(granted))
+}
+
+// HandleAccept answers an accept for this process's witness.
+func (e *Elector) HandleAccept(message rpc.Message) {
+	request, err := decodeAcceptRequest(message.Payload)
+	if err != nil {
+		message.Answer(codes.Malformed, nil)
+		return
+	}
+	if request.To != e.Node.Identity {
+		message.Answer(codes.WrongIdentity, nil)
+		return
+	}
+	if e.Node.IsForeignCluster(request.Record.ClusterID) {
+		message.Answer(codes.DiskForeign, nil)
+		return
+	}
+	e.voting.Lock()
+	granted := e.vote(func(w *consensus.Acceptor) bool { return w.Accept(request.Number, request.Record) })
+	answer := e.response(granted)
+	e.voting.Unlock()
+	if granted {
+		e.Learn(request.Record)
+	}
+	message.Answer(codes.OK, answer)
+}
+
+// vote changes the witness and makes the change durable before it counts; the lock on voting is held.
+func (e *Elector) vote(change func(*consensus.Acceptor) bool) bool {
+	e.mu.Lock()
+	next := e.witness
+	e.mu.Unlock()
+	if !change(&next) {
+		return false
+	}
+	if err := e.Node.Values.Write(witnessValue, next.Encode()); err != nil {
+		e.Log.WithError(err).Error("witness could not be written; no vote is given")
+		return false
+	}
+	e.mu.Lock()
+	e.witness = next
+	e.mu.Unlock()
+	return true
+}
+
+// response is the encoded answer of the witness as it stands.
+func (e *Elector) response(granted bool) []byte {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return encodeResponse(consensus.Response{
+		Granted: granted, Promised: e.witness.Promised, Accepted: e.witness.Accepted, Value: e.witness.Value,
+	})
+}
+
+// witnessTransport reaches the witnesses of other processes, and this one's, over rpc.
+type witnessTransport struct {
+	elector *Elector
+	mode    PrepareMode
+}
+
+// Prepare asks a witness to promise a proposal number.
+func (t witnessTransport) Prepare(ctx context.Context, to consensus.Member, number consensus.ProposalNumber) (consensus.Response, error) {
+	request := prepareRequest{To: to.ID, Mode: t.mode, Number: number}
+	return t.call(ctx, to, controlclient.KindPrepare, request.encode())
+}
+
+// Accept asks a witness to accept a record.
+func (t witnessTransport) Accept(ctx context.Context, to consensus.Member, number consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
+	request := acceptRequest{To: to.ID, Number: number, Record: value}
+	return t.call(ctx, to, controlclient.KindAccept, request.encode())
+}
+
+func (t witnessTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Response, error) {
+	call, cancel := context.WithTimeout(ctx, CallTimeout)
+	defer cancel()
+	answer, err := t.elector.Clients.To(to.Address).Call(call, kind, payload)
+	if errors.Is(err, codes.WrongIdentity) && t.elector.DiskLost(to.ID) {
+		return consensus.Response{DiskLost: true}, nil
+	}
+	if err != nil {
+		return consensus.Response{}, err
+	}
+	return decodeResponse(answer)
+}
--- a/tier/control/hosts.go
+++ b/tier/control/hosts.go
@@ -25,17 +25,17 @@
 func (s *Server) keepsHost(beat controlclient.HostHeartbeat) bool {
 	id := beat.Host.ID
 	held, known := s.state.Host(id)
-	if !known || held != beat.Host || !s.mayServe() {
+	if !known || held != beat.Host || !s.status.MayServe() {
 		return false
 	}
-	if s.host.IsPrimary(controlGroup) {
+	if s.host.IsPrimary(state.Group) {
 		if removing := s.sessions.RenewHost(id, s.self.ID, multigroup.Now()); removing {
 			return false
 		}
-		return s.mayServe()
+		return s.status.MayServe()
 	}
 	s.unreported.Add(session.HostHeartbeat{Beat: beat, At: multigroup.Now()})
-	return s.mayServe()
+	return s.status.MayServe()
 }
 
 func (s *Server) reportHeard(ctx context.Context) {
@@ -59,10 +59,10 @@
 	for id, host := range heard {
 		report.Hosts = append(report.Hosts, controlclient.ReportedHost{ID: id, AgeMS: uint32(now - host.At)})
 	}
-	if s.host.IsPrimary(controlGroup) {
+	if s.host.IsPrimary(state.Group) {
 		return s.keepSessions(report, now), true
 	}
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { report.Echoed = g.LastProbe() })
+	s.host.WithGroup(state.Group, func(g *replica.Group) { report.Echoed = g.LastProbe() })
 	call, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	answer, err := s.primary.Call(call, controlclient.KindHeartbeatReport, report.Encode())
@@ -94,12 +94,12 @@
 		return state.Result{}, err
 	}
 	asked, own := int64(0), false
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Echoed, multigroup.Now()) })
+	s.host.WithGroup(state.Group, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Echoed, multigroup.Now()) })
 	if !own {
 		return state.Result{}, codes.Unavailable
 	}
 	missing := s.keepSessions(report, asked)
-	return state.Result{Body: controlclient.EncodeUnregisteredHosts(missing)}, s.standing().MayDecide(multigroup.Now())
+	return state.Result{Body: controlclient.EncodeUnregisteredHosts(missing)}, s.status.MayDecide()
 }
 
 // keepSessions keeps the sessions of hosts by a report written no earlier than a time. It returns those that are not on the list,
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -25,7 +25,7 @@
 // lead does the primary's periodic work.
 func (s *Server) lead(ctx context.Context) {
 	s.beginSessions()
-	if s.standing().MayDecide(multigroup.Now()) != nil {
+	if s.status.MayDecide() != nil {
 		return
 	}
 	s.publishMembers(ctx)
@@ -38,7 +38,7 @@
 // beginSessions starts sessions anew when this process has begun to lead.
 func (s *Server) beginSessions() {
 	opened := uint64(0)
-	s.host.WithGroup(controlGroup, func(g *replica.Group) { opened = g.EpochStartIndex() })
+	s.host.WithGroup(state.Group, func(g *replica.Group) { opened = g.EpochStartIndex() })
 	s.mu.Lock()
 	began := s.leading != opened
 	s.leading = opened
--- a/tier/control/recorded_primary_test.go
+++ b/tier/control/recorded_primary_test.go
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	go s.host.Run(ctx)
-	s.host.SetView(controlGroup, membership.View(fixture.Alone()))
-	for !s.host.IsPrimary(controlGroup) {
+	s.host.SetView(state.Group, membership.View(fixture.Alone()))
+	for !s.host.IsPrimary(state.Group) {
 		if ctx.Err() != nil {
 			t.Fatal("no primary")
 		}
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -14,6 +14,7 @@
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
 	"otterseam/tier/control/ejection"
+	"otterseam/tier/control/election"
 	"otterseam/tier/control/session"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
@@ -31,46 +32,38 @@
 const (
 	superviseEvery = 50 * time.Millisecond
 	submitTimeout  = 850 * time.Millisecond
-	locateEvery    = 200 // milliseconds
 	// controlBytesKept bounds the changes kept in memory for members that lag: 80 configurations of 100 KB.
 	controlBytesKept = 8 << 20
 )
 
 // Server is a control process.
 type Server struct {
-	settings  *settings.Settings
-	seeds     *settings.Seeds
-	log       *logrus.Entry
-	host      *multigroup.Node
-	elector   *Elector
-	state     *state.State
-	publisher *feed.Publisher
-	clients   *rpc.Clients
-	primary   *controlclient.Client
-	sessions  *session.Sessions
-	self      consensus.Member
-	startedAt int64
+	settings   *settings.Settings
+	log        *logrus.Entry
+	host       *multigroup.Node
+	elector    *election.Elector
+	failover   *election.Failover
+	status     *election.LeaseStatus
+	state      *state.State
+	publisher  *feed.Publisher
+	clients    *rpc.Clients
+	primary    *controlclient.Client
+	sessions   *session.Sessions
+	unreported *session.UnreportedHosts
+	ejector    *ejection.Ejector
+	timeline   *timeline.Timeline
+	self       consensus.Member
 
 	beatHere      []byte // the answer to a heartbeat that asks the host to stay here
 	beatElsewhere []byte // the answer that leaves it the choice
 
-	locatedAt      int64 // of the supervising goroutine
-	steppedAsideAt int64 // of the supervising goroutine
-
 	mu       sync.Mutex
-	seen     *membership.IdentityTracker
-	founders map[string]consensus.Member // by address
-	leaving  bool
 	leading  uint64 // the entry that opened the lead for which sessions were begun
 	ledSince int64
 
-	reachedSince int64 // start of the newest question that the primary answered
-
-	wake       chan struct{} // has Supervise look at once; holds one at the start
-	refusals   atomic.Uint64 // heartbeats refused for want of a lease
-	timeline   *timeline.Timeline
-	ejector    *ejection.Ejector
-	unreported *session.UnreportedHosts
+	draining atomic.Bool   // this process is about to stop
+	wake     chan struct{} // has Supervise look at once; holds one at the start
+	refusals atomic.Uint64 // heartbeats refused for want of a lease
 }
 
 // New opens the state of a control process.
@@ -79,6 +72,22 @@
 	if err := settings.Require(required); err != nil {
 		return nil, err
 	}
+	server, err := open(s, log)
+	if err != nil {
+		return nil, err
+	}
+	options := replica.Options{
+		EagerCommit: true, RetainedBytes: controlBytesKept, Incarnation: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
+	}
+	if err := server.host.OpenGroup(state.Group, server.state, options); err != nil {
+		return nil, err
+	}
+	server.elector.Learn(consensus.Record{})
+	return server, nil
+}
+
+// open wires a control process on its disk, without the replicated group.
+func open(s *settings.Settings, log *logrus.Entry) (*Server, error) {
 	line := timeline.New(log)
 	clients := rpc.NewClients(nil)
 	host, err := multigroup.Open(s.DataDir, clients, log, true)
@@ -88,16 +97,12 @@
 	line.Reach(timeline.DiskRead)
 	server := &Server{
 		settings:   s,
-		seeds:      settings.NewSeeds(s),
 		log:        log,
 		host:       host,
 		state:      state.New(),
 		clients:    clients,
 		sessions:   session.New(host.Identity, multigroup.Now),
 		self:       consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
-		startedAt:  multigroup.Now(),
-		seen:       membership.NewIdentityTracker(),
-		founders:   map[string]consensus.Member{},
 		unreported: session.NewUnreportedHosts(),
 		timeline:   line,
 		ejector:    ejection.New(),
@@ -106,46 +111,20 @@
 		beatHere:      []byte(`{"beat_target":"` + s.ListenControl + `"}`),
 		beatElsewhere: []byte(`{}`),
 	}
-	server.publisher = &feed.Publisher{View: server.state.View, IsFresh: server.mayServe}
-	server.primary = controlclient.New(clients, server.otherAddresses)
-	if server.elector, err = newElector(host, clients, server.self.Address, membership.Policy{Tolerate: s.TolerateMachine}, log); err != nil {
-		return nil, err
-	}
-	server.elector.lost = server.lost
-	server.elector.timeline = line
-	options := replica.Options{
-		EagerCommit: true, RetainedBytes: controlBytesKept, Incarnation: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
-	}
-	if err := host.OpenGroup(controlGroup, server.state, options); err != nil {
+	server.elector, err = election.New(election.Config{
+		Node: host, Clients: clients, Self: server.self, Policy: membership.Policy{Tolerate: s.TolerateMachine}, Timeline: line, Log: log,
+		Now: multigroup.Now, Seeds: settings.NewSeeds(s).Addresses, Bootstrap: s.Bootstrap, BootstrapSeeds: s.SeedAddresses,
+	})
+	if err != nil {
 		return nil, err
 	}
-	server.elector.Learn(consensus.Record{})
+	server.failover = election.NewFailover(server.elector, server.draining.Load)
+	server.status = election.NewLeaseStatus(server.elector)
+	server.publisher = &feed.Publisher{View: server.state.View, IsFresh: server.status.MayServe}
+	server.primary = controlclient.New(clients, server.elector.Addresses)
 	return server, nil
 }
 
-// otherAddresses lists where other control processes may be.
-func (s *Server) otherAddresses() []string {
-	var addresses []string
-	for _, member := range s.elector.Known().Members {
-		addresses = append(addresses, member.Address)
-	}
-	for _, seed := range s.seeds.Addresses() {
-		if !containsText(addresses, seed) {
-			addresses = append(addresses, seed)
-		}
-	}
-	return addresses
-}
-
-func containsText(list []string, text string) bool {
-	for _, each := range list {
-		if each == text {
-			return true
-		}
-	}
-	return false
-}
-
 // Run serves until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.self.Address)
@@ -157,7 +136,7 @@
 	go s.host.Run(ctx)
 	go s.beat(ctx)
 	go s.reportHeard(ctx)
-	go s.watchStanding(ctx)
+	go s.watchLease(ctx)
 	go s.adjustReplicas(ctx)
 	return s.serveHTTP(ctx)
 }
@@ -167,19 +146,19 @@
 	s.wakeSupervisor()
 	periodic.RunOrWhen(ctx, superviseEvery, s.wake, func() {
 		s.sessions.Tick(s.refusals.Load())
-		if !s.host.IsPrimary(controlGroup) {
+		if !s.host.IsPrimary(state.Group) {
 			s.endLeading()
 		}
 		if s.host.DiskDegraded() {
-			s.stepAside(ctx)
+			s.failover.StepAside(ctx, s.sessions.IsControlDraining)
 		}
 		switch {
 		case !s.elector.Known().IsBootstrapped():
-			s.findOrFound(ctx)
-		case s.host.IsPrimary(controlGroup):
+			s.failover.FindOrBootstrap(ctx)
+		case s.host.IsPrimary(state.Group):
 			s.lead(ctx)
 		default:
-			s.watchPrimary(ctx)
+			s.failover.Watch(ctx)
 		}
 	})
 }
@@ -202,15 +181,15 @@
 	case timeline.KindTimeline:
 		message.Answer(codes.OK, s.timeline.Encode())
 	case controlclient.KindLocate:
-		s.answerLocate(message)
+		s.elector.HandleLocate(message)
 	case controlclient.KindPreVote:
-		go s.elector.handleSupport(message)
+		go s.elector.HandleSupport(message)
 	case controlclient.KindPrepare:
-		go s.elector.handlePrepare(message)
+		go s.elector.HandlePrepare(message)
 	case controlclient.KindAccept:
-		go s.elector.handleAccept(message)
-	case KindTakeOver:
-		go s.answerTakeOver(message)
+		go s.elector.HandleAccept(message)
+	case election.KindTakeOver:
+		go s.failover.HandleTakeOver(message)
 	case controlclient.KindMemberHeartbeat:
 		go s.answerControlBeat(message)
 	default:
@@ -220,8 +199,8 @@
 
 // handleAsPrimary takes what only the primary may decide.
 func (s *Server) handleAsPrimary(message rpc.Message) {
-	if err := s.standing().MayDecide(multigroup.Now()); err != nil {
-		message.Answer(err.(codes.Code), []byte(s.primaryAddress()))
+	if err := s.status.MayDecide(); err != nil {
+		message.Answer(err.(codes.Code), []byte(s.status.PrimaryAddress()))
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
@@ -264,3 +243,16 @@
 		return state.Result{}, codes.Malformed
 	}
 }
+
+const checkInterval = lease.CheckInterval * time.Millisecond
+
+// watchLease ends the subscriptions once this process may not serve its copy any longer.
+func (s *Server) watchLease(ctx context.Context) {
+	periodic.Run(ctx, checkInterval, func() {
+		if s.status.MayServe() {
+			s.timeline.Reach(timeline.MajorityContacted)
+		} else {
+			s.publisher.Expire()
+		}
+	})
+}
--- a/tier/control/simelect_test.go
+++ b/tier/control/simelect_test.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/election"
 	"otterseam/tier/lease"
 	"otterseam/tier/membership"
 )
@@ -14,26 +15,26 @@
 	situation := lease.FailoverInput{
 		Now: m.clock(), StartedAt: m.origin, RecordLearnedAt: m.learned, PrimaryConfirmedAt: m.group.PrimaryConfirmedAt(),
 		InSync: m.known.IsInSync(m.id), Leads: m.group.IsPrimary(), NamedPrimary: m.known.Primary == m.id, HasLed: m.hasLed,
-		Rank: rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.ElectionStagger),
+		Rank: election.Rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.ElectionStagger),
 	}
 	switch situation.Next() {
 	case lease.ActionLocatePrimary:
 		m.locate()
 	case lease.ActionResumeLead:
-		m.takeOver(prepareBySelf)
+		m.takeOver(election.PrepareBySelf)
 	case lease.ActionTakeOver:
-		m.takeOver(prepareOnSilence)
+		m.takeOver(election.PrepareOnSilence)
 	}
 }
 
 func (m *simMember) locate() {
-	if m.clock()-m.located < locateEvery {
+	if m.clock()-m.located < election.LocateInterval {
 		return
 	}
 	m.located = m.clock()
 	for _, peer := range m.s.members {
 		if peer != m {
-			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(consensus.Record)) { answer(peer.known) },
+			call(m.s, m.place, peer.place, election.CallTimeout.Milliseconds(), func(answer func(consensus.Record)) { answer(peer.known) },
 				func(record consensus.Record, ok bool) {
 					if ok {
 						m.learn(record)
@@ -55,7 +56,7 @@
 }
 
 // takeOver asks for support and then for the lead.
-func (m *simMember) takeOver(mode prepareMode) {
+func (m *simMember) takeOver(mode election.PrepareMode) {
 	if m.busy {
 		return
 	}
@@ -67,7 +68,7 @@
 	}
 	decided := false
 	for _, peer := range m.s.members {
-		call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(bool)) {
+		call(m.s, m.place, peer.place, election.CallTimeout.Milliseconds(), func(answer func(bool)) {
 			answer(peer.voter().Grants(lease.VoteRequest{Candidate: m.id, Epoch: suspected}))
 		}, func(supported, ok bool) {
 			supporters[peer.id] = supported && ok
@@ -91,7 +92,7 @@
 	return membership.Policy{Tolerate: (len(s.members) - 1) / 2}
 }
 
-func (m *simMember) elect(mode prepareMode, suspected uint64) {
+func (m *simMember) elect(mode election.PrepareMode, suspected uint64) {
 	took := false
 	var replaced consensus.Record
 	m.propose(mode, func(current consensus.Record) (consensus.Record, bool) {
@@ -127,7 +128,7 @@
 	}
 	m.busy = true
 	adjusted := false
-	m.propose(prepareBySelf, func(current consensus.Record) (consensus.Record, bool) {
+	m.propose(election.PrepareBySelf, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != m.id {
 			return current, false
 		}
@@ -152,7 +153,7 @@
 }
 
 // propose reads the register and changes it, in one attempt.
-func (m *simMember) propose(mode prepareMode, change func(consensus.Record) (consensus.Record, bool), done func(consensus.Record, bool)) {
+func (m *simMember) propose(mode election.PrepareMode, change func(consensus.Record) (consensus.Record, bool), done func(consensus.Record, bool)) {
 	m.rounds.Observe(m.witness.Promised.Round)
 	round, err := m.rounds.Next()
 	if err != nil {
@@ -175,12 +176,12 @@
 		}
 		done(record, ok)
 	}
-	m.s.at(proposeTimeout.Milliseconds(), func() { m.s.run(m.place, func() { finish(consensus.Record{}, false) }) })
+	m.s.at(election.ProposeTimeout.Milliseconds(), func() { m.s.run(m.place, func() { finish(consensus.Record{}, false) }) })
 	var send func([]consensus.Request)
 	send = func(requests []consensus.Request) {
 		for _, request := range requests {
 			peer := m.s.members[request.To.ID-1]
-			call(m.s, m.place, peer.place, callTimeout.Milliseconds(), func(answer func(consensus.Response)) { answer(peer.vote(mode, request)) },
+			call(m.s, m.place, peer.place, election.CallTimeout.Milliseconds(), func(answer func(consensus.Response)) { answer(peer.vote(mode, request)) },
 				func(promise consensus.Response, reached bool) {
 					if finished || life != m.life {
 						return
@@ -203,7 +204,7 @@
 }
 
 // vote is a witness's answer to a request.
-func (m *simMember) vote(mode prepareMode, request consensus.Request) consensus.Response {
+func (m *simMember) vote(mode election.PrepareMode, request consensus.Request) consensus.Response {
 	if request.Kind == consensus.RequestPrepare {
 		return m.prepare(mode, request.Number)
 	}
@@ -211,9 +212,9 @@
 	return consensus.Response{Granted: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
 }
 
-func (m *simMember) prepare(mode prepareMode, ballot consensus.ProposalNumber) consensus.Response {
+func (m *simMember) prepare(mode election.PrepareMode, ballot consensus.ProposalNumber) consensus.Response {
 	voter := m.voter()
-	if mode == prepareOnSilence && !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch}) {
+	if mode == election.PrepareOnSilence && !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch}) {
 		return consensus.Response{}
 	}
 	given := m.witness.Prepare(ballot)
--- a/tier/control/state/state.go
+++ b/tier/control/state/state.go
@@ -8,6 +8,9 @@
 	"otterseam/tier/feed"
 )
 
+// Group is the number of the replicated group that holds the control state.
+const Group uint32 = 0
+
 // State is the control state machine. It is folded into a view, from which it is also served, saved and restored. It may be read
 // from any goroutine; commands are applied by one.
 type State struct {
