--- a/cmd/otterctl/main.go
+++ b/cmd/otterctl/main.go
@@ -138,7 +138,7 @@
 
 func printTables(state status.Status, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "configuration\tversion %d\trevision %d\n\n", state.Version, state.Revision)
+	fmt.Fprintf(w, "configuration\tversion %d\trevision %d\n\n", state.ConfigVersion, state.Revision)
 	fmt.Fprintf(w, "CONTROL\tIDENTITY\tIN SYNC\tPRIMARY (epoch %d)\n", state.Control.Epoch)
 	for _, member := range state.Control.Members {
 		fmt.Fprintf(w, "%s\t%x\t%v\t%v\n", member.Address, member.ID, state.Control.IsInSync(member.ID), member.ID == state.Control.Primary)
@@ -146,8 +146,8 @@
 	for _, learner := range state.Control.Learners {
 		fmt.Fprintf(w, "%s\t%x\tspare, no vote\tfalse\n", learner.Address, learner.ID)
 	}
-	name := state.Names()
-	printProtection(w, "control", status.OfControl(state.Control, name))
+	name := state.ReplicaNames()
+	printProtection(w, "control", status.ProtectionOfControl(state.Control, name))
 	nodes := map[uint64]string{}
 	fmt.Fprintf(w, "\nSTORE\tIDENTITY\tZONE\tADDRESS\n")
 	for _, store := range state.Stores {
@@ -156,9 +156,9 @@
 	}
 	fmt.Fprintf(w, "\nSHARD\tEPOCH\tPRIMARY\tIN SYNC\tREPLICAS\tBEARS\tWHY NOT MORE\n")
 	for _, shard := range state.Shards {
-		p := status.OfShard(shard.View, name)
+		p := status.ProtectionOfShard(shard.View, name)
 		fmt.Fprintf(w, "%d\t%d\t%s\t%d\t%d\t%d\t%s\n",
-			shard.ID, shard.View.Epoch, nodes[shard.View.Primary], len(shard.View.InSync), len(shard.View.Replicas), p.Bears, p.WhyNotMore)
+			shard.ID, shard.View.Epoch, nodes[shard.View.Primary], len(shard.View.InSync), len(shard.View.Replicas), p.ToleratedLosses, p.LimitedBy)
 	}
 	fmt.Fprintf(w, "\nHOST\tSERVICE\tZONE\tADDRESS\tSTATE\n")
 	for _, host := range state.Hosts {
@@ -166,7 +166,7 @@
 		if host.Draining {
 			condition = opconfig.StateDraining
 		}
-		if term, aside := state.Aside[host.ID]; aside {
+		if term, aside := state.Ejected[host.ID]; aside {
 			condition += fmt.Sprintf(", set aside for %d ms", term)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", host.ID, host.Service, host.Zone, host.Address, condition)
@@ -196,5 +196,5 @@
 
 // printProtection tells how many losses a group bears.
 func printProtection(w io.Writer, group string, p status.Protection) {
-	fmt.Fprintf(w, "%s bears the loss of %d more: %s\n", group, p.Bears, p.WhyNotMore)
+	fmt.Fprintf(w, "%s bears the loss of %d more: %s\n", group, p.ToleratedLosses, p.LimitedBy)
 }
--- a/cmd/otterctl/main_test.go
+++ b/cmd/otterctl/main_test.go
@@ -52,15 +52,15 @@
 
 func TestTheTablesNameMachines(t *testing.T) {
 	state := status.Status{
-		Version: 4,
-		Control: consensus.Record{Epoch: 2, Primary: 9, InSync: []uint64{9}, Members: []consensus.Member{{ID: 9, Address: "10.0.0.1:7380"}}},
-		Stores:  []directory.Store{{Identity: 5, Node: "storage-1"}},
-		Shards:  []directory.Shard{{ID: 3, Total: 8, View: replica.View{Epoch: 6, Primary: 5, InSync: []uint64{5}, Replicas: []uint64{5}}}},
-		Hosts:   []directory.Host{{ID: "h", Service: "engine", Draining: true}},
+		ConfigVersion: 4,
+		Control:       consensus.Record{Epoch: 2, Primary: 9, InSync: []uint64{9}, Members: []consensus.Member{{ID: 9, Address: "10.0.0.1:7380"}}},
+		Stores:        []directory.Store{{Identity: 5, Node: "storage-1"}},
+		Shards:        []directory.Shard{{ID: 3, Total: 8, View: replica.View{Epoch: 6, Primary: 5, InSync: []uint64{5}, Replicas: []uint64{5}}}},
+		Hosts:         []directory.Host{{ID: "h", Service: "engine", Draining: true}},
 		Recovery: []status.Recovery{
 			{Address: "10.0.0.9:7381", AfterMS: map[string]int64{"shard-led": 310, "process-up": 0, "disk-read": 41}},
 		},
-		Aside: map[string]int64{"h": 4000},
+		Ejected: map[string]int64{"h": 4000},
 	}
 	var out bytes.Buffer
 	if err := printTables(state, &out); err != nil {
--- a/harness/tiercluster/recorded_test.go
+++ b/harness/tiercluster/recorded_test.go
@@ -197,10 +197,10 @@
 	err := Until(limit, func() bool {
 		var err error
 		state, err = w.rig.Status()
-		return err == nil && state.Version == recorded.Version
+		return err == nil && state.ConfigVersion == recorded.Version
 	})
 	if err != nil {
-		w.Fatalf("%v, version %d, not %d", err, state.Version, recorded.Version)
+		w.Fatalf("%v, version %d, not %d", err, state.ConfigVersion, recorded.Version)
 	}
 	for _, host := range recorded.Hosts {
 		found := false
--- a/harness/tiercluster/verdict_test.go
+++ b/harness/tiercluster/verdict_test.go
@@ -12,7 +12,7 @@
 // setAside tells whether control has set a host aside.
 func (w *world) setAside(host string) bool {
 	status, err := w.rig.Status()
-	_, aside := status.Aside[host]
+	_, aside := status.Ejected[host]
 	return err == nil && aside
 }
 
--- a/tier/control/api.go
+++ b/tier/control/api.go
@@ -274,7 +274,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), apiTimeout)
 	defer cancel()
-	needed := uint32(s.settings.TolerateMachine + 1)
+	needed := uint32(s.settings.TolerateMachines + 1)
 	result, err := s.submit(ctx, state.RetireNode{Node: chi.URLParam(r, "node"), Needed: needed})
 	if answer(w, result, err) {
 		writeJSON(w, http.StatusOK, struct{}{})
--- a/tier/control/lead.go
+++ b/tier/control/lead.go
@@ -107,7 +107,7 @@
 		return found
 	}
 	machines := s.sessions.Machines(directory.Stores(s.state.View), retiring)
-	return placement.Cluster{Machines: machines, Tolerate: s.settings.TolerateMachine}
+	return placement.Cluster{Machines: machines, Tolerate: s.settings.TolerateMachines}
 }
 
 // foundShardsAfter is how long the first primary waits for stores, in milliseconds, so that shards are spread over all.
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	logger, _ := test.NewNullLogger()
 	s, err := open(&settings.Settings{
-		DataDir: dir, Bootstrap: true, Node: "ctl-b", IP: "10.0.0.2", FirstPort: 7402, LastPort: 7405, TolerateMachine: 1,
+		DataDir: dir, Bootstrap: true, Node: "ctl-b", IP: "10.0.0.2", FirstPort: 7402, LastPort: 7405, TolerateMachines: 1,
 	}, logrus.NewEntry(logger))
 	if err != nil {
 		t.Fatal(err)
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -112,7 +112,7 @@
 		beatElsewhere: []byte(`{}`),
 	}
 	server.elector, err = election.New(election.Config{
-		Node: host, Clients: clients, Self: server.self, Policy: membership.Policy{Tolerate: s.TolerateMachine}, Timeline: line, Log: log,
+		Node: host, Clients: clients, Self: server.self, Policy: membership.Policy{Tolerate: s.TolerateMachines}, Timeline: line, Log: log,
 		Now: multigroup.Now, Seeds: settings.NewSeeds(s).Addresses, Bootstrap: s.Bootstrap, BootstrapSeeds: s.SeedAddresses,
 	})
 	if err != nil {
@@ -144,7 +144,7 @@
 // Supervise founds, takes over, repairs and places until the context ends.
 func (s *Server) Supervise(ctx context.Context) {
 	s.wakeSupervisor()
-	periodic.RunOrWhen(ctx, superviseEvery, s.wake, func() {
+	periodic.RunOrWake(ctx, superviseEvery, s.wake, func() {
 		s.sessions.Tick(s.refusals.Load())
 		if !s.host.IsPrimary(state.Group) {
 			s.endLeading()
--- a/tier/opconfig/config.go
+++ b/tier/opconfig/config.go
@@ -45,10 +45,10 @@
 	Split       []Split   `json:"split"`
 	MaxAttempts int       `json:"max_attempts"`
 	Retained    bool      `json:"retained"`
-	KeepS       float64   `json:"keep_s"`
+	RetentionS  float64   `json:"keep_s"`
 	Sticky      bool      `json:"sticky"`
 	Resumable   bool      `json:"resumable"`
-	GapAimMS    float64   `json:"gap_aim_ms"`
+	GapTargetMS float64   `json:"gap_aim_ms"`
 }
 
 // Split is one service's share of a route.
--- a/tier/opconfig/config_easyjson.go
+++ b/tier/opconfig/config_easyjson.go
@@ -330,7 +330,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.KeepS = float64(in.Float64())
+				out.RetentionS = float64(in.Float64())
 			}
 		case "sticky":
 			if in.IsNull() {
@@ -348,7 +348,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.GapAimMS = float64(in.Float64())
+				out.GapTargetMS = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -433,7 +433,7 @@
 	{
 		const prefix string = ",\"keep_s\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.KeepS))
+		out.Float64(float64(in.RetentionS))
 	}
 	{
 		const prefix string = ",\"sticky\":"
@@ -448,7 +448,7 @@
 	{
 		const prefix string = ",\"gap_aim_ms\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.GapAimMS))
+		out.Float64(float64(in.GapTargetMS))
 	}
 	out.RawByte('}')
 }
--- a/tier/opconfig/opconfig_test.go
+++ b/tier/opconfig/opconfig_test.go
@@ -104,7 +104,7 @@
 		counts := map[string]int{}
 		const draws = 2000
 		for i := range draws {
-			counts[route.Pick((float64(i)+0.5)/draws)]++
+			counts[route.PickService((float64(i)+0.5)/draws)]++
 		}
 		for i, weight := range weights {
 			got := float64(counts[string(rune('a'+i))]) / draws
--- a/tier/opconfig/recorded_test.go
+++ b/tier/opconfig/recorded_test.go
@@ -39,11 +39,11 @@
 			{
 				Name: "chat", Host: "chat.example", PathPrefix: "/v1", RouteType: RouteStreaming, TimeoutMS: 60_000.5, TargetMS: 500.25,
 				Priority: 2, Service: "chat", Split: []Split{{Service: "chat", Weight: 0.75}, {Service: "chat-next", Weight: 0.25}},
-				MaxAttempts: 3, Retained: true, KeepS: 900.5, Sticky: true, Resumable: true, GapAimMS: 40.5,
+				MaxAttempts: 3, Retained: true, RetentionS: 900.5, Sticky: true, Resumable: true, GapTargetMS: 40.5,
 			},
 			{
 				Name: "files", Host: "files.example", PathPrefix: "/", RouteType: RouteSafe, TimeoutMS: 1000, TargetMS: 100, Priority: 1,
-				Service: "chat-next", Split: []Split{{Service: "chat-next", Weight: 1}}, MaxAttempts: 2, KeepS: 1, GapAimMS: 1,
+				Service: "chat-next", Split: []Split{{Service: "chat-next", Weight: 1}}, MaxAttempts: 2, RetentionS: 1, GapTargetMS: 1,
 			},
 		},
 		Services: []Service{
--- a/tier/opconfig/table.go
+++ b/tier/opconfig/table.go
@@ -46,8 +46,8 @@
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick chooses the service of a request by the route's weights; chance lies between 0 and 1.
-func (r *Route) Pick(chance float64) string {
+// PickService chooses the service of a request by the route's weights; chance lies between 0 and 1.
+func (r *Route) PickService(chance float64) string {
 	if len(r.Split) == 0 {
 		return r.Service
 	}
--- a/tier/periodic/periodic.go
+++ b/tier/periodic/periodic.go
@@ -8,7 +8,7 @@
 
 // Run calls work once in each interval until the context ends. Work that takes longer than the interval is not made up for.
 func Run(ctx context.Context, interval time.Duration, work func()) {
-	RunOrWhen(ctx, interval, nil, work)
+	RunOrWake(ctx, interval, nil, work)
 }
 
 // While calls step again and again, with a pause between, until it returns false or the context ends.
@@ -21,8 +21,8 @@
 	}
 }
 
-// RunOrWhen calls work once in each interval and whenever it is woken, until the context ends.
-func RunOrWhen(ctx context.Context, interval time.Duration, wake <-chan struct{}, work func()) {
+// RunOrWake calls work once in each interval and whenever it is woken, until the context ends.
+func RunOrWake(ctx context.Context, interval time.Duration, wake <-chan struct{}, work func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/tier/periodic/periodic_test.go
+++ b/tier/periodic/periodic_test.go
@@ -12,7 +12,7 @@
 	wake := make(chan struct{}, 1)
 	wake <- struct{}{}
 	calls := 0
-	RunOrWhen(ctx, time.Hour, wake, func() {
+	RunOrWake(ctx, time.Hour, wake, func() {
 		if calls++; calls == 3 {
 			cancel()
 			return
--- a/tier/proxy/patience.go
+++ b/tier/proxy/patience.go
@@ -71,7 +71,7 @@
 	target := time.Duration(r.route.TargetMS * float64(time.Millisecond))
 	left := r.left()
 	if r.route.RouteType == opconfig.RouteStreaming {
-		left = hangdetect.UntilAbandoned(target, time.Duration(r.route.GapAimMS*float64(time.Millisecond)), left)
+		left = hangdetect.UntilAbandoned(target, time.Duration(r.route.GapTargetMS*float64(time.Millisecond)), left)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tier/proxy/proxy.go
+++ b/tier/proxy/proxy.go
@@ -283,7 +283,7 @@
 	}
 	asked := &request{
 		id: id, method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header, body: body,
-		route: route, service: route.Pick(rand.Float64()), arrived: arrived, deadline: deadline,
+		route: route, service: route.PickService(rand.Float64()), arrived: arrived, deadline: deadline,
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
--- a/tier/proxy/request_test.go
+++ b/tier/proxy/request_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestTurnsAreRead(t *testing.T) {
-	route := &opconfig.Route{RouteType: opconfig.RouteStreaming, Retained: true, KeepS: 60}
+	route := &opconfig.Route{RouteType: opconfig.RouteStreaming, Retained: true, RetentionS: 60}
 	service := &opconfig.Service{Engine: &opconfig.Engine{Stride: 3}}
 	got, err := readTurn(newRequest(map[string]string{"Program": "p", "Budget": "100", "X-Token-Count": "1460, 80", "Previous": "x"}, route), service)
 	if err != nil || got.most != 80 || got.budget != 100 || !got.limited || got.stride != 3 || got.previous != "x" || !got.accounted() {
--- a/tier/proxy/turn.go
+++ b/tier/proxy/turn.go
@@ -139,7 +139,7 @@
 	}
 	if whole && t.route.Retained {
 		end.Keep = true
-		end.KeepMS = int64(t.route.KeepS * 1000)
+		end.KeepMS = int64(t.route.RetentionS * 1000)
 		end.Previous = t.previous
 		end.Input = t.body
 		end.Output = output
--- a/tier/settings/settings.go
+++ b/tier/settings/settings.go
@@ -17,25 +17,25 @@
 
 // Settings is what one process knows from its settings file. Fields that the file may leave out are empty.
 type Settings struct {
-	Node            string
-	Role            string
-	MachineClass    string
-	IP              string
-	Zone            string
-	Zones           map[string]string // zone to region
-	ListenFront     string
-	ListenReadiness string
-	ListenControl   string
-	FirstPort       int // the first of the ports for traffic between processes
-	LastPort        int
-	Seeds           []string // control addresses of some machines
-	Bootstrap       bool
-	DataDir         string
-	MemoryMB        int
-	MaxFDs          int
-	Heartbeat       time.Duration
-	TolerateMachine int
-	Bounds          Bounds
+	Node             string
+	Role             string
+	MachineClass     string
+	IP               string
+	Zone             string
+	Zones            map[string]string // zone to region
+	ListenFront      string
+	ListenReadiness  string
+	ListenControl    string
+	FirstPort        int // the first of the ports for traffic between processes
+	LastPort         int
+	Seeds            []string // control addresses of some machines
+	Bootstrap        bool
+	DataDir          string
+	MemoryMB         int
+	MaxFDs           int
+	Heartbeat        time.Duration
+	TolerateMachines int
+	Bounds           Bounds
 }
 
 // Bounds holds those time bounds of the rules that a process acts upon.
@@ -76,22 +76,22 @@
 	}
 	r := reader{file: file}
 	s := &Settings{
-		Node:            r.text("node"),
-		Role:            r.text("role"),
-		MachineClass:    file.GetString("machine_class", ""),
-		IP:              r.text("ip"),
-		Zone:            r.text("zone"),
-		Zones:           map[string]string{},
-		ListenFront:     file.GetString("listen.front", ""),
-		ListenReadiness: file.GetString("listen.readiness", ""),
-		ListenControl:   file.GetString("listen.control", ""),
-		Seeds:           splitList(file.GetString("seeds", "")),
-		Bootstrap:       r.boolean("bootstrap", false),
-		DataDir:         file.GetString("data_dir", ""),
-		MemoryMB:        r.number("limits.memory_mb", 0),
-		MaxFDs:          r.number("limits.max_fds", 0),
-		Heartbeat:       r.milliseconds("heartbeat_ms", defaultHeartbeat),
-		TolerateMachine: r.number("tolerate.machines", 0),
+		Node:             r.text("node"),
+		Role:             r.text("role"),
+		MachineClass:     file.GetString("machine_class", ""),
+		IP:               r.text("ip"),
+		Zone:             r.text("zone"),
+		Zones:            map[string]string{},
+		ListenFront:      file.GetString("listen.front", ""),
+		ListenReadiness:  file.GetString("listen.readiness", ""),
+		ListenControl:    file.GetString("listen.control", ""),
+		Seeds:            splitList(file.GetString("seeds", "")),
+		Bootstrap:        r.boolean("bootstrap", false),
+		DataDir:          file.GetString("data_dir", ""),
+		MemoryMB:         r.number("limits.memory_mb", 0),
+		MaxFDs:           r.number("limits.max_fds", 0),
+		Heartbeat:        r.milliseconds("heartbeat_ms", defaultHeartbeat),
+		TolerateMachines: r.number("tolerate.machines", 0),
 		Bounds: Bounds{
 			Drain: r.milliseconds("bounds.drain_ms", defaultDrain),
 			Grace: r.seconds("bounds.grace_s", defaultGrace),
--- a/tier/settings/settings_test.go
+++ b/tier/settings/settings_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "front-a-1" || !s.Bootstrap || s.TolerateMachine != 1 || s.Bounds.Grace != 8*time.Second || len(s.Zones) != 2 {
+	if s.Node != "front-a-1" || !s.Bootstrap || s.TolerateMachines != 1 || s.Bounds.Grace != 8*time.Second || len(s.Zones) != 2 {
 		t.Fatalf("read %+v", s)
 	}
 	if s.Bounds.Ack != defaultAck || s.Bounds.Drain != 2000500*time.Microsecond {
--- a/tier/status/protection.go
+++ b/tier/status/protection.go
@@ -10,21 +10,21 @@
 
 // Protection is how many losses a group bears now, and what keeps it from bearing more.
 type Protection struct {
-	// Bears is how many disks may be lost, one right after the other and without a repair between, with everything acknowledged
+	// ToleratedLosses is how many disks may be lost, one right after the other and without a repair between, with everything acknowledged
 	// still there and the group able to go on once copies are made again.
-	Bears int `json:"bears"`
-	// Acknowledges tells whether the group has the copies without which it acknowledges nothing.
-	Acknowledges bool   `json:"acknowledges"`
-	WhyNotMore   string `json:"why_not_more"`
+	ToleratedLosses int `json:"bears"`
+	// CanAcknowledge tells whether the group has the copies without which it acknowledges nothing.
+	CanAcknowledge bool   `json:"acknowledges"`
+	LimitedBy      string `json:"why_not_more"`
 }
 
-// Name tells how operators call a replica.
-type Name func(id uint64) string
+// NameFunc tells how operators call a replica.
+type NameFunc func(id uint64) string
 
-// OfControl is the protection of the control state. Members that are not in sync count as lost: they may be.
-func OfControl(record consensus.Record, name Name) Protection {
+// ProtectionOfControl is the protection of the control state. Members that are not in sync count as lost: they may be.
+func ProtectionOfControl(record consensus.Record, name NameFunc) Protection {
 	if !record.IsBootstrapped() {
-		return Protection{WhyNotMore: "control is not founded, or nobody answers"}
+		return Protection{LimitedBy: "control is not founded, or nobody answers"}
 	}
 	var lagging []uint64
 	for _, member := range record.Members {
@@ -37,17 +37,17 @@
 	if len(record.Previous) > 0 {
 		votes = min(votes, spareVotes(record, record.Previous))
 	}
-	p := Protection{Bears: min(copies, votes), Acknowledges: len(record.InSync) >= record.MinInSync}
+	p := Protection{ToleratedLosses: min(copies, votes), CanAcknowledge: len(record.InSync) >= record.MinInSync}
 	switch {
-	case !p.Acknowledges:
-		p.Bears = 0
-		p.WhyNotMore = missingCopies(len(record.InSync), record.MinInSync, lagging, name)
+	case !p.CanAcknowledge:
+		p.ToleratedLosses = 0
+		p.LimitedBy = missingCopies(len(record.InSync), record.MinInSync, lagging, name)
 	case len(lagging) > 0:
-		p.WhyNotMore = notInSync(lagging, name)
+		p.LimitedBy = notInSync(lagging, name)
 	case votes <= copies:
-		p.WhyNotMore = fmt.Sprintf("more than half of %s have to be left", plural(len(record.Members), "member"))
+		p.LimitedBy = fmt.Sprintf("more than half of %s have to be left", plural(len(record.Members), "member"))
 	default:
-		p.WhyNotMore = onlyCopies(len(record.InSync))
+		p.LimitedBy = onlyCopies(len(record.InSync))
 	}
 	return p
 }
@@ -63,27 +63,27 @@
 	return max(0, inSync-len(members)/2-1)
 }
 
-// OfShard is the protection of a shard of programs.
-func OfShard(view replica.View, name Name) Protection {
+// ProtectionOfShard is the protection of a shard of programs.
+func ProtectionOfShard(view replica.View, name NameFunc) Protection {
 	var lagging []uint64
 	for _, id := range view.Replicas {
 		if !view.IsInSync(id) {
 			lagging = append(lagging, id)
 		}
 	}
-	p := Protection{Bears: view.ToleratedLosses(), Acknowledges: view.HasMinInSync()}
+	p := Protection{ToleratedLosses: view.ToleratedLosses(), CanAcknowledge: view.HasMinInSync()}
 	switch {
-	case !p.Acknowledges:
-		p.WhyNotMore = missingCopies(len(view.InSync), view.MinInSync, lagging, name)
+	case !p.CanAcknowledge:
+		p.LimitedBy = missingCopies(len(view.InSync), view.MinInSync, lagging, name)
 	case len(lagging) > 0:
-		p.WhyNotMore = notInSync(lagging, name)
+		p.LimitedBy = notInSync(lagging, name)
 	default:
-		p.WhyNotMore = onlyCopies(len(view.InSync))
+		p.LimitedBy = onlyCopies(len(view.InSync))
 	}
 	return p
 }
 
-func missingCopies(inSync, wanted int, lagging []uint64, name Name) string {
+func missingCopies(inSync, wanted int, lagging []uint64, name NameFunc) string {
 	text := fmt.Sprintf("%d of the %d copies that an acknowledgement needs: nothing is acknowledged", inSync, wanted)
 	if len(lagging) == 0 {
 		return text + "; another machine is needed"
@@ -91,7 +91,7 @@
 	return text + " until " + names(lagging, name) + " caught up"
 }
 
-func notInSync(lagging []uint64, name Name) string {
+func notInSync(lagging []uint64, name NameFunc) string {
 	verb := "is"
 	if len(lagging) > 1 {
 		verb = "are"
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("%d %ss", count, noun)
 }
 
-func names(ids []uint64, name Name) string {
+func names(ids []uint64, name NameFunc) string {
 	var all []string
 	for _, id := range ids {
 		all = append(all, name(id))
@@ -121,8 +121,8 @@
 	return strings.Join(all, ", ")
 }
 
-// Names tells how operators call the replicas of a status: by the machine's name, or else by the identity.
-func (s Status) Names() Name {
+// ReplicaNames tells how operators call the replicas of a status: by the machine's name, or else by the identity.
+func (s Status) ReplicaNames() NameFunc {
 	known := map[uint64]string{}
 	for _, store := range s.Stores {
 		known[store.Identity] = store.Node
@@ -143,10 +143,10 @@
 
 // protect fills in what the groups bear.
 func (s *Status) protect() {
-	name := s.Names()
-	s.ControlBears = OfControl(s.Control, name)
-	s.ShardsBear = map[uint32]Protection{}
+	name := s.ReplicaNames()
+	s.ControlProtection = ProtectionOfControl(s.Control, name)
+	s.ShardProtection = map[uint32]Protection{}
 	for _, shard := range s.Shards {
-		s.ShardsBear[shard.ID] = OfShard(shard.View, name)
+		s.ShardProtection[shard.ID] = ProtectionOfShard(shard.View, name)
 	}
 }
--- a/tier/status/protection_test.go
+++ b/tier/status/protection_test.go
@@ -44,8 +44,8 @@
 		{"unknown", consensus.Record{}, 0, false, "nobody answers"},
 	}
 	for _, c := range cases {
-		got := OfControl(c.record, letter)
-		if got.Bears != c.bears || got.Acknowledges != c.acknowledges || !strings.Contains(got.WhyNotMore, c.why) {
+		got := ProtectionOfControl(c.record, letter)
+		if got.ToleratedLosses != c.bears || got.CanAcknowledge != c.acknowledges || !strings.Contains(got.LimitedBy, c.why) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -65,7 +65,7 @@
 		{"no machine left", replica.View{InSync: []uint64{2}, Replicas: []uint64{2}, MinInSync: 2}, 0, "another machine is needed"},
 	}
 	for _, c := range cases {
-		if got := OfShard(c.view, letter); got.Bears != c.bears || !strings.Contains(got.WhyNotMore, c.why) {
+		if got := ProtectionOfShard(c.view, letter); got.ToleratedLosses != c.bears || !strings.Contains(got.LimitedBy, c.why) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
--- a/tier/status/recorded_json_test.go
+++ b/tier/status/recorded_json_test.go
@@ -19,7 +19,7 @@
 			Epoch: 5, Primary: 1, InSync: []uint64{1, 2}, Members: members, Previous: members[:1], MinInSync: 2,
 			Learners: []consensus.Member{{ID: 3, Address: "10.0.0.3:7403", Node: "ctl-c"}}, ClusterID: 99,
 		},
-		Version: 7, Revision: 41,
+		ConfigVersion: 7, Revision: 41,
 		Stores: []directory.Store{{Identity: 11, Incarnation: 12, Node: "store-a", Address: "10.0.2.1:7501", Zone: "zone-b"}},
 		Shards: []directory.Shard{{
 			ID: 3, Total: 64, PrimaryIncarnation: 12,
@@ -29,7 +29,7 @@
 			ID: "host-1", Service: "chat", Address: "10.0.1.1:8000", Zone: "zone-a", Version: "v3", Slots: 8, Draining: true, Stage: "canary",
 			Models: `["m1"]`,
 		}},
-		Aside:    map[string]int64{"host-1": 90_000},
+		Ejected:  map[string]int64{"host-1": 90_000},
 		Recovery: []Recovery{{Address: "10.0.0.1:7401", AfterMS: map[string]int64{"started": 1}}},
 	}
 	s.protect()
--- a/tier/status/recorded_test.go
+++ b/tier/status/recorded_test.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	address := answerRecorded(t, controlclient.KindLocate, "locate-answer")
-	if got := Record(ctx, []string{address}); !reflect.DeepEqual(got, want) {
+	if got := NewestRecord(ctx, []string{address}); !reflect.DeepEqual(got, want) {
 		t.Fatalf("read %+v", got)
 	}
 }
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -18,18 +18,18 @@
 
 // Status is what the control processes tell.
 type Status struct {
-	Control  consensus.Record  `json:"control"`
-	Version  uint64            `json:"config_version"`
-	Revision uint64            `json:"revision"`
-	Stores   []directory.Store `json:"stores"`
-	Shards   []directory.Shard `json:"shards"`
-	Hosts    []directory.Host  `json:"hosts"`
-	Aside    map[string]int64  `json:"hosts_set_aside"` // by host, the term in milliseconds
+	Control       consensus.Record  `json:"control"`
+	ConfigVersion uint64            `json:"config_version"`
+	Revision      uint64            `json:"revision"`
+	Stores        []directory.Store `json:"stores"`
+	Shards        []directory.Shard `json:"shards"`
+	Hosts         []directory.Host  `json:"hosts"`
+	Ejected       map[string]int64  `json:"hosts_set_aside"` // by host, the term in milliseconds
 
 	Recovery []Recovery `json:"recovery"` // of the processes of control and of the stores
 
-	ControlBears Protection            `json:"control_bears"`
-	ShardsBear   map[uint32]Protection `json:"shards_bear"`
+	ControlProtection Protection            `json:"control_bears"`
+	ShardProtection   map[uint32]Protection `json:"shards_bear"`
 }
 
 // Read asks the control processes at the addresses, which are those of the internal ports.
@@ -38,9 +38,9 @@
 	if err != nil {
 		return Status{}, err
 	}
-	s := Status{Control: Record(ctx, addresses), Revision: view.Revision()}
+	s := Status{Control: NewestRecord(ctx, addresses), Revision: view.Revision()}
 	if data, found := view.Get(feed.SectionConfig, directory.CurrentKey); found {
-		s.Version, _ = state.SplitConfig(data)
+		s.ConfigVersion, _ = state.SplitConfig(data)
 	}
 	for _, store := range directory.Stores(view) {
 		s.Stores = append(s.Stores, store)
@@ -53,10 +53,10 @@
 			s.Hosts = append(s.Hosts, host)
 		}
 	}
-	s.Aside = map[string]int64{}
+	s.Ejected = map[string]int64{}
 	for _, item := range view.All(feed.SectionEjection) {
 		if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
-			s.Aside[item.Key] = term
+			s.Ejected[item.Key] = term
 		}
 	}
 	sort.Slice(s.Stores, func(i, j int) bool { return s.Stores[i].Node < s.Stores[j].Node })
@@ -83,8 +83,8 @@
 	return view, nil
 }
 
-// Record asks all control processes for the newest record of who leads and who is in sync; it is empty if none answers.
-func Record(ctx context.Context, addresses []string) consensus.Record {
+// NewestRecord asks all control processes for the newest record of who leads and who is in sync; it is empty if none answers.
+func NewestRecord(ctx context.Context, addresses []string) consensus.Record {
 	var mu sync.Mutex
 	var newest consensus.Record
 	var wait sync.WaitGroup
