--- a/tier/replica/bench_test.go
+++ b/tier/replica/bench_test.go
@@ -42,3 +42,52 @@
 		runtime.KeepAlive(g)
 	}
 }
+
+// BenchmarkCommit carries commands of 1 KB from a primary to two backups until they are committed: messages, writes and
+// acknowledgements, without a network and without a disk.
+func BenchmarkCommit(b *testing.B) {
+	view := View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}
+	groups := map[uint64]*Group{}
+	for _, id := range view.Replicas {
+		g, err := NewGroup(id, &blobMachine{}, Snapshot{}, nil, Options{EagerCommit: true, Incarnation: 100 + id})
+		if err != nil {
+			b.Fatal(err)
+		}
+		groups[id] = g
+	}
+	now := int64(1000)
+	committed := 0
+	var exchange func(id uint64)
+	exchange = func(id uint64) {
+		g := groups[id]
+		output := g.TakeOutput()
+		for _, write := range output.Writes {
+			g.WriteCompleted(write)
+			last := write.Entries[len(write.Entries)-1]
+			g.MarkDurable(last.Index, last.Epoch, now)
+		}
+		committed += len(output.Applied)
+		for _, out := range output.Messages {
+			groups[out.To].Step(id, out.Message, now)
+			exchange(out.To)
+		}
+		if len(output.Writes) > 0 {
+			exchange(id)
+		}
+		g.Trim()
+	}
+	groups[1].SetView(view, now)
+	exchange(1)
+	command := make([]byte, 1<<10)
+	b.ReportAllocs()
+	commands := 0
+	for b.Loop() {
+		now++
+		groups[1].Propose(command, now)
+		exchange(1)
+		commands++
+	}
+	if committed != commands {
+		b.Fatalf("%d of %d commands were committed", committed, commands)
+	}
+}
