--- a/tier/multigroup/bench_test.go
+++ b/tier/multigroup/bench_test.go
@@ -31,7 +31,7 @@
 
 // benchNode is a process with one group, over real sockets and files.
 type benchNode struct {
-	host    *Node
+	node    *Node
 	machine *bulkMachine
 	address string
 }
@@ -39,12 +39,12 @@
 func startBenchNode(b *testing.B, ctx context.Context, stateBytes int) *benchNode {
 	b.Helper()
 	logger, _ := test.NewNullLogger()
-	host, err := Open(b.TempDir(), rpc.NewClients(nil), logrus.NewEntry(logger), true)
+	node, err := Open(b.TempDir(), rpc.NewClients(nil), logrus.NewEntry(logger), true)
 	if err != nil {
 		b.Fatal(err)
 	}
 	machine := &bulkMachine{state: make([]byte, stateBytes)}
-	if err := host.OpenGroup(testGroup, machine, replica.Options{EagerCommit: true, RetainedBytes: 8 << 20}); err != nil {
+	if err := node.OpenGroup(testGroup, machine, replica.Options{EagerCommit: true, RetainedBytes: 8 << 20}); err != nil {
 		b.Fatal(err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,25 +52,26 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { listener.Close() })
-	go rpc.Serve(listener, func(m rpc.Message) { host.HandleMessage(m.Payload, nil) })
-	go host.Run(ctx)
-	return &benchNode{host: host, machine: machine, address: listener.Addr().String()}
+	handle := func(m rpc.Message) { node.HandleMessage(m.Payload, nil) } //nolint:contextcheck // as a server handles messages
+	go rpc.Serve(listener, handle)
+	go node.Run(ctx)
+	return &benchNode{node: node, machine: machine, address: listener.Addr().String()}
 }
 
-// lead makes a node the primary of itself and of members that are not in sync yet.
-func lead(primary *benchNode, members ...*benchNode) {
-	view := replica.View{Epoch: 1, Primary: primary.host.Identity, InSync: []uint64{primary.host.Identity}, Replicas: []uint64{primary.host.Identity}}
-	for _, member := range members {
-		view.Replicas = append(view.Replicas, member.host.Identity)
-		primary.host.SetAddress(member.host.Identity, member.address)
-		member.host.SetAddress(primary.host.Identity, primary.address)
+// lead makes a node the primary of itself and of backups that are not in sync yet.
+func lead(primary *benchNode, backups ...*benchNode) {
+	view := replica.View{Epoch: 1, Primary: primary.node.Identity, InSync: []uint64{primary.node.Identity}, Replicas: []uint64{primary.node.Identity}}
+	for _, backup := range backups {
+		view.Replicas = append(view.Replicas, backup.node.Identity)
+		primary.node.SetAddress(backup.node.Identity, backup.address)
+		backup.node.SetAddress(primary.node.Identity, primary.address)
 	}
-	primary.host.SetView(testGroup, view)
+	primary.node.SetView(testGroup, view)
 }
 
 func caughtUp(primary *benchNode) bool {
 	found := false
-	primary.host.WithGroup(testGroup, func(g *replica.Group) { found = len(g.CaughtUp(Now())) > 0 })
+	primary.node.WithGroup(testGroup, func(g *replica.Group) { found = len(g.CaughtUp(Now())) > 0 })
 	return found
 }
 
@@ -79,7 +80,7 @@
 	b.Helper()
 	count := 0
 	for !done() {
-		if _, err := primary.host.Submit(ctx, testGroup, command); err != nil {
+		if _, err := primary.node.Submit(ctx, testGroup, command); err != nil {
 			b.Fatal(err)
 		}
 		count++
@@ -87,10 +88,10 @@
 	return count
 }
 
-// trimLog has the primary forget its first entries, so that an empty member needs a snapshot.
+// trimLog has the primary forget its first entries, so that an empty backup needs a snapshot.
 func trimLog(b *testing.B, ctx context.Context, primary *benchNode) {
 	b.Helper()
-	ready := func() bool { return primary.host.IsPrimary(testGroup) }
+	ready := func() bool { return primary.node.IsPrimary(testGroup) }
 	for !ready() {
 		if ctx.Err() != nil {
 			b.Fatal("never ready")
@@ -99,7 +100,7 @@
 	submitUntil(b, ctx, primary, make([]byte, 64<<10), func() bool { return primary.machine.applied.Load() > 300 })
 }
 
-// BenchmarkCatchingUpBySize measures how long an empty member takes until it is caught up, on real sockets and files.
+// BenchmarkCatchingUpBySize measures how long an empty backup takes until it is caught up, on real sockets and files.
 func BenchmarkCatchingUpBySize(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
 		b.Run(fmt.Sprint(megabytes, "MB"), func(b *testing.B) {
@@ -109,15 +110,15 @@
 				primary := startBenchNode(b, ctx, megabytes<<20)
 				lead(primary)
 				trimLog(b, ctx, primary)
-				member := startBenchNode(b, ctx, 0)
+				backup := startBenchNode(b, ctx, 0)
 				b.StartTimer()
 				view := replica.View{
-					Epoch: 2, Primary: primary.host.Identity, InSync: []uint64{primary.host.Identity},
-					Replicas: []uint64{primary.host.Identity, member.host.Identity},
+					Epoch: 2, Primary: primary.node.Identity, InSync: []uint64{primary.node.Identity},
+					Replicas: []uint64{primary.node.Identity, backup.node.Identity},
 				}
-				primary.host.SetAddress(member.host.Identity, member.address)
-				member.host.SetAddress(primary.host.Identity, primary.address)
-				primary.host.SetView(testGroup, view)
+				primary.node.SetAddress(backup.node.Identity, backup.address)
+				backup.node.SetAddress(primary.node.Identity, primary.address)
+				primary.node.SetView(testGroup, view)
 				submitUntil(b, ctx, primary, []byte("a"), func() bool { return caughtUp(primary) })
 				b.StopTimer()
 				cancel()
@@ -127,7 +128,7 @@
 	}
 }
 
-// BenchmarkChangesDuringATransfer counts changes of 1 KB a second, one after the other, with no member to be caught up and while
+// BenchmarkChangesDuringATransfer counts changes of 1 KB a second, one after the other, with no backup to be caught up and while
 // 50 MB are sent to one.
 func BenchmarkChangesDuringATransfer(b *testing.B) {
 	for _, transfers := range []bool{false, true} {
@@ -143,12 +144,12 @@
 				limit := time.Now().Add(300 * time.Millisecond)
 				done := func() bool { return time.Now().After(limit) }
 				if transfers {
-					member := startBenchNode(b, ctx, 0)
-					primary.host.SetAddress(member.host.Identity, member.address)
-					member.host.SetAddress(primary.host.Identity, primary.address)
-					primary.host.SetView(testGroup, replica.View{
-						Epoch: epoch, Primary: primary.host.Identity, InSync: []uint64{primary.host.Identity},
-						Replicas: []uint64{primary.host.Identity, member.host.Identity},
+					backup := startBenchNode(b, ctx, 0)
+					primary.node.SetAddress(backup.node.Identity, backup.address)
+					backup.node.SetAddress(primary.node.Identity, primary.address)
+					primary.node.SetView(testGroup, replica.View{
+						Epoch: epoch, Primary: primary.node.Identity, InSync: []uint64{primary.node.Identity},
+						Replicas: []uint64{primary.node.Identity, backup.node.Identity},
 					})
 					epoch++
 					done = func() bool { return caughtUp(primary) }
--- a/tier/multigroup/diskwatch_test.go
+++ b/tier/multigroup/diskmonitor_test.go
@@ -6,12 +6,12 @@
 	"pgregory.net/rapid"
 )
 
-// A disk that does not end a write in time is troubled while the write is under way, and for a while after it.
-func TestAStalledDiskIsTroubledUntilItWorksAgain(t *testing.T) {
+// A disk that does not end a write in time is degraded while the write is under way, and for a while after it.
+func TestAStalledDiskIsDegradedUntilItWorksAgain(t *testing.T) {
 	var d DiskMonitor
 	d.BeginWrite(1000)
 	if d.Degraded(1000 + diskStalledAfter) {
-		t.Fatal("troubled too soon")
+		t.Fatal("degraded too soon")
 	}
 	if !d.Degraded(1001 + diskStalledAfter) {
 		t.Fatal("a stalled disk is trusted")
@@ -36,7 +36,7 @@
 	}
 }
 
-// However slow a disk is, one that ends each write in time is never troubled.
+// However slow a disk is, one that ends each write in time is never degraded.
 func TestASlowDiskThatEndsItsWritesIsTrusted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var d DiskMonitor
@@ -45,12 +45,12 @@
 			d.BeginWrite(now)
 			now += int64(rapid.IntRange(0, diskStalledAfter).Draw(rt, "takes"))
 			if d.Degraded(now) {
-				rt.Fatal("troubled within a write that ends in time")
+				rt.Fatal("degraded within a write that ends in time")
 			}
 			d.EndWrite(now)
 			now += int64(rapid.IntRange(0, 50).Draw(rt, "rest"))
 			if d.Degraded(now) {
-				rt.Fatal("troubled though each write ended in time")
+				rt.Fatal("degraded though each write ended in time")
 			}
 		}
 	})
--- a/tier/multigroup/installation_test.go
+++ b/tier/multigroup/identity_test.go
@@ -21,20 +21,21 @@
 func (silentMachine) Snapshot() []byte         { return nil }
 func (silentMachine) Restore([]byte) error     { return nil }
 
-func openTestHost(t *testing.T, dir string) (*Node, *test.Hook) {
+func openTestNode(t *testing.T, dir string) (*Node, *test.Hook) {
 	t.Helper()
 	logger, hook := test.NewNullLogger()
-	host, err := Open(dir, rpc.NewClients(nil), logrus.NewEntry(logger), false)
+	node, err := Open(dir, rpc.NewClients(nil), logrus.NewEntry(logger), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := host.OpenGroup(testGroup, silentMachine{}, replica.Options{}); err != nil {
+	t.Cleanup(func() { node.Close() })
+	if err := node.OpenGroup(testGroup, silentMachine{}, replica.Options{}); err != nil {
 		t.Fatal(err)
 	}
-	return host, hook
+	return node, hook
 }
 
-// appendTo is a message from a primary that puts one entry into the log of another host's replica.
+// appendTo is a message from a primary that puts one entry into the log of another node's replica.
 func appendTo(from, to *Node, index uint64) []byte {
 	message := replica.Message{
 		Kind: replica.MessageAppend, Epoch: 1, Index: index - 1, PrevEpoch: min(index-1, 1),
@@ -43,8 +44,8 @@
 	return from.encodeMessage(testGroup, replica.Outgoing{To: to.Identity, Message: message})
 }
 
-func lastIndex(h *Node) (last uint64) {
-	h.WithGroup(testGroup, func(g *replica.Group) { last = g.LastIndex() })
+func lastIndex(n *Node) (last uint64) {
+	n.WithGroup(testGroup, func(g *replica.Group) { last = g.LastIndex() })
 	return last
 }
 
@@ -57,47 +58,47 @@
 	return found
 }
 
-// A member takes nothing from a process of another installation, names it with a code, and remembers its own over a restart.
-func TestAnotherInstallationIsRefused(t *testing.T) {
+// A member takes nothing from a process of another cluster, names it with a code, and remembers its own over a restart.
+func TestMessagesOfAnotherClusterAreDropped(t *testing.T) {
 	dir := t.TempDir()
-	member, _ := openTestHost(t, dir)
-	own, _ := openTestHost(t, t.TempDir())
-	other, _ := openTestHost(t, t.TempDir())
+	member, _ := openTestNode(t, dir)
+	own, _ := openTestNode(t, t.TempDir())
+	other, _ := openTestNode(t, t.TempDir())
 	own.BindCluster(7)
 	other.BindCluster(8)
 	member.HandleMessage(appendTo(own, member, 1), nil)
 	if lastIndex(member) != 1 || member.ClusterID() != 7 {
-		t.Fatalf("last entry %d, installation %d", lastIndex(member), member.ClusterID())
+		t.Fatalf("last entry %d, cluster %d", lastIndex(member), member.ClusterID())
 	}
-	again, hook := openTestHost(t, dir)
+	again, hook := openTestNode(t, dir)
 	again.HandleMessage(appendTo(other, again, 2), nil)
 	again.HandleMessage(appendTo(other, again, 2), nil)
 	if lastIndex(again) != 0 || again.ClusterID() != 7 {
-		t.Fatalf("last entry %d, installation %d", lastIndex(again), again.ClusterID())
+		t.Fatalf("last entry %d, cluster %d", lastIndex(again), again.ClusterID())
 	}
 	if got := namedCodes(hook); len(got) != 1 || got[0] != codes.DiskForeign {
 		t.Fatalf("named: %v", got)
 	}
 	if again.BindCluster(8) || !again.BindCluster(7) {
-		t.Fatal("bound to a second installation")
+		t.Fatal("bound to a second cluster")
 	}
 }
 
-// A member whose disk was replaced by an older copy of it is found out by those that heard of its later starts.
-func TestAnOlderCopyOfADiskIsFoundOut(t *testing.T) {
-	member, hook := openTestHost(t, t.TempDir())
+// A member whose disk was replaced by an older copy of it is detected by those that heard of its later starts.
+func TestAnOlderCopyOfADiskIsDetected(t *testing.T) {
+	member, hook := openTestNode(t, t.TempDir())
 	dir, saved := t.TempDir(), t.TempDir()
-	openTestHost(t, dir)
+	openTestNode(t, dir)
 	if err := os.CopyFS(filepath.Join(saved, "copy"), os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	openTestHost(t, dir)
-	primary, _ := openTestHost(t, dir)
+	openTestNode(t, dir)
+	primary, _ := openTestNode(t, dir)
 	member.HandleMessage(appendTo(primary, member, 1), nil)
 	if lastIndex(member) != 1 {
 		t.Fatal("a message was not taken")
 	}
-	older, _ := openTestHost(t, filepath.Join(saved, "copy"))
+	older, _ := openTestNode(t, filepath.Join(saved, "copy"))
 	if older.Identity != primary.Identity {
 		t.Fatal("the copy has another identity")
 	}
--- a/tier/multigroup/recorded_test.go
+++ b/tier/multigroup/recorded_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	recordedIdentity     = uint64(0x0102030405060709)
-	recordedInstallation = uint64(0xfedcba9876543210)
-	recordedReceiver     = uint64(0x1112131415161719)
-	recordedGroup        = uint32(0x01020304)
+	recordedIdentity  = uint64(0x0102030405060709)
+	recordedClusterID = uint64(0xfedcba9876543210)
+	recordedReceiver  = uint64(0x1112131415161719)
+	recordedGroup     = uint32(0x01020304)
 )
 
-// recordedValues are the files that an installed host keeps beside its journal, after its second start.
+// recordedValues are the files that a bound node keeps beside its journal, after its second start.
 var recordedValues = map[string]string{
 	"identity-0000000000000001":     "identity",
 	"installation-0000000000000001": "installation",
@@ -35,11 +35,11 @@
 func openRecorded(t *testing.T, dir string) *Node {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
-	host, err := Open(dir, rpc.NewClients(nil), logrus.NewEntry(logger), false)
+	node, err := Open(dir, rpc.NewClients(nil), logrus.NewEntry(logger), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return host
+	return node
 }
 
 // restoreFiles writes recordings into a folder.
@@ -64,8 +64,8 @@
 	recorded.Check(t, name, content)
 }
 
-// installedHost is a host with a fixed identity and installation, at its second start.
-func installedHost(t *testing.T, dir string) *Node {
+// newBoundNode is a node with a fixed identity and cluster, at its second start.
+func newBoundNode(t *testing.T, dir string) *Node {
 	t.Helper()
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
 	if err != nil {
@@ -74,7 +74,7 @@
 	if err := values.Write(identityValue, binary.BigEndian.AppendUint64(nil, recordedIdentity)); err != nil {
 		t.Fatal(err)
 	}
-	if first := openRecorded(t, dir); !first.BindCluster(recordedInstallation) {
+	if first := openRecorded(t, dir); !first.BindCluster(recordedClusterID) {
 		t.Fatal("not bound")
 	}
 	return openRecorded(t, dir)
@@ -82,7 +82,7 @@
 
 func TestRecordedValues(t *testing.T) {
 	dir := t.TempDir()
-	installedHost(t, dir)
+	newBoundNode(t, dir)
 	files, err := os.ReadDir(filepath.Join(dir, "values"))
 	if err != nil || len(files) != len(recordedValues) {
 		t.Fatalf("%d files, %v", len(files), err)
@@ -93,22 +93,22 @@
 
 	restored := t.TempDir()
 	restoreFiles(t, filepath.Join(restored, "values"), recordedValues)
-	host := openRecorded(t, restored)
-	if host.Identity != recordedIdentity || host.ClusterID() != recordedInstallation || host.origin.starts != 3 {
-		t.Fatalf("identity %x, installation %x, start %d", host.Identity, host.ClusterID(), host.origin.starts)
+	node := openRecorded(t, restored)
+	if node.Identity != recordedIdentity || node.ClusterID() != recordedClusterID || node.disk.starts != 3 {
+		t.Fatalf("identity %x, cluster %x, start %d", node.Identity, node.ClusterID(), node.disk.starts)
 	}
 }
 
 // An identity that is drawn is stored in the form of the recorded one.
 func TestRecordedFormOfADrawnIdentity(t *testing.T) {
 	dir := t.TempDir()
-	host := openRecorded(t, dir)
+	node := openRecorded(t, dir)
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	content, err := values.Read("identity")
-	if err != nil || len(content) != 8 || binary.BigEndian.Uint64(content) != host.Identity {
+	if err != nil || len(content) != 8 || binary.BigEndian.Uint64(content) != node.Identity {
 		t.Fatalf("stored %x, %v", content, err)
 	}
 }
@@ -122,8 +122,8 @@
 
 // A message between replicas goes behind the recorded header, and is taken from behind it.
 func TestRecordedMessage(t *testing.T) {
-	host := installedHost(t, t.TempDir())
-	recorded.Check(t, "message", host.encodeMessage(recordedGroup, recordedOutgoing()))
+	node := newBoundNode(t, t.TempDir())
+	recorded.Check(t, "message", node.encodeMessage(recordedGroup, recordedOutgoing()))
 
 	receiver := openRecorded(t, t.TempDir())
 	receiver.Identity = recordedReceiver
@@ -136,35 +136,35 @@
 	if view.Primary != recordedIdentity || view.Epoch != 1 || last != 2 {
 		t.Fatalf("view %+v, last entry %d", view, last)
 	}
-	if receiver.ClusterID() != recordedInstallation || receiver.origin.seen[recordedIdentity] != 2 {
-		t.Fatalf("installation %x, starts %v", receiver.ClusterID(), receiver.origin.seen)
+	if receiver.ClusterID() != recordedClusterID || receiver.disk.knownStarts[recordedIdentity] != 2 {
+		t.Fatalf("cluster %x, starts %v", receiver.ClusterID(), receiver.disk.knownStarts)
 	}
 	if KindReplica != 10 {
 		t.Errorf("kind %d", KindReplica)
 	}
 }
 
-// What a host writes into its journal for its groups is as recorded, and its groups are found there.
+// What a node writes into its journal for its groups is as recorded, and its groups are found there.
 func TestRecordedJournal(t *testing.T) {
 	const segment = "segment-0000000000000001"
 	dir := t.TempDir()
-	host := openRecorded(t, dir)
+	node := openRecorded(t, dir)
 	queue := []pendingWrite{
-		{group: &hosted{id: 4}, write: replica.Write{Entries: []replica.Entry{{Index: 1, Epoch: 1, Data: []byte("gone")}}}},
-		{group: &hosted{id: 3}, write: replica.Write{
+		{group: &openGroup{id: 4}, write: replica.Write{Entries: []replica.Entry{{Index: 1, Epoch: 1, Data: []byte("gone")}}}},
+		{group: &openGroup{id: 3}, write: replica.Write{
 			Snapshot: &replica.Snapshot{Index: 7, Epoch: 2, State: []byte("a state")},
 			Entries:  []replica.Entry{{Index: 8, Epoch: 2, Data: []byte("eight")}, {Index: 9, Epoch: 3, Data: []byte("nine")}},
 		}},
-		{group: &hosted{id: 4}, dropped: true},
+		{group: &openGroup{id: 4}, dropped: true},
 	}
-	if err := host.journal.Append(recordsOf(queue)); err != nil {
+	if err := node.writer.journal.Append(recordsOf(queue)); err != nil {
 		t.Fatal(err)
 	}
 	checkFile(t, "journal", filepath.Join(dir, "journal", segment))
 
 	restored := t.TempDir()
 	restoreFiles(t, filepath.Join(restored, "journal"), map[string]string{segment: "journal"})
-	found := openRecorded(t, restored).found
+	found := openRecorded(t, restored).unopened
 	want := map[uint32]*storage.GroupLog{3: {
 		Snapshot: []byte("a state"), SnapshotIndex: 7, SnapshotEpoch: 2,
 		Entries: []storage.Record{
@@ -181,12 +181,12 @@
 func TestRecordedRewrite(t *testing.T) {
 	dir := t.TempDir()
 	restoreFiles(t, filepath.Join(dir, "journal"), map[string]string{"segment-0000000000000001": "journal"})
-	host := openRecorded(t, dir)
+	node := openRecorded(t, dir)
 	machine := &recordedMachine{}
-	if err := host.OpenGroup(3, machine, replica.Options{}); err != nil {
+	if err := node.OpenGroup(3, machine, replica.Options{}); err != nil {
 		t.Fatal(err)
 	}
-	host.rewrite()
+	node.compactJournal()
 	checkFile(t, "journal-rewritten", filepath.Join(dir, "journal", "segment-0000000000000003"))
 	if string(machine.state) != "a state" {
 		t.Fatalf("restored %q", machine.state)
