--- a/gateway/policy/policy_test.go
+++ b/gateway/policy/policy_test.go
@@ -34,7 +34,7 @@
 
 func TestSettlesByTheTrueUnitsUpAndDown(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.counterConfig.SettlesUnits = true
+	f.g.counter.config.SettlesUnits = true
 	for _, c := range []struct{ actual, rides float64 }{{5, 4}, {1, 0}} {
 		f.wait(1)
 		inv := f.take(3, 2)
@@ -114,7 +114,7 @@
 		} else if !c.again && f.last[inv].Action != c.final {
 			t.Errorf("%s after %s: want %v, got %+v", c.op, c.ending, c.final, f.last[inv])
 		}
-		if c.op == "mark" && strings.Contains("ET", c.ending) && len(inv.Attempts) == 2 {
+		if c.op == "mark" && (c.ending == "E" || c.ending == "T") && len(inv.Attempts) == 2 {
 			if h := inv.Attempts[0].Host; h.zone != inv.Attempts[1].Host.zone {
 				t.Errorf("a tokened repeat left its zone after %s", c.ending)
 			}
@@ -235,8 +235,8 @@
 		f.totals()
 		f.wait(0.1)
 	}
-	if f.g.callLimiter.Rate < 20 {
-		t.Fatalf("%.1f calls a second 10 s after the counter is back", f.g.callLimiter.Rate)
+	if f.g.counter.limiter.Rate < 20 {
+		t.Fatalf("%.1f calls a second 10 s after the counter is back", f.g.counter.limiter.Rate)
 	}
 	if len(f.logs) != 2 {
 		t.Fatalf("want one line for each change of mode, got %q", f.logs)
@@ -294,8 +294,8 @@
 	inv := f.take(1, 2)
 	h := inv.Attempts[0].Host
 	f.wait(0.9)
-	if !h.ejected || len(f.off) != 1 || f.told[0] != "-"+h.Addr {
-		t.Fatalf("set aside %v, cancels %d, told %q", h.ejected, len(f.off), f.told)
+	if !h.health.ejected || len(f.off) != 1 || f.told[0] != "-"+h.Addr {
+		t.Fatalf("set aside %v, cancels %d, told %q", h.health.ejected, len(f.off), f.told)
 	}
 	f.ends(inv, Cancelled)
 	f.wantSent(inv, 2)
@@ -308,13 +308,13 @@
 	for _, word := range []string{"+a", ""} {
 		f := newFake(t, Plan{Name: "p"})
 		f.warmUp(20)
-		h := f.g.hostsByAddr["a"]
+		h := f.g.hosts.byAddr["a"]
 		f.g.eject(f.now, h, "for the story")
 		f.g.PeerMessage(f.now, 0, "+nobody")
 		f.g.PeerMessage(f.now, 0, "\x00")
 		f.g.PeerMessage(f.now, 0, word)
-		if h.ejected != (word == "") {
-			t.Fatalf("aside %v after %q", h.ejected, word)
+		if h.health.ejected != (word == "") {
+			t.Fatalf("aside %v after %q", h.health.ejected, word)
 		}
 		f.wait(1.1)
 		inv := f.take(1, 2)
@@ -322,7 +322,7 @@
 			t.Fatal("no trial")
 		}
 		f.ends(inv, Succeeded)
-		if h.ejected {
+		if h.health.ejected {
 			t.Fatal("a good answer did not bring it back")
 		}
 	}
@@ -340,13 +340,13 @@
 func TestAllSlowSetsNoneAside(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
 	f.warmUp(20)
-	f.g.hostsByAddr["b"].answerGap = f.g.hostsByAddr["a"].answerGap
+	f.g.hosts.byAddr["b"].health.answerGap = f.g.hosts.byAddr["a"].health.answerGap
 	for range 8 { // all places of both
 		f.take(1, 2)
 	}
 	f.wait(3)
-	for _, h := range f.g.hosts {
-		if h.ejected {
+	for _, h := range f.g.hosts.ordered {
+		if h.health.ejected {
 			t.Fatalf("host %s set aside: %q", h.Addr, f.logs)
 		}
 	}
@@ -354,7 +354,7 @@
 
 func TestFastErrorsSetAHostAside(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.hostsByAddr["a"]
+	h := f.g.hosts.byAddr["a"]
 	for range 20 {
 		f.wait(0.2)
 		inv := f.takeOp("once", 1, 2)
@@ -364,7 +364,7 @@
 			f.ends(inv, Succeeded)
 		}
 	}
-	if !h.ejected {
+	if !h.health.ejected {
 		t.Fatal("still in use")
 	}
 }
@@ -389,15 +389,15 @@
 func TestPlacesFallWhenAnswersSlow(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
 	f.warmUp(10)
-	h := f.g.hostsByAddr["a"]
-	f.g.hosts = []*Host{h}
+	h := f.g.hosts.byAddr["a"]
+	f.g.hosts.ordered = []*Host{h}
 	for range 30 {
 		inv := f.take(1, 2)
 		f.now += 0.5
 		f.ends(inv, Succeeded)
 	}
-	if h.concurrencyLimit > 1 {
-		t.Fatalf("%.1f places", h.concurrencyLimit)
+	if h.limit > 1 {
+		t.Fatalf("%.1f places", h.limit)
 	}
 }
 
@@ -412,8 +412,8 @@
 			}
 		}
 	}
-	if f.g.perHostLimit > 3 {
-		t.Fatalf("%.1f a host from all", f.g.perHostLimit)
+	if f.g.concurrency.perHost > 3 {
+		t.Fatalf("%.1f a host from all", f.g.concurrency.perHost)
 	}
 }
 
@@ -440,7 +440,7 @@
 	for seed := range uint64(100) {
 		f := newFakeOf(t, Plan{Name: "p"}, 300)
 		f.g.random = rng.By("%d ", seed)
-		f.g.eject(f.now, f.g.hosts[0], "for the story")
+		f.g.eject(f.now, f.g.hosts.ordered[0], "for the story")
 		told += len(f.told)
 	}
 	if told == 0 || told > 15 {
@@ -452,7 +452,7 @@
 	let := 0.0
 	for range 4 { // four lives of 5 s
 		f := newFake(t, Plan{Name: "p", CeilingRate: 4, CeilingBurst: 40})
-		f.g.callLimiter = overload.NewCallLimiter(false, 0)
+		f.g.counter.limiter = overload.NewCallLimiter(false, 0)
 		for range 50 {
 			if f.passes(1, 2) {
 				let++
@@ -467,7 +467,7 @@
 
 func TestOddStarts(t *testing.T) {
 	f := newFake(t, ten)
-	f.g.callLimiter = overload.NewCallLimiter(false, 0) // no counter: its share of the quota
+	f.g.counter.limiter = overload.NewCallLimiter(false, 0) // no counter: its share of the quota
 	let := 0
 	for range 10 {
 		if f.passes(2, 2) {
@@ -535,19 +535,19 @@
 
 func TestPeersWordCountsOnceForAHostNotReachedFromHere(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.hostsByAddr["a"]
+	h := f.g.hosts.byAddr["a"]
 	f.g.eject(f.now, h, "for the story")
 	f.g.PeerMessage(f.now, 0, "+a")
 	f.g.eject(f.now, h, "again")
 	f.g.PeerMessage(f.now, 0, "+a")
-	if !h.ejected {
+	if !h.health.ejected {
 		t.Fatal("back by peers' word although it failed here again")
 	}
 }
 
 func TestPlacesDoNotCreepUpWhileAHostStaysPressed(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.hostsByAddr["a"]
+	h := f.g.hosts.byAddr["a"]
 	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}}, true)
 	f.warmUp(200)
 	for range 600 {
@@ -555,24 +555,24 @@
 		f.now += 0.06 // three times its best
 		f.ends(inv, Succeeded)
 	}
-	if h.concurrencyLimit > 1.2 {
-		t.Fatalf("%.1f places after a long press", h.concurrencyLimit)
+	if h.limit > 1.2 {
+		t.Fatalf("%.1f places after a long press", h.limit)
 	}
 }
 
 func TestAHostThatHangsEveryTimeIsSetAside(t *testing.T) {
 	f := newFake(t, Plan{Name: "p"})
-	h := f.g.hostsByAddr["a"]
+	h := f.g.hosts.byAddr["a"]
 	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "leaving"}}, true)
 	f.warmUp(5)
 	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "b", Zone: "y", State: "active"}}, false)
 	for range 3 { // one at a time, so that its silence begins anew with each
-		inv := &Invocation{operation: f.g.operations["once"], customer: f.g.customersInOrder[0], targetAt: f.now + 1, deadline: f.now + 4}
+		inv := &Invocation{operation: f.g.operations["once"], customer: f.g.customers.ordered[0], targetAt: f.now + 1, deadline: f.now + 4}
 		f.g.send(f.now, inv, h)
 		f.now += 0.1
 		f.g.AttemptEnded(f.now, inv.Attempts[0], AttemptResult{Outcome: TimedOut, Duration: 0.1})
 	}
-	if !h.ejected {
+	if !h.health.ejected {
 		t.Fatal("still in use")
 	}
 }
@@ -604,7 +604,7 @@
 
 func TestATotalOverTheQuotaCutsWhatIsLetInWithoutACallHereAndAtPeers(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 20, Burst: 100}, 100)
-	f.g.callLimiter = overload.NewCallLimiter(false, 0)
+	f.g.counter.limiter = overload.NewCallLimiter(false, 0)
 	let := func() (n int) {
 		for range 200 {
 			f.wait(0.1)
@@ -683,24 +683,24 @@
 		f.totals()
 		f.wait(0.01)
 	}
-	before := f.g.callLimiter.Rate
+	before := f.g.counter.limiter.Rate
 	for range 12 {
 		f.take(1, 2)
 	}
 	f.now += 0.05
-	if f.noTotals(); f.g.callLimiter.Rate < 0.7*before || f.g.callLimiter.Rate >= before {
-		t.Fatalf("%.0f calls a second after a jam, %.0f before", f.g.callLimiter.Rate, before)
+	if f.noTotals(); f.g.counter.limiter.Rate < 0.7*before || f.g.counter.limiter.Rate >= before {
+		t.Fatalf("%.0f calls a second after a jam, %.0f before", f.g.counter.limiter.Rate, before)
 	}
 	for range 20 { // slow answers are a sign of it before any is missing
 		f.take(1, 2)
-		for before = f.g.callLimiter.Rate; f.n < len(f.calls); {
+		for before = f.g.counter.limiter.Rate; f.n < len(f.calls); {
 			f.n++
 			f.g.CounterReplied(f.now, f.calls[f.n-1].name, Succeeded, 1, 0.04)
 		}
 		f.wait(0.1)
 	}
-	if f.g.callLimiter.Rate >= before {
-		t.Fatalf("%.0f calls a second with slow answers, %.0f before the last", f.g.callLimiter.Rate, before)
+	if f.g.counter.limiter.Rate >= before {
+		t.Fatalf("%.0f calls a second with slow answers, %.0f before the last", f.g.counter.limiter.Rate, before)
 	}
 }
 
@@ -715,27 +715,27 @@
 		f.wait(1)
 		f.noTotals()
 	}
-	if len(f.g.customers)+len(f.g.customersInOrder) > 0 {
-		t.Fatalf("%d customers are kept, a full burst and nothing out", len(f.g.customers))
+	if len(f.g.customers.byID)+len(f.g.customers.ordered) > 0 {
+		t.Fatalf("%d customers are kept, a full burst and nothing out", len(f.g.customers.byID))
 	}
 	inv = f.take(4, 2)
 	f.total(4)
 	d := inv.Attempts[0]
 	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active"}}, true)
-	if len(f.g.hosts) != 2 || f.g.hostsByAddr[d.Host.Addr] != d.Host {
-		t.Fatalf("%d hosts: want the new one and the one with a delivery out", len(f.g.hosts))
+	if len(f.g.hosts.ordered) != 2 || f.g.hosts.byAddr[d.Host.Addr] != d.Host {
+		t.Fatalf("%d hosts: want the new one and the one with a delivery out", len(f.g.hosts.ordered))
 	}
 	f.ends(inv, Succeeded)
 	f.g.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active"}}, false)
-	if len(f.g.hosts) != 1 || len(f.g.hostsByAddr) != 1 {
-		t.Fatalf("%d hosts are kept", len(f.g.hosts))
+	if len(f.g.hosts.ordered) != 1 || len(f.g.hosts.byAddr) != 1 {
+		t.Fatalf("%d hosts are kept", len(f.g.hosts.ordered))
 	}
 }
 
 // The counter's answer can't be read: the estimate was added all the same and is not owed again, and the calls go on.
 func TestAnAnswerOfTheCounterThatCantBeReadWasAdded(t *testing.T) {
 	f := newFake(t, ten)
-	before := f.g.callLimiter.Rate
+	before := f.g.counter.limiter.Rate
 	inv := f.take(1, 1)
 	f.wantCall(1)
 	f.counted(Failed, 0)
@@ -745,8 +745,8 @@
 	f.wantCall(2)
 	f.total(9)
 	f.wait(0.1)
-	if f.g.callLimiter.Rate < before {
-		t.Fatalf("%.1f calls a second, %.1f before", f.g.callLimiter.Rate, before)
+	if f.g.counter.limiter.Rate < before {
+		t.Fatalf("%.1f calls a second, %.1f before", f.g.counter.limiter.Rate, before)
 	}
 	inv = f.take(8, 1) // over its room, and what was added is taken off
 	f.counted(Failed, 0)
@@ -786,21 +786,21 @@
 		f.ends(two, Succeeded)
 		f.ends(three, Succeeded)
 	}
-	if h.lastAnswerAt <= stuck.Attempts[0].sentAt {
+	if h.health.lastAnswerAt <= stuck.Attempts[0].sentAt {
 		t.Fatal("the host has answered nothing since: no story")
 	}
-	h.concurrencyLimit = 4
-	if f.wait(0.5); h.ejected {
+	h.limit = 4
+	if f.wait(0.5); h.health.ejected {
 		t.Fatalf("set aside: %q", f.logs)
 	}
-	places, slow := h.concurrencyLimit, h.slowness // nor is it slow, or to be sent less, when that one is given up
-	if f.ends(stuck, TimedOut); h.concurrencyLimit != places || h.slowness != slow || h.consecutiveFailures > 0 {
-		t.Fatalf("%.1f places after %.1f, slow %.2f after %.2f, %d bad endings", h.concurrencyLimit, places, h.slowness, slow, h.consecutiveFailures)
+	places, slow := h.limit, h.latency.slowness // nor is it slow, or to be sent less, when that one is given up
+	if f.ends(stuck, TimedOut); h.limit != places || h.latency.slowness != slow || h.health.failures > 0 {
+		t.Fatalf("%.1f places after %.1f, slow %.2f after %.2f, %d bad endings", h.limit, places, h.latency.slowness, slow, h.health.failures)
 	}
 	for range 9 { // it really is silent now
 		f.takeOp("once", 1, 2)
 	}
-	if f.wait(1); !slices.ContainsFunc(f.g.hosts, func(h *Host) bool { return h.suspicion > 12 }) {
+	if f.wait(1); !slices.ContainsFunc(f.g.hosts.ordered, func(h *Host) bool { return h.health.suspicion > 12 }) {
 		t.Fatal("silence is no longer seen")
 	}
 }
@@ -819,7 +819,7 @@
 		}
 		f.take(1, 2)
 		f.total((1 + others) * p.slotUnit())
-		f.g.callLimiter.Tokens, f.g.callLimiter.Rate, f.g.callLimiter.UpdatedAt = 0, 0, f.now
+		f.g.counter.limiter.Tokens, f.g.counter.limiter.Rate, f.g.counter.limiter.UpdatedAt = 0, 0, f.now
 		f.now += 0.5
 		f.wantSent(f.take(1, 2), want)
 		f.wantSent(f.take(1, 2), 0)
@@ -854,8 +854,8 @@
 	for _, good := range []bool{true, false} {
 		f := newFake(t, Plan{Name: "p"})
 		f.warmUp(40)
-		for _, h := range f.g.hosts {
-			h.concurrencyLimit, h.answerGap = 1, 0.02
+		for _, h := range f.g.hosts.ordered {
+			h.limit, h.health.answerGap = 1, 0.02
 		}
 		stuck := f.takeOp("once", 1, 2)
 		h := stuck.Attempts[0].Host
@@ -865,15 +865,15 @@
 		f.wantSent(unsafe, 0)
 		beside := f.take(1, 2)
 		f.wantSent(beside, 1)
-		if beside.Attempts[0].Host != h || h.ejected {
-			t.Fatalf("went to %s, not %s; set aside %v", beside.Attempts[0].Host.Addr, h.Addr, h.ejected)
+		if beside.Attempts[0].Host != h || h.health.ejected {
+			t.Fatalf("went to %s, not %s; set aside %v", beside.Attempts[0].Host.Addr, h.Addr, h.health.ejected)
 		}
 		f.ends(other, Succeeded)
 		if good {
 			f.ends(beside, Succeeded)
 		}
-		if f.wait(0.2); h.ejected == good {
-			t.Fatalf("answered %v, set aside %v: %q", good, h.ejected, f.logs)
+		if f.wait(0.2); h.health.ejected == good {
+			t.Fatalf("answered %v, set aside %v: %q", good, h.health.ejected, f.logs)
 		}
 	}
 }
@@ -882,15 +882,15 @@
 // quick answers must bring back most of what is wanted.
 func TestCallsGrowSoonAfterTheCounterIsBack(t *testing.T) {
 	f := newFakeOf(t, Plan{Name: "p", Rate: 1000, Burst: 10000}, 4)
-	f.g.callLimiter.Rate, f.g.callLimiter.Tokens = 15.3, 1
+	f.g.counter.limiter.Rate, f.g.counter.limiter.Tokens = 15.3, 1
 	for range 250 {
 		f.take(1, 2)
 		f.totals()
 		f.wait(0.01)
 		f.answerAll()
 	}
-	if f.g.callLimiter.Rate < 60 {
-		t.Fatalf("%.1f calls a second 2.5 s after the counter is back, 100 are wanted", f.g.callLimiter.Rate)
+	if f.g.counter.limiter.Rate < 60 {
+		t.Fatalf("%.1f calls a second 2.5 s after the counter is back, 100 are wanted", f.g.counter.limiter.Rate)
 	}
 }
 
@@ -901,7 +901,7 @@
 	f := newFake(t, p)
 	inv := f.take(1, 2)
 	f.total(p.slotUnit())
-	f.g.callLimiter.Tokens, f.g.callLimiter.Rate, f.g.callLimiter.UpdatedAt = 0, 32, f.now
+	f.g.counter.limiter.Tokens, f.g.counter.limiter.Rate, f.g.counter.limiter.UpdatedAt = 0, 32, f.now
 	f.ends(inv, Succeeded)
 	f.n = 1
 	f.wantCall(-p.slotUnit())
@@ -924,7 +924,7 @@
 		for range 30 { // totals: one place held here beside the one that is tried for, and the others'
 			f.g.applyTotal(f.now, &counterCall{customer: inv.customer, invocation: &Invocation{operation: inv.operation}, slots: 1, countedSlots: 2}, (2+others)*p.slotUnit())
 		}
-		f.g.callLimiter.Tokens, f.g.callLimiter.Rate, f.g.callLimiter.UpdatedAt = -1e6, 0, f.now
+		f.g.counter.limiter.Tokens, f.g.counter.limiter.Rate, f.g.counter.limiter.UpdatedAt = -1e6, 0, f.now
 		out, tries := 0, 2000
 		var at []*Invocation
 		for range tries { // one every 10 ms, served in 50 ms
@@ -932,7 +932,7 @@
 			if n := len(at); n > 5 && at[n-6].inFlight > 0 {
 				f.ends(at[n-6], Succeeded)
 			}
-			out += f.g.customers["p c"].openSlots
+			out += f.g.customers.byID["p c"].slots.open
 			f.wait(0.01)
 		}
 		if mean := float64(out) / float64(tries); mean < want-0.3 || mean > want+0.3 {
@@ -964,7 +964,7 @@
 func TestWithoutCallsTheFavouriteOfAFarCustomerLetsItIn(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		f := newFakeOf(t, Plan{Name: "p", Rate: 10, Burst: 60}, 300)
-		f.g.callLimiter = overload.NewCallLimiter(false, 0)
+		f.g.counter.limiter = overload.NewCallLimiter(false, 0)
 		if known {
 			f.g.PeerMessage(f.now, 0, "=p c")
 			f.wait(1)
@@ -988,7 +988,7 @@
 	letIn := func(p Plan, peers *membership.Detector) (n int) {
 		f := newFakeOf(t, p, 4)
 		f.g.instance.Peers = peers
-		f.g.callLimiter = overload.NewCallLimiter(false, 0)
+		f.g.counter.limiter = overload.NewCallLimiter(false, 0)
 		for range 400 {
 			f.wait(0.05)
 			inv := f.take(1, 4)
