--- a/quotastore/replication/health.go
+++ b/quotastore/replication/health.go
@@ -1,49 +1,68 @@
 package replication
 
-// This file owns what others may look at: for the health answer, the log, and the laboratory's judges. It changes nothing.
-
 import (
 	"otterseam/quotastore/protocol"
 	"otterseam/quotastore/statemachine"
 )
 
-// Health tells of all groups, by number.
-func (c *Node) Health() []protocol.GroupHealth {
-	all := make([]protocol.GroupHealth, c.terms.Groups)
-	for i := range all {
-		h := protocol.GroupHealth{Group: i, Leader: c.asks[i].lead, Unavailable: c.cluster == 0 || c.asks[i].away(c.now)}
-		if g := c.group[i]; g != nil && g.applied > 0 {
-			h.HasReplica, h.IsLeader, h.Counters, h.AppliedIndex = true, g.leads, g.state.CounterCount(), g.applied
-			for _, id := range g.conf.Voters {
-				h.Replicas = append(h.Replicas, protocol.ReplicaID(id))
-			}
-			h.Stable = len(g.conf.VotersOutgoing)+len(g.conf.Learners)+len(g.conf.LearnersNext) == 0
-			if g.leads {
-				h.AllInSync = true
-				for id, p := range g.node.Status().Progress {
-					if id != uint64(c.id) && (c.now-c.heard[protocol.ReplicaID(id).Number()] > 1 || p.Match+64 < g.applied) {
-						h.AllInSync = false
-					}
-				}
-			}
+// inSyncSilence is for how many seconds a server may not be known to be alive and have its replicas count as in sync.
+const inSyncSilence = 1.0
+
+// Health returns how all groups stand as seen here, by number.
+func (n *Node) Health() []protocol.GroupHealth {
+	all := make([]protocol.GroupHealth, n.config.Groups)
+	for group := range all {
+		c := n.clients[group]
+		h := &all[group]
+		h.Group = group
+		h.Leader = c.leader
+		h.Unavailable = n.cluster == 0 || c.unavailable(n.now)
+		if r := n.replicas[group]; r != nil && r.applied > 0 {
+			r.describe(h)
 		}
-		all[i] = h
 	}
 	return all
 }
 
-// State is a copy's state, to be looked at only; nil: it isn't held here.
-func (c *Node) GroupState(group int) *statemachine.State {
-	if g := c.group[group]; g != nil {
-		return g.state
+// describe fills in what a replica knows.
+func (r *replica) describe(h *protocol.GroupHealth) {
+	h.HasReplica = true
+	h.IsLeader = r.leadership.leads
+	h.Counters = r.state.CounterCount()
+	h.AppliedIndex = r.applied
+	for _, id := range r.members.Voters {
+		h.Replicas = append(h.Replicas, protocol.ReplicaID(id))
+	}
+	h.Stable = len(r.members.VotersOutgoing)+len(r.members.Learners)+len(r.members.LearnersNext) == 0
+	h.AllInSync = r.leadership.leads && r.allInSync()
+}
+
+// allInSync reports whether all other replicas answer their leader, which is this one, and follow it closely.
+func (r *replica) allInSync() bool {
+	for id, progress := range r.raft.Status().Progress {
+		if id == uint64(r.node.id) {
+			continue
+		}
+		silence := r.node.now - r.node.status[protocol.ReplicaID(id).Number()].aliveAt
+		if silence > inSyncSilence || progress.Match+closeBehind < r.applied {
+			return false
+		}
+	}
+	return true
+}
+
+// GroupState returns the state of a replica here, to be read only; nil: there is none.
+func (n *Node) GroupState(group int) *statemachine.State {
+	if r := n.replicas[group]; r != nil {
+		return r.state
 	}
 	return nil
 }
 
-// Index is how far a copy's state has come.
-func (c *Node) AppliedIndex(group int) uint64 {
-	if g := c.group[group]; g != nil {
-		return g.applied
+// AppliedIndex returns how far a replica's state has come in its log; 0: there is none here.
+func (n *Node) AppliedIndex(group int) uint64 {
+	if r := n.replicas[group]; r != nil {
+		return r.applied
 	}
 	return 0
 }
--- /dev/null
+++ b/quotastore/replication/node_test.go
@@ -0,0 +1,135 @@
+package replication
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"otterseam/quotastore/protocol"
+	"otterseam/quotastore/statemachine"
+)
+
+// Two of three servers are away: requests are rejected at once, with one line in the log, and nothing is executed.
+func TestRequestsAreRejectedWithoutAQuorum(t *testing.T) {
+	n := newNode(t, 0)
+	if _, err := n.Bootstrap(0, testBootstrap(testIncarnation)); err != nil {
+		t.Fatal(err)
+	}
+	logged := 0
+	for now := 0.0; now < 6; now += tickInterval {
+		n.Tick(now)
+		for ready := n.Ready(); ready != nil; ready = n.Ready() {
+			n.Advance(ready)
+		}
+		n.TakeMessages()
+		for _, line := range n.TakeLogLines() {
+			if strings.Contains(line, "rejected") {
+				logged++
+			}
+		}
+	}
+	rejected := false
+	n.Submit(0, statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1}, func(outcome Outcome, _ statemachine.Reply) { rejected = outcome == Rejected })
+	if !rejected || logged != 1 {
+		t.Fatalf("rejected %v, logged %d times", rejected, logged)
+	}
+	for _, h := range n.Health() {
+		if !h.Unavailable || h.IsLeader {
+			t.Fatalf("%+v", h)
+		}
+	}
+}
+
+// The list is changed while servers run: ones at the end are new, none may change its place.
+func TestListOnlyGrows(t *testing.T) {
+	renamed := peers(4, 3)
+	renamed[1].Name = "else"
+	for _, c := range []struct {
+		name string
+		list []Peer
+		want func(error) bool
+	}{
+		{"a server is taken off", peers(2, 3), func(err error) bool { return errors.Is(err, ErrServerRemoved) }},
+		{"a server changes its name", renamed, isError[*ServerRenamedError]},
+		{"two are added", peers(5, 3), func(err error) bool { return err == nil }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := newNode(t, 5)
+			if err := n.SetPeers(1, c.list, 1); !c.want(err) {
+				t.Fatalf("the list gives %v", err)
+			}
+			n.Tick(2)
+		})
+	}
+}
+
+func TestServerIsNotMadeOutOfRange(t *testing.T) {
+	for name, change := range map[string]func(c *Config, self *int, incarnation *uint32){
+		"no groups":                func(c *Config, _ *int, _ *uint32) { c.Groups = 0 },
+		"too many replicas":        func(c *Config, _ *int, _ *uint32) { c.Replicas = maxReplicas + 1 },
+		"too short a log":          func(c *Config, _ *int, _ *uint32) { c.MaxLogEntries = minLogEntries - 1 },
+		"no rate of snapshots":     func(c *Config, _ *int, _ *uint32) { c.SnapshotRate = 0 },
+		"a number beyond the list": func(_ *Config, self *int, _ *uint32) { *self = 3 },
+		"no incarnation":           func(_ *Config, _ *int, incarnation *uint32) { *incarnation = 0 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			config, self, incarnation := testConfig, 0, uint32(testIncarnation)
+			change(&config, &self, &incarnation)
+			if _, err := New(self, incarnation, 5, peers(3, 3), config, 1, nil); !errors.Is(err, ErrInvalidConfig) {
+				t.Fatalf("a server was made: %v", err)
+			}
+		})
+	}
+	stored := map[int]*PersistentState{testConfig.Groups: {}}
+	if _, err := New(0, testIncarnation, 5, peers(3, 3), testConfig, 1, stored); !isError[*UnknownGroupError](err) {
+		t.Fatalf("a group that the configuration does not have: %v", err)
+	}
+}
+
+// A client can't submit what only servers may.
+func TestClientsSubmitNoServerCommands(t *testing.T) {
+	n := newNode(t, 5)
+	for _, kind := range []statemachine.Kind{
+		statemachine.RecoverUnreported, statemachine.ClearUnreported, statemachine.CollectUsage, statemachine.OpenSession, statemachine.Tick, 200,
+	} {
+		code := statemachine.Done
+		request := protocol.Request{Command: statemachine.Command{Kind: kind, Key: "n", Holder: "h"}}
+		n.HandleClient(1, request, func(r protocol.Response) { code = r.Reply.Code })
+		if code != statemachine.Invalid {
+			t.Fatalf("kind %d: %v", kind, code)
+		}
+	}
+}
+
+// Whatever comes on a stream is read or refused, and never ends the server.
+func FuzzFrame(f *testing.F) {
+	for _, frame := range []*protocol.Frame{
+		protocol.ClientHello(), protocol.RequestsFrame([]protocol.Request{{Command: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
+		{Kind: protocol.KindLeaders, Leaders: []protocol.LeaderAnnouncement{{Group: 1, Members: []uint64{1}}}},
+		{Kind: protocol.KindRaft, Raft: []byte("x")},
+		{Kind: protocol.KindMembership, Membership: "!b"},
+		protocol.AdminFrame(&protocol.Admin{Operation: protocol.OperationStatus}),
+	} {
+		encoded, err := frame.Encode()
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(encoded)
+	}
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		frame, err := protocol.DecodeFrame(encoded)
+		if err != nil {
+			return
+		}
+		frame.Incarnation = max(frame.Incarnation, 1)
+		if frame.Kind == protocol.KindRaft { // a message of the library is believed, as its sender is a server
+			return
+		}
+		n := newNode(t, 5)
+		n.Receive(1, 1, frame)
+		for _, request := range frame.Requests {
+			n.HandleClient(1, request, func(protocol.Response) {})
+		}
+		n.Tick(2)
+	})
+}
--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -27,7 +27,7 @@
 type exchange struct {
 	t     *testing.T
 	now   float64
-	cores []*Node
+	nodes []*Node
 	mail  [][]Message // by sender
 	raw   bytes.Buffer
 	kinds map[uint8]int
@@ -35,17 +35,17 @@
 	wrote map[string]int
 }
 
-var exchangeTerms = Config{Groups: 2, Replicas: 3, MaxLogEntries: 16, SnapshotRate: 1e6, ReplaceAfter: 2}
+var exchangeConfig = Config{Groups: 2, Replicas: 3, MaxLogEntries: 16, SnapshotRate: 1e6, ReplaceAfter: 2}
 
 func newExchange(t *testing.T, n int) *exchange {
 	t.Helper()
 	x := &exchange{t: t, mail: make([][]Message, n), kinds: map[uint8]int{}, raft: map[pb.MessageType]int{}, wrote: map[string]int{}}
 	for i := range n {
-		c, err := New(i, uint32(1000+i), 0, peers(n, 3), exchangeTerms, uint64(20+i), nil)
+		c, err := New(i, uint32(1000+i), 0, peers(n, 3), exchangeConfig, uint64(20+i), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.cores = append(x.cores, c)
+		x.nodes = append(x.nodes, c)
 	}
 	return x
 }
@@ -86,7 +86,7 @@
 
 // settle lets one store write all that it has to, and takes what it sends.
 func (x *exchange) settle(who int) {
-	c := x.cores[who]
+	c := x.nodes[who]
 	for w := c.Ready(); w != nil; w = c.Ready() {
 		x.write(who, w.Writes)
 		c.Advance(w)
@@ -102,7 +102,7 @@
 	x.t.Helper()
 	for until := x.now + seconds; x.now < until; {
 		x.now += 0.02
-		for i, c := range x.cores {
+		for i, c := range x.nodes {
 			c.Tick(x.now)
 			x.settle(i)
 		}
@@ -139,7 +139,7 @@
 		}
 		x.raft[m.GetType()]++
 	}
-	x.cores[l.To].Receive(x.now, from, f)
+	x.nodes[l.To].Receive(x.now, from, f)
 	x.settle(l.To)
 }
 
@@ -147,7 +147,7 @@
 func (x *exchange) ask(who int, e statemachine.Command) statemachine.Reply {
 	x.t.Helper()
 	var r *protocol.Response
-	x.cores[who].HandleClient(x.now, protocol.Request{ID: 1, Command: e}, func(a protocol.Response) { r = &a })
+	x.nodes[who].HandleClient(x.now, protocol.Request{ID: 1, Command: e}, func(a protocol.Response) { r = &a })
 	for range 100 {
 		if r != nil {
 			break
@@ -163,7 +163,7 @@
 func (x *exchange) take(who int, batch uint64) *protocol.Admin {
 	x.t.Helper()
 	var r *protocol.Admin
-	x.cores[who].HandleAdmin(x.now, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, nil, func(a *protocol.Admin) { r = a })
+	x.nodes[who].HandleAdmin(x.now, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, nil, func(a *protocol.Admin) { r = a })
 	for range 100 {
 		if r != nil {
 			break
@@ -181,11 +181,11 @@
 func play(t *testing.T) *exchange {
 	t.Helper()
 	x := newExchange(t, 3)
-	f := &protocol.Bootstrap{Cluster: 0x1122334455667789, Groups: exchangeTerms.Groups, Replicas: exchangeTerms.Replicas}
-	for i := range x.cores {
+	f := &protocol.Bootstrap{Cluster: 0x1122334455667789, Groups: exchangeConfig.Groups, Replicas: exchangeConfig.Replicas}
+	for i := range x.nodes {
 		f.Members = append(f.Members, protocol.NewReplicaID(i, uint32(1000+i)))
 	}
-	for i, c := range x.cores {
+	for i, c := range x.nodes {
 		writes, err := c.Bootstrap(x.now, f)
 		if err != nil {
 			t.Fatal(err)
@@ -193,6 +193,14 @@
 		x.write(i, writes)
 	}
 	x.run(2)
+	x.playRequests()
+	x.playFourthServer()
+	return x
+}
+
+// playRequests asks for all kinds of commands, and has what a dead holder had not reported recovered.
+func (x *exchange) playRequests() {
+	x.t.Helper()
 	x.ask(0, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-dead.1", TTL: 0.5})
 	x.ask(1, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-alive.1", TTL: 60})
 	x.ask(2, statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-dead.1", Key: "shared", Amount: 10, Reserved: 4, Version: 1, TTL: 60})
@@ -204,22 +212,27 @@
 	x.ask(1, statemachine.Command{Kind: statemachine.ReleaseMarker, Holder: "edge-alive.1", Key: "invocation-3"})
 	x.ask(2, statemachine.Command{Kind: statemachine.MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 12.25, Version: 1})
 	if got := x.take(0, 1); len(got.Usage) != 1 || got.Usage[0].Units != 12.25 {
-		t.Fatalf("batch 1 is %+v", got.Usage)
+		x.t.Fatalf("batch 1 is %+v", got.Usage)
 	}
 	x.run(4) // the dead holder's debt is put back
 	if r := x.ask(2, statemachine.Command{Kind: statemachine.Add, Key: "shared", TTL: 60}); r.Total != 9.5 {
-		t.Fatalf("shared stands at %v", r.Total)
+		x.t.Fatalf("shared stands at %v", r.Total)
 	}
+}
+
+// playFourthServer adds a server, to which the groups are replicated as the first is to leave.
+func (x *exchange) playFourthServer() {
+	x.t.Helper()
 	list := peers(4, 3)
 	list[0].Draining = true
-	c, err := New(3, 1003, 0, list, exchangeTerms, 23, nil)
+	c, err := New(3, 1003, 0, list, exchangeConfig, 23, nil)
 	if err != nil {
-		t.Fatal(err)
+		x.t.Fatal(err)
 	}
-	x.cores, x.mail = append(x.cores, c), append(x.mail, nil)
+	x.nodes, x.mail = append(x.nodes, c), append(x.mail, nil)
 	for i := range 3 {
-		if err := x.cores[i].SetPeers(x.now, list, uint64(30+i)); err != nil {
-			t.Fatal(err)
+		if err := x.nodes[i].SetPeers(x.now, list, uint64(30+i)); err != nil {
+			x.t.Fatal(err)
 		}
 	}
 	x.run(6)
@@ -228,10 +241,9 @@
 		want float64
 	}{{"name-0", 0.5 + 2.5 + 4.5}, {"name-3", 2 + 4 + 6}, {"shared", 9.5}} {
 		if r := x.ask(3, statemachine.Command{Kind: statemachine.Add, Key: count.name, TTL: 60}); r.Total != count.want {
-			t.Fatalf("%s stands at %v at the new store, wanted is %v", count.name, r.Total, count.want)
+			x.t.Fatalf("%s stands at %v at the new store, wanted is %v", count.name, r.Total, count.want)
 		}
 	}
-	return x
 }
 
 func recordedExchange(t *testing.T) []byte {
@@ -285,74 +297,83 @@
 
 // What is recorded is read as what it was: each frame, message, entry and state in it encodes to its bytes again.
 func TestRecordedExchangeIsRead(t *testing.T) {
-	again := func(what string, m proto.Message, body []byte) {
-		t.Helper()
-		if err := proto.Unmarshal(body, m); err != nil {
-			t.Fatal(what, err)
-		}
-		text, err := proto.Marshal(m)
-		if err != nil || !bytes.Equal(text, body) {
-			t.Fatalf("%s: read and encoded again as\n%x (%v)\nrecorded is\n%x", what, text, err, body)
-		}
-	}
-	state := func(data []byte) {
-		t.Helper()
-		s, err := statemachine.Restore(data)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(s.Snapshot(), data) {
-			t.Fatalf("state: restored and saved again as\n%x\nrecorded is\n%x", s.Snapshot(), data)
-		}
-	}
-	batch := func(e *pb.Entry) {
-		t.Helper()
-		if e.GetType() != pb.EntryNormal || len(e.Data) == 0 {
-			return
-		}
-		b, err := statemachine.DecodeBatch(e.Data)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(b.Encode(), e.Data) {
-			t.Fatalf("batch: read and encoded again as\n%x\nrecorded is\n%x", b.Encode(), e.Data)
-		}
-	}
 	for rest := recordedExchange(t); len(rest) > 0; {
 		what, n := rest[1], binary.BigEndian.Uint32(rest[2:])
 		body := rest[6 : 6+n]
 		rest = rest[6+n:]
 		switch what {
 		case 'h':
-			again("hard state", &pb.HardState{}, body)
+			readAgain(t, "hard state", &pb.HardState{}, body)
 		case 's':
 			snapshot := &pb.Snapshot{}
-			again("snapshot", snapshot, body)
-			state(snapshot.Data)
+			readAgain(t, "snapshot", snapshot, body)
+			readStateAgain(t, snapshot.Data)
 		case 'e':
 			e := &pb.Entry{}
-			again("entry", e, body)
-			batch(e)
+			readAgain(t, "entry", e, body)
+			readBatchAgain(t, e)
 		case 'f', 'b':
-			f, err := protocol.ReadFrame(bytes.NewReader(body[1:]), protocol.MaxFrameBytes)
-			if err != nil {
-				t.Fatal(err)
-			}
-			text, err := f.AppendTo(nil)
-			if err != nil || !bytes.Equal(text, body[1:]) {
-				t.Fatalf("frame: read and encoded again as\n%x (%v)\nrecorded is\n%x", text, err, body[1:])
-			}
-			if f.Kind != protocol.KindRaft {
-				continue
-			}
-			m := &pb.Message{}
-			again("message", m, f.Raft)
-			for _, e := range m.Entries {
-				batch(e)
-			}
-			if m.GetType() == pb.MsgSnap {
-				state(m.Snapshot.Data)
-			}
+			readFrameAgain(t, body[1:])
 		}
 	}
 }
+
+// readAgain wants a message of the Raft library to encode to the bytes of which it was decoded.
+func readAgain(t *testing.T, what string, m proto.Message, body []byte) {
+	t.Helper()
+	if err := proto.Unmarshal(body, m); err != nil {
+		t.Fatal(what, err)
+	}
+	text, err := proto.Marshal(m)
+	if err != nil || !bytes.Equal(text, body) {
+		t.Fatalf("%s: read and encoded again as\n%x (%v)\nrecorded is\n%x", what, text, err, body)
+	}
+}
+
+func readStateAgain(t *testing.T, data []byte) {
+	t.Helper()
+	s, err := statemachine.Restore(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(s.Snapshot(), data) {
+		t.Fatalf("state: restored and saved again as\n%x\nrecorded is\n%x", s.Snapshot(), data)
+	}
+}
+
+func readBatchAgain(t *testing.T, e *pb.Entry) {
+	t.Helper()
+	if e.GetType() != pb.EntryNormal || len(e.Data) == 0 {
+		return
+	}
+	b, err := statemachine.DecodeBatch(e.Data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(b.Encode(), e.Data) {
+		t.Fatalf("batch: read and encoded again as\n%x\nrecorded is\n%x", b.Encode(), e.Data)
+	}
+}
+
+func readFrameAgain(t *testing.T, body []byte) {
+	t.Helper()
+	f, err := protocol.ReadFrame(bytes.NewReader(body), protocol.MaxFrameBytes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := f.AppendTo(nil)
+	if err != nil || !bytes.Equal(text, body) {
+		t.Fatalf("frame: read and encoded again as\n%x (%v)\nrecorded is\n%x", text, err, body)
+	}
+	if f.Kind != protocol.KindRaft {
+		return
+	}
+	m := &pb.Message{}
+	readAgain(t, "message", m, f.Raft)
+	for _, e := range m.Entries {
+		readBatchAgain(t, e)
+	}
+	if m.GetType() == pb.MsgSnap {
+		readStateAgain(t, m.Snapshot.Data)
+	}
+}
