--- a/tier/feed/bounds_test.go
+++ b/tier/feed/history_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Deletions are bounded at the source and at each subscriber; one that was away for longer than they are kept gets all.
-func TestDeletionsAreBoundedEverywhere(t *testing.T) {
+// A subscriber that was away for longer than tombstones are kept gets a snapshot.
+func TestTombstonesAreBoundedAtSourceAndSubscribers(t *testing.T) {
 	source, near, away := NewView(), NewView(), NewView()
 	revision := uint64(0)
 	next := func() uint64 { revision++; return revision }
@@ -22,16 +22,16 @@
 		near.Merge(source.Since(near.Revision()))
 	}
 	for name, view := range map[string]*View{"source": source, "subscriber": near} {
-		if held := view.size(); held > tombstonesKept+10 {
+		if held := view.itemCountLocked(); held > maxTombstones+10 {
 			t.Errorf("%s: %d items, of which one exists", name, held)
 		}
-		if orders := len(view.order); orders > 2*view.size()+2*orderSlack {
-			t.Errorf("%s: %d changes are listed", name, orders)
+		if changes := len(view.history.changes); changes > 2*view.itemCountLocked()+2*changeLogSlack {
+			t.Errorf("%s: %d changes are listed", name, changes)
 		}
 	}
 	update := source.Since(away.Revision())
 	if !update.Snapshot {
-		t.Fatal("one that was away for long gets changes only")
+		t.Fatal("a subscriber that was away for long gets changes only")
 	}
 	away.Merge(update)
 	if items := away.All(SectionHost); len(items) != 1 || items[0].Key != "stays" {
--- a/tier/feed/recorded_test.go
+++ b/tier/feed/recorded_test.go
@@ -12,11 +12,11 @@
 	"otterseam/tier/rpc"
 )
 
-const recordedInstallation = uint64(0xfedcba9876543210)
+const recordedClusterID = uint64(0xfedcba9876543210)
 
 func recordedUpdate() Update {
 	return Update{
-		ClusterID: recordedInstallation, Revision: 0x0102030405060708, Snapshot: true,
+		ClusterID: recordedClusterID, Revision: 0x0102030405060708, Snapshot: true,
 		Items: []Item{
 			{Section: SectionConfig, Key: "current", Revision: 1, Data: []byte("\x00\x00\x00\x00\x00\x00\x00\x05{}")},
 			{Section: SectionHost, Key: "host-1", Revision: 2, Data: []byte("a host")},
@@ -37,7 +37,7 @@
 // recordedView holds public and other items, one of them deleted.
 func recordedView() *View {
 	view := NewView()
-	view.SetClusterID(recordedInstallation)
+	view.SetClusterID(recordedClusterID)
 	for _, item := range recordedUpdate().Items[:7] {
 		view.Put(item.Section, item.Key, min(item.Revision, 9), item.Data)
 	}
@@ -67,7 +67,7 @@
 	recorded.Check(t, "export", restored.Export().Encode())
 	merged := NewView()
 	for _, name := range []string{"since-0", "since-4"} {
-		(&Subscriber{View: merged}).take(recorded.Read(t, name))
+		(&Subscriber{View: merged}).apply(recorded.Read(t, name))
 	}
 	again, _ := merged.SinceEncoded(0)
 	recorded.Check(t, "since-0", again)
@@ -96,7 +96,7 @@
 		}
 	})
 	view := NewView()
-	(&Subscriber{View: view}).take(recorded.Read(t, "since-0"))
+	(&Subscriber{View: view}).apply(recorded.Read(t, "since-0"))
 	view.revision = 4 // as if it had missed what came behind
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- /dev/null
+++ b/tier/feed/subscriber_test.go
@@ -0,0 +1,131 @@
+package feed
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/rpc"
+)
+
+func listen(t *testing.T, handler rpc.Handler) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go rpc.Serve(listener, handler)
+	return listener.Addr().String()
+}
+
+// awaitHost waits until a view holds a host with some data.
+func awaitHost(t *testing.T, v *View, key, want string) {
+	t.Helper()
+	deadline := time.After(10 * time.Second)
+	for {
+		changed := v.Changed()
+		if data, _ := v.Get(SectionHost, key); string(data) == want {
+			return
+		}
+		select {
+		case <-changed:
+		case <-deadline:
+			t.Fatalf("%s never became %q", key, want)
+		}
+	}
+}
+
+func TestSubscriberLeavesAStalePublisher(t *testing.T) {
+	stale, fresh := NewView(), NewView()
+	stale.Put(SectionHost, "h", 1, []byte("one"))
+	fresh.Put(SectionHost, "h", 1, []byte("one"))
+	isStale := make(chan struct{})
+	first := &Publisher{View: stale, IsFresh: func() bool {
+		select {
+		case <-isStale:
+			return false
+		default:
+			return true
+		}
+	}}
+	second := &Publisher{View: fresh}
+	firstAddress, secondAddress := listen(t, first.Handle), listen(t, second.Handle)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	copied := NewView()
+	addresses := make(chan []string, 1)
+	addresses <- []string{firstAddress}
+	current := []string{firstAddress}
+	s := &Subscriber{View: copied, Addresses: func() []string {
+		select {
+		case current = <-addresses:
+		default:
+		}
+		return current
+	}}
+	go s.Run(ctx)
+	awaitHost(t, copied, "h", "one")
+	addresses <- []string{firstAddress, secondAddress}
+	close(isStale)
+	fresh.Put(SectionHost, "h", 2, []byte("two"))
+	awaitHost(t, copied, "h", "two")
+}
+
+// A publisher that may serve no longer ends its subscriptions at once, though nothing changes and no update is due.
+func TestExpireEndsSubscriptionsAtOnce(t *testing.T) {
+	view := NewView()
+	view.Put(SectionHost, "h", 1, []byte("one"))
+	publisher := &Publisher{View: view}
+	updated := make(chan struct{}, 1)
+	conn, err := rpc.Dial(context.Background(), listen(t, publisher.Handle), func(message rpc.Message) {
+		if message.Kind == KindUpdate {
+			select {
+			case updated <- struct{}{}:
+			default:
+			}
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if _, err := conn.Call(context.Background(), KindSubscribe, make([]byte, 64)); err != nil {
+		t.Fatal(err)
+	}
+	<-updated
+	publisher.Expire()
+	select {
+	case <-conn.Done():
+	case <-time.After(10 * time.Second):
+		t.Fatal("the subscription goes on")
+	}
+}
+
+func TestPublisherRejectsSubscriptions(t *testing.T) {
+	view := viewOfCluster(7, 1, "config")
+	never := func() bool { return false }
+	for name, test := range map[string]struct {
+		publisher *Publisher
+		request   []byte
+		want      codes.Code
+	}{
+		"request cut short":         {&Publisher{View: view}, make([]byte, 15), codes.Malformed},
+		"publisher not fresh":       {&Publisher{View: view, IsFresh: never}, SubscribeRequest{}.Encode(), codes.SubscriptionStale},
+		"subscriber of another one": {&Publisher{View: view}, SubscribeRequest{ClusterID: 8}.Encode(), codes.DiskForeign},
+	} {
+		t.Run(name, func(t *testing.T) {
+			conn, err := rpc.Dial(t.Context(), listen(t, test.publisher.Handle), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer conn.Close()
+			if _, err := conn.Call(t.Context(), KindSubscribe, test.request); !errors.Is(err, test.want) {
+				t.Fatalf("answered %v, not %v", err, test.want)
+			}
+		})
+	}
+}
