--- a/tier/outlier/digest_test.go
+++ b/tier/outlier/digest_test.go
@@ -11,9 +11,9 @@
 	const lookEvery = 50 // milliseconds
 	for range looks {
 		f.run(lookEvery, fails)
-		d.Int(f.now, int64(f.lost), int64(f.outNow()))
+		d.Int(f.now, int64(f.failed), int64(f.countEjected()))
 		for _, host := range f.hosts {
-			d.Int(f.asideTil[host], f.accused[host])
+			d.Int(f.ejectedUntil[host], f.ejectedAt[host])
 		}
 		for i := range f.gateways {
 			d.Int(f.pending[i])
@@ -28,7 +28,7 @@
 func TestFleetDigests(t *testing.T) {
 	digesttest.Check(t, "bad-hosts", func(_ *testing.T, seed int64, d *digesttest.Digest) {
 		f := newFleet(uint64(seed), 20, 40, 4, 30)
-		f.near = 0.5 * float64(seed%2)
+		f.sameZone = 0.5 * float64(seed%2)
 		digestFleet(d, f, 200, func(_, host int) bool { return host < 4 && f.stream.Float64() < 0.5 })
 		digestFleet(d, f, 100, func(int, int) bool { return false })
 	})
--- a/tier/outlier/window.go
+++ b/tier/outlier/window.go
@@ -1,14 +1,6 @@
-// Package outlier finds hosts that fail where their peers do not, from what all gateways see together. Each gateway meets a given
-// host rarely, so that its own record of it is always too old; the sum over the fleet is not. The package is pure: windows of
-// observations go in, with the time; verdicts come out. What it sums can be merged in any order, each window once.
 package outlier
 
-import (
-	"slices"
-	"strings"
-
-	"otterseam/tier/codec"
-)
+import "otterseam/tier/codec"
 
 // Failure tells how a request at a host failed.
 type Failure uint8
@@ -49,8 +41,13 @@
 	Hosts     []Observation
 }
 
+// fewFailed is how many hosts may fail a reporter, whatever their share, before it is suspected itself.
+const fewFailed = 2
+
 // IsReporterFault tells whether most of the hosts that the reporter used failed it: then the cause is more likely its own.
-func (w Window) IsReporterFault() bool { return len(w.Hosts) > 2 && 2*len(w.Hosts) > int(w.Contacted) }
+func (w Window) IsReporterFault() bool {
+	return len(w.Hosts) > fewFailed && 2*len(w.Hosts) > int(w.Contacted)
+}
 
 // Encode is the window's form on the wire.
 func (w Window) Encode() []byte {
@@ -69,9 +66,10 @@
 	return e.Bytes
 }
 
+// minObservationBytes is the shortest encoding of an observation, by which the count of a window is checked.
 const minObservationBytes = 4 + 4*int(failureKinds)
 
-// DecodeWindow reads a window.
+// DecodeWindow reads a window; the error is that of the decoder.
 func DecodeWindow(data []byte) (Window, error) {
 	d := codec.NewDecoder(data)
 	w := Window{Reporter: d.Uint64(), Number: d.Uint64(), Zone: d.String(), Contacted: d.Uint32()}
@@ -84,53 +82,3 @@
 	}
 	return w, d.Err()
 }
-
-// Collector counts what one gateway sees. It has one owner.
-type Collector struct {
-	reporter  uint64
-	zone      string
-	number    uint64
-	contacted map[string]bool
-	failed    map[string]*Observation
-}
-
-// NewCollector makes one for a gateway.
-func NewCollector(reporter uint64, zone string) *Collector {
-	return &Collector{reporter: reporter, zone: zone, contacted: map[string]bool{}, failed: map[string]*Observation{}}
-}
-
-// RecordRequest notes that a request went to a host.
-func (c *Collector) RecordRequest(host string) { c.contacted[host] = true }
-
-// Counts notes a failure there. It reports whether it is the first of the window, which is then to be taken soon.
-func (c *Collector) RecordFailure(host string, how Failure) (first bool) {
-	first = len(c.failed) == 0
-	held := c.failed[host]
-	if held == nil {
-		held = &Observation{Host: host}
-		c.failed[host] = held
-	}
-	held.Counts[how]++
-	return first
-}
-
-// Flush ends the window and begins another one.
-func (c *Collector) Flush() Window {
-	c.number++
-	w := Window{Reporter: c.reporter, Number: c.number, Zone: c.zone, Contacted: uint32(len(c.contacted))}
-	for _, each := range c.failed {
-		w.Hosts = append(w.Hosts, *each)
-	}
-	slices.SortFunc(w.Hosts, func(a, b Observation) int {
-		if a.Total() != b.Total() {
-			return int(b.Total()) - int(a.Total())
-		}
-		return strings.Compare(a.Host, b.Host)
-	})
-	if len(w.Hosts) > MaxHosts {
-		w.Hosts = w.Hosts[:MaxHosts]
-	}
-	clear(c.failed)
-	clear(c.contacted)
-	return w
-}
