--- a/tier/control/state/ejection.go
+++ b/tier/control/state/ejection.go
@@ -8,7 +8,7 @@
 
 func (c EjectHost) apply(s *State, index uint64) Result {
 	if held, known := s.hosts[c.ID]; known && !held.departed {
-		s.View.Put(feed.SectionEjection, c.ID, index, directory.EncodeEjectionTerm(c.TermMS))
+		s.View.Put(feed.SectionEjection, c.ID, index, directory.EncodeEjectionDuration(c.TermMS))
 	}
 	return Result{Code: codes.OK}
 }
@@ -29,7 +29,7 @@
 func (s *State) EjectionTerms() map[string]int64 {
 	terms := map[string]int64{}
 	for _, item := range s.View.All(feed.SectionEjection) {
-		if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
+		if term, err := directory.DecodeEjectionDuration(item.Data); err == nil {
 			terms[item.Key] = term
 		}
 	}
--- a/tier/directory/recorded_test.go
+++ b/tier/directory/recorded_test.go
@@ -38,7 +38,7 @@
 	recorded.CheckBoth(t, "host", recordedHost(), Host.Encode, DecodeHost)
 	recorded.CheckBoth(t, "store", recordedStore(), Store.Encode, DecodeStore)
 	recorded.CheckBoth(t, "shard", recordedShard(), Shard.Encode, DecodeShard)
-	recorded.CheckBoth(t, "term", int64(90_000), EncodeEjectionTerm, DecodeEjectionTerm)
+	recorded.CheckBoth(t, "term", int64(90_000), EncodeEjectionDuration, DecodeEjectionDuration)
 }
 
 // The keys of the items, and the shard of a program, which all processes have to compute alike.
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -69,7 +69,7 @@
 	if held == nil || item.Deleted {
 		return
 	}
-	if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
+	if term, err := directory.DecodeEjectionDuration(item.Data); err == nil {
 		held.SetAside(time.Now().Add(time.Duration(term) * time.Millisecond))
 	}
 }
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -48,17 +48,8 @@
 	for _, shard := range directory.Shards(view) {
 		s.Shards = append(s.Shards, shard)
 	}
-	for _, item := range view.All(feed.SectionHost) {
-		if host, err := directory.DecodeHost(item.Data); err == nil {
-			s.Hosts = append(s.Hosts, host)
-		}
-	}
-	s.Ejected = map[string]int64{}
-	for _, item := range view.All(feed.SectionEjection) {
-		if term, err := directory.DecodeEjectionTerm(item.Data); err == nil {
-			s.Ejected[item.Key] = term
-		}
-	}
+	s.Hosts = directory.Hosts(view)
+	s.Ejected = directory.Ejections(view)
 	sort.Slice(s.Stores, func(i, j int) bool { return s.Stores[i].Node < s.Stores[j].Node })
 	sort.Slice(s.Shards, func(i, j int) bool { return s.Shards[i].ID < s.Shards[j].ID })
 	s.protect()
