--- /dev/null
+++ b/gateway/policy/ceiling_test.go
@@ -0,0 +1,24 @@
+package policy
+
+import (
+	"testing"
+
+	"otterseam/gateway/overload"
+)
+
+func TestCeilingHoldsWithoutCounterAndAcrossRestarts(t *testing.T) {
+	admitted := 0.0
+	for range 4 { // four incarnations of 5 s
+		f := newHarness(t, Plan{Name: "p", CeilingRate: 4, CeilingBurst: 40})
+		f.gateway.counter.limiter = overload.NewCallLimiter(false, 0)
+		for range 50 {
+			if f.passes(1, 2) {
+				admitted++
+			}
+			f.wait(0.1)
+		}
+	}
+	if admitted < 20 || admitted > 40 { // two API gateways, half of 4 a second each, for 20 s
+		t.Fatalf("%v units passed", admitted)
+	}
+}
