--- a/tier/codes/codes.go
+++ b/tier/codes/codes.go
@@ -1,105 +1,71 @@
-// Package codes numbers the results that processes of the serving tier give each other and write into their logs. The
-// table in docs/codes.md is made from Table.
 package codes
 
 import "fmt"
 
 // Code is a numbered result. It is an error, so that it can be returned and compared with errors.Is.
-type Code uint16
+type Code uint16 //nolint:errname // a number on the wire first and an error besides, as syscall.Errno
 
-// The result codes. Numbers are never used again for another meaning.
+// The result codes, by the page's names. Numbers are never used again for another meaning.
+//
+//nolint:errname // values of Code, as those of syscall.Errno
 const (
-	OK                Code = 0
-	NotPrimary        Code = 101
-	Unavailable       Code = 102
-	Timeout           Code = 103
-	Malformed         Code = 104
-	WrongIdentity     Code = 105
-	NoVote            Code = 106
-	PrimaryAlive      Code = 107
-	ConfigInvalid     Code = 201
-	ConfigBase        Code = 202
-	ConfigNone        Code = 203
-	ConfigForgotten   Code = 204
-	HostStale         Code = 211
-	RetireUnknown     Code = 221
-	RetireTooFew      Code = 222
-	BudgetSpent       Code = 301
-	TurnUnknown       Code = 302
-	TurnSettled       Code = 303
-	NoRoute           Code = 401
-	NoHost            Code = 402
-	HostsFull         Code = 403
-	HostFailed        Code = 404
-	RequestMalformed  Code = 405
-	BodyTooLarge      Code = 406
-	HeadTooLarge      Code = 407
-	NotReady          Code = 408
-	StoreUnreachable  Code = 409
-	DeadlineReached   Code = 410
-	ClientGone        Code = 411
-	AnswerNotKept     Code = 412
-	Stopping          Code = 413
-	DiskDamaged       Code = 501
-	DiskWrite         Code = 502
-	DiskRegressed     Code = 503
-	DiskForeign       Code = 504
-	DiskStalled       Code = 505
+	OK Code = 0
+
+	// Of groups and the messages between processes.
+	NotPrimary    Code = 101
+	Unavailable   Code = 102
+	Timeout       Code = 103
+	Malformed     Code = 104
+	WrongIdentity Code = 105
+	NoVote        Code = 106
+	PrimaryAlive  Code = 107
+
+	// Of the operator's configuration.
+	ConfigInvalid   Code = 201
+	ConfigBase      Code = 202
+	ConfigNone      Code = 203
+	ConfigForgotten Code = 204
+
+	// Of hosts.
+	HostStale Code = 211
+
+	// Of the retirement of store machines.
+	RetireUnknown Code = 221
+	RetireTooFew  Code = 222
+
+	// Of programs and their turns.
+	BudgetSpent Code = 301
+	TurnUnknown Code = 302
+	TurnSettled Code = 303
+
+	// Of requests at a proxy.
+	NoRoute          Code = 401
+	NoHost           Code = 402
+	HostsFull        Code = 403
+	HostFailed       Code = 404
+	RequestMalformed Code = 405
+	BodyTooLarge     Code = 406
+	HeadTooLarge     Code = 407
+	NotReady         Code = 408
+	StoreUnreachable Code = 409
+	DeadlineReached  Code = 410
+	ClientGone       Code = 411
+	AnswerNotKept    Code = 412
+	Stopping         Code = 413
+
+	// Of disks.
+	DiskDamaged   Code = 501
+	DiskWrite     Code = 502
+	DiskRegressed Code = 503
+	DiskForeign   Code = 504
+	DiskStalled   Code = 505
+
+	// Of connections between processes.
 	LinkBroken        Code = 511
 	LinkBusy          Code = 512
 	SubscriptionStale Code = 513
 )
 
-// Row describes a code for the table and for operators.
-type Row struct {
-	Code    Code
-	Name    string
-	Meaning string
-}
-
-// Table lists all codes in ascending order.
-var Table = []Row{
-	{OK, "ok", "done"},
-	{NotPrimary, "not-primary", "this process does not lead the group; ask where the primary is"},
-	{Unavailable, "unavailable", "the group cannot decide now; try again"},
-	{Timeout, "timeout", "no answer in time; whether it was done is not known"},
-	{Malformed, "malformed", "a message between processes could not be read"},
-	{WrongIdentity, "wrong-identity", "the address belongs to a process with another identity: the disk was lost or replaced"},
-	{NoVote, "no-vote", "a witness that is no member of the group was asked to vote"},
-	{PrimaryAlive, "primary-alive", "a takeover was refused because the primary is heard"},
-	{ConfigInvalid, "config-invalid", "the configuration is invalid; the line says what and where"},
-	{ConfigBase, "config-base", "another version is current than the one that the change builds on"},
-	{ConfigNone, "config-none", "no configuration has been taken yet"},
-	{ConfigForgotten, "config-forgotten", "a configuration so old that whether it was taken is no longer known"},
-	{HostStale, "host-stale", "a heartbeat older than one already taken"},
-	{RetireUnknown, "retire-unknown", "no store machine of that name is known"},
-	{RetireTooFew, "retire-too-few", "too few store machines would remain"},
-	{BudgetSpent, "budget-spent", "the program's budget does not hold the estimate; the turn is not run"},
-	{TurnUnknown, "turn-unknown", "the turn named by Previous does not exist or is no longer kept"},
-	{TurnSettled, "turn-settled", "the turn of that request id has been settled already"},
-	{NoRoute, "no-route", "no route matches the request"},
-	{NoHost, "no-host", "no host of the service is known"},
-	{HostsFull, "hosts-full", "all hosts asked said that they did not run the request"},
-	{HostFailed, "host-failed", "a host broke off; the request may have run"},
-	{RequestMalformed, "request-malformed", "the request cannot be read"},
-	{BodyTooLarge, "body-too-large", "the body exceeds max_body_bytes"},
-	{HeadTooLarge, "head-too-large", "the header exceeds max_header_bytes"},
-	{NotReady, "not-ready", "the proxy has no configuration yet"},
-	{StoreUnreachable, "store-unreachable", "no store answered for the program"},
-	{DeadlineReached, "deadline-reached", "the client's deadline or the route's timeout was reached"},
-	{ClientGone, "client-gone", "the client closed its connection"},
-	{AnswerNotKept, "answer-not-kept", "the turn was served but could not be made durable; its answer is broken off"},
-	{Stopping, "stopping", "the proxy is about to end; ask another one"},
-	{DiskDamaged, "disk-damaged", "a file on disk is torn, cut or altered"},
-	{DiskWrite, "disk-write", "a write or sync failed"},
-	{DiskRegressed, "disk-regressed", "a member's disk holds less than it acknowledged: an older copy of it was put back"},
-	{DiskForeign, "disk-foreign", "a disk, message or view belongs to another installation"},
-	{DiskStalled, "disk-stalled", "writes have failed or waited for too long; the member gives its leads away"},
-	{LinkBroken, "link-broken", "a connection between processes ended"},
-	{LinkBusy, "link-busy", "a peer does not read; the connection was closed"},
-	{SubscriptionStale, "subscription-stale", "the control process has not heard from the primary; subscribe elsewhere"},
-}
-
 // Error gives the code's number and name.
 func (c Code) Error() string {
 	for _, row := range Table {
--- a/tier/codes/codes_test.go
+++ b/tier/codes/codes_test.go
@@ -55,10 +55,13 @@
 	if !errors.Is(err, BudgetSpent) || errors.Is(err, TurnUnknown) {
 		t.Fatal("codes can't be told apart in wrapped errors")
 	}
-	if got := BudgetSpent.Error(); got != "code 301 budget-spent" {
-		t.Fatal(got)
-	}
-	if got := Code(9999).Error(); got != "code 9999" {
-		t.Fatal(got)
+	for code, want := range map[Code]string{
+		BudgetSpent: "code 301 budget-spent",
+		OK:          "code 0 ok",
+		Code(9999):  "code 9999",
+	} {
+		if got := code.Error(); got != want {
+			t.Errorf("%q, not %q", got, want)
+		}
 	}
 }
