--- a/cmd/otterseam-tier/main.go
+++ b/cmd/otterseam-tier/main.go
@@ -113,15 +113,7 @@
 	if err != nil {
 		return err
 	}
-	serving, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	go c.Supervise(serving)
-	go func() {
-		<-ctx.Done()
-		c.Stop(serving)
-		cancel()
-	}()
-	return c.Run(serving)
+	return c.Run(ctx)
 }
 
 func runStore(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
--- a/tier/control/verdict_test.go
+++ b/tier/control/api/status_test.go
@@ -1,4 +1,4 @@
-package control
+package api
 
 import (
 	"net/http"
@@ -26,7 +26,7 @@
 			want = http.StatusServiceUnavailable
 		}
 		w := httptest.NewRecorder()
-		if result, err := state.Settled(state.Result{Code: row.Code}, nil); answer(w, result, err) {
+		if result, err := state.Settled(state.Result{Code: row.Code}, nil); succeeded(w, result, err) {
 			w.WriteHeader(http.StatusOK)
 		}
 		if w.Code != want {
@@ -36,7 +36,7 @@
 	for _, err := range []error{codes.Timeout, codes.NotPrimary, codes.Malformed, codes.ConfigBase} {
 		w := httptest.NewRecorder()
 		result, err := state.Settled(state.Result{Code: codes.ConfigBase}, err)
-		if answer(w, result, err); w.Code != http.StatusServiceUnavailable {
+		if succeeded(w, result, err); w.Code != http.StatusServiceUnavailable {
 			t.Errorf("a call that failed is answered with %d", w.Code)
 		}
 	}
--- a/tier/control/election/elector.go
+++ b/tier/control/election/elector.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// CallTimeout bounds one call to another control process. It is below ProposeTimeout, which covers a prepare, an accept and
-	// one repetition.
+	// CallTimeout bounds one call to another control process.
 	CallTimeout = 350 * time.Millisecond
-	// ProposeTimeout bounds a proposal with its repetitions.
+	// ProposeTimeout bounds a proposal with its repetitions. It is above three times CallTimeout: a prepare, an accept, and one of
+	// them again.
 	ProposeTimeout = 1200 * time.Millisecond
 )
 
--- a/tier/control/election/status.go
+++ b/tier/control/election/status.go
@@ -1,8 +1,10 @@
 package election
 
 import (
+	"errors"
 	"sync"
 
+	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
 	"otterseam/tier/control/state"
 	"otterseam/tier/lease"
@@ -40,11 +42,28 @@
 // MayServe tells whether this process may serve its copy of the state now.
 func (s *LeaseStatus) MayServe() bool { return s.Status().MayServe(s.elector.Now()) }
 
-// MayDecide returns an error unless this process may give an answer of its own as the primary now.
-func (s *LeaseStatus) MayDecide() error { return s.Status().MayDecide(s.elector.Now()) }
+// MayDecide returns an error unless this process may give an answer of its own as the primary now: a *NotLeaderError or
+// ErrLeaseExpired.
+func (s *LeaseStatus) MayDecide() error {
+	err := s.Status().MayDecide(s.elector.Now())
+	if errors.Is(err, codes.NotPrimary) {
+		return &NotLeaderError{Leader: s.PrimaryAddress()}
+	}
+	return orLeaseExpired(err)
+}
+
+// MayForward returns ErrLeaseExpired unless this process can expect the primary in force to answer what it forwards now.
+func (s *LeaseStatus) MayForward() error {
+	return orLeaseExpired(s.Status().MayForward(s.elector.Now()))
+}
 
-// MayForward returns an error unless this process can expect the primary in force to answer what it forwards now.
-func (s *LeaseStatus) MayForward() error { return s.Status().MayForward(s.elector.Now()) }
+// orLeaseExpired names the one reason that package lease has besides another primary.
+func orLeaseExpired(err error) error {
+	if err != nil {
+		return ErrLeaseExpired
+	}
+	return nil
+}
 
 // ObserveReached notes that the primary in force answered a probe of this process that began at a time.
 func (s *LeaseStatus) ObserveReached(since int64) {
--- /dev/null
+++ b/tier/control/heartbeat/stores.go
@@ -0,0 +1,38 @@
+package heartbeat
+
+import (
+	"bytes"
+	"context"
+
+	"otterseam/tier/control/proposal"
+	"otterseam/tier/control/session"
+	"otterseam/tier/control/state"
+	"otterseam/tier/controlclient"
+	"otterseam/tier/directory"
+	"otterseam/tier/feed"
+)
+
+// Stores takes the heartbeats of store machines, as the primary. Its method may be called from any goroutine.
+type Stores struct {
+	State    *state.State
+	Sessions *session.Sessions
+	Lease    Lease
+	Proposer *proposal.Proposer
+	// Registered is called when a store was registered, for which shards may have waited.
+	Registered func()
+}
+
+// Handle keeps a store's session, and registers a store that is new or was started again.
+func (s *Stores) Handle(ctx context.Context, payload []byte) (state.Result, error) {
+	heartbeat, err := controlclient.DecodeStoreHeartbeat(payload)
+	if err != nil {
+		return state.Result{}, err
+	}
+	s.Sessions.RenewStore(heartbeat)
+	held, known := s.State.View.Get(feed.SectionStore, directory.StoreKey(heartbeat.Store.Identity))
+	if known && bytes.Equal(held, heartbeat.Store.Encode()) {
+		return state.Result{}, s.Lease.MayDecide()
+	}
+	defer s.Registered()
+	return s.Proposer.Propose(ctx, state.PutStore{Store: heartbeat.Store})
+}
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -2,133 +2,177 @@
 
 import (
 	"context"
-	"encoding/binary"
+	"errors"
 	"net"
-	"reflect"
+	"net/http"
+	"net/http/httptest"
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
 	"github.com/sirupsen/logrus/hooks/test"
 
+	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/control/internal/fixture"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
 	"otterseam/tier/internal/recorded"
-	"otterseam/tier/lease"
 	"otterseam/tier/membership"
-	"otterseam/tier/multigroup"
+	"otterseam/tier/outlier"
 	"otterseam/tier/replica"
 	"otterseam/tier/rpc"
 	"otterseam/tier/settings"
 )
 
-// recordedServer is a control process on a data folder, without its periodic work.
-func recordedServer(t *testing.T, dir string) *Server {
+// recordedPrimary is a whole control process that leads alone, without its periodic work.
+func recordedPrimary(ctx context.Context, t *testing.T) *Server {
 	t.Helper()
+	witness := fixture.Witness()
+	witness.Value = fixture.Alone()
 	logger, _ := test.NewNullLogger()
-	s, err := open(&settings.Settings{
-		DataDir: dir, Bootstrap: true, Node: "ctl-b", IP: "10.0.0.2", FirstPort: 7402, LastPort: 7405, TolerateMachines: 1,
+	s, err := New(&settings.Settings{
+		DataDir: fixture.Disk(t, fixture.Voter, &witness), ListenControl: "10.0.0.1:7000", Node: "ctl-a", IP: "10.0.0.1",
+		FirstPort: 7401, LastPort: 7404,
 	}, logrus.NewEntry(logger))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
-}
-
-// listenRecorded has a handler take what arrives at the address returned.
-func listenRecorded(t *testing.T, handler rpc.Handler) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	go s.node.Run(ctx)
+	s.node.SetView(state.Group, membership.View(fixture.Alone()))
+	for !s.node.IsPrimary(state.Group) {
+		if ctx.Err() != nil {
+			t.Fatal("no primary")
+		}
+		time.Sleep(time.Millisecond)
 	}
-	t.Cleanup(func() { listener.Close() })
-	go rpc.Serve(listener, handler)
-	return listener.Addr().String()
+	return s
 }
 
-// answering is a process that holds the calls of a kind to one recording and answers with another one.
-func answering(t *testing.T, kind rpc.Kind, question, answer string) string {
+// callPatiently makes a call again that a slow disk left without an answer. All of the calls may be repeated.
+func callPatiently(ctx context.Context, t *testing.T, client *rpc.Client, kind rpc.Kind, payload []byte) ([]byte, codes.Code) {
 	t.Helper()
-	return listenRecorded(t, func(m rpc.Message) {
-		if m.Kind != kind {
-			t.Errorf("kind %d, not %d", m.Kind, kind)
+	for {
+		answer, err := client.Call(ctx, kind, payload)
+		code := codes.OK
+		if err != nil && !errors.As(err, &code) {
+			t.Fatal(err)
+		}
+		if code != codes.Timeout || ctx.Err() != nil {
+			return answer, code
 		}
-		recorded.Check(t, question, m.Payload)
-		m.Answer(codes.OK, recorded.Read(t, answer))
-	})
+	}
 }
 
-// asked calls a process with a recording, or with nothing, and returns its answer.
-func asked(t *testing.T, s *Server, kind rpc.Kind, question string) []byte {
+// rpcTranscript has a primary carry out calls of other processes, one after the other, and returns calls and answers.
+func rpcTranscript(ctx context.Context, t *testing.T, s *Server) []byte {
 	t.Helper()
 	client := rpc.NewClient(listenRecorded(t, s.handle), nil)
 	t.Cleanup(client.Close)
-	var payload []byte
-	if question != "" {
-		payload = recorded.Read(t, question)
-	}
-	answer, err := client.Call(recordedContext(t), kind, payload)
-	if err != nil {
-		t.Fatalf("kind %d: %v", kind, err)
+	var transcript codec.Encoder
+	for _, each := range []struct {
+		kind    rpc.Kind
+		payload []byte
+	}{
+		{controlclient.KindSubmit, state.ReadConfig{}.Encode()},
+		{controlclient.KindSubmit, state.ReplaceConfig{Version: 5, Body: []byte(`{"v":5}`)}.Encode()},
+		{controlclient.KindSubmit, state.ReplaceConfig{Base: 4, Version: 9, Body: []byte(`{"v":9}`)}.Encode()},
+		{controlclient.KindSubmit, state.ReadConfig{}.Encode()},
+		{controlclient.KindSubmit, state.PutShard{Shard: fixture.Shard(37)}.Encode()},
+		{controlclient.KindStoreHeartbeat, controlclient.StoreHeartbeat{Store: fixture.Store(11, "store-a")}.Encode()},
+		{controlclient.KindStoreHeartbeat, controlclient.StoreHeartbeat{Store: fixture.Store(12, "store-b"), Leaving: true}.Encode()},
+		{controlclient.KindStoreHeartbeat, controlclient.StoreHeartbeat{Store: fixture.Store(14, "store-d")}.Encode()},
+		{controlclient.KindHostHeartbeat, controlclient.HostHeartbeat{Host: fixture.Host("host-1", false), Seq: 1}.Encode()},
+		{controlclient.KindHostHeartbeat, controlclient.HostHeartbeat{Host: fixture.Host("host-2", true), Seq: 1}.Encode()},
+		{controlclient.KindHostHeartbeat, controlclient.HostHeartbeat{Host: fixture.Host("host-2", false), Seq: 2}.Encode()},
+		{controlclient.KindDeregisterHost, []byte("host-2")},
+		{controlclient.KindHostHeartbeat, controlclient.HostHeartbeat{Host: fixture.Host("host-2", true), Seq: 3}.Encode()},
+		{controlclient.KindHeartbeatReport, controlclient.HeartbeatReport{From: fixture.Asker, Echoed: replica.Timestamp{Incarnation: 2, At: 1}}.Encode()}, // of another life
+		{controlclient.KindInSyncChange, controlclient.InSyncChange{Shard: 37, Epoch: 1, Replica: 13, Admit: true}.Encode()},
+		{controlclient.KindHostObservations, outlier.Window{Reporter: 1, Number: 2, Zone: "zone-a", Contacted: 3}.Encode()},
+		{controlclient.KindRetirementState, []byte("store-x")},
+		{controlclient.KindRetirementState, nil},
+		{999, []byte("a kind that nobody knows")},
+	} {
+		answer, code := callPatiently(ctx, t, client, each.kind, each.payload)
+		transcript.Uint32(uint32(each.kind))
+		transcript.Blob(each.payload)
+		transcript.Uint32(uint32(code))
+		transcript.Blob(answer)
 	}
-	return answer
+	return transcript.Bytes
 }
 
-func recordedContext(t *testing.T) context.Context {
+// httpTranscript has a primary answer hosts and operators, one after the other, and returns requests and answers.
+func httpTranscript(ctx context.Context, t *testing.T, s *Server) []byte {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	t.Cleanup(cancel)
-	return ctx
+	const (
+		config = `{"version":7,"routes":[{"name":"a","path_prefix":"/","timeout_ms":1,"service":"chat"}],"services":[{"name":"chat"}]}`
+		beat   = `{"service":"chat","address":"10.0.1.1:8000","zone":"zone-a","version":"v1","slots":4,"state":"ready","stage":"canary","models":["m1"],"seq_no":1}`
+	)
+	handler := s.api.Handler()
+	var transcript codec.Encoder
+	for _, each := range []struct{ method, path, base, body string }{
+		{http.MethodPost, "/v1/config/replace", "5", config},
+		{http.MethodPost, "/v1/config/replace", "5", config},
+		{http.MethodPost, "/v1/config/replace", "6", config},
+		{http.MethodPost, "/v1/config/replace", "", config},
+		{http.MethodPost, "/v1/config/replace", "7", `{"version":0}`},
+		{http.MethodGet, "/v1/config/read", "", ""},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", beat},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", `{}`},
+		{http.MethodPost, "/v1/instances/host-8/deregister", "", ""},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", beat},
+		{http.MethodGet, "/v1/retire/store-a/read", "", ""},
+		{http.MethodPost, "/v1/retire/store-x/begin", "", `{"deadline_s":30}`},
+		{http.MethodPost, "/v1/retire/store-a/begin", "", `{"deadline_s":30}`},
+		{http.MethodGet, "/v1/retire/store-a/read", "", ""},
+		{http.MethodPost, "/v1/retire/store-d/begin", "", `[`},
+		{http.MethodPost, "/v1/retire/store-d/begin", "", ""},
+		{http.MethodGet, "/v1/retire/store-d/read", "", ""},
+		{http.MethodPost, "/v1/retire/store-b/begin", "", ""},
+		{http.MethodGet, "/v1/nothing", "", ""},
+	} {
+		answer := httptest.NewRecorder()
+		for {
+			request := httptest.NewRequest(each.method, each.path, strings.NewReader(each.body))
+			if each.base != "" {
+				request.Header.Set("X-Base-Version", each.base)
+			}
+			handler.ServeHTTP(answer, request)
+			if answer.Code != http.StatusServiceUnavailable || ctx.Err() != nil {
+				break // else a slow disk left it without an answer; all of the requests may be repeated
+			}
+			answer = httptest.NewRecorder()
+		}
+		transcript.String(each.method + " " + each.path + " " + each.base + " " + each.body)
+		transcript.Uint32(uint32(answer.Code))
+		for _, name := range []string{"Content-Type", "Content-Length", "Retry-After"} {
+			transcript.String(answer.Header().Get(name))
+		}
+		transcript.Blob(answer.Body.Bytes())
+	}
+	return transcript.Bytes
 }
 
-// recordedAge is the age of the primary's contact in the recorded answer, in milliseconds.
-const recordedAge = 321
-
-// A control process keeps its session as recorded, and reads the recorded answer.
-func TestRecordedControlBeat(t *testing.T) {
-	s := recordedServer(t, fixture.Disk(t, fixture.Asker, nil))
-	address := answering(t, controlclient.KindMemberHeartbeat, "control-beat", "control-beat-answer")
-	s.primary = controlclient.New(s.clients, func() []string { return []string{address} })
-	s.draining.Store(true)
-	s.refusals.Store(17)
-	before := multigroup.Now()
-	s.beatPrimary(recordedContext(t))
-	after := multigroup.Now()
-	reachedSince := s.status.Status().ConfirmedSince
-	if reachedSince < before-recordedAge || reachedSince > after-recordedAge {
-		t.Errorf("reached since %d, asked from %d to %d", reachedSince, before, after)
-	}
-	if !reflect.DeepEqual(s.elector.Known(), fixture.Alone()) {
-		t.Errorf("learnt %+v", s.elector.Known())
-	}
+// A primary's answers to other processes, to hosts and to operators are as recorded.
+func TestRecordedAnswersOfAPrimary(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	s := recordedPrimary(ctx, t)
+	recorded.Check(t, "primary-rpc", rpcTranscript(ctx, t, s))
+	recorded.Check(t, "primary-http", httpTranscript(ctx, t, s))
 }
 
-// leadingServer is a control process that leads alone.
-func leadingServer(t *testing.T) *Server {
+// listenRecorded has a handler take what arrives at the address returned.
+func listenRecorded(t *testing.T, handler rpc.Handler) string {
 	t.Helper()
-	witness := fixture.Witness()
-	witness.Value = fixture.Alone()
-	s := recordedServer(t, fixture.Disk(t, fixture.Voter, &witness))
-	if err := s.host.OpenGroup(state.Group, s.state, replica.Options{Incarnation: 9}); err != nil {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
 		t.Fatal(err)
 	}
-	s.host.SetView(state.Group, membership.View(fixture.Alone()))
-	return s
-}
-
-// A primary answers the recorded beat as recorded but for the age of its contact, which is as measured.
-func TestRecordedAnswerToAControlBeat(t *testing.T) {
-	answer := asked(t, leadingServer(t), controlclient.KindMemberHeartbeat, "control-beat")
-	if len(answer) < 8 {
-		t.Fatalf("answer %x", answer)
-	}
-	age := answer[len(answer)-8:]
-	if measured := int64(binary.BigEndian.Uint64(age)); measured < 0 || measured >= lease.TTL {
-		t.Errorf("age %d", measured)
-	}
-	binary.BigEndian.PutUint64(age, recordedAge)
-	recorded.Check(t, "control-beat-answer", answer)
+	t.Cleanup(func() { listener.Close() })
+	go rpc.Serve(listener, handler)
+	return listener.Addr().String()
 }
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -2,19 +2,23 @@
 
 import (
 	"context"
+	"errors"
 	"math/rand/v2"
 	"net"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/samber/oops"
 	"github.com/sirupsen/logrus"
+	"golang.org/x/sync/errgroup"
 
-	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/api"
 	"otterseam/tier/control/ejection"
 	"otterseam/tier/control/election"
+	"otterseam/tier/control/heartbeat"
+	"otterseam/tier/control/proposal"
+	"otterseam/tier/control/reconcile"
 	"otterseam/tier/control/session"
 	"otterseam/tier/control/state"
 	"otterseam/tier/controlclient"
@@ -30,40 +34,44 @@
 )
 
 const (
-	superviseEvery = 50 * time.Millisecond
-	submitTimeout  = 850 * time.Millisecond
-	// controlBytesKept bounds the changes kept in memory for members that lag: 80 configurations of 100 KB.
-	controlBytesKept = 8 << 20
+	// superviseInterval is how often a process looks at its primary, or at its own work if it leads.
+	superviseInterval = 50 * time.Millisecond
+	// leaseCheckInterval is how often a process looks whether it may still serve.
+	leaseCheckInterval = lease.CheckInterval * time.Millisecond
+	// retainedBytes bounds the changes kept in memory for members that lag: 80 configurations of 100 KB.
+	retainedBytes = 8 << 20
 )
 
 // Server is a control process.
 type Server struct {
-	settings   *settings.Settings
-	log        *logrus.Entry
-	host       *multigroup.Node
-	elector    *election.Elector
-	failover   *election.Failover
-	status     *election.LeaseStatus
-	state      *state.State
-	publisher  *feed.Publisher
-	clients    *rpc.Clients
-	primary    *controlclient.Client
-	sessions   *session.Sessions
-	unreported *session.UnreportedHosts
-	ejector    *ejection.Ejector
-	timeline   *timeline.Timeline
-	self       consensus.Member
+	settings *settings.Settings
+	log      *logrus.Entry
+	now      func() int64
+	timeline *timeline.Timeline
+	self     consensus.Member
 
-	beatHere      []byte // the answer to a heartbeat that asks the host to stay here
-	beatElsewhere []byte // the answer that leaves it the choice
+	node      *multigroup.Node
+	clients   *rpc.Clients
+	state     *state.State
+	publisher *feed.Publisher
 
-	mu       sync.Mutex
-	leading  uint64 // the entry that opened the lead for which sessions were begun
-	ledSince int64
+	elector  *election.Elector
+	failover *election.Failover
+	status   *election.LeaseStatus
+	primary  *controlclient.Client
+	proposer *proposal.Proposer
+
+	sessions         *session.Sessions
+	ejector          *ejection.Ejector
+	hostHeartbeats   *heartbeat.Hosts
+	storeHeartbeats  *heartbeat.Stores
+	memberHeartbeats *heartbeat.Members
+	reconciler       *reconcile.Reconciler
+	members          *reconcile.Members
+	api              *api.API
 
 	draining atomic.Bool   // this process is about to stop
-	wake     chan struct{} // has Supervise look at once; holds one at the start
-	refusals atomic.Uint64 // heartbeats refused for want of a lease
+	wake     chan struct{} // has the supervisor look at once; holds one at the start
 }
 
 // New opens the state of a control process.
@@ -77,9 +85,9 @@
 		return nil, err
 	}
 	options := replica.Options{
-		EagerCommit: true, RetainedBytes: controlBytesKept, Incarnation: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
+		EagerCommit: true, RetainedBytes: retainedBytes, Incarnation: rand.Uint64() | 1, StepDownAfter: lease.StepDownAfter,
 	}
-	if err := server.host.OpenGroup(state.Group, server.state, options); err != nil {
+	if err := server.node.OpenGroup(state.Group, server.state, options); err != nil {
 		return nil, err
 	}
 	server.elector.Learn(consensus.Record{})
@@ -90,165 +98,163 @@
 func open(s *settings.Settings, log *logrus.Entry) (*Server, error) {
 	line := timeline.New(log)
 	clients := rpc.NewClients(nil)
-	host, err := multigroup.Open(s.DataDir, clients, log, true)
+	node, err := multigroup.Open(s.DataDir, clients, log, true)
 	if err != nil {
 		return nil, err
 	}
 	line.Reach(timeline.DiskRead)
 	server := &Server{
-		settings:   s,
-		log:        log,
-		host:       host,
-		state:      state.New(),
-		clients:    clients,
-		sessions:   session.New(host.Identity, multigroup.Now),
-		self:       consensus.Member{ID: host.Identity, Address: s.ControlAddress(), Node: s.Node},
-		unreported: session.NewUnreportedHosts(),
-		timeline:   line,
-		ejector:    ejection.New(),
-		wake:       make(chan struct{}, 1),
-
-		beatHere:      []byte(`{"beat_target":"` + s.ListenControl + `"}`),
-		beatElsewhere: []byte(`{}`),
+		settings: s,
+		log:      log,
+		now:      multigroup.Now,
+		timeline: line,
+		self:     consensus.Member{ID: node.Identity, Address: s.ControlAddress(), Node: s.Node},
+		node:     node,
+		clients:  clients,
+		state:    state.New(),
+		wake:     make(chan struct{}, 1),
 	}
-	server.elector, err = election.New(election.Config{
-		Node: host, Clients: clients, Self: server.self, Policy: membership.Policy{Tolerate: s.TolerateMachines}, Timeline: line, Log: log,
-		Now: multigroup.Now, Seeds: settings.NewSeeds(s).Addresses, Bootstrap: s.Bootstrap, BootstrapSeeds: s.SeedAddresses,
-	})
-	if err != nil {
+	if err := server.openElection(); err != nil {
 		return nil, err
 	}
-	server.failover = election.NewFailover(server.elector, server.draining.Load)
-	server.status = election.NewLeaseStatus(server.elector)
-	server.publisher = &feed.Publisher{View: server.state.View, IsFresh: server.status.MayServe}
-	server.primary = controlclient.New(clients, server.elector.Addresses)
+	server.wireHeartbeats()
+	server.wireReconciler()
+	server.wireAPI()
 	return server, nil
 }
 
-// Run serves until the context ends.
+// openElection makes what decides who leads, and what depends on it alone.
+func (s *Server) openElection() error {
+	var err error
+	s.elector, err = election.New(election.Config{
+		Node: s.node, Clients: s.clients, Self: s.self, Policy: membership.Policy{Tolerate: s.settings.TolerateMachines},
+		Timeline: s.timeline, Log: s.log, Now: s.now,
+		Seeds: settings.NewSeeds(s.settings).Addresses, Bootstrap: s.settings.Bootstrap, BootstrapSeeds: s.settings.SeedAddresses,
+	})
+	if err != nil {
+		return err
+	}
+	s.failover = election.NewFailover(s.elector, s.draining.Load)
+	s.status = election.NewLeaseStatus(s.elector)
+	s.publisher = &feed.Publisher{View: s.state.View, IsFresh: s.status.MayServe}
+	s.primary = controlclient.New(s.clients, s.elector.Addresses)
+	s.proposer = proposal.New(s.node, s.primary)
+	return nil
+}
+
+func (s *Server) wireHeartbeats() {
+	s.sessions = session.New(s.node.Identity, s.now)
+	s.hostHeartbeats = &heartbeat.Hosts{
+		Node: s.node, State: s.state, Sessions: s.sessions, Lease: s.status, Proposer: s.proposer, Primary: s.primary, Now: s.now,
+	}
+	s.storeHeartbeats = &heartbeat.Stores{
+		State: s.state, Sessions: s.sessions, Lease: s.status, Proposer: s.proposer, Registered: s.wakeSupervisor,
+	}
+	s.memberHeartbeats = &heartbeat.Members{
+		Node: s.node, Self: s.self, Elector: s.elector, Status: s.status, Sessions: s.sessions, Primary: s.primary,
+		Draining: s.draining.Load, Rejected: s.hostHeartbeats.Rejected, Now: s.now,
+	}
+}
+
+func (s *Server) wireReconciler() {
+	s.ejector = ejection.New()
+	s.reconciler = reconcile.New(reconcile.Config{
+		Node: s.node, State: s.state, Sessions: s.sessions, Ejector: s.ejector, Elector: s.elector, Lease: s.status, Proposer: s.proposer,
+		Hosts: s.hostHeartbeats, Timeline: s.timeline, Log: s.log, Now: s.now,
+		Heartbeat: s.settings.Heartbeat, Tolerate: s.settings.TolerateMachines,
+	})
+	s.members = &reconcile.Members{Node: s.node, Elector: s.elector, Status: s.status, Sessions: s.sessions, Now: s.now}
+}
+
+func (s *Server) wireAPI() {
+	config := api.Config{Address: s.settings.ListenControl, StoresNeeded: uint32(s.settings.TolerateMachines + 1)}
+	s.api = api.New(config, &backend{
+		Proposer: s.proposer, Lease: s.status, hosts: s.hostHeartbeats, reconciler: s.reconciler, mayForward: s.status.MayForward,
+	})
+}
+
+// Run serves until the context ends, then until others can do without this process, and ends. The order of the end is that of
+// shutdown.go.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.self.Address)
 	if err != nil {
 		return oops.Wrapf(err, "internal_ports")
 	}
-	defer listener.Close()
-	go rpc.Serve(listener, s.handle)
-	go s.host.Run(ctx)
-	go s.beat(ctx)
-	go s.reportHeard(ctx)
-	go s.watchLease(ctx)
-	go s.adjustReplicas(ctx)
-	return s.serveHTTP(ctx)
-}
+	background, endBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer endBackground()
+	work := s.startBackground(background, listener)
 
-// Supervise founds, takes over, repairs and places until the context ends.
-func (s *Server) Supervise(ctx context.Context) {
-	s.wakeSupervisor()
-	periodic.RunOrWake(ctx, superviseEvery, s.wake, func() {
-		s.sessions.Tick(s.refusals.Load())
-		if !s.host.IsPrimary(state.Group) {
-			s.endLeading()
-		}
-		if s.host.DiskDegraded() {
-			s.failover.StepAside(ctx, s.sessions.IsControlDraining)
-		}
-		switch {
-		case !s.elector.Known().IsBootstrapped():
-			s.failover.FindOrBootstrap(ctx)
-		case s.host.IsPrimary(state.Group):
-			s.lead(ctx)
-		default:
-			s.failover.Watch(ctx)
-		}
+	serving, endServing := context.WithCancel(background)
+	defer endServing()
+	cancelDrain := context.AfterFunc(ctx, func() {
+		s.drain(background)
+		endServing()
 	})
+	defer cancelDrain()
+	err = s.api.Serve(serving)
+	endBackground()
+	return errors.Join(err, awaitBackground(work))
 }
 
-// wakeSupervisor has Supervise look at once, since something has changed that it may have waited for.
-func (s *Server) wakeSupervisor() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
+// startBackground starts the work that goes on until the context ends, first that which takes calls of other processes.
+func (s *Server) startBackground(ctx context.Context, listener net.Listener) *errgroup.Group {
+	var group errgroup.Group
+	context.AfterFunc(ctx, func() { _ = listener.Close() }) // ends rpc.Serve; nothing else may fail here
+	group.Go(func() error {
+		rpc.Serve(listener, s.handle)
+		return nil
+	})
+	for _, work := range []func(context.Context){
+		s.node.Run,
+		s.memberHeartbeats.Run,
+		s.hostHeartbeats.Report,
+		s.watchLease,
+		s.members.Run,
+		s.supervise,
+	} {
+		group.Go(func() error {
+			work(ctx)
+			return nil
+		})
 	}
+	return &group
 }
 
-// handle takes messages of other processes.
-func (s *Server) handle(message rpc.Message) {
-	switch message.Kind {
-	case multigroup.KindReplica:
-		s.host.HandleMessage(message.Payload, nil)
-	case feed.KindSubscribe:
-		s.publisher.Handle(message)
-	case timeline.KindTimeline:
-		message.Answer(codes.OK, s.timeline.Encode())
-	case controlclient.KindLocate:
-		s.elector.HandleLocate(message)
-	case controlclient.KindPreVote:
-		go s.elector.HandleSupport(message)
-	case controlclient.KindPrepare:
-		go s.elector.HandlePrepare(message)
-	case controlclient.KindAccept:
-		go s.elector.HandleAccept(message)
-	case election.KindTakeOver:
-		go s.failover.HandleTakeOver(message)
-	case controlclient.KindMemberHeartbeat:
-		go s.answerControlBeat(message)
-	default:
-		go s.handleAsPrimary(message)
-	}
+// supervise bootstraps, takes over, repairs and places until the context ends.
+func (s *Server) supervise(ctx context.Context) {
+	s.wakeSupervisor()
+	periodic.RunOrWake(ctx, superviseInterval, s.wake, func() { s.superviseOnce(ctx) })
 }
 
-// handleAsPrimary takes what only the primary may decide.
-func (s *Server) handleAsPrimary(message rpc.Message) {
-	if err := s.status.MayDecide(); err != nil {
-		message.Answer(err.(codes.Code), []byte(s.status.PrimaryAddress()))
-		return
+func (s *Server) superviseOnce(ctx context.Context) {
+	s.sessions.Tick(s.hostHeartbeats.Rejected())
+	if !s.node.IsPrimary(state.Group) {
+		s.reconciler.EndLead()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
-	defer cancel()
-	result, err := s.decide(ctx, message)
-	if err != nil {
-		code, isCode := err.(codes.Code)
-		if !isCode {
-			code = codes.Malformed
-		}
-		message.Answer(code, nil)
-		return
+	if s.node.DiskDegraded() {
+		s.failover.StepAside(ctx, s.sessions.IsControlDraining)
+	}
+	switch {
+	case !s.elector.Known().IsBootstrapped():
+		s.failover.FindOrBootstrap(ctx)
+	case s.node.IsPrimary(state.Group):
+		s.reconciler.Lead(ctx)
+	default:
+		s.failover.Watch(ctx)
 	}
-	message.Answer(result.Code, result.Body)
 }
 
-func (s *Server) decide(ctx context.Context, message rpc.Message) (state.Result, error) {
-	switch message.Kind {
-	case controlclient.KindSubmit:
-		return s.submitHere(ctx, message.Payload)
-	case controlclient.KindStoreHeartbeat:
-		return s.storeBeat(ctx, message.Payload)
-	case controlclient.KindInSyncChange:
-		return s.shardChange(ctx, message.Payload)
-	case controlclient.KindHostHeartbeat:
-		beat, err := controlclient.DecodeHostHeartbeat(message.Payload)
-		if err != nil {
-			return state.Result{}, err
-		}
-		return s.hostBeat(ctx, beat)
-	case controlclient.KindHostObservations:
-		return s.observed(message.Payload)
-	case controlclient.KindHeartbeatReport:
-		return s.hostsHeard(message.Payload)
-	case controlclient.KindDeregisterHost:
-		return s.hostGone(ctx, string(message.Payload), true)
-	case controlclient.KindRetirementState:
-		return s.retireState(ctx, string(message.Payload))
+// wakeSupervisor has the supervisor look at once, since something has changed that it may have waited for.
+func (s *Server) wakeSupervisor() {
+	select {
+	case s.wake <- struct{}{}:
 	default:
-		return state.Result{}, codes.Malformed
 	}
 }
 
-const checkInterval = lease.CheckInterval * time.Millisecond
-
 // watchLease ends the subscriptions once this process may not serve its copy any longer.
 func (s *Server) watchLease(ctx context.Context) {
-	periodic.Run(ctx, checkInterval, func() {
+	periodic.Run(ctx, leaseCheckInterval, func() {
 		if s.status.MayServe() {
 			s.timeline.Reach(timeline.MajorityContacted)
 		} else {
--- a/tier/control/session/unreported.go
+++ b/tier/control/session/unreported.go
@@ -8,27 +8,24 @@
 
 // HostHeartbeat is a host's heartbeat that this process acknowledged.
 type HostHeartbeat struct {
-	Beat controlclient.HostHeartbeat
-	At   int64 // when it came, on this process's clock in milliseconds
+	Heartbeat controlclient.HostHeartbeat
+	At        int64 // when it came, on this process's clock in milliseconds
 }
 
 // HostHeartbeats is the newest such heartbeat of each host, by id.
 type HostHeartbeats map[string]HostHeartbeat
 
-// UnreportedHosts holds the heartbeats of hosts that the primary was not told of yet.
+// UnreportedHosts holds the heartbeats of hosts that the primary was not told of yet. The zero value is empty and ready to use.
 type UnreportedHosts struct {
 	mu    sync.Mutex // guards hosts
 	hosts HostHeartbeats
 }
 
-// NewUnreportedHosts makes an empty list.
-func NewUnreportedHosts() *UnreportedHosts { return &UnreportedHosts{hosts: HostHeartbeats{}} }
-
 // Add notes a heartbeat in place of an older one of the host.
 func (u *UnreportedHosts) Add(heartbeat HostHeartbeat) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.hosts[heartbeat.Beat.Host.ID] = heartbeat
+	u.put(heartbeat.Heartbeat.Host.ID, heartbeat)
 }
 
 // Take returns what was noted since the last time.
@@ -36,7 +33,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	taken := u.hosts
-	u.hosts = HostHeartbeats{}
+	u.hosts = nil
 	return taken
 }
 
@@ -46,7 +43,15 @@
 	defer u.mu.Unlock()
 	for id, heartbeat := range heartbeats {
 		if _, newer := u.hosts[id]; !newer {
-			u.hosts[id] = heartbeat
+			u.put(id, heartbeat)
 		}
 	}
 }
+
+// put notes a heartbeat; the lock is held.
+func (u *UnreportedHosts) put(id string, heartbeat HostHeartbeat) {
+	if u.hosts == nil {
+		u.hosts = HostHeartbeats{}
+	}
+	u.hosts[id] = heartbeat
+}
--- a/tier/control/stop.go
+++ b/tier/control/shutdown.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
 	"otterseam/tier/periodic"
@@ -12,15 +15,21 @@
 const (
 	// handOverPause is how long a process that drains waits between two looks at whether it is still needed.
 	handOverPause = 50 * time.Millisecond
-	// stopMargin is how long before the platform would kill it the process ends by itself.
+	// stopMargin is how long before the platform would kill it the process ends by itself. It is above the second that package api
+	// waits for requests in flight and backgroundTimeout together.
 	stopMargin = 1500 * time.Millisecond
 	// shortestStop bounds the wait from below, where the platform gives no time worth speaking of.
 	shortestStop = 500 * time.Millisecond
+	// backgroundTimeout bounds the wait for the work in the background, which may hang on a disk.
+	backgroundTimeout = 400 * time.Millisecond
 )
 
-// Stop returns when this process may end: another one leads, and what this one acknowledged is held by as many others as an
+// errBackgroundHangs says that work in the background did not end in time.
+var errBackgroundHangs = errors.New("work in the background did not end in time")
+
+// drain returns when this process may end: another one leads, and what this one acknowledged is held by as many others as an
 // acknowledgement needs, or time is up.
-func (s *Server) Stop(ctx context.Context) {
+func (s *Server) drain(ctx context.Context) {
 	s.draining.Store(true)
 	limit, cancel := context.WithTimeout(ctx, max(shortestStop, s.settings.Bounds.Grace-stopMargin))
 	defer cancel()
@@ -35,6 +44,18 @@
 	})
 }
 
+// awaitBackground waits for the work in the background, whose context has ended.
+func awaitBackground(work *errgroup.Group) error {
+	done := make(chan error, 1)
+	go func() { done <- work.Wait() }()
+	select {
+	case err := <-done:
+		return err
+	case <-time.After(backgroundTimeout):
+		return errBackgroundHangs
+	}
+}
+
 // needed tells whether others can't do without this process yet.
 func (s *Server) needed() bool {
 	known := s.elector.Known()
--- a/tier/control/sim_test.go
+++ b/tier/control/sim_test.go
@@ -11,6 +11,8 @@
 	"otterseam/tier/codes"
 	"otterseam/tier/configlog"
 	"otterseam/tier/consensus"
+	"otterseam/tier/control/heartbeat"
+	"otterseam/tier/control/proposal"
 	"otterseam/tier/control/state"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
@@ -393,7 +395,7 @@
 	}
 	index := m.group.Propose(command.Encode(), m.clock())
 	m.waiting[index] = done
-	m.s.at(submitTimeout.Milliseconds(), func() {
+	m.s.at(proposal.Timeout.Milliseconds(), func() {
 		m.s.run(m.place, func() {
 			if m.waiting[index] != nil {
 				delete(m.waiting, index)
@@ -659,7 +661,7 @@
 	}
 	s.every(simTick, func() { s.run(p, m.tickUnlessFrozen) })
 	s.every(lease.ReportInterval, func() { s.run(p, m.report) })
-	s.every(controlBeatEvery.Milliseconds(), func() { s.run(p, m.beat) })
+	s.every(heartbeat.MemberInterval.Milliseconds(), func() { s.run(p, m.beat) })
 }
 
 // tickUnlessFrozen drops ticks that piled up while the member stood still.
