--- a/tier/control/election/locate.go
+++ b/tier/control/election/locate.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return
 	}
-	response, err := decodeLocateResponse(answer)
+	response, err := controlclient.DecodeLocateResponse(answer)
 	if err != nil {
 		return
 	}
@@ -61,8 +61,8 @@
 	if len(message.Payload) > 0 {
 		e.learnEncoded(message.Payload)
 	}
-	response := locateResponse{ID: e.Self.ID, Node: e.Self.Node, Bootstraps: e.Bootstrap, Record: e.Known()}
-	message.Answer(codes.OK, response.encode())
+	response := controlclient.LocateResponse{ID: e.Self.ID, Node: e.Self.Node, Bootstraps: e.Bootstrap, Record: e.Known()}
+	message.Answer(codes.OK, response.Encode())
 }
 
 // Announce tells the seeds that are no members where the group is: a process that comes up on an empty disk may know them alone.
--- a/tier/control/election/messages.go
+++ b/tier/control/election/messages.go
@@ -122,30 +122,6 @@
 	return r, d.Err()
 }
 
-// locateResponse tells who answers at an address and what it knows. It answers controlclient.KindLocate, which carries nothing or the
-// record that the asker knows.
-type locateResponse struct {
-	ID         uint64
-	Node       string
-	Bootstraps bool // the process was started to bootstrap the cluster
-	Record     consensus.Record
-}
-
-func (r locateResponse) encode() []byte {
-	var e codec.Encoder
-	e.Uint64(r.ID)
-	e.String(r.Node)
-	e.Bool(r.Bootstraps)
-	consensus.EncodeRecord(&e, r.Record)
-	return e.Bytes
-}
-
-func decodeLocateResponse(data []byte) (locateResponse, error) {
-	d := codec.NewDecoder(data)
-	r := locateResponse{ID: d.Uint64(), Node: d.String(), Bootstraps: d.Bool(), Record: consensus.DecodeRecord(d)}
-	return r, d.Err()
-}
-
 // encodeTakeOver names the epoch that is handed over, so that a request which is read late replaces no later primary.
 func encodeTakeOver(epoch uint64) []byte {
 	var e codec.Encoder
--- a/tier/controlclient/client.go
+++ b/tier/controlclient/client.go
@@ -13,17 +13,17 @@
 
 const (
 	attemptTimeout = lease.PrimaryAttemptTimeout * time.Millisecond
-	attemptPause   = lease.PrimaryRetryInterval * time.Millisecond
+	retryInterval  = lease.PrimaryRetryInterval * time.Millisecond
 )
 
-// Client calls the control primary, wherever it is.
+// Client calls the primary of control, wherever it is. It may be used from several goroutines.
 type Client struct {
 	clients   *rpc.Clients
 	addresses func() []string
 
-	mu       sync.Mutex
-	primary  string
-	position int
+	mu       sync.Mutex // guards primary and position
+	primary  string     // address that last answered as the primary, or was named as such; empty if none is known
+	position int        // which of the addresses is asked while no primary is known
 }
 
 // New makes a client; addresses returns where control processes may be.
@@ -31,24 +31,25 @@
 	return &Client{clients: clients, addresses: addresses}
 }
 
-// Call asks the primary and goes on to other control processes until one answers for it or the context ends. A call that got
-// no clear answer is made again, so it has to be idempotent.
+// Call asks the primary and goes on to other control processes until one answers for it or the context ends, which gives
+// codes.Timeout. A call that got no clear answer is made again, so it has to be idempotent. With a code of the primary's as the
+// error comes the body of its answer.
 func (c *Client) Call(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
 	for {
 		result, err := c.CallOnce(ctx, kind, payload)
-		if err == nil || !tryElsewhere(err) {
+		if err == nil || !isRetryable(err) {
 			return result, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, codes.Timeout
-		case <-time.After(attemptPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// CallOnce asks one control process: the primary, if it is known. A call that got no clear answer is not made again; the next one goes
-// elsewhere.
+// CallOnce asks one control process: the primary, if it is known. A call that got no clear answer is not made again; the next one
+// goes elsewhere. The error of a process that is not the primary is a NotPrimaryError.
 func (c *Client) CallOnce(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
 	address := c.target()
 	if address == "" {
@@ -57,23 +58,18 @@
 	attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	result, err := c.clients.To(address).Call(attempt, kind, payload)
-	if err == nil || !tryElsewhere(err) {
-		c.remember(address)
+	if errors.Is(err, codes.NotPrimary) {
+		err = &NotPrimaryError{Primary: string(result)}
+	}
+	if err == nil || !isRetryable(err) {
+		c.rememberPrimary(address)
 	} else {
-		c.forget(address, err, result)
+		c.leave(address, err)
 	}
 	return result, err
 }
 
-func tryElsewhere(err error) bool {
-	for _, code := range []codes.Code{codes.NotPrimary, codes.Timeout, codes.LinkBroken, codes.Unavailable} {
-		if errors.Is(err, code) {
-			return true
-		}
-	}
-	return false
-}
-
+// target is whom to ask next; empty if no address is known.
 func (c *Client) target() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,18 +83,19 @@
 	return addresses[c.position%len(addresses)]
 }
 
-func (c *Client) remember(address string) {
+func (c *Client) rememberPrimary(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.primary = address
 }
 
-// forget turns to where the answer points, or else to the next address.
-func (c *Client) forget(address string, err error, hint []byte) {
+// leave turns to where the answer points, or else to the next address.
+func (c *Client) leave(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if errors.Is(err, codes.NotPrimary) && len(hint) > 0 && string(hint) != address {
-		c.primary = string(hint)
+	var notPrimary *NotPrimaryError
+	if errors.As(err, &notPrimary) && notPrimary.Primary != "" && notPrimary.Primary != address {
+		c.primary = notPrimary.Primary
 		return
 	}
 	c.primary = ""
--- a/tier/controlclient/client_test.go
+++ b/tier/controlclient/client_test.go
@@ -1,6 +1,7 @@
 package controlclient
 
 import (
+	"context"
 	"errors"
 	"net"
 	"sync/atomic"
@@ -17,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	calls = &atomic.Int32{}
 	go rpc.Serve(listener, func(m rpc.Message) {
 		calls.Add(1)
@@ -26,8 +27,8 @@
 	return listener.Addr().String(), calls
 }
 
-// What is tried once presses upon nobody while there is no primary, and finds the primary by hints over the next tries.
-func TestATryAsksOneProcess(t *testing.T) {
+// A call that is made once puts no load on control while there is no primary, and finds the primary by hints over the next calls.
+func TestCallOnceAsksOneProcess(t *testing.T) {
 	primary, atPrimary := member(t, codes.OK, "")
 	backup, atBackup := member(t, codes.NotPrimary, primary)
 	alone, atAlone := member(t, codes.Unavailable, "")
@@ -40,16 +41,15 @@
 		{codes.Unavailable, 1, 0, 0}, {codes.NotPrimary, 1, 1, 0}, {nil, 1, 1, 1}, {nil, 1, 1, 2},
 	} {
 		if _, err := client.CallOnce(t.Context(), KindHostObservations, nil); !errors.Is(err, want.err) {
-			t.Errorf("try %d: %v, not %v", i, err, want.err)
+			t.Errorf("call %d: %v, not %v", i, err, want.err)
 		}
 		if atAlone.Load() != want.alone || atBackup.Load() != want.backup || atPrimary.Load() != want.primary {
-			t.Errorf("try %d: asked %d, %d and %d times", i, atAlone.Load(), atBackup.Load(), atPrimary.Load())
+			t.Errorf("call %d: asked %d, %d and %d times", i, atAlone.Load(), atBackup.Load(), atPrimary.Load())
 		}
 	}
 }
 
-// A call goes on until the primary answers.
-func TestACallFindsThePrimary(t *testing.T) {
+func TestCallRetriesUntilThePrimaryAnswers(t *testing.T) {
 	primary, _ := member(t, codes.OK, "done")
 	backup, _ := member(t, codes.NotPrimary, primary)
 	alone, _ := member(t, codes.Unavailable, "")
@@ -58,3 +58,42 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 }
+
+// The address that a backup names is part of the error; a backup that knows none names none.
+func TestNotPrimaryErrorNamesThePrimary(t *testing.T) {
+	for name, hint := range map[string]string{"known": "10.0.0.1:7401", "not known": ""} {
+		t.Run(name, func(t *testing.T) {
+			backup, _ := member(t, codes.NotPrimary, hint)
+			client := New(rpc.NewClients(nil), func() []string { return []string{backup} })
+			_, err := client.CallOnce(t.Context(), KindHostObservations, nil)
+			var notPrimary *NotPrimaryError
+			if !errors.As(err, &notPrimary) || notPrimary.Primary != hint || !errors.Is(err, codes.NotPrimary) {
+				t.Fatalf("%#v", err)
+			}
+		})
+	}
+}
+
+// What the primary rejects is answered with its body and not asked again elsewhere.
+func TestCallReturnsTheBodyOfARejection(t *testing.T) {
+	primary, calls := member(t, codes.ConfigBase, "9")
+	client := New(rpc.NewClients(nil), func() []string { return []string{primary} })
+	body, err := client.Call(t.Context(), KindSubmit, nil)
+	if !errors.Is(err, codes.ConfigBase) || string(body) != "9" || calls.Load() != 1 {
+		t.Fatalf("%q, %v after %d calls", body, err, calls.Load())
+	}
+}
+
+func TestCallEndsWithItsContext(t *testing.T) {
+	alone, _ := member(t, codes.Unavailable, "")
+	for name, addresses := range map[string][]string{"no address": nil, "no primary": {alone}} {
+		t.Run(name, func(t *testing.T) {
+			client := New(rpc.NewClients(nil), func() []string { return addresses })
+			ctx, cancel := context.WithTimeout(t.Context(), 2*retryInterval)
+			defer cancel()
+			if _, err := client.Call(ctx, KindSubmit, nil); !errors.Is(err, codes.Timeout) {
+				t.Fatalf("%v", err)
+			}
+		})
+	}
+}
--- a/tier/directory/directory_test.go
+++ b/tier/directory/directory_test.go
@@ -39,7 +39,7 @@
 	}{
 		"empty":           {nil, false},
 		"only its shard":  {shardsOfFour(home.ID), true},
-		"only another":    {shardsOfFour((home.ID+1)%4), false},
+		"only another":    {shardsOfFour((home.ID + 1) % 4), false},
 		"total not known": {map[uint32]Shard{0: {}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -6,7 +6,6 @@
 	"sort"
 	"sync"
 
-	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
 	"otterseam/tier/control/state"
@@ -89,15 +88,11 @@
 			if err != nil {
 				return
 			}
-			d := codec.NewDecoder(answer)
-			d.Uint64()
-			_ = d.String()
-			_ = d.Bool()
-			record := consensus.DecodeRecord(d)
+			response, err := controlclient.DecodeLocateResponse(answer)
 			mu.Lock()
 			defer mu.Unlock()
-			if d.Err() == nil && record.Epoch > newest.Epoch {
-				newest = record
+			if err == nil && response.Record.Epoch > newest.Epoch {
+				newest = response.Record
 			}
 		}()
 	}
