--- a/tier/storage/crash_test.go
+++ b/tier/storage/crash_test.go
@@ -21,7 +21,7 @@
 	restart bool
 }
 
-// crashWorkload is what a member does that writes entries, compacts, is sent a snapshot while it lags, compacts again and goes on.
+// crashWorkload is what a node does that writes entries, compacts, is sent a snapshot while it lags, compacts again and goes on.
 func crashWorkload() []journalStep {
 	var steps []journalStep
 	commit := func(records ...Record) { steps = append(steps, journalStep{records: records}) }
@@ -34,7 +34,7 @@
 	compact()
 	commit(entry(1, 5, 1, "first-5"), entry(1, 6, 1, "first-6"))
 	commit(entry(1, 6, 2, "first-6 of another epoch"))
-	// the snapshot of a transfer that is whole, with entries that came right behind it
+	// the snapshot of a transfer that is complete, with entries that came right behind it
 	state := make([]byte, snapshotBytes)
 	commit(Record{Kind: RecordSnapshot, Group: 1, Index: 40, Epoch: 3, Data: state}, entry(1, 41, 3, "first-41"))
 	commit(entry(1, 42, 3, "first-42"))
@@ -45,9 +45,9 @@
 	return steps
 }
 
-// wholeState is the state of all groups as records, as a compaction writes it.
-func wholeState(records []Record) []Record {
-	var whole []Record
+// checkpointRecords is the state of all groups as records, as a compaction writes it.
+func checkpointRecords(records []Record) []Record {
+	var checkpoint []Record
 	logs := FoldRecords(records)
 	for group := uint32(1); group <= 2; group++ {
 		log := logs[group]
@@ -55,32 +55,32 @@
 			continue
 		}
 		state := append([]byte{}, log.Snapshot...)
-		whole = append(whole, Record{Kind: RecordSnapshot, Group: group, Index: log.SnapshotIndex, Epoch: log.SnapshotEpoch, Data: state})
-		whole = append(whole, log.Entries...)
+		checkpoint = append(checkpoint, Record{Kind: RecordSnapshot, Group: group, Index: log.SnapshotIndex, Epoch: log.SnapshotEpoch, Data: state})
+		checkpoint = append(checkpoint, log.Entries...)
 	}
-	return whole
+	return checkpoint
 }
 
-// foldsAlike compares what was read with what was written; an empty snapshot is as good as none.
-func foldsAlike(read, written []Record) bool {
-	return reflect.DeepEqual(wholeState(read), wholeState(written))
+// foldToTheSame compares what was read with what was written; an empty snapshot is as good as none.
+func foldToTheSame(read, written []Record) bool {
+	return reflect.DeepEqual(checkpointRecords(read), checkpointRecords(written))
 }
 
-// playUntilPowerIsLost carries the workload out and returns the records of the calls that returned, and those of the one under way.
-func playUntilPowerIsLost(on disk, steps []journalStep) (done, underWay []Record) {
-	j, _, err := openJournalOn(on, crashFolder)
+// runUntilPowerIsLost carries the workload out and returns the records of the calls that returned, and those of the one under way.
+func runUntilPowerIsLost(fs fileSystem, steps []journalStep) (done, underWay []Record) {
+	j, _, err := openJournalFS(fs, crashFolder)
 	if err != nil {
 		return nil, nil
 	}
 	for _, step := range steps {
 		if step.restart {
-			if j, _, err = openJournalOn(on, crashFolder); err != nil {
+			if j, _, err = openJournalFS(fs, crashFolder); err != nil {
 				return done, done
 			}
 			continue
 		}
 		if step.compact {
-			if j.Compact(wholeState(done)) != nil {
+			if j.Compact(checkpointRecords(done)) != nil {
 				return done, done
 			}
 			continue
@@ -98,36 +98,36 @@
 // was acknowledged is read at the next start, and nothing that was never written; and the journal can go on from there.
 func TestNoStepOfAJournalLosesWhatWasAcknowledged(t *testing.T) {
 	steps := crashWorkload()
-	whole := newCrashDisk(0)
-	playUntilPowerIsLost(whole, steps)
-	played := 0
-	for dieAt := 1; dieAt <= whole.steps; dieAt++ {
+	unharmed := newCrashFileSystem(0)
+	runUntilPowerIsLost(unharmed, steps)
+	losses := 0
+	for lossStep := 1; lossStep <= unharmed.steps; lossStep++ {
 		for left := range remainsEnd {
 			draws := 1
 			if left == partRemains {
 				draws = partsADisk
 			}
 			for draw := range draws {
-				random := rand.New(rand.NewSource(int64(dieAt*partsADisk + draw)))
-				d := newCrashDisk(dieAt)
-				done, underWay := playUntilPowerIsLost(d, steps)
+				random := rand.New(rand.NewSource(int64(lossStep*partsADisk + draw)))
+				d := newCrashFileSystem(lossStep)
+				done, underWay := runUntilPowerIsLost(d, steps)
 				after := d.afterPowerLoss(left, random)
-				checkAfterPowerLoss(t, fmt.Sprintf("power lost at step %d of %d, %s of what was not synced is left", dieAt, whole.steps, left),
+				checkAfterPowerLoss(t, fmt.Sprintf("power lost at step %d of %d, %s of what was not synced is left", lossStep, unharmed.steps, left),
 					after, done, underWay)
-				played++
+				losses++
 			}
 		}
 	}
-	t.Logf("%d steps, %d losses of power", whole.steps, played)
+	t.Logf("%d steps, %d losses of power", unharmed.steps, losses)
 }
 
-func checkAfterPowerLoss(t *testing.T, where string, on *crashDisk, done, underWay []Record) {
+func checkAfterPowerLoss(t *testing.T, where string, fs *crashFileSystem, done, underWay []Record) {
 	t.Helper()
-	j, read, err := openJournalOn(on, crashFolder)
+	j, read, err := openJournalFS(fs, crashFolder)
 	if err != nil {
-		t.Fatalf("%s: %v\n%s", where, err, on)
+		t.Fatalf("%s: %v\n%s", where, err, fs)
 	}
-	if !foldsAlike(read, done) && !foldsAlike(read, underWay) {
+	if !foldToTheSame(read, done) && !foldToTheSame(read, underWay) {
 		t.Fatalf("%s: read %+v, acknowledged %+v", where, FoldRecords(read), FoldRecords(done))
 	}
 	more := entry(3, 1, 9, "behind the loss of power")
@@ -135,11 +135,11 @@
 		t.Fatalf("%s: %v", where, err)
 	}
 	// all that was acknowledged since has been synced: a second loss of power leaves it
-	_, again, err := openJournalOn(on.afterPowerLoss(nothingRemains, nil), crashFolder)
+	_, again, err := openJournalFS(fs.afterPowerLoss(nothingRemains, nil), crashFolder)
 	if err != nil {
 		t.Fatalf("%s, and once more: %v", where, err)
 	}
-	if !foldsAlike(again, read) || FoldRecords(again)[3] == nil {
+	if !foldToTheSame(again, read) || FoldRecords(again)[3] == nil {
 		t.Fatalf("%s, and once more: read %+v, %+v before", where, FoldRecords(again), FoldRecords(read))
 	}
 }
@@ -147,8 +147,8 @@
 // A value is the one acknowledged last, or the one that was being written.
 func TestNoStepOfAValueLosesWhatWasAcknowledged(t *testing.T) {
 	const writes = 5
-	play := func(on *crashDisk) (done int) {
-		values, err := openValuesOn(on, crashFolder)
+	run := func(fs *crashFileSystem) (done int) {
+		values, err := openValuesFS(fs, crashFolder)
 		if err != nil {
 			return 0
 		}
@@ -159,27 +159,27 @@
 		}
 		return writes
 	}
-	whole := newCrashDisk(0)
-	play(whole)
-	for dieAt := 1; dieAt <= whole.steps; dieAt++ {
+	unharmed := newCrashFileSystem(0)
+	run(unharmed)
+	for lossStep := 1; lossStep <= unharmed.steps; lossStep++ {
 		for left := range remainsEnd {
-			random := rand.New(rand.NewSource(int64(dieAt)))
-			d := newCrashDisk(dieAt)
-			done := play(d)
-			values, err := openValuesOn(d.afterPowerLoss(left, random), crashFolder)
+			random := rand.New(rand.NewSource(int64(lossStep)))
+			d := newCrashFileSystem(lossStep)
+			done := run(d)
+			values, err := openValuesFS(d.afterPowerLoss(left, random), crashFolder)
 			if err != nil {
 				t.Fatal(err)
 			}
 			content, err := values.Read("witness")
 			if err != nil {
-				t.Fatalf("power lost at step %d, %s left: %v", dieAt, left, err)
+				t.Fatalf("power lost at step %d, %s left: %v", lossStep, left, err)
 			}
 			got := 0
 			if content != nil {
 				_, _ = fmt.Sscan(string(content), &got)
 			}
 			if got != done && got != done+1 {
-				t.Fatalf("power lost at step %d, %s left: read %d, acknowledged %d", dieAt, left, got, done)
+				t.Fatalf("power lost at step %d, %s left: read %d, acknowledged %d", lossStep, left, got, done)
 			}
 		}
 	}
--- /dev/null
+++ b/tier/storage/errors_test.go
@@ -0,0 +1,182 @@
+package storage
+
+import (
+	"errors"
+	"maps"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"otterseam/tier/codes"
+)
+
+// readFolder is what the files of a folder hold, by their names.
+func readFolder(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string]string{}
+	for _, entry := range entries {
+		content, err := os.ReadFile(filepath.Join(dir, entry.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[entry.Name()] = string(content)
+	}
+	return files
+}
+
+// rewriteFile replaces a file's content by what is made of it.
+func rewriteFile(t *testing.T, path string, change func([]byte) []byte) {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, change(content), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func flipBit(at int) func([]byte) []byte {
+	return func(content []byte) []byte {
+		content[at] ^= 1
+		return content
+	}
+}
+
+func cutTo(size int) func([]byte) []byte {
+	return func(content []byte) []byte { return content[:size] }
+}
+
+// checkCorrupt checks that an error says what is corrupt, and that nothing in the folder has changed.
+func checkCorrupt(t *testing.T, err error, want CorruptRecordError, dir string, before map[string]string) {
+	t.Helper()
+	var corrupt *CorruptRecordError
+	if !errors.As(err, &corrupt) || !errors.Is(err, codes.DiskDamaged) {
+		t.Fatalf("error %v", err)
+	}
+	want.File = filepath.Join(dir, want.File)
+	if *corrupt != want {
+		t.Errorf("error %+v, not %+v", *corrupt, want)
+	}
+	if after := readFolder(t, dir); !maps.Equal(after, before) {
+		t.Error("the folder has changed")
+	}
+}
+
+// A journal that is cut, torn, altered or of a newer format before its end is refused and stays as it is.
+func TestACorruptJournalIsReportedAndStaysAsItIs(t *testing.T) {
+	const (
+		first  = "segment-0000000000000001"
+		second = "segment-0000000000000002"
+		third  = "segment-0000000000000003"
+	)
+	length := len(encodeCommit(commit{sequence: 1, records: []Record{entry(1, 1, 1, "a")}})) // of each commit
+	cases := []struct {
+		name   string
+		file   string
+		change func([]byte) []byte
+		want   CorruptRecordError
+	}{
+		{"a bit of the first commit of two", first, flipBit(length - 1), CorruptRecordError{File: first, Reason: "damaged commit: complete commits follow"}},
+		{"a cut end before other segments", first, cutTo(2*length - 1), CorruptRecordError{File: first, Offset: int64(length), Reason: "damaged commit: later segments follow"}},
+		{"a newer format before other segments", second, flipBit(0), CorruptRecordError{File: second, Reason: "damaged commit: later segments follow"}},
+		{"an empty segment before others", second, cutTo(0), CorruptRecordError{File: third, Reason: "commit 3 is missing before commit 4"}},
+		{"a missing commit before a torn one", third, func(content []byte) []byte {
+			later := encodeCommit(commit{sequence: 6, records: []Record{entry(1, 6, 1, "f")}})
+			return append(append(content, later...), "torn"...)
+		}, CorruptRecordError{File: third, Offset: int64(length), Reason: "commit 5 is missing before commit 6"}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			j, _ := openJournal(t, dir)
+			appendAll(t, j, entry(1, 1, 1, "a"), entry(1, 2, 1, "b"))
+			j, _ = openJournal(t, dir)
+			appendAll(t, j, entry(1, 3, 1, "c"))
+			j, _ = openJournal(t, dir)
+			appendAll(t, j, entry(1, 4, 1, "d"))
+			rewriteFile(t, filepath.Join(dir, c.file), c.change)
+			before := readFolder(t, dir)
+			_, _, err := OpenJournal(dir)
+			checkCorrupt(t, err, c.want, dir, before)
+		})
+	}
+}
+
+// A value that is cut, altered, misplaced or of a newer format is refused, and no older version is taken in its place.
+func TestACorruptValueIsReportedAndStaysAsItIs(t *testing.T) {
+	const newest = "identity-0000000000000002"
+	cases := []struct {
+		name   string
+		change func([]byte) []byte
+		reason string
+	}{
+		{"empty", cutTo(0), "no valid header"},
+		{"cut in the header", cutTo(versionHeaderBytes - 1), "no valid header"},
+		{"a newer format", flipBit(3), "no valid header"},
+		{"cut in the content", cutTo(versionHeaderBytes + 3), "cut short or too long"},
+		{"longer", func(content []byte) []byte { return append(content, 0) }, "cut short or too long"},
+		{"a bit of the content", flipBit(versionHeaderBytes), "wrong checksum"},
+		{"the content of another file", func([]byte) []byte { return encodeVersion("starts-0000000000000002", []byte("12345678")) }, "wrong checksum"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			values, err := OpenValues(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, content := range []string{"12345678", "87654321"} {
+				if err := values.Write("identity", []byte(content)); err != nil {
+					t.Fatal(err)
+				}
+			}
+			rewriteFile(t, filepath.Join(dir, newest), c.change)
+			before := readFolder(t, dir)
+			_, err = values.Read("identity")
+			checkCorrupt(t, err, CorruptRecordError{File: newest, Reason: c.reason}, dir, before)
+		})
+	}
+}
+
+// An error of the file system is a WriteError that keeps it, at each step of each write.
+func TestAFailedWriteKeepsTheErrorOfTheFileSystem(t *testing.T) {
+	cases := []struct {
+		name  string
+		write func(fs fileSystem) error
+	}{
+		{"a value", func(fs fileSystem) error {
+			values, err := openValuesFS(fs, crashFolder)
+			if err != nil {
+				return err
+			}
+			return values.Write("identity", []byte("x"))
+		}},
+		{"a journal", func(fs fileSystem) error {
+			j, _, err := openJournalFS(fs, crashFolder)
+			if err != nil {
+				return err
+			}
+			return j.Append([]Record{entry(1, 1, 1, "a")})
+		}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			unharmed := newCrashFileSystem(0)
+			if err := c.write(unharmed); err != nil {
+				t.Fatal(err)
+			}
+			for step := 1; step <= unharmed.steps; step++ {
+				err := c.write(newCrashFileSystem(step))
+				var failed *WriteError
+				if !errors.As(err, &failed) || !errors.Is(err, codes.DiskWrite) || !errors.Is(err, errPowerLost) {
+					t.Errorf("step %d of %d: error %v", step, unharmed.steps, err)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/tier/storage/filesystem.go
@@ -0,0 +1,122 @@
+package storage
+
+import (
+	"os"
+	"path/filepath"
+)
+
+// fileSystem is what this package needs of a file system. Tests put one in its place that loses power.
+type fileSystem interface {
+	MkdirAll(path string) error
+	// List gives the names of the files in a folder.
+	List(path string) ([]string, error)
+	ReadFile(path string) ([]byte, error)
+	// Create makes an empty file, also in place of one that is there.
+	Create(path string) (file, error)
+	// Open opens a file that is there for writing.
+	Open(path string) (file, error)
+	Rename(from, to string) error
+	Remove(path string) error
+	// SyncDir makes durable which files a folder holds.
+	SyncDir(path string) error
+}
+
+// file is an open file.
+type file interface {
+	WriteAt(data []byte, offset int64) (int, error)
+	Truncate(size int64) error
+	Sync() error
+	Close() error
+}
+
+// osFileSystem is the file system of the machine.
+type osFileSystem struct{}
+
+const (
+	fileMode = 0o644
+	dirMode  = 0o755
+)
+
+func (osFileSystem) MkdirAll(path string) error { return os.MkdirAll(path, dirMode) }
+
+func (osFileSystem) List(path string) ([]string, error) {
+	entries, err := os.ReadDir(path)
+	if err != nil {
+		return nil, err
+	}
+	names := make([]string, 0, len(entries))
+	for _, entry := range entries {
+		names = append(names, entry.Name())
+	}
+	return names, nil
+}
+
+func (osFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+
+func (osFileSystem) Create(path string) (file, error) {
+	return openFile(path, os.O_CREATE|os.O_RDWR|os.O_TRUNC)
+}
+
+func (osFileSystem) Open(path string) (file, error) { return openFile(path, os.O_RDWR) }
+
+func openFile(path string, flags int) (file, error) {
+	f, err := os.OpenFile(path, flags, fileMode)
+	if err != nil {
+		return nil, err // and not a file that is nil within an interface
+	}
+	return f, nil
+}
+
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
+
+func (osFileSystem) Remove(path string) error { return os.Remove(path) }
+
+func (osFileSystem) SyncDir(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer folder.Close()
+	return folder.Sync()
+}
+
+// temporarySuffix marks a file that is being written. One that a crash left is written over by the next write of its name.
+const temporarySuffix = ".aside"
+
+// writeAtomically puts a file in place so that a crash leaves either none or all of it: it is written under a temporary name,
+// synced and renamed, and the folder is synced.
+func writeAtomically(fs fileSystem, dir, name string, data []byte) error {
+	temporary := filepath.Join(dir, name+temporarySuffix)
+	if err := writeAndSync(fs, temporary, data); err != nil {
+		return err
+	}
+	if err := fs.Rename(temporary, filepath.Join(dir, name)); err != nil {
+		return &WriteError{Err: err}
+	}
+	return syncDir(fs, dir)
+}
+
+func writeAndSync(fs fileSystem, path string, data []byte) error {
+	f, err := fs.Create(path)
+	if err != nil {
+		return &WriteError{Err: err}
+	}
+	_, err = f.WriteAt(data, 0)
+	if err == nil {
+		err = f.Sync()
+	}
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
+	if err != nil {
+		return &WriteError{Err: err}
+	}
+	return nil
+}
+
+func syncDir(fs fileSystem, dir string) error {
+	if err := fs.SyncDir(dir); err != nil {
+		return &WriteError{Err: err}
+	}
+	return nil
+}
--- a/tier/storage/log.go
+++ b/tier/storage/grouplog.go
@@ -36,6 +36,6 @@
 	if record.Index <= l.SnapshotIndex {
 		return
 	}
-	position := sort.Search(len(l.Entries), func(i int) bool { return l.Entries[i].Index >= record.Index })
-	l.Entries = append(l.Entries[:position], record)
+	first := sort.Search(len(l.Entries), func(i int) bool { return l.Entries[i].Index >= record.Index })
+	l.Entries = append(l.Entries[:first], record)
 }
--- a/tier/storage/recorded_test.go
+++ b/tier/storage/recorded_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// decodeWhole reads bytes that are one commit and nothing else.
-func decodeWhole(t *testing.T) func([]byte) (commit, error) {
+// decodeAll reads bytes that are one commit and nothing else.
+func decodeAll(t *testing.T) func([]byte) (commit, error) {
 	return func(data []byte) (commit, error) {
 		c, length, ok := decodeCommit(data)
 		if !ok || length != len(data) {
@@ -31,9 +31,9 @@
 
 func TestRecordedCommits(t *testing.T) {
 	plain := commit{sequence: 0x0102030405060708, records: recordedRecords()}
-	recorded.CheckBoth(t, "commit", plain, encodeCommit, decodeWhole(t))
-	whole := commit{sequence: 3, whole: true, records: recordedRecords()[:2]}
-	recorded.CheckBoth(t, "commit-whole", whole, encodeCommit, decodeWhole(t))
+	recorded.CheckBoth(t, "commit", plain, encodeCommit, decodeAll(t))
+	checkpoint := commit{sequence: 3, checkpoint: true, records: recordedRecords()[:2]}
+	recorded.CheckBoth(t, "commit-whole", checkpoint, encodeCommit, decodeAll(t))
 }
 
 // checkFolder holds the files of a folder, by their names, to recordings. Files without content are left out.
--- a/tier/storage/storage_test.go
+++ b/tier/storage/storage_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestJournalNamesDamageBeforeItsEnd(t *testing.T) {
+func TestJournalReportsDamageBeforeItsEnd(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, dir)
 	appendAll(t, j, entry(1, 1, 1, "first"), entry(1, 2, 1, "second"))
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	content[commitHeader+8] ^= 1
+	content[commitHeaderBytes+8] ^= 1
 	if err := os.WriteFile(name, content, 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestJournalNamesAMissingSegment(t *testing.T) {
+func TestJournalReportsAMissingSegment(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, dir)
 	appendAll(t, j, entry(1, 1, 1, "first"))
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestJournalRewriteOutlivesSegmentsThatComeBack(t *testing.T) {
+func TestJournalCompactionOutlivesSegmentsThatComeBack(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, dir)
 	appendAll(t, j, entry(1, 1, 1, "old"), entry(1, 2, 1, "older"))
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestFoldReplacesEntriesAtOrAboveARewrittenOne(t *testing.T) {
+func TestFoldRecordsReplacesEntriesAtOrAboveARewrittenOne(t *testing.T) {
 	logs := FoldRecords([]Record{
 		entry(1, 1, 1, "a"), entry(1, 2, 1, "b"), entry(1, 3, 1, "c"), entry(1, 2, 2, "B"),
 		entry(2, 1, 1, "gone"),
@@ -227,12 +227,12 @@
 		t.Fatalf("read %q, %v", content, err)
 	}
 	names, err := filepath.Glob(filepath.Join(dir, "witness-*"))
-	if err != nil || len(names) != versionsKept {
+	if err != nil || len(names) != retainedVersions {
 		t.Fatalf("%d versions are kept", len(names))
 	}
 }
 
-func TestValuesNameADamagedFile(t *testing.T) {
+func TestValuesReportADamagedFile(t *testing.T) {
 	for name, damage := range map[string]func([]byte) []byte{
 		"cut":     func(b []byte) []byte { return b[:len(b)-1] },
 		"flipped": func(b []byte) []byte { b[len(b)-1] ^= 4; return b },
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestAFileUnderAnotherNameIsNotTaken(t *testing.T) {
+func TestAFileUnderAnotherNameIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	values, err := OpenValues(dir)
 	if err != nil {
