--- a/gateway/server/loop.go
+++ b/gateway/server/loop.go
@@ -118,7 +118,7 @@
 		l.expire()
 		if tick.Due(l.now) {
 			l.module.Tick(l.now)
-			tick.Rang()
+			tick.Clear()
 			l.hosts.sweep()
 			l.counter.leave()
 			l.counter.sweep()
@@ -128,10 +128,10 @@
 		l.copies.turn()
 		if meet.Due(l.now) {
 			l.module.RefreshMembership(l.now)
-			meet.Rang()
+			meet.Clear()
 		}
-		next, _ := tick.Next(l.module.TickDelay(l.now), l.now)
-		if at, _ := meet.Next(l.module.MembershipDelay(l.now), l.now); at > 0 {
+		next, _ := tick.Schedule(l.module.TickDelay(l.now), l.now)
+		if at, _ := meet.Schedule(l.module.MembershipDelay(l.now), l.now); at > 0 {
 			next = min(next, at)
 		}
 		if len(l.due) > 0 {
@@ -166,7 +166,7 @@
 func (l *Loop) turns() {
 	l.counter.refused() // calls of the tick and of what the queue brought
 	l.settle()
-	policydriver.Turns(l.module, l.now, func(in *policy.Invocation, a policy.Decision) {
+	policydriver.DecideAll(l.module, l.now, func(in *policy.Invocation, a policy.Decision) {
 		l.act(l.inHand[in], a)
 		l.counter.refused()
 		l.settle()
--- a/gateway/simadapter/host.go
+++ b/gateway/simadapter/host.go
@@ -56,7 +56,7 @@
 
 // instance writes what one api gateway decides as commands.
 type instance struct {
-	*policydriver.Instance
+	*policydriver.Driver
 	reply *simprotocol.Reply
 }
 
@@ -107,13 +107,13 @@
 			if !ok {
 				return fmt.Errorf("DISCOVERY: no list numbered %d", d.Slot)
 			}
-			in.Hosts(now, list, d.Mode != "patch")
+			in.UpdateHosts(now, list, d.Mode != "patch")
 		} else {
 			in.event(now, m)
 		}
 	}
 	if in := p.gateways[g.Who]; in != nil {
-		in.Settle(now)
+		in.SetTimers(now)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 }
 
 func (in *instance) create(c *simprotocol.Create) (err error) {
-	in.Instance, err = policydriver.New(in, func(out policy.Output) (*policy.Gateway, error) { return c.Start.Module(c.Seed, out) })
+	in.Driver, err = policydriver.New(in, func(out policy.Output) (*policy.Gateway, error) { return c.Start.Module(c.Seed, out) })
 	if err == nil && c.Start.Registry == "on_request" {
 		in.reply.Put("TRACK", true)
 	}
@@ -141,23 +141,23 @@
 func (in *instance) event(now float64, m any) {
 	switch m := m.(type) {
 	case *simprotocol.JobIn:
-		in.Take(now, policy.Request{
+		in.Accept(now, policy.Request{
 			Ref: m.Ref, Operation: m.Class, Customer: m.Client,
 			Plan: m.Plan, Units: m.Units, Deadline: m.Deadline, FirstGateway: m.First, GatewayCount: m.Width, ClientRetry: m.Options&2 != 0,
 		})
 	case *simprotocol.Verdict:
-		in.Ended(now, m.Ref, m.Attempt, policy.AttemptResult{
+		in.AttemptEnded(now, m.Ref, m.Attempt, policy.AttemptResult{
 			Outcome: policy.Outcome(m.How[0]),
 			Final:   m.Done, Duration: m.Delay, ActualUnits: m.Actual,
 		})
 	case *simprotocol.Hangup:
-		in.Instance.Gone(now, m.Ref)
+		in.Driver.Abandon(now, m.Ref)
 	case *simprotocol.Bell:
-		in.Ring(now, m.Nonce)
+		in.TimerFired(now, m.Nonce)
 	case *simprotocol.Message:
-		in.Told(now, m.From, m.Data)
+		in.PeerMessage(now, m.From, m.Data)
 	case *simprotocol.Sum:
-		in.Counted(now, m.Name, policy.Outcome(m.How[0]), m.Sum, m.Delay)
+		in.CounterReplied(now, m.Name, policy.Outcome(m.How[0]), m.Sum, m.Delay)
 	}
 }
 
@@ -168,8 +168,8 @@
 }
 
 func (in *instance) Throttle(ref string, retryAfter float64) { in.reply.Put("SHED", ref, retryAfter) }
-func (in *instance) GiveUp(ref string)                       { in.reply.Put("SURRENDER", ref) }
-func (in *instance) Wake(nonce uint64, at float64)           { in.reply.Put("SCHEDULE", nonce, at) }
+func (in *instance) Fail(ref string)                         { in.reply.Put("SURRENDER", ref) }
+func (in *instance) SetTimer(nonce uint64, at float64)       { in.reply.Put("SCHEDULE", nonce, at) }
 func (in *instance) CancelAttempt(ref string, number int)    { in.reply.Put("CALL_OFF", ref, number) }
 
 func (in *instance) SendPeer(to int, text string) {
--- a/harness/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -26,7 +26,7 @@
 func (n nobody) Err() error   { return nil }
 func (n nobody) End()         {}
 
-func (n nobody) Mind(*simulation.World, int, uint64, policydriver.Out) (gatewaymodel.Mind, error) {
+func (n nobody) Mind(*simulation.World, int, uint64, policydriver.Output) (gatewaymodel.Mind, error) {
 	return nil, errors.New("the api gateways of this day stand elsewhere")
 }
 
--- a/sim/batch/rules_test.go
+++ b/sim/batch/rules_test.go
@@ -13,27 +13,27 @@
 type wicked struct {
 	rule int
 	w    *simulation.World
-	out  policydriver.Out
+	out  policydriver.Output
 	list []policy.HostEntry
 }
 
 func (d *wicked) Name() string { return "wicked" }
 func (d *wicked) Err() error   { return nil }
 func (d *wicked) End()         {}
-func (d *wicked) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error) {
+func (d *wicked) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error) {
 	return &wicked{rule: d.rule, w: w, out: out}, nil
 }
 
-func (d *wicked) Settle(float64)                                            {}
-func (d *wicked) Told(float64, int, string)                                 {}
-func (d *wicked) Ring(float64, uint64)                                      {}
-func (d *wicked) Gone(float64, string)                                      {}
-func (d *wicked) Counted(float64, uint64, policy.Outcome, float64, float64) {}
-func (d *wicked) Hosts(_ float64, list []policy.HostEntry, whole bool) {
+func (d *wicked) SetTimers(float64)                                                {}
+func (d *wicked) PeerMessage(float64, int, string)                                 {}
+func (d *wicked) TimerFired(float64, uint64)                                       {}
+func (d *wicked) Abandon(float64, string)                                          {}
+func (d *wicked) CounterReplied(float64, uint64, policy.Outcome, float64, float64) {}
+func (d *wicked) UpdateHosts(_ float64, list []policy.HostEntry, whole bool) {
 	d.list = append(d.list, list...)
 }
 
-func (d *wicked) Take(now float64, a policy.Request) {
+func (d *wicked) Accept(now float64, a policy.Request) {
 	last := d.list[len(d.list)-1].Addr
 	switch {
 	case d.rule == 1: // no answer at all
@@ -54,9 +54,9 @@
 	}
 }
 
-func (d *wicked) Ended(now float64, ref string, number int, e policy.AttemptResult) {
+func (d *wicked) AttemptEnded(now float64, ref string, number int, e policy.AttemptResult) {
 	if !e.Final {
-		d.out.GiveUp(ref)
+		d.out.Fail(ref)
 	}
 }
 
--- a/sim/gatewaymodel/clock.go
+++ b/sim/gatewaymodel/clock.go
@@ -9,7 +9,7 @@
 )
 
 // Shifted is a mind whose clock is by so many seconds ahead of the day's; make is given its way out.
-func Shifted(by float64, out policydriver.Out, make func(out policydriver.Out) (Mind, error)) (Mind, error) {
+func Shifted(by float64, out policydriver.Output, make func(out policydriver.Output) (Mind, error)) (Mind, error) {
 	if by == 0 {
 		return make(out)
 	}
@@ -22,35 +22,37 @@
 	by   float64
 }
 
-func (s *shifted) Hosts(now float64, list []policy.HostEntry, whole bool) {
+func (s *shifted) UpdateHosts(now float64, list []policy.HostEntry, whole bool) {
 	later := append([]policy.HostEntry(nil), list...)
 	for i := range later {
 		if later[i].StartedAt > 0 { // 0: long ago
 			later[i].StartedAt += s.by
 		}
 	}
-	s.mind.Hosts(now+s.by, later, whole)
+	s.mind.UpdateHosts(now+s.by, later, whole)
 }
 
-func (s *shifted) Take(now float64, a policy.Request) {
+func (s *shifted) Accept(now float64, a policy.Request) {
 	a.Deadline += s.by
-	s.mind.Take(now+s.by, a)
+	s.mind.Accept(now+s.by, a)
 }
 
-func (s *shifted) Ended(now float64, ref string, number int, e policy.AttemptResult) {
-	s.mind.Ended(now+s.by, ref, number, e)
+func (s *shifted) AttemptEnded(now float64, ref string, number int, e policy.AttemptResult) {
+	s.mind.AttemptEnded(now+s.by, ref, number, e)
 }
-func (s *shifted) Gone(now float64, ref string)            { s.mind.Gone(now+s.by, ref) }
-func (s *shifted) Ring(now float64, nonce uint64)          { s.mind.Ring(now+s.by, nonce) }
-func (s *shifted) Told(now float64, from int, text string) { s.mind.Told(now+s.by, from, text) }
-func (s *shifted) Settle(now float64)                      { s.mind.Settle(now + s.by) }
-func (s *shifted) Counted(now float64, name uint64, how policy.Outcome, sum, took float64) {
-	s.mind.Counted(now+s.by, name, how, sum, took)
+func (s *shifted) Abandon(now float64, ref string)      { s.mind.Abandon(now+s.by, ref) }
+func (s *shifted) TimerFired(now float64, nonce uint64) { s.mind.TimerFired(now+s.by, nonce) }
+func (s *shifted) PeerMessage(now float64, from int, text string) {
+	s.mind.PeerMessage(now+s.by, from, text)
+}
+func (s *shifted) SetTimers(now float64) { s.mind.SetTimers(now + s.by) }
+func (s *shifted) CounterReplied(now float64, name uint64, how policy.Outcome, sum, took float64) {
+	s.mind.CounterReplied(now+s.by, name, how, sum, took)
 }
 
 type shiftedOut struct {
-	policydriver.Out
+	policydriver.Output
 	by float64
 }
 
-func (o *shiftedOut) Wake(nonce uint64, at float64) { o.Out.Wake(nonce, at-o.by) }
+func (o *shiftedOut) SetTimer(nonce uint64, at float64) { o.Output.SetTimer(nonce, at-o.by) }
--- a/sim/gatewaymodel/gatewaymodel.go
+++ b/sim/gatewaymodel/gatewaymodel.go
@@ -19,17 +19,17 @@
 // Early is how long before its client gives up the last delivery is ended, as the api gateway on sockets does it.
 const Early = 0.008
 
-// Mind decides for one api gateway. Its answers leave through the drive.Out that it was made with; after each call, or
-// several at one moment, Settle is called.
+// Mind decides for one api gateway. Its answers leave through the policydriver.Output that it was made with; after each call, or
+// several at one moment, SetTimers is called.
 type Mind interface {
-	Hosts(now float64, list []policy.HostEntry, whole bool)
-	Take(now float64, a policy.Request)
-	Ended(now float64, ref string, number int, e policy.AttemptResult)
-	Gone(now float64, ref string)
-	Ring(now float64, nonce uint64)
-	Told(now float64, from int, text string)
-	Counted(now float64, name uint64, how policy.Outcome, sum, took float64)
-	Settle(now float64)
+	UpdateHosts(now float64, list []policy.HostEntry, whole bool)
+	Accept(now float64, a policy.Request)
+	AttemptEnded(now float64, ref string, number int, e policy.AttemptResult)
+	Abandon(now float64, ref string)
+	TimerFired(now float64, nonce uint64)
+	PeerMessage(now float64, from int, text string)
+	CounterReplied(now float64, name uint64, how policy.Outcome, sum, took float64)
+	SetTimers(now float64)
 }
 
 // Surroundings is what an api gateway meets.
@@ -106,8 +106,8 @@
 	e.Alive, e.Admits, e.Mind, e.busy = true, true, mind, e.q.Now()
 	e.inHand, e.rest = map[string]*model.Invocation{}, map[*hostmodel.Host][]connection{}
 	e.flying, e.lastSum = map[*model.Delivery]*flight{}, map[int]float64{}
-	mind.Hosts(e.q.Now(), list, true)
-	mind.Settle(e.q.Now())
+	mind.UpdateHosts(e.q.Now(), list, true)
+	mind.SetTimers(e.q.Now())
 }
 
 // InHand is how many invocations it holds; Out how many deliveries.
@@ -130,7 +130,7 @@
 	e.q.At(e.busy, func() {
 		if e.life == life && e.Alive {
 			what(e.q.Now())
-			e.Mind.Settle(e.q.Now())
+			e.Mind.SetTimers(e.q.Now())
 		}
 	})
 }
@@ -150,7 +150,7 @@
 		}
 		n := inv.Need
 		e.around.Note(e.Slot, inv.Ref, "taken")
-		e.Mind.Take(now, policy.Request{
+		e.Mind.Accept(now, policy.Request{
 			Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
 			Units: n.Units, Deadline: inv.GiveUp, FirstGateway: n.Cust.First, GatewayCount: n.Cust.Width, ClientRetry: inv.Repeat,
 		})
@@ -177,7 +177,7 @@
 			for _, d := range inv.Deliveries {
 				e.end(d, policy.Cancelled)
 			}
-			e.Mind.Gone(now, inv.Ref)
+			e.Mind.Abandon(now, inv.Ref)
 			e.drop(inv)
 		})
 	})
@@ -198,13 +198,13 @@
 // Told brings a change of the list; Mailed a peer's message.
 func (e *Edge) Told(change policy.HostEntry) {
 	if e.Alive {
-		e.hear(func(now float64) { e.Mind.Hosts(now, []policy.HostEntry{change}, false) })
+		e.hear(func(now float64) { e.Mind.UpdateHosts(now, []policy.HostEntry{change}, false) })
 	}
 }
 
 func (e *Edge) Mailed(from int, text string) {
 	if e.Alive {
-		e.hear(func(now float64) { e.Mind.Told(now, from, text) })
+		e.hear(func(now float64) { e.Mind.PeerMessage(now, from, text) })
 	}
 }
 
@@ -421,7 +421,7 @@
 		if how == policy.Succeeded && !over {
 			e.answer(inv, model.Served, 0)
 		}
-		e.Mind.Ended(now, inv.Ref, d.Number, policy.AttemptResult{
+		e.Mind.AttemptEnded(now, inv.Ref, d.Number, policy.AttemptResult{
 			Outcome: how, Final: over || how == policy.Succeeded,
 			Duration: now - d.Sent, ActualUnits: settled(e.day, units, how),
 		})
@@ -471,7 +471,7 @@
 
 // Throttle, GiveUp: final answers.
 func (e *Edge) Throttle(ref string, retryAfter float64) { e.final(ref, model.Throttled, retryAfter) }
-func (e *Edge) GiveUp(ref string)                       { e.final(ref, model.Errored, 0) }
+func (e *Edge) Fail(ref string)                         { e.final(ref, model.Errored, 0) }
 
 func (e *Edge) final(ref string, how model.Ending, retryAfter float64) {
 	if inv := e.inHand[ref]; inv != nil {
@@ -497,7 +497,7 @@
 		}
 		heard = true
 		e.around.Called(how != policy.Succeeded)
-		e.hear(func(at float64) { e.Mind.Counted(at, name, how, sum, at-now) })
+		e.hear(func(at float64) { e.Mind.CounterReplied(at, name, how, sum, at-now) })
 	}
 	e.q.After(e.day.Counter.Limit.V(), func() { tell(policy.TimedOut, 0) })
 	if !e.counter.Up() {
@@ -535,13 +535,13 @@
 func (e *Edge) SendPeer(to int, text string) { e.around.Mail(e.Slot, to, text) }
 func (e *Edge) Log(text string)              { e.around.Note(e.Slot, "", text) }
 
-func (e *Edge) Wake(nonce uint64, at float64) {
+func (e *Edge) SetTimer(nonce uint64, at float64) {
 	life := e.life
 	e.q.At(at, func() {
 		if e.life == life && e.Alive {
-			e.hear(func(now float64) { e.Mind.Ring(now, nonce) })
+			e.hear(func(now float64) { e.Mind.TimerFired(now, nonce) })
 		}
 	})
 }
 
-var _ policydriver.Out = (*Edge)(nil)
+var _ policydriver.Output = (*Edge)(nil)
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -35,7 +35,7 @@
 func (d decider) Err() error   { return nil }
 func (d decider) End()         {}
 
-func (d decider) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error) {
+func (d decider) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error) {
 	if d == "module" || d == "members" || d == "damped" {
 		s := simulation.Settings(w.Day, slot)
 		if d != "module" {
@@ -55,7 +55,7 @@
 type plain struct {
 	kind   string
 	w      *simulation.World
-	out    policydriver.Out
+	out    policydriver.Output
 	dice   randstream.Stream
 	hosts  map[string]policy.HostEntry
 	active []string
@@ -74,12 +74,12 @@
 
 type share struct{ level, at, before, last float64 }
 
-func (p *plain) Settle(float64)             {}
-func (p *plain) Told(float64, int, string)  {}
-func (p *plain) Ring(float64, uint64)       {}
-func (p *plain) Gone(_ float64, ref string) { delete(p.invs, ref) }
+func (p *plain) SetTimers(float64)                {}
+func (p *plain) PeerMessage(float64, int, string) {}
+func (p *plain) TimerFired(float64, uint64)       {}
+func (p *plain) Abandon(_ float64, ref string)    { delete(p.invs, ref) }
 
-func (p *plain) Hosts(now float64, list []policy.HostEntry, whole bool) {
+func (p *plain) UpdateHosts(now float64, list []policy.HostEntry, whole bool) {
 	if whole {
 		clear(p.hosts)
 	}
@@ -104,7 +104,7 @@
 	return 0, 0
 }
 
-func (p *plain) Take(now float64, a policy.Request) {
+func (p *plain) Accept(now float64, a policy.Request) {
 	h := &held{Request: a}
 	p.invs[a.Ref] = h
 	rate, burst := p.plan(a.Plan)
@@ -147,7 +147,7 @@
 	return h >> 1
 }
 
-func (p *plain) Counted(now float64, n uint64, how policy.Outcome, sum, took float64) {
+func (p *plain) CounterReplied(now float64, n uint64, how policy.Outcome, sum, took float64) {
 	q := p.calls[n]
 	if len(q) == 0 {
 		return
@@ -218,7 +218,7 @@
 	return "non-idempotent"
 }
 
-func (p *plain) Ended(now float64, ref string, number int, e policy.AttemptResult) {
+func (p *plain) AttemptEnded(now float64, ref string, number int, e policy.AttemptResult) {
 	h := p.invs[ref]
 	if h == nil {
 		return
@@ -241,7 +241,7 @@
 func (p *plain) end(h *held) {
 	if h.maybe && p.effect(h.Operation) != "idempotent" {
 		delete(p.invs, h.Ref)
-		p.out.GiveUp(h.Ref)
+		p.out.Fail(h.Ref)
 		return
 	}
 	p.throttle(h, 0.2)
--- a/sim/policyprocess/policyprocess.go
+++ b/sim/policyprocess/policyprocess.go
@@ -26,7 +26,7 @@
 	in    io.WriteCloser
 	out   *bufio.Reader
 	wait  func() error
-	outs  map[int]policydriver.Out
+	outs  map[int]policydriver.Output
 	err   error
 	last  string // the last line that came
 	lines int
@@ -51,7 +51,7 @@
 
 // From takes a program's pipes; wait is called when it is let go.
 func From(name string, in io.WriteCloser, out io.Reader, wait func() error) *Process {
-	return &Process{name: name, in: in, out: bufio.NewReaderSize(out, 1<<20), wait: wait, outs: map[int]policydriver.Out{}}
+	return &Process{name: name, in: in, out: bufio.NewReaderSize(out, 1<<20), wait: wait, outs: map[int]policydriver.Output{}}
 }
 
 func (p *Process) Name() string { return p.name }
@@ -66,7 +66,7 @@
 }
 
 // Mind makes an instance in the program.
-func (p *Process) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error) {
+func (p *Process) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error) {
 	m := &mind{p: p, who: slot}
 	if p.outs[slot] != nil {
 		m.put("CRASH_NOW")
@@ -110,7 +110,7 @@
 	m.inbox.WriteByte(']')
 }
 
-func (m *mind) Hosts(now float64, list []policy.HostEntry, whole bool) {
+func (m *mind) UpdateHosts(now float64, list []policy.HostEntry, whole bool) {
 	rows := make([][]any, len(list))
 	for i, l := range list {
 		rows[i] = []any{l.Addr, l.Zone, "host", l.Cell, l.State, l.Weight, l.StartedAt}
@@ -126,7 +126,7 @@
 	m.put("DISCOVERY", mode, 1, 0)
 }
 
-func (m *mind) Take(now float64, a policy.Request) {
+func (m *mind) Accept(now float64, a policy.Request) {
 	options := 0
 	if a.ClientRetry {
 		options = 2
@@ -134,19 +134,19 @@
 	m.put("JOB_IN", a.Ref, a.GatewayCount, a.Units, a.Operation, a.Customer, a.Deadline, a.Plan, options, a.FirstGateway)
 }
 
-func (m *mind) Ended(now float64, ref string, number int, e policy.AttemptResult) {
+func (m *mind) AttemptEnded(now float64, ref string, number int, e policy.AttemptResult) {
 	m.put("VERDICT", ref, e.Final, 0, e.Duration, "", e.ActualUnits, number, string(e.Outcome), nil)
 }
 
-func (m *mind) Gone(now float64, ref string)            { m.put("HANGUP", ref) }
-func (m *mind) Ring(now float64, nonce uint64)          { m.put("BELL", nonce) }
-func (m *mind) Told(now float64, from int, text string) { m.put("MESSAGE", from, text) }
-func (m *mind) Counted(now float64, name uint64, how policy.Outcome, sum, took float64) {
+func (m *mind) Abandon(now float64, ref string)                { m.put("HANGUP", ref) }
+func (m *mind) TimerFired(now float64, nonce uint64)           { m.put("BELL", nonce) }
+func (m *mind) PeerMessage(now float64, from int, text string) { m.put("MESSAGE", from, text) }
+func (m *mind) CounterReplied(now float64, name uint64, how policy.Outcome, sum, took float64) {
 	m.put("SUM", string(how), sum, name, took)
 }
 
 // Settle sends the batch and carries out what is answered.
-func (m *mind) Settle(now float64) {
+func (m *mind) SetTimers(now float64) {
 	if m.p.err != nil || m.inbox.Len() == 0 {
 		m.inbox.Reset()
 		return
@@ -195,7 +195,7 @@
 	}
 }
 
-func (p *Process) command(out policydriver.Out, c []json.RawMessage) {
+func (p *Process) command(out policydriver.Output, c []json.RawMessage) {
 	var name string
 	if len(c) == 0 || json.Unmarshal(c[0], &name) != nil {
 		p.fail("answers a command without a name")
@@ -225,7 +225,7 @@
 		}
 	case "SURRENDER":
 		if read(&ref) {
-			out.GiveUp(ref)
+			out.Fail(ref)
 		}
 	case "CALL_OFF":
 		if read(&ref, &k) {
@@ -237,7 +237,7 @@
 		}
 	case "SCHEDULE":
 		if read(&n, &x) {
-			out.Wake(n, x)
+			out.SetTimer(n, x)
 		}
 	case "ANNOUNCE":
 		var one *int
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -29,7 +29,7 @@
 type Decider interface {
 	Name() string
 	// Mind makes the mind of an api gateway that starts; out is its way out.
-	Mind(w *World, slot int, seed uint64, out policydriver.Out) (gatewaymodel.Mind, error)
+	Mind(w *World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error)
 	// Err is what ended the decider, if something did; End lets go of what it holds.
 	Err() error
 	End()
@@ -254,7 +254,7 @@
 	}
 	e := w.Edges[slot]
 	w.starts++
-	mind, err := gatewaymodel.Shifted(w.Day.Gateway.Clock.V(), e, func(out policydriver.Out) (gatewaymodel.Mind, error) {
+	mind, err := gatewaymodel.Shifted(w.Day.Gateway.Clock.V(), e, func(out policydriver.Output) (gatewaymodel.Mind, error) {
 		return w.decider.Mind(w, slot, randstream.New(w.Seed, "mind", slot, int(w.starts)).Uint64()>>1, out)
 	})
 	if err != nil {
