--- a/tier/agent/agent.go
+++ b/tier/agent/agent.go
@@ -1,11 +1,10 @@
-// Package agent is the process beside each proxy that keeps the link to control. It follows what control distributes and feeds
-// it to the proxy over loopback, so that a proxy that starts finds a view at once and control serves one subscriber a machine.
 package agent
 
 import (
 	"context"
 	"net"
 	"strings"
+	"sync"
 
 	"github.com/samber/oops"
 	"github.com/sirupsen/logrus"
@@ -19,68 +18,89 @@
 	"otterseam/tier/timeline"
 )
 
+// maxQueuedReports bounds the reports that wait for control; more are dropped, as they tell of the same hosts.
+const maxQueuedReports = 4
+
 // Agent is the agent process.
 type Agent struct {
-	settings *settings.Settings
-	seeds    *settings.Seeds
-	view     *feed.View
-	log      *logrus.Entry
-	timeline *timeline.Timeline
-	control  *controlclient.Client
-	reports  chan []byte // what the proxy saw, on its way to control
+	settings  *settings.Settings
+	seeds     *settings.Seeds
+	log       *logrus.Entry
+	timeline  *timeline.Timeline
+	view      *feed.View
+	publisher *feed.Publisher
+	control   *controlclient.Client
+	reports   chan []byte // what the proxy observed, on its way to control
 }
 
-// mostReports bounds the reports that wait; more are dropped, as they tell of the same hosts.
-const mostReports = 4
-
-// New makes an agent.
+// New makes an agent. The settings have to name seeds.
 func New(s *settings.Settings, log *logrus.Entry) (*Agent, error) {
 	if err := settings.Require(map[string]string{"seeds": strings.Join(s.Seeds, ",")}); err != nil {
 		return nil, err
 	}
-	a := &Agent{settings: s, seeds: settings.NewSeeds(s), view: feed.NewView(), log: log, timeline: timeline.New(log)}
+	view := feed.NewView()
+	a := &Agent{
+		settings:  s,
+		seeds:     settings.NewSeeds(s),
+		log:       log,
+		timeline:  timeline.New(log),
+		view:      view,
+		publisher: &feed.Publisher{View: view},
+		reports:   make(chan []byte, maxQueuedReports),
+	}
 	a.control = controlclient.New(rpc.NewClients(nil), a.controlAddresses)
-	a.reports = make(chan []byte, mostReports)
 	return a, nil
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends, and then waits for its goroutines.
 func (a *Agent) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", a.settings.AgentAddress())
 	if err != nil {
 		return oops.Wrapf(err, "internal_ports")
 	}
-	defer listener.Close()
-	publisher := &feed.Publisher{View: a.view}
-	go rpc.Serve(listener, func(message rpc.Message) {
-		switch message.Kind {
-		case feed.KindSubscribe:
-			publisher.Handle(message)
-		case controlclient.KindHostObservations:
-			a.forward(message.Payload)
-		case timeline.KindTimeline:
-			message.Answer(codes.OK, a.timeline.Encode())
-		default:
-			message.Answer(codes.Malformed, nil)
-		}
-	})
-	viewReceived := func([]feed.Item) { a.timeline.Reach(timeline.ViewReceived) }
-	subscriber := &feed.Subscriber{View: a.view, Addresses: a.controlAddresses, OnChange: viewReceived}
-	go a.report(ctx)
-	subscriber.Run(ctx)
+	a.serve(ctx, listener)
 	return nil
 }
 
-// forward queues a report of the proxy for control, if there is room.
-func (a *Agent) forward(report []byte) {
+// serve serves on a listener, which it closes in the end.
+func (a *Agent) serve(ctx context.Context, listener net.Listener) {
+	var running sync.WaitGroup
+	running.Go(func() { rpc.Serve(listener, a.handle) })
+	running.Go(func() { a.sendReports(ctx) })
+	subscriber := &feed.Subscriber{View: a.view, Addresses: a.controlAddresses, OnChange: a.noteView}
+	subscriber.Run(ctx)
+	_ = listener.Close() // it only ends Serve
+	running.Wait()
+}
+
+// handle takes a message of the proxy, or of an operator's status command.
+func (a *Agent) handle(message rpc.Message) {
+	switch message.Kind {
+	case feed.KindSubscribe:
+		a.publisher.Handle(message)
+	case controlclient.KindHostObservations:
+		a.queueReport(message.Payload)
+	case timeline.KindTimeline:
+		message.Answer(codes.OK, a.timeline.Encode())
+	default:
+		message.Answer(codes.Malformed, nil)
+	}
+}
+
+// noteView notes the first view.
+func (a *Agent) noteView([]feed.Item) { a.timeline.Reach(timeline.ViewReceived) }
+
+// queueReport queues a report of the proxy for control, if there is room.
+func (a *Agent) queueReport(report []byte) {
 	select {
 	case a.reports <- report:
 	default:
 	}
 }
 
-// report hands reports to the primary of control. Each is tried once: while control has no primary, reports must not press upon it.
-func (a *Agent) report(ctx context.Context) {
+// sendReports hands reports to the primary of control until the context ends. Each is tried once: while control has no primary,
+// reports must put no load on it.
+func (a *Agent) sendReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
