--- a/gateway/membership/recorded_test.go
+++ b/gateway/membership/recorded_test.go
@@ -9,36 +9,45 @@
 	"testing"
 )
 
-// recordedLetters plays five gateways for some seconds, one of which falls silent and comes back under a new life, and gives
+func newRecordedDetector(self, members int, seed uint64) *Detector {
+	return New(Config{Self: self, Members: members, MessageRate: 60, Part: 0.5, Seed: seed})
+}
+
+// recordedMessages plays five gateways for some seconds, one of which falls silent and comes back under a new life, and gives
 // a line for each message: when and by whom it was sent, to whom, and its text.
-func recordedLetters() string {
+func recordedMessages() string {
 	const n, silent = 5, 3
-	var groups []*Detector
+	var detectors []*Detector
 	for i := range n {
-		groups = append(groups, New(i, n, 60, 0.5, uint64(40+i)))
+		detectors = append(detectors, newRecordedDetector(i, n, uint64(40+i)))
 	}
-	var b strings.Builder
+	var lines strings.Builder
 	for step := range 1200 {
 		now := 100 + float64(step)*0.02
 		if step == 700 {
-			groups[silent] = New(silent, n, 60, 0.5, 99)
+			detectors[silent] = newRecordedDetector(silent, n, 99)
 		}
-		away := step >= 250 && step < 700
-		for from, g := range groups {
-			if away && from == silent {
+		hears := func(k int) bool { return k != silent || step < 250 || step >= 700 }
+		for from, d := range detectors {
+			if !hears(from) {
 				continue
 			}
-			for _, l := range g.Tick(now) {
-				fmt.Fprintf(&b, "%.2f %d %d %s\n", now, from, l.To, l.Text)
-				for to, other := range groups {
-					if to != from && (l.To == to || l.To == Broadcast) && !(away && to == silent) {
-						other.Receive(now, from, l.Text)
-					}
-				}
+			for _, message := range d.Tick(now) {
+				fmt.Fprintf(&lines, "%.2f %d %d %s\n", now, from, message.To, message.Text)
+				deliverRecorded(detectors, now, from, message, hears)
 			}
 		}
 	}
-	return b.String()
+	return lines.String()
+}
+
+func deliverRecorded(detectors []*Detector, now float64, from int, message Message, hears func(k int) bool) {
+	for to, d := range detectors {
+		meant := message.To == to || message.To == Broadcast
+		if to != from && meant && hears(to) {
+			d.Receive(now, from, message.Text)
+		}
+	}
 }
 
 // Gateways of different builds believe the same of each other: their messages are those of the code of commit 1895881.
@@ -47,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := recordedLetters()
+	got := recordedMessages()
 	for _, kind := range []string{" !a", " !b", " !c", " !n"} {
 		if !strings.Contains(got, kind) {
 			t.Errorf("no message of kind %q was sent", kind)
@@ -67,28 +76,28 @@
 
 // One message of each kind, written by hand from the form that the code of commit 1895881 had.
 func TestRecordedMessagesAreRead(t *testing.T) {
-	g := New(2, 4, 60, 0.5, 1)
-	for i, m := range []mark{0, 401, 1002, 77} {
-		g.peers[i].mark = m
+	d := newRecordedDetector(2, 4, 1)
+	for i, a := range []incarnation{0, 401, 1002, 77} {
+		d.members[i].incarnation = a
 	}
-	g.from = 3
+	d.heartbeats.windowStart = 3
 	entries := []entry{{3, 77}, {1, 401}, {2, 1002}}
 	for _, x := range []struct {
 		got, want string
-		read      message
+		read      packet
 	}{
-		{g.beat('a'), "!aACAAAPqADAAABNAAAAAAAAGRAAAPq", message{'a', 2, 1002, entries}},
-		{g.beat('b'), "!bACAAAPqADAAABNAAAAAAAAGRAAAPq", message{'b', 2, 1002, entries}},
-		{g.beat('c'), "!cACAAAPqADAAABNAAAAAAAAGRAAAPq", message{'c', 2, 1002, entries}},
-		{g.newsText([]int{1, 3}), "!nACAAAPqABAAAGRADAAABN", message{'n', 2, 1002, []entry{{1, 401}, {3, 77}}}},
-		{ofOne(g, entry{1, marks - 1}), "!nACAAAPqAB_____", message{'n', 2, 1002, []entry{{1, marks - 1}}}},
+		{d.heartbeatText(kindPing), "!aACAAAPqADAAABNAAAAAAAAGRAAAPq", packet{'a', 2, 1002, entries}},
+		{d.heartbeatText(kindHeartbeat), "!bACAAAPqADAAABNAAAAAAAAGRAAAPq", packet{'b', 2, 1002, entries}},
+		{d.heartbeatText(kindAck), "!cACAAAPqADAAABNAAAAAAAAGRAAAPq", packet{'c', 2, 1002, entries}},
+		{d.newsText([]int{1, 3}), "!nACAAAPqABAAAGRADAAABN", packet{'n', 2, 1002, []entry{{1, 401}, {3, 77}}}},
+		{d.entryText(entry{1, incarnations - 1}), "!nACAAAPqAB_____", packet{'n', 2, 1002, []entry{{1, incarnations - 1}}}},
 	} {
 		if x.got != x.want {
 			t.Errorf("written is %s, recorded is %s", x.got, x.want)
 		}
-		back, ok := read(x.want, 4)
-		if !ok || !reflect.DeepEqual(back, x.read) {
-			t.Errorf("%s is read as %+v (%v), wanted is %+v", x.want, back, ok, x.read)
+		back, err := parsePacket(x.want, 4)
+		if err != nil || !reflect.DeepEqual(back, x.read) {
+			t.Errorf("%s is read as %+v (%v), wanted is %+v", x.want, back, err, x.read)
 		}
 	}
 }
--- a/gateway/policy/digest_test.go
+++ b/gateway/policy/digest_test.go
@@ -61,7 +61,9 @@
 	c := &caller{digest: d, random: rand.New(rand.NewSource(seed)), now: 1000, totals: map[uint64]float64{}}
 	at := policy.Instance{Gateways: digestedGateways, Zone: "zone-0", Seed: uint64(seed)}
 	if seed%3 > 0 {
-		at.Peers = membership.New(0, digestedGateways, digestedMail, 0.1, uint64(seed))
+		at.Peers = membership.New(membership.Config{
+			Members: digestedGateways, MessageRate: digestedMail, Part: 0.1, Seed: uint64(seed),
+		})
 	}
 	if seed%3 > 1 {
 		at.Overload = overload.New(overload.Config{Gateways: digestedGateways, MessageRate: digestedMail, Seed: uint64(seed)})
--- a/gateway/policy/localshare_test.go
+++ b/gateway/policy/localshare_test.go
@@ -149,7 +149,8 @@
 		return n
 	}
 	half := func() *membership.Detector { // one of four that has heard of one other only
-		me, other := membership.New(0, 4, 60, 0.1, 1), membership.New(1, 4, 60, 0.1, 2)
+		me := membership.New(membership.Config{Self: 0, Members: 4, MessageRate: 60, Part: 0.1, Seed: 1})
+		other := membership.New(membership.Config{Self: 1, Members: 4, MessageRate: 60, Part: 0.1, Seed: 2})
 		for now := 980.0; now < 1000; now += 0.05 {
 			for _, l := range other.Tick(now) {
 				me.Receive(now, 1, l.Text)
--- a/gateway/simprotocol/start.go
+++ b/gateway/simprotocol/start.go
@@ -94,7 +94,9 @@
 	}
 	var peers *membership.Detector
 	if s.Members > 0 && s.Caps.PeerMessages && s.Balancers > 1 && s.Slot >= 0 && s.Slot < s.Balancers && s.Extra.Mail > 0 {
-		peers = membership.New(s.Slot, s.Balancers, s.Extra.Mail, s.Members, seed)
+		peers = membership.New(membership.Config{
+			Self: s.Slot, Members: s.Balancers, MessageRate: s.Extra.Mail, Part: s.Members, Seed: seed,
+		})
 	}
 	var bound *overload.Controller
 	if s.Damps {
--- a/quotastore/replication/node.go
+++ b/quotastore/replication/node.go
@@ -116,7 +116,9 @@
 		n.status = append(n.status, peerStatus{aliveAt: neverAlive})
 	}
 	if len(peers) > 1 {
-		n.detector = membership.New(n.self, len(peers), detectorMessageRate, detectorShare, seed)
+		n.detector = membership.New(membership.Config{
+			Self: n.self, Members: len(peers), MessageRate: detectorMessageRate, Part: detectorShare, Seed: seed,
+		})
 	}
 }
 
--- a/sim/membershipsim/membershipsim.go
+++ b/sim/membershipsim/membershipsim.go
@@ -134,7 +134,9 @@
 	o := w.all[i]
 	o.alive, o.life, o.born = true, o.life+1, w.q.Now()
 	w.lives++
-	o.group = membership.New(i, w.Members, w.Mail, w.Part, w.Seed+uint64(w.lives)*7919)
+	o.group = membership.New(membership.Config{
+		Self: i, Members: w.Members, MessageRate: w.Mail, Part: w.Part, Seed: w.Seed + uint64(w.lives)*7919,
+	})
 	o.knows, o.seen = make([]bool, w.Members), 0
 	w.turn(i, o.life)
 }
