--- a/cmd/otterseam-quotastore/main.go
+++ b/cmd/otterseam-quotastore/main.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("founded installation %016x: %d keepers, %d groups of %d copies\n", id, len(l.Servers), l.Groups, l.Replicas)
+	fmt.Printf("founded installation %016x: %d keepers, %d groups of %d copies\n", id, len(l.Members), l.Groups, l.Replicas)
 	return nil
 }
 
@@ -139,7 +139,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	leads := map[int]protocol.GroupHealth{}
 	fmt.Fprintln(w, "keeper\tzone\tlife\tleads\tholds\t")
-	for _, spot := range l.Servers {
+	for _, spot := range l.Members {
 		a, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 2*time.Second)
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%s\t%v\t\t\t\n", spot.Name, spot.Zone, err)
@@ -169,14 +169,14 @@
 		}
 		by := ""
 		for _, id := range h.Replicas {
-			if n := id.Number(); n < len(l.Servers) {
-				by += l.Servers[n].Name + " "
+			if n := id.Number(); n < len(l.Members) {
+				by += l.Members[n].Name + " "
 			}
 		}
 		if !h.Stable {
 			by += "(changing)"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t\n", g, l.Servers[h.Leader].Name, by, h.Counters)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t\n", g, l.Members[h.Leader].Name, by, h.Counters)
 	}
 	w.Flush()
 	if len(leads) < l.Groups {
@@ -213,7 +213,7 @@
 		return err
 	}
 	var all []error
-	for _, spot := range l.Servers {
+	for _, spot := range l.Members {
 		a, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: c.Batch}, 5*time.Second)
 		if err != nil {
 			all = append(all, fmt.Errorf("keeper %s: %w", spot.Name, err))
--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -89,13 +89,13 @@
 	}
 	list := &server.ClusterConfig{Groups: 3, Replicas: 3, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64}
 	for i := range want.Lives {
-		spot := server.ServerConfig{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
+		spot := server.MemberConfig{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
 		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
 			if *to, err = sockets.Free(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		list.Servers = append(list.Servers, spot)
+		list.Members = append(list.Members, spot)
 	}
 	path := filepath.Join(dir, "list.json")
 	if text, err = json.Marshal(list); err != nil {
@@ -104,7 +104,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for _, spot := range list.Servers {
+	for _, spot := range list.Members {
 		unpack(t, filepath.Join(recordedFolder, spot.Name), filepath.Join(dir, spot.Name, "held"))
 		process, err := childprocess.StartWith([]string{program, "run", "--list", path, "--name", spot.Name, "--dir", "held"}, spot.Name, dir)
 		if err != nil {
@@ -128,7 +128,7 @@
 	led := map[int]bool{}
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
-		for _, spot := range list.Servers {
+		for _, spot := range list.Members {
 			answer, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 			if err != nil {
 				continue
@@ -230,7 +230,7 @@
 func TestRecordedFoldersAreServed(t *testing.T) {
 	leakcheck.Check(t)
 	list, want := startRecorded(t)
-	for i, spot := range list.Servers {
+	for i, spot := range list.Members {
 		answer, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -246,7 +246,7 @@
 		}
 	}
 	// Words of a lower order than the recorded ones change nothing, and are answered with what stands.
-	g := newGuest(t, list.Servers[1].PeerAddress)
+	g := newGuest(t, list.Members[1].PeerAddress)
 	for i := range 6 {
 		name := fmt.Sprint("name-", i)
 		part := g.ask(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
@@ -275,7 +275,7 @@
 	take := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			answer, err := server.SendCommand(list.Servers[2].PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
+			answer, err := server.SendCommand(list.Members[2].PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
 			if err == nil {
 				return answer.Usage
 			}
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -47,7 +47,7 @@
 	n := d.Count.N()
 	k.direct = &server.ClusterConfig{Groups: d.Groups.N(), Replicas: min(d.Copies.N(), n), ReplaceAfter: d.Lost.V(), SnapshotRate: 4e6, MaxLogEntries: 4096}
 	for i := range n {
-		spot := server.ServerConfig{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
+		spot := server.MemberConfig{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
 		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
 			addr, err := sockets.Free()
 			if err != nil {
@@ -55,20 +55,20 @@
 			}
 			*to = addr
 		}
-		k.direct.Servers = append(k.direct.Servers, spot)
+		k.direct.Members = append(k.direct.Members, spot)
 	}
 	for i := range n {
 		l := *k.direct
-		l.Servers = slices.Clone(k.direct.Servers)
-		for j := range l.Servers {
+		l.Members = slices.Clone(k.direct.Members)
+		for j := range l.Members {
 			if j == i || o.direct {
 				continue
 			}
-			addr, err := r.link(keeperEnd(i), keeperEnd(j)).Serve(func() (net.Conn, error) { return net.Dial("tcp", k.direct.Servers[j].PeerAddress) })
+			addr, err := r.link(keeperEnd(i), keeperEnd(j)).Serve(func() (net.Conn, error) { return net.Dial("tcp", k.direct.Members[j].PeerAddress) })
 			if err != nil {
 				return k, err
 			}
-			l.Servers[j].PeerAddress = addr
+			l.Members[j].PeerAddress = addr
 		}
 		text, err := json.Marshal(&l)
 		if err != nil {
@@ -98,7 +98,7 @@
 func keeperEnd(n int) string { return fmt.Sprintf("keeper %d", n) }
 
 func (k *keepers) start(i int) error {
-	spot := k.direct.Servers[i]
+	spot := k.direct.Members[i]
 	args := []string{k.o.Keeper, "run", "--list", k.lists[i], "--name", spot.Name, "--peer", spot.PeerAddress, "--door", spot.CounterAddress}
 	if k.day.Disk {
 		args = append(args, "--dir", "held")
@@ -140,7 +140,7 @@
 
 // who asks all keepers how they stand.
 func (k *keepers) who() (all []*protocol.Admin) {
-	for _, spot := range k.direct.Servers {
+	for _, spot := range k.direct.Members {
 		a, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 		if err != nil {
 			a = nil
@@ -282,7 +282,7 @@
 // operator writes the operator's file of an api gateway, by which it has keepers hold things, each over a link of its own.
 func (k *keepers) operator(e int) (string, error) {
 	var addrs []string
-	for i, spot := range k.direct.Servers {
+	for i, spot := range k.direct.Members {
 		addr, err := k.rig.link(edge(e), keeperEnd(i)).Inside(func(c net.Conn) { k.frames(e, c, spot.PeerAddress) })
 		if err != nil {
 			return "", err
@@ -365,7 +365,7 @@
 
 // door leads an api gateway's calls in the counter's protocol to a keeper's door, and notes them.
 func (k *keepers) door(e int, c net.Conn) {
-	spot := k.direct.Servers[e%len(k.procs)]
+	spot := k.direct.Members[e%len(k.procs)]
 	up, err := net.Dial("tcp", spot.CounterAddress)
 	if err != nil {
 		c.(interface{ SetLinger(int) error }).SetLinger(0)
--- a/harness/fleet/keepers_test.go
+++ b/harness/fleet/keepers_test.go
@@ -121,7 +121,7 @@
 			t.Fatal(err)
 		}
 		var peers []string
-		for _, spot := range k.direct.Servers {
+		for _, spot := range k.direct.Members {
 			peers = append(peers, spot.PeerAddress)
 		}
 		text, _ := json.Marshal(map[string]any{"copies": map[string]any{"keepers": peers, "marks": true}})
--- a/harness/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -55,7 +55,7 @@
 	}
 	for range times {
 		leader, lost := k.leading()
-		door := k.direct.Servers[(leader+1)%copies].CounterAddress
+		door := k.direct.Members[(leader+1)%copies].CounterAddress
 		p := k.process(leader)
 		begin := time.Now()
 		p.Kill()
@@ -123,7 +123,7 @@
 		return 0, nil, nil, err
 	}
 	var doors []string
-	for _, spot := range k.direct.Servers[:copies-1] {
+	for _, spot := range k.direct.Members[:copies-1] {
 		doors = append(doors, spot.CounterAddress)
 	}
 	run := func(turn bool, rate float64, length time.Duration) *counterload.Result {
--- a/harness/fleet/witness.go
+++ b/harness/fleet/witness.go
@@ -387,7 +387,7 @@
 		var a *protocol.Admin
 		var err error
 		for try := range 20 {
-			spot := k.direct.Servers[try%len(k.direct.Servers)]
+			spot := k.direct.Members[try%len(k.direct.Members)]
 			if a, err = server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 3*time.Second); err == nil {
 				break
 			}
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"compress/gzip"
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -16,7 +15,6 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	bolt "go.etcd.io/bbolt"
 
 	"otterseam/harness/leakcheck"
@@ -40,8 +38,8 @@
 	return text
 }
 
-// writeRecordedLife writes to a new disk what the recorded one was given.
-func writeRecordedLife(t *testing.T, dir string) {
+// writeRecordedHistory writes to a new disk what the recorded one was given.
+func writeRecordedHistory(t *testing.T, dir string) {
 	t.Helper()
 	s, _, err := openStorage(dir, time.Now())
 	if err != nil {
@@ -52,12 +50,12 @@
 	if err := s.setCluster(recordedIdentity.cluster); err != nil {
 		t.Fatal(err)
 	}
-	for i := range life {
-		if err := s.write(life[i : i+1]); err != nil {
+	for i := range writeHistory {
+		if err := s.write(writeHistory[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.write([]replication.Write{{Group: 9, HardState: hard(7, 0), DropReplica: true}}); err != nil {
+	if err := s.write([]replication.Write{{Group: 9, HardState: hardState(7, 0), DropReplica: true}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -104,7 +102,7 @@
 
 func TestDiskIsTheRecordedBuckets(t *testing.T) {
 	dir := t.TempDir()
-	writeRecordedLife(t, dir)
+	writeRecordedHistory(t, dir)
 	if got, want := listed(t, filepath.Join(dir, "held.db")), recordedBytes(t, "buckets.bin"); !bytes.Equal(got, want) {
 		t.Errorf("written are\n%s\nrecorded are\n%s", got, want)
 	}
@@ -129,19 +127,19 @@
 		t.Fatal(err)
 	}
 	defer s.close()
-	want := map[int]*replication.PersistentState{9: {HardState: hard(7, 0)}}
-	for i := range life {
-		g := life[i].Group
+	want := map[int]*replication.PersistentState{9: {HardState: hardState(7, 0)}}
+	for i := range writeHistory {
+		g := writeHistory[i].Group
 		if want[g] == nil {
 			want[g] = &replication.PersistentState{}
 		}
-		want[g].Apply(&life[i])
+		want[g].Apply(&writeHistory[i])
 	}
 	for g := range want {
 		want[g] = want[g].AfterSnapshot()
 	}
-	if s.Identity() != recordedIdentity || s.discarded != "" || !same(saved, want) {
-		t.Errorf("%+v, spoilt %q\n%v\nwanted\n%v", s.Identity(), s.discarded, saved, want)
+	if s.identity() != recordedIdentity || s.discarded != nil || !sameGroups(saved, want) {
+		t.Errorf("%+v, discarded: %v\n%v\nwanted\n%v", s.identity(), s.discarded, saved, want)
 	}
 }
 
@@ -196,37 +194,6 @@
 	"POST /counters/count-2?by=0.1&expire_ms=60000 HTTP/1.1\r\nHost: counter\r\n\r\n",
 }
 
-// loneKeeper runs one store without a disk, which holds everything alone once it is founded.
-func loneKeeper(t *testing.T) (l *ClusterConfig, k *Server) {
-	t.Helper()
-	spot := ServerConfig{Name: "alone", PeerAddress: "127.0.0.1:0", CounterAddress: "127.0.0.1:0"}
-	l = &ClusterConfig{Groups: 2, Replicas: 1, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64, Servers: []ServerConfig{spot}}
-	k = runStore(t, l, Options{Name: "alone"})
-	reached := *l // the store goes on reading the list that it was given
-	spot.PeerAddress, spot.CounterAddress = k.transport.listener.Addr().String(), k.counter.listener.Addr().String()
-	reached.Servers = []ServerConfig{spot}
-	return &reached, k
-}
-
-// runStore runs one store until the test ends.
-func runStore(t *testing.T, l *ClusterConfig, p Options) *Server {
-	t.Helper()
-	k, err := New(l, p, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- k.Run(ctx) }()
-	t.Cleanup(func() {
-		stop()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
-	return k
-}
-
 // answered makes calls on one connection at once, and gives as many answers as they are, byte for byte.
 func answered(t *testing.T, addr string, calls ...string) []byte {
 	t.Helper()
@@ -235,7 +202,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := io.WriteString(c, strings.Join(calls, "")); err != nil {
 		t.Fatal(err)
 	}
@@ -258,29 +225,29 @@
 	if got, want := []byte(strings.Join(recordedCalls, "")), recordedBytes(t, "calls.bin"); !bytes.Equal(got, want) {
 		t.Fatal("the calls are not the recorded ones")
 	}
-	l, _ := loneKeeper(t)
-	door := l.Servers[0].CounterAddress
-	if got, want := answered(t, door, recordedCalls[0]), recordedBytes(t, "answers-not-founded.bin"); !bytes.Equal(got, want) {
-		t.Errorf("before the founding it answers\n%s\nrecorded is\n%s", got, want)
+	config := startSingleServer(t)
+	address := config.Members[0].CounterAddress
+	if got, want := answered(t, address, recordedCalls[0]), recordedBytes(t, "answers-not-founded.bin"); !bytes.Equal(got, want) {
+		t.Errorf("before the bootstrap it answers\n%s\nrecorded is\n%s", got, want)
 	}
-	if _, err := Bootstrap(l, nil, 20*time.Second); err != nil {
+	if _, err := Bootstrap(config, nil, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	awaitServing(t, door)
-	if got, want := answered(t, door, recordedCalls...), recordedBytes(t, "answers.bin"); !bytes.Equal(got, want) {
+	awaitServing(t, address)
+	if got, want := answered(t, address, recordedCalls...), recordedBytes(t, "answers.bin"); !bytes.Equal(got, want) {
 		t.Errorf("it answers\n%s\nrecorded is\n%s", got, want)
 	}
 }
 
 // awaitServing waits until both groups take calls, which the names used for it show: each lies in one of the groups.
-func awaitServing(t *testing.T, door string) {
+func awaitServing(t *testing.T, address string) {
 	t.Helper()
 	var calls []string
 	for i := range 8 {
 		calls = append(calls, fmt.Sprintf("POST /counters/await-%d?by=0&expire_ms=1000 HTTP/1.1\r\nHost: counter\r\n\r\n", i))
 	}
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if text := answered(t, door, calls...); bytes.Count(text, []byte("200 OK")) == len(calls) {
+		if text := answered(t, address, calls...); bytes.Count(text, []byte("200 OK")) == len(calls) {
 			return
 		}
 	}
@@ -290,30 +257,30 @@
 // The names of an answer on health, which operators' checks read; their values differ from run to run.
 func TestHealthHasTheRecordedNames(t *testing.T) {
 	leakcheck.Check(t)
-	l, _ := loneKeeper(t)
-	text := answered(t, l.Servers[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+	config := startSingleServer(t)
+	text := answered(t, config.Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
 	head, rest, _ := strings.Cut(string(text), "\r\n\r\n")
 	want := `{"away":2,"disk":false,"groups":2,"held":0,"installation":"0000000000000000","led":0,"life":"`
 	if !strings.HasPrefix(head, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: ") || !strings.HasPrefix(rest, want) ||
 		!strings.HasSuffix(rest, `","moved":0,"put_back":0,"state":"not founded"}`) {
-		t.Errorf("health before the founding is\n%s", text)
+		t.Errorf("health before the bootstrap is\n%s", text)
 	}
 }
 
-// A guest's stream before the founding: what it asks is turned away, and what only stores may ask makes no sense from it.
-func TestGuestsAreAnsweredTheRecordedBytes(t *testing.T) {
+// Before the bootstrap a client's requests are rejected, and what only servers may request is invalid.
+func TestClientsAreAnsweredTheRecordedBytes(t *testing.T) {
 	leakcheck.Check(t)
-	if got, want := guestAsks(t), recordedBytes(t, "guest-asks.bin"); !bytes.Equal(got, want) {
+	if got, want := clientRequests(t), recordedBytes(t, "guest-asks.bin"); !bytes.Equal(got, want) {
 		t.Fatalf("asked is\n%x\nrecorded is\n%x", got, want)
 	}
-	l, _ := loneKeeper(t)
-	if got, want := guestReplies(t, l.Servers[0].PeerAddress), recordedBytes(t, "guest-replies.bin"); !bytes.Equal(got, want) {
+	config := startSingleServer(t)
+	if got, want := clientResponses(t, config.Members[0].PeerAddress), recordedBytes(t, "guest-replies.bin"); !bytes.Equal(got, want) {
 		t.Errorf("answered is\n%x\nrecorded is\n%x", got, want)
 	}
 }
 
-// guestAsks is what the recorded guest sends: its greeting, then one frame.
-func guestAsks(t *testing.T) (text []byte) {
+// clientRequests is what the recorded client sends: its hello, then one frame.
+func clientRequests(t *testing.T) (text []byte) {
 	t.Helper()
 	asks := protocol.RequestsFrame([]protocol.Request{
 		{ID: 7, Command: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
@@ -330,16 +297,16 @@
 	return text
 }
 
-// guestReplies has a store asked by the recorded guest, and gives its four answers as they come on the stream.
-func guestReplies(t *testing.T, addr string) []byte {
+// clientResponses sends the recorded requests to a server, and returns its four responses as they come on the stream.
+func clientResponses(t *testing.T, addr string) []byte {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	if _, err := c.Write(guestAsks(t)); err != nil {
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	if _, err := c.Write(clientRequests(t)); err != nil {
 		t.Fatal(err)
 	}
 	var raw bytes.Buffer
@@ -352,7 +319,7 @@
 	return raw.Bytes()
 }
 
-// The first thing on a stream between stores says who speaks: its number and its life.
+// The first frame of a stream between servers says who sends: its number and its incarnation.
 func TestStreamsBeginWithTheRecordedHello(t *testing.T) {
 	leakcheck.Check(t)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -362,16 +329,16 @@
 	defer other.Close()
 	dir := t.TempDir()
 	unpackDisk(t, dir)
-	l := &ClusterConfig{Groups: 16, Replicas: 1, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64, Servers: []ServerConfig{
+	config := &ClusterConfig{Groups: 16, Replicas: 1, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64, Members: []MemberConfig{
 		{Name: "here", PeerAddress: "127.0.0.1:0", CounterAddress: "127.0.0.1:0"}, {Name: "there", PeerAddress: other.Addr().String(), CounterAddress: "127.0.0.1:0"},
 	}}
-	runStore(t, l, Options{Name: "here", Dir: dir})
+	startServer(t, config, Options{Name: "here", Dir: dir})
 	c, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	want := recordedBytes(t, "hello.bin")
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
--- /dev/null
+++ b/quotastore/server/server_test.go
@@ -0,0 +1,250 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"otterseam/harness/leakcheck"
+	"otterseam/quotastore/protocol"
+)
+
+// testTimeout is how long anything of a test may take.
+const testTimeout = 20 * time.Second
+
+// singleServerConfig configures one server without a directory, on ports of the system's choice.
+func singleServerConfig() *ClusterConfig {
+	return &ClusterConfig{
+		Groups:        2,
+		Replicas:      1,
+		ReplaceAfter:  30,
+		SnapshotRate:  4e6,
+		MaxLogEntries: 64,
+		Members:       []MemberConfig{{Name: "alone", PeerAddress: "127.0.0.1:0", CounterAddress: "127.0.0.1:0"}},
+	}
+}
+
+// startSingleServer runs one server without a directory, which has all groups alone once it is bootstrapped. It returns the
+// configuration by which others reach it.
+func startSingleServer(t *testing.T) *ClusterConfig {
+	t.Helper()
+	return reachable(startServer(t, singleServerConfig(), Options{Name: "alone"}))
+}
+
+// reachable is the configuration by which others reach a single server: the server goes on with the one that it was given.
+func reachable(s *Server) *ClusterConfig {
+	config := singleServerConfig()
+	config.Members[0].PeerAddress = s.transport.listener.Addr().String()
+	config.Members[0].CounterAddress = s.counter.listener.Addr().String()
+	return config
+}
+
+// startServer runs a server until the test ends.
+func startServer(t *testing.T, config *ClusterConfig, options Options) *Server {
+	t.Helper()
+	s, err := New(config, options, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	stop := run(t, s)
+	t.Cleanup(stop)
+	return s
+}
+
+// run runs a server until the returned function is called, which waits for its end.
+func run(t *testing.T, s *Server) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
+	return func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// A server that ends leaves no goroutine behind and closes the connections of callers and clients that are idle.
+func TestShutdownClosesOpenConnections(t *testing.T) {
+	leakcheck.Check(t)
+	s, err := New(singleServerConfig(), Options{Name: "alone", Dir: t.TempDir()}, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	stop := run(t, s)
+	server := reachable(s).Members[0]
+	caller, client := dial(t, server.CounterAddress), dial(t, server.PeerAddress)
+	if _, err := client.Write(clientRequests(t)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := protocol.ReadFrame(client, protocol.MaxFrameBytes); err != nil {
+		t.Fatal(err)
+	}
+	answered(t, server.CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+	stop()
+	for name, conn := range map[string]net.Conn{"caller": caller, "client": client} {
+		if _, err := io.Copy(io.Discard, conn); err != nil && isTimeout(err) {
+			t.Errorf("the connection of the %s is still open", name)
+		}
+	}
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+func TestNewRejectsAServerThatIsNotConfigured(t *testing.T) {
+	leakcheck.Check(t)
+	_, err := New(singleServerConfig(), Options{Name: "other"}, zerolog.Nop())
+	var unknown *UnknownMemberError
+	if !errors.As(err, &unknown) || unknown.Name != "other" {
+		t.Errorf("unexpected error %v", err)
+	}
+}
+
+func TestNewClosesItsStorageIfAListenerFails(t *testing.T) {
+	leakcheck.Check(t)
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	dir := t.TempDir()
+	for name, options := range map[string]Options{
+		"peer":    {Name: "alone", Dir: dir, PeerAddress: taken.Addr().String()},
+		"counter": {Name: "alone", Dir: dir, CounterAddress: taken.Addr().String()},
+	} {
+		if _, err := New(singleServerConfig(), options, zerolog.Nop()); err == nil || errors.Is(err, ErrInUse) {
+			t.Errorf("%s: unexpected error %v", name, err)
+		}
+	}
+}
+
+func TestReconfigureRejectsWhatIsFixedAtBootstrap(t *testing.T) {
+	tests := map[string]struct {
+		change func(*ClusterConfig)
+		want   string
+	}{
+		"groups":   {func(c *ClusterConfig) { c.Groups = 3 }, "configuration rejected"},
+		"replicas": {func(c *ClusterConfig) { c.Replicas = 3 }, "configuration rejected"},
+		"removed":  {func(c *ClusterConfig) { c.Members = nil }, "configuration rejected"},
+		"renamed":  {func(c *ClusterConfig) { c.Members[0].Name = "other" }, "configuration rejected"},
+		"server added": {func(c *ClusterConfig) {
+			c.Members = append(c.Members, MemberConfig{Name: "new", PeerAddress: "127.0.0.1:1"})
+		}, "configuration reloaded"},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			leakcheck.Check(t)
+			var log bytes.Buffer
+			s, err := New(singleServerConfig(), Options{Name: "alone"}, zerolog.New(&log))
+			if err != nil {
+				t.Fatal(err)
+			}
+			stop := run(t, s)
+			answered(t, reachable(s).Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+			config := singleServerConfig()
+			test.change(config)
+			s.Reconfigure(config)
+			// The answer to a later call shows that the event loop has taken the configuration up.
+			answered(t, reachable(s).Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+			stop()
+			if !strings.Contains(log.String(), test.want) {
+				t.Errorf("the log says\n%s", &log)
+			}
+		})
+	}
+}
+
+func TestBootstrapRejectsServersOfAnotherCluster(t *testing.T) {
+	leakcheck.Check(t)
+	config := startSingleServer(t)
+	if _, err := Bootstrap(config, nil, testTimeout); err != nil {
+		t.Fatal(err)
+	}
+	_, err := Bootstrap(config, nil, testTimeout)
+	var of *MemberError
+	if !errors.Is(err, ErrNotBootstrapped) || !errors.As(err, &of) || of.Name != "alone" {
+		t.Errorf("unexpected error %v", err)
+	}
+}
+
+func TestSendCommandReturnsTheServersFailure(t *testing.T) {
+	leakcheck.Check(t)
+	config := startSingleServer(t)
+	answer, err := SendCommand(config.Members[0].PeerAddress, &protocol.Admin{Operation: "unknown"}, testTimeout)
+	var failed *CommandError
+	if !errors.As(err, &failed) || failed.Operation != "unknown" || answer == nil || answer.Failure != failed.Failure {
+		t.Errorf("answered %+v: %v", answer, err)
+	}
+}
+
+// Groups without a leader are missing from a snapshot, which is not taken then.
+func TestTakeSnapshotNeedsAllGroups(t *testing.T) {
+	leakcheck.Check(t)
+	config := startSingleServer(t)
+	_, err := TakeSnapshot(config, time.Now())
+	var missing *MissingGroupsError
+	if !errors.As(err, &missing) || missing.Missing != 2 || missing.Groups != 2 {
+		t.Fatalf("unexpected error %v", err)
+	}
+	if _, err := Bootstrap(config, nil, testTimeout); err != nil {
+		t.Fatal(err)
+	}
+	awaitServing(t, config.Members[0].CounterAddress)
+	snapshot, err := TakeSnapshot(config, time.Unix(1796000000, 0))
+	if err != nil || len(snapshot.States) != 2 || snapshot.Taken != 1796000000 {
+		t.Errorf("%+v: %v", snapshot, err)
+	}
+}
+
+func TestConnSetClosesWhatItHolds(t *testing.T) {
+	set := newConnSet(2)
+	var others []net.Conn
+	add := func() bool {
+		mine, other := net.Pipe()
+		others = append(others, other)
+		t.Cleanup(func() { other.Close() })
+		return set.add(mine)
+	}
+	for range 2 {
+		if !add() {
+			t.Fatal("a connection within the limit was rejected")
+		}
+	}
+	if add() {
+		t.Error("a connection over the limit was taken")
+	}
+	set.closeAll()
+	if add() {
+		t.Error("a connection was taken after the set was closed")
+	}
+	for i, other := range others {
+		_ = other.SetDeadline(time.Now().Add(testTimeout))
+		if _, err := other.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+			t.Errorf("connection %d is not closed: %v", i, err)
+		}
+	}
+}
