--- a/tier/status/protection_test.go
+++ b/tier/status/protection_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"otterseam/tier/consensus"
+	"otterseam/tier/directory"
 	"otterseam/tier/replica"
 )
 
@@ -26,13 +27,13 @@
 	return r
 }
 
-func TestWhatControlBears(t *testing.T) {
+func TestProtectionOfControl(t *testing.T) {
 	cases := []struct {
 		name         string
 		record       consensus.Record
-		bears        int
+		losses       int
 		acknowledges bool
-		why          string
+		limitedBy    string
 	}{
 		{"three whole", record([]uint64{1, 2, 3}, 2, 1, 2, 3), 1, true, "more than half of 3 members"},
 		{"one lags", record([]uint64{1, 3}, 2, 1, 2, 3), 0, true, "b is not in sync"},
@@ -44,19 +45,21 @@
 		{"unknown", consensus.Record{}, 0, false, "nobody answers"},
 	}
 	for _, c := range cases {
-		got := ProtectionOfControl(c.record, letter)
-		if got.ToleratedLosses != c.bears || got.CanAcknowledge != c.acknowledges || !strings.Contains(got.LimitedBy, c.why) {
-			t.Errorf("%s: %+v", c.name, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got := ProtectionOfControl(c.record, letter)
+			if got.ToleratedLosses != c.losses || got.CanAcknowledge != c.acknowledges || !strings.Contains(got.LimitedBy, c.limitedBy) {
+				t.Errorf("%+v", got)
+			}
+		})
 	}
 }
 
-func TestWhatAShardBears(t *testing.T) {
+func TestProtectionOfShard(t *testing.T) {
 	cases := []struct {
-		name  string
-		view  replica.View
-		bears int
-		why   string
+		name      string
+		view      replica.View
+		losses    int
+		limitedBy string
 	}{
 		{"whole", replica.View{InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, 2, "all of 3 copies in sync"},
 		{"one lags", replica.View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, 1, "c is not in sync"},
@@ -65,8 +68,28 @@
 		{"no machine left", replica.View{InSync: []uint64{2}, Replicas: []uint64{2}, MinInSync: 2}, 0, "another machine is needed"},
 	}
 	for _, c := range cases {
-		if got := ProtectionOfShard(c.view, letter); got.ToleratedLosses != c.bears || !strings.Contains(got.LimitedBy, c.why) {
-			t.Errorf("%s: %+v", c.name, got)
+		t.Run(c.name, func(t *testing.T) {
+			if got := ProtectionOfShard(c.view, letter); got.ToleratedLosses != c.losses || !strings.Contains(got.LimitedBy, c.limitedBy) {
+				t.Errorf("%+v", got)
+			}
+		})
+	}
+}
+
+// Operators see the machine's name; without one the address of a member, and else the identity.
+func TestReplicaNames(t *testing.T) {
+	s := Status{
+		Control: consensus.Record{
+			Members:  []consensus.Member{{ID: 1, Address: "10.0.0.1:7401", Node: "ctl-a"}, {ID: 2, Address: "10.0.0.2:7402"}},
+			Previous: []consensus.Member{{ID: 3, Node: "ctl-c"}},
+			Learners: []consensus.Member{{ID: 4, Node: "ctl-d"}},
+		},
+		Stores: []directory.Store{{Identity: 5, Node: "store-a"}},
+	}
+	name := s.ReplicaNames()
+	for id, want := range map[uint64]string{1: "ctl-a", 2: "10.0.0.2:7402", 3: "ctl-c", 4: "ctl-d", 5: "store-a", 0xab: "ab"} {
+		if got := name(id); got != want {
+			t.Errorf("%d is called %q, not %q", id, got, want)
 		}
 	}
 }
--- a/tier/status/recorded_json_test.go
+++ b/tier/status/recorded_json_test.go
@@ -32,7 +32,7 @@
 		Ejected:  map[string]int64{"host-1": 90_000},
 		Recovery: []Recovery{{Address: "10.0.0.1:7401", AfterMS: map[string]int64{"started": 1}}},
 	}
-	s.protect()
+	s.fillProtection()
 	return s
 }
 
--- a/tier/status/recovery.go
+++ b/tier/status/recovery.go
@@ -15,7 +15,7 @@
 	AfterMS map[string]int64 `json:"after_ms"`
 }
 
-// recoveryTimeout is how long a process may take to tell its timeline; one that stands still must not hold up the rest.
+// recoveryTimeout is how long a process may take to tell its timeline; one that hangs must not delay the others.
 const recoveryTimeout = 300 * time.Millisecond
 
 // readRecovery asks processes for their timelines, in the order of their addresses. Those that don't answer are left out.
@@ -23,19 +23,17 @@
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	answers := make([]map[string]int64, len(addresses))
-	var wait sync.WaitGroup
+	var asking sync.WaitGroup
 	for i, address := range addresses {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
+		asking.Go(func() {
 			client := rpc.NewClient(address, nil)
 			defer client.Close()
 			if answer, err := client.Call(ctx, timeline.KindTimeline, nil); err == nil {
 				answers[i] = timeline.Decode(answer)
 			}
-		}()
+		})
 	}
-	wait.Wait()
+	asking.Wait()
 	var all []Recovery
 	for i, steps := range answers {
 		if steps != nil {
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -1,34 +1,30 @@
-// Package status reads the state of a running tier from its control processes, for operators and tests.
 package status
 
 import (
 	"context"
+	"slices"
 	"sort"
-	"sync"
 
-	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
 	"otterseam/tier/control/state"
-	"otterseam/tier/controlclient"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
-	"otterseam/tier/rpc"
 )
 
-// Status is what the control processes tell.
+// Status is what the control processes tell. Times are in milliseconds.
 type Status struct {
 	Control       consensus.Record  `json:"control"`
-	ConfigVersion uint64            `json:"config_version"`
+	ConfigVersion uint64            `json:"config_version"` // 0 if none was accepted yet
 	Revision      uint64            `json:"revision"`
-	Stores        []directory.Store `json:"stores"`
-	Shards        []directory.Shard `json:"shards"`
-	Hosts         []directory.Host  `json:"hosts"`
-	Ejected       map[string]int64  `json:"hosts_set_aside"` // by host, the term in milliseconds
+	Stores        []directory.Store `json:"stores"`          // by the machine's name
+	Shards        []directory.Shard `json:"shards"`          // by ID
+	Hosts         []directory.Host  `json:"hosts"`           // by ID
+	Ejected       map[string]int64  `json:"hosts_set_aside"` // for how long, by the host's ID
 
 	Recovery []Recovery `json:"recovery"` // of the processes of control and of the stores
 
 	ControlProtection Protection            `json:"control_bears"`
-	ShardProtection   map[uint32]Protection `json:"shards_bear"`
+	ShardProtection   map[uint32]Protection `json:"shards_bear"` // by the shard's ID
 }
 
 // Read asks the control processes at the addresses, which are those of the internal ports.
@@ -37,65 +33,48 @@
 	if err != nil {
 		return Status{}, err
 	}
-	s := Status{Control: NewestRecord(ctx, addresses), Revision: view.Revision()}
+	s := fromView(view)
+	s.Control = NewestRecord(ctx, addresses)
+	s.fillProtection()
+	s.Recovery = readRecovery(ctx, append(slices.Clone(addresses), s.storeAddresses()...))
+	return s, nil
+}
+
+// fromView is what a view of control says.
+func fromView(view *feed.View) Status {
+	s := Status{
+		Revision: view.Revision(),
+		Hosts:    directory.Hosts(view),
+		Ejected:  directory.Ejections(view),
+	}
 	if data, found := view.Get(feed.SectionConfig, directory.CurrentKey); found {
 		s.ConfigVersion, _ = state.SplitConfig(data)
 	}
 	for _, store := range directory.Stores(view) {
 		s.Stores = append(s.Stores, store)
 	}
+	sort.Slice(s.Stores, func(i, j int) bool { return s.Stores[i].Node < s.Stores[j].Node })
 	for _, shard := range directory.Shards(view) {
 		s.Shards = append(s.Shards, shard)
 	}
-	s.Hosts = directory.Hosts(view)
-	s.Ejected = directory.Ejections(view)
-	sort.Slice(s.Stores, func(i, j int) bool { return s.Stores[i].Node < s.Stores[j].Node })
 	sort.Slice(s.Shards, func(i, j int) bool { return s.Shards[i].ID < s.Shards[j].ID })
-	s.protect()
-	processes := addresses
-	for _, store := range s.Stores {
-		processes = append(processes[:len(processes):len(processes)], store.Address)
-	}
-	s.Recovery = readRecovery(ctx, processes)
-	return s, nil
+	return s
 }
 
-// readView subscribes until the first update has come.
-func readView(ctx context.Context, addresses []string) (*feed.View, error) {
-	view := feed.NewView()
-	reading, cancel := context.WithCancel(ctx)
-	defer cancel()
-	subscriber := &feed.Subscriber{View: view, Addresses: func() []string { return addresses }, OnChange: func([]feed.Item) { cancel() }}
-	subscriber.Run(reading)
-	if view.Revision() == 0 {
-		return nil, codes.Unavailable
+// fillProtection works out how many losses the groups tolerate.
+func (s *Status) fillProtection() {
+	name := s.ReplicaNames()
+	s.ControlProtection = ProtectionOfControl(s.Control, name)
+	s.ShardProtection = map[uint32]Protection{}
+	for _, shard := range s.Shards {
+		s.ShardProtection[shard.ID] = ProtectionOfShard(shard.View, name)
 	}
-	return view, nil
 }
 
-// NewestRecord asks all control processes for the newest record of who leads and who is in sync; it is empty if none answers.
-func NewestRecord(ctx context.Context, addresses []string) consensus.Record {
-	var mu sync.Mutex
-	var newest consensus.Record
-	var wait sync.WaitGroup
-	for _, address := range addresses {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			client := rpc.NewClient(address, nil)
-			defer client.Close()
-			answer, err := client.Call(ctx, controlclient.KindLocate, nil)
-			if err != nil {
-				return
-			}
-			response, err := controlclient.DecodeLocateResponse(answer)
-			mu.Lock()
-			defer mu.Unlock()
-			if err == nil && response.Record.Epoch > newest.Epoch {
-				newest = response.Record
-			}
-		}()
+func (s *Status) storeAddresses() []string {
+	var addresses []string
+	for _, store := range s.Stores {
+		addresses = append(addresses, store.Address)
 	}
-	wait.Wait()
-	return newest
+	return addresses
 }
