--- a/cmd/otterseam-sim/keepers.go
+++ b/cmd/otterseam-sim/keepers.go
@@ -36,7 +36,7 @@
 		fmt.Fprintln(s.out, v)
 	}
 	fmt.Fprintf(s.out, "%d seeds: %d asked for and answered, %d refused, %d unknown; %d faults, %d machines lost with their disks; %d histories undecided\n",
-		sum.Seeds, sum.Answered, sum.Rejected, sum.Unknown, sum.Faults, sum.Wipes, sum.Undecided)
+		sum.Seeds, sum.Answered, sum.Rejected, sum.Unknown, sum.Faults, sum.MachinesLost, sum.Undecided)
 	fmt.Fprintf(s.out, "promised and lost: %d; put back twice: %d; second effects: %d; not whole at the end: %d\n", sum.Lost, sum.DoubleCounted, sum.DuplicateEffects, sum.NotRecovered)
 	if !sum.OK() {
 		return errBroken
--- a/sim/quotastoresim/digest_test.go
+++ b/sim/quotastoresim/digest_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The digests are of what the code of commit 1895881 played: when and at which server something was logged, which hangs on every
+// The digests are of what the code of commit 1895881 ran: when and at which server something was logged, which hangs on every
 // draw and every message before it, and the numbers of the verdict. The same seeds have to give them ever after.
-var playDigests = map[uint64]string{
+var runDigests = map[uint64]string{
 	0:  "ca15479c5f2130aec3e2efa6451176b2",
 	1:  "1444b0183fcc23e53f3f4ca915707c02",
 	2:  "8d07262817a519e861b5c6fd0bae251a",
@@ -25,22 +25,22 @@
 	11: "f7d4ce096c3f5190235c87133ceaa6b5",
 }
 
-func TestSeedsGiveTheRecordedPlay(t *testing.T) {
+func TestSeedsGiveTheRecordedRun(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			sum := fnv.New128a()
 			o := OptionsForSeed(seed, 8)
-			o.OnLogLine = func(at float64, keeper int, _ string) {
+			o.OnLogLine = func(at float64, server int, _ string) {
 				var b [9]byte
 				binary.BigEndian.PutUint64(b[:], math.Float64bits(at))
-				b[8] = byte(keeper)
+				b[8] = byte(server)
 				sum.Write(b[:])
 			}
 			v := RunSeed(seed, o)
-			fmt.Fprint(sum, v.Answered, v.Rejected, v.Unknown, v.Faults, v.Wipes, v.Undecided, len(v.Lost), len(v.DoubleCounted), len(v.DuplicateEffects), len(v.NotRecovered))
-			if got := fmt.Sprintf("%x", sum.Sum(nil)); got != playDigests[seed] {
-				t.Errorf("digest\n%d: %q, want %q", seed, got, playDigests[seed])
+			fmt.Fprint(sum, v.Answered, v.Rejected, v.Unknown, v.Faults, v.MachinesLost, v.Undecided, len(v.Lost), len(v.DoubleCounted), len(v.DuplicateEffects), len(v.NotRecovered))
+			if got := fmt.Sprintf("%x", sum.Sum(nil)); got != runDigests[seed] {
+				t.Errorf("digest\n%d: %q, want %q", seed, got, runDigests[seed])
 			}
 		})
 	}
--- a/sim/quotastoresim/quotastoresim_test.go
+++ b/sim/quotastoresim/quotastoresim_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// Streams break, machines are lost with their disks, processes stand still, clocks are minutes apart: all that was promised
-// holds. Some seeds of the thousands that are played outside CI, among them those that once found something.
-func TestPromisesHold(t *testing.T) {
+// Streams break, machines are lost with their disks, processes stand still, clocks are minutes apart: all guarantees
+// hold. Some seeds of the thousands that are run outside CI, among them those that once found something.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	all := []uint64{1160, 2707, 4394, 6050, 50121, 50274, 50535, 100414, 100511}
 	for seed := range uint64(60) {
 		all = append(all, seed)
@@ -28,32 +28,32 @@
 	}
 }
 
-// The same seed is the same play: a fault that a seed found can be looked at.
-func TestSameSeedSamePlay(t *testing.T) {
-	said := func() (all []string) {
+// The same seed is the same run: a fault that a seed found can be looked at.
+func TestSameSeedIsTheSameRun(t *testing.T) {
+	logged := func() (all []string) {
 		o := OptionsForSeed(7, 8)
-		o.OnLogLine = func(at float64, keeper int, line string) {
+		o.OnLogLine = func(at float64, _ int, line string) {
 			all = append(all, strconv.FormatFloat(at, 'g', -1, 64)+line)
 		}
 		RunSeed(7, o)
 		return all
 	}
-	a, b := said(), said()
+	a, b := logged(), logged()
 	if len(a) < 10 || strings.Join(a, "\n") != strings.Join(b, "\n") {
 		t.Fatalf("%d and %d lines, and they differ", len(a), len(b))
 	}
 }
 
-// With nothing going wrong nothing is refused or unknown.
-func TestCalm(t *testing.T) {
+// With nothing going wrong nothing is rejected or unknown.
+func TestNothingIsRejectedWithoutFaults(t *testing.T) {
 	v := RunSeed(3, Options{Servers: 3, Replicas: 3, Durable: true, FaultSeconds: 8, NoFaults: true})
 	if !v.OK() || v.Rejected+v.Unknown > 0 || v.Answered < 100 {
 		t.Fatal(v)
 	}
 }
 
-// Eleven faults put into the program on purpose are each found.
-func TestSeededFaultsAreFound(t *testing.T) {
+// Eleven defects put into the program on purpose are each found.
+func TestSeededDefectsAreFound(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "otterseam-sim")
 	if out, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "otterseam/cmd/otterseam-sim").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
