--- a/tier/configlog/configlog_test.go
+++ b/tier/configlog/configlog_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// A day of 4,700 changes is known whole. Beyond what is kept a change gets no clear result; it is never rejected and changes nothing.
+// A day of 4,700 changes is known completely. Beyond what is kept a change gets no clear result; it is never rejected and changes
+// nothing.
 func TestWhatIsForgottenIsNeverRejected(t *testing.T) {
 	const day, total = 4700, maxAccepted + 500
 	c := &configurations{}
--- a/tier/consensus/acceptor.go
+++ b/tier/consensus/acceptor.go
@@ -49,7 +49,7 @@
 // Response is an acceptor's response to a prepare or an accept.
 type Response struct {
 	Granted  bool // the promise or the accept was granted
-	DiskLost bool // the acceptor's disk is provably lost: it votes never again, and what it promised is gone
+	DiskLost bool // the acceptor's disk is provably lost: it votes never again, and what it promised is lost with it
 	Promised ProposalNumber
 	Accepted ProposalNumber
 	Value    Record
--- a/tier/lease/host_sessions.go
+++ b/tier/lease/host_sessions.go
@@ -12,8 +12,8 @@
 
 type hostSession struct {
 	heardAt   int64
-	holder    uint64 // the control process that heard it last, 0 if no one has told this primary
-	graceFrom int64  // when this primary last knew nothing of the host's way; what is heard later may be old
+	holder    uint64 // the control process that heard it last, 0 if none has reported it to this primary
+	graceFrom int64  // when this primary last knew nothing of where the host was; what is heard later may be old
 }
 
 // holder is a control process that keeps sessions of hosts.
@@ -59,7 +59,7 @@
 	s.removing[id] = true
 }
 
-// FinishRemoval notes what became of a removal. One that may still be committed leaves the host under suspicion.
+// FinishRemoval notes what became of a removal. One that may still be committed gives the host a new session with its grace.
 func (s *HostSessions) FinishRemoval(id string, committed bool, now int64) {
 	if committed {
 		delete(s.removing, id)
--- a/tier/lease/store_sessions_test.go
+++ b/tier/lease/store_sessions_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// A store that was put on the list by a heartbeat from before the sessions were begun is not taken for one that is long silent.
+// A store that was put on the list by a heartbeat from before the sessions were begun does not count as one that is long silent.
 func TestAStoreOnTheListIsExpected(t *testing.T) {
 	s := NewStoreSessions()
 	s.Begin(map[uint64]uint64{}, 50_000)
--- a/tier/membership/identity.go
+++ b/tier/membership/identity.go
@@ -39,10 +39,10 @@
 
 // ObserveAnswer notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
 func (t *IdentityTracker) ObserveAnswer(member consensus.Member, since int64) {
-	if held := t.members[member.ID]; held.at <= since {
+	if previous := t.members[member.ID]; previous.at <= since {
 		t.members[member.ID] = sighting{address: member.Address, node: member.Node, at: since}
 	}
-	if held := t.addresses[member.Address]; held.at <= since {
+	if previous := t.addresses[member.Address]; previous.at <= since {
 		t.addresses[member.Address] = occupant{identity: member.ID, node: member.Node, at: since}
 	}
 }
--- a/tier/membership/steps.go
+++ b/tier/membership/steps.go
@@ -126,8 +126,8 @@
 	return 0, false
 }
 
-// removeDeparted takes out a member that is gone while none can follow it, if the group then bears more losses. An even number is passed
-// through: with two gone of five, four and then three are left.
+// removeDeparted takes out a member that has departed while none can follow it, if the group then bears more losses. An even
+// number is passed through: with two departed of five, four and then three are left.
 func (p Policy) removeDeparted(record consensus.Record, o Observation) (Step, bool) {
 	var departed []uint64
 	for _, member := range record.Members {
--- a/tier/membership/steps_test.go
+++ b/tier/membership/steps_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// With two members in sync and two copies demanded, a silent one stays: nothing could be acknowledged without it anyway, and it
+// With two members in sync and two replicas demanded, a silent one stays: nothing could be acknowledged without it anyway, and it
 // may be the one that is left to lead.
 func TestTheInSyncSetStaysAtMinInSync(t *testing.T) {
 	p := Policy{Tolerate: 1}
@@ -114,7 +114,7 @@
 	}
 }
 
-// A spare is given a copy before it is needed, and a vote only when it holds the state.
+// A spare is given a replica before it is needed, and a vote only when it holds the state.
 func TestANewMemberVotesWhenItHoldsTheState(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2))
@@ -133,7 +133,7 @@
 	}
 }
 
-// A spare that holds the state takes the place of a member that leaves before that one has ended, and of one that is silent.
+// A spare that holds the state takes the place of a member that drains before that one has stopped, and of one that is silent.
 func TestASpareTakesThePlaceOfOneThatLeaves(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
@@ -159,7 +159,7 @@
 	}
 }
 
-// The primary's own place is given away by another primary only, and leaving processes are no spares.
+// The primary's own place is given away by another primary only, and draining processes are no spares.
 func TestThePrimaryReplacesOthersOnly(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
@@ -203,8 +203,8 @@
 	}
 }
 
-// In a group at rest nobody is missed by acknowledgements: members that are gone leave the in-sync set as they are taken out, down
-// to the copies that are needed.
+// In a group at rest nobody is missed by acknowledgements: members that have departed leave the in-sync set as they are taken out, down
+// to the replicas that are needed.
 func TestMembersThatAreGoneLeaveTheInSyncSet(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
@@ -228,7 +228,7 @@
 	}
 }
 
-// A member that is gone is not taken out while another process can follow it.
+// A member that has departed is not taken out while another process can follow it.
 func TestNoneIsTakenOutWhileASpareIsThere(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
--- a/tier/outlier/detector.go
+++ b/tier/outlier/detector.go
@@ -119,7 +119,7 @@
 // Fleet is the hosts of each service.
 type Fleet map[string][]Host
 
-// Decide returns the hosts that are to be set aside from now on. Those that are already are not named again.
+// Decide returns the hosts that are to be ejected from now on, in order. Those that are already are not named again.
 func (d *Detector) Decide(fleet Fleet, now int64) []Ejection {
 	d.forget(fleet, now)
 	var ejections []Ejection
--- a/tier/outlier/digest_test.go
+++ b/tier/outlier/digest_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Fleets in which some hosts fail, all do, or a zone is cut off: who is set aside, when and for how long.
+// Fleets in which some hosts fail, all do, or a zone is cut off: who is ejected, when and for how long.
 func TestFleetDigests(t *testing.T) {
 	digesttest.Check(t, "bad-hosts", func(_ *testing.T, seed int64, d *digesttest.Digest) {
 		f := newFleet(uint64(seed), 20, 40, 4, 30)
--- a/tier/placement/placement_test.go
+++ b/tier/placement/placement_test.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// A replica whose disk is gone leaves the set whatever its size: it will never hold anything again.
+// A replica whose disk is lost leaves the set whatever its size: it will never hold anything again.
 func TestALostDiskLeavesTheSet(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
@@ -221,7 +221,7 @@
 	}
 }
 
-// From any state of the machines, steps keep the rules and come to rest; once all are well, every shard has all its copies.
+// From any state of the machines, steps keep the rules and come to rest; once all are well, every shard has all its replicas.
 func TestPlacementComesToRest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tolerate := rapid.IntRange(0, 2).Draw(rt, "tolerate")
--- a/tier/placement/reconcile.go
+++ b/tier/placement/reconcile.go
@@ -33,7 +33,7 @@
 	return directory.Shard{ID: shard.ID, Total: shard.Total, View: next, PrimaryIncarnation: incarnation}, true
 }
 
-// remainingInSync is the in-sync set without replicas whose disk is gone and, down to the floor, without silent ones.
+// remainingInSync is the in-sync set without replicas whose disk is lost and, down to the floor, without silent ones.
 func (c Cluster) remainingInSync(view replica.View) []uint64 {
 	var known []uint64
 	for _, id := range view.InSync {
--- a/tier/placement/replicas_test.go
+++ b/tier/placement/replicas_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/directory"
 )
 
-// A shard demands one copy more than losses are tolerated from its founding on, and keeps the demand whatever becomes of it.
+// A shard demands one replica more than losses are tolerated from its placement on, and keeps the demand whatever becomes of it.
 func TestAShardKeepsItsMinInSync(t *testing.T) {
 	for tolerate := range 3 {
 		c := Cluster{Machines: machines(2*tolerate+1, 3), Tolerate: tolerate}
--- a/tier/placement/retire_test.go
+++ b/tier/placement/retire_test.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/replica"
 )
 
-// A machine may go for good once every shard has all its copies on others, not when it is merely empty.
+// A machine may go for good once every shard has all its replicas on others, not when it is merely empty.
 func TestARetiredMachineIsNeededUntilAllReplicasAreElsewhere(t *testing.T) {
 	c := Cluster{Machines: machines(4, 4), Tolerate: 1}
 	shard, _ := c.Place(1)
@@ -25,7 +25,7 @@
 	}
 }
 
-// A machine that ends is needed while it leads or holds a copy that another is still to get.
+// A machine that is draining is needed while it leads or holds a replica that another is still to get.
 func TestWhenAMachineIsNeeded(t *testing.T) {
 	shard := directory.Shard{ID: 1, View: replica.View{Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}}
 	shards := map[uint32]directory.Shard{1: shard}
