--- a/gateway/server/copies.go
+++ b/gateway/server/copies.go
@@ -34,7 +34,7 @@
 	loop    *Loop
 	addrs   []string
 	at      int // which of them is reached now
-	lodge   *quotaclient.Lodge
+	lodge   *quotaclient.Client
 	counts  bool
 	marks   bool
 	use     bool
@@ -91,19 +91,19 @@
 	if now >= c.turnAt {
 		c.turnAt = now + copiesTurn
 		if c.counts {
-			c.lodge.Settled()
-			c.loop.module.UnreportedUnits(func(name uint64, units, life float64) { c.lodge.Owes(now, nameOf(name), units, life) })
+			c.lodge.ClearUnreported()
+			c.loop.module.UnreportedUnits(func(name uint64, units, life float64) { c.lodge.SetUnreported(now, nameOf(name), units, life) })
 		}
 		for _, inv := range c.marking { // each by itself: the order does not show
 			if now > inv.giveUp-(1-markWait)*inv.Limit {
 				c.unmarked(inv)
 			}
 		}
-		for line := c.lodge.Said(); line != ""; line = c.lodge.Said() {
+		for line := c.lodge.NextLogLine(); line != ""; line = c.lodge.NextLogLine() {
 			c.loop.Log(line)
 		}
 	}
-	c.send(c.lodge.Turn(now))
+	c.send(c.lodge.TakeRequests(now))
 }
 
 func nameOf(name uint64) string { return strconv.FormatUint(name, 10) }
@@ -113,13 +113,13 @@
 	if !c.standing() {
 		return false
 	}
-	k.asked, k.opened, ok = c.lodge.Put(c.loop.now, nameOf(k.name), k.amount, c.loop.module.CountedSlots(k.name), life)
+	k.asked, k.opened, ok = c.lodge.ReportUsage(c.loop.now, nameOf(k.name), k.amount, c.loop.module.CountedSlots(k.name), life)
 	if !ok {
 		k.asked = 0
 		return false
 	}
 	c.calls[k.asked] = k
-	c.send(c.lodge.Turn(c.loop.now))
+	c.send(c.lodge.TakeRequests(c.loop.now))
 	return true
 }
 
@@ -130,7 +130,7 @@
 		return
 	}
 	delete(c.calls, k.asked)
-	c.lodge.Missed(nameOf(k.name), k.amount, k.opened, how == policy.TimedOut)
+	c.lodge.RetractUsage(nameOf(k.name), k.amount, k.opened, how == policy.TimedOut)
 }
 
 // mark has an invocation wait until its mark is held; false: it need not.
@@ -146,16 +146,16 @@
 		inv.from.answers <- answer{request: inv.request, status: 503, retryAfter: 1}
 		return true
 	}
-	n := c.lodge.Mark(inv.Ref, scope, inv.Limit)
+	n := c.lodge.AcquireMarker(inv.Ref, scope, inv.Limit)
 	inv.asked, c.marking[n] = n, inv
-	c.send(c.lodge.Turn(c.loop.now))
+	c.send(c.lodge.TakeRequests(c.loop.now))
 	return true
 }
 
 // unmarked: it is not known whether a delivery may begin, so none does; nothing was sent, and trying again is harmless.
 func (c *Copies) unmarked(inv *invocation) {
 	delete(c.marking, inv.asked)
-	c.lodge.Unmark(inv.Ref)
+	c.lodge.ReleaseMarker(inv.Ref)
 	inv.from.answers <- answer{request: inv.request, status: 503, retryAfter: 1}
 }
 
@@ -165,7 +165,7 @@
 		return false
 	}
 	delete(c.marking, inv.asked)
-	c.lodge.Unmark(inv.Ref)
+	c.lodge.ReleaseMarker(inv.Ref)
 	inv.from.answers <- answer{request: inv.request}
 	return true
 }
@@ -176,24 +176,24 @@
 		return
 	}
 	if inv.marked && !inv.sent {
-		c.lodge.Unmark(inv.Ref)
+		c.lodge.ReleaseMarker(inv.Ref)
 	}
 	if c.use && status == 200 {
-		c.lodge.Used(inv.Plan+" "+inv.Customer, inv.Units)
+		c.lodge.MeterUsage(inv.Plan+" "+inv.Customer, inv.Units)
 	}
 }
 
 // heard takes an answer. It runs on the loop.
-func (c *Copies) heard(r *protocol.Response) { c.means(c.lodge.Heard(c.loop.now, r)) }
+func (c *Copies) heard(r *protocol.Response) { c.means(c.lodge.HandleResponse(c.loop.now, r)) }
 
-func (c *Copies) means(w quotaclient.Word) {
-	switch w.What {
-	case quotaclient.Counted:
-		k := c.calls[w.Number]
+func (c *Copies) means(w quotaclient.Outcome) {
+	switch w.Kind {
+	case quotaclient.UsageReported:
+		k := c.calls[w.RequestID]
 		if k == nil || k.told {
 			return
 		}
-		delete(c.calls, w.Number)
+		delete(c.calls, w.RequestID)
 		for _, x := range c.loop.counter.calls { // the module takes a name's answers in order
 			if x == k {
 				break
@@ -204,23 +204,23 @@
 		}
 		how := policy.Succeeded
 		switch {
-		case w.Refused:
+		case w.Rejected:
 			how = policy.Rejected
 		case w.Unknown:
 			how = policy.Reset
 		}
 		c.loop.counter.tellOf(k, how, w.Total)
-	case quotaclient.Marked, quotaclient.Before, quotaclient.Unmarked:
-		inv := c.marking[w.Number]
+	case quotaclient.MarkerAcquired, quotaclient.MarkerHeld, quotaclient.MarkerUnknown:
+		inv := c.marking[w.RequestID]
 		if inv == nil {
 			return
 		}
-		if w.What == quotaclient.Unmarked {
+		if w.Kind == quotaclient.MarkerUnknown {
 			c.unmarked(inv)
 			return
 		}
-		delete(c.marking, w.Number)
-		if w.What == quotaclient.Before { // begun by another, or for a client that sent it twice
+		delete(c.marking, w.RequestID)
+		if w.Kind == quotaclient.MarkerHeld { // begun by another, or for a client that sent it twice
 			inv.from.answers <- answer{request: inv.request, status: 409}
 			return
 		}
@@ -231,7 +231,7 @@
 
 // broken: the stream has ended. It runs on the loop.
 func (c *Copies) broken() {
-	for _, w := range c.lodge.Broken() {
+	for _, w := range c.lodge.StreamLost() {
 		c.means(w)
 	}
 }
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -146,9 +146,9 @@
 			t.Fatal("the stream does not stand")
 		}
 	}
-	c.lodge.Mark("fc64a7745d3a91c4", "pool-a", 0.5)
-	c.lodge.Used("gold 0011", 2.5)
-	c.send(c.lodge.Turn(1))
+	c.lodge.AcquireMarker("fc64a7745d3a91c4", "pool-a", 0.5)
+	c.lodge.MeterUsage("gold 0011", 2.5)
+	c.send(c.lodge.TakeRequests(1))
 	return c, loop, other
 }
 
@@ -170,8 +170,8 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the recorded answer was not heard")
 	}
-	if c.lodge.Given != 1 || c.lodge.Holder() != "edge-3.7f00ba12.1" {
-		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.lodge.Given, c.lodge.Holder())
+	if c.lodge.LeaseLosses != 1 || c.lodge.Holder() != "edge-3.7f00ba12.1" {
+		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.lodge.LeaseLosses, c.lodge.Holder())
 	}
 }
 
--- a/quotastore/client/client.go
+++ b/quotastore/client/client.go
@@ -27,22 +27,22 @@
 )
 
 // What an answer means.
-type What int
+type OutcomeKind int
 
 const (
-	Nothing  What = iota
-	Counted       // Total is a count's; Refused or Unknown say that there is none
-	Marked        // a delivery may begin
-	Before        // another has begun one
-	Unmarked      // nothing is known of the mark: no delivery may begin
+	NoOutcome  OutcomeKind = iota
+	UsageReported       // Total is a count's; Refused or Unknown say that there is none
+	MarkerAcquired        // a delivery may begin
+	MarkerHeld        // another has begun one
+	MarkerUnknown      // nothing is known of the mark: no delivery may begin
 )
 
 // Word is an answer's meaning, for the number that was asked.
-type Word struct {
-	What    What
-	Number  uint64
+type Outcome struct {
+	Kind    OutcomeKind
+	RequestID  uint64
 	Total   float64
-	Refused bool // nothing was added
+	Rejected bool // nothing was added
 	Unknown bool
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Lodge is one api gateway's.
-type Lodge struct {
+type Client struct {
 	name                  string
 	lives                 int
 	number                uint64
@@ -101,18 +101,18 @@
 	asks                  []protocol.Request
 	lines                 []string
 	// Given counts how often this api gateway was given up by the keepers though it lived.
-	Given int
+	LeaseLosses int
 }
 
 // New makes it; name is of this life of this api gateway, and of no other.
-func New(name string) *Lodge {
-	return &Lodge{name: name, out: map[uint64]*asked{}, names: map[string]*account{}, uses: map[string]*usage{}}
+func New(name string) *Client {
+	return &Client{name: name, out: map[uint64]*asked{}, names: map[string]*account{}, uses: map[string]*usage{}}
 }
 
 // Holder is under which name the keepers know it at present.
-func (l *Lodge) Holder() string { return l.name + "." + strconv.Itoa(l.lives) }
+func (l *Client) Holder() string { return l.name + "." + strconv.Itoa(l.lives) }
 
-func (l *Lodge) ask(k kind, name string, e statemachine.Command) uint64 {
+func (l *Client) ask(k kind, name string, e statemachine.Command) uint64 {
 	l.number++
 	if e.Holder == "" {
 		e.Holder = l.Holder()
@@ -122,7 +122,7 @@
 	return l.number
 }
 
-func (l *Lodge) account(now float64, name string, life float64) *account {
+func (l *Client) account(now float64, name string, life float64) *account {
 	a := l.names[name]
 	if a == nil {
 		a = &account{life: life}
@@ -134,7 +134,7 @@
 
 // Put has an amount added to a count; places is what all open places on it stand for, those of the amount included. False:
 // it can't be told now.
-func (l *Lodge) Put(now float64, name string, amount, places, life float64) (number uint64, opened float64, ok bool) {
+func (l *Client) ReportUsage(now float64, name string, amount, places, life float64) (number uint64, opened float64, ok bool) {
 	a := l.account(now, name, life)
 	if a.old != "" {
 		return 0, 0, false
@@ -147,7 +147,7 @@
 
 // Missed: what was told with a number will be told again, as the deciding module owes it once more; opened of it stays told if
 // stays.
-func (l *Lodge) Missed(name string, amount, opened float64, stays bool) {
+func (l *Client) RetractUsage(name string, amount, opened float64, stays bool) {
 	a := l.names[name]
 	if a == nil {
 		return
@@ -160,29 +160,29 @@
 }
 
 // Owes notes what the module owes a count beside what it has told.
-func (l *Lodge) Owes(now float64, name string, units, life float64) {
+func (l *Client) SetUnreported(now float64, name string, units, life float64) {
 	l.account(now, name, life).owed = units
 }
 
 // Settled is called before Owes tells of all debts: those not told of are none.
-func (l *Lodge) Settled() {
+func (l *Client) ClearUnreported() {
 	for _, a := range l.names {
 		a.owed = 0
 	}
 }
 
 // Mark asks whether a delivery of an invocation may begin. scope says where a repeat is harmless; "": nowhere.
-func (l *Lodge) Mark(ref, scope string, life float64) uint64 {
+func (l *Client) AcquireMarker(ref, scope string, life float64) uint64 {
 	return l.ask(marking, ref, statemachine.Command{Kind: statemachine.AcquireMarker, Key: ref, Scope: scope, TTL: max(markLife, 2*life)})
 }
 
 // Unmark says that nothing of an invocation ever ran.
-func (l *Lodge) Unmark(ref string) {
+func (l *Client) ReleaseMarker(ref string) {
 	l.ask(unmarking, ref, statemachine.Command{Kind: statemachine.ReleaseMarker, Key: ref})
 }
 
 // Used counts what a customer has used.
-func (l *Lodge) Used(customer string, units float64) {
+func (l *Client) MeterUsage(customer string, units float64) {
 	if units <= 0 {
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // Turn gives what is to be asked now.
-func (l *Lodge) Turn(now float64) []protocol.Request {
+func (l *Client) TakeRequests(now float64) []protocol.Request {
 	if now >= l.renewAt {
 		l.renewAt = now + renewing
 		l.ask(renew, "", statemachine.Command{Kind: statemachine.RenewLease, TTL: 3 * renewing})
@@ -214,7 +214,7 @@
 }
 
 // note tells of what is owed, where that has changed.
-func (l *Lodge) note(now float64) {
+func (l *Client) note(now float64) {
 	for _, name := range l.sorted() {
 		a := l.names[name]
 		if a.old != "" {
@@ -238,12 +238,12 @@
 	}
 }
 
-func (l *Lodge) sorted() []string {
+func (l *Client) sorted() []string {
 	return slices.Sorted(maps.Keys(l.names))
 }
 
 // count tells of use. Customers are forgotten with their epoch, once all of it is held.
-func (l *Lodge) count(now float64) {
+func (l *Client) count(now float64) {
 	if now-l.epochAt > epoch && !slices.ContainsFunc(l.customers(), func(c string) bool { return l.uses[c].noted < l.uses[c].sum }) {
 		l.epochs, l.epochAt = l.epochs+1, now
 		clear(l.uses)
@@ -256,26 +256,26 @@
 	}
 }
 
-func (l *Lodge) customers() []string {
+func (l *Client) customers() []string {
 	return slices.Sorted(maps.Keys(l.uses))
 }
 
 // Heard takes an answer.
-func (l *Lodge) Heard(now float64, r *protocol.Response) Word {
+func (l *Client) HandleResponse(now float64, r *protocol.Response) Outcome {
 	a := l.out[r.RequestID]
 	if a == nil {
-		return Word{}
+		return Outcome{}
 	}
 	delete(l.out, r.RequestID)
 	failed := r.NotLeader || r.Unknown
 	l.pace(now, failed)
-	w := Word{Number: r.RequestID, Total: r.Reply.Total, Refused: r.NotLeader, Unknown: r.Unknown}
+	w := Outcome{RequestID: r.RequestID, Total: r.Reply.Total, Rejected: r.NotLeader, Unknown: r.Unknown}
 	if !failed && r.Reply.Code == statemachine.LeaseExpired && a.entry.Holder == l.Holder() {
 		l.given(now)
 	}
 	switch a.kind {
 	case putting:
-		w.What = Counted
+		w.Kind = UsageReported
 		if !failed && r.Reply.Code != statemachine.Done {
 			w.Unknown = true
 		}
@@ -283,11 +283,11 @@
 	case marking:
 		switch {
 		case failed || r.Reply.Code != statemachine.Done && r.Reply.Code != statemachine.MarkerHeld:
-			w.What = Unmarked
+			w.Kind = MarkerUnknown
 		case r.Reply.Code == statemachine.MarkerHeld:
-			w.What = Before
+			w.Kind = MarkerHeld
 		default:
-			w.What = Marked
+			w.Kind = MarkerAcquired
 		}
 		return w
 	case owe:
@@ -308,11 +308,11 @@
 	case oldOwe, oldPut:
 		l.learned(a, r, failed)
 	}
-	return Word{}
+	return Outcome{}
 }
 
 // pace says less while words are turned away or lost, and as before once they are taken.
-func (l *Lodge) pace(now float64, failed bool) {
+func (l *Client) pace(now float64, failed bool) {
 	if !failed {
 		l.wait = 0
 	} else if now >= l.waitAt {
@@ -322,8 +322,8 @@
 
 // given: the keepers have given this api gateway up, as nothing of it came through for long. What it owed is put back by
 // them; it goes on under another name, and asks for each count how much of its own is in it.
-func (l *Lodge) given(now float64) {
-	l.Given++
+func (l *Client) given(now float64) {
+	l.LeaseLosses++
 	l.lines = append(l.lines, fmt.Sprintf("copies: given up as %s, %d counts are asked for again", l.Holder(), len(l.names)))
 	old := l.Holder()
 	l.lives++
@@ -342,14 +342,14 @@
 	}
 }
 
-func (l *Lodge) asking(name string, a *account) {
+func (l *Client) asking(name string, a *account) {
 	a.answers = 2
 	l.ask(oldOwe, name, statemachine.Command{Kind: statemachine.RecordUnreported, Key: name, Holder: a.old, TTL: a.life})
 	l.ask(oldPut, name, statemachine.Command{Kind: statemachine.ReportUsage, Key: name, Holder: a.old, TTL: a.life})
 }
 
 // learned: what of a count is this one's under its former name, now or once it is put back. The rest is told under the new.
-func (l *Lodge) learned(q *asked, r *protocol.Response, failed bool) {
+func (l *Client) learned(q *asked, r *protocol.Response, failed bool) {
 	a := l.names[q.name]
 	if a == nil || a.old != q.entry.Holder || a.answers == 0 {
 		return
@@ -372,15 +372,15 @@
 
 // Broken: the stream to the keeper ended; what was asked and not answered is not known. It gives the numbers of counts and
 // marks of which nothing will be heard.
-func (l *Lodge) Broken() (words []Word) {
+func (l *Client) StreamLost() (words []Outcome) {
 	for _, n := range slices.Sorted(maps.Keys(l.out)) {
 		a := l.out[n]
 		delete(l.out, n)
 		switch a.kind {
 		case putting:
-			words = append(words, Word{What: Counted, Number: n, Unknown: true})
+			words = append(words, Outcome{Kind: UsageReported, RequestID: n, Unknown: true})
 		case marking:
-			words = append(words, Word{What: Unmarked, Number: n, Unknown: true})
+			words = append(words, Outcome{Kind: MarkerUnknown, RequestID: n, Unknown: true})
 		case owe:
 			if x := l.names[a.name]; x != nil && x.noting == n {
 				x.noting, x.noted = 0, math.NaN()
@@ -400,7 +400,7 @@
 }
 
 // Said gives a line for the log, "" where there is nothing new.
-func (l *Lodge) Said() string {
+func (l *Client) NextLogLine() string {
 	if len(l.lines) == 0 {
 		return ""
 	}
--- a/quotastore/client/client_test.go
+++ b/quotastore/client/client_test.go
@@ -12,23 +12,23 @@
 	t     *testing.T
 	state *statemachine.State
 	now   float64
-	l     *Lodge
+	l     *Client
 	lost  bool // answers do not come back
 	away  bool // nothing gets there
 }
 
-func (k *kept) turn() (words []Word) {
+func (k *kept) turn() (words []Outcome) {
 	k.now += 0.5
-	for _, a := range k.l.Turn(k.now) {
+	for _, a := range k.l.TakeRequests(k.now) {
 		if k.away {
-			k.l.Heard(k.now, &protocol.Response{RequestID: a.ID, NotLeader: true})
+			k.l.HandleResponse(k.now, &protocol.Response{RequestID: a.ID, NotLeader: true})
 			continue
 		}
 		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Command}})[0]
 		if k.lost {
 			continue
 		}
-		if w := k.l.Heard(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); w.What != Nothing {
+		if w := k.l.HandleResponse(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); w.Kind != NoOutcome {
 			words = append(words, w)
 		}
 	}
@@ -45,12 +45,12 @@
 // The answer to an add is lost; the module owes the units once more and tells them with the next: they count once.
 func TestLostAnswerCountsOnce(t *testing.T) {
 	k := start(t)
-	_, opened, _ := k.l.Put(k.now, "n", 1003, 1000, 60)
+	_, opened, _ := k.l.ReportUsage(k.now, "n", 1003, 1000, 60)
 	k.lost = true
 	k.turn()
 	k.lost = false
-	k.l.Missed("n", 1003, opened, true)
-	k.l.Put(k.now, "n", 3, 1000, 60)
+	k.l.RetractUsage("n", 1003, opened, true)
+	k.l.ReportUsage(k.now, "n", 3, 1000, 60)
 	if words := k.turn(); len(words) != 1 || words[0].Total != 1003 {
 		t.Fatalf("%+v", words)
 	}
@@ -59,9 +59,9 @@
 // While the counter is away work is let in; the api gateway dies. What it had noted is put back, once.
 func TestDebtOutlivesItsHolder(t *testing.T) {
 	k := start(t)
-	k.l.Put(k.now, "n", 5, 0, 60)
+	k.l.ReportUsage(k.now, "n", 5, 0, 60)
 	k.turn()
-	k.l.Owes(k.now, "n", 4, 60)
+	k.l.SetUnreported(k.now, "n", 4, 60)
 	k.turn()
 	if k.total() != 5 {
 		t.Fatalf("a debt was added while its holder lives: %v", k.total())
@@ -84,8 +84,8 @@
 // nothing counts twice, nothing is missing.
 func TestGivenUpAlive(t *testing.T) {
 	k := start(t)
-	k.l.Put(k.now, "n", 1005, 1000, 60)
-	k.l.Owes(k.now, "n", 4, 60)
+	k.l.ReportUsage(k.now, "n", 1005, 1000, 60)
+	k.l.SetUnreported(k.now, "n", 4, 60)
 	k.turn()
 	k.away = true
 	for range 10 {
@@ -99,14 +99,14 @@
 		t.Fatalf("after it was given up: %v", k.total())
 	}
 	k.away = false
-	k.l.Settled()
+	k.l.ClearUnreported()
 	for range 4 {
 		k.turn()
 	}
-	if k.l.Given != 1 || k.l.Holder() == "edge/1.0" {
-		t.Fatalf("given up %d times, is %s", k.l.Given, k.l.Holder())
+	if k.l.LeaseLosses != 1 || k.l.Holder() == "edge/1.0" {
+		t.Fatalf("given up %d times, is %s", k.l.LeaseLosses, k.l.Holder())
 	}
-	if _, _, ok := k.l.Put(k.now, "n", 4, 1000, 60); !ok { // the module tells what it owed, as it does not know
+	if _, _, ok := k.l.ReportUsage(k.now, "n", 4, 1000, 60); !ok { // the module tells what it owed, as it does not know
 		t.Fatal("it can't tell")
 	}
 	if words := k.turn(); len(words) != 1 || words[0].Total != 1009 {
@@ -118,12 +118,12 @@
 func TestSaysLessWhileTurnedAway(t *testing.T) {
 	l, said := New("edge/1"), 0
 	for i := range 50 {
-		l.Owes(0, string(rune('a'+i)), 1, 60)
+		l.SetUnreported(0, string(rune('a'+i)), 1, 60)
 	}
 	for now := 0.0; now < 10; now += 0.05 {
-		for _, a := range l.Turn(now) {
+		for _, a := range l.TakeRequests(now) {
 			said++
-			l.Heard(now, &protocol.Response{RequestID: a.ID, NotLeader: true})
+			l.HandleResponse(now, &protocol.Response{RequestID: a.ID, NotLeader: true})
 		}
 	}
 	if said > 50*10 {
@@ -134,21 +134,21 @@
 // A mark's answer: begun by another, held, or not known.
 func TestMarks(t *testing.T) {
 	k := start(t)
-	k.l.Mark("a", "", 1)
-	if w := k.turn(); len(w) != 1 || w[0].What != Marked {
+	k.l.AcquireMarker("a", "", 1)
+	if w := k.turn(); len(w) != 1 || w[0].Kind != MarkerAcquired {
 		t.Fatalf("%+v", w)
 	}
 	other := New("edge/2")
-	n := other.Mark("a", "", 1)
-	for _, a := range other.Turn(k.now) {
+	n := other.AcquireMarker("a", "", 1)
+	for _, a := range other.TakeRequests(k.now) {
 		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Command}})[0]
-		if w := other.Heard(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); a.ID == n && w.What != Before {
+		if w := other.HandleResponse(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); a.ID == n && w.Kind != MarkerHeld {
 			t.Fatalf("%+v", w)
 		}
 	}
-	k.l.Mark("b", "", 1)
-	k.l.Turn(k.now)
-	if w := k.l.Broken(); len(w) != 1 || w[0].What != Unmarked {
+	k.l.AcquireMarker("b", "", 1)
+	k.l.TakeRequests(k.now)
+	if w := k.l.StreamLost(); len(w) != 1 || w[0].Kind != MarkerUnknown {
 		t.Fatalf("after the stream broke: %+v", w)
 	}
 }
