--- a/gateway/membership/detector.go
+++ b/gateway/membership/detector.go
@@ -62,7 +62,7 @@
 	self    int
 	members []member
 	period  float64 // between heartbeats, in seconds
-	random  rng.Line
+	random  rng.Stream
 
 	started  bool
 	tickedAt float64
@@ -89,7 +89,7 @@
 		self:       config.Self,
 		members:    make([]member, config.Members),
 		period:     min(maxPeriod, max(minPeriod, periodMargin*watching/max(0.01, config.MessageRate*config.Part))),
-		random:     rng.By("member %d ", config.Seed), // the name gives the numbers: it stays as it was recorded
+		random:     rng.New("member %d ", config.Seed), // the name gives the numbers: it stays as it was recorded
 		heartbeats: heartbeats{meanGap: initialMeanGap},
 		gossip:     gossip{maxRate: config.MessageRate / 2},
 	}
@@ -109,7 +109,7 @@
 	d.gossip.rateAt = now
 	d.health.lastHeard = now
 	d.members[d.self].incarnation = firstIncarnation(now)
-	d.heartbeats.nextAt = now + d.random.Next()*d.period
+	d.heartbeats.nextAt = now + d.random.Float64()*d.period
 }
 
 // Flush sends what is due and logs what is new.
--- a/gateway/membership/gossip.go
+++ b/gateway/membership/gossip.go
@@ -55,7 +55,7 @@
 	g.pending = append(g.pending, k)
 	if len(g.pending) == 1 {
 		delay := min(maxNewsDelay, newsDelay+newsDelayPerAccusation*max(0, g.accusations-1))
-		g.nextAt = now + d.random.Next()*delay
+		g.nextAt = now + d.random.Float64()*delay
 	}
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	if g.crowded(now) {
-		g.nextAt = now + newsSpacing + heldJitter*d.random.Next()
+		g.nextAt = now + newsSpacing + heldJitter*d.random.Float64()
 		return
 	}
 	if len(g.pending) > 0 {
@@ -79,7 +79,7 @@
 	}
 	d.send(Broadcast, d.newsText(g.last))
 	g.countBroadcast(now)
-	g.nextAt = now + newsSpacing + newsSpacingJitter*d.random.Next()
+	g.nextAt = now + newsSpacing + newsSpacingJitter*d.random.Float64()
 }
 
 // sendDead tells a member that comes back empty of those that are dead.
--- a/gateway/membership/heartbeat.go
+++ b/gateway/membership/heartbeat.go
@@ -36,7 +36,7 @@
 	if now < h.nextAt {
 		return
 	}
-	h.nextAt = now + d.period*(1-heartbeatJitter/2+heartbeatJitter*d.random.Next())
+	h.nextAt = now + d.period*(1-heartbeatJitter/2+heartbeatJitter*d.random.Float64())
 	for _, to := range d.nextAlive(watchers) {
 		d.send(to, d.heartbeatText(kindHeartbeat))
 	}
--- a/gateway/membership/suspicion.go
+++ b/gateway/membership/suspicion.go
@@ -190,9 +190,9 @@
 		return
 	}
 	r.lastAt = now
-	r.spacing = 0.5 + d.random.Next()
+	r.spacing = 0.5 + d.random.Float64()
 	n := len(d.members)
-	first := int(d.random.Next() * float64(n))
+	first := int(d.random.Float64() * float64(n))
 	for i := range n {
 		k := (first + i) % n
 		if d.members[k].incarnation.dead() {
--- a/gateway/overload/backoff.go
+++ b/gateway/overload/backoff.go
@@ -14,7 +14,7 @@
 // Backoffs makes the pauses of a gateway's connections to what is not a host: the quota counter, discovery.
 type Backoffs struct {
 	gateways float64 // of the fleet; 0: each gateway backs off as if it were alone
-	random   rng.Line
+	random   rng.Stream
 }
 
 // ExponentialBackoffs doubles each pause up to a quarter of a second.
@@ -23,7 +23,7 @@
 // DecorrelatedBackoffs draws each pause anew (decorrelated jitter: up to three times the one before), and longer the more
 // gateways there are. It keeps hundreds of them that lost the counter in the same millisecond from meeting it in step.
 func DecorrelatedBackoffs(gateways int, seed uint64) *Backoffs {
-	return &Backoffs{gateways: float64(max(1, gateways)), random: rng.By("pauses %d ", seed)}
+	return &Backoffs{gateways: float64(max(1, gateways)), random: rng.New("pauses %d ", seed)}
 }
 
 // New gives the backoff of one connection, whose first pause is base seconds. A nil Backoffs gives exponential ones.
@@ -33,7 +33,7 @@
 	if b != nil && b.gateways > 0 {
 		backoff.jitter = true
 		backoff.limit = max(maxBackoff, b.gateways/fleetDialRate)
-		backoff.random = rng.By("pause %g ", b.random.Next())
+		backoff.random = rng.New("pause %g ", b.random.Float64())
 	}
 	return backoff
 }
@@ -44,7 +44,7 @@
 	limit  float64
 	last   float64
 	jitter bool
-	random rng.Line
+	random rng.Stream
 }
 
 // Next is how long to wait before the next dial, in seconds.
@@ -54,7 +54,7 @@
 		b.last = min(2*b.last, b.limit)
 		return pause
 	}
-	b.last = min(b.limit, b.base+b.random.Next()*(jitterFactor*b.last-b.base))
+	b.last = min(b.limit, b.base+b.random.Float64()*(jitterFactor*b.last-b.base))
 	return b.last
 }
 
--- a/gateway/overload/breaker.go
+++ b/gateway/overload/breaker.go
@@ -103,7 +103,7 @@
 	if c.messageRate == 0 {
 		fleetRate = fleetProbeRateNoMessages
 	}
-	return max(1/maxProbeRate, c.liveGateways/fleetRate) * (0.5 + c.random.Next())
+	return max(1/maxProbeRate, c.liveGateways/fleetRate) * (0.5 + c.random.Float64())
 }
 
 // Evaluate judges whether hosts answer. It is to be called often while attempts are in flight.
@@ -172,8 +172,8 @@
 		c.sendSampled(reportSilent)
 	}
 	c.transition(breakerOpen, now, reason)
-	b.nextProbeAt = now + c.probeInterval()*c.random.Next()
-	c.outbox.nextReportAt = now + c.liveGateways/fleetReportRate*2*c.random.Next()
+	b.nextProbeAt = now + c.probeInterval()*c.random.Float64()
+	c.outbox.nextReportAt = now + c.liveGateways/fleetReportRate*2*c.random.Float64()
 }
 
 // halfOpenByAnswer begins a recovery by an answer that came here.
@@ -192,7 +192,7 @@
 	c.transition(breakerHalfOpen, now, fmt.Sprintf("api gateway %d had an answer", peer))
 	b := &c.breaker
 	hosts := float64(gatewaysPerHost * max(1, c.listedHosts))
-	b.admitFrom = now + recoverySpread*min(1, c.liveGateways/hosts)*c.random.Next()
+	b.admitFrom = now + recoverySpread*min(1, c.liveGateways/hosts)*c.random.Float64()
 	b.window = windowAfterReport
 	b.answeredAt = 0
 	b.reporter = peer
--- a/gateway/overload/controller.go
+++ b/gateway/overload/controller.go
@@ -34,7 +34,7 @@
 	liveGateways float64
 	listedHosts  int
 	messageRate  float64
-	random       rng.Line
+	random       rng.Stream
 
 	attempts      attemptLog
 	breaker       breaker
@@ -52,7 +52,7 @@
 		gateways:     gateways,
 		liveGateways: gateways,
 		messageRate:  config.MessageRate,
-		random:       rng.By("damp %d ", config.Seed), // the name gives the numbers: it stays as it was recorded
+		random:       rng.New("damp %d ", config.Seed), // the name gives the numbers: it stays as it was recorded
 		attempts:     attemptLog{usualLatency: initialLatency},
 		peers:        newPeerReports(),
 		hosts:        hostReports{byHost: map[string]*hostReport{}},
@@ -119,7 +119,7 @@
 		return
 	}
 	if c.breaker.state == breakerOpen && now >= c.outbox.nextReportAt { // gateways that have just started know of no outage
-		c.outbox.nextReportAt = now + c.liveGateways/fleetReportRate*(0.5+c.random.Next())
+		c.outbox.nextReportAt = now + c.liveGateways/fleetReportRate*(0.5+c.random.Float64())
 		c.send(reportSilent)
 	}
 	if text := c.hosts.message(now); text != "" {
--- a/gateway/overload/hostreports.go
+++ b/gateway/overload/hostreports.go
@@ -129,7 +129,7 @@
 	if now-report.takenAt < flapWindow { // the peer's report was wrong
 		c.peers.distrust(now, report.takenFrom)
 	}
-	if !again && c.sampled() || again && c.random.Next() < repeatChance {
+	if !again && c.sampled() || again && c.random.Float64() < repeatChance {
 		c.hosts.queue(wordEjected, host)
 	}
 	return true
@@ -175,7 +175,7 @@
 	if interval == 0 || !c.EjectionConfirmed(now, host) {
 		return interval
 	}
-	return max(interval, 2*c.liveGateways/ejectedProbeRate*c.random.Next()) // from the first moment on some are due
+	return max(interval, 2*c.liveGateways/ejectedProbeRate*c.random.Float64()) // from the first moment on some are due
 }
 
 // TakeRecovery says that a host answers again by a peer's report, once for each report.
--- a/gateway/overload/peerreports.go
+++ b/gateway/overload/peerreports.go
@@ -117,4 +117,4 @@
 }
 
 // sampled draws whether this gateway speaks where all have the same to say.
-func (c *Controller) sampled() bool { return c.random.Next() < sampledSenders/c.liveGateways }
+func (c *Controller) sampled() bool { return c.random.Float64() < sampledSenders/c.liveGateways }
--- a/gateway/policy/gateway.go
+++ b/gateway/policy/gateway.go
@@ -22,7 +22,7 @@
 	instance    Instance
 	limits      Limits
 	output      Output
-	random      rng.Line
+	random      rng.Stream
 	operations  map[string]*operation
 	plans       map[string]*Plan
 	meanLatency float64 // s; of good answers of late, over all operations
@@ -44,7 +44,7 @@
 		instance:    instance,
 		limits:      limits,
 		output:      output,
-		random:      rng.By("%d ", instance.Seed),
+		random:      rng.New("%d ", instance.Seed),
 		operations:  map[string]*operation{},
 		plans:       map[string]*Plan{},
 		peers:       newPeerView(instance.Gateways),
@@ -127,7 +127,7 @@
 	inv.Attempts = append(inv.Attempts, attempt)
 	inv.inFlight++
 	g.concurrency.inFlight++
-	g.concurrency.dither = g.random.Next()
+	g.concurrency.dither = g.random.Float64()
 	h.warmUp.nextSendGrowth = g.slowStart.growth(now, h.warmUp.startedAt) + g.growthGap()
 	h.health.probeAt = now + g.instance.Overload.ProbeInterval(now, h.Addr, h.health.probeInterval)
 	if inv.unprovenAttempt == nil {
--- a/gateway/policy/hosts.go
+++ b/gateway/policy/hosts.go
@@ -87,6 +87,6 @@
 		h.latency.slowness = meanWeight / entry.Weight
 		h.latency.best = meanWeight / entry.Weight
 	}
-	h.warmUp.nextSendGrowth = g.slowStart.growth(now, h.warmUp.startedAt) + g.random.Next()*g.growthGap()
+	h.warmUp.nextSendGrowth = g.slowStart.growth(now, h.warmUp.startedAt) + g.random.Float64()*g.growthGap()
 	h.warmUp.nextReleaseGrowth = 0
 }
--- a/gateway/policy/localshare.go
+++ b/gateway/policy/localshare.go
@@ -59,7 +59,7 @@
 	// In both means a total holds the same part of the slots.
 	othersOpen := c.slots.usualOpen * (c.slots.othersOpen + othersPrior*(gateways-1)) / (c.slots.ownOpen + othersPrior)
 	switch {
-	case g.peers.observedShare < 1 && g.random.Next() > local.admitFractionNow(now):
+	case g.peers.observedShare < 1 && g.random.Float64() > local.admitFractionNow(now):
 		inv.retryAfter = localRetryAfter
 	case inv.quotaUnits > local.budget:
 		inv.retryAfter = (inv.quotaUnits - local.budget) / (share * p.Rate)
--- a/gateway/policy/peers.go
+++ b/gateway/policy/peers.go
@@ -57,7 +57,7 @@
 // broadcast sends a message to all peers, or drops it. Guards against peers drowning each other: few say the same, and all
 // together half of what one takes in.
 func (g *Gateway) broadcast(now float64, text string) {
-	if g.limits.PeerMessages && now >= g.peers.nextBroadcastAt && g.random.Next() < g.peers.observedShare {
+	if g.limits.PeerMessages && now >= g.peers.nextBroadcastAt && g.random.Float64() < g.peers.observedShare {
 		g.peers.nextBroadcastAt = now + 2*g.peers.observedShare*g.peers.configured/max(1, g.limits.PeerMessageRate)
 		g.output.SendPeer(allPeers, text)
 	}
--- a/gateway/policy/peers_test.go
+++ b/gateway/policy/peers_test.go
@@ -19,7 +19,7 @@
 	told := 0
 	for seed := range uint64(100) {
 		f := newHarnessOf(t, Plan{Name: "p"}, 300)
-		f.gateway.random = rng.By("%d ", seed)
+		f.gateway.random = rng.New("%d ", seed)
 		f.gateway.eject(f.now, f.gateway.hosts.ordered[0], "by the test")
 		told += len(f.peerMessages)
 	}
--- a/gateway/policy/routing.go
+++ b/gateway/policy/routing.go
@@ -42,7 +42,7 @@
 		h.latency.cost = math.Pow(slowness, 2-g.peers.observedShare)
 	}
 	cost := h.latency.cost * (1 + loadCost*float64(len(h.inFlight)))
-	chance := g.random.Next()
+	chance := g.random.Float64()
 	if !h.health.ejected && cost*chance >= least { // what follows is never less: spares large fleets two powers a host
 		return least
 	}
--- a/gateway/policy/slowstart_test.go
+++ b/gateway/policy/slowstart_test.go
@@ -26,7 +26,7 @@
 	n := 0
 	for seed := range uint64(300) {
 		f := newHarnessOf(t, Plan{Name: "p"}, 300)
-		f.gateway.random = rng.By("%d ", seed)
+		f.gateway.random = rng.New("%d ", seed)
 		f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active", StartedAt: f.now}}, true)
 		for range 10 {
 			f.accept(1, 2)
--- a/quotastore/replication/election.go
+++ b/quotastore/replication/election.go
@@ -19,13 +19,13 @@
 // reset begins to wait for a leader anew, for a random time.
 func (t *electionTimer) reset(n *Node) {
 	t.lastContact = n.now
-	t.timeout = minElectionTimeout * (1 + n.random.Next())
+	t.timeout = minElectionTimeout * (1 + n.random.Float64())
 }
 
 // shorten waits for a leader that is known to be gone.
 func (t *electionTimer) shorten(n *Node) {
 	t.lastContact = n.now
-	t.timeout = minOrphanTimeout + orphanTimeoutSpread*n.random.Next()
+	t.timeout = minOrphanTimeout + orphanTimeoutSpread*n.random.Float64()
 }
 
 func (t *electionTimer) elapsed(now float64) bool { return now-t.lastContact > t.timeout }
--- a/quotastore/replication/node.go
+++ b/quotastore/replication/node.go
@@ -55,7 +55,7 @@
 	peers   []Peer
 	status  []peerStatus // by number
 	config  Config
-	random  rng.Line
+	random  rng.Stream
 	run     uint64 // another one in each process: an incarnation that has a disk may have several
 
 	now          float64
@@ -89,7 +89,7 @@
 	}
 	n := &Node{
 		self: self, id: protocol.NewReplicaID(self, incarnation), cluster: cluster, config: config, replicas: make([]*replica, config.Groups),
-		random: rng.By("keeper %d %d ", self, seed), recovering: map[string]bool{}, run: seed, submitted: seed << 32 >> 1,
+		random: rng.New("keeper %d %d ", self, seed), recovering: map[string]bool{}, run: seed, submitted: seed << 32 >> 1,
 	}
 	n.setPeers(peers, seed)
 	n.status[self].incarnation = incarnation
