--- a/tier/opconfig/table.go
+++ b/tier/opconfig/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Table finds the route and the service of requests for one configuration.
+// Table finds the route and the service of requests for one configuration. It is never changed.
 type Table struct {
 	Config   *Config
 	byHost   map[string][]*Route // longest prefix first
@@ -33,7 +33,7 @@
 func (t *Table) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
-		host = host[:colon]
+		host = host[:colon] // without the port
 	}
 	for _, route := range t.byHost[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -45,26 +45,3 @@
 
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
-
-// PickService chooses the service of a request by the route's weights; chance lies between 0 and 1.
-func (r *Route) PickService(chance float64) string {
-	if len(r.Split) == 0 {
-		return r.Service
-	}
-	total := 0.0
-	for _, split := range r.Split {
-		total += split.Weight
-	}
-	left := chance * total
-	for _, split := range r.Split {
-		if left -= split.Weight; left < 0 {
-			return split.Service
-		}
-	}
-	for _, split := range r.Split {
-		if split.Weight > 0 {
-			return split.Service
-		}
-	}
-	return r.Service
-}
