--- a/tier/multigroup/node.go
+++ b/tier/multigroup/node.go
@@ -197,14 +197,15 @@
 	return group != nil && group.replica.IsReady()
 }
 
-// Submit proposes a command and waits until it is committed. The error is a codes.Code: NotPrimary says that it was not proposed;
-// Timeout that it may or may not be committed; Unavailable that too much waits to be committed and nothing was proposed.
+// Submit proposes a command and waits until it is committed. A NotPrimaryError says that it was not proposed; codes.Timeout that it
+// may or may not be committed; codes.Unavailable that too much waits to be committed and nothing was proposed.
 func (n *Node) Submit(ctx context.Context, id uint32, command []byte) (any, error) {
 	n.mu.Lock()
 	group := n.groups[id]
 	if group == nil || !group.replica.IsReady() {
+		err := notPrimary(id, group)
 		n.mu.Unlock()
-		return nil, codes.NotPrimary
+		return nil, err
 	}
 	if !group.replica.HasCapacity() {
 		n.mu.Unlock()
@@ -228,6 +229,15 @@
 	}
 }
 
+// notPrimary is the error for a group that this node does not lead; the lock is held.
+func notPrimary(id uint32, group *openGroup) error {
+	err := &NotPrimaryError{Group: id}
+	if group != nil {
+		err.Primary = group.replica.View().Primary
+	}
+	return err
+}
+
 // carryOut does what a group's events ask for; the lock is held.
 func (n *Node) carryOut(group *openGroup) {
 	output := group.replica.TakeOutput()
--- a/tier/multigroup/node_test.go
+++ b/tier/multigroup/node_test.go
@@ -89,6 +89,24 @@
 	}
 }
 
+// A node that does not lead a group says who does.
+func TestNotPrimaryErrorNamesThePrimary(t *testing.T) {
+	const other = uint64(77)
+	n, _ := openTestNode(t, t.TempDir())
+	n.SetView(testGroup, replica.View{Epoch: 3, Primary: other, InSync: []uint64{other}, Replicas: []uint64{other, n.Identity}})
+	for group, primary := range map[uint32]uint64{testGroup: other, testGroup + 1: 0} {
+		_, err := n.Submit(context.Background(), group, []byte("a"))
+		var refused *NotPrimaryError
+		if !errors.As(err, &refused) || refused.Group != group || refused.Primary != primary {
+			t.Errorf("group %d: error %+v", group, err)
+		}
+		var code codes.Code
+		if !errors.As(err, &code) || code != codes.NotPrimary || err.Error() != codes.NotPrimary.Error() {
+			t.Errorf("group %d: code %v, text %q", group, code, err)
+		}
+	}
+}
+
 // leadAlone makes a node the primary of its own group, with the entry that opens the epoch committed.
 func leadAlone(n *Node) {
 	n.SetView(testGroup, alone(n))
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"math/rand/v2"
 	"net"
 	"slices"
@@ -144,8 +145,8 @@
 	defer cancel()
 	got, err := s.host.Submit(ctx, shard, command)
 	if err != nil {
-		code, isCode := err.(codes.Code)
-		if !isCode {
+		var code codes.Code
+		if !errors.As(err, &code) {
 			code = codes.Unavailable
 		}
 		message.Answer(code, nil)
