--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -124,7 +124,7 @@
 	root, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(root)
-	buffers := server.NewBuffers(64, max(16, int(memory*(1<<20)/4/http1.Room)))
+	buffers := server.NewBuffers(64, max(16, int(memory*(1<<20)/4/http1.MaxMessageBytes)))
 	loop := server.NewLoop(log)
 	module, err := f.Settings.Module(seed, loop)
 	if err != nil {
--- a/gateway/http1/fields.go
+++ b/gateway/http1/fields.go
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// Call is what the head of a client's request says of its invocation.
-type Call struct {
+// Invocation is what the head of a client's request says of its invocation.
+type Invocation struct {
 	Ref, Operation, Customer, Plan string
-	Units, Limit                   float64 // Limit: seconds from its sending until the client gives up
-	Width, First                   int     // the api gateways the customer comes in through
-	Repeat                         bool
+	Units, Timeout                 float64 // Limit: seconds from its sending until the client gives up
+	GatewayCount, FirstGateway     int     // the api gateways the customer comes in through
+	Retry                          bool
 }
 
 // HealthPath is asked for by the front until it is answered well.
 const HealthPath = "/_health"
 
-// ReadCall reads a client's request; ok is false where a field is missing, malformed or given twice: a host might go by
+// ParseInvocation reads a client's request; ok is false where a field is missing, malformed or given twice: a host might go by
 // the other one.
-func ReadCall(m *Message) (c Call, ok bool) {
+func ParseInvocation(m *Message) (c Invocation, ok bool) {
 	var kind, terms, limit, key []byte
 	once := true
 	for _, f := range m.Fields {
@@ -49,14 +49,14 @@
 			once = once && terms == nil
 			terms = f.Value
 		case equal(f.Name, "req-retry"):
-			c.Repeat = string(f.Value) == "1"
+			c.Retry = string(f.Value) == "1"
 		}
 	}
 	path, _, _ := bytes.Cut(m.Target, []byte("?"))
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
 	ms, good := digits(limit)
 	number, whole := hex(key)
-	c.Operation, c.Customer, c.Limit = string(kind), strings.ToLower(string(key)), float64(ms)/1000
+	c.Operation, c.Customer, c.Timeout = string(kind), strings.ToLower(string(key)), float64(ms)/1000
 	ok = once && m.Target[0] == '/' && len(c.Ref) > 0 && len(c.Ref) <= 64 && len(kind) > 0 &&
 		bytes.Equal(first, kind) && c.Plan != "" && good &&
 		ms > 0 && ms <= 3600_000 && whole && len(key) == 16 && number < 1<<33 && c.terms(terms)
@@ -75,7 +75,7 @@
 }
 
 // terms reads "units=2,spread=3,first=1". Names it does not know are passed over.
-func (c *Call) terms(v []byte) bool {
+func (c *Invocation) terms(v []byte) bool {
 	seen := 0
 	for len(v) > 0 {
 		var pair []byte
@@ -83,7 +83,7 @@
 		name, value, _ := bytes.Cut(trim(pair), []byte("="))
 		switch string(name) {
 		case "units":
-			x, ok := Number(value)
+			x, ok := ParseNumber(value)
 			if !ok || x <= 0 || x > 1e6 {
 				return false
 			}
@@ -93,20 +93,20 @@
 			if !ok || n < 1 {
 				return false
 			}
-			c.Width, seen = n, seen|2
+			c.GatewayCount, seen = n, seen|2
 		case "first":
 			n, ok := digits(value)
 			if !ok {
 				return false
 			}
-			c.First, seen = n, seen|4
+			c.FirstGateway, seen = n, seen|4
 		}
 	}
 	return seen == 7
 }
 
-// Number reads a finite decimal number.
-func Number(v []byte) (float64, bool) {
+// ParseNumber reads a finite decimal number.
+func ParseNumber(v []byte) (float64, bool) {
 	v = bytes.Trim(v, " \t\r\n")
 	if bytes.ContainsAny(v, "xXpP_") { // no decimal one
 		return 0, false
@@ -170,8 +170,8 @@
 	return append(append(b, "\r\n\r\n"...), m.Body...)
 }
 
-// AppendAnswer writes a host's answer for a client.
-func AppendAnswer(b []byte, m *Message, last bool) []byte {
+// AppendResponse writes a host's answer for a client.
+func AppendResponse(b []byte, m *Message, last bool) []byte {
 	b = passed(append(b, "HTTP/1.1 200 OK\r\n"...), m, "srv-load")
 	return append(ending(b, len(m.Body), last), m.Body...)
 }
@@ -182,8 +182,8 @@
 	504: "Gateway Timeout",
 }
 
-// AppendOwn writes an answer of the api gateway's own; retryAfter, in seconds, is left out where it is 0.
-func AppendOwn(b []byte, status int, retryAfter float64, last bool) []byte {
+// AppendLocalResponse writes an answer of the api gateway's own; retryAfter, in seconds, is left out where it is 0.
+func AppendLocalResponse(b []byte, status int, retryAfter float64, last bool) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
 	b = append(append(append(b, ' '), reasons[status]...), "\r\n"...)
 	if retryAfter > 0 {
@@ -200,16 +200,16 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// AppendAdd writes a call to the counter.
-func AppendAdd(b []byte, name uint64, amount, life float64) []byte {
+// AppendCounterAdd writes a call to the counter.
+func AppendCounterAdd(b []byte, name uint64, amount, life float64) []byte {
 	b = strconv.AppendUint(append(b, "POST /counters/"...), name, 10)
 	b = strconv.AppendFloat(append(b, "?by="...), amount, 'f', -1, 64)
 	b = strconv.AppendInt(append(b, "&expire_ms="...), max(1, int64(life*1000)), 10)
 	return append(b, " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n"...)
 }
 
-// AppendWatch writes the call for the list of hosts and its changes from a version on.
-func AppendWatch(b []byte, from int64) []byte {
+// AppendDiscoveryWatch writes the call for the list of hosts and its changes from a version on.
+func AppendDiscoveryWatch(b []byte, from int64) []byte {
 	b = strconv.AppendInt(append(b, "GET /catalog/members?watch=1&from="...), from, 10)
 	return append(b, " HTTP/1.1\r\nHost: discovery\r\n\r\n"...)
 }
--- a/gateway/http1/http1_test.go
+++ b/gateway/http1/http1_test.go
@@ -9,16 +9,16 @@
 // feed gives m the text in pieces of so many bytes.
 func feed(text string, response bool, piece int) (*Message, bool, error) {
 	m := &Message{}
-	m.Begin(make([]byte, 512), response)
+	m.Reset(make([]byte, 512), response)
 	for len(text) > 0 {
 		if len(m.Space()) == 0 {
-			m.Move(make([]byte, Room))
+			m.MoveTo(make([]byte, MaxMessageBytes))
 		}
 		n := copy(m.Space(), text[:min(piece, len(text))])
 		text = text[n:]
-		if whole, err := m.Got(n); whole || err != nil {
+		if whole, err := m.Advance(n); whole || err != nil {
 			if len(m.Space()) < len(text) {
-				m.Move(make([]byte, Room+len(text)))
+				m.MoveTo(make([]byte, MaxMessageBytes+len(text)))
 			}
 			copy(m.Space(), text)
 			m.end += len(text)
@@ -37,13 +37,13 @@
 	} {
 		for at := range text { // in two pieces, at every byte
 			m := &Message{}
-			m.Begin(make([]byte, 512), false)
-			whole, err := m.Got(copy(m.Space(), text[:at]))
+			m.Reset(make([]byte, 512), false)
+			whole, err := m.Advance(copy(m.Space(), text[:at]))
 			if whole || err != nil {
 				t.Errorf("%q is whole at %d: %v", text, at, err)
 			}
-			whole, err = m.Got(copy(m.Space(), text[at:]))
-			if m.More(copy(m.Space(), "GET /next")); !whole || err != nil || string(m.Body) != want || string(m.Rest()) != "GET /next" {
+			whole, err = m.Advance(copy(m.Space(), text[at:]))
+			if m.AdvanceRest(copy(m.Space(), "GET /next")); !whole || err != nil || string(m.Body) != want || string(m.Rest()) != "GET /next" {
 				t.Errorf("%q cut at %d: %v %v %q %q", text, at, whole, err, m.Body, m.Rest())
 			}
 		}
@@ -57,7 +57,7 @@
 }
 
 func TestMalformedRequestsAreNamed(t *testing.T) {
-	long := strings.Repeat("x", HeadLimit)
+	long := strings.Repeat("x", MaxHeadBytes)
 	for text, want := range map[string]error{
 		"GET /a\r\n\r\n":                                                                    ErrMalformed,
 		"GET  HTTP/1.1\r\n\r\n":                                                             ErrMalformed,
@@ -93,10 +93,10 @@
 
 func TestResponsesEndAsTheirHeadSays(t *testing.T) {
 	m, whole, err := feed("HTTP/1.1 200 OK\r\n\r\nall of it", true, 5)
-	if whole || err != nil || !m.Ended() || string(m.Body) != "all of it" || !m.Close {
+	if whole || err != nil || !m.EndOfInput() || string(m.Body) != "all of it" || !m.Close {
 		t.Errorf("until the end: whole %v, %v, %q", whole, err, m.Body)
 	}
-	if m, _, _ = feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", true, 5); m.Ended() {
+	if m, _, _ = feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", true, 5); m.EndOfInput() {
 		t.Error("a body cut short counts as whole")
 	}
 	if m, whole, _ = feed("HTTP/1.1 204 No Content\r\n\r\n", true, 5); !whole || m.Close {
@@ -115,11 +115,11 @@
 
 // A stream's chunks may be longer than any body.
 func TestAStreamOfLongChunks(t *testing.T) {
-	var l Lines
+	var l ChunkedStream
 	text := "20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n1\r\n\n\r\n"
 	got := 0
 	for room := make([]byte, 0, 1000); len(text) > 0; {
-		data, used, done, err := l.Join(room, []byte(text[:min(1000, len(text))]))
+		data, used, done, err := l.Decode(room, []byte(text[:min(1000, len(text))]))
 		if err != nil || done || used == 0 {
 			t.Fatalf("after %d: %v %v", got, done, err)
 		}
@@ -132,10 +132,10 @@
 
 func TestCallIsReadFromTheHead(t *testing.T) {
 	m, _, _ := feed(request, false, 100)
-	c, ok := ReadCall(m)
-	want := Call{
+	c, ok := ParseInvocation(m)
+	want := Invocation{
 		Ref: "9b1f03aa5c7e2d41", Operation: "pay", Customer: "00000000b4d65521", Plan: "team", Units: 2.5,
-		Limit: 0.48, Width: 3, First: 1,
+		Timeout: 0.48, GatewayCount: 3, FirstGateway: 1,
 	}
 	if !ok || c != want || !m.Close {
 		t.Fatalf("got %+v, %v", c, ok)
@@ -162,7 +162,7 @@
 		"first=1": "first=-1", ",first=1": "", "2.5": "1e99",
 	} {
 		m, whole, err := feed(strings.Replace(request, from, to, 1), false, 1000)
-		if c, ok := ReadCall(m); ok || !whole || err != nil {
+		if c, ok := ParseInvocation(m); ok || !whole || err != nil {
 			t.Errorf("%s for %s was taken: %+v (%v, %v)", to, from, c, whole, err)
 		}
 	}
@@ -181,7 +181,7 @@
 
 func TestCallsToTheCounterAreExact(t *testing.T) {
 	want := "POST /counters/18446744073709551615?by=-2.5&expire_ms=4000 HTTP/1.1\r\n"
-	if got := string(AppendAdd(nil, 1<<64-1, -2.5, 4)); !strings.HasPrefix(got, want) {
+	if got := string(AppendCounterAdd(nil, 1<<64-1, -2.5, 4)); !strings.HasPrefix(got, want) {
 		t.Errorf("got %q", got)
 	}
 }
@@ -202,7 +202,7 @@
 			t.Fatalf("whole %v (%v) at once, %v (%v) by %d", whole1, err1, whole2, err2, piece)
 		}
 		if whole1 && !response {
-			ReadCall(one)
+			ParseInvocation(one)
 			if again, ok, err := feed(string(AppendRequest(nil, one, 1)), false, 1000); !ok || err != nil ||
 				string(again.Body) != string(one.Body) {
 				t.Fatalf("what is written can't be read: %v", err)
--- a/gateway/http1/message.go
+++ b/gateway/http1/message.go
@@ -10,13 +10,13 @@
 	"errors"
 )
 
-// HeadLimit and BodyLimit are the most a message may hold; Room holds both, and a head written anew. Small holds most
+// MaxHeadBytes and MaxBodyBytes are the most a message may hold; MaxMessageBytes holds both, and a head written anew. SmallBufferBytes holds most
 // messages.
 const (
-	HeadLimit = 8 << 10
-	BodyLimit = 64 << 10
-	Room      = 80 << 10
-	Small     = 4 << 10
+	MaxHeadBytes     = 8 << 10
+	MaxBodyBytes     = 64 << 10
+	MaxMessageBytes  = 80 << 10
+	SmallBufferBytes = 4 << 10
 )
 
 var (
@@ -47,8 +47,8 @@
 	rest     int // where what follows the message begins
 }
 
-// Begin makes m ready for a new message in room.
-func (m *Message) Begin(room []byte, response bool) {
+// Reset makes m ready for a new message in room.
+func (m *Message) Reset(room []byte, response bool) {
 	*m = Message{room: room, response: response, Fields: m.Fields[:0]}
 }
 
@@ -59,10 +59,10 @@
 // Empty says that nothing of the message has come.
 func (m *Message) Empty() bool { return m.end == 0 }
 
-// Move takes what has come to a larger room.
-func (m *Message) Move(room []byte) {
+// MoveTo takes what has come to a larger room.
+func (m *Message) MoveTo(room []byte) {
 	old := *m
-	m.Begin(room, old.response)
+	m.Reset(room, old.response)
 	m.end = copy(room, old.room[:old.end])
 	if m.scanned = old.scanned; old.body == 0 {
 		return
@@ -78,12 +78,12 @@
 // Next makes m ready for the message that follows a whole one in the same room, and says how many bytes of it are there.
 func (m *Message) Next() int {
 	n := copy(m.room, m.Rest())
-	m.Begin(m.room, m.response)
+	m.Reset(m.room, m.response)
 	return n
 }
 
-// Got tells that n more bytes stand in Space, and says whether the message is whole.
-func (m *Message) Got(n int) (bool, error) {
+// Advance tells that n more bytes stand in Space, and says whether the message is whole.
+func (m *Message) Advance(n int) (bool, error) {
 	m.end += n
 	if m.body == 0 {
 		if done, err := m.head(); !done || err != nil {
@@ -95,7 +95,7 @@
 		return m.unchunk()
 	case m.need == -2:
 		m.Body, m.rest = m.room[m.body:m.end], m.end
-		if len(m.Body) > BodyLimit {
+		if len(m.Body) > MaxBodyBytes {
 			return false, ErrBodyTooLong
 		}
 		return false, nil
@@ -107,11 +107,11 @@
 	return true, nil
 }
 
-// More tells that n more bytes stand in Space, behind a message that is whole.
-func (m *Message) More(n int) { m.end += n }
+// AdvanceRest tells that n more bytes stand in Space, behind a message that is whole.
+func (m *Message) AdvanceRest(n int) { m.end += n }
 
-// Ended tells that the sender has ended its sending before the message was whole, and says whether that makes it so.
-func (m *Message) Ended() bool { return m.body > 0 && m.need == -2 }
+// EndOfInput tells that the sender has ended its sending before the message was whole, and says whether that makes it so.
+func (m *Message) EndOfInput() bool { return m.body > 0 && m.need == -2 }
 
 func (m *Message) head() (bool, error) {
 	if m.scanned == 0 { // empty lines before a message are passed over
@@ -125,13 +125,13 @@
 	}
 	i := bytes.Index(m.room[m.scanned:m.end], []byte("\r\n\r\n"))
 	if i < 0 {
-		if m.scanned = max(0, m.end-3); m.end > HeadLimit {
+		if m.scanned = max(0, m.end-3); m.end > MaxHeadBytes {
 			return false, ErrHeadTooLong
 		}
 		return false, nil
 	}
 	m.body = m.scanned + i + 4
-	if m.body > HeadLimit {
+	if m.body > MaxHeadBytes {
 		return false, ErrHeadTooLong
 	}
 	head := m.room[:m.body-2]
@@ -213,7 +213,7 @@
 		return false, ErrMalformed
 	case chunked:
 		m.need = -1
-	case m.need > BodyLimit:
+	case m.need > MaxBodyBytes:
 		return false, ErrBodyTooLong
 	case m.response && (m.Status < 200 || m.Status == 204 || m.Status == 304):
 		m.need = 0
@@ -232,12 +232,12 @@
 	if err != nil {
 		return false, err
 	}
-	if m.Body = m.room[m.body : from+w : from+w]; len(m.Body) > BodyLimit {
+	if m.Body = m.room[m.body : from+w : from+w]; len(m.Body) > MaxBodyBytes {
 		return false, ErrBodyTooLong
 	}
 	m.end = from + w + copy(m.room[from+w:], m.room[from+r:m.end])
 	m.rest = from + w
-	if !done && m.end >= Room {
+	if !done && m.end >= MaxMessageBytes {
 		return false, ErrBodyTooLong
 	}
 	return done, nil
@@ -281,7 +281,7 @@
 			if len(line) == 0 {
 				return w, r, true, nil
 			}
-			if c.trailer += len(line); c.trailer > HeadLimit {
+			if c.trailer += len(line); c.trailer > MaxHeadBytes {
 				return w, r, false, ErrHeadTooLong
 			}
 		default:
@@ -290,7 +290,7 @@
 			if !ok {
 				return w, r, false, ErrMalformed
 			}
-			if n > BodyLimit && !c.endless {
+			if n > MaxBodyBytes && !c.endless {
 				return w, r, false, ErrBodyTooLong
 			}
 			c.left, c.last = n, n == 0
@@ -299,11 +299,11 @@
 	return w, r, false, nil
 }
 
-// Lines joins a chunked stream without end, as a watch is: it appends to dst the data in src and says how much of
+// ChunkedStream joins a chunked stream without end, as a watch is: it appends to dst the data in src and says how much of
 // src was used and whether the stream has ended.
-type Lines struct{ chunks chunks }
+type ChunkedStream struct{ chunks chunks }
 
-func (l *Lines) Join(dst, src []byte) (data []byte, used int, done bool, err error) {
+func (l *ChunkedStream) Decode(dst, src []byte) (data []byte, used int, done bool, err error) {
 	l.chunks.endless = true
 	w, r, done, err := l.chunks.join(dst[len(dst):], src)
 	if cap(dst)-len(dst) >= w {
@@ -395,10 +395,10 @@
 	return n, len(b) > 0
 }
 
-// StreamHead reads the head of an answer whose body has no end; size is 0 while the head is not whole.
-func StreamHead(b []byte) (status int, chunked bool, size int, err error) {
+// ParseStreamHead reads the head of an answer whose body has no end; size is 0 while the head is not whole.
+func ParseStreamHead(b []byte) (status int, chunked bool, size int, err error) {
 	var m Message
-	m.Begin(b, true)
+	m.Reset(b, true)
 	if m.end = len(b); m.end == 0 {
 		return 0, false, 0, nil
 	}
--- a/gateway/http1/recorded_test.go
+++ b/gateway/http1/recorded_test.go
@@ -24,8 +24,8 @@
 func readWhole(t *testing.T, text string, response bool) *Message {
 	t.Helper()
 	m := &Message{}
-	m.Begin(make([]byte, 4096), response)
-	if whole, err := m.Got(copy(m.Space(), text)); !whole || err != nil {
+	m.Reset(make([]byte, 4096), response)
+	if whole, err := m.Advance(copy(m.Space(), text)); !whole || err != nil {
 		t.Fatalf("%q is read as %v, %v", text, whole, err)
 	}
 	return m
@@ -39,14 +39,14 @@
 	all := map[string][]byte{
 		"request":      AppendRequest(nil, request, 0.2371),
 		"request-get":  AppendRequest(nil, get, 0),
-		"answer":       AppendAnswer(nil, answer, false),
-		"answer-last":  AppendAnswer(nil, answer, true),
-		"counter-add":  AppendAdd(nil, 1<<64-1, 0.1, 60),
-		"counter-less": AppendAdd(nil, 0, -12345678.25, 0.0001),
-		"watch":        AppendWatch(AppendWatch(nil, 0), 1<<62),
+		"answer":       AppendResponse(nil, answer, false),
+		"answer-last":  AppendResponse(nil, answer, true),
+		"counter-add":  AppendCounterAdd(nil, 1<<64-1, 0.1, 60),
+		"counter-less": AppendCounterAdd(nil, 0, -12345678.25, 0.0001),
+		"watch":        AppendDiscoveryWatch(AppendDiscoveryWatch(nil, 0), 1<<62),
 	}
 	for _, status := range []int{200, 400, 409, 413, 429, 431, 502, 503, 504} {
-		all["own"] = AppendOwn(AppendOwn(all["own"], status, 0, false), status, 1.0625, true)
+		all["own"] = AppendLocalResponse(AppendLocalResponse(all["own"], status, 0, false), status, 1.0625, true)
 	}
 	return all
 }
@@ -82,9 +82,11 @@
 	if string(request.Method) != "POST" || string(request.Target) != "/result-lookup/7?a=%20b" || string(request.Body) != "abcdefg" {
 		t.Errorf("the request is read as %s %s %q", request.Method, request.Target, request.Body)
 	}
-	call, ok := ReadCall(request)
-	want := Call{Ref: "fc64a7745d3a91c4", Operation: "result-lookup", Customer: "00000000ffffffff", Plan: "club-basic", Units: 2.5,
-		Limit: 0.237, Width: 3, First: 1, Repeat: true}
+	call, ok := ParseInvocation(request)
+	want := Invocation{
+		Ref: "fc64a7745d3a91c4", Operation: "result-lookup", Customer: "00000000ffffffff", Plan: "club-basic", Units: 2.5,
+		Timeout: 0.237, GatewayCount: 3, FirstGateway: 1, Retry: true,
+	}
 	if !ok || !reflect.DeepEqual(call, want) {
 		t.Errorf("its call is read as %+v (%v), wanted is %+v", call, ok, want)
 	}
@@ -93,19 +95,21 @@
 			t.Errorf("%s is read as %d %q, the last: %v", name, m.Status, m.Body, m.Close)
 		}
 	}
-	for name, target := range map[string]string{"counter-add": "/counters/18446744073709551615?by=0.1&expire_ms=60000",
-		"counter-less": "/counters/0?by=-12345678.25&expire_ms=1"} {
+	for name, target := range map[string]string{
+		"counter-add":  "/counters/18446744073709551615?by=0.1&expire_ms=60000",
+		"counter-less": "/counters/0?by=-12345678.25&expire_ms=1",
+	} {
 		if m := readWhole(t, recorded(t, name), false); string(m.Method) != "POST" || string(m.Target) != target || len(m.Body) > 0 {
 			t.Errorf("%s is read as %s %s", name, m.Method, m.Target)
 		}
 	}
 	own := recorded(t, "own")
 	var m Message
-	m.Begin(make([]byte, len(own)), true)
+	m.Reset(make([]byte, len(own)), true)
 	n := copy(m.Space(), own)
 	for _, status := range []int{200, 400, 409, 413, 429, 431, 502, 503, 504} {
 		for _, last := range []bool{false, true} {
-			whole, err := m.Got(n)
+			whole, err := m.Advance(n)
 			if !whole || err != nil || m.Status != status || m.Close != last || len(m.Body) > 0 {
 				t.Fatalf("an answer of its own is read as %d, the last: %v (%v, %v)", m.Status, m.Close, whole, err)
 			}
--- a/gateway/server/buffers.go
+++ b/gateway/server/buffers.go
@@ -41,10 +41,10 @@
 	select {
 	case b = <-p.kept:
 	default:
-		b = &Buffer{small: make([]byte, http1.Small)}
+		b = &Buffer{small: make([]byte, http1.SmallBufferBytes)}
 	}
 	b.Bytes, b.lent = b.small, true
-	b.Begin(b.Bytes, response)
+	b.Reset(b.Bytes, response)
 	return b
 }
 
@@ -67,10 +67,10 @@
 	select {
 	case b.Bytes = <-p.large:
 	default:
-		b.Bytes = make([]byte, http1.Room)
+		b.Bytes = make([]byte, http1.MaxMessageBytes)
 	}
 	b.large = true
-	b.Move(b.Bytes)
+	b.MoveTo(b.Bytes)
 	return true
 }
 
@@ -91,7 +91,7 @@
 		}
 	}
 	b.Bytes, b.large = nil, false
-	b.Begin(nil, false) // keeps no room alive but its own
+	b.Reset(nil, false) // keeps no room alive but its own
 	select {
 	case p.kept <- b:
 	default:
--- a/gateway/server/clients.go
+++ b/gateway/server/clients.go
@@ -323,10 +323,10 @@
 // got: n bytes have been read into the room behind what had come.
 func (c *client) got(n int) {
 	if c.whole || c.bad != nil {
-		c.in.More(n)
+		c.in.AdvanceRest(n)
 		return
 	}
-	if c.whole, c.bad = c.in.Got(n); c.whole || c.bad != nil {
+	if c.whole, c.bad = c.in.Advance(n); c.whole || c.bad != nil {
 		c.wholeAt = c.readAt
 		c.notice()
 	}
@@ -366,7 +366,7 @@
 		status, call := c.judge(b, bad)
 		a := answer{request: b, status: status, last: status != 200}
 		if status == 0 {
-			c.inv = &invocation{Call: call, from: c, request: b, came: at}
+			c.inv = &invocation{Invocation: call, from: c, request: b, came: at}
 			cs.loop.tell(cs.ctx, c.arrived)
 			var ok bool
 			if a, ok = c.answered(); !ok {
@@ -420,7 +420,7 @@
 }
 
 // judge says what a request asks for: the call of an invocation, or a status to answer at once.
-func (c *client) judge(b *Buffer, bad error) (status int, call http1.Call) {
+func (c *client) judge(b *Buffer, bad error) (status int, call http1.Invocation) {
 	switch {
 	case errors.Is(bad, errNoRoom):
 		c.refused(503, bad.Error())
@@ -440,19 +440,19 @@
 		}
 		return 503, call
 	}
-	call, ok := http1.ReadCall(&b.Message)
+	call, ok := http1.ParseInvocation(&b.Message)
 	if !ok || string(b.Method) == "GET" && len(b.Body) > 0 {
 		c.refused(400, "a field is missing, malformed or given twice, or a body where none may be")
 		return 400, call
 	}
 	// What makes no sense by the settings is malformed too: counted or sent, it would be load on one customer's name.
-	limit, ok := c.clients.accepts(call.Operation, string(b.Method), call.Plan, call.Units, call.Width, call.First)
+	limit, ok := c.clients.accepts(call.Operation, string(b.Method), call.Plan, call.Units, call.GatewayCount, call.FirstGateway)
 	if !ok {
 		c.refused(400, "an operation, method, plan, units or set that the settings do not know")
 		return 400, call
 	}
 	if limit > 0 {
-		call.Limit = min(call.Limit, limit)
+		call.Timeout = min(call.Timeout, limit)
 	}
 	return 0, call
 }
@@ -487,9 +487,9 @@
 	case a.status == 0:
 		out = nil
 	case a.reply != nil:
-		out = http1.AppendAnswer(out, &a.reply.Message, last)
+		out = http1.AppendResponse(out, &a.reply.Message, last)
 	default:
-		out = http1.AppendOwn(out, a.status, a.retryAfter, last)
+		out = http1.AppendLocalResponse(out, a.status, a.retryAfter, last)
 	}
 	if mutation.AnswerLost && a.status == 429 && int(a.retryAfter*1e6)%5 == 0 {
 		out = nil
--- a/gateway/server/clients_test.go
+++ b/gateway/server/clients_test.go
@@ -78,7 +78,7 @@
 	})
 	w := start(t, room, h)
 	crowd := func() (text string, n int) {
-		for ; len(text) < 3*http1.Room; n++ {
+		for ; len(text) < 3*http1.MaxMessageBytes; n++ {
 			text += invoke("pay", 5000, strings.Repeat("x", 20<<10))
 		}
 		return text, n
@@ -89,7 +89,7 @@
 		go io.WriteString(tcp, text)
 		h.next(t)
 		c := w.only()
-		w.wait(func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.cut && c.drained > http1.Room })
+		w.wait(func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.cut && c.drained > http1.MaxMessageBytes })
 		close(release)
 		answers, last := 0, false
 		messages(tcp, true, func(m *http1.Message) bool {
@@ -393,7 +393,7 @@
 		go io.Copy(io.Discard, tcp)
 		c := w.only()
 		w.wait(func() bool { return w.connections() == 0 })
-		if c.drained > lingerBytes+http1.Room {
+		if c.drained > lingerBytes+http1.MaxMessageBytes {
 			t.Errorf("%d bytes were read for nothing", c.drained)
 		}
 		tcp.Close()
--- a/gateway/server/copies.go
+++ b/gateway/server/copies.go
@@ -95,7 +95,7 @@
 			c.loop.module.UnreportedUnits(func(name uint64, units, life float64) { c.lodge.SetUnreported(now, nameOf(name), units, life) })
 		}
 		for _, inv := range c.marking { // each by itself: the order does not show
-			if now > inv.giveUp-(1-markWait)*inv.Limit {
+			if now > inv.giveUp-(1-markWait)*inv.Timeout {
 				c.unmarked(inv)
 			}
 		}
@@ -146,7 +146,7 @@
 		inv.from.answers <- answer{request: inv.request, status: 503, retryAfter: 1}
 		return true
 	}
-	n := c.lodge.AcquireMarker(inv.Ref, scope, inv.Limit)
+	n := c.lodge.AcquireMarker(inv.Ref, scope, inv.Timeout)
 	inv.asked, c.marking[n] = n, inv
 	c.send(c.lodge.TakeRequests(c.loop.now))
 	return true
--- a/gateway/server/counter.go
+++ b/gateway/server/counter.go
@@ -285,7 +285,7 @@
 		return false
 	}
 	before := len(k.pending)
-	k.pending = http1.AppendAdd(k.pending, x.name, amount, life)
+	k.pending = http1.AppendCounterAdd(k.pending, x.name, amount, life)
 	k.added += int64(len(k.pending) - before)
 	x.until = k.added
 	k.order = append(k.order, x)
@@ -394,7 +394,7 @@
 		return false
 	}
 	var b http1.Message
-	b.Begin(make([]byte, http1.Small), true)
+	b.Reset(make([]byte, http1.SmallBufferBytes), true)
 	for {
 		tcp.SetReadDeadline(time.Now().Add(time.Second))
 		if len(b.Space()) == 0 { // no total is that long
@@ -416,7 +416,7 @@
 			k.counter.loop.bad.Warn().Str("counter", k.addr).Msg("bytes that no call was made for")
 			return answered
 		}
-		for whole, bad := b.Got(n); whole || bad != nil; whole, bad = b.Got(n) {
+		for whole, bad := b.Advance(n); whole || bad != nil; whole, bad = b.Advance(n) {
 			if bad == nil && b.Status < 200 { // only a word in between
 				n = b.Next()
 				continue
@@ -480,7 +480,7 @@
 func (x *call) read(m *http1.Message) bool {
 	switch m.Status {
 	case 200:
-		sum, ok := http1.Number(m.Body)
+		sum, ok := http1.ParseNumber(m.Body)
 		x.how, x.sum = policy.Succeeded, sum
 		return ok
 	case 503, 400, 404:
--- a/gateway/server/discovery.go
+++ b/gateway/server/discovery.go
@@ -296,7 +296,7 @@
 	d.mu.Unlock()
 	x := &stream{source: s, tcp: tcp, opened: time.Now(), spoke: make(chan struct{}), ended: make(chan struct{})}
 	tcp.SetWriteDeadline(x.opened.Add(firstWord))
-	if _, err = tcp.Write(http1.AppendWatch(nil, from)); err != nil {
+	if _, err = tcp.Write(http1.AppendDiscoveryWatch(nil, from)); err != nil {
 		tcp.Close()
 		return nil, err
 	}
@@ -348,7 +348,7 @@
 // read takes what a stream brings, message by message, until it ends or can't be followed.
 func (d *Discovery) read(x *stream) error {
 	in := &body{
-		tcp: x.tcp, raw: make([]byte, 2*http1.HeadLimit), room: make([]byte, 0, 2*http1.HeadLimit),
+		tcp: x.tcp, raw: make([]byte, 2*http1.MaxHeadBytes), room: make([]byte, 0, 2*http1.MaxHeadBytes),
 		blank: func() error { return d.hear(x, nil) },
 	}
 	for messages := json.NewDecoder(in); ; {
@@ -378,7 +378,7 @@
 	raw    []byte
 	n      int // bytes in raw
 	headed bool
-	lines  http1.Lines
+	lines  http1.ChunkedStream
 	room   []byte       // for plain
 	plain  []byte       // text that has not been read yet
 	begun  int          // bytes of a message, or of what is none, that have been read
@@ -424,7 +424,7 @@
 		return err
 	}
 	if !b.headed {
-		status, chunked, size, bad := http1.StreamHead(b.raw[:b.n])
+		status, chunked, size, bad := http1.ParseStreamHead(b.raw[:b.n])
 		if bad != nil || size > 0 && (status != 200 || !chunked) {
 			return errNoWatch
 		}
@@ -435,7 +435,7 @@
 	}
 	var used int
 	var done bool
-	if b.plain, used, done, err = b.lines.Join(b.room, b.raw[:b.n]); err != nil {
+	if b.plain, used, done, err = b.lines.Decode(b.room, b.raw[:b.n]); err != nil {
 		return &unreadable{err}
 	}
 	if b.n = copy(b.raw, b.raw[used:b.n]); done {
--- a/gateway/server/hosts.go
+++ b/gateway/server/hosts.go
@@ -454,7 +454,7 @@
 		}
 		return 0, true, false
 	case err != nil:
-		if how = policy.Reset; errors.Is(err, io.EOF) && c.in.Ended() { // else it may be cut short
+		if how = policy.Reset; errors.Is(err, io.EOF) && c.in.EndOfInput() { // else it may be cut short
 			how = meaning(c.in)
 		}
 		return c.answered(how, false), false, true
@@ -462,12 +462,12 @@
 		c.bad = errStray
 		return c.answered(0, false), false, true
 	}
-	whole, bad := c.in.Got(n)
+	whole, bad := c.in.Advance(n)
 	for whole && c.in.Status < 200 { // only a word in between
 		if n = c.in.Next(); n == 0 {
 			return 0, true, true
 		}
-		whole, bad = c.in.Got(n)
+		whole, bad = c.in.Advance(n)
 	}
 	if c.bad = bad; bad != nil {
 		return c.answered(policy.Failed, false), false, true
--- a/gateway/server/loop.go
+++ b/gateway/server/loop.go
@@ -48,7 +48,7 @@
 
 // invocation is one taken from a client, until its final answer is handed to the client's connection.
 type invocation struct {
-	http1.Call
+	http1.Invocation
 	from    *client
 	request *Buffer
 	came    time.Time // its last byte
@@ -181,7 +181,7 @@
 		return
 	}
 	l.refs[0][inv.Ref] = true
-	inv.giveUp = l.at(inv.came) + inv.Limit // it may have waited for the answer before it
+	inv.giveUp = l.at(inv.came) + inv.Timeout // it may have waited for the answer before it
 	if l.copies.mark(inv) {
 		return
 	}
@@ -192,7 +192,7 @@
 func (l *Loop) admit(inv *invocation) {
 	inv.in = l.module.Accept(l.now, policy.Request{
 		Ref: inv.Ref, Operation: inv.Operation, Customer: inv.Customer,
-		Plan: inv.Plan, Units: inv.Units, Deadline: inv.giveUp, FirstGateway: inv.First, GatewayCount: inv.Width, ClientRetry: inv.Repeat,
+		Plan: inv.Plan, Units: inv.Units, Deadline: inv.giveUp, FirstGateway: inv.FirstGateway, GatewayCount: inv.GatewayCount, ClientRetry: inv.Retry,
 	})
 	l.inHand[inv.in] = inv
 }
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -60,13 +60,13 @@
 	}
 	answers := recordedBytes(t, "counter-answers.bin")
 	var m http1.Message
-	m.Begin(make([]byte, http1.Small), true)
+	m.Reset(make([]byte, http1.SmallBufferBytes), true)
 	n := copy(m.Space(), answers)
 	for i, want := range []struct {
 		how policy.Outcome
 		sum float64
 	}{{policy.Succeeded, 41.125}, {policy.Rejected, 0}, {policy.Rejected, 0}} {
-		whole, err := m.Got(n)
+		whole, err := m.Advance(n)
 		if !whole || err != nil {
 			t.Fatal(i, whole, err)
 		}
--- a/harness/sockets/server.go
+++ b/harness/sockets/server.go
@@ -12,18 +12,18 @@
 
 // Messages reads one message after another from a connection, until what comes makes no sense or is not wanted.
 func Messages(tcp net.Conn, response bool, each func(m *http1.Message) bool) error {
-	m, room, rest := &http1.Message{}, make([]byte, http1.Room), []byte(nil)
+	m, room, rest := &http1.Message{}, make([]byte, http1.MaxMessageBytes), []byte(nil)
 	for {
 		rest = append([]byte(nil), rest...)
-		m.Begin(room, response)
+		m.Reset(room, response)
 		n := copy(m.Space(), rest)
 		whole, err := false, error(nil)
 		if n > 0 {
-			whole, err = m.Got(n)
+			whole, err = m.Advance(n)
 		}
 		for !whole && err == nil {
 			if n, err = tcp.Read(m.Space()); n > 0 {
-				whole, err = m.Got(n)
+				whole, err = m.Advance(n)
 			}
 		}
 		if err != nil && !whole {
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -426,7 +426,7 @@
 	Messages(tcp, false, func(m *http1.Message) bool {
 		ref, first := field(m, "req-id"), fresh
 		fresh = false
-		call, whole := http1.ReadCall(m) // the message is lent until this returns
+		call, whole := http1.ParseInvocation(m) // the message is lent until this returns
 		s.pump.Do(func() {
 			inv := s.find(ref, call, whole)
 			if inv == nil {
@@ -456,7 +456,7 @@
 }
 
 // find gives the invocation of a ref: that of a client here, or one made up from what the request says of itself.
-func (s *StandIns) find(ref string, call http1.Call, whole bool) *model.Invocation {
+func (s *StandIns) find(ref string, call http1.Invocation, whole bool) *model.Invocation {
 	if inv := s.known[ref]; inv != nil {
 		return inv
 	}
@@ -470,7 +470,7 @@
 	if inv != nil {
 		return inv
 	}
-	n := &model.Need{Units: call.Units, True: call.Units, Born: s.Queue.Now(), Until: s.Queue.Now() + call.Limit}
+	n := &model.Need{Units: call.Units, True: call.Units, Born: s.Queue.Now(), Until: s.Queue.Now() + call.Timeout}
 	for i := range s.Day.Operations {
 		if o := &s.Day.Operations[i]; o.Name == call.Operation {
 			n.Op, n.Work = model.Operation{Operation: o, Number: i}, o.Work.V()
@@ -489,7 +489,7 @@
 	}
 	inv = &model.Invocation{Ref: ref, Need: n, GiveUp: n.Until, Taken: true}
 	s.seen[ref] = inv
-	s.Queue.After(call.Limit+10, func() { delete(s.seen, ref) })
+	s.Queue.After(call.Timeout+10, func() { delete(s.seen, ref) })
 	return inv
 }
 
--- a/quotastore/server/countercall.go
+++ b/quotastore/server/countercall.go
@@ -29,7 +29,7 @@
 // parseCalls parses all calls that are complete with n more bytes read. An error is of the bytes after them.
 func parseCalls(m *http1.Message, n int) (calls []counterCall, err error) {
 	for {
-		complete, err := m.Got(n)
+		complete, err := m.Advance(n)
 		if err != nil || !complete {
 			return calls, err
 		}
--- a/quotastore/server/countercall_test.go
+++ b/quotastore/server/countercall_test.go
@@ -68,6 +68,6 @@
 func parse(t *testing.T, bytes string) ([]counterCall, error) {
 	t.Helper()
 	var message http1.Message
-	message.Begin(make([]byte, callReadBuffer), false)
+	message.Reset(make([]byte, callReadBuffer), false)
 	return parseCalls(&message, copy(message.Space(), bytes))
 }
--- a/quotastore/server/counterconn.go
+++ b/quotastore/server/counterconn.go
@@ -74,7 +74,7 @@
 // connection, which the read or write that follows returns.
 func (c *counterConn) read() {
 	var message http1.Message
-	message.Begin(make([]byte, callReadBuffer), false)
+	message.Reset(make([]byte, callReadBuffer), false)
 	for {
 		_ = c.conn.SetReadDeadline(time.Now().Add(callReadTimeout))
 		if len(message.Space()) == 0 {
