--- a/tier/settings/ports.go
+++ b/tier/settings/addresses.go
@@ -12,29 +12,33 @@
 	agentOffset
 )
 
+// loopback is where the agent serves the proxy of its machine.
+const loopback = "127.0.0.1"
+
 // ControlPort is the port on which control processes speak with others of the tier.
 func (s *Settings) ControlPort() int { return s.FirstPort + controlOffset }
 
 // ControlAddress is this machine's address for that port.
-func (s *Settings) ControlAddress() string { return join(s.IP, s.ControlPort()) }
+func (s *Settings) ControlAddress() string { return joinHostPort(s.IP, s.ControlPort()) }
 
 // StoreAddress is this machine's address for the store process.
-func (s *Settings) StoreAddress() string { return join(s.IP, s.FirstPort+storeOffset) }
+func (s *Settings) StoreAddress() string { return joinHostPort(s.IP, s.FirstPort+storeOffset) }
 
 // AgentAddress is the loopback address on which the agent feeds the proxy of its machine.
-func (s *Settings) AgentAddress() string { return join("127.0.0.1", s.FirstPort+agentOffset) }
+func (s *Settings) AgentAddress() string { return joinHostPort(loopback, s.FirstPort+agentOffset) }
 
-// SeedAddresses are the internal addresses of the control processes on the seed machines.
+// SeedAddresses are the internal addresses of the control processes on the seed machines. The ports that the seeds name are those
+// for operators; the internal ones are alike on all machines.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			host = seed
+			host = seed // without a port
 		}
-		addresses = append(addresses, join(host, s.ControlPort()))
+		addresses = append(addresses, joinHostPort(host, s.ControlPort()))
 	}
 	return addresses
 }
 
-func join(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
+func joinHostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
--- a/tier/settings/settings_test.go
+++ b/tier/settings/settings_test.go
@@ -1,7 +1,8 @@
 package settings
 
 import (
-	"os"
+	"errors"
+	"io/fs"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -29,7 +30,7 @@
 something.new=whatever
 `
 
-func TestParseReadsTheFields(t *testing.T) {
+func TestParseReadsEveryKindOfField(t *testing.T) {
 	s, err := Parse(file)
 	if err != nil {
 		t.Fatal(err)
@@ -48,50 +49,58 @@
 	}
 }
 
-func TestParseNamesTheFieldThatIsWrong(t *testing.T) {
-	for _, test := range []struct{ from, to, says string }{
-		{"node=front-a-1\n", "", "node is missing"},
-		{"ip=10.1.0.38\n", "", "ip is missing"},
-		{"internal_ports=7380,7395", "internal_ports=7380", "internal_ports"},
-		{"internal_ports=7380,7395", "internal_ports=7395,7380", "internal_ports"},
-		{"bootstrap=true", "bootstrap=perhaps", "bootstrap is neither true nor false: perhaps"},
-		{"heartbeat_ms=1200", "heartbeat_ms=soon", "heartbeat_ms is not a number of 0 or more: soon"},
-		{"tolerate.machines=1", "tolerate.machines=-1", "tolerate.machines"},
+func TestParseNamesTheWrongField(t *testing.T) {
+	for _, test := range []struct{ from, to, key, problem string }{
+		{"node=front-a-1\n", "", "node", "is missing"},
+		{"ip=10.1.0.38\n", "", "ip", "is missing"},
+		{"internal_ports=7380,7395", "internal_ports=7380", "internal_ports", "has to name"},
+		{"internal_ports=7380,7395", "internal_ports=7395,7380", "internal_ports", "has to name"},
+		{"bootstrap=true", "bootstrap=perhaps", "bootstrap", "is neither true nor false: perhaps"},
+		{"heartbeat_ms=1200", "heartbeat_ms=soon", "heartbeat_ms", "is not a number of 0 or more: soon"},
+		{"tolerate.machines=1", "tolerate.machines=-1", "tolerate.machines", "is not a number of 0 or more: -1"},
 	} {
-		text := strings.Replace(file, test.from, test.to, 1)
-		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), test.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: %v", test.to, test.from, err)
-		}
+		t.Run(test.to, func(t *testing.T) {
+			_, err := Parse(strings.Replace(file, test.from, test.to, 1))
+			var wrong *FieldError
+			if !errors.As(err, &wrong) || wrong.Key != test.key || !strings.HasPrefix(wrong.Problem, test.problem) {
+				t.Fatalf("%v", err)
+			}
+			if text := err.Error(); text != "settings: "+wrong.Key+" "+wrong.Problem || strings.Contains(text, "\n") {
+				t.Fatalf("%q", text)
+			}
+		})
 	}
 }
 
-func TestRequireNamesWhatARoleNeeds(t *testing.T) {
-	if err := Require(map[string]string{"seeds": "x", "data_dir": ""}); err == nil || !strings.Contains(err.Error(), "data_dir is missing") {
-		t.Fatal(err)
-	}
-	if err := Require(map[string]string{"seeds": "x"}); err != nil {
-		t.Fatal(err)
+func TestRequireNamesTheMissingField(t *testing.T) {
+	for name, test := range map[string]struct {
+		fields map[string]string
+		want   string
+	}{
+		"none missing":        {map[string]string{"seeds": "x"}, ""},
+		"one missing":         {map[string]string{"seeds": "x", "data_dir": ""}, "settings: data_dir is missing, which this role needs"},
+		"the first of two":    {map[string]string{"seeds": "", "data_dir": ""}, "settings: data_dir is missing, which this role needs"},
+		"nothing is required": {nil, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got := ""
+			if err := Require(test.fields); err != nil {
+				got = err.Error()
+			}
+			if got != test.want {
+				t.Fatalf("%q", got)
+			}
+		})
 	}
 }
 
-// The seeds follow the file; one that can't be read leaves them as they were.
-func TestSeedsFollowTheFile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "boot.conf")
-	t.Setenv(FileVariable, path)
-	s, err := Parse(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	seeds := NewSeeds(s)
-	seeds.readAt = time.Now().Add(-2 * seedsReadEvery)
-	if got := seeds.Addresses(); len(got) != 2 {
-		t.Fatalf("without a file: %v", got)
-	}
-	if err := os.WriteFile(path, []byte(strings.Replace(file, "10.2.0.43", "10.9.0.9", 1)), 0o644); err != nil {
-		t.Fatal(err)
+func TestLoadNeedsAFile(t *testing.T) {
+	t.Setenv(FileVariable, "")
+	if _, err := Load(); !errors.Is(err, ErrNoFile) {
+		t.Fatalf("without a name: %v", err)
 	}
-	seeds.readAt = time.Now().Add(-2 * seedsReadEvery)
-	if got := seeds.Addresses(); len(got) != 2 || got[1] != "10.9.0.9:7380" {
-		t.Fatalf("after a change: %v", got)
+	t.Setenv(FileVariable, filepath.Join(t.TempDir(), "missing.conf"))
+	if _, err := Load(); !errors.Is(err, fs.ErrNotExist) {
+		t.Fatalf("without a file: %v", err)
 	}
 }
