--- a/tier/periodic/periodic_test.go
+++ b/tier/periodic/periodic_test.go
@@ -2,12 +2,26 @@
 
 import (
 	"context"
+	"fmt"
 	"testing"
 	"time"
 )
 
+func ExampleWhile() {
+	left := 3
+	While(context.Background(), time.Millisecond, func() bool {
+		left--
+		fmt.Println(left)
+		return left > 0
+	})
+	// Output:
+	// 2
+	// 1
+	// 0
+}
+
 // Work that is waited for does not wait for the interval.
-func TestAWakeRunsTheWorkAtOnce(t *testing.T) {
+func TestRunOrWakeRunsAtOnceWhenWoken(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	wake := make(chan struct{}, 1)
 	wake <- struct{}{}
@@ -24,28 +38,6 @@
 	}
 }
 
-func TestWhileEndsWithItsStepOrItsContext(t *testing.T) {
-	steps := 0
-	While(t.Context(), time.Millisecond, func() bool {
-		steps++
-		return steps < 3
-	})
-	if steps != 3 {
-		t.Fatalf("%d steps", steps)
-	}
-	ended, cancel := context.WithCancel(t.Context())
-	cancel()
-	While(ended, time.Hour, func() bool {
-		t.Error("a step after the end")
-		return true
-	})
-	beside, cancel := context.WithCancel(t.Context())
-	While(beside, time.Hour, func() bool {
-		cancel()
-		return true
-	})
-}
-
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := 0
@@ -58,3 +50,36 @@
 		t.Fatalf("it ended after %d calls", calls)
 	}
 }
+
+func TestWhileEndsWithItsStepOrItsContext(t *testing.T) {
+	for name, test := range map[string]struct {
+		pause time.Duration
+		// step is called with the number of the call, from 1 on.
+		step      func(call int, cancel context.CancelFunc) bool
+		cancelled bool // before the start
+		want      int
+	}{
+		"step returns false": {time.Millisecond, func(call int, _ context.CancelFunc) bool { return call < 3 }, false, 3},
+		"ended before":       {time.Hour, func(int, context.CancelFunc) bool { return true }, true, 0},
+		"ends during a step": {time.Hour, func(_ int, cancel context.CancelFunc) bool {
+			cancel()
+			return true
+		}, false, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			if test.cancelled {
+				cancel()
+			}
+			calls := 0
+			While(ctx, test.pause, func() bool {
+				calls++
+				return test.step(calls, cancel)
+			})
+			if calls != test.want {
+				t.Fatalf("%d steps, not %d", calls, test.want)
+			}
+		})
+	}
+}
