--- a/tier/replica/options_test.go
+++ b/tier/replica/options_test.go
@@ -9,7 +9,8 @@
 		given, want Options
 	}{
 		{
-			"the zero value", Options{},
+			"the zero value",
+			Options{},
 			Options{RetainedEntries: DefaultRetainedEntries, RetainedBytes: DefaultRetainedBytes, SnapshotChunkBytes: DefaultSnapshotChunkBytes},
 		},
 		{
@@ -18,7 +19,8 @@
 			Options{EagerCommit: true, RetainedEntries: 1, RetainedBytes: 2, SnapshotChunkBytes: 3, TransferSlots: slots, Incarnation: 4, StepDownAfter: 5},
 		},
 		{
-			"one given", Options{RetainedBytes: 8 << 20},
+			"one given",
+			Options{RetainedBytes: 8 << 20},
 			Options{RetainedEntries: DefaultRetainedEntries, RetainedBytes: 8 << 20, SnapshotChunkBytes: DefaultSnapshotChunkBytes},
 		},
 	}
