--- /dev/null
+++ b/tier/codec/encoder.go
@@ -0,0 +1,47 @@
+package codec
+
+import "encoding/binary"
+
+// Encoder appends fields to a message.
+type Encoder struct{ Bytes []byte }
+
+// Uint8 appends one byte.
+func (e *Encoder) Uint8(v uint8) { e.Bytes = append(e.Bytes, v) }
+
+// Bool appends 1 for true and 0 for false.
+func (e *Encoder) Bool(v bool) {
+	if v {
+		e.Uint8(1)
+	} else {
+		e.Uint8(0)
+	}
+}
+
+// Uint32 appends four bytes.
+func (e *Encoder) Uint32(v uint32) { e.Bytes = binary.BigEndian.AppendUint32(e.Bytes, v) }
+
+// Uint64 appends eight bytes.
+func (e *Encoder) Uint64(v uint64) { e.Bytes = binary.BigEndian.AppendUint64(e.Bytes, v) }
+
+// Int64 appends eight bytes.
+func (e *Encoder) Int64(v int64) { e.Uint64(uint64(v)) }
+
+// Blob appends a byte slice behind its length.
+func (e *Encoder) Blob(v []byte) {
+	e.Uint32(uint32(len(v)))
+	e.Bytes = append(e.Bytes, v...)
+}
+
+// String appends a string behind its length.
+func (e *Encoder) String(v string) {
+	e.Uint32(uint32(len(v)))
+	e.Bytes = append(e.Bytes, v...)
+}
+
+// Uint64s appends a list of integers behind its length.
+func (e *Encoder) Uint64s(values []uint64) {
+	e.Uint32(uint32(len(values)))
+	for _, v := range values {
+		e.Uint64(v)
+	}
+}
--- a/tier/directory/directory_test.go
+++ b/tier/directory/directory_test.go
@@ -97,7 +97,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for n := range len(test.encoded) {
-				if err := test.decode(test.encoded[:n]); !errors.Is(err, codec.ErrShort) {
+				if err := test.decode(test.encoded[:n]); !errors.Is(err, codec.ErrMalformed) {
 					t.Fatalf("%d of %d bytes: %v", n, len(test.encoded), err)
 				}
 			}
