--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -176,7 +176,7 @@
 	return r
 }
 
-// play is what is recorded: a founding of three, all kinds of asks, then a fourth store, to which a copy is made as one of
+// play is what is recorded: a bootstrap of three, all kinds of commands, then a fourth server, to which the groups are replicated as one of
 // the three is to leave.
 func play(t *testing.T) *exchange {
 	t.Helper()
@@ -214,7 +214,7 @@
 	if got := x.take(0, 1); len(got.Usage) != 1 || got.Usage[0].Units != 12.25 {
 		x.t.Fatalf("batch 1 is %+v", got.Usage)
 	}
-	x.run(4) // the dead holder's debt is put back
+	x.run(4) // what the dead holder had not reported is recovered
 	if r := x.ask(2, statemachine.Command{Kind: statemachine.Add, Key: "shared", TTL: 60}); r.Total != 9.5 {
 		x.t.Fatalf("shared stands at %v", r.Total)
 	}
--- a/quotastore/statemachine/recorded_test.go
+++ b/quotastore/statemachine/recorded_test.go
@@ -10,7 +10,7 @@
 )
 
 // The bytes in testdata/recorded are as the code of commit 1895881 wrote them: logs and snapshots on disks hold them, and so
-// does what copies of one group send each other.
+// does what replicas of one group send each other.
 
 // recordedBatch has an entry of each kind, with all that it may carry.
 func recordedBatch() *Batch {
@@ -113,16 +113,16 @@
 	}
 	checkRecordedTotals(t, s)
 	replies := s.Apply(&Batch{Clock: 6, Commands: []Command{
-		{Kind: Add, Session: "s1", Sequence: 7, Key: "count-1", Amount: 99, TTL: 45}, // told again: answered as at first
+		{Kind: Add, Session: "s1", Sequence: 7, Key: "count-1", Amount: 99, TTL: 45}, // retried: answered as at first
 		{Kind: AcquireMarker, Session: "s2", Sequence: 40, Key: "invocation-0", Holder: "edge-other.1", TTL: 600},
 		{Kind: CollectUsage, Version: 1},
 		{Kind: CollectUsage, Version: 2},
 	}})
 	if r := replies[0]; r.Code != Done || r.Total != 1.2000000000000002 {
-		t.Errorf("an add told again is answered %+v", r)
+		t.Errorf("a retried add is answered %+v", r)
 	}
 	if r := replies[1]; r.Code != MarkerHeld || r.MarkerHolder != "edge-alive.1" {
-		t.Errorf("a mark held by another is answered %+v", r)
+		t.Errorf("a marker held by another is answered %+v", r)
 	}
 	first := []CustomerUsage{{"free 0012", 1e-3}, {"gold 0011", 14.25}}
 	if r := replies[2]; r.Code != Done || !reflect.DeepEqual(r.Usage, first) {
@@ -143,9 +143,9 @@
 	}
 	want := []UnreportedUsage{{Holder: "edge-dead.1", Key: "shared", Amount: 9, TTL: 54.75, Version: 2}}
 	if got := s.UnrecoveredUsage(64); !reflect.DeepEqual(got, want) {
-		t.Errorf("debts of the dead are %+v, wanted is %+v", got, want)
+		t.Errorf("unrecovered usage is %+v, wanted is %+v", got, want)
 	}
 	if !s.HasMarker("invocation-0") || s.HasMarker("invocation-1") || !s.HasMarker("invocation-7") {
-		t.Error("marks of deliveries are not as recorded")
+		t.Error("markers are not as recorded")
 	}
 }
