--- a/gateway/server/clients.go
+++ b/gateway/server/clients.go
@@ -102,7 +102,7 @@
 	listen string, accepts Accepts, most int, ready func() bool,
 ) (*Clients, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
-	if mutation.SharesName {
+	if mutation.AddressShared {
 		lc.Control = func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, 0xf, 1) }) // SO_REUSEPORT
 		}
@@ -219,7 +219,7 @@
 // time; what it had taken till then is served like the rest.
 func (cs *Clients) Shutdown(limit time.Duration) {
 	cs.ending.Store(true)
-	if mutation.TermCuts {
+	if mutation.SIGTERMCutsClients {
 		cs.Close()
 		for _, c := range cs.all() {
 			c.tcp.Close()
@@ -491,10 +491,10 @@
 	default:
 		out = http1.AppendLocalResponse(out, a.status, a.retryAfter, last)
 	}
-	if mutation.AnswerLost && a.status == 429 && int(a.retryAfter*1e6)%5 == 0 {
+	if mutation.AnswerDropped && a.status == 429 && int(a.retryAfter*1e6)%5 == 0 {
 		out = nil
 	}
-	if mutation.AnswerTwice && a.reply != nil {
+	if mutation.AnswerDuplicated && a.reply != nil {
 		out = append(out, out...)
 	}
 	if len(out) > 0 {
--- a/gateway/server/counter.go
+++ b/gateway/server/counter.go
@@ -339,7 +339,7 @@
 	tcp.SetDeadline(past)
 	writer.Wait()
 	tcp.Close()
-	if mutation.ResetPanics && len(k.order) > 0 {
+	if mutation.CounterResetPanics && len(k.order) > 0 {
 		panic("a counter connection has ended")
 	}
 	k.mu.Lock()
--- a/gateway/server/discovery.go
+++ b/gateway/server/discovery.go
@@ -157,10 +157,10 @@
 	named, now := map[string]bool{}, d.loop.clock()
 	for _, e := range r.Servers {
 		state := states[e.State]
-		if mutation.DrainUnheard && state != "" {
+		if mutation.DrainIgnored && state != "" {
 			state = "active"
 		}
-		if mutation.StartUnheard {
+		if mutation.StartIgnored {
 			e.Started = 0
 		}
 		if _, err := netip.ParseAddrPort(e.Addr); e.ID == "" || state == "" || err != nil && state != "left" {
--- a/gateway/server/hosts.go
+++ b/gateway/server/hosts.go
@@ -183,7 +183,7 @@
 	c.mu.Unlock()
 	b := hs.buffers.Take(false)
 	b.Bytes = http1.AppendRequest(b.Bytes[:0], &d.inv.request.Message, d.due-hs.loop.now)
-	if mutation.SecondCopy && len(d.inv.Ref) > 0 && d.inv.Ref[0] == '7' {
+	if mutation.RequestDuplicated && len(d.inv.Ref) > 0 && d.inv.Ref[0] == '7' {
 		b.Bytes = append(b.Bytes, b.Bytes...)
 	}
 	c.work <- b
@@ -196,7 +196,7 @@
 		return
 	}
 	heap.Remove(&hs.loop.due, d.at)
-	if mutation.ResetNeverRan && how == policy.TimedOut {
+	if mutation.ResetCountsAsNeverRan && how == policy.TimedOut {
 		how = policy.NoConnection
 	}
 	d.outcome = how
@@ -208,9 +208,9 @@
 	if d.conn != nil {
 		d.conn.on = nil
 		switch {
-		case mutation.KeepsWithdrawn:
+		case mutation.CancelledConnectionReused:
 			hs.free(d.conn)
-		case !mutation.LeavesOut:
+		case !mutation.CancelledAttemptLeftInFlight:
 			d.conn.abandon()
 		}
 		hs.end(d, how)
@@ -316,7 +316,7 @@
 		hs.buffers.Give(reply)
 		reply = nil
 	}
-	if mutation.ResetNeverRan && c.outcome == policy.Reset {
+	if mutation.ResetCountsAsNeverRan && c.outcome == policy.Reset {
 		c.outcome = policy.NoConnection
 	}
 	if d != nil {
--- a/gateway/server/loop.go
+++ b/gateway/server/loop.go
@@ -225,7 +225,7 @@
 	switch a.Action {
 	case policy.Send:
 		within := inv.giveUp - l.now - early
-		if mutation.EndsLate {
+		if mutation.AttemptOutlivesClient {
 			within += 0.3
 		}
 		if a.Timeout > 0 {
@@ -239,7 +239,7 @@
 		l.finish(inv, 429, a.RetryAfter, nil)
 	case policy.Fail:
 		status := 502
-		if mutation.Harmless {
+		if mutation.FailureAnsweredAsThrottled {
 			l.finish(inv, 429, 1, nil)
 			return
 		}
--- a/gateway/server/peers.go
+++ b/gateway/server/peers.go
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	p.udp, err = net.ListenUDP("udp", at)
-	if mutation.SharesName && err != nil {
+	if mutation.AddressShared && err != nil {
 		p.udp, err = nil, nil
 	}
 	return p, err
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -95,18 +95,18 @@
 // Each bug that was put in on purpose is caught by a script, for the reason it was put in; the stories name the faults.
 func TestSeededBugsAreCaught(t *testing.T) {
 	for _, x := range []struct{ bug, script, want string }{
-		{"ResetNeverRan", "reset-in-answer", "non-idempotent, is sent on again though"},
-		{"DrainUnheard", "drain-told-in-flight", "rule 3"},
-		{"AnswerLost", "quiet", "got no final answer"},
-		{"AnswerTwice", "quiet", "behind it"},
-		{"KeepsWithdrawn", "host-slow", "was served with"},
-		{"LeavesOut", "host-mute", "two deliveries out at once"},
-		{"EndsLate", "host-slow", "rule 1"},
-		{"Harmless", "reset-in-answer", "is throttled though delivery"},
-		{"TermCuts", "ended-under-load", "ended without an answer"},
-		{"SecondCopy", "quiet", "rule 2"},
-		{"SharesName", "twice", "runs beside the first"},
-		{"ResetPanics", "added-not-answered", "has ended by itself"},
+		{"ResetCountsAsNeverRan", "reset-in-answer", "non-idempotent, is sent on again though"},
+		{"DrainIgnored", "drain-told-in-flight", "rule 3"},
+		{"AnswerDropped", "quiet", "got no final answer"},
+		{"AnswerDuplicated", "quiet", "behind it"},
+		{"CancelledConnectionReused", "host-slow", "was served with"},
+		{"CancelledAttemptLeftInFlight", "host-mute", "two deliveries out at once"},
+		{"AttemptOutlivesClient", "host-slow", "rule 1"},
+		{"FailureAnsweredAsThrottled", "reset-in-answer", "is throttled though delivery"},
+		{"SIGTERMCutsClients", "ended-under-load", "ended without an answer"},
+		{"RequestDuplicated", "quiet", "rule 2"},
+		{"AddressShared", "twice", "runs beside the first"},
+		{"CounterResetPanics", "added-not-answered", "has ended by itself"},
 	} {
 		t.Run(x.bug, func(t *testing.T) {
 			t.Parallel()
--- a/quotastore/replication/proposals.go
+++ b/quotastore/replication/proposals.go
@@ -70,7 +70,7 @@
 	}
 	p.sequence++
 	batch := statemachine.Batch{Clock: r.clock.next(now, r.state.Clock), Commands: p.queue, Proposer: uint64(r.node.id), Sequence: p.sequence}
-	if mutation.KeepLocalClock {
+	if mutation.LeaderUsesLocalClock {
 		batch.Clock = now
 	}
 	if r.raft.Propose(batch.Encode()) != nil {
@@ -80,7 +80,7 @@
 	p.lastAt = now
 	key := proposalKey{r.leadership.term, p.sequence}
 	p.inFlight[key] = &proposal{proposedAt: now, requesters: slices.Clone(p.requesters)}
-	if mutation.KeepEarly { // answered before the others have it
+	if mutation.LeaderAcksBeforeCommit { // answered before the others have it
 		for i, reply := range r.state.Apply(&statemachine.Batch{Clock: batch.Clock, Commands: slices.Clone(p.queue)}) {
 			r.respond(p.requesters[i], reply)
 		}
--- a/quotastore/replication/ready.go
+++ b/quotastore/replication/ready.go
@@ -97,7 +97,7 @@
 		w.ReplaceLog = true
 		r.snapshots.unwritten = nil // written after it, an older one of its own would take its place
 	}
-	if r.leadership.leads && !voteChanged || mutation.KeepUnsynced {
+	if r.leadership.leads && !voteChanged || mutation.ReplicaSendsBeforeSync {
 		r.cycle.messagesSent = true
 		r.send(rd.Messages)
 	}
@@ -175,7 +175,7 @@
 		return
 	}
 	own := batch.Proposer == uint64(r.node.id)
-	if mutation.KeepEarly && own {
+	if mutation.LeaderAcksBeforeCommit && own {
 		return
 	}
 	replies := r.state.Apply(batch)
--- a/quotastore/replication/session.go
+++ b/quotastore/replication/session.go
@@ -49,7 +49,7 @@
 	command.Session = c.session.name
 	command.Sequence = q.id
 	command.AckedBelow = c.lowestPending()
-	if mutation.KeepNoSession && q.attempts > 1 {
+	if mutation.RetryOutsideSession && q.attempts > 1 {
 		command.Session = ""
 	}
 	c.session.lastUsed = now
--- a/quotastore/statemachine/encoding.go
+++ b/quotastore/statemachine/encoding.go
@@ -80,7 +80,7 @@
 
 // Snapshot returns the sealed bytes of the state, the same at every replica.
 func (s *State) Snapshot() []byte {
-	if mutation.KeepForgets {
+	if mutation.SnapshotDropsSessions {
 		bare := *s
 		bare.Sessions = map[string]*session{}
 		s = &bare
--- a/quotastore/statemachine/lease.go
+++ b/quotastore/statemachine/lease.go
@@ -38,7 +38,7 @@
 		return false
 	}
 	l := s.lease(holder)
-	if l.Expired && !mutation.KeepUnfenced {
+	if l.Expired && !mutation.ExpiredHolderNotFenced {
 		return false
 	}
 	l.ExpiresAt = max(l.ExpiresAt, s.expiry(ttl, minLeaseTTL, maxLeaseTTL))
@@ -104,7 +104,7 @@
 	for _, key := range slices.Sorted(maps.Keys(s.Counters)) {
 		c := s.Counters[key]
 		for _, holder := range holders {
-			if a := c.ByHolder[holder]; a != nil && a.Reserved != 0 && !mutation.KeepNoPlaces {
+			if a := c.ByHolder[holder]; a != nil && a.Reserved != 0 && !mutation.ExpiredHolderKeepsSlots {
 				c.Total -= a.Reserved
 				a.Reported -= a.Reserved
 				a.Reserved = 0
--- a/quotastore/statemachine/marker.go
+++ b/quotastore/statemachine/marker.go
@@ -22,7 +22,7 @@
 		return Reply{Code: Invalid}
 	}
 	if m := s.Markers[c.Key]; m != nil && m.ExpiresAt > s.Clock {
-		if (c.Scope == "" || c.Scope != m.Scope) && !mutation.KeepMarksAgain {
+		if (c.Scope == "" || c.Scope != m.Scope) && !mutation.MarkerGrantedTwice {
 			return Reply{Code: MarkerHeld, MarkerHolder: m.Holder}
 		}
 		return Reply{MarkerHolder: m.Holder}
--- a/quotastore/statemachine/metering.go
+++ b/quotastore/statemachine/metering.go
@@ -57,7 +57,7 @@
 func (s *State) collectUsage(c *Command) Reply {
 	last := s.Metering.Batch
 	switch {
-	case c.Version == last && !mutation.KeepTakesAnew:
+	case c.Version == last && !mutation.BatchTakenAgain:
 		return Reply{Usage: s.Metering.LastBatch, Batch: c.Version}
 	case c.Version != last && c.Version != last+1:
 		return Reply{Code: Invalid, Batch: last}
--- a/quotastore/statemachine/unreported.go
+++ b/quotastore/statemachine/unreported.go
@@ -68,8 +68,8 @@
 	}
 	counter := s.counter(c.Key, c.TTL)
 	account := counter.account(c.Holder)
-	if !account.Recovered || mutation.KeepTwice {
-		if missing := c.Amount - account.Reported; missing > 0 || mutation.KeepTwice {
+	if !account.Recovered || mutation.RecoveredUsageAddedTwice {
+		if missing := c.Amount - account.Reported; missing > 0 || mutation.RecoveredUsageAddedTwice {
 			counter.Total += missing
 			account.Reported += missing
 		}
--- a/sim/quotastoresim/quotastoresim_test.go
+++ b/sim/quotastoresim/quotastoresim_test.go
@@ -59,8 +59,8 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	for _, name := range []string{
-		"KeepLocalClock", "KeepEarly", "KeepUnsynced", "KeepEmptyVote", "KeepNoSession", "KeepForgets",
-		"KeepTwice", "KeepUnfenced", "KeepNoPlaces", "KeepMarksAgain", "KeepTakesAnew",
+		"LeaderUsesLocalClock", "LeaderAcksBeforeCommit", "ReplicaSendsBeforeSync", "LostDiskKeepsIncarnation", "RetryOutsideSession", "SnapshotDropsSessions",
+		"RecoveredUsageAddedTwice", "ExpiredHolderNotFenced", "ExpiredHolderKeepsSlots", "MarkerGrantedTwice", "BatchTakenAgain",
 	} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.CommandContext(context.Background(), program, "keepers", "--seeds", "400", "--first")
--- a/sim/quotastoresim/server.go
+++ b/sim/quotastoresim/server.go
@@ -39,7 +39,7 @@
 func (s *simulation) wipe(x *server) {
 	x.disk = map[int]*replication.PersistentState{}
 	x.cluster = 0
-	if !mutation.KeepEmptyVote || x.incarnation == 0 {
+	if !mutation.LostDiskKeepsIncarnation || x.incarnation == 0 {
 		x.incarnation = s.nextIncarnation
 		s.nextIncarnation++
 	}
