--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -170,8 +170,8 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the recorded answer was not heard")
 	}
-	if c.lodge.LeaseLosses != 1 || c.lodge.Holder() != "edge-3.7f00ba12.1" {
-		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.lodge.LeaseLosses, c.lodge.Holder())
+	if c.lodge.LeaseLosses() != 1 || c.lodge.Holder() != "edge-3.7f00ba12.1" {
+		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.lodge.LeaseLosses(), c.lodge.Holder())
 	}
 }
 
--- a/quotastore/client/client_test.go
+++ b/quotastore/client/client_test.go
@@ -7,148 +7,292 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// kept plays the keepers: one state that takes what is asked in order.
-type kept struct {
-	t     *testing.T
-	state *statemachine.State
-	now   float64
-	l     *Client
-	lost  bool // answers do not come back
-	away  bool // nothing gets there
-}
-
-func (k *kept) turn() (words []Outcome) {
-	k.now += 0.5
-	for _, a := range k.l.TakeRequests(k.now) {
-		if k.away {
-			k.l.HandleResponse(k.now, &protocol.Response{RequestID: a.ID, NotLeader: true})
+// The units that tests report, and what all counters of tests live for.
+const (
+	testCounter = "n"
+	testTTL     = 60
+	leaseAway   = 10 // turns after which a lease has expired that is not renewed
+)
+
+// storeFixture has a client and plays the store: one state machine, which takes all that is requested in order.
+type storeFixture struct {
+	t             *testing.T
+	state         *statemachine.State
+	now           float64
+	client        *Client
+	responsesLost bool
+	rejecting     bool // nothing gets to the state machine
+}
+
+func newStoreFixture(t *testing.T) *storeFixture {
+	return &storeFixture{t: t, state: statemachine.New(), client: New("edge/1")}
+}
+
+// turn lets half a second pass, has the client's requests carried out and returns what their responses mean.
+func (f *storeFixture) turn() (outcomes []Outcome) {
+	f.now += 0.5
+	for _, request := range f.client.TakeRequests(f.now) {
+		if f.rejecting {
+			f.client.HandleResponse(f.now, &protocol.Response{RequestID: request.ID, NotLeader: true})
 			continue
 		}
-		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Command}})[0]
-		if k.lost {
+		reply := f.apply(request.Command)
+		if f.responsesLost {
 			continue
 		}
-		if w := k.l.HandleResponse(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); w.Kind != NoOutcome {
-			words = append(words, w)
+		if outcome := f.client.HandleResponse(f.now, &protocol.Response{RequestID: request.ID, Reply: reply}); outcome.Kind != NoOutcome {
+			outcomes = append(outcomes, outcome)
 		}
 	}
-	return words
+	return outcomes
 }
 
-func (k *kept) total() float64 {
-	total, _ := k.state.Total("n")
-	return total
+func (f *storeFixture) apply(command statemachine.Command) statemachine.Reply {
+	return f.state.Apply(&statemachine.Batch{Clock: f.now, Commands: []statemachine.Command{command}})[0]
 }
 
-func start(t *testing.T) *kept { return &kept{t: t, state: statemachine.New(), l: New("edge/1")} }
+// passTime lets time pass for the state machine alone.
+func (f *storeFixture) passTime(turns int) {
+	for range turns {
+		f.now += 0.5
+		f.state.Apply(&statemachine.Batch{Clock: f.now})
+	}
+}
 
-// The answer to an add is lost; the module owes the units once more and tells them with the next: they count once.
-func TestLostAnswerCountsOnce(t *testing.T) {
-	k := start(t)
-	_, opened, _ := k.l.ReportUsage(k.now, "n", 1003, 1000, 60)
-	k.lost = true
-	k.turn()
-	k.lost = false
-	k.l.RetractUsage("n", 1003, opened, true)
-	k.l.ReportUsage(k.now, "n", 3, 1000, 60)
-	if words := k.turn(); len(words) != 1 || words[0].Total != 1003 {
-		t.Fatalf("%+v", words)
+// recoverUsage adds the recorded usage of holders whose lease expired, as the store's leader does.
+func (f *storeFixture) recoverUsage() {
+	for _, usage := range f.state.UnrecoveredUsage(9) {
+		f.apply(statemachine.Command{
+			Kind:   statemachine.RecoverUnreported,
+			Holder: usage.Holder,
+			Key:    usage.Key,
+			Amount: usage.Amount,
+			TTL:    usage.TTL,
+		})
 	}
 }
 
-// While the counter is away work is let in; the api gateway dies. What it had noted is put back, once.
-func TestDebtOutlivesItsHolder(t *testing.T) {
-	k := start(t)
-	k.l.ReportUsage(k.now, "n", 5, 0, 60)
-	k.turn()
-	k.l.SetUnreported(k.now, "n", 4, 60)
-	k.turn()
-	if k.total() != 5 {
-		t.Fatalf("a debt was added while its holder lives: %v", k.total())
+func (f *storeFixture) checkTotal(want float64, when string) {
+	f.t.Helper()
+	if total, _ := f.state.Total(testCounter); total != want {
+		f.t.Fatalf("%s the total is %v, wanted is %v", when, total, want)
 	}
-	for range 10 { // nothing comes of it any more
-		k.now += 0.5
-		k.state.Apply(&statemachine.Batch{Clock: k.now})
+}
+
+// The answer to a report is lost; the gateway reports the units once more with the next: they count once.
+func TestReportWithoutAnAnswerCountsOnce(t *testing.T) {
+	f := newStoreFixture(t)
+	_, newlyReserved, _ := f.client.ReportUsage(f.now, testCounter, 1003, 1000, testTTL)
+	f.responsesLost = true
+	f.turn()
+	f.responsesLost = false
+	f.client.RetractUsage(testCounter, 1003, newlyReserved, true)
+	f.client.ReportUsage(f.now, testCounter, 3, 1000, testTTL)
+	if outcomes := f.turn(); len(outcomes) != 1 || outcomes[0].Total != 1003 {
+		t.Fatalf("%+v", outcomes)
 	}
+}
+
+// While the counter can't be reached work is admitted; then the gateway dies. What it had recorded is added, once.
+func TestUnreportedUsageOutlivesItsHolder(t *testing.T) {
+	f := newStoreFixture(t)
+	f.client.ReportUsage(f.now, testCounter, 5, 0, testTTL)
+	f.turn()
+	f.client.SetUnreported(f.now, testCounter, 4, testTTL)
+	f.turn()
+	f.checkTotal(5, "while the holder lives")
+	f.passTime(leaseAway)
 	for range 2 {
-		for _, d := range k.state.UnrecoveredUsage(9) {
-			k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL}}})
-		}
-	}
-	if k.total() != 9 {
-		t.Fatalf("total %v", k.total())
+		f.recoverUsage()
 	}
+	f.checkTotal(9, "after the holder's end")
 }
 
-// It was cut off for so long that the keepers gave it up and put back what it owed; it lives, and goes on under another name:
-// nothing counts twice, nothing is missing.
-func TestGivenUpAlive(t *testing.T) {
-	k := start(t)
-	k.l.ReportUsage(k.now, "n", 1005, 1000, 60)
-	k.l.SetUnreported(k.now, "n", 4, 60)
-	k.turn()
-	k.away = true
-	for range 10 {
-		k.turn()
-		k.state.Apply(&statemachine.Batch{Clock: k.now})
+// The gateway is cut off for so long that its lease expires and the store adds what it had recorded; it lives, and goes on
+// under another holder name: nothing counts twice, nothing is missing.
+func TestClientThatOutlivesItsLeaseCountsOnce(t *testing.T) {
+	f := newStoreFixture(t)
+	f.client.ReportUsage(f.now, testCounter, 1005, 1000, testTTL)
+	f.client.SetUnreported(f.now, testCounter, 4, testTTL)
+	f.turn()
+	f.rejecting = true
+	for range leaseAway {
+		f.turn()
+		f.state.Apply(&statemachine.Batch{Clock: f.now})
 	}
-	for _, d := range k.state.UnrecoveredUsage(9) {
-		k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{{Kind: statemachine.RecoverUnreported, Holder: d.Holder, Key: d.Key, Amount: d.Amount, TTL: d.TTL}}})
+	f.recoverUsage()
+	f.checkTotal(9, "after the lease expired")
+	f.rejecting = false
+	f.client.ClearUnreported()
+	for range 4 {
+		f.turn()
 	}
-	if k.total() != 9 {
-		t.Fatalf("after it was given up: %v", k.total())
+	if f.client.LeaseLosses() != 1 || f.client.Holder() == "edge/1.0" {
+		t.Fatalf("%d leases were lost, and the holder is %s", f.client.LeaseLosses(), f.client.Holder())
 	}
-	k.away = false
-	k.l.ClearUnreported()
-	for range 4 {
-		k.turn()
+	// The gateway does not know what became of the unreported units, and reports them.
+	if _, _, ok := f.client.ReportUsage(f.now, testCounter, 4, 1000, testTTL); !ok {
+		t.Fatal("nothing can be reported")
 	}
-	if k.l.LeaseLosses != 1 || k.l.Holder() == "edge/1.0" {
-		t.Fatalf("given up %d times, is %s", k.l.LeaseLosses, k.l.Holder())
+	if outcomes := f.turn(); len(outcomes) != 1 || outcomes[0].Total != 1009 {
+		t.Fatalf("%+v", outcomes)
 	}
-	if _, _, ok := k.l.ReportUsage(k.now, "n", 4, 1000, 60); !ok { // the module tells what it owed, as it does not know
-		t.Fatal("it can't tell")
+	f.checkTotal(1009, "at the end")
+}
+
+// Until the client knows what was reported under its former holder name it reports nothing.
+func TestNothingIsReportedBeforeFormerUsageIsKnown(t *testing.T) {
+	f := newStoreFixture(t)
+	f.client.ReportUsage(f.now, testCounter, 5, 0, testTTL)
+	f.turn()
+	f.passTime(leaseAway)
+	f.turn() // the renewal is answered with the expiry
+	f.responsesLost = true
+	f.turn()
+	if _, _, ok := f.client.ReportUsage(f.now, testCounter, 1, 0, testTTL); ok {
+		t.Error("reported while the queries have no response")
 	}
-	if words := k.turn(); len(words) != 1 || words[0].Total != 1009 {
-		t.Fatalf("%+v, total %v", words, k.total())
+	f.client.StreamLost()
+	f.responsesLost = false
+	f.turn() // both queries again
+	if _, _, ok := f.client.ReportUsage(f.now, testCounter, 1, 0, testTTL); !ok {
+		t.Fatal("nothing can be reported after the queries were answered")
 	}
+	f.turn()
+	f.checkTotal(6, "at the end")
 }
 
-// The keepers turn all words away: they are said less and less, not ten times a second.
-func TestSaysLessWhileTurnedAway(t *testing.T) {
-	l, said := New("edge/1"), 0
+// The store rejects all requests: records are sent less and less, not ten times a second.
+func TestRejectedRecordsAreSentLessAndLess(t *testing.T) {
+	c, sent := New("edge/1"), 0
 	for i := range 50 {
-		l.SetUnreported(0, string(rune('a'+i)), 1, 60)
+		c.SetUnreported(0, string(rune('a'+i)), 1, testTTL)
 	}
 	for now := 0.0; now < 10; now += 0.05 {
-		for _, a := range l.TakeRequests(now) {
-			said++
-			l.HandleResponse(now, &protocol.Response{RequestID: a.ID, NotLeader: true})
+		for _, request := range c.TakeRequests(now) {
+			sent++
+			c.HandleResponse(now, &protocol.Response{RequestID: request.ID, NotLeader: true})
 		}
 	}
-	if said > 50*10 {
-		t.Fatalf("%d words in ten seconds that nobody took", said)
+	if sent > 50*10 {
+		t.Fatalf("%d requests in ten seconds, all rejected", sent)
+	}
+}
+
+func TestMarkerOutcomeSaysWhetherADeliveryMayBegin(t *testing.T) {
+	tests := map[string]struct {
+		response protocol.Response
+		want     OutcomeKind
+	}{
+		"acquired":      {protocol.Response{Reply: statemachine.Reply{Code: statemachine.Done}}, MarkerAcquired},
+		"held":          {protocol.Response{Reply: statemachine.Reply{Code: statemachine.MarkerHeld}}, MarkerHeld},
+		"rejected":      {protocol.Response{NotLeader: true}, MarkerUnknown},
+		"unknown":       {protocol.Response{Unknown: true}, MarkerUnknown},
+		"lease expired": {protocol.Response{Reply: statemachine.Reply{Code: statemachine.LeaseExpired}}, MarkerUnknown},
+		"invalid":       {protocol.Response{Reply: statemachine.Reply{Code: statemachine.Invalid}}, MarkerUnknown},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			c := New("edge/1")
+			id := c.AcquireMarker("a", "", 1)
+			test.response.RequestID = id
+			if outcome := c.HandleResponse(0, &test.response); outcome.Kind != test.want || outcome.RequestID != id {
+				t.Errorf("%+v", outcome)
+			}
+			if again := c.HandleResponse(0, &test.response); again != (Outcome{}) {
+				t.Errorf("a second response means %+v", again)
+			}
+		})
 	}
 }
 
-// A mark's answer: begun by another, held, or not known.
-func TestMarks(t *testing.T) {
-	k := start(t)
-	k.l.AcquireMarker("a", "", 1)
-	if w := k.turn(); len(w) != 1 || w[0].Kind != MarkerAcquired {
-		t.Fatalf("%+v", w)
+// A marker is one client's; a second one knows that a delivery has begun, and none may begin if the stream is lost.
+func TestMarkerIsHeldByOneClient(t *testing.T) {
+	f := newStoreFixture(t)
+	f.client.AcquireMarker("a", "", 1)
+	if outcomes := f.turn(); len(outcomes) != 1 || outcomes[0].Kind != MarkerAcquired {
+		t.Fatalf("%+v", outcomes)
 	}
 	other := New("edge/2")
-	n := other.AcquireMarker("a", "", 1)
-	for _, a := range other.TakeRequests(k.now) {
-		r := k.state.Apply(&statemachine.Batch{Clock: k.now, Commands: []statemachine.Command{a.Command}})[0]
-		if w := other.HandleResponse(k.now, &protocol.Response{RequestID: a.ID, Reply: r}); a.ID == n && w.Kind != MarkerHeld {
-			t.Fatalf("%+v", w)
+	id, found := other.AcquireMarker("a", "", 1), false
+	for _, request := range other.TakeRequests(f.now) {
+		outcome := other.HandleResponse(f.now, &protocol.Response{RequestID: request.ID, Reply: f.apply(request.Command)})
+		if request.ID == id {
+			found = true
+			if outcome.Kind != MarkerHeld {
+				t.Fatalf("%+v", outcome)
+			}
 		}
 	}
-	k.l.AcquireMarker("b", "", 1)
-	k.l.TakeRequests(k.now)
-	if w := k.l.StreamLost(); len(w) != 1 || w[0].Kind != MarkerUnknown {
-		t.Fatalf("after the stream broke: %+v", w)
+	if !found {
+		t.Fatal("the marker was not requested")
+	}
+	f.client.AcquireMarker("b", "", 1)
+	f.client.TakeRequests(f.now)
+	if outcomes := f.client.StreamLost(); len(outcomes) != 1 || outcomes[0].Kind != MarkerUnknown {
+		t.Fatalf("after the stream was lost: %+v", outcomes)
+	}
+}
+
+func TestUnreportedRecordIsDue(t *testing.T) {
+	tests := map[string]struct {
+		record             unreportedRecord
+		amount, unreported float64
+		want               bool
+	}{
+		"nothing unreported":               {unreportedRecord{}, 5, 0, false},
+		"first unreported usage":           {unreportedRecord{}, 5, 1, true},
+		"a request is pending":             {unreportedRecord{requestID: 7}, 5, 1, false},
+		"the same is stored":               {unreportedRecord{state: recordStored, amount: 5}, 5, 1, false},
+		"less is stored":                   {unreportedRecord{state: recordStored, amount: 4}, 5, 1, true},
+		"less is stored and all reported":  {unreportedRecord{state: recordStored, amount: 4}, 5, 0, false},
+		"more is stored than is due":       {unreportedRecord{state: recordStored, amount: 6}, 5, 0, true},
+		"uncertain":                        {unreportedRecord{state: recordUncertain, amount: 5}, 5, 1, true},
+		"uncertain and nothing unreported": {unreportedRecord{state: recordUncertain, amount: 5}, 5, 0, true},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			if got := test.record.isDue(test.amount, test.unreported); got != test.want {
+				t.Errorf("due is %v", got)
+			}
+		})
+	}
+}
+
+func TestBackoffGrowsUpToItsLimitAndEndsWithASuccess(t *testing.T) {
+	var b backoff
+	now := 0.0
+	for i, want := range []float64{0.2, 0.4, 0.8, 1.6, 2, 2} {
+		b.update(now, true)
+		b.update(now, true) // of the same moment
+		if b.delay != want {
+			t.Errorf("after %d failures the delay is %v, wanted is %v", i+1, b.delay, want)
+		}
+		now += backoffInterval
+	}
+	if b.update(now, false); b.delay != 0 {
+		t.Errorf("after a success the delay is %v", b.delay)
+	}
+}
+
+// Customers of an epoch are forgotten once all that they used is recorded, and not before.
+func TestMetersBeginAnEpochOnceAllIsRecorded(t *testing.T) {
+	f := newStoreFixture(t)
+	f.client.MeterUsage("a", 1)
+	f.client.MeterUsage("a", 0)
+	f.client.MeterUsage("b", -1)
+	f.rejecting = true
+	for f.now < epochLength+1 {
+		f.turn()
+	}
+	if m := f.client.meters; m.epoch != 0 || len(m.customers) != 1 {
+		t.Fatalf("epoch %d, %d customers", m.epoch, len(m.customers))
+	}
+	f.rejecting = false
+	for range 12 { // the backoff is at most two seconds
+		f.turn()
+	}
+	if m := f.client.meters; m.epoch != 1 || len(m.customers) != 0 {
+		t.Errorf("epoch %d, %d customers", m.epoch, len(m.customers))
 	}
 }
--- a/quotastore/client/recorded_test.go
+++ b/quotastore/client/recorded_test.go
@@ -12,126 +12,174 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedAnswer makes what a store answers; a zero code means that all was done.
-func recordedAnswer(number uint64, reply statemachine.Reply) *protocol.Response {
-	return &protocol.Response{RequestID: number, Leader: 1, Reply: reply}
+// The bytes in testdata/recorded are as the code of commit 1895881 wrote them.
+
+// recordedSession is what a client requests, frame by frame, and what the responses mean.
+type recordedSession struct {
+	t        *testing.T
+	client   *Client
+	frames   []*protocol.Frame
+	outcomes []Outcome
 }
 
-// recordedLife has a gateway tell all that it can: counts, debts, marks, use, words that fail and are told again, being given
-// up and asking for what was its own, and a stream that breaks. It gives what is asked, frame by frame, and what the
-// answers meant.
-func recordedLife(t *testing.T) (asked []*protocol.Frame, words []Outcome) {
-	t.Helper()
-	l := New("edge-3.7f00ba12")
-	turn := func(now float64) (all []protocol.Request) {
-		if all = l.TakeRequests(now); len(all) > 0 {
-			asked = append(asked, protocol.RequestsFrame(all))
-		}
-		return all
+// respond hands over a response of the store; a zero code means that the command was applied.
+func (s *recordedSession) respond(now float64, id uint64, reply statemachine.Reply) {
+	s.handle(now, &protocol.Response{RequestID: id, Leader: 1, Reply: reply})
+}
+
+func (s *recordedSession) handle(now float64, response *protocol.Response) {
+	s.outcomes = append(s.outcomes, s.client.HandleResponse(now, response))
+}
+
+func (s *recordedSession) take(now float64) []protocol.Request {
+	requests := s.client.TakeRequests(now)
+	if len(requests) > 0 {
+		s.frames = append(s.frames, protocol.RequestsFrame(requests))
 	}
-	put := func(now float64, name string, amount, places float64) uint64 {
-		number, _, ok := l.ReportUsage(now, name, amount, places, 60)
-		if !ok {
-			t.Fatalf("%s can't be told", name)
-		}
-		return number
+	return requests
+}
+
+func (s *recordedSession) report(now float64, key string, amount, reserved float64) uint64 {
+	s.t.Helper()
+	id, _, ok := s.client.ReportUsage(now, key, amount, reserved, 60)
+	if !ok {
+		s.t.Fatalf("%s can't be reported", key)
 	}
-	turn(1)
-	first, second := put(1.01, "9041552", 3, 2), put(1.02, "9041552", 0.125, 0.5)
-	turn(1.02)
-	words = append(words, l.HandleResponse(1.03, recordedAnswer(first, statemachine.Reply{Total: 40, HolderTotal: 3, Clock: 99})),
-		l.HandleResponse(1.04, recordedAnswer(second, statemachine.Reply{Total: 41.5, HolderTotal: 3.125, Clock: 99.5})))
-	l.ClearUnreported()
-	l.SetUnreported(1.1, "9041552", 7.5, 60)
-	l.SetUnreported(1.1, "77", 0.1, 30)
-	mark, again := l.AcquireMarker("fc64a7745d3a91c4", "pool-a", 0.5), l.AcquireMarker("44ff55230e6f2b19", "", 50)
-	l.MeterUsage("gold 0011", 2.5)
-	l.MeterUsage("gold 0011", 1)
-	l.MeterUsage("free 0012", 0.25)
-	turn(1.3)
-	words = append(words, l.HandleResponse(1.31, recordedAnswer(mark, statemachine.Reply{Clock: 100})),
-		l.HandleResponse(1.32, recordedAnswer(again, statemachine.Reply{Code: statemachine.MarkerHeld, MarkerHolder: "edge-1.1.0"})))
-	l.ReleaseMarker("fc64a7745d3a91c4")
-	for _, a := range turn(1.4) { // turned away, and said again
-		words = append(words, l.HandleResponse(1.41, &protocol.Response{RequestID: a.ID, NotLeader: true, Leader: -1}))
+	return id
+}
+
+// playRecordedSession has a client request all that it can: reports, records, markers, metered usage, requests that fail and
+// are repeated, a lease that expires and queries of former usage, and a stream that is lost.
+func playRecordedSession(t *testing.T) *recordedSession {
+	t.Helper()
+	s := &recordedSession{t: t, client: New("edge-3.7f00ba12")}
+	s.playServed()
+	s.playRejected()
+	s.playLeaseLost()
+	s.playStreamLost()
+	return s
+}
+
+func (s *recordedSession) playServed() {
+	c := s.client
+	s.take(1)
+	first, second := s.report(1.01, "9041552", 3, 2), s.report(1.02, "9041552", 0.125, 0.5)
+	s.take(1.02)
+	s.respond(1.03, first, statemachine.Reply{Total: 40, HolderTotal: 3, Clock: 99})
+	s.respond(1.04, second, statemachine.Reply{Total: 41.5, HolderTotal: 3.125, Clock: 99.5})
+	c.ClearUnreported()
+	c.SetUnreported(1.1, "9041552", 7.5, 60)
+	c.SetUnreported(1.1, "77", 0.1, 30)
+	acquired, held := c.AcquireMarker("fc64a7745d3a91c4", "pool-a", 0.5), c.AcquireMarker("44ff55230e6f2b19", "", 50)
+	c.MeterUsage("gold 0011", 2.5)
+	c.MeterUsage("gold 0011", 1)
+	c.MeterUsage("free 0012", 0.25)
+	s.take(1.3)
+	s.respond(1.31, acquired, statemachine.Reply{Clock: 100})
+	s.respond(1.32, held, statemachine.Reply{Code: statemachine.MarkerHeld, MarkerHolder: "edge-1.1.0"})
+	c.ReleaseMarker("fc64a7745d3a91c4")
+}
+
+func (s *recordedSession) playRejected() {
+	for _, request := range s.take(1.4) {
+		s.handle(1.41, &protocol.Response{RequestID: request.ID, NotLeader: true, Leader: -1})
 	}
-	l.MeterUsage("gold 0011", 1)
-	lost := put(1.5, "77", 4, 4)
-	turn(1.7)
-	words = append(words, l.HandleResponse(1.71, &protocol.Response{RequestID: lost, Unknown: true}))
-	l.RetractUsage("77", 4, 4, false)
-	for _, a := range turn(2.6) { // given up: it goes on under another name, and asks for what was its own
-		words = append(words, l.HandleResponse(2.61, recordedAnswer(a.ID, statemachine.Reply{Code: statemachine.LeaseExpired, Clock: 110})))
+	s.client.MeterUsage("gold 0011", 1)
+	lost := s.report(1.5, "77", 4, 4)
+	s.take(1.7)
+	s.handle(1.71, &protocol.Response{RequestID: lost, Unknown: true})
+	s.client.RetractUsage("77", 4, 4, false)
+}
+
+func (s *recordedSession) playLeaseLost() {
+	for _, request := range s.take(2.6) {
+		s.respond(2.61, request.ID, statemachine.Reply{Code: statemachine.LeaseExpired, Clock: 110})
 	}
-	for _, a := range turn(2.7) {
+	for _, request := range s.take(2.7) {
 		reply := statemachine.Reply{Clock: 111}
-		if a.Command.Holder != l.Holder() {
+		if request.Command.Holder != s.client.Holder() {
 			reply = statemachine.Reply{Code: statemachine.LeaseExpired, HolderTotal: 1.5, Total: 50, Clock: 111}
 		}
-		words = append(words, l.HandleResponse(2.71, recordedAnswer(a.ID, reply)))
+		s.respond(2.71, request.ID, reply)
 	}
-	l.ClearUnreported()
-	l.SetUnreported(2.8, "9041552", 1.25, 60)
-	put(2.9, "9041552", 1, 0.5)
-	l.AcquireMarker("0123456789abcdef", "pool-b", 200)
-	turn(3.8)
-	words = append(words, l.StreamLost()...)
-	turn(6)
-	return asked, words
-}
-
-// What a gateway asks of stores is what the code of commit 1895881 asked, byte for byte, and is read as that.
-func TestAsksAreTheRecordedBytes(t *testing.T) {
-	asked, words := recordedLife(t)
+}
+
+func (s *recordedSession) playStreamLost() {
+	s.client.ClearUnreported()
+	s.client.SetUnreported(2.8, "9041552", 1.25, 60)
+	s.report(2.9, "9041552", 1, 0.5)
+	s.client.AcquireMarker("0123456789abcdef", "pool-b", 200)
+	s.take(3.8)
+	s.outcomes = append(s.outcomes, s.client.StreamLost()...)
+	s.take(6)
+}
+
+// stream is all frames of a client's stream.
+func (s *recordedSession) stream() []*protocol.Frame {
+	return append([]*protocol.Frame{protocol.ClientHello()}, s.frames...)
+}
+
+func recordedBytes(t *testing.T, name string) []byte {
+	t.Helper()
+	recorded, err := os.ReadFile(filepath.Join("testdata/recorded", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return recorded
+}
+
+func TestRequestsAreTheRecordedBytes(t *testing.T) {
 	var got []byte
 	kinds := map[statemachine.Kind]bool{}
-	for _, f := range append([]*protocol.Frame{protocol.ClientHello()}, asked...) {
+	for _, frame := range playRecordedSession(t).stream() {
 		var err error
-		if got, err = f.AppendTo(got); err != nil {
+		if got, err = frame.AppendTo(got); err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range f.Requests {
-			kinds[a.Command.Kind] = true
+		for _, request := range frame.Requests {
+			kinds[request.Command.Kind] = true
 		}
 	}
-	for _, kind := range []statemachine.Kind{statemachine.ReportUsage, statemachine.RenewLease, statemachine.RecordUnreported, statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage} {
+	for _, kind := range []statemachine.Kind{
+		statemachine.ReportUsage, statemachine.RenewLease, statemachine.RecordUnreported,
+		statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage,
+	} {
 		if !kinds[kind] {
-			t.Errorf("%v was never asked for", kind)
+			t.Errorf("%v was never requested", kind)
 		}
 	}
-	want, err := os.ReadFile(filepath.Join("testdata/recorded", "asks.bin"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("asked is\n%x\nrecorded is\n%x", got, want)
+	if want := recordedBytes(t, "asks.bin"); !bytes.Equal(got, want) {
+		t.Errorf("requested is\n%x\nrecorded is\n%x", got, want)
 	}
-	r := bytes.NewReader(want)
-	for i, f := range append([]*protocol.Frame{protocol.ClientHello()}, asked...) {
-		back, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
+}
+
+func TestRecordedRequestsAreRead(t *testing.T) {
+	r := bytes.NewReader(recordedBytes(t, "asks.bin"))
+	for i, want := range playRecordedSession(t).stream() {
+		got, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
 		if err != nil {
 			t.Fatal(i, err)
 		}
-		if !reflect.DeepEqual(back, f) {
-			t.Errorf("frame %d is read as\n%+v\nwanted is\n%+v", i, back, f)
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("frame %d is read as\n%+v\nwanted is\n%+v", i, got, want)
 		}
 	}
 	if r.Len() > 0 {
-		t.Errorf("%d bytes are recorded that nobody asked", r.Len())
+		t.Errorf("%d bytes are recorded that nobody requested", r.Len())
 	}
-	meant, err := os.ReadFile(filepath.Join("testdata/recorded", "meanings.bin"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if text := meanings(words); text != string(meant) {
-		t.Errorf("the answers meant\n%s\nrecorded is\n%s", text, meant)
+}
+
+func TestResponsesMeanWhatIsRecorded(t *testing.T) {
+	want := string(recordedBytes(t, "meanings.bin"))
+	if got := outcomeLines(playRecordedSession(t).outcomes); got != want {
+		t.Errorf("the responses meant\n%s\nrecorded is\n%s", got, want)
 	}
 }
 
-// meanings is one line for each answer, without names of fields.
-func meanings(words []Outcome) (text string) {
-	for _, w := range words {
-		text += fmt.Sprintln(int(w.Kind), w.RequestID, w.Total, w.Rejected, w.Unknown)
+// outcomeLines is one line for each outcome, without names of fields.
+func outcomeLines(outcomes []Outcome) (lines string) {
+	for _, o := range outcomes {
+		lines += fmt.Sprintln(int(o.Kind), o.RequestID, o.Total, o.Rejected, o.Unknown)
 	}
-	return text
+	return lines
 }
