--- a/Makefile
+++ b/Makefile
@@ -23,7 +23,7 @@
 fuzz:
 	go test -fuzz FuzzMessage -fuzztime 60s ./gateway/http1
 	go test -fuzz FuzzRestore -fuzztime 60s ./quotastore/statemachine
-	go test -fuzz FuzzBatch -fuzztime 60s ./quotastore/statemachine
+	go test -fuzz FuzzDecodeBatch -fuzztime 60s ./quotastore/statemachine
 	go test -fuzz FuzzFrame -fuzztime 60s ./quotastore/replication
 
 # faults between real processes at moments drawn by seeds; SEED and SEEDS may be given
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -279,3 +279,34 @@
 		t.Error("docs/glossary.md has no table of five columns")
 	}
 }
+
+var (
+	fuzzCommand = regexp.MustCompile(`-fuzz (\w+) .*\./(\S+)`)
+	makeTarget  = regexp.MustCompile("`make ([a-z-]+)`|^    make ([a-z-]+)")
+)
+
+func TestMakefileNamesFuzzTargetsThatExist(t *testing.T) {
+	declared := readIndex(t)
+	found := fuzzCommand.FindAllStringSubmatch(readPage(t, "Makefile"), -1)
+	if len(found) == 0 {
+		t.Fatal("the Makefile runs no fuzz target")
+	}
+	for _, command := range found {
+		if !declared.packages[command[2]] || !declared.names[filepath.Base(command[2])+"."+command[1]] {
+			t.Errorf("there is no %s in %s", command[1], command[2])
+		}
+	}
+}
+
+func TestPagesNameMakeTargetsThatExist(t *testing.T) {
+	makefile := "\n" + readPage(t, "Makefile")
+	for _, page := range pages(t) {
+		for number, line := range strings.Split(readPage(t, page), "\n") {
+			for _, target := range makeTarget.FindAllStringSubmatch(line, -1) {
+				if name := target[1] + target[2]; !strings.Contains(makefile, "\n"+name+":") {
+					t.Errorf("%s:%d: the Makefile has no target %s", page, number+1, name)
+				}
+			}
+		}
+	}
+}
