--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -96,11 +96,11 @@
 	if err != nil {
 		return err
 	}
-	wishes, err := operatorconfig.Read()
+	operator, err := operatorconfig.Read()
 	if err != nil {
 		return err
 	}
-	f.Settings.Members, f.Settings.Damps = wishes.Members(), wishes.Overload.On
+	f.Settings.Members, f.Settings.Damps = operator.MembershipShare(), operator.Overload.Enabled
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("configuration: seed: %w", err)
@@ -137,12 +137,12 @@
 	hosts := server.NewHosts(ctx, group, loop, buffers, hostsMost, f.Settings.Caps.Connect, f.Settings.Caps.Idle)
 	counter := server.NewCounter(ctx, group, loop, f.Settings.Extra.Limit)
 	var copies *server.Copies
-	if w := wishes.Copies; len(w.Keepers) > 0 {
-		copies = server.NewCopies(ctx, group, loop, w.Keepers, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
-		copies.Hold(counter, w.Counts, w.Marks, w.Use)
+	if store := operator.QuotaStore; len(store.Replicas) > 0 {
+		copies = server.NewCopies(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
+		copies.Hold(counter, store.Counters, store.Markers, store.Metering)
 	}
 	discovery := server.NewDiscovery(ctx, group, loop, log)
-	if wishes.Overload.On {
+	if operator.Overload.Enabled {
 		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Balancers, seed), overload.DecorrelatedBackoffs(f.Settings.Balancers, seed+1)
 	}
 	clients, err := server.NewClients(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
@@ -151,7 +151,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 
-	if copies == nil || !wishes.Copies.Counts {
+	if copies == nil || !operator.QuotaStore.Counters {
 		counter.Use(f.counter())
 	}
 	group.Go(func() error { return loop.Run(ctx, module, hosts, counter, peers) })
--- a/gateway/simadapter/host.go
+++ b/gateway/simadapter/host.go
@@ -17,11 +17,11 @@
 
 // Run answers every batch on in until it ends.
 func Run(in io.Reader, out io.Writer) error {
-	wishes, err := operatorconfig.Read()
+	operator, err := operatorconfig.Read()
 	if err != nil {
 		return err
 	}
-	p := &process{members: wishes.Members(), damps: wishes.Overload.On, gateways: map[int]*instance{}, lists: map[int][]policy.HostEntry{}}
+	p := &process{members: operator.MembershipShare(), damps: operator.Overload.Enabled, gateways: map[int]*instance{}, lists: map[int][]policy.HostEntry{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for {
 		line, err := r.ReadBytes('\n')
