--- /dev/null
+++ b/tier/control/api/api_test.go
@@ -0,0 +1,128 @@
+package api
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"otterseam/tier/codes"
+	"otterseam/tier/control/state"
+	"otterseam/tier/controlclient"
+)
+
+// fakeBackend answers as it is told.
+type fakeBackend struct {
+	mayForward error
+	mayServe   bool
+	keeps      bool
+	result     state.Result
+	err        error
+
+	rejected  int
+	submitted []state.Command
+}
+
+func (f *fakeBackend) MayForward() error                             { return f.mayForward }
+func (f *fakeBackend) MayServe() bool                                { return f.mayServe }
+func (f *fakeBackend) KeepsSession(controlclient.HostHeartbeat) bool { return f.keeps }
+func (f *fakeBackend) RejectHeartbeat()                              { f.rejected++ }
+func (f *fakeBackend) Deregister(context.Context, string) (state.Result, error) {
+	return f.result, f.err
+}
+
+func (f *fakeBackend) RetirementState(context.Context, string) (state.Result, error) {
+	return f.result, f.err
+}
+
+func (f *fakeBackend) Heartbeat(context.Context, controlclient.HostHeartbeat) (state.Result, error) {
+	return f.result, f.err
+}
+
+func (f *fakeBackend) Submit(_ context.Context, command state.Command) (state.Result, error) {
+	f.submitted = append(f.submitted, command)
+	return f.result, f.err
+}
+
+// ask sends a request and returns status and body.
+func ask(t *testing.T, backend Backend, method, path, body string, header http.Header) (int, string) {
+	t.Helper()
+	request := httptest.NewRequest(method, path, strings.NewReader(body))
+	for name, values := range header {
+		request.Header[name] = values
+	}
+	w := httptest.NewRecorder()
+	New(Config{Address: "10.0.0.1:7000", StoresNeeded: 2}, backend).Handler().ServeHTTP(w, request)
+	return w.Code, w.Body.String()
+}
+
+const validHeartbeat = `{"service":"s","address":"10.0.1.1:8000"}`
+
+func TestAHeartbeatIsAnsweredByWhatTheProcessCanProve(t *testing.T) {
+	const path = "/v1/instances/h/heartbeat"
+	for name, test := range map[string]struct {
+		backend  fakeBackend
+		body     string
+		status   int
+		answer   string
+		rejected int
+	}{
+		"kept here":        {fakeBackend{keeps: true, mayServe: true}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.1:7000"}`, 0},
+		"lease just ended": {fakeBackend{keeps: true}, validHeartbeat, http.StatusOK, `{}`, 0},
+		"no lease":         {fakeBackend{mayForward: codes.Unavailable}, validHeartbeat, http.StatusServiceUnavailable, "no contact", 1},
+		"by the primary":   {fakeBackend{mayServe: true}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.1:7000"}`, 0},
+		"stale":            {fakeBackend{result: state.Result{Code: codes.HostStale}}, validHeartbeat, http.StatusOK, `{}`, 0},
+		"unclear":          {fakeBackend{err: codes.Timeout}, validHeartbeat, http.StatusServiceUnavailable, codes.Timeout.Error(), 0},
+		"without address":  {fakeBackend{keeps: true}, `{"service":"s"}`, http.StatusBadRequest, "needs service and address", 0},
+		"too long":         {fakeBackend{}, strings.Repeat(" ", maxBodyBytes+1), http.StatusRequestEntityTooLarge, "longer than 65536 bytes", 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			status, answer := ask(t, &test.backend, http.MethodPost, path, test.body, nil)
+			if status != test.status || !strings.Contains(answer, test.answer) || test.backend.rejected != test.rejected {
+				t.Errorf("%d %s, %d rejected", status, answer, test.backend.rejected)
+			}
+		})
+	}
+}
+
+func TestAChangeIsSubmittedOnlyIfItCanBeRead(t *testing.T) {
+	const valid = `{"version":7,"routes":[{"name":"a","path_prefix":"/","timeout_ms":1,"service":"chat"}],"services":[{"name":"chat"}]}`
+	for name, test := range map[string]struct {
+		backend   fakeBackend
+		base      string
+		body      string
+		status    int
+		submitted int
+	}{
+		"taken":            {fakeBackend{}, "6", valid, http.StatusOK, 1},
+		"another base":     {fakeBackend{result: state.Result{Code: codes.ConfigBase}}, "6", valid, http.StatusPreconditionFailed, 1},
+		"no commit":        {fakeBackend{err: codes.Timeout}, "6", valid, http.StatusServiceUnavailable, 1},
+		"no lease":         {fakeBackend{mayForward: codes.Unavailable}, "6", valid, http.StatusServiceUnavailable, 0},
+		"without a base":   {fakeBackend{}, "", valid, http.StatusBadRequest, 0},
+		"invalid":          {fakeBackend{}, "6", `{"version":0}`, http.StatusBadRequest, 0},
+		"base no number":   {fakeBackend{}, "six", valid, http.StatusBadRequest, 0},
+		"base with spaces": {fakeBackend{}, " 6 ", valid, http.StatusOK, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			header := http.Header{baseVersionHeader: {test.base}}
+			status, answer := ask(t, &test.backend, http.MethodPost, "/v1/config/replace", test.body, header)
+			if status != test.status || len(test.backend.submitted) != test.submitted {
+				t.Fatalf("%d %s, %d submitted", status, answer, len(test.backend.submitted))
+			}
+			if test.submitted > 0 {
+				if change := test.backend.submitted[0].(state.ReplaceConfig); change.Base != 6 || change.Version != 7 || string(change.Body) != test.body {
+					t.Errorf("submitted %+v", change)
+				}
+			}
+		})
+	}
+}
+
+func TestARetirementNamesHowManyStoresHaveToRemain(t *testing.T) {
+	backend := &fakeBackend{}
+	status, answer := ask(t, backend, http.MethodPost, "/v1/retire/store-a/begin", `{"deadline_s":30}`, nil)
+	if status != http.StatusOK || len(backend.submitted) != 1 || backend.submitted[0] != (state.RetireNode{Node: "store-a", Needed: 2}) {
+		t.Fatalf("%d %s, submitted %+v", status, answer, backend.submitted)
+	}
+}
--- a/tier/control/dispatch.go
+++ b/tier/control/dispatch.go
@@ -29,7 +29,7 @@
 	case controlclient.KindLocate:
 		s.elector.HandleLocate(message)
 	case controlclient.KindPreVote:
-		go s.elector.HandleSupport(message)
+		go s.elector.HandlePreVote(message)
 	case controlclient.KindPrepare:
 		go s.elector.HandlePrepare(message)
 	case controlclient.KindAccept:
--- a/tier/control/doc.go
+++ b/tier/control/doc.go
@@ -27,7 +27,8 @@
 // # Locks
 //
 // Each part has one lock of its own, told in its comment, and calls no other part under it. The replica's lock, package multigroup's,
-// may be held when the locks of Sessions are taken (Members.Handle), never the other way round.
+// may be held when the lock of State is taken (Apply), under which comes that of its view, or the lock of Sessions (Members.Handle);
+// never the other way round.
 //
 // # The life of a configuration change
 //
@@ -35,5 +36,5 @@
 //  2. proposal/proposal.go has it committed by the primary.
 //  3. state/config.go checks the version against the one in place and puts the change in force for new subscribers.
 //  4. package feed, with the server's Publisher, distributes it to agents and proxies while the lease lasts.
-//  5. tier/proxy/config.go puts it in force for traffic.
+//  5. package proxy puts it in force for traffic.
 package control
--- a/tier/control/election/witness.go
+++ b/tier/control/election/acceptor.go
@@ -10,10 +10,10 @@
 	"otterseam/tier/rpc"
 )
 
-// witnessValue is the stored value that holds the witness.
-const witnessValue = "witness"
+// acceptorValue is the stored value that holds the acceptor.
+const acceptorValue = "witness"
 
-// HandlePrepare answers a prepare for this process's witness.
+// HandlePrepare answers a prepare for this process's acceptor.
 func (e *Elector) HandlePrepare(message rpc.Message) {
 	request, err := decodePrepareRequest(message.Payload)
 	if err != nil {
@@ -34,7 +34,7 @@
 	message.Answer(codes.OK, e.response(granted))
 }
 
-// HandleAccept answers an accept for this process's witness.
+// HandleAccept answers an accept for this process's acceptor.
 func (e *Elector) HandleAccept(message rpc.Message) {
 	request, err := decodeAcceptRequest(message.Payload)
 	if err != nil {
@@ -59,52 +59,52 @@
 	message.Answer(codes.OK, answer)
 }
 
-// vote changes the witness and makes the change durable before it counts; the lock on voting is held.
+// vote changes the acceptor and makes the change durable before it counts; the lock on voting is held.
 func (e *Elector) vote(change func(*consensus.Acceptor) bool) bool {
 	e.mu.Lock()
-	next := e.witness
+	next := e.acceptor
 	e.mu.Unlock()
 	if !change(&next) {
 		return false
 	}
-	if err := e.Node.Values.Write(witnessValue, next.Encode()); err != nil {
+	if err := e.Node.Values.Write(acceptorValue, next.Encode()); err != nil {
 		e.Log.WithError(err).Error("witness could not be written; no vote is given")
 		return false
 	}
 	e.mu.Lock()
-	e.witness = next
+	e.acceptor = next
 	e.mu.Unlock()
 	return true
 }
 
-// response is the encoded answer of the witness as it stands.
+// response is the encoded answer of the acceptor as it stands.
 func (e *Elector) response(granted bool) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return encodeResponse(consensus.Response{
-		Granted: granted, Promised: e.witness.Promised, Accepted: e.witness.Accepted, Value: e.witness.Value,
+		Granted: granted, Promised: e.acceptor.Promised, Accepted: e.acceptor.Accepted, Value: e.acceptor.Value,
 	})
 }
 
-// witnessTransport reaches the witnesses of other processes, and this one's, over rpc.
-type witnessTransport struct {
+// acceptorTransport reaches the acceptors of other processes, and this one's, over rpc.
+type acceptorTransport struct {
 	elector *Elector
 	mode    PrepareMode
 }
 
-// Prepare asks a witness to promise a proposal number.
-func (t witnessTransport) Prepare(ctx context.Context, to consensus.Member, number consensus.ProposalNumber) (consensus.Response, error) {
+// Prepare asks an acceptor to promise a proposal number.
+func (t acceptorTransport) Prepare(ctx context.Context, to consensus.Member, number consensus.ProposalNumber) (consensus.Response, error) {
 	request := prepareRequest{To: to.ID, Mode: t.mode, Number: number}
 	return t.call(ctx, to, controlclient.KindPrepare, request.encode())
 }
 
-// Accept asks a witness to accept a record.
-func (t witnessTransport) Accept(ctx context.Context, to consensus.Member, number consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
+// Accept asks an acceptor to accept a record.
+func (t acceptorTransport) Accept(ctx context.Context, to consensus.Member, number consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
 	request := acceptRequest{To: to.ID, Number: number, Record: value}
 	return t.call(ctx, to, controlclient.KindAccept, request.encode())
 }
 
-func (t witnessTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Response, error) {
+func (t acceptorTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Response, error) {
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	answer, err := t.elector.Clients.To(to.Address).Call(call, kind, payload)
--- a/tier/control/election/bootstrap.go
+++ b/tier/control/election/bootstrap.go
@@ -15,7 +15,7 @@
 // that is up was asked at least once.
 const bootstrapWait = 700
 
-// FindOrBootstrap looks for a cluster, or founds it where the settings say that there is none.
+// FindOrBootstrap looks for a cluster, or bootstraps it where the settings say that there is none.
 func (f *Failover) FindOrBootstrap(ctx context.Context) {
 	f.locate(ctx)
 	seeds := f.elector.BootstrapSeeds()
@@ -30,7 +30,7 @@
 		return
 	}
 	if err := f.elector.bootstrap(ctx, members, len(seeds)); err != nil {
-		f.elector.Log.WithError(err).Warn("founding did not succeed; trying again")
+		f.elector.Log.WithError(err).Warn("bootstrap did not succeed; trying again")
 	}
 }
 
--- a/tier/control/election/elector.go
+++ b/tier/control/election/elector.go
@@ -41,12 +41,12 @@
 	Now func() int64
 	// Seeds lists the addresses at which control processes may be, as the settings say now.
 	Seeds func() []string
-	// Bootstrap says that this process may found the cluster, with the processes at BootstrapSeeds.
+	// Bootstrap says that this process may bootstrap the cluster, with the processes at BootstrapSeeds.
 	Bootstrap      bool
 	BootstrapSeeds func() []string
 }
 
-// Elector is a control process's part in the register: its witness, and what it knows of the group. Its methods may be called from
+// Elector is a control process's part in the register: its acceptor, and what it knows of the group. Its methods may be called from
 // any goroutine.
 type Elector struct {
 	Config
@@ -55,29 +55,29 @@
 	rounds     *consensus.RoundAllocator
 	startedAt  int64 // of this process
 
-	voting  sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
-	mu      sync.Mutex // guards what follows; nothing is called under it
-	witness consensus.Acceptor
-	known   consensus.Record // the newest record seen: accepted here, told, or decided here
-	decided bool             // whether known was decided by a proposal of this process
-	learned int64            // when an epoch as new as that of known was seen first
-	led     bool             // whether this process has become primary in its present incarnation
+	voting   sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
+	mu       sync.Mutex // guards what follows; nothing is called under it
+	acceptor consensus.Acceptor
+	known    consensus.Record // the newest record seen: accepted here, told, or decided here
+	decided  bool             // whether known was decided by a proposal of this process
+	learned  int64            // when an epoch as new as that of known was seen first
+	led      bool             // whether this process has become primary in its present incarnation
 }
 
-// New opens the witness of a control process.
+// New opens the acceptor of a control process.
 func New(config Config) (*Elector, error) {
 	e := &Elector{Config: config, identities: newIdentities(config.Self, config.Now), startedAt: config.Now()}
-	content, err := e.Node.Values.Read(witnessValue)
+	content, err := e.Node.Values.Read(acceptorValue)
 	if err != nil {
 		return nil, err
 	}
 	if content != nil {
-		if e.witness, err = consensus.DecodeAcceptor(content); err != nil {
+		if e.acceptor, err = consensus.DecodeAcceptor(content); err != nil {
 			return nil, err
 		}
-		e.known = e.witness.Value
+		e.known = e.acceptor.Value
 	}
-	if e.rounds, err = openRounds(e.Node.Values, e.witness); err != nil {
+	if e.rounds, err = openRounds(e.Node.Values, e.acceptor); err != nil {
 		return nil, err
 	}
 	if err := e.rounds.Reserve(); err != nil {
@@ -178,13 +178,13 @@
 
 // proposer proposes in the name of this process.
 func (e *Elector) proposer(mode PrepareMode) consensus.Proposer {
-	return consensus.Proposer{ID: e.Node.Identity, Rounds: e.rounds, Transport: witnessTransport{e, mode}}
+	return consensus.Proposer{ID: e.Node.Identity, Rounds: e.rounds, Transport: acceptorTransport{e, mode}}
 }
 
 // decide runs a proposal and notes what it decided.
 func (e *Elector) decide(ctx context.Context, proposal func(context.Context) (consensus.Record, error)) (consensus.Record, error) {
 	e.mu.Lock()
-	promised := e.witness.Promised.Round
+	promised := e.acceptor.Promised.Round
 	e.mu.Unlock()
 	e.rounds.Observe(promised)
 	attempt, cancel := context.WithTimeout(ctx, ProposeTimeout)
--- a/tier/control/election/elector_test.go
+++ b/tier/control/election/elector_test.go
@@ -10,30 +10,30 @@
 	"otterseam/tier/storage"
 )
 
-// localWitnesses are witnesses that answer at once, but that the first accepts reach the first witness alone, and that the third
+// localAcceptors are acceptors that answer at once, but that the first accepts reach the first witness alone, and that the third
 // one is cut off from then on.
-type localWitnesses struct {
-	witnesses map[uint64]*consensus.Acceptor
+type localAcceptors struct {
+	acceptors map[uint64]*consensus.Acceptor
 	cut       int // accepts that are still to be lost
 }
 
 var errCut = errors.New("cut off")
 
-func (l *localWitnesses) Prepare(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
+func (l *localAcceptors) Prepare(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
 	if l.cut == 0 && to.ID == 3 {
 		return consensus.Response{}, errCut
 	}
-	w := l.witnesses[to.ID]
+	w := l.acceptors[to.ID]
 	given := w.Prepare(ballot)
 	return consensus.Response{Granted: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
 }
 
-func (l *localWitnesses) Accept(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
+func (l *localAcceptors) Accept(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
 	if l.cut > 0 && to.ID != 1 {
 		l.cut--
 		return consensus.Response{}, errCut
 	}
-	w := l.witnesses[to.ID]
+	w := l.acceptors[to.ID]
 	given := w.Accept(ballot, value)
 	return consensus.Response{Granted: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
 }
@@ -59,10 +59,10 @@
 // A takeover whose first attempt reached one witness only meets its own value at the second attempt. It has been taken, once.
 func TestAProposalThatMeetsItsOwnValueHasWon(t *testing.T) {
 	members := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}
-	local := &localWitnesses{witnesses: map[uint64]*consensus.Acceptor{}, cut: 2}
+	local := &localAcceptors{acceptors: map[uint64]*consensus.Acceptor{}, cut: 2}
 	start := consensus.Record{Epoch: 5, Primary: 2, InSync: []uint64{1, 2, 3}, Members: members}
 	for _, member := range members {
-		local.witnesses[member.ID] = &consensus.Acceptor{Accepted: consensus.ProposalNumber{Round: 1, Proposer: 2}, Value: start}
+		local.acceptors[member.ID] = &consensus.Acceptor{Accepted: consensus.ProposalNumber{Round: 1, Proposer: 2}, Value: start}
 	}
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Epoch > start.Epoch {
--- a/tier/control/election/failover.go
+++ b/tier/control/election/failover.go
@@ -79,7 +79,7 @@
 // win disturbs nobody. One without support looks around: whom it knows may have been replaced, or it may have the disk of another
 // cluster.
 func (f *Failover) takeOver(ctx context.Context, mode PrepareMode, epoch uint64) {
-	if !f.elector.hasSupport(ctx, mode, epoch) {
+	if !f.elector.winsPreVote(ctx, mode, epoch) {
 		if mode != PrepareOnTransfer {
 			f.locateUnlessRecent(ctx)
 		}
--- a/tier/control/election/messages.go
+++ b/tier/control/election/messages.go
@@ -10,19 +10,19 @@
 // or tells that it has not.
 const KindTakeOver rpc.Kind = 30
 
-// PrepareMode tells a witness why it is asked.
+// PrepareMode tells an acceptor why it is asked.
 type PrepareMode uint8
 
-// The reasons to ask a witness.
+// The reasons to ask an acceptor.
 const (
 	PrepareBySelf     PrepareMode = iota // the primary itself, or a process that bootstraps
 	PrepareOnSilence                     // the primary is not heard
 	PrepareOnTransfer                    // the primary asked for it
 )
 
-// prepareRequest asks a witness to promise a proposal number. A proposer sends it with controlclient.KindPrepare.
+// prepareRequest asks an acceptor to promise a proposal number. A proposer sends it with controlclient.KindPrepare.
 type prepareRequest struct {
-	To     uint64 // identity of the witness
+	To     uint64 // identity of the acceptor
 	Mode   PrepareMode
 	Number consensus.ProposalNumber
 }
@@ -41,9 +41,9 @@
 	return r, d.Err()
 }
 
-// acceptRequest asks a witness to accept a record. A proposer sends it with controlclient.KindAccept.
+// acceptRequest asks an acceptor to accept a record. A proposer sends it with controlclient.KindAccept.
 type acceptRequest struct {
-	To     uint64 // identity of the witness
+	To     uint64 // identity of the acceptor
 	Number consensus.ProposalNumber
 	Record consensus.Record
 }
@@ -62,7 +62,7 @@
 	return r, d.Err()
 }
 
-// encodeResponse is a witness's answer to both.
+// encodeResponse is an acceptor's answer to both.
 func encodeResponse(r consensus.Response) []byte {
 	var e codec.Encoder
 	e.Bool(r.Granted)
@@ -80,15 +80,15 @@
 	return r, d.Err()
 }
 
-// supportRequest asks a voter whether it would follow a candidate. A candidate sends it with controlclient.KindPreVote.
-type supportRequest struct {
+// preVoteRequest asks a voter whether it would vote for a candidate. A candidate sends it with controlclient.KindPreVote.
+type preVoteRequest struct {
 	To        uint64 // identity of the voter
 	Candidate uint64
 	Epoch     uint64 // whose primary is to be replaced
 	Mode      PrepareMode
 }
 
-func (r supportRequest) encode() []byte {
+func (r preVoteRequest) encode() []byte {
 	var e codec.Encoder
 	e.Uint64(r.To)
 	e.Uint64(r.Candidate)
@@ -97,28 +97,28 @@
 	return e.Bytes
 }
 
-func decodeSupportRequest(payload []byte) (supportRequest, error) {
+func decodePreVoteRequest(payload []byte) (preVoteRequest, error) {
 	d := codec.NewDecoder(payload)
-	r := supportRequest{To: d.Uint64(), Candidate: d.Uint64(), Epoch: d.Uint64(), Mode: PrepareMode(d.Uint8())}
+	r := preVoteRequest{To: d.Uint64(), Candidate: d.Uint64(), Epoch: d.Uint64(), Mode: PrepareMode(d.Uint8())}
 	return r, d.Err()
 }
 
-// supportResponse is a voter's answer, with the record that it knows.
-type supportResponse struct {
+// preVoteResponse is a voter's answer, with the record that it knows.
+type preVoteResponse struct {
 	Supported bool
 	Record    consensus.Record
 }
 
-func (r supportResponse) encode() []byte {
+func (r preVoteResponse) encode() []byte {
 	var e codec.Encoder
 	e.Bool(r.Supported)
 	consensus.EncodeRecord(&e, r.Record)
 	return e.Bytes
 }
 
-func decodeSupportResponse(data []byte) (supportResponse, error) {
+func decodePreVoteResponse(data []byte) (preVoteResponse, error) {
 	d := codec.NewDecoder(data)
-	r := supportResponse{Supported: d.Bool(), Record: consensus.DecodeRecord(d)}
+	r := preVoteResponse{Supported: d.Bool(), Record: consensus.DecodeRecord(d)}
 	return r, d.Err()
 }
 
--- a/tier/control/election/prevote.go
+++ b/tier/control/election/prevote.go
@@ -38,9 +38,9 @@
 	return !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch})
 }
 
-// HandleSupport answers a candidate that asks whether it would be followed. Nothing is promised.
-func (e *Elector) HandleSupport(message rpc.Message) {
-	request, err := decodeSupportRequest(message.Payload)
+// HandlePreVote answers a candidate that asks whether it would be followed. Nothing is promised.
+func (e *Elector) HandlePreVote(message rpc.Message) {
+	request, err := decodePreVoteRequest(message.Payload)
 	if err != nil {
 		message.Answer(codes.Malformed, nil)
 		return
@@ -50,12 +50,12 @@
 		return
 	}
 	supported := e.supports(request.Candidate, request.Epoch, request.Mode)
-	message.Answer(codes.OK, supportResponse{Supported: supported, Record: e.Known()}.encode())
+	message.Answer(codes.OK, preVoteResponse{Supported: supported, Record: e.Known()}.encode())
 }
 
-// hasSupport asks all voters whether they would help this process to replace the primary of an epoch. It returns once enough
+// winsPreVote asks all voters whether they would help this process to replace the primary of an epoch. It returns once enough
 // would, or enough would not.
-func (e *Elector) hasSupport(ctx context.Context, mode PrepareMode, epoch uint64) bool {
+func (e *Elector) winsPreVote(ctx context.Context, mode PrepareMode, epoch uint64) bool {
 	known := e.Known()
 	voters := known.Voters()
 	type reply struct {
@@ -84,14 +84,14 @@
 	if voter.ID == e.Node.Identity {
 		return e.supports(voter.ID, epoch, mode)
 	}
-	request := supportRequest{To: voter.ID, Candidate: e.Node.Identity, Epoch: epoch, Mode: mode}
+	request := preVoteRequest{To: voter.ID, Candidate: e.Node.Identity, Epoch: epoch, Mode: mode}
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	answer, err := e.Clients.To(voter.Address).Call(call, controlclient.KindPreVote, request.encode())
 	if err != nil {
 		return false
 	}
-	response, err := decodeSupportResponse(answer)
+	response, err := decodePreVoteResponse(answer)
 	if err != nil {
 		return false
 	}
--- a/tier/control/election/recorded_test.go
+++ b/tier/control/election/recorded_test.go
@@ -50,7 +50,7 @@
 		case controlclient.KindLocate:
 			f.elector.HandleLocate(m)
 		case controlclient.KindPreVote:
-			go f.elector.HandleSupport(m)
+			go f.elector.HandlePreVote(m)
 		case controlclient.KindPrepare:
 			go f.elector.HandlePrepare(m)
 		case controlclient.KindAccept:
@@ -124,8 +124,8 @@
 		}
 	}
 	elector := recordedFailover(t, restored).elector
-	if !reflect.DeepEqual(elector.witness, witness) || !reflect.DeepEqual(elector.Known(), witness.Value) {
-		t.Errorf("witness %+v, known %+v", elector.witness, elector.Known())
+	if !reflect.DeepEqual(elector.acceptor, witness) || !reflect.DeepEqual(elector.Known(), witness.Value) {
+		t.Errorf("witness %+v, known %+v", elector.acceptor, elector.Known())
 	}
 	stored := recorded.Read(t, "stored-rounds")
 	limit := binary.BigEndian.Uint64(stored[len(stored)-8:])
@@ -154,7 +154,7 @@
 // A proposer asks for votes as recorded, and reads the recorded answers.
 func TestRecordedCallsForVotes(t *testing.T) {
 	elector := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
-	transport := witnessTransport{elector, PrepareOnTransfer}
+	transport := acceptorTransport{elector, PrepareOnTransfer}
 	witness := fixture.Witness()
 	to := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindPrepare, "prepare", "prepare-answer")}
 	got, err := transport.Prepare(recordedContext(t), to, fixture.Ballot())
--- a/tier/control/heartbeat/hosts.go
+++ b/tier/control/heartbeat/hosts.go
@@ -63,7 +63,7 @@
 		}
 		return h.Lease.MayServe()
 	}
-	h.unreported.Add(session.HostHeartbeat{Heartbeat: heartbeat, At: h.Now()})
+	h.unreported.Add(session.AcknowledgedHeartbeat{Heartbeat: heartbeat, At: h.Now()})
 	return h.Lease.MayServe()
 }
 
@@ -118,7 +118,7 @@
 }
 
 // sendReport tells the primary which hosts were heard. It returns those that the primary has removed meanwhile.
-func (h *Hosts) sendReport(ctx context.Context, heard session.HostHeartbeats) (missing []string, told bool) {
+func (h *Hosts) sendReport(ctx context.Context, heard session.AcknowledgedHeartbeats) (missing []string, told bool) {
 	report := controlclient.HeartbeatReport{From: h.Node.Identity}
 	now := h.Now()
 	for id, host := range heard {
@@ -139,7 +139,7 @@
 }
 
 // register puts hosts back on the list whose heartbeats were acknowledged here while the primary removed them.
-func (h *Hosts) register(ctx context.Context, heard session.HostHeartbeats, missing []string) {
+func (h *Hosts) register(ctx context.Context, heard session.AcknowledgedHeartbeats, missing []string) {
 	for _, id := range missing {
 		heartbeat := heard[id].Heartbeat
 		call, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -148,7 +148,7 @@
 		})
 		cancel()
 		if err != nil {
-			h.unreported.PutBack(session.HostHeartbeats{id: heard[id]})
+			h.unreported.PutBack(session.AcknowledgedHeartbeats{id: heard[id]})
 		}
 	}
 }
--- a/tier/control/reconcile/reconciler.go
+++ b/tier/control/reconcile/reconciler.go
@@ -116,7 +116,7 @@
 	eject, ended := r.Ejector.Decide(func() outlier.Fleet { return ejection.FleetOf(r.State) }, r.Now())
 	var commands []state.Command
 	for _, each := range eject {
-		r.Log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host set aside: it fails where its peers do not")
+		r.Log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host ejected: it fails where its peers do not")
 		commands = append(commands, state.EjectHost{ID: each.Host, TermMS: each.DurationMS})
 	}
 	for _, host := range ended {
--- a/tier/control/session/unreported.go
+++ b/tier/control/session/unreported.go
@@ -6,30 +6,30 @@
 	"otterseam/tier/controlclient"
 )
 
-// HostHeartbeat is a host's heartbeat that this process acknowledged.
-type HostHeartbeat struct {
+// AcknowledgedHeartbeat is a host's heartbeat that this process acknowledged.
+type AcknowledgedHeartbeat struct {
 	Heartbeat controlclient.HostHeartbeat
 	At        int64 // when it came, on this process's clock in milliseconds
 }
 
-// HostHeartbeats is the newest such heartbeat of each host, by id.
-type HostHeartbeats map[string]HostHeartbeat
+// AcknowledgedHeartbeats is the newest such heartbeat of each host, by id.
+type AcknowledgedHeartbeats map[string]AcknowledgedHeartbeat
 
 // UnreportedHosts holds the heartbeats of hosts that the primary was not told of yet. The zero value is empty and ready to use.
 type UnreportedHosts struct {
 	mu    sync.Mutex // guards hosts
-	hosts HostHeartbeats
+	hosts AcknowledgedHeartbeats
 }
 
 // Add notes a heartbeat in place of an older one of the host.
-func (u *UnreportedHosts) Add(heartbeat HostHeartbeat) {
+func (u *UnreportedHosts) Add(heartbeat AcknowledgedHeartbeat) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.put(heartbeat.Heartbeat.Host.ID, heartbeat)
 }
 
 // Take returns what was noted since the last time.
-func (u *UnreportedHosts) Take() HostHeartbeats {
+func (u *UnreportedHosts) Take() AcknowledgedHeartbeats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	taken := u.hosts
@@ -38,7 +38,7 @@
 }
 
 // PutBack notes heartbeats again that the primary could not be told of, unless newer ones have come.
-func (u *UnreportedHosts) PutBack(heartbeats HostHeartbeats) {
+func (u *UnreportedHosts) PutBack(heartbeats AcknowledgedHeartbeats) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, heartbeat := range heartbeats {
@@ -49,9 +49,9 @@
 }
 
 // put notes a heartbeat; the lock is held.
-func (u *UnreportedHosts) put(id string, heartbeat HostHeartbeat) {
+func (u *UnreportedHosts) put(id string, heartbeat AcknowledgedHeartbeat) {
 	if u.hosts == nil {
-		u.hosts = HostHeartbeats{}
+		u.hosts = AcknowledgedHeartbeats{}
 	}
 	u.hosts[id] = heartbeat
 }
--- a/tier/control/simulation/callers_test.go
+++ b/tier/control/simulation/callers_test.go
@@ -27,12 +27,12 @@
 	s.hosts = append(s.hosts, h)
 	s.every(heartbeatInterval, func() {
 		if !h.calling {
-			h.beat(len(s.members))
+			h.sendHeartbeat(len(s.members))
 		}
 	})
 }
 
-func (h *host) beat(attempts int) {
+func (h *host) sendHeartbeat(attempts int) {
 	h.calling = attempts > 0
 	if attempts == 0 {
 		return
@@ -45,7 +45,7 @@
 			return
 		}
 		h.target = h.s.nextMember(to)
-		h.beat(attempts - 1)
+		h.sendHeartbeat(attempts - 1)
 	})
 }
 
@@ -60,10 +60,10 @@
 func (s *network) addStore(p place) {
 	store := &store{s: s, place: p, target: s.randomMember()}
 	s.stores = append(s.stores, store)
-	s.every(lease.StoreHeartbeatInterval, store.beat)
+	s.every(lease.StoreHeartbeatInterval, store.sendHeartbeat)
 }
 
-func (t *store) beat() {
+func (t *store) sendHeartbeat() {
 	if t.calling {
 		return
 	}
@@ -102,7 +102,7 @@
 
 func (s *network) addSubscriber(p place) {
 	f := &subscriber{s: s, place: p, target: s.randomMember()}
-	s.follow = append(s.follow, f)
+	s.subscribers = append(s.subscribers, f)
 	s.every(60, f.watch)
 }
 
--- a/tier/control/simulation/digest_test.go
+++ b/tier/control/simulation/digest_test.go
@@ -94,7 +94,7 @@
 	for _, h := range s.hosts {
 		d.Int(h.ackedAt, int64(h.target))
 	}
-	for _, f := range s.follow {
+	for _, f := range s.subscribers {
 		d.Int(int64(f.version), f.heardAt, int64(f.session))
 	}
 	var versions []uint64
--- a/tier/control/simulation/member_heartbeat_test.go
+++ b/tier/control/simulation/member_heartbeat_test.go
@@ -6,8 +6,8 @@
 	"otterseam/tier/directory"
 )
 
-// hostBeat is the primary's part in a heartbeat that is not kept by a backup.
-func (m *member) hostBeat(host directory.Host, answer func(bool)) {
+// handleHostHeartbeat is the primary's part in a heartbeat that is not kept by a backup.
+func (m *member) handleHostHeartbeat(host directory.Host, answer func(bool)) {
 	if m.standing().MayDecide(m.clock()) != nil {
 		answer(false)
 		return
@@ -45,10 +45,10 @@
 		return
 	}
 	if m.group.IsReady() {
-		m.hostBeat(host, answer)
+		m.handleHostHeartbeat(host, answer)
 		return
 	}
-	onPrimary(m, func(p *member, reply func(bool)) { p.hostBeat(host, reply) }, func(ok, reached bool) { answer(ok && reached) })
+	onPrimary(m, func(p *member, reply func(bool)) { p.handleHostHeartbeat(host, reply) }, func(ok, reached bool) { answer(ok && reached) })
 }
 
 // report tells the primary which hosts were heard.
@@ -84,8 +84,8 @@
 	})
 }
 
-// beat keeps the session with the primary.
-func (m *member) beat() {
+// sendHeartbeat keeps the session with the primary.
+func (m *member) sendHeartbeat() {
 	if m.group.IsReady() {
 		return
 	}
--- a/tier/control/simulation/member_test.go
+++ b/tier/control/simulation/member_test.go
@@ -221,7 +221,7 @@
 	}
 	s.every(tickInterval, func() { s.run(p, m.tickUnlessFrozen) })
 	s.every(lease.ReportInterval, func() { s.run(p, m.report) })
-	s.every(heartbeat.MemberInterval.Milliseconds(), func() { s.run(p, m.beat) })
+	s.every(heartbeat.MemberInterval.Milliseconds(), func() { s.run(p, m.sendHeartbeat) })
 }
 
 // tickUnlessFrozen drops ticks that piled up while the member stood still.
--- a/tier/control/simulation/network_test.go
+++ b/tier/control/simulation/network_test.go
@@ -25,21 +25,21 @@
 
 // network is the network with all that is on it.
 type network struct {
-	t        testing.TB
-	random   *rand.Rand
-	now      int64
-	queue    eventQueue
-	order    int
-	cut      map[link]bool
-	arrives  map[link]int64 // when the last message of a link arrives
-	held     []heldMessage  // messages that wait for the end of a cut
-	changed  int64          // when the network last changed
-	members  []*member
-	hosts    []*host
-	stores   []*store
-	follow   []*subscriber
-	operator *operator
-	digest   eventDigest
+	t           testing.TB
+	random      *rand.Rand
+	now         int64
+	queue       eventQueue
+	order       int
+	cut         map[link]bool
+	arrives     map[link]int64 // when the last message of a link arrives
+	held        []heldMessage  // messages that wait for the end of a cut
+	changed     int64          // when the network last changed
+	members     []*member
+	hosts       []*host
+	stores      []*store
+	subscribers []*subscriber
+	operator    *operator
+	digest      eventDigest
 }
 
 type heldMessage struct {
@@ -202,7 +202,7 @@
 	for _, t := range s.stores {
 		all = append(all, t.place)
 	}
-	for _, f := range s.follow {
+	for _, f := range s.subscribers {
 		all = append(all, f.place)
 	}
 	return all
--- a/tier/control/simulation/oracle_test.go
+++ b/tier/control/simulation/oracle_test.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/lease"
 )
 
-// violation names what a seed is condemned for.
+// violation names what a seed is failed for.
 type violation string
 
 const (
@@ -26,7 +26,7 @@
 	s.t.Fatalf("at %d: %s: %s", s.now, what, fmt.Sprintf(format, args...))
 }
 
-// checkHandedOut condemns a configuration that was replaced longer ago than a lease lasts.
+// checkHandedOut fails a configuration that was replaced longer ago than a lease lasts.
 func (s *network) checkHandedOut(m *member, version uint64) {
 	for acked, at := range s.operator.acked {
 		if acked > version && at < s.now-lease.TTL {
@@ -35,7 +35,7 @@
 	}
 }
 
-// checkRemoval condemns every removal: no host of the simulation ever fails.
+// checkRemoval fails every removal: no host of the simulation ever fails.
 func (s *network) checkRemoval(m *member, id string) {
 	for _, h := range s.hosts {
 		if h.host.ID == id {
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkLists condemns hosts that are acknowledged and not on the list of the primary in force.
+// checkLists fails hosts that are acknowledged and not on the list of the primary in force.
 func (s *network) checkLists() {
 	for _, m := range s.members {
 		if m.frozen || !m.group.IsReady() || !m.mayServe() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// checkElection condemns a takeover from a primary that ran and had a majority around it for longer than any message takes.
+// checkElection fails a takeover from a primary that ran and had a majority around it for longer than any message takes.
 func (s *network) checkElection(m *member, replaced consensus.Record) {
 	const settled = 1500
 	old := s.members[replaced.Primary-1]
@@ -142,9 +142,9 @@
 	distributionTime = 3000
 )
 
-// checkSubscribers condemns subscribers that hold an old configuration when the network has been whole for seconds.
+// checkSubscribers fails subscribers that hold an old configuration when the network has been whole for seconds.
 func (s *network) checkSubscribers() {
-	for _, f := range s.follow {
+	for _, f := range s.subscribers {
 		for version, at := range s.operator.acked {
 			if version > f.version && at < s.now-distributionTime {
 				s.fail(notSettled, "subscriber %d holds %d, %d was confirmed %d ms ago", f.place, f.version, version, s.now-at)
--- a/tier/control/simulation/orders_operators_test.go
+++ b/tier/control/simulation/orders_operators_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	linearOperators  = 4
+	operatorCount    = 4
 	linearPatience   = 250 // milliseconds until an order is sent again
 	linearLength     = 12_000
 	linearStops      = 9_000 // after which no new calls begin
@@ -48,7 +48,7 @@
 
 func (s *network) addLinearOperators(history *linearHistory) {
 	loss := []int{0, 50, 90}[s.random.Intn(3)]
-	for i := range linearOperators {
+	for i := range operatorCount {
 		o := &linearOperator{s: s, history: history, place: firstLinearPlace + place(i), number: i, loss: loss}
 		s.at(600+s.random.Int63n(400), o.next)
 	}
--- a/tier/control/simulation/orders_test.go
+++ b/tier/control/simulation/orders_test.go
@@ -49,7 +49,7 @@
 			})
 		}
 	})
-	if least := 2 * linearSeeds() * linearOperators; clearAnswers.Load() < least {
+	if least := 2 * linearSeeds() * operatorCount; clearAnswers.Load() < least {
 		t.Fatalf("only %d calls got a clear answer", clearAnswers.Load())
 	}
 	t.Logf("%d seeds, %d calls with a clear answer", linearSeeds(), clearAnswers.Load())
