--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -124,48 +124,48 @@
 	root, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(root)
-	buffers := server.NewBuffers(64, max(16, int(memory*(1<<20)/4/http1.MaxMessageBytes)))
-	loop := server.NewLoop(log)
+	buffers := server.NewBufferPool(64, max(16, int(memory*(1<<20)/4/http1.MaxMessageBytes)))
+	loop := server.NewEventLoop(log)
 	module, err := f.Settings.Module(seed, loop)
 	if err != nil {
 		return err
 	}
-	peers, err := server.NewPeers(loop, f.PeerListen, f.Settings.Slot, f.Peers, f.PeersAll)
+	peers, err := server.NewPeerSocket(loop, f.PeerListen, f.Settings.Slot, f.Peers, f.PeersAll)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	hosts := server.NewHosts(ctx, group, loop, buffers, hostsMost, f.Settings.Caps.Connect, f.Settings.Caps.Idle)
-	counter := server.NewCounter(ctx, group, loop, f.Settings.Extra.Limit)
-	var copies *server.Copies
+	hosts := server.NewHostPool(ctx, group, loop, buffers, hostsMost, f.Settings.Caps.Connect, f.Settings.Caps.Idle)
+	counter := server.NewCounterClient(ctx, group, loop, f.Settings.Extra.Limit)
+	var copies *server.StoreStream
 	if store := operator.QuotaStore; len(store.Replicas) > 0 {
-		copies = server.NewCopies(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
-		copies.Hold(counter, store.Counters, store.Markers, store.Metering)
+		copies = server.NewStoreStream(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
+		copies.Configure(counter, store.Counters, store.Markers, store.Metering)
 	}
-	discovery := server.NewDiscovery(ctx, group, loop, log)
+	discovery := server.NewDiscoveryClient(ctx, group, loop, log)
 	if operator.Overload.Enabled {
 		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Balancers, seed), overload.DecorrelatedBackoffs(f.Settings.Balancers, seed+1)
 	}
-	clients, err := server.NewClients(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
-		func() bool { return f.counter() == "" || counter.Known() })
+	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
+		func() bool { return f.counter() == "" || counter.Attempted() })
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 
 	if copies == nil || !operator.QuotaStore.Counters {
-		counter.Use(f.counter())
+		counter.UseAddress(f.counter())
 	}
 	group.Go(func() error { return loop.Run(ctx, module, hosts, counter, peers) })
 	group.Go(func() error { return peers.Read(ctx) })
 	group.Go(func() error { return peers.Write(ctx) })
-	discovery.Known(ctx, f.Known) // before any client is taken
+	discovery.UseSaved(ctx, f.Known) // before any client is taken
 	discovery.Watch(f.Discovery)
 	group.Go(clients.Accept)
-	group.Go(clients.Reap)
+	group.Go(clients.ReapIdle)
 	log.Info().Str("listen", f.Listen).Int("hosts", len(f.Known.Servers)).Msg("up")
 	shutdown := sync.OnceFunc(func() {
 		group.Go(func() error {
 			clients.Shutdown(longest(f.Settings) + 200*time.Millisecond)
-			loop.Quiet(ctx, 100*time.Millisecond)
+			loop.WaitCounterIdle(ctx, 100*time.Millisecond)
 			stop()
 			return nil
 		})
@@ -200,7 +200,7 @@
 }
 
 // reload takes up the addresses of a configuration that was replaced. One that can't be used changes nothing.
-func reload(ctx context.Context, log zerolog.Logger, loop *server.Loop, discovery *server.Discovery) {
+func reload(ctx context.Context, log zerolog.Logger, loop *server.EventLoop, discovery *server.DiscoveryClient) {
 	f, err := read()
 	if err == nil {
 		_, err = netip.ParseAddrPort(f.Discovery)
@@ -213,7 +213,7 @@
 		return
 	}
 	log.Info().Str("discovery", f.Discovery).Str("counter", f.counter()).Msg("new configuration")
-	loop.Move(ctx, discovery, f.Discovery, f.counter())
+	loop.UseAddresses(ctx, discovery, f.Discovery, f.counter())
 }
 
 // longest is for how long a client may still wait for an answer.
--- a/cmd/otterseam/main_test.go
+++ b/cmd/otterseam/main_test.go
@@ -61,15 +61,15 @@
 }
 
 // lines is a log that is read line by line.
-type lines chan string
+type logBuffer chan string
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logBuffer) Write(p []byte) (int, error) {
 	l <- string(p)
 	return len(p), nil
 }
 
 // until waits for a line with a part in it.
-func (l lines) until(t *testing.T, part string) {
+func (l logBuffer) until(t *testing.T, part string) {
 	t.Helper()
 	for late := time.After(5 * time.Second); ; {
 		select {
@@ -87,7 +87,7 @@
 func TestEndsWellOnSIGTERM(t *testing.T) {
 	leakcheck.Check(t)
 	configure(t, whole("127.0.0.1:0", "1"))
-	log := make(lines, 100)
+	log := make(logBuffer, 100)
 	done := make(chan error, 1)
 	go func() { done <- run(zerolog.New(log)) }()
 	log.until(t, `"up"`)
@@ -110,7 +110,7 @@
 	leakcheck.Check(t)
 	text := strings.Replace(whole("127.0.0.1:0", "1"), `"balancers":1`, `"balancers":1,"extra":{"counter":true}`, 1)
 	configure(t, text)
-	log := make(lines, 100)
+	log := make(logBuffer, 100)
 	done := make(chan error, 1)
 	go func() { done <- run(zerolog.New(log)) }()
 	log.until(t, `"up"`)
--- a/cmd/otterseam/process_test.go
+++ b/cmd/otterseam/process_test.go
@@ -212,15 +212,15 @@
 }
 
 var (
-	asked   int
-	askedMu sync.Mutex
+	requestCount int
+	askedMu      sync.Mutex
 )
 
 // invocation is a request with an id of its own.
 func invocation(operation string) string {
 	askedMu.Lock()
-	asked++
-	id := asked
+	requestCount++
+	id := requestCount
 	askedMu.Unlock()
 	method, length := "GET", ""
 	if operation == "pay" {
--- a/gateway/server/buffers.go
+++ b/gateway/server/buffers.go
@@ -14,86 +14,86 @@
 // Buffer holds one message, read or about to be written, with its place in memory.
 type Buffer struct {
 	http1.Message
-	Bytes []byte
-	small []byte // its own
-	large bool   // Bytes are a large room
-	lent  bool
+	Bytes   []byte
+	own     []byte // its own
+	isLarge bool   // Bytes are a large room
+	inUse   bool
 }
 
 // Buffers guards against memory that grows with connections: a large room each, most of them idle, is what a small
 // machine has not got.
-type Buffers struct {
-	kept  chan *Buffer
-	large chan []byte
-	out   atomic.Int32 // large rooms lent
-	most  int32
+type BufferPool struct {
+	free       chan *Buffer
+	freeLarge  chan []byte
+	largeInUse atomic.Int32 // large rooms lent
+	maxLarge   int32
 }
 
 // NewBuffers keeps at most so many for later use; beyond them memory goes back to the collector. most is how many large
 // rooms are lent at once.
-func NewBuffers(kept, most int) *Buffers {
-	return &Buffers{kept: make(chan *Buffer, kept), large: make(chan []byte, min(kept, most, 16)), most: int32(most)}
+func NewBufferPool(maxFree, maxLarge int) *BufferPool {
+	return &BufferPool{free: make(chan *Buffer, maxFree), freeLarge: make(chan []byte, min(maxFree, maxLarge, 16)), maxLarge: int32(maxLarge)}
 }
 
 // Take lends a buffer, ready for a message.
-func (p *Buffers) Take(response bool) *Buffer {
+func (p *BufferPool) Get(isResponse bool) *Buffer {
 	var b *Buffer
 	select {
-	case b = <-p.kept:
+	case b = <-p.free:
 	default:
-		b = &Buffer{small: make([]byte, http1.SmallBufferBytes)}
+		b = &Buffer{own: make([]byte, http1.SmallBufferBytes)}
 	}
-	b.Bytes, b.lent = b.small, true
-	b.Reset(b.Bytes, response)
+	b.Bytes, b.inUse = b.own, true
+	b.Reset(b.Bytes, isResponse)
 	return b
 }
 
 // Follow lends a buffer for what follows a whole message, and says how many bytes of it have come; nil: no room.
-func (p *Buffers) Follow(b *Buffer) (next *Buffer, n int) {
-	next = p.Take(false)
-	if len(b.Rest()) > len(next.Bytes) && !p.Grow(next, p.most) {
-		p.Give(next)
+func (p *BufferPool) GetFollowing(b *Buffer) (next *Buffer, n int) {
+	next = p.Get(false)
+	if len(b.Rest()) > len(next.Bytes) && !p.Grow(next, p.maxLarge) {
+		p.Put(next)
 		return nil, 0
 	}
 	return next, copy(next.Space(), b.Rest())
 }
 
 // Grow lends a large room to a buffer that is full, unless so many are out.
-func (p *Buffers) Grow(b *Buffer, most int32) bool {
-	if b.large || p.out.Load() >= most {
+func (p *BufferPool) Grow(b *Buffer, limit int32) bool {
+	if b.isLarge || p.largeInUse.Load() >= limit {
 		return false
 	}
-	p.out.Add(1)
+	p.largeInUse.Add(1)
 	select {
-	case b.Bytes = <-p.large:
+	case b.Bytes = <-p.freeLarge:
 	default:
 		b.Bytes = make([]byte, http1.MaxMessageBytes)
 	}
-	b.large = true
+	b.isLarge = true
 	b.MoveTo(b.Bytes)
 	return true
 }
 
 // Give takes a buffer back; nil is nothing.
-func (p *Buffers) Give(b *Buffer) {
+func (p *BufferPool) Put(b *Buffer) {
 	if b == nil {
 		return
 	}
-	if !b.lent {
+	if !b.inUse {
 		panic("a buffer was given back twice")
 	}
-	b.lent = false
-	if b.large {
-		p.out.Add(-1)
+	b.inUse = false
+	if b.isLarge {
+		p.largeInUse.Add(-1)
 		select {
-		case p.large <- b.Bytes:
+		case p.freeLarge <- b.Bytes:
 		default:
 		}
 	}
-	b.Bytes, b.large = nil, false
+	b.Bytes, b.isLarge = nil, false
 	b.Reset(nil, false) // keeps no room alive but its own
 	select {
-	case p.kept <- b:
+	case p.free <- b:
 	default:
 	}
 }
--- a/gateway/server/clients_test.go
+++ b/gateway/server/clients_test.go
@@ -12,11 +12,11 @@
 )
 
 // only is the one connection of a client that there is.
-func (w *world) only() *client {
+func (w *testGateway) onlyConnection() *clientConn {
 	w.t.Helper()
-	var c *client
+	var c *clientConn
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		all := w.clients.all()
+		all := w.clients.connections()
 		if len(all) == 1 {
 			return all[0]
 		}
@@ -27,20 +27,20 @@
 }
 
 // resting waits until a connection has been answered on and rests.
-func (w *world) resting(c *client) {
+func (w *testGateway) waitIdle(c *clientConn) {
 	w.t.Helper()
 	w.wait(func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.rests(time.Now())
+		return c.isIdle(time.Now())
 	})
 }
 
 // unread says that bytes stand in the system.
-func unread(c *client) bool { return !quiet(c.tcp) }
+func hasUnread(c *clientConn) bool { return !nothingUnread(c.tcp) }
 
 // end reads to the end of a connection; a reset is none.
-func end(t *testing.T, tcp net.Conn) (rest string) {
+func readToEnd(t *testing.T, tcp net.Conn) (rest string) {
 	t.Helper()
 	b, err := io.ReadAll(tcp)
 	if err != nil {
@@ -51,32 +51,32 @@
 
 // A client sent a second request behind the one in hand and left: nobody was reading, so both were sent on.
 func TestAClientThatPipelinesAndLeavesIsSeenToLeave(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return "" })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	io.WriteString(tcp, invoke("pay", 900, "a")+invoke("pay", 900, "b"))
-	h.next(t)
+	h.nextRequest(t)
 	tcp.Close()
 	begun := time.Now()
 	<-h.Ended
 	if took := time.Since(begun); took > 300*time.Millisecond {
 		t.Errorf("its delivery went on for %v", took)
 	}
-	w.wait(func() bool { return len(w.loop.inHand) == 0 && len(w.loop.due) == 0 })
-	h.none(t)
+	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
+	h.noRequest(t)
 }
 
 // The same with more behind it than is kept: what is whole of that is served in turn, the rest dropped, and the client,
 // which reads that the connection ends, knows it has to send the rest anew. Its leaving is seen all the same.
 func TestMoreBehindARequestThanIsKept(t *testing.T) {
 	release := make(chan bool)
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
 			<-release
 		}
 		return ok(fmt.Sprint(n))
 	})
-	w := start(t, room, h)
+	w := start(t, plentyOfQuota, h)
 	crowd := func() (text string, n int) {
 		for ; len(text) < 3*http1.MaxMessageBytes; n++ {
 			text += invoke("pay", 5000, strings.Repeat("x", 20<<10))
@@ -87,9 +87,13 @@
 		tcp := w.dial()
 		text, n := crowd()
 		go io.WriteString(tcp, text)
-		h.next(t)
-		c := w.only()
-		w.wait(func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.cut && c.drained > http1.MaxMessageBytes })
+		h.nextRequest(t)
+		c := w.onlyConnection()
+		w.wait(func() bool {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return c.overflowed && c.drainedBytes > http1.MaxMessageBytes
+		})
 		close(release)
 		answers, last := 0, false
 		messages(tcp, true, func(m *http1.Message) bool {
@@ -100,7 +104,7 @@
 		if answers < 3 || answers >= n || !last {
 			t.Errorf("%d of %d answered, the last said so: %v", answers, n, last)
 		}
-		if rest := end(t, tcp); rest != "" {
+		if rest := readToEnd(t, tcp); rest != "" {
 			t.Errorf("after the last answer came %.40q", rest)
 		}
 		for len(h.Seen) > 0 {
@@ -112,78 +116,78 @@
 		}
 	})
 	t.Run("leaves", func(t *testing.T) {
-		silent := newStandIn(t, func(m *http1.Message, n int) string { return "" })
-		w := start(t, room, silent)
+		silent := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
+		w := start(t, plentyOfQuota, silent)
 		tcp := w.dial()
 		text, _ := crowd()
 		io.WriteString(tcp, text)
-		silent.next(t)
+		silent.nextRequest(t)
 		tcp.Close()
-		w.wait(func() bool { return len(w.loop.inHand) == 0 })
-		silent.none(t)
+		w.wait(func() bool { return len(w.loop.invocations) == 0 })
+		silent.noRequest(t)
 	})
 }
 
 // A request that stands unread when its resting connection is to be closed is served.
 func TestARequestThatCameBeforeTheCloseIsServed(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	k := &hook{}
-	w := setup{counter: room, hosts: []*standIn{h}, listener: k.listener}.start(t)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
 	tcp := w.dial()
-	if status, _ := ask(tcp, invoke("look", 900, "")); status != 200 {
+	if status, _ := exchange(tcp, invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	c, late := w.only(), make(chan bool)
-	w.resting(c)
+	c, late := w.onlyConnection(), make(chan bool)
+	w.waitIdle(c)
 	k.on("read", func() { // woken by the bytes, it has not read them
-		if c.closeIdle(time.Now().Add(newConnection), lingerTimeout) {
+		if c.closeIdle(time.Now().Add(newConnGrace), lingerTimeout) {
 			t.Error("closed with a request unread")
 		}
 		close(late)
 	})
 	io.WriteString(tcp, invoke("look", 900, ""))
 	<-late
-	if status, _ := ask(tcp, ""); status != 200 {
+	if status, _ := exchange(tcp, ""); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 }
 
 // One that comes after the last look is not taken: its client reads a clean end and may send it anew.
 func TestARequestThatComesAfterTheCloseIsNotTaken(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	k := &hook{}
-	w := setup{counter: room, hosts: []*standIn{h}, listener: k.listener}.start(t)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
 	tcp := w.dial()
-	if status, _ := ask(tcp, invoke("look", 900, "")); status != 200 {
+	if status, _ := exchange(tcp, invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	h.next(t)
-	c := w.only()
-	w.resting(c)
+	h.nextRequest(t)
+	c := w.onlyConnection()
+	w.waitIdle(c)
 	k.on("shut", func() { // decided, not yet done
 		io.WriteString(tcp, invoke("pay", 900, "x"))
-		for !unread(c) {
+		for !hasUnread(c) {
 		}
 	})
-	if !c.closeIdle(time.Now().Add(newConnection), lingerTimeout) {
+	if !c.closeIdle(time.Now().Add(newConnGrace), lingerTimeout) {
 		t.Fatal("it is not closed")
 	}
-	if rest := end(t, tcp); rest != "" {
+	if rest := readToEnd(t, tcp); rest != "" {
 		t.Fatalf("answered after the end: %q", rest)
 	}
 	tcp.Close()
-	w.wait(func() bool { return w.connections() == 0 && len(w.loop.inHand) == 0 })
-	h.none(t)
+	w.wait(func() bool { return w.connections() == 0 && len(w.loop.invocations) == 0 })
+	h.noRequest(t)
 }
 
 // The last answer is lost with the reset that a close over unread bytes is: its client has sent more behind the request,
 // and comes to read only after the connection is closed.
 func TestTheLastAnswerIsReadWhateverStandsBehindIt(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok(strings.Repeat("x", 60<<10)) })
-	k := &hook{}
-	w := setup{counter: room, hosts: []*standIn{h}, listener: k.listener}.start(t)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(strings.Repeat("x", 60<<10)) })
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
 	tcp, sent := w.dial(), make(chan bool)
-	c, more := w.only(), strings.Repeat("nobody takes this\r\n", 100)
+	c, more := w.onlyConnection(), strings.Repeat("nobody takes this\r\n", 100)
 	k.on("shut", func() {
 		go func() {
 			time.Sleep(lingerTimeout / 4)
@@ -192,27 +196,27 @@
 		}()
 	})
 	k.on("close", func() {
-		if c.mu.Lock(); c.drained < len(more) {
-			t.Errorf("closed with %d of %d bytes read", c.drained, len(more))
+		if c.mu.Lock(); c.drainedBytes < len(more) {
+			t.Errorf("closed with %d of %d bytes read", c.drainedBytes, len(more))
 		}
 		c.mu.Unlock()
 	})
 	io.WriteString(tcp, strings.Replace(invoke("look", 900, ""), "Host: app", "Connection: close", 1))
 	w.wait(func() bool { return w.connections() == 0 })
 	<-sent
-	status, body := ask(tcp, "")
+	status, body := exchange(tcp, "")
 	if status != 200 || len(body) != 60<<10 {
 		t.Fatalf("%d with %d bytes", status, len(body))
 	}
-	end(t, tcp)
-	h.next(t)
-	h.none(t)
+	readToEnd(t, tcp)
+	h.nextRequest(t)
+	h.noRequest(t)
 }
 
 // The client reads the end at once, before the time in which it may still send is over.
 func TestTheEndIsToldBeforeTheConnectionIsClosed(t *testing.T) {
-	k := &hook{}
-	w := setup{counter: room, listener: k.listener}.start(t)
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, listener: k.listener}.start(t)
 	tcp, read := w.dial(), make(chan bool)
 	k.on("close", func() {
 		select {
@@ -222,29 +226,29 @@
 		}
 	})
 	io.WriteString(tcp, "nonsense\r\n\r\n")
-	if status, _ := ask(tcp, ""); status != 400 {
+	if status, _ := exchange(tcp, ""); status != 400 {
 		t.Fatalf("got %d", status)
 	}
-	end(t, tcp)
+	readToEnd(t, tcp)
 	close(read)
 }
 
 // The call to end finds a request in hand and a further one behind it: both are answered, the last one says so.
 func TestWhatHasComeByTheCallToEndIsServed(t *testing.T) {
 	release := make(chan bool)
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
 			<-release
 		}
 		return ok(fmt.Sprint(n))
 	})
-	w := start(t, room, h)
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	io.WriteString(tcp, invoke("pay", 3000, "a")+invoke("pay", 3000, "b"))
-	h.next(t)
+	h.nextRequest(t)
 	done := make(chan bool)
 	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.ending.Load() })
+	w.wait(func() bool { return w.clients.shuttingDown.Load() })
 	close(release)
 	var got []string
 	messages(tcp, true, func(m *http1.Message) bool {
@@ -254,14 +258,14 @@
 	if strings.Join(got, " ") != "1false 2true" {
 		t.Fatalf("got %q", got)
 	}
-	end(t, tcp)
+	readToEnd(t, tcp)
 	<-done
 }
 
 // A client that always has a further request on its way does not hold up the end.
 func TestAClientThatNeverStopsAskingDoesNotHoldUpTheEnd(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	for range 30 { // always more than the api gateway has answered
 		io.WriteString(tcp, invoke("look", 900, ""))
@@ -272,7 +276,7 @@
 		io.WriteString(tcp, invoke("look", 900, ""))
 		return !m.Close
 	})
-	if took := time.Since(begun); took > lateEntry+1500*time.Millisecond {
+	if took := time.Since(begun); took > lateAcceptPeriod+1500*time.Millisecond {
 		t.Errorf("the last answer came after %v", took)
 	}
 	<-done
@@ -281,12 +285,12 @@
 // A connection that the system has given, but the program does not know of yet, as the listener is closed.
 func TestAConnectionAcceptedAsTheListenerClosesIsServed(t *testing.T) {
 	release := make(chan bool)
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		<-release
 		return ok("x")
 	})
-	k := &hook{}
-	w := setup{counter: room, hosts: []*standIn{h}, listener: k.listener}.start(t)
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
 	closing, accepted := make(chan bool), make(chan bool)
 	k.on("accepted", func() { close(accepted); <-closing })
 	k.on("unlisten", func() { close(closing) })
@@ -296,31 +300,31 @@
 	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
 	<-closing
 	io.WriteString(tcp, invoke("pay", 900, "x"))
-	h.next(t)
+	h.nextRequest(t)
 	select {
 	case <-done:
 		t.Error("the end has come with an answer owed")
 	default:
 	}
 	close(release)
-	if status, _ := ask(tcp, ""); status != 200 {
+	if status, _ := exchange(tcp, ""); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	end(t, tcp)
+	readToEnd(t, tcp)
 	<-done
 }
 
 // One that has been accepted and has said nothing yet when the end is called for.
 func TestAConnectionJustAcceptedMaySpeakAfterTheCallToEnd(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	w := start(t, plentyOfQuota, h)
 	done := make(chan bool)
 	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.ending.Load() })
+	w.wait(func() bool { return w.clients.shuttingDown.Load() })
 	tcp := w.dial()
-	w.only()
-	time.Sleep(newConnection / 2)
-	if status, _ := ask(tcp, invoke("pay", 900, "x")); status != 200 {
+	w.onlyConnection()
+	time.Sleep(newConnGrace / 2)
+	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 	<-done
@@ -328,14 +332,14 @@
 
 // A request comes byte by byte, one that never comes to its end too.
 func TestRequestsInPieces(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
-	w := start(t, room, h)
-	w.clients.slowest = 2 * time.Second
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
+	w := start(t, plentyOfQuota, h)
+	w.clients.requestTimeout = 2 * time.Second
 	tcp := w.dial()
 	for _, b := range []byte(invoke("pay", 900, "in pieces")) {
 		tcp.Write([]byte{b})
 	}
-	if status, body := ask(tcp, ""); status != 200 || body != "in pieces" {
+	if status, body := exchange(tcp, ""); status != 200 || body != "in pieces" {
 		t.Fatalf("%d %q", status, body)
 	}
 	text := strings.Replace(invoke("pay", 900, ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) +
@@ -345,7 +349,7 @@
 		at := i * len(whole) / len(text)
 		io.WriteString(tcp, whole[:at])
 		io.WriteString(tcp, whole[at:])
-		if status, body := ask(tcp, ""); status != 200 || body != "abcd" {
+		if status, body := exchange(tcp, ""); status != 200 || body != "abcd" {
 			t.Fatalf("cut at %d: %d %q", at, status, body)
 		}
 		<-h.Seen
@@ -353,8 +357,8 @@
 }
 
 func TestATricklingRequestIsCutOff(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	stop := make(chan bool)
 	defer close(stop)
@@ -371,16 +375,16 @@
 		}
 	}()
 	begun := time.Now()
-	end(t, tcp)
-	if took := time.Since(begun); took > w.clients.slowest+4*reapEvery {
+	readToEnd(t, tcp)
+	if took := time.Since(begun); took > w.clients.requestTimeout+4*reapInterval {
 		t.Fatalf("it took %v", took)
 	}
-	h.none(t)
+	h.noRequest(t)
 }
 
 // A flood of requests that can't be read, of those that are turned away, and of bytes that nobody asked for.
 func TestAFloodEndsAtItsBound(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	for _, text := range []string{"nonsense\r\n\r\n", "GET /_health HTTP/1.1\r\n\r\n", invoke("look", 900, "")} {
 		tcp := w.dial()
 		go func() {
@@ -391,20 +395,20 @@
 			}
 		}()
 		go io.Copy(io.Discard, tcp)
-		c := w.only()
+		c := w.onlyConnection()
 		w.wait(func() bool { return w.connections() == 0 })
-		if c.drained > lingerBytes+http1.MaxMessageBytes {
-			t.Errorf("%d bytes were read for nothing", c.drained)
+		if c.drainedBytes > maxLingerBytes+http1.MaxMessageBytes {
+			t.Errorf("%d bytes were read for nothing", c.drainedBytes)
 		}
 		tcp.Close()
 	}
-	w.wait(func() bool { return len(w.loop.inHand) == 0 && w.clients.buffers.out.Load() == 0 })
+	w.wait(func() bool { return len(w.loop.invocations) == 0 && w.clients.buffers.largeInUse.Load() == 0 })
 }
 
 // A request that waited behind another counts its time from when it came: later, its client has given up.
 func TestTimeCountsWhileARequestWaitsForTheOneBefore(t *testing.T) {
 	const first = 400
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
 			time.Sleep(first * time.Millisecond)
 		}
@@ -415,7 +419,7 @@
 		}
 		return ok("none")
 	})
-	w := start(t, room, h)
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	io.WriteString(tcp, invoke("pay", 900, "")+invoke("pay", 900, ""))
 	var told []int
@@ -432,10 +436,10 @@
 
 // What lies behind another in the queue is judged by its own time.
 func TestTimeGoesOnWithinABatchOfTheQueue(t *testing.T) {
-	w := start(t, room)
+	w := start(t, plentyOfQuota)
 	var a, b float64
 	done := make(chan bool)
-	w.loop.tell(t.Context(), func() {
+	w.loop.post(t.Context(), func() {
 		w.loop.queue <- func() { b = w.loop.now; close(done) }
 		a = w.loop.now
 		time.Sleep(50 * time.Millisecond)
--- a/gateway/server/copies.go
+++ b/gateway/server/copies.go
@@ -22,268 +22,270 @@
 )
 
 const (
-	markWait   = 0.4     // part of an invocation's time for which its mark is waited for
-	mostSaying = 1 << 20 // bytes that wait to be sent
-	mostSaid   = 1 << 20 // bytes of one answer
-	copiesTurn = 0.05    // seconds between looks at what is to be told
+	markerWaitFraction = 0.4     // part of an invocation's time for which its mark is waited for
+	maxPendingBytes    = 1 << 20 // bytes that wait to be sent
+	maxResponseBytes   = 1 << 20 // bytes of one answer
+	storeTurnInterval  = 0.05    // seconds between looks at what is to be told
 )
 
-type Copies struct {
-	ctx     context.Context
-	group   *errgroup.Group
-	loop    *Loop
-	addrs   []string
-	at      int // which of them is reached now
-	lodge   *quotaclient.Client
-	counts  bool
-	marks   bool
-	use     bool
-	calls   map[uint64]*call
-	marking map[uint64]*invocation
-	turnAt  float64
-	tried   atomic.Bool
-	lost    bool // something was asked of nobody
+type StoreStream struct {
+	ctx            context.Context
+	group          *errgroup.Group
+	loop           *EventLoop
+	addrs          []string
+	nextServer     int // which of them is reached now
+	client         *quotaclient.Client
+	holdsCounts    bool
+	holdsMarkers   bool
+	metersUsage    bool
+	reports        map[uint64]*counterCall
+	awaitingMarker map[uint64]*invocation
+	nextTurn       float64
+	attempted      atomic.Bool
+	requestDropped bool // something was asked of nobody
 
-	mu      sync.Mutex
-	up      bool
-	pending []byte
-	wake    chan struct{}
-	tcp     net.Conn
+	mu        sync.Mutex
+	connected bool
+	pending   []byte
+	wake      chan struct{}
+	tcp       net.Conn
 }
 
 // NewCopies begins to reach keepers, one after another from a place in their list on. name is of this process alone.
-func NewCopies(ctx context.Context, group *errgroup.Group, loop *Loop, addrs []string, name string, from int) *Copies {
-	c := &Copies{
-		ctx: ctx, group: group, loop: loop, addrs: addrs, at: max(0, from) % len(addrs), lodge: quotaclient.New(name), calls: map[uint64]*call{},
-		marking: map[uint64]*invocation{}, wake: make(chan struct{}, 1),
+func NewStoreStream(ctx context.Context, group *errgroup.Group, loop *EventLoop, addrs []string, name string, firstServer int) *StoreStream {
+	s := &StoreStream{
+		ctx: ctx, group: group, loop: loop, addrs: addrs, nextServer: max(0, firstServer) % len(addrs), client: quotaclient.New(name), reports: map[uint64]*counterCall{},
+		awaitingMarker: map[uint64]*invocation{}, wake: make(chan struct{}, 1),
 	}
-	group.Go(c.run)
-	return c
+	group.Go(s.run)
+	return s
 }
 
 // Hold says what keepers hold. It is called before anything else happens.
-func (c *Copies) Hold(counter *Counter, counts, marks, use bool) {
-	c.counts, c.marks, c.use = counts, marks, use
-	c.loop.copies = c
+func (s *StoreStream) Configure(counter *CounterClient, counts, markers, usage bool) {
+	s.holdsCounts, s.holdsMarkers, s.metersUsage = counts, markers, usage
+	s.loop.store = s
 	if counts {
-		counter.copies = c
+		counter.store = s
 	}
 }
 
 // next is when turn wants to be called.
-func (c *Copies) next() float64 {
-	if c == nil {
+func (s *StoreStream) nextWake() float64 {
+	if s == nil {
 		return math.Inf(1)
 	}
-	return c.turnAt
+	return s.nextTurn
 }
 
 // turn tells what is to be told, and lets go of marks that were waited for too long.
-func (c *Copies) turn() {
-	if c == nil || c.loop.now < c.turnAt && len(c.marking) == 0 && !c.lost {
+func (s *StoreStream) turn() {
+	if s == nil || s.loop.now < s.nextTurn && len(s.awaitingMarker) == 0 && !s.requestDropped {
 		return
 	}
-	now := c.loop.now
-	if c.lost {
-		c.lost = false
-		c.broken()
+	now := s.loop.now
+	if s.requestDropped {
+		s.requestDropped = false
+		s.streamLost()
 	}
-	if now >= c.turnAt {
-		c.turnAt = now + copiesTurn
-		if c.counts {
-			c.lodge.ClearUnreported()
-			c.loop.module.UnreportedUnits(func(name uint64, units, life float64) { c.lodge.SetUnreported(now, nameOf(name), units, life) })
+	if now >= s.nextTurn {
+		s.nextTurn = now + storeTurnInterval
+		if s.holdsCounts {
+			s.client.ClearUnreported()
+			s.loop.policy.UnreportedUnits(func(name uint64, units, life float64) { s.client.SetUnreported(now, quotaName(name), units, life) })
 		}
-		for _, inv := range c.marking { // each by itself: the order does not show
-			if now > inv.giveUp-(1-markWait)*inv.Timeout {
-				c.unmarked(inv)
+		for _, inv := range s.awaitingMarker { // each by itself: the order does not show
+			if now > inv.deadline-(1-markerWaitFraction)*inv.Timeout {
+				s.rejectUnmarked(inv)
 			}
 		}
-		for line := c.lodge.NextLogLine(); line != ""; line = c.lodge.NextLogLine() {
-			c.loop.Log(line)
+		for line := s.client.NextLogLine(); line != ""; line = s.client.NextLogLine() {
+			s.loop.Log(line)
 		}
 	}
-	c.send(c.lodge.TakeRequests(now))
+	s.send(s.client.TakeRequests(now))
 }
 
-func nameOf(name uint64) string { return strconv.FormatUint(name, 10) }
+func quotaName(name uint64) string { return strconv.FormatUint(name, 10) }
 
 // put tells a count; false: it can't be told now.
-func (c *Copies) put(k *call, life float64) (ok bool) {
-	if !c.standing() {
+func (s *StoreStream) report(call *counterCall, life float64) (ok bool) {
+	if !s.isConnected() {
 		return false
 	}
-	k.asked, k.opened, ok = c.lodge.ReportUsage(c.loop.now, nameOf(k.name), k.amount, c.loop.module.CountedSlots(k.name), life)
+	call.storeRequest, call.slotsHeld, ok = s.client.ReportUsage(s.loop.now, quotaName(call.name), call.amount, s.loop.policy.CountedSlots(call.name), life)
 	if !ok {
-		k.asked = 0
+		call.storeRequest = 0
 		return false
 	}
-	c.calls[k.asked] = k
-	c.send(c.lodge.TakeRequests(c.loop.now))
+	s.reports[call.storeRequest] = call
+	s.send(s.client.TakeRequests(s.loop.now))
 	return true
 }
 
 // missed: a call that was told has no total, and the module will tell of it again. A late one's places stay, as the module
 // takes them for added.
-func (c *Copies) missed(k *call, how policy.Outcome) {
-	if k.asked == 0 || how == policy.Succeeded {
+func (s *StoreStream) retract(call *counterCall, outcome policy.Outcome) {
+	if call.storeRequest == 0 || outcome == policy.Succeeded {
 		return
 	}
-	delete(c.calls, k.asked)
-	c.lodge.RetractUsage(nameOf(k.name), k.amount, k.opened, how == policy.TimedOut)
+	delete(s.reports, call.storeRequest)
+	s.client.RetractUsage(quotaName(call.name), call.amount, call.slotsHeld, outcome == policy.TimedOut)
 }
 
 // mark has an invocation wait until its mark is held; false: it need not.
-func (c *Copies) mark(inv *invocation) bool {
-	if c == nil || !c.marks {
+func (s *StoreStream) awaitMarker(inv *invocation) bool {
+	if s == nil || !s.holdsMarkers {
 		return false
 	}
-	scope, needs := c.loop.module.DedupScope(inv.Operation)
+	scope, needs := s.loop.policy.DedupScope(inv.Operation)
 	if !needs {
 		return false
 	}
-	if !c.standing() {
-		inv.from.answers <- answer{request: inv.request, status: 503, retryAfter: 1}
+	if !s.isConnected() {
+		inv.client.responses <- response{request: inv.request, status: 503, retryAfter: 1}
 		return true
 	}
-	n := c.lodge.AcquireMarker(inv.Ref, scope, inv.Timeout)
-	inv.asked, c.marking[n] = n, inv
-	c.send(c.lodge.TakeRequests(c.loop.now))
+	requestID := s.client.AcquireMarker(inv.Ref, scope, inv.Timeout)
+	inv.markerRequest, s.awaitingMarker[requestID] = requestID, inv
+	s.send(s.client.TakeRequests(s.loop.now))
 	return true
 }
 
 // unmarked: it is not known whether a delivery may begin, so none does; nothing was sent, and trying again is harmless.
-func (c *Copies) unmarked(inv *invocation) {
-	delete(c.marking, inv.asked)
-	c.lodge.ReleaseMarker(inv.Ref)
-	inv.from.answers <- answer{request: inv.request, status: 503, retryAfter: 1}
+func (s *StoreStream) rejectUnmarked(inv *invocation) {
+	delete(s.awaitingMarker, inv.markerRequest)
+	s.client.ReleaseMarker(inv.Ref)
+	inv.client.responses <- response{request: inv.request, status: 503, retryAfter: 1}
 }
 
 // left: the client of an invocation whose mark is waited for has gone; false: it isn't waited for.
-func (c *Copies) left(inv *invocation) bool {
-	if c == nil || c.marking[inv.asked] != inv {
+func (s *StoreStream) clientGone(inv *invocation) bool {
+	if s == nil || s.awaitingMarker[inv.markerRequest] != inv {
 		return false
 	}
-	delete(c.marking, inv.asked)
-	c.lodge.ReleaseMarker(inv.Ref)
-	inv.from.answers <- answer{request: inv.request}
+	delete(s.awaitingMarker, inv.markerRequest)
+	s.client.ReleaseMarker(inv.Ref)
+	inv.client.responses <- response{request: inv.request}
 	return true
 }
 
 // over: an invocation has its final answer.
-func (c *Copies) over(inv *invocation, status int) {
-	if c == nil {
+func (s *StoreStream) invocationEnded(inv *invocation, status int) {
+	if s == nil {
 		return
 	}
-	if inv.marked && !inv.sent {
-		c.lodge.ReleaseMarker(inv.Ref)
+	if inv.markerHeld && !inv.delivered {
+		s.client.ReleaseMarker(inv.Ref)
 	}
-	if c.use && status == 200 {
-		c.lodge.MeterUsage(inv.Plan+" "+inv.Customer, inv.Units)
+	if s.metersUsage && status == 200 {
+		s.client.MeterUsage(inv.Plan+" "+inv.Customer, inv.Units)
 	}
 }
 
 // heard takes an answer. It runs on the loop.
-func (c *Copies) heard(r *protocol.Response) { c.means(c.lodge.HandleResponse(c.loop.now, r)) }
+func (s *StoreStream) handleResponse(response *protocol.Response) {
+	s.handleOutcome(s.client.HandleResponse(s.loop.now, response))
+}
 
-func (c *Copies) means(w quotaclient.Outcome) {
-	switch w.Kind {
+func (s *StoreStream) handleOutcome(outcome quotaclient.Outcome) {
+	switch outcome.Kind {
 	case quotaclient.UsageReported:
-		k := c.calls[w.RequestID]
-		if k == nil || k.told {
+		k := s.reports[outcome.RequestID]
+		if k == nil || k.reported {
 			return
 		}
-		delete(c.calls, w.RequestID)
-		for _, x := range c.loop.counter.calls { // the module takes a name's answers in order
+		delete(s.reports, outcome.RequestID)
+		for _, x := range s.loop.counter.pending { // the module takes a name's answers in order
 			if x == k {
 				break
 			}
-			if !x.told && x.name == k.name {
-				c.loop.counter.tellOf(x, policy.TimedOut, 0)
+			if !x.reported && x.name == k.name {
+				s.loop.counter.report(x, policy.TimedOut, 0)
 			}
 		}
 		how := policy.Succeeded
 		switch {
-		case w.Rejected:
+		case outcome.Rejected:
 			how = policy.Rejected
-		case w.Unknown:
+		case outcome.Unknown:
 			how = policy.Reset
 		}
-		c.loop.counter.tellOf(k, how, w.Total)
+		s.loop.counter.report(k, how, outcome.Total)
 	case quotaclient.MarkerAcquired, quotaclient.MarkerHeld, quotaclient.MarkerUnknown:
-		inv := c.marking[w.RequestID]
+		inv := s.awaitingMarker[outcome.RequestID]
 		if inv == nil {
 			return
 		}
-		if w.Kind == quotaclient.MarkerUnknown {
-			c.unmarked(inv)
+		if outcome.Kind == quotaclient.MarkerUnknown {
+			s.rejectUnmarked(inv)
 			return
 		}
-		delete(c.marking, w.RequestID)
-		if w.Kind == quotaclient.MarkerHeld { // begun by another, or for a client that sent it twice
-			inv.from.answers <- answer{request: inv.request, status: 409}
+		delete(s.awaitingMarker, outcome.RequestID)
+		if outcome.Kind == quotaclient.MarkerHeld { // begun by another, or for a client that sent it twice
+			inv.client.responses <- response{request: inv.request, status: 409}
 			return
 		}
-		inv.marked = true
-		c.loop.admit(inv)
+		inv.markerHeld = true
+		s.loop.admit(inv)
 	}
 }
 
 // broken: the stream has ended. It runs on the loop.
-func (c *Copies) broken() {
-	for _, w := range c.lodge.StreamLost() {
-		c.means(w)
+func (s *StoreStream) streamLost() {
+	for _, outcome := range s.client.StreamLost() {
+		s.handleOutcome(outcome)
 	}
 }
 
-func (c *Copies) standing() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.up
+func (s *StoreStream) isConnected() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.connected
 }
 
-func (c *Copies) send(all []protocol.Request) {
-	if len(all) == 0 {
+func (s *StoreStream) send(requests []protocol.Request) {
+	if len(requests) == 0 {
 		return
 	}
-	text, err := protocol.RequestsFrame(all).AppendTo(nil)
+	frame, err := protocol.RequestsFrame(requests).AppendTo(nil)
 	if err != nil {
-		c.loop.Log("copies: " + err.Error())
+		s.loop.Log("copies: " + err.Error())
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.up {
-		c.lost = true
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.connected {
+		s.requestDropped = true
 		return
 	}
-	if len(c.pending) > mostSaying { // it reads nothing
-		c.tcp.SetDeadline(past)
+	if len(s.pending) > maxPendingBytes { // it reads nothing
+		s.tcp.SetDeadline(expired)
 		return
 	}
-	c.pending = append(c.pending, text...)
+	s.pending = append(s.pending, frame...)
 	select {
-	case c.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run has one connection after another, to the next keeper each time, with a pause once all were tried.
-func (c *Copies) run() error {
+func (s *StoreStream) run() error {
 	failed := 0
-	for c.ctx.Err() == nil {
-		d := net.Dialer{Timeout: 300 * time.Millisecond}
-		tcp, err := d.DialContext(c.ctx, "tcp", c.addrs[c.at])
-		c.tried.Store(true)
+	for s.ctx.Err() == nil {
+		dialer := net.Dialer{Timeout: 300 * time.Millisecond}
+		tcp, err := dialer.DialContext(s.ctx, "tcp", s.addrs[s.nextServer])
+		s.attempted.Store(true)
 		if err == nil {
-			if c.live(tcp) {
+			if s.serveConn(tcp) {
 				failed = 0
 			}
 		}
-		c.at = (c.at + 1) % len(c.addrs)
-		if failed++; failed >= len(c.addrs) {
+		s.nextServer = (s.nextServer + 1) % len(s.addrs)
+		if failed++; failed >= len(s.addrs) {
 			select {
-			case <-c.ctx.Done():
+			case <-s.ctx.Done():
 			case <-time.After(100 * time.Millisecond):
 			}
 			failed = 0
@@ -293,66 +295,66 @@
 }
 
 // live uses one connection until it ends; it says whether anything was answered.
-func (c *Copies) live(tcp net.Conn) (answered bool) {
+func (s *StoreStream) serveConn(tcp net.Conn) (answered bool) {
 	hello, err := protocol.ClientHello().AppendTo(nil)
 	if err != nil {
 		return false
 	}
-	c.mu.Lock()
-	c.up, c.tcp = true, tcp
-	c.pending = append(c.pending[:0], hello...)
-	c.mu.Unlock()
+	s.mu.Lock()
+	s.connected, s.tcp = true, tcp
+	s.pending = append(s.pending[:0], hello...)
+	s.mu.Unlock()
 	done := make(chan struct{})
 	var writer sync.WaitGroup
-	writer.Go(func() { c.write(tcp, done) })
+	writer.Go(func() { s.writeLoop(tcp, done) })
 	select {
-	case c.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
-	r := bufio.NewReaderSize(tcp, 8<<10)
+	reader := bufio.NewReaderSize(tcp, 8<<10)
 	for {
 		// A keeper answers the word that the holder is there each second: silence is a keeper that is gone.
 		tcp.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
-		f, err := protocol.ReadFrame(r, mostSaid)
+		frame, err := protocol.ReadFrame(reader, maxResponseBytes)
 		if err != nil {
 			break
 		}
 		answered = true
-		for i := range f.Responses {
-			reply := &f.Responses[i]
-			c.loop.tell(c.ctx, func() { c.heard(reply) })
+		for i := range frame.Responses {
+			response := &frame.Responses[i]
+			s.loop.post(s.ctx, func() { s.handleResponse(response) })
 		}
 	}
-	c.mu.Lock()
-	c.up = false
-	c.mu.Unlock()
+	s.mu.Lock()
+	s.connected = false
+	s.mu.Unlock()
 	close(done)
-	tcp.SetDeadline(past)
+	tcp.SetDeadline(expired)
 	writer.Wait()
 	tcp.Close()
-	c.loop.tell(c.ctx, c.broken)
+	s.loop.post(s.ctx, s.streamLost)
 	return answered
 }
 
-func (c *Copies) write(tcp net.Conn, done chan struct{}) {
-	var going []byte
+func (s *StoreStream) writeLoop(tcp net.Conn, done chan struct{}) {
+	var batch []byte
 	for {
 		select {
 		case <-done:
 			return
-		case <-c.ctx.Done():
-			tcp.SetDeadline(past)
+		case <-s.ctx.Done():
+			tcp.SetDeadline(expired)
 			return
-		case <-c.wake:
+		case <-s.wake:
 		}
-		c.mu.Lock()
-		going, c.pending = c.pending, going[:0]
-		c.mu.Unlock()
-		if len(going) == 0 {
+		s.mu.Lock()
+		batch, s.pending = s.pending, batch[:0]
+		s.mu.Unlock()
+		if len(batch) == 0 {
 			continue
 		}
-		if _, err := tcp.Write(going); err != nil {
-			tcp.SetDeadline(past)
+		if _, err := tcp.Write(batch); err != nil {
+			tcp.SetDeadline(expired)
 			return
 		}
 	}
--- a/gateway/server/discovery_test.go
+++ b/gateway/server/discovery_test.go
@@ -9,9 +9,9 @@
 )
 
 // watched is a world whose discovery the test speaks for, with its first watch.
-func watched(t *testing.T) (*world, *feed) {
-	w := setup{silent: true}.start(t)
-	return w, w.agent.next(t)
+func watched(t *testing.T) (*testGateway, *fakeWatch) {
+	w := gatewaySetup{manualDiscovery: true}.start(t)
+	return w, w.discoveryServer.next(t)
 }
 
 // roster is a list as discovery writes it.
@@ -20,13 +20,13 @@
 }
 
 // has waits until the hosts that take new work are those, by id.
-func (w *world) has(ids ...string) {
+func (w *testGateway) waitHosts(ids ...string) {
 	w.t.Helper()
 	var got []string
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		w.wait(func() bool {
 			got = got[:0]
-			for _, h := range w.hosts.inOrder {
+			for _, h := range w.pool.inOrder {
 				got = append(got, h.id)
 			}
 			return true
@@ -42,39 +42,39 @@
 func leaving(id string) string { return entry(id, "127.0.0.1:9", "Terminating") }
 
 // started is a host in its next life.
-func started(id string, ms int) string {
+func restarted(id string, ms int) string {
 	return strings.Replace(ready(id), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, ms), 1)
 }
 
 // An indented list was a row of lines that could not be read, each dropped; cut at each byte it is a list too.
 func TestListsHoweverTheyAreLaidOut(t *testing.T) {
 	w, f := watched(t)
-	f.head()
+	f.sendHead()
 	odd := `b]}\"{` // quoted, none of this is structure
 	list := strings.ReplaceAll(roster(7, true, ready("a"), strings.Replace(ready("b"), `"b"`, `"`+odd+`"`, 1)), ",", ",\r\n\t")
-	f.say(strings.Replace(list, "{", "{\n  ", 1) + "\n\n")
-	w.has("a", `b]}"{`)
+	f.send(strings.Replace(list, "{", "{\n  ", 1) + "\n\n")
+	w.waitHosts("a", `b]}"{`)
 	for _, b := range []byte(roster(8, false, ready("c"))) {
-		f.say(string(b)) // a chunk each
+		f.send(string(b)) // a chunk each
 	}
-	f.say("\n")
-	w.has("a", `b]}"{`, "c")
+	f.send("\n")
+	w.waitHosts("a", `b]}"{`, "c")
 	for _, b := range []byte(fmt.Sprintf("%x\r\n%s\r\n", len(roster(9, true, ready("d"))), roster(9, true, ready("d")))) {
 		f.Write([]byte{b})
 	}
-	w.has("d")
+	w.waitHosts("d")
 }
 
 // A list of a thousand hosts in one chunk.
 func TestALongList(t *testing.T) {
 	w, f := watched(t)
-	f.head()
+	f.sendHead()
 	var all []string
 	for i := range 1000 {
 		all = append(all, ready(fmt.Sprintf("h%04d", i)))
 	}
-	f.say(strings.ReplaceAll(roster(7, true, all...), ",", ",\n      ") + "\n")
-	w.wait(func() bool { return len(w.hosts.inOrder) == 1000 })
+	f.send(strings.ReplaceAll(roster(7, true, all...), ",", ",\n      ") + "\n")
+	w.wait(func() bool { return len(w.pool.inOrder) == 1000 })
 }
 
 // What can't be read is asked for again, as a whole, and what follows it on that stream is not used: it would lift the
@@ -86,19 +86,19 @@
 		roster(4, false, ready("x")),
 	} { // a change to before what is known
 		w, f := watched(t)
-		f.head()
-		f.say(roster(5, true, ready("a")) + "\n")
-		w.has("a")
-		f.say(bad + roster(8, false, ready("b")))
-		g := w.agent.next(t)
+		f.sendHead()
+		f.send(roster(5, true, ready("a")) + "\n")
+		w.waitHosts("a")
+		f.send(bad + roster(8, false, ready("b")))
+		g := w.discoveryServer.next(t)
 		if g.from != 0 {
 			t.Errorf("%.20q: asked for what came after %d", bad, g.from)
 		}
-		f.gone(t)
-		w.has("a")
-		g.head()
-		g.say(roster(8, true, ready("b")) + "\n")
-		w.has("b")
+		f.waitClosed(t)
+		w.waitHosts("a")
+		g.sendHead()
+		g.send(roster(8, true, ready("b")) + "\n")
+		w.waitHosts("b")
 		if !w.log.has("asked for again") {
 			t.Errorf("%.20q: the log does not say", bad)
 		}
@@ -108,21 +108,21 @@
 // Entries that make no sense are dropped and named, the rest is used; the list is asked for once more, and not again.
 func TestEntriesThatMakeNoSense(t *testing.T) {
 	w, f := watched(t)
-	f.head()
-	f.say(roster(5, true, ready("a"), ready("b")) + "\n")
-	w.has("a", "b")
+	f.sendHead()
+	f.send(roster(5, true, ready("a"), ready("b")) + "\n")
+	w.waitHosts("a", "b")
 	bad := roster(6, true, entry("x", "nowhere", "Ready"), entry("b", "127.0.0.1:9", "Confused"), ready("c"))
-	f.say(bad + "\n")
-	g := w.agent.next(t)
-	w.has("c")
+	f.send(bad + "\n")
+	g := w.discoveryServer.next(t)
+	w.waitHosts("c")
 	if g.from != 0 {
 		t.Fatalf("asked for what came after %d", g.from)
 	}
-	g.head()
-	g.say(bad + "\n")
-	g.say(roster(7, false, ready("d")) + "\n")
-	w.has("c", "d")
-	if len(w.agent.opened) > 0 || !w.log.has("nowhere") || !w.log.has("Confused") {
+	g.sendHead()
+	g.send(bad + "\n")
+	g.send(roster(7, false, ready("d")) + "\n")
+	w.waitHosts("c", "d")
+	if len(w.discoveryServer.opened) > 0 || !w.log.has("nowhere") || !w.log.has("Confused") {
 		t.Fatal("asked for once more, or not named")
 	}
 }
@@ -141,23 +141,23 @@
 			io.WriteString(g, text)
 			g.Close()
 		}()
-		f = w.agent.next(t)
+		f = w.discoveryServer.next(t)
 	}
-	f.head()
-	f.say(roster(5, true, ready("a")) + "\n")
-	w.has("a")
+	f.sendHead()
+	f.send(roster(5, true, ready("a")) + "\n")
+	w.waitHosts("a")
 }
 
 // told is how long after now a list is told that the stream at hand does not bring.
-func told(t *testing.T, w *world, f *feed) time.Duration {
+func timeUntilTold(t *testing.T, w *testGateway, f *fakeWatch) time.Duration {
 	t.Helper()
 	begun := time.Now()
 	for {
 		select {
-		case g := <-w.agent.opened:
-			g.head()
-			g.say(roster(6, true, ready("b")) + "\n")
-			w.has("b")
+		case g := <-w.discoveryServer.opened:
+			g.sendHead()
+			g.send(roster(6, true, ready("b")) + "\n")
+			w.waitHosts("b")
 			return time.Since(begun)
 		case <-time.After(50 * time.Millisecond):
 			if time.Since(begun) > 6*time.Second {
@@ -171,15 +171,15 @@
 func TestASilentStreamIsReplaced(t *testing.T) {
 	for _, trickle := range []bool{false, true} {
 		t.Run(fmt.Sprint("trickle ", trickle), func(t *testing.T) {
-			w := setup{silent: true, hurry: trickle}.start(t)
-			f := w.agent.next(t)
-			f.head()
-			f.say(roster(5, true, ready("a")) + "\n")
-			w.has("a")
+			w := gatewaySetup{manualDiscovery: true, shortTimeouts: trickle}.start(t)
+			f := w.discoveryServer.next(t)
+			f.sendHead()
+			f.send(roster(5, true, ready("a")) + "\n")
+			w.waitHosts("a")
 			stop, stopped := make(chan bool), make(chan bool)
 			go func() {
 				defer close(stopped)
-				for f.say(`{"version":6,"servers":[`); trickle; f.say("\n") {
+				for f.send(`{"version":6,"servers":[`); trickle; f.send("\n") {
 					select {
 					case <-stop:
 						return
@@ -187,12 +187,12 @@
 					}
 				}
 			}()
-			if took := told(t, w, f); took < w.finder.silence-100*time.Millisecond || took > w.finder.silence+time.Second {
+			if took := timeUntilTold(t, w, f); took < w.discovery.silenceTimeout-100*time.Millisecond || took > w.discovery.silenceTimeout+time.Second {
 				t.Errorf("told after %v", took)
 			}
 			close(stop)
 			<-stopped
-			f.gone(t)
+			f.waitClosed(t)
 		})
 	}
 }
@@ -202,37 +202,37 @@
 func TestADiscoveryThatComesBackIsHeardAtOnce(t *testing.T) {
 	for _, on := range []string{"the old stream", "a later one"} {
 		t.Run(on, func(t *testing.T) {
-			w := setup{silent: true, hurry: true}.start(t)
-			f := w.agent.next(t)
-			f.head()
-			f.say(roster(5, true, ready("a")) + "\n")
-			w.has("a")
-			g := w.agent.next(t) // it has been silent, another is tried
-			var open []*feed
+			w := gatewaySetup{manualDiscovery: true, shortTimeouts: true}.start(t)
+			f := w.discoveryServer.next(t)
+			f.sendHead()
+			f.send(roster(5, true, ready("a")) + "\n")
+			w.waitHosts("a")
+			g := w.discoveryServer.next(t) // it has been silent, another is tried
+			var open []*fakeWatch
 			for len(open) < 3 {
-				open = append(open, w.agent.next(t))
+				open = append(open, w.discoveryServer.next(t))
 			}
-			g.gone(t) // no more are kept than the old one, the last, and the next
+			g.waitClosed(t) // no more are kept than the old one, the last, and the next
 			back := f
 			if on != "the old stream" {
 				back = open[len(open)-1]
-				back.head()
+				back.sendHead()
 			}
-			back.say(roster(6, true, ready("b")) + "\n")
+			back.send(roster(6, true, ready("b")) + "\n")
 			begun := time.Now()
-			w.has("b")
+			w.waitHosts("b")
 			if took := time.Since(begun); took > 200*time.Millisecond {
 				t.Errorf("told after %v", took)
 			}
 			if on == "the old stream" { // the others are of no use any more
-				stays := w.agent
-				open[len(open)-1].head()
-				open[len(open)-1].say(roster(6, true, ready("c")) + "\n")
-				open[len(open)-1].gone(t)
+				stays := w.discoveryServer
+				open[len(open)-1].sendHead()
+				open[len(open)-1].send(roster(6, true, ready("c")) + "\n")
+				open[len(open)-1].waitClosed(t)
 				if len(stays.opened) > 1 {
 					t.Error("more are opened")
 				}
-				w.has("b")
+				w.waitHosts("b")
 			}
 		})
 	}
@@ -242,78 +242,78 @@
 // nothing, and what the old one tells counts.
 func TestANewAddressTakesOverWithItsFirstList(t *testing.T) {
 	w, f := watched(t)
-	f.head()
-	f.say(roster(5, true, ready("a")) + "\n")
-	w.has("a")
-	second := newAgent(t)
-	w.finder.Watch(second.Addr().String())
+	f.sendHead()
+	f.send(roster(5, true, ready("a")) + "\n")
+	w.waitHosts("a")
+	second := newFakeDiscovery(t)
+	w.discovery.Watch(second.Addr().String())
 	g := second.next(t)
 	if g.from != 0 {
 		t.Fatalf("asked for what came after %d, a number of another's", g.from)
 	}
-	f.say(roster(6, false, ready("b")) + "\n")
-	w.has("a", "b")
-	g.head()
-	g.say("\n")
+	f.send(roster(6, false, ready("b")) + "\n")
+	w.waitHosts("a", "b")
+	g.sendHead()
+	g.send("\n")
 	w.wait(func() bool {
-		w.finder.mu.Lock()
-		defer w.finder.mu.Unlock()
-		return w.finder.next == nil || w.finder.next.stream != nil
+		w.discovery.mu.Lock()
+		defer w.discovery.mu.Unlock()
+		return w.discovery.candidate == nil || w.discovery.candidate.stream != nil
 	})
-	f.say(roster(7, false, leaving("a")) + "\n")
-	w.has("b")
-	g.say(roster(2, true, ready("b"), ready("c")) + "\n")
-	w.has("b", "c")
-	f.gone(t)
-	g.say(roster(3, false, ready("d")) + "\n") // numbers of its own
-	w.has("b", "c", "d")
+	f.send(roster(7, false, leaving("a")) + "\n")
+	w.waitHosts("b")
+	g.send(roster(2, true, ready("b"), ready("c")) + "\n")
+	w.waitHosts("b", "c")
+	f.waitClosed(t)
+	g.send(roster(3, false, ready("d")) + "\n") // numbers of its own
+	w.waitHosts("b", "c", "d")
 }
 
 // Several in a row, and back to the first.
 func TestAddressesThatChangeInARow(t *testing.T) {
 	w, f := watched(t)
-	f.head()
-	f.say(roster(5, true, ready("a")) + "\n")
-	w.has("a")
-	second, third := newAgent(t), newAgent(t)
-	w.finder.Watch(second.Addr().String())
+	f.sendHead()
+	f.send(roster(5, true, ready("a")) + "\n")
+	w.waitHosts("a")
+	second, third := newFakeDiscovery(t), newFakeDiscovery(t)
+	w.discovery.Watch(second.Addr().String())
 	g := second.next(t)
-	w.finder.Watch(third.Addr().String())
+	w.discovery.Watch(third.Addr().String())
 	h := third.next(t)
-	g.gone(t)
-	w.finder.Watch(w.agent.Addr().String())
-	h.gone(t)
-	f.say(roster(6, false, ready("b")) + "\n") // it has been heard all along
-	w.has("a", "b")
-	w.finder.Watch(third.Addr().String())
+	g.waitClosed(t)
+	w.discovery.Watch(w.discoveryServer.Addr().String())
+	h.waitClosed(t)
+	f.send(roster(6, false, ready("b")) + "\n") // it has been heard all along
+	w.waitHosts("a", "b")
+	w.discovery.Watch(third.Addr().String())
 	h = third.next(t)
-	h.head()
-	h.say(roster(1, true, ready("c")) + "\n")
-	w.has("c")
-	f.gone(t)
+	h.sendHead()
+	h.send(roster(1, true, ready("c")) + "\n")
+	w.waitHosts("c")
+	f.waitClosed(t)
 }
 
 // Another discovery is behind: the host that was told to leave stays out, in its life; in its next one it is back.
 func TestADiscoveryThatIsBehindBringsNobodyBack(t *testing.T) {
 	w, f := watched(t)
-	f.head()
-	f.say(roster(5, true, started("a", 10), ready("b"), ready("gone")) + "\n")
-	f.say(roster(6, true, started("a", 10), ready("b")) + "\n")
-	f.say(roster(7, false, strings.Replace(started("a", 10), "Ready", "Terminating", 1)) + "\n")
-	w.has("b")
-	second := newAgent(t)
-	w.finder.Watch(second.Addr().String())
+	f.sendHead()
+	f.send(roster(5, true, restarted("a", 10), ready("b"), ready("gone")) + "\n")
+	f.send(roster(6, true, restarted("a", 10), ready("b")) + "\n")
+	f.send(roster(7, false, strings.Replace(restarted("a", 10), "Ready", "Terminating", 1)) + "\n")
+	w.waitHosts("b")
+	second := newFakeDiscovery(t)
+	w.discovery.Watch(second.Addr().String())
 	g := second.next(t)
-	g.head()
-	g.say(roster(4, true, started("a", 10), ready("b"), ready("gone"), ready("c")) + "\n")
-	w.has("b", "c")
-	g.say(roster(5, false, started("a", 20)) + "\n")
-	w.has("b", "c", "a")
+	g.sendHead()
+	g.send(roster(4, true, restarted("a", 10), ready("b"), ready("gone"), ready("c")) + "\n")
+	w.waitHosts("b", "c")
+	g.send(roster(5, false, restarted("a", 20)) + "\n")
+	w.waitHosts("b", "c", "a")
 	// the same where one discovery begins anew with lower numbers
-	g.say(roster(9, false, leaving("c")) + "\n")
-	w.has("b", "a")
-	g.say(roster(1, true, ready("b"), ready("c")) + "\n")
-	w.has("b")
+	g.send(roster(9, false, leaving("c")) + "\n")
+	w.waitHosts("b", "a")
+	g.send(roster(1, true, ready("b"), ready("c")) + "\n")
+	w.waitHosts("b")
 }
 
 // A stream that ends as soon as it has spoken is not asked for again without a pause.
@@ -322,10 +322,10 @@
 	begun := time.Now()
 	n := 0
 	for ; time.Since(begun) < time.Second; n++ {
-		f.head()
-		f.say("\n")
+		f.sendHead()
+		f.send("\n")
 		f.Close()
-		f = w.agent.next(t)
+		f = w.discoveryServer.next(t)
 	}
 	if n > 8 {
 		t.Fatalf("%d in a second", n)
@@ -334,26 +334,26 @@
 
 // What stood unread on a stream that another has taken over from changes nothing, also once that one has ended.
 func TestAStreamThatWasTakenOverFromIsNotHeardAgain(t *testing.T) {
-	w := setup{silent: true, hurry: true}.start(t)
-	f := w.agent.next(t)
-	f.head()
-	f.say(roster(5, true, ready("a")) + "\n")
-	w.has("a")
-	w.finder.mu.Lock()
-	old := w.finder.inForce.stream
-	w.finder.mu.Unlock()
-	g := w.agent.next(t)
-	g.head()
-	g.say(roster(6, true, ready("b")) + "\n")
-	w.has("b")
+	w := gatewaySetup{manualDiscovery: true, shortTimeouts: true}.start(t)
+	f := w.discoveryServer.next(t)
+	f.sendHead()
+	f.send(roster(5, true, ready("a")) + "\n")
+	w.waitHosts("a")
+	w.discovery.mu.Lock()
+	old := w.discovery.current.stream
+	w.discovery.mu.Unlock()
+	g := w.discoveryServer.next(t)
+	g.sendHead()
+	g.send(roster(6, true, ready("b")) + "\n")
+	w.waitHosts("b")
 	g.Close()
 	w.wait(func() bool {
-		w.finder.mu.Lock()
-		defer w.finder.mu.Unlock()
-		return w.finder.inForce.stream == nil
+		w.discovery.mu.Lock()
+		defer w.discovery.mu.Unlock()
+		return w.discovery.current.stream == nil
 	})
-	if err := w.finder.hear(old, &Roster{Version: 5, Full: true, Servers: []RosterEntry{}}); err == nil {
+	if err := w.discovery.accept(old, &Roster{Version: 5, Full: true, Servers: []RosterEntry{}}); err == nil {
 		t.Error("it is heard")
 	}
-	w.has("b")
+	w.waitHosts("b")
 }
--- a/gateway/server/hook_test.go
+++ b/gateway/server/hook_test.go
@@ -10,13 +10,13 @@
 
 // hook stops connections at points of their life, for tests that force two things to cross. The points: "read" before the
 // system is asked for bytes, "look" before it is asked whether any stand there, "write", "shut" and "close" before those.
-type hook struct {
+type connHook struct {
 	mu sync.Mutex
 	at map[string]func()
 }
 
 // on has what run once, when a connection next comes to a point.
-func (h *hook) on(point string, what func()) {
+func (h *connHook) on(point string, what func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.at == nil {
@@ -25,7 +25,7 @@
 	h.at[point] = what
 }
 
-func (h *hook) pass(point string) {
+func (h *connHook) pass(point string) {
 	h.mu.Lock()
 	what := h.at[point]
 	delete(h.at, point)
@@ -36,17 +36,17 @@
 }
 
 // hooked is such a connection. half: the next write breaks off in the middle, as by a reset.
-type hooked struct {
+type hookedConn struct {
 	*net.TCPConn
-	hook *hook
+	hook *connHook
 }
 
-func (c *hooked) SyscallConn() (syscall.RawConn, error) {
+func (c *hookedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return hookedRaw{raw, c.hook}, err
 }
 
-func (c *hooked) Write(b []byte) (int, error) {
+func (c *hookedConn) Write(b []byte) (int, error) {
 	c.hook.pass("write")
 	half := false
 	c.hook.mu.Lock()
@@ -63,19 +63,19 @@
 	return c.TCPConn.Write(b)
 }
 
-func (c *hooked) CloseWrite() error {
+func (c *hookedConn) CloseWrite() error {
 	c.hook.pass("shut")
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *hooked) Close() error {
+func (c *hookedConn) Close() error {
 	c.hook.pass("close")
 	return c.TCPConn.Close()
 }
 
 type hookedRaw struct {
 	syscall.RawConn
-	hook *hook
+	hook *connHook
 }
 
 func (r hookedRaw) Read(f func(fd uintptr) bool) error {
@@ -91,11 +91,11 @@
 }
 
 // listener gives hooked connections; "accepted" is passed when the system has given one, before the program has it.
-func (h *hook) listener(l net.Listener) net.Listener { return &hookedListener{l, h} }
+func (h *connHook) listener(l net.Listener) net.Listener { return &hookedListener{l, h} }
 
 type hookedListener struct {
 	net.Listener
-	hook *hook
+	hook *connHook
 }
 
 func (l *hookedListener) Accept() (net.Conn, error) {
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	l.hook.pass("accepted")
-	return &hooked{tcp.(*net.TCPConn), l.hook}, nil
+	return &hookedConn{tcp.(*net.TCPConn), l.hook}, nil
 }
 
 func (l *hookedListener) Close() error {
@@ -113,7 +113,7 @@
 }
 
 // connect gives hooked connections to hosts; "dial" is passed before one is begun, "up" when it stands.
-func (h *hook) connect(ctx context.Context, network, addr string) (net.Conn, error) {
+func (h *connHook) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	h.pass("dial")
 	d := net.Dialer{Timeout: time.Second, KeepAlive: -1}
 	tcp, err := d.DialContext(ctx, network, addr)
@@ -121,5 +121,5 @@
 		return nil, err
 	}
 	h.pass("up")
-	return &hooked{tcp.(*net.TCPConn), h}, nil
+	return &hookedConn{tcp.(*net.TCPConn), h}, nil
 }
--- a/gateway/server/hosts_test.go
+++ b/gateway/server/hosts_test.go
@@ -15,18 +15,18 @@
 )
 
 // rawHost is a host whose connections the test speaks on itself.
-type rawHost struct {
+type manualHost struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func newRawHost(t *testing.T) *rawHost {
+func newManualHost(t *testing.T) *manualHost {
 	leakcheck.Check(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &rawHost{l, make(chan net.Conn, 100)}
+	h := &manualHost{l, make(chan net.Conn, 100)}
 	var all sync.WaitGroup
 	t.Cleanup(func() {
 		l.Close()
@@ -48,10 +48,10 @@
 	return h
 }
 
-func (h *rawHost) entry(id string) string { return entry(id, h.Addr().String(), "Ready") }
+func (h *manualHost) entry(id string) string { return entry(id, h.Addr().String(), "Ready") }
 
 // next is the next connection that a delivery is made on.
-func (h *rawHost) next(t *testing.T) net.Conn {
+func (h *manualHost) next(t *testing.T) net.Conn {
 	t.Helper()
 	select {
 	case tcp := <-h.conns:
@@ -73,18 +73,18 @@
 }
 
 // list has discovery tell of hosts.
-func (w *world) list(version int, entries ...string) {
-	w.watch <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
+func (w *testGateway) sendList(version int, entries ...string) {
+	w.discoveryLines <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 	w.wait(func() bool {
-		w.finder.mu.Lock()
-		defer w.finder.mu.Unlock()
-		return w.finder.inForce.held == int64(version)
+		w.discovery.mu.Lock()
+		defer w.discovery.mu.Unlock()
+		return w.discovery.current.acceptedVersion == int64(version)
 	})
 	w.wait(func() bool { return true }) // the loop has it too
 }
 
-func (w *world) idle(id string) int {
-	if h := w.hosts.byID[id]; h != nil {
+func (w *testGateway) idleConns(id string) int {
+	if h := w.pool.byID[id]; h != nil {
 		return len(h.idle)
 	}
 	return 0
@@ -92,30 +92,30 @@
 
 // Half an answer that nobody asked for had been read when the next request was written: the rest of it was that one's.
 func TestBytesReadBeforeARequestAreNotItsAnswer(t *testing.T) {
-	h := newRawHost(t)
-	w := start(t, room)
-	w.list(2, h.entry("h0"))
+	h := newManualHost(t)
+	w := start(t, plentyOfQuota)
+	w.sendList(2, h.entry("h0"))
 	tcp := w.dial()
 	go io.WriteString(tcp, invoke("look", 2000, ""))
 	first := h.next(t)
 	request(first)
 	io.WriteString(first, ok("one"))
-	if _, body := ask(tcp, ""); body != "one" {
+	if _, body := exchange(tcp, ""); body != "one" {
 		t.Fatalf("got %q", body)
 	}
-	w.wait(func() bool { return w.idle("h0") == 1 })
+	w.wait(func() bool { return w.idleConns("h0") == 1 })
 	io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Len") // nobody asked
 	go func() {
 		if request(first) != "" { // as it should not
 			io.WriteString(first, "gth: 5\r\n\r\nstray")
 		}
 	}()
-	w.wait(func() bool { return w.idle("h0") == 0 })
+	w.wait(func() bool { return w.idleConns("h0") == 0 })
 	io.WriteString(tcp, invoke("look", 2000, ""))
 	second := h.next(t)
 	request(second)
 	io.WriteString(second, ok("two"))
-	if _, body := ask(tcp, ""); body != "two" {
+	if _, body := exchange(tcp, ""); body != "two" {
 		t.Fatalf("got %q", body)
 	}
 }
@@ -123,10 +123,10 @@
 // The host closes a resting connection just as a request is handed over on it: nothing was written, so it goes out on
 // another, though it may not be sent again, and the host is not blamed.
 func TestAConnectionThatEndsAsItIsHandedARequest(t *testing.T) {
-	h := newRawHost(t)
-	k := &hook{}
-	w := setup{counter: room, connect: k.connect}.start(t)
-	w.list(2, h.entry("h0"))
+	h := newManualHost(t)
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
+	w.sendList(2, h.entry("h0"))
 	tcp := w.dial()
 	var resting net.Conn
 	for i := range 3 {
@@ -135,7 +135,7 @@
 			last = <-h.conns // stands, and rests
 			k.on("look", func() {
 				last.Close()
-				for quiet(resting) {
+				for nothingUnread(resting) {
 				}
 			})
 		}
@@ -147,15 +147,15 @@
 			io.WriteString(c, ok("x"))
 			h.conns <- c
 		}()
-		if status, _ := ask(tcp, invoke("pay", 2000, "x")); status != 200 {
+		if status, _ := exchange(tcp, invoke("pay", 2000, "x")); status != 200 {
 			t.Fatalf("invocation %d: %d", i, status)
 		}
 		<-done
 		w.wait(func() bool {
-			if w.idle("h0") != 1 {
+			if w.idleConns("h0") != 1 {
 				return false
 			}
-			resting = w.hosts.byID["h0"].idle[0].tcp.(*hooked).TCPConn
+			resting = w.pool.byID["h0"].idle[0].tcp.(*hookedConn).TCPConn
 			return true
 		})
 	}
@@ -166,8 +166,8 @@
 
 // The same where the reader sees the end before the writer has begun: it was told as a delivery that found no connection.
 func TestAConnectionThatEndedBeforeItsRequestWasBegun(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	w := start(t, plentyOfQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	var dead []*hostConn // as many as an invocation may have deliveries
@@ -175,53 +175,53 @@
 		tcp, _ := net.Dial("tcp", l.Addr().String())
 		other, _ := l.Accept()
 		other.Close()
-		for quiet(tcp) {
+		for nothingUnread(tcp) {
 		}
-		raw, _ := rawOf(tcp)
-		dead = append(dead, &hostConn{hosts: w.hosts, tcp: tcp, raw: raw, work: make(chan *Buffer, 2)})
+		raw, _ := rawConnOf(tcp)
+		dead = append(dead, &hostConn{pool: w.pool, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)})
 	}
 	w.wait(func() bool { // at rest, neither of their goroutines has come to run
-		x := w.hosts.byID["h0"]
+		x := w.pool.byID["h0"]
 		for _, c := range dead {
 			c.host, c.addr = x, x.addr
 		}
-		w.hosts.open += len(dead)
+		w.pool.open += len(dead)
 		x.idle = append(x.idle, dead...)
 		return true
 	})
 	client := w.dial()
 	io.WriteString(client, invoke("pay", 900, "x"))
 	for i := len(dead) - 1; i >= 0; i-- { // the last used is taken first
-		w.wait(func() bool { return dead[i].on != nil })
-		dead[i].read()
+		w.wait(func() bool { return dead[i].delivery != nil })
+		dead[i].readLoop()
 	}
-	if status, _ := ask(client, ""); status != 200 {
+	if status, _ := exchange(client, ""); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	w.wait(func() bool { return w.hosts.open == 1 })
+	w.wait(func() bool { return w.pool.open == 1 })
 	for _, c := range dead {
-		c.write() // comes too late to write anything
+		c.writeLoop() // comes too late to write anything
 	}
 }
 
 // A client leaves while its request waits for a connection: it is not written once the connection stands.
 func TestARequestWhoseClientLeftIsNotWritten(t *testing.T) {
 	for _, point := range []string{"up", "look"} { // before the connection stands, and after it was handed over
-		h := newRawHost(t)
-		k := &hook{}
-		w := setup{counter: room, connect: k.connect}.start(t)
-		w.list(2, h.entry("h0"))
+		h := newManualHost(t)
+		k := &connHook{}
+		w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
+		w.sendList(2, h.entry("h0"))
 		tcp := w.dial()
 		k.on(point, func() {
 			tcp.Close()
-			w.wait(func() bool { return len(w.loop.inHand) == 0 })
+			w.wait(func() bool { return len(w.loop.invocations) == 0 })
 		})
 		io.WriteString(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		w.wait(func() bool { return len(w.loop.inHand) == 0 && len(w.loop.due) == 0 })
+		w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
 		if point == "up" {
-			w.wait(func() bool { return w.idle("h0") == 1 })
-			w.wait(func() bool { w.hosts.List("h0", "", false); return true })
+			w.wait(func() bool { return w.idleConns("h0") == 1 })
+			w.wait(func() bool { w.pool.UpdateHost("h0", "", false); return true })
 		}
 		if got := request(c); got != "" {
 			t.Errorf("%s: the host got %q", point, got)
@@ -231,26 +231,28 @@
 
 // What allowed a delivery may be over when its connection stands.
 func TestADeliveryThatWaitedIsJudgedOnceMore(t *testing.T) {
-	for name, change := range map[string]func(w *world, h *rawHost){
-		"drains": func(w *world, h *rawHost) { w.list(3, strings.Replace(h.entry("h0"), "Ready", "Terminating", 1)) },
-		"gone":   func(w *world, h *rawHost) { w.list(3) },
-		"anew": func(w *world, h *rawHost) {
-			w.list(3, strings.Replace(h.entry("h0"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
+	for name, change := range map[string]func(w *testGateway, h *manualHost){
+		"drains": func(w *testGateway, h *manualHost) {
+			w.sendList(3, strings.Replace(h.entry("h0"), "Ready", "Terminating", 1))
 		},
-		"late": func(w *world, h *rawHost) { time.Sleep(350 * time.Millisecond) },
-		"late by what lies before it in the queue": func(w *world, h *rawHost) {
-			w.loop.tell(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
+		"gone": func(w *testGateway, h *manualHost) { w.sendList(3) },
+		"anew": func(w *testGateway, h *manualHost) {
+			w.sendList(3, strings.Replace(h.entry("h0"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
+		},
+		"late": func(w *testGateway, h *manualHost) { time.Sleep(350 * time.Millisecond) },
+		"late by what lies before it in the queue": func(w *testGateway, h *manualHost) {
+			w.loop.post(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
 			w.hook.on("read", func() { // it is in the queue; what follows it there gives the writer time
-				w.loop.tell(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
+				w.loop.post(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newRawHost(t)
-			k := &hook{}
-			w := setup{counter: room, connect: k.connect}.start(t)
+			h := newManualHost(t)
+			k := &connHook{}
+			w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
 			w.hook = k
-			w.list(2, h.entry("h0"))
+			w.sendList(2, h.entry("h0"))
 			changed := make(chan bool)
 			k.on("up", func() { change(w, h); close(changed) })
 			tcp := w.dial()
@@ -269,11 +271,11 @@
 					}
 				}
 			}()
-			if status, _ := ask(tcp, invoke("pay", 350, "x")); status == 200 {
+			if status, _ := exchange(tcp, invoke("pay", 350, "x")); status == 200 {
 				t.Error("served")
 			}
 			<-changed
-			w.wait(func() bool { return len(w.loop.inHand) == 0 })
+			w.wait(func() bool { return len(w.loop.invocations) == 0 })
 			h.Close()
 		})
 	}
@@ -281,7 +283,7 @@
 
 // The time that a host is told is what is left when the request is written.
 func TestTheTimeToldIsWhatIsLeftAtWriting(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		for _, f := range m.Fields {
 			if string(f.Name) == "Req-Deadline-Ms" {
 				return ok(string(f.Value))
@@ -289,10 +291,10 @@
 		}
 		return ok("none")
 	})
-	k := &hook{}
-	w := setup{counter: room, hosts: []*standIn{h}, connect: k.connect}.start(t)
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, connect: k.connect}.start(t)
 	k.on("up", func() { time.Sleep(200 * time.Millisecond) })
-	_, body := ask(w.dial(), invoke("pay", 900, "x"))
+	_, body := exchange(w.dial(), invoke("pay", 900, "x"))
 	var ms int
 	if fmt.Sscan(body, &ms); ms <= 0 || ms > 700 {
 		t.Fatalf("told %q", body)
@@ -301,16 +303,16 @@
 
 // A write breaks off in the middle: the host can't have run what it has not got whole, so it goes out again.
 func TestAWriteThatBreaksOffNeverRan(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
-	k := &hook{}
-	w := setup{counter: room, hosts: []*standIn{h}, connect: k.connect}.start(t)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
+	k := &connHook{}
+	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, connect: k.connect}.start(t)
 	k.on("half", func() {})
 	long := strings.Repeat("y", 50<<10)
-	if status, body := ask(w.dial(), invoke("pay", 2000, long)); status != 200 || body != long {
+	if status, body := exchange(w.dial(), invoke("pay", 2000, long)); status != 200 || body != long {
 		t.Fatalf("%d with %d bytes", status, len(body))
 	}
-	h.next(t)
-	h.none(t)
+	h.nextRequest(t)
+	h.noRequest(t)
 }
 
 // A reset after the last byte was written may have run, with a part of an answer or without.
@@ -319,9 +321,9 @@
 		"", "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
-		h := newRawHost(t)
-		w := start(t, room)
-		w.list(2, h.entry("h0"))
+		h := newManualHost(t)
+		w := start(t, plentyOfQuota)
+		w.sendList(2, h.entry("h0"))
 		tcp := w.dial()
 		io.WriteString(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
@@ -329,11 +331,11 @@
 		io.WriteString(c, text)
 		if text != "" {
 			w.wait(func() bool { // it has been read
-				for _, inv := range w.loop.inHand {
-					if k := inv.out.conn; k != nil {
+				for _, inv := range w.loop.invocations {
+					if k := inv.delivery.conn; k != nil {
 						k.mu.Lock()
 						defer k.mu.Unlock()
-						return k.in != nil && !k.in.Empty()
+						return k.answer != nil && !k.answer.Empty()
 					}
 				}
 				return false
@@ -341,7 +343,7 @@
 		}
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
-		if status, body := ask(tcp, ""); status != 502 || body != "" {
+		if status, body := exchange(tcp, ""); status != 502 || body != "" {
 			t.Errorf("%.40q: %d %q", text, status, body)
 		}
 		select {
@@ -354,9 +356,9 @@
 
 // An answer comes byte by byte; one that never comes to its end is given up with the client's time.
 func TestAnswersInPieces(t *testing.T) {
-	h := newRawHost(t)
-	w := start(t, room)
-	w.list(2, h.entry("h0"))
+	h := newManualHost(t)
+	w := start(t, plentyOfQuota)
+	w.sendList(2, h.entry("h0"))
 	for _, text := range []string{
 		ok("in pieces"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("in pieces"),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nin\r\n7\r\n pieces\r\n0\r\nA: b\r\n\r\n",
@@ -372,11 +374,11 @@
 		if text == "HTTP/1.1 200 OK\r\n\r\nin pieces" {
 			c.Close()
 		}
-		if status, body := ask(tcp, ""); status != 200 || body != "in pieces" {
+		if status, body := exchange(tcp, ""); status != 200 || body != "in pieces" {
 			t.Errorf("%.40q: %d %q", text, status, body)
 		}
 		c.Close()
-		w.wait(func() bool { return w.idle("h0") == 0 })
+		w.wait(func() bool { return w.idleConns("h0") == 0 })
 	}
 	tcp := w.dial()
 	io.WriteString(tcp, invoke("pay", 300, "x"))
@@ -392,7 +394,7 @@
 		}
 	}()
 	begun := time.Now()
-	if status, _ := ask(tcp, ""); status != 504 || time.Since(begun) > 400*time.Millisecond {
+	if status, _ := exchange(tcp, ""); status != 504 || time.Since(begun) > 400*time.Millisecond {
 		t.Errorf("%d after %v", status, time.Since(begun))
 	}
 	<-ended
@@ -404,9 +406,9 @@
 		"HTTP/1.1 200 OK\r\nA: ", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 	} {
-		h := newRawHost(t)
-		w := start(t, room)
-		w.list(2, h.entry("h0"))
+		h := newManualHost(t)
+		w := start(t, plentyOfQuota)
+		w.sendList(2, h.entry("h0"))
 		tcp := w.dial()
 		io.WriteString(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
@@ -423,9 +425,9 @@
 				}
 			}
 		}()
-		if status, _ := ask(tcp, ""); status != 502 {
+		if status, _ := exchange(tcp, ""); status != 502 {
 			t.Errorf("%.60q: %d", text, status)
 		}
-		w.wait(func() bool { return w.hosts.open == 0 && w.hosts.buffers.out.Load() == 0 })
+		w.wait(func() bool { return w.pool.open == 0 && w.pool.buffers.largeInUse.Load() == 0 })
 	}
 }
--- a/gateway/server/peers.go
+++ b/gateway/server/peers.go
@@ -14,55 +14,55 @@
 )
 
 // datagram is the most bytes one may hold.
-const datagram = 256
+const maxDatagram = 256
 
-type Peers struct {
-	loop  *Loop
-	udp   *net.UDPConn
-	to    []netip.AddrPort       // what reaches all others
-	one   []netip.AddrPort       // each by its number
-	known map[netip.AddrPort]int // by address
-	lines chan line
-	heard func(from int, text string)
+type PeerSocket struct {
+	loop     *EventLoop
+	udp      *net.UDPConn
+	others   []netip.AddrPort       // what reaches all others
+	peers    []netip.AddrPort       // each by its number
+	numbers  map[netip.AddrPort]int // by address
+	outgoing chan peerMessage
+	received func(from int, text string)
 }
 
 // line is a message to an api gateway by its number, or to all others.
-type line struct {
+type peerMessage struct {
 	to   int
 	text string
 }
 
 // NewPeers opens the socket; with no address to listen on there are no peers, and nothing is sent.
-func NewPeers(loop *Loop, listen string, me int, peers []string, all string) (*Peers, error) {
-	p := &Peers{loop: loop, known: map[netip.AddrPort]int{}, lines: make(chan line, 32)}
-	p.heard = p.toLoop
+func NewPeerSocket(loop *EventLoop, listen string, self int, addrs []string, broadcast string) (*PeerSocket, error) {
+	p := &PeerSocket{loop: loop, numbers: map[netip.AddrPort]int{}, outgoing: make(chan peerMessage, 32)}
+	p.received = p.postToLoop
 	if listen == "" {
 		return p, nil
 	}
-	for i, s := range peers {
-		a, err := netip.ParseAddrPort(s)
+	for i, text := range addrs {
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
 		}
-		if p.one = append(p.one, a); i == me {
+		if p.peers = append(p.peers, addr); i == self {
 			continue
 		}
-		if p.known[a] = i; all == "" {
-			p.to = append(p.to, a)
+		if p.numbers[addr] = i; broadcast == "" {
+			p.others = append(p.others, addr)
 		}
 	}
-	if all != "" {
-		a, err := netip.ParseAddrPort(all)
+	if broadcast != "" {
+		addr, err := netip.ParseAddrPort(broadcast)
 		if err != nil {
 			return nil, err
 		}
-		p.to = []netip.AddrPort{a}
+		p.others = []netip.AddrPort{addr}
 	}
-	at, err := net.ResolveUDPAddr("udp", listen)
+	local, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, err
 	}
-	p.udp, err = net.ListenUDP("udp", at)
+	p.udp, err = net.ListenUDP("udp", local)
 	if mutation.AddressShared && err != nil {
 		p.udp, err = nil, nil
 	}
@@ -70,18 +70,18 @@
 }
 
 // send hands a message over for a peer or all; a crowd of them is thinned out here, as the network would.
-func (p *Peers) send(to int, text string) {
-	if p.udp == nil || len(text) > datagram {
+func (p *PeerSocket) send(to int, text string) {
+	if p.udp == nil || len(text) > maxDatagram {
 		return
 	}
 	select {
-	case p.lines <- line{to, text}:
+	case p.outgoing <- peerMessage{to, text}:
 	default:
 	}
 }
 
 // Write sends what is handed over, and closes the socket at the end.
-func (p *Peers) Write(ctx context.Context) error {
+func (p *PeerSocket) Write(ctx context.Context) error {
 	if p.udp == nil {
 		return nil
 	}
@@ -90,30 +90,30 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case l := <-p.lines:
-			to := p.to
-			if l.to != membership.Broadcast {
-				to = nil
-				if l.to >= 0 && l.to < len(p.one) {
-					to = p.one[l.to : l.to+1]
+		case message := <-p.outgoing:
+			targets := p.others
+			if message.to != membership.Broadcast {
+				targets = nil
+				if message.to >= 0 && message.to < len(p.peers) {
+					targets = p.peers[message.to : message.to+1]
 				}
 			}
-			for _, a := range to {
+			for _, addr := range targets {
 				p.udp.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-				p.udp.WriteToUDPAddrPort([]byte(l.text), a)
+				p.udp.WriteToUDPAddrPort([]byte(message.text), addr)
 			}
 		}
 	}
 }
 
 // Read passes on what known peers say.
-func (p *Peers) Read(ctx context.Context) error {
+func (p *PeerSocket) Read(ctx context.Context) error {
 	if p.udp == nil {
 		return nil
 	}
-	b := make([]byte, datagram+1)
+	buffer := make([]byte, maxDatagram+1)
 	for {
-		n, from, err := p.udp.ReadFromUDPAddrPort(b)
+		n, from, err := p.udp.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -121,18 +121,18 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		who, ok := p.known[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if n == 0 || n > datagram || !ok {
+		number, ok := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if n == 0 || n > maxDatagram || !ok {
 			continue
 		}
-		p.heard(who, string(b[:n]))
+		p.received(number, string(buffer[:n]))
 	}
 }
 
 // toLoop passes a message on unless the loop is behind: the crowd of them must not hold up what matters more.
-func (p *Peers) toLoop(from int, text string) {
+func (p *PeerSocket) postToLoop(from int, text string) {
 	select {
-	case p.loop.queue <- func() { p.loop.module.PeerMessage(p.loop.now, from, text) }:
+	case p.loop.queue <- func() { p.loop.policy.PeerMessage(p.loop.now, from, text) }:
 	default:
 	}
 }
--- a/gateway/server/receive.go
+++ b/gateway/server/receive.go
@@ -13,7 +13,7 @@
 var errNoDescriptor = errors.New("the connection has no descriptor")
 
 // rawOf gives access to a connection's descriptor.
-func rawOf(tcp net.Conn) (syscall.RawConn, error) {
+func rawConnOf(tcp net.Conn) (syscall.RawConn, error) {
 	t, ok := tcp.(syscall.Conn)
 	if !ok {
 		return nil, errNoDescriptor
@@ -24,9 +24,9 @@
 // receive reads once from a descriptor that does not block; again: nothing is there yet. Called within RawConn.Read and under
 // the lock of the connection's state, it guards against bytes that have left the system and are in nobody's books while the
 // connection is shut, or while the next request is written on it.
-func receive(fd uintptr, room []byte) (n int, again bool, err error) {
+func readOnce(fd uintptr, buffer []byte) (n int, wouldBlock bool, err error) {
 	for {
-		n, err = syscall.Read(int(fd), room)
+		n, err = syscall.Read(int(fd), buffer)
 		switch {
 		case err == syscall.EINTR:
 			continue
@@ -42,14 +42,14 @@
 }
 
 // quiet says that nothing stands unread on a connection, neither bytes nor its end.
-func quiet(tcp net.Conn) bool {
-	raw, err := rawOf(tcp)
+func nothingUnread(tcp net.Conn) bool {
+	raw, err := rawConnOf(tcp)
 	if err != nil {
 		return false
 	}
-	if bad := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		_, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	}); bad != nil {
+	}); controlErr != nil {
 		return false
 	}
 	return err == syscall.EAGAIN
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -34,19 +34,19 @@
 }
 
 // recordedCalls makes calls on one connection to the counter, and gives what it is to send.
-func recordedCalls(t *testing.T) (text []byte, calls []*call) {
+func recordedCalls(t *testing.T) (text []byte, calls []*counterCall) {
 	t.Helper()
-	k := &counterConn{up: true, wake: make(chan struct{}, 1)}
+	k := &counterConn{connected: true, wake: make(chan struct{}, 1)}
 	for _, c := range []struct {
 		name         uint64
 		amount, life float64
 	}{{1<<64 - 1, 0.1, 60}, {9041552, -3.25, 0.0001}, {0, 1e9, 1.5}} {
-		x := &call{name: c.name, amount: c.amount}
+		x := &counterCall{name: c.name, amount: c.amount}
 		if !k.put(x, c.amount, c.life) {
 			t.Fatal("a call was not taken")
 		}
-		if x.until != int64(len(k.pending)) {
-			t.Errorf("a call ends at byte %d, %d are to be sent", x.until, len(k.pending))
+		if x.endOffset != int64(len(k.pending)) {
+			t.Errorf("a call ends at byte %d, %d are to be sent", x.endOffset, len(k.pending))
 		}
 		calls = append(calls, x)
 	}
@@ -70,8 +70,8 @@
 		if !whole || err != nil {
 			t.Fatal(i, whole, err)
 		}
-		if x := calls[i]; !x.read(&m) || x.how != want.how || x.sum != want.sum {
-			t.Errorf("answer %d is read as %v, %v", i, x.how, x.sum)
+		if x := calls[i]; !x.read(&m) || x.outcome != want.how || x.total != want.sum {
+			t.Errorf("answer %d is read as %v, %v", i, x.outcome, x.total)
 		}
 		n = m.Next()
 	}
@@ -87,12 +87,12 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	p, err := NewPeers(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", peer.LocalAddr().String()}, "")
+	p, err := NewPeerSocket(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", peer.LocalAddr().String()}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	heard := make(chan string, 10)
-	p.heard = func(from int, text string) { heard <- strconv.Itoa(from) + text }
+	p.received = func(from int, text string) { heard <- strconv.Itoa(from) + text }
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go p.Write(ctx)
@@ -120,7 +120,7 @@
 }
 
 // storeStream has a gateway's stream to a store ask for a turn's worth, with a mark and use, and gives its other end.
-func storeStream(t *testing.T) (c *Copies, loop *Loop, other net.Conn) {
+func storeStream(t *testing.T) (c *StoreStream, loop *EventLoop, other net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,8 +129,8 @@
 	defer listener.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
-	loop = NewLoop(zerolog.Nop())
-	c = NewCopies(ctx, group, loop, []string{listener.Addr().String()}, "edge-3.7f00ba12", 0)
+	loop = NewEventLoop(zerolog.Nop())
+	c = NewStoreStream(ctx, group, loop, []string{listener.Addr().String()}, "edge-3.7f00ba12", 0)
 	other, err = listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -141,14 +141,14 @@
 		group.Wait()
 	})
 	other.SetDeadline(time.Now().Add(10 * time.Second))
-	for until := time.Now().Add(10 * time.Second); !c.standing(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); !c.isConnected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the stream does not stand")
 		}
 	}
-	c.lodge.AcquireMarker("fc64a7745d3a91c4", "pool-a", 0.5)
-	c.lodge.MeterUsage("gold 0011", 2.5)
-	c.send(c.lodge.TakeRequests(1))
+	c.client.AcquireMarker("fc64a7745d3a91c4", "pool-a", 0.5)
+	c.client.MeterUsage("gold 0011", 2.5)
+	c.send(c.client.TakeRequests(1))
 	return c, loop, other
 }
 
@@ -170,8 +170,8 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the recorded answer was not heard")
 	}
-	if c.lodge.LeaseLosses() != 1 || c.lodge.Holder() != "edge-3.7f00ba12.1" {
-		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.lodge.LeaseLosses(), c.lodge.Holder())
+	if c.client.LeaseLosses() != 1 || c.client.Holder() != "edge-3.7f00ba12.1" {
+		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.client.LeaseLosses(), c.client.Holder())
 	}
 }
 
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -17,27 +17,27 @@
 )
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("body of " + string(m.Method)) })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("body of " + string(m.Method)) })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	for _, x := range []struct{ operation, body, seen, answer string }{
 		{"look", "", "GET /look/1?x=2 ", "body of GET"}, {"pay", "amount", "POST /pay/1?x=2 amount", "body of POST"},
 	} {
-		if status, body := ask(tcp, invoke(x.operation, 900, x.body)); status != 200 || body != x.answer {
+		if status, body := exchange(tcp, invoke(x.operation, 900, x.body)); status != 200 || body != x.answer {
 			t.Fatalf("%s: %d %q", x.operation, status, body)
 		}
-		if got := h.next(t); got != x.seen {
+		if got := h.nextRequest(t); got != x.seen {
 			t.Fatalf("the host got %q", got)
 		}
 	}
-	if status, _ := ask(tcp, "GET /_health HTTP/1.1\r\n\r\n"); status != 200 {
+	if status, _ := exchange(tcp, "GET /_health HTTP/1.1\r\n\r\n"); status != 200 {
 		t.Fatalf("health: %d", status)
 	}
 }
 
 func TestBadRequestsAreAnsweredAndNothingIsSent(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("") })
+	w := start(t, plentyOfQuota, h)
 	good := invoke("pay", 900, "x")
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
@@ -61,27 +61,27 @@
 		strings.Replace(good, "POST /pay", "POST pay", 1):                                                400,
 	} {
 		tcp := w.dial()
-		if status, _ := ask(tcp, text); status != want || !closed(tcp) {
+		if status, _ := exchange(tcp, text); status != want || !closed(tcp) {
 			t.Errorf("%.60q: %d, want %d and the connection closed", text, status, want)
 		}
 	}
-	h.none(t)
-	if n := w.log.count("request refused"); n < 1 || n > 2*badLines { // some of them: a flood must not become one of lines
+	h.noRequest(t)
+	if n := w.log.count("request refused"); n < 1 || n > 2*peerErrorsPerSecond { // some of them: a flood must not become one of lines
 		t.Errorf("%d lines say that a request was refused", n)
 	}
 }
 
 func TestHalfARequestIsNotWaitedForWithoutEnd(t *testing.T) {
-	w := start(t, room)
+	w := start(t, plentyOfQuota)
 	tcp := w.dial()
-	if status, _ := ask(tcp, "POST /pay HTTP/1.1\r\nReq-"); status != 0 {
+	if status, _ := exchange(tcp, "POST /pay HTTP/1.1\r\nReq-"); status != 0 {
 		t.Fatalf("answered %d", status)
 	}
 }
 
 func TestSecondRequestWaitsForTheFirst(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok(fmt.Sprint(n)) })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(fmt.Sprint(n)) })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	var got []string
 	tcp.Write([]byte(invoke("pay", 900, "a") + invoke("pay", 900, "b")))
@@ -92,7 +92,7 @@
 	if strings.Join(got, " ") != "1 2" {
 		t.Fatalf("got %q", got)
 	}
-	if a, b := h.next(t), h.next(t); a != "POST /pay/1?x=2 a" || b != "POST /pay/1?x=2 b" {
+	if a, b := h.nextRequest(t), h.nextRequest(t); a != "POST /pay/1?x=2 a" || b != "POST /pay/1?x=2 b" {
 		t.Fatalf("the host got %q, %q", a, b)
 	}
 }
@@ -112,28 +112,28 @@
 		"HTTP/1.1 200 OK\r\n\r\nuntil the end!": 200,
 		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe end!": 200,
 	} {
-		h := newStandIn(t, func(m *http1.Message, n int) string { return text })
-		w := start(t, room, h)
-		if status, _ := ask(w.dial(), invoke("pay", 400, "x")); status != want {
+		h := newFakeServer(t, func(m *http1.Message, n int) string { return text })
+		w := start(t, plentyOfQuota, h)
+		if status, _ := exchange(w.dial(), invoke("pay", 400, "x")); status != want {
 			t.Errorf("%.50q: %d, want %d", text, status, want)
 		}
-		h.next(t)
-		if h.none(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
+		h.nextRequest(t)
+		if h.noRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
 			<-h.Ended // a connection that held nonsense is not used again
 		}
 	}
 }
 
 func TestWhatNeverRanIsSentElsewhere(t *testing.T) {
-	declined := newStandIn(t, func(m *http1.Message, n int) string {
+	declined := newFakeServer(t, func(m *http1.Message, n int) string {
 		return "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 	})
-	refusing := newStandIn(t, nil)
+	refusing := newFakeServer(t, nil)
 	refusing.Close()
-	good := newStandIn(t, func(m *http1.Message, n int) string { return ok("served") })
-	w := start(t, room, refusing, declined, good)
+	good := newFakeServer(t, func(m *http1.Message, n int) string { return ok("served") })
+	w := start(t, plentyOfQuota, refusing, declined, good)
 	for i := range 6 {
-		if status, body := ask(w.dial(), invoke("pay", 900, "x")); status != 200 || body != "served" {
+		if status, body := exchange(w.dial(), invoke("pay", 900, "x")); status != 200 || body != "served" {
 			t.Fatalf("invocation %d: %d %q", i, status, body)
 		}
 	}
@@ -143,21 +143,21 @@
 // could not be sent again.
 func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	for _, after := range []string{"!", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n?"} {
-		h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") + after })
-		w := start(t, room, h)
+		h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") + after })
+		w := start(t, plentyOfQuota, h)
 		tcp := w.dial()
 		for i := range 3 {
-			if status, _ := ask(tcp, invoke("pay", 900, "x")); status != 200 {
+			if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 				t.Fatalf("invocation %d after %.9q: %d", i, after, status)
 			}
 			<-h.Ended
-			w.wait(func() bool { return len(w.hosts.byID["h0"].idle) == 0 })
+			w.wait(func() bool { return len(w.pool.byID["h0"].idle) == 0 })
 		}
 	}
 }
 
 // wait until something is so on the loop.
-func (w *world) wait(so func() bool) {
+func (w *testGateway) wait(so func() bool) {
 	w.t.Helper()
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		got := make(chan bool)
@@ -170,33 +170,33 @@
 }
 
 func TestClientGoneEndsItsDelivery(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return "" })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	tcp.Write([]byte(invoke("pay", 900, "x")))
-	h.next(t)
+	h.nextRequest(t)
 	tcp.Close()
 	<-h.Ended
-	w.wait(func() bool { return len(w.loop.inHand) == 0 && len(w.loop.due) == 0 })
+	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
 }
 
 func TestDeliveryWaitingForAConnectionIsWithdrawnFromADrainingHost(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	w := start(t, plentyOfQuota, h)
 	w.wait(func() bool {
-		x := w.hosts.byID["h0"]
+		x := w.pool.byID["h0"]
 		in := &invocation{}
-		d := &delivery{inv: in, host: x, at: 0}
-		w.loop.due, x.waiting = deliveries{d}, []*delivery{d}
-		w.hosts.List("h0", x.addr, false)
-		good := len(x.waiting) == 0 && len(w.loop.ended) == 1 && d.outcome == 'C'
-		w.loop.ended, w.loop.due = nil, nil
+		d := &delivery{invocation: in, host: x, index: 0}
+		w.loop.timeouts, x.waiting = deliveryQueue{d}, []*delivery{d}
+		w.pool.UpdateHost("h0", x.addr, false)
+		good := len(x.waiting) == 0 && len(w.loop.endedDeliveries) == 1 && d.outcome == 'C'
+		w.loop.endedDeliveries, w.loop.timeouts = nil, nil
 		return good
 	})
-	if status, _ := ask(w.dial(), invoke("look", 300, "")); status != 429 {
+	if status, _ := exchange(w.dial(), invoke("look", 300, "")); status != 429 {
 		t.Fatalf("no host is active, got %d", status)
 	}
-	h.none(t)
+	h.noRequest(t)
 }
 
 // A counter that answers nonsense, refuses, is silent or absent: the invocation is decided by share, in time.
@@ -211,11 +211,11 @@
 		"silent":    func(m *http1.Message, n int) string { return "" },
 		"absent":    nil,
 	} {
-		w := start(t, counter, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-		if status, _ := ask(w.dial(), invoke("pay", 400, "x")); status != 200 {
+		w := start(t, counter, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+		if status, _ := exchange(w.dial(), invoke("pay", 400, "x")); status != 200 {
 			t.Errorf("%s: %d", name, status)
 		}
-		w.wait(func() bool { return len(w.loop.counter.names) == 0 })
+		w.wait(func() bool { return len(w.loop.counter.routes) == 0 })
 		if name != "absent" && name != "silent" && name != "ended" && name != "turned" && !w.log.has("answer not used") {
 			t.Errorf("%s: the log does not say", name)
 		}
@@ -223,7 +223,7 @@
 }
 
 func TestOverTheQuotaIsThrottled(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	w := start(t, func(m *http1.Message, n int) string { return ok("1e6") }, h)
 	tcp := w.dial()
 	tcp.Write([]byte(invoke("pay", 900, "x")))
@@ -240,7 +240,7 @@
 	if status != 429 || retry == "" {
 		t.Fatalf("%d, to come back after %q", status, retry)
 	}
-	h.none(t)
+	h.noRequest(t)
 }
 
 // A late call keeps its place in the order of its connection: its answer must not be taken for the next call's.
@@ -252,16 +252,16 @@
 			return ok("1e6") // over any quota, but nobody waits for it any more
 		}
 		return ok("1")
-	}, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
+	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	tcp := w.dial()
-	if status, _ := ask(tcp, invoke("pay", 900, "x")); status != 200 {
+	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 		t.Fatalf("decided by share: %d", status)
 	}
 	close(held)
 	w.wait(func() bool {
 		for _, k := range w.loop.counter.conns {
 			k.mu.Lock()
-			n := len(k.order)
+			n := len(k.unanswered)
 			k.mu.Unlock()
 			if n > 0 {
 				return false
@@ -269,7 +269,7 @@
 		}
 		return true
 	})
-	if status, _ := ask(tcp, invoke("pay", 900, "x")); status != 200 {
+	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 		t.Fatalf("the next one: %d", status)
 	}
 }
@@ -277,10 +277,10 @@
 // Half an answer that no call was made for: what completes it would be the answer to the next call, and that one's to the
 // one behind it.
 func TestBytesThatNoCallWasMadeForAreNoTotal(t *testing.T) {
-	l := newRawHost(t)
+	l := newManualHost(t)
 	w := start(t, nil)
-	w.wait(func() bool { w.counter.Use(l.Addr().String()); return true })
-	for range counterConns {
+	w.wait(func() bool { w.counter.UseAddress(l.Addr().String()); return true })
+	for range counterConnCount {
 		c := l.next(t)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1e")
 		if closed(c) {
@@ -306,10 +306,10 @@
 	}()
 	// The socket of a connection is closed a moment before it stops taking calls; a call put on it in between is told as not made.
 	// Once each has been dialed again, the call finds one that stands.
-	w.wait(func() bool { return madeAnew.Load() == counterConns })
-	w.wait(func() bool { return w.counter.place() != nil })
+	w.wait(func() bool { return madeAnew.Load() == counterConnCount })
+	w.wait(func() bool { return w.counter.pickConn() != nil })
 	w.wait(func() bool { w.counter.add(5, 1, 1); return true })
-	w.wait(func() bool { return w.counter.newest > 0 })
+	w.wait(func() bool { return w.counter.newestAnswered > 0 })
 	if !w.log.has("no call was made for") {
 		t.Error("the log does not say")
 	}
@@ -324,11 +324,11 @@
 		}
 		orders := map[uint64]int{}
 		for at, k := range c.conns {
-			for _, x := range k.order {
+			for _, x := range k.unanswered {
 				orders[x.name] |= 1 << at
 			}
 		}
-		good := len(c.calls) == 9 && orders[0] != 0
+		good := len(c.pending) == 9 && orders[0] != 0
 		for _, on := range orders {
 			good = good && on&(on-1) == 0
 		}
@@ -341,12 +341,12 @@
 	stranger, _ := net.ListenPacket("udp", "127.0.0.1:0")
 	defer friend.Close()
 	defer stranger.Close()
-	p, err := NewPeers(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", friend.LocalAddr().String()}, "")
+	p, err := NewPeerSocket(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", friend.LocalAddr().String()}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	heard := make(chan string, 10)
-	p.heard = func(from int, text string) { heard <- fmt.Sprint(from, text) }
+	p.received = func(from int, text string) { heard <- fmt.Sprint(from, text) }
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go p.Write(ctx)
@@ -372,13 +372,13 @@
 }
 
 func TestConnectionsAtTheirLimitMakeRoom(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	for i := range 3 * w.clients.most {
-		if status, _ := ask(w.dial(), invoke("look", 900, "")); status != 200 {
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	for i := range 3 * w.clients.maxOpen {
+		if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
 			t.Fatalf("connection %d: %d", i, status)
 		}
 	}
-	if n := w.connections(); n > w.clients.most {
+	if n := w.connections(); n > w.clients.maxOpen {
 		t.Fatalf("%d connections are open", n)
 	}
 }
@@ -386,80 +386,80 @@
 // The end: what is in hand is answered, connections between requests are closed, new ones still get one answer.
 func TestNothingTakenIsLostAtTheEnd(t *testing.T) {
 	go1 := make(chan bool)
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
 			<-go1
 		}
 		return ok("x")
 	})
-	w := start(t, room, h)
+	w := start(t, plentyOfQuota, h)
 	busy, idle := w.dial(), w.dial()
 	busy.Write([]byte(invoke("pay", 3000, "x")))
-	h.next(t)
+	h.nextRequest(t)
 	done := make(chan bool)
 	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.ending.Load() })
+	w.wait(func() bool { return w.clients.shuttingDown.Load() })
 	if !closed(idle) {
 		t.Fatal("an idle connection stays")
 	}
 	late := w.dial()
 	close(go1)
-	if status, _ := ask(late, invoke("pay", 900, "y")); status != 200 || !closed(late) {
+	if status, _ := exchange(late, invoke("pay", 900, "y")); status != 200 || !closed(late) {
 		t.Fatalf("a late one: %d", status)
 	}
-	if status, _ := ask(busy, ""); status != 200 || !closed(busy) {
+	if status, _ := exchange(busy, ""); status != 200 || !closed(busy) {
 		t.Fatalf("the one in hand: %d", status)
 	}
 	<-done
 }
 
 func TestBufferGivenBackTwiceIsNoticed(t *testing.T) {
-	p := NewBuffers(1, 1)
-	b := p.Take(false)
-	p.Give(b)
+	p := NewBufferPool(1, 1)
+	b := p.Get(false)
+	p.Put(b)
 	defer func() {
 		if recover() == nil {
 			t.Fatal("not noticed")
 		}
 	}()
-	p.Give(b)
+	p.Put(b)
 }
 
 // At the limit with every other connection busy, the one just taken was closed with its first request on the way.
 func TestNewConnectionIsNotClosedToMakeRoom(t *testing.T) {
 	release := make(chan bool)
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if string(m.Body) == "held" {
 			<-release
 		}
 		return ok("x")
 	})
-	w := start(t, room, h)
+	w := start(t, plentyOfQuota, h)
 	var all []net.Conn
-	for range w.clients.most - 1 {
+	for range w.clients.maxOpen - 1 {
 		all = append(all, w.dial())
 		all[len(all)-1].Write([]byte(invoke("pay", 900, "held")))
 	}
-	w.wait(func() bool { return len(w.loop.inHand) == len(all) })
+	w.wait(func() bool { return len(w.loop.invocations) == len(all) })
 	late := w.dial()
-	w.wait(func() bool { return w.connections() == w.clients.most })
+	w.wait(func() bool { return w.connections() == w.clients.maxOpen })
 	time.Sleep(20 * time.Millisecond) // as long as the first request may be on its way
 	late.Write([]byte(invoke("pay", 900, "x")))
 	close(release)
 	for _, tcp := range append(all, late) {
-		if status, _ := ask(tcp, ""); status == 0 {
+		if status, _ := exchange(tcp, ""); status == 0 {
 			t.Fatal("a connection was ended without an answer")
 		}
 	}
 }
 
 // tired is a listener that has no descriptor left for its first calls.
-type tired struct {
+type exhaustedListener struct {
 	net.Listener
 	fails int
 }
 
-func (l *tired) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if l.fails > 0 {
 		l.fails--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -468,36 +468,36 @@
 }
 
 func TestAcceptGoesOnAfterDescriptorsRanOut(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	cs, err := NewClients(w.clients.ctx, w.clients.group, w.loop, w.clients.log, w.clients.buffers, "127.0.0.1:0",
-		w.clients.accepts, 50, w.clients.ready)
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	cs, err := NewClientListener(w.clients.ctx, w.clients.group, w.loop, w.clients.log, w.clients.buffers, "127.0.0.1:0",
+		w.clients.operationLimit, 50, w.clients.ready)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.addr = cs.listener.Addr().String()
-	cs.listener = &tired{cs.listener, 2}
+	cs.listener = &exhaustedListener{cs.listener, 2}
 	go cs.Accept()
 	t.Cleanup(cs.Close)
-	if status, _ := ask(w.dial(), invoke("look", 900, "")); status != 200 || !w.log.has("accept pauses") {
+	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 || !w.log.has("accept pauses") {
 		t.Fatalf("got %d", status)
 	}
 }
 
 // An answer may be on the queue when its delivery is given up: the connection, already ended, was used again.
 func TestConnectionGivenUpIsNotUsedAgain(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	if status, _ := ask(w.dial(), invoke("look", 900, "")); status != 200 {
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 	w.wait(func() bool {
-		h := w.hosts.byID["h0"]
+		h := w.pool.byID["h0"]
 		if len(h.idle) != 1 {
 			return false
 		}
 		c := h.idle[0]
 		h.idle = nil
 		c.abandon() // as withdraw does, before the loop hears of the answer
-		c.ended()
+		c.deliveryEnded()
 		if len(h.idle) > 0 {
 			t.Error("it idles again")
 		}
@@ -512,45 +512,48 @@
 	w := start(t, func(m *http1.Message, n int) string {
 		<-held
 		return ok("1")
-	}, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	first := w.watch
+	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	first := w.discoveryLines
 	w.wait(func() bool { w.counter.add(7, 1, 1); return true })
-	after := newStandIn(t, room)
-	w.watch = make(chan string, 10)
-	second := newAgent(t)
-	go second.speak(w.clients.ctx, w.watch)
-	w.loop.Move(w.clients.ctx, w.finder, second.Addr().String(), after.Addr().String())
+	after := newFakeServer(t, plentyOfQuota)
+	w.discoveryLines = make(chan string, 10)
+	second := newFakeDiscovery(t)
+	go second.speak(w.clients.ctx, w.discoveryLines)
+	w.loop.UseAddresses(w.clients.ctx, w.discovery, second.Addr().String(), after.Addr().String())
 	first <- `{"version":2,"servers":[` + entry("late", "127.0.0.1:9", "Ready") + `]}`
-	w.wait(func() bool { return w.hosts.byID["late"] != nil })
-	w.watch <- `{"version":3,"servers":[` + entry("new", "127.0.0.1:9", "Ready") + `]}`
-	w.wait(func() bool { return w.hosts.byID["new"] != nil })
-	w.wait(func() bool { return w.counter.ready() })
+	w.wait(func() bool { return w.pool.byID["late"] != nil })
+	w.discoveryLines <- `{"version":3,"servers":[` + entry("new", "127.0.0.1:9", "Ready") + `]}`
+	w.wait(func() bool { return w.pool.byID["new"] != nil })
+	w.wait(func() bool { return w.counter.allConnected() })
 	w.wait(func() bool { w.counter.add(8, 1, 1); return true })
-	if got := after.next(t); !strings.Contains(got, "/counters/8?") {
+	if got := after.nextRequest(t); !strings.Contains(got, "/counters/8?") {
 		t.Fatalf("the new counter got %s", got)
 	}
-	w.wait(func() bool { w.counter.leave(); return len(w.counter.old) == 1 }) // where the call is out
+	w.wait(func() bool { w.counter.closeRetired(); return len(w.counter.retired) == 1 }) // where the call is out
 	close(held)
-	w.wait(func() bool { w.counter.leave(); return len(w.counter.old) == 0 && len(w.counter.names) == 0 })
-	after.none(t)
+	w.wait(func() bool {
+		w.counter.closeRetired()
+		return len(w.counter.retired) == 0 && len(w.counter.routes) == 0
+	})
+	after.noRequest(t)
 }
 
 // Connections at rest held a large room each, and stayed for good.
 func TestConnectionsAtRestHoldLittleAndEnd(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
+	w := start(t, plentyOfQuota, h)
 	long := strings.Repeat("y", 60<<10)
 	tcp, silent := w.dial(), w.dial()
 	for range 3 {
-		if status, body := ask(tcp, invoke("pay", 900, long)); status != 200 || body != long {
+		if status, body := exchange(tcp, invoke("pay", 900, long)); status != 200 || body != long {
 			t.Fatalf("%d with %d bytes", status, len(body))
 		}
 	}
-	w.wait(func() bool { return w.clients.buffers.out.Load() == 0 })
+	w.wait(func() bool { return w.clients.buffers.largeInUse.Load() == 0 })
 	w.clients.mu.Lock()
-	for c := range w.clients.open {
+	for c := range w.clients.conns {
 		c.mu.Lock()
-		c.since = time.Now().Add(-idleTimeout) // as if it had rested for so long
+		c.waitingSince = time.Now().Add(-idleConnTimeout) // as if it had rested for so long
 		c.mu.Unlock()
 	}
 	w.clients.mu.Unlock()
@@ -560,25 +563,25 @@
 }
 
 func TestLargeRoomsAreBounded(t *testing.T) {
-	p := NewBuffers(4, 1)
-	a, b := p.Take(false), p.Take(false)
+	p := NewBufferPool(4, 1)
+	a, b := p.Get(false), p.Get(false)
 	if !p.Grow(a, 1) || p.Grow(b, 1) {
 		t.Fatal("one large room, and no more, was to be had")
 	}
-	p.Give(a)
+	p.Put(a)
 	if !p.Grow(b, 1) {
 		t.Fatal("the room given back is not lent again")
 	}
 }
 
 func TestHostsThatLeftAreForgotten(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	ask(w.dial(), invoke("look", 900, ""))
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	exchange(w.dial(), invoke("look", 900, ""))
 	for i := range 50 {
-		w.watch <- fmt.Sprintf(`{"version":%d,"servers":[%s,%s]}`, i, entry(fmt.Sprint("h", i), "127.0.0.1:9", "Gone"),
+		w.discoveryLines <- fmt.Sprintf(`{"version":%d,"servers":[%s,%s]}`, i, entry(fmt.Sprint("h", i), "127.0.0.1:9", "Gone"),
 			entry(fmt.Sprint("h", i+1), "127.0.0.1:9", "Ready"))
 	}
-	w.wait(func() bool { return w.hosts.byID["h50"] != nil && len(w.hosts.byID) == 1 && len(w.hosts.inOrder) == 1 })
+	w.wait(func() bool { return w.pool.byID["h50"] != nil && len(w.pool.byID) == 1 && len(w.pool.inOrder) == 1 })
 }
 
 // Each answer of the counter that can't be read added its amount: it is not added again, and other calls go on. What
@@ -591,13 +594,13 @@
 			return ok("1")
 		}
 		return []string{"junk\r\n\r\n", ok("many")}[n%2]
-	}, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
+	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	sum := 0
 	for i := 1; i <= 200; i++ {
-		if status, _ := ask(w.dial(), invoke("pay", 900, "x")); status != 200 {
+		if status, _ := exchange(w.dial(), invoke("pay", 900, "x")); status != 200 {
 			t.Fatalf("invocation %d: %d", i, status)
 		}
-		w.wait(func() bool { return len(w.counter.names) == 0 })
+		w.wait(func() bool { return len(w.counter.routes) == 0 })
 		for len(adds) > 0 {
 			var name, by int
 			got := <-adds
@@ -619,98 +622,98 @@
 // Another client's id: sent on, it would be a second copy at a host; the invocation in hand is untouched.
 func TestAnIdInHandIsNotTakenAgain(t *testing.T) {
 	held := make(chan bool)
-	h := newStandIn(t, func(m *http1.Message, n int) string {
+	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		<-held
 		return ok("x")
 	})
-	w := start(t, room, h)
+	w := start(t, plentyOfQuota, h)
 	tcp, text := w.dial(), invoke("pay", 900, "x")
 	tcp.Write([]byte(text))
-	h.next(t)
-	if status, _ := ask(w.dial(), text); status != 409 {
+	h.nextRequest(t)
+	if status, _ := exchange(w.dial(), text); status != 409 {
 		t.Fatalf("the same id while it is out: %d", status)
 	}
 	close(held)
-	if status, _ := ask(tcp, ""); status != 200 {
+	if status, _ := exchange(tcp, ""); status != 200 {
 		t.Fatalf("the one in hand: %d", status)
 	}
-	if status, _ := ask(w.dial(), text); status != 409 {
+	if status, _ := exchange(w.dial(), text); status != 409 {
 		t.Fatalf("the same id just after: %d", status)
 	}
-	h.none(t)
+	h.noRequest(t)
 	w.wait(func() bool { // ids are kept for a few seconds only
 		for range 2 {
-			w.loop.refsAt = 0
-			w.loop.forget()
+			w.loop.refsRotatedAt = 0
+			w.loop.rotateRefs()
 		}
-		return len(w.loop.refs[0])+len(w.loop.refs[1]) == 0
+		return len(w.loop.recentRefs[0])+len(w.loop.recentRefs[1]) == 0
 	})
 }
 
 // Bytes behind an answer may have come and not yet been read when the next request is handed over: they are not its
 // answer, and it goes out on another connection.
 func TestBytesBehindAnAnswerAreNotTheNextOne(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
+	w := start(t, plentyOfQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	tcp, _ := net.Dial("tcp", l.Addr().String())
 	behind, _ := l.Accept()
 	defer behind.Close()
 	behind.Write([]byte(ok("a second copy")))
-	for quiet(tcp) { // until it has come
+	for nothingUnread(tcp) { // until it has come
 	}
 	w.wait(func() bool { // at rest, and its reader, late, has not seen the bytes
-		x := w.hosts.byID["h0"]
-		raw, _ := rawOf(tcp)
-		c := &hostConn{hosts: w.hosts, host: x, addr: x.addr, tcp: tcp, raw: raw, work: make(chan *Buffer, 2)}
-		w.hosts.open++
+		x := w.pool.byID["h0"]
+		raw, _ := rawConnOf(tcp)
+		c := &hostConn{pool: w.pool, host: x, addr: x.addr, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)}
+		w.pool.open++
 		x.idle = append(x.idle, c)
 		go func() {
-			c.write()
-			c.read()
+			c.writeLoop()
+			c.readLoop()
 		}()
 		return true
 	})
-	if status, body := ask(w.dial(), invoke("pay", 900, "y")); status != 200 || body != "x" {
+	if status, body := exchange(w.dial(), invoke("pay", 900, "y")); status != 200 || body != "x" {
 		t.Fatalf("%d %q", status, body)
 	}
 }
 
 // A body without a length ends with its connection, but not with a reset.
 func TestABodyCutShortIsNoAnswer(t *testing.T) {
-	h := newStandIn(t, func(m *http1.Message, n int) string { return "HTTP/1.1 200 OK\r\n\r\nhalf of" })
-	w := start(t, room, h)
+	h := newFakeServer(t, func(m *http1.Message, n int) string { return "HTTP/1.1 200 OK\r\n\r\nhalf of" })
+	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	tcp.Write([]byte(invoke("pay", 900, "x")))
-	h.next(t)
+	h.nextRequest(t)
 	w.wait(func() bool { // as a reset does, the reading ends with an error
-		for in := range w.loop.inHand {
-			if c := w.loop.inHand[in].out.conn; c != nil {
-				c.tcp.(*net.TCPConn).SetReadDeadline(past)
+		for in := range w.loop.invocations {
+			if c := w.loop.invocations[in].delivery.conn; c != nil {
+				c.tcp.(*net.TCPConn).SetReadDeadline(expired)
 				return true
 			}
 		}
 		return false
 	})
-	if status, body := ask(tcp, ""); status == 200 {
+	if status, body := exchange(tcp, ""); status == 200 {
 		t.Fatalf("half an answer was passed on: %q", body)
 	}
 }
 
 // At the limit the connections of usual clients were closed for silent ones that had come later.
 func TestSilentConnectionsMakeRoomFirst(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	usual, silent := w.dial(), w.dial()
-	if status, _ := ask(usual, invoke("look", 900, "")); status != 200 {
+	if status, _ := exchange(usual, invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 	w.wait(func() bool { return w.connections() == 2 })
-	time.Sleep(newConnection + 20*time.Millisecond)
+	time.Sleep(newConnGrace + 20*time.Millisecond)
 	if !w.clients.makeRoom() || !closed(silent) {
 		t.Fatal("the silent one stays")
 	}
-	if status, _ := ask(usual, invoke("look", 900, "")); status != 200 {
+	if status, _ := exchange(usual, invoke("look", 900, "")); status != 200 {
 		t.Fatalf("the usual one: %d", status)
 	}
 }
@@ -718,22 +721,22 @@
 // Clients that asked once and stayed held all the connections that clients may have: usual ones had none for their next
 // request, long before this side's own limit.
 func TestFewConnectionsAreLeftAtRest(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	for range w.clients.most - 5 {
-		if status, _ := ask(w.dial(), invoke("look", 900, "")); status != 200 {
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	for range w.clients.maxOpen - 5 {
+		if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
 			t.Fatalf("got %d", status)
 		}
 	}
-	w.wait(func() bool { return w.connections() <= w.clients.most/2+2 })
+	w.wait(func() bool { return w.connections() <= w.clients.maxOpen/2+2 })
 }
 
 // An unanswered invocation hears so before its client gives up. A busy machine may be late once, never each time.
 func TestAnUnansweredInvocationEndsInTime(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return "" }))
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return "" }))
 	var took time.Duration
 	for range 5 {
 		tcp, begun := w.dial(), time.Now()
-		status, _ := ask(tcp, invoke("pay", 300, "x"))
+		status, _ := exchange(tcp, invoke("pay", 300, "x"))
 		if took = time.Since(begun); status == 504 && took < 300*time.Millisecond {
 			return
 		}
@@ -744,32 +747,32 @@
 // A connection to the counter that falls silent took all calls on a busy name with it for most of a second; calls made
 // later and answered elsewhere show it. A busy machine may answer those too late once, never each time.
 func TestASilentCounterConnectionIsEndedWhenOvertaken(t *testing.T) {
-	w := start(t, room, newStandIn(t, func(m *http1.Message, n int) string { return ok("x") }))
-	silent := newStandIn(t, func(m *http1.Message, n int) string { return "" }).Addr().String()
+	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	silent := newFakeServer(t, func(m *http1.Message, n int) string { return "" }).Addr().String()
 	overtaken := func() (mute bool) {
 		lost := make(chan bool, 1)
-		w.loop.tell(t.Context(), func() {
+		w.loop.post(t.Context(), func() {
 			c := w.counter
-			c.limit = 0.01
-			k := &counterConn{counter: c, wake: make(chan struct{}, 1), pause: c.Backoffs.New(0.01)}
+			c.callTimeout = 0.01
+			k := &counterConn{client: c, wake: make(chan struct{}, 1), backoff: c.Backoffs.New(0.01)}
 			k.ctx, k.stop = context.WithCancel(c.ctx)
 			c.conns = append(c.conns, k)
 			c.group.Go(func() error { return k.run(silent) })
-			x := &call{counter: c, told: true, held: 9}
-			x.answer = func() {
+			x := &counterCall{client: c, reported: true, references: 9}
+			x.onAnswer = func() {
 				k.mu.Lock()
 				defer k.mu.Unlock()
-				lost <- k.mute && x.how == policy.Reset
-				k.left = true
+				lost <- k.overtaken && x.outcome == policy.Reset
+				k.retired = true
 			}
 			go func() {
-				for x.made = c.loop.clock(); !k.put(x, 1, 1); x.made = c.loop.clock() {
+				for x.madeAt = c.loop.clock(); !k.put(x, 1, 1); x.madeAt = c.loop.clock() {
 					time.Sleep(time.Millisecond)
 				}
 			}()
 		})
 		for {
-			ask(w.dial(), invoke("look", 900, ""))
+			exchange(w.dial(), invoke("look", 900, ""))
 			select {
 			case mute = <-lost:
 				return mute
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -30,9 +30,9 @@
 "extra":{"counter":true,"count_limit":0.3,"most_units":8}}`
 
 // standIn is a host or the counter, by a script of the laboratory's.
-type standIn struct{ *sockets.Script }
+type fakeServer struct{ *sockets.Script }
 
-func newStandIn(t *testing.T, say func(m *http1.Message, n int) string) *standIn {
+func newFakeServer(t *testing.T, say func(m *http1.Message, n int) string) *fakeServer {
 	t.Helper()
 	leakcheck.Check(t)
 	s, err := sockets.NewScript(say)
@@ -40,14 +40,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.End)
-	return &standIn{s}
+	return &fakeServer{s}
 }
 
 func messages(tcp net.Conn, response bool, each func(m *http1.Message) bool) {
 	sockets.Messages(tcp, response, each)
 }
 
-func (s *standIn) next(t *testing.T) string {
+func (s *fakeServer) nextRequest(t *testing.T) string {
 	t.Helper()
 	select {
 	case x := <-s.Seen:
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s *standIn) none(t *testing.T) {
+func (s *fakeServer) noRequest(t *testing.T) {
 	t.Helper()
 	select {
 	case x := <-s.Seen:
@@ -72,41 +72,41 @@
 }
 
 // room is a counter that never gets anywhere near a quota.
-func room(m *http1.Message, n int) string { return ok("1") }
+func plentyOfQuota(m *http1.Message, n int) string { return ok("1") }
 
 // world is an api gateway with stand-ins round it.
-type world struct {
-	t       *testing.T
-	addr    string
-	loop    *Loop
-	clients *Clients
-	hosts   *Hosts
-	counter *Counter
-	finder  *Discovery
-	agent   *agent
-	hook    *hook
-	watch   chan string // lines that discovery says
-	log     *lines
+type testGateway struct {
+	t               *testing.T
+	addr            string
+	loop            *EventLoop
+	clients         *ClientListener
+	pool            *HostPool
+	counter         *CounterClient
+	discovery       *DiscoveryClient
+	discoveryServer *fakeDiscovery
+	hook            *connHook
+	discoveryLines  chan string // lines that discovery says
+	log             *logBuffer
 }
 
-type lines struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) has(part string) bool {
+func (l *logBuffer) has(part string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.b.String(), part)
 }
 
-func (l *lines) count(part string) int {
+func (l *logBuffer) count(part string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.b.String(), part)
@@ -117,22 +117,22 @@
 }
 
 // setup is what a world may have beside the usual.
-type setup struct {
-	counter  func(m *http1.Message, n int) string
-	hosts    []*standIn
-	settings string
-	hurry    bool                                                              // discovery's silences are short
-	silent   bool                                                              // discovery says what the test says itself
-	listener func(l net.Listener) net.Listener                                 // in place of the usual one
-	connect  func(ctx context.Context, network, addr string) (net.Conn, error) // to hosts
+type gatewaySetup struct {
+	counter         func(m *http1.Message, n int) string
+	hosts           []*fakeServer
+	settings        string
+	shortTimeouts   bool                                                              // discovery's silences are short
+	manualDiscovery bool                                                              // discovery says what the test says itself
+	listener        func(l net.Listener) net.Listener                                 // in place of the usual one
+	connect         func(ctx context.Context, network, addr string) (net.Conn, error) // to hosts
 }
 
-func start(t *testing.T, counter func(m *http1.Message, n int) string, hosts ...*standIn) *world {
+func start(t *testing.T, counter func(m *http1.Message, n int) string, hosts ...*fakeServer) *testGateway {
 	t.Helper()
-	return setup{counter: counter, hosts: hosts}.start(t)
+	return gatewaySetup{counter: counter, hosts: hosts}.start(t)
 }
 
-func (x setup) start(t *testing.T) *world {
+func (x gatewaySetup) start(t *testing.T) *testGateway {
 	t.Helper()
 	leakcheck.Check(t)
 	counter, hosts := x.counter, x.hosts
@@ -145,40 +145,40 @@
 	}
 	root, stop := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(root)
-	w := &world{t: t, watch: make(chan string, 10), log: &lines{}}
+	w := &testGateway{t: t, discoveryLines: make(chan string, 10), log: &logBuffer{}}
 	log := zerolog.New(w.log)
-	buffers := NewBuffers(8, 100)
-	w.loop = NewLoop(log)
+	buffers := NewBufferPool(8, 100)
+	w.loop = NewEventLoop(log)
 	module, err := s.Module(1, w.loop)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.hosts = NewHosts(ctx, group, w.loop, buffers, 50, s.Caps.Connect, s.Caps.Idle)
+	w.pool = NewHostPool(ctx, group, w.loop, buffers, 50, s.Caps.Connect, s.Caps.Idle)
 	if x.connect != nil {
-		w.hosts.connect = x.connect
+		w.pool.connect = x.connect
 	}
-	peers, err := NewPeers(w.loop, "127.0.0.1:0", 0, nil, "")
+	peers, err := NewPeerSocket(w.loop, "127.0.0.1:0", 0, nil, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewCounter(ctx, group, w.loop, s.Extra.Limit)
-	if w.clients, err = NewClients(ctx, group, w.loop, log, buffers, "127.0.0.1:0", s.Accepts, 50,
+	c := NewCounterClient(ctx, group, w.loop, s.Extra.Limit)
+	if w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, "127.0.0.1:0", s.Accepts, 50,
 		func() bool { return true }); err != nil {
 		t.Fatal(err)
 	}
-	w.clients.slowest = 200 * time.Millisecond
+	w.clients.requestTimeout = 200 * time.Millisecond
 	w.addr = w.clients.listener.Addr().String()
 	if x.listener != nil {
 		w.clients.listener = x.listener(w.clients.listener)
 	}
-	d := NewDiscovery(ctx, group, w.loop, log)
-	if x.hurry {
-		d.silence, d.word = 300*time.Millisecond, 100*time.Millisecond
+	d := NewDiscoveryClient(ctx, group, w.loop, log)
+	if x.shortTimeouts {
+		d.silenceTimeout, d.firstWordTimeout = 300*time.Millisecond, 100*time.Millisecond
 	}
 	if counter != nil {
-		c.Use(newStandIn(t, counter).Addr().String())
+		c.UseAddress(newFakeServer(t, counter).Addr().String())
 	}
-	group.Go(func() error { return w.loop.Run(ctx, module, w.hosts, c, peers) })
+	group.Go(func() error { return w.loop.Run(ctx, module, w.pool, c, peers) })
 	group.Go(func() error { return peers.Read(ctx) })
 	group.Go(func() error { return peers.Write(ctx) })
 	var first Roster
@@ -189,21 +189,21 @@
 			State: "Ready", Weight: 1,
 		})
 	}
-	d.Known(ctx, first)
-	w.loop.tell(ctx, func() {}) // the list stands before the watch begins
-	if w.agent = newAgent(t); !x.silent {
-		lines := w.watch
-		group.Go(func() error { w.agent.speak(ctx, lines); return nil })
+	d.UseSaved(ctx, first)
+	w.loop.post(ctx, func() {}) // the list stands before the watch begins
+	if w.discoveryServer = newFakeDiscovery(t); !x.manualDiscovery {
+		lines := w.discoveryLines
+		group.Go(func() error { w.discoveryServer.speak(ctx, lines); return nil })
 	}
-	d.Watch(w.agent.Addr().String())
+	d.Watch(w.discoveryServer.Addr().String())
 	if counter != nil {
-		for until := time.Now().Add(3 * time.Second); !c.ready() && time.Now().Before(until); {
+		for until := time.Now().Add(3 * time.Second); !c.allConnected() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	w.counter, w.finder = c, d
+	w.counter, w.discovery = c, d
 	group.Go(w.clients.Accept)
-	group.Go(w.clients.Reap)
+	group.Go(w.clients.ReapIdle)
 	t.Cleanup(func() {
 		stop()
 		w.clients.Close()
@@ -213,25 +213,25 @@
 }
 
 // agent stands in for discovery: a listener whose watches the test speaks on itself.
-type agent struct {
+type fakeDiscovery struct {
 	net.Listener
-	opened chan *feed
+	opened chan *fakeWatch
 }
 
 // feed is one watch that the api gateway has opened.
-type feed struct {
+type fakeWatch struct {
 	net.Conn
 	from  int64
 	ended chan struct{} // closed when the api gateway has closed it
 }
 
-func newAgent(t *testing.T) *agent {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	leakcheck.Check(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{l, make(chan *feed, 100)}
+	a := &fakeDiscovery{l, make(chan *fakeWatch, 100)}
 	var mu sync.Mutex
 	var conns []net.Conn
 	t.Cleanup(func() {
@@ -252,7 +252,7 @@
 			conns = append(conns, tcp)
 			mu.Unlock()
 			go func() {
-				f := &feed{Conn: tcp, from: -1, ended: make(chan struct{})}
+				f := &fakeWatch{Conn: tcp, from: -1, ended: make(chan struct{})}
 				messages(tcp, false, func(m *http1.Message) bool {
 					fmt.Sscanf(string(m.Target), "/catalog/members?watch=1&from=%d", &f.from)
 					a.opened <- f
@@ -267,7 +267,7 @@
 }
 
 // next is the next watch that is opened.
-func (a *agent) next(t *testing.T) *feed {
+func (a *fakeDiscovery) next(t *testing.T) *fakeWatch {
 	t.Helper()
 	select {
 	case f := <-a.opened:
@@ -279,7 +279,7 @@
 }
 
 // gone waits until the api gateway has closed it.
-func (f *feed) gone(t *testing.T) {
+func (f *fakeWatch) waitClosed(t *testing.T) {
 	t.Helper()
 	select {
 	case <-f.ended:
@@ -289,13 +289,15 @@
 }
 
 // head begins the stream; say brings text as one chunk of it.
-func (f *feed) head() { io.WriteString(f, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") }
+func (f *fakeWatch) sendHead() {
+	io.WriteString(f, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+}
 
-func (f *feed) say(text string) { fmt.Fprintf(f, "%x\r\n%s\r\n", len(text), text) }
+func (f *fakeWatch) send(text string) { fmt.Fprintf(f, "%x\r\n%s\r\n", len(text), text) }
 
 // speak has an agent say an empty line often on every watch, and each line of the test on the newest.
-func (a *agent) speak(ctx context.Context, lines chan string) {
-	var all []*feed
+func (a *fakeDiscovery) speak(ctx context.Context, lines chan string) {
+	var all []*fakeWatch
 	beat := time.NewTicker(500 * time.Millisecond)
 	defer beat.Stop()
 	for {
@@ -303,11 +305,11 @@
 		case <-ctx.Done():
 			return
 		case f := <-a.opened:
-			f.head()
+			f.sendHead()
 			all = append(all, f)
 		case <-beat.C:
 			for _, f := range all {
-				f.say("\n")
+				f.send("\n")
 			}
 		case line := <-lines:
 			if len(all) == 0 {
@@ -315,20 +317,20 @@
 				case <-ctx.Done():
 					return
 				case f := <-a.opened:
-					f.head()
+					f.sendHead()
 					all = append(all, f)
 				}
 			}
-			all[len(all)-1].say(line + "\n")
+			all[len(all)-1].send(line + "\n")
 		}
 	}
 }
 
 // ready: every connection stands.
-func (c *Counter) ready() bool {
+func (c *CounterClient) allConnected() bool {
 	for _, k := range c.conns {
 		k.mu.Lock()
-		up := k.up
+		up := k.connected
 		k.mu.Unlock()
 		if !up {
 			return false
@@ -338,12 +340,12 @@
 }
 
 // connections is how many clients are connected.
-func (w *world) connections() int {
-	n, _ := w.clients.count()
+func (w *testGateway) connections() int {
+	n, _ := w.clients.counts()
 	return n
 }
 
-func (w *world) dial() net.Conn {
+func (w *testGateway) dial() net.Conn {
 	w.t.Helper()
 	tcp, err := net.Dial("tcp", w.addr)
 	if err != nil {
@@ -355,7 +357,7 @@
 }
 
 // ask sends text on a connection and gives the answer's status and body; status 0: the connection ended without.
-func ask(tcp net.Conn, text string) (status int, body string) {
+func exchange(tcp net.Conn, text string) (status int, body string) {
 	io.WriteString(tcp, text)
 	messages(tcp, true, func(m *http1.Message) bool {
 		status, body = m.Status, string(m.Body)
@@ -371,7 +373,7 @@
 	return n == 0 && err != nil && !(ok && ne.Timeout())
 }
 
-var asked atomic.Uint64
+var requestCount atomic.Uint64
 
 // call is a client's request for an operation, waited for so long.
 // Each has an id of its own.
@@ -379,7 +381,7 @@
 	method := map[string]string{"look": "GET", "pay": "POST"}[operation]
 	text := fmt.Sprintf("%s /%s/1?x=2 HTTP/1.1\r\nHost: app\r\nReq-Id: %016x\r\nReq-Kind: %s\r\nX-Tier: team\r\n"+
 		"Cookie: key=00000000b4d65521\r\nReq-Deadline-Ms: %d\r\nX-Call-Terms: units=1,spread=1,first=0\r\n",
-		method, operation, asked.Add(1), operation, ms)
+		method, operation, requestCount.Add(1), operation, ms)
 	if method == "POST" {
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
