--- /dev/null
+++ b/gateway/http1/head.go
@@ -0,0 +1,159 @@
+package http1
+
+import "bytes"
+
+const (
+	lineEnd = "\r\n"
+	headEnd = "\r\n\r\n"
+)
+
+// parseHead parses the head once all of it has come.
+func (m *Message) parseHead() (complete bool, err error) {
+	if m.scanned == 0 {
+		m.skipEmptyLines()
+	}
+	i := bytes.Index(m.buffer[m.scanned:m.end], []byte(headEnd))
+	if i < 0 {
+		m.scanned = max(0, m.end-len(headEnd)+1)
+		if m.end > MaxHeadBytes {
+			return false, ErrHeadTooLong
+		}
+		return false, nil
+	}
+	m.bodyStart = m.scanned + i + len(headEnd)
+	if m.bodyStart > MaxHeadBytes {
+		return false, ErrHeadTooLong
+	}
+	head := m.buffer[:m.bodyStart-len(lineEnd)]
+	first, lines, _ := bytes.Cut(head, []byte(lineEnd))
+	http10, ok := m.parseFirstLine(first)
+	if !ok {
+		return false, ErrMalformed
+	}
+	if err := m.parseFields(lines, http10); err != nil {
+		return false, err
+	}
+	return true, nil
+}
+
+// skipEmptyLines passes over those before a message (RFC 9112, 2.2).
+func (m *Message) skipEmptyLines() {
+	skip := 0
+	for m.end-skip >= 2 && m.buffer[skip] == '\r' && m.buffer[skip+1] == '\n' {
+		skip += 2
+	}
+	if skip > 0 {
+		m.end = copy(m.buffer, m.buffer[skip:m.end])
+	}
+}
+
+// parseFirstLine parses the request or status line. http10: connections of that version do not stay.
+func (m *Message) parseFirstLine(line []byte) (http10, ok bool) {
+	var version []byte
+	if m.response {
+		version, ok = m.parseStatusLine(line)
+	} else {
+		version, ok = m.parseRequestLine(line)
+	}
+	http10 = string(version) == "HTTP/1.0"
+	return http10, ok && (http10 || string(version) == "HTTP/1.1")
+}
+
+func (m *Message) parseStatusLine(line []byte) (version []byte, ok bool) {
+	version, line, _ = bytes.Cut(line, []byte(" "))
+	status, _, _ := bytes.Cut(line, []byte(" "))
+	if len(status) != 3 {
+		return nil, false
+	}
+	for _, c := range status {
+		if c < '0' || c > '9' {
+			return nil, false
+		}
+		m.Status = m.Status*10 + int(c-'0')
+	}
+	return version, m.Status >= 100
+}
+
+func (m *Message) parseRequestLine(line []byte) (version []byte, ok bool) {
+	var hasVersion bool
+	m.Method, line, _ = bytes.Cut(line, []byte(" "))
+	m.Target, version, hasVersion = bytes.Cut(line, []byte(" "))
+	return version, hasVersion && isToken(m.Method) && len(m.Target) > 0 && isVisible(m.Target)
+}
+
+func (m *Message) parseFields(lines []byte, http10 bool) error {
+	m.bodyLength = lengthUntilEnd
+	m.Close = http10
+	chunked := false
+	for len(lines) > 0 {
+		var line []byte
+		line, lines, _ = bytes.Cut(lines, []byte(lineEnd))
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if !ok || !isToken(name) { // a folded line, a space before the colon, no name
+			return ErrMalformed
+		}
+		value = trimSpace(value)
+		if !isFieldValue(value) {
+			return ErrMalformed
+		}
+		m.Fields = append(m.Fields, Field{Name: name, Value: value})
+		switch {
+		case equalFold(name, "content-length"):
+			ok = m.parseContentLength(value)
+		case equalFold(name, "transfer-encoding"):
+			ok = !chunked && equalFold(value, "chunked")
+			chunked = true
+		case equalFold(name, "connection"):
+			m.parseConnection(value)
+		}
+		if !ok {
+			return ErrMalformed
+		}
+	}
+	return m.frameBody(chunked, http10)
+}
+
+// parseContentLength returns false for what is no length, or another than the one before.
+func (m *Message) parseContentLength(value []byte) bool {
+	n, ok := parseDecimal(value)
+	if !ok || m.bodyLength >= 0 && m.bodyLength != n {
+		return false
+	}
+	m.bodyLength = n
+	return true
+}
+
+func (m *Message) parseConnection(value []byte) {
+	for len(value) > 0 {
+		var option []byte
+		option, value, _ = bytes.Cut(value, []byte(","))
+		option = trimSpace(option)
+		switch {
+		case equalFold(option, "close"):
+			m.Close = true
+		case equalFold(option, "keep-alive"):
+			m.Close = false
+		}
+	}
+}
+
+// frameBody decides how the end of the body is found (RFC 9112, 6.3).
+func (m *Message) frameBody(chunked, http10 bool) error {
+	switch {
+	case chunked && m.bodyLength >= 0, chunked && http10: // two lengths
+		return ErrMalformed
+	case chunked:
+		m.bodyLength = lengthChunked
+	case m.bodyLength > MaxBodyBytes:
+		return ErrBodyTooLong
+	case m.response && hasNoBody(m.Status):
+		m.bodyLength = 0
+	case m.bodyLength == lengthUntilEnd && !m.response:
+		m.bodyLength = 0
+	case m.bodyLength == lengthUntilEnd:
+		m.Close = true
+	}
+	return nil
+}
+
+func hasNoBody(status int) bool { return status < 200 || status == 204 || status == 304 }
--- a/gateway/http1/recorded_test.go
+++ b/gateway/http1/recorded_test.go
@@ -20,22 +20,11 @@
 const recordedAnswer = "HTTP/1.1 200 Fine\r\nServer: host\r\nSrv-Load: outstanding=4\r\nKeep-Alive: timeout=5\r\nContent-Type: text/plain\r\n" +
 	"Content-Length: 5\r\n\r\nhello"
 
-// readWhole reads one message that came whole.
-func readWhole(t *testing.T, text string, response bool) *Message {
-	t.Helper()
-	m := &Message{}
-	m.Reset(make([]byte, 4096), response)
-	if whole, err := m.Advance(copy(m.Space(), text)); !whole || err != nil {
-		t.Fatalf("%q is read as %v, %v", text, whole, err)
-	}
-	return m
-}
-
 // recordedMessages are all that a gateway writes, by the name of the recording.
 func recordedMessages(t *testing.T) map[string][]byte {
 	t.Helper()
-	request, answer := readWhole(t, recordedRequest, false), readWhole(t, recordedAnswer, true)
-	get := readWhole(t, "GET /status-peek HTTP/1.1\r\nHost: front\r\nReq-Id: 1\r\n\r\n", false)
+	request, answer := parseComplete(t, recordedRequest, false), parseComplete(t, recordedAnswer, true)
+	get := parseComplete(t, "GET /status-peek HTTP/1.1\r\nHost: front\r\nReq-Id: 1\r\n\r\n", false)
 	all := map[string][]byte{
 		"request":      AppendRequest(nil, request, 0.2371),
 		"request-get":  AppendRequest(nil, get, 0),
@@ -78,7 +67,7 @@
 }
 
 func TestRecordedMessagesAreRead(t *testing.T) {
-	request := readWhole(t, recorded(t, "request"), false)
+	request := parseComplete(t, recorded(t, "request"), false)
 	if string(request.Method) != "POST" || string(request.Target) != "/result-lookup/7?a=%20b" || string(request.Body) != "abcdefg" {
 		t.Errorf("the request is read as %s %s %q", request.Method, request.Target, request.Body)
 	}
@@ -91,29 +80,40 @@
 		t.Errorf("its call is read as %+v (%v), wanted is %+v", call, ok, want)
 	}
 	for name, last := range map[string]bool{"answer": false, "answer-last": true} {
-		if m := readWhole(t, recorded(t, name), true); m.Status != 200 || string(m.Body) != "hello" || m.Close != last {
+		if m := parseComplete(t, recorded(t, name), true); m.Status != 200 || string(m.Body) != "hello" || m.Close != last {
 			t.Errorf("%s is read as %d %q, the last: %v", name, m.Status, m.Body, m.Close)
 		}
 	}
+	checkRecordedCounterCalls(t)
+	checkRecordedLocalResponses(t)
+}
+
+func checkRecordedCounterCalls(t *testing.T) {
+	t.Helper()
 	for name, target := range map[string]string{
 		"counter-add":  "/counters/18446744073709551615?by=0.1&expire_ms=60000",
 		"counter-less": "/counters/0?by=-12345678.25&expire_ms=1",
 	} {
-		if m := readWhole(t, recorded(t, name), false); string(m.Method) != "POST" || string(m.Target) != target || len(m.Body) > 0 {
+		if m := parseComplete(t, recorded(t, name), false); string(m.Method) != "POST" || string(m.Target) != target || len(m.Body) > 0 {
 			t.Errorf("%s is read as %s %s", name, m.Method, m.Target)
 		}
 	}
+}
+
+// checkRecordedLocalResponses reads the recorded responses of a gateway's own, one behind the other.
+func checkRecordedLocalResponses(t *testing.T) {
+	t.Helper()
 	own := recorded(t, "own")
 	var m Message
 	m.Reset(make([]byte, len(own)), true)
 	n := copy(m.Space(), own)
 	for _, status := range []int{200, 400, 409, 413, 429, 431, 502, 503, 504} {
 		for _, last := range []bool{false, true} {
-			whole, err := m.Advance(n)
-			if !whole || err != nil || m.Status != status || m.Close != last || len(m.Body) > 0 {
-				t.Fatalf("an answer of its own is read as %d, the last: %v (%v, %v)", m.Status, m.Close, whole, err)
+			complete, err := m.Advance(n)
+			if !complete || err != nil || m.Status != status || m.Close != last || len(m.Body) > 0 {
+				t.Fatalf("an answer of its own is read as %d, the last: %v (%v, %v)", m.Status, m.Close, complete, err)
 			}
-			if retry := strings.Contains(string(m.room[:m.rest]), "Retry-After: 1.062\r\n"); retry != last {
+			if retry := strings.Contains(string(m.buffer[:m.restStart]), "Retry-After: 1.062\r\n"); retry != last {
 				t.Errorf("the answer %d, the last: %v, says when to try again: %v", status, last, retry)
 			}
 			n = m.Next()
