--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -25,15 +25,15 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedFolder holds the folders of three stores as processes of the code of commit 1895881 left them when they were killed,
+// recordedFolder holds the folders of three servers as processes of the code of commit 1895881 left them when they were killed,
 // the database files compressed, and what had been acknowledged until then.
 const recordedFolder = "testdata/recorded"
 
-// startLimit is for how long the stores may take to serve, in seconds. Names live for a minute of the groups' own clock,
+// startLimit is for how long the servers may take to serve, in seconds. Names live for a minute of the groups' own clock,
 // which stands still while a group has no leader.
 const startLimit = 30 * time.Second
 
-// acknowledged is what the recorded stores had answered for.
+// acknowledged is what the recorded servers had acknowledged.
 type acknowledged struct {
 	Cluster uint64                       `json:"cluster"`
 	Lives   []uint32                     `json:"lives"`
@@ -41,7 +41,7 @@
 	Batch   []statemachine.CustomerUsage `json:"batch"`
 }
 
-// unpack copies a recorded store's folder, and unpacks its database.
+// unpack copies a recorded server's folder, and unpacks its database.
 func unpack(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o755); err != nil {
@@ -71,42 +71,63 @@
 	}
 }
 
-// startRecorded starts three stores of this build on the recorded folders, and waits until each group has a leader.
-func startRecorded(t *testing.T) (*server.ClusterConfig, *acknowledged) {
+// readAcknowledged reads what the recorded servers had acknowledged.
+func readAcknowledged(t *testing.T) *acknowledged {
 	t.Helper()
-	dir := t.TempDir()
-	program := filepath.Join(dir, "store")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	text, err := os.ReadFile(filepath.Join(recordedFolder, "acknowledged.json"))
+	encoded, err := os.ReadFile(filepath.Join(recordedFolder, "acknowledged.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &acknowledged{}
-	if err := json.Unmarshal(text, want); err != nil {
+	if err := json.Unmarshal(encoded, want); err != nil {
 		t.Fatal(err)
 	}
-	list := &server.ClusterConfig{Groups: 3, Replicas: 3, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64}
-	for i := range want.Lives {
-		spot := server.MemberConfig{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
-		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
+	return want
+}
+
+// recordedConfig configures the recorded servers, at free addresses.
+func recordedConfig(t *testing.T, servers int) *server.ClusterConfig {
+	t.Helper()
+	config := &server.ClusterConfig{Groups: 3, Replicas: 3, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64}
+	for i := range servers {
+		member := server.MemberConfig{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
+		for _, to := range []*string{&member.PeerAddress, &member.CounterAddress} {
+			var err error
 			if *to, err = sockets.Free(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		list.Members = append(list.Members, spot)
+		config.Members = append(config.Members, member)
 	}
-	path := filepath.Join(dir, "list.json")
-	if text, err = json.Marshal(list); err != nil {
+	return config
+}
+
+func buildProgram(t *testing.T, dir string) (path string) {
+	t.Helper()
+	path = filepath.Join(dir, "store")
+	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	return path
+}
+
+// startRecorded starts servers of this build on the recorded folders, and waits until each group has a leader.
+func startRecorded(t *testing.T, servers int) *server.ClusterConfig {
+	t.Helper()
+	dir := t.TempDir()
+	program := buildProgram(t, dir)
+	config := recordedConfig(t, servers) // after the build, which takes longer than an address stays free
+	encoded, err := json.Marshal(config)
+	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, text, 0o644); err != nil {
+	path := filepath.Join(dir, "list.json")
+	if err := os.WriteFile(path, encoded, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for _, spot := range list.Members {
-		unpack(t, filepath.Join(recordedFolder, spot.Name), filepath.Join(dir, spot.Name, "held"))
-		process, err := childprocess.StartWith([]string{program, "run", "--list", path, "--name", spot.Name, "--dir", "held"}, spot.Name, dir)
+	for _, member := range config.Members {
+		unpack(t, filepath.Join(recordedFolder, member.Name), filepath.Join(dir, member.Name, "held"))
+		process, err := childprocess.StartWith([]string{program, "run", "--list", path, "--name", member.Name, "--dir", "held"}, member.Name, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,17 +140,17 @@
 			}
 		})
 	}
-	awaitLeaders(t, list)
-	return list, want
+	awaitLeaders(t, config)
+	return config
 }
 
-func awaitLeaders(t *testing.T, list *server.ClusterConfig) {
+func awaitLeaders(t *testing.T, config *server.ClusterConfig) {
 	t.Helper()
 	led := map[int]bool{}
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
-		for _, spot := range list.Members {
-			answer, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
+		for _, member := range config.Members {
+			answer, err := server.SendCommand(member.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
 			if err != nil {
 				continue
 			}
@@ -139,68 +160,70 @@
 				}
 			}
 		}
-		if len(led) == list.Groups {
+		if len(led) == config.Groups {
 			return
 		}
 	}
-	t.Fatalf("%d of %d groups have a leader after %v", len(led), list.Groups, startLimit)
+	t.Fatalf("%d of %d groups have a leader after %v", len(led), config.Groups, startLimit)
 }
 
-// guest is a stream to a store, as a gateway has one.
-type guest struct {
+// client is a stream to a server, as a gateway has one.
+type client struct {
 	t      *testing.T
 	stream net.Conn
 	reader *bufio.Reader
 	number uint64
 }
 
-func newGuest(t *testing.T, addr string) *guest {
+func newClient(t *testing.T, addr string) *client {
 	t.Helper()
 	stream, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { stream.Close() })
-	g := &guest{t: t, stream: stream, reader: bufio.NewReader(stream)}
-	g.send(protocol.ClientHello())
-	return g
+	c := &client{t: t, stream: stream, reader: bufio.NewReader(stream)}
+	c.send(protocol.ClientHello())
+	return c
 }
 
-func (g *guest) send(f *protocol.Frame) {
-	g.t.Helper()
-	text, err := f.AppendTo(nil)
+func (c *client) send(f *protocol.Frame) {
+	c.t.Helper()
+	encoded, err := f.AppendTo(nil)
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	if _, err := g.stream.Write(text); err != nil {
-		g.t.Fatal(err)
+	if _, err := c.stream.Write(encoded); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// ask asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
-func (g *guest) ask(e statemachine.Command) statemachine.Reply {
-	g.t.Helper()
+// request asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
+func (c *client) request(command statemachine.Command) statemachine.Reply {
+	c.t.Helper()
 	var last protocol.Response
 	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		g.number++
-		g.send(protocol.RequestsFrame([]protocol.Request{{ID: g.number, Command: e}}))
-		g.stream.SetReadDeadline(until)
-		f, err := protocol.ReadFrame(g.reader, protocol.MaxFrameBytes)
+		c.number++
+		c.send(protocol.RequestsFrame([]protocol.Request{{ID: c.number, Command: command}}))
+		if err := c.stream.SetReadDeadline(until); err != nil {
+			c.t.Fatal(err)
+		}
+		f, err := protocol.ReadFrame(c.reader, protocol.MaxFrameBytes)
 		if err != nil {
-			g.t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		if len(f.Responses) != 1 || f.Responses[0].RequestID != g.number {
-			g.t.Fatalf("%+v is answered %+v", e, f)
+		if len(f.Responses) != 1 || f.Responses[0].RequestID != c.number {
+			c.t.Fatalf("%+v is answered %+v", command, f)
 		}
 		if last = f.Responses[0]; !last.NotLeader && !last.Unknown {
 			return last.Reply
 		}
 	}
-	g.t.Fatalf("%+v is still answered %+v", e, last)
+	c.t.Fatalf("%+v is still answered %+v", command, last)
 	return statemachine.Reply{}
 }
 
-// total asks one store's listener for a count, by adding nothing to it. Only a call that was turned away is made again.
+// total asks one server's counter listener for a total, by adding nothing to it. Only a call that was rejected is made again.
 func total(t *testing.T, addr, name string) (text string) {
 	t.Helper()
 	client := http.Client{Timeout: startLimit, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -224,58 +247,75 @@
 	return ""
 }
 
-// Stores of this build start on folders that the recorded code left behind, are the stores that they were, and serve all
-// that was acknowledged: totals, parts and debts of a living holder, a dead holder's debt put back once, marks of deliveries
-// and the batch of use handed out last.
+// Servers of this build start on folders that the recorded code left behind, are the servers that they were, and serve all
+// that was acknowledged: totals, reported and unreported usage of a living holder, a dead holder's unreported usage added once,
+// markers of deliveries and the batch of usage handed out last.
 func TestRecordedFoldersAreServed(t *testing.T) {
 	leakcheck.Check(t)
-	list, want := startRecorded(t)
-	for i, spot := range list.Members {
-		answer, err := server.SendCommand(spot.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 5*time.Second)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if answer.Replica != i || answer.Incarnation != want.Lives[i] || answer.Cluster != want.Cluster {
-			t.Errorf("store %d is number %d, life %08x of installation %016x; life %08x of %016x was recorded", i, answer.Replica,
-				answer.Incarnation, answer.Cluster, want.Lives[i], want.Cluster)
-		}
+	want := readAcknowledged(t)
+	config := startRecorded(t, len(want.Lives))
+	for i, member := range config.Members {
+		checkIdentity(t, member, i, want)
 		for name, sum := range want.Totals {
-			if got := total(t, spot.CounterAddress, name); got != fmt.Sprint(sum) {
-				t.Errorf("%s stands at %s at store %d, %v was acknowledged", name, got, i, sum)
+			if got := total(t, member.CounterAddress, name); got != fmt.Sprint(sum) {
+				t.Errorf("%s stands at %s at server %d, %v was acknowledged", name, got, i, sum)
 			}
 		}
 	}
-	// Words of a lower order than the recorded ones change nothing, and are answered with what stands.
-	g := newGuest(t, list.Members[1].PeerAddress)
+	c := newClient(t, config.Members[1].PeerAddress)
 	for i := range 6 {
-		name := fmt.Sprint("name-", i)
-		part := g.ask(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
-		if part.Code != statemachine.Done || part.HolderTotal != 100+float64(i) || part.Total != want.Totals[name] {
-			t.Errorf("the holder's part of %s is answered %+v", name, part)
-		}
-		debt := g.ask(statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
-		if debt.Code != statemachine.Done || debt.HolderTotal != 110+float64(i) {
-			t.Errorf("the holder's debt for %s is answered %+v", name, debt)
-		}
-		mark := g.ask(statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-b.1", Key: fmt.Sprint("invocation-", i), Scope: "elsewhere", TTL: 60})
-		if mark.Code != statemachine.MarkerHeld || mark.MarkerHolder != "edge-a.1" {
-			t.Errorf("a second delivery of invocation %d is answered %+v", i, mark)
-		}
+		checkLivingHolder(t, c, i, want)
+	}
+	checkExpiredHolder(t, c, want)
+	checkUsage(t, config, want)
+}
+
+func checkIdentity(t *testing.T, member server.MemberConfig, number int, want *acknowledged) {
+	t.Helper()
+	answer, err := server.SendCommand(member.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, 5*time.Second)
+	if err != nil {
+		t.Fatal(err)
 	}
-	dead := g.ask(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-gone.1", Key: "put-back", Amount: 99, Version: 9, TTL: 60})
-	if dead.Code != statemachine.LeaseExpired || dead.HolderTotal != 9.5 || dead.Total != want.Totals["put-back"] {
-		t.Errorf("a dead holder's word is answered %+v", dead)
+	if answer.Replica != number || answer.Incarnation != want.Lives[number] || answer.Cluster != want.Cluster {
+		t.Errorf("server %d is number %d, incarnation %08x of cluster %016x; incarnation %08x of %016x was recorded", number, answer.Replica,
+			answer.Incarnation, answer.Cluster, want.Lives[number], want.Cluster)
+	}
+}
+
+// checkLivingHolder sends commands of a lower version than the recorded ones: they change nothing, and are answered with what
+// stands.
+func checkLivingHolder(t *testing.T, c *client, i int, want *acknowledged) {
+	t.Helper()
+	name := fmt.Sprint("name-", i)
+	report := c.request(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
+	if report.Code != statemachine.Done || report.HolderTotal != 100+float64(i) || report.Total != want.Totals[name] {
+		t.Errorf("the holder's report of %s is answered %+v", name, report)
+	}
+	record := c.request(statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
+	if record.Code != statemachine.Done || record.HolderTotal != 110+float64(i) {
+		t.Errorf("the holder's unreported usage of %s is answered %+v", name, record)
+	}
+	marker := c.request(statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-b.1", Key: fmt.Sprint("invocation-", i), Scope: "elsewhere", TTL: 60})
+	if marker.Code != statemachine.MarkerHeld || marker.MarkerHolder != "edge-a.1" {
+		t.Errorf("a second delivery of invocation %d is answered %+v", i, marker)
+	}
+}
+
+func checkExpiredHolder(t *testing.T, c *client, want *acknowledged) {
+	t.Helper()
+	reply := c.request(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-gone.1", Key: "put-back", Amount: 99, Version: 9, TTL: 60})
+	if reply.Code != statemachine.LeaseExpired || reply.HolderTotal != 9.5 || reply.Total != want.Totals["put-back"] {
+		t.Errorf("an expired holder's report is answered %+v", reply)
 	}
-	checkUse(t, list, want)
 }
 
-// checkUse asks for the batch handed out last once more, and for the next: what was counted after the one before.
-func checkUse(t *testing.T, list *server.ClusterConfig, want *acknowledged) {
+// checkUsage asks for the batch handed out last once more, and for the next: what was counted after the one before.
+func checkUsage(t *testing.T, config *server.ClusterConfig, want *acknowledged) {
 	t.Helper()
 	take := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
 		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			answer, err := server.SendCommand(list.Members[2].PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
+			answer, err := server.SendCommand(config.Members[2].PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
 			if err == nil {
 				return answer.Usage
 			}
