--- a/tier/control/election/acceptor.go
+++ b/tier/control/election/acceptor.go
@@ -20,7 +20,7 @@
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	if request.To != e.Node.Identity {
+	if request.To != e.config.Node.Identity {
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
@@ -41,11 +41,11 @@
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	if request.To != e.Node.Identity {
+	if request.To != e.config.Node.Identity {
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
-	if e.Node.IsForeignCluster(request.Record.ClusterID) {
+	if e.config.Node.IsForeignCluster(request.Record.ClusterID) {
 		message.Answer(codes.DiskForeign, nil)
 		return
 	}
@@ -67,8 +67,8 @@
 	if !change(&next) {
 		return false
 	}
-	if err := e.Node.Values.Write(acceptorValue, next.Encode()); err != nil {
-		e.Log.WithError(err).Error("witness could not be written; no vote is given")
+	if err := e.config.Node.Values.Write(acceptorValue, next.Encode()); err != nil {
+		e.config.Log.WithError(err).Error("witness could not be written; no vote is given")
 		return false
 	}
 	e.mu.Lock()
@@ -107,7 +107,7 @@
 func (t acceptorTransport) call(ctx context.Context, to consensus.Member, kind rpc.Kind, payload []byte) (consensus.Response, error) {
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	answer, err := t.elector.Clients.To(to.Address).Call(call, kind, payload)
+	answer, err := t.elector.config.Clients.To(to.Address).Call(call, kind, payload)
 	if errors.Is(err, codes.WrongIdentity) && t.elector.DiskLost(to.ID) {
 		return consensus.Response{DiskLost: true}, nil
 	}
--- a/tier/control/election/bootstrap.go
+++ b/tier/control/election/bootstrap.go
@@ -18,19 +18,19 @@
 // FindOrBootstrap looks for a cluster, or bootstraps it where the settings say that there is none.
 func (f *Failover) FindOrBootstrap(ctx context.Context) {
 	f.locate(ctx)
-	seeds := f.elector.BootstrapSeeds()
-	if f.elector.Known().IsBootstrapped() || !f.elector.Bootstrap || !slices.Contains(seeds, f.elector.Self.Address) {
+	seeds := f.elector.config.BootstrapSeeds()
+	if f.elector.Known().IsBootstrapped() || !f.elector.config.Bootstrap || !slices.Contains(seeds, f.elector.config.Self.Address) {
 		return
 	}
 	input := membership.BootstrapInput{
-		Self: f.elector.Self, Seeds: seeds, Candidates: f.candidates.all(), WaitElapsed: f.elector.Now()-f.elector.startedAt > bootstrapWait,
+		Self: f.elector.config.Self, Seeds: seeds, Candidates: f.candidates.all(), WaitElapsed: f.elector.config.Now()-f.elector.startedAt > bootstrapWait,
 	}
 	members, may := input.Members()
 	if !may {
 		return
 	}
 	if err := f.elector.bootstrap(ctx, members, len(seeds)); err != nil {
-		f.elector.Log.WithError(err).Warn("bootstrap did not succeed; trying again")
+		f.elector.config.Log.WithError(err).Warn("bootstrap did not succeed; trying again")
 	}
 }
 
@@ -41,7 +41,7 @@
 		if current.IsBootstrapped() {
 			return current, false
 		}
-		next := e.Policy.InitialRecord(e.Node.Identity, members)
+		next := e.config.Policy.InitialRecord(e.config.Node.Identity, members)
 		next.ClusterID = clusterID
 		return next, true
 	}}
--- a/tier/control/election/cluster_test.go
+++ b/tier/control/election/cluster_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector := &Elector{Config: Config{Node: host, Clients: clients, Log: log, Now: multigroup.Now}}
+	elector := &Elector{config: Config{Node: host, Clients: clients, Log: log, Now: multigroup.Now}}
 	host.BindCluster(7)
 	own := consensus.Record{Epoch: 3, Primary: 1, ClusterID: 7}
 	elector.Learn(own)
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector := &Elector{Config: Config{Node: host, Clients: clients, Now: multigroup.Now}}
+	elector := &Elector{config: Config{Node: host, Clients: clients, Now: multigroup.Now}}
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 1})
 	_, first := elector.KnownSince()
 	if first == 0 {
--- a/tier/control/election/elector.go
+++ b/tier/control/election/elector.go
@@ -49,7 +49,7 @@
 // Elector is a control process's part in the register: its acceptor, and what it knows of the group. Its methods may be called from
 // any goroutine.
 type Elector struct {
-	Config
+	config Config
 
 	identities *identities
 	rounds     *consensus.RoundAllocator
@@ -66,8 +66,8 @@
 
 // New opens the acceptor of a control process.
 func New(config Config) (*Elector, error) {
-	e := &Elector{Config: config, identities: newIdentities(config.Self, config.Now), startedAt: config.Now()}
-	content, err := e.Node.Values.Read(acceptorValue)
+	e := &Elector{config: config, identities: newIdentities(config.Self, config.Now), startedAt: config.Now()}
+	content, err := e.config.Node.Values.Read(acceptorValue)
 	if err != nil {
 		return nil, err
 	}
@@ -77,11 +77,11 @@
 		}
 		e.known = e.acceptor.Value
 	}
-	if e.rounds, err = openRounds(e.Node.Values, e.acceptor); err != nil {
+	if e.rounds, err = openRounds(e.config.Node.Values, e.acceptor); err != nil {
 		return nil, err
 	}
 	if err := e.rounds.Reserve(); err != nil {
-		e.Log.WithError(err).Warn("rounds could not be reserved; the first proposal tries again")
+		e.config.Log.WithError(err).Warn("rounds could not be reserved; the first proposal tries again")
 	}
 	return e, nil
 }
@@ -110,7 +110,7 @@
 // Leads tells whether this process is the primary of control, also while it waits for a replica and can commit nothing.
 func (e *Elector) Leads() bool {
 	leads := false
-	e.Node.WithGroup(state.Group, func(g *replica.Group) { leads = g.IsPrimary() })
+	e.config.Node.WithGroup(state.Group, func(g *replica.Group) { leads = g.IsPrimary() })
 	return leads
 }
 
@@ -120,7 +120,7 @@
 	for _, member := range e.Known().Members {
 		addresses = append(addresses, member.Address)
 	}
-	for _, seed := range e.Seeds() {
+	for _, seed := range e.config.Seeds() {
 		if !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
@@ -141,22 +141,22 @@
 func (e *Elector) Learn(record consensus.Record) { e.note(record, false) }
 
 func (e *Elector) note(record consensus.Record, decided bool) {
-	if e.Node.IsForeignCluster(record.ClusterID) {
+	if e.config.Node.IsForeignCluster(record.ClusterID) {
 		return
 	}
 	e.mu.Lock()
 	if supersedes(record, decided, e.known, e.decided) {
 		if record.Epoch > e.known.Epoch {
-			e.learned = e.Now()
+			e.learned = e.config.Now()
 		}
 		e.known = record
 		e.decided = decided
 	}
 	known := e.known
 	e.mu.Unlock()
-	e.Node.WithGroup(state.Group, func(g *replica.Group) { g.RecordVote(record.Epoch, record.Primary) })
+	e.config.Node.WithGroup(state.Group, func(g *replica.Group) { g.RecordVote(record.Epoch, record.Primary) })
 	for _, member := range append(known.Voters(), known.Learners...) {
-		e.Node.SetAddress(member.ID, member.Address)
+		e.config.Node.SetAddress(member.ID, member.Address)
 	}
 }
 
@@ -178,7 +178,7 @@
 
 // proposer proposes in the name of this process.
 func (e *Elector) proposer(mode PrepareMode) consensus.Proposer {
-	return consensus.Proposer{ID: e.Node.Identity, Rounds: e.rounds, Transport: acceptorTransport{e, mode}}
+	return consensus.Proposer{ID: e.config.Node.Identity, Rounds: e.rounds, Transport: acceptorTransport{e, mode}}
 }
 
 // decide runs a proposal and notes what it decided.
@@ -201,10 +201,10 @@
 func (e *Elector) TakeOver(ctx context.Context, mode PrepareMode, suspected uint64) error {
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		// a suspected epoch above the current one was proposed and never decided
-		if current.Epoch > suspected || !current.IsInSync(e.Node.Identity) {
+		if current.Epoch > suspected || !current.IsInSync(e.config.Node.Identity) {
 			return current, false
 		}
-		return e.Policy.Successor(current, e.Node.Identity, e.DiskLost), true
+		return e.config.Policy.Successor(current, e.config.Node.Identity, e.DiskLost), true
 	}}
 	record, err := e.propose(ctx, mode, e.Known(), attempt.Apply)
 	if err != nil {
@@ -220,14 +220,14 @@
 // Adjust changes the record while this process is its primary: members, or the in-sync set.
 func (e *Elector) Adjust(ctx context.Context, change func(consensus.Record) (consensus.Record, bool)) error {
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
-		if current.Primary != e.Node.Identity {
+		if current.Primary != e.config.Node.Identity {
 			return current, false
 		}
 		next, wanted := change(current)
 		if !wanted {
 			return current, false
 		}
-		next = e.Policy.WithMinInSync(next)
+		next = e.config.Policy.WithMinInSync(next)
 		next.Epoch = current.Epoch + 1
 		return next, true
 	}}
@@ -243,13 +243,13 @@
 
 // lead has the replica act on a record that this process has decided.
 func (e *Elector) lead(record consensus.Record) {
-	if !e.Node.BindCluster(record.ClusterID) {
+	if !e.config.Node.BindCluster(record.ClusterID) {
 		return
 	}
 	e.mu.Lock()
 	e.led = true
 	e.mu.Unlock()
-	e.Timeline.Reach(timeline.PrimaryDecided)
-	e.Log.WithFields(logrus.Fields{"epoch": record.Epoch, "in_sync": len(record.InSync), "members": len(record.Members)}).Info("primary of control")
-	e.Node.SetView(state.Group, membership.View(record))
+	e.config.Timeline.Reach(timeline.PrimaryDecided)
+	e.config.Log.WithFields(logrus.Fields{"epoch": record.Epoch, "in_sync": len(record.InSync), "members": len(record.Members)}).Info("primary of control")
+	e.config.Node.SetView(state.Group, membership.View(record))
 }
--- a/tier/control/election/failover.go
+++ b/tier/control/election/failover.go
@@ -31,17 +31,17 @@
 	e := f.elector
 	known, learned := e.KnownSince()
 	input := lease.FailoverInput{
-		Now:             e.Now(),
+		Now:             e.config.Now(),
 		StartedAt:       e.startedAt,
 		RecordLearnedAt: learned,
-		InSync:          known.IsInSync(e.Self.ID),
-		NamedPrimary:    known.Primary == e.Self.ID,
+		InSync:          known.IsInSync(e.config.Self.ID),
+		NamedPrimary:    known.Primary == e.config.Self.ID,
 		HasLed:          e.hasLed(),
-		Rank:            Rank(known, e.Self.ID),
+		Rank:            Rank(known, e.config.Self.ID),
 		Jitter:          rand.Int64N(lease.ElectionStagger),
-		DiskDegraded:    e.Node.DiskDegraded(),
+		DiskDegraded:    e.config.Node.DiskDegraded(),
 	}
-	e.Node.WithGroup(state.Group, func(g *replica.Group) {
+	e.config.Node.WithGroup(state.Group, func(g *replica.Group) {
 		input.PrimaryConfirmedAt = g.PrimaryConfirmedAt()
 		input.Leads = g.IsPrimary()
 	})
@@ -92,6 +92,6 @@
 		return
 	}
 	if err := f.elector.TakeOver(ctx, mode, epoch); err != nil {
-		f.elector.Log.WithField("epoch", epoch).WithError(err).Info("takeover did not succeed")
+		f.elector.config.Log.WithField("epoch", epoch).WithError(err).Info("takeover did not succeed")
 	}
 }
--- a/tier/control/election/locate.go
+++ b/tier/control/election/locate.go
@@ -15,12 +15,12 @@
 
 // locate asks all control processes known who they are and what they know.
 func (f *Failover) locate(ctx context.Context) {
-	f.locatedAt = f.elector.Now()
+	f.locatedAt = f.elector.config.Now()
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
 	for _, address := range f.elector.Addresses() {
-		if address == f.elector.Self.Address {
+		if address == f.elector.config.Self.Address {
 			continue
 		}
 		wait.Add(1)
@@ -34,8 +34,8 @@
 
 // locateAt asks who is at an address.
 func (f *Failover) locateAt(ctx context.Context, address string) {
-	asked := f.elector.Now()
-	answer, err := f.elector.Clients.To(address).Call(ctx, controlclient.KindLocate, nil)
+	asked := f.elector.config.Now()
+	answer, err := f.elector.config.Clients.To(address).Call(ctx, controlclient.KindLocate, nil)
 	if err != nil {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // locateUnlessRecent asks unless it has asked a moment ago.
 func (f *Failover) locateUnlessRecent(ctx context.Context) {
-	if f.elector.Now()-f.locatedAt > LocateInterval {
+	if f.elector.config.Now()-f.locatedAt > LocateInterval {
 		f.locate(ctx)
 	}
 }
@@ -61,7 +61,7 @@
 	if len(message.Payload) > 0 {
 		e.learnEncoded(message.Payload)
 	}
-	response := controlclient.LocateResponse{ID: e.Self.ID, Node: e.Self.Node, Bootstraps: e.Bootstrap, Record: e.Known()}
+	response := controlclient.LocateResponse{ID: e.config.Self.ID, Node: e.config.Self.Node, Bootstraps: e.config.Bootstrap, Record: e.Known()}
 	message.Answer(codes.OK, response.Encode())
 }
 
@@ -74,9 +74,9 @@
 	}
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	for _, seed := range e.Seeds() {
+	for _, seed := range e.config.Seeds() {
 		if !members[seed] {
-			_, _ = e.Clients.To(seed).Call(call, controlclient.KindLocate, encodeRecord(known)) // the next announcement repeats it
+			_, _ = e.config.Clients.To(seed).Call(call, controlclient.KindLocate, encodeRecord(known)) // the next announcement repeats it
 		}
 	}
 }
--- a/tier/control/election/prevote.go
+++ b/tier/control/election/prevote.go
@@ -15,8 +15,8 @@
 // voter is what this process knows when it is asked to help to replace a primary.
 func (e *Elector) voter() lease.Voter {
 	known := e.Known()
-	voter := lease.Voter{Now: e.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
-	e.Node.WithGroup(state.Group, func(g *replica.Group) {
+	voter := lease.Voter{Now: e.config.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
+	e.config.Node.WithGroup(state.Group, func(g *replica.Group) {
 		if view := g.View(); view.Epoch > known.Epoch {
 			voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
 		}
@@ -45,7 +45,7 @@
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	if request.To != e.Node.Identity {
+	if request.To != e.config.Node.Identity {
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
@@ -81,13 +81,13 @@
 }
 
 func (e *Elector) askVoter(ctx context.Context, voter consensus.Member, mode PrepareMode, epoch uint64) bool {
-	if voter.ID == e.Node.Identity {
+	if voter.ID == e.config.Node.Identity {
 		return e.supports(voter.ID, epoch, mode)
 	}
-	request := preVoteRequest{To: voter.ID, Candidate: e.Node.Identity, Epoch: epoch, Mode: mode}
+	request := preVoteRequest{To: voter.ID, Candidate: e.config.Node.Identity, Epoch: epoch, Mode: mode}
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	answer, err := e.Clients.To(voter.Address).Call(call, controlclient.KindPreVote, request.encode())
+	answer, err := e.config.Clients.To(voter.Address).Call(call, controlclient.KindPreVote, request.encode())
 	if err != nil {
 		return false
 	}
--- a/tier/control/election/status.go
+++ b/tier/control/election/status.go
@@ -25,27 +25,27 @@
 
 // Status is what this process can prove now.
 func (s *LeaseStatus) Status() lease.Status {
-	if !consensus.HasMember(s.elector.Known().Members, s.elector.Self.ID) {
+	if !consensus.HasMember(s.elector.Known().Members, s.elector.config.Self.ID) {
 		return lease.Status{Role: lease.Outsider, ConfirmedSince: s.reached()}
 	}
 	status := lease.Status{Role: lease.Backup}
-	s.elector.Node.WithGroup(state.Group, func(g *replica.Group) {
+	s.elector.config.Node.WithGroup(state.Group, func(g *replica.Group) {
 		if g.IsPrimary() {
 			status.Role = lease.Primary
 			status.Ready = g.IsReady()
 		}
-		status.ConfirmedSince = g.ConfirmedSince(s.elector.Now())
+		status.ConfirmedSince = g.ConfirmedSince(s.elector.config.Now())
 	})
 	return status
 }
 
 // MayServe tells whether this process may serve its copy of the state now.
-func (s *LeaseStatus) MayServe() bool { return s.Status().MayServe(s.elector.Now()) }
+func (s *LeaseStatus) MayServe() bool { return s.Status().MayServe(s.elector.config.Now()) }
 
 // MayDecide returns an error unless this process may give an answer of its own as the primary now: a *NotLeaderError or
 // ErrLeaseExpired.
 func (s *LeaseStatus) MayDecide() error {
-	err := s.Status().MayDecide(s.elector.Now())
+	err := s.Status().MayDecide(s.elector.config.Now())
 	if errors.Is(err, codes.NotPrimary) {
 		return &NotLeaderError{Leader: s.PrimaryAddress()}
 	}
@@ -54,7 +54,7 @@
 
 // MayForward returns ErrLeaseExpired unless this process can expect the primary in force to answer what it forwards now.
 func (s *LeaseStatus) MayForward() error {
-	return orLeaseExpired(s.Status().MayForward(s.elector.Now()))
+	return orLeaseExpired(s.Status().MayForward(s.elector.config.Now()))
 }
 
 // orLeaseExpired names the one reason that package lease has besides another primary.
@@ -88,7 +88,7 @@
 // leadsWithLease tells whether this process is the primary of control and a majority has answered it lately.
 func (s *LeaseStatus) leadsWithLease() bool {
 	status := s.Status()
-	return status.Role == lease.Primary && status.HasLease(s.elector.Now())
+	return status.Role == lease.Primary && status.HasLease(s.elector.config.Now())
 }
 
 // leadsWithoutVotes tells whether this process is the primary of control while the disk of a voter is provably lost: it may have no
@@ -108,8 +108,8 @@
 // PrimaryAddress is where the primary is believed to be, as a hint for callers; "" if this process can't tell.
 func (s *LeaseStatus) PrimaryAddress() string {
 	primary := uint64(0)
-	s.elector.Node.WithGroup(state.Group, func(g *replica.Group) { primary = g.View().Primary })
-	if primary == s.elector.Self.ID || !s.Status().HasLease(s.elector.Now()) {
+	s.elector.config.Node.WithGroup(state.Group, func(g *replica.Group) { primary = g.View().Primary })
+	if primary == s.elector.config.Self.ID || !s.Status().HasLease(s.elector.config.Now()) {
 		return "" // it leads no more, or may have been replaced
 	}
 	if member, known := s.elector.Known().Member(primary); known {
--- a/tier/control/election/transfer.go
+++ b/tier/control/election/transfer.go
@@ -18,11 +18,11 @@
 	known := f.elector.Known()
 	for _, id := range known.InSync {
 		member, found := known.Member(id)
-		if id == f.elector.Self.ID || !found || skip(id) {
+		if id == f.elector.config.Self.ID || !found || skip(id) {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, ProposeTimeout)
-		answer, err := f.elector.Clients.To(member.Address).Call(call, KindTakeOver, encodeTakeOver(known.Epoch))
+		answer, err := f.elector.config.Clients.To(member.Address).Call(call, KindTakeOver, encodeTakeOver(known.Epoch))
 		cancel()
 		if err == nil {
 			f.elector.learnEncoded(answer)
@@ -35,12 +35,12 @@
 // StepAside asks a member whose disk works to take the lead, while this process leads and its own disk is degraded. Where none does,
 // this process goes on leading: a slow disk everywhere must not leave the group without a primary.
 func (f *Failover) StepAside(ctx context.Context, skip func(id uint64) bool) {
-	if !f.elector.Leads() || f.elector.Now()-f.steppedAsideAt < stepAsideInterval {
+	if !f.elector.Leads() || f.elector.config.Now()-f.steppedAsideAt < stepAsideInterval {
 		return
 	}
-	f.steppedAsideAt = f.elector.Now()
+	f.steppedAsideAt = f.elector.config.Now()
 	taken := f.HandOver(ctx, skip)
-	f.elector.Log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": taken}).Warn("the disk does not do its work: another member is asked to lead")
+	f.elector.config.Log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": taken}).Warn("the disk does not do its work: another member is asked to lead")
 }
 
 // HandleTakeOver becomes primary if it can, and answers with the record that says so. A process that is itself about to stop
@@ -51,7 +51,7 @@
 		message.Answer(codes.Malformed, nil)
 		return
 	}
-	if f.draining() || f.elector.Node.DiskDegraded() {
+	if f.draining() || f.elector.config.Node.DiskDegraded() {
 		message.Answer(codes.Unavailable, nil)
 		return
 	}
@@ -59,7 +59,7 @@
 	defer cancel()
 	f.takeOver(ctx, PrepareOnTransfer, epoch)
 	known := f.elector.Known()
-	if known.Primary != f.elector.Self.ID {
+	if known.Primary != f.elector.config.Self.ID {
 		message.Answer(codes.Unavailable, nil)
 		return
 	}
--- a/tier/control/reconcile/members.go
+++ b/tier/control/reconcile/members.go
@@ -34,6 +34,7 @@
 	Elector  *election.Elector
 	Status   *election.LeaseStatus
 	Sessions *session.Sessions
+	Policy   membership.Policy
 	// Now is the process's steady clock in milliseconds.
 	Now func() int64
 
@@ -117,7 +118,7 @@
 	m.adjust(ctx, func(record consensus.Record) (consensus.Record, bool) {
 		next := record
 		for _, id := range silent {
-			if m.Elector.DiskLost(id) || len(next.InSync) > m.Elector.Policy.InSyncFloor(record) {
+			if m.Elector.DiskLost(id) || len(next.InSync) > m.Policy.InSyncFloor(record) {
 				next.InSync = consensus.Without(next.InSync, id)
 			}
 		}
@@ -130,7 +131,7 @@
 func (m *Members) adjustMembers(ctx context.Context) {
 	known := m.Elector.Known()
 	observed := m.observe(m.ledSince)
-	planned, wanted := m.Elector.Policy.Next(known, observed)
+	planned, wanted := m.Policy.Next(known, observed)
 	if !wanted && len(known.Previous) == 0 {
 		return
 	}
@@ -138,7 +139,7 @@
 		return
 	}
 	m.adjust(ctx, func(record consensus.Record) (consensus.Record, bool) {
-		step, wanted := m.Elector.Policy.Next(record, observed)
+		step, wanted := m.Policy.Next(record, observed)
 		if !wanted {
 			return record, len(record.Previous) > 0
 		}
--- a/tier/control/reconcile/reconciler.go
+++ b/tier/control/reconcile/reconciler.go
@@ -43,19 +43,19 @@
 // Reconciler does the primary's periodic work. Lead and EndLead are of one goroutine, the supervisor's; the other methods may be
 // called from any.
 type Reconciler struct {
-	Config
+	config Config
 
 	leading  uint64 // index of the entry that opened the lead for which sessions were begun, 0 if another process leads
 	ledSince int64
 }
 
 // New makes a reconciler.
-func New(config Config) *Reconciler { return &Reconciler{Config: config} }
+func New(config Config) *Reconciler { return &Reconciler{config: config} }
 
 // Lead looks once at all that a primary keeps in order.
 func (r *Reconciler) Lead(ctx context.Context) {
 	r.beginLead()
-	if r.Lease.MayDecide() != nil {
+	if r.config.Lease.MayDecide() != nil {
 		return
 	}
 	r.publishMembers(ctx)
@@ -71,25 +71,25 @@
 // beginLead starts sessions anew when this process has begun to lead.
 func (r *Reconciler) beginLead() {
 	opened := uint64(0)
-	r.Node.WithGroup(state.Group, func(g *replica.Group) { opened = g.EpochStartIndex() })
+	r.config.Node.WithGroup(state.Group, func(g *replica.Group) { opened = g.EpochStartIndex() })
 	if r.leading == opened {
 		return
 	}
 	r.leading = opened
-	r.ledSince = r.Now()
-	r.Timeline.Reach(timeline.PrimaryReady)
-	r.Sessions.Begin(r.State)
-	r.Ejector.Begin(r.State.EjectionTerms(), r.Now())
+	r.ledSince = r.config.Now()
+	r.config.Timeline.Reach(timeline.PrimaryReady)
+	r.config.Sessions.Begin(r.config.State)
+	r.config.Ejector.Begin(r.config.State.EjectionTerms(), r.config.Now())
 }
 
 // publishMembers tells subscribers where control is.
 func (r *Reconciler) publishMembers(ctx context.Context) {
-	known := r.Elector.Known()
+	known := r.config.Elector.Known()
 	var addresses []string
 	for _, member := range known.Members {
 		addresses = append(addresses, member.Address)
 	}
-	if slices.Equal(addresses, directory.ControlAddresses(r.State.View)) {
+	if slices.Equal(addresses, directory.ControlAddresses(r.config.State.View)) {
 		return
 	}
 	r.propose(ctx, state.SetMembers{Record: known})
@@ -97,30 +97,30 @@
 
 // propose has a command carried out. One that is not committed is planned anew at the next look.
 func (r *Reconciler) propose(ctx context.Context, command state.Command) {
-	_, _ = r.Proposer.Propose(ctx, command)
+	_, _ = r.config.Proposer.Propose(ctx, command)
 }
 
 func (r *Reconciler) removeSilentHosts(ctx context.Context) {
-	for _, id := range r.Sessions.ExpiredHosts(r.Heartbeat.Milliseconds()) {
-		if _, listed := r.State.Host(id); !listed { // a late heartbeat of one that deregistered
-			r.Sessions.ForgetHost(id)
+	for _, id := range r.config.Sessions.ExpiredHosts(r.config.Heartbeat.Milliseconds()) {
+		if _, listed := r.config.State.Host(id); !listed { // a late heartbeat of one that deregistered
+			r.config.Sessions.ForgetHost(id)
 			continue
 		}
-		r.Log.WithField("host", id).Info("host removed: no heartbeats")
-		_, _ = r.Hosts.RemoveSilent(ctx, id) // the next look finds it again
+		r.config.Log.WithField("host", id).Info("host removed: no heartbeats")
+		_, _ = r.config.Hosts.RemoveSilent(ctx, id) // the next look finds it again
 	}
 }
 
 // ejectOutliers ejects hosts that fail where their peers do not, and takes back what has lapsed.
 func (r *Reconciler) ejectOutliers(ctx context.Context) {
-	eject, ended := r.Ejector.Decide(func() outlier.Fleet { return ejection.FleetOf(r.State) }, r.Now())
+	eject, ended := r.config.Ejector.Decide(func() outlier.Fleet { return ejection.FleetOf(r.config.State) }, r.config.Now())
 	var commands []state.Command
 	for _, each := range eject {
-		r.Log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host ejected: it fails where its peers do not")
+		r.config.Log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host ejected: it fails where its peers do not")
 		commands = append(commands, state.EjectHost{ID: each.Host, TermMS: each.DurationMS})
 	}
 	for _, host := range ended {
 		commands = append(commands, state.ReinstateHost{ID: host})
 	}
-	r.Proposer.ProposeAll(ctx, commands)
+	r.config.Proposer.ProposeAll(ctx, commands)
 }
--- a/tier/control/reconcile/shards.go
+++ b/tier/control/reconcile/shards.go
@@ -16,16 +16,16 @@
 
 // cluster is what placement has to know of the store machines.
 func (r *Reconciler) cluster() placement.Cluster {
-	machines := r.Sessions.Machines(directory.Stores(r.State.View), r.State.IsRetiring)
-	return placement.Cluster{Machines: machines, Tolerate: r.Tolerate}
+	machines := r.config.Sessions.Machines(directory.Stores(r.config.State.View), r.config.State.IsRetiring)
+	return placement.Cluster{Machines: machines, Tolerate: r.config.Tolerate}
 }
 
 // placeShards decides who holds the shards.
 func (r *Reconciler) placeShards(ctx context.Context) {
 	cluster := r.cluster()
-	shards := directory.Shards(r.State.View)
-	if len(shards) < placement.ShardCount && r.Now()-r.ledSince > firstPlacementWait {
-		r.Proposer.ProposeAll(ctx, firstPlacements(cluster, shards))
+	shards := directory.Shards(r.config.State.View)
+	if len(shards) < placement.ShardCount && r.config.Now()-r.ledSince > firstPlacementWait {
+		r.config.Proposer.ProposeAll(ctx, firstPlacements(cluster, shards))
 	}
 	var commands []state.Command
 	tolerated := -1
@@ -35,13 +35,13 @@
 			continue
 		}
 		if shard.View.ToleratedLosses() != tolerated {
-			r.Proposer.ProposeAll(ctx, commands)
+			r.config.Proposer.ProposeAll(ctx, commands)
 			commands = nil
 			tolerated = shard.View.ToleratedLosses()
 		}
 		commands = append(commands, state.PutShard{Epoch: shard.View.Epoch, Shard: next})
 	}
-	r.Proposer.ProposeAll(ctx, commands)
+	r.config.Proposer.ProposeAll(ctx, commands)
 }
 
 // firstPlacements places the shards that exist nowhere yet.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return state.Result{}, err
 	}
-	shard, known := directory.Shards(r.State.View)[change.Shard]
+	shard, known := directory.Shards(r.config.State.View)[change.Shard]
 	if !known || shard.View.Epoch != change.Epoch {
 		return state.Result{Code: codes.HostStale}, nil
 	}
@@ -72,5 +72,5 @@
 	if !allowed {
 		return state.Result{Code: codes.Unavailable}, nil
 	}
-	return r.Proposer.Propose(ctx, state.PutShard{Epoch: change.Epoch, Shard: next})
+	return r.config.Proposer.Propose(ctx, state.PutShard{Epoch: change.Epoch, Shard: next})
 }
--- a/tier/control/reconcile/stores.go
+++ b/tier/control/reconcile/stores.go
@@ -22,16 +22,16 @@
 // removeLostStores forgets stores whose disk is lost, because their machine has come back with another identity, and those that
 // hold nothing and are long silent.
 func (r *Reconciler) removeLostStores(ctx context.Context) {
-	stores := directory.Stores(r.State.View)
-	shards := directory.Shards(r.State.View)
+	stores := directory.Stores(r.config.State.View)
+	shards := directory.Shards(r.config.State.View)
 	cluster := r.cluster()
 	for id, store := range stores {
 		replaced := cluster.DiskLost(id)
-		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && r.Sessions.StoreSilentFor(id) > storeForget
+		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && r.config.Sessions.StoreSilentFor(id) > storeForget
 		if !replaced && !idle {
 			continue
 		}
-		r.Log.WithField("store", store.Node).Info("store removed: its disk is gone or it holds nothing")
+		r.config.Log.WithField("store", store.Node).Info("store removed: its disk is gone or it holds nothing")
 		r.propose(ctx, state.RemoveStore{Store: store})
 	}
 }
@@ -39,15 +39,15 @@
 // RetirementState tells whether a store machine is still being emptied. The answer waits for a command of its own, so that a
 // primary that has been replaced cannot give it.
 func (r *Reconciler) RetirementState(ctx context.Context, node string) (state.Result, error) {
-	if _, err := r.Proposer.Propose(ctx, state.ReadConfig{}); err != nil {
+	if _, err := r.config.Proposer.Propose(ctx, state.ReadConfig{}); err != nil {
 		return state.Result{}, err
 	}
-	if !r.State.IsRetiring(node) {
+	if !r.config.State.IsRetiring(node) {
 		return state.Result{Code: codes.RetireUnknown}, nil
 	}
-	shards := directory.Shards(r.State.View)
+	shards := directory.Shards(r.config.State.View)
 	cluster := r.cluster()
-	for id, store := range directory.Stores(r.State.View) {
+	for id, store := range directory.Stores(r.config.State.View) {
 		if store.Node == node && !cluster.IsRetired(shards, id) {
 			return state.Result{Body: []byte(RetirementRunning)}, nil
 		}
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/samber/oops"
 	"github.com/sirupsen/logrus"
-	"golang.org/x/sync/errgroup"
 
 	"otterseam/tier/consensus"
 	"otterseam/tier/control/api"
@@ -127,7 +126,7 @@
 func (s *Server) openElection() error {
 	var err error
 	s.elector, err = election.New(election.Config{
-		Node: s.node, Clients: s.clients, Self: s.self, Policy: membership.Policy{Tolerate: s.settings.TolerateMachines},
+		Node: s.node, Clients: s.clients, Self: s.self, Policy: s.membershipPolicy(),
 		Timeline: s.timeline, Log: s.log, Now: s.now,
 		Seeds: settings.NewSeeds(s.settings).Addresses, Bootstrap: s.settings.Bootstrap, BootstrapSeeds: s.settings.SeedAddresses,
 	})
@@ -142,6 +141,10 @@
 	return nil
 }
 
+func (s *Server) membershipPolicy() membership.Policy {
+	return membership.Policy{Tolerate: s.settings.TolerateMachines}
+}
+
 func (s *Server) wireHeartbeats() {
 	s.sessions = session.New(s.node.Identity, s.now)
 	s.hostHeartbeats = &heartbeat.Hosts{
@@ -163,7 +166,9 @@
 		Hosts: s.hostHeartbeats, Timeline: s.timeline, Log: s.log, Now: s.now,
 		Heartbeat: s.settings.Heartbeat, Tolerate: s.settings.TolerateMachines,
 	})
-	s.members = &reconcile.Members{Node: s.node, Elector: s.elector, Status: s.status, Sessions: s.sessions, Now: s.now}
+	s.members = &reconcile.Members{
+		Node: s.node, Elector: s.elector, Status: s.status, Sessions: s.sessions, Policy: s.membershipPolicy(), Now: s.now,
+	}
 }
 
 func (s *Server) wireAPI() {
@@ -193,18 +198,17 @@
 	defer cancelDrain()
 	err = s.api.Serve(serving)
 	endBackground()
-	return errors.Join(err, awaitBackground(work))
+	s.awaitBackground(work)
+	return err
 }
 
-// startBackground starts the work that goes on until the context ends, first that which takes calls of other processes.
-func (s *Server) startBackground(ctx context.Context, listener net.Listener) *errgroup.Group {
-	var group errgroup.Group
-	context.AfterFunc(ctx, func() { _ = listener.Close() }) // ends rpc.Serve; nothing else may fail here
-	group.Go(func() error {
-		rpc.Serve(listener, s.handle)
-		return nil
-	})
-	for _, work := range []func(context.Context){
+// startBackground starts the work that goes on until the context ends, first that which takes calls of other processes. None of it can
+// fail: what can't be done now is done at the next look.
+func (s *Server) startBackground(ctx context.Context, listener net.Listener) *sync.WaitGroup {
+	var work sync.WaitGroup
+	context.AfterFunc(ctx, func() { _ = listener.Close() }) // ends rpc.Serve
+	work.Go(func() { rpc.Serve(listener, s.handle) })
+	for _, run := range []func(context.Context){
 		s.node.Run,
 		s.memberHeartbeats.Run,
 		s.hostHeartbeats.Report,
@@ -212,12 +216,9 @@
 		s.members.Run,
 		s.supervise,
 	} {
-		group.Go(func() error {
-			work(ctx)
-			return nil
-		})
+		work.Go(func() { run(ctx) })
 	}
-	return &group
+	return &work
 }
 
 // supervise bootstraps, takes over, repairs and places until the context ends.
--- a/tier/control/server_test.go
+++ b/tier/control/server_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"runtime"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -98,3 +99,20 @@
 		t.Fatalf("ended with %v", err)
 	}
 }
+
+// Work that hangs doesn't keep the process from ending.
+func TestWorkThatHangsIsNotWaitedForLong(t *testing.T) {
+	logger, hook := test.NewNullLogger()
+	s := &Server{log: logrus.NewEntry(logger)}
+	var work sync.WaitGroup
+	work.Add(1)
+	defer work.Done()
+	begin := time.Now()
+	s.awaitBackground(&work)
+	if took := time.Since(begin); took < backgroundTimeout {
+		t.Errorf("waited %v", took)
+	}
+	if len(hook.AllEntries()) != 1 {
+		t.Errorf("logged %+v", hook.AllEntries())
+	}
+}
--- a/tier/control/shutdown.go
+++ b/tier/control/shutdown.go
@@ -2,11 +2,9 @@
 
 import (
 	"context"
-	"errors"
+	"sync"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"otterseam/tier/consensus"
 	"otterseam/tier/membership"
 	"otterseam/tier/periodic"
@@ -24,9 +22,6 @@
 	backgroundTimeout = 400 * time.Millisecond
 )
 
-// errBackgroundHangs says that work in the background did not end in time.
-var errBackgroundHangs = errors.New("work in the background did not end in time")
-
 // drain returns when this process may end: another one leads, and what this one acknowledged is held by as many others as an
 // acknowledgement needs, or time is up.
 func (s *Server) drain(ctx context.Context) {
@@ -44,15 +39,17 @@
 	})
 }
 
-// awaitBackground waits for the work in the background, whose context has ended.
-func awaitBackground(work *errgroup.Group) error {
-	done := make(chan error, 1)
-	go func() { done <- work.Wait() }()
+// awaitBackground waits for the work in the background, whose context has ended. What hangs on a disk ends with the process.
+func (s *Server) awaitBackground(work *sync.WaitGroup) {
+	done := make(chan struct{})
+	go func() {
+		work.Wait()
+		close(done)
+	}()
 	select {
-	case err := <-done:
-		return err
+	case <-done:
 	case <-time.After(backgroundTimeout):
-		return errBackgroundHangs
+		s.log.Warn("work in the background did not end in time")
 	}
 }
 
--- a/tier/control/state/commands.go
+++ b/tier/control/state/commands.go
@@ -10,19 +10,19 @@
 // Kind tells what a replicated command does. It is the first byte of the command in the log.
 type Kind uint8
 
-// The kinds of commands. All are proposed by the primary; those of operators and hosts come from the HTTP API.
+// The kinds of commands. The primary proposes all of them, and all replicas apply them; each says what has the primary do so.
 const (
-	KindReplaceConfig Kind = iota + 1
-	KindPutHost
-	KindRemoveHost
-	KindPutStore
-	KindRemoveStore
-	KindPutShard
-	KindRetireNode
-	KindSetMembers
-	KindReadConfig
-	KindEjectHost
-	KindReinstateHost
+	KindReplaceConfig Kind = iota + 1 // an operator's change of the configuration
+	KindPutHost                       // a host's heartbeat that says something new
+	KindRemoveHost                    // a host that deregistered, or the reconciler for a silent one
+	KindPutStore                      // a store machine's heartbeat that says something new
+	KindRemoveStore                   // the reconciler, for a lost disk
+	KindPutShard                      // the reconciler's placement, or the shard's primary for its in-sync set
+	KindRetireNode                    // an operator's retirement of a store machine
+	KindSetMembers                    // the reconciler, after a change of control's members
+	KindReadConfig                    // an operator's read of the configuration or of a retirement
+	KindEjectHost                     // the reconciler, for an outlier
+	KindReinstateHost                 // the reconciler, at the end of an ejection
 )
 
 // Command is one change of the control state, or a read that is committed like a change.
