--- a/tier/multigroup/bench_test.go
+++ b/tier/multigroup/bench_test.go
@@ -52,7 +52,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { listener.Close() })
-	handle := func(m rpc.Message) { node.HandleMessage(m.Payload, nil) } //nolint:contextcheck // as a server handles messages
+	handle := func(m rpc.Message) { node.HandleMessage(m.Payload, nil) }
 	go rpc.Serve(listener, handle)
 	go node.Run(ctx)
 	return &benchNode{node: node, machine: machine, address: listener.Addr().String()}
--- a/tier/multigroup/node.go
+++ b/tier/multigroup/node.go
@@ -213,7 +213,7 @@
 	}
 	index := group.replica.Propose(command, Now())
 	result := group.proposals.add(index)
-	n.carryOut(group) //nolint:contextcheck // what is sent then belongs to the group and outlives this call
+	n.carryOut(group)
 	n.mu.Unlock()
 	select {
 	case got, open := <-result:
--- a/tier/multigroup/writer.go
+++ b/tier/multigroup/writer.go
@@ -105,7 +105,7 @@
 	if !n.writer.append(ctx, recordsOf(queue)) {
 		return false
 	}
-	n.reportDurable(queue) //nolint:contextcheck // what is sent then belongs to the groups and outlives this write
+	n.reportDurable(queue)
 	if n.writer.journal.NeedsCompaction() {
 		n.compactJournal()
 	}
--- a/tier/rpc/client.go
+++ b/tier/rpc/client.go
@@ -2,63 +2,27 @@
 
 import (
 	"context"
-	"net"
 	"sync"
 	"time"
 
 	"otterseam/tier/codes"
 )
 
-const (
-	dialTimeout = 400 * time.Millisecond
-	redialPause = 50 * time.Millisecond
-)
-
-// Serve accepts connections until the listener ends.
-func Serve(listener net.Listener, handler Handler) {
-	for {
-		socket, err := listener.Accept()
-		if err != nil {
-			if temporary, is := err.(net.Error); is && temporary.Timeout() {
-				continue
-			}
-			return
-		}
-		conn := newConn(socket, handler)
-		go conn.readLoop()
-	}
-}
-
-// Dial opens a connection.
-func Dial(ctx context.Context, address string, handler Handler) (*Conn, error) {
-	call, cancel := context.WithTimeout(ctx, dialTimeout)
-	defer cancel()
-	socket, err := dialHedged(call, func(ctx context.Context) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, "tcp", address)
-	})
-	if err != nil {
-		return nil, codes.LinkBroken
-	}
-	if handler == nil {
-		handler = func(Message) {}
-	}
-	conn := newConn(socket, handler)
-	go conn.readLoop()
-	return conn, nil
-}
+// redialDelay is how long a client waits after a failed dial before the next one.
+const redialDelay = 50 * time.Millisecond
 
 // Client keeps one connection to one address and opens it again when needed.
 type Client struct {
 	address string
 	handler Handler
 
-	mu       sync.Mutex
-	conn     *Conn
-	dialing  chan struct{} // closed when the dial under way has ended
-	held     heldMessages  // what was sent during that dial
-	failedAt time.Time
-	redial   bool // a dial is due once the pause after a failed one has passed
-	closed   bool
+	mu            sync.Mutex      // guards all below
+	conn          *Conn           // nil until the first dial has succeeded; may have ended since
+	dialing       chan struct{}   // closed when the dial under way has ended; nil if there is none
+	pending       pendingMessages // what was sent during that dial
+	failedAt      time.Time       // when a dial failed last
+	redialPending bool            // a dial is due once the pause after a failed one has passed
+	closed        bool
 }
 
 // NewClient makes a client; it dials when first used. The handler takes what the other end sends unasked.
@@ -90,29 +54,29 @@
 	if c.closed {
 		return
 	}
-	c.held.add(kind, payload)
-	if c.startDial() == nil {
-		c.dialAfterPause()
+	c.pending.add(kind, payload)
+	if c.startDialLocked() == nil {
+		c.dialAfterDelayLocked()
 	}
 }
 
-// dialAfterPause begins to open the connection once the pause after a failed dial has passed; the lock is held.
-func (c *Client) dialAfterPause() {
-	if c.redial {
+// dialAfterDelayLocked begins to open the connection once the pause after a failed dial has passed.
+func (c *Client) dialAfterDelayLocked() {
+	if c.redialPending {
 		return
 	}
-	c.redial = true
-	time.AfterFunc(redialPause-time.Since(c.failedAt), func() {
+	c.redialPending = true
+	time.AfterFunc(redialDelay-time.Since(c.failedAt), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.redial = false
+		c.redialPending = false
 		if c.conn == nil || !c.conn.isOpen() {
-			c.startDial()
+			c.startDialLocked()
 		}
 	})
 }
 
-// Close ends the connection, also one that is being opened.
+// Close ends the connection, also one that is being opened. The client opens none afterwards.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,22 +86,14 @@
 	}
 }
 
-func (c *Conn) isOpen() bool {
-	select {
-	case <-c.closed:
-		return false
-	default:
-		return true
-	}
-}
-
+// connect returns the open connection, or waits for one.
 func (c *Client) connect(ctx context.Context) (*Conn, error) {
 	c.mu.Lock()
 	if c.conn != nil && c.conn.isOpen() {
 		defer c.mu.Unlock()
 		return c.conn, nil
 	}
-	wait := c.startDial()
+	wait := c.startDialLocked()
 	c.mu.Unlock()
 	if wait == nil {
 		return nil, codes.LinkBroken
@@ -155,16 +111,18 @@
 	return nil, codes.LinkBroken
 }
 
-// startDial begins to open the connection unless a dial is under way or one failed a moment ago; the lock is held. It
-// returns what to wait for, or nil.
-func (c *Client) startDial() chan struct{} {
+// startDialLocked begins to open the connection unless a dial is under way or one failed a moment ago. It returns what to
+// wait for, or nil. The dial outlives the call that began it, as other calls wait for it too.
+//
+//nolint:contextcheck,nolintlint // no caller's context is to end the dial; contextcheck reads this itself, which nolintlint cannot see
+func (c *Client) startDialLocked() chan struct{} {
 	if c.closed {
 		return nil
 	}
 	if c.dialing != nil {
 		return c.dialing
 	}
-	if time.Since(c.failedAt) < redialPause {
+	if time.Since(c.failedAt) < redialDelay {
 		return nil
 	}
 	done := make(chan struct{})
@@ -180,35 +138,11 @@
 			conn.Close()
 		default:
 			c.conn = conn
-			c.held.sendOver(conn)
+			c.pending.sendOver(conn)
 		}
-		c.held.clear()
+		c.pending.clear()
 		c.mu.Unlock()
 		close(done)
 	}()
 	return done
 }
-
-// Clients holds a client for each address.
-type Clients struct {
-	handler Handler
-	mu      sync.Mutex
-	byAddr  map[string]*Client
-}
-
-// NewClients makes an empty set; the handler is given to each client.
-func NewClients(handler Handler) *Clients {
-	return &Clients{handler: handler, byAddr: map[string]*Client{}}
-}
-
-// To returns the client of an address.
-func (c *Clients) To(address string) *Client {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	client := c.byAddr[address]
-	if client == nil {
-		client = NewClient(address, c.handler)
-		c.byAddr[address] = client
-	}
-	return client
-}
--- a/tier/rpc/dial_test.go
+++ b/tier/rpc/dial_test.go
@@ -13,7 +13,7 @@
 )
 
 // The opening packet to a machine that is not up yet is lost: a further attempt connects as soon as it is.
-func TestADialOutlivesALostOpeningPacket(t *testing.T) {
+func TestHedgedDialOutlivesALostOpeningPacket(t *testing.T) {
 	var attempts atomic.Int32
 	here, there := net.Pipe()
 	defer there.Close()
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestADialThatIsTurnedDownEndsAtOnce(t *testing.T) {
+func TestRefusedDialEndsAtOnce(t *testing.T) {
 	refused := errors.New("refused")
 	var attempts atomic.Int32
 	_, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) {
@@ -42,7 +42,7 @@
 }
 
 // What is sent while a connection is being opened arrives, in order; the first message is what others wait for after a restart.
-func TestMessagesSentDuringADialArrive(t *testing.T) {
+func TestMessagesSentDuringADialArriveInOrder(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,30 +68,30 @@
 	}
 }
 
-func TestHeldMessagesAreBounded(t *testing.T) {
-	var held heldMessages
-	for range 3 * mostHeld {
+func TestPendingMessagesAreBounded(t *testing.T) {
+	var held pendingMessages
+	for range 3 * maxPendingMessages {
 		held.add(7, []byte("x"))
 	}
-	held.add(7, make([]byte, mostHeldBytes))
-	if len(held.messages) != mostHeld || held.bytes != mostHeld {
+	held.add(7, make([]byte, maxPendingBytes))
+	if len(held.messages) != maxPendingMessages || held.bytes != maxPendingMessages {
 		t.Fatalf("%d messages of %d bytes", len(held.messages), held.bytes)
 	}
 	held.clear()
-	held.add(7, make([]byte, mostHeldBytes+1))
+	held.add(7, make([]byte, maxPendingBytes+1))
 	if len(held.messages) != 0 {
 		t.Fatal("a message longer than the bound is held")
 	}
 }
 
 // A process that comes up a moment after it was dialled gets what was sent to it meanwhile.
-func TestAMessageOutlivesADialThatFailedAMomentAgo(t *testing.T) {
+func TestMessageSentAfterAFailedDialArrives(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	listener.Close()
+	_ = listener.Close()
 	client := NewClient(address, nil)
 	defer client.Close()
 	if _, err := client.Call(t.Context(), 7, nil); !errors.Is(err, codes.LinkBroken) {
@@ -108,20 +108,25 @@
 	<-arrived
 }
 
-// A connection on which nothing comes while an answer is due is given up; one that brings anything at all is not.
-func TestASilentConnectionIsGivenUp(t *testing.T) {
-	for _, step := range []struct {
-		sentAt, now, heardAt time.Duration
-		dead                 bool
+// A connection is unresponsive only when nothing has come since the call was sent, and the call has waited for long.
+func TestUnresponsiveConnection(t *testing.T) {
+	const sentAt = time.Second
+	for name, test := range map[string]struct {
+		now, lastReadAt time.Duration
+		want            bool
 	}{
-		{time.Second, time.Second + deadAfter, 900 * time.Millisecond, true},
-		{time.Second, time.Second + deadAfter, 1100 * time.Millisecond, false},
-		{time.Second, time.Second + deadAfter - 1, 0, false},
+		"nothing since the call":   {sentAt + unresponsiveTimeout, 900 * time.Millisecond, true},
+		"something since the call": {sentAt + unresponsiveTimeout, 1100 * time.Millisecond, false},
+		"too early to tell":        {sentAt + unresponsiveTimeout - 1, 0, false},
 	} {
-		if got := seemsDead(step.sentAt, step.now, step.heardAt); got != step.dead {
-			t.Errorf("%+v: %v", step, got)
+		if got := isUnresponsive(sentAt, test.now, test.lastReadAt); got != test.want {
+			t.Errorf("%s: %v", name, got)
 		}
 	}
+}
+
+// A connection on which nothing comes while an answer is due is closed.
+func TestUnresponsiveConnectionIsClosed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	call, cancel := context.WithTimeout(t.Context(), deadAfter+50*time.Millisecond)
+	call, cancel := context.WithTimeout(t.Context(), unresponsiveTimeout+50*time.Millisecond)
 	defer cancel()
 	if _, err := conn.Call(call, 7, nil); !errors.Is(err, codes.Timeout) {
 		t.Fatal(err)
--- a/tier/rpc/frame.go
+++ b/tier/rpc/frame.go
@@ -1,19 +1,14 @@
-// Package rpc carries calls, answers and one-way messages between processes of the serving tier, many at once on one TCP
-// connection. It knows nothing of what the messages mean.
 package rpc
 
 import (
 	"encoding/binary"
 	"io"
-
-	"github.com/samber/oops"
-
-	"otterseam/tier/codes"
 )
 
 // Kind tells what a frame's payload is. Each package that speaks over rpc numbers its own kinds; 0 is reserved for answers.
 type Kind uint16
 
+// kindAnswer marks the answer to a call, the ID of which it carries.
 const kindAnswer Kind = 0
 
 // MaxFrame is the largest payload, in bytes.
@@ -27,7 +22,7 @@
 	ID     uint64 // of a call, given back by its answer; 0 for one-way messages
 }
 
-const headerBytes = 4 + 2 + 2 + 8
+const headerBytes = 4 + 2 + 2 + 8 // in the order of header's fields
 
 // appendFrame encodes a frame behind buffer.
 func appendFrame(buffer []byte, h header, payload []byte) []byte {
@@ -52,14 +47,16 @@
 		ID:     binary.BigEndian.Uint64(raw[8:]),
 	}
 	if h.Length > MaxFrame {
-		return h, nil, oops.Wrapf(codes.Malformed, "frame of %d bytes", h.Length)
+		return h, nil, &FrameTooLargeError{h.Length}
 	}
 	payload, err := readPayload(r, int(h.Length))
 	return h, payload, err
 }
 
+// payloadStep is how much memory is taken at once for a payload that arrives, in bytes.
 const payloadStep = 1 << 20
 
+// readPayload reads a payload step by step.
 func readPayload(r io.Reader, length int) ([]byte, error) {
 	payload := make([]byte, min(length, payloadStep))
 	if _, err := io.ReadFull(r, payload); err != nil {
--- /dev/null
+++ b/tier/rpc/loops.go
@@ -0,0 +1,67 @@
+package rpc
+
+import (
+	"bufio"
+	"time"
+
+	"otterseam/tier/codes"
+)
+
+const readBufferBytes = 16 << 10
+
+// writeLoop writes what is queued until the connection ends. Two buffers take turns, so that frames are queued while it writes.
+func (c *Conn) writeLoop() {
+	var spare []byte
+	for {
+		select {
+		case <-c.wake:
+		case <-c.closed:
+			return
+		}
+		c.mu.Lock()
+		batch := c.queue
+		c.queue = spare[:0]
+		c.mu.Unlock()
+		if len(batch) == 0 {
+			spare = batch
+			continue
+		}
+		if _, err := c.socket.Write(batch); err != nil {
+			c.Close()
+			return
+		}
+		if cap(batch) > payloadStep {
+			batch = nil // a large frame does not keep its memory
+		}
+		spare = batch
+	}
+}
+
+// readLoop takes frames until the connection ends.
+func (c *Conn) readLoop() {
+	defer c.Close()
+	reader := bufio.NewReaderSize(c.socket, readBufferBytes)
+	for {
+		h, payload, err := readFrame(reader)
+		if err != nil {
+			return
+		}
+		c.lastReadAt.Store(int64(time.Since(c.openedAt)))
+		if h.Kind == kindAnswer {
+			c.deliver(h, payload)
+			continue
+		}
+		c.handler(Message{Kind: h.Kind, Payload: payload, Conn: c, id: h.ID})
+	}
+}
+
+// deliver hands an answer to the call that waits for it, if one does.
+func (c *Conn) deliver(h header, payload []byte) {
+	c.mu.Lock()
+	channel := c.pending[h.ID]
+	delete(c.pending, h.ID)
+	c.mu.Unlock()
+	if channel != nil {
+		channel <- answer{code: codes.Code(h.Code), payload: payload}
+	}
+}
--- a/tier/rpc/matching_test.go
+++ b/tier/rpc/matching_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	return listener.Addr().String(), accept(listener)
 }
 
@@ -76,7 +76,7 @@
 }
 
 // The answer to a call that nobody waits for any more reaches no later call.
-func TestALateAnswerReachesNoLaterCall(t *testing.T) {
+func TestLateAnswerReachesNoLaterCall(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	defer client.Close()
@@ -112,13 +112,13 @@
 	}
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if len(conn.waiting) != 0 {
-		t.Fatalf("%d calls that have ended are still known", len(conn.waiting))
+	if len(conn.pending) != 0 {
+		t.Fatalf("%d calls that have ended are still known", len(conn.pending))
 	}
 }
 
 // An answer to no call is dropped, and the connection goes on.
-func TestAnAnswerToNoCallIsDropped(t *testing.T) {
+func TestAnswerToNoCallIsDropped(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	defer client.Close()
@@ -142,7 +142,7 @@
 }
 
 // A process that takes the place of another one at its address answers its own calls; the former one's answers reach nobody.
-func TestAnAnswerOfAnEarlierProcessReachesNoCall(t *testing.T) {
+func TestAnswerOfAnEarlierProcessReachesNoCall(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 	before := call(limited(t, 10*time.Second), client)
 	host := <-former
 	lost := host.next(t)
-	listener.Close()
+	_ = listener.Close()
 	host.answer(lost.ID, "in time")
 	if got := <-before; got.text != "in time" {
 		t.Fatalf("%q, %v", got.text, got.err)
@@ -186,7 +186,7 @@
 func (p *peer) CloseWrite() error { return p.Conn.(*net.TCPConn).CloseWrite() }
 
 // A call whose caller has gone is not sent.
-func TestACallOfNobodyIsNotSent(t *testing.T) {
+func TestCallWhoseCallerHasGoneIsNotSent(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	defer client.Close()
@@ -210,11 +210,11 @@
 }
 
 // A client that is closed while it connects leaves no connection behind.
-func TestAClosedClientConnectsNoMore(t *testing.T) {
+func TestClosedClientConnectsNoMore(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	client.mu.Lock()
-	dialled := client.startDial()
+	dialled := client.startDialLocked()
 	client.mu.Unlock()
 	client.Close()
 	<-dialled
@@ -264,7 +264,7 @@
 			case 2:
 				m.answer(rt)
 			case 3:
-				m.surplus(rt)
+				m.surplus()
 			case 4:
 				m.leave(rt)
 			case 5:
@@ -326,7 +326,7 @@
 	m.old = append(m.old, call.id)
 }
 
-func (m *matching) surplus(rt *rapid.T) {
+func (m *matching) surplus() {
 	if m.host == nil {
 		return
 	}
--- a/tier/rpc/rpc_test.go
+++ b/tier/rpc/rpc_test.go
@@ -1,9 +1,13 @@
 package rpc
 
 import (
+	"bytes"
 	"context"
+	"encoding/binary"
 	"errors"
 	"fmt"
+	"io"
+	"math"
 	"net"
 	"sync"
 	"testing"
@@ -24,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go Serve(listener, func(m Message) {
 		switch m.Kind {
 		case kindEcho:
@@ -37,12 +41,13 @@
 }
 
 func limited(t *testing.T, d time.Duration) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestCallsOnOneConnectionGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
 	client := NewClient(serve(t), nil)
 	defer client.Close()
 	var wait sync.WaitGroup
@@ -60,7 +65,7 @@
 	wait.Wait()
 }
 
-func TestACodeComesBackAsTheError(t *testing.T) {
+func TestCallReturnsTheCodeAsTheError(t *testing.T) {
 	client := NewClient(serve(t), nil)
 	defer client.Close()
 	got, err := client.Call(limited(t, 10*time.Second), kindRefuse, nil)
@@ -69,18 +74,18 @@
 	}
 }
 
-func TestACallWithoutAnAnswerEndsWithItsContext(t *testing.T) {
+func TestCallWithoutAnAnswerEndsWithItsContext(t *testing.T) {
 	client := NewClient(serve(t), nil)
 	defer client.Close()
 	if _, err := client.Call(limited(t, 20*time.Millisecond), kindHang, nil); !errors.Is(err, codes.Timeout) {
 		t.Fatal(err)
 	}
 	if _, err := client.Call(limited(t, 10*time.Second), kindEcho, nil); err != nil {
-		t.Fatalf("the connection is spoilt: %v", err)
+		t.Fatalf("the connection is of no use: %v", err)
 	}
 }
 
-func TestCallsUnderWayEndWithTheConnection(t *testing.T) {
+func TestPendingCallsEndWithTheConnection(t *testing.T) {
 	conn, err := Dial(limited(t, 10*time.Second), serve(t), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -96,18 +101,89 @@
 	}
 }
 
-func TestADeadAddressFailsAtOnce(t *testing.T) {
+func TestCallToADeadAddressFailsAtOnce(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	listener.Close()
+	_ = listener.Close()
 	if _, err := NewClient(address, nil).Call(limited(t, 10*time.Second), kindEcho, nil); !errors.Is(err, codes.LinkBroken) {
 		t.Fatal(err)
 	}
 }
 
+// A damaged length is told by its type, before any memory is taken for it.
+func TestFrameBeyondTheLimitIsAFrameTooLargeError(t *testing.T) {
+	for name, test := range map[string]struct {
+		length   uint32
+		tooLarge bool
+	}{
+		"largest":          {MaxFrame, false}, // cut short instead
+		"one beyond":       {MaxFrame + 1, true},
+		"largest possible": {math.MaxUint32, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			head := appendFrame(nil, header{Kind: kindEcho, ID: 1}, nil)
+			binary.BigEndian.PutUint32(head, test.length)
+			_, _, err := readFrame(bytes.NewReader(head))
+			var tooLarge *FrameTooLargeError
+			if got := errors.As(err, &tooLarge); got != test.tooLarge {
+				t.Fatalf("%v", err)
+			}
+			if test.tooLarge && (tooLarge.Length != test.length || !errors.Is(err, codes.Malformed)) {
+				t.Fatalf("%+v", tooLarge)
+			}
+			if !test.tooLarge && !errors.Is(err, io.EOF) {
+				t.Fatalf("%v", err)
+			}
+		})
+	}
+}
+
+// Once a connection has ended at either end, its goroutines return at both.
+func TestWaitReturnsWhenTheConnectionHasEnded(t *testing.T) {
+	for name, end := range map[string]func(near, far *Conn){
+		"closed here":  func(near, _ *Conn) { near.Close() },
+		"closed there": func(_, far *Conn) { far.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			here, there := net.Pipe()
+			near, far := openConn(here, func(Message) {}), openConn(there, func(Message) {})
+			near.Send(kindEcho, []byte("on its way"))
+			end(near, far)
+			ended := make(chan struct{})
+			go func() {
+				defer close(ended)
+				near.Wait()
+				far.Wait()
+			}()
+			select {
+			case <-ended:
+			case <-time.After(10 * time.Second):
+				t.Fatal("a goroutine of the connection runs on")
+			}
+		})
+	}
+}
+
+// A peer that does not read loses the connection; the sender never waits.
+func TestPeerThatDoesNotReadLosesTheConnection(t *testing.T) {
+	here, there := net.Pipe()
+	defer there.Close()
+	conn := newConn(here, func(Message) {})
+	payload := make([]byte, MaxFrame)
+	for range 3 { // one may be with the writer, one in the queue
+		conn.Send(kindEcho, payload)
+	}
+	select {
+	case <-conn.Done():
+	case <-time.After(10 * time.Second):
+		t.Fatal("the connection goes on")
+	}
+	conn.Wait()
+}
+
 // A frame with a damaged length ends the connection and takes no memory for it.
 func FuzzFrame(f *testing.F) {
 	f.Add(appendFrame(nil, header{Kind: kindEcho, ID: 1}, []byte("payload")))
