--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -145,8 +145,10 @@
 	if operator.Overload.Enabled {
 		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Balancers, seed), overload.DecorrelatedBackoffs(f.Settings.Balancers, seed+1)
 	}
-	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, f.Listen, f.Settings.Accepts, clientsMost,
-		func() bool { return f.counter() == "" || counter.Attempted() })
+	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, server.ClientOptions{
+		Address: f.Listen, OperationLimit: f.Settings.Accepts, MaxConns: clientsMost,
+		Ready: func() bool { return f.counter() == "" || counter.Attempted() },
+	})
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
--- a/gateway/server/clients_test.go
+++ b/gateway/server/clients_test.go
@@ -32,7 +32,7 @@
 	w.wait(func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.isIdle(time.Now())
+		return c.state.isIdle(time.Now())
 	})
 }
 
@@ -92,7 +92,7 @@
 		w.wait(func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.overflowed && c.drainedBytes > http1.MaxMessageBytes
+			return c.state.overflowed && c.drainedBytes > http1.MaxMessageBytes
 		})
 		close(release)
 		answers, last := 0, false
--- a/gateway/server/loop.go
+++ b/gateway/server/loop.go
@@ -24,9 +24,6 @@
 // badLines is how many lines a second tell of what others sent that makes no sense: a flood of it must not become one of lines.
 const peerErrorsPerSecond = 5
 
-// past is a deadline that ends whatever waits on a connection.
-var expired = time.Unix(1, 0)
-
 type EventLoop struct {
 	queue           chan func()
 	log             zerolog.Logger
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -373,12 +373,12 @@
 
 func TestConnectionsAtTheirLimitMakeRoom(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	for i := range 3 * w.clients.maxOpen {
+	for i := range 3 * w.clients.maxConns {
 		if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
 			t.Fatalf("connection %d: %d", i, status)
 		}
 	}
-	if n := w.connections(); n > w.clients.maxOpen {
+	if n := w.connections(); n > w.clients.maxConns {
 		t.Fatalf("%d connections are open", n)
 	}
 }
@@ -436,13 +436,13 @@
 	})
 	w := start(t, plentyOfQuota, h)
 	var all []net.Conn
-	for range w.clients.maxOpen - 1 {
+	for range w.clients.maxConns - 1 {
 		all = append(all, w.dial())
 		all[len(all)-1].Write([]byte(invoke("pay", 900, "held")))
 	}
 	w.wait(func() bool { return len(w.loop.invocations) == len(all) })
 	late := w.dial()
-	w.wait(func() bool { return w.connections() == w.clients.maxOpen })
+	w.wait(func() bool { return w.connections() == w.clients.maxConns })
 	time.Sleep(20 * time.Millisecond) // as long as the first request may be on its way
 	late.Write([]byte(invoke("pay", 900, "x")))
 	close(release)
@@ -469,8 +469,9 @@
 
 func TestAcceptGoesOnAfterDescriptorsRanOut(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	cs, err := NewClientListener(w.clients.ctx, w.clients.group, w.loop, w.clients.log, w.clients.buffers, "127.0.0.1:0",
-		w.clients.operationLimit, 50, w.clients.ready)
+	cs, err := NewClientListener(w.clients.ctx, w.clients.group, w.loop, w.clients.log, w.clients.buffers, ClientOptions{
+		Address: "127.0.0.1:0", OperationLimit: w.clients.operationLimit, MaxConns: 50, Ready: w.clients.ready,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -553,7 +554,7 @@
 	w.clients.mu.Lock()
 	for c := range w.clients.conns {
 		c.mu.Lock()
-		c.waitingSince = time.Now().Add(-idleConnTimeout) // as if it had rested for so long
+		c.state.waitingSince = time.Now().Add(-idleConnTimeout) // as if it had rested for so long
 		c.mu.Unlock()
 	}
 	w.clients.mu.Unlock()
@@ -722,12 +723,12 @@
 // request, long before this side's own limit.
 func TestFewConnectionsAreLeftAtRest(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	for range w.clients.maxOpen - 5 {
+	for range w.clients.maxConns - 5 {
 		if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
 			t.Fatalf("got %d", status)
 		}
 	}
-	w.wait(func() bool { return w.connections() <= w.clients.maxOpen/2+2 })
+	w.wait(func() bool { return w.connections() <= w.clients.maxConns/2+2 })
 }
 
 // An unanswered invocation hears so before its client gives up. A busy machine may be late once, never each time.
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -162,8 +162,9 @@
 		t.Fatal(err)
 	}
 	c := NewCounterClient(ctx, group, w.loop, s.Extra.Limit)
-	if w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, "127.0.0.1:0", s.Accepts, 50,
-		func() bool { return true }); err != nil {
+	if w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, ClientOptions{
+		Address: "127.0.0.1:0", OperationLimit: s.Accepts, MaxConns: 50, Ready: func() bool { return true },
+	}); err != nil {
 		t.Fatal(err)
 	}
 	w.clients.requestTimeout = 200 * time.Millisecond
