--- a/sim/ablation/ablate.sh
+++ b/sim/ablation/ablate.sh
@@ -15,23 +15,23 @@
 
 # name | file | sed expression
 mechanisms='
-none|tier/balance/balance.go|
-near-bonus|tier/balance/balance.go|s/nearBonus   = 0.10/nearBonus   = 0.0/
-warm-bonus|tier/balance/balance.go|s/warmBonus   = 0.05/warmBonus   = 0.0/
-sticky|tier/balance/balance.go|s/stickyBonus = 0.35/stickyBonus = 0.0/
-failure-rate|tier/balance/balance.go|s/ratePenalty  = 2.0/ratePenalty  = 0.0/
-pause|tier/balance/balance.go|s/longPause   = 5 \* time.Second/longPause   = 0/
-stall-share|tier/balance/balance.go|s/stallPenalty = 1.0/stallPenalty = 0.0/
-reported-load|tier/balance/balance.go|s/reportTrust = 400 \* time.Millisecond/reportTrust = 0/
+none|tier/balance/choose.go|
+near-bonus|tier/balance/choose.go|s/localZoneBonus      = 0.10/localZoneBonus      = 0.0/
+warm-bonus|tier/balance/choose.go|s/idleConnectionBonus = 0.05/idleConnectionBonus = 0.0/
+sticky|tier/balance/choose.go|s/affinityBonus   = 0.35/affinityBonus   = 0.0/
+failure-rate|tier/balance/choose.go|s/errorRatePenalty = 2.0/errorRatePenalty = 0.0/
+pause|tier/balance/host.go|s/maxBackoff         = 5 \* time.Second/maxBackoff         = 0/
+stall-share|tier/balance/choose.go|s/stallPenalty     = 1.0/stallPenalty     = 0.0/
+reported-load|tier/balance/host.go|s/reportTrust = 400 \* time.Millisecond/reportTrust = 0/
 hung-given-up|tier/hangdetect/hangdetect.go|s/allowedShare = 0.1/allowedShare = 0.0/
-fleet-verdicts|tier/outlier/judge.go|s/evidence   = 2.5/evidence   = 1e9/
+fleet-verdicts|tier/outlier/detector.go|s/minExcessFailures = 2.5/minExcessFailures = 1e9/
 retry-after|tier/proxy/proxy.go|s/advice := retryafter.Advice(left, expected, rand.Float64())/advice := retryafter.Advice(left, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
 first-view-wait|tier/proxy/outages.go|s/tablePatience = 800 \* time.Millisecond/tablePatience = 0/
 hedged-dials|tier/rpc/dial.go|s/dialHedge = 80 \* time.Millisecond/dialHedge = time.Hour/
 held-messages|tier/rpc/held.go|s/mostHeld      = 256/mostHeld      = 0/
 silent-connections|tier/rpc/conn.go|s/deadAfter = 400 \* time.Millisecond/deadAfter = time.Hour/
 follow-shard|tier/proxy/programs.go|s/^\tgo p.endWhenMoved(.*$//
-lost-disk-early|tier/placement/placement.go|s/return m.Alive \&\& !m.Unheard/return m.Alive/
+lost-disk-early|tier/placement/cluster.go|s/return m.Alive \&\& !m.Unconfirmed/return m.Alive/
 lean-end|tier/proxy/turn.go|s/if whole \&\& t.route.Retained {/end.Input = t.body\n\tif whole \&\& t.route.Retained {/
 connection-pool|tier/upstream/pool.go|s/standardIdle  = 4 \* time.Second/standardIdle  = 0/
 '
--- a/tier/balance/balance_test.go
+++ b/tier/balance/choose_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func noChance() float64 { return 0 }
+func zeroRandom() float64 { return 0 }
 
 func hosts(n int) []*Host {
 	var all []*Host
@@ -18,54 +18,54 @@
 	return all
 }
 
-func TestChooseTakesTheLeastLoaded(t *testing.T) {
+func TestChooseTakesTheLeastLoadedHost(t *testing.T) {
 	all := hosts(3)
 	now := time.Now()
 	all[0].Begin()
-	all[1].Told(5, 0, now)
-	if got := Choose(all, Request{Chance: noChance}, now); got.ID != "c" {
+	all[1].UpdateLoad(5, 0, now)
+	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "c" {
 		t.Fatal(got.ID)
 	}
-	if got := Choose(all, Request{Chance: noChance, Tried: map[string]bool{"c": true}}, now); got.ID != "a" {
+	if got := Choose(all, Request{Random: zeroRandom, Tried: map[string]bool{"c": true}}, now); got.ID != "a" {
 		t.Fatal(got.ID)
 	}
 }
 
-func TestChooseGoesBackToTheHostThatKnowsThePrompt(t *testing.T) {
+func TestChoosePrefersTheHostWithThePrefixCache(t *testing.T) {
 	all := hosts(3)
 	now := time.Now()
 	all[1].Begin()
 	all[1].Begin()
-	if got := Choose(all, Request{Chance: noChance, Preferred: "b"}, now); got.ID != "b" {
+	if got := Choose(all, Request{Random: zeroRandom, Preferred: "b"}, now); got.ID != "b" {
 		t.Fatal(got.ID)
 	}
 	for range 8 {
 		all[1].Begin()
 	}
-	if got := Choose(all, Request{Chance: noChance, Preferred: "b"}, now); got.ID == "b" {
+	if got := Choose(all, Request{Random: zeroRandom, Preferred: "b"}, now); got.ID == "b" {
 		t.Fatal("a full host was preferred")
 	}
 }
 
-func TestAHostThatFailedIsAvoidedForATimeThatGrows(t *testing.T) {
+func TestAHostThatFailedBacksOffForATimeThatGrows(t *testing.T) {
 	all := hosts(2)
 	now := time.Now()
-	all[0].Failed(now)
-	for range 9 { // so loaded that only the pause keeps requests there
+	all[0].RecordConnectionFailure(now)
+	for range 9 { // so loaded that only the backoff keeps requests there
 		all[1].Begin()
 	}
-	if got := Choose(all, Request{Chance: noChance}, now); got.ID != "b" {
+	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "b" {
 		t.Fatal(got.ID)
 	}
-	if got := Choose(all, Request{Chance: noChance}, now.Add(firstPause)); got.ID != "a" {
-		t.Fatal("it was avoided for longer than the first pause")
+	if got := Choose(all, Request{Random: zeroRandom}, now.Add(initialBackoff)); got.ID != "a" {
+		t.Fatal("it was avoided for longer than the first backoff")
 	}
-	all[0].Failed(now)
-	if got := Choose(all, Request{Chance: noChance}, now.Add(firstPause)); got.ID != "b" {
-		t.Fatal("the second pause is no longer than the first")
+	all[0].RecordConnectionFailure(now)
+	if got := Choose(all, Request{Random: zeroRandom}, now.Add(initialBackoff)); got.ID != "b" {
+		t.Fatal("the second backoff is no longer than the first")
 	}
-	all[0].Succeeded(now)
-	if got := Choose(all, Request{Chance: noChance}, now); got.ID != "a" {
+	all[0].RecordSuccess(now)
+	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "a" {
 		t.Fatal("it is avoided after an answer")
 	}
 }
@@ -75,16 +75,16 @@
 	all := hosts(2)
 	now := time.Now()
 	for range 10 {
-		all[0].Failed(now)
-		all[0].Succeeded(now)
+		all[0].RecordConnectionFailure(now)
+		all[0].RecordSuccess(now)
 	}
 	for range 3 {
 		all[1].Begin()
 	}
-	if got := Choose(all, Request{Chance: noChance}, now); got.ID != "b" {
+	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "b" {
 		t.Fatal(got.ID)
 	}
-	if got := Choose(all, Request{Chance: noChance}, now.Add(4*rateHalfLife)); got.ID != "a" {
+	if got := Choose(all, Request{Random: zeroRandom}, now.Add(4*errorRateHalfLife)); got.ID != "a" {
 		t.Fatal("it is avoided for ever")
 	}
 }
@@ -92,13 +92,13 @@
 func TestAHostWithStalledRequestsIsUsedLess(t *testing.T) {
 	all := hosts(2)
 	now := time.Now()
-	all[0].Stalled()
+	all[0].RecordStall()
 	all[1].Begin()
-	if got := Choose(all, Request{Chance: noChance, Preferred: "a"}, now); got.ID != "b" {
+	if got := Choose(all, Request{Random: zeroRandom, Preferred: "a"}, now); got.ID != "b" {
 		t.Fatal(got.ID)
 	}
-	all[0].Moved()
-	if got := Choose(all, Request{Chance: noChance}, now); got.ID != "a" {
+	all[0].ClearStall()
+	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "a" {
 		t.Fatal(got.ID)
 	}
 }
@@ -106,18 +106,18 @@
 func TestHostsThatFailedServeWhenNoOtherIsLeft(t *testing.T) {
 	all := hosts(1)
 	now := time.Now()
-	all[0].Failed(now)
-	if got := Choose(all, Request{Chance: noChance}, now); got == nil {
+	all[0].RecordConnectionFailure(now)
+	if got := Choose(all, Request{Random: zeroRandom}, now); got == nil {
 		t.Fatal("nobody was chosen")
 	}
 	all[0].Draining = true
-	if got := Choose(all, Request{Chance: noChance}, now); got != nil {
+	if got := Choose(all, Request{Random: zeroRandom}, now); got != nil {
 		t.Fatal("a draining host was chosen")
 	}
 }
 
 // Whatever happens, neither a draining host nor one that was tried is chosen, and a choice is made whenever one is left.
-func TestChooseKeepsItsRules(t *testing.T) {
+func TestChooseNeverTakesADrainingOrTriedHost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := hosts(rapid.IntRange(0, 8).Draw(rt, "hosts"))
 		now := time.Now()
@@ -127,7 +127,7 @@
 			host.Draining = rapid.Bool().Draw(rt, "draining")
 			tried[host.ID] = rapid.Bool().Draw(rt, "tried")
 			for range rapid.IntRange(0, 3).Draw(rt, "failures") {
-				host.Failed(now)
+				host.RecordConnectionFailure(now)
 			}
 			for range rapid.IntRange(0, 20).Draw(rt, "open") {
 				host.Begin()
@@ -136,7 +136,7 @@
 				left++
 			}
 		}
-		got := Choose(all, Request{Chance: func() float64 { return 0.5 }, Tried: tried}, now)
+		got := Choose(all, Request{Random: func() float64 { return 0.5 }, Tried: tried}, now)
 		if (got == nil) != (left == 0) {
 			rt.Fatalf("%d are left, chosen %v", left, got)
 		}
@@ -146,17 +146,17 @@
 	})
 }
 
-// A host that the fleet set aside gets nothing for its term, and then its share back in steps; it is used where there is no other.
-func TestAHostThatIsSetAsideComesBackInSteps(t *testing.T) {
+// A host that the fleet ejected gets nothing for its term, and then its share back in steps; it is used where there is no other.
+func TestAnEjectedHostComesBackInSteps(t *testing.T) {
 	now := time.Now()
-	aside, other := &Host{ID: "aside", Slots: 8}, &Host{ID: "other", Slots: 8}
-	aside.SetAside(now.Add(2 * time.Second))
-	chances := rand.New(rand.NewPCG(1, 1))
+	ejected, other := &Host{ID: "ejected", Slots: 8}, &Host{ID: "other", Slots: 8}
+	ejected.Eject(now.Add(2 * time.Second))
+	stream := rand.New(rand.NewPCG(1, 1))
 	share := func(after time.Duration) float64 {
 		chosen := 0
 		for range 1000 {
-			request := Request{Chance: chances.Float64}
-			if Choose([]*Host{aside, other}, request, now.Add(after)) == aside {
+			request := Request{Random: stream.Float64}
+			if Choose([]*Host{ejected, other}, request, now.Add(after)) == ejected {
 				chosen++
 			}
 		}
@@ -172,8 +172,8 @@
 			t.Errorf("after %v: a share of %v", step.after, got)
 		}
 	}
-	aside.SetAside(now.Add(time.Hour))
-	if Choose([]*Host{aside}, Request{Chance: chances.Float64}, now) != aside {
+	ejected.Eject(now.Add(time.Hour))
+	if Choose([]*Host{ejected}, Request{Random: stream.Float64}, now) != ejected {
 		t.Error("the last host gets nothing")
 	}
 }
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -70,7 +70,7 @@
 		return
 	}
 	if term, err := directory.DecodeEjectionDuration(item.Data); err == nil {
-		held.SetAside(time.Now().Add(time.Duration(term) * time.Millisecond))
+		held.Eject(time.Now().Add(time.Duration(term) * time.Millisecond))
 	}
 }
 
@@ -87,7 +87,7 @@
 		t.remove(host.ID)
 		held = &target{address: host.Address, pool: upstream.NewPool(host.Address)}
 		held.ID = host.ID
-		held.Warm = held.pool.Warm
+		held.HasIdleConnection = held.pool.Warm
 		t.byID[host.ID] = held
 	}
 	held.service = host.Service
@@ -107,7 +107,7 @@
 func (t *hostTable) choose(service, preferred string, tried map[string]bool) *target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	request := balance.Request{Zone: t.zone, Preferred: preferred, Tried: tried, Chance: rand.Float64}
+	request := balance.Request{Zone: t.zone, Preferred: preferred, Tried: tried, Random: rand.Float64}
 	chosen := balance.Choose(t.byService[service], request, time.Now())
 	if chosen == nil {
 		return nil
@@ -136,13 +136,13 @@
 	t.observe(host, how)
 	switch how {
 	case outcomeAnswered:
-		host.Succeeded(time.Now())
+		host.RecordSuccess(time.Now())
 	case outcomeErred:
-		host.Erred(time.Now())
+		host.RecordServerError(time.Now())
 	case outcomeFull:
-		host.Full(time.Now())
+		host.RecordRejection(time.Now())
 	case outcomeFailed, outcomeUnreached:
-		host.Failed(time.Now())
+		host.RecordConnectionFailure(time.Now())
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	host.Told(running, waiting, time.Now())
+	host.UpdateLoad(running, waiting, time.Now())
 }
 
 // watchStall has a host known for a request that waits for longer than a time, until the function that it returns is called.
@@ -201,7 +201,7 @@
 		defer t.mu.Unlock()
 		if state == waiting {
 			state = stalled
-			host.Stalled()
+			host.RecordStall()
 			t.failed(host, outlier.Hung)
 		}
 	})
@@ -210,7 +210,7 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if state == stalled {
-			host.Moved()
+			host.ClearStall()
 		}
 		state = ended
 	}
