--- a/harness/fleet/fleet.go
+++ b/harness/fleet/fleet.go
@@ -22,7 +22,7 @@
 //go:embed scripts/*.toml
 var files embed.FS
 
-var scripts = assets.Set{Files: files, Folder: "scripts", Sort: "script"}
+var scripts = assets.Set{Files: files, Folder: "scripts", Kind: "script"}
 
 // Names are the scripts that come with the program, in order.
 func Names() []string { return scripts.Names() }
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -32,7 +32,7 @@
 	day     *scenario.Keepers
 	seed    uint64
 	direct  *server.ClusterConfig // at their own addresses
-	lists   []string     // files, by keeper
+	lists   []string              // files, by keeper
 	procs   []*childprocess.Child
 	all     []*childprocess.Child
 	witness *witness
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -167,7 +167,7 @@
 	for i := range r.script.Strikes {
 		s := &r.script.Strikes[i]
 		if s.On == "" {
-			w.Queue.After(s.At.V(), func() { r.strike(i, s) })
+			w.Queue.ScheduleAfter(s.At.V(), func() { r.strike(i, s) })
 			continue
 		}
 		by, _ := scenario.Some(s.By, r.script.Fleet.Gateways.N()) // the reader has checked it
@@ -193,7 +193,7 @@
 		}
 		w.done = true
 		if s.At.V() > 0 {
-			r.world.Queue.After(s.At.V(), func() { r.strike(w.number, s) })
+			r.world.Queue.ScheduleAfter(s.At.V(), func() { r.strike(w.number, s) })
 		} else {
 			r.strike(w.number, s)
 		}
@@ -219,7 +219,7 @@
 // Line keeps what happens to each invocation, for as long as its story may be asked for.
 func (r *rig) Line(e int, ref, text string) {
 	if len(r.stories[ref]) == 0 && r.world != nil {
-		r.world.Queue.After(10, func() { delete(r.stories, ref) })
+		r.world.Queue.ScheduleAfter(10, func() { delete(r.stories, ref) })
 	}
 	at := 0.0
 	if r.world != nil {
@@ -246,7 +246,7 @@
 	}
 	later := func(do func()) {
 		if ends < forever {
-			r.world.Queue.After(s.Lasts.V(), do)
+			r.world.Queue.ScheduleAfter(s.Lasts.V(), do)
 		}
 	}
 	if scenario.OfLink(s.Kind) {
@@ -382,7 +382,7 @@
 		in, _ = scenario.Some(s.Edge, gateways) // the reader has checked it
 		return in
 	}
-	for i, hit := range randstream.New(r.seed, "fault", n).Part(gateways, s.Part.V()) {
+	for i, hit := range randstream.New(r.seed, "fault", n).SampleShare(gateways, s.Part.V()) {
 		if hit {
 			in = append(in, i)
 		}
@@ -457,8 +457,8 @@
 		period = 0.02
 	}
 	p.Freeze()
-	r.world.Queue.After(period*(1-s.Size.V()), func() {
+	r.world.Queue.ScheduleAfter(period*(1-s.Size.V()), func() {
 		p.Thaw()
-		r.world.Queue.After(period*s.Size.V(), func() { r.starve(p, s, ends) })
+		r.world.Queue.ScheduleAfter(period*s.Size.V(), func() { r.starve(p, s, ends) })
 	})
 }
--- a/harness/netproxy/link.go
+++ b/harness/netproxy/link.go
@@ -104,7 +104,7 @@
 	s := l.sum(dir)
 	wait := s.Delay
 	if s.Jitter > 0 {
-		wait += l.dice.Exp(s.Jitter)
+		wait += l.dice.Exponential(s.Jitter)
 	}
 	l.mu.Unlock()
 	if s.Rate > 0 {
--- a/harness/netproxy/mail.go
+++ b/harness/netproxy/mail.go
@@ -159,7 +159,7 @@
 		}
 	}
 	if s.Jitter > 0 {
-		wait += l.dice.Exp(s.Jitter)
+		wait += l.dice.Exponential(s.Jitter)
 	}
 	if l.dice.Chance(s.Double) {
 		times = 2
--- a/harness/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -78,12 +78,12 @@
 // nobodyAsks is the door of a day without clients.
 type nobodyAsks struct{}
 
-func (nobodyAsks) Arrive(*model.Invocation) bool { return false }
-func (nobodyAsks) Admits(int) bool               { return true }
-func (nobodyAsks) Asked(*model.Need)             {}
-func (nobodyAsks) Closed(*model.Need, float64)   {}
-func (nobodyAsks) Tried(*model.Invocation)       {}
-func (nobodyAsks) Done(model.Ending)             {}
+func (nobodyAsks) Arrive(*model.Invocation) bool  { return false }
+func (nobodyAsks) Admits(int) bool                { return true }
+func (nobodyAsks) Asked(*model.Request)           {}
+func (nobodyAsks) Closed(*model.Request, float64) {}
+func (nobodyAsks) Tried(*model.Invocation)        {}
+func (nobodyAsks) Done(model.Outcome)             {}
 
 // Load lets a day's customers ask api gateways at addresses on loopback, and gives what they got. Nobody knows here
 // whether there was room.
@@ -173,7 +173,7 @@
 		w.Referee.Foreign(ref, fmt.Sprintf("a host got %.40q, which no client has sent", ref))
 	}
 	c.began = func(inv *model.Invocation) { s.known[inv.Ref] = inv }
-	c.ended = func(inv *model.Invocation) { w.Queue.After(5, func() { delete(s.known, inv.Ref) }) }
+	c.ended = func(inv *model.Invocation) { w.Queue.ScheduleAfter(5, func() { delete(s.known, inv.Ref) }) }
 	paths, addrs, err := s.Write(o.Dir, n, o.Memory, nil)
 	if err != nil {
 		return nil, nil, err
--- a/harness/sockets/client.go
+++ b/harness/sockets/client.go
@@ -58,13 +58,13 @@
 
 // Arrive sends a try. It always counts as taken here; what came of it is told to the crowd later.
 func (c *Clients) Arrive(inv *model.Invocation) bool {
-	inv.Taken = true
+	inv.Accepted = true
 	gateway := inv.Gateway % len(c.addrs)
 	if c.began != nil {
 		c.began(inv)
 	}
 	text := request(inv, c.Day.Fleet.Gateways.N())
-	until := c.pump.start.Add(time.Duration((inv.GiveUp + 0.05) * 1e9))
+	until := c.pump.start.Add(time.Duration((inv.GiveUpAt + 0.05) * 1e9))
 	c.flying.Add(1)
 	if c.rig != nil {
 		c.rig.Seen("taken", gateway)
@@ -78,16 +78,16 @@
 }
 
 func request(inv *model.Invocation, gateways int) string {
-	n := inv.Need
+	n := inv.Request
 	method, body := "POST", `{"lab":true}`
-	if n.Op.Effect == "idempotent" {
+	if n.Operation.Effect == "idempotent" {
 		method, body = "GET", ""
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /%s/%d HTTP/1.1\r\nHost: lab\r\nReq-Id: %s\r\nReq-Kind: %s\r\nX-Tier: %s\r\nCookie: key=%s\r\n"+
-		"Req-Deadline-Ms: %d\r\nX-Call-Terms: units=%.0f,spread=%d,first=%d\r\n", method, n.Op.Name, inv.Number, inv.Ref, n.Op.Name,
-		n.Cust.Plan.Name, n.Cust.Key, max(1, int((inv.GiveUp-inv.Born)*1000)), n.Units, min(n.Cust.Width, gateways), n.Cust.First%gateways)
-	if inv.Repeat {
+		"Req-Deadline-Ms: %d\r\nX-Call-Terms: units=%.0f,spread=%d,first=%d\r\n", method, n.Operation.Name, inv.Number, inv.Ref, n.Operation.Name,
+		n.Customer.Plan.Name, n.Customer.Key, max(1, int((inv.GiveUpAt-inv.SentAt)*1000)), n.Units, min(n.Customer.GatewayCount, gateways), n.Customer.FirstGateway%gateways)
+	if inv.ClientRetry {
 		b.WriteString("Req-Retry: 1\r\n")
 	}
 	if method == "POST" {
@@ -144,7 +144,7 @@
 // client sends it once more and sees nothing of it; but where a host has a delivery of it, it had been taken, and is owed an
 // answer. Without this a process that cuts off what it owes was seen only by those whose connection was new.
 func (c *Clients) closed(inv *model.Invocation) {
-	if c.rig == nil || len(inv.Deliveries) == 0 || c.rig.Struck(inv.Gateway, "", inv.Born) {
+	if c.rig == nil || len(inv.Attempts) == 0 || c.rig.Struck(inv.Gateway, "", inv.SentAt) {
 		return
 	}
 	c.Referee.Cut(inv)
@@ -192,9 +192,9 @@
 	}
 	room := false
 	if c.rig != nil {
-		c.Note(inv.Gateway, inv.Ref, "its client has: "+model.Endings[how])
-		switch struck := c.rig.Struck(inv.Gateway, "", inv.Born); {
-		case how == model.Broken && c.rig.Down(inv.Gateway, inv.Born): // its door stands, with nobody behind
+		c.Note(inv.Gateway, inv.Ref, "its client has: "+model.OutcomeNames[how])
+		switch struck := c.rig.Struck(inv.Gateway, "", inv.SentAt); {
+		case how == model.Broken && c.rig.Down(inv.Gateway, inv.SentAt): // its door stands, with nobody behind
 			how = model.Unreachable
 		case unanswered(how) && struck: // what was struck owes nothing meanwhile
 			how = model.Broken
@@ -208,7 +208,7 @@
 		}
 		switch how {
 		case model.Unreachable, model.Broken: // its api gateway was killed, or went away under it
-			inv.Final = how
+			inv.Outcome = how
 		default:
 			room = c.World.Answered(inv, how)
 		}
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -118,7 +118,7 @@
 
 // unnoticed: clients go on coming to a dead one until the front notices.
 func (g *Gateways) unnoticed(slot int, p *childprocess.Child) {
-	g.clients.Queue.After(g.clients.Day.Gateway.Notice.V(), func() {
+	g.clients.Queue.ScheduleAfter(g.clients.Day.Gateway.Notice.V(), func() {
 		if g.procs[slot] == p {
 			g.clients.up[slot] = false
 		}
@@ -132,7 +132,7 @@
 func (g *Gateways) Term(slot int) {
 	if p := g.Process(slot); p != nil {
 		p.Term()
-		g.clients.Queue.After(late, func() {
+		g.clients.Queue.ScheduleAfter(late, func() {
 			if g.procs[slot] == p {
 				g.clients.up[slot] = false
 			}
@@ -249,4 +249,4 @@
 func (direct) Line(int, string, string)                {}
 
 // unanswered: its client got nothing.
-func unanswered(how model.Ending) bool { return how == model.Unanswered || how == model.Broken }
+func unanswered(how model.Outcome) bool { return how == model.Unanswered || how == model.Broken }
--- a/harness/sockets/pump.go
+++ b/harness/sockets/pump.go
@@ -48,7 +48,7 @@
 	defer timer.Stop()
 	for {
 		now := p.now()
-		if at, ok := p.q.Next(); ok && at < now {
+		if at, ok := p.q.NextTime(); ok && at < now {
 			p.late = max(p.late, now-at)
 		}
 		p.q.Run(now)
@@ -56,7 +56,7 @@
 			return
 		}
 		wait := until - now
-		if at, ok := p.q.Next(); ok {
+		if at, ok := p.q.NextTime(); ok {
 			wait = min(wait, at-p.now())
 		}
 		timer.Reset(time.Duration(max(0, wait) * 1e9))
--- a/harness/sockets/sockets_test.go
+++ b/harness/sockets/sockets_test.go
@@ -180,7 +180,7 @@
 	var order []string
 	fired := make(chan bool)
 	p.Do(func() { order = append(order, "first") })
-	q.At(0.2, func() {
+	q.Schedule(0.2, func() {
 		order = append(order, "queue")
 		close(fired)
 	})
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -312,7 +312,7 @@
 
 // alive writes an empty line every 2 s.
 func (s *StandIns) alive(gateway int, c *conn) {
-	s.Queue.After(2, func() {
+	s.Queue.ScheduleAfter(2, func() {
 		if s.watches[gateway][c] {
 			c.write(chunk("\n"))
 			s.alive(gateway, c)
@@ -342,30 +342,30 @@
 				return
 			}
 			net, zone := s.Net(), s.zone(gateway)
-			if net.Cut(zone, 0) {
+			if net.Partitioned(zone, 0) {
 				return
 			}
-			s.Queue.After(net.Way(zone, 0), func() {
+			s.Queue.ScheduleAfter(net.Delay(zone, 0), func() {
 				s.Called(false)
 				s.rig.Seen("called", gateway)
 				// Every second api gateway sees the copy of a split counter: there are no edges to ask.
-				s.Counter.Call(gateway%2 == 1, name, by, life, func(how countermodel.Outcome, sum float64) {
+				s.Counter.Add(gateway%2 == 1, name, by, life, func(how countermodel.Outcome, sum float64) {
 					if how == countermodel.Added {
 						s.rig.Seen("added", gateway)
 					}
-					s.Queue.After(net.Way(0, zone), func() {
+					s.Queue.ScheduleAfter(net.Delay(0, zone), func() {
 						switch how {
 						case countermodel.Added:
 							say("200 OK", strconv.FormatFloat(sum, 'f', -1, 64))
-						case countermodel.TurnedAway:
+						case countermodel.Rejected:
 							say("503 Service Unavailable", "")
-						case countermodel.Refused:
+						case countermodel.ConnectionRefused:
 							c.end(true)
 						}
 					})
 				})
 			})
-			s.Queue.After(1, func() { // an answer that never comes would hold up all behind it
+			s.Queue.ScheduleAfter(1, func() { // an answer that never comes would hold up all behind it
 				if *slot == "" {
 					c.end(true)
 				}
@@ -406,8 +406,8 @@
 	up := make(chan answer, 1)
 	life := 0
 	s.pump.Do(func() {
-		life = h.Life
-		up <- answer{h.Silent() || h.Open()}
+		life = h.Incarnation
+		up <- answer{h.IsSilent() || h.OpenConnection()}
 		s.Dialled()
 	})
 	select {
@@ -420,7 +420,7 @@
 		c.end(false)
 		return
 	}
-	var d *model.Delivery
+	var d *model.Attempt
 	var job *hostmodel.Job
 	fresh := true
 	Messages(tcp, false, func(m *http1.Message) bool {
@@ -433,22 +433,22 @@
 				c.write([]byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
 				return
 			}
-			d = &model.Delivery{Inv: inv, Number: len(inv.Deliveries), Host: h.Number, Sent: s.Queue.Now(), Written: true}
+			d = &model.Attempt{Invocation: inv, Number: len(inv.Attempts), Host: h.Number, SentAt: s.Queue.Now(), Written: true}
 			inv.Gateway = gateway
-			inv.Deliveries = append(inv.Deliveries, d)
+			inv.Attempts = append(inv.Attempts, d)
 			job = s.arrive(h, gateway, life, d, c, first)
 		})
 		return true
 	})
 	s.pump.Do(func() { // the api gateway has ended the connection, or we have
 		c.end(false)
-		if life == h.Life && !h.Silent() {
+		if life == h.Incarnation && !h.IsSilent() {
 			h.Connections--
 		}
-		if d != nil && !d.Over {
-			d.Over = true
+		if d != nil && !d.Ended {
+			d.Ended = true
 			if job != nil {
-				h.Withdraw(job)
+				h.Cancel(job)
 			}
 			s.EndedAt(d)
 		}
@@ -470,94 +470,94 @@
 	if inv != nil {
 		return inv
 	}
-	n := &model.Need{Units: call.Units, True: call.Units, Born: s.Queue.Now(), Until: s.Queue.Now() + call.Timeout}
+	n := &model.Request{Units: call.Units, ActualUnits: call.Units, CreatedAt: s.Queue.Now(), Deadline: s.Queue.Now() + call.Timeout}
 	for i := range s.Day.Operations {
 		if o := &s.Day.Operations[i]; o.Name == call.Operation {
-			n.Op, n.Work = model.Operation{Operation: o, Number: i}, o.Work.V()
+			n.Operation, n.Work = model.Operation{Operation: o, Number: i}, o.Work.V()
 		}
 	}
-	if n.Cust = s.customers[call.Customer]; n.Cust == nil {
+	if n.Customer = s.customers[call.Customer]; n.Customer == nil {
 		for i := range s.Day.Plans {
 			if s.Day.Plans[i].Name == call.Plan {
-				n.Cust = &model.Customer{Key: call.Customer, Plan: &s.Day.Plans[i], PlanNumber: i}
-				s.customers[call.Customer] = n.Cust
+				n.Customer = &model.Customer{Key: call.Customer, Plan: &s.Day.Plans[i], PlanNumber: i}
+				s.customers[call.Customer] = n.Customer
 			}
 		}
 	}
-	if n.Op.Operation == nil || n.Cust == nil {
+	if n.Operation.Operation == nil || n.Customer == nil {
 		return nil
 	}
-	inv = &model.Invocation{Ref: ref, Need: n, GiveUp: n.Until, Taken: true}
+	inv = &model.Invocation{Ref: ref, Request: n, GiveUpAt: n.Deadline, Accepted: true}
 	s.seen[ref] = inv
-	s.Queue.After(call.Timeout+10, func() { delete(s.seen, ref) })
+	s.Queue.ScheduleAfter(call.Timeout+10, func() { delete(s.seen, ref) })
 	return inv
 }
 
 // arrive lets the referee and the host see a delivery that is whole, a way after it was.
-func (s *StandIns) arrive(h *hostmodel.Host, gateway, life int, d *model.Delivery, c *conn, fresh bool) *hostmodel.Job {
-	net, zone, n := s.Net(), s.zone(gateway), d.Inv.Need
-	to, open := fmt.Sprintf("host %d", h.Number), d.Inv.Final == model.Open
-	job := &hostmodel.Job{Operation: n.Op.Number, Work: n.Work, Gateway: gateway, Runs: func() {
+func (s *StandIns) arrive(h *hostmodel.Host, gateway, life int, d *model.Attempt, c *conn, fresh bool) *hostmodel.Job {
+	net, zone, n := s.Net(), s.zone(gateway), d.Invocation.Request
+	to, open := fmt.Sprintf("host %d", h.Number), d.Invocation.Outcome == model.Pending
+	job := &hostmodel.Job{Operation: n.Operation.Number, Work: n.Work, Gateway: gateway, OnStart: func() {
 		s.rig.Seen("ran", gateway)
 		s.Ran(d)
 	}}
 	if fresh {
 		job.Work += h.ConnectWork
 	}
-	reset, before := net.Reset()
-	job.Answers = func(a hostmodel.Answer) {
-		if d.Over {
+	reset, before := net.DrawReset()
+	job.OnAnswer = func(a hostmodel.Answer) {
+		if d.Ended {
 			return
 		}
 		s.rig.Seen("answering", gateway)
-		s.Note(gateway, d.Inv.Ref, fmt.Sprintf("host %d ends delivery %d: %s", h.Number, d.Number, a))
-		if d.Proved = a == hostmodel.TurnedAway; a == hostmodel.Good && net.Lost() || net.Cut(zone, h.Zone) {
+		s.Note(gateway, d.Invocation.Ref, fmt.Sprintf("host %d ends delivery %d: %s", h.Number, d.Number, a))
+		if d.ProvenNotRun = a == hostmodel.Rejected; a == hostmodel.Succeeded && net.DrawLostAnswer() || net.Partitioned(zone, h.Zone) {
 			return
 		}
-		s.Queue.After(net.Way(h.Zone, zone), func() {
-			if d.Over {
+		s.Queue.ScheduleAfter(net.Delay(h.Zone, zone), func() {
+			if d.Ended {
 				return
 			}
-			d.Over = true
+			d.Ended = true
 			s.EndedAt(d)
 			switch {
 			case reset || a == hostmodel.Reset:
 				c.end(true)
-			case a == hostmodel.TurnedAway:
+			case a == hostmodel.Rejected:
 				c.write([]byte("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"))
-			case a == hostmodel.Error:
+			case a == hostmodel.Failed:
 				c.write([]byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"))
-			case a == hostmodel.Spoilt:
+			case a == hostmodel.Corrupted:
 				c.write([]byte("HTTP/1.1 2\x00\x01 noise that is no answer\r\n\r\n"))
 			default:
-				body := fmt.Sprintf("%s by host %d\n", d.Inv.Ref, h.Number)
+				body := fmt.Sprintf("%s by host %d\n", d.Invocation.Ref, h.Number)
 				c.write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
 			}
 		})
 	}
-	if net.Cut(zone, h.Zone) || h.Silent() {
+	if net.Partitioned(zone, h.Zone) || h.IsSilent() {
 		s.Swallowed()
 		return job
 	}
-	s.Queue.After(net.Way(zone, h.Zone), func() {
-		if life != h.Life || reset && before {
-			d.Over = true
+	s.Queue.ScheduleAfter(net.Delay(zone, h.Zone), func() {
+		if life != h.Incarnation || reset && before {
+			d.Ended = true
 			c.end(true)
 			return
 		}
 		s.rig.Seen("delivery", gateway)
 		// When one held up by a fault set out isn't known: how late it comes tells nothing. Nor does it where the final answer
 		// came while it was on its way here: it had been called off.
-		if s.rig.Struck(gateway, to, d.Inv.Born) || open && d.Inv.Final != model.Open {
+		if s.rig.Struck(gateway, to, d.Invocation.SentAt) || open && d.Invocation.Outcome != model.Pending {
 			s.SentLate(d)
 		} else {
 			s.Sent(d)
 			s.alone(d)
 		}
 		s.Reached(d)
-		h.Arrive(job)
-		if d.Over {
-			h.Withdraw(job)
+		h.Submit(job)
+		if d.Ended {
+			h.Cancel(job)
 			s.EndedAt(d)
 		}
 	})
@@ -566,12 +566,12 @@
 
 // alone looks again a moment later whether an earlier delivery is still out: that its connection was closed may be heard
 // of after the next delivery has come.
-func (s *StandIns) alone(d *model.Delivery) {
-	for _, e := range d.Inv.Deliveries {
-		if e != d && !e.Over {
-			s.Queue.After(0.05, func() {
-				if !e.Over { // it had ended before the next one was sent, or never did
-					s.Referee.Twice(d.Inv)
+func (s *StandIns) alone(d *model.Attempt) {
+	for _, e := range d.Invocation.Attempts {
+		if e != d && !e.Ended {
+			s.Queue.ScheduleAfter(0.05, func() {
+				if !e.Ended { // it had ended before the next one was sent, or never did
+					s.Referee.Twice(d.Invocation)
 				}
 			})
 		}
--- a/sim/assets/assets.go
+++ b/sim/assets/assets.go
@@ -17,7 +17,7 @@
 type Set struct {
 	Files  fs.FS
 	Folder string // in which they lie; "." for the top
-	Sort   string // what one of them is called
+	Kind   string // what one of them is called
 }
 
 // Names are the files there are, without folder and ending, in order.
@@ -36,7 +36,7 @@
 	}
 	text, err = os.ReadFile(name)
 	if errors.Is(err, os.ErrNotExist) && !strings.ContainsAny(name, "./") {
-		return "", nil, fmt.Errorf("%s: no such file, and no %s of that name; there are %s", name, s.Sort, s.List())
+		return "", nil, fmt.Errorf("%s: no such file, and no %s of that name; there are %s", name, s.Kind, s.List())
 	}
 	return name, text, err
 }
--- a/sim/assets/assets_test.go
+++ b/sim/assets/assets_test.go
@@ -10,7 +10,7 @@
 )
 
 func newSet() Set {
-	return Set{Sort: "script", Folder: "scripts", Files: fstest.MapFS{
+	return Set{Kind: "script", Folder: "scripts", Files: fstest.MapFS{
 		"scripts/cut.toml":    {Data: []byte("cut")},
 		"scripts/calm.toml":   {Data: []byte("calm")},
 		"scripts/notes.txt":   {Data: []byte("notes")},
--- a/sim/countermodel/countermodel.go
+++ b/sim/countermodel/countermodel.go
@@ -17,8 +17,8 @@
 
 const (
 	Added Outcome = iota
-	TurnedAway
-	Refused // no connection
+	Rejected
+	ConnectionRefused // no connection
 )
 
 type sum struct{ value, ends float64 }
@@ -39,8 +39,8 @@
 	split    int
 	silent   int
 	refuse   int
-	small    overlap.Stack
-	drop     overlap.Stack
+	small    overlap.Values
+	drop     overlap.Values
 	old      [][]map[uint64]sum
 	led      map[uint64]float64 // parts of the names whose leader is gone, by whose they were
 	// Calls and Answered count what reached it; Unanswered what it left without an answer.
@@ -60,15 +60,15 @@
 	return c
 }
 
-// Up says whether a connection can be had.
-func (c *Counter) Up() bool { return c.refuse == 0 }
+// AcceptsConnections says whether a connection can be had.
+func (c *Counter) AcceptsConnections() bool { return c.refuse == 0 }
 
-// Call adds an amount to a name once its turn has come; life is for a new name. done hears of it, at that moment, unless
+// Add adds an amount to a name once its turn has come; life is for a new name. done hears of it, at that moment, unless
 // the counter says nothing. far: the caller sees the copy, while there is one.
-func (c *Counter) Call(far bool, name uint64, amount, life float64, done func(Outcome, float64)) {
+func (c *Counter) Add(far bool, name uint64, amount, life float64, done func(Outcome, float64)) {
 	c.Calls++
 	if c.refuse > 0 {
-		done(Refused, 0)
+		done(ConnectionRefused, 0)
 		return
 	}
 	if c.silent > 0 {
@@ -77,7 +77,7 @@
 	}
 	if c.leaderless(name) {
 		c.Answered++
-		done(TurnedAway, 0)
+		done(Rejected, 0)
 		return
 	}
 	side := 0
@@ -85,15 +85,15 @@
 		side = 1
 	}
 	p := &c.copies[side][name%uint64(len(c.copies[side]))]
-	each := 1 / (c.capacity * c.small.Times())
+	each := 1 / (c.capacity * c.small.Product())
 	now := c.q.Now()
 	if (p.free-now)/each > c.most {
 		c.Answered++
-		done(TurnedAway, 0)
+		done(Rejected, 0)
 		return
 	}
 	p.free = max(now, p.free) + each
-	c.q.At(p.free+c.time, func() {
+	c.q.Schedule(p.free+c.time, func() {
 		if c.silent > 0 || c.refuse > 0 { // it went away with the call in its line
 			c.Unanswered++
 			return
@@ -125,8 +125,8 @@
 	return math.Round(x/unit) * unit
 }
 
-// Forget drops names whose time is over. The order in which a map is gone through does not show.
-func (c *Counter) Forget() {
+// DropExpired drops names whose time is over. The order in which a map is gone through does not show.
+func (c *Counter) DropExpired() {
 	for i := range c.copies {
 		for j := range c.copies[i] {
 			maps.DeleteFunc(c.copies[i][j].sums, func(_ uint64, s sum) bool { return s.ends <= c.q.Now() })
@@ -134,8 +134,8 @@
 	}
 }
 
-// Keep takes a copy of all counts, for a return with old ones.
-func (c *Counter) Keep() {
+// Snapshot takes a copy of all counts, for a return with old ones.
+func (c *Counter) Snapshot() {
 	var all []map[uint64]sum
 	for _, p := range c.copies[0] {
 		all = append(all, maps.Clone(p.sums))
@@ -143,8 +143,8 @@
 	c.old = append(c.old, all)
 }
 
-// Back gives it the counts with which it comes back: "kept", "empty" or "old", those of the last Keep.
-func (c *Counter) Back(how string) {
+// Restore gives it the counts with which it comes back: "kept", "empty" or "old", those of the last Keep.
+func (c *Counter) Restore(how string) {
 	for i := range c.copies[0] {
 		p := &c.copies[0][i]
 		p.free = c.q.Now()
@@ -157,9 +157,9 @@
 	}
 }
 
-// Silent makes it silent, or ends that; Refuse does so for connections.
-func (c *Counter) Silent(begin bool) { c.silent += sign(begin) }
-func (c *Counter) Refuse(begin bool) { c.refuse += sign(begin) }
+// Silence makes it silent, or ends that; Refuse does so for connections.
+func (c *Counter) Silence(begin bool)           { c.silent += sign(begin) }
+func (c *Counter) RefuseConnections(begin bool) { c.refuse += sign(begin) }
 
 // Split makes a second copy with the same counts, or drops it: the first one's stand.
 func (c *Counter) Split(begin bool) {
@@ -189,9 +189,9 @@
 	return false
 }
 
-// Small leaves a part of its capacity; Drop lets it answer a part of the calls only.
-func (c *Counter) Small(factor float64, begin bool)  { c.small.Set(factor, begin) }
-func (c *Counter) Drop(answered float64, begin bool) { c.drop.Set(answered, begin) }
+// ScaleCapacity leaves a part of its capacity; Drop lets it answer a part of the calls only.
+func (c *Counter) ScaleCapacity(factor float64, begin bool) { c.small.Toggle(factor, begin) }
+func (c *Counter) DropAnswers(answered float64, begin bool) { c.drop.Toggle(answered, begin) }
 
 func sign(begin bool) int {
 	if begin {
--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -15,7 +15,7 @@
 	q       *eventqueue.Queue
 	dice    randstream.Stream
 	delay   float64
-	late    overlap.Stack
+	late    overlap.Values
 	silent  int
 	changes []policy.HostEntry
 	told    []int
@@ -38,8 +38,8 @@
 	return r
 }
 
-// Change puts a change on its way to all.
-func (r *Registry) Change(l policy.HostEntry) {
+// Publish puts a change on its way to all.
+func (r *Registry) Publish(l policy.HostEntry) {
 	r.changes = append(r.changes, l)
 	n := len(r.changes)
 	if r.silent > 0 {
@@ -52,16 +52,16 @@
 func (r *Registry) send(n int) {
 	for g := range r.told {
 		// Never before an earlier change: they build on each other.
-		r.due[g] = max(r.due[g], r.q.Now()+r.delay*r.late.Times()*r.dice.Between(0.5, 1.5))
-		r.q.At(r.due[g], func() {
+		r.due[g] = max(r.due[g], r.q.Now()+r.delay*r.late.Product()*r.dice.Uniform(0.5, 1.5))
+		r.q.Schedule(r.due[g], func() {
 			r.told[g] = n
 			r.tell(g, r.changes[n-1])
 		})
 	}
 }
 
-// List is the list as an api gateway was last told of it, in the order in which hosts came.
-func (r *Registry) List(gateway int) []policy.HostEntry {
+// HostList is the list as an api gateway was last told of it, in the order in which hosts came.
+func (r *Registry) HostList(gateway int) []policy.HostEntry {
 	at := map[string]int{}
 	var list []policy.HostEntry
 	for _, l := range r.changes[:r.told[gateway]] {
@@ -81,8 +81,8 @@
 	return whole
 }
 
-// Silent keeps changes back until it ends; then they all set out.
-func (r *Registry) Silent(begin bool) {
+// Pause keeps changes back until it ends; then they all set out.
+func (r *Registry) Pause(begin bool) {
 	if begin {
 		r.silent++
 	} else if r.silent--; r.silent == 0 {
@@ -93,5 +93,5 @@
 	}
 }
 
-// Late makes changes take so many times longer.
-func (r *Registry) Late(by float64, begin bool) { r.late.Set(by, begin) }
+// SlowDown makes changes take so many times longer.
+func (r *Registry) SlowDown(by float64, begin bool) { r.late.Toggle(by, begin) }
--- a/sim/eventqueue/eventqueue.go
+++ b/sim/eventqueue/eventqueue.go
@@ -26,8 +26,8 @@
 // Len is how many events are yet to happen.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// At has fire called at a clock time; one that has passed counts as now.
-func (q *Queue) At(at float64, fire func()) {
+// Schedule has fire called at a clock time; one that has passed counts as now.
+func (q *Queue) Schedule(at float64, fire func()) {
 	if at < q.now || at != at {
 		at = q.now
 	}
@@ -46,13 +46,13 @@
 	q.heap = h
 }
 
-// After has fire called so many seconds from now.
-func (q *Queue) After(seconds float64, fire func()) { q.At(q.now+seconds, fire) }
+// ScheduleAfter has fire called so many seconds from now.
+func (q *Queue) ScheduleAfter(seconds float64, fire func()) { q.Schedule(q.now+seconds, fire) }
 
 func (e entry) before(o entry) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// Next is when the next event happens; ok is false where there is none.
-func (q *Queue) Next() (at float64, ok bool) {
+// NextTime is when the next event happens; ok is false where there is none.
+func (q *Queue) NextTime() (at float64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
--- a/sim/gatewaymodel/gatewaymodel.go
+++ b/sim/gatewaymodel/gatewaymodel.go
@@ -36,13 +36,13 @@
 type Surroundings interface {
 	Host(addr string) *hostmodel.Host
 	// Sent, Reached, Ran, EndedAt and Answered tell the referee, and what counts, of what happens.
-	Sent(d *model.Delivery)
-	Reached(d *model.Delivery)
-	Ran(d *model.Delivery)
-	EndedAt(d *model.Delivery)
-	Answered(inv *model.Invocation, how model.Ending) (room bool)
+	Sent(d *model.Attempt)
+	Reached(d *model.Attempt)
+	Ran(d *model.Attempt)
+	EndedAt(d *model.Attempt)
+	Answered(inv *model.Invocation, how model.Outcome) (room bool)
 	// Client brings an answer to its client.
-	Client(inv *model.Invocation, how model.Ending, retryAfter float64, room bool)
+	Client(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool)
 	Mail(from, to int, text string) // to an api gateway, or to all others: member.All
 	Note(from int, ref, text string)
 	Called(missed bool)
@@ -68,7 +68,7 @@
 	life    int
 	inHand  map[string]*model.Invocation
 	rest    map[*hostmodel.Host][]connection // at rest, the one used last at the end
-	flying  map[*model.Delivery]*flight
+	flying  map[*model.Attempt]*flight
 	lastSum map[int]float64 // by part of the counter: when its last answer arrives; they keep their order
 	czone   int
 }
@@ -80,7 +80,7 @@
 
 // flight is a delivery that is out, and what it holds.
 type flight struct {
-	d     *model.Delivery
+	d     *model.Attempt
 	h     *hostmodel.Host
 	job   *hostmodel.Job
 	fresh bool // its connection is new
@@ -105,7 +105,7 @@
 	e.life++
 	e.Alive, e.Admits, e.Mind, e.busy = true, true, mind, e.q.Now()
 	e.inHand, e.rest = map[string]*model.Invocation{}, map[*hostmodel.Host][]connection{}
-	e.flying, e.lastSum = map[*model.Delivery]*flight{}, map[int]float64{}
+	e.flying, e.lastSum = map[*model.Attempt]*flight{}, map[int]float64{}
 	mind.UpdateHosts(e.q.Now(), list, true)
 	mind.SetTimers(e.q.Now())
 }
@@ -127,7 +127,7 @@
 func (e *Edge) hear(what func(now float64)) {
 	now, life := e.q.Now(), e.life
 	e.busy = max(now, e.busy) + e.cost/e.starve
-	e.q.At(e.busy, func() {
+	e.q.Schedule(e.busy, func() {
 		if e.life == life && e.Alive {
 			what(e.q.Now())
 			e.Mind.SetTimers(e.q.Now())
@@ -140,19 +140,19 @@
 	if !e.Alive {
 		return false
 	}
-	inv.Taken = true
+	inv.Accepted = true
 	life := e.life
 	e.inHand[inv.Ref] = inv
-	e.q.At(inv.GiveUp, func() { e.gone(inv, life) })
+	e.q.Schedule(inv.GiveUpAt, func() { e.gone(inv, life) })
 	e.hear(func(now float64) {
-		if inv.Final != model.Open {
+		if inv.Outcome != model.Pending {
 			return
 		}
-		n := inv.Need
+		n := inv.Request
 		e.around.Note(e.Slot, inv.Ref, "taken")
 		e.Mind.Accept(now, policy.Request{
-			Ref: inv.Ref, Operation: n.Op.Name, Customer: n.Cust.Key, Plan: n.Cust.Plan.Name,
-			Units: n.Units, Deadline: inv.GiveUp, FirstGateway: n.Cust.First, GatewayCount: n.Cust.Width, ClientRetry: inv.Repeat,
+			Ref: inv.Ref, Operation: n.Operation.Name, Customer: n.Customer.Key, Plan: n.Customer.Plan.Name,
+			Units: n.Units, Deadline: inv.GiveUpAt, FirstGateway: n.Customer.FirstGateway, GatewayCount: n.Customer.GatewayCount, ClientRetry: inv.ClientRetry,
 		})
 	})
 	return true
@@ -160,12 +160,12 @@
 
 // gone: the client's time is over. What it has not had by now it will not have.
 func (e *Edge) gone(inv *model.Invocation, life int) {
-	if e.life != life || inv.Final != model.Open {
+	if e.life != life || inv.Outcome != model.Pending {
 		return
 	}
 	e.around.Client(inv, model.Unanswered, 0, false)
 	// The client closes its connection; the api gateway hears of it a way later and on its core's time.
-	e.q.After(e.net.Way(e.Zone, e.Zone), func() {
+	e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() {
 		if e.life != life {
 			return
 		}
@@ -174,7 +174,7 @@
 				return
 			}
 			e.around.Answered(inv, model.Unanswered)
-			for _, d := range inv.Deliveries {
+			for _, d := range inv.Attempts {
 				e.end(d, policy.Cancelled)
 			}
 			e.Mind.Abandon(now, inv.Ref)
@@ -184,10 +184,10 @@
 }
 
 func (e *Edge) drop(inv *model.Invocation) {
-	if inv.Final == model.Open {
+	if inv.Outcome == model.Pending {
 		return
 	}
-	for _, d := range inv.Deliveries {
+	for _, d := range inv.Attempts {
 		if e.flying[d] != nil {
 			return
 		}
@@ -220,16 +220,16 @@
 		flights = append(flights, f)
 	}
 	slices.SortFunc(flights, func(a, b *flight) int {
-		return cmp.Or(cmp.Compare(a.d.Inv.Number, b.d.Inv.Number), cmp.Compare(a.d.Number, b.d.Number))
+		return cmp.Or(cmp.Compare(a.d.Invocation.Number, b.d.Invocation.Number), cmp.Compare(a.d.Number, b.d.Number))
 	})
 	for _, f := range flights {
-		f.d.Over = true
+		f.d.Ended = true
 		e.close(f)
 		e.around.EndedAt(f.d)
 	}
 	for h, cs := range e.rest { // each host's own sum: the order does not show
 		for _, c := range cs {
-			if c.life == h.Life {
+			if c.life == h.Incarnation {
 				h.Connections--
 			}
 		}
@@ -240,10 +240,10 @@
 	}
 	slices.SortFunc(held, func(a, b *model.Invocation) int { return cmp.Compare(a.Number, b.Number) })
 	for _, inv := range held {
-		if inv.Final == model.Open {
-			inv.Final = model.Broken
+		if inv.Outcome == model.Pending {
+			inv.Outcome = model.Broken
 			e.around.Note(e.Slot, inv.Ref, "its api gateway is killed")
-			e.q.After(e.net.Way(e.Zone, e.Zone), func() { e.around.Client(inv, model.Broken, 0, false) })
+			e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() { e.around.Client(inv, model.Broken, 0, false) })
 		}
 	}
 	e.inHand, e.rest, e.flying = nil, nil, nil
@@ -257,18 +257,18 @@
 	if inv == nil || h == nil {
 		return
 	}
-	limit := inv.GiveUp - now - Early
+	limit := inv.GiveUpAt - now - Early
 	if within > 0 {
 		limit = min(limit, within)
 	}
-	d := &model.Delivery{Inv: inv, Number: len(inv.Deliveries), Host: h.Number, Sent: now}
-	inv.Deliveries = append(inv.Deliveries, d)
+	d := &model.Attempt{Invocation: inv, Number: len(inv.Attempts), Host: h.Number, SentAt: now}
+	inv.Attempts = append(inv.Attempts, d)
 	f := &flight{d: d, h: h}
 	e.flying[d] = f
 	e.around.Sent(d)
 	e.around.Note(e.Slot, ref, "sent to "+addr)
 	life := e.life
-	e.q.After(limit, func() {
+	e.q.ScheduleAfter(limit, func() {
 		if e.life == life {
 			e.end(d, policy.TimedOut)
 		}
@@ -284,8 +284,8 @@
 // idle takes the connection at rest that was used last. One near the time at which the host closes it is closed here.
 func (e *Edge) idle(h *hostmodel.Host) (c connection, ok bool) {
 	cs, now := e.rest[h], e.q.Now()
-	for len(cs) > 0 && (cs[0].life != h.Life || now-cs[0].at > 0.8*e.day.Network.Idle.V()) {
-		if cs[0].life == h.Life {
+	for len(cs) > 0 && (cs[0].life != h.Incarnation || now-cs[0].at > 0.8*e.day.Network.Idle.V()) {
+		if cs[0].life == h.Incarnation {
 			h.Connections--
 		}
 		cs = cs[1:]
@@ -301,24 +301,24 @@
 	life := e.life
 	f.fresh = true
 	e.around.Dialled()
-	e.q.After(e.day.Network.Dial.V(), func() {
+	e.q.ScheduleAfter(e.day.Network.Dial.V(), func() {
 		if e.life == life && !f.up {
 			e.end(f.d, policy.NoConnection)
 		}
 	})
-	if e.net.Cut(e.Zone, f.h.Zone) || f.h.Silent() {
+	if e.net.Partitioned(e.Zone, f.h.Zone) || f.h.IsSilent() {
 		return // it never comes up
 	}
-	e.q.After(e.net.Way(e.Zone, f.h.Zone), func() {
-		taken := !f.h.Silent() && f.h.Open()
-		hlife := f.h.Life
-		e.q.After(e.net.Way(f.h.Zone, e.Zone), func() {
+	e.q.ScheduleAfter(e.net.Delay(e.Zone, f.h.Zone), func() {
+		taken := !f.h.IsSilent() && f.h.OpenConnection()
+		hlife := f.h.Incarnation
+		e.q.ScheduleAfter(e.net.Delay(f.h.Zone, e.Zone), func() {
 			switch {
-			case e.life != life || f.d.Over:
-				if taken && hlife == f.h.Life {
+			case e.life != life || f.d.Ended:
+				if taken && hlife == f.h.Incarnation {
 					f.h.Connections--
 				}
-			case !taken && f.h.Silent():
+			case !taken && f.h.IsSilent():
 			case !taken:
 				e.end(f.d, policy.NoConnection)
 			default:
@@ -332,57 +332,57 @@
 // write puts the delivery on its connection. It is whole at the host a way later, whatever happens here meanwhile.
 func (e *Edge) write(f *flight) {
 	f.d.Written = true
-	if e.net.Cut(e.Zone, f.h.Zone) {
+	if e.net.Partitioned(e.Zone, f.h.Zone) {
 		return
 	}
-	e.q.After(e.net.Way(e.Zone, f.h.Zone), func() { e.reach(f) })
+	e.q.ScheduleAfter(e.net.Delay(e.Zone, f.h.Zone), func() { e.reach(f) })
 }
 
 func (e *Edge) reach(f *flight) {
-	if f.life != f.h.Life { // it has started anew meanwhile, or is gone: the connection is reset
+	if f.life != f.h.Incarnation { // it has started anew meanwhile, or is gone: the connection is reset
 		e.back(f, policy.Reset, 0)
 		return
 	}
-	n := f.d.Inv.Need
-	reset, before := e.net.Reset()
+	n := f.d.Invocation.Request
+	reset, before := e.net.DrawReset()
 	if reset && before {
 		e.back(f, policy.Reset, 0)
 		return
 	}
 	e.around.Reached(f.d)
-	f.job = &hostmodel.Job{Operation: n.Op.Number, Work: n.Work, Gateway: e.Slot}
+	f.job = &hostmodel.Job{Operation: n.Operation.Number, Work: n.Work, Gateway: e.Slot}
 	if f.fresh { // setting the connection up costs the host work, and this request the time
 		f.job.Work += f.h.ConnectWork
 	}
-	f.job.Runs = func() { e.around.Ran(f.d) }
-	f.job.Answers = func(a hostmodel.Answer) {
+	f.job.OnStart = func() { e.around.Ran(f.d) }
+	f.job.OnAnswer = func(a hostmodel.Answer) {
 		how := policy.Outcome(policy.Failed)
 		switch {
-		case a == hostmodel.TurnedAway:
+		case a == hostmodel.Rejected:
 			how = policy.Rejected
 		case reset, a == hostmodel.Reset:
 			how = policy.Reset
-		case a == hostmodel.Good:
+		case a == hostmodel.Succeeded:
 			how = policy.Succeeded
 		}
 		e.around.EndedAt(f.d)
-		e.back(f, how, n.True)
+		e.back(f, how, n.ActualUnits)
 	}
-	f.h.Arrive(f.job)
-	if f.d.Over {
-		f.h.Withdraw(f.job)
+	f.h.Submit(f.job)
+	if f.d.Ended {
+		f.h.Cancel(f.job)
 		e.around.EndedAt(f.d)
 	}
 }
 
 // back brings a host's word to the api gateway.
 func (e *Edge) back(f *flight, how policy.Outcome, units float64) {
-	if e.net.Cut(e.Zone, f.h.Zone) || how == policy.Succeeded && e.net.Lost() {
+	if e.net.Partitioned(e.Zone, f.h.Zone) || how == policy.Succeeded && e.net.DrawLostAnswer() {
 		return
 	}
 	life := e.life
-	e.q.After(e.net.Way(f.h.Zone, e.Zone), func() {
-		if e.life != life || f.d.Over {
+	e.q.ScheduleAfter(e.net.Delay(f.h.Zone, e.Zone), func() {
+		if e.life != life || f.d.Ended {
 			return
 		}
 		e.finish(f, how, units)
@@ -390,8 +390,8 @@
 }
 
 // end gives a delivery up, unless it is over.
-func (e *Edge) end(d *model.Delivery, how policy.Outcome) {
-	if f := e.flying[d]; f != nil && !d.Over {
+func (e *Edge) end(d *model.Attempt, how policy.Outcome) {
+	if f := e.flying[d]; f != nil && !d.Ended {
 		if !d.Written && how == policy.TimedOut {
 			how = policy.NoConnection
 		} else if !d.Written && how == policy.Cancelled {
@@ -403,12 +403,12 @@
 
 // finish ends a delivery with its outcome, and lets the mind hear of it.
 func (e *Edge) finish(f *flight, how policy.Outcome, units float64) {
-	d, inv := f.d, f.d.Inv
-	d.Over = true
-	d.Proved = how == policy.Rejected || how == policy.NoConnection || how == policy.NotSent
+	d, inv := f.d, f.d.Invocation
+	d.Ended = true
+	d.ProvenNotRun = how == policy.Rejected || how == policy.NoConnection || how == policy.NotSent
 	switch how {
 	case policy.Succeeded, policy.Rejected, policy.Failed:
-		if f.up && f.life == f.h.Life {
+		if f.up && f.life == f.h.Incarnation {
 			e.rest[f.h] = append(e.rest[f.h], connection{f.life, e.q.Now()})
 		}
 	default:
@@ -417,13 +417,13 @@
 	e.around.Note(e.Slot, inv.Ref, "delivery ended: "+string(how))
 	e.hear(func(now float64) {
 		delete(e.flying, d)
-		over := inv.Final != model.Open
+		over := inv.Outcome != model.Pending
 		if how == policy.Succeeded && !over {
 			e.answer(inv, model.Served, 0)
 		}
 		e.Mind.AttemptEnded(now, inv.Ref, d.Number, policy.AttemptResult{
 			Outcome: how, Final: over || how == policy.Succeeded,
-			Duration: now - d.Sent, ActualUnits: settled(e.day, units, how),
+			Duration: now - d.SentAt, ActualUnits: settled(e.day, units, how),
 		})
 		e.drop(inv)
 	})
@@ -438,32 +438,32 @@
 
 // close ends a connection; the host hears of it a way later, and drops work that waits.
 func (e *Edge) close(f *flight) {
-	if !f.up || f.life != f.h.Life {
+	if !f.up || f.life != f.h.Incarnation {
 		e.around.EndedAt(f.d)
 		return
 	}
-	if e.net.Cut(e.Zone, f.h.Zone) { // it is not heard of; the connection stands there till the host tires of it
-		e.q.After(e.day.Network.Idle.V(), func() { e.closed(f) })
+	if e.net.Partitioned(e.Zone, f.h.Zone) { // it is not heard of; the connection stands there till the host tires of it
+		e.q.ScheduleAfter(e.day.Network.Idle.V(), func() { e.closed(f) })
 		return
 	}
-	e.q.After(e.net.Way(e.Zone, f.h.Zone), func() { e.closed(f) })
+	e.q.ScheduleAfter(e.net.Delay(e.Zone, f.h.Zone), func() { e.closed(f) })
 }
 
 func (e *Edge) closed(f *flight) {
-	if f.life == f.h.Life {
+	if f.life == f.h.Incarnation {
 		f.h.Connections--
 		if f.job != nil {
-			f.h.Withdraw(f.job)
+			f.h.Cancel(f.job)
 		}
 	}
 	e.around.EndedAt(f.d)
 }
 
-func (e *Edge) answer(inv *model.Invocation, how model.Ending, retryAfter float64) {
+func (e *Edge) answer(inv *model.Invocation, how model.Outcome, retryAfter float64) {
 	room := e.around.Answered(inv, how)
-	e.around.Note(e.Slot, inv.Ref, "final answer: "+model.Endings[how])
-	e.q.After(e.net.Way(e.Zone, e.Zone), func() {
-		if e.q.Now() <= inv.GiveUp+0.05 {
+	e.around.Note(e.Slot, inv.Ref, "final answer: "+model.OutcomeNames[how])
+	e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() {
+		if e.q.Now() <= inv.GiveUpAt+0.05 {
 			e.around.Client(inv, how, retryAfter, room)
 		}
 	})
@@ -473,7 +473,7 @@
 func (e *Edge) Throttle(ref string, retryAfter float64) { e.final(ref, model.Throttled, retryAfter) }
 func (e *Edge) Fail(ref string)                         { e.final(ref, model.Errored, 0) }
 
-func (e *Edge) final(ref string, how model.Ending, retryAfter float64) {
+func (e *Edge) final(ref string, how model.Outcome, retryAfter float64) {
 	if inv := e.inHand[ref]; inv != nil {
 		e.answer(inv, how, retryAfter)
 		e.drop(inv)
@@ -482,8 +482,8 @@
 
 // Cancel withdraws a delivery.
 func (e *Edge) CancelAttempt(ref string, number int) {
-	if inv := e.inHand[ref]; inv != nil && number >= 0 && number < len(inv.Deliveries) {
-		e.end(inv.Deliveries[number], policy.Cancelled)
+	if inv := e.inHand[ref]; inv != nil && number >= 0 && number < len(inv.Attempts) {
+		e.end(inv.Attempts[number], policy.Cancelled)
 	}
 }
 
@@ -499,31 +499,31 @@
 		e.around.Called(how != policy.Succeeded)
 		e.hear(func(at float64) { e.Mind.CounterReplied(at, name, how, sum, at-now) })
 	}
-	e.q.After(e.day.Counter.Limit.V(), func() { tell(policy.TimedOut, 0) })
-	if !e.counter.Up() {
-		e.q.After(2*e.net.Way(e.Zone, e.czone), func() { tell(policy.NoConnection, 0) })
+	e.q.ScheduleAfter(e.day.Counter.Limit.V(), func() { tell(policy.TimedOut, 0) })
+	if !e.counter.AcceptsConnections() {
+		e.q.ScheduleAfter(2*e.net.Delay(e.Zone, e.czone), func() { tell(policy.NoConnection, 0) })
 		return
 	}
-	if e.net.Cut(e.Zone, e.czone) {
+	if e.net.Partitioned(e.Zone, e.czone) {
 		return
 	}
 	part := int(name % uint64(e.day.Counter.Parts.N()))
-	e.q.After(e.net.Way(e.Zone, e.czone), func() {
-		e.counter.Call(e.Far, name, amount, life, func(how countermodel.Outcome, sum float64) {
-			if e.net.Cut(e.Zone, e.czone) {
+	e.q.ScheduleAfter(e.net.Delay(e.Zone, e.czone), func() {
+		e.counter.Add(e.Far, name, amount, life, func(how countermodel.Outcome, sum float64) {
+			if e.net.Partitioned(e.Zone, e.czone) {
 				return
 			}
-			at := max(e.lastSum[part], e.q.Now()+e.net.Way(e.czone, e.Zone)) // answers keep their order
+			at := max(e.lastSum[part], e.q.Now()+e.net.Delay(e.czone, e.Zone)) // answers keep their order
 			if e.life == mine {
 				e.lastSum[part] = at
 			}
-			e.q.At(at, func() {
+			e.q.Schedule(at, func() {
 				switch how {
 				case countermodel.Added:
 					tell(policy.Succeeded, sum)
-				case countermodel.TurnedAway:
+				case countermodel.Rejected:
 					tell(policy.Rejected, 0)
-				case countermodel.Refused:
+				case countermodel.ConnectionRefused:
 					tell(policy.NoConnection, 0)
 				}
 			})
@@ -537,7 +537,7 @@
 
 func (e *Edge) SetTimer(nonce uint64, at float64) {
 	life := e.life
-	e.q.At(at, func() {
+	e.q.Schedule(at, func() {
 		if e.life == life && e.Alive {
 			e.hear(func(now float64) { e.Mind.TimerFired(now, nonce) })
 		}
--- a/sim/gossip/gossip.go
+++ b/sim/gossip/gossip.go
@@ -17,7 +17,7 @@
 	dice  randstream.Stream
 	rate  float64
 	delay float64
-	loss  overlap.Stack
+	loss  overlap.Values
 	room  []float64 // messages that each may still take in, as of at
 	at    []float64
 	// Sent and Arrived count messages, one for each receiver.
@@ -27,7 +27,7 @@
 // New makes the mail of a day.
 func New(q *eventqueue.Queue, d *scenario.Peers, gateways int, seed uint64) *Post {
 	p := &Post{
-		q: q, dice: randstream.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: overlap.Stack{d.Loss.V()},
+		q: q, dice: randstream.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: overlap.Values{d.Loss.V()},
 		room: make([]float64, gateways), at: make([]float64, gateways),
 	}
 	for i := range p.room {
@@ -41,7 +41,7 @@
 	if p.Sent++; len(text) > Most || p.loss.Any(p.dice.Chance) {
 		return
 	}
-	p.q.After(p.dice.Exp(p.delay), func() {
+	p.q.ScheduleAfter(p.dice.Exponential(p.delay), func() {
 		now := p.q.Now()
 		p.room[to] = min(p.rate, p.room[to]+p.rate*(now-p.at[to]))
 		if p.at[to] = now; p.room[to] < 1 {
@@ -54,4 +54,4 @@
 }
 
 // Loses makes it lose a further part.
-func (p *Post) Loses(part float64, begin bool) { p.loss.Set(part, begin) }
+func (p *Post) Loses(part float64, begin bool) { p.loss.Toggle(part, begin) }
--- a/sim/hostmodel/hostmodel.go
+++ b/sim/hostmodel/hostmodel.go
@@ -16,8 +16,8 @@
 	Operation int
 	Work      float64 // seconds on a core of speed 1
 	Gateway   int     // who sent it, for the account of a fall
-	Runs      func()  // it has begun, and so may have its effect
-	Answers   func(Answer)
+	OnStart   func()  // it has begun, and so may have its effect
+	OnAnswer  func(Answer)
 	waits     bool
 	dropped   bool
 }
@@ -26,10 +26,10 @@
 type Answer int
 
 const (
-	Good Answer = iota
-	Error
-	TurnedAway
-	Spoilt
+	Succeeded Answer = iota
+	Failed
+	Rejected
+	Corrupted
 	Reset // it went down under the work
 )
 
@@ -46,8 +46,8 @@
 	Down // refuses connections
 )
 
-// Sent is work that a cold host was sent.
-type Sent struct {
+// Arrival is work that a cold host was sent.
+type Arrival struct {
 	At, Work float64
 	Gateway  int
 }
@@ -60,11 +60,11 @@
 	Cores       int
 	Speed       float64
 	ConnectWork float64 // what a new connection costs it, in seconds
-	Started     float64 // clock time of its last start; 0: long ago
+	StartedAt   float64 // clock time of its last start; 0: long ago
 	State       State
-	Life        int // which start this is
+	Incarnation int // which start this is
 	Connections int
-	Fell        func(sent []Sent) // told when it falls over
+	OnOverload  func(sent []Arrival) // told when it falls over
 
 	q                       *eventqueue.Queue
 	dice                    randstream.Stream
@@ -74,10 +74,10 @@
 	line                    []*Job
 	head                    int
 	running                 []*Job
-	sent                    []Sent
+	sent                    []Arrival
 	silent                  int
-	slow, errs, spoilt, few overlap.Stack
-	mute                    map[int]*overlap.Stack
+	slow, errs, spoilt, few overlap.Values
+	mute                    map[int]*overlap.Values
 	// BusyTime adds up core seconds of work done.
 	BusyTime float64
 }
@@ -86,53 +86,53 @@
 func New(q *eventqueue.Queue, number int, addr string, kind *scenario.HostKind, cold *scenario.Cold, seed uint64) *Host {
 	d := randstream.New(seed, "host", number)
 	return &Host{
-		Number: number, Addr: addr, Cores: kind.Cores.N(), Speed: d.Between(kind.Speed.Lo, kind.Speed.Hi),
+		Number: number, Addr: addr, Cores: kind.Cores.N(), Speed: d.Uniform(kind.Speed.Lo, kind.Speed.Hi),
 		ConnectWork: kind.ConnectWork.V(), q: q, dice: d, queue: kind.Queue.N(), most: kind.Connections.N(), cold: cold,
-		mute: map[int]*overlap.Stack{},
+		mute: map[int]*overlap.Values{},
 	}
 }
 
 // Warmth is the part of its capacity that it has now.
 func (h *Host) Warmth() float64 {
-	if h.Started <= 0 || h.cold.Warm.V() <= 0 {
+	if h.StartedAt <= 0 || h.cold.Warm.V() <= 0 {
 		return 1
 	}
-	age := max(0, h.q.Now()-h.Started)
+	age := max(0, h.q.Now()-h.StartedAt)
 	return min(1, h.cold.Share.V()+(1-h.cold.Share.V())*age/h.cold.Warm.V())
 }
 
-// Pace is what one core does in a second, at present.
-func (h *Host) Pace() float64 {
-	return h.Speed * h.Warmth() / h.slow.Times()
+// CoreSpeed is what one core does in a second, at present.
+func (h *Host) CoreSpeed() float64 {
+	return h.Speed * h.Warmth() / h.slow.Product()
 }
 
-// Waiting is how much work is in hand, running or in line.
-func (h *Host) Waiting() int { return h.busy + len(h.line) - h.head }
+// Load is how much work is in hand, running or in line.
+func (h *Host) Load() int { return h.busy + len(h.line) - h.head }
 
-// Silent says that it answers nothing, not even a new connection.
-func (h *Host) Silent() bool { return h.silent > 0 }
+// IsSilent says that it answers nothing, not even a new connection.
+func (h *Host) IsSilent() bool { return h.silent > 0 }
 
-// Takes says whether there is room for a new connection.
-func (h *Host) Takes() bool {
-	return h.State != Down && float64(h.Connections) < float64(h.most)*h.few.Times()
+// AcceptsConnection says whether there is room for a new connection.
+func (h *Host) AcceptsConnection() bool {
+	return h.State != Down && float64(h.Connections) < float64(h.most)*h.few.Product()
 }
 
-// Open takes a new connection if there is room for one.
-func (h *Host) Open() bool {
-	if !h.Takes() {
+// OpenConnection takes a new connection if there is room for one.
+func (h *Host) OpenConnection() bool {
+	if !h.AcceptsConnection() {
 		return false
 	}
 	h.Connections++
 	return true
 }
 
-// Arrive takes work that has come whole.
-func (h *Host) Arrive(j *Job) {
+// Submit takes work that has come whole.
+func (h *Host) Submit(j *Job) {
 	h.bear(j)
 	switch {
 	case h.silent > 0 || h.State == Down:
 	case h.State == Draining, h.busy >= h.Cores && len(h.line)-h.head >= h.queue:
-		j.Answers(TurnedAway)
+		j.OnAnswer(Rejected)
 	case h.busy < h.Cores:
 		h.start(j)
 	default:
@@ -141,8 +141,8 @@
 	}
 }
 
-// Withdraw drops work that waits; what runs goes on.
-func (h *Host) Withdraw(j *Job) {
+// Cancel drops work that waits; what runs goes on.
+func (h *Host) Cancel(j *Job) {
 	j.dropped = true
 	if !j.waits {
 		return
@@ -160,10 +160,10 @@
 	h.busy++
 	j.waits = false
 	h.running = append(h.running, j)
-	j.Runs()
-	took, life := j.Work/max(1e-6, h.Pace()), h.Life
-	h.q.After(took, func() {
-		if h.Life != life {
+	j.OnStart()
+	took, life := j.Work/max(1e-6, h.CoreSpeed()), h.Incarnation
+	h.q.ScheduleAfter(took, func() {
+		if h.Incarnation != life {
 			return
 		}
 		h.busy--
@@ -175,11 +175,11 @@
 		if h.silent == 0 && (mute == nil || !h.hit(*mute)) {
 			switch {
 			case h.hit(h.errs):
-				j.Answers(Error)
+				j.OnAnswer(Failed)
 			case h.hit(h.spoilt):
-				j.Answers(Spoilt)
+				j.OnAnswer(Corrupted)
 			default:
-				j.Answers(Good)
+				j.OnAnswer(Succeeded)
 			}
 		}
 	})
@@ -199,7 +199,7 @@
 	}
 }
 
-func (h *Host) hit(shares overlap.Stack) bool { return shares.Any(h.dice.Chance) }
+func (h *Host) hit(shares overlap.Values) bool { return shares.Any(h.dice.Chance) }
 
 // bear keeps account of what a cold host is sent; past its budget for the window it falls over and stays down. All that
 // reaches it pushes, what it turns away too.
@@ -209,7 +209,7 @@
 		h.sent = nil
 		return
 	}
-	h.sent = append(h.sent, Sent{now, j.Work, j.Gateway})
+	h.sent = append(h.sent, Arrival{now, j.Work, j.Gateway})
 	for len(h.sent) > 0 && h.sent[0].At < now-window {
 		h.sent = h.sent[1:]
 	}
@@ -218,11 +218,11 @@
 		sum += s.Work
 		slack = max(slack, s.Work)
 	}
-	if budget := h.cold.Factor.V() * float64(h.Cores) * h.Pace() * window; sum > budget+2*slack {
+	if budget := h.cold.Factor.V() * float64(h.Cores) * h.CoreSpeed() * window; sum > budget+2*slack {
 		sent := h.sent
 		h.Stop()
-		if h.Fell != nil {
-			h.Fell(sent)
+		if h.OnOverload != nil {
+			h.OnOverload(sent)
 		}
 	}
 }
@@ -230,13 +230,13 @@
 // Stop ends the host: what it holds is gone, connections are reset.
 func (h *Host) Stop() {
 	h.State = Down
-	h.Life++
+	h.Incarnation++
 	held := append(h.running, h.line[h.head:]...)
 	h.busy, h.running, h.line, h.head, h.sent, h.Connections = 0, nil, nil, 0, nil, 0
 	for _, j := range held {
 		if !j.dropped {
 			j.waits = false
-			j.Answers(Reset)
+			j.OnAnswer(Reset)
 		}
 	}
 }
@@ -244,13 +244,13 @@
 // Start starts it cold, under its old address.
 func (h *Host) Start() {
 	h.Stop()
-	h.State, h.Started = Up, h.q.Now()
+	h.State, h.StartedAt = Up, h.q.Now()
 }
 
 // The troubles. Each begins and ends by itself; they overlap.
 
-// Mute makes it silent; the work it holds waits, what ends meanwhile is not told.
-func (h *Host) Mute(begin bool) {
+// Silence makes it silent; the work it holds waits, what ends meanwhile is not told.
+func (h *Host) Silence(begin bool) {
 	if begin {
 		h.silent++
 	} else if h.silent--; h.silent == 0 {
@@ -258,19 +258,19 @@
 	}
 }
 
-// Slow makes it so many times slower.
-func (h *Host) Slow(by float64, begin bool) { h.slow.Set(by, begin) }
+// SlowDown makes it so many times slower.
+func (h *Host) SlowDown(by float64, begin bool) { h.slow.Toggle(by, begin) }
 
-// Errs makes it answer a share with an error; Spoils makes a share of its answers unreadable; Few leaves a part of its
+// FailShare makes it answer a share with an error; Spoils makes a share of its answers unreadable; Few leaves a part of its
 // connections.
-func (h *Host) Errs(share float64, begin bool)   { h.errs.Set(share, begin) }
-func (h *Host) Spoils(share float64, begin bool) { h.spoilt.Set(share, begin) }
-func (h *Host) Few(part float64, begin bool)     { h.few.Set(part, begin) }
+func (h *Host) FailShare(share float64, begin bool)           { h.errs.Toggle(share, begin) }
+func (h *Host) CorruptShare(share float64, begin bool)        { h.spoilt.Toggle(share, begin) }
+func (h *Host) ScaleConnectionLimit(part float64, begin bool) { h.few.Toggle(part, begin) }
 
-// MuteFor leaves a share of one operation's work unanswered.
-func (h *Host) MuteFor(operation int, share float64, begin bool) {
+// SilenceOperation leaves a share of one operation's work unanswered.
+func (h *Host) SilenceOperation(operation int, share float64, begin bool) {
 	if h.mute[operation] == nil {
-		h.mute[operation] = &overlap.Stack{}
+		h.mute[operation] = &overlap.Values{}
 	}
-	h.mute[operation].Set(share, begin)
+	h.mute[operation].Toggle(share, begin)
 }
--- a/sim/hostmodel/hostmodel_test.go
+++ b/sim/hostmodel/hostmodel_test.go
@@ -30,8 +30,8 @@
 			return
 		}
 		at := q.Now()
-		h.Arrive(&Job{Work: d.Exp(work), Runs: func() { sums[i*batches/n] += q.Now() - at }, Answers: func(Answer) {}})
-		q.After(d.Exp(work/load/float64(cores)), func() { arrive(i + 1) })
+		h.Submit(&Job{Work: d.Exponential(work), OnStart: func() { sums[i*batches/n] += q.Now() - at }, OnAnswer: func(Answer) {}})
+		q.ScheduleAfter(d.Exponential(work/load/float64(cores)), func() { arrive(i + 1) })
 	}
 	arrive(0)
 	q.Run(math.MaxFloat64)
@@ -84,12 +84,12 @@
 		q.Run(5)
 		h.Start()
 		fell := 0
-		h.Fell = func(sent []Sent) { fell = len(sent) }
+		h.OnOverload = func(sent []Arrival) { fell = len(sent) }
 		var send func()
 		send = func() {
-			h.Arrive(&Job{Work: 0.01, Runs: func() {}, Answers: func(Answer) {}})
+			h.Submit(&Job{Work: 0.01, OnStart: func() {}, OnAnswer: func(Answer) {}})
 			if q.Now() < 12 {
-				q.After(0.01/x.rate, send)
+				q.ScheduleAfter(0.01/x.rate, send)
 			}
 		}
 		send()
@@ -105,20 +105,20 @@
 	h := stand(q, 1, 1)
 	var got []Answer
 	job := func() *Job {
-		return &Job{Work: 1, Runs: func() {}, Answers: func(a Answer) { got = append(got, a) }}
+		return &Job{Work: 1, OnStart: func() {}, OnAnswer: func(a Answer) { got = append(got, a) }}
 	}
 	waits := job()
-	h.Arrive(job())
-	h.Arrive(waits)
-	if h.Arrive(job()); len(got) != 1 || got[0] != TurnedAway {
+	h.Submit(job())
+	h.Submit(waits)
+	if h.Submit(job()); len(got) != 1 || got[0] != Rejected {
 		t.Fatalf("the third of one core and one place in line: %v", got)
 	}
-	h.Withdraw(waits)
+	h.Cancel(waits)
 	h.Stop()
 	if q.Run(10); len(got) != 2 || got[1] != Reset {
 		t.Fatalf("the running one is reset, the withdrawn one hears nothing: %v", got)
 	}
-	if h.Open() {
+	if h.OpenConnection() {
 		t.Fatal("it is down and takes a connection")
 	}
 }
--- a/sim/membershipsim/membershipsim.go
+++ b/sim/membershipsim/membershipsim.go
@@ -88,15 +88,15 @@
 // Play plays a plan.
 func Play(p Plan) *Result {
 	w := &play{Plan: p, q: &eventqueue.Queue{}, dice: randstream.New(p.Seed, "muster"), mass90: math.NaN()}
-	pick := randstream.New(p.Seed, "starved").Part(p.Members, p.Starved)
-	away := randstream.New(p.Seed, "cut").Part(p.Members, p.Cut)
+	pick := randstream.New(p.Seed, "starved").SampleShare(p.Members, p.Starved)
+	away := randstream.New(p.Seed, "cut").SampleShare(p.Members, p.Cut)
 	for i := range p.Members {
 		o := &one{knows: make([]bool, p.Members)}
 		if w.CutAt > 0 && away[i] {
 			o.zone = 1
 		}
 		w.all = append(w.all, o)
-		w.q.At(1000+w.dice.Between(0, 0.5), func() { w.start(i) })
+		w.q.Schedule(1000+w.dice.Uniform(0, 0.5), func() { w.start(i) })
 		if p.Starved > 0 && pick[i] {
 			w.starve(i)
 		}
@@ -104,7 +104,7 @@
 	settled := 1010.0
 	if p.Every > 0 {
 		for at := settled; at < 1000+p.Length-15; at += p.Every {
-			w.q.At(at, func() {
+			w.q.Schedule(at, func() {
 				if k := w.dice.IntN(p.Members); w.all[k].alive {
 					w.kill(k, p.Down)
 				}
@@ -112,8 +112,8 @@
 		}
 	}
 	if p.MassAt > 0 {
-		w.q.At(1000+p.MassAt, func() {
-			for k, in := range randstream.New(p.Seed, "mass").Part(p.Members, p.Mass) {
+		w.q.Schedule(1000+p.MassAt, func() {
+			for k, in := range randstream.New(p.Seed, "mass").SampleShare(p.Members, p.Mass) {
 				if in && w.all[k].alive {
 					w.massed = append(w.massed, k)
 					w.kill(k, p.Down)
@@ -122,10 +122,10 @@
 		})
 	}
 	if p.CutAt > 0 {
-		w.q.At(1000+p.CutAt, func() { w.cut = true })
-		w.q.At(1000+p.CutEnds, func() { w.cut = false })
+		w.q.Schedule(1000+p.CutAt, func() { w.cut = true })
+		w.q.Schedule(1000+p.CutEnds, func() { w.cut = false })
 	}
-	w.q.At(settled, w.look)
+	w.q.Schedule(settled, w.look)
 	w.q.Run(1000 + p.Length)
 	return w.result()
 }
@@ -164,7 +164,7 @@
 			w.post(i, l)
 		}
 		w.note(i)
-		w.q.After(min(0.25, o.group.Wait(now)), func() { w.turn(i, life) })
+		w.q.ScheduleAfter(min(0.25, o.group.Wait(now)), func() { w.turn(i, life) })
 	})
 }
 
@@ -185,7 +185,7 @@
 	if w.dice.Chance(w.Loss) || w.cut && w.all[from].zone != o.zone {
 		return
 	}
-	w.q.After(w.dice.Exp(w.Delay), func() {
+	w.q.ScheduleAfter(w.dice.Exponential(w.Delay), func() {
 		if !o.alive || w.cut && w.all[from].zone != o.zone {
 			return
 		}
@@ -249,17 +249,17 @@
 	o.alive, o.died, o.held = false, w.q.Now(), nil
 	w.deaths++
 	if down > 0 {
-		w.q.After(down, func() { w.start(k) })
+		w.q.ScheduleAfter(down, func() { w.start(k) })
 	}
 }
 
 func (w *play) starve(i int) {
 	o := w.all[i]
-	w.q.After(0.1*w.dice.Float64(), func() {
+	w.q.ScheduleAfter(0.1*w.dice.Float64(), func() {
 		var sleep, wake func()
 		sleep = func() {
 			o.asleep = true
-			w.q.After(0.9, wake)
+			w.q.ScheduleAfter(0.9, wake)
 		}
 		wake = func() {
 			o.asleep = false
@@ -268,9 +268,9 @@
 			for _, f := range held {
 				f()
 			}
-			w.q.After(0.1, sleep)
+			w.q.ScheduleAfter(0.1, sleep)
 		}
-		w.q.At(1002+w.dice.Float64(), sleep)
+		w.q.Schedule(1002+w.dice.Float64(), sleep)
 	})
 }
 
@@ -299,7 +299,7 @@
 			w.mass90 = now - 1000 - w.MassAt
 		}
 	}
-	w.q.After(0.1, w.look)
+	w.q.ScheduleAfter(0.1, w.look)
 }
 
 func quantile(xs []float64, p float64) float64 {
--- a/sim/metrics/metrics.go
+++ b/sim/metrics/metrics.go
@@ -127,59 +127,59 @@
 }
 
 // Count adds something to the account of a need, at the second when it was first asked for.
-func (f *Figures) Count(n *model.Need, s Share) {
+func (f *Figures) Count(n *model.Request, s Share) {
 	f.Whole.Add(s)
-	f.At(n.Born).Add(s)
-	share(f.Plans, n.Cust.Plan.Name).Add(s)
-	share(f.Classes, model.Classes[n.Cust.Class]).Add(s)
-	share(f.Operations, n.Op.Name).Add(s)
+	f.At(n.CreatedAt).Add(s)
+	share(f.Plans, n.Customer.Plan.Name).Add(s)
+	share(f.Classes, model.QuotaUseNames[n.Customer.QuotaUse]).Add(s)
+	share(f.Operations, n.Operation.Name).Add(s)
 }
 
 // Try counts how one try ended for its client.
-func (f *Figures) Try(how model.Ending) { f.Ended[model.Endings[how]]++ }
+func (f *Figures) Try(how model.Outcome) { f.Ended[model.OutcomeNames[how]]++ }
 
 // Close counts what became of a need that was inside its customer's quota.
-func (f *Figures) Close(n *model.Need, took, now float64) {
-	if n.Last == model.Served {
+func (f *Figures) Close(n *model.Request, took, now float64) {
+	if n.LastOutcome == model.Served {
 		i := int(max(0, now-f.Began))
 		for len(f.took) <= i {
 			f.took = append(f.took, nil)
 		}
 		f.took[i] = append(f.took[i], took)
 		f.time("all", took)
-		f.time("operation "+n.Op.Name, took)
-		f.time("plan "+n.Cust.Plan.Name, took)
-		f.time("customers "+model.Classes[n.Cust.Class], took)
+		f.time("operation "+n.Operation.Name, took)
+		f.time("plan "+n.Customer.Plan.Name, took)
+		f.time("customers "+model.QuotaUseNames[n.Customer.QuotaUse], took)
 	}
 	v, s := n.Value(), Share{}
-	if n.Last == model.Served && took <= n.Op.Objective.V() && !n.Beyond {
+	if n.LastOutcome == model.Served && took <= n.Operation.Objective.V() && !n.BeyondQuota {
 		s.Within = v
 	}
-	if !n.Inside {
+	if !n.WithinQuota {
 		if s.Within > 0 {
 			f.Count(n, s)
 		}
 		return
 	}
 	switch {
-	case n.Last == model.Served && took <= n.Op.Objective.V():
+	case n.LastOutcome == model.Served && took <= n.Operation.Objective.V():
 		s.Served, s.Worth = v, v
-	case n.Last == model.Served:
-		s.Late, s.Worth = v, v*n.Op.Late.V()
-	case n.Last == model.Throttled && n.Room:
+	case n.LastOutcome == model.Served:
+		s.Late, s.Worth = v, v*n.Operation.Late.V()
+	case n.LastOutcome == model.Throttled && n.QuotaHadRoom:
 		s.WithRoom = v
-	case n.Last == model.Throttled:
+	case n.LastOutcome == model.Throttled:
 		s.WithoutRoom = v
-	case n.Last == model.Errored:
+	case n.LastOutcome == model.Errored:
 		s.Errored = v
 	default:
 		s.Lost = v
 	}
 	f.Count(n, s)
-	c := f.served[n.Cust]
+	c := f.served[n.Customer]
 	if c == nil {
 		c = &[2]float64{}
-		f.served[n.Cust] = c
+		f.served[n.Customer] = c
 	}
 	c[0], c[1] = c[0]+s.Served, c[1]+v
 }
@@ -240,7 +240,7 @@
 
 // Ends says how tries ended for their clients.
 func (f *Figures) Ends() (text []string) {
-	for _, name := range model.Endings {
+	for _, name := range model.OutcomeNames {
 		if f.Ended[name] > 0 {
 			text = append(text, fmt.Sprintf("%s %.0f", name, f.Ended[name]))
 		}
--- a/sim/network/network.go
+++ b/sim/network/network.go
@@ -13,8 +13,8 @@
 	near, far, jitter float64
 	dice              randstream.Stream
 	zones             []int // how many troubles cut each off
-	stretch           overlap.Stack
-	reset, half       overlap.Stack
+	stretch           overlap.Values
+	reset, half       overlap.Values
 }
 
 // New makes the network of a day.
@@ -25,21 +25,21 @@
 	}
 }
 
-// Way is how long something takes from one zone to another, in seconds.
-func (n *Network) Way(from, to int) float64 {
+// Delay is how long something takes from one zone to another, in seconds.
+func (n *Network) Delay(from, to int) float64 {
 	way := n.near
 	if from != to {
 		way = n.far
 	}
-	way *= n.stretch.Times()
-	return way + n.dice.Exp(way*n.jitter)
+	way *= n.stretch.Product()
+	return way + n.dice.Exponential(way*n.jitter)
 }
 
-// Cut says that nothing gets from one zone to another.
-func (n *Network) Cut(a, b int) bool { return a != b && (n.zones[a] > 0 || n.zones[b] > 0) }
+// Partitioned says that nothing gets from one zone to another.
+func (n *Network) Partitioned(a, b int) bool { return a != b && (n.zones[a] > 0 || n.zones[b] > 0) }
 
-// CutOff cuts a zone off from all others, or takes one cut back.
-func (n *Network) CutOff(zone int, begin bool) {
+// IsolateZone cuts a zone off from all others, or takes one cut back.
+func (n *Network) IsolateZone(zone int, begin bool) {
 	if begin {
 		n.zones[zone]++
 	} else {
@@ -47,19 +47,19 @@
 	}
 }
 
-// Stretch makes all ways so many times longer, or takes that back; Resets and HalfOpen do so for the shares of
+// ScaleDelays makes all ways so many times longer, or takes that back; Resets and HalfOpen do so for the shares of
 // deliveries whose connection is reset, and of answers that never arrive.
-func (n *Network) Stretch(by float64, begin bool)     { n.stretch.Set(by, begin) }
-func (n *Network) Resets(share float64, begin bool)   { n.reset.Set(share, begin) }
-func (n *Network) HalfOpen(share float64, begin bool) { n.half.Set(share, begin) }
+func (n *Network) ScaleDelays(by float64, begin bool)         { n.stretch.Toggle(by, begin) }
+func (n *Network) ResetConnections(share float64, begin bool) { n.reset.Toggle(share, begin) }
+func (n *Network) LoseAnswers(share float64, begin bool)      { n.half.Toggle(share, begin) }
 
-// Reset says that the connection under this delivery is reset, and whether before it reached the host's work.
-func (n *Network) Reset() (reset, before bool) {
+// DrawReset says that the connection under this delivery is reset, and whether before it reached the host's work.
+func (n *Network) DrawReset() (reset, before bool) {
 	if !n.reset.Any(n.dice.Chance) {
 		return false, false
 	}
 	return true, n.dice.Chance(0.5)
 }
 
-// Lost says that this answer never arrives.
-func (n *Network) Lost() bool { return n.half.Any(n.dice.Chance) }
+// DrawLostAnswer says that this answer never arrives.
+func (n *Network) DrawLostAnswer() bool { return n.half.Any(n.dice.Chance) }
--- a/sim/oracle/oracle.go
+++ b/sim/oracle/oracle.go
@@ -91,8 +91,8 @@
 }
 
 // Asked says whether a customer's need is inside its quota when it is first asked for; what is inside takes its units.
-func (r *Referee) Asked(n *model.Need) bool {
-	u, p, now := r.use(n.Cust), n.Cust.Plan, r.now()
+func (r *Referee) Asked(n *model.Request) bool {
+	u, p, now := r.use(n.Customer), n.Customer.Plan, r.now()
 	u.asked.fill(now)
 	open := u.wanted[:0]
 	for _, ends := range u.wanted {
@@ -101,14 +101,14 @@
 		}
 	}
 	u.wanted = open
-	if p.Rate.V() > 0 && n.True > u.asked.level || p.MaxOut.N() > 0 && len(open) >= p.MaxOut.N() {
+	if p.Rate.V() > 0 && n.ActualUnits > u.asked.level || p.MaxOut.N() > 0 && len(open) >= p.MaxOut.N() {
 		return false
 	}
 	if p.Rate.V() > 0 {
-		u.asked.level -= n.True
+		u.asked.level -= n.ActualUnits
 	}
 	if p.MaxOut.N() > 0 {
-		u.wanted = append(u.wanted, now+1.5*n.Op.Work.V())
+		u.wanted = append(u.wanted, now+1.5*n.Operation.Work.V())
 	}
 	return true
 }
@@ -127,22 +127,22 @@
 func (r *Referee) Started(gateway int) { r.told[gateway] = map[int]state{} }
 
 // Sent: an api gateway begins to send a delivery.
-func (r *Referee) Sent(d *model.Delivery) {
-	inv, now := d.Inv, r.now()
-	if inv.Final != model.Open {
+func (r *Referee) Sent(d *model.Attempt) {
+	inv, now := d.Invocation, r.now()
+	if inv.Outcome != model.Pending {
 		r.broken(1, inv.Ref, "%s is sent on after its final answer", inv.Ref)
 	}
-	if now > inv.GiveUp+Slack {
+	if now > inv.GiveUpAt+Slack {
 		r.broken(1, inv.Ref, "%s is sent on after its client gave up", inv.Ref)
 	}
 	if s, ok := r.told[inv.Gateway][d.Host]; ok && s.name != "active" && now > s.at+r.day.Gateway.Grace.V()+Slack {
 		r.broken(3, inv.Ref, "%s is sent to host %d, %s for %.3f s", inv.Ref, d.Host, s.name, now-s.at)
 	}
-	for _, e := range inv.Deliveries {
+	for _, e := range inv.Attempts {
 		if e == d {
 			continue
 		}
-		if !e.Over && !r.Second {
+		if !e.Ended && !r.Second {
 			r.broken(2, inv.Ref, "%s has two deliveries out at once", inv.Ref)
 		}
 	}
@@ -150,9 +150,9 @@
 }
 
 // Repeated judges only whether a delivery may follow the earlier ones: all that can be said of one held up on its way.
-func (r *Referee) Repeated(d *model.Delivery) {
+func (r *Referee) Repeated(d *model.Attempt) {
 	if bad := r.repeats(d); bad != "" {
-		r.broken(2, d.Inv.Ref, "%s, %s, is sent on again %s", d.Inv.Ref, d.Inv.Need.Op.Effect, bad)
+		r.broken(2, d.Invocation.Ref, "%s, %s, is sent on again %s", d.Invocation.Ref, d.Invocation.Request.Operation.Effect, bad)
 	}
 }
 
@@ -180,18 +180,18 @@
 }
 
 // repeats says what is wrong with a further delivery; "": nothing.
-func (r *Referee) repeats(d *model.Delivery) string {
-	inv, op := d.Inv, d.Inv.Need.Op
-	for _, e := range inv.Deliveries {
-		if e == d || e.Proved {
+func (r *Referee) repeats(d *model.Attempt) string {
+	inv, op := d.Invocation, d.Invocation.Request.Operation
+	for _, e := range inv.Attempts {
+		if e == d || e.ProvenNotRun {
 			continue
 		}
 		switch op.Effect {
 		case "non-idempotent":
 			return fmt.Sprintf("though delivery %d may have run", e.Number)
 		case "tokened":
-			if r.now() > e.Sent+op.TokenTime.V() {
-				return fmt.Sprintf("%.3f s after delivery %d, which may have run", r.now()-e.Sent, e.Number)
+			if r.now() > e.SentAt+op.TokenTime.V() {
+				return fmt.Sprintf("%.3f s after delivery %d, which may have run", r.now()-e.SentAt, e.Number)
 			}
 		}
 	}
@@ -199,44 +199,44 @@
 }
 
 // Grouped says that a tokened invocation is sent outside the group of a host where it may have run.
-func (r *Referee) Grouped(d *model.Delivery, same func(a, b int) bool) {
-	if d.Inv.Need.Op.Effect != "tokened" {
+func (r *Referee) Grouped(d *model.Attempt, same func(a, b int) bool) {
+	if d.Invocation.Request.Operation.Effect != "tokened" {
 		return
 	}
-	for _, e := range d.Inv.Deliveries {
-		if e != d && !e.Proved && !same(e.Host, d.Host) {
-			r.broken(2, d.Inv.Ref, "%s, tokened, is sent outside its group, from host %d to %d", d.Inv.Ref, e.Host, d.Host)
+	for _, e := range d.Invocation.Attempts {
+		if e != d && !e.ProvenNotRun && !same(e.Host, d.Host) {
+			r.broken(2, d.Invocation.Ref, "%s, tokened, is sent outside its group, from host %d to %d", d.Invocation.Ref, e.Host, d.Host)
 		}
 	}
 }
 
 // Reached: a delivery is whole at a host. The first takes its units; it says whether they were beyond the quota.
-func (r *Referee) Reached(d *model.Delivery) (first, beyond bool) {
-	inv := d.Inv
-	u, p, n := r.use(inv.Need.Cust), inv.Need.Cust.Plan, inv.Need
-	d.Reached = true
-	first = !inv.Counted
+func (r *Referee) Reached(d *model.Attempt) (first, beyond bool) {
+	inv := d.Invocation
+	u, p, n := r.use(inv.Request.Customer), inv.Request.Customer.Plan, inv.Request
+	d.ReachedHost = true
+	first = !inv.Charged
 	if first {
-		inv.Counted = true
+		inv.Charged = true
 		now := r.now()
 		if u.sent.fill(now); p.Rate.V() > 0 {
-			if n.True > u.sent.level+1e-9 {
+			if n.ActualUnits > u.sent.level+1e-9 {
 				beyond = true
 			} else {
-				u.sent.level -= n.True
+				u.sent.level -= n.ActualUnits
 			}
 		}
 		beyond = beyond || p.MaxOut.N() > 0 && u.out >= p.MaxOut.N()
 		if p.CeilingRate.V() > 0 {
 			if u.hard.fill(now); n.Units > u.hard.level+1e-9 {
-				r.broken(5, inv.Ref, "%s passes the ceiling of customer %s: %.2f units where %.2f were left", inv.Ref, n.Cust.Key,
+				r.broken(5, inv.Ref, "%s passes the ceiling of customer %s: %.2f units where %.2f were left", inv.Ref, n.Customer.Key,
 					n.Units, u.hard.level)
 			}
 			u.hard.level -= n.Units
 		}
 	}
-	if !d.Out {
-		d.Out = true
+	if !d.CountsAgainstQuota {
+		d.CountsAgainstQuota = true
 		u.out++
 	}
 	return first, beyond
@@ -251,20 +251,20 @@
 func (r *Referee) Foreign(ref, text string) { r.broken(1, ref, "%s", text) }
 
 // Ran: a delivery has begun to run.
-func (r *Referee) Ran(d *model.Delivery) {
-	for _, e := range d.Inv.Deliveries {
-		if e != d && e.Ran && d.Inv.Need.Op.Effect == "non-idempotent" {
-			r.broken(2, d.Inv.Ref, "%s, non-idempotent, has run twice: deliveries %d and %d", d.Inv.Ref, e.Number, d.Number)
+func (r *Referee) Ran(d *model.Attempt) {
+	for _, e := range d.Invocation.Attempts {
+		if e != d && e.Started && d.Invocation.Request.Operation.Effect == "non-idempotent" {
+			r.broken(2, d.Invocation.Ref, "%s, non-idempotent, has run twice: deliveries %d and %d", d.Invocation.Ref, e.Number, d.Number)
 		}
 	}
-	d.Ran = true
+	d.Started = true
 }
 
 // Ended: a delivery is no longer out: its answer is written, or its connection has ended.
-func (r *Referee) Ended(d *model.Delivery) {
-	if d.Out {
-		d.Out = false
-		r.use(d.Inv.Need.Cust).out--
+func (r *Referee) Ended(d *model.Attempt) {
+	if d.CountsAgainstQuota {
+		d.CountsAgainstQuota = false
+		r.use(d.Invocation.Request.Customer).out--
 	}
 }
 
@@ -276,21 +276,21 @@
 }
 
 // Answered: an api gateway gives a final answer.
-func (r *Referee) Answered(inv *model.Invocation, how model.Ending) {
-	if inv.Final != model.Open {
-		r.broken(1, inv.Ref, "%s gets a second final answer: %s after %s", inv.Ref, model.Endings[how], model.Endings[inv.Final])
+func (r *Referee) Answered(inv *model.Invocation, how model.Outcome) {
+	if inv.Outcome != model.Pending {
+		r.broken(1, inv.Ref, "%s gets a second final answer: %s after %s", inv.Ref, model.OutcomeNames[how], model.OutcomeNames[inv.Outcome])
 		return
 	}
-	inv.Final = how
-	if r.now() > inv.GiveUp+Slack {
-		r.broken(1, inv.Ref, "%s is answered %.3f s after its client gave up", inv.Ref, r.now()-inv.GiveUp)
+	inv.Outcome = how
+	if r.now() > inv.GiveUpAt+Slack {
+		r.broken(1, inv.Ref, "%s is answered %.3f s after its client gave up", inv.Ref, r.now()-inv.GiveUpAt)
 	}
 	if how != model.Throttled {
 		return
 	}
-	op := inv.Need.Op
-	for _, d := range inv.Deliveries {
-		if !d.Proved && (op.Effect == "non-idempotent" || op.Effect == "tokened" && op.Group != "all") {
+	op := inv.Request.Operation
+	for _, d := range inv.Attempts {
+		if !d.ProvenNotRun && (op.Effect == "non-idempotent" || op.Effect == "tokened" && op.Group != "all") {
 			r.broken(2, inv.Ref, "%s, %s, is throttled though delivery %d may have run", inv.Ref, op.Effect, d.Number)
 		}
 	}
@@ -298,23 +298,23 @@
 
 // Unanswered: the client's time is over and nothing has come.
 func (r *Referee) Unanswered(inv *model.Invocation) {
-	if inv.Final == model.Open {
+	if inv.Outcome == model.Pending {
 		r.broken(1, inv.Ref, "%s was taken and got no final answer before its client gave up", inv.Ref)
-		inv.Final = model.Unanswered
+		inv.Outcome = model.Unanswered
 	}
 }
 
 // Fell: a cold host fell over; a break if two thirds of what did it came from api gateways that knew of its start.
-func (r *Referee) Fell(h *hostmodel.Host, sent []hostmodel.Sent) {
+func (r *Referee) Fell(h *hostmodel.Host, sent []hostmodel.Arrival) {
 	all, told := 0.0, 0.0
 	for _, s := range sent {
 		all += s.Work
-		if k, ok := r.told[s.Gateway][h.Number]; ok && k.born == h.Started {
+		if k, ok := r.told[s.Gateway][h.Number]; ok && k.born == h.StartedAt {
 			told += s.Work
 		}
 	}
 	if told >= all*2/3 {
 		r.broken(4, "", "host %d fell over %.2f s after its start under %.3f core seconds in %.2f s, %.0f%% of it from api gateways that knew",
-			h.Number, r.now()-h.Started, all, r.day.Cold.Window.V(), 100*told/all)
+			h.Number, r.now()-h.StartedAt, all, r.day.Cold.Window.V(), 100*told/all)
 	}
 }
--- a/sim/oracle/oracle_test.go
+++ b/sim/oracle/oracle_test.go
@@ -29,20 +29,20 @@
 func try(effect, group string) *model.Invocation {
 	op := &scenario.Operation{Name: "o", Effect: effect, Group: group, TokenTime: fixed(2), Work: fixed(0.1), Value: fixed(1)}
 	plan := &scenario.Plan{Rate: fixed(2), Burst: fixed(10), CeilingRate: fixed(1), CeilingBurst: fixed(12), Price: fixed(1)}
-	n := &model.Need{Cust: &model.Customer{Key: "c", Plan: plan}, Op: model.Operation{Operation: op}, Units: 4, True: 4}
-	return &model.Invocation{Ref: "r", Need: n, GiveUp: 5}
+	n := &model.Request{Customer: &model.Customer{Key: "c", Plan: plan}, Operation: model.Operation{Operation: op}, Units: 4, ActualUnits: 4}
+	return &model.Invocation{Ref: "r", Request: n, GiveUpAt: 5}
 }
 
-func (c *court) send(inv *model.Invocation, host int) *model.Delivery {
-	d := &model.Delivery{Inv: inv, Number: len(inv.Deliveries), Host: host, Sent: c.now}
-	inv.Deliveries = append(inv.Deliveries, d)
+func (c *court) send(inv *model.Invocation, host int) *model.Attempt {
+	d := &model.Attempt{Invocation: inv, Number: len(inv.Attempts), Host: host, SentAt: c.now}
+	inv.Attempts = append(inv.Attempts, d)
 	c.Sent(d)
 	return d
 }
 
 // Each story ends in one rule broken, and in none once the step that breaks it is left out.
 func TestEachRuleIsSeenBroken(t *testing.T) {
-	over := func(d *model.Delivery, proved bool) { d.Over, d.Proved = true, proved }
+	over := func(d *model.Attempt, proved bool) { d.Ended, d.ProvenNotRun = true, proved }
 	for _, x := range []struct {
 		name string
 		rule int
@@ -65,7 +65,7 @@
 		{"answered late", 1, "after its client gave up", func(c *court, wrong bool) {
 			inv := try("idempotent", "")
 			if wrong {
-				c.now = inv.GiveUp + 0.1
+				c.now = inv.GiveUpAt + 0.1
 			}
 			c.Answered(inv, model.Errored)
 		}},
@@ -123,17 +123,17 @@
 			c.send(try("idempotent", ""), 7)
 		}},
 		{"a cold host under what they knew", 4, "fell over", func(c *court, wrong bool) {
-			h := &hostmodel.Host{Number: 3, Started: 1}
+			h := &hostmodel.Host{Number: 3, StartedAt: 1}
 			if wrong {
 				c.Told(0, 3, "active", 1)
 			}
-			c.Fell(h, []hostmodel.Sent{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
+			c.Fell(h, []hostmodel.Arrival{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
 		}},
 		{"a ceiling passed", 5, "ceiling", func(c *court, wrong bool) {
-			cust := try("idempotent", "").Need.Cust
+			cust := try("idempotent", "").Request.Customer
 			for range map[bool]int{true: 4, false: 3}[wrong] { // 4 units each, 12 at once
 				inv := try("idempotent", "")
-				inv.Need.Cust = cust
+				inv.Request.Customer = cust
 				c.Reached(c.send(inv, 0))
 			}
 		}},
@@ -154,18 +154,18 @@
 // A store gives exactly one burst and its rate, whatever the order and size of what is asked.
 func TestTokenBucketIsExact(t *testing.T) {
 	c, d := newCourt(), randstream.New(3, "bucket")
-	cust := try("idempotent", "").Need.Cust
+	cust := try("idempotent", "").Request.Customer
 	cust.Plan.CeilingRate = fixed(0)
 	cust.Plan.Rate, cust.Plan.Burst = fixed(2), fixed(10)
 	taken, n := 0.0, 0
 	c.Room(cust, 1) // full from here on: what would pass the burst is lost
 	for c.now < 1000 {
 		if n > 0 {
-			c.now += d.Exp(0.05)
+			c.now += d.Exponential(0.05)
 		}
 		inv := try("idempotent", "")
-		inv.Need.Cust, inv.GiveUp = cust, c.now+1
-		inv.Need.Units, inv.Need.True = 0.5, 0.5
+		inv.Request.Customer, inv.GiveUpAt = cust, c.now+1
+		inv.Request.Units, inv.Request.ActualUnits = 0.5, 0.5
 		if room := c.Room(cust, 0.5); room {
 			if _, beyond := c.Reached(c.send(inv, 0)); beyond {
 				t.Fatalf("room at %.3f s, and beyond", c.now)
@@ -185,9 +185,9 @@
 func TestPlacesAreCounted(t *testing.T) {
 	c := newCourt()
 	cust := &model.Customer{Key: "p", Plan: &scenario.Plan{MaxOut: fixed(2)}}
-	reach := func() (*model.Delivery, bool) {
+	reach := func() (*model.Attempt, bool) {
 		inv := try("idempotent", "")
-		inv.Need.Cust = cust
+		inv.Request.Customer = cust
 		d := c.send(inv, 0)
 		_, beyond := c.Reached(d)
 		return d, beyond
--- a/sim/overlap/overlap.go
+++ b/sim/overlap/overlap.go
@@ -2,11 +2,11 @@
 // in any order. It knows nothing of what they mean.
 package overlap
 
-// Stack is the figures in force.
-type Stack []float64
+// Values is the figures in force.
+type Values []float64
 
-// Set puts a figure in, or takes one of that size out.
-func (s *Stack) Set(x float64, begin bool) {
+// Toggle puts a figure in, or takes one of that size out.
+func (s *Values) Toggle(x float64, begin bool) {
 	if begin {
 		*s = append(*s, x)
 		return
@@ -19,8 +19,8 @@
 	}
 }
 
-// Times is the product of all, 1 where there are none.
-func (s Stack) Times() float64 {
+// Product is the product of all, 1 where there are none.
+func (s Values) Product() float64 {
 	x := 1.0
 	for _, y := range s {
 		x *= y
@@ -29,7 +29,7 @@
 }
 
 // Any says whether one of several chances comes true; draw is asked for each.
-func (s Stack) Any(draw func(p float64) bool) bool {
+func (s Values) Any(draw func(p float64) bool) bool {
 	for _, p := range s {
 		if draw(p) {
 			return true
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -199,10 +199,10 @@
 func (p *plain) best(h *held) string {
 	best, least := "", math.Inf(1)
 	for _, x := range p.w.Hosts {
-		if x.State != hostmodel.Up || x.Silent() || !x.Takes() || p.hosts[x.Addr].State != "active" || x.Warmth() < 1 && x.Waiting() >= x.Cores {
+		if x.State != hostmodel.Up || x.IsSilent() || !x.AcceptsConnection() || p.hosts[x.Addr].State != "active" || x.Warmth() < 1 && x.Load() >= x.Cores {
 			continue
 		}
-		if ends := float64(x.Waiting()+1) / (float64(x.Cores) * x.Pace()); ends < least {
+		if ends := float64(x.Load()+1) / (float64(x.Cores) * x.CoreSpeed()); ends < least {
 			best, least = x.Addr, ends
 		}
 	}
--- a/sim/quotastoresim/adders.go
+++ b/sim/quotastoresim/adders.go
@@ -40,7 +40,7 @@
 	}
 	s := w.sim
 	x := s.randomServer()
-	next := func() { s.queue.After(s.random.Between(0.05, 0.4), func() { w.keepAdding(adder) }) }
+	next := func() { s.queue.ScheduleAfter(s.random.Uniform(0.05, 0.4), func() { w.keepAdding(adder) }) }
 	if x == nil {
 		next()
 		return
--- a/sim/quotastoresim/billing.go
+++ b/sim/quotastoresim/billing.go
@@ -65,7 +65,7 @@
 }
 
 func (w *workload) collectLater() {
-	w.sim.queue.After(w.sim.random.Between(0.2, 0.8), w.collect)
+	w.sim.queue.ScheduleAfter(w.sim.random.Uniform(0.2, 0.8), w.collect)
 }
 
 // collectedAll takes the replies of all groups for a batch; nil: a group's was not heard, and the batch is asked for again.
--- a/sim/quotastoresim/faults.go
+++ b/sim/quotastoresim/faults.go
@@ -28,7 +28,7 @@
 	if s.faultsOver {
 		return
 	}
-	s.queue.After(s.random.Between(minFaultGap, maxFaultGap), s.injectFault)
+	s.queue.ScheduleAfter(s.random.Uniform(minFaultGap, maxFaultGap), s.injectFault)
 	x := s.servers[s.random.IntN(len(s.servers))]
 	s.verdict.Faults++
 	switch s.random.IntN(faultKinds) {
@@ -40,18 +40,18 @@
 		s.freeze(x)
 	case faultCut, faultCutToo:
 		y := s.servers[s.random.IntN(len(s.servers))]
-		s.cut(x, y, s.random.Between(minCut, maxCut))
+		s.cut(x, y, s.random.Uniform(minCut, maxCut))
 		if s.random.Chance(cutBothWays) {
-			s.cut(y, x, s.random.Between(minCut, maxCut))
+			s.cut(y, x, s.random.Uniform(minCut, maxCut))
 		}
 	case faultIsolated:
 		for _, y := range s.servers {
-			s.cut(x, y, s.random.Between(minCut, maxCut))
-			s.cut(y, x, s.random.Between(minCut, maxCut))
+			s.cut(x, y, s.random.Uniform(minCut, maxCut))
+			s.cut(y, x, s.random.Uniform(minCut, maxCut))
 		}
 	case faultSlowDisk:
 		x.writeTime = slowDisk
-		s.queue.After(s.random.Between(minSlow, maxSlow), func() { x.writeTime = fastDisk })
+		s.queue.ScheduleAfter(s.random.Uniform(minSlow, maxSlow), func() { x.writeTime = fastDisk })
 	}
 }
 
@@ -62,12 +62,12 @@
 		return
 	}
 	s.stop(x)
-	s.startAfter(x, s.random.Between(minDown, maxDown))
+	s.startAfter(x, s.random.Uniform(minDown, maxDown))
 }
 
 func (s *simulation) startAfter(x *server, seconds float64) {
 	process := x.process
-	s.queue.After(seconds, func() {
+	s.queue.ScheduleAfter(seconds, func() {
 		if x.process == process && !x.up {
 			s.start(x)
 		}
@@ -81,7 +81,7 @@
 	}
 	x.frozen = true
 	process := x.process
-	s.queue.After(s.random.Pareto(freezeShape)*freezeScale, func() {
+	s.queue.ScheduleAfter(s.random.Pareto(freezeShape)*freezeScale, func() {
 		if x.process == process && x.frozen {
 			x.frozen = false
 			s.resume(x)
@@ -101,7 +101,7 @@
 		s.stop(x)
 		x.frozen = false
 		s.wipe(x)
-		s.startAfter(x, s.random.Between(minDown, maxMachineDown))
+		s.startAfter(x, s.random.Uniform(minDown, maxMachineDown))
 	}
 }
 
--- a/sim/quotastoresim/holders.go
+++ b/sim/quotastoresim/holders.go
@@ -39,9 +39,9 @@
 	s := w.sim
 	h := &holder{id: fmt.Sprintf("edge-%d/%d", i, len(w.holders)), accounts: map[string]*account{}}
 	w.holders = append(w.holders, h)
-	s.queue.After(s.random.Between(2, 8), func() {
+	s.queue.ScheduleAfter(s.random.Uniform(2, 8), func() {
 		h.gone = true // dies with all that it knew
-		s.queue.After(s.random.Between(0, 1), func() { w.beginHolder(i) })
+		s.queue.ScheduleAfter(s.random.Uniform(0, 1), func() { w.beginHolder(i) })
 	})
 	w.keepReporting(h)
 }
@@ -51,7 +51,7 @@
 	if h.gone || w.over {
 		return
 	}
-	s.queue.After(s.random.Between(0.05, 0.5), func() { w.keepReporting(h) })
+	s.queue.ScheduleAfter(s.random.Uniform(0.05, 0.5), func() { w.keepReporting(h) })
 	x := s.randomServer()
 	if x == nil {
 		return
--- a/sim/quotastoresim/markers.go
+++ b/sim/quotastoresim/markers.go
@@ -19,11 +19,11 @@
 		return
 	}
 	s := w.sim
-	s.queue.After(s.random.Between(0.1, 0.5), w.keepMarking)
+	s.queue.ScheduleAfter(s.random.Uniform(0.1, 0.5), w.keepMarking)
 	w.markers.invocations++
 	invocation := fmt.Sprintf("ref-%d", w.markers.invocations)
 	for i := range 1 + s.random.IntN(maxDeliveries) {
-		s.queue.After(s.random.Between(0, 3), func() { w.deliver(invocation, fmt.Sprintf("edge-%d", i)) })
+		s.queue.ScheduleAfter(s.random.Uniform(0, 3), func() { w.deliver(invocation, fmt.Sprintf("edge-%d", i)) })
 	}
 }
 
--- a/sim/quotastoresim/network.go
+++ b/sim/quotastoresim/network.go
@@ -54,7 +54,7 @@
 	}
 	to := s.servers[m.To]
 	stream, process := s.network.streams[way], to.process
-	s.queue.At(at, func() {
+	s.queue.Schedule(at, func() {
 		if s.network.streams[way] != stream || s.network.cuts[way] > 0 || to.process != process {
 			s.messageLost(x, m)
 			return
@@ -68,12 +68,12 @@
 }
 
 func (s *simulation) randomDelay(bulk bool) float64 {
-	delay := s.random.Between(minDelay, maxDelay)
+	delay := s.random.Uniform(minDelay, maxDelay)
 	if s.random.Chance(lateChance) {
-		delay += s.random.Between(0, maxLateDelay)
+		delay += s.random.Uniform(0, maxLateDelay)
 	}
 	if bulk {
-		delay += s.random.Between(0, maxBulkDelay)
+		delay += s.random.Uniform(0, maxBulkDelay)
 	}
 	return delay
 }
@@ -87,7 +87,7 @@
 	if !s.random.Chance(failureNoticed) {
 		return
 	}
-	s.queue.After(failureDelay, func() {
+	s.queue.ScheduleAfter(failureDelay, func() {
 		if x.process == process {
 			s.execute(x, func() { x.node.SnapshotFailed(s.clock(x), m.To) })
 		}
@@ -102,7 +102,7 @@
 	way := link{from.number, to.number}
 	s.network.cuts[way]++
 	s.network.streams[way]++
-	s.queue.After(seconds, func() {
+	s.queue.ScheduleAfter(seconds, func() {
 		if s.network.cuts[way] > 0 && !s.faultsOver {
 			s.network.cuts[way]--
 		}
--- a/sim/quotastoresim/server.go
+++ b/sim/quotastoresim/server.go
@@ -64,7 +64,7 @@
 	x.calls = map[*call]bool{}
 	x.process++
 	process := x.process
-	s.queue.After(s.random.Between(0, tickInterval), func() { s.tick(x, process) })
+	s.queue.ScheduleAfter(s.random.Uniform(0, tickInterval), func() { s.tick(x, process) })
 }
 
 // tick ticks a process, and goes on to do so until it ends.
@@ -73,7 +73,7 @@
 		return
 	}
 	s.execute(x, func() { x.node.Tick(s.clock(x)) })
-	s.queue.After(tickInterval, func() { s.tick(x, process) })
+	s.queue.ScheduleAfter(tickInterval, func() { s.tick(x, process) })
 }
 
 // stop ends a process outright. What was being written is on its disk or not.
@@ -105,7 +105,7 @@
 	s.network.streams[there]++
 	s.network.streams[back]++
 	if s.network.cuts[there]+s.network.cuts[back] == 0 && s.random.Chance(streamEndHeard) {
-		s.queue.After(streamEndDelay, func() {
+		s.queue.ScheduleAfter(streamEndDelay, func() {
 			s.execute(y, func() { y.node.PeerDown(s.clock(y), x.number) })
 		})
 	}
@@ -179,7 +179,7 @@
 	x.writing = true
 	x.unwritten = ready.Writes
 	process := x.process
-	s.queue.After(x.writeTime*s.random.Between(0.2, 2), func() {
+	s.queue.ScheduleAfter(x.writeTime*s.random.Uniform(0.2, 2), func() {
 		if x.process != process {
 			return
 		}
--- a/sim/quotastoresim/simulation.go
+++ b/sim/quotastoresim/simulation.go
@@ -58,7 +58,7 @@
 	s.bootstrap()
 	s.workload = newWorkload(s)
 	if !o.NoFaults {
-		s.queue.At(faultsBegin, s.injectFault)
+		s.queue.Schedule(faultsBegin, s.injectFault)
 	}
 	s.queue.Run(o.FaultSeconds)
 	s.endFaults()
@@ -83,7 +83,7 @@
 	}
 	for number := range o.Servers {
 		x := &server{
-			number: number, disk: map[int]*replication.PersistentState{}, clockOffset: s.random.Between(0, maxClockOffset), writeTime: fastDisk,
+			number: number, disk: map[int]*replication.PersistentState{}, clockOffset: s.random.Uniform(0, maxClockOffset), writeTime: fastDisk,
 		}
 		s.servers = append(s.servers, x)
 		s.wipe(x)
--- a/sim/quotastoresim/workload.go
+++ b/sim/quotastoresim/workload.go
@@ -48,13 +48,13 @@
 func newWorkload(s *simulation) *workload {
 	w := &workload{sim: s, adds: counterHistory{}, markers: markers{letThrough: map[string][]string{}}, billing: newBilling()}
 	for i := range adderCount {
-		s.queue.After(0.8+0.01*float64(i), func() { w.keepAdding(i) })
+		s.queue.ScheduleAfter(0.8+0.01*float64(i), func() { w.keepAdding(i) })
 	}
 	for i := range holderCount {
-		s.queue.After(0.8, func() { w.beginHolder(i) })
+		s.queue.ScheduleAfter(0.8, func() { w.beginHolder(i) })
 	}
-	s.queue.After(1, w.keepMarking)
-	s.queue.After(1, w.collect)
+	s.queue.ScheduleAfter(1, w.keepMarking)
+	s.queue.ScheduleAfter(1, w.collect)
 	return w
 }
 
@@ -97,7 +97,7 @@
 	process := x.process
 	s.execute(x, func() {
 		x.node.Submit(group, command, func(outcome replication.Outcome, reply statemachine.Reply) {
-			s.queue.After(answerDelay, func() {
+			s.queue.ScheduleAfter(answerDelay, func() {
 				if x.process == process {
 					then(outcome, reply)
 				}
--- a/sim/randstream/randstream.go
+++ b/sim/randstream/randstream.go
@@ -24,11 +24,11 @@
 	return Stream{rand.New(rand.NewPCG(seed, h.Sum64()))}
 }
 
-// Exp draws from the exponential distribution of a mean.
-func (s Stream) Exp(mean float64) float64 { return s.ExpFloat64() * mean }
+// Exponential draws from the exponential distribution of a mean.
+func (s Stream) Exponential(mean float64) float64 { return s.ExpFloat64() * mean }
 
-// Between draws evenly from lo to hi.
-func (s Stream) Between(lo, hi float64) float64 { return lo + (hi-lo)*s.Float64() }
+// Uniform draws evenly from lo to hi.
+func (s Stream) Uniform(lo, hi float64) float64 { return lo + (hi-lo)*s.Float64() }
 
 // Chance is true in p of all cases.
 func (s Stream) Chance(p float64) bool { return p > 0 && s.Float64() < p }
@@ -38,8 +38,8 @@
 	return min(20, (a-1)/a/math.Pow(1-s.Float64(), 1/a))
 }
 
-// Part picks so many of n places, in order; at least one where share is over 0 and n is.
-func (s Stream) Part(n int, share float64) []bool {
+// SampleShare picks so many of n places, in order; at least one where share is over 0 and n is.
+func (s Stream) SampleShare(n int, share float64) []bool {
 	in := make([]bool, n)
 	most := int(math.Round(share * float64(n)))
 	if share > 0 && most == 0 {
--- a/sim/scenario/read.go
+++ b/sim/scenario/read.go
@@ -494,7 +494,7 @@
 		if s.Lo == s.Hi || strings.HasSuffix(path, "].speed") {
 			return
 		}
-		x := randstream.New(seed, "day "+path).Between(s.Lo, s.Hi)
+		x := randstream.New(seed, "day "+path).Uniform(s.Lo, s.Hi)
 		if tag.Get("unit") == "n" {
 			x = math.Round(x)
 		}
--- a/sim/scenariogen/entry.go
+++ b/sim/scenariogen/entry.go
@@ -75,7 +75,7 @@
 	if s == (span{}) {
 		return 0
 	}
-	return rounded(d.stream.Between(s.lo, s.hi))
+	return rounded(d.stream.Uniform(s.lo, s.hi))
 }
 
 func (d *drawing) oneOf(list []string) string {
--- a/sim/scenariogen/generate.go
+++ b/sim/scenariogen/generate.go
@@ -104,7 +104,7 @@
 // scene adds a disruption and others close to it: while it lasts, while its machines come back, or just after. A round given
 // with a kind picks the kind's variant in turn.
 func (d *drawing) scene(kind *Kind, round *uint64) {
-	at := d.stream.Between(firstMoment, max(firstMoment, d.LengthS-quietEnd-repairLatest))
+	at := d.stream.Uniform(firstMoment, max(firstMoment, d.LengthS-quietEnd-repairLatest))
 	if kind == nil {
 		kind = d.drawKind()
 	}
@@ -130,9 +130,9 @@
 // followingMoment is a moment of the repair of a disruption.
 func (d *drawing) followingMoment(of Disruption) float64 {
 	if d.stream.Chance(chanceOfReturn) {
-		return max(of.At, of.At+lasts(of)+d.stream.Between(-returnBefore, returnAfter))
+		return max(of.At, of.At+lasts(of)+d.stream.Uniform(-returnBefore, returnAfter))
 	}
-	return of.At + d.stream.Between(repairEarliest, repairLatest)
+	return of.At + d.stream.Uniform(repairEarliest, repairLatest)
 }
 
 // drawKind draws one by weight.
@@ -141,7 +141,7 @@
 	for _, kind := range d.kinds {
 		sum += specOf(kind).weight
 	}
-	left := d.stream.Between(0, sum)
+	left := d.stream.Uniform(0, sum)
 	for i := range d.kinds {
 		if left -= specOf(d.kinds[i]).weight; left < 0 {
 			return &d.kinds[i]
@@ -230,7 +230,7 @@
 
 // rowOfChanges lets the operator change the configuration again and again beside the rest.
 func (d *drawing) rowOfChanges() {
-	begin := d.stream.Between(firstMoment, d.LengthS/2)
+	begin := d.stream.Uniform(firstMoment, d.LengthS/2)
 	at := begin
 	for range fewestChanges + d.stream.IntN(mostChanges-fewestChanges+1) {
 		d.admit(Disruption{At: rounded(at), Kind: kindConfigChange, Planned: true, How: variantIdle})
--- a/sim/scenarios/scenarios.go
+++ b/sim/scenarios/scenarios.go
@@ -11,7 +11,7 @@
 //go:embed *.toml
 var files embed.FS
 
-var set = assets.Set{Files: files, Folder: ".", Sort: "day"}
+var set = assets.Set{Files: files, Folder: ".", Kind: "day"}
 
 // Names are the days there are, in order.
 func Names() []string { return set.Names() }
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -136,10 +136,10 @@
 		}
 	}
 	h := hostmodel.New(w.Queue, n, fmt.Sprintf("10.%d.%d.%d:9000", n>>16&255, n>>8&255, n&255), kind, &d.Cold, w.Seed)
-	h.Zone, h.Cell, h.Started = n%d.Fleet.Zones.N(), n/4, since
-	h.Fell = func(sent []hostmodel.Sent) {
+	h.Zone, h.Cell, h.StartedAt = n%d.Fleet.Zones.N(), n/4, since
+	h.OnOverload = func(sent []hostmodel.Arrival) {
 		w.Referee.Fell(h, sent)
-		w.list.Change(w.listed(h, "left"))
+		w.list.Publish(w.listed(h, "left"))
 	}
 	w.Hosts = append(w.Hosts, h)
 	w.byAddr[h.Addr] = h
@@ -150,7 +150,7 @@
 func Zone(n int) string { return fmt.Sprintf("zone-%d", n) }
 
 func (w *World) listed(h *hostmodel.Host, state string) policy.HostEntry {
-	return policy.HostEntry{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, StartedAt: h.Started, Weight: 1}
+	return policy.HostEntry{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, StartedAt: h.StartedAt, Weight: 1}
 }
 
 // Settings are the start settings of an api gateway of this day, as the platform would give them.
@@ -213,7 +213,7 @@
 	for i := range w.Day.Troubles {
 		w.trouble(i, &w.Day.Troubles[i])
 	}
-	w.Queue.After(1, w.second)
+	w.Queue.ScheduleAfter(1, w.second)
 }
 
 // Ends is when every need is closed.
@@ -243,7 +243,7 @@
 
 // Net is the way between the day's machines; List what an api gateway was last told.
 func (w *World) Net() *network.Network               { return w.net }
-func (w *World) List(gateway int) []policy.HostEntry { return w.list.List(gateway) }
+func (w *World) List(gateway int) []policy.HostEntry { return w.list.HostList(gateway) }
 
 // Told is the story that was asked for, in time order.
 func (w *World) Told() []string { return w.lines }
@@ -263,7 +263,7 @@
 		return
 	}
 	w.Referee.Started(slot)
-	list := w.list.List(slot)
+	list := w.list.HostList(slot)
 	for _, l := range list {
 		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
 	}
@@ -289,21 +289,21 @@
 	for _, h := range w.Hosts {
 		if h.State != hostmodel.Down {
 			cores += float64(h.Cores)
-			s.Busy += float64(min(h.Cores, h.Waiting()))
-			s.Waiting += float64(h.Waiting())
+			s.Busy += float64(min(h.Cores, h.Load()))
+			s.Waiting += float64(h.Load())
 			s.HostsUp++
 		}
 	}
 	s.Busy /= max(1, cores)
 	s.Alive = float64(w.alive)
-	if w.Counter.Forget(); w.prog != nil {
+	if w.Counter.DropExpired(); w.prog != nil {
 		w.prog(now)
 	}
 	if w.decider.Err() != nil {
 		w.Queue.Stop()
 	}
 	if now < w.Figures.Began+w.Day.Length.V() {
-		w.Queue.After(1, w.second)
+		w.Queue.ScheduleAfter(1, w.second)
 	}
 }
 
@@ -312,40 +312,40 @@
 func (w *World) Arrive(inv *model.Invocation) bool { return w.Edges[inv.Gateway].Arrive(inv) }
 func (w *World) Admits(gateway int) bool           { return w.Edges[gateway].Admits }
 
-func (w *World) Asked(n *model.Need) {
+func (w *World) Asked(n *model.Request) {
 	w.Figures.First++
 	w.Figures.At(w.Queue.Now()).First++
-	if n.Inside = w.Referee.Asked(n); n.Inside {
+	if n.WithinQuota = w.Referee.Asked(n); n.WithinQuota {
 		w.Figures.Count(n, metrics.Share{Asked: n.Value()})
 	}
 }
 
-func (w *World) Closed(n *model.Need, took float64) {
+func (w *World) Closed(n *model.Request, took float64) {
 	w.Figures.Close(n, took, w.Queue.Now())
 }
 
 // Done counts how a try ended for its client.
-func (w *World) Done(how model.Ending) { w.Figures.Try(how) }
+func (w *World) Done(how model.Outcome) { w.Figures.Try(how) }
 
 func (w *World) Tried(inv *model.Invocation) {
-	if w.Figures.Tries++; inv.Repeat {
+	if w.Figures.Tries++; inv.ClientRetry {
 		w.Figures.At(w.Queue.Now()).Repeats++
 	}
-	w.Note(inv.Gateway, inv.Ref, fmt.Sprintf("asked for by customer %s, %s, plan %s, %.0f units, gives up at %.3f s", inv.Need.Cust.Key,
-		inv.Need.Op.Name, inv.Need.Cust.Plan.Name, inv.Need.Units, inv.GiveUp))
+	w.Note(inv.Gateway, inv.Ref, fmt.Sprintf("asked for by customer %s, %s, plan %s, %.0f units, gives up at %.3f s", inv.Request.Customer.Key,
+		inv.Request.Operation.Name, inv.Request.Customer.Plan.Name, inv.Request.Units, inv.GiveUpAt))
 }
 
 // What api gateways meet.
 
 func (w *World) Host(addr string) *hostmodel.Host { return w.byAddr[addr] }
 
-func (w *World) Sent(d *model.Delivery) {
+func (w *World) Sent(d *model.Attempt) {
 	w.Figures.Deliveries++
 	w.Figures.At(w.Queue.Now()).Sends++
 	w.Referee.Sent(d)
 	w.Referee.Grouped(d, func(a, b int) bool {
 		x, y := w.Hosts[a], w.Hosts[b]
-		switch d.Inv.Need.Op.Group {
+		switch d.Invocation.Request.Operation.Group {
 		case "zone":
 			return x.Zone == y.Zone
 		case "cell":
@@ -356,7 +356,7 @@
 }
 
 // SentLate is Sent for a delivery that was held up on the way: when it set out isn't known.
-func (w *World) SentLate(d *model.Delivery) {
+func (w *World) SentLate(d *model.Attempt) {
 	w.Swallowed()
 	w.Referee.Repeated(d)
 }
@@ -367,42 +367,42 @@
 	w.Figures.At(w.Queue.Now()).Sends++
 }
 
-func (w *World) Reached(d *model.Delivery) {
+func (w *World) Reached(d *model.Attempt) {
 	first, beyond := w.Referee.Reached(d)
-	w.Note(d.Inv.Gateway, d.Inv.Ref, fmt.Sprintf("delivery %d reaches host %d", d.Number, d.Host))
+	w.Note(d.Invocation.Gateway, d.Invocation.Ref, fmt.Sprintf("delivery %d reaches host %d", d.Number, d.Host))
 	if !first {
 		return
 	}
-	n := d.Inv.Need
-	n.Beyond = beyond
+	n := d.Invocation.Request
+	n.BeyondQuota = beyond
 	s := metrics.Share{Sent: n.Value()}
 	if beyond {
 		s.Beyond = n.Value()
-		s.BeyondCost = n.Value() * n.Cust.Plan.OverCost.V()
+		s.BeyondCost = n.Value() * n.Customer.Plan.OverCost.V()
 		s.Worth = -s.BeyondCost
 	}
 	w.Figures.Count(n, s)
 }
 
-func (w *World) Ran(d *model.Delivery) {
+func (w *World) Ran(d *model.Attempt) {
 	w.Referee.Ran(d)
-	w.Note(d.Inv.Gateway, d.Inv.Ref, fmt.Sprintf("delivery %d runs on host %d", d.Number, d.Host))
+	w.Note(d.Invocation.Gateway, d.Invocation.Ref, fmt.Sprintf("delivery %d runs on host %d", d.Number, d.Host))
 }
 
-func (w *World) EndedAt(d *model.Delivery) { w.Referee.Ended(d) }
+func (w *World) EndedAt(d *model.Attempt) { w.Referee.Ended(d) }
 
-func (w *World) Answered(inv *model.Invocation, how model.Ending) (room bool) {
+func (w *World) Answered(inv *model.Invocation, how model.Outcome) (room bool) {
 	if how == model.Unanswered {
 		w.Referee.Unanswered(inv)
 		return false
 	}
 	if how == model.Throttled {
-		room = w.Referee.Room(inv.Need.Cust, inv.Need.True)
+		room = w.Referee.Room(inv.Request.Customer, inv.Request.ActualUnits)
 	}
 	if how == model.Served {
-		for _, d := range inv.Deliveries {
-			if d.Ran && d.Over {
-				w.useful += inv.Need.Work / w.Hosts[d.Host].Speed
+		for _, d := range inv.Attempts {
+			if d.Started && d.Ended {
+				w.useful += inv.Request.Work / w.Hosts[d.Host].Speed
 				break
 			}
 		}
@@ -411,7 +411,7 @@
 	return room
 }
 
-func (w *World) Client(inv *model.Invocation, how model.Ending, retryAfter float64, room bool) {
+func (w *World) Client(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool) {
 	w.Crowd.Ended(inv, how, retryAfter, room)
 }
 
@@ -420,7 +420,7 @@
 		return
 	}
 	for i, e := range w.Edges {
-		if (to == membership.Broadcast && i != from || i == to) && e.Alive && !w.net.Cut(w.Edges[from].Zone, e.Zone) {
+		if (to == membership.Broadcast && i != from || i == to) && e.Alive && !w.net.Partitioned(w.Edges[from].Zone, e.Zone) {
 			w.post.Send(i, text, func() { e.Mailed(from, text) })
 		}
 	}
--- a/sim/simulation/troubles.go
+++ b/sim/simulation/troubles.go
@@ -15,10 +15,10 @@
 // trouble sets when one trouble begins and ends.
 func (w *World) trouble(n int, t *scenario.Trouble) {
 	d := randstream.New(w.Seed, "trouble", n)
-	w.Queue.After(t.At.V(), func() {
+	w.Queue.ScheduleAfter(t.At.V(), func() {
 		end := w.begin(n, t, d)
 		if end != nil {
-			w.Queue.After(t.Lasts.V(), end)
+			w.Queue.ScheduleAfter(t.Lasts.V(), end)
 		}
 	})
 }
@@ -31,7 +31,7 @@
 	}
 	customers := func(do func(c *model.Customer, begin bool)) func() {
 		var struck []*model.Customer
-		for i, in := range d.Part(len(w.Crowd.Customers), part) {
+		for i, in := range d.SampleShare(len(w.Crowd.Customers), part) {
 			if in {
 				struck = append(struck, w.Crowd.Customers[i])
 			}
@@ -50,56 +50,56 @@
 	}
 	switch t.Kind {
 	case "slow":
-		return hosts(func(h *hostmodel.Host, b bool) { h.Slow(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.SlowDown(size, b) })
 	case "silent":
-		return hosts(func(h *hostmodel.Host, b bool) { h.Mute(b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.Silence(b) })
 	case "vanish":
 		return hosts(func(h *hostmodel.Host, b bool) {
-			if h.Mute(b); !b && h.State == hostmodel.Up { // back under its address, cold
+			if h.Silence(b); !b && h.State == hostmodel.Up { // back under its address, cold
 				h.Start()
-				w.list.Change(w.listed(h, "active"))
+				w.list.Publish(w.listed(h, "active"))
 			}
 		})
 	case "operation-silent":
-		return hosts(func(h *hostmodel.Host, b bool) { h.MuteFor(operation, size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.SilenceOperation(operation, size, b) })
 	case "errors":
-		return hosts(func(h *hostmodel.Host, b bool) { h.Errs(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.FailShare(size, b) })
 	case "spoilt":
-		return hosts(func(h *hostmodel.Host, b bool) { h.Spoils(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.CorruptShare(size, b) })
 	case "refuse":
-		return hosts(func(h *hostmodel.Host, b bool) { h.Few(size, b) })
+		return hosts(func(h *hostmodel.Host, b bool) { h.ScaleConnectionLimit(size, b) })
 	case "replace":
 		w.replace(w.struckHosts(d, part), t.Lasts.V())
 	case "grow":
 		for range int(math.Round(part * float64(len(w.Hosts)))) {
-			w.list.Change(w.listed(w.newHost(w.Queue.Now()), "active"))
+			w.list.Publish(w.listed(w.newHost(w.Queue.Now()), "active"))
 		}
 	case "reset":
-		return whole(func(b bool) { w.net.Resets(size, b) })
+		return whole(func(b bool) { w.net.ResetConnections(size, b) })
 	case "delay":
-		return whole(func(b bool) { w.net.Stretch(size, b) })
+		return whole(func(b bool) { w.net.ScaleDelays(size, b) })
 	case "half-open":
-		return whole(func(b bool) { w.net.HalfOpen(size, b) })
+		return whole(func(b bool) { w.net.LoseAnswers(size, b) })
 	case "cut": // never the first zone, where the counter stands
 		zones := w.Day.Fleet.Zones.N()
 		return whole(func(b bool) {
 			for z := zones - 1; z >= 1 && z >= zones-max(1, int(math.Round(part*float64(zones)))); z-- {
-				w.net.CutOff(z, b)
+				w.net.IsolateZone(z, b)
 			}
 		})
 	case "counter-silent":
-		return w.counterAway(t, w.Counter.Silent)
+		return w.counterAway(t, w.Counter.Silence)
 	case "counter-refuse":
-		return w.counterAway(t, w.Counter.Refuse)
+		return w.counterAway(t, w.Counter.RefuseConnections)
 	case "counter-small":
-		return whole(func(b bool) { w.Counter.Small(size, b) })
+		return whole(func(b bool) { w.Counter.ScaleCapacity(size, b) })
 	case "counter-drop":
-		return whole(func(b bool) { w.Counter.Drop(size, b) })
+		return whole(func(b bool) { w.Counter.DropAnswers(size, b) })
 	case "counter-takeover":
 		led := d.Uint64()
 		return whole(func(b bool) { w.Counter.Takeover(led, part, b) })
 	case "counter-split":
-		struck := d.Part(w.Day.Fleet.Gateways.N(), part)
+		struck := d.SampleShare(w.Day.Fleet.Gateways.N(), part)
 		return whole(func(b bool) {
 			w.Counter.Split(b)
 			for i, in := range struck {
@@ -109,15 +109,15 @@
 			}
 		})
 	case "counter-replaced":
-		w.Counter.Back("empty")
+		w.Counter.Restore("empty")
 	case "list-late":
-		return whole(func(b bool) { w.list.Late(size, b) })
+		return whole(func(b bool) { w.list.SlowDown(size, b) })
 	case "list-silent":
-		return whole(w.list.Silent)
+		return whole(w.list.Pause)
 	case "list-wrong":
 		return hosts(func(h *hostmodel.Host, b bool) {
 			if state := map[bool]string{true: "leaving", false: "active"}[b]; h.State == hostmodel.Up {
-				w.list.Change(w.listed(h, state))
+				w.list.Publish(w.listed(h, state))
 			}
 		})
 	case "mail-loss":
@@ -133,23 +133,23 @@
 	case "impatient":
 		return customers(func(c *model.Customer, b bool) { w.Crowd.Hurry(c, size, b) })
 	case "kill":
-		for i, in := range d.Part(w.Day.Fleet.Gateways.N(), part) {
+		for i, in := range d.SampleShare(w.Day.Fleet.Gateways.N(), part) {
 			if in {
 				w.kill(i, t.Lasts.V())
 			}
 		}
 	case "restart":
 		var struck []int
-		for i, in := range d.Part(w.Day.Fleet.Gateways.N(), part) {
+		for i, in := range d.SampleShare(w.Day.Fleet.Gateways.N(), part) {
 			if in {
 				struck = append(struck, i)
 			}
 		}
 		for i, slot := range struck {
-			w.Queue.After(t.Lasts.V()*float64(i)/float64(len(struck)), func() { w.restart(slot) })
+			w.Queue.ScheduleAfter(t.Lasts.V()*float64(i)/float64(len(struck)), func() { w.restart(slot) })
 		}
 	case "starve":
-		struck := d.Part(len(w.Edges), part)
+		struck := d.SampleShare(len(w.Edges), part)
 		return whole(func(b bool) {
 			for i, in := range struck {
 				if in {
@@ -181,7 +181,7 @@
 			up = append(up, h)
 		}
 	}
-	for i, in := range d.Part(len(up), part) {
+	for i, in := range d.SampleShare(len(up), part) {
 		if in {
 			struck = append(struck, up[i])
 		}
@@ -195,17 +195,17 @@
 // replace lets hosts leave one after another; each drains first, and a cold one comes as it begins to.
 func (w *World) replace(struck []*hostmodel.Host, lasts float64) {
 	for i, h := range struck {
-		w.Queue.After(lasts*float64(i)/float64(len(struck)), func() {
+		w.Queue.ScheduleAfter(lasts*float64(i)/float64(len(struck)), func() {
 			if h.State != hostmodel.Up {
 				return
 			}
-			w.list.Change(w.listed(h, "leaving"))
-			w.list.Change(w.listed(w.newHost(w.Queue.Now()), "active"))
+			w.list.Publish(w.listed(h, "leaving"))
+			w.list.Publish(w.listed(w.newHost(w.Queue.Now()), "active"))
 			// It takes new work until all can have been told that it drains.
-			w.Queue.After(drain, func() { h.State = hostmodel.Draining })
-			w.Queue.After(2*drain, func() {
+			w.Queue.ScheduleAfter(drain, func() { h.State = hostmodel.Draining })
+			w.Queue.ScheduleAfter(2*drain, func() {
 				h.Stop()
-				w.list.Change(w.listed(h, "left"))
+				w.list.Publish(w.listed(h, "left"))
 			})
 		})
 	}
@@ -213,10 +213,10 @@
 
 // counterAway takes the counter away and brings it back with what the trouble says.
 func (w *World) counterAway(t *scenario.Trouble, away func(begin bool)) func() {
-	w.Counter.Keep()
+	w.Counter.Snapshot()
 	away(true)
 	return func() {
-		w.Counter.Back(t.Back)
+		w.Counter.Restore(t.Back)
 		away(false)
 	}
 }
@@ -234,12 +234,12 @@
 	e.Kill()
 	w.alive--
 	e.Admits = true // not noticed yet
-	w.Queue.After(w.Day.Gateway.Notice.V(), func() {
+	w.Queue.ScheduleAfter(w.Day.Gateway.Notice.V(), func() {
 		if !e.Alive {
 			e.Admits = false
 		}
 	})
-	w.Queue.After(down, func() { w.start(slot) })
+	w.Queue.ScheduleAfter(down, func() { w.start(slot) })
 }
 
 // restart lets an api gateway end what it holds, then start with empty hands half a second later.
@@ -260,12 +260,12 @@
 			return
 		}
 		if e.InHand() > 0 && w.Queue.Now() < began+5 {
-			w.Queue.After(0.05, look)
+			w.Queue.ScheduleAfter(0.05, look)
 			return
 		}
 		e.Kill()
 		w.alive--
-		w.Queue.After(0.5, func() { w.start(slot) })
+		w.Queue.ScheduleAfter(0.5, func() { w.start(slot) })
 	}
 	look()
 }
--- a/sim/workload/workload.go
+++ b/sim/workload/workload.go
@@ -19,10 +19,10 @@
 	// Admits says whether the front sends tries to this api gateway.
 	Admits(gateway int) bool
 	// Asked, Closed, Tried and Done tell of a need that begins or ends, and of a try.
-	Asked(n *model.Need)
-	Closed(n *model.Need, took float64)
+	Asked(n *model.Request)
+	Closed(n *model.Request, took float64)
 	Tried(inv *model.Invocation)
-	Done(how model.Ending)
+	Done(how model.Outcome)
 }
 
 // Crowd is all customers of a day.
@@ -97,21 +97,21 @@
 		n := len(c.Customers)
 		x := &model.Customer{
 			Number: n, Key: fmt.Sprintf("%016x", 0x10000000+uint64(n)*2654435761%0xe0000000), Plan: p, PlanNumber: plan,
-			Times: 1, Short: 1, Width: min(c.gateways, max(1, k.Set.N())),
+			RateFactor: 1, PatienceFactor: 1, GatewayCount: min(c.gateways, max(1, k.Set.N())),
 		}
 		part := 0.0
 		switch u := who.Float64(); {
 		case u < k.Over.V():
-			x.Class, part = model.Over, k.OverBy.V()*who.Between(0.7, 1.3)
+			x.QuotaUse, part = model.OverQuota, k.OverBy.V()*who.Uniform(0.7, 1.3)
 		case u < k.Over.V()+k.Near.V():
-			x.Class, part = model.Near, who.Between(0.85, 1)
+			x.QuotaUse, part = model.NearQuota, who.Uniform(0.85, 1)
 		default:
 			part = min(0.8, 0.3*who.Pareto(k.Heavy.V()))
 		}
-		x.First = who.IntN(c.gateways)
-		x.Favourite = x.First
-		x.Follows = who.Chance(k.Follow.V())
-		x.Rate = part * quota / c.meanUnits
+		x.FirstGateway = who.IntN(c.gateways)
+		x.Preferred = x.FirstGateway
+		x.HonoursRetryAfter = who.Chance(k.Follow.V())
+		x.InvocationRate = part * quota / c.meanUnits
 		inside += min(1, part) * quota / c.meanUnits
 		c.Customers = append(c.Customers, x)
 	}
@@ -127,11 +127,11 @@
 
 // plan sets when a customer asks next.
 func (c *Crowd) plan(x *model.Customer) {
-	if x.Rate*x.Times <= 0 {
+	if x.InvocationRate*x.RateFactor <= 0 {
 		return
 	}
 	life := c.lives[x.Number]
-	c.q.After(c.load.Exp(1/(x.Rate*x.Times)), func() {
+	c.q.ScheduleAfter(c.load.Exponential(1/(x.InvocationRate*x.RateFactor)), func() {
 		if c.lives[x.Number] != life || c.q.Now() >= c.end {
 			return
 		}
@@ -148,7 +148,7 @@
 			break
 		}
 	}
-	n := &model.Need{Cust: x, Op: op, Units: c.units(), Born: now, Until: now + op.Timeout.V()}
+	n := &model.Request{Customer: x, Operation: op, Units: c.units(), CreatedAt: now, Deadline: now + op.Timeout.V()}
 	n.Work = op.Work.V() // what an invocation costs grows with neither its units nor its customer
 	switch draw := c.load.Float64(); op.Spread {
 	case "exponential":
@@ -156,22 +156,22 @@
 	case "even":
 		n.Work *= 0.5 + draw
 	}
-	if n.True = n.Units; c.day.Counter.Settles {
-		n.True = max(1, math.Round(n.Units*c.load.Between(0.5, 1.5)))
+	if n.ActualUnits = n.Units; c.day.Counter.Settles {
+		n.ActualUnits = max(1, math.Round(n.Units*c.load.Uniform(0.5, 1.5)))
 	}
 	c.door.Asked(n)
 	c.try(n, false)
 }
 
 // try sends a client's next try through one of the customer's api gateways.
-func (c *Crowd) try(n *model.Need, repeat bool) {
-	x, now := n.Cust, c.q.Now()
-	n.Tries++
+func (c *Crowd) try(n *model.Request, repeat bool) {
+	x, now := n.Customer, c.q.Now()
+	n.InvocationCount++
 	c.tries++
-	patience := c.mood.Between(c.day.Clients.Patience.V(), 1) * x.Short
+	patience := c.mood.Uniform(c.day.Clients.Patience.V(), 1) * x.PatienceFactor
 	inv := &model.Invocation{
-		Ref: fmt.Sprintf("%016x", c.tries*0x9e3779b97f4a7c15), Number: c.tries, Need: n, Born: now,
-		GiveUp: min(n.Until, now+patience*n.Op.Timeout.V()), Repeat: repeat && c.day.Clients.Marked,
+		Ref: fmt.Sprintf("%016x", c.tries*0x9e3779b97f4a7c15), Number: c.tries, Request: n, SentAt: now,
+		GiveUpAt: min(n.Deadline, now+patience*n.Operation.Timeout.V()), ClientRetry: repeat && c.day.Clients.Marked,
 	}
 	inv.Gateway = c.way(x)
 	c.door.Tried(inv)
@@ -184,53 +184,53 @@
 // passed over.
 func (c *Crowd) way(x *model.Customer) int {
 	now := c.q.Now()
-	if now >= x.Until {
-		x.Until = now + c.ways.Between(0.5, 1.5)*c.day.Clients.Change.V()
-		x.Favourite = c.ways.IntN(x.Width)
+	if now >= x.PreferredUntil {
+		x.PreferredUntil = now + c.ways.Uniform(0.5, 1.5)*c.day.Clients.Change.V()
+		x.Preferred = c.ways.IntN(x.GatewayCount)
 	}
-	pick := x.Favourite
-	if !x.Gathered && !c.ways.Chance(c.day.Clients.Uneven.V()) {
-		pick = c.ways.IntN(x.Width)
+	pick := x.Preferred
+	if !x.Concentrated && !c.ways.Chance(c.day.Clients.Uneven.V()) {
+		pick = c.ways.IntN(x.GatewayCount)
 	}
-	for i := range x.Width {
-		if g := (x.First + (pick+i)%x.Width) % c.gateways; c.door.Admits(g) {
+	for i := range x.GatewayCount {
+		if g := (x.FirstGateway + (pick+i)%x.GatewayCount) % c.gateways; c.door.Admits(g) {
 			return g
 		}
 	}
-	return (x.First + pick) % c.gateways
+	return (x.FirstGateway + pick) % c.gateways
 }
 
 // Ended tells a client how its try ended; retryAfter is the time to come back, 0 where none was told.
-func (c *Crowd) Ended(inv *model.Invocation, how model.Ending, retryAfter float64, room bool) {
-	n, x, now := inv.Need, inv.Need.Cust, c.q.Now()
+func (c *Crowd) Ended(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool) {
+	n, x, now := inv.Request, inv.Request.Customer, c.q.Now()
 	if n.Closed {
 		return
 	}
 	c.door.Done(how)
-	n.Last, n.Room = how, room
-	again := n.Tries <= c.day.Clients.Retries.N()
-	wait := c.mood.Exp(c.day.Clients.Wait.V())
+	n.LastOutcome, n.QuotaHadRoom = how, room
+	again := n.InvocationCount <= c.day.Clients.Retries.N()
+	wait := c.mood.Exponential(c.day.Clients.Wait.V())
 	switch how {
 	case model.Served:
 		again = false
 	case model.Throttled:
-		if x.Follows && x.Again == 0 {
+		if x.HonoursRetryAfter && x.ImmediateRetries == 0 {
 			wait = max(retryAfter, min(wait, 0.05))
 		}
-		if x.Again > 0 {
-			again, wait = n.Tries <= x.Again+c.day.Clients.Retries.N(), c.mood.Exp(0.01)
+		if x.ImmediateRetries > 0 {
+			again, wait = n.InvocationCount <= x.ImmediateRetries+c.day.Clients.Retries.N(), c.mood.Exponential(0.01)
 		}
 	case model.Unreachable: // harmless
 	default:
-		again = again && (n.Op.Effect == "idempotent" ||
-			n.Op.Effect == "tokened" && n.Op.Group == "all" && now+wait < n.Born+n.Op.TokenTime.V())
+		again = again && (n.Operation.Effect == "idempotent" ||
+			n.Operation.Effect == "tokened" && n.Operation.Group == "all" && now+wait < n.CreatedAt+n.Operation.TokenTime.V())
 	}
-	if again && now+wait < n.Until-n.Op.Objective.V()/5 { // nobody comes again for an answer that can't be in time
-		c.q.After(wait, func() { c.try(n, true) })
+	if again && now+wait < n.Deadline-n.Operation.Objective.V()/5 { // nobody comes again for an answer that can't be in time
+		c.q.ScheduleAfter(wait, func() { c.try(n, true) })
 		return
 	}
 	n.Closed = true
-	c.door.Closed(n, now-inv.Born)
+	c.door.Closed(n, now-inv.SentAt)
 }
 
 // The troubles.
@@ -238,35 +238,35 @@
 // Times makes a customer ask so many times as often, or ends that.
 func (c *Crowd) Times(x *model.Customer, by float64, begin bool) {
 	if begin {
-		x.Times *= by
+		x.RateFactor *= by
 	} else {
-		x.Times /= by
+		x.RateFactor /= by
 	}
 	c.lives[x.Number]++
 	c.plan(x)
 }
 
 // Gather brings all of a customer's tries to its favourite; Move gives it another set for good.
-func (c *Crowd) Gather(x *model.Customer, begin bool) { x.Gathered = begin }
+func (c *Crowd) Gather(x *model.Customer, begin bool) { x.Concentrated = begin }
 
 func (c *Crowd) Move(x *model.Customer) {
-	x.First = (x.First + 1 + c.ways.IntN(max(1, c.gateways-1))) % c.gateways
+	x.FirstGateway = (x.FirstGateway + 1 + c.ways.IntN(max(1, c.gateways-1))) % c.gateways
 }
 
 // Ignore makes clients of a customer come again at once, so many times more, when they are throttled; Hurry leaves them
 // a part of their patience.
 func (c *Crowd) Ignore(x *model.Customer, times int, begin bool) {
 	if begin {
-		x.Again += times
+		x.ImmediateRetries += times
 	} else {
-		x.Again -= times
+		x.ImmediateRetries -= times
 	}
 }
 
 func (c *Crowd) Hurry(x *model.Customer, part float64, begin bool) {
 	if begin {
-		x.Short *= part
+		x.PatienceFactor *= part
 	} else {
-		x.Short /= part
+		x.PatienceFactor /= part
 	}
 }
