--- a/gateway/simprotocol/recorded_test.go
+++ b/gateway/simprotocol/recorded_test.go
@@ -18,24 +18,33 @@
 	s.Balancers, s.Slot, s.Locality = 5, 3, "floor-2"
 	s.Caps.Cancel, s.Caps.MayProbe, s.Caps.PeerMessages, s.Caps.SecondCopies = true, true, true, true
 	s.Caps.TryLimit, s.Caps.Idle, s.Caps.Connect = 3, 30.5, 0.5
-	s.Classes = []Class{{Name: "result-lookup", Goal: 0.05, Limit: 0.25, Gain: 1, Late: 0.2, Effect: "deduplicated", Group: "pool-a",
-		KeyTTL: 600, Streamed: true}, {Name: "status-peek", Goal: 0.01, Limit: 0.1, Gain: 0.5, Effect: "idempotent"}}
+	s.Classes = []Class{{
+		Name: "result-lookup", Goal: 0.05, Limit: 0.25, Gain: 1, Late: 0.2, Effect: "deduplicated", Group: "pool-a",
+		KeyTTL: 600, Streamed: true,
+	}, {Name: "status-peek", Goal: 0.01, Limit: 0.1, Gain: 0.5, Effect: "idempotent"}}
 	s.Contract.Start, s.Contract.Warm, s.Contract.Factor = 0.25, 20, 1.5
 	s.Extra.Counter, s.Extra.Limit, s.Extra.Settles, s.Extra.Most, s.Extra.Mail = true, 0.02, true, 16, 60
 	s.Plans = []Plan{{Name: "club-basic", Rate: 100, Burst: 200, MaxOut: 8, NeverOver: 150.5, HardBurst: 300}}
 	s.Registry = "patch"
 	pressure := map[string]float64{"outstanding": 4, "new": 1.5}
 	return Batch{At: 8.41225, Groups: []Group{
-		{Who: 3, Inbox: []any{create,
-			&Directory{Slot: 2, Entries: []Entry{{"10.18.74.7:9003", "floor-2", "c2-fast", 4, "active", 1, 7.5}, {Host: "h2", State: "leaving"},
-				{Host: "h3", State: "left"}}},
+		{Who: 3, Inbox: []any{
+			create,
+			&Directory{Slot: 2, Entries: []Entry{
+				{"10.18.74.7:9003", "floor-2", "c2-fast", 4, "active", 1, 7.5},
+				{Host: "h2", State: "leaving"},
+				{Host: "h3", State: "left"},
+			}},
 			&Discovery{Mode: "stale_copy", Gen: 1 << 63, Slot: 1},
 			&JobIn{"fc64a7745d3a91c4", 3, 2.5, "result-lookup", "c-kd6b5sum7ecwe", 8.65225, "club-basic", 1, 2},
 			&Flowing{"fc64a7745d3a91c4", 1, "10.18.74.7:9003", 0.004},
-			&Verdict{"fc64a7745d3a91c4", true, 7, 0.0185, "10.18.74.7:9003", 3.25, 1, "S", pressure}}},
+			&Verdict{"fc64a7745d3a91c4", true, 7, 0.0185, "10.18.74.7:9003", 3.25, 1, "S", pressure},
+		}},
 		{Who: 4, Inbox: []any{}},
-		{Who: 5, Inbox: []any{&Hangup{"44ff55230e6f2b19"}, &Bell{1<<64 - 1}, &StatusBack{"10.18.74.7:9003", "T", 0.1, pressure},
-			&Message{2, "!bACAAAAGAAAAAAB \"quoted\" \u00fc"}, &Sum{"S", 38.125, 1<<64 - 1, 0.00215}, &CrashNow{}}},
+		{Who: 5, Inbox: []any{
+			&Hangup{"44ff55230e6f2b19"}, &Bell{1<<64 - 1}, &StatusBack{"10.18.74.7:9003", "T", 0.1, pressure},
+			&Message{2, "!bACAAAAGAAAAAAB \"quoted\" \u00fc"}, &Sum{"S", 38.125, 1<<64 - 1, 0.00215}, &CrashNow{},
+		}},
 	}}
 }
 
@@ -59,8 +68,10 @@
 		wanted, _ := json.Marshal(want)
 		t.Errorf("the recorded line is read as\n%s\nwanted is\n%s", got, wanted)
 	}
-	for _, name := range []string{"CREATE", "CRASH_NOW", "DIRECTORY", "DISCOVERY", "JOB_IN", "FLOWING", "VERDICT", "HANGUP", "BELL",
-		"STATUS_BACK", "MESSAGE", "SUM"} {
+	for _, name := range []string{
+		"CREATE", "CRASH_NOW", "DIRECTORY", "DISCOVERY", "JOB_IN", "FLOWING", "VERDICT", "HANGUP", "BELL",
+		"STATUS_BACK", "MESSAGE", "SUM",
+	} {
 		if !strings.Contains(string(text), `["`+name+`"`) {
 			t.Errorf("no %s is recorded", name)
 		}
