--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -89,7 +89,7 @@
 	if err := server.node.OpenGroup(state.Group, server.state, options); err != nil {
 		return nil, err
 	}
-	server.elector.Learn(consensus.Record{})
+	server.elector.Learn(consensus.Record{}) // has the replica know the vote and the addresses that the disk holds
 	return server, nil
 }
 
--- a/tier/control/state/config.go
+++ b/tier/control/state/config.go
@@ -35,7 +35,7 @@
 // apply takes a configuration if it builds on the current one. The same order gets the same answer again.
 func (c ReplaceConfig) apply(s *State, index uint64) Result {
 	order := configlog.Change{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
-	answer, fresh := s.orders.Decide(order, s.ConfigVersion())
+	answer, fresh := s.changes.Decide(order, s.ConfigVersion())
 	if fresh {
 		s.View.Put(feed.SectionConfig, directory.CurrentKey, index, configItem(c.Version, c.Body))
 	}
--- a/tier/control/state/recorded_test.go
+++ b/tier/control/state/recorded_test.go
@@ -29,7 +29,7 @@
 
 func TestRecordedItems(t *testing.T) {
 	decode := func(data []byte) (retirement, error) { return decodeRetirement(data), nil }
-	recorded.CheckBoth(t, "retirement", retirement{Left: true, Identities: []uint64{11, 0x0102030405060708}}, retirement.encode, decode)
+	recorded.CheckBoth(t, "retirement", retirement{Departed: true, Identities: []uint64{11, 0x0102030405060708}}, retirement.encode, decode)
 	recorded.Check(t, "config", configItem(0x0102030405060708, []byte(`{"v":1}`)))
 	if version, body := SplitConfig(recorded.Read(t, "config")); version != 0x0102030405060708 || string(body) != `{"v":1}` {
 		t.Errorf("version %x, body %q", version, body)
@@ -81,8 +81,8 @@
 	if !reflect.DeepEqual(restored.hosts, withoutDepartedDetails(state.hosts)) || restored.departed != state.departed {
 		t.Errorf("hosts: %+v, not %+v", restored.hosts, state.hosts)
 	}
-	if !reflect.DeepEqual(&restored.orders, &state.orders) {
-		t.Errorf("orders: %+v", &restored.orders)
+	if !reflect.DeepEqual(&restored.changes, &state.changes) {
+		t.Errorf("changes: %+v", &restored.changes)
 	}
 	if !reflect.DeepEqual(restored.View.Export(), state.View.Export()) {
 		t.Errorf("items: %+v", restored.View.Export())
--- a/tier/control/state/retirement.go
+++ b/tier/control/state/retirement.go
@@ -16,20 +16,20 @@
 // retirement is the order to empty a store machine. It holds for the disks that the machine has had since it was given, so that a
 // machine which later comes under the same name is not emptied.
 type retirement struct {
-	Left       bool // none of the machine's stores is on the list any more
+	Departed   bool // none of the machine's stores is on the list any more
 	Identities []uint64
 }
 
 func (r retirement) encode() []byte {
 	var e codec.Encoder
-	e.Bool(r.Left)
+	e.Bool(r.Departed)
 	e.Uint64s(r.Identities)
 	return e.Bytes
 }
 
 func decodeRetirement(data []byte) retirement {
 	d := codec.NewDecoder(data)
-	return retirement{Left: d.Bool(), Identities: d.Uint64s()}
+	return retirement{Departed: d.Bool(), Identities: d.Uint64s()}
 }
 
 // retirementOf returns the retirement of a machine.
@@ -57,14 +57,14 @@
 	s.putRetirement(index, node, r)
 }
 
-// retirementMeetsStore takes note of a store that registers under a retired machine's name: as long as the machine has not left,
+// updateRetirementOnRegister takes note of a store that registers under a retired machine's name: as long as the machine has not left,
 // it is the same machine with another disk; afterwards another machine has the name, and the retirement is over.
-func (s *State) retirementMeetsStore(index uint64, store directory.Store) {
+func (s *State) updateRetirementOnRegister(index uint64, store directory.Store) {
 	r, found := s.retirementOf(store.Node)
 	if !found || slices.Contains(r.Identities, store.Identity) {
 		return
 	}
-	if r.Left {
+	if r.Departed {
 		s.View.Delete(feed.SectionRetirement, store.Node, index)
 		return
 	}
@@ -72,11 +72,11 @@
 	s.putRetirement(index, store.Node, r)
 }
 
-// retirementLosesStore notes when the last store of a retired machine has been taken off the list, and forgets the oldest
+// updateRetirementOnRemoval notes when the last store of a retired machine has been taken off the list, and forgets the oldest
 // retirements of machines that have left.
-func (s *State) retirementLosesStore(index uint64, node string) {
+func (s *State) updateRetirementOnRemoval(index uint64, node string) {
 	r, found := s.retirementOf(node)
-	if !found || r.Left {
+	if !found || r.Departed {
 		return
 	}
 	for _, store := range directory.Stores(s.View) {
@@ -84,7 +84,7 @@
 			return
 		}
 	}
-	r.Left = true
+	r.Departed = true
 	s.putRetirement(index, node, r)
 	s.forgetRetirements(index)
 }
@@ -92,7 +92,7 @@
 func (s *State) forgetRetirements(index uint64) {
 	var left []feed.Item
 	for _, item := range s.View.All(feed.SectionRetirement) {
-		if decodeRetirement(item.Data).Left {
+		if decodeRetirement(item.Data).Departed {
 			left = append(left, item)
 		}
 	}
--- a/tier/control/state/shards.go
+++ b/tier/control/state/shards.go
@@ -8,13 +8,13 @@
 
 func (c PutStore) apply(s *State, index uint64) Result {
 	s.View.Put(feed.SectionStore, directory.StoreKey(c.Store.Identity), index, c.Store.Encode())
-	s.retirementMeetsStore(index, c.Store)
+	s.updateRetirementOnRegister(index, c.Store)
 	return Result{Code: codes.OK}
 }
 
 func (c RemoveStore) apply(s *State, index uint64) Result {
 	s.View.Delete(feed.SectionStore, directory.StoreKey(c.Store.Identity), index)
-	s.retirementLosesStore(index, c.Store.Node)
+	s.updateRetirementOnRemoval(index, c.Store.Node)
 	return Result{Code: codes.OK}
 }
 
--- a/tier/control/state/snapshot.go
+++ b/tier/control/state/snapshot.go
@@ -27,7 +27,7 @@
 		e.Bool(held.departed)
 		e.Uint64(held.departedAt)
 	}
-	s.orders.Encode(&e)
+	s.changes.Encode(&e)
 	return e.Bytes
 }
 
@@ -43,13 +43,13 @@
 		return err
 	}
 	departed := decodeHostRecords(d, hosts)
-	orders := configlog.Decode(d)
+	changes := configlog.Decode(d)
 	if d.Err() != nil {
 		return d.Err()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.orders = orders
+	s.changes = changes
 	s.hosts = hosts
 	s.departed = departed
 	s.View.Restore(update)
--- a/tier/control/state/state.go
+++ b/tier/control/state/state.go
@@ -18,7 +18,7 @@
 	View *feed.View
 
 	mu       sync.Mutex // guards what follows; the view's lock is taken under it
-	orders   configlog.Log
+	changes  configlog.Log
 	hosts    map[string]hostRecord
 	departed int // hosts that deregistered and whose ids are still known
 }
