--- a/tier/programs/commands.go
+++ b/tier/programs/commands.go
@@ -55,18 +55,18 @@
 
 // End settles a turn's true cost and keeps the turn where its route wants it.
 type End struct {
-	Now      int64
-	Request  string
-	Program  string
-	Session  string
-	Actual   uint64 // tokens that the client received
-	Keep     bool   // the turn ended whole and is to be kept
-	KeepMS   int64
-	Previous string
-	Input    []byte
-	Output   []byte // the data of each event with a line feed behind
-	Host     string // the host that ran it
-	Ticket   Ticket // of the turn's begin
+	Now         int64
+	Request     string
+	Program     string
+	Session     string
+	Actual      uint64 // tokens that the client received
+	Retain      bool   // the turn ended whole and is to be kept
+	RetentionMS int64
+	Previous    string
+	Input       []byte
+	Output      []byte // the data of each event with a line feed behind
+	Host        string // the host that ran it
+	Ticket      Ticket // of the turn's begin
 }
 
 // Encode is the command's replicated form.
@@ -78,8 +78,8 @@
 	e.String(c.Program)
 	e.String(c.Session)
 	e.Uint64(c.Actual)
-	e.Bool(c.Keep)
-	e.Int64(c.KeepMS)
+	e.Bool(c.Retain)
+	e.Int64(c.RetentionMS)
 	e.String(c.Previous)
 	e.Blob(c.Input)
 	e.Blob(c.Output)
@@ -90,8 +90,8 @@
 
 func decodeEnd(d *codec.Decoder) End {
 	return End{
-		Now: d.Int64(), Request: d.String(), Program: d.String(), Session: d.String(), Actual: d.Uint64(), Keep: d.Bool(),
-		KeepMS: d.Int64(), Previous: d.String(), Input: d.Blob(), Output: d.Blob(), Host: d.String(),
+		Now: d.Int64(), Request: d.String(), Program: d.String(), Session: d.String(), Actual: d.Uint64(), Retain: d.Bool(),
+		RetentionMS: d.Int64(), Previous: d.String(), Input: d.Blob(), Output: d.Blob(), Host: d.String(),
 		Ticket: decodeTicket(d),
 	}
 }
--- a/tier/programs/example_test.go
+++ b/tier/programs/example_test.go
@@ -13,7 +13,7 @@
 
 	begin := programs.Begin{Request: "r1", Program: "p", Limited: true, Budget: 60, Estimate: 30}
 	fmt.Println(apply(begin.Encode()).Code)
-	apply(programs.End{Request: "r1", Program: "p", Actual: 24, Keep: true, KeepMS: 60000, Input: []byte("hello "), Output: []byte("hi\n")}.Encode())
+	apply(programs.End{Request: "r1", Program: "p", Actual: 24, Retain: true, RetentionMS: 60000, Input: []byte("hello "), Output: []byte("hi\n")}.Encode())
 
 	next := programs.Begin{Request: "r2", Program: "p", Limited: true, Budget: 60, Estimate: 30, Previous: "r1"}
 	result := apply(next.Encode())
--- a/tier/programs/growth_test.go
+++ b/tier/programs/growth_test.go
@@ -19,11 +19,11 @@
 	if got := p.total(); got != 3*turns {
 		t.Fatalf("the total is %d", got)
 	}
-	if most := reservationKept/1000 + sweepEvery; len(p.reserved) > most {
+	if most := reservationTTL/1000 + sweepInterval; len(p.reserved) > most {
 		t.Fatalf("%d reservations are kept, %d are allowed", len(p.reserved), most)
 	}
-	if len(p.lastHost) > sessionsKept {
-		t.Fatalf("%d sessions are remembered", len(p.lastHost))
+	if len(p.sessionHosts) > maxSessions {
+		t.Fatalf("%d sessions are remembered", len(p.sessionHosts))
 	}
 	again := NewState()
 	if err := again.Restore(s.state.Snapshot()); err != nil || !bytes.Equal(again.Snapshot(), s.state.Snapshot()) {
@@ -35,7 +35,7 @@
 func TestAnEndInTimeSettlesItsReservation(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 1000, 60, "")
-	s.now += reservationKept - 1000
+	s.now += reservationTTL - 1000
 	s.state.sweep(s.now)
 	s.end("a", "p", 10, "", "", "")
 	if got := s.state.programs["p"].total(); got != 10 {
--- a/tier/programs/programs_test.go
+++ b/tier/programs/programs_test.go
@@ -33,7 +33,7 @@
 
 func (s *shard) end(request, program string, actual uint64, previous, input, output string) Result {
 	return s.apply(End{
-		Request: request, Program: program, Session: "s", Actual: actual, Keep: true, KeepMS: 60_000, Previous: previous,
+		Request: request, Program: program, Session: "s", Actual: actual, Retain: true, RetentionMS: 60_000, Previous: previous,
 		Input: []byte(input), Output: []byte(output), Host: "h-" + request,
 	}.Encode())
 }
@@ -130,8 +130,8 @@
 	if got := s.begin("d", "p", 100, 1, "b"); got.Code != codes.TurnUnknown {
 		t.Fatalf("long after its time: %v", got.Code)
 	}
-	if len(s.state.byTurn) != 0 {
-		t.Fatalf("%d turns are still indexed", len(s.state.byTurn))
+	if len(s.state.programOfTurn) != 0 {
+		t.Fatalf("%d turns are still indexed", len(s.state.programOfTurn))
 	}
 }
 
--- a/tier/programs/recorded_test.go
+++ b/tier/programs/recorded_test.go
@@ -22,8 +22,8 @@
 
 func recordedEnd() End {
 	return End{
-		Now: recordedNow + 900, Request: "request-3", Program: "program-a", Session: "session-1", Actual: 1_234, Keep: true,
-		KeepMS: 600_000, Previous: "request-2", Input: []byte(`{"input":"x"}`), Output: []byte("{\"a\":1}\n{\"b\":2}\n"),
+		Now: recordedNow + 900, Request: "request-3", Program: "program-a", Session: "session-1", Actual: 1_234, Retain: true,
+		RetentionMS: 600_000, Previous: "request-2", Input: []byte(`{"input":"x"}`), Output: []byte("{\"a\":1}\n{\"b\":2}\n"),
 		Host: "host-7", Ticket: recordedTicket(),
 	}
 }
@@ -67,28 +67,28 @@
 	s.commands = 77
 	first := newProgram()
 	first.charged = 4_321
-	first.touched = recordedNow - 10
-	first.reserved["request-8"] = reservation{estimate: 800, at: recordedNow - 20}
-	first.reserved["request-9"] = reservation{estimate: 900, at: recordedNow - 30}
+	first.lastUsed = recordedNow - 10
+	first.reserved["request-8"] = reservation{estimate: 800, begunAt: recordedNow - 20}
+	first.reserved["request-9"] = reservation{estimate: 900, begunAt: recordedNow - 30}
 	first.settled = []settledTurn{
 		{request: "request-1", ticket: Ticket{Gateway: 5, Number: 1}, answer: codes.TurnSettled},
 		{request: "request-2", ticket: Ticket{Gateway: 6, Number: 2}, answer: codes.BudgetSpent},
 	}
-	first.passed[0x0203] = passed{number: 40, at: recordedNow - 40}
-	first.passed[0x0102] = passed{number: 50, at: recordedNow - 50}
-	first.lastHost["session-2"] = "host-2"
-	first.lastHost["session-1"] = "host-1"
-	first.turns["request-1"] = turn{input: []byte("input 1"), output: []byte("output 1\n"), host: "host-1", expires: recordedNow + 60_000}
+	first.watermarks[0x0203] = watermark{number: 40, raisedAt: recordedNow - 40}
+	first.watermarks[0x0102] = watermark{number: 50, raisedAt: recordedNow - 50}
+	first.sessionHosts["session-2"] = "host-2"
+	first.sessionHosts["session-1"] = "host-1"
+	first.turns["request-1"] = turn{input: []byte("input 1"), output: []byte("output 1\n"), host: "host-1", expiresAt: recordedNow + 60_000}
 	first.turns["request-2"] = turn{
-		previous: "request-1", input: []byte("input 2"), output: []byte("output 2\n"), host: "host-2", expires: recordedNow + 70_000,
+		previous: "request-1", input: []byte("input 2"), output: []byte("output 2\n"), host: "host-2", expiresAt: recordedNow + 70_000,
 	}
 	second := newProgram()
 	second.charged = 1
-	second.touched = recordedNow
+	second.lastUsed = recordedNow
 	s.programs["program-b"] = second
 	s.programs["program-a"] = first
-	s.byTurn["request-1"] = "program-a"
-	s.byTurn["request-2"] = "program-a"
+	s.programOfTurn["request-1"] = "program-a"
+	s.programOfTurn["request-2"] = "program-a"
 	return s
 }
 
--- a/tier/programs/reservation.go
+++ b/tier/programs/reservation.go
@@ -1,38 +1,38 @@
 package programs
 
 const (
-	// reservationKept is how long a turn that was begun may stay without an end before its estimate is charged for good, in
+	// reservationTTL is how long a turn that was begun may stay without an end before its estimate is charged for good, in
 	// milliseconds: longer than any turn runs and its end is repeated.
-	reservationKept = 15 * 60 * 1000
+	reservationTTL = 15 * 60 * 1000
 
-	// sessionsKept is how many sessions of a program have their last host remembered.
-	sessionsKept = 256
+	// maxSessions is how many sessions of a program have their last host remembered.
+	maxSessions = 256
 
-	smallestReservation = 4 + 8 + 8
+	minReservationBytes = 4 + 8 + 8
 )
 
 // reservation is the estimate of a turn that has not ended.
 type reservation struct {
 	estimate uint64
-	at       int64 // when it was begun, by the time that commands carry
+	begunAt  int64 // when it was begun, by the time that commands carry
 }
 
 // chargeAbandoned charges the estimates of turns whose end has not come for so long that it never will: the gateway that ran them
 // is gone. The program's total stays what it was; only their ids are forgotten, so that a program that lives for long doesn't grow.
 func (p *program) chargeAbandoned(now int64) {
 	for request, each := range p.reserved {
-		if now-each.at > reservationKept {
+		if now-each.begunAt > reservationTTL {
 			p.charged += each.estimate
 			delete(p.reserved, request)
 		}
 	}
 }
 
-// noteHost remembers the last host of a session, which is where its next turn is best sent. It is a hint: when there are too many,
+// rememberHost remembers the last host of a session, which is where its next turn is best sent. It is a hint: when there are too many,
 // all are forgotten.
-func (p *program) noteHost(session, host string) {
-	if _, known := p.lastHost[session]; !known && len(p.lastHost) >= sessionsKept {
-		clear(p.lastHost)
+func (p *program) rememberHost(session, host string) {
+	if _, known := p.sessionHosts[session]; !known && len(p.sessionHosts) >= maxSessions {
+		clear(p.sessionHosts)
 	}
-	p.lastHost[session] = host
+	p.sessionHosts[session] = host
 }
--- a/tier/programs/state.go
+++ b/tier/programs/state.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// countKept is how long a program's count stays after its last turn, in milliseconds: longer than any program rests.
-	countKept = 15 * 60 * 1000
-	// sweepEvery is how many commands pass between looks for programs to drop.
-	sweepEvery = 512
-	// keepSlack is added to a turn's time, because clocks of machines differ.
-	keepSlack = 10 * 1000
+	// idleProgramTTL is how long a program's count stays after its last turn, in milliseconds: longer than any program rests.
+	idleProgramTTL = 15 * 60 * 1000
+	// sweepInterval is how many commands pass between looks for programs to drop.
+	sweepInterval = 512
+	// clockSkew is added to a turn's time, because clocks of machines differ.
+	clockSkew = 10 * 1000
 )
 
 // turn is a kept turn.
 type turn struct {
-	previous string
-	input    []byte
-	output   []byte
-	host     string
-	expires  int64
+	previous  string
+	input     []byte
+	output    []byte
+	host      string
+	expiresAt int64
 }
 
 // program is the state of one agent program.
 type program struct {
-	charged  uint64                 // settled tokens
-	reserved map[string]reservation // of turns that have not ended, by request
-	settled  []settledTurn          // the newest ones
-	passed   map[uint64]passed      // by gateway, of the settled turns before these
-	turns    map[string]turn
-	lastHost map[string]string // by session
-	touched  int64
+	charged      uint64                 // settled tokens
+	reserved     map[string]reservation // of turns that have not ended, by request
+	settled      []settledTurn          // the newest ones
+	watermarks   map[uint64]watermark   // by gateway, of the settled turns before these
+	turns        map[string]turn
+	sessionHosts map[string]string // by session
+	lastUsed     int64
 }
 
 func newProgram() *program {
 	return &program{
-		reserved: map[string]reservation{}, passed: map[uint64]passed{}, turns: map[string]turn{}, lastHost: map[string]string{},
+		reserved: map[string]reservation{}, watermarks: map[uint64]watermark{}, turns: map[string]turn{}, sessionHosts: map[string]string{},
 	}
 }
 
@@ -54,13 +54,15 @@
 
 // State is the programs of one shard. It has a single owner; the replica that applies commands to it.
 type State struct {
-	programs map[string]*program
-	byTurn   map[string]string // the program of each kept turn; derived from programs
-	commands uint64
+	programs      map[string]*program
+	programOfTurn map[string]string // the program of each kept turn; derived from programs
+	commands      uint64
 }
 
 // NewState makes an empty state.
-func NewState() *State { return &State{programs: map[string]*program{}, byTurn: map[string]string{}} }
+func NewState() *State {
+	return &State{programs: map[string]*program{}, programOfTurn: map[string]string{}}
+}
 
 // Apply carries out a command.
 func (s *State) Apply(_ uint64, command []byte) any {
@@ -92,7 +94,7 @@
 	default:
 		return Result{Code: codes.Malformed}
 	}
-	if s.commands++; s.commands%sweepEvery == 0 {
+	if s.commands++; s.commands%sweepInterval == 0 {
 		s.sweep(now)
 	}
 	return result
@@ -104,7 +106,7 @@
 		p = newProgram()
 		s.programs[name] = p
 	}
-	p.touched = max(p.touched, now)
+	p.lastUsed = max(p.lastUsed, now)
 	return p
 }
 
@@ -121,10 +123,10 @@
 		return Result{Code: codes.TurnUnknown}
 	}
 	if host == "" {
-		host = p.lastHost[b.Session]
+		host = p.sessionHosts[b.Session]
 	}
 	if !again {
-		p.reserved[b.Request] = reservation{estimate: b.Estimate, at: b.Now}
+		p.reserved[b.Request] = reservation{estimate: b.Estimate, begunAt: b.Now}
 		if b.Limited && p.total() > b.Budget {
 			delete(p.reserved, b.Request)
 			p.settle(settledTurn{b.Request, b.Ticket, codes.BudgetSpent}, b.Now)
@@ -136,7 +138,7 @@
 
 // fetch returns the chain of a turn of any program of the shard.
 func (s *State) fetch(request string, now int64) Result {
-	p := s.programs[s.byTurn[request]]
+	p := s.programs[s.programOfTurn[request]]
 	if p == nil {
 		return Result{Code: codes.TurnUnknown}
 	}
@@ -154,7 +156,7 @@
 	}
 	var reversed [][]byte
 	last, kept := p.turns[previous]
-	if !kept || now > last.expires {
+	if !kept || now > last.expiresAt {
 		return nil, "", false
 	}
 	for id := previous; id != ""; {
@@ -182,25 +184,25 @@
 	p.charged += c.Actual
 	p.settle(settledTurn{c.Request, c.Ticket, codes.TurnSettled}, c.Now)
 	if c.Host != "" {
-		p.noteHost(c.Session, c.Host)
+		p.rememberHost(c.Session, c.Host)
 	}
-	if c.Keep {
-		p.keep(c)
-		s.byTurn[c.Request] = c.Program
+	if c.Retain {
+		p.retain(c)
+		s.programOfTurn[c.Request] = c.Program
 	}
 	return Result{Code: codes.OK}
 }
 
-// keep stores a turn; its chain lasts as long as it does.
-func (p *program) keep(c End) {
-	expires := c.Now + c.KeepMS + keepSlack
-	p.turns[c.Request] = turn{previous: c.Previous, input: c.Input, output: c.Output, host: c.Host, expires: expires}
+// retain stores a turn; its chain lasts as long as it does.
+func (p *program) retain(c End) {
+	expires := c.Now + c.RetentionMS + clockSkew
+	p.turns[c.Request] = turn{previous: c.Previous, input: c.Input, output: c.Output, host: c.Host, expiresAt: expires}
 	for id := c.Previous; id != ""; {
 		each, kept := p.turns[id]
 		if !kept {
 			return
 		}
-		each.expires = max(each.expires, expires)
+		each.expiresAt = max(each.expiresAt, expires)
 		p.turns[id] = each
 		id = each.previous
 	}
@@ -211,12 +213,12 @@
 	for name, p := range s.programs {
 		p.chargeAbandoned(now)
 		for id, each := range p.turns {
-			if now > each.expires {
+			if now > each.expiresAt {
 				delete(p.turns, id)
-				delete(s.byTurn, id)
+				delete(s.programOfTurn, id)
 			}
 		}
-		if len(p.turns) == 0 && now-p.touched > countKept {
+		if len(p.turns) == 0 && now-p.lastUsed > idleProgramTTL {
 			delete(s.programs, name)
 		}
 	}
@@ -250,18 +252,18 @@
 
 func (p *program) encode(e *codec.Encoder) {
 	e.Uint64(p.charged)
-	e.Int64(p.touched)
+	e.Int64(p.lastUsed)
 	e.Uint32(uint32(len(p.reserved)))
 	for _, request := range sortedKeys(p.reserved) {
 		e.String(request)
 		e.Uint64(p.reserved[request].estimate)
-		e.Int64(p.reserved[request].at)
+		e.Int64(p.reserved[request].begunAt)
 	}
 	p.encodeSettled(e)
-	e.Uint32(uint32(len(p.lastHost)))
-	for _, session := range sortedKeys(p.lastHost) {
+	e.Uint32(uint32(len(p.sessionHosts)))
+	for _, session := range sortedKeys(p.sessionHosts) {
 		e.String(session)
-		e.String(p.lastHost[session])
+		e.String(p.sessionHosts[session])
 	}
 	e.Uint32(uint32(len(p.turns)))
 	for _, id := range sortedKeys(p.turns) {
@@ -271,26 +273,26 @@
 		e.Blob(each.input)
 		e.Blob(each.output)
 		e.String(each.host)
-		e.Int64(each.expires)
+		e.Int64(each.expiresAt)
 	}
 }
 
 func decodeProgram(d *codec.Decoder) *program {
 	p := newProgram()
 	p.charged = d.Uint64()
-	p.touched = d.Int64()
-	for range d.Count(smallestReservation) {
+	p.lastUsed = d.Int64()
+	for range d.Count(minReservationBytes) {
 		request := d.String()
-		p.reserved[request] = reservation{estimate: d.Uint64(), at: d.Int64()}
+		p.reserved[request] = reservation{estimate: d.Uint64(), begunAt: d.Int64()}
 	}
 	p.decodeSettled(d)
 	for range d.Count(8) {
 		session := d.String()
-		p.lastHost[session] = d.String()
+		p.sessionHosts[session] = d.String()
 	}
 	for range d.Count(28) {
 		id := d.String()
-		p.turns[id] = turn{previous: d.String(), input: d.Blob(), output: d.Blob(), host: d.String(), expires: d.Int64()}
+		p.turns[id] = turn{previous: d.String(), input: d.Blob(), output: d.Blob(), host: d.String(), expiresAt: d.Int64()}
 	}
 	return p
 }
@@ -313,6 +315,6 @@
 	}
 	s.commands = commands
 	s.programs = programs
-	s.byTurn = byTurn
+	s.programOfTurn = byTurn
 	return nil
 }
--- a/tier/programs/ticket.go
+++ b/tier/programs/ticket.go
@@ -23,13 +23,13 @@
 }
 
 const (
-	// settledKept is how many settled turns of a program are remembered by their request. Later ones are known by their tickets.
-	settledKept = 24
-	// passedKept is how many gateways a program's passed tickets are remembered of: those through which it settled turns last.
-	passedKept = 256
+	// maxSettledTurns is how many settled turns of a program are remembered by their request. Later ones are known by their tickets.
+	maxSettledTurns = 24
+	// maxWatermarks is how many gateways a program's passed tickets are remembered of: those through which it settled turns last.
+	maxWatermarks = 256
 
-	smallestSettled = 4 + 8 + 8 + 4
-	smallestPassed  = 8 + 8 + 8
+	minSettledTurnBytes = 4 + 8 + 8 + 4
+	minWatermarkBytes   = 8 + 8 + 8
 )
 
 // settledTurn is a turn that has ended, or was refused for good.
@@ -39,10 +39,10 @@
 	answer  codes.Code // to a begin that comes again
 }
 
-// passed is the highest number of a gateway's turns that were settled and forgotten.
-type passed struct {
-	number uint64
-	at     int64 // when it last rose, by the time that commands carry
+// watermark is the highest number of a gateway's turns that were settled and forgotten.
+type watermark struct {
+	number   uint64
+	raisedAt int64 // when it last rose, by the time that commands carry
 }
 
 // settledAnswer returns what a begin gets whose turn was settled, or false if the turn is not known to have been.
@@ -52,7 +52,7 @@
 			return each.answer, true
 		}
 	}
-	if ticket.Gateway != 0 && ticket.Number <= p.passed[ticket.Gateway].number {
+	if ticket.Gateway != 0 && ticket.Number <= p.watermarks[ticket.Gateway].number {
 		return codes.TurnSettled, true
 	}
 	return codes.OK, false
@@ -61,34 +61,34 @@
 // settle remembers a turn that has ended or was refused.
 func (p *program) settle(turn settledTurn, now int64) {
 	p.settled = append(p.settled, turn)
-	excess := len(p.settled) - settledKept
+	excess := len(p.settled) - maxSettledTurns
 	if excess <= 0 {
 		return
 	}
 	for _, each := range p.settled[:excess] {
-		p.pass(each.ticket, now)
+		p.raiseWatermark(each.ticket, now)
 	}
 	p.settled = append([]settledTurn(nil), p.settled[excess:]...)
 }
 
-// pass notes that a settled turn is forgotten.
-func (p *program) pass(ticket Ticket, now int64) {
-	if ticket.Gateway == 0 || ticket.Number <= p.passed[ticket.Gateway].number {
+// raiseWatermark notes that a settled turn is forgotten.
+func (p *program) raiseWatermark(ticket Ticket, now int64) {
+	if ticket.Gateway == 0 || ticket.Number <= p.watermarks[ticket.Gateway].number {
 		return
 	}
-	p.passed[ticket.Gateway] = passed{ticket.Number, now}
-	if len(p.passed) > passedKept {
-		delete(p.passed, p.oldestPassed())
+	p.watermarks[ticket.Gateway] = watermark{ticket.Number, now}
+	if len(p.watermarks) > maxWatermarks {
+		delete(p.watermarks, p.oldestWatermark())
 	}
 }
 
-// oldestPassed is the gateway whose passed number rose longest ago; of several, the one with the lowest identity, so that all
+// oldestWatermark is the gateway whose passed number rose longest ago; of several, the one with the lowest identity, so that all
 // replicas forget the same.
-func (p *program) oldestPassed() uint64 {
+func (p *program) oldestWatermark() uint64 {
 	oldest := uint64(0)
-	for gateway, each := range p.passed {
-		held := p.passed[oldest]
-		if oldest == 0 || each.at < held.at || (each.at == held.at && gateway < oldest) {
+	for gateway, each := range p.watermarks {
+		held := p.watermarks[oldest]
+		if oldest == 0 || each.raisedAt < held.raisedAt || (each.raisedAt == held.raisedAt && gateway < oldest) {
 			oldest = gateway
 		}
 	}
@@ -102,23 +102,23 @@
 		each.ticket.encode(e)
 		e.Uint32(uint32(each.answer))
 	}
-	e.Uint32(uint32(len(p.passed)))
-	for _, gateway := range sortedIDs(p.passed) {
+	e.Uint32(uint32(len(p.watermarks)))
+	for _, gateway := range sortedIDs(p.watermarks) {
 		e.Uint64(gateway)
-		e.Uint64(p.passed[gateway].number)
-		e.Int64(p.passed[gateway].at)
+		e.Uint64(p.watermarks[gateway].number)
+		e.Int64(p.watermarks[gateway].raisedAt)
 	}
 }
 
 func (p *program) decodeSettled(d *codec.Decoder) {
-	for range d.Count(smallestSettled) {
+	for range d.Count(minSettledTurnBytes) {
 		turn := settledTurn{request: d.String()}
 		turn.ticket = decodeTicket(d)
 		turn.answer = codes.Code(d.Uint32())
 		p.settled = append(p.settled, turn)
 	}
-	for range d.Count(smallestPassed) {
+	for range d.Count(minWatermarkBytes) {
 		gateway := d.Uint64()
-		p.passed[gateway] = passed{number: d.Uint64(), at: d.Int64()}
+		p.watermarks[gateway] = watermark{number: d.Uint64(), raisedAt: d.Int64()}
 	}
 }
--- a/tier/programs/ticket_test.go
+++ b/tier/programs/ticket_test.go
@@ -23,7 +23,7 @@
 // forgotten. It is not charged, and neither is its end a second time.
 func TestCallsThatComeAfterTheirTurnWasForgottenAreNotCharged(t *testing.T) {
 	s := newShard()
-	const turns = 3 * settledKept
+	const turns = 3 * maxSettledTurns
 	for number := uint64(1); number <= turns; number++ {
 		begin, end := numbered(number)
 		s.apply(begin)
@@ -56,7 +56,7 @@
 	s := newShard()
 	longBegin, longEnd := numbered(1)
 	s.apply(longBegin)
-	for number := uint64(2); number <= 3*settledKept; number++ {
+	for number := uint64(2); number <= 3*maxSettledTurns; number++ {
 		begin, end := numbered(number)
 		s.apply(begin)
 		s.apply(end)
@@ -65,7 +65,7 @@
 		t.Fatalf("begun again: %v", got)
 	}
 	s.apply(longEnd)
-	if got := s.state.programs["p"].total(); got != 10*3*settledKept {
+	if got := s.state.programs["p"].total(); got != 10*3*maxSettledTurns {
 		t.Fatalf("the total is %d", got)
 	}
 }
@@ -88,16 +88,16 @@
 
 func TestPassedTicketsAreBounded(t *testing.T) {
 	s := newShard()
-	for i := range uint64(3 * passedKept) {
+	for i := range uint64(3 * maxWatermarks) {
 		s.now++
 		ticket := Ticket{Gateway: i + 1, Number: 1}
 		s.apply(End{Request: fmt.Sprint(i), Program: "p", Session: "s", Ticket: ticket}.Encode())
 	}
 	p := s.state.programs["p"]
-	if len(p.passed) != passedKept {
-		t.Fatalf("%d gateways are remembered", len(p.passed))
+	if len(p.watermarks) != maxWatermarks {
+		t.Fatalf("%d gateways are remembered", len(p.watermarks))
 	}
-	if _, kept := p.passed[3*passedKept-settledKept]; !kept {
+	if _, kept := p.watermarks[3*maxWatermarks-maxSettledTurns]; !kept {
 		t.Fatal("the gateway that settled last is not remembered")
 	}
 }
--- a/tier/proxy/request_test.go
+++ b/tier/proxy/request_test.go
@@ -82,7 +82,7 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	end := got.end(24, true, []byte("out"), "h")
-	if end.Actual != 24 || !end.Keep || end.KeepMS != 60_000 || string(end.Input) != "body" {
+	if end.Actual != 24 || !end.Retain || end.RetentionMS != 60_000 || string(end.Input) != "body" {
 		t.Fatalf("%+v", end)
 	}
 	// without the most that may be generated, nothing less than the whole budget covers the turn
--- a/tier/proxy/turn.go
+++ b/tier/proxy/turn.go
@@ -138,8 +138,8 @@
 		Request: t.id, Program: t.program, Session: t.session, Actual: received, Host: host, Ticket: t.ticket,
 	}
 	if whole && t.route.Retained {
-		end.Keep = true
-		end.KeepMS = int64(t.route.RetentionS * 1000)
+		end.Retain = true
+		end.RetentionMS = int64(t.route.RetentionS * 1000)
 		end.Previous = t.previous
 		end.Input = t.body
 		end.Output = output
--- a/tier/store/recorded_test.go
+++ b/tier/store/recorded_test.go
@@ -27,8 +27,8 @@
 	dir := t.TempDir()
 	state := programs.NewState()
 	state.Apply(1, programs.End{
-		Now: time.Now().UnixMilli(), Request: "request-2", Program: "program-a", Session: "session-1", Actual: 10, Keep: true,
-		KeepMS: 600_000, Input: []byte("input 2"), Output: []byte("output 2\n"), Host: "host-7",
+		Now: time.Now().UnixMilli(), Request: "request-2", Program: "program-a", Session: "session-1", Actual: 10, Retain: true,
+		RetentionMS: 600_000, Input: []byte("input 2"), Output: []byte("output 2\n"), Host: "host-7",
 	}.Encode())
 	journal, _, err := storage.OpenJournal(filepath.Join(dir, "journal"))
 	if err != nil {
