--- a/cmd/otterseam-sim/choose.go
+++ b/cmd/otterseam-sim/choose.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	for _, f := range []string{c.Keep, c.Report} {
-		if err := batch.Writable(f); err != nil {
+		if err := batch.CheckWritable(f); err != nil {
 			return nil, badInput{fmt.Errorf("no result could be written: %w", err)}
 		}
 	}
@@ -54,7 +54,7 @@
 // seeds plans a day for so many seeds, from the first on; at least one.
 func (c *choose) seeds(d *scenario.Day, decider string, over map[string]string, n int) (plans []batch.Plan) {
 	for i := range max(1, n) {
-		plans = append(plans, batch.Plan{Day: d, Decider: decider, Seed: c.Seed + uint64(i), Over: over})
+		plans = append(plans, batch.Plan{Day: d, Decider: decider, Seed: c.Seed + uint64(i), Overrides: over})
 	}
 	return plans
 }
@@ -71,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		if err := batch.Put(c.Report, b); err != nil {
+		if err := batch.WriteFile(c.Report, b); err != nil {
 			return err
 		}
 	}
@@ -89,7 +89,7 @@
 
 func judge(rs []*batch.Run) error {
 	for _, r := range rs {
-		if r.Breaks > 0 {
+		if r.ViolationCount > 0 {
 			return errBroken
 		}
 	}
@@ -103,7 +103,7 @@
 		}
 		return nil
 	}
-	if _, err := batch.Decider(name); err != nil {
+	if _, err := batch.NewPolicySource(name); err != nil {
 		return badInput{err}
 	}
 	return nil
--- a/cmd/otterseam-sim/compare.go
+++ b/cmd/otterseam-sim/compare.go
@@ -30,7 +30,7 @@
 		}
 		plans = append(plans, c.seeds(d, n, c.Set, c.Seeds)...)
 	}
-	rs, err := batch.All(ctx, plans, c.Workers, s.progress("days", len(plans)))
+	rs, err := batch.RunAll(ctx, plans, c.Workers, s.progress("days", len(plans)))
 	if err != nil {
 		return err
 	}
--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -95,7 +95,7 @@
 	if _, err := os.Stat(c.Gateway); err != nil {
 		return nil, badInput{fmt.Errorf("the api gateway's program: %w (make build makes it)", err)}
 	}
-	if err := batch.Writable(c.Report); err != nil {
+	if err := batch.CheckWritable(c.Report); err != nil {
 		return nil, badInput{fmt.Errorf("no report could be written: %w", err)}
 	}
 	return script, nil
@@ -137,14 +137,14 @@
 	if err != nil {
 		return err
 	}
-	return batch.Put(c.Report, page)
+	return batch.WriteFile(c.Report, page)
 }
 
 // say writes what became of a script: its figures, what was kept, and what was broken with its whole story.
 func say(s *streams, name string, r *fleet.Result) {
 	f := r.Figures
 	fmt.Fprintf(s.out, "%s, seed %d: %.0f tries (%s), %.0f deliveries, %.0f dials, %.0f calls, %.0f datagrams; %d faults struck\n", name, r.Seed,
-		f.Tries, strings.Join(f.Ends(), ", "), f.Deliveries, f.Dials, f.Calls, r.Mail, r.Struck)
+		f.Invocations, strings.Join(f.OutcomeSummary(), ", "), f.Attempts, f.Dials, f.CounterCalls, r.Mail, r.Struck)
 	for _, k := range r.Kept {
 		fmt.Fprintln(s.out, "  kept:", k)
 	}
--- a/cmd/otterseam-sim/outage.go
+++ b/cmd/otterseam-sim/outage.go
@@ -39,23 +39,23 @@
 
 // reckon looks at one day. The silence lies from one second to another.
 func reckon(r *batch.Run) (o outage, err error) {
-	i := slices.IndexFunc(r.Troubles, func(t batch.Trouble) bool { return t.Kind == "silent" })
-	if i < 0 || r.Troubles[i].At < 2 || r.Troubles[i].Ends+1 >= r.Length {
+	i := slices.IndexFunc(r.Faults, func(t batch.Fault) bool { return t.Kind == "silent" })
+	if i < 0 || r.Faults[i].At < 2 || r.Faults[i].Ends+1 >= r.Length {
 		return o, fmt.Errorf("%s: a trouble of kind silent, from 2 s on and over before the day ends, is wanted", r.Day)
 	}
-	from, to := int(r.Troubles[i].At), int(r.Troubles[i].Ends+0.5)
+	from, to := int(r.Faults[i].At), int(r.Faults[i].Ends+0.5)
 	begin := max(1, from-10)
-	o = outage{Day: r.Day, Decider: r.Decider, Seed: r.Seed, Breaks: r.Breaks, Mail: r.Mail}
+	o = outage{Day: r.Day, Decider: r.Decider, Seed: r.Seed, Breaks: r.ViolationCount, Mail: r.PeerMessages}
 	served := 0.0
 	for _, s := range r.Seconds[begin:from] {
-		o.Before += s.Sends / float64(from-begin)
+		o.Before += s.Attempts / float64(from-begin)
 		served += s.Served / float64(from-begin)
 	}
 	for _, s := range r.Seconds[from:to] {
-		o.Deliveries += s.Sends
+		o.Deliveries += s.Attempts
 		o.Dials += s.Dials
 	}
-	o.Amid = r.Seconds[from+(to-from)*6/10].Sends
+	o.Amid = r.Seconds[from+(to-from)*6/10].Attempts
 	end := min(len(r.Seconds), int(r.Length))
 	o.Back, o.Unfulfilled = end-to, true
 	for at := to; at < end; at++ {
@@ -86,11 +86,11 @@
 				return err
 			}
 			for i := range c.Seeds {
-				plans = append(plans, batch.Plan{Day: d, Decider: dec, Seed: c.Seed + uint64(i), Over: c.Set})
+				plans = append(plans, batch.Plan{Day: d, Decider: dec, Seed: c.Seed + uint64(i), Overrides: c.Set})
 			}
 		}
 	}
-	all, err := batch.All(ctx, plans, c.Workers, s.progress("day", len(plans)))
+	all, err := batch.RunAll(ctx, plans, c.Workers, s.progress("day", len(plans)))
 	if err != nil {
 		return err
 	}
--- a/cmd/otterseam-sim/report.go
+++ b/cmd/otterseam-sim/report.go
@@ -16,7 +16,7 @@
 }
 
 func (c *reportCmd) Run(s *streams) error {
-	if err := batch.Writable(c.Out); err != nil {
+	if err := batch.CheckWritable(c.Out); err != nil {
 		return badInput{err}
 	}
 	var all []*batch.Run
@@ -37,5 +37,5 @@
 	if err != nil {
 		return err
 	}
-	return batch.Put(c.Out, b)
+	return batch.WriteFile(c.Out, b)
 }
--- a/cmd/otterseam-sim/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -25,16 +25,16 @@
 	if err := decider(c.Decider); err != nil {
 		return err
 	}
-	plan := batch.Plan{Day: d, Decider: c.Decider, Seed: c.Seed, Over: c.Set}
+	plan := batch.Plan{Day: d, Decider: c.Decider, Seed: c.Seed, Overrides: c.Set}
 	tick := s.progress("second", int(d.Length.Hi))
-	r, w, err := batch.One(plan, simulation.Story(c.Ref), simulation.Progress(func(at float64) { tick(int(at)) }))
+	r, w, err := batch.RunOne(plan, simulation.WithStory(c.Ref), simulation.WithProgress(func(at float64) { tick(int(at)) }))
 	if err != nil {
 		return err
 	}
 	if err := c.tell(s, d.Name, []*batch.Run{r}); err != nil {
 		return err
 	}
-	for _, l := range w.Told() {
+	for _, l := range w.StoryLines() {
 		fmt.Fprintln(s.errs, l)
 	}
 	if err := tellFirstBreak(s, plan, r); err != nil {
@@ -45,7 +45,7 @@
 
 // tellFirstBreak plays the day again for the story of the first invocation with which a rule was broken, if there is one.
 func tellFirstBreak(s *streams, plan batch.Plan, r *batch.Run) error {
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		if b.Ref == "" {
 			continue
 		}
--- a/cmd/otterseam-sim/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -29,7 +29,7 @@
 	if err := decider(c.Decider); err != nil {
 		return err
 	}
-	if err := batch.Writable(c.Out); err != nil {
+	if err := batch.CheckWritable(c.Out); err != nil {
 		return badInput{fmt.Errorf("no day could be written: %w", err)}
 	}
 	if len(d.Spans()) == 0 && len(d.Troubles) == 0 {
@@ -39,18 +39,18 @@
 		return badInput{errors.New("--tries is at least 1, and --part over 0 and at most 1")}
 	}
 	found, err := search.Worst(ctx, d, search.Options{
-		Decider: c.Decider, Tries: c.Tries, Rounds: c.Rounds, Seed: c.Seed,
-		Workers: c.Workers, Keep: c.Part, Tell: func(t string) { fmt.Fprintln(s.errs, t) },
+		Decider: c.Decider, Samples: c.Tries, Rounds: c.Rounds, Seed: c.Seed,
+		Workers: c.Workers, KeepLoss: c.Part, Progress: func(t string) { fmt.Fprintln(s.errs, t) },
 	})
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := batch.Put(c.Out, []byte(found.Day.Text())); err != nil {
+		if err := batch.WriteFile(c.Out, []byte(found.Day.Text())); err != nil {
 			return err
 		}
 	}
-	r, _, err := batch.One(batch.Plan{Day: found.Day, Decider: c.Decider, Seed: found.Seed})
+	r, _, err := batch.RunOne(batch.Plan{Day: found.Day, Decider: c.Decider, Seed: found.Seed})
 	if err != nil {
 		return err
 	}
--- a/cmd/otterseam-sim/sockets.go
+++ b/cmd/otterseam-sim/sockets.go
@@ -47,9 +47,9 @@
 	if err != nil {
 		return err
 	}
-	rs := []*batch.Run{batch.Of(batch.Plan{Day: d, Decider: "sockets", Seed: c.Seed, Over: c.Set}, w, f)}
+	rs := []*batch.Run{batch.NewRun(batch.Plan{Day: d, Decider: "sockets", Seed: c.Seed, Overrides: c.Set}, w, f)}
 	if c.Model {
-		r, _, err := batch.One(batch.Plan{Day: d, Decider: "module", Seed: c.Seed, Over: c.Set})
+		r, _, err := batch.RunOne(batch.Plan{Day: d, Decider: "module", Seed: c.Seed, Overrides: c.Set})
 		if err != nil {
 			return err
 		}
@@ -87,11 +87,11 @@
 		return err
 	}
 	fmt.Fprintf(s.out, "hosts got %.0f deliveries and %.0f new connections, the counter %.0f calls; value sent on %.0f, beyond quotas %.0f; rules broken %d\n",
-		f.Deliveries, f.Dials, f.Calls, f.Whole.Sent, f.Whole.Beyond, f.Breaks)
-	for _, b := range f.Broken {
+		f.Attempts, f.Dials, f.CounterCalls, f.Total.FirstSent, f.Total.BeyondQuota, f.ViolationCount)
+	for _, b := range f.Violations {
 		fmt.Fprintln(s.out, b)
 	}
-	if f.Breaks > 0 {
+	if f.ViolationCount > 0 {
 		return errBroken
 	}
 	return nil
@@ -112,26 +112,26 @@
 		return badInput{err}
 	}
 	if c.Keep != "" {
-		if err := batch.Put(c.Keep, f.Bytes()); err != nil {
+		if err := batch.WriteFile(c.Keep, f.Encode()); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		_, err := s.out.Write(f.Bytes())
+		_, err := s.out.Write(f.Encode())
 		return err
 	}
 	t := tabwriter.NewWriter(s.out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "answers, from the intended time of sending\tcount\t50%\t90%\t99%\tmost\t")
-	for _, name := range f.Timed() {
+	for _, name := range f.LatencyNames() {
 		l := f.Latency[name]
 		fmt.Fprintf(t, "%s\t%d\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\t\n", name, l.Count, l.P50, l.P90, l.P99, l.Max)
 	}
 	t.Flush()
-	fmt.Fprintf(s.out, "%.0f first tries, %.0f in all; how tries ended: %s\n", f.First, f.Tries, strings.Join(f.Ends(), ", "))
+	fmt.Fprintf(s.out, "%.0f first tries, %.0f in all; how tries ended: %s\n", f.FirstInvocations, f.Invocations, strings.Join(f.OutcomeSummary(), ", "))
 	if late > 0.02 {
 		fmt.Fprintf(s.errs, "this machine was too busy: a try was sent %.0f ms late\n", 1000*late)
 	}
-	if f.Tries > 0 && f.Ended["unreachable"] == f.Tries {
+	if f.Invocations > 0 && f.Outcomes["unreachable"] == f.Invocations {
 		return errors.New("no api gateway could be reached")
 	}
 	return nil
--- a/cmd/otterseam-sim/sweep.go
+++ b/cmd/otterseam-sim/sweep.go
@@ -40,7 +40,7 @@
 			plans = append(plans, c.seeds(x, n, set, c.Seeds)...)
 		}
 	}
-	rs, err := batch.All(ctx, plans, c.Workers, s.progress("days", len(plans)))
+	rs, err := batch.RunAll(ctx, plans, c.Workers, s.progress("days", len(plans)))
 	if err != nil {
 		return err
 	}
--- a/harness/fleet/fleet.go
+++ b/harness/fleet/fleet.go
@@ -74,7 +74,7 @@
 	Script   *scenario.Day    `json:"-"`
 	Seed     uint64           `json:"seed"`
 	Gateways int              `json:"gateways"`
-	Figures  *metrics.Figures `json:"figures"`
+	Figures  *metrics.Results `json:"figures"`
 	Spans    []*Span          `json:"faults"`
 	Lines    []Line           `json:"log"`
 	Mail     float64          `json:"mail"`
@@ -137,15 +137,15 @@
 	res.Figures, res.Spans, res.Lines, res.Struck = f, r.spans, r.logs.lines(), r.struck
 	if r.keepers != nil {
 		res.Held = r.keepers.judge()
-		for _, b := range w.Referee.Breaks {
+		for _, b := range w.Oracle.Violations {
 			if b.Rule == 2 {
 				res.Held.Second = append(res.Held.Second, b.String())
 			}
 		}
 	}
-	res.promises(w.Referee.Promise)
-	f.Breaks, f.Broken = w.Referee.All, w.Referee.Breaks
-	for _, b := range w.Referee.Breaks {
+	res.promises(w.Oracle.ExpectationFailed)
+	f.ViolationCount, f.Violations = w.Oracle.Total, w.Oracle.Violations
+	for _, b := range w.Oracle.Violations {
 		s := Story{Text: b.String(), Lines: r.kept[b.Ref]}
 		if len(s.Lines) == 0 {
 			s.Lines = r.stories[b.Ref]
@@ -202,7 +202,7 @@
 	for i, s := range f.Seconds {
 		if float64(i) >= from && float64(i) < until {
 			sum.Add(s.Share)
-			sends, dials, calls = sends+s.Sends, dials+s.Dials, calls+s.Calls
+			sends, dials, calls = sends+s.Attempts, dials+s.Dials, calls+s.CounterCalls
 		}
 	}
 	if from > 0 || until < d.Length.V() {
@@ -212,15 +212,15 @@
 	in, _ := scenario.Some(p.Edge, res.Gateways) // the reader has checked it
 	switch p.What {
 	case "served":
-		return sum.Served / max(1e-9, sum.Asked), of
+		return sum.Served / max(1e-9, sum.Requested), of
 	case "served-value":
-		return sum.Within / long, of
+		return sum.ServedOfSent / long, of
 	case "throttled":
-		return (sum.WithRoom + sum.WithoutRoom) / max(1e-9, sum.Asked), of
+		return (sum.ThrottledWithRoom + sum.ThrottledWithoutRoom) / max(1e-9, sum.Requested), of
 	case "errored":
-		return (sum.Errored + sum.Lost) / max(1e-9, sum.Asked), of
+		return (sum.Errored + sum.Lost) / max(1e-9, sum.Requested), of
 	case "beyond":
-		return sum.Beyond / max(1e-9, sum.Sent), of
+		return sum.BeyondQuota / max(1e-9, sum.FirstSent), of
 	case "deliveries":
 		return sends / long, of
 	case "dials":
@@ -228,7 +228,7 @@
 	case "calls":
 		return calls / long, of
 	case "tries":
-		return f.Tries, ""
+		return f.Invocations, ""
 	case "promised-lost", "put-back-twice", "second-effects", "kept-answers":
 		if res.Held == nil {
 			return 0, ""
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -148,8 +148,8 @@
 			if r.Struck < struck {
 				t.Errorf("%d faults struck, %d are wanted", r.Struck, struck)
 			}
-			if ended := r.Figures.Ended["served"]; ended < r.Figures.Tries/5 {
-				t.Errorf("%.0f of %.0f tries were served", ended, r.Figures.Tries)
+			if ended := r.Figures.Outcomes["served"]; ended < r.Figures.Invocations/5 {
+				t.Errorf("%.0f of %.0f tries were served", ended, r.Figures.Invocations)
 			}
 		})
 	}
--- a/harness/fleet/page.go
+++ b/harness/fleet/page.go
@@ -134,13 +134,15 @@
 		of    func(i int) float64
 	}{
 		{"served in time", color.RGBA{0x3b, 0x8e, 0x5a, 255}, func(i int) float64 { return r.Figures.Seconds[i].Served }},
-		{"throttled", color.RGBA{0xe0, 0x8b, 0x2c, 255}, func(i int) float64 { return r.Figures.Seconds[i].WithRoom + r.Figures.Seconds[i].WithoutRoom }},
+		{"throttled", color.RGBA{0xe0, 0x8b, 0x2c, 255}, func(i int) float64 {
+			return r.Figures.Seconds[i].ThrottledWithRoom + r.Figures.Seconds[i].ThrottledWithoutRoom
+		}},
 		{"errored or lost", red, func(i int) float64 { return r.Figures.Seconds[i].Errored + r.Figures.Seconds[i].Lost }},
 	} {
 		var xys plotter.XYs
 		for i, s := range r.Figures.Seconds {
-			if s.Asked > 0 {
-				xys = append(xys, plotter.XY{X: float64(i) + 0.5, Y: c.of(i) / s.Asked})
+			if s.Requested > 0 {
+				xys = append(xys, plotter.XY{X: float64(i) + 0.5, Y: c.of(i) / s.Requested})
 			}
 		}
 		if len(xys) == 0 {
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -29,7 +29,7 @@
 type rig struct {
 	script *scenario.Day // drawn
 	seed   uint64
-	world  *simulation.World
+	world  *simulation.Simulation
 	fleet  *sockets.Gateways
 	logs   *logs
 
@@ -156,7 +156,7 @@
 }
 
 // Begin sets when faults strike, and what they wait for.
-func (r *rig) Begin(w *simulation.World, g *sockets.Gateways) {
+func (r *rig) Begin(w *simulation.Simulation, g *sockets.Gateways) {
 	r.mu.Lock()
 	r.world, r.fleet = w, g
 	r.awaits = map[string]bool{}
@@ -231,7 +231,7 @@
 	if r.world == nil {
 		return
 	}
-	for _, b := range r.world.Referee.Breaks {
+	for _, b := range r.world.Oracle.Violations {
 		if b.Ref == ref && ref != "" {
 			r.kept[ref] = r.stories[ref]
 		}
@@ -424,7 +424,7 @@
 		p.Freeze()
 		later(func() {
 			p.Thaw()
-			r.world.Referee.Woke(e, now)
+			r.world.Oracle.GatewayResumed(e, now)
 		})
 	case "starve":
 		r.starve(p, s, ends)
@@ -435,11 +435,11 @@
 		span.Ends = now + 1
 		err := r.fleet.Twice(e, func(err error) {
 			if err == nil {
-				r.world.Referee.Promise(fmt.Sprintf("a second process under the name of api gateway %d runs beside the first", e))
+				r.world.Oracle.ExpectationFailed(fmt.Sprintf("a second process under the name of api gateway %d runs beside the first", e))
 			}
 		})
 		if err != nil {
-			r.world.Referee.Promise(err.Error())
+			r.world.Oracle.ExpectationFailed(err.Error())
 		}
 	}
 }
--- a/harness/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -24,9 +24,9 @@
 
 func (n nobody) Name() string { return string(n) }
 func (n nobody) Err() error   { return nil }
-func (n nobody) End()         {}
+func (n nobody) Close()       {}
 
-func (n nobody) Mind(*simulation.World, int, uint64, policydriver.Output) (gatewaymodel.Mind, error) {
+func (n nobody) NewPolicy(*simulation.Simulation, int, uint64, policydriver.Output) (gatewaymodel.Policy, error) {
 	return nil, errors.New("the api gateways of this day stand elsewhere")
 }
 
@@ -47,14 +47,14 @@
 
 // StandIn plays a day's hosts, counter and discovery until it is over or ctx ends; configurations for the api gateways
 // are written into dir first. ready is told their paths.
-func StandIn(ctx context.Context, d *scenario.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Figures, error) {
+func StandIn(ctx context.Context, d *scenario.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Results, error) {
 	if err := Check(d); err != nil {
 		return nil, err
 	}
 	door := &nobodyAsks{}
 	var s *StandIns
-	w := simulation.New(d, seed, nobody("stand-ins"), simulation.Outside(door, func(g int, l policy.HostEntry) { s.Told(g, l) }))
-	w.Referee.Second = true
+	w := simulation.New(d, seed, nobody("stand-ins"), simulation.ExternalGateways(door, func(g int, l policy.HostEntry) { s.Told(g, l) }))
+	w.Oracle.AllowsHedging = true
 	p := newPump(w.Queue)
 	n := w.Day.Fleet.Gateways.N()
 	var err error
@@ -70,40 +70,40 @@
 		return nil, err
 	}
 	ready(paths)
-	w.BeginWithout()
+	w.BeginWithoutClients()
 	p.run(ctx, w.Day.Length.V()) // the day begins with the pump
-	return w.Close(), nil
+	return w.Finish(), nil
 }
 
 // nobodyAsks is the door of a day without clients.
 type nobodyAsks struct{}
 
-func (nobodyAsks) Arrive(*model.Invocation) bool  { return false }
-func (nobodyAsks) Admits(int) bool                { return true }
-func (nobodyAsks) Asked(*model.Request)           {}
-func (nobodyAsks) Closed(*model.Request, float64) {}
-func (nobodyAsks) Tried(*model.Invocation)        {}
-func (nobodyAsks) Done(model.Outcome)             {}
+func (nobodyAsks) Submit(*model.Invocation) bool         { return false }
+func (nobodyAsks) Admits(int) bool                       { return true }
+func (nobodyAsks) RequestCreated(*model.Request)         {}
+func (nobodyAsks) RequestClosed(*model.Request, float64) {}
+func (nobodyAsks) InvocationSent(*model.Invocation)      {}
+func (nobodyAsks) InvocationEnded(model.Outcome)         {}
 
 // Load lets a day's customers ask api gateways at addresses on loopback, and gives what they got. Nobody knows here
 // whether there was room.
-func Load(ctx context.Context, d *scenario.Day, seed uint64, addrs []string) (*metrics.Figures, float64, error) {
+func Load(ctx context.Context, d *scenario.Day, seed uint64, addrs []string) (*metrics.Results, float64, error) {
 	for _, a := range addrs {
 		if err := loopback(a); err != nil {
 			return nil, 0, err
 		}
 	}
 	c := &Clients{addrs: addrs}
-	w := simulation.New(d, seed, nobody("load"), simulation.Outside(c, func(int, policy.HostEntry) {}))
+	w := simulation.New(d, seed, nobody("load"), simulation.ExternalGateways(c, func(int, policy.HostEntry) {}))
 	c.attach(w)
 	w.Begin()
-	c.pump.run(ctx, w.Ends())
+	c.pump.run(ctx, w.EndTime())
 	c.drain()
-	return w.Close(), c.pump.late, nil
+	return w.Finish(), c.pump.late, nil
 }
 
-func (c *Clients) attach(w *simulation.World) {
-	c.World, c.pump = w, newPump(w.Queue)
+func (c *Clients) attach(w *simulation.Simulation) {
+	c.Simulation, c.pump = w, newPump(w.Queue)
 	for range c.addrs {
 		c.up = append(c.up, true)
 		c.idle = append(c.idle, map[*client]bool{})
@@ -143,7 +143,7 @@
 
 // Play plays a day on sockets: it starts an api gateway process for each, lets the customers ask once all are ready, and
 // ends the processes it started.
-func Play(ctx context.Context, d *scenario.Day, seed uint64, o Options) (*metrics.Figures, *simulation.World, error) {
+func Play(ctx context.Context, d *scenario.Day, seed uint64, o Options) (*metrics.Results, *simulation.Simulation, error) {
 	if err := Check(d); err != nil {
 		return nil, nil, err
 	}
@@ -152,8 +152,8 @@
 	defer stop()
 	c := &Clients{judge: true}
 	var s *StandIns
-	w := simulation.New(d, seed, nobody("sockets"), simulation.Outside(c, func(g int, l policy.HostEntry) { s.Told(g, l) }))
-	w.Referee.Second = true
+	w := simulation.New(d, seed, nobody("sockets"), simulation.ExternalGateways(c, func(g int, l policy.HostEntry) { s.Told(g, l) }))
+	w.Oracle.AllowsHedging = true
 	n := w.Day.Fleet.Gateways.N()
 	for range n {
 		c.addrs = append(c.addrs, "")
@@ -167,10 +167,10 @@
 		return nil, nil, err
 	}
 	c.rig = o.Rig
-	w.Heard = s.rig.Line
+	w.OnTrace = s.rig.Line
 	s.base = float64(time.Now().UnixNano()) / 1e9
 	s.lost = func(ref string) {
-		w.Referee.Foreign(ref, fmt.Sprintf("a host got %.40q, which no client has sent", ref))
+		w.Oracle.ForeignContent(ref, fmt.Sprintf("a host got %.40q, which no client has sent", ref))
 	}
 	c.began = func(inv *model.Invocation) { s.known[inv.Ref] = inv }
 	c.ended = func(inv *model.Invocation) { w.Queue.ScheduleAfter(5, func() { delete(s.known, inv.Ref) }) }
@@ -182,7 +182,7 @@
 		if c.addrs[g], err = s.rig.Door(g, addrs[g]); err != nil {
 			return nil, nil, err
 		}
-		s.tell(g, s.List(g), true)
+		s.tell(g, s.HostList(g), true)
 	}
 	// The stand-ins must answer while the api gateways start; the day itself begins once all are ready.
 	starting, ready := context.WithCancel(ctx)
@@ -191,10 +191,10 @@
 	g := &Gateways{ctx: ctx, o: o, clients: c, paths: paths, addrs: addrs, procs: make([]*childprocess.Child, n)}
 	first := make([][]policy.HostEntry, n)
 	for slot := range n {
-		first[slot] = s.List(slot)
+		first[slot] = s.HostList(slot)
 	}
 	g.anew = func(slot int) {
-		w.Referee.Started(slot)
+		w.Oracle.GatewayStarted(slot)
 		s.told[slot] = map[string]policy.HostEntry{}
 		s.tell(slot, first[slot], true)
 	}
@@ -213,7 +213,7 @@
 	<-pumped
 	// The model's clock starts anew for the day: what has happened so far is connections and watches alone.
 	w.Begin()
-	w.Killer = func(slot int, down float64, gently bool) {
+	w.KillGateway = func(slot int, down float64, gently bool) {
 		o.Tell(fmt.Sprintf("%.1f s: api gateway %d ends", w.Queue.Now(), slot))
 		if gently {
 			g.Term(slot)
@@ -224,12 +224,12 @@
 	}
 	g.begun = true
 	s.rig.Begin(w, g)
-	c.pump.resume(ctx, w.Ends())
+	c.pump.resume(ctx, w.EndTime())
 	s.rig.End(g)
 	stop() // nobody comes back any more
 	g.end()
 	c.drain()
-	f := w.Close()
+	f := w.Finish()
 	if c.pump.late > 0.02 {
 		o.Tell(fmt.Sprintf("this machine was too busy: an event came %.0f ms late", 1000*c.pump.late))
 	}
--- a/harness/sockets/client.go
+++ b/harness/sockets/client.go
@@ -22,7 +22,7 @@
 
 // Clients ask the api gateways at some addresses.
 type Clients struct {
-	*simulation.World
+	*simulation.Simulation
 	pump   *pump
 	addrs  []string
 	up     []bool
@@ -56,8 +56,8 @@
 
 func (c *Clients) Admits(gateway int) bool { return c.up[gateway%len(c.up)] }
 
-// Arrive sends a try. It always counts as taken here; what came of it is told to the crowd later.
-func (c *Clients) Arrive(inv *model.Invocation) bool {
+// Submit sends a try. It always counts as taken here; what came of it is told to the crowd later.
+func (c *Clients) Submit(inv *model.Invocation) bool {
 	inv.Accepted = true
 	gateway := inv.Gateway % len(c.addrs)
 	if c.began != nil {
@@ -114,7 +114,7 @@
 				status, body = m.Status, string(m.Body)
 				if more := m.Rest(); len(more) > 0 && c.judge {
 					text := fmt.Sprintf("an answer of api gateway %d has %.40q behind it", gateway, more)
-					c.pump.Do(func() { c.Referee.Foreign("", text) })
+					c.pump.Do(func() { c.Oracle.ForeignContent("", text) })
 				}
 				retryAfter, _ = strconv.ParseFloat(field(m, "retry-after"), 64)
 				last = strings.EqualFold(field(m, "connection"), "close")
@@ -147,7 +147,7 @@
 	if c.rig == nil || len(inv.Attempts) == 0 || c.rig.Struck(inv.Gateway, "", inv.SentAt) {
 		return
 	}
-	c.Referee.Cut(inv)
+	c.Oracle.ConnectionDropped(inv)
 }
 
 func (c *Clients) take(gateway int, until time.Time, fresh bool) (*client, error) {
@@ -192,31 +192,31 @@
 	}
 	room := false
 	if c.rig != nil {
-		c.Note(inv.Gateway, inv.Ref, "its client has: "+model.OutcomeNames[how])
+		c.Trace(inv.Gateway, inv.Ref, "its client has: "+model.OutcomeNames[how])
 		switch struck := c.rig.Struck(inv.Gateway, "", inv.SentAt); {
 		case how == model.Broken && c.rig.Down(inv.Gateway, inv.SentAt): // its door stands, with nobody behind
 			how = model.Unreachable
 		case unanswered(how) && struck: // what was struck owes nothing meanwhile
 			how = model.Broken
 		case how == model.Broken:
-			c.Referee.Cut(inv)
+			c.Oracle.ConnectionDropped(inv)
 		}
 	}
 	if c.judge {
 		if how == model.Served && !strings.HasPrefix(body, inv.Ref+" ") {
-			c.Referee.Foreign(inv.Ref, fmt.Sprintf("%s was served with %.40q", inv.Ref, body))
+			c.Oracle.ForeignContent(inv.Ref, fmt.Sprintf("%s was served with %.40q", inv.Ref, body))
 		}
 		switch how {
 		case model.Unreachable, model.Broken: // its api gateway was killed, or went away under it
 			inv.Outcome = how
 		default:
-			room = c.World.Answered(inv, how)
+			room = c.Simulation.InvocationAnswered(inv, how)
 		}
 	}
 	if c.ended != nil {
 		c.ended(inv)
 	}
-	c.Crowd.Ended(inv, how, retryAfter, room)
+	c.Workload.HandleOutcome(inv, how, retryAfter, room)
 	if c.rig != nil && !unanswered(how) && how != model.Unreachable {
 		c.rig.Seen("answered", inv.Gateway%len(c.addrs))
 	}
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -27,7 +27,7 @@
 	// Mail gives the addresses under which api gateways know each other, from those at which they listen.
 	Mail(own []string) ([]string, error)
 	// Begin is called when the day begins, on the pump's goroutine, on which it may call g.
-	Begin(w *simulation.World, g *Gateways)
+	Begin(w *simulation.Simulation, g *Gateways)
 	// End is called as the day ends, before its processes are ended.
 	End(g *Gateways)
 	// Seen tells of an event at an api gateway before what follows from it.
@@ -79,7 +79,7 @@
 		return
 	}
 	g.o.Tell(fmt.Sprintf("%.1f s: api gateway %d has ended by itself: %v", g.clients.Queue.Now(), slot, err))
-	g.clients.Referee.Crashed(slot, err)
+	g.clients.Oracle.GatewayCrashed(slot, err)
 	g.clients.up[slot] = false
 }
 
@@ -241,7 +241,7 @@
 }
 func (direct) Door(_ int, addr string) (string, error) { return addr, nil }
 func (direct) Mail(own []string) ([]string, error)     { return own, nil }
-func (direct) Begin(*simulation.World, *Gateways)      {}
+func (direct) Begin(*simulation.Simulation, *Gateways) {}
 func (direct) End(*Gateways)                           {}
 func (direct) Seen(string, int)                        {}
 func (direct) Struck(int, string, float64) bool        { return false }
--- a/harness/sockets/sockets_test.go
+++ b/harness/sockets/sockets_test.go
@@ -62,13 +62,13 @@
 		t.Fatal(err)
 	}
 	ended := 0.0
-	for _, n := range f.Ended {
+	for _, n := range f.Outcomes {
 		ended += n
 	}
-	if f.Tries < 100 || ended != f.Tries || f.Ended["served"] < f.Tries/4 {
-		t.Errorf("%.0f tries, %.0f ended, %v", f.Tries, ended, f.Ended)
+	if f.Invocations < 100 || ended != f.Invocations || f.Outcomes["served"] < f.Invocations/4 {
+		t.Errorf("%.0f tries, %.0f ended, %v", f.Invocations, ended, f.Outcomes)
 	}
-	for _, b := range w.Referee.Breaks {
+	for _, b := range w.Oracle.Violations {
 		if b.Rule != 1 || !strings.Contains(b.Text, "gave up") {
 			t.Error(b)
 		}
@@ -80,7 +80,7 @@
 	if err != nil || !strings.Contains(string(log), `"ended"`) {
 		t.Errorf("the api gateway did not end well: %v %s", err, log)
 	}
-	if f.Calls == 0 || f.Deliveries == 0 {
+	if f.CounterCalls == 0 || f.Attempts == 0 {
 		t.Error("neither counter nor hosts were called")
 	}
 }
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -26,7 +26,7 @@
 
 // StandIns are a day's hosts, counter and discovery on loopback.
 type StandIns struct {
-	*simulation.World
+	*simulation.Simulation
 	pump      *pump
 	base      float64 // clock time, Unix, at which the day begins
 	listeners []net.Listener
@@ -47,15 +47,15 @@
 }
 
 // stand opens all listeners. known finds an invocation by its ref.
-func stand(w *simulation.World, p *pump, gateways int, rig Rig) (*StandIns, error) {
+func stand(w *simulation.Simulation, p *pump, gateways int, rig Rig) (*StandIns, error) {
 	s := &StandIns{
-		World: w, pump: p, conns: map[*conn]bool{}, addrs: map[[2]int]string{}, known: map[string]*model.Invocation{}, seen: map[string]*model.Invocation{},
+		Simulation: w, pump: p, conns: map[*conn]bool{}, addrs: map[[2]int]string{}, known: map[string]*model.Invocation{}, seen: map[string]*model.Invocation{},
 		customers: map[string]*model.Customer{}, rig: rig,
 	}
 	if rig == nil {
 		s.rig = direct{s}
 	}
-	for _, c := range w.Crowd.Customers {
+	for _, c := range w.Workload.Customers {
 		s.customers[c.Key] = c
 	}
 	for g := range gateways {
@@ -165,11 +165,11 @@
 		}
 	}
 	for g := range gateways {
-		list, _ := s.entries(g, s.List(g))
+		list, _ := s.entries(g, s.HostList(g))
 		c := map[string]any{
 			"name": fmt.Sprintf("edge-%d", g), "listen": listens[g], "discovery": s.rosters[g], "seed": fmt.Sprintf("%x", s.Seed+uint64(g)),
 			"limits": map[string]any{"cores": s.Day.Gateway.Core.V(), "memory_mb": memory, "sockets": 1024}, "counter": s.counters[g],
-			"known": map[string]any{"version": 1, "full": true, "servers": list}, "settings": settings(s.World, g, gateways),
+			"known": map[string]any{"version": 1, "full": true, "servers": list}, "settings": settings(s.Simulation, g, gateways),
 		}
 		if len(peers) > 0 {
 			c["peers"], c["peer_listen"] = known, peers[g]
@@ -187,8 +187,8 @@
 	return paths, listens[:gateways], nil
 }
 
-func settings(w *simulation.World, slot, gateways int) simprotocol.Start {
-	st := simulation.Settings(w.Day, slot)
+func settings(w *simulation.Simulation, slot, gateways int) simprotocol.Start {
+	st := simulation.StartSettings(w.Day, slot)
 	st.Balancers = gateways
 	return st
 }
@@ -261,14 +261,14 @@
 		now[l.Addr] = true
 		if old, known := told[l.Addr]; !known || old != l {
 			told[l.Addr] = l
-			s.Referee.Told(gateway, s.Host(l.Addr).Number, l.State, l.StartedAt)
+			s.Oracle.HostStateTold(gateway, s.Host(l.Addr).Number, l.State, l.StartedAt)
 		}
 	}
 	for addr, l := range told { // each by itself: the order does not show
 		if whole && !now[addr] && l.State != "left" {
 			l.State = "left"
 			told[addr] = l
-			s.Referee.Told(gateway, s.Host(addr).Number, "left", l.StartedAt)
+			s.Oracle.HostStateTold(gateway, s.Host(addr).Number, "left", l.StartedAt)
 		}
 	}
 }
@@ -291,13 +291,13 @@
 		}
 		watch := strings.Contains(target, "watch=1")
 		s.pump.Do(func() {
-			whole := s.line(gateway, true, s.List(gateway))
+			whole := s.line(gateway, true, s.HostList(gateway))
 			if !watch {
 				c.write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)))
 				return
 			}
 			c.write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-			list := s.List(gateway)
+			list := s.HostList(gateway)
 			c.writeThen(chunk(whole), func() { s.pump.Do(func() { s.tell(gateway, list, true) }) })
 			s.watches[gateway][c] = true
 			s.alive(gateway, c)
@@ -341,12 +341,12 @@
 				say("400 Bad Request", "")
 				return
 			}
-			net, zone := s.Net(), s.zone(gateway)
+			net, zone := s.Network(), s.zone(gateway)
 			if net.Partitioned(zone, 0) {
 				return
 			}
 			s.Queue.ScheduleAfter(net.Delay(zone, 0), func() {
-				s.Called(false)
+				s.CounterCalled(false)
 				s.rig.Seen("called", gateway)
 				// Every second api gateway sees the copy of a split counter: there are no edges to ask.
 				s.Counter.Add(gateway%2 == 1, name, by, life, func(how countermodel.Outcome, sum float64) {
@@ -408,7 +408,7 @@
 	s.pump.Do(func() {
 		life = h.Incarnation
 		up <- answer{h.IsSilent() || h.OpenConnection()}
-		s.Dialled()
+		s.ConnectionDialled()
 	})
 	select {
 	case a := <-up:
@@ -450,7 +450,7 @@
 			if job != nil {
 				h.Cancel(job)
 			}
-			s.EndedAt(d)
+			s.AttemptReleased(d)
 		}
 	})
 }
@@ -495,11 +495,11 @@
 
 // arrive lets the referee and the host see a delivery that is whole, a way after it was.
 func (s *StandIns) arrive(h *hostmodel.Host, gateway, life int, d *model.Attempt, c *conn, fresh bool) *hostmodel.Job {
-	net, zone, n := s.Net(), s.zone(gateway), d.Invocation.Request
+	net, zone, n := s.Network(), s.zone(gateway), d.Invocation.Request
 	to, open := fmt.Sprintf("host %d", h.Number), d.Invocation.Outcome == model.Pending
 	job := &hostmodel.Job{Operation: n.Operation.Number, Work: n.Work, Gateway: gateway, OnStart: func() {
 		s.rig.Seen("ran", gateway)
-		s.Ran(d)
+		s.AttemptStarted(d)
 	}}
 	if fresh {
 		job.Work += h.ConnectWork
@@ -510,7 +510,7 @@
 			return
 		}
 		s.rig.Seen("answering", gateway)
-		s.Note(gateway, d.Invocation.Ref, fmt.Sprintf("host %d ends delivery %d: %s", h.Number, d.Number, a))
+		s.Trace(gateway, d.Invocation.Ref, fmt.Sprintf("host %d ends delivery %d: %s", h.Number, d.Number, a))
 		if d.ProvenNotRun = a == hostmodel.Rejected; a == hostmodel.Succeeded && net.DrawLostAnswer() || net.Partitioned(zone, h.Zone) {
 			return
 		}
@@ -519,7 +519,7 @@
 				return
 			}
 			d.Ended = true
-			s.EndedAt(d)
+			s.AttemptReleased(d)
 			switch {
 			case reset || a == hostmodel.Reset:
 				c.end(true)
@@ -536,7 +536,7 @@
 		})
 	}
 	if net.Partitioned(zone, h.Zone) || h.IsSilent() {
-		s.Swallowed()
+		s.AttemptSwallowed()
 		return job
 	}
 	s.Queue.ScheduleAfter(net.Delay(zone, h.Zone), func() {
@@ -549,16 +549,16 @@
 		// When one held up by a fault set out isn't known: how late it comes tells nothing. Nor does it where the final answer
 		// came while it was on its way here: it had been called off.
 		if s.rig.Struck(gateway, to, d.Invocation.SentAt) || open && d.Invocation.Outcome != model.Pending {
-			s.SentLate(d)
+			s.AttemptSentLate(d)
 		} else {
-			s.Sent(d)
+			s.AttemptSent(d)
 			s.alone(d)
 		}
-		s.Reached(d)
+		s.AttemptReached(d)
 		h.Submit(job)
 		if d.Ended {
 			h.Cancel(job)
-			s.EndedAt(d)
+			s.AttemptReleased(d)
 		}
 	})
 	return job
@@ -571,7 +571,7 @@
 		if e != d && !e.Ended {
 			s.Queue.ScheduleAfter(0.05, func() {
 				if !e.Ended { // it had ended before the next one was sent, or never did
-					s.Referee.Twice(d.Invocation)
+					s.Oracle.ConcurrentAttempts(d.Invocation)
 				}
 			})
 		}
--- a/sim/batch/batch.go
+++ b/sim/batch/batch.go
@@ -22,41 +22,41 @@
 
 // Plan is one day to be played.
 type Plan struct {
-	Day     *scenario.Day
-	Decider string // a name of policy.Names, or wire:PATH
-	Seed    uint64
-	Over    map[string]string // what was changed in the day, for the report
+	Day       *scenario.Day
+	Decider   string // a name of policy.Names, or wire:PATH
+	Seed      uint64
+	Overrides map[string]string // what was changed in the day, for the report
 }
 
 // Run is a day that was played.
 type Run struct {
-	Over     map[string]string `json:"over,omitempty"`
-	Troubles []Trouble         `json:"troubles,omitempty"`
-	Length   float64           `json:"length"`
-	Gateways int               `json:"gateways"`
-	Hosts    int               `json:"hosts"`
-	Capacity float64           `json:"counter_capacity"` // calls a second; 0: there is none
-	*metrics.Figures
+	Overrides map[string]string `json:"over,omitempty"`
+	Faults    []Fault           `json:"troubles,omitempty"`
+	Length    float64           `json:"length"`
+	Gateways  int               `json:"gateways"`
+	Hosts     int               `json:"hosts"`
+	Capacity  float64           `json:"counter_capacity"` // calls a second; 0: there is none
+	*metrics.Results
 }
 
-// Trouble is one trouble of a day, for the report.
-type Trouble struct {
+// Fault is one trouble of a day, for the report.
+type Fault struct {
 	Kind string  `json:"kind"`
 	At   float64 `json:"at"`
 	Ends float64 `json:"ends"`
 }
 
-// Decider makes a decider by its name.
-func Decider(name string) (simulation.Decider, error) {
+// NewPolicySource makes a decider by its name.
+func NewPolicySource(name string) (simulation.PolicySource, error) {
 	if path, ok := strings.CutPrefix(name, "wire:"); ok {
 		return policyprocess.Start(path)
 	}
 	return policies.New(name)
 }
 
-// One plays one day.
-func One(p Plan, opts ...simulation.Option) (*Run, *simulation.World, error) {
-	dec, err := Decider(p.Decider)
+// RunOne plays one day.
+func RunOne(p Plan, opts ...simulation.Option) (*Run, *simulation.Simulation, error) {
+	dec, err := NewPolicySource(p.Decider)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -65,32 +65,32 @@
 	if err != nil {
 		return nil, w, err
 	}
-	return Of(p, w, f), w, nil
+	return NewRun(p, w, f), w, nil
 }
 
-// Of puts a played day's figures beside what the day was.
-func Of(p Plan, w *simulation.World, f *metrics.Figures) *Run {
-	r := &Run{Over: p.Over, Length: w.Day.Length.V(), Gateways: w.Day.Fleet.Gateways.N(), Hosts: w.Day.Fleet.Hosts.N(), Figures: f}
+// NewRun puts a played day's figures beside what the day was.
+func NewRun(p Plan, w *simulation.Simulation, f *metrics.Results) *Run {
+	r := &Run{Overrides: p.Overrides, Length: w.Day.Length.V(), Gateways: w.Day.Fleet.Gateways.N(), Hosts: w.Day.Fleet.Hosts.N(), Results: f}
 	if w.Day.Counter.Present {
 		r.Capacity = w.Day.Counter.Capacity.V()
 	}
 	for _, t := range w.Day.Troubles {
-		r.Troubles = append(r.Troubles, Trouble{t.Kind, t.At.V(), t.At.V() + t.Lasts.V()})
+		r.Faults = append(r.Faults, Fault{t.Kind, t.At.V(), t.At.V() + t.Lasts.V()})
 	}
 	return r
 }
 
 // Story plays a day again and gives all that happened to one invocation.
 func Story(p Plan, ref string) ([]string, error) {
-	_, w, err := One(p, simulation.Story(ref))
+	_, w, err := RunOne(p, simulation.WithStory(ref))
 	if err != nil {
 		return nil, err
 	}
-	return w.Told(), nil
+	return w.StoryLines(), nil
 }
 
-// All plays days on all cores; done is told how many are.
-func All(ctx context.Context, plans []Plan, workers int, done func(n int)) ([]*Run, error) {
+// RunAll plays days on all cores; done is told how many are.
+func RunAll(ctx context.Context, plans []Plan, workers int, done func(n int)) ([]*Run, error) {
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
@@ -103,7 +103,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			r, _, err := One(p)
+			r, _, err := RunOne(p)
 			if err != nil {
 				return fmt.Errorf("%s, seed %d, %s: %w", p.Day.Name, p.Seed, p.Decider, err)
 			}
@@ -117,8 +117,8 @@
 	return results, group.Wait()
 }
 
-// Writable says early that a file can't be written, before a long run ends in that.
-func Writable(path string) error {
+// CheckWritable says early that a file can't be written, before a long run ends in that.
+func CheckWritable(path string) error {
 	if path == "" || path == "-" {
 		return nil
 	}
@@ -149,11 +149,11 @@
 	if err != nil {
 		return err
 	}
-	return Put(path, append(b, '\n'))
+	return WriteFile(path, append(b, '\n'))
 }
 
-// Put writes a file beside its place first.
-func Put(path string, b []byte) error {
+// WriteFile writes a file beside its place first.
+func WriteFile(path string, b []byte) error {
 	if path == "-" {
 		_, err := os.Stdout.Write(b)
 		return err
@@ -176,7 +176,7 @@
 		return nil, fmt.Errorf("%s holds no results: %w", path, err)
 	}
 	for i, r := range rs {
-		if r == nil || r.Figures == nil {
+		if r == nil || r.Results == nil {
 			return nil, fmt.Errorf("%s holds no results: entry %d is empty", path, i)
 		}
 	}
--- a/sim/batch/batch_test.go
+++ b/sim/batch/batch_test.go
@@ -39,7 +39,7 @@
 
 func run(t testing.TB, d *scenario.Day, decider string) *Run {
 	t.Helper()
-	r, _, err := One(Plan{Day: d, Decider: decider, Seed: 5})
+	r, _, err := RunOne(Plan{Day: d, Decider: decider, Seed: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,14 +55,14 @@
 	}
 	var before [][]byte
 	for _, workers := range []int{1, 5} {
-		rs, err := All(context.Background(), plans, workers, nil)
+		rs, err := RunAll(context.Background(), plans, workers, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, r := range rs {
 			if workers == 1 {
-				before = append(before, r.Bytes())
-			} else if !bytes.Equal(before[i], r.Bytes()) {
+				before = append(before, r.Encode())
+			} else if !bytes.Equal(before[i], r.Encode()) {
 				t.Fatalf("seed %d differs between one worker and five", i)
 			}
 		}
@@ -80,7 +80,7 @@
 	outR, out := io.Pipe()
 	done := make(chan error, 1)
 	go func() { done <- simadapter.Run(in, out) }()
-	w := simulation.New(d, 5, policyprocess.From("module", inW, outR, func() error { return nil }))
+	w := simulation.New(d, 5, policyprocess.Attach("module", inW, outR, func() error { return nil }))
 	f, err := w.Run()
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(f.Bytes(), direct.Bytes()) {
+	if !bytes.Equal(f.Encode(), direct.Encode()) {
 		t.Fatalf("they differ: worth %.6f directly, %.6f by the line protocol", direct.Score(), f.Score())
 	}
 }
@@ -107,7 +107,7 @@
 		if err := os.WriteFile(path, []byte("#!/bin/sh\n"+script+"\n"), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := One(Plan{Day: d, Decider: "wire:" + path, Seed: 1})
+		_, _, err := RunOne(Plan{Day: d, Decider: "wire:" + path, Seed: 1})
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", script, err)
 		}
@@ -132,8 +132,8 @@
 		}
 	}
 	p50 := during(func(r *Run, i int) float64 { return r.Seconds[i].P50 })
-	missed := during(func(r *Run, i int) float64 { return r.Seconds[i].Missed })
-	served := func(r *Run) float64 { return r.Whole.Part(r.Whole.Served) }
+	missed := during(func(r *Run, i int) float64 { return r.Seconds[i].CounterCallsFailed })
+	served := func(r *Run) float64 { return r.Total.Fraction(r.Total.Served) }
 	loss := func(r *Run) float64 { return 1 - served(r) }
 	dials := func(r *Run) float64 { return r.Dials }
 	spread := func(r *Run) float64 { return float64(r.Events) } // any change of the course
@@ -147,9 +147,9 @@
 		{"silent", "0.5", "1", "random", loss, 2, nil},
 		{"vanish", "0.5", "1", "random", loss, 2, nil},
 		{"operation-silent", "1", "1", "random", loss, 1.5, nil},
-		{"errors", "1", "0.9", "random", func(r *Run) float64 { return r.Deliveries / r.Tries }, 1.2, nil},
-		{"spoilt", "1", "0.9", "random", func(r *Run) float64 { return r.Deliveries / r.Tries }, 1.2, nil},
-		{"refuse", "1", "0.002", "random", func(r *Run) float64 { return r.Deliveries / r.Tries }, 1.005, nil},
+		{"errors", "1", "0.9", "random", func(r *Run) float64 { return r.Attempts / r.Invocations }, 1.2, nil},
+		{"spoilt", "1", "0.9", "random", func(r *Run) float64 { return r.Attempts / r.Invocations }, 1.2, nil},
+		{"refuse", "1", "0.002", "random", func(r *Run) float64 { return r.Attempts / r.Invocations }, 1.005, nil},
 		{"replace", "1", "1", "random", func(r *Run) float64 { return -r.Seconds[11].HostsUp }, 0, nil},
 		{"grow", "1", "1", "random", during(func(r *Run, i int) float64 { return r.Seconds[i].HostsUp }), 1.8, nil},
 		{"reset", "1", "0.8", "random", dials, 1.3, nil},
@@ -160,19 +160,19 @@
 		{"counter-refuse", "1", "1", "design", missed, 5, nil},
 		{"counter-small", "1", "0.02", "design", missed, 5, nil},
 		{"counter-drop", "1", "0.1", "design", missed, 5, nil},
-		{"counter-split", "0.5", "1", "design", func(r *Run) float64 { return r.Whole.Beyond }, 1.02, nil},
+		{"counter-split", "0.5", "1", "design", func(r *Run) float64 { return r.Total.BeyondQuota }, 1.02, nil},
 		{"counter-takeover", "1", "1", "design", missed, 5, nil},
-		{"counter-replaced", "1", "1", "design", func(r *Run) float64 { return r.Whole.Beyond }, 1.02, nil},
+		{"counter-replaced", "1", "1", "design", func(r *Run) float64 { return r.Total.BeyondQuota }, 1.02, nil},
 		{"list-late", "1", "20", "random", loss, 1.02, []string{"replace"}},
 		{"list-silent", "1", "1", "random", spread, 0, []string{"replace"}},
 		{"list-wrong", "0.7", "1", "random", p50, 1.2, nil},
 		{"mail-loss", "1", "1", "module", spread, 0, []string{"silent"}},
-		{"burst", "1", "4", "random", during(func(r *Run, i int) float64 { return r.Seconds[i].First }), 3, nil},
-		{"gather", "1", "1", "share", func(r *Run) float64 { return r.Whole.WithRoom }, 1.05, nil},
+		{"burst", "1", "4", "random", during(func(r *Run, i int) float64 { return r.Seconds[i].FirstInvocations }), 3, nil},
+		{"gather", "1", "1", "share", func(r *Run) float64 { return r.Total.ThrottledWithRoom }, 1.05, nil},
 		{"move", "0.9", "1", "module", spread, 0, nil},
-		{"ignore", "1", "5", "share", func(r *Run) float64 { return r.Tries / r.First }, 1.1, nil},
+		{"ignore", "1", "5", "share", func(r *Run) float64 { return r.Invocations / r.FirstInvocations }, 1.1, nil},
 		{"impatient", "1", "0.1", "random", loss, 1.2, nil},
-		{"kill", "1", "1", "random", during(func(r *Run, i int) float64 { return 4.01 - r.Seconds[i].Alive }), 10, nil},
+		{"kill", "1", "1", "random", during(func(r *Run, i int) float64 { return 4.01 - r.Seconds[i].GatewaysAlive }), 10, nil},
 		{"restart", "1", "1", "random", dials, 1.1, nil},
 		{"starve", "1", "0.002", "random", p50, 1.3, nil},
 	} {
@@ -205,7 +205,7 @@
 	beyond := map[string]float64{}
 	for _, back := range []string{"kept", "empty"} {
 		d := small(t, trouble("counter-silent", "1", "1", "500ms")+"back = \""+back+"\"\n", "clients.over=0.6")
-		beyond[back] = run(t, d, "design").Whole.Beyond
+		beyond[back] = run(t, d, "design").Total.BeyondQuota
 	}
 	if beyond["empty"] < 1.05*beyond["kept"] {
 		t.Errorf("beyond the quotas: %.0f with a kept counter, %.0f with an empty one", beyond["kept"], beyond["empty"])
@@ -217,12 +217,12 @@
 	d := small(t, trouble("reset", "1", "0.3", "3s")+trouble("kill", "0.5", "1", "2s")+trouble("replace", "0.5", "1", "3s")+
 		strings.Replace(trouble("counter-silent", "1", "1", "3s"), `at = "3s"`, `at = "6s"`, 1)+trouble("half-open", "1", "0.2", "5s"))
 	for seed := range uint64(8) {
-		r, _, err := One(Plan{Day: d, Decider: "module", Seed: seed})
+		r, _, err := RunOne(Plan{Day: d, Decider: "module", Seed: seed})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Breaks > 0 {
-			t.Errorf("seed %d: %v", seed, r.Broken)
+		if r.ViolationCount > 0 {
+			t.Errorf("seed %d: %v", seed, r.Violations)
 		}
 	}
 }
@@ -236,14 +236,14 @@
 		t.Fatal(err)
 	}
 	back, err := Load(path)
-	if err != nil || back[0].Whole != r.Whole || back[0].Gateways != 4 {
+	if err != nil || back[0].Total != r.Total || back[0].Gateways != 4 {
 		t.Fatal(err, back)
 	}
 	os.WriteFile(path, []byte("[null]"), 0o644)
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path) {
 		t.Fatal(err)
 	}
-	if Writable(filepath.Join(dir, "none", "r.json")) == nil {
+	if CheckWritable(filepath.Join(dir, "none", "r.json")) == nil {
 		t.Fatal("a folder that there isn't")
 	}
 }
@@ -259,7 +259,7 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(f.Events), "ns/event")
-		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/f.Tries, "ns/try")
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/f.Invocations, "ns/try")
 	}
 }
 
--- a/sim/batch/rules_test.go
+++ b/sim/batch/rules_test.go
@@ -12,15 +12,15 @@
 // wicked is a decider that breaks one rule on purpose and else sends each invocation to one host.
 type wicked struct {
 	rule int
-	w    *simulation.World
+	w    *simulation.Simulation
 	out  policydriver.Output
 	list []policy.HostEntry
 }
 
 func (d *wicked) Name() string { return "wicked" }
 func (d *wicked) Err() error   { return nil }
-func (d *wicked) End()         {}
-func (d *wicked) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error) {
+func (d *wicked) Close()       {}
+func (d *wicked) NewPolicy(w *simulation.Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error) {
 	return &wicked{rule: d.rule, w: w, out: out}, nil
 }
 
@@ -78,15 +78,15 @@
 			t.Fatal(err)
 		}
 		seen := map[int]bool{}
-		for _, b := range f.Broken {
+		for _, b := range f.Violations {
 			seen[b.Rule] = true
 		}
 		if rule == 0 { // hosts that leave are not sent to by the module
-			if f = run(t, d, "module").Figures; f.Breaks > 0 {
-				t.Errorf("the module: %v", f.Broken)
+			if f = run(t, d, "module").Results; f.ViolationCount > 0 {
+				t.Errorf("the module: %v", f.Violations)
 			}
 		} else if !seen[rule] {
-			t.Errorf("rule %d broken on purpose: seen %v", rule, f.Broken)
+			t.Errorf("rule %d broken on purpose: seen %v", rule, f.Violations)
 		}
 	}
 }
--- a/sim/gatewaymodel/clock.go
+++ b/sim/gatewaymodel/clock.go
@@ -8,8 +8,8 @@
 	"otterseam/gateway/policydriver"
 )
 
-// Shifted is a mind whose clock is by so many seconds ahead of the day's; make is given its way out.
-func Shifted(by float64, out policydriver.Output, make func(out policydriver.Output) (Mind, error)) (Mind, error) {
+// WithClockOffset is a mind whose clock is by so many seconds ahead of the day's; make is given its way out.
+func WithClockOffset(by float64, out policydriver.Output, make func(out policydriver.Output) (Policy, error)) (Policy, error) {
 	if by == 0 {
 		return make(out)
 	}
@@ -18,7 +18,7 @@
 }
 
 type shifted struct {
-	mind Mind
+	mind Policy
 	by   float64
 }
 
--- a/sim/gatewaymodel/gatewaymodel.go
+++ b/sim/gatewaymodel/gatewaymodel.go
@@ -16,12 +16,12 @@
 	"otterseam/sim/scenario"
 )
 
-// Early is how long before its client gives up the last delivery is ended, as the api gateway on sockets does it.
-const Early = 0.008
+// FinalAttemptMargin is how long before its client gives up the last delivery is ended, as the api gateway on sockets does it.
+const FinalAttemptMargin = 0.008
 
-// Mind decides for one api gateway. Its answers leave through the policydriver.Output that it was made with; after each call, or
+// Policy decides for one api gateway. Its answers leave through the policydriver.Output that it was made with; after each call, or
 // several at one moment, SetTimers is called.
-type Mind interface {
+type Policy interface {
 	UpdateHosts(now float64, list []policy.HostEntry, whole bool)
 	Accept(now float64, a policy.Request)
 	AttemptEnded(now float64, ref string, number int, e policy.AttemptResult)
@@ -32,36 +32,36 @@
 	SetTimers(now float64)
 }
 
-// Surroundings is what an api gateway meets.
-type Surroundings interface {
+// Environment is what an api gateway meets.
+type Environment interface {
 	Host(addr string) *hostmodel.Host
 	// Sent, Reached, Ran, EndedAt and Answered tell the referee, and what counts, of what happens.
-	Sent(d *model.Attempt)
-	Reached(d *model.Attempt)
-	Ran(d *model.Attempt)
-	EndedAt(d *model.Attempt)
-	Answered(inv *model.Invocation, how model.Outcome) (room bool)
+	AttemptSent(d *model.Attempt)
+	AttemptReached(d *model.Attempt)
+	AttemptStarted(d *model.Attempt)
+	AttemptReleased(d *model.Attempt)
+	InvocationAnswered(inv *model.Invocation, how model.Outcome) (room bool)
 	// Client brings an answer to its client.
-	Client(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool)
-	Mail(from, to int, text string) // to an api gateway, or to all others: member.All
-	Note(from int, ref, text string)
-	Called(missed bool)
-	Dialled()
+	DeliverAnswer(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool)
+	SendPeerMessage(from, to int, text string) // to an api gateway, or to all others: member.All
+	Trace(from int, ref, text string)
+	CounterCalled(missed bool)
+	ConnectionDialled()
 }
 
-// Edge is one api gateway.
-type Edge struct {
-	Slot, Zone int
-	Alive      bool
-	Admits     bool // the front sends it tries
-	Far        bool // while the counter is split, it sees the copy
-	Mind       Mind
+// Gateway is one api gateway.
+type Gateway struct {
+	Slot, Zone    int
+	Alive         bool
+	Admits        bool // the front sends it tries
+	SeesSplitCopy bool // while the counter is split, it sees the copy
+	Policy        Policy
 
 	q       *eventqueue.Queue
 	net     *network.Network
 	counter *countermodel.Counter
 	day     *scenario.Day
-	around  Surroundings
+	around  Environment
 	cost    float64 // seconds of time for each thing it hears, at its share of a core
 	starve  float64
 	busy    float64
@@ -89,8 +89,8 @@
 }
 
 // New makes an api gateway; Start starts it.
-func New(slot, zone int, q *eventqueue.Queue, net *network.Network, c *countermodel.Counter, d *scenario.Day, around Surroundings) *Edge {
-	e := &Edge{
+func New(slot, zone int, q *eventqueue.Queue, net *network.Network, c *countermodel.Counter, d *scenario.Day, around Environment) *Gateway {
+	e := &Gateway{
 		Slot: slot, Zone: zone, q: q, net: net, counter: c, day: d, around: around, starve: 1,
 		cost: d.Gateway.Cost.V() / d.Gateway.Core.V(),
 	}
@@ -101,21 +101,21 @@
 }
 
 // Start begins a life with empty hands and the list as it was last told.
-func (e *Edge) Start(mind Mind, list []policy.HostEntry) {
+func (e *Gateway) Start(mind Policy, list []policy.HostEntry) {
 	e.life++
-	e.Alive, e.Admits, e.Mind, e.busy = true, true, mind, e.q.Now()
+	e.Alive, e.Admits, e.Policy, e.busy = true, true, mind, e.q.Now()
 	e.inHand, e.rest = map[string]*model.Invocation{}, map[*hostmodel.Host][]connection{}
 	e.flying, e.lastSum = map[*model.Attempt]*flight{}, map[int]float64{}
 	mind.UpdateHosts(e.q.Now(), list, true)
 	mind.SetTimers(e.q.Now())
 }
 
-// InHand is how many invocations it holds; Out how many deliveries.
-func (e *Edge) InHand() int { return len(e.inHand) }
-func (e *Edge) Out() int    { return len(e.flying) }
+// PendingInvocations is how many invocations it holds; Out how many deliveries.
+func (e *Gateway) PendingInvocations() int { return len(e.inHand) }
+func (e *Gateway) AttemptsInFlight() int   { return len(e.flying) }
 
-// Starve leaves it a part of its share of a core, or gives it back.
-func (e *Edge) Starve(part float64, begin bool) {
+// ScaleCPU leaves it a part of its share of a core, or gives it back.
+func (e *Gateway) ScaleCPU(part float64, begin bool) {
 	if begin {
 		e.starve *= part
 	} else {
@@ -124,19 +124,19 @@
 }
 
 // hear lets the api gateway deal with something once it has a turn on its core.
-func (e *Edge) hear(what func(now float64)) {
+func (e *Gateway) hear(what func(now float64)) {
 	now, life := e.q.Now(), e.life
 	e.busy = max(now, e.busy) + e.cost/e.starve
 	e.q.Schedule(e.busy, func() {
 		if e.life == life && e.Alive {
 			what(e.q.Now())
-			e.Mind.SetTimers(e.q.Now())
+			e.Policy.SetTimers(e.q.Now())
 		}
 	})
 }
 
-// Arrive brings a try to its machine; false: it takes none.
-func (e *Edge) Arrive(inv *model.Invocation) bool {
+// Submit brings a try to its machine; false: it takes none.
+func (e *Gateway) Submit(inv *model.Invocation) bool {
 	if !e.Alive {
 		return false
 	}
@@ -149,8 +149,8 @@
 			return
 		}
 		n := inv.Request
-		e.around.Note(e.Slot, inv.Ref, "taken")
-		e.Mind.Accept(now, policy.Request{
+		e.around.Trace(e.Slot, inv.Ref, "taken")
+		e.Policy.Accept(now, policy.Request{
 			Ref: inv.Ref, Operation: n.Operation.Name, Customer: n.Customer.Key, Plan: n.Customer.Plan.Name,
 			Units: n.Units, Deadline: inv.GiveUpAt, FirstGateway: n.Customer.FirstGateway, GatewayCount: n.Customer.GatewayCount, ClientRetry: inv.ClientRetry,
 		})
@@ -159,11 +159,11 @@
 }
 
 // gone: the client's time is over. What it has not had by now it will not have.
-func (e *Edge) gone(inv *model.Invocation, life int) {
+func (e *Gateway) gone(inv *model.Invocation, life int) {
 	if e.life != life || inv.Outcome != model.Pending {
 		return
 	}
-	e.around.Client(inv, model.Unanswered, 0, false)
+	e.around.DeliverAnswer(inv, model.Unanswered, 0, false)
 	// The client closes its connection; the api gateway hears of it a way later and on its core's time.
 	e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() {
 		if e.life != life {
@@ -173,17 +173,17 @@
 			if e.inHand[inv.Ref] == nil {
 				return
 			}
-			e.around.Answered(inv, model.Unanswered)
+			e.around.InvocationAnswered(inv, model.Unanswered)
 			for _, d := range inv.Attempts {
 				e.end(d, policy.Cancelled)
 			}
-			e.Mind.Abandon(now, inv.Ref)
+			e.Policy.Abandon(now, inv.Ref)
 			e.drop(inv)
 		})
 	})
 }
 
-func (e *Edge) drop(inv *model.Invocation) {
+func (e *Gateway) drop(inv *model.Invocation) {
 	if inv.Outcome == model.Pending {
 		return
 	}
@@ -195,21 +195,21 @@
 	delete(e.inHand, inv.Ref)
 }
 
-// Told brings a change of the list; Mailed a peer's message.
-func (e *Edge) Told(change policy.HostEntry) {
+// HostChanged brings a change of the list; Mailed a peer's message.
+func (e *Gateway) HostChanged(change policy.HostEntry) {
 	if e.Alive {
-		e.hear(func(now float64) { e.Mind.UpdateHosts(now, []policy.HostEntry{change}, false) })
+		e.hear(func(now float64) { e.Policy.UpdateHosts(now, []policy.HostEntry{change}, false) })
 	}
 }
 
-func (e *Edge) Mailed(from int, text string) {
+func (e *Gateway) PeerMessage(from int, text string) {
 	if e.Alive {
-		e.hear(func(now float64) { e.Mind.PeerMessage(now, from, text) })
+		e.hear(func(now float64) { e.Policy.PeerMessage(now, from, text) })
 	}
 }
 
 // Kill ends it outright: what it holds is lost to its clients, what it has sent goes on.
-func (e *Edge) Kill() {
+func (e *Gateway) Kill() {
 	if !e.Alive {
 		return
 	}
@@ -225,7 +225,7 @@
 	for _, f := range flights {
 		f.d.Ended = true
 		e.close(f)
-		e.around.EndedAt(f.d)
+		e.around.AttemptReleased(f.d)
 	}
 	for h, cs := range e.rest { // each host's own sum: the order does not show
 		for _, c := range cs {
@@ -242,8 +242,8 @@
 	for _, inv := range held {
 		if inv.Outcome == model.Pending {
 			inv.Outcome = model.Broken
-			e.around.Note(e.Slot, inv.Ref, "its api gateway is killed")
-			e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() { e.around.Client(inv, model.Broken, 0, false) })
+			e.around.Trace(e.Slot, inv.Ref, "its api gateway is killed")
+			e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() { e.around.DeliverAnswer(inv, model.Broken, 0, false) })
 		}
 	}
 	e.inHand, e.rest, e.flying = nil, nil, nil
@@ -252,12 +252,12 @@
 // What the mind asks for. All of it happens at the moment at which it is asked.
 
 // Send begins a delivery.
-func (e *Edge) Send(ref, addr string, within float64) {
+func (e *Gateway) Send(ref, addr string, within float64) {
 	inv, h, now := e.inHand[ref], e.around.Host(addr), e.q.Now()
 	if inv == nil || h == nil {
 		return
 	}
-	limit := inv.GiveUpAt - now - Early
+	limit := inv.GiveUpAt - now - FinalAttemptMargin
 	if within > 0 {
 		limit = min(limit, within)
 	}
@@ -265,8 +265,8 @@
 	inv.Attempts = append(inv.Attempts, d)
 	f := &flight{d: d, h: h}
 	e.flying[d] = f
-	e.around.Sent(d)
-	e.around.Note(e.Slot, ref, "sent to "+addr)
+	e.around.AttemptSent(d)
+	e.around.Trace(e.Slot, ref, "sent to "+addr)
 	life := e.life
 	e.q.ScheduleAfter(limit, func() {
 		if e.life == life {
@@ -282,7 +282,7 @@
 }
 
 // idle takes the connection at rest that was used last. One near the time at which the host closes it is closed here.
-func (e *Edge) idle(h *hostmodel.Host) (c connection, ok bool) {
+func (e *Gateway) idle(h *hostmodel.Host) (c connection, ok bool) {
 	cs, now := e.rest[h], e.q.Now()
 	for len(cs) > 0 && (cs[0].life != h.Incarnation || now-cs[0].at > 0.8*e.day.Network.Idle.V()) {
 		if cs[0].life == h.Incarnation {
@@ -297,10 +297,10 @@
 	return c, ok
 }
 
-func (e *Edge) dial(f *flight) {
+func (e *Gateway) dial(f *flight) {
 	life := e.life
 	f.fresh = true
-	e.around.Dialled()
+	e.around.ConnectionDialled()
 	e.q.ScheduleAfter(e.day.Network.Dial.V(), func() {
 		if e.life == life && !f.up {
 			e.end(f.d, policy.NoConnection)
@@ -330,7 +330,7 @@
 }
 
 // write puts the delivery on its connection. It is whole at the host a way later, whatever happens here meanwhile.
-func (e *Edge) write(f *flight) {
+func (e *Gateway) write(f *flight) {
 	f.d.Written = true
 	if e.net.Partitioned(e.Zone, f.h.Zone) {
 		return
@@ -338,7 +338,7 @@
 	e.q.ScheduleAfter(e.net.Delay(e.Zone, f.h.Zone), func() { e.reach(f) })
 }
 
-func (e *Edge) reach(f *flight) {
+func (e *Gateway) reach(f *flight) {
 	if f.life != f.h.Incarnation { // it has started anew meanwhile, or is gone: the connection is reset
 		e.back(f, policy.Reset, 0)
 		return
@@ -349,12 +349,12 @@
 		e.back(f, policy.Reset, 0)
 		return
 	}
-	e.around.Reached(f.d)
+	e.around.AttemptReached(f.d)
 	f.job = &hostmodel.Job{Operation: n.Operation.Number, Work: n.Work, Gateway: e.Slot}
 	if f.fresh { // setting the connection up costs the host work, and this request the time
 		f.job.Work += f.h.ConnectWork
 	}
-	f.job.OnStart = func() { e.around.Ran(f.d) }
+	f.job.OnStart = func() { e.around.AttemptStarted(f.d) }
 	f.job.OnAnswer = func(a hostmodel.Answer) {
 		how := policy.Outcome(policy.Failed)
 		switch {
@@ -365,18 +365,18 @@
 		case a == hostmodel.Succeeded:
 			how = policy.Succeeded
 		}
-		e.around.EndedAt(f.d)
+		e.around.AttemptReleased(f.d)
 		e.back(f, how, n.ActualUnits)
 	}
 	f.h.Submit(f.job)
 	if f.d.Ended {
 		f.h.Cancel(f.job)
-		e.around.EndedAt(f.d)
+		e.around.AttemptReleased(f.d)
 	}
 }
 
 // back brings a host's word to the api gateway.
-func (e *Edge) back(f *flight, how policy.Outcome, units float64) {
+func (e *Gateway) back(f *flight, how policy.Outcome, units float64) {
 	if e.net.Partitioned(e.Zone, f.h.Zone) || how == policy.Succeeded && e.net.DrawLostAnswer() {
 		return
 	}
@@ -390,7 +390,7 @@
 }
 
 // end gives a delivery up, unless it is over.
-func (e *Edge) end(d *model.Attempt, how policy.Outcome) {
+func (e *Gateway) end(d *model.Attempt, how policy.Outcome) {
 	if f := e.flying[d]; f != nil && !d.Ended {
 		if !d.Written && how == policy.TimedOut {
 			how = policy.NoConnection
@@ -402,7 +402,7 @@
 }
 
 // finish ends a delivery with its outcome, and lets the mind hear of it.
-func (e *Edge) finish(f *flight, how policy.Outcome, units float64) {
+func (e *Gateway) finish(f *flight, how policy.Outcome, units float64) {
 	d, inv := f.d, f.d.Invocation
 	d.Ended = true
 	d.ProvenNotRun = how == policy.Rejected || how == policy.NoConnection || how == policy.NotSent
@@ -414,14 +414,14 @@
 	default:
 		e.close(f)
 	}
-	e.around.Note(e.Slot, inv.Ref, "delivery ended: "+string(how))
+	e.around.Trace(e.Slot, inv.Ref, "delivery ended: "+string(how))
 	e.hear(func(now float64) {
 		delete(e.flying, d)
 		over := inv.Outcome != model.Pending
 		if how == policy.Succeeded && !over {
 			e.answer(inv, model.Served, 0)
 		}
-		e.Mind.AttemptEnded(now, inv.Ref, d.Number, policy.AttemptResult{
+		e.Policy.AttemptEnded(now, inv.Ref, d.Number, policy.AttemptResult{
 			Outcome: how, Final: over || how == policy.Succeeded,
 			Duration: now - d.SentAt, ActualUnits: settled(e.day, units, how),
 		})
@@ -437,9 +437,9 @@
 }
 
 // close ends a connection; the host hears of it a way later, and drops work that waits.
-func (e *Edge) close(f *flight) {
+func (e *Gateway) close(f *flight) {
 	if !f.up || f.life != f.h.Incarnation {
-		e.around.EndedAt(f.d)
+		e.around.AttemptReleased(f.d)
 		return
 	}
 	if e.net.Partitioned(e.Zone, f.h.Zone) { // it is not heard of; the connection stands there till the host tires of it
@@ -449,31 +449,31 @@
 	e.q.ScheduleAfter(e.net.Delay(e.Zone, f.h.Zone), func() { e.closed(f) })
 }
 
-func (e *Edge) closed(f *flight) {
+func (e *Gateway) closed(f *flight) {
 	if f.life == f.h.Incarnation {
 		f.h.Connections--
 		if f.job != nil {
 			f.h.Cancel(f.job)
 		}
 	}
-	e.around.EndedAt(f.d)
+	e.around.AttemptReleased(f.d)
 }
 
-func (e *Edge) answer(inv *model.Invocation, how model.Outcome, retryAfter float64) {
-	room := e.around.Answered(inv, how)
-	e.around.Note(e.Slot, inv.Ref, "final answer: "+model.OutcomeNames[how])
+func (e *Gateway) answer(inv *model.Invocation, how model.Outcome, retryAfter float64) {
+	room := e.around.InvocationAnswered(inv, how)
+	e.around.Trace(e.Slot, inv.Ref, "final answer: "+model.OutcomeNames[how])
 	e.q.ScheduleAfter(e.net.Delay(e.Zone, e.Zone), func() {
 		if e.q.Now() <= inv.GiveUpAt+0.05 {
-			e.around.Client(inv, how, retryAfter, room)
+			e.around.DeliverAnswer(inv, how, retryAfter, room)
 		}
 	})
 }
 
 // Throttle, GiveUp: final answers.
-func (e *Edge) Throttle(ref string, retryAfter float64) { e.final(ref, model.Throttled, retryAfter) }
-func (e *Edge) Fail(ref string)                         { e.final(ref, model.Errored, 0) }
+func (e *Gateway) Throttle(ref string, retryAfter float64) { e.final(ref, model.Throttled, retryAfter) }
+func (e *Gateway) Fail(ref string)                         { e.final(ref, model.Errored, 0) }
 
-func (e *Edge) final(ref string, how model.Outcome, retryAfter float64) {
+func (e *Gateway) final(ref string, how model.Outcome, retryAfter float64) {
 	if inv := e.inHand[ref]; inv != nil {
 		e.answer(inv, how, retryAfter)
 		e.drop(inv)
@@ -481,14 +481,14 @@
 }
 
 // Cancel withdraws a delivery.
-func (e *Edge) CancelAttempt(ref string, number int) {
+func (e *Gateway) CancelAttempt(ref string, number int) {
 	if inv := e.inHand[ref]; inv != nil && number >= 0 && number < len(inv.Attempts) {
 		e.end(inv.Attempts[number], policy.Cancelled)
 	}
 }
 
 // Count calls the counter. The mind hears one outcome, at the latest when the call is given up.
-func (e *Edge) AddCount(name uint64, amount, life float64) {
+func (e *Gateway) AddCount(name uint64, amount, life float64) {
 	now, mine := e.q.Now(), e.life
 	heard := false
 	tell := func(how policy.Outcome, sum float64) {
@@ -496,8 +496,8 @@
 			return
 		}
 		heard = true
-		e.around.Called(how != policy.Succeeded)
-		e.hear(func(at float64) { e.Mind.CounterReplied(at, name, how, sum, at-now) })
+		e.around.CounterCalled(how != policy.Succeeded)
+		e.hear(func(at float64) { e.Policy.CounterReplied(at, name, how, sum, at-now) })
 	}
 	e.q.ScheduleAfter(e.day.Counter.Limit.V(), func() { tell(policy.TimedOut, 0) })
 	if !e.counter.AcceptsConnections() {
@@ -509,7 +509,7 @@
 	}
 	part := int(name % uint64(e.day.Counter.Parts.N()))
 	e.q.ScheduleAfter(e.net.Delay(e.Zone, e.czone), func() {
-		e.counter.Add(e.Far, name, amount, life, func(how countermodel.Outcome, sum float64) {
+		e.counter.Add(e.SeesSplitCopy, name, amount, life, func(how countermodel.Outcome, sum float64) {
 			if e.net.Partitioned(e.Zone, e.czone) {
 				return
 			}
@@ -532,16 +532,16 @@
 }
 
 // Tell mails a text to a peer or all; Log notes a line; Wake sets the timer.
-func (e *Edge) SendPeer(to int, text string) { e.around.Mail(e.Slot, to, text) }
-func (e *Edge) Log(text string)              { e.around.Note(e.Slot, "", text) }
+func (e *Gateway) SendPeer(to int, text string) { e.around.SendPeerMessage(e.Slot, to, text) }
+func (e *Gateway) Log(text string)              { e.around.Trace(e.Slot, "", text) }
 
-func (e *Edge) SetTimer(nonce uint64, at float64) {
+func (e *Gateway) SetTimer(nonce uint64, at float64) {
 	life := e.life
 	e.q.Schedule(at, func() {
 		if e.life == life && e.Alive {
-			e.hear(func(now float64) { e.Mind.TimerFired(now, nonce) })
+			e.hear(func(now float64) { e.Policy.TimerFired(now, nonce) })
 		}
 	})
 }
 
-var _ policydriver.Output = (*Edge)(nil)
+var _ policydriver.Output = (*Gateway)(nil)
--- a/sim/oracle/oracle.go
+++ b/sim/oracle/oracle.go
@@ -10,18 +10,18 @@
 	"otterseam/sim/scenario"
 )
 
-// Slack is how much later than a rule says something may happen on the way, in seconds: 50 ms.
-const Slack = 0.05
+// Tolerance is how much later than a rule says something may happen on the way, in seconds: 50 ms.
+const Tolerance = 0.05
 
-// Break is a rule broken.
-type Break struct {
+// Violation is a rule broken.
+type Violation struct {
 	Rule int // 0: none of the five, but a crash or a promise
 	At   float64
 	Ref  string // of the invocation; "": none in particular
 	Text string
 }
 
-func (b Break) String() string {
+func (b Violation) String() string {
 	if b.Rule == 0 {
 		return fmt.Sprintf("at %.3f s: %s", b.At, b.Text)
 	}
@@ -49,35 +49,35 @@
 	born float64 // of the start that it was told of
 }
 
-// Referee holds the account of a day.
-type Referee struct {
-	Breaks []Break
-	Most   int // breaks kept
-	All    int
-
-	now    func() float64
-	day    *scenario.Day
-	uses   map[*model.Customer]*use
-	told   []map[int]state // by api gateway and host
-	Second bool            // two deliveries of one invocation may be out at once
+// Oracle holds the account of a day.
+type Oracle struct {
+	Violations []Violation
+	MaxKept    int // breaks kept
+	Total      int
+
+	now           func() float64
+	day           *scenario.Day
+	uses          map[*model.Customer]*use
+	told          []map[int]state // by api gateway and host
+	AllowsHedging bool            // two deliveries of one invocation may be out at once
 }
 
 // New makes the referee of a day that has been drawn.
-func New(d *scenario.Day, gateways int, now func() float64) *Referee {
-	r := &Referee{Most: 20, now: now, day: d, uses: map[*model.Customer]*use{}, told: make([]map[int]state, gateways)}
+func New(d *scenario.Day, gateways int, now func() float64) *Oracle {
+	r := &Oracle{MaxKept: 20, now: now, day: d, uses: map[*model.Customer]*use{}, told: make([]map[int]state, gateways)}
 	for i := range r.told {
 		r.told[i] = map[int]state{}
 	}
 	return r
 }
 
-func (r *Referee) broken(rule int, ref, text string, args ...any) {
-	if r.All++; len(r.Breaks) < r.Most {
-		r.Breaks = append(r.Breaks, Break{rule, r.now(), ref, fmt.Sprintf(text, args...)})
+func (r *Oracle) broken(rule int, ref, text string, args ...any) {
+	if r.Total++; len(r.Violations) < r.MaxKept {
+		r.Violations = append(r.Violations, Violation{rule, r.now(), ref, fmt.Sprintf(text, args...)})
 	}
 }
 
-func (r *Referee) use(c *model.Customer) *use {
+func (r *Oracle) use(c *model.Customer) *use {
 	u := r.uses[c]
 	if u == nil {
 		p, now := c.Plan, r.now()
@@ -90,8 +90,8 @@
 	return u
 }
 
-// Asked says whether a customer's need is inside its quota when it is first asked for; what is inside takes its units.
-func (r *Referee) Asked(n *model.Request) bool {
+// RequestCreated says whether a customer's need is inside its quota when it is first asked for; what is inside takes its units.
+func (r *Oracle) RequestCreated(n *model.Request) bool {
 	u, p, now := r.use(n.Customer), n.Customer.Plan, r.now()
 	u.asked.fill(now)
 	open := u.wanted[:0]
@@ -113,8 +113,8 @@
 	return true
 }
 
-// Told: an api gateway was told of a host's state; born is the start of the host that is meant.
-func (r *Referee) Told(gateway, host int, name string, born float64) {
+// HostStateTold: an api gateway was told of a host's state; born is the start of the host that is meant.
+func (r *Oracle) HostStateTold(gateway, host int, name string, born float64) {
 	old, known := r.told[gateway][host]
 	at := r.now()
 	if known && old.name != "active" && name != "active" { // it drains, then is gone: the first counts
@@ -123,54 +123,54 @@
 	r.told[gateway][host] = state{name, at, born}
 }
 
-// Started: an api gateway started with this list; it is told of all in it now.
-func (r *Referee) Started(gateway int) { r.told[gateway] = map[int]state{} }
+// GatewayStarted: an api gateway started with this list; it is told of all in it now.
+func (r *Oracle) GatewayStarted(gateway int) { r.told[gateway] = map[int]state{} }
 
-// Sent: an api gateway begins to send a delivery.
-func (r *Referee) Sent(d *model.Attempt) {
+// AttemptSent: an api gateway begins to send a delivery.
+func (r *Oracle) AttemptSent(d *model.Attempt) {
 	inv, now := d.Invocation, r.now()
 	if inv.Outcome != model.Pending {
 		r.broken(1, inv.Ref, "%s is sent on after its final answer", inv.Ref)
 	}
-	if now > inv.GiveUpAt+Slack {
+	if now > inv.GiveUpAt+Tolerance {
 		r.broken(1, inv.Ref, "%s is sent on after its client gave up", inv.Ref)
 	}
-	if s, ok := r.told[inv.Gateway][d.Host]; ok && s.name != "active" && now > s.at+r.day.Gateway.Grace.V()+Slack {
+	if s, ok := r.told[inv.Gateway][d.Host]; ok && s.name != "active" && now > s.at+r.day.Gateway.Grace.V()+Tolerance {
 		r.broken(3, inv.Ref, "%s is sent to host %d, %s for %.3f s", inv.Ref, d.Host, s.name, now-s.at)
 	}
 	for _, e := range inv.Attempts {
 		if e == d {
 			continue
 		}
-		if !e.Ended && !r.Second {
+		if !e.Ended && !r.AllowsHedging {
 			r.broken(2, inv.Ref, "%s has two deliveries out at once", inv.Ref)
 		}
 	}
-	r.Repeated(d)
+	r.CheckRetry(d)
 }
 
-// Repeated judges only whether a delivery may follow the earlier ones: all that can be said of one held up on its way.
-func (r *Referee) Repeated(d *model.Attempt) {
+// CheckRetry judges only whether a delivery may follow the earlier ones: all that can be said of one held up on its way.
+func (r *Oracle) CheckRetry(d *model.Attempt) {
 	if bad := r.repeats(d); bad != "" {
 		r.broken(2, d.Invocation.Ref, "%s, %s, is sent on again %s", d.Invocation.Ref, d.Invocation.Request.Operation.Effect, bad)
 	}
 }
 
-// Cut: an api gateway that ran all the while has ended a client's connection without an answer.
-func (r *Referee) Cut(inv *model.Invocation) {
+// ConnectionDropped: an api gateway that ran all the while has ended a client's connection without an answer.
+func (r *Oracle) ConnectionDropped(inv *model.Invocation) {
 	r.broken(1, inv.Ref, "%s was taken, and its client's connection ended without an answer", inv.Ref)
 }
 
-// Crashed: an api gateway has ended without being asked to.
-func (r *Referee) Crashed(gateway int, how error) {
+// GatewayCrashed: an api gateway has ended without being asked to.
+func (r *Oracle) GatewayCrashed(gateway int, how error) {
 	r.broken(0, "", "api gateway %d has ended by itself: %v", gateway, how)
 }
 
-// Promise: something that a script promises does not hold.
-func (r *Referee) Promise(text string) { r.broken(0, "", "%s", text) }
+// ExpectationFailed: something that a script promises does not hold.
+func (r *Oracle) ExpectationFailed(text string) { r.broken(0, "", "%s", text) }
 
-// Woke: an api gateway was stopped since a clock time. What it was told meanwhile it could not hear.
-func (r *Referee) Woke(gateway int, since float64) {
+// GatewayResumed: an api gateway was stopped since a clock time. What it was told meanwhile it could not hear.
+func (r *Oracle) GatewayResumed(gateway int, since float64) {
 	for h, s := range r.told[gateway] { // each by itself: the order does not show
 		if s.at >= since-r.day.Gateway.Grace.V() {
 			s.at = r.now()
@@ -180,7 +180,7 @@
 }
 
 // repeats says what is wrong with a further delivery; "": nothing.
-func (r *Referee) repeats(d *model.Attempt) string {
+func (r *Oracle) repeats(d *model.Attempt) string {
 	inv, op := d.Invocation, d.Invocation.Request.Operation
 	for _, e := range inv.Attempts {
 		if e == d || e.ProvenNotRun {
@@ -198,8 +198,8 @@
 	return ""
 }
 
-// Grouped says that a tokened invocation is sent outside the group of a host where it may have run.
-func (r *Referee) Grouped(d *model.Attempt, same func(a, b int) bool) {
+// CheckGroup says that a tokened invocation is sent outside the group of a host where it may have run.
+func (r *Oracle) CheckGroup(d *model.Attempt, same func(a, b int) bool) {
 	if d.Invocation.Request.Operation.Effect != "tokened" {
 		return
 	}
@@ -210,8 +210,8 @@
 	}
 }
 
-// Reached: a delivery is whole at a host. The first takes its units; it says whether they were beyond the quota.
-func (r *Referee) Reached(d *model.Attempt) (first, beyond bool) {
+// AttemptReached: a delivery is whole at a host. The first takes its units; it says whether they were beyond the quota.
+func (r *Oracle) AttemptReached(d *model.Attempt) (first, beyond bool) {
 	inv := d.Invocation
 	u, p, n := r.use(inv.Request.Customer), inv.Request.Customer.Plan, inv.Request
 	d.ReachedHost = true
@@ -242,16 +242,16 @@
 	return first, beyond
 }
 
-// Twice: two deliveries of one invocation were out at once for longer than the way explains, as seen where Sent can't.
-func (r *Referee) Twice(inv *model.Invocation) {
+// ConcurrentAttempts: two deliveries of one invocation were out at once for longer than the way explains, as seen where Sent can't.
+func (r *Oracle) ConcurrentAttempts(inv *model.Invocation) {
 	r.broken(2, inv.Ref, "%s has two deliveries out at once", inv.Ref)
 }
 
-// Foreign: a client was served with, or a host was sent, what was not made for it.
-func (r *Referee) Foreign(ref, text string) { r.broken(1, ref, "%s", text) }
+// ForeignContent: a client was served with, or a host was sent, what was not made for it.
+func (r *Oracle) ForeignContent(ref, text string) { r.broken(1, ref, "%s", text) }
 
-// Ran: a delivery has begun to run.
-func (r *Referee) Ran(d *model.Attempt) {
+// AttemptStarted: a delivery has begun to run.
+func (r *Oracle) AttemptStarted(d *model.Attempt) {
 	for _, e := range d.Invocation.Attempts {
 		if e != d && e.Started && d.Invocation.Request.Operation.Effect == "non-idempotent" {
 			r.broken(2, d.Invocation.Ref, "%s, non-idempotent, has run twice: deliveries %d and %d", d.Invocation.Ref, e.Number, d.Number)
@@ -260,29 +260,29 @@
 	d.Started = true
 }
 
-// Ended: a delivery is no longer out: its answer is written, or its connection has ended.
-func (r *Referee) Ended(d *model.Attempt) {
+// AttemptReleased: a delivery is no longer out: its answer is written, or its connection has ended.
+func (r *Oracle) AttemptReleased(d *model.Attempt) {
 	if d.CountsAgainstQuota {
 		d.CountsAgainstQuota = false
 		r.use(d.Invocation.Request.Customer).out--
 	}
 }
 
-// Room says whether a customer's quota would take so many units now, by what was really sent.
-func (r *Referee) Room(c *model.Customer, units float64) bool {
+// QuotaHasRoom says whether a customer's quota would take so many units now, by what was really sent.
+func (r *Oracle) QuotaHasRoom(c *model.Customer, units float64) bool {
 	u, p := r.use(c), c.Plan
 	u.sent.fill(r.now())
 	return (p.Rate.V() == 0 || units <= u.sent.level+1e-9) && (p.MaxOut.N() == 0 || u.out < p.MaxOut.N())
 }
 
-// Answered: an api gateway gives a final answer.
-func (r *Referee) Answered(inv *model.Invocation, how model.Outcome) {
+// InvocationAnswered: an api gateway gives a final answer.
+func (r *Oracle) InvocationAnswered(inv *model.Invocation, how model.Outcome) {
 	if inv.Outcome != model.Pending {
 		r.broken(1, inv.Ref, "%s gets a second final answer: %s after %s", inv.Ref, model.OutcomeNames[how], model.OutcomeNames[inv.Outcome])
 		return
 	}
 	inv.Outcome = how
-	if r.now() > inv.GiveUpAt+Slack {
+	if r.now() > inv.GiveUpAt+Tolerance {
 		r.broken(1, inv.Ref, "%s is answered %.3f s after its client gave up", inv.Ref, r.now()-inv.GiveUpAt)
 	}
 	if how != model.Throttled {
@@ -296,16 +296,16 @@
 	}
 }
 
-// Unanswered: the client's time is over and nothing has come.
-func (r *Referee) Unanswered(inv *model.Invocation) {
+// ClientGaveUp: the client's time is over and nothing has come.
+func (r *Oracle) ClientGaveUp(inv *model.Invocation) {
 	if inv.Outcome == model.Pending {
 		r.broken(1, inv.Ref, "%s was taken and got no final answer before its client gave up", inv.Ref)
 		inv.Outcome = model.Unanswered
 	}
 }
 
-// Fell: a cold host fell over; a break if two thirds of what did it came from api gateways that knew of its start.
-func (r *Referee) Fell(h *hostmodel.Host, sent []hostmodel.Arrival) {
+// HostOverloaded: a cold host fell over; a break if two thirds of what did it came from api gateways that knew of its start.
+func (r *Oracle) HostOverloaded(h *hostmodel.Host, sent []hostmodel.Arrival) {
 	all, told := 0.0, 0.0
 	for _, s := range sent {
 		all += s.Work
--- a/sim/oracle/oracle_test.go
+++ b/sim/oracle/oracle_test.go
@@ -15,14 +15,14 @@
 
 // court is a referee with a clock that the story moves, and an invocation of each effect.
 type court struct {
-	*Referee
+	*Oracle
 	now float64
 }
 
 func newCourt() *court {
 	c := &court{}
 	d := &scenario.Day{Gateway: scenario.Gateway{Grace: fixed(0.25)}, Cold: scenario.Cold{Window: fixed(2)}}
-	c.Referee = New(d, 2, func() float64 { return c.now })
+	c.Oracle = New(d, 2, func() float64 { return c.now })
 	return c
 }
 
@@ -36,7 +36,7 @@
 func (c *court) send(inv *model.Invocation, host int) *model.Attempt {
 	d := &model.Attempt{Invocation: inv, Number: len(inv.Attempts), Host: host, SentAt: c.now}
 	inv.Attempts = append(inv.Attempts, d)
-	c.Sent(d)
+	c.AttemptSent(d)
 	return d
 }
 
@@ -51,28 +51,28 @@
 	}{
 		{"two final answers", 1, "second final answer", func(c *court, wrong bool) {
 			inv := try("idempotent", "")
-			if c.Answered(inv, model.Throttled); wrong {
-				c.Answered(inv, model.Errored)
+			if c.InvocationAnswered(inv, model.Throttled); wrong {
+				c.InvocationAnswered(inv, model.Errored)
 			}
 		}},
 		{"no final answer", 1, "no final answer", func(c *court, wrong bool) {
 			inv := try("idempotent", "")
 			if !wrong {
-				c.Answered(inv, model.Errored)
+				c.InvocationAnswered(inv, model.Errored)
 			}
-			c.Unanswered(inv)
+			c.ClientGaveUp(inv)
 		}},
 		{"answered late", 1, "after its client gave up", func(c *court, wrong bool) {
 			inv := try("idempotent", "")
 			if wrong {
 				c.now = inv.GiveUpAt + 0.1
 			}
-			c.Answered(inv, model.Errored)
+			c.InvocationAnswered(inv, model.Errored)
 		}},
 		{"sent after the end", 1, "after its final answer", func(c *court, wrong bool) {
 			inv := try("idempotent", "")
 			if wrong {
-				c.Answered(inv, model.Errored)
+				c.InvocationAnswered(inv, model.Errored)
 			}
 			c.send(inv, 0)
 		}},
@@ -84,7 +84,7 @@
 		{"throttled though it may have run", 2, "throttled", func(c *court, wrong bool) {
 			inv := try("non-idempotent", "")
 			over(c.send(inv, 0), !wrong)
-			c.Answered(inv, model.Throttled)
+			c.InvocationAnswered(inv, model.Throttled)
 		}},
 		{"token too old", 2, "s after delivery", func(c *court, wrong bool) {
 			inv := try("tokened", "all")
@@ -97,7 +97,7 @@
 		{"outside its group", 2, "outside its group", func(c *court, wrong bool) {
 			inv := try("tokened", "zone")
 			over(c.send(inv, 0), false)
-			c.Grouped(c.send(inv, 1), func(a, b int) bool { return !wrong })
+			c.CheckGroup(c.send(inv, 1), func(a, b int) bool { return !wrong })
 		}},
 		{"two out at once", 2, "two deliveries out", func(c *court, wrong bool) {
 			inv := try("idempotent", "")
@@ -111,12 +111,12 @@
 			a := c.send(inv, 0)
 			over(a, true) // an api gateway that took the wrong outcome for a proof
 			b := c.send(inv, 1)
-			if c.Ran(a); wrong {
-				c.Ran(b)
+			if c.AttemptStarted(a); wrong {
+				c.AttemptStarted(b)
 			}
 		}},
 		{"new work to a draining host", 3, "leaving", func(c *court, wrong bool) {
-			c.Told(0, 7, "leaving", 0)
+			c.HostStateTold(0, 7, "leaving", 0)
 			if c.now = 0.2; wrong {
 				c.now = 0.4
 			}
@@ -125,27 +125,27 @@
 		{"a cold host under what they knew", 4, "fell over", func(c *court, wrong bool) {
 			h := &hostmodel.Host{Number: 3, StartedAt: 1}
 			if wrong {
-				c.Told(0, 3, "active", 1)
+				c.HostStateTold(0, 3, "active", 1)
 			}
-			c.Fell(h, []hostmodel.Arrival{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
+			c.HostOverloaded(h, []hostmodel.Arrival{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
 		}},
 		{"a ceiling passed", 5, "ceiling", func(c *court, wrong bool) {
 			cust := try("idempotent", "").Request.Customer
 			for range map[bool]int{true: 4, false: 3}[wrong] { // 4 units each, 12 at once
 				inv := try("idempotent", "")
 				inv.Request.Customer = cust
-				c.Reached(c.send(inv, 0))
+				c.AttemptReached(c.send(inv, 0))
 			}
 		}},
 	} {
 		for _, wrong := range []bool{true, false} {
 			c := newCourt()
 			x.play(c, wrong)
-			if !wrong && c.All > 0 {
-				t.Errorf("%s, done well: %v", x.name, c.Breaks)
+			if !wrong && c.Total > 0 {
+				t.Errorf("%s, done well: %v", x.name, c.Violations)
 			}
-			if wrong && (c.All == 0 || c.Breaks[0].Rule != x.rule || !strings.Contains(c.Breaks[0].Text, x.text)) {
-				t.Errorf("%s: %v", x.name, c.Breaks)
+			if wrong && (c.Total == 0 || c.Violations[0].Rule != x.rule || !strings.Contains(c.Violations[0].Text, x.text)) {
+				t.Errorf("%s: %v", x.name, c.Violations)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	cust.Plan.CeilingRate = fixed(0)
 	cust.Plan.Rate, cust.Plan.Burst = fixed(2), fixed(10)
 	taken, n := 0.0, 0
-	c.Room(cust, 1) // full from here on: what would pass the burst is lost
+	c.QuotaHasRoom(cust, 1) // full from here on: what would pass the burst is lost
 	for c.now < 1000 {
 		if n > 0 {
 			c.now += d.Exponential(0.05)
@@ -166,8 +166,8 @@
 		inv := try("idempotent", "")
 		inv.Request.Customer, inv.GiveUpAt = cust, c.now+1
 		inv.Request.Units, inv.Request.ActualUnits = 0.5, 0.5
-		if room := c.Room(cust, 0.5); room {
-			if _, beyond := c.Reached(c.send(inv, 0)); beyond {
+		if room := c.QuotaHasRoom(cust, 0.5); room {
+			if _, beyond := c.AttemptReached(c.send(inv, 0)); beyond {
 				t.Fatalf("room at %.3f s, and beyond", c.now)
 			}
 			taken += 0.5
@@ -189,21 +189,21 @@
 		inv := try("idempotent", "")
 		inv.Request.Customer = cust
 		d := c.send(inv, 0)
-		_, beyond := c.Reached(d)
+		_, beyond := c.AttemptReached(d)
 		return d, beyond
 	}
 	first, _ := reach()
 	reach()
-	if c.Room(cust, 1) {
+	if c.QuotaHasRoom(cust, 1) {
 		t.Fatal("room for a third of two")
 	}
 	third, beyond := reach()
 	if !beyond {
 		t.Fatal("a third of two is not beyond")
 	}
-	c.Ended(first)
-	c.Ended(third)
-	if c.Ended(third); !c.Room(cust, 1) {
+	c.AttemptReleased(first)
+	c.AttemptReleased(third)
+	if c.AttemptReleased(third); !c.QuotaHasRoom(cust, 1) {
 		t.Fatal("a place came free, and there is no room")
 	}
 }
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -21,23 +21,23 @@
 var Names = []string{"module", "members", "damped", "random", "share", "design", "omniscient"}
 
 // New gives a decider by its name.
-func New(name string) (simulation.Decider, error) {
+func New(name string) (simulation.PolicySource, error) {
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("no decider %q; there are %s, and wire:PATH for a program that speaks the line protocol",
 			name, strings.Join(Names, ", "))
 	}
-	return decider(name), nil
+	return source(name), nil
 }
 
-type decider string
+type source string
 
-func (d decider) Name() string { return string(d) }
-func (d decider) Err() error   { return nil }
-func (d decider) End()         {}
+func (d source) Name() string { return string(d) }
+func (d source) Err() error   { return nil }
+func (d source) Close()       {}
 
-func (d decider) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error) {
+func (d source) NewPolicy(w *simulation.Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error) {
 	if d == "module" || d == "members" || d == "damped" {
-		s := simulation.Settings(w.Day, slot)
+		s := simulation.StartSettings(w.Day, slot)
 		if d != "module" {
 			s.Members = 0.1
 		}
@@ -54,7 +54,7 @@
 // plain is a decider that knows no health, no line and no repairs: it admits by one rule and draws a host.
 type plain struct {
 	kind   string
-	w      *simulation.World
+	w      *simulation.Simulation
 	out    policydriver.Output
 	dice   randstream.Stream
 	hosts  map[string]policy.HostEntry
@@ -109,7 +109,7 @@
 	p.invs[a.Ref] = h
 	rate, burst := p.plan(a.Plan)
 	switch {
-	case p.kind == "omniscient" && !p.w.Room(a.Customer, a.Units):
+	case p.kind == "omniscient" && !p.w.QuotaHasRoom(a.Customer, a.Units):
 		p.throttle(h, max(0.1, a.Units/max(rate, 1)))
 		return
 	case p.kind == "share" && rate > 0:
--- a/sim/policyprocess/policyprocess.go
+++ b/sim/policyprocess/policyprocess.go
@@ -46,11 +46,11 @@
 	if err := c.Start(); err != nil {
 		return nil, fmt.Errorf("wire:%s: %w", path, err)
 	}
-	return From("wire:"+path, in, out, c.Wait), nil
+	return Attach("wire:"+path, in, out, c.Wait), nil
 }
 
-// From takes a program's pipes; wait is called when it is let go.
-func From(name string, in io.WriteCloser, out io.Reader, wait func() error) *Process {
+// Attach takes a program's pipes; wait is called when it is let go.
+func Attach(name string, in io.WriteCloser, out io.Reader, wait func() error) *Process {
 	return &Process{name: name, in: in, out: bufio.NewReaderSize(out, 1<<20), wait: wait, outs: map[int]policydriver.Output{}}
 }
 
@@ -59,20 +59,20 @@
 // Err is what ended the program's part in the day.
 func (p *Process) Err() error { return p.err }
 
-// End closes its input, on which it ends.
-func (p *Process) End() {
+// Close closes its input, on which it ends.
+func (p *Process) Close() {
 	p.in.Close()
 	p.wait()
 }
 
-// Mind makes an instance in the program.
-func (p *Process) Mind(w *simulation.World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error) {
+// NewPolicy makes an instance in the program.
+func (p *Process) NewPolicy(w *simulation.Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error) {
 	m := &mind{p: p, who: slot}
 	if p.outs[slot] != nil {
 		m.put("CRASH_NOW")
 	}
 	p.outs[slot] = out
-	settings, err := json.Marshal(simulation.Settings(w.Day, slot))
+	settings, err := json.Marshal(simulation.StartSettings(w.Day, slot))
 	if err != nil {
 		return nil, err
 	}
--- a/sim/report/html.go
+++ b/sim/report/html.go
@@ -65,7 +65,7 @@
 
 // troubles marks when each trouble lasts.
 func troubles(p *plot.Plot, r *batch.Run, top float64) {
-	for i, t := range r.Troubles {
+	for i, t := range r.Faults {
 		ends := min(max(t.Ends, t.At+0.3), r.Length)
 		box, err := plotter.NewPolygon(plotter.XYs{{X: t.At, Y: 0}, {X: ends, Y: 0}, {X: ends, Y: top}, {X: t.At, Y: top}})
 		if err != nil {
@@ -92,10 +92,10 @@
 	for i, c := range causes[:6] {
 		var up, down plotter.XYs
 		for s, x := range r.Seconds {
-			if x.Asked == 0 {
+			if x.Requested == 0 {
 				continue
 			}
-			next := low[s] + c.of(x.Share)/x.Asked
+			next := low[s] + c.of(x.Share)/x.Requested
 			down = append(down, plotter.XY{X: float64(s), Y: low[s]})
 			up = append(up, plotter.XY{X: float64(s), Y: next})
 			low[s] = next
@@ -112,7 +112,7 @@
 		p.Add(area)
 		p.Legend.Add(c.name, area)
 	}
-	if err := line(p, "sent beyond the quota", colours[6], r, func(s metrics.Second) float64 { return s.Part(s.Beyond) }); err != nil {
+	if err := line(p, "sent beyond the quota", colours[6], r, func(s metrics.Second) float64 { return s.Fraction(s.BeyondQuota) }); err != nil {
 		return "", err
 	}
 	troubles(p, r, 1)
@@ -170,16 +170,16 @@
 	add(fate(r))
 	add(lines(r, "Answers", "milliseconds", curve{"median", func(s metrics.Second) float64 { return s.P50 }},
 		curve{"99th of 100", func(s metrics.Second) float64 { return s.P99 }}))
-	calls := []curve{{"calls", func(s metrics.Second) float64 { return s.Calls }}, {"without a total", func(s metrics.Second) float64 { return s.Missed }}}
+	calls := []curve{{"calls", func(s metrics.Second) float64 { return s.CounterCalls }}, {"without a total", func(s metrics.Second) float64 { return s.CounterCallsFailed }}}
 	if r.Capacity > 0 && r.Capacity < 1e5 {
 		calls = append(calls, curve{"the counter's capacity", func(metrics.Second) float64 { return r.Capacity }})
 	}
 	add(lines(r, "Calls to the counter", "a second", calls...))
-	add(lines(r, "Work a host", "deliveries", curve{"out, by the api gateways", func(s metrics.Second) float64 { return s.Out / max(1, s.HostsUp) }},
-		curve{"at it", func(s metrics.Second) float64 { return s.Waiting / max(1, s.HostsUp) }},
-		curve{"cores at work, part", func(s metrics.Second) float64 { return s.Busy }}))
-	add(lines(r, "Tries", "a second", curve{"first", func(s metrics.Second) float64 { return s.First }},
-		curve{"repeats", func(s metrics.Second) float64 { return s.Repeats }}, curve{"deliveries", func(s metrics.Second) float64 { return s.Sends }},
+	add(lines(r, "Work a host", "deliveries", curve{"out, by the api gateways", func(s metrics.Second) float64 { return s.AttemptsInFlight / max(1, s.HostsUp) }},
+		curve{"at it", func(s metrics.Second) float64 { return s.HostLoad / max(1, s.HostsUp) }},
+		curve{"cores at work, part", func(s metrics.Second) float64 { return s.CoreUtilization }}))
+	add(lines(r, "Tries", "a second", curve{"first", func(s metrics.Second) float64 { return s.FirstInvocations }},
+		curve{"repeats", func(s metrics.Second) float64 { return s.ClientRetries }}, curve{"deliveries", func(s metrics.Second) float64 { return s.Attempts }},
 		curve{"new connections", func(s metrics.Second) float64 { return s.Dials }}))
 	return all, err
 }
@@ -195,7 +195,7 @@
 	}
 	for _, of := range []func(r *batch.Run) map[string]*metrics.Share{
 		func(r *batch.Run) map[string]*metrics.Share { return r.Plans },
-		func(r *batch.Run) map[string]*metrics.Share { return r.Classes },
+		func(r *batch.Run) map[string]*metrics.Share { return r.QuotaUses },
 		func(r *batch.Run) map[string]*metrics.Share { return r.Operations },
 	} {
 		for _, name := range names(rs, of) {
@@ -203,7 +203,7 @@
 			for i, g := range gs {
 				m, _ := g.Mean(func(r *batch.Run) float64 {
 					if x := of(r)[name]; x != nil {
-						return x.Part(x.Served)
+						return x.Fraction(x.Served)
 					}
 					return 0
 				})
@@ -351,8 +351,8 @@
 		data.Diff = b.String()
 	}
 	for _, r := range rs {
-		if r.Breaks > 0 {
-			data.Broken = append(data.Broken, fmt.Sprintf("%d rules broken on %s, seed %d, by %s", r.Breaks, r.Day, r.Seed, r.Decider))
+		if r.ViolationCount > 0 {
+			data.Broken = append(data.Broken, fmt.Sprintf("%d rules broken on %s, seed %d, by %s", r.ViolationCount, r.Day, r.Seed, r.Decider))
 		}
 	}
 	if data.Key != "" {
--- a/sim/report/text.go
+++ b/sim/report/text.go
@@ -24,12 +24,12 @@
 var causes = []cause{
 	{"served in time", func(s metrics.Share) float64 { return s.Served }},
 	{"served late", func(s metrics.Share) float64 { return s.Late }},
-	{"throttled, with room", func(s metrics.Share) float64 { return s.WithRoom }},
-	{"throttled, no room", func(s metrics.Share) float64 { return s.WithoutRoom }},
+	{"throttled, with room", func(s metrics.Share) float64 { return s.ThrottledWithRoom }},
+	{"throttled, no room", func(s metrics.Share) float64 { return s.ThrottledWithoutRoom }},
 	{"errored", func(s metrics.Share) float64 { return s.Errored }},
 	{"unanswered or broken", func(s metrics.Share) float64 { return s.Lost }},
-	{"sent beyond the quota", func(s metrics.Share) float64 { return s.Beyond }},
-	{"worth", func(s metrics.Share) float64 { return s.Worth }},
+	{"sent beyond the quota", func(s metrics.Share) float64 { return s.BeyondQuota }},
+	{"worth", func(s metrics.Share) float64 { return s.NetValue }},
 }
 
 // Group is the runs of one decider with one set of changes, over seeds.
@@ -44,10 +44,10 @@
 func Groups(rs []*batch.Run) (gs []*Group) {
 	at := map[string]*Group{}
 	for _, r := range rs {
-		key := fmt.Sprint(r.Day, " ", r.Decider, " ", r.Over) // maps print in order
+		key := fmt.Sprint(r.Day, " ", r.Decider, " ", r.Overrides) // maps print in order
 		g := at[key]
 		if g == nil {
-			g = &Group{Day: r.Day, Decider: r.Decider, Over: r.Over}
+			g = &Group{Day: r.Day, Decider: r.Decider, Over: r.Overrides}
 			at[key] = g
 			gs = append(gs, g)
 		}
@@ -99,7 +99,7 @@
 }
 
 func part(c cause) func(r *batch.Run) float64 {
-	return func(r *batch.Run) float64 { return r.Whole.Part(c.of(r.Whole)) }
+	return func(r *batch.Run) float64 { return r.Total.Fraction(c.of(r.Total)) }
 }
 
 // rows are the further figures of a table: what they are called and how they come from a run.
@@ -107,19 +107,19 @@
 	name string
 	of   func(r *batch.Run) float64
 }{
-	{"served in time within quotas", func(r *batch.Run) float64 { return r.Whole.Part(r.Whole.Within) }},
-	{"the same, less what beyond costs", func(r *batch.Run) float64 { return r.Whole.Part(r.Whole.Within - r.Whole.BeyondCost) }},
-	{"counter calls a try", func(r *batch.Run) float64 { return r.Calls / max(1, r.Tries) }},
-	{"of them without a total", func(r *batch.Run) float64 { return r.Missed / max(1, r.Calls) }},
-	{"deliveries a try", func(r *batch.Run) float64 { return r.Deliveries / max(1, r.Tries) }},
-	{"tries a first try", func(r *batch.Run) float64 { return r.Tries / max(1, r.First) }},
-	{"new connections a delivery", func(r *batch.Run) float64 { return r.Dials / max(1, r.Deliveries) }},
-	{"mail a first try", func(r *batch.Run) float64 { return r.Mail / max(1, r.First) }},
-	{"host work wasted", func(r *batch.Run) float64 { return r.Wasted }},
+	{"served in time within quotas", func(r *batch.Run) float64 { return r.Total.Fraction(r.Total.ServedOfSent) }},
+	{"the same, less what beyond costs", func(r *batch.Run) float64 { return r.Total.Fraction(r.Total.ServedOfSent - r.Total.BeyondCost) }},
+	{"counter calls a try", func(r *batch.Run) float64 { return r.CounterCalls / max(1, r.Invocations) }},
+	{"of them without a total", func(r *batch.Run) float64 { return r.CounterCallsFailed / max(1, r.CounterCalls) }},
+	{"deliveries a try", func(r *batch.Run) float64 { return r.Attempts / max(1, r.Invocations) }},
+	{"tries a first try", func(r *batch.Run) float64 { return r.Invocations / max(1, r.FirstInvocations) }},
+	{"new connections a delivery", func(r *batch.Run) float64 { return r.Dials / max(1, r.Attempts) }},
+	{"mail a first try", func(r *batch.Run) float64 { return r.PeerMessages / max(1, r.FirstInvocations) }},
+	{"host work wasted", func(r *batch.Run) float64 { return r.WastedWork }},
 	{"fairness between customers", func(r *batch.Run) float64 { return r.Fairness }},
 	{"median answer, ms", func(r *batch.Run) float64 { return r.Latency["all"].P50 }},
 	{"99th of 100, ms", func(r *batch.Run) float64 { return r.Latency["all"].P99 }},
-	{"rules broken", func(r *batch.Run) float64 { return float64(r.Breaks) }},
+	{"rules broken", func(r *batch.Run) float64 { return float64(r.ViolationCount) }},
 }
 
 func number(mean, spread float64, many bool) string {
@@ -164,7 +164,7 @@
 		of   func(r *batch.Run) map[string]*metrics.Share
 	}{
 		{"plan", func(r *batch.Run) map[string]*metrics.Share { return r.Plans }},
-		{"use", func(r *batch.Run) map[string]*metrics.Share { return r.Classes }},
+		{"use", func(r *batch.Run) map[string]*metrics.Share { return r.QuotaUses }},
 		{"operation", func(r *batch.Run) map[string]*metrics.Share { return r.Operations }},
 	} {
 		fmt.Fprintln(t, strings.Repeat("\t", len(gs)))
@@ -173,7 +173,7 @@
 			for _, g := range gs {
 				m, s := g.Mean(func(r *batch.Run) float64 {
 					if x := by.of(r)[name]; x != nil {
-						return x.Part(x.Served)
+						return x.Fraction(x.Served)
 					}
 					return 0
 				})
@@ -186,7 +186,7 @@
 		return err
 	}
 	for _, r := range rs {
-		for _, b := range r.Broken[:min(3, len(r.Broken))] {
+		for _, b := range r.Violations[:min(3, len(r.Violations))] {
 			fmt.Fprintf(w, "%s, seed %d, %s: %s\n", r.Day, r.Seed, r.Decider, b)
 		}
 	}
@@ -195,7 +195,7 @@
 
 func names(rs []*batch.Run, of func(r *batch.Run) map[string]*metrics.Share) (all []string) {
 	for _, r := range rs {
-		for _, n := range metrics.Names(of(r)) {
+		for _, n := range metrics.SortedNames(of(r)) {
 			if !slices.Contains(all, n) {
 				all = append(all, n)
 			}
--- a/sim/search/search.go
+++ b/sim/search/search.go
@@ -15,17 +15,17 @@
 
 // Options say how long to look.
 type Options struct {
-	Decider string
-	Tries   int    // days drawn
-	Rounds  int    // rounds of drawing near the worst so far
-	Seed    uint64 // of the search itself
-	Workers int
-	Keep    float64 // part of the loss found that a smaller day must keep
-	Tell    func(text string)
+	Decider  string
+	Samples  int    // days drawn
+	Rounds   int    // rounds of drawing near the worst so far
+	Seed     uint64 // of the search itself
+	Workers  int
+	KeepLoss float64 // part of the loss found that a smaller day must keep
+	Progress func(text string)
 }
 
-// Found is the worst day.
-type Found struct {
+// Result is the worst day.
+type Result struct {
 	Day   *scenario.Day
 	Seed  uint64
 	Score float64
@@ -33,35 +33,35 @@
 }
 
 // Worst looks for it in a day that has ranges or troubles. A broken rule is worse than any score.
-func Worst(ctx context.Context, d *scenario.Day, o Options) (*Found, error) {
+func Worst(ctx context.Context, d *scenario.Day, o Options) (*Result, error) {
 	play := func(days []*scenario.Day, seeds []uint64) ([]float64, error) {
 		plans := make([]batch.Plan, len(days))
 		for i := range days {
 			plans[i] = batch.Plan{Day: days[i], Decider: o.Decider, Seed: seeds[i]}
 		}
-		rs, err := batch.All(ctx, plans, o.Workers, nil)
+		rs, err := batch.RunAll(ctx, plans, o.Workers, nil)
 		if err != nil {
 			return nil, err
 		}
 		scores := make([]float64, len(rs))
 		for i, r := range rs {
-			if scores[i] = r.Score(); r.Breaks > 0 {
-				scores[i] = -10 - math.Log10(float64(r.Breaks))
+			if scores[i] = r.Score(); r.ViolationCount > 0 {
+				scores[i] = -10 - math.Log10(float64(r.ViolationCount))
 			}
 		}
 		return scores, nil
 	}
-	take := func(days []*scenario.Day, seeds []uint64, scores []float64, best *Found) {
+	take := func(days []*scenario.Day, seeds []uint64, scores []float64, best *Result) {
 		for i, s := range scores {
 			if best.Day == nil || s < best.Score {
-				*best = Found{Day: days[i], Seed: seeds[i], Score: s}
+				*best = Result{Day: days[i], Seed: seeds[i], Score: s}
 			}
 		}
 	}
-	best := &Found{}
+	best := &Result{}
 	var days []*scenario.Day
 	var seeds []uint64
-	for i := range o.Tries {
+	for i := range o.Samples {
 		seed := randstream.New(o.Seed, "search", i).Uint64() >> 1
 		days, seeds = append(days, d.Draw(seed)), append(seeds, seed)
 	}
@@ -73,13 +73,13 @@
 	usual := slices.Clone(scores)
 	slices.Sort(usual)
 	middle := usual[len(usual)/2]
-	o.Tell(fmt.Sprintf("%d days drawn: worst %.3f, middle %.3f", len(days), best.Score, middle))
+	o.Progress(fmt.Sprintf("%d days drawn: worst %.3f, middle %.3f", len(days), best.Score, middle))
 
 	// Near the worst: some of its figures drawn anew.
 	spans := d.Spans()
 	for round := range o.Rounds {
 		days, seeds = nil, nil
-		for i := range max(4, o.Tries/4) {
+		for i := range max(4, o.Samples/4) {
 			s := randstream.New(o.Seed, "near", round, i)
 			other, c := d.Draw(s.Uint64()>>1), best.Day.Clone()
 			for _, path := range spans {
@@ -93,11 +93,11 @@
 			return nil, err
 		}
 		take(days, seeds, scores, best)
-		o.Tell(fmt.Sprintf("round %d: worst %.3f", round+1, best.Score))
+		o.Progress(fmt.Sprintf("round %d: worst %.3f", round+1, best.Score))
 	}
 
 	// Smaller: each trouble left out, then each figure at its range's mild end, as long as most of the loss stays.
-	limit := middle - o.Keep*(middle-best.Score)
+	limit := middle - o.KeepLoss*(middle-best.Score)
 	if best.Score < -5 {
 		limit = -5 // the rule must stay broken
 	}
@@ -110,7 +110,7 @@
 		if s[0] <= limit {
 			best.Day, best.Score = c, s[0]
 			best.Steps = append(best.Steps, fmt.Sprintf("%s (%.3f)", what, s[0]))
-			o.Tell(what)
+			o.Progress(what)
 		}
 		return nil
 	}
--- a/sim/simulation/digest_test.go
+++ b/sim/simulation/digest_test.go
@@ -27,18 +27,18 @@
 }
 
 func digestShare(d *digesttest.Digest, s metrics.Share) {
-	d.Float(s.Asked, s.Served, s.Late, s.WithRoom, s.WithoutRoom, s.Errored, s.Lost)
-	d.Float(s.Beyond, s.BeyondCost, s.Worth, s.Sent, s.Within)
+	d.Float(s.Requested, s.Served, s.Late, s.ThrottledWithRoom, s.ThrottledWithoutRoom, s.Errored, s.Lost)
+	d.Float(s.BeyondQuota, s.BeyondCost, s.NetValue, s.FirstSent, s.ServedOfSent)
 }
 
-func digestFigures(d *digesttest.Digest, f *metrics.Figures) {
-	digestShare(d, f.Whole)
-	d.Float(f.First, f.Tries, f.Deliveries, f.Wasted, f.Calls, f.Missed, f.Mail, f.Dials, f.Fairness)
-	d.Uint(f.Events, uint64(f.Breaks))
+func digestFigures(d *digesttest.Digest, f *metrics.Results) {
+	digestShare(d, f.Total)
+	d.Float(f.FirstInvocations, f.Invocations, f.Attempts, f.WastedWork, f.CounterCalls, f.CounterCallsFailed, f.PeerMessages, f.Dials, f.Fairness)
+	d.Uint(f.Events, uint64(f.ViolationCount))
 	for i := range f.Seconds {
 		s := &f.Seconds[i]
 		digestShare(d, s.Share)
-		d.Float(s.Out, s.Busy, s.Waiting, s.Calls, s.Missed, s.Alive, s.HostsUp, s.First, s.Repeats, s.Dials, s.Sends, s.P50, s.P99)
+		d.Float(s.AttemptsInFlight, s.CoreUtilization, s.HostLoad, s.CounterCalls, s.CounterCallsFailed, s.GatewaysAlive, s.HostsUp, s.FirstInvocations, s.ClientRetries, s.Dials, s.Attempts, s.P50, s.P99)
 	}
 }
 
@@ -61,7 +61,7 @@
 				t.Fatal(err)
 			}
 			world := simulation.New(day, uint64(seed), decider)
-			world.Heard = func(from int, ref, _ string) {
+			world.OnTrace = func(from int, ref, _ string) {
 				d.Float(world.Queue.Now())
 				d.Int(int64(from))
 				d.Text(ref)
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -25,27 +25,27 @@
 	"otterseam/sim/workload"
 )
 
-// Decider makes the minds of a day's api gateways.
-type Decider interface {
+// PolicySource makes the minds of a day's api gateways.
+type PolicySource interface {
 	Name() string
 	// Mind makes the mind of an api gateway that starts; out is its way out.
-	Mind(w *World, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Mind, error)
+	NewPolicy(w *Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error)
 	// Err is what ended the decider, if something did; End lets go of what it holds.
 	Err() error
-	End()
+	Close()
 }
 
-// World is a day being played.
-type World struct {
-	Day     *scenario.Day
-	Seed    uint64
-	Queue   *eventqueue.Queue
-	Hosts   []*hostmodel.Host
-	Edges   []*gatewaymodel.Edge
-	Crowd   *workload.Crowd
-	Counter *countermodel.Counter
-	Referee *oracle.Referee
-	Figures *metrics.Figures
+// Simulation is a day being played.
+type Simulation struct {
+	Day      *scenario.Day
+	Seed     uint64
+	Queue    *eventqueue.Queue
+	Hosts    []*hostmodel.Host
+	Gateways []*gatewaymodel.Gateway
+	Workload *workload.Generator
+	Counter  *countermodel.Counter
+	Oracle   *oracle.Oracle
+	Results  *metrics.Results
 
 	net    *network.Network
 	list   *discoverymodel.Registry
@@ -53,18 +53,18 @@
 	byAddr map[string]*hostmodel.Host
 	byKey  map[string]*model.Customer
 	// Killer ends an api gateway that stands elsewhere, gently or not, and has it back after so many seconds.
-	Killer  func(slot int, down float64, gently bool)
-	decider Decider
-	starts  uint64
-	useful  float64
-	alive   int
-	err     error
-
-	door workload.Door
+	KillGateway func(slot int, down float64, gently bool)
+	decider     PolicySource
+	starts      uint64
+	useful      float64
+	alive       int
+	err         error
+
+	door workload.Environment
 	tell func(gateway int, change policy.HostEntry)
 
 	// Heard is told all that is noted of invocations, where it is set.
-	Heard func(from int, ref, text string)
+	OnTrace func(from int, ref, text string)
 
 	story string   // the invocation whose story is told
 	lines []string // it
@@ -72,23 +72,23 @@
 }
 
 // Option changes how a day is played.
-type Option func(*World)
+type Option func(*Simulation)
 
-// Story has all that happens to one invocation written down.
-func Story(ref string) Option { return func(w *World) { w.story = ref } }
+// WithStory has all that happens to one invocation written down.
+func WithStory(ref string) Option { return func(w *Simulation) { w.story = ref } }
 
-// Outside has the day's api gateways stand elsewhere, on sockets: tries go to door, and tell is called when one of them is
+// ExternalGateways has the day's api gateways stand elsewhere, on sockets: tries go to door, and tell is called when one of them is
 // told of a change of the list. The world then has hosts, counter, list and customers of its own, and no edges.
-func Outside(door workload.Door, tell func(gateway int, change policy.HostEntry)) Option {
-	return func(w *World) { w.door, w.tell = door, tell }
+func ExternalGateways(door workload.Environment, tell func(gateway int, change policy.HostEntry)) Option {
+	return func(w *Simulation) { w.door, w.tell = door, tell }
 }
 
-// Progress is called each second of the day.
-func Progress(f func(at float64)) Option { return func(w *World) { w.prog = f } }
+// WithProgress is called each second of the day.
+func WithProgress(f func(at float64)) Option { return func(w *Simulation) { w.prog = f } }
 
 // New makes the world of a day, drawn by a seed, with a decider.
-func New(d *scenario.Day, seed uint64, dec Decider, opts ...Option) *World {
-	w := &World{
+func New(d *scenario.Day, seed uint64, dec PolicySource, opts ...Option) *Simulation {
+	w := &Simulation{
 		Day: d.Draw(seed), Seed: seed, Queue: &eventqueue.Queue{}, byAddr: map[string]*hostmodel.Host{}, byKey: map[string]*model.Customer{},
 		decider: dec,
 	}
@@ -100,8 +100,8 @@
 	zones, n := d.Fleet.Zones.N(), d.Fleet.Gateways.N()
 	w.net = network.New(&d.Network, zones, seed)
 	w.Counter = countermodel.New(w.Queue, &d.Counter, seed)
-	w.Referee = oracle.New(d, n, w.Queue.Now)
-	w.Figures = metrics.New(d.Name, dec.Name(), seed)
+	w.Oracle = oracle.New(d, n, w.Queue.Now)
+	w.Results = metrics.New(d.Name, dec.Name(), seed)
 	var list []policy.HostEntry
 	for range d.Fleet.Hosts.N() {
 		list = append(list, w.listed(w.newHost(0), "active"))
@@ -112,17 +112,17 @@
 		if w.door != w {
 			break
 		}
-		w.Edges = append(w.Edges, gatewaymodel.New(slot, slot%zones, w.Queue, w.net, w.Counter, d, w))
+		w.Gateways = append(w.Gateways, gatewaymodel.New(slot, slot%zones, w.Queue, w.net, w.Counter, d, w))
 	}
-	w.Crowd = workload.New(w.Queue, d, seed, w.door)
-	for _, c := range w.Crowd.Customers {
+	w.Workload = workload.New(w.Queue, d, seed, w.door)
+	for _, c := range w.Workload.Customers {
 		w.byKey[c.Key] = c
 	}
 	return w
 }
 
 // newHost adds a host; since is its start, 0: long ago.
-func (w *World) newHost(since float64) *hostmodel.Host {
+func (w *Simulation) newHost(since float64) *hostmodel.Host {
 	n, d := len(w.Hosts), w.Day
 	whole := 0.0
 	for i := range d.Hosts {
@@ -138,7 +138,7 @@
 	h := hostmodel.New(w.Queue, n, fmt.Sprintf("10.%d.%d.%d:9000", n>>16&255, n>>8&255, n&255), kind, &d.Cold, w.Seed)
 	h.Zone, h.Cell, h.StartedAt = n%d.Fleet.Zones.N(), n/4, since
 	h.OnOverload = func(sent []hostmodel.Arrival) {
-		w.Referee.Fell(h, sent)
+		w.Oracle.HostOverloaded(h, sent)
 		w.list.Publish(w.listed(h, "left"))
 	}
 	w.Hosts = append(w.Hosts, h)
@@ -146,17 +146,17 @@
 	return h
 }
 
-// Zone is how a zone is called.
-func Zone(n int) string { return fmt.Sprintf("zone-%d", n) }
+// ZoneName is how a zone is called.
+func ZoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-func (w *World) listed(h *hostmodel.Host, state string) policy.HostEntry {
-	return policy.HostEntry{Addr: h.Addr, Zone: Zone(h.Zone), Cell: h.Cell, State: state, StartedAt: h.StartedAt, Weight: 1}
+func (w *Simulation) listed(h *hostmodel.Host, state string) policy.HostEntry {
+	return policy.HostEntry{Addr: h.Addr, Zone: ZoneName(h.Zone), Cell: h.Cell, State: state, StartedAt: h.StartedAt, Weight: 1}
 }
 
-// Settings are the start settings of an api gateway of this day, as the platform would give them.
-func Settings(d *scenario.Day, slot int) simprotocol.Start {
+// StartSettings are the start settings of an api gateway of this day, as the platform would give them.
+func StartSettings(d *scenario.Day, slot int) simprotocol.Start {
 	var s simprotocol.Start
-	s.Balancers, s.Slot, s.Locality = d.Fleet.Gateways.N(), slot, Zone(slot%d.Fleet.Zones.N())
+	s.Balancers, s.Slot, s.Locality = d.Fleet.Gateways.N(), slot, ZoneName(slot%d.Fleet.Zones.N())
 	s.Caps.Cancel, s.Caps.PeerMessages, s.Caps.TryLimit = d.Gateway.Cancel, d.Peers.Allowed, d.Gateway.Deliveries.N()
 	s.Caps.Idle, s.Caps.Connect = d.Network.Idle.V(), d.Network.Dial.V()
 	for _, o := range d.Operations {
@@ -182,168 +182,168 @@
 }
 
 // Run plays the day to its end and beyond, until every need is closed, and gives its figures.
-func (w *World) Run() (*metrics.Figures, error) {
-	defer w.decider.End()
-	for slot := range w.Edges {
+func (w *Simulation) Run() (*metrics.Results, error) {
+	defer w.decider.Close()
+	for slot := range w.Gateways {
 		w.start(slot)
 	}
 	if w.err != nil {
 		return nil, w.err
 	}
 	w.Begin()
-	w.Queue.Run(w.Ends())
+	w.Queue.Run(w.EndTime())
 	if w.err == nil {
 		w.err = w.decider.Err()
 	}
 	if w.err != nil {
 		return nil, w.err
 	}
-	return w.Close(), nil
+	return w.Finish(), nil
 }
 
 // Begin lets customers ask and troubles come, from the present moment on.
-func (w *World) Begin() {
-	w.BeginWithout()
-	w.Crowd.Start()
+func (w *Simulation) Begin() {
+	w.BeginWithoutClients()
+	w.Workload.Start()
 }
 
-// BeginWithout lets troubles come and nobody ask.
-func (w *World) BeginWithout() {
-	w.Figures.Began = w.Queue.Now()
+// BeginWithoutClients lets troubles come and nobody ask.
+func (w *Simulation) BeginWithoutClients() {
+	w.Results.StartedAt = w.Queue.Now()
 	for i := range w.Day.Troubles {
 		w.trouble(i, &w.Day.Troubles[i])
 	}
 	w.Queue.ScheduleAfter(1, w.second)
 }
 
-// Ends is when every need is closed.
-func (w *World) Ends() float64 {
+// EndTime is when every need is closed.
+func (w *Simulation) EndTime() float64 {
 	longest := 0.0
 	for _, o := range w.Day.Operations {
 		longest = max(longest, o.Timeout.V())
 	}
-	return w.Figures.Began + w.Day.Length.V() + longest + 1
+	return w.Results.StartedAt + w.Day.Length.V() + longest + 1
 }
 
-// Close adds up the figures of a day that is over.
-func (w *World) Close() *metrics.Figures {
-	f := w.Figures
-	f.End(w.Crowd.Customers)
-	f.Mail, f.Events, f.Breaks, f.Broken = w.post.Sent, w.Queue.Fired, w.Referee.All, w.Referee.Breaks
+// Finish adds up the figures of a day that is over.
+func (w *Simulation) Finish() *metrics.Results {
+	f := w.Results
+	f.Finish(w.Workload.Customers)
+	f.PeerMessages, f.Events, f.ViolationCount, f.Violations = w.post.Sent, w.Queue.Fired, w.Oracle.Total, w.Oracle.Violations
 	done := 0.0
 	for _, h := range w.Hosts {
 		done += h.BusyTime
 	}
 	if done > 0 {
-		f.Wasted = max(0, 1-w.useful/done)
+		f.WastedWork = max(0, 1-w.useful/done)
 	}
 	f.Seconds = f.Seconds[:min(len(f.Seconds), int(w.Day.Length.V())+1)]
 	return f
 }
 
-// Net is the way between the day's machines; List what an api gateway was last told.
-func (w *World) Net() *network.Network               { return w.net }
-func (w *World) List(gateway int) []policy.HostEntry { return w.list.HostList(gateway) }
+// Network is the way between the day's machines; List what an api gateway was last told.
+func (w *Simulation) Network() *network.Network               { return w.net }
+func (w *Simulation) HostList(gateway int) []policy.HostEntry { return w.list.HostList(gateway) }
 
-// Told is the story that was asked for, in time order.
-func (w *World) Told() []string { return w.lines }
+// StoryLines is the story that was asked for, in time order.
+func (w *Simulation) StoryLines() []string { return w.lines }
 
-func (w *World) start(slot int) {
+func (w *Simulation) start(slot int) {
 	if w.err != nil || w.Queue.Stopped() {
 		return
 	}
-	e := w.Edges[slot]
+	e := w.Gateways[slot]
 	w.starts++
-	mind, err := gatewaymodel.Shifted(w.Day.Gateway.Clock.V(), e, func(out policydriver.Output) (gatewaymodel.Mind, error) {
-		return w.decider.Mind(w, slot, randstream.New(w.Seed, "mind", slot, int(w.starts)).Uint64()>>1, out)
+	mind, err := gatewaymodel.WithClockOffset(w.Day.Gateway.Clock.V(), e, func(out policydriver.Output) (gatewaymodel.Policy, error) {
+		return w.decider.NewPolicy(w, slot, randstream.New(w.Seed, "mind", slot, int(w.starts)).Uint64()>>1, out)
 	})
 	if err != nil {
 		w.err = err
 		w.Queue.Stop()
 		return
 	}
-	w.Referee.Started(slot)
+	w.Oracle.GatewayStarted(slot)
 	list := w.list.HostList(slot)
 	for _, l := range list {
-		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
+		w.Oracle.HostStateTold(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
 	}
 	e.Start(mind, list)
 	w.alive++
 }
 
-func (w *World) told(slot int, l policy.HostEntry) {
-	if w.Edges[slot].Alive {
-		w.Referee.Told(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
-		w.Edges[slot].Told(l)
+func (w *Simulation) told(slot int, l policy.HostEntry) {
+	if w.Gateways[slot].Alive {
+		w.Oracle.HostStateTold(slot, w.byAddr[l.Addr].Number, l.State, l.StartedAt)
+		w.Gateways[slot].HostChanged(l)
 	}
 }
 
 // second takes the figures that stand at the end of each second.
-func (w *World) second() {
+func (w *Simulation) second() {
 	now := w.Queue.Now()
-	s := w.Figures.At(now - 0.5)
-	for _, e := range w.Edges {
-		s.Out += float64(e.Out())
+	s := w.Results.SecondAt(now - 0.5)
+	for _, e := range w.Gateways {
+		s.AttemptsInFlight += float64(e.AttemptsInFlight())
 	}
 	cores := 0.0
 	for _, h := range w.Hosts {
 		if h.State != hostmodel.Down {
 			cores += float64(h.Cores)
-			s.Busy += float64(min(h.Cores, h.Load()))
-			s.Waiting += float64(h.Load())
+			s.CoreUtilization += float64(min(h.Cores, h.Load()))
+			s.HostLoad += float64(h.Load())
 			s.HostsUp++
 		}
 	}
-	s.Busy /= max(1, cores)
-	s.Alive = float64(w.alive)
+	s.CoreUtilization /= max(1, cores)
+	s.GatewaysAlive = float64(w.alive)
 	if w.Counter.DropExpired(); w.prog != nil {
 		w.prog(now)
 	}
 	if w.decider.Err() != nil {
 		w.Queue.Stop()
 	}
-	if now < w.Figures.Began+w.Day.Length.V() {
+	if now < w.Results.StartedAt+w.Day.Length.V() {
 		w.Queue.ScheduleAfter(1, w.second)
 	}
 }
 
 // What the crowd asks for.
 
-func (w *World) Arrive(inv *model.Invocation) bool { return w.Edges[inv.Gateway].Arrive(inv) }
-func (w *World) Admits(gateway int) bool           { return w.Edges[gateway].Admits }
+func (w *Simulation) Submit(inv *model.Invocation) bool { return w.Gateways[inv.Gateway].Submit(inv) }
+func (w *Simulation) Admits(gateway int) bool           { return w.Gateways[gateway].Admits }
 
-func (w *World) Asked(n *model.Request) {
-	w.Figures.First++
-	w.Figures.At(w.Queue.Now()).First++
-	if n.WithinQuota = w.Referee.Asked(n); n.WithinQuota {
-		w.Figures.Count(n, metrics.Share{Asked: n.Value()})
+func (w *Simulation) RequestCreated(n *model.Request) {
+	w.Results.FirstInvocations++
+	w.Results.SecondAt(w.Queue.Now()).FirstInvocations++
+	if n.WithinQuota = w.Oracle.RequestCreated(n); n.WithinQuota {
+		w.Results.AddShare(n, metrics.Share{Requested: n.Value()})
 	}
 }
 
-func (w *World) Closed(n *model.Request, took float64) {
-	w.Figures.Close(n, took, w.Queue.Now())
+func (w *Simulation) RequestClosed(n *model.Request, took float64) {
+	w.Results.CloseRequest(n, took, w.Queue.Now())
 }
 
-// Done counts how a try ended for its client.
-func (w *World) Done(how model.Outcome) { w.Figures.Try(how) }
+// InvocationEnded counts how a try ended for its client.
+func (w *Simulation) InvocationEnded(how model.Outcome) { w.Results.CountOutcome(how) }
 
-func (w *World) Tried(inv *model.Invocation) {
-	if w.Figures.Tries++; inv.ClientRetry {
-		w.Figures.At(w.Queue.Now()).Repeats++
+func (w *Simulation) InvocationSent(inv *model.Invocation) {
+	if w.Results.Invocations++; inv.ClientRetry {
+		w.Results.SecondAt(w.Queue.Now()).ClientRetries++
 	}
-	w.Note(inv.Gateway, inv.Ref, fmt.Sprintf("asked for by customer %s, %s, plan %s, %.0f units, gives up at %.3f s", inv.Request.Customer.Key,
+	w.Trace(inv.Gateway, inv.Ref, fmt.Sprintf("asked for by customer %s, %s, plan %s, %.0f units, gives up at %.3f s", inv.Request.Customer.Key,
 		inv.Request.Operation.Name, inv.Request.Customer.Plan.Name, inv.Request.Units, inv.GiveUpAt))
 }
 
 // What api gateways meet.
 
-func (w *World) Host(addr string) *hostmodel.Host { return w.byAddr[addr] }
+func (w *Simulation) Host(addr string) *hostmodel.Host { return w.byAddr[addr] }
 
-func (w *World) Sent(d *model.Attempt) {
-	w.Figures.Deliveries++
-	w.Figures.At(w.Queue.Now()).Sends++
-	w.Referee.Sent(d)
-	w.Referee.Grouped(d, func(a, b int) bool {
+func (w *Simulation) AttemptSent(d *model.Attempt) {
+	w.Results.Attempts++
+	w.Results.SecondAt(w.Queue.Now()).Attempts++
+	w.Oracle.AttemptSent(d)
+	w.Oracle.CheckGroup(d, func(a, b int) bool {
 		x, y := w.Hosts[a], w.Hosts[b]
 		switch d.Invocation.Request.Operation.Group {
 		case "zone":
@@ -355,49 +355,49 @@
 	})
 }
 
-// SentLate is Sent for a delivery that was held up on the way: when it set out isn't known.
-func (w *World) SentLate(d *model.Attempt) {
-	w.Swallowed()
-	w.Referee.Repeated(d)
+// AttemptSentLate is Sent for a delivery that was held up on the way: when it set out isn't known.
+func (w *Simulation) AttemptSentLate(d *model.Attempt) {
+	w.AttemptSwallowed()
+	w.Oracle.CheckRetry(d)
 }
 
-// Swallowed counts a delivery that no host will ever see.
-func (w *World) Swallowed() {
-	w.Figures.Deliveries++
-	w.Figures.At(w.Queue.Now()).Sends++
+// AttemptSwallowed counts a delivery that no host will ever see.
+func (w *Simulation) AttemptSwallowed() {
+	w.Results.Attempts++
+	w.Results.SecondAt(w.Queue.Now()).Attempts++
 }
 
-func (w *World) Reached(d *model.Attempt) {
-	first, beyond := w.Referee.Reached(d)
-	w.Note(d.Invocation.Gateway, d.Invocation.Ref, fmt.Sprintf("delivery %d reaches host %d", d.Number, d.Host))
+func (w *Simulation) AttemptReached(d *model.Attempt) {
+	first, beyond := w.Oracle.AttemptReached(d)
+	w.Trace(d.Invocation.Gateway, d.Invocation.Ref, fmt.Sprintf("delivery %d reaches host %d", d.Number, d.Host))
 	if !first {
 		return
 	}
 	n := d.Invocation.Request
 	n.BeyondQuota = beyond
-	s := metrics.Share{Sent: n.Value()}
+	s := metrics.Share{FirstSent: n.Value()}
 	if beyond {
-		s.Beyond = n.Value()
+		s.BeyondQuota = n.Value()
 		s.BeyondCost = n.Value() * n.Customer.Plan.OverCost.V()
-		s.Worth = -s.BeyondCost
+		s.NetValue = -s.BeyondCost
 	}
-	w.Figures.Count(n, s)
+	w.Results.AddShare(n, s)
 }
 
-func (w *World) Ran(d *model.Attempt) {
-	w.Referee.Ran(d)
-	w.Note(d.Invocation.Gateway, d.Invocation.Ref, fmt.Sprintf("delivery %d runs on host %d", d.Number, d.Host))
+func (w *Simulation) AttemptStarted(d *model.Attempt) {
+	w.Oracle.AttemptStarted(d)
+	w.Trace(d.Invocation.Gateway, d.Invocation.Ref, fmt.Sprintf("delivery %d runs on host %d", d.Number, d.Host))
 }
 
-func (w *World) EndedAt(d *model.Attempt) { w.Referee.Ended(d) }
+func (w *Simulation) AttemptReleased(d *model.Attempt) { w.Oracle.AttemptReleased(d) }
 
-func (w *World) Answered(inv *model.Invocation, how model.Outcome) (room bool) {
+func (w *Simulation) InvocationAnswered(inv *model.Invocation, how model.Outcome) (room bool) {
 	if how == model.Unanswered {
-		w.Referee.Unanswered(inv)
+		w.Oracle.ClientGaveUp(inv)
 		return false
 	}
 	if how == model.Throttled {
-		room = w.Referee.Room(inv.Request.Customer, inv.Request.ActualUnits)
+		room = w.Oracle.QuotaHasRoom(inv.Request.Customer, inv.Request.ActualUnits)
 	}
 	if how == model.Served {
 		for _, d := range inv.Attempts {
@@ -407,55 +407,55 @@
 			}
 		}
 	}
-	w.Referee.Answered(inv, how)
+	w.Oracle.InvocationAnswered(inv, how)
 	return room
 }
 
-func (w *World) Client(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool) {
-	w.Crowd.Ended(inv, how, retryAfter, room)
+func (w *Simulation) DeliverAnswer(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool) {
+	w.Workload.HandleOutcome(inv, how, retryAfter, room)
 }
 
-func (w *World) Mail(from, to int, text string) {
+func (w *Simulation) SendPeerMessage(from, to int, text string) {
 	if !w.Day.Peers.Allowed {
 		return
 	}
-	for i, e := range w.Edges {
-		if (to == membership.Broadcast && i != from || i == to) && e.Alive && !w.net.Partitioned(w.Edges[from].Zone, e.Zone) {
-			w.post.Send(i, text, func() { e.Mailed(from, text) })
+	for i, e := range w.Gateways {
+		if (to == membership.Broadcast && i != from || i == to) && e.Alive && !w.net.Partitioned(w.Gateways[from].Zone, e.Zone) {
+			w.post.Send(i, text, func() { e.PeerMessage(from, text) })
 		}
 	}
 }
 
-// Note takes down a line: of the one invocation whose story is told, or of an api gateway's log.
-func (w *World) Note(from int, ref, text string) {
+// Trace takes down a line: of the one invocation whose story is told, or of an api gateway's log.
+func (w *Simulation) Trace(from int, ref, text string) {
 	if ref == "" {
 		words := strings.Fields(text)
-		w.Figures.Logs[strings.TrimRight(strings.Join(words[:min(len(words), 1)], " "), ":")]++
+		w.Results.Logs[strings.TrimRight(strings.Join(words[:min(len(words), 1)], " "), ":")]++
 	}
-	if w.Heard != nil && ref != "" {
-		w.Heard(from, ref, text)
+	if w.OnTrace != nil && ref != "" {
+		w.OnTrace(from, ref, text)
 	}
 	if w.story != "" && ref == w.story {
 		w.lines = append(w.lines, fmt.Sprintf("%10.4f  api gateway %d: %s", w.Queue.Now(), from, text))
 	}
 }
 
-func (w *World) Called(missed bool) {
-	s := w.Figures.At(w.Queue.Now())
-	s.Calls++
-	if w.Figures.Calls++; missed {
-		w.Figures.Missed++
-		s.Missed++
+func (w *Simulation) CounterCalled(missed bool) {
+	s := w.Results.SecondAt(w.Queue.Now())
+	s.CounterCalls++
+	if w.Results.CounterCalls++; missed {
+		w.Results.CounterCallsFailed++
+		s.CounterCallsFailed++
 	}
 }
 
-func (w *World) Dialled() {
-	w.Figures.Dials++
-	w.Figures.At(w.Queue.Now()).Dials++
+func (w *Simulation) ConnectionDialled() {
+	w.Results.Dials++
+	w.Results.SecondAt(w.Queue.Now()).Dials++
 }
 
-// Room says whether a customer's quota has room for so many units, by what was really sent: for a decider that sees all.
-func (w *World) Room(key string, units float64) bool {
+// QuotaHasRoom says whether a customer's quota has room for so many units, by what was really sent: for a decider that sees all.
+func (w *Simulation) QuotaHasRoom(key string, units float64) bool {
 	c := w.byKey[key]
-	return c == nil || w.Referee.Room(c, units)
+	return c == nil || w.Oracle.QuotaHasRoom(c, units)
 }
--- a/sim/simulation/troubles.go
+++ b/sim/simulation/troubles.go
@@ -13,7 +13,7 @@
 )
 
 // trouble sets when one trouble begins and ends.
-func (w *World) trouble(n int, t *scenario.Trouble) {
+func (w *Simulation) trouble(n int, t *scenario.Trouble) {
 	d := randstream.New(w.Seed, "trouble", n)
 	w.Queue.ScheduleAfter(t.At.V(), func() {
 		end := w.begin(n, t, d)
@@ -24,16 +24,16 @@
 }
 
 // begin lets a trouble begin. What it gives ends it.
-func (w *World) begin(n int, t *scenario.Trouble, d randstream.Stream) (end func()) {
+func (w *Simulation) begin(n int, t *scenario.Trouble, d randstream.Stream) (end func()) {
 	size, part := t.Size.V(), t.Part.V()
 	hosts := func(do func(h *hostmodel.Host, begin bool)) func() {
 		return toggle(w.struckHosts(d, part), do)
 	}
 	customers := func(do func(c *model.Customer, begin bool)) func() {
 		var struck []*model.Customer
-		for i, in := range d.SampleShare(len(w.Crowd.Customers), part) {
+		for i, in := range d.SampleShare(len(w.Workload.Customers), part) {
 			if in {
-				struck = append(struck, w.Crowd.Customers[i])
+				struck = append(struck, w.Workload.Customers[i])
 			}
 		}
 		return toggle(struck, do)
@@ -103,8 +103,8 @@
 		return whole(func(b bool) {
 			w.Counter.Split(b)
 			for i, in := range struck {
-				if i < len(w.Edges) {
-					w.Edges[i].Far = b && in
+				if i < len(w.Gateways) {
+					w.Gateways[i].SeesSplitCopy = b && in
 				}
 			}
 		})
@@ -123,15 +123,15 @@
 	case "mail-loss":
 		return whole(func(b bool) { w.post.Loses(size, b) })
 	case "burst":
-		return customers(func(c *model.Customer, b bool) { w.Crowd.Times(c, size, b) })
+		return customers(func(c *model.Customer, b bool) { w.Workload.ScaleRate(c, size, b) })
 	case "gather":
-		return customers(w.Crowd.Gather)
+		return customers(w.Workload.Concentrate)
 	case "move":
-		customers(func(c *model.Customer, b bool) { w.Crowd.Move(c) })
+		customers(func(c *model.Customer, b bool) { w.Workload.Relocate(c) })
 	case "ignore":
-		return customers(func(c *model.Customer, b bool) { w.Crowd.Ignore(c, int(math.Round(size)), b) })
+		return customers(func(c *model.Customer, b bool) { w.Workload.RetryAtOnce(c, int(math.Round(size)), b) })
 	case "impatient":
-		return customers(func(c *model.Customer, b bool) { w.Crowd.Hurry(c, size, b) })
+		return customers(func(c *model.Customer, b bool) { w.Workload.ScalePatience(c, size, b) })
 	case "kill":
 		for i, in := range d.SampleShare(w.Day.Fleet.Gateways.N(), part) {
 			if in {
@@ -149,11 +149,11 @@
 			w.Queue.ScheduleAfter(t.Lasts.V()*float64(i)/float64(len(struck)), func() { w.restart(slot) })
 		}
 	case "starve":
-		struck := d.SampleShare(len(w.Edges), part)
+		struck := d.SampleShare(len(w.Gateways), part)
 		return whole(func(b bool) {
 			for i, in := range struck {
 				if in {
-					w.Edges[i].Starve(size, b)
+					w.Gateways[i].ScaleCPU(size, b)
 				}
 			}
 		})
@@ -174,7 +174,7 @@
 }
 
 // struckHosts picks among those that are up.
-func (w *World) struckHosts(d randstream.Stream, part float64) (struck []*hostmodel.Host) {
+func (w *Simulation) struckHosts(d randstream.Stream, part float64) (struck []*hostmodel.Host) {
 	var up []*hostmodel.Host
 	for _, h := range w.Hosts {
 		if h.State == hostmodel.Up {
@@ -193,7 +193,7 @@
 const drain = 3
 
 // replace lets hosts leave one after another; each drains first, and a cold one comes as it begins to.
-func (w *World) replace(struck []*hostmodel.Host, lasts float64) {
+func (w *Simulation) replace(struck []*hostmodel.Host, lasts float64) {
 	for i, h := range struck {
 		w.Queue.ScheduleAfter(lasts*float64(i)/float64(len(struck)), func() {
 			if h.State != hostmodel.Up {
@@ -212,7 +212,7 @@
 }
 
 // counterAway takes the counter away and brings it back with what the trouble says.
-func (w *World) counterAway(t *scenario.Trouble, away func(begin bool)) func() {
+func (w *Simulation) counterAway(t *scenario.Trouble, away func(begin bool)) func() {
 	w.Counter.Snapshot()
 	away(true)
 	return func() {
@@ -222,12 +222,12 @@
 }
 
 // kill ends an api gateway and has it back after so many seconds; the front notices its death later, its return at once.
-func (w *World) kill(slot int, down float64) {
-	if w.Killer != nil {
-		w.Killer(slot, down, false)
+func (w *Simulation) kill(slot int, down float64) {
+	if w.KillGateway != nil {
+		w.KillGateway(slot, down, false)
 		return
 	}
-	e := w.Edges[slot]
+	e := w.Gateways[slot]
 	if !e.Alive {
 		return
 	}
@@ -243,12 +243,12 @@
 }
 
 // restart lets an api gateway end what it holds, then start with empty hands half a second later.
-func (w *World) restart(slot int) {
-	if w.Killer != nil {
-		w.Killer(slot, 0.5, true)
+func (w *Simulation) restart(slot int) {
+	if w.KillGateway != nil {
+		w.KillGateway(slot, 0.5, true)
 		return
 	}
-	e := w.Edges[slot]
+	e := w.Gateways[slot]
 	if !e.Alive {
 		return
 	}
@@ -259,7 +259,7 @@
 		if !e.Alive {
 			return
 		}
-		if e.InHand() > 0 && w.Queue.Now() < began+5 {
+		if e.PendingInvocations() > 0 && w.Queue.Now() < began+5 {
 			w.Queue.ScheduleAfter(0.05, look)
 			return
 		}
--- a/sim/workload/workload.go
+++ b/sim/workload/workload.go
@@ -12,26 +12,26 @@
 	"otterseam/sim/scenario"
 )
 
-// Door is what the crowd asks of the rest.
-type Door interface {
+// Environment is what the crowd asks of the rest.
+type Environment interface {
 	// Arrive brings a try to an api gateway; false: none took it.
-	Arrive(inv *model.Invocation) bool
+	Submit(inv *model.Invocation) bool
 	// Admits says whether the front sends tries to this api gateway.
 	Admits(gateway int) bool
 	// Asked, Closed, Tried and Done tell of a need that begins or ends, and of a try.
-	Asked(n *model.Request)
-	Closed(n *model.Request, took float64)
-	Tried(inv *model.Invocation)
-	Done(how model.Outcome)
+	RequestCreated(n *model.Request)
+	RequestClosed(n *model.Request, took float64)
+	InvocationSent(inv *model.Invocation)
+	InvocationEnded(how model.Outcome)
 }
 
-// Crowd is all customers of a day.
-type Crowd struct {
+// Generator is all customers of a day.
+type Generator struct {
 	Customers []*model.Customer
 
 	q         *eventqueue.Queue
 	day       *scenario.Day
-	door      Door
+	door      Environment
 	load      randstream.Stream // when, and what
 	ways      randstream.Stream // through which api gateway
 	mood      randstream.Stream // what clients do with an answer
@@ -46,8 +46,8 @@
 
 // New draws the customers of a day. Each plan has so many that those far, near and over together ask for the plan's
 // part of the load inside their quotas.
-func New(q *eventqueue.Queue, d *scenario.Day, seed uint64, door Door) *Crowd {
-	c := &Crowd{
+func New(q *eventqueue.Queue, d *scenario.Day, seed uint64, door Environment) *Generator {
+	c := &Generator{
 		q: q, day: d, door: door, gateways: d.Fleet.Gateways.N(), load: randstream.New(seed, "load"),
 		ways: randstream.New(seed, "ways"), mood: randstream.New(seed, "mood"),
 	}
@@ -80,14 +80,14 @@
 	return sum / all
 }
 
-func (c *Crowd) units() float64 {
+func (c *Generator) units() float64 {
 	most := c.day.Clients.Units.N()
 	x := c.load.Float64() * (1 - math.Pow(1.5, -float64(most)))
 	return min(float64(most), 1+math.Floor(-math.Log(1-x)/math.Log(1.5)))
 }
 
 // draw adds customers of one plan until what they ask for inside their quotas comes to rate invocations a second.
-func (c *Crowd) draw(who randstream.Stream, plan int, rate float64) {
+func (c *Generator) draw(who randstream.Stream, plan int, rate float64) {
 	p, k := &c.day.Plans[plan], c.day.Clients
 	quota := p.Use.V()
 	if quota == 0 {
@@ -118,7 +118,7 @@
 }
 
 // Start has all customers ask from now on, for the length of the day.
-func (c *Crowd) Start() {
+func (c *Generator) Start() {
 	c.end = c.q.Now() + c.day.Length.V()
 	for _, x := range c.Customers {
 		c.plan(x)
@@ -126,7 +126,7 @@
 }
 
 // plan sets when a customer asks next.
-func (c *Crowd) plan(x *model.Customer) {
+func (c *Generator) plan(x *model.Customer) {
 	if x.InvocationRate*x.RateFactor <= 0 {
 		return
 	}
@@ -140,7 +140,7 @@
 	})
 }
 
-func (c *Crowd) ask(x *model.Customer) {
+func (c *Generator) ask(x *model.Customer) {
 	now := c.q.Now()
 	op := c.ops[0]
 	for u, i := c.load.Float64()*c.shares[len(c.shares)-1], 0; i < len(c.ops); i++ {
@@ -159,12 +159,12 @@
 	if n.ActualUnits = n.Units; c.day.Counter.Settles {
 		n.ActualUnits = max(1, math.Round(n.Units*c.load.Uniform(0.5, 1.5)))
 	}
-	c.door.Asked(n)
+	c.door.RequestCreated(n)
 	c.try(n, false)
 }
 
 // try sends a client's next try through one of the customer's api gateways.
-func (c *Crowd) try(n *model.Request, repeat bool) {
+func (c *Generator) try(n *model.Request, repeat bool) {
 	x, now := n.Customer, c.q.Now()
 	n.InvocationCount++
 	c.tries++
@@ -174,15 +174,15 @@
 		GiveUpAt: min(n.Deadline, now+patience*n.Operation.Timeout.V()), ClientRetry: repeat && c.day.Clients.Marked,
 	}
 	inv.Gateway = c.way(x)
-	c.door.Tried(inv)
-	if !c.door.Arrive(inv) {
-		c.Ended(inv, model.Unreachable, 0, false)
+	c.door.InvocationSent(inv)
+	if !c.door.Submit(inv) {
+		c.HandleOutcome(inv, model.Unreachable, 0, false)
 	}
 }
 
 // way chooses the api gateway: the favourite of the hour, or another of the set; a dead one that the front has noticed is
 // passed over.
-func (c *Crowd) way(x *model.Customer) int {
+func (c *Generator) way(x *model.Customer) int {
 	now := c.q.Now()
 	if now >= x.PreferredUntil {
 		x.PreferredUntil = now + c.ways.Uniform(0.5, 1.5)*c.day.Clients.Change.V()
@@ -200,13 +200,13 @@
 	return (x.FirstGateway + pick) % c.gateways
 }
 
-// Ended tells a client how its try ended; retryAfter is the time to come back, 0 where none was told.
-func (c *Crowd) Ended(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool) {
+// HandleOutcome tells a client how its try ended; retryAfter is the time to come back, 0 where none was told.
+func (c *Generator) HandleOutcome(inv *model.Invocation, how model.Outcome, retryAfter float64, room bool) {
 	n, x, now := inv.Request, inv.Request.Customer, c.q.Now()
 	if n.Closed {
 		return
 	}
-	c.door.Done(how)
+	c.door.InvocationEnded(how)
 	n.LastOutcome, n.QuotaHadRoom = how, room
 	again := n.InvocationCount <= c.day.Clients.Retries.N()
 	wait := c.mood.Exponential(c.day.Clients.Wait.V())
@@ -230,13 +230,13 @@
 		return
 	}
 	n.Closed = true
-	c.door.Closed(n, now-inv.SentAt)
+	c.door.RequestClosed(n, now-inv.SentAt)
 }
 
 // The troubles.
 
-// Times makes a customer ask so many times as often, or ends that.
-func (c *Crowd) Times(x *model.Customer, by float64, begin bool) {
+// ScaleRate makes a customer ask so many times as often, or ends that.
+func (c *Generator) ScaleRate(x *model.Customer, by float64, begin bool) {
 	if begin {
 		x.RateFactor *= by
 	} else {
@@ -246,16 +246,16 @@
 	c.plan(x)
 }
 
-// Gather brings all of a customer's tries to its favourite; Move gives it another set for good.
-func (c *Crowd) Gather(x *model.Customer, begin bool) { x.Concentrated = begin }
+// Concentrate brings all of a customer's tries to its favourite; Move gives it another set for good.
+func (c *Generator) Concentrate(x *model.Customer, begin bool) { x.Concentrated = begin }
 
-func (c *Crowd) Move(x *model.Customer) {
+func (c *Generator) Relocate(x *model.Customer) {
 	x.FirstGateway = (x.FirstGateway + 1 + c.ways.IntN(max(1, c.gateways-1))) % c.gateways
 }
 
-// Ignore makes clients of a customer come again at once, so many times more, when they are throttled; Hurry leaves them
+// RetryAtOnce makes clients of a customer come again at once, so many times more, when they are throttled; Hurry leaves them
 // a part of their patience.
-func (c *Crowd) Ignore(x *model.Customer, times int, begin bool) {
+func (c *Generator) RetryAtOnce(x *model.Customer, times int, begin bool) {
 	if begin {
 		x.ImmediateRetries += times
 	} else {
@@ -263,7 +263,7 @@
 	}
 }
 
-func (c *Crowd) Hurry(x *model.Customer, part float64, begin bool) {
+func (c *Generator) ScalePatience(x *model.Customer, part float64, begin bool) {
 	if begin {
 		x.PatienceFactor *= part
 	} else {
