--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -134,7 +134,9 @@
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	hosts := server.NewHostPool(ctx, group, loop, buffers, hostsMost, f.Settings.Caps.Connect, f.Settings.Caps.Idle)
+	hosts := server.NewHostPool(ctx, group, loop, buffers, server.HostPoolOptions{
+		MaxConns: hostsMost, ConnectTimeout: f.Settings.Caps.Connect, IdleTimeout: f.Settings.Caps.Idle,
+	})
 	counter := server.NewCounterClient(ctx, group, loop, f.Settings.Extra.Limit)
 	var copies *server.StoreStream
 	if store := operator.QuotaStore; len(store.Replicas) > 0 {
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -644,10 +644,10 @@
 	h.noRequest(t)
 	w.wait(func() bool { // ids are kept for a few seconds only
 		for range 2 {
-			w.loop.refsRotatedAt = 0
+			w.loop.recentRefs.rotatedAt = 0
 			w.loop.rotateRefs()
 		}
-		return len(w.loop.recentRefs[0])+len(w.loop.recentRefs[1]) == 0
+		return len(w.loop.recentRefs.current)+len(w.loop.recentRefs.previous) == 0
 	})
 }
 
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.pool = NewHostPool(ctx, group, w.loop, buffers, 50, s.Caps.Connect, s.Caps.Idle)
+	w.pool = NewHostPool(ctx, group, w.loop, buffers, HostPoolOptions{MaxConns: 50, ConnectTimeout: s.Caps.Connect, IdleTimeout: s.Caps.Idle})
 	if x.connect != nil {
 		w.pool.connect = x.connect
 	}
