--- a/sim/ablation/ablate.sh
+++ b/sim/ablation/ablate.sh
@@ -23,9 +23,9 @@
 pause|tier/balance/host.go|s/maxBackoff         = 5 \* time.Second/maxBackoff         = 0/
 stall-share|tier/balance/choose.go|s/stallPenalty     = 1.0/stallPenalty     = 0.0/
 reported-load|tier/balance/host.go|s/reportTrust = 400 \* time.Millisecond/reportTrust = 0/
-hung-given-up|tier/hangdetect/hangdetect.go|s/allowedShare = 0.1/allowedShare = 0.0/
+hung-given-up|tier/hangdetect/estimator.go|s/budgetPerResponse = 0.1/budgetPerResponse = 0.0/
 fleet-verdicts|tier/outlier/detector.go|s/minExcessFailures = 2.5/minExcessFailures = 1e9/
-retry-after|tier/proxy/proxy.go|s/advice := retryafter.Advice(left, expected, rand.Float64())/advice := retryafter.Advice(left, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
+retry-after|tier/proxy/proxy.go|s/delay := retryafter.Delay(left, expected, rand.Float64())/delay := retryafter.Delay(left, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
 first-view-wait|tier/proxy/outages.go|s/tablePatience = 800 \* time.Millisecond/tablePatience = 0/
 hedged-dials|tier/rpc/dial.go|s/dialHedge = 80 \* time.Millisecond/dialHedge = time.Hour/
 held-messages|tier/rpc/held.go|s/mostHeld      = 256/mostHeld      = 0/
--- a/tier/proxy/outages.go
+++ b/tier/proxy/outages.go
@@ -34,12 +34,12 @@
 // outages is what this proxy has seen of the outages of what requests need.
 type outages struct {
 	mu        sync.Mutex
-	failovers *retryafter.Outages
-	services  *retryafter.Outages
+	failovers *retryafter.OutageEstimator
+	services  *retryafter.OutageEstimator
 }
 
 func newOutages() *outages {
-	return &outages{failovers: retryafter.NewOutages(assumedFailover), services: retryafter.NewOutages(assumedFull)}
+	return &outages{failovers: retryafter.NewOutageEstimator(assumedFailover), services: retryafter.NewOutageEstimator(assumedFull)}
 }
 
 func shardKey(shard uint32) string { return needsShard + strconv.FormatUint(uint64(shard), 10) }
@@ -48,14 +48,14 @@
 func (o *outages) failed(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.failovers.Failed(key, time.Now())
+	o.failovers.RecordFailure(key, time.Now())
 }
 
 // worked notes that it could.
 func (o *outages) worked(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.failovers.Worked(key, time.Now())
+	o.failovers.RecordSuccess(key, time.Now())
 }
 
 // remaining is how long the view or a shard is expected to be away.
@@ -69,14 +69,14 @@
 func (o *outages) servedBy(service string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.services.Worked(needsService+service, time.Now())
+	o.services.RecordSuccess(needsService+service, time.Now())
 }
 
 // turnedAway notes that no host of a service has, and returns how long that is expected to last.
 func (o *outages) turnedAway(service string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.services.Failed(needsService+service, time.Now())
+	o.services.RecordFailure(needsService+service, time.Now())
 	return o.services.Remaining(needsService+service, time.Now())
 }
 
--- a/tier/proxy/patience.go
+++ b/tier/proxy/patience.go
@@ -42,21 +42,21 @@
 func (p *patiences) answered(route string, waited time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(route).Answered(waited)
+	p.of(route).ObserveResponse(waited)
 }
 
 // givenUp notes that a request was given up after a time.
 func (p *patiences) givenUp(route string, waited time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(route).GivenUp(waited)
+	p.of(route).ObserveTimeout(waited)
 }
 
 // stallAfter is how long a request may wait for its answer to begin before its host is known for it.
 func (p *patiences) stallAfter(r *request) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual, known := p.of(r.route.Name).Usual()
+	usual, known := p.of(r.route.Name).OutlierThreshold()
 	if !known {
 		return unknownStall
 	}
@@ -71,11 +71,11 @@
 	target := time.Duration(r.route.TargetMS * float64(time.Millisecond))
 	left := r.left()
 	if r.route.RouteType == opconfig.RouteStreaming {
-		left = hangdetect.UntilAbandoned(target, time.Duration(r.route.GapTargetMS*float64(time.Millisecond)), left)
+		left = hangdetect.ClientSilenceTimeout(target, time.Duration(r.route.GapTargetMS*float64(time.Millisecond)), left)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	limit, wanted := p.of(r.route.Name).Limit(target, left)
+	limit, wanted := p.of(r.route.Name).Timeout(target, left)
 	if !wanted {
 		return time.Time{}
 	}
--- a/tier/proxy/proxy.go
+++ b/tier/proxy/proxy.go
@@ -237,8 +237,8 @@
 // refuse promises that the request has not run and never will, and says when to come back: when what it needs is expected to be
 // there.
 func (p *Proxy) refuse(w http.ResponseWriter, code codes.Code, left, expected time.Duration) {
-	advice := retryafter.Advice(left, expected, rand.Float64())
-	w.Header().Set("Retry-After", strconv.FormatFloat(advice.Seconds(), 'f', 3, 64))
+	delay := retryafter.Delay(left, expected, rand.Float64())
+	w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
 	p.fail(w, http.StatusServiceUnavailable, code)
 }
 
--- a/tier/retryafter/retryafter_test.go
+++ b/tier/retryafter/estimate_test.go
@@ -12,34 +12,34 @@
 const ms = time.Millisecond
 
 // outageOf plays an outage that is met every few milliseconds.
-func outageOf(o *Outages, key string, from time.Time, lasted, every time.Duration) {
+func outageOf(o *OutageEstimator, key string, from time.Time, lasted, every time.Duration) {
 	for at := time.Duration(0); at < lasted; at += every {
-		o.Failed(key, from.Add(at))
+		o.RecordFailure(key, from.Add(at))
 	}
-	o.Worked(key, from.Add(lasted))
+	o.RecordSuccess(key, from.Add(lasted))
 }
 
-func TestTheAdviceStaysWithinWhatClientsHeed(t *testing.T) {
+func TestTheDelayStaysWithinWhatClientsHeed(t *testing.T) {
 	for _, left := range []time.Duration{0, 30 * ms, 200 * ms, time.Second, 5 * time.Second} {
 		for _, expected := range []time.Duration{0, 100 * ms, time.Second, time.Hour} {
-			for _, chance := range []float64{0, 0.5, 0.999} {
-				got := Advice(left, expected, chance)
+			for _, random := range []float64{0, 0.5, 0.999} {
+				got := Delay(left, expected, random)
 				if got < 0 || got > left/3 {
-					t.Errorf("%v left, %v expected, chance %v: %v", left, expected, chance, got)
+					t.Errorf("%v left, %v expected, random %v: %v", left, expected, random, got)
 				}
 			}
 		}
 	}
 }
 
-func TestTheAdviceReachesTheExpectedEnd(t *testing.T) {
+func TestTheDelayReachesTheExpectedEnd(t *testing.T) {
 	for _, step := range []struct{ left, expected, lowest, highest time.Duration }{
 		{5 * time.Second, 600 * ms, 600 * ms, 780 * ms},
-		{5 * time.Second, 0, shortest, shortest},
+		{5 * time.Second, 0, minDelay, minDelay},
 		{5 * time.Second, time.Minute, 1100 * ms, 1584 * ms}, // beyond what is heeded: spread below it
 		{150 * ms, 0, 47 * ms, 48 * ms},
 	} {
-		low, high := Advice(step.left, step.expected, 0), Advice(step.left, step.expected, 1)
+		low, high := Delay(step.left, step.expected, 0), Delay(step.left, step.expected, 1)
 		if low > high {
 			low, high = high, low
 		}
@@ -49,8 +49,8 @@
 	}
 }
 
-func TestOutagesAreLearned(t *testing.T) {
-	o := NewOutages(time.Second)
+func TestOutageDurationsAreLearned(t *testing.T) {
+	o := NewOutageEstimator(time.Second)
 	if got := o.Remaining("a", start); got != time.Second {
 		t.Fatalf("before any outage: %v", got)
 	}
@@ -58,7 +58,7 @@
 		outageOf(o, "a", start.Add(time.Duration(i)*time.Minute), 3*time.Second, 100*ms)
 	}
 	later := start.Add(time.Hour)
-	o.Failed("b", later)
+	o.RecordFailure("b", later)
 	if got := o.Remaining("b", later); got < 2900*ms || got > 3300*ms {
 		t.Fatalf("after 20 outages of 3 s another one is expected to last %v", got)
 	}
@@ -72,20 +72,20 @@
 
 // A thing that is rarely used may have been back for long when it is used next.
 func TestAnOutageWhoseEndWasNotSeenTeachesNothing(t *testing.T) {
-	o := NewOutages(time.Second)
-	o.Failed("a", start)
-	o.Worked("a", start.Add(time.Hour))
+	o := NewOutageEstimator(time.Second)
+	o.RecordFailure("a", start)
+	o.RecordSuccess("a", start.Add(time.Hour))
 	if got := o.Remaining("a", start.Add(time.Hour)); got != time.Second {
 		t.Fatal(got)
 	}
 }
 
-// client is one of the operators' pages: it tries a turn a few times within its time, heeds the advice up to a third of what is
+// client is one of the operators' pages: it tries a turn a few times within its time, heeds the Retry-After up to a third of what is
 // left, and begins a turn that failed again twice.
 type client struct{ tries, turns int }
 
 // survives tells whether a turn that begins at a moment of an outage, by its age, is served.
-func (c client) survives(age, lasts time.Duration, advise func(left, age time.Duration) time.Duration, stream *rand.Rand) bool {
+func (c client) survives(age, lasts time.Duration, retryAfter func(left, age time.Duration) time.Duration, stream *rand.Rand) bool {
 	const deadline = 5 * time.Second
 	now := age
 	for range c.turns {
@@ -94,7 +94,7 @@
 			if now >= lasts {
 				return true
 			}
-			now += advise(end-now, now)
+			now += retryAfter(end-now, now)
 		}
 		now += 100*ms + time.Duration(stream.Int64N(int64(300*ms)))
 	}
@@ -102,42 +102,42 @@
 }
 
 // saved is the share of turns that outlive outages of about a second, of clients with few tries.
-func saved(advise func(left, age time.Duration) time.Duration) float64 {
+func saved(retryAfter func(left, age time.Duration) time.Duration) float64 {
 	const clients = 4000
 	stream := rand.New(rand.NewPCG(1, 2))
 	survivors := 0
 	for range clients {
 		lasts := 400*ms + time.Duration(stream.Int64N(int64(2*time.Second)))
 		age := time.Duration(stream.Int64N(int64(lasts)))
-		if (client{tries: 2, turns: 3}).survives(age, lasts, advise, stream) {
+		if (client{tries: 2, turns: 3}).survives(age, lasts, retryAfter, stream) {
 			survivors++
 		}
 	}
 	return float64(survivors) / clients
 }
 
-// What is worked out saves more programs than either constant that was in use or tried.
-func TestWhatIsWorkedOutSavesMoreThanConstants(t *testing.T) {
+// Learned delays save more programs than either constant that was in use or tried.
+func TestLearnedDelaysSaveMoreThanConstants(t *testing.T) {
 	stream := rand.New(rand.NewPCG(3, 4))
-	learned := NewOutages(750 * ms)
+	learned := NewOutageEstimator(750 * ms)
 	worked := saved(func(left, age time.Duration) time.Duration {
-		learned.out["a"] = outage{since: start}
-		return Advice(left, learned.Remaining("a", start.Add(age)), stream.Float64())
+		learned.ongoing["a"] = outage{since: start}
+		return Delay(left, learned.Remaining("a", start.Add(age)), stream.Float64())
 	})
 	for _, constant := range []time.Duration{200 * ms, time.Second} {
 		if got := saved(func(time.Duration, time.Duration) time.Duration { return constant }); worked < got {
-			t.Errorf("worked out saves %.3f, %v saves %.3f", worked, constant, got)
+			t.Errorf("learned delays save %.3f, %v saves %.3f", worked, constant, got)
 		}
 	}
 	if worked < 0.95 {
-		t.Errorf("worked out saves %.3f", worked)
+		t.Errorf("learned delays save %.3f", worked)
 	}
 }
 
-func ExampleAdvice() {
-	failovers := NewOutages(750 * time.Millisecond)
-	failovers.Failed("shard 3", start)
+func ExampleDelay() {
+	failovers := NewOutageEstimator(750 * time.Millisecond)
+	failovers.RecordFailure("shard 3", start)
 	expected := failovers.Remaining("shard 3", start.Add(250*time.Millisecond))
-	fmt.Println(Advice(5*time.Second, expected, 0))
+	fmt.Println(Delay(5*time.Second, expected, 0))
 	// Output: 500ms
 }
