--- a/harness/leakcheck/leakcheck.go
+++ b/harness/leakcheck/leakcheck.go
@@ -1,9 +1,9 @@
-// Package leakcheck finds goroutines and descriptors that a test leaves behind. It must never be linked into a program that serves.
 package leakcheck
 
 import (
 	"net"
 	"os"
+	"path/filepath"
 	"runtime"
 	"strings"
 	"sync"
@@ -12,62 +12,101 @@
 )
 
 const (
-	patience = 3 * time.Second      // for what is about to end
-	look     = 5 * time.Millisecond // how often it is counted
+	settleTimeout  = 3 * time.Second // for goroutines and connections that are about to end
+	pollInterval   = 5 * time.Millisecond
+	stackDumpBytes = 64 << 10
+	descriptorDir  = "/proc/self/fd"
 )
 
-var (
-	mu      sync.Mutex
-	checked = map[testing.TB]bool{}
-)
+// checkedTests holds the tests that have a check already.
+var checkedTests = struct {
+	sync.Mutex
+	running map[testing.TB]bool
+}{running: map[testing.TB]bool{}}
 
-// Check fails the test if, once all that it cleans up has been cleaned up, more goroutines run or more descriptors are open
-// than now. It is to be called before what may leak is made; whoever makes something may call it, and the first call counts.
+// Check fails the test if, after its cleanup, more goroutines run or more file descriptors are open than now. Call it before
+// anything that may leak is made. A helper may call it as well: the first call of a test counts, later ones do nothing.
 func Check(t testing.TB) {
 	t.Helper()
-	mu.Lock()
-	again := checked[t]
-	checked[t] = true
-	mu.Unlock()
-	if again {
+	if !beginCheck(t) {
 		return
 	}
-	if l, err := net.Listen("tcp", "127.0.0.1:0"); err == nil { // what the runtime keeps for sockets is there from now on
-		l.Close()
-	}
-	goroutines, descriptors := runtime.NumGoroutine(), open()
+	openPoller()
+	before := takeUsage()
 	t.Cleanup(func() {
-		mu.Lock()
-		delete(checked, t)
-		mu.Unlock()
-		var g, d int
-		for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(look) {
-			if g, d = runtime.NumGoroutine(), open(); g <= goroutines && d <= descriptors {
-				return
-			}
+		endCheck(t)
+		if after, leaked := waitUntilSettled(before); leaked {
+			t.Errorf("%d goroutines where %d were, %d descriptors where %d were: %s\n%s", after.goroutines, before.goroutines,
+				after.descriptors, before.descriptors, strings.Join(openDescriptors(), ", "), goroutineStacks())
 		}
-		stacks := make([]byte, 64<<10)
-		stacks = stacks[:runtime.Stack(stacks, true)]
-		t.Errorf("%d goroutines where %d were, %d descriptors where %d were: %s\n%s", g, goroutines, d, descriptors,
-			strings.Join(targets(), ", "), stacks)
 	})
 }
 
-func open() int { return len(targets()) }
+// beginCheck tells whether this is the first check of a test.
+func beginCheck(t testing.TB) bool {
+	checkedTests.Lock()
+	defer checkedTests.Unlock()
+	if checkedTests.running[t] {
+		return false
+	}
+	checkedTests.running[t] = true
+	return true
+}
+
+func endCheck(t testing.TB) {
+	checkedTests.Lock()
+	defer checkedTests.Unlock()
+	delete(checkedTests.running, t)
+}
+
+// openPoller has the runtime open the descriptors that it keeps for all sockets, so that they aren't taken for a leak.
+func openPoller() {
+	if listener, err := net.Listen("tcp", "127.0.0.1:0"); err == nil {
+		listener.Close()
+	}
+}
+
+// usage counts what a process holds.
+type usage struct{ goroutines, descriptors int }
 
-// targets are the descriptors that are open, but for the one that looks.
-func targets() (all []string) {
-	const dir = "/proc/self/fd"
-	f, err := os.Open(dir)
+func takeUsage() usage {
+	return usage{goroutines: runtime.NumGoroutine(), descriptors: len(openDescriptors())}
+}
+
+// waitUntilSettled waits until no more is held than before. If that doesn't come, it gives the last usage and true.
+func waitUntilSettled(before usage) (after usage, leaked bool) {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		after = takeUsage()
+		if after.goroutines <= before.goroutines && after.descriptors <= before.descriptors {
+			return after, false
+		}
+	}
+	return after, true
+}
+
+func goroutineStacks() []byte {
+	stacks := make([]byte, stackDumpBytes)
+	return stacks[:runtime.Stack(stacks, true)]
+}
+
+// openDescriptors gives what each open descriptor refers to, without the one that reads the table. Where the system has no such
+// table it is empty, and only goroutines are checked.
+func openDescriptors() []string {
+	table, err := os.Open(descriptorDir)
+	if err != nil {
+		return nil
+	}
+	defer table.Close()
+	names, err := table.Readdirnames(-1)
 	if err != nil {
-		return nil // no such table here: only goroutines are counted
+		return nil
 	}
-	defer f.Close()
-	names, _ := f.Readdirnames(-1)
-	for _, n := range names {
-		if to, err := os.Readlink(dir + "/" + n); err == nil && !strings.HasSuffix(to, "/fd") {
-			all = append(all, to)
+	var targets []string
+	for _, name := range names {
+		target, err := os.Readlink(filepath.Join(descriptorDir, name))
+		if err == nil && !strings.HasSuffix(target, "/fd") {
+			targets = append(targets, target)
 		}
 	}
-	return all
+	return targets
 }
--- a/harness/sourcepatch/sourcepatch_test.go
+++ b/harness/sourcepatch/sourcepatch_test.go
@@ -1,6 +1,8 @@
 package sourcepatch
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -9,45 +11,72 @@
 )
 
 // A patch that does not fit, or fits twice, is told: a bug that is not put in would be caught by nobody, and nobody would know.
-func TestPatchesThatDoNotFit(t *testing.T) {
+func TestPatchThatDoesNotFitIsAnError(t *testing.T) {
 	root := t.TempDir()
-	os.WriteFile(filepath.Join(root, "a.go"), []byte("package a\n\nimport (\n\t\"os\"\n)\n\nvar A, B = os.Args, os.Args\n"), 0o644)
-	os.WriteFile(filepath.Join(root, "b.go"), []byte("package a\n"), 0o644)
-	for want, p := range map[string]Patch{
-		"0 times":     {"X", "a.go", "nowhere", ""},
-		"2 times":     {"X", "a.go", "os.Args", ""},
-		"no such":     {"X", "c.go", "", ""},
-		"no block of": {"X", "b.go", "package", ""},
-	} {
-		if _, err := Overlay(root, t.TempDir(), []Patch{p}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+	files := map[string]string{
+		"a.go": "package a\n\nimport (\n\t\"os\"\n)\n\nvar A, B = os.Args, os.Args\n",
+		"b.go": "package a\n",
+	}
+	for name, text := range files {
+		if err := os.WriteFile(filepath.Join(root, name), []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	tests := []struct {
+		text  string
+		cause error
+		patch Patch
+	}{
+		{"0 times", ErrNotOnce, Patch{Bug: "X", File: "a.go", From: "nowhere"}},
+		{"2 times", ErrNotOnce, Patch{Bug: "X", File: "a.go", From: "os.Args"}},
+		{"no such", fs.ErrNotExist, Patch{Bug: "X", File: "c.go"}},
+		{"no block of", ErrNoImportBlock, Patch{Bug: "X", File: "b.go", From: "package"}},
+	}
+	for _, test := range tests {
+		_, err := Overlay(root, t.TempDir(), []Patch{test.patch})
+		if err == nil || !strings.Contains(err.Error(), test.text) {
+			t.Errorf("want %q, got %v", test.text, err)
+		}
+		var patchError *PatchError
+		if !errors.Is(err, test.cause) || !errors.As(err, &patchError) || patchError.Bug != "X" || patchError.File != test.patch.File {
+			t.Errorf("want %v of %s, got %#v", test.cause, test.patch.File, err)
 		}
 	}
 }
 
 // A bug is in the program that was built with it, where it is asked for, and the source is as it was.
-func TestABugIsOnlyWhereItIsAskedFor(t *testing.T) {
+func TestBugIsOnlyWhereItIsAskedFor(t *testing.T) {
+	const source = "../../cmd/wirehost/main.go"
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wirehost")
-	before, err := os.ReadFile("../../cmd/wirehost/main.go")
+	before, err := os.ReadFile(source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Build(dir, program, "otterseam/cmd/wirehost", []Patch{{
-		"Ends", "cmd/wirehost/main.go", "func main() {\n",
-		"func main() {\n\tif BUG {\n\t\tos.Exit(7)\n\t}\n",
-	}}); err != nil {
+	err = Build(dir, program, "otterseam/cmd/wirehost", []Patch{{
+		Bug:  "Ends",
+		File: "cmd/wirehost/main.go",
+		From: "func main() {\n",
+		To:   "func main() {\n\tif BUG {\n\t\tos.Exit(7)\n\t}\n",
+	}})
+	if err != nil {
 		t.Fatal(err)
 	}
 	for env, want := range map[string]int{"": 0, "Other": 0, "Ends": 7} {
-		cmd := exec.Command(program)
-		cmd.Env = append(os.Environ(), Variable+"="+env)
-		cmd.Run()
-		if got := cmd.ProcessState.ExitCode(); got != want {
+		command := exec.Command(program)
+		command.Env = append(os.Environ(), Variable+"="+env)
+		if err := command.Run(); err != nil && command.ProcessState == nil {
+			t.Fatal(err)
+		}
+		if got := command.ProcessState.ExitCode(); got != want {
 			t.Errorf("with %q it ends with %d, want %d", env, got, want)
 		}
 	}
-	if after, _ := os.ReadFile("../../cmd/wirehost/main.go"); string(after) != string(before) {
+	after, err := os.ReadFile(source)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(after) != string(before) {
 		t.Error("the source was changed")
 	}
 }
