--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -127,15 +127,15 @@
 	}
 	for _, member := range config.Members {
 		unpack(t, filepath.Join(recordedFolder, member.Name), filepath.Join(dir, member.Name, "held"))
-		process, err := childprocess.StartWith([]string{program, "run", "--list", path, "--name", member.Name, "--dir", "held"}, member.Name, dir)
+		process, err := childprocess.StartCommand([]string{program, "run", "--list", path, "--name", member.Name, "--dir", "held"}, member.Name, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
-			if err := process.End(); err != nil {
+			if err := process.Stop(); err != nil {
 				t.Error(err)
 			}
-			if log, err := os.ReadFile(process.Log); err != nil || t.Failed() {
+			if log, err := os.ReadFile(process.LogPath); err != nil || t.Failed() {
 				t.Logf("%s (%v):\n%s", process.Name, err, log)
 			}
 		})
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -33,8 +33,8 @@
 	seed    uint64
 	direct  *server.ClusterConfig // at their own addresses
 	lists   []string              // files, by keeper
-	procs   []*childprocess.Child
-	all     []*childprocess.Child
+	procs   []*childprocess.Process
+	all     []*childprocess.Process
 	witness *witness
 	ending  bool
 }
@@ -103,7 +103,7 @@
 	if k.day.Disk {
 		args = append(args, "--dir", "held")
 	}
-	p, err := childprocess.StartWith(args, spot.Name, k.o.Dir, k.o.Env...)
+	p, err := childprocess.StartCommand(args, spot.Name, k.o.Dir, k.o.Env...)
 	if err != nil {
 		return err
 	}
@@ -113,9 +113,9 @@
 }
 
 // process is the one that runs for a keeper; nil: none does.
-func (k *keepers) process(i int) *childprocess.Child {
+func (k *keepers) process(i int) *childprocess.Process {
 	p := k.procs[i]
-	if ended, _, _ := p.Ended(); ended {
+	if ended, _, _ := p.ExitState(); ended {
 		return nil
 	}
 	return p
@@ -234,26 +234,26 @@
 		p.Kill()
 		<-p.Done()
 		if s.Kind == "wipe" {
-			p.Wipe()
+			p.RemoveDir()
 		}
 		if ends < forever {
 			k.back(i, s.Lasts.V())
 		}
 	case "term":
-		p.Term()
+		p.Terminate()
 		if ends < forever {
 			k.back(i, s.Lasts.V())
 		}
 	case "freeze":
-		p.Freeze()
-		later(p.Thaw)
+		p.Suspend()
+		later(p.Resume)
 	case "starve":
 		r.starve(p, s, ends)
 	case "full-disk":
-		p.Limit(int64(s.Size.V()))
+		p.LimitFileSize(int64(s.Size.V()))
 		later(func() {
-			p.Limit(-1)
-			if ended, _, _ := p.Ended(); ended { // it ended, as it could not write
+			p.LimitFileSize(-1)
+			if ended, _, _ := p.ExitState(); ended { // it ended, as it could not write
 				k.back(i, 0)
 			}
 		})
@@ -270,10 +270,10 @@
 	all := slices.Clone(k.all)
 	k.rig.mu.Unlock()
 	for _, p := range all {
-		p.Term()
+		p.Terminate()
 	}
 	for _, p := range all {
-		if err := p.End(); err != nil {
+		if err := p.Stop(); err != nil {
 			k.o.Tell(err.Error())
 		}
 	}
--- a/harness/fleet/keepers_test.go
+++ b/harness/fleet/keepers_test.go
@@ -70,7 +70,7 @@
 // pair is two api gateways with keepers between them or without, and a host that begins to work and answers nothing.
 type pair struct {
 	addrs []string
-	procs []*childprocess.Child
+	procs []*childprocess.Process
 	ran   *atomic.Int32
 }
 
@@ -152,14 +152,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { proc.End() })
+		t.Cleanup(func() { proc.Stop() })
 		p.addrs, p.procs = append(p.addrs, addr), append(p.procs, proc)
 		up := false
 		for until := time.Now().Add(10 * time.Second); !up && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			up = p.ask(i, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", time.Second) == "200"
 		}
 		if !up {
-			text, _ := os.ReadFile(proc.Log)
+			text, _ := os.ReadFile(proc.LogPath)
 			t.Fatalf("api gateway %d does not come up: %s", i, text)
 		}
 	}
--- a/harness/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -144,7 +144,7 @@
 	p := k.process(copies - 1)
 	p.Kill()
 	<-p.Done()
-	p.Wipe()
+	p.RemoveDir()
 	if err = k.whole(ctx, 20*time.Second); err != nil { // how long others take to lead is another measurement
 		return 0, nil, nil, err
 	}
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -410,7 +410,7 @@
 		r.fleet.Kill(e)
 		if s.Kind == "wipe" {
 			<-p.Done()
-			p.Wipe()
+			p.RemoveDir()
 		}
 		if ends < forever {
 			r.fleet.Back(e, s.Lasts.V())
@@ -421,16 +421,16 @@
 			r.fleet.Back(e, s.Lasts.V())
 		}
 	case "freeze":
-		p.Freeze()
+		p.Suspend()
 		later(func() {
-			p.Thaw()
+			p.Resume()
 			r.world.Oracle.GatewayResumed(e, now)
 		})
 	case "starve":
 		r.starve(p, s, ends)
 	case "full-disk":
-		p.Limit(int64(s.Size.V()))
-		later(func() { p.Limit(-1) })
+		p.LimitFileSize(int64(s.Size.V()))
+		later(func() { p.LimitFileSize(-1) })
 	case "twice":
 		span.Ends = now + 1
 		err := r.fleet.Twice(e, func(err error) {
@@ -445,20 +445,20 @@
 }
 
 // starve stops a process and lets it go in turn until a clock time.
-func (r *rig) starve(p *childprocess.Child, s *scenario.Strike, ends float64) {
+func (r *rig) starve(p *childprocess.Process, s *scenario.Strike, ends float64) {
 	if r.world.Queue.Now() >= ends {
 		return
 	}
-	if gone, _, _ := p.Ended(); gone {
+	if gone, _, _ := p.ExitState(); gone {
 		return
 	}
 	period := s.Time.V()
 	if period == 0 {
 		period = 0.02
 	}
-	p.Freeze()
+	p.Suspend()
 	r.world.Queue.ScheduleAfter(period*(1-s.Size.V()), func() {
-		p.Thaw()
+		p.Resume()
 		r.world.Queue.ScheduleAfter(period*s.Size.V(), func() { r.starve(p, s, ends) })
 	})
 }
--- a/harness/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -188,7 +188,7 @@
 	starting, ready := context.WithCancel(ctx)
 	pumped := make(chan bool)
 	go func() { c.pump.run(starting, 3600); close(pumped) }()
-	g := &Gateways{ctx: ctx, o: o, clients: c, paths: paths, addrs: addrs, procs: make([]*childprocess.Child, n)}
+	g := &Gateways{ctx: ctx, o: o, clients: c, paths: paths, addrs: addrs, procs: make([]*childprocess.Process, n)}
 	first := make([][]policy.HostEntry, n)
 	for slot := range n {
 		first[slot] = s.HostList(slot)
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -47,15 +47,15 @@
 	clients *Clients
 	paths   []string
 	addrs   []string // where they listen
-	procs   []*childprocess.Child
-	all     []*childprocess.Child
+	procs   []*childprocess.Process
+	all     []*childprocess.Process
 	begun   bool
 	anew    func(slot int) // a process starts with what its configuration says
 }
 
 func (g *Gateways) name(slot int) string { return fmt.Sprintf("edge-%d", slot) }
 
-func (g *Gateways) launch(slot int) (*childprocess.Child, error) {
+func (g *Gateways) launch(slot int) (*childprocess.Process, error) {
 	env := append([]string{"EDGE_CONFIG=" + g.paths[slot], "GODEBUG=schedtrace=2000000000"}, g.o.Env...)
 	if g.o.EnvOf != nil {
 		env = append(env, g.o.EnvOf(slot)...)
@@ -73,8 +73,8 @@
 }
 
 // ended: a process has ended; one whose end nobody asked for has crashed.
-func (g *Gateways) ended(slot int, p *childprocess.Child) {
-	_, asked, err := p.Ended()
+func (g *Gateways) ended(slot int, p *childprocess.Process) {
+	_, asked, err := p.ExitState()
 	if !g.begun || asked || g.procs[slot] != p { // till all have begun, who starts them looks
 		return
 	}
@@ -84,12 +84,12 @@
 }
 
 // Process is the one that runs for an api gateway; nil: none does.
-func (g *Gateways) Process(slot int) *childprocess.Child {
+func (g *Gateways) Process(slot int) *childprocess.Process {
 	p := g.procs[slot]
 	if p == nil {
 		return nil
 	}
-	if ended, _, _ := p.Ended(); ended {
+	if ended, _, _ := p.ExitState(); ended {
 		return nil
 	}
 	return p
@@ -117,7 +117,7 @@
 }
 
 // unnoticed: clients go on coming to a dead one until the front notices.
-func (g *Gateways) unnoticed(slot int, p *childprocess.Child) {
+func (g *Gateways) unnoticed(slot int, p *childprocess.Process) {
 	g.clients.Queue.ScheduleAfter(g.clients.Day.Gateway.Notice.V(), func() {
 		if g.procs[slot] == p {
 			g.clients.up[slot] = false
@@ -131,7 +131,7 @@
 // Term asks one to end: soon the front sends it nothing more.
 func (g *Gateways) Term(slot int) {
 	if p := g.Process(slot); p != nil {
-		p.Term()
+		p.Terminate()
 		g.clients.Queue.ScheduleAfter(late, func() {
 			if g.procs[slot] == p {
 				g.clients.up[slot] = false
@@ -149,7 +149,7 @@
 	go func() {
 		select {
 		case <-p.Done():
-			_, _, err := p.Ended()
+			_, _, err := p.ExitState()
 			g.Do(func() { became(err) })
 		case <-time.After(5 * time.Second):
 			g.Do(func() { became(nil) })
@@ -199,21 +199,21 @@
 func (g *Gateways) end() {
 	g.begun = false
 	for _, p := range g.all {
-		p.Term()
+		p.Terminate()
 	}
 	for _, p := range g.all {
-		if err := p.End(); err != nil {
+		if err := p.Stop(); err != nil {
 			g.o.Tell(err.Error())
 		}
 	}
 }
 
 // healthy waits until an api gateway says that it is ready, for as long as the platform does: 30 s.
-func healthy(ctx context.Context, addr string, p *childprocess.Child) error {
+func healthy(ctx context.Context, addr string, p *childprocess.Process) error {
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); {
 		select {
 		case <-p.Done():
-			_, _, err := p.Ended()
+			_, _, err := p.ExitState()
 			return fmt.Errorf("it has ended: %v", err)
 		case <-ctx.Done():
 			return ctx.Err()
--- a/harness/tiercluster/machines.go
+++ b/harness/tiercluster/machines.go
@@ -15,7 +15,7 @@
 		Name:      fmt.Sprintf("%s-%d", class, len(r.Machines)+1),
 		IP:        r.options.ip(len(r.Machines) + 2),
 		roles:     model.roles,
-		processes: map[string]*childprocess.Child{},
+		processes: map[string]*childprocess.Process{},
 	}
 	r.Machines = append(r.Machines, m)
 	r.started[m.Name] = true
@@ -25,7 +25,7 @@
 // Leave asks a machine's processes to end and waits until they have.
 func (m *Machine) Leave() {
 	for _, process := range m.processes {
-		process.Term()
+		process.Terminate()
 	}
 	for _, process := range m.processes {
 		<-process.Done()
--- a/harness/tiercluster/rig.go
+++ b/harness/tiercluster/rig.go
@@ -59,7 +59,7 @@
 	Name      string
 	IP        string
 	roles     []string
-	processes map[string]*childprocess.Child
+	processes map[string]*childprocess.Process
 }
 
 // Rig is a running tier.
@@ -108,7 +108,7 @@
 			Name:      fmt.Sprintf("%s-%d", class, i+1),
 			IP:        r.options.ip(len(r.Machines) + 2),
 			roles:     roles,
-			processes: map[string]*childprocess.Child{},
+			processes: map[string]*childprocess.Process{},
 		})
 	}
 }
@@ -125,7 +125,7 @@
 		if err := os.WriteFile(path, []byte(r.settings(m, role, data)), 0o644); err != nil {
 			return err
 		}
-		process, err := childprocess.StartWith([]string{r.options.Program, role}, name, r.options.Dir, "OTTERSEAM_NODE_FILE="+path)
+		process, err := childprocess.StartCommand([]string{r.options.Program, role}, name, r.options.Dir, "OTTERSEAM_NODE_FILE="+path)
 		if err != nil {
 			return err
 		}
@@ -203,7 +203,7 @@
 }
 
 // Process is a machine's process of a role.
-func (m *Machine) Process(role string) *childprocess.Child { return m.processes[role] }
+func (m *Machine) Process(role string) *childprocess.Process { return m.processes[role] }
 
 // Wipe removes a stopped machine's disk.
 func (r *Rig) Wipe(m *Machine) error {
