--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -41,10 +41,10 @@
 		Memory  float64 `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Peers    []string          `json:"peers"`
-	PeersAll string            `json:"peers_all"`
-	Known    server.Roster     `json:"known"`
-	Settings simprotocol.Start `json:"settings"`
+	Peers    []string             `json:"peers"`
+	PeersAll string               `json:"peers_all"`
+	Known    server.Roster        `json:"known"`
+	Settings simprotocol.Settings `json:"settings"`
 }
 
 func main() {
@@ -78,7 +78,7 @@
 	if f.Discovery == "" {
 		f.Discovery = os.Getenv("EDGE_DISCOVERY")
 	}
-	if f.Listen == "" || f.Discovery == "" || len(f.Settings.Classes) == 0 || f.Settings.Balancers < 1 {
+	if f.Listen == "" || f.Discovery == "" || len(f.Settings.Operations) == 0 || f.Settings.Gateways < 1 {
 		return f, fmt.Errorf("configuration %s: listen, discovery or settings are missing", path)
 	}
 	return f, nil
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	f.Settings.Members, f.Settings.Damps = operator.MembershipShare(), operator.Overload.Enabled
+	f.Settings.MembershipShare, f.Settings.OverloadControl = operator.MembershipShare(), operator.Overload.Enabled
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("configuration: seed: %w", err)
@@ -126,7 +126,7 @@
 	group, ctx := errgroup.WithContext(root)
 	buffers := server.NewBufferPool(64, max(16, int(memory*(1<<20)/4/http1.MaxMessageBytes)))
 	loop := server.NewEventLoop(log)
-	module, err := f.Settings.Module(seed, loop)
+	module, err := f.Settings.NewPolicy(seed, loop)
 	if err != nil {
 		return err
 	}
@@ -135,9 +135,9 @@
 		return fmt.Errorf("peers: %w", err)
 	}
 	hosts := server.NewHostPool(ctx, group, loop, buffers, server.HostPoolOptions{
-		MaxConns: hostsMost, ConnectTimeout: f.Settings.Caps.Connect, IdleTimeout: f.Settings.Caps.Idle,
+		MaxConns: hostsMost, ConnectTimeout: f.Settings.Caps.DialTimeout, IdleTimeout: f.Settings.Caps.IdleTimeout,
 	})
-	counter := server.NewCounterClient(ctx, group, loop, f.Settings.Extra.Limit)
+	counter := server.NewCounterClient(ctx, group, loop, f.Settings.Shared.CounterTimeout)
 	var copies *server.StoreStream
 	if store := operator.QuotaStore; len(store.Replicas) > 0 {
 		copies = server.NewStoreStream(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
@@ -145,7 +145,7 @@
 	}
 	discovery := server.NewDiscoveryClient(ctx, group, loop, log)
 	if operator.Overload.Enabled {
-		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Balancers, seed), overload.DecorrelatedBackoffs(f.Settings.Balancers, seed+1)
+		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Gateways, seed), overload.DecorrelatedBackoffs(f.Settings.Gateways, seed+1)
 	}
 	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, server.ClientOptions{
 		Address: f.Listen, OperationLimit: f.Settings.Accepts, MaxConns: clientsMost,
@@ -197,7 +197,7 @@
 
 // counter is the address of the counter; "": there is none.
 func (f *file) counter() string {
-	if !f.Settings.Extra.Counter {
+	if !f.Settings.Shared.Counter {
 		return ""
 	}
 	return f.Counter
@@ -221,10 +221,10 @@
 }
 
 // longest is for how long a client may still wait for an answer.
-func longest(s simprotocol.Start) time.Duration {
+func longest(s simprotocol.Settings) time.Duration {
 	most := 1.0
-	for _, k := range s.Classes {
-		most = max(most, k.Limit)
+	for _, k := range s.Operations {
+		most = max(most, k.Timeout)
 	}
 	return time.Duration(most * float64(time.Second))
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost runs the decisions on the line protocol, on standard input and output.
+// Command wirehost runs the policy of gateways for the simulator: batches of the line protocol on standard input, commands on
+// standard output. It ends with status 1 at input that is not valid.
 package main
 
 import (
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -139,7 +139,7 @@
 	if x.settings == "" {
 		x.settings = settings
 	}
-	var s simprotocol.Start
+	var s simprotocol.Settings
 	if err := json.Unmarshal([]byte(x.settings), &s); err != nil {
 		t.Fatal(err)
 	}
@@ -149,11 +149,11 @@
 	log := zerolog.New(w.log)
 	buffers := NewBufferPool(8, 100)
 	w.loop = NewEventLoop(log)
-	module, err := s.Module(1, w.loop)
+	module, err := s.NewPolicy(1, w.loop)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.pool = NewHostPool(ctx, group, w.loop, buffers, HostPoolOptions{MaxConns: 50, ConnectTimeout: s.Caps.Connect, IdleTimeout: s.Caps.Idle})
+	w.pool = NewHostPool(ctx, group, w.loop, buffers, HostPoolOptions{MaxConns: 50, ConnectTimeout: s.Caps.DialTimeout, IdleTimeout: s.Caps.IdleTimeout})
 	if x.connect != nil {
 		w.pool.connect = x.connect
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewCounterClient(ctx, group, w.loop, s.Extra.Limit)
+	c := NewCounterClient(ctx, group, w.loop, s.Shared.CounterTimeout)
 	if w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, ClientOptions{
 		Address: "127.0.0.1:0", OperationLimit: s.Accepts, MaxConns: 50, Ready: func() bool { return true },
 	}); err != nil {
--- a/gateway/simprotocol/recorded_test.go
+++ b/gateway/simprotocol/recorded_test.go
@@ -11,39 +11,51 @@
 
 // The lines in testdata/recorded are as the code of commit 1895881 read and wrote them.
 
+// recordedSettings are those of the recorded CREATE.
+func recordedSettings() Settings {
+	return Settings{
+		Gateways: 5, Slot: 3, Zone: "floor-2",
+		Caps: Caps{
+			Cancel: true, MayProbe: true, PeerMessages: true, Hedging: true, MaxAttempts: 3, IdleTimeout: 30.5, DialTimeout: 0.5,
+		},
+		Operations: []Operation{
+			{
+				Name: "result-lookup", LatencyTarget: 0.05, Timeout: 0.25, Value: 1, LateValue: 0.2, Effect: "deduplicated",
+				DedupScope: "pool-a", DedupWindow: 600, Streamed: true,
+			},
+			{Name: "status-peek", LatencyTarget: 0.01, Timeout: 0.1, Value: 0.5, Effect: "idempotent"},
+		},
+		SlowStart:     SlowStart{InitialCapacity: 0.25, Duration: 20, OverloadFactor: 1.5},
+		Shared:        Shared{Counter: true, CounterTimeout: 0.02, SettlesUnits: true, MaxUnits: 16, PeerMessageRate: 60},
+		Plans:         []Plan{{Name: "club-basic", Rate: 100, Burst: 200, MaxConcurrent: 8, CeilingRate: 150.5, CeilingBurst: 300}},
+		DiscoveryMode: "patch",
+	}
+}
+
 // recordedBatch is the value of the recorded line in, with each message that there is.
 func recordedBatch() Batch {
-	create := &Create{Seed: 1<<64 - 1}
-	s := &create.Start
-	s.Balancers, s.Slot, s.Locality = 5, 3, "floor-2"
-	s.Caps.Cancel, s.Caps.MayProbe, s.Caps.PeerMessages, s.Caps.SecondCopies = true, true, true, true
-	s.Caps.TryLimit, s.Caps.Idle, s.Caps.Connect = 3, 30.5, 0.5
-	s.Classes = []Class{{
-		Name: "result-lookup", Goal: 0.05, Limit: 0.25, Gain: 1, Late: 0.2, Effect: "deduplicated", Group: "pool-a",
-		KeyTTL: 600, Streamed: true,
-	}, {Name: "status-peek", Goal: 0.01, Limit: 0.1, Gain: 0.5, Effect: "idempotent"}}
-	s.Contract.Start, s.Contract.Warm, s.Contract.Factor = 0.25, 20, 1.5
-	s.Extra.Counter, s.Extra.Limit, s.Extra.Settles, s.Extra.Most, s.Extra.Mail = true, 0.02, true, 16, 60
-	s.Plans = []Plan{{Name: "club-basic", Rate: 100, Burst: 200, MaxOut: 8, NeverOver: 150.5, HardBurst: 300}}
-	s.Registry = "patch"
 	pressure := map[string]float64{"outstanding": 4, "new": 1.5}
 	return Batch{At: 8.41225, Groups: []Group{
-		{Who: 3, Inbox: []any{
-			create,
-			&Directory{Slot: 2, Entries: []Entry{
+		{Gateway: 3, Inbox: []any{
+			&Create{Seed: 1<<64 - 1, Settings: recordedSettings()},
+			&HostList{Number: 2, Entries: []HostEntry{
 				{"10.18.74.7:9003", "floor-2", "c2-fast", 4, "active", 1, 7.5},
-				{Host: "h2", State: "leaving"},
-				{Host: "h3", State: "left"},
+				{Addr: "h2", State: "leaving"},
+				{Addr: "h3", State: "left"},
 			}},
-			&Discovery{Mode: "stale_copy", Gen: 1 << 63, Slot: 1},
-			&JobIn{"fc64a7745d3a91c4", 3, 2.5, "result-lookup", "c-kd6b5sum7ecwe", 8.65225, "club-basic", 1, 2},
-			&Flowing{"fc64a7745d3a91c4", 1, "10.18.74.7:9003", 0.004},
-			&Verdict{"fc64a7745d3a91c4", true, 7, 0.0185, "10.18.74.7:9003", 3.25, 1, "S", pressure},
+			&HostsChanged{Mode: "stale_copy", Generation: 1 << 63, List: 1},
+			&Request{"fc64a7745d3a91c4", 3, 2.5, "result-lookup", "c-kd6b5sum7ecwe", 8.65225, "club-basic", 1, 2},
+			&ResponseStarted{"fc64a7745d3a91c4", 1, "10.18.74.7:9003", 0.004},
+			&AttemptEnded{"fc64a7745d3a91c4", true, 7, 0.0185, "10.18.74.7:9003", 3.25, 1, "S", pressure},
 		}},
-		{Who: 4, Inbox: []any{}},
-		{Who: 5, Inbox: []any{
-			&Hangup{"44ff55230e6f2b19"}, &Bell{1<<64 - 1}, &StatusBack{"10.18.74.7:9003", "T", 0.1, pressure},
-			&Message{2, "!bACAAAAGAAAAAAB \"quoted\" \u00fc"}, &Sum{"S", 38.125, 1<<64 - 1, 0.00215}, &CrashNow{},
+		{Gateway: 4, Inbox: []any{}},
+		{Gateway: 5, Inbox: []any{
+			&ClientGone{"44ff55230e6f2b19"},
+			&TimerFired{1<<64 - 1},
+			&ProbeEnded{"10.18.74.7:9003", "T", 0.1, pressure},
+			&PeerMessage{2, "!bACAAAAGAAAAAAB \"quoted\" \u00fc"},
+			&CounterReplied{"S", 38.125, 1<<64 - 1, 0.00215},
+			&Crash{},
 		}},
 	}}
 }
@@ -59,7 +71,7 @@
 
 func TestRecordedLineIsRead(t *testing.T) {
 	text := recorded(t, "line-in.bin")
-	b, err := ReadBatch(text)
+	b, err := ParseBatch(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -187,9 +187,9 @@
 	return paths, listens[:gateways], nil
 }
 
-func settings(w *simulation.Simulation, slot, gateways int) simprotocol.Start {
+func settings(w *simulation.Simulation, slot, gateways int) simprotocol.Settings {
 	st := simulation.StartSettings(w.Day, slot)
-	st.Balancers = gateways
+	st.Gateways = gateways
 	return st
 }
 
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -39,10 +39,10 @@
 	if d == "module" || d == "members" || d == "damped" {
 		s := simulation.StartSettings(w.Day, slot)
 		if d != "module" {
-			s.Members = 0.1
+			s.MembershipShare = 0.1
 		}
-		s.Damps = d == "damped"
-		return policydriver.New(out, func(o policy.Output) (*policy.Gateway, error) { return s.Module(seed, o) })
+		s.OverloadControl = d == "damped"
+		return policydriver.New(out, func(o policy.Output) (*policy.Gateway, error) { return s.NewPolicy(seed, o) })
 	}
 	b := &plain{
 		kind: string(d), w: w, out: out, dice: randstream.New(seed, "policy"), hosts: map[string]policy.HostEntry{},
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -154,29 +154,29 @@
 }
 
 // StartSettings are the start settings of an api gateway of this day, as the platform would give them.
-func StartSettings(d *scenario.Day, slot int) simprotocol.Start {
-	var s simprotocol.Start
-	s.Balancers, s.Slot, s.Locality = d.Fleet.Gateways.N(), slot, ZoneName(slot%d.Fleet.Zones.N())
-	s.Caps.Cancel, s.Caps.PeerMessages, s.Caps.TryLimit = d.Gateway.Cancel, d.Peers.Allowed, d.Gateway.Deliveries.N()
-	s.Caps.Idle, s.Caps.Connect = d.Network.Idle.V(), d.Network.Dial.V()
+func StartSettings(d *scenario.Day, slot int) simprotocol.Settings {
+	var s simprotocol.Settings
+	s.Gateways, s.Slot, s.Zone = d.Fleet.Gateways.N(), slot, ZoneName(slot%d.Fleet.Zones.N())
+	s.Caps.Cancel, s.Caps.PeerMessages, s.Caps.MaxAttempts = d.Gateway.Cancel, d.Peers.Allowed, d.Gateway.Deliveries.N()
+	s.Caps.IdleTimeout, s.Caps.DialTimeout = d.Network.Idle.V(), d.Network.Dial.V()
 	for _, o := range d.Operations {
 		effect := map[string]string{"idempotent": "idempotent", "tokened": "deduplicated", "non-idempotent": "at_most_once"}[o.Effect]
-		s.Classes = append(s.Classes, simprotocol.Class{
-			Name: o.Name, Goal: o.Objective.V(), Limit: o.Timeout.V(), Gain: o.Value.V(),
-			Late: o.Late.V(), Effect: effect, Group: o.Group, KeyTTL: o.TokenTime.V(),
+		s.Operations = append(s.Operations, simprotocol.Operation{
+			Name: o.Name, LatencyTarget: o.Objective.V(), Timeout: o.Timeout.V(), Value: o.Value.V(),
+			LateValue: o.Late.V(), Effect: effect, DedupScope: o.Group, DedupWindow: o.TokenTime.V(),
 		})
 	}
 	for _, p := range d.Plans {
 		s.Plans = append(s.Plans, simprotocol.Plan{
-			Name: p.Name, Rate: p.Rate.V(), Burst: p.Burst.V(), MaxOut: p.MaxOut.N(),
-			NeverOver: p.CeilingRate.V(), HardBurst: p.CeilingBurst.V(),
+			Name: p.Name, Rate: p.Rate.V(), Burst: p.Burst.V(), MaxConcurrent: p.MaxOut.N(),
+			CeilingRate: p.CeilingRate.V(), CeilingBurst: p.CeilingBurst.V(),
 		})
 	}
-	s.Contract.Start, s.Contract.Warm, s.Contract.Factor = d.Cold.Share.V(), d.Cold.Warm.V(), d.Cold.Factor.V()
-	s.Extra.Counter, s.Extra.Limit, s.Extra.Settles = d.Counter.Present, d.Counter.Limit.V(), d.Counter.Settles
-	s.Extra.Most = d.Clients.Units.V()
+	s.SlowStart.InitialCapacity, s.SlowStart.Duration, s.SlowStart.OverloadFactor = d.Cold.Share.V(), d.Cold.Warm.V(), d.Cold.Factor.V()
+	s.Shared.Counter, s.Shared.CounterTimeout, s.Shared.SettlesUnits = d.Counter.Present, d.Counter.Limit.V(), d.Counter.Settles
+	s.Shared.MaxUnits = d.Clients.Units.V()
 	if d.Peers.Allowed {
-		s.Extra.Mail = d.Peers.Mail.V()
+		s.Shared.PeerMessageRate = d.Peers.Mail.V()
 	}
 	return s
 }
