--- a/tier/programs/programs_test.go
+++ b/tier/programs/programs_test.go
@@ -19,18 +19,21 @@
 
 func newShard() *shard { return &shard{state: NewState(), now: 1_000_000} }
 
+// apply has the state carry out a command at the present time.
 func (s *shard) apply(command []byte) Result {
 	s.index++
 	Stamp(command, s.now)
 	return s.state.Apply(s.index, command).(Result)
 }
 
+// begin begins a turn of session s.
 func (s *shard) begin(request, program string, budget, estimate uint64, previous string) Result {
 	return s.apply(Begin{
 		Request: request, Program: program, Session: "s", Limited: true, Budget: budget, Estimate: estimate, Previous: previous,
 	}.Encode())
 }
 
+// end ends a turn on host h-<request>, which is retained for a minute.
 func (s *shard) end(request, program string, actual uint64, previous, input, output string) Result {
 	return s.apply(End{
 		Request: request, Program: program, Session: "s", Actual: actual, Retain: true, RetentionMS: 60_000, Previous: previous,
@@ -38,7 +41,7 @@
 	}.Encode())
 }
 
-func TestBeginRefusesWhatTheBudgetDoesNotHold(t *testing.T) {
+func TestBeginRejectsWhatTheBudgetDoesNotHold(t *testing.T) {
 	s := newShard()
 	if got := s.begin("a", "p", 100, 60, ""); got.Code != codes.OK {
 		t.Fatal(got.Code)
@@ -47,7 +50,7 @@
 		t.Fatalf("41 beside 60 of 100 gave %v", got.Code)
 	}
 	if got := s.begin("c", "p", 100, 40, ""); got.Code != codes.OK {
-		t.Fatalf("the refused estimate was not taken off: %v", got.Code)
+		t.Fatalf("the rejected estimate was not taken off: %v", got.Code)
 	}
 }
 
@@ -68,7 +71,7 @@
 	}
 }
 
-func TestALateBeginAfterTheEndChargesNothing(t *testing.T) {
+func TestLateBeginAfterTheEndChargesNothing(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 100, 60, "")
 	s.end("a", "p", 10, "", "", "")
@@ -80,7 +83,7 @@
 	}
 }
 
-func TestATurnThatDidNotRunCostsNothing(t *testing.T) {
+func TestTurnThatDidNotRunCostsNothing(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 100, 100, "")
 	s.apply(End{Request: "a", Program: "p"}.Encode())
@@ -104,18 +107,18 @@
 	}
 }
 
-func TestATurnThatIsNotKeptIsUnknown(t *testing.T) {
+func TestTurnThatIsNotRetainedIsUnknown(t *testing.T) {
 	s := newShard()
 	if got := s.begin("a", "p", 100, 1, "never"); got.Code != codes.TurnUnknown {
 		t.Fatal(got.Code)
 	}
 	if got := s.begin("b", "p", 100, 100, ""); got.Code != codes.OK {
-		t.Fatalf("the refused turn was charged: %v", got.Code)
+		t.Fatalf("the rejected turn was charged: %v", got.Code)
 	}
 }
 
 // A chain lasts as long as the newest turn that goes on from it.
-func TestAChainIsKeptAsLongAsItsNewestTurn(t *testing.T) {
+func TestChainIsRetainedAsLongAsItsNewestTurn(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 1, "", "A", "a\n")
 	s.now += 50_000
@@ -135,7 +138,7 @@
 	}
 }
 
-func TestTheCountOutlivesTheTurns(t *testing.T) {
+func TestCountOutlivesTheTurns(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 90, "", "A", "a\n")
 	s.now += 10 * 60_000
@@ -151,7 +154,7 @@
 }
 
 // A new program may go on from a turn of another one.
-func TestFetchFindsATurnOfAnyProgram(t *testing.T) {
+func TestFetchFindsTurnsOfAnyProgram(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 1, "", "A", "a\n")
 	got := s.apply(Fetch{Request: "a"}.Encode())
@@ -163,18 +166,47 @@
 	}
 }
 
-func TestDamagedCommandsAreNamed(t *testing.T) {
-	whole := Begin{Request: "a", Program: "p", Budget: 1}.Encode()
-	for n := range whole {
-		if got := NewState().Apply(1, whole[:n]).(Result); got.Code != codes.Malformed {
-			t.Fatalf("%d bytes gave %v", n, got.Code)
+func TestApplyRejectsCommandsCutShort(t *testing.T) {
+	for name, encoded := range map[string][]byte{
+		"begin": Begin{Request: "a", Program: "p", Budget: 1}.Encode(),
+		"end":   End{Request: "a", Program: "p", Actual: 1}.Encode(),
+		"fetch": Fetch{Request: "a"}.Encode(),
+	} {
+		t.Run(name, func(t *testing.T) {
+			for n := range encoded {
+				state := NewState()
+				if got := state.Apply(1, encoded[:n]).(Result); got.Code != codes.Malformed {
+					t.Fatalf("%d of %d bytes gave %v", n, len(encoded), got.Code)
+				}
+				if !bytes.Equal(state.Snapshot(), NewState().Snapshot()) {
+					t.Fatalf("%d of %d bytes changed the state", n, len(encoded))
+				}
+			}
+		})
+	}
+}
+
+// Only bytes that hold a kind and a time can be stamped.
+func TestIsCommand(t *testing.T) {
+	for name, test := range map[string]struct {
+		command []byte
+		want    bool
+	}{
+		"fetch":                 {Fetch{}.Encode(), true},
+		"empty":                 {nil, false},
+		"cut within the time":   {Fetch{}.Encode()[:stampEnd-1], false},
+		"no kind":               {make([]byte, stampEnd), false},
+		"kind beyond the known": {append([]byte{byte(CommandFetch) + 1}, make([]byte, stampEnd)...), false},
+	} {
+		if got := IsCommand(test.command); got != test.want {
+			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
 // Over any order of begins, ends, repeats and restores from a snapshot, the tokens that may reach clients never pass the budget
 // by more than what one begin may add, and replicas that restored agree with those that did not.
-func TestTheBudgetHolds(t *testing.T) {
+func TestBudgetHoldsOverRetriesAndRestores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const budget = 500
 		s := newShard()
--- a/tier/programs/reservation.go
+++ b/tier/programs/reservation.go
@@ -1,15 +1,11 @@
 package programs
 
-const (
-	// reservationTTL is how long a turn that was begun may stay without an end before its estimate is charged for good, in
-	// milliseconds: longer than any turn runs and its end is repeated.
-	reservationTTL = 15 * 60 * 1000
+// reservationTTL is how long a turn that was begun may stay without an end before its estimate is charged for good, in
+// milliseconds: longer than any turn runs and its end is repeated.
+const reservationTTL = 15 * 60 * 1000
 
-	// maxSessions is how many sessions of a program have their last host remembered.
-	maxSessions = 256
-
-	minReservationBytes = 4 + 8 + 8
-)
+// minReservationBytes is the encoded size of a reservation with an empty request.
+const minReservationBytes = minBlobBytes + 8 + 8
 
 // reservation is the estimate of a turn that has not ended.
 type reservation struct {
@@ -27,12 +23,3 @@
 		}
 	}
 }
-
-// rememberHost remembers the last host of a session, which is where its next turn is best sent. It is a hint: when there are too many,
-// all are forgotten.
-func (p *program) rememberHost(session, host string) {
-	if _, known := p.sessionHosts[session]; !known && len(p.sessionHosts) >= maxSessions {
-		clear(p.sessionHosts)
-	}
-	p.sessionHosts[session] = host
-}
--- a/tier/programs/growth_test.go
+++ b/tier/programs/reservation_test.go
@@ -32,7 +32,7 @@
 }
 
 // The end of a turn within the time takes its own estimate off, not one that was charged for good.
-func TestAnEndInTimeSettlesItsReservation(t *testing.T) {
+func TestEndInTimeSettlesItsReservation(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 1000, 60, "")
 	s.now += reservationTTL - 1000
--- a/tier/programs/ticket_test.go
+++ b/tier/programs/settled_test.go
@@ -21,7 +21,7 @@
 
 // A begin that stood in a stalled connection for 30 seconds comes after its turn ended, and after so many others that the turn is
 // forgotten. It is not charged, and neither is its end a second time.
-func TestCallsThatComeAfterTheirTurnWasForgottenAreNotCharged(t *testing.T) {
+func TestCallsAfterTheirTurnWasForgottenAreNotCharged(t *testing.T) {
 	s := newShard()
 	const turns = 3 * maxSettledTurns
 	for number := uint64(1); number <= turns; number++ {
@@ -52,7 +52,7 @@
 }
 
 // A turn that is still open stays so, however many later ones of its gateway were settled.
-func TestALongTurnOutlivesLaterOnes(t *testing.T) {
+func TestLongTurnOutlivesLaterOnes(t *testing.T) {
 	s := newShard()
 	longBegin, longEnd := numbered(1)
 	s.apply(longBegin)
@@ -70,8 +70,8 @@
 	}
 }
 
-// A turn that the budget refused is refused again, also when there is room by then: its gateway has given it up.
-func TestARefusedTurnIsNotChargedLater(t *testing.T) {
+// A turn that the budget rejected is rejected again, also when there is room by then: its gateway has given it up.
+func TestRejectedTurnIsNotChargedLater(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 100, 60, "")
 	if got := s.begin("b", "p", 100, 60, ""); got.Code != codes.BudgetSpent {
@@ -79,14 +79,14 @@
 	}
 	s.end("a", "p", 1, "", "", "")
 	if got := s.begin("b", "p", 100, 60, ""); got.Code != codes.BudgetSpent {
-		t.Fatalf("the refused turn again: %v", got.Code)
+		t.Fatalf("the rejected turn again: %v", got.Code)
 	}
 	if got := s.state.programs["p"].total(); got != 1 {
 		t.Fatalf("the total is %d", got)
 	}
 }
 
-func TestPassedTicketsAreBounded(t *testing.T) {
+func TestWatermarksAreBounded(t *testing.T) {
 	s := newShard()
 	for i := range uint64(3 * maxWatermarks) {
 		s.now++
@@ -103,7 +103,7 @@
 }
 
 // However often and late the calls of turns come again, in whatever order after their first time, each turn is charged once.
-func TestEachTurnIsChargedOnce(t *testing.T) {
+func TestEachTurnIsChargedOnceOverLateRetries(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newShard()
 		var sent [][]byte
--- /dev/null
+++ b/tier/programs/snapshot.go
@@ -0,0 +1,95 @@
+package programs
+
+import (
+	"maps"
+	"slices"
+
+	"otterseam/tier/codec"
+)
+
+// Snapshot is the state as bytes, the same for the same state.
+func (s *State) Snapshot() []byte {
+	var e codec.Encoder
+	e.Uint64(s.commands)
+	names := sortedKeys(s.programs)
+	e.Uint32(uint32(len(names)))
+	for _, name := range names {
+		e.String(name)
+		s.programs[name].encode(&e)
+	}
+	return e.Bytes
+}
+
+// Restore replaces the state by a snapshot.
+func (s *State) Restore(snapshot []byte) error {
+	d := codec.NewDecoder(snapshot)
+	commands := d.Uint64()
+	programs := map[string]*program{}
+	byTurn := map[string]string{}
+	for range d.Count(minBlobBytes) {
+		name := d.String()
+		programs[name] = decodeProgram(d)
+		for request := range programs[name].turns {
+			byTurn[request] = name
+		}
+	}
+	if d.Err() != nil {
+		return d.Err()
+	}
+	s.commands = commands
+	s.programs = programs
+	s.programOfTurn = byTurn
+	return nil
+}
+
+func (p *program) encode(e *codec.Encoder) {
+	e.Uint64(p.charged)
+	e.Int64(p.lastUsed)
+	e.Uint32(uint32(len(p.reserved)))
+	for _, request := range sortedKeys(p.reserved) {
+		e.String(request)
+		e.Uint64(p.reserved[request].estimate)
+		e.Int64(p.reserved[request].begunAt)
+	}
+	p.encodeSettled(e)
+	e.Uint32(uint32(len(p.sessionHosts)))
+	for _, session := range sortedKeys(p.sessionHosts) {
+		e.String(session)
+		e.String(p.sessionHosts[session])
+	}
+	e.Uint32(uint32(len(p.turns)))
+	for _, id := range sortedKeys(p.turns) {
+		each := p.turns[id]
+		e.String(id)
+		e.String(each.previous)
+		e.Blob(each.input)
+		e.Blob(each.output)
+		e.String(each.host)
+		e.Int64(each.expiresAt)
+	}
+}
+
+func decodeProgram(d *codec.Decoder) *program {
+	p := newProgram()
+	p.charged = d.Uint64()
+	p.lastUsed = d.Int64()
+	for range d.Count(minReservationBytes) {
+		request := d.String()
+		p.reserved[request] = reservation{estimate: d.Uint64(), begunAt: d.Int64()}
+	}
+	p.decodeSettled(d)
+	for range d.Count(minSessionBytes) {
+		session := d.String()
+		p.sessionHosts[session] = d.String()
+	}
+	for range d.Count(minTurnBytes) {
+		id := d.String()
+		p.turns[id] = turn{previous: d.String(), input: d.Blob(), output: d.Blob(), host: d.String(), expiresAt: d.Int64()}
+	}
+	return p
+}
+
+// sortedKeys orders the keys of a map, so that the same map always has the same bytes.
+func sortedKeys[V any](values map[string]V) []string {
+	return slices.Sorted(maps.Keys(values))
+}
