--- a/sim/assets/assets_test.go
+++ b/sim/assets/assets_test.go
@@ -1,6 +1,8 @@
 package assets
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -41,6 +43,10 @@
 	if err == nil || !strings.Contains(err.Error(), "no script of that name; there are calm, cut") {
 		t.Errorf("error %v", err)
 	}
+	var notFound *NotFoundError
+	if !errors.As(err, &notFound) || notFound.Name != "gone" || !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("error %#v", err)
+	}
 	if _, _, err := newSet().Read("./none.toml"); !os.IsNotExist(err) {
 		t.Errorf("a path: error %v", err)
 	}
--- a/sim/countermodel/countermodel.go
+++ b/sim/countermodel/countermodel.go
@@ -1,5 +1,3 @@
-// Package countermodel owns the model of the shared counter: named sums in parts of limited capacity, and what may befall
-// them. It must never know what a name stands for.
 package countermodel
 
 import (
@@ -12,66 +10,95 @@
 	"otterseam/sim/scenario"
 )
 
+// significantDigits is how many digits of a sum an answer carries, as those of the platform's counter do.
+const significantDigits = 7
+
 // Outcome is how the counter deals with a call.
 type Outcome int
 
+// The outcomes of a call.
 const (
-	Added Outcome = iota
-	Rejected
-	ConnectionRefused // no connection
+	Added             Outcome = iota
+	Rejected                  // the counter has too much to do, or nobody leads the name
+	ConnectionRefused         // there was no connection
 )
 
-type sum struct{ value, ends float64 }
+// sum is the count under one name, until it expires.
+type sum struct {
+	value     float64
+	expiresAt float64
+}
 
-type part struct {
-	free float64 // when it has done all that has come
-	sums map[uint64]sum
+// partition holds a part of the names.
+type partition struct {
+	freeAt float64 // when it has done all that has arrived
+	sums   map[uint64]sum
 }
 
-// Counter is the shared counter, with the copy that a split makes.
+// The replicas of the counter. There is a second one only while the counter is split.
+const (
+	mainReplica = iota
+	splitReplica
+	replicaCount
+)
+
+// Counter is the shared counter.
 type Counter struct {
-	q        *eventqueue.Queue
-	dice     randstream.Stream
-	capacity float64 // calls a second of one part
-	most     float64
-	time     float64
-	copies   [2][]part
-	split    int
-	silent   int
-	refuse   int
-	small    overlap.Values
-	drop     overlap.Values
-	old      [][]map[uint64]sum
-	led      map[uint64]float64 // parts of the names whose leader is gone, by whose they were
-	// Calls and Answered count what reached it; Unanswered what it left without an answer.
+	queue       *eventqueue.Queue
+	random      randstream.Stream
+	capacity    float64 // calls a second of one partition
+	maxBacklog  float64 // calls that wait at one partition
+	serviceTime float64 // seconds from a call's turn to its answer
+
+	replicas  [replicaCount][]partition
+	snapshots [][]map[uint64]sum // of the main replica's sums by partition
+
+	// Faults that are in force now.
+	splits           int
+	silences         int
+	refusals         int
+	capacityFactors  overlap.Values
+	answeredShares   overlap.Values
+	leaderlessShares map[uint64]float64 // by the number that draws the names: share of them that nobody leads
+
+	// Calls counts what reached the counter, Answered what it answered and Unanswered what it left without an answer.
 	Calls, Answered, Unanswered float64
 }
 
-// New makes the counter of a day.
-func New(q *eventqueue.Queue, d *scenario.Counter, seed uint64) *Counter {
-	n := d.Parts.N()
-	c := &Counter{q: q, dice: randstream.New(seed, "counter"), capacity: d.Capacity.V() / float64(n), most: d.Queue.V(), time: d.Time.V()}
-	for i := range c.copies {
-		c.copies[i] = make([]part, n)
-		for j := range c.copies[i] {
-			c.copies[i][j].sums = map[uint64]sum{}
+// New makes the counter of a scenario.
+func New(queue *eventqueue.Queue, config *scenario.Counter, seed uint64) *Counter {
+	partitions := config.Parts.N()
+	counter := &Counter{
+		queue:       queue,
+		random:      randstream.New(seed, "counter"),
+		capacity:    config.Capacity.V() / float64(partitions),
+		maxBacklog:  config.Queue.V(),
+		serviceTime: config.Time.V(),
+
+		leaderlessShares: map[uint64]float64{},
+	}
+	for replica := range counter.replicas {
+		counter.replicas[replica] = make([]partition, partitions)
+		for i := range counter.replicas[replica] {
+			counter.replicas[replica][i].sums = map[uint64]sum{}
 		}
 	}
-	return c
+	return counter
 }
 
 // AcceptsConnections says whether a connection can be had.
-func (c *Counter) AcceptsConnections() bool { return c.refuse == 0 }
+func (c *Counter) AcceptsConnections() bool { return c.refusals == 0 }
 
-// Add adds an amount to a name once its turn has come; life is for a new name. done hears of it, at that moment, unless
-// the counter says nothing. far: the caller sees the copy, while there is one.
-func (c *Counter) Add(far bool, name uint64, amount, life float64, done func(Outcome, float64)) {
+// Add adds an amount to the sum under a name once the call's turn has come; a new name expires after lifetime seconds. done is
+// told of the outcome and the sum, at that moment, unless the counter stays silent. A caller on the farSide sees the split replica
+// while there is one.
+func (c *Counter) Add(farSide bool, name uint64, amount, lifetime float64, done func(Outcome, float64)) {
 	c.Calls++
-	if c.refuse > 0 {
+	if c.refusals > 0 {
 		done(ConnectionRefused, 0)
 		return
 	}
-	if c.silent > 0 {
+	if c.silences > 0 {
 		c.Unanswered++
 		return
 	}
@@ -80,122 +107,63 @@
 		done(Rejected, 0)
 		return
 	}
-	side := 0
-	if far && c.split > 0 {
-		side = 1
-	}
-	p := &c.copies[side][name%uint64(len(c.copies[side]))]
-	each := 1 / (c.capacity * c.small.Product())
-	now := c.q.Now()
-	if (p.free-now)/each > c.most {
+	target := c.partitionOf(farSide, name)
+	perCall := 1 / (c.capacity * c.capacityFactors.Product())
+	now := c.queue.Now()
+	if (target.freeAt-now)/perCall > c.maxBacklog {
 		c.Answered++
 		done(Rejected, 0)
 		return
 	}
-	p.free = max(now, p.free) + each
-	c.q.Schedule(p.free+c.time, func() {
-		if c.silent > 0 || c.refuse > 0 { // it went away with the call in its line
-			c.Unanswered++
-			return
-		}
-		s, known := p.sums[name]
-		if !known || s.ends <= c.q.Now() {
-			s = sum{0, c.q.Now() + life}
-		}
-		s.value += amount
-		p.sums[name] = s
-		if c.drop.Any(func(answered float64) bool { return !c.dice.Chance(answered) }) {
-			c.Unanswered++
-			return
-		}
-		c.Answered++
-		done(Added, digits(s.value))
-	})
+	target.freeAt = max(now, target.freeAt) + perCall
+	c.queue.Schedule(target.freeAt+c.serviceTime, func() { c.serve(target, name, amount, lifetime, done) })
 }
 
-// digits leaves seven of them, as the platform's counter does.
-func digits(x float64) float64 {
-	if x == 0 {
-		return 0
-	}
-	unit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-6)
-	if unit < 1 { // by the whole number that divides, which is exact
-		return math.Round(x*math.Round(1/unit)) / math.Round(1/unit)
-	}
-	return math.Round(x/unit) * unit
-}
-
-// DropExpired drops names whose time is over. The order in which a map is gone through does not show.
-func (c *Counter) DropExpired() {
-	for i := range c.copies {
-		for j := range c.copies[i] {
-			maps.DeleteFunc(c.copies[i][j].sums, func(_ uint64, s sum) bool { return s.ends <= c.q.Now() })
-		}
+func (c *Counter) partitionOf(farSide bool, name uint64) *partition {
+	replica := c.replicas[mainReplica]
+	if farSide && c.splits > 0 {
+		replica = c.replicas[splitReplica]
 	}
+	return &replica[name%uint64(len(replica))]
 }
 
-// Snapshot takes a copy of all counts, for a return with old ones.
-func (c *Counter) Snapshot() {
-	var all []map[uint64]sum
-	for _, p := range c.copies[0] {
-		all = append(all, maps.Clone(p.sums))
+// serve carries out a call whose turn has come.
+func (c *Counter) serve(target *partition, name uint64, amount, lifetime float64, done func(Outcome, float64)) {
+	if c.silences > 0 || c.refusals > 0 { // the counter went away with the call in its queue
+		c.Unanswered++
+		return
 	}
-	c.old = append(c.old, all)
-}
-
-// Restore gives it the counts with which it comes back: "kept", "empty" or "old", those of the last Keep.
-func (c *Counter) Restore(how string) {
-	for i := range c.copies[0] {
-		p := &c.copies[0][i]
-		p.free = c.q.Now()
-		switch {
-		case how == "empty":
-			p.sums = map[uint64]sum{}
-		case how == "old" && len(c.old) > 0:
-			p.sums = maps.Clone(c.old[len(c.old)-1][i])
-		}
+	current, known := target.sums[name]
+	if !known || current.expiresAt <= c.queue.Now() {
+		current = sum{expiresAt: c.queue.Now() + lifetime}
 	}
-}
-
-// Silence makes it silent, or ends that; Refuse does so for connections.
-func (c *Counter) Silence(begin bool)           { c.silent += sign(begin) }
-func (c *Counter) RefuseConnections(begin bool) { c.refuse += sign(begin) }
-
-// Split makes a second copy with the same counts, or drops it: the first one's stand.
-func (c *Counter) Split(begin bool) {
-	if c.split += sign(begin); begin && c.split == 1 {
-		for i := range c.copies[1] {
-			c.copies[1][i] = part{free: c.q.Now(), sums: maps.Clone(c.copies[0][i].sums)}
-		}
+	current.value += amount
+	target.sums[name] = current
+	if c.answeredShares.Any(func(answered float64) bool { return !c.random.Chance(answered) }) {
+		c.Unanswered++
+		return
 	}
+	c.Answered++
+	done(Added, roundToDigits(current.value))
 }
 
-// Takeover has a part of the names, drawn by whose they were, turned away while nobody leads them: nothing of them is lost.
-func (c *Counter) Takeover(led uint64, part float64, begin bool) {
-	if c.led == nil {
-		c.led = map[uint64]float64{}
+// roundToDigits leaves as many digits of a sum as an answer carries.
+func roundToDigits(x float64) float64 {
+	if x == 0 {
+		return 0
 	}
-	if delete(c.led, led); begin {
-		c.led[led] = part
+	unit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-(significantDigits-1))
+	if unit < 1 { // by the whole number that divides, which is exact
+		return math.Round(x*math.Round(1/unit)) / math.Round(1/unit)
 	}
+	return math.Round(x/unit) * unit
 }
 
-func (c *Counter) leaderless(name uint64) bool {
-	for led, part := range c.led {
-		if x := (name ^ led) * 0x9e3779b97f4a7c15; float64(x>>11)/(1<<53) < part {
-			return true
+// DropExpired drops the names that have expired. The order in which a map is gone through does not show.
+func (c *Counter) DropExpired() {
+	for _, replica := range c.replicas {
+		for i := range replica {
+			maps.DeleteFunc(replica[i].sums, func(_ uint64, s sum) bool { return s.expiresAt <= c.queue.Now() })
 		}
 	}
-	return false
-}
-
-// ScaleCapacity leaves a part of its capacity; Drop lets it answer a part of the calls only.
-func (c *Counter) ScaleCapacity(factor float64, begin bool) { c.small.Toggle(factor, begin) }
-func (c *Counter) DropAnswers(answered float64, begin bool) { c.drop.Toggle(answered, begin) }
-
-func sign(begin bool) int {
-	if begin {
-		return 1
-	}
-	return -1
 }
--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -1,5 +1,3 @@
-// Package discoverymodel owns the list of hosts and its way to the api gateways: each hears each change late, in order, and
-// one that starts has the list as it was last told. It must never know whether a host works.
 package discoverymodel
 
 import (
@@ -10,88 +8,113 @@
 	"otterseam/sim/scenario"
 )
 
-// Registry is the list with its history.
+// stateLeft is the state of a host that is gone from the list.
+const stateLeft = "left"
+
+// A change takes its mean delay times a factor between these.
+const (
+	minDelayFactor = 0.5
+	maxDelayFactor = 1.5
+)
+
+// Notify tells an api gateway of a change of the list.
+type Notify func(gateway int, change policy.HostEntry)
+
+// Registry is the list of hosts with all its changes.
 type Registry struct {
-	q       *eventqueue.Queue
-	dice    randstream.Stream
-	delay   float64
-	late    overlap.Values
-	silent  int
-	changes []policy.HostEntry
-	told    []int
-	due     []float64 // the last change on its way to each arrives then
-	held    []func()  // what waits for the list to speak again
-	tell    func(gateway int, change policy.HostEntry)
+	queue     *eventqueue.Queue
+	random    randstream.Stream
+	meanDelay float64 // seconds
+	notify    Notify
+
+	changes     []policy.HostEntry
+	known       []int     // by gateway: how many changes it has been told of
+	lastArrival []float64 // by gateway: when the last change on its way arrives
+
+	delayFactors overlap.Values
+	pauses       int      // faults that keep changes back now
+	heldBack     []func() // sendings that wait until no fault does
 }
 
-// New makes the list of a day with the hosts it starts with; tell is called when an api gateway is told of a change.
-func New(q *eventqueue.Queue, d *scenario.Discovery, gateways int, seed uint64, hosts []policy.HostEntry,
-	tell func(int, policy.HostEntry),
+// New makes the list of a scenario with the hosts that it starts with. All gateways know them.
+func New(
+	queue *eventqueue.Queue, config *scenario.Discovery, gateways int, seed uint64, hosts []policy.HostEntry, notify Notify,
 ) *Registry {
-	r := &Registry{
-		q: q, dice: randstream.New(seed, "registry"), delay: d.Delay.V(), changes: hosts,
-		told: make([]int, gateways), due: make([]float64, gateways), tell: tell,
+	registry := &Registry{
+		queue:       queue,
+		random:      randstream.New(seed, "registry"),
+		meanDelay:   config.Delay.V(),
+		notify:      notify,
+		changes:     hosts,
+		known:       make([]int, gateways),
+		lastArrival: make([]float64, gateways),
 	}
-	for i := range r.told {
-		r.told[i] = len(hosts) // the list at the start
+	for gateway := range registry.known {
+		registry.known[gateway] = len(hosts)
 	}
-	return r
+	return registry
 }
 
-// Publish puts a change on its way to all.
-func (r *Registry) Publish(l policy.HostEntry) {
-	r.changes = append(r.changes, l)
-	n := len(r.changes)
-	if r.silent > 0 {
-		r.held = append(r.held, func() { r.send(n) })
+// Publish puts a change on its way to all gateways.
+func (r *Registry) Publish(change policy.HostEntry) {
+	r.changes = append(r.changes, change)
+	count := len(r.changes)
+	if r.pauses > 0 {
+		r.heldBack = append(r.heldBack, func() { r.send(count) })
 		return
 	}
-	r.send(n)
+	r.send(count)
 }
 
-func (r *Registry) send(n int) {
-	for g := range r.told {
+// send puts the last of so many changes on its way.
+func (r *Registry) send(count int) {
+	for gateway := range r.known {
+		delay := r.meanDelay * r.delayFactors.Product() * r.random.Uniform(minDelayFactor, maxDelayFactor)
 		// Never before an earlier change: they build on each other.
-		r.due[g] = max(r.due[g], r.q.Now()+r.delay*r.late.Product()*r.dice.Uniform(0.5, 1.5))
-		r.q.Schedule(r.due[g], func() {
-			r.told[g] = n
-			r.tell(g, r.changes[n-1])
+		r.lastArrival[gateway] = max(r.lastArrival[gateway], r.queue.Now()+delay)
+		r.queue.Schedule(r.lastArrival[gateway], func() {
+			r.known[gateway] = count
+			r.notify(gateway, r.changes[count-1])
 		})
 	}
 }
 
 // HostList is the list as an api gateway was last told of it, in the order in which hosts came.
 func (r *Registry) HostList(gateway int) []policy.HostEntry {
-	at := map[string]int{}
-	var list []policy.HostEntry
-	for _, l := range r.changes[:r.told[gateway]] {
-		if i, ok := at[l.Addr]; ok {
-			list[i] = l
+	index := map[string]int{}
+	var latest []policy.HostEntry
+	for _, change := range r.changes[:r.known[gateway]] {
+		if i, ok := index[change.Addr]; ok {
+			latest[i] = change
 			continue
 		}
-		at[l.Addr] = len(list)
-		list = append(list, l)
+		index[change.Addr] = len(latest)
+		latest = append(latest, change)
 	}
-	whole := list[:0]
-	for _, l := range list {
-		if l.State != "left" {
-			whole = append(whole, l)
+	list := latest[:0]
+	for _, host := range latest {
+		if host.State != stateLeft {
+			list = append(list, host)
 		}
 	}
-	return whole
+	return list
 }
 
-// Pause keeps changes back until it ends; then they all set out.
+// Pause begins, or ends, a fault that keeps changes back. When no such fault is left they all set out.
 func (r *Registry) Pause(begin bool) {
 	if begin {
-		r.silent++
-	} else if r.silent--; r.silent == 0 {
-		for _, f := range r.held {
-			f()
-		}
-		r.held = nil
+		r.pauses++
+		return
+	}
+	r.pauses--
+	if r.pauses > 0 {
+		return
+	}
+	for _, send := range r.heldBack {
+		send()
 	}
+	r.heldBack = nil
 }
 
-// SlowDown makes changes take so many times longer.
-func (r *Registry) SlowDown(by float64, begin bool) { r.late.Toggle(by, begin) }
+// SlowDown begins, or ends, a fault that makes changes take so many times longer.
+func (r *Registry) SlowDown(factor float64, begin bool) { r.delayFactors.Toggle(factor, begin) }
--- /dev/null
+++ b/sim/model/request.go
@@ -0,0 +1,49 @@
+package model
+
+import "otterseam/sim/scenario"
+
+// Operation is one of the scenario's operations with its values drawn.
+type Operation struct {
+	*scenario.Operation
+	Number int
+}
+
+// Request is what a client wants done. It asks for it by one invocation after another until one is served or it gives up.
+type Request struct {
+	Customer    *Customer
+	Operation   Operation
+	Units       float64 // as the client says
+	ActualUnits float64 // as the quota counts them once they are settled
+	Work        float64 // seconds on a core of speed 1
+	CreatedAt   float64
+	Deadline    float64 // its client waits no longer
+
+	InvocationCount int
+	WithinQuota     bool // its units were within the quota when it was first asked for
+	Closed          bool
+	LastOutcome     Outcome
+	BeyondQuota     bool // its last invocation that reached a host was beyond the quota
+	QuotaHadRoom    bool // its last invocation was throttled although the quota had room
+}
+
+// Value is what serving the request in time is worth.
+func (r *Request) Value() float64 {
+	return r.Operation.Value.V() * r.Customer.Plan.Price.V() * r.Units
+}
+
+// Outcome is how an invocation ended for its client.
+type Outcome int
+
+// The outcomes, in the order of OutcomeNames.
+const (
+	Pending Outcome = iota
+	Served
+	Throttled
+	Errored
+	Unanswered  // its client gave up
+	Broken      // its connection ended without an answer
+	Unreachable // no api gateway took it
+)
+
+// OutcomeNames are the names of the outcomes in results and reports.
+var OutcomeNames = []string{"open", "served", "throttled", "errored", "unanswered", "broken", "unreachable"}
--- a/sim/network/network.go
+++ b/sim/network/network.go
@@ -1,5 +1,3 @@
-// Package network owns the way between machines: how long it takes, and what is cut off, reset or lost at present.
-// It must never know what travels.
 package network
 
 import (
@@ -8,58 +6,55 @@
 	"otterseam/sim/scenario"
 )
 
-// Network is the way between zones.
+// resetBeforeWork is the probability that a connection that is reset is so before the request reached the host's work.
+const resetBeforeWork = 0.5
+
+// Network is the paths between zones.
 type Network struct {
-	near, far, jitter float64
-	dice              randstream.Stream
-	zones             []int // how many troubles cut each off
-	stretch           overlap.Values
-	reset, half       overlap.Values
+	withinZone   float64 // seconds one way
+	betweenZones float64
+	jitter       float64 // mean of the random part, as a part of the delay
+	random       randstream.Stream
+
+	isolations   []int // by zone: how many faults isolate it
+	delayFactors overlap.Values
+	resetShares  overlap.Values
+	lossShares   overlap.Values
 }
 
-// New makes the network of a day.
-func New(d *scenario.Network, zones int, seed uint64) *Network {
+// New makes the network of a scenario.
+func New(config *scenario.Network, zones int, seed uint64) *Network {
 	return &Network{
-		near: d.Near.V(), far: d.Far.V(), jitter: d.Jitter.V(), zones: make([]int, zones),
-		dice: randstream.New(seed, "network"),
+		withinZone:   config.Near.V(),
+		betweenZones: config.Far.V(),
+		jitter:       config.Jitter.V(),
+		random:       randstream.New(seed, "network"),
+		isolations:   make([]int, zones),
 	}
 }
 
-// Delay is how long something takes from one zone to another, in seconds.
+// Delay draws how long a message takes from one zone to another, in seconds.
 func (n *Network) Delay(from, to int) float64 {
-	way := n.near
+	delay := n.withinZone
 	if from != to {
-		way = n.far
+		delay = n.betweenZones
 	}
-	way *= n.stretch.Product()
-	return way + n.dice.Exponential(way*n.jitter)
+	delay *= n.delayFactors.Product()
+	return delay + n.random.Exponential(delay*n.jitter)
 }
 
-// Partitioned says that nothing gets from one zone to another.
-func (n *Network) Partitioned(a, b int) bool { return a != b && (n.zones[a] > 0 || n.zones[b] > 0) }
-
-// IsolateZone cuts a zone off from all others, or takes one cut back.
-func (n *Network) IsolateZone(zone int, begin bool) {
-	if begin {
-		n.zones[zone]++
-	} else {
-		n.zones[zone]--
-	}
+// Partitioned says that nothing gets from one zone to the other.
+func (n *Network) Partitioned(a, b int) bool {
+	return a != b && (n.isolations[a] > 0 || n.isolations[b] > 0)
 }
 
-// ScaleDelays makes all ways so many times longer, or takes that back; Resets and HalfOpen do so for the shares of
-// deliveries whose connection is reset, and of answers that never arrive.
-func (n *Network) ScaleDelays(by float64, begin bool)         { n.stretch.Toggle(by, begin) }
-func (n *Network) ResetConnections(share float64, begin bool) { n.reset.Toggle(share, begin) }
-func (n *Network) LoseAnswers(share float64, begin bool)      { n.half.Toggle(share, begin) }
-
-// DrawReset says that the connection under this delivery is reset, and whether before it reached the host's work.
-func (n *Network) DrawReset() (reset, before bool) {
-	if !n.reset.Any(n.dice.Chance) {
+// DrawReset draws whether the connection under an attempt is reset, and whether before it reached the host's work.
+func (n *Network) DrawReset() (reset, beforeWork bool) {
+	if !n.resetShares.Any(n.random.Chance) {
 		return false, false
 	}
-	return true, n.dice.Chance(0.5)
+	return true, n.random.Chance(resetBeforeWork)
 }
 
-// DrawLostAnswer says that this answer never arrives.
-func (n *Network) DrawLostAnswer() bool { return n.half.Any(n.dice.Chance) }
+// DrawLostAnswer draws whether an answer never arrives.
+func (n *Network) DrawLostAnswer() bool { return n.lossShares.Any(n.random.Chance) }
--- a/sim/overlap/overlap.go
+++ b/sim/overlap/overlap.go
@@ -1,39 +1,31 @@
-// Package overlap holds the figures of troubles that overlap: each is put in when it begins and taken out when it ends,
-// in any order. It knows nothing of what they mean.
 package overlap
 
-// Values is the figures in force.
+import "slices"
+
+// Values are the magnitudes of one kind of fault that are in force now. A nil Values has none.
 type Values []float64
 
-// Toggle puts a figure in, or takes one of that size out.
-func (s *Values) Toggle(x float64, begin bool) {
+// Toggle adds a magnitude when its fault begins, and removes one of that size when it ends.
+func (v *Values) Toggle(magnitude float64, begin bool) {
 	if begin {
-		*s = append(*s, x)
+		*v = append(*v, magnitude)
 		return
 	}
-	for i, y := range *s {
-		if x == y {
-			*s = append((*s)[:i], (*s)[i+1:]...)
-			return
-		}
+	if i := slices.Index(*v, magnitude); i >= 0 {
+		*v = append((*v)[:i], (*v)[i+1:]...)
 	}
 }
 
 // Product is the product of all, 1 where there are none.
-func (s Values) Product() float64 {
-	x := 1.0
-	for _, y := range s {
-		x *= y
+func (v Values) Product() float64 {
+	product := 1.0
+	for _, magnitude := range v {
+		product *= magnitude
 	}
-	return x
+	return product
 }
 
-// Any says whether one of several chances comes true; draw is asked for each.
-func (s Values) Any(draw func(p float64) bool) bool {
-	for _, p := range s {
-		if draw(p) {
-			return true
-		}
-	}
-	return false
+// Any says whether one of several probabilities comes true. draw is asked for each in turn until one does.
+func (v Values) Any(draw func(probability float64) bool) bool {
+	return slices.ContainsFunc(v, draw)
 }
--- a/sim/randstream/randstream.go
+++ b/sim/randstream/randstream.go
@@ -1,5 +1,3 @@
-// Package randstream gives each part of the laboratory random numbers of its own, so that a draw more in one part moves
-// nothing in another. It owns no state beyond the streams it gives away.
 package randstream
 
 import (
@@ -8,20 +6,23 @@
 	"math/rand/v2"
 )
 
-// Stream is one part's source of random numbers.
+// maxParetoWeight bounds the weights that Pareto draws.
+const maxParetoWeight = 20
+
+// Stream is one part's source of random numbers. It is not safe for concurrent use.
 type Stream struct{ *rand.Rand }
 
-// New gives the stream of a part, told apart by its name and numbers, of a day's seed.
+// New gives the stream of a part, told apart by its name and numbers, under the seed of a simulation.
 func New(seed uint64, part string, numbers ...int) Stream {
-	h := fnv.New64a()
-	h.Write([]byte(part))
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(part)) // a hash takes all that is written
 	for _, n := range numbers {
 		for range 8 {
-			h.Write([]byte{byte(n)})
+			_, _ = hash.Write([]byte{byte(n)})
 			n >>= 8
 		}
 	}
-	return Stream{rand.New(rand.NewPCG(seed, h.Sum64()))}
+	return Stream{rand.New(rand.NewPCG(seed, hash.Sum64()))}
 }
 
 // Exponential draws from the exponential distribution of a mean.
@@ -30,23 +31,25 @@
 // Uniform draws evenly from lo to hi.
 func (s Stream) Uniform(lo, hi float64) float64 { return lo + (hi-lo)*s.Float64() }
 
-// Chance is true in p of all cases.
-func (s Stream) Chance(p float64) bool { return p > 0 && s.Float64() < p }
+// Chance is true with a probability.
+func (s Stream) Chance(probability float64) bool {
+	return probability > 0 && s.Float64() < probability
+}
 
-// Pareto draws a weight of mean about 1 whose tail falls with the power a (over 1): a few get several times the mean.
-func (s Stream) Pareto(a float64) float64 {
-	return min(20, (a-1)/a/math.Pow(1-s.Float64(), 1/a))
+// Pareto draws a weight of mean about 1 whose tail falls with the power alpha, which is over 1: a few get several times the mean.
+func (s Stream) Pareto(alpha float64) float64 {
+	return min(maxParetoWeight, (alpha-1)/alpha/math.Pow(1-s.Float64(), 1/alpha))
 }
 
-// SampleShare picks so many of n places, in order; at least one where share is over 0 and n is.
+// SampleShare picks a share of n indices at random and says of each whether it is in; at least one is, where share is over 0 and n is.
 func (s Stream) SampleShare(n int, share float64) []bool {
-	in := make([]bool, n)
-	most := int(math.Round(share * float64(n)))
-	if share > 0 && most == 0 {
-		most = 1
+	picked := make([]bool, n)
+	count := int(math.Round(share * float64(n)))
+	if share > 0 && count == 0 {
+		count = 1
 	}
-	for _, i := range s.Perm(n)[:min(n, most)] {
-		in[i] = true
+	for _, i := range s.Perm(n)[:min(n, count)] {
+		picked[i] = true
 	}
-	return in
+	return picked
 }
