--- /dev/null
+++ b/tier/attempt/doc.go
@@ -0,0 +1,5 @@
+// Package attempt decides about one attempt of a request at a host (Exchange), and about a request over all of its attempts
+// (Attempts): when a response is the request's own, when a connection may be reused, and when a retry cannot run a request twice.
+//
+// It is pure: what happened on a connection goes in, what may follow comes out. Sockets, clocks and headers belong to the callers.
+package attempt
--- a/tier/attempt/model_test.go
+++ b/tier/attempt/model_test.go
@@ -14,27 +14,27 @@
 	modelDepth   = 18
 	modelRequest = 2 // requests on the connection
 	modelFrames  = 2 // answers on their way to the client
-	modelRuns    = 2 // max_attempts of repeatable requests
+	modelRuns    = 2 // max_attempts of idempotent requests
 )
 
 // rules are the decisions under test.
 type rules struct {
-	receive  func(*Exchange, Head) Verdict
-	lost     func(*Exchange)
-	outcome  func(Exchange) Outcome
-	reusable func(Exchange) bool
-	after    func(*Attempts, Outcome) Step
-	passable func(Attempts, Head) bool
+	receive    func(*Exchange, Head) Verdict
+	lost       func(*Exchange)
+	outcome    func(Exchange) Outcome
+	reusable   func(Exchange) bool
+	next       func(*Attempts, Outcome) Step
+	mayForward func(Attempts, Head) bool
 }
 
 func soundRules() rules {
 	return rules{
-		receive:  func(x *Exchange, head Head) Verdict { return x.Receive(head) },
-		lost:     func(x *Exchange) { x.Break() },
-		outcome:  OutcomeOf,
-		reusable: func(x Exchange) bool { return x.Reusable() },
-		after:    func(a *Attempts, outcome Outcome) Step { return a.After(outcome) },
-		passable: func(a Attempts, head Head) bool { return a.Passable(head) },
+		receive:    func(x *Exchange, head Head) Verdict { return x.ReceiveHead(head) },
+		lost:       func(x *Exchange) { x.Break() },
+		outcome:    OutcomeOf,
+		reusable:   func(x Exchange) bool { return x.IsReusable() },
+		next:       func(a *Attempts, outcome Outcome) Step { return a.Next(outcome) },
+		mayForward: func(a Attempts, head Head) bool { return a.MayForward(head) },
 	}
 }
 
@@ -79,15 +79,15 @@
 
 // model explores the worlds that rules allow.
 type model struct {
-	rules     rules
-	kinds     [modelRequest]Kind
-	violation string
+	rules           rules
+	repeatabilities [modelRequest]Repeatability
+	violation       string
 }
 
 func (m *model) first() world {
 	w := world{}
 	for i := range w.requests {
-		w.requests[i].attempts = NewAttempts(m.kinds[i], modelRuns)
+		w.requests[i].attempts = NewAttempts(m.repeatabilities[i], modelRuns)
 	}
 	return w
 }
@@ -102,13 +102,13 @@
 func (m *model) run(w *world, i int8) {
 	request := &w.requests[i]
 	request.ran++
-	if m.kinds[i] == Once && request.ran > 1 {
+	if m.repeatabilities[i] == AtMostOnce && request.ran > 1 {
 		m.violate("request %d, which may run once, ran %d times", i, request.ran)
 	}
 	if request.ran > modelRuns {
 		m.violate("request %d ran %d times", i, request.ran)
 	}
-	if m.kinds[i] == Once && request.promised {
+	if m.repeatabilities[i] == AtMostOnce && request.promised {
 		m.violate("request %d ran, though its client was told that it never will", i)
 	}
 }
@@ -130,6 +130,7 @@
 
 // hostEvents are what a host may do with what it was sent, also after the connection has ended.
 func (m *model) hostEvents(w world, try func(func(*world))) {
+	connected := !w.cut && !w.dropped
 	for i := range int8(modelRequest) {
 		request := w.requests[i]
 		sent := request.exchange.Written() != WrittenNone
@@ -139,27 +140,31 @@
 				m.run(w, i)
 			})
 		}
-		if !sent || w.cut || w.dropped || w.waiting == modelFrames {
+		if !sent || !connected || w.waiting == modelFrames {
 			continue
 		}
 		if !request.answered {
 			m.answers(i, request, try)
 		} else {
-			// a surplus answer, early or late, of the same or of another kind
-			try(emit(frame{owner: i, status: http.StatusOK}))
-			try(emit(frame{owner: i, status: http.StatusServiceUnavailable, notExecuted: true}))
-			try(emit(frame{owner: i, status: http.StatusOK, byClose: true}))
+			unsolicitedAnswers(i, try)
 		}
 	}
-	if !w.cut && !w.dropped && w.waiting < modelFrames {
+	if connected && w.waiting < modelFrames {
 		try(emit(frame{owner: noRequest, status: http.StatusOK}))
 		try(emit(frame{owner: noRequest, status: http.StatusServiceUnavailable, notExecuted: true}))
 	}
-	if !w.cut && !w.dropped {
+	if connected {
 		try(func(w *world) { w.cut = true })
 	}
 }
 
+// unsolicitedAnswers are further ones to a request that was answered, early or late, of the same or of another kind.
+func unsolicitedAnswers(i int8, try func(func(*world))) {
+	try(emit(frame{owner: i, status: http.StatusOK}))
+	try(emit(frame{owner: i, status: http.StatusServiceUnavailable, notExecuted: true}))
+	try(emit(frame{owner: i, status: http.StatusOK, byClose: true}))
+}
+
 // answers are what a host may say to a request that it has at least begun to read.
 func (m *model) answers(i int8, request modelled, try func(func(*world))) {
 	answer := func(f frame) {
@@ -272,7 +277,7 @@
 		request.exchange.End()
 	}
 	if w.waiting > 0 {
-		request.exchange.Surplus()
+		request.exchange.ReceiveUnsolicited()
 	}
 	m.settle(w)
 }
@@ -287,13 +292,13 @@
 func (m *model) settle(w *world) {
 	i := w.current
 	request := &w.requests[i]
-	step := m.rules.after(&request.attempts, m.rules.outcome(request.exchange))
-	for step == Elsewhere && !request.left {
+	step := m.rules.next(&request.attempts, m.rules.outcome(request.exchange))
+	for step == Retry && !request.left {
 		// the worst that another host can do: it runs the request, and its answer is lost
 		m.run(w, i)
-		step = m.rules.after(&request.attempts, Uncertain)
+		step = m.rules.next(&request.attempts, Uncertain)
 	}
-	if request.left && step != PassOn {
+	if request.left && step != Forward {
 		step = Fail // an answer that promises nothing, if there is anybody to get it
 	}
 	m.deliver(w, i, step)
@@ -314,9 +319,9 @@
 func (m *model) deliver(w *world, i int8, step Step) {
 	request := &w.requests[i]
 	switch step {
-	case PassOn:
+	case Forward:
 		f := request.reading
-		if !m.rules.passable(request.attempts, request.exchange.Head()) {
+		if !m.rules.mayForward(request.attempts, request.exchange.Head()) {
 			return
 		}
 		if f.owner != i {
@@ -325,7 +330,7 @@
 		if f.broken || (f.unsealed && f.status == http.StatusOK) {
 			m.violate("request %d got a broken answer as a whole one", i)
 		}
-		if Promise(f.status) {
+		if PromisesNotExecuted(f.status) {
 			m.promise(w, i)
 		}
 	case Refuse:
@@ -337,7 +342,7 @@
 func (m *model) promise(w *world, i int8) {
 	request := &w.requests[i]
 	request.promised = true
-	if m.kinds[i] == Once && request.ran > 0 {
+	if m.repeatabilities[i] == AtMostOnce && request.ran > 0 {
 		m.violate("request %d has run, though its client was told that it has not", i)
 	}
 }
@@ -364,12 +369,12 @@
 	return len(seen), ""
 }
 
-// kindPairs are the kinds of the two requests.
-func kindPairs() [][modelRequest]Kind {
-	var pairs [][modelRequest]Kind
-	for _, first := range []Kind{Once, Repeatable, Resumable} {
-		for _, second := range []Kind{Once, Repeatable} {
-			pairs = append(pairs, [modelRequest]Kind{first, second})
+// repeatabilityPairs are the repeatabilities of the two requests.
+func repeatabilityPairs() [][modelRequest]Repeatability {
+	var pairs [][modelRequest]Repeatability
+	for _, first := range []Repeatability{AtMostOnce, Idempotent, Resumable} {
+		for _, second := range []Repeatability{AtMostOnce, Idempotent} {
+			pairs = append(pairs, [modelRequest]Repeatability{first, second})
 		}
 	}
 	return pairs
@@ -379,11 +384,11 @@
 // happens on the connection.
 func TestNoSequenceOfEventsBreaksARule(t *testing.T) {
 	total := 0
-	for _, kinds := range kindPairs() {
-		m := &model{rules: soundRules(), kinds: kinds}
+	for _, repeatabilities := range repeatabilityPairs() {
+		m := &model{rules: soundRules(), repeatabilities: repeatabilities}
 		states, violation := m.explore(modelDepth)
 		if violation != "" {
-			t.Fatalf("%v: %s", kinds, violation)
+			t.Fatalf("%v: %s", repeatabilities, violation)
 		}
 		total += states
 	}
@@ -393,103 +398,106 @@
 	}
 }
 
-// Each bug that is put into the rules is found.
-func TestTheModelFindsEachBug(t *testing.T) {
-	bugs := map[string]func(*rules){
-		"a request that left in part counts as unsent": func(r *rules) {
-			r.outcome = func(x Exchange) Outcome {
-				if x.written == WrittenSome && x.stage == Broken {
-					return Unsent
-				}
-				return OutcomeOf(x)
+// bugs are faults put into the rules, each of which the model has to find.
+var bugs = map[string]func(*rules){
+	"a request that left in part counts as unsent": func(r *rules) {
+		r.outcome = func(x Exchange) Outcome {
+			if x.written == WrittenSome && x.stage == Broken {
+				return Unsent
 			}
-		},
-		"a connection is given back while the body is still written": func(r *rules) {
-			r.reusable = func(x Exchange) bool {
-				x.written = WrittenAll
-				return x.Reusable()
-			}
-		},
-		"a connection that its host ends is given back": func(r *rules) {
-			r.reusable = func(x Exchange) bool {
-				x.head.Closing = false
-				return x.Reusable()
-			}
-		},
-		"an answer without a length leaves its connection to others": func(r *rules) {
-			r.reusable = func(x Exchange) bool {
-				x.head.Framing = FramedByItself
-				return x.Reusable()
-			}
-		},
-		"an answer to an earlier request is taken": func(r *rules) {
-			r.receive = func(x *Exchange, head Head) Verdict {
-				if head.Owner == OwnerEarlier {
-					head.Owner = OwnerOwn
-				}
-				return x.Receive(head)
-			}
-		},
-		"an answer to no request is taken": func(r *rules) {
-			r.receive = func(x *Exchange, head Head) Verdict {
-				if head.Owner == OwnerNone {
-					head.Owner = OwnerOwn
-				}
-				return x.Receive(head)
+			return OutcomeOf(x)
+		}
+	},
+	"a connection is given back while the body is still written": func(r *rules) {
+		r.reusable = func(x Exchange) bool {
+			x.written = WrittenAll
+			return x.IsReusable()
+		}
+	},
+	"a connection that its host ends is given back": func(r *rules) {
+		r.reusable = func(x Exchange) bool {
+			x.head.Closing = false
+			return x.IsReusable()
+		}
+	},
+	"an answer without a length leaves its connection to others": func(r *rules) {
+		r.reusable = func(x Exchange) bool {
+			x.head.Framing = FramedByItself
+			return x.IsReusable()
+		}
+	},
+	"an answer to an earlier request is taken": func(r *rules) {
+		r.receive = func(x *Exchange, head Head) Verdict {
+			if head.Owner == OwnerEarlier {
+				head.Owner = OwnerOwn
 			}
-		},
-		"an answer that broke off counts as whole": func(r *rules) {
-			r.lost = func(x *Exchange) { x.End() }
-		},
-		"a success without a seal is taken": func(r *rules) {
-			r.receive = func(x *Exchange, head Head) Verdict {
-				head.Sealed = true
-				return x.Receive(head)
+			return x.ReceiveHead(head)
+		}
+	},
+	"an answer to no request is taken": func(r *rules) {
+		r.receive = func(x *Exchange, head Head) Verdict {
+			if head.Owner == OwnerNone {
+				head.Owner = OwnerOwn
 			}
-		},
-		"a status alone proves that a request did not run": func(r *rules) {
-			r.receive = func(x *Exchange, head Head) Verdict {
-				head.NotExecuted = head.NotExecuted || Promise(head.Status)
-				return x.Receive(head)
+			return x.ReceiveHead(head)
+		}
+	},
+	"an answer that broke off counts as whole": func(r *rules) {
+		r.lost = func(x *Exchange) { x.End() }
+	},
+	"a success without a seal is taken": func(r *rules) {
+		r.receive = func(x *Exchange, head Head) Verdict {
+			head.Sealed = true
+			return x.ReceiveHead(head)
+		}
+	},
+	"a status alone proves that a request did not run": func(r *rules) {
+		r.receive = func(x *Exchange, head Head) Verdict {
+			head.NotExecuted = head.NotExecuted || PromisesNotExecuted(head.Status)
+			return x.ReceiveHead(head)
+		}
+	},
+	"a promise is passed on without proof": func(r *rules) {
+		r.mayForward = func(Attempts, Head) bool { return true }
+	},
+	"a request that may run once is sent again after silence": func(r *rules) {
+		r.next = func(a *Attempts, outcome Outcome) Step {
+			if outcome == Uncertain {
+				outcome = Refused
 			}
-		},
-		"a promise is passed on without proof": func(r *rules) {
-			r.passable = func(Attempts, Head) bool { return true }
-		},
-		"a request that may run once is sent again after silence": func(r *rules) {
-			r.after = func(a *Attempts, outcome Outcome) Step {
-				if outcome == Uncertain {
-					outcome = Refused
-				}
-				return a.After(outcome)
+			return a.Next(outcome)
+		}
+	},
+	"runs are not counted": func(r *rules) {
+		r.next = func(a *Attempts, outcome Outcome) Step {
+			runs := a.remainingRuns
+			step := a.Next(outcome)
+			if a.repeatability == Idempotent && outcome == Uncertain && a.remainingRefusals > 0 {
+				a.remainingRuns = runs
+				a.remainingRefusals--
+				return Retry
 			}
-		},
-		"runs are not counted": func(r *rules) {
-			r.after = func(a *Attempts, outcome Outcome) Step {
-				runs := a.runs
-				step := a.After(outcome)
-				if a.kind == Repeatable && outcome == Uncertain && a.refusals > 0 {
-					a.runs = runs
-					a.refusals--
-					return Elsewhere
+			return step
+		}
+	},
+}
+
+// Each bug that is put into the rules is found.
+func TestTheModelFindsEachBug(t *testing.T) {
+	for name, put := range bugs {
+		t.Run(name, func(t *testing.T) {
+			found := ""
+			for _, repeatabilities := range repeatabilityPairs() {
+				m := &model{rules: soundRules(), repeatabilities: repeatabilities}
+				put(&m.rules)
+				if _, found = m.explore(modelDepth); found != "" {
+					break
 				}
-				return step
 			}
-		},
-	}
-	for name, put := range bugs {
-		found := ""
-		for _, kinds := range kindPairs() {
-			m := &model{rules: soundRules(), kinds: kinds}
-			put(&m.rules)
-			if _, found = m.explore(modelDepth); found != "" {
-				break
+			if found == "" {
+				t.Fatal("not found")
 			}
-		}
-		if found == "" {
-			t.Errorf("%s: not found", name)
-		} else {
-			t.Logf("%s: %s", name, found)
-		}
+			t.Log(found)
+		})
 	}
 }
--- a/tier/proxy/plain.go
+++ b/tier/proxy/plain.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	attemptstate "otterseam/tier/attempt"
+	"otterseam/tier/attempt"
 	"otterseam/tier/codes"
 	"otterseam/tier/opconfig"
 	"otterseam/tier/timeline"
@@ -21,8 +21,8 @@
 	maxAnswerBytes  = 64 << 20
 )
 
-// attempt is a request at one host. Its lease has to be released or closed.
-type attempt struct {
+// hostResponse is the response of a host whose body is to be read. Its lease has to be released or closed.
+type hostResponse struct {
 	host     *target
 	lease    *upstream.Lease
 	response *http.Response
@@ -37,10 +37,10 @@
 
 // send sends a request to a host and reads the head of the answer. Without an answer the outcome says how far it came. Apart from
 // the context, a limit that is not zero ends the attempt.
-func (p *Proxy) send(ctx context.Context, r *request, host *target, content payload, limit time.Time) (*attempt, attemptstate.Outcome) {
+func (p *Proxy) send(ctx context.Context, r *request, host *target, content payload, limit time.Time) (*hostResponse, attempt.Outcome) {
 	lease, err := host.pool.Acquire(ctx, r.id)
 	if err != nil {
-		return nil, attemptstate.Unsent
+		return nil, attempt.Unsent
 	}
 	p.timeline.Reach(timeline.FirstRequestSent)
 	defer p.hosts.watchStall(host, p.patience.stallAfter(r))()
@@ -54,12 +54,12 @@
 	if err != nil {
 		lease.Close()
 		p.noteGivenUp(r, sentAt, limit)
-		return nil, attemptstate.OutcomeOf(lease.Exchange())
+		return nil, attempt.OutcomeOf(lease.Exchange())
 	}
 	if load := response.Header.Get(headerLoad); load != "" {
 		p.hosts.told(host, load)
 	}
-	return &attempt{host, lease, response, sentAt}, attemptstate.Uncertain
+	return &hostResponse{host, lease, response, sentAt}, attempt.Uncertain
 }
 
 // noteGivenUp notes an attempt that failed because its limit has passed.
@@ -70,13 +70,13 @@
 }
 
 // refused tells whether the host has proved that it did not run the request.
-func (a *attempt) refused() bool {
+func (a *hostResponse) refused() bool {
 	state := a.lease.Exchange()
-	return state.Refused()
+	return state.IsRefused()
 }
 
 // head is what matters of the answer's head.
-func (a *attempt) head() attemptstate.Head {
+func (a *hostResponse) head() attempt.Head {
 	state := a.lease.Exchange()
 	return state.Head()
 }
@@ -84,7 +84,7 @@
 var errAnswerTooLong = errors.New("the answer is too long")
 
 // readAll reads the whole body and ends the lease. An error says that the answer is not whole.
-func (a *attempt) readAll() ([]byte, error) {
+func (a *hostResponse) readAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errAnswerTooLong
@@ -98,26 +98,26 @@
 }
 
 // drain ends the lease of an attempt whose body nobody needs, so that its connection can be used again.
-func (a *attempt) drain() { _, _ = a.readAll() }
+func (a *hostResponse) drain() { _, _ = a.readAll() }
 
-// kindOf tells how often a request of a route may run.
-func kindOf(route *opconfig.Route) attemptstate.Kind {
+// repeatabilityOf tells how often a request of a route may run.
+func repeatabilityOf(route *opconfig.Route) attempt.Repeatability {
 	switch {
 	case route.RouteType == opconfig.RouteSafe:
-		return attemptstate.Repeatable
+		return attempt.Idempotent
 	case route.RouteType == opconfig.RouteStreaming && route.Resumable:
-		return attemptstate.Resumable
+		return attempt.Resumable
 	default:
-		return attemptstate.Once
+		return attempt.AtMostOnce
 	}
 }
 
 // failureCode tells operators why an attempt failed.
-func failureCode(outcome attemptstate.Outcome) codes.Code {
+func failureCode(outcome attempt.Outcome) codes.Code {
 	switch outcome {
-	case attemptstate.Refused:
+	case attempt.Refused:
 		return codes.HostsFull
-	case attemptstate.Unsent:
+	case attempt.Unsent:
 		return codes.NoHost
 	default:
 		return codes.HostFailed
@@ -127,23 +127,23 @@
 // plainAnswer is an answer that was read whole.
 type plainAnswer struct {
 	response *http.Response
-	head     attemptstate.Head
+	head     attempt.Head
 	body     []byte
 }
 
 // servePlain serves a request whose answer is read whole before it is passed on.
 func (p *Proxy) servePlain(ctx context.Context, w http.ResponseWriter, r *request) {
-	attempts := attemptstate.NewAttempts(kindOf(r.route), r.route.MaxAttempts)
+	attempts := attempt.NewAttempts(repeatabilityOf(r.route), r.route.MaxAttempts)
 	tried := map[string]bool{}
 	failure := codes.NoHost
-	for attempts.May() && ctx.Err() == nil {
+	for attempts.CanAttempt() && ctx.Err() == nil {
 		host := p.hosts.choose(r.service, "", tried)
 		if host == nil {
 			break
 		}
 		tried[host.ID] = true
-		answer, outcome := p.attemptPlain(ctx, r, host, !attempts.Last())
-		if attempts.After(outcome) == attemptstate.PassOn {
+		answer, outcome := p.attemptPlain(ctx, r, host, !attempts.IsLast())
+		if attempts.Next(outcome) == attempt.Forward {
 			p.passOnPlain(w, r, attempts, answer)
 			return
 		}
@@ -155,7 +155,7 @@
 	switch {
 	case ctx.Err() != nil:
 		p.outOfTime(ctx, w)
-	case attempts.GiveUp() == attemptstate.Fail:
+	case attempts.FinalStep() == attempt.Fail:
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 	case failure == codes.HostFailed:
 		p.refuse(w, failure, r.left(), 0) // other hosts are there now
@@ -166,9 +166,9 @@
 
 // attemptPlain sends a request to one host. One that may be repeated is given up when it takes out of the ordinary long, and while
 // another host may run it, after part of the time: the client, or the proxy, tries again.
-func (p *Proxy) attemptPlain(ctx context.Context, r *request, host *target, another bool) (plainAnswer, attemptstate.Outcome) {
+func (p *Proxy) attemptPlain(ctx context.Context, r *request, host *target, another bool) (plainAnswer, attempt.Outcome) {
 	var limit time.Time // none but that of the context
-	if kindOf(r.route) == attemptstate.Repeatable {
+	if repeatabilityOf(r.route) == attempt.Idempotent {
 		limit = p.patience.limit(r)
 	}
 	if another && limit.IsZero() {
@@ -182,16 +182,16 @@
 	p.patience.answered(r.route.Name, time.Since(sent.sentAt))
 	head := sent.head()
 	body, err := sent.readAll()
-	if err != nil && !head.Refusal() {
+	if err != nil && !head.IsRefusal() {
 		p.hosts.done(host, failedOutcome(ctx))
-		return plainAnswer{}, attemptstate.Uncertain
+		return plainAnswer{}, attempt.Uncertain
 	}
 	p.answered(r, host, head)
-	return plainAnswer{sent.response, head, body}, attemptstate.OutcomeOf(sent.lease.Exchange())
+	return plainAnswer{sent.response, head, body}, attempt.OutcomeOf(sent.lease.Exchange())
 }
 
 // answered notes a host's whole answer.
-func (p *Proxy) answered(r *request, host *target, head attemptstate.Head) {
+func (p *Proxy) answered(r *request, host *target, head attempt.Head) {
 	how := answeredOutcome(head)
 	p.hosts.done(host, how)
 	if how != outcomeFull {
@@ -213,11 +213,11 @@
 
 // silentOutcome is that of a request that got no answer at all. A deadline that passed without a sign of life counts against the
 // host, but pauses it not: under load deadlines pass at all hosts.
-func silentOutcome(ctx context.Context, how attemptstate.Outcome) outcome {
+func silentOutcome(ctx context.Context, how attempt.Outcome) outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return outcomeErred
-	case how == attemptstate.Unsent && ctx.Err() == nil:
+	case how == attempt.Unsent && ctx.Err() == nil:
 		return outcomeUnreached
 	default:
 		return failedOutcome(ctx)
@@ -234,9 +234,9 @@
 }
 
 // answeredOutcome is that of a whole answer.
-func answeredOutcome(head attemptstate.Head) outcome {
+func answeredOutcome(head attempt.Head) outcome {
 	switch {
-	case head.Refusal():
+	case head.IsRefusal():
 		return outcomeFull
 	case head.Status >= http.StatusInternalServerError:
 		return outcomeErred
@@ -246,8 +246,8 @@
 }
 
 // passOnPlain gives the client the host's answer, unless it promises what the host has not proved.
-func (p *Proxy) passOnPlain(w http.ResponseWriter, r *request, attempts attemptstate.Attempts, answer plainAnswer) {
-	if !attempts.Passable(answer.head) {
+func (p *Proxy) passOnPlain(w http.ResponseWriter, r *request, attempts attempt.Attempts, answer plainAnswer) {
+	if !attempts.MayForward(answer.head) {
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 		return
 	}
--- a/tier/proxy/relay.go
+++ b/tier/proxy/relay.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	attemptstate "otterseam/tier/attempt"
+	"otterseam/tier/attempt"
 	"otterseam/tier/codes"
 	"otterseam/tier/sse"
 )
@@ -22,26 +22,26 @@
 	output   []byte
 	host     string
 	clientOK bool
-	attempts attemptstate.Attempts
+	attempts attempt.Attempts
 }
 
 // relay sends a turn to hosts until one streams its answer, and passes the events on as they come. On a resumable route a
 // broken-off stream goes on at another host within the same answer.
 func (p *Proxy) relay(ctx context.Context, w http.ResponseWriter, t *turn) {
-	state := &relayState{lastID: -1, clientOK: true, attempts: attemptstate.NewAttempts(kindOf(t.route), t.route.MaxAttempts)}
+	state := &relayState{lastID: -1, clientOK: true, attempts: attempt.NewAttempts(repeatabilityOf(t.route), t.route.MaxAttempts)}
 	if id, err := strconv.ParseInt(t.header.Get("Last-Event-Id"), 10, 64); err == nil {
 		state.lastID = id
 	}
 	tried := map[string]bool{}
 	failure := codes.NoHost
-	for state.attempts.May() && ctx.Err() == nil && state.clientOK {
+	for state.attempts.CanAttempt() && ctx.Err() == nil && state.clientOK {
 		host := p.hosts.choose(t.service, t.hint, tried)
 		if host == nil {
 			break
 		}
 		tried[host.ID] = true
 		outcome := p.relayFrom(ctx, w, t, host, state)
-		if state.attempts.After(outcome) == attemptstate.PassOn {
+		if state.attempts.Next(outcome) == attempt.Forward {
 			return
 		}
 		failure = failureCode(outcome)
@@ -52,13 +52,13 @@
 // giveUp ends a turn that no host finished.
 func (p *Proxy) giveUp(ctx context.Context, w http.ResponseWriter, t *turn, state *relayState, failure codes.Code) {
 	p.settleLater(t, t.end(state.events*t.stride, false, nil, state.host))
-	step := state.attempts.GiveUp()
+	step := state.attempts.FinalStep()
 	switch {
-	case step == attemptstate.CutOff || !state.clientOK:
+	case step == attempt.Abort || !state.clientOK:
 		panic(http.ErrAbortHandler)
 	case ctx.Err() != nil:
 		p.outOfTime(ctx, w)
-	case step == attemptstate.Fail:
+	case step == attempt.Fail:
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 	default:
 		p.refuse(w, failure, t.left(), p.outages.turnedAway(t.service))
@@ -66,7 +66,7 @@
 }
 
 // relayFrom serves the turn from one host. The outcome is Answered if the answer has ended.
-func (p *Proxy) relayFrom(ctx context.Context, w http.ResponseWriter, t *turn, host *target, state *relayState) attemptstate.Outcome {
+func (p *Proxy) relayFrom(ctx context.Context, w http.ResponseWriter, t *turn, host *target, state *relayState) attempt.Outcome {
 	lastEvent := t.header.Get("Last-Event-Id")
 	if state.started && state.lastID >= 0 {
 		lastEvent = strconv.FormatInt(state.lastID, 10)
@@ -81,7 +81,7 @@
 	case sent.refused():
 		sent.drain()
 		p.hosts.done(host, outcomeFull)
-		return attemptstate.Refused
+		return attempt.Refused
 	case sent.response.StatusCode != http.StatusOK || !mayBeEvents(sent.response.Header):
 		return p.relayWhole(ctx, w, t, sent, state)
 	default:
@@ -92,7 +92,7 @@
 // firstEventLimit is until when the first event of a stream has to come, or zero if there is no such time. Only a stream that may be
 // taken up elsewhere, and has given its client nothing yet, is given up for its silence.
 func (p *Proxy) firstEventLimit(t *turn, state *relayState) time.Time {
-	if kindOf(t.route) != attemptstate.Resumable || state.started {
+	if repeatabilityOf(t.route) != attempt.Resumable || state.started {
 		return time.Time{}
 	}
 	return p.patience.limit(t.request)
@@ -107,18 +107,18 @@
 
 // relayWhole passes on an answer that is no stream: a failure that the host itself gave, or the body of a host that generates
 // nothing. What a program may spend or keep has to be counted in events, so that such a success is no answer to its turn.
-func (p *Proxy) relayWhole(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt, state *relayState) attemptstate.Outcome {
+func (p *Proxy) relayWhole(ctx context.Context, w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState) attempt.Outcome {
 	head := sent.head()
 	body, err := sent.readAll()
 	uncounted := t.accounted() && sent.response.StatusCode < http.StatusMultipleChoices
 	if err != nil || state.started || uncounted {
 		p.hosts.done(sent.host, failedOutcome(ctx))
-		return attemptstate.Uncertain
+		return attempt.Uncertain
 	}
 	p.answered(t.request, sent.host, head)
 	p.settleLater(t, t.end(0, false, nil, sent.host.ID))
 	p.passOnPlain(w, t.request, state.attempts, plainAnswer{sent.response, head, body})
-	return attemptstate.Answered
+	return attempt.Answered
 }
 
 const (
@@ -129,8 +129,8 @@
 
 // relayEvents passes events on, each as soon as it is whole.
 func (p *Proxy) relayEvents(
-	ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt, state *relayState, limit time.Time,
-) attemptstate.Outcome {
+	ctx context.Context, w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState, limit time.Time,
+) attempt.Outcome {
 	var splitter sse.Splitter
 	begun := false
 	buffer := make([]byte, streamReadBytes)
@@ -149,7 +149,7 @@
 			if !p.passOn(w, t, sent, state, event) {
 				sent.lease.Close()
 				p.hosts.done(sent.host, outcomeAbandoned)
-				return attemptstate.Uncertain
+				return attempt.Uncertain
 			}
 		}
 		if err == nil && splitter.Pending() <= maxEventBytes {
@@ -159,25 +159,25 @@
 			sent.lease.Release()
 			p.answered(t.request, sent.host, sent.head())
 			p.finish(ctx, w, t, sent, state)
-			return attemptstate.Answered
+			return attempt.Answered
 		}
 		sent.lease.Close()
 		if !begun {
 			p.noteGivenUp(t.request, sent.sentAt, limit)
 		}
 		p.hosts.done(sent.host, failedOutcome(ctx))
-		return attemptstate.Uncertain
+		return attempt.Uncertain
 	}
 }
 
 // passOn writes one event to the client.
-func (p *Proxy) passOn(w http.ResponseWriter, t *turn, sent *attempt, state *relayState, event sse.Event) bool {
+func (p *Proxy) passOn(w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState, event sse.Event) bool {
 	state.start(w, sent)
 	state.events++
 	if event.ID >= 0 {
 		state.lastID = event.ID
 	}
-	state.attempts.Started(event.ID >= 0)
+	state.attempts.ResponseStarted(event.ID >= 0)
 	if t.route.Retained {
 		state.output = append(state.output, event.Data...)
 		state.output = append(state.output, '\n')
@@ -193,7 +193,7 @@
 }
 
 // start writes the head of the answer, which stays that of the first host.
-func (s *relayState) start(w http.ResponseWriter, sent *attempt) {
+func (s *relayState) start(w http.ResponseWriter, sent *hostResponse) {
 	if s.started {
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 // finish ends a whole answer. A turn that is to be kept is durable before the client can see that its answer has ended.
-func (p *Proxy) finish(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt, state *relayState) {
+func (p *Proxy) finish(ctx context.Context, w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState) {
 	state.start(w, sent)
 	end := t.end(state.events*t.stride, true, state.output, state.host)
 	if !t.accounted() {
--- a/tier/upstream/answer_test.go
+++ b/tier/upstream/answer_test.go
@@ -48,8 +48,8 @@
 	left := conn.reader.Buffered() + conn.socket.(*replayConn).data.Len()
 	return played{
 		response: response,
-		whole:    err == nil && state.Whole(),
-		reusable: state.Reusable(),
+		whole:    err == nil && state.IsComplete(),
+		reusable: state.IsReusable(),
 		byClose:  response.ContentLength < 0 && len(response.TransferEncoding) == 0,
 		used:     len(data) - left,
 	}
@@ -117,7 +117,7 @@
 					_, err = io.ReadAll(response.Body)
 				}
 				state := lease.Exchange()
-				if err == nil || state.Whole() || state.Reusable() || !state.MayHaveRun() {
+				if err == nil || state.IsComplete() || state.IsReusable() || !state.MayHaveRun() {
 					t.Fatalf("broken at %d of %q, reset %v: %v, %+v", length, whole, reset, err, state)
 				}
 				lease.Close()
--- a/tier/upstream/lease.go
+++ b/tier/upstream/lease.go
@@ -175,7 +175,7 @@
 func (l *Lease) judge(head attempt.Head) attempt.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state.Receive(head)
+	return l.state.ReceiveHead(head)
 }
 
 // skipBody reads over the body of a surplus answer.
@@ -220,7 +220,7 @@
 func (l *Lease) end() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	reusable := l.state.Reusable() && !l.interrupted
+	reusable := l.state.IsReusable() && !l.interrupted
 	l.conn = nil // from here on, interrupt does nothing, also if it has begun
 	l.stop()
 	return reusable
@@ -244,7 +244,7 @@
 		case err == io.EOF:
 			state.End()
 			if conn.reader.Buffered() > 0 {
-				state.Surplus()
+				state.ReceiveUnsolicited()
 			}
 		case err != nil:
 			state.Break()
--- a/tier/upstream/lease_test.go
+++ b/tier/upstream/lease_test.go
@@ -234,7 +234,7 @@
 		case (err == nil) != test.good:
 			t.Errorf("%s: %v", name, err)
 		case err != nil:
-			if state := lease.Exchange(); !state.MayHaveRun() || state.Whole() {
+			if state := lease.Exchange(); !state.MayHaveRun() || state.IsComplete() {
 				t.Errorf("%s: %+v", name, state)
 			}
 		default:
@@ -327,7 +327,7 @@
 			t.Fatal(err)
 		}
 		state := lease.Exchange()
-		if !state.Refused() || state.MayHaveRun() || !state.Whole() || state.Reusable() != (state.Written() == attempt.WrittenAll) {
+		if !state.IsRefused() || state.MayHaveRun() || !state.IsComplete() || state.IsReusable() != (state.Written() == attempt.WrittenAll) {
 			t.Fatalf("%d bytes: %+v", length, state)
 		}
 		lease.Release()
@@ -355,7 +355,7 @@
 	if _, err := lease.RoundTrip(post(nextID(), 8<<20)); err != nil {
 		t.Fatal(err)
 	}
-	if state := lease.Exchange(); !state.Refused() {
+	if state := lease.Exchange(); !state.IsRefused() {
 		t.Fatalf("%+v", state)
 	}
 }
