--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -137,16 +137,19 @@
 	hosts := server.NewHostPool(ctx, group, loop, buffers, server.HostPoolOptions{
 		MaxConns: hostsMost, ConnectTimeout: f.Settings.Caps.DialTimeout, IdleTimeout: f.Settings.Caps.IdleTimeout,
 	})
-	counter := server.NewCounterClient(ctx, group, loop, f.Settings.Shared.CounterTimeout)
+	var counterBackoffs, discoveryBackoffs *overload.Backoffs
+	if operator.Overload.Enabled {
+		counterBackoffs = overload.DecorrelatedBackoffs(f.Settings.Gateways, seed)
+		discoveryBackoffs = overload.DecorrelatedBackoffs(f.Settings.Gateways, seed+1)
+	}
+	counter := server.NewCounterClient(ctx, group, loop, server.CounterOptions{CallTimeout: f.Settings.Shared.CounterTimeout, Backoffs: counterBackoffs})
 	var copies *server.StoreStream
 	if store := operator.QuotaStore; len(store.Replicas) > 0 {
 		copies = server.NewStoreStream(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
 		copies.Configure(counter, store.Counters, store.Markers, store.Metering)
 	}
 	discovery := server.NewDiscoveryClient(ctx, group, loop, log)
-	if operator.Overload.Enabled {
-		counter.Backoffs, discovery.Backoffs = overload.DecorrelatedBackoffs(f.Settings.Gateways, seed), overload.DecorrelatedBackoffs(f.Settings.Gateways, seed+1)
-	}
+	discovery.Backoffs = discoveryBackoffs
 	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, server.ClientOptions{
 		Address: f.Listen, OperationLimit: f.Settings.Accepts, MaxConns: clientsMost,
 		Ready: func() bool { return f.counter() == "" || counter.Attempted() },
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -42,7 +42,7 @@
 		amount, life float64
 	}{{1<<64 - 1, 0.1, 60}, {9041552, -3.25, 0.0001}, {0, 1e9, 1.5}} {
 		x := &counterCall{name: c.name, amount: c.amount}
-		if !k.put(x, c.amount, c.life) {
+		if !k.enqueue(x, c.amount, c.life) {
 			t.Fatal("a call was not taken")
 		}
 		if x.endOffset != int64(len(k.pending)) {
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -755,10 +755,9 @@
 		w.loop.post(t.Context(), func() {
 			c := w.counter
 			c.callTimeout = 0.01
-			k := &counterConn{client: c, wake: make(chan struct{}, 1), backoff: c.Backoffs.New(0.01)}
-			k.ctx, k.stop = context.WithCancel(c.ctx)
+			k := newCounterConn(c, silent)
 			c.conns = append(c.conns, k)
-			c.group.Go(func() error { return k.run(silent) })
+			c.group.Go(k.run)
 			x := &counterCall{client: c, reported: true, references: 9}
 			x.onAnswer = func() {
 				k.mu.Lock()
@@ -767,7 +766,7 @@
 				k.retired = true
 			}
 			go func() {
-				for x.madeAt = c.loop.clock(); !k.put(x, 1, 1); x.madeAt = c.loop.clock() {
+				for x.madeAt = c.loop.clock(); !k.enqueue(x, 1, 1); x.madeAt = c.loop.clock() {
 					time.Sleep(time.Millisecond)
 				}
 			}()
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewCounterClient(ctx, group, w.loop, s.Shared.CounterTimeout)
+	c := NewCounterClient(ctx, group, w.loop, CounterOptions{CallTimeout: s.Shared.CounterTimeout})
 	if w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, ClientOptions{
 		Address: "127.0.0.1:0", OperationLimit: s.Accepts, MaxConns: 50, Ready: func() bool { return true },
 	}); err != nil {
