--- a/tier/sse/sse.go
+++ b/tier/sse/splitter.go
@@ -1,4 +1,3 @@
-// Package sse takes streams of events apart into whole events.
 package sse
 
 import (
@@ -6,19 +5,22 @@
 	"strconv"
 )
 
-// Event is one whole event.
+// NoID is the ID of an event without one.
+const NoID = -1
+
+// Event is one complete event.
 type Event struct {
-	Raw  []byte // with the empty line behind it
-	ID   int64  // -1 if it has none
-	Data []byte // lines of data joined by line feeds
+	Raw  []byte // as it came, with the empty line that ends it
+	ID   int64  // NoID if it has none, or one that is no number
+	Data []byte // its data lines joined by line feeds
 }
 
-// Splitter collects bytes until events are whole.
+// Splitter collects bytes until events are complete. Its zero value is ready; it is not safe for concurrent use.
 type Splitter struct {
 	buffer []byte
 }
 
-// Add takes bytes of the stream and returns the events that are whole with them.
+// Add takes bytes of the stream and returns the events that they complete.
 func (s *Splitter) Add(data []byte) []Event {
 	s.buffer = append(s.buffer, data...)
 	var events []Event
@@ -33,26 +35,32 @@
 	}
 }
 
-// Pending is how many bytes belong to an event that is not whole yet.
+// Pending is how many bytes belong to an event that is not complete yet.
 func (s *Splitter) Pending() int { return len(s.buffer) }
 
-// eventEnd is the position behind the first empty line, or -1.
+const (
+	emptyLineLF   = "\n\n"
+	emptyLineCRLF = "\n\r\n"
+)
+
+// eventEnd is the offset behind the first empty line, or -1 if there is none.
 func eventEnd(buffer []byte) int {
-	lf := bytes.Index(buffer, []byte("\n\n"))
-	crlf := bytes.Index(buffer, []byte("\n\r\n"))
+	lf := bytes.Index(buffer, []byte(emptyLineLF))
+	crlf := bytes.Index(buffer, []byte(emptyLineCRLF))
 	switch {
 	case lf < 0 && crlf < 0:
 		return -1
 	case crlf < 0 || (lf >= 0 && lf < crlf):
-		return lf + 2
+		return lf + len(emptyLineLF)
 	default:
-		return crlf + 3
+		return crlf + len(emptyLineCRLF)
 	}
 }
 
+// parse reads the fields of a complete event that matter here. Other fields, and comments, stay in its bytes alone.
 func parse(raw []byte) Event {
-	event := Event{Raw: raw, ID: -1}
-	first := true
+	event := Event{Raw: raw, ID: NoID}
+	firstData := true
 	for _, line := range bytes.Split(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		name, value, found := bytes.Cut(line, []byte(":"))
@@ -66,10 +74,10 @@
 				event.ID = id
 			}
 		case "data":
-			if !first {
+			if !firstData {
 				event.Data = append(event.Data, '\n')
 			}
-			first = false
+			firstData = false
 			event.Data = append(event.Data, value...)
 		}
 	}
--- a/tier/sse/sse_test.go
+++ b/tier/sse/splitter_test.go
@@ -10,7 +10,7 @@
 
 const stream = "id: 1\ndata: a\n\nversions: 4\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata:d\r\n\r\n"
 
-func TestEventsAreTakenApart(t *testing.T) {
+func TestStreamIsSplitIntoEvents(t *testing.T) {
 	var s Splitter
 	events := s.Add([]byte(stream))
 	if len(events) != 3 || s.Pending() != 0 {
@@ -24,7 +24,7 @@
 }
 
 // However the bytes arrive, the events are the same and no byte is lost.
-func TestEventsDontDependOnHowBytesArrive(t *testing.T) {
+func TestEventsDoNotDependOnHowBytesArrive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var s Splitter
 		var raw []byte
@@ -43,14 +43,14 @@
 	})
 }
 
-func TestAnEventThatIsCutIsNotGivenOut(t *testing.T) {
+func TestAnIncompleteEventIsNotReturned(t *testing.T) {
 	var s Splitter
 	if events := s.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n")); len(events) != 1 || s.Pending() == 0 {
 		t.Fatalf("%d events, %d bytes left", len(events), s.Pending())
 	}
 }
 
-func TestAnEmptyLineMayEndEitherWay(t *testing.T) {
+func TestAnEmptyLineMayEndInLFOrCRLF(t *testing.T) {
 	var splitter Splitter
 	got := splitter.Add([]byte("id: 1\ndata: a\n\r\nid: 2\r\ndata: b\r\n\nid: 3\r\ndata: c\r\n\r\n"))
 	if len(got) != 3 || string(got[1].Data) != "b" || got[2].ID != 3 || splitter.Pending() != 0 {
