--- a/tier/httpguard/httpguard_test.go
+++ b/tier/httpguard/guard_test.go
@@ -20,7 +20,7 @@
 	guard := &Guard{}
 	guard.SetHeadTimeout(headTimeout)
 	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if AmbiguousLength(r) {
+		if HasAmbiguousLength(r) {
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -131,7 +131,7 @@
 	guard := &Guard{}
 	guard.SetHeadTimeout(time.Second)
 	inner := &recordingConn{}
-	conn := &guardedConn{Conn: inner, guard: guard, inHead: true}
+	conn := &guardedConn{Conn: inner, guard: guard, readingHead: true}
 	later := time.Now().Add(time.Hour)
 	read := func(text string) {
 		inner.bytes = []byte(text)
@@ -172,7 +172,7 @@
 	ended := make(chan error, 2)
 	goOn := make(chan struct{})
 	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		AmbiguousLength(r)
+		HasAmbiguousLength(r)
 		begun <- struct{}{}
 		select {
 		case <-r.Context().Done():
@@ -228,7 +228,7 @@
 	t.Cleanup(func() { server.Close() })
 	conn, _ := dial(t, inner.Addr().String())
 	ctx := <-contexts
-	if (<-conns).leave == nil || ctx.Err() != nil {
+	if (<-conns).cancelRequests == nil || ctx.Err() != nil {
 		t.Fatal("the context has ended before its connection")
 	}
 	_ = conn.Close()
--- a/tier/proxy/proxy.go
+++ b/tier/proxy/proxy.go
@@ -312,7 +312,7 @@
 
 // readBody reads the whole request within the operator's limits and the request's own time.
 func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, limits opconfig.Limits, deadline time.Time) ([]byte, bool) {
-	if httpguard.AmbiguousLength(r) {
+	if httpguard.HasAmbiguousLength(r) {
 		w.Header().Set("Connection", "close")
 		p.failText(w, http.StatusBadRequest, codes.RequestMalformed, "the body's length is told twice, or beside chunks")
 		return nil, false
