--- a/cmd/otterseam-sim/member.go
+++ b/cmd/otterseam-sim/member.go
@@ -32,25 +32,25 @@
 }
 
 func (c *memberCmd) Run(ctx context.Context, s *streams) error {
-	var plans []membershipsim.Plan
+	var scenarios []membershipsim.Scenario
 	for _, n := range c.Members {
 		for _, loss := range c.Loss {
 			if n < 1 || n > 4000 || loss < 0 || loss >= 1 || c.Length < 20 || c.Mail <= 0 || c.Part <= 0 {
 				return badInput{fmt.Errorf("1 to 4000 members, a loss under 1, at least 20 s and mail over 0 are wanted")}
 			}
-			plans = append(plans, membershipsim.Plan{
-				Members: n, Loss: loss, Length: c.Length, Mail: c.Mail, Part: c.Part, Delay: c.Delay,
-				Starved: c.Starved, Every: c.Every, Down: c.Down, MassAt: c.MassAt, Mass: c.Mass, CutAt: c.CutAt, CutEnds: c.CutEnds,
-				Cut: c.Cut, Seed: c.Seed,
+			scenarios = append(scenarios, membershipsim.Scenario{
+				Members: n, Loss: loss, Duration: c.Length, MessageRate: c.Mail, MembershipShare: c.Part, MeanDelay: c.Delay,
+				StarvedShare: c.Starved, DeathInterval: c.Every, Downtime: c.Down, MassDeathAt: c.MassAt, MassDeathShare: c.Mass,
+				PartitionAt: c.CutAt, PartitionEnds: c.CutEnds, PartitionShare: c.Cut, Seed: c.Seed,
 			})
 		}
 	}
-	results := make([]*membershipsim.Result, len(plans))
+	results := make([]*membershipsim.Result, len(scenarios))
 	group, _ := errgroup.WithContext(ctx)
 	group.SetLimit(4)
-	for i, p := range plans {
+	for i, scenario := range scenarios {
 		group.Go(func() error {
-			results[i] = membershipsim.Play(p)
+			results[i] = membershipsim.Run(scenario)
 			return nil
 		})
 	}
@@ -62,7 +62,8 @@
 	fmt.Fprintln(t, "members\tloss\tdeaths\tknown 50%\t99%\treached\tback 50%\t99%\taccused/h\tfalse/h\tmessages/s\tbytes/s\tdropped\twrong\tshares\tmass 90%\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%d\t%.2f\t%d\t%.2f s\t%.2f s\t%.4f\t%.2f s\t%.2f s\t%.1f\t%.0f\t%.2f\t%.0f\t%.4f\t%d\t%.3f\t%.2f s\t\n", r.Members, r.Loss, r.Deaths,
-			r.P50, r.P99, r.Reached, r.BackP50, r.BackP99, r.Accused, r.False, r.Messages, r.Bytes, r.Dropped, r.Wrong, r.Share, r.Mass90)
+			r.DetectP50, r.DetectP99, r.DetectedShare, r.ReturnP50, r.ReturnP99, r.FalseAccusations, r.FalseDeaths, r.MessagesPerSecond,
+			r.BytesPerSecond, r.DroppedShare, r.WrongBeliefs, r.MaxShares, r.MassDetect90)
 	}
 	return t.Flush()
 }
--- a/sim/gossip/gossip.go
+++ b/sim/gossip/gossip.go
@@ -1,4 +1,5 @@
-// Package gossip owns the mail between api gateways: late, lost, and no more than one takes in. It must never read it.
+// Package gossip simulates the messages between API gateways: they are late or lost, and a gateway takes in only so many a second.
+// It does not read them.
 package gossip
 
 import (
@@ -8,50 +9,69 @@
 	"otterseam/sim/scenario"
 )
 
-// Most is how long a message may be, in bytes.
-const Most = 256
-
-// Post is the mail of a day.
-type Post struct {
-	q     *eventqueue.Queue
-	dice  randstream.Stream
-	rate  float64
-	delay float64
-	loss  overlap.Values
-	room  []float64 // messages that each may still take in, as of at
-	at    []float64
+// MaxMessageBytes is how long a message may be. A longer one is lost.
+const MaxMessageBytes = 256
+
+// Network carries the messages of a simulated day.
+type Network struct {
 	// Sent and Arrived count messages, one for each receiver.
 	Sent, Arrived float64
+
+	queue     *eventqueue.Queue
+	random    randstream.Stream
+	rate      float64 // messages a second that a gateway takes in
+	meanDelay float64 // seconds
+	loss      overlap.Values
+	receivers []receiver
+}
+
+// receiver limits what a gateway takes in.
+type receiver struct {
+	tokens     float64 // messages that it may still take in, as of refilledAt
+	refilledAt float64
 }
 
-// New makes the mail of a day.
-func New(q *eventqueue.Queue, d *scenario.Peers, gateways int, seed uint64) *Post {
-	p := &Post{
-		q: q, dice: randstream.New(seed, "post"), rate: d.Mail.V(), delay: d.Delay.V(), loss: overlap.Values{d.Loss.V()},
-		room: make([]float64, gateways), at: make([]float64, gateways),
+// New makes the network of a day.
+func New(queue *eventqueue.Queue, peers *scenario.Peers, gateways int, seed uint64) *Network {
+	n := &Network{
+		queue:     queue,
+		random:    randstream.New(seed, "post"), // the name gives the numbers: it stays as it was
+		rate:      peers.Mail.V(),
+		meanDelay: peers.Delay.V(),
+		loss:      overlap.Values{peers.Loss.V()},
+		receivers: make([]receiver, gateways),
 	}
-	for i := range p.room {
-		p.room[i] = p.rate
+	for i := range n.receivers {
+		n.receivers[i].tokens = n.rate
 	}
-	return p
+	return n
 }
 
-// Send puts a message on its way; arrive is called if it gets there.
-func (p *Post) Send(to int, text string, arrive func()) {
-	if p.Sent++; len(text) > Most || p.loss.Any(p.dice.Chance) {
+// Send puts a message on its way; arrived is called if it gets there.
+func (n *Network) Send(to int, text string, arrived func()) {
+	n.Sent++
+	if len(text) > MaxMessageBytes || n.loss.Any(n.random.Chance) {
 		return
 	}
-	p.q.ScheduleAfter(p.dice.Exponential(p.delay), func() {
-		now := p.q.Now()
-		p.room[to] = min(p.rate, p.room[to]+p.rate*(now-p.at[to]))
-		if p.at[to] = now; p.room[to] < 1 {
+	n.queue.ScheduleAfter(n.random.Exponential(n.meanDelay), func() {
+		if !n.receivers[to].take(n.queue.Now(), n.rate) {
 			return
 		}
-		p.room[to]--
-		p.Arrived++
-		arrive()
+		n.Arrived++
+		arrived()
 	})
 }
 
-// Loses makes it lose a further part.
-func (p *Post) Loses(part float64, begin bool) { p.loss.Toggle(part, begin) }
+// take says whether one more message may come in, at so many a second.
+func (r *receiver) take(now, rate float64) bool {
+	r.tokens = min(rate, r.tokens+rate*(now-r.refilledAt))
+	r.refilledAt = now
+	if r.tokens < 1 {
+		return false
+	}
+	r.tokens--
+	return true
+}
+
+// SetLoss has a further part of the messages get lost, or no longer.
+func (n *Network) SetLoss(part float64, begin bool) { n.loss.Toggle(part, begin) }
--- /dev/null
+++ b/sim/membershipsim/beliefs.go
@@ -0,0 +1,193 @@
+package membershipsim
+
+import (
+	"math"
+	"slices"
+
+	"otterseam/gateway/membership"
+)
+
+const (
+	// startUp is the time at the beginning in which beliefs are not measured.
+	startUp = 8
+	// newlyStarted is how long a member may be taken for dead after its start, and how long after a partition all may.
+	newlyStarted   = 5
+	healingAllowed = 5
+	// returnLimit is the time within which a return is known, or is not measured.
+	returnLimit = 60
+	// detectLimit is the time within which a death should be known.
+	detectLimit = 10
+	// shareInterval is the time between measurements of the shares.
+	shareInterval = 0.1
+)
+
+// measurements are added up while a scenario runs.
+type measurements struct {
+	deaths           int
+	detections       []float64 // from a death until another member knew of it
+	returns          []float64
+	falseDeaths      float64
+	falseAccusations float64
+	arrived          float64 // messages
+	dropped          float64
+	bytes            float64
+	maxShares        float64
+	massDetect90     float64
+}
+
+// observe measures what a member believes anew.
+func (s *simulation) observe(i int) {
+	observer, now := s.members[i], s.queue.Now()
+	if observer.detector.Changes == observer.seenChanges {
+		return
+	}
+	observer.seenChanges = observer.detector.Changes
+	for k := range s.members {
+		dead := observer.detector.StateOf(now, k) == membership.Dead
+		if dead == observer.believesDead[k] {
+			continue
+		}
+		observer.believesDead[k] = dead
+		switch {
+		case now < epoch+startUp:
+		case dead:
+			s.observeDeath(i, k)
+		default:
+			s.observeReturn(k)
+		}
+	}
+}
+
+func (s *simulation) observeDeath(i, k int) {
+	observer, m, now := s.members[i], s.members[k], s.queue.Now()
+	switch {
+	case !m.alive && observer.startedAt > m.diedAt: // it came later
+	case !m.alive:
+		s.measured.detections = append(s.measured.detections, now-m.diedAt)
+	case !s.disturbed() && now-m.startedAt > newlyStarted:
+		s.measured.falseDeaths++
+		if !s.believedDeadByOthers(i, k) {
+			s.measured.falseAccusations++
+		}
+	}
+}
+
+func (s *simulation) observeReturn(k int) {
+	m, now := s.members[k], s.queue.Now()
+	if m.alive && now-m.startedAt < returnLimit && m.life > 1 {
+		s.measured.returns = append(s.measured.returns, now-m.startedAt)
+	}
+}
+
+// disturbed says whether there is a partition, has been one of late, or will be one.
+func (s *simulation) disturbed() bool {
+	return s.partitioned || s.PartitionEnds != 0 && s.queue.Now() <= epoch+s.PartitionEnds+healingAllowed
+}
+
+func (s *simulation) believedDeadByOthers(i, k int) bool {
+	for j, m := range s.members {
+		if j != i && m.alive && m.believesDead[k] {
+			return true
+		}
+	}
+	return false
+}
+
+// measureShares adds up the shares there are now, and measures how many know of the mass death.
+func (s *simulation) measureShares() {
+	now := s.queue.Now()
+	shares := 0.0
+	for _, m := range s.members {
+		if m.alive {
+			shares += 1 / m.detector.ShareDivisor(now, 0, s.Members)
+		}
+	}
+	s.measured.maxShares = max(s.measured.maxShares, shares)
+	if len(s.massDead) > 0 && math.IsNaN(s.measured.massDetect90) && s.massDeathKnown() >= 0.9 {
+		s.measured.massDetect90 = now - epoch - s.MassDeathAt
+	}
+	s.queue.ScheduleAfter(shareInterval, s.measureShares)
+}
+
+// massDeathKnown is the part of the beliefs of members in their first life about the dead that is right.
+func (s *simulation) massDeathKnown() float64 {
+	right, all := 0.0, 0.0
+	for _, m := range s.members {
+		if !m.alive || m.life != 1 {
+			continue
+		}
+		for _, k := range s.massDead {
+			if s.members[k].alive {
+				continue
+			}
+			all++
+			if m.believesDead[k] {
+				right++
+			}
+		}
+	}
+	if all == 0 {
+		return 0
+	}
+	return right / all
+}
+
+func (s *simulation) wrongBeliefs() (n int) {
+	now := s.queue.Now()
+	for i, observer := range s.members {
+		if !observer.alive {
+			continue
+		}
+		for k, m := range s.members {
+			if i != k && (observer.detector.StateOf(now, k) == membership.Dead) == m.alive {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// detectedShare is measured where members die one by one.
+func (s *simulation) detectedShare() float64 {
+	if s.measured.deaths == 0 || s.MassDeathAt != 0 {
+		return 0
+	}
+	inTime := 0.0
+	for _, took := range s.measured.detections {
+		if took < detectLimit {
+			inTime++
+		}
+	}
+	return inTime / float64(s.measured.deaths) / float64(max(1, s.Members-1))
+}
+
+func (s *simulation) result() *Result {
+	m := &s.measured
+	hours, members := s.Duration/3600, float64(s.Members)
+	return &Result{
+		Scenario:          s.Scenario,
+		Deaths:            m.deaths,
+		DetectP50:         quantile(m.detections, 0.5),
+		DetectP99:         quantile(m.detections, 0.99),
+		DetectedShare:     s.detectedShare(),
+		ReturnP50:         quantile(m.returns, 0.5),
+		ReturnP99:         quantile(m.returns, 0.99),
+		FalseDeaths:       m.falseDeaths / hours,
+		FalseAccusations:  m.falseAccusations / hours,
+		MessagesPerSecond: m.arrived / s.Duration / members,
+		BytesPerSecond:    m.bytes / s.Duration / members,
+		DroppedShare:      m.dropped / max(1, m.dropped+m.arrived),
+		WrongBeliefs:      s.wrongBeliefs(),
+		MaxShares:         m.maxShares,
+		MassDetect90:      m.massDetect90,
+	}
+}
+
+// quantile sorts the values, and gives NaN for none.
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
+		return math.NaN()
+	}
+	slices.Sort(values)
+	return values[min(len(values)-1, int(q*float64(len(values))))]
+}
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -47,11 +47,11 @@
 	Oracle   *oracle.Oracle
 	Results  *metrics.Results
 
-	net    *network.Network
-	list   *discoverymodel.Registry
-	post   *gossip.Post
-	byAddr map[string]*hostmodel.Host
-	byKey  map[string]*model.Customer
+	net         *network.Network
+	list        *discoverymodel.Registry
+	peerNetwork *gossip.Network
+	byAddr      map[string]*hostmodel.Host
+	byKey       map[string]*model.Customer
 	// Killer ends an api gateway that stands elsewhere, gently or not, and has it back after so many seconds.
 	KillGateway func(slot int, down float64, gently bool)
 	decider     PolicySource
@@ -107,7 +107,7 @@
 		list = append(list, w.listed(w.newHost(0), "active"))
 	}
 	w.list = discoverymodel.New(w.Queue, &d.Discovery, n, seed, list, w.tell)
-	w.post = gossip.New(w.Queue, &d.Peers, n, seed)
+	w.peerNetwork = gossip.New(w.Queue, &d.Peers, n, seed)
 	for slot := range n {
 		if w.door != w {
 			break
@@ -229,7 +229,7 @@
 func (w *Simulation) Finish() *metrics.Results {
 	f := w.Results
 	f.Finish(w.Workload.Customers)
-	f.PeerMessages, f.Events, f.ViolationCount, f.Violations = w.post.Sent, w.Queue.Fired, w.Oracle.Total, w.Oracle.Violations
+	f.PeerMessages, f.Events, f.ViolationCount, f.Violations = w.peerNetwork.Sent, w.Queue.Fired, w.Oracle.Total, w.Oracle.Violations
 	done := 0.0
 	for _, h := range w.Hosts {
 		done += h.BusyTime
@@ -421,7 +421,7 @@
 	}
 	for i, e := range w.Gateways {
 		if (to == membership.Broadcast && i != from || i == to) && e.Alive && !w.net.Partitioned(w.Gateways[from].Zone, e.Zone) {
-			w.post.Send(i, text, func() { e.PeerMessage(from, text) })
+			w.peerNetwork.Send(i, text, func() { e.PeerMessage(from, text) })
 		}
 	}
 }
--- a/sim/simulation/troubles.go
+++ b/sim/simulation/troubles.go
@@ -121,7 +121,7 @@
 			}
 		})
 	case "mail-loss":
-		return whole(func(b bool) { w.post.Loses(size, b) })
+		return whole(func(b bool) { w.peerNetwork.SetLoss(size, b) })
 	case "burst":
 		return customers(func(c *model.Customer, b bool) { w.Workload.ScaleRate(c, size, b) })
 	case "gather":
