--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -64,7 +64,7 @@
 			if j == i || o.direct {
 				continue
 			}
-			addr, err := r.link(keeperEnd(i), keeperEnd(j)).Serve(func() (net.Conn, error) { return net.Dial("tcp", k.direct.Members[j].PeerAddress) })
+			addr, err := r.link(keeperEnd(i), keeperEnd(j)).Listen(func() (net.Conn, error) { return net.Dial("tcp", k.direct.Members[j].PeerAddress) })
 			if err != nil {
 				return k, err
 			}
@@ -283,7 +283,7 @@
 func (k *keepers) operator(e int) (string, error) {
 	var addrs []string
 	for i, spot := range k.direct.Members {
-		addr, err := k.rig.link(edge(e), keeperEnd(i)).Inside(func(c net.Conn) { k.frames(e, c, spot.PeerAddress) })
+		addr, err := k.rig.link(edge(e), keeperEnd(i)).ListenInProcess(func(c net.Conn) { k.frames(e, c, spot.PeerAddress) })
 		if err != nil {
 			return "", err
 		}
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -35,7 +35,7 @@
 
 	mu      sync.Mutex
 	links   map[string]*netproxy.Link
-	mail    *netproxy.Mail
+	mail    *netproxy.DatagramProxy
 	mailed  int64
 	down    map[int]time.Time // when nobody was found behind a door
 	waiting []*wait
@@ -93,11 +93,11 @@
 	if to == "counter" && r.keepers != nil {
 		each = func(c net.Conn) { r.keepers.door(e, c) }
 	}
-	return r.link(edge(e), to).Inside(each)
+	return r.link(edge(e), to).ListenInProcess(each)
 }
 
 func (r *rig) Door(e int, addr string) (string, error) {
-	return r.link("clients", edge(e)).Serve(func() (net.Conn, error) {
+	return r.link("clients", edge(e)).Listen(func() (net.Conn, error) {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			r.mu.Lock()
@@ -116,7 +116,7 @@
 }
 
 func (r *rig) Mail(own []string) (known []string, err error) {
-	r.mail, err = netproxy.NewMail(own, func(from, to int) *netproxy.Link { return r.link(edge(from), edge(to)) }, func(from, to int) {
+	r.mail, err = netproxy.NewDatagramProxy(own, func(from, to int) *netproxy.Link { return r.link(edge(from), edge(to)) }, func(from, to int) {
 		r.mu.Lock()
 		r.mailed++
 		begun := r.fleet != nil && !r.over
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.mail.Addrs(), nil
+	return r.mail.Addresses(), nil
 }
 
 // close ends all links.
@@ -299,18 +299,18 @@
 // way is one direction of a link.
 type way struct {
 	link *netproxy.Link
-	dir  int
+	dir  netproxy.Direction
 }
 
 func (r *rig) onLink(s *scenario.Strike, from, to string, now, ends float64, later func(func())) {
 	l := r.link(from, to)
 	// Datagrams go one way only; the way back is another link.
 	mail := number(from) >= 0 && number(to) >= 0
-	dirs := map[string][]int{"both": {netproxy.There, netproxy.Back}, "there": {netproxy.There}, "back": {netproxy.Back}}[s.Way]
+	dirs := map[string][]netproxy.Direction{"both": {netproxy.Forward, netproxy.Backward}, "there": {netproxy.Forward}, "back": {netproxy.Backward}}[s.Way]
 	var on []way
 	for _, d := range dirs {
-		if mail && d == netproxy.Back {
-			on = append(on, way{r.link(to, from), netproxy.There})
+		if mail && d == netproxy.Backward {
+			on = append(on, way{r.link(to, from), netproxy.Forward})
 		} else {
 			on = append(on, way{l, d})
 		}
@@ -325,19 +325,19 @@
 	hit := 1
 	switch s.Kind {
 	case "reset":
-		hit = l.Reset(dirs[0], max(0.05, s.Time.V()))
+		hit = l.ResetConnections(dirs[0], max(0.05, s.Time.V()))
 		span.Ends = now + max(0.05, s.Time.V())
 	case "half-open":
-		hit = l.HalfOpen(dirs[0])
+		hit = l.HalfOpenConnections(dirs[0])
 		span.Ends = now + 2
 	default:
 		f := faultOf(s, mail)
 		for _, o := range on {
-			o.link.Set(o.dir, f)
+			o.link.AddFault(o.dir, f)
 		}
 		later(func() {
 			for _, o := range on {
-				o.link.Clear(o.dir, f)
+				o.link.RemoveFault(o.dir, f)
 			}
 		})
 	}
@@ -348,21 +348,21 @@
 	f := &netproxy.Fault{}
 	switch s.Kind {
 	case "drop":
-		if f.Hold, f.Closed = true, true; mail && s.Part.V() < 1 {
-			f.Hold, f.Closed, f.Lose = false, false, s.Part.V()
+		if f.Stall, f.BlockConnects = true, true; mail && s.Part.V() < 1 {
+			f.Stall, f.BlockConnects, f.LossProbability = false, false, s.Part.V()
 		}
 	case "stall":
-		f.Hold = true
+		f.Stall = true
 	case "delay":
 		f.Delay, f.Jitter = s.Time.V(), s.Jitter.V()
 	case "rate":
 		f.Rate = s.Size.V()
 	case "double":
-		f.Double = s.Part.V()
+		f.DuplicateProbability = s.Part.V()
 	case "disorder":
-		f.Late, f.Delay = s.Part.V(), s.Time.V()
+		f.ReorderProbability, f.Delay = s.Part.V(), s.Time.V()
 	case "refuse":
-		f.Refuse = true
+		f.RefuseConnects = true
 	}
 	return f
 }
--- a/harness/sockets/server.go
+++ b/harness/sockets/server.go
@@ -62,8 +62,8 @@
 			if p.through == nil {
 				continue
 			}
-			if m, ok := tcp.(interface{ Mark(func()) }); ok {
-				m.Mark(p.through)
+			if m, ok := tcp.(interface{ OnPass(func()) }); ok {
+				m.OnPass(p.through)
 			} else {
 				p.through()
 			}
