--- a/cmd/otterseam-tier/main.go
+++ b/cmd/otterseam-tier/main.go
@@ -125,7 +125,7 @@
 	defer cancel()
 	go func() {
 		<-ctx.Done()
-		server.Leave(serving)
+		server.Drain(serving)
 		cancel()
 	}()
 	return server.Run(serving)
--- a/tier/proxy/programs.go
+++ b/tier/proxy/programs.go
@@ -6,7 +6,6 @@
 	"sync"
 	"time"
 
-	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/directory"
 	"otterseam/tier/feed"
@@ -202,10 +201,8 @@
 	attempt, cancel := context.WithTimeout(ctx, storeAttempt)
 	defer cancel()
 	go p.endWhenMoved(attempt, cancel, shard, address)
-	var e codec.Encoder
-	e.Uint32(shard)
-	e.Bytes = append(e.Bytes, command...)
-	answer, err := p.clients.To(address).Call(attempt, store.KindProgram, e.Bytes)
+	request := store.ProgramRequest{Shard: shard, Command: command}
+	answer, err := p.clients.To(address).Call(attempt, store.KindProgram, request.Encode())
 	if err != nil {
 		return programs.Result{}, err
 	}
--- a/tier/store/recorded_test.go
+++ b/tier/store/recorded_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{host: host, log: log, timeline: timeline.New(log)}
+	s := &Server{node: host, log: log, timeline: timeline.New(log)}
 	s.openShard(recordedShard)
 	go host.Run(ctx)
 	only := []uint64{host.Identity}
