--- a/sim/hostmodel/hostmodel_test.go
+++ b/sim/hostmodel/hostmodel_test.go
@@ -11,17 +11,17 @@
 
 func fixed(x float64) scenario.Span { return scenario.Span{Lo: x, Hi: x} }
 
-func stand(q *eventqueue.Queue, cores int, queue float64) *Host {
+func newHost(q *eventqueue.Queue, cores int, queue float64) *Host {
 	kind := &scenario.HostKind{Cores: fixed(float64(cores)), Speed: fixed(1), Queue: fixed(queue), Connections: fixed(3)}
 	cold := &scenario.Cold{Share: fixed(0.2), Warm: fixed(10), Factor: fixed(3), Window: fixed(2)}
 	return New(q, 0, "h", kind, cold, 1)
 }
 
-// wait plays Poisson arrivals and exponential work and gives the mean wait in line, with its standard error by batches.
-func wait(t *testing.T, cores int, load float64) (mean, err float64) {
+// meanWait plays Poisson arrivals and exponential work and gives the mean wait in the queue, with its standard error by batches.
+func meanWait(t *testing.T, cores int, load float64) (mean, err float64) {
 	t.Helper()
 	q := &eventqueue.Queue{}
-	h, d := stand(q, cores, 1e6), randstream.New(7, "textbook", cores)
+	h, d := newHost(q, cores, 1e6), randstream.New(7, "textbook", cores)
 	const work, n, batches = 0.01, 400_000, 40
 	var sums [batches]float64
 	var arrive func(i int)
@@ -40,7 +40,8 @@
 		mean += s / n
 	}
 	for _, s := range sums {
-		squares += math.Pow(s/(n/batches)-mean, 2)
+		deviation := s/(n/batches) - mean
+		squares += deviation * deviation
 	}
 	return mean, math.Sqrt(squares/(batches-1)) / math.Sqrt(batches)
 }
@@ -58,7 +59,7 @@
 	return last / (sum + last) * work / (float64(c) * (1 - load))
 }
 
-func TestTextbookWaits(t *testing.T) {
+func TestWaitsMatchTheErlangCFormula(t *testing.T) {
 	if one := erlangC(1, 0.7, 0.01); math.Abs(one-0.7/0.3*0.01) > 1e-12 { // M/M/1: load/(1-load) times the work
 		t.Fatalf("the formula for one core gives %.6f", one)
 	}
@@ -66,7 +67,7 @@
 		cores int
 		load  float64
 	}{{1, 0.5}, {1, 0.7}, {4, 0.8}, {16, 0.9}} {
-		mean, err := wait(t, x.cores, x.load)
+		mean, err := meanWait(t, x.cores, x.load)
 		if want := erlangC(x.cores, x.load, 0.01); math.Abs(mean-want) > 4*err {
 			t.Errorf("%d cores, load %.1f: waits %.6f s ± %.6f, the textbook has %.6f", x.cores, x.load, mean, err, want)
 		}
@@ -74,13 +75,13 @@
 }
 
 // A cold host bears what it can do; under many times that it falls over, and says who did it.
-func TestColdHostFallsOver(t *testing.T) {
+func TestAColdHostGoesDownUnderOverload(t *testing.T) {
 	for _, x := range []struct {
 		rate float64 // core seconds a second on one core that starts at a fifth
 		fell bool
 	}{{0.3, false}, {3, true}} {
 		q := &eventqueue.Queue{}
-		h := stand(q, 1, 100)
+		h := newHost(q, 1, 100)
 		q.Run(5)
 		h.Start()
 		fell := 0
@@ -100,9 +101,9 @@
 	}
 }
 
-func TestWhatIsHeldWhenItStopsIsReset(t *testing.T) {
+func TestJobsHeldWhenAHostStopsAreReset(t *testing.T) {
 	q := &eventqueue.Queue{}
-	h := stand(q, 1, 1)
+	h := newHost(q, 1, 1)
 	var got []Answer
 	job := func() *Job {
 		return &Job{Work: 1, OnStart: func() {}, OnAnswer: func(a Answer) { got = append(got, a) }}
--- a/sim/losscauses/losscauses.go
+++ b/sim/losscauses/losscauses.go
@@ -1,13 +1,11 @@
-// Package losscauses tells where the programs of a played day were lost, from the report of the play: by the seconds in which they began
-// and by what went on then. A report doesn't name every program, so that a cause here is the disruption that a lost program ran into
-// at the latest, not what became of each of its calls. The counts add up to those of the report; what falls to no disruption is
-// unexplained.
 package losscauses
 
 import (
+	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 )
@@ -43,29 +41,45 @@
 	Planned bool `json:"planned"`
 }
 
+// ErrNoReport says that a file is no report of a play. Errors of Parse wrap it.
+var ErrNoReport = errors.New("is no report of a play")
+
 // Parse reads a report.
 func Parse(name string, content []byte) (*Report, error) {
 	report := &Report{Name: name}
 	if err := json.Unmarshal(content, report); err != nil {
-		return nil, fmt.Errorf("%s is no report of a play: %w", name, err)
+		return nil, fmt.Errorf("%s %w: %w", name, ErrNoReport, err)
 	}
 	if len(report.Windows) == 0 {
-		return nil, fmt.Errorf("%s is no report of a play: it has no windows", name)
+		return nil, fmt.Errorf("%s %w: it has no windows", name, ErrNoReport)
 	}
 	return report, nil
 }
 
+// windowLength is how many seconds a report's windows are long.
+const windowLength = 2.0
+
+// Prefixes of the kinds of events, as the report of a play has them.
+const (
+	closingKind      = "closing" // the final fault
+	configChangeKind = "config_change"
+	lostAckKind      = "ack_lost"
+)
+
 const (
-	closingKind = "closing"
 	// longestRun is how long programs last at most, in seconds, as far as most of them are concerned: one that began so long before
 	// a disruption may have been lost to it.
 	longestRun = 8.0
 	// recovery is how long after a final fault programs that begin may still wait for the tier.
 	recovery = 2.5
+)
 
-	// InFlight and Outage are the causes around a final fault; Unexplained is that of programs that no disruption was near.
-	InFlight    = "in flight at the final fault"
-	Outage      = "began in the outage after the final fault"
+const (
+	// InFlight is the cause of programs that were running when the final fault struck.
+	InFlight = "in flight at the final fault"
+	// Outage is the cause of programs that began in the outage after the final fault.
+	Outage = "began in the outage after the final fault"
+	// Unexplained is the cause of programs that no disruption was near.
 	Unexplained = "unexplained"
 )
 
@@ -110,11 +124,8 @@
 		return nil, fmt.Errorf("%s: windows hold %d late and %d lost programs, the report counts %d and %d",
 			r.Name, late, lost, r.All.Late, r.All.Refused+r.All.Failed)
 	}
-	sort.Slice(shares, func(a, b int) bool {
-		if shares[a].Lost != shares[b].Lost {
-			return shares[a].Lost > shares[b].Lost
-		}
-		return shares[a].Cause < shares[b].Cause
+	slices.SortFunc(shares, func(a, b Share) int {
+		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause))
 	})
 	return shares, nil
 }
@@ -148,9 +159,6 @@
 	return "", false
 }
 
-// windowLength is how many seconds a report's windows are long.
-const windowLength = 2.0
-
 // nearest is the disruption, or the planned work, that was under way at a second or came soonest after.
 func (r *Report) nearest(from float64, planned bool) string {
 	best, bestWait := Unexplained, longestRun
@@ -158,7 +166,7 @@
 		if event.Planned != planned || strings.HasPrefix(event.Kind, closingKind) {
 			continue
 		}
-		if strings.HasPrefix(event.Kind, "config_change") || strings.HasPrefix(event.Kind, "ack_lost") {
+		if strings.HasPrefix(event.Kind, configChangeKind) || strings.HasPrefix(event.Kind, lostAckKind) {
 			continue // nothing that clients meet
 		}
 		if wait := max(event.From-from, 0); from <= event.To && wait < bestWait {
--- a/sim/losscauses/losscauses_test.go
+++ b/sim/losscauses/losscauses_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestCountsThatDoNotAddUpAreTold(t *testing.T) {
+func TestCountsThatDoNotAddUpAreAnError(t *testing.T) {
 	r, err := Parse("day", []byte(strings.Replace(report, `"failed":11`, `"failed":12`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestWhatIsNoReportIsTold(t *testing.T) {
+func TestWhatIsNoReportIsAnError(t *testing.T) {
 	for _, content := range []string{"", "{}", `{"windows":[{"name":"x","failed":1}],"all":{"failed":1}}`} {
 		r, err := Parse("day", []byte(content))
 		if err == nil {
