--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -148,8 +148,7 @@
 		copies = server.NewStoreStream(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
 		copies.Configure(counter, store.Counters, store.Markers, store.Metering)
 	}
-	discovery := server.NewDiscoveryClient(ctx, group, loop, log)
-	discovery.Backoffs = discoveryBackoffs
+	discovery := server.NewDiscoveryClient(ctx, group, loop, log, server.DiscoveryOptions{Backoffs: discoveryBackoffs})
 	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, server.ClientOptions{
 		Address: f.Listen, OperationLimit: f.Settings.Accepts, MaxConns: clientsMost,
 		Ready: func() bool { return f.counter() == "" || counter.Attempted() },
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -172,7 +172,7 @@
 	if x.listener != nil {
 		w.clients.listener = x.listener(w.clients.listener)
 	}
-	d := NewDiscoveryClient(ctx, group, w.loop, log)
+	d := NewDiscoveryClient(ctx, group, w.loop, log, DiscoveryOptions{})
 	if x.shortTimeouts {
 		d.silenceTimeout, d.firstWordTimeout = 300*time.Millisecond, 100*time.Millisecond
 	}
