--- a/harness/tiercluster/rig_test.go
+++ b/harness/tiercluster/rig_test.go
@@ -179,11 +179,11 @@
 }
 
 // ran finds what the engines ran for a request.
-func (w *world) ran(id string) []tierhost.Run {
-	var runs []tierhost.Run
+func (w *world) ran(id string) []tierhost.Execution {
+	var runs []tierhost.Execution
 	for _, host := range append([]*tierhost.Host{w.records}, w.engines...) {
-		for _, run := range host.Runs() {
-			if run.ID == id {
+		for _, run := range host.Executions() {
+			if run.RequestID == id {
 				runs = append(runs, run)
 			}
 		}
@@ -235,7 +235,7 @@
 
 func TestAnUnsafeRequestRunsOnce(t *testing.T) {
 	w := newWorld(t, 3, 3)
-	w.records.MuteNext()
+	w.records.DropNextResponse()
 	got, id := w.call(0, http.MethodPost, "/issue/1", nil, "one")
 	if got.Status != http.StatusBadGateway {
 		t.Fatalf("a lost answer: %+v", got)
@@ -243,7 +243,7 @@
 	if runs := w.ran(id); len(runs) != 1 {
 		t.Fatalf("it ran %d times", len(runs))
 	}
-	w.records.Refuse(true)
+	w.records.Reject(true)
 	got, id = w.call(0, http.MethodPost, "/issue/1", nil, "two")
 	if got.Status != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" {
 		t.Fatalf("refused by all hosts: %+v", got)
@@ -251,8 +251,8 @@
 	if runs := w.ran(id); len(runs) != 0 {
 		t.Fatalf("a refused request has run: %+v", runs)
 	}
-	w.records.Refuse(false)
-	w.records.MuteNext()
+	w.records.Reject(false)
+	w.records.DropNextResponse()
 	w.addHost("records-2", "records")
 	err := Until(limit, func() bool {
 		got, _ := w.call(0, http.MethodGet, "/lookup/1", nil, "")
@@ -266,15 +266,15 @@
 func TestABrokenStreamGoesOnOnlyWhereItMay(t *testing.T) {
 	w := newWorld(t, 3, 3)
 	for _, host := range w.engines {
-		host.BreakNext(2)
+		host.BreakNextStream(2)
 	}
 	header := map[string]string{"X-Token-Count": "10,15"}
 	got, id := w.call(0, http.MethodPost, "/draft/1", header, "x")
 	if got.Err == nil || len(w.ran(id)) != 2 {
 		t.Fatalf("both hosts broke off: %+v, ran %+v", got, w.ran(id))
 	}
-	w.engines[0].BreakNext(2)
-	w.engines[1].BreakNext(0)
+	w.engines[0].BreakNextStream(2)
+	w.engines[1].BreakNextStream(0)
 	whole := ""
 	for i := 1; i <= 5; i++ {
 		whole += fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i)
@@ -286,7 +286,7 @@
 		}
 	}
 	for _, host := range w.engines {
-		host.BreakNext(2)
+		host.BreakNextStream(2)
 	}
 	got, id = w.call(0, http.MethodPost, "/chat/1", map[string]string{"X-Token-Count": "10,15", "Program": "p"}, "x")
 	if got.Err == nil || len(w.ran(id)) != 1 {
--- a/harness/tiercluster/verdict_test.go
+++ b/harness/tiercluster/verdict_test.go
@@ -37,10 +37,10 @@
 	met, others := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
 	sound := []*tierhost.Host{w.records, w.addHost("records-2", "records")}
 	bad := w.addHost("records-bad", "records")
-	bad.Mute(true)
+	bad.DropResponses(true)
 	refuse := func(refuse bool) { // what is refused goes elsewhere, so that the bad host is met
 		for _, host := range sound {
-			host.Refuse(refuse)
+			host.Reject(refuse)
 		}
 	}
 	reached := 0
@@ -48,14 +48,14 @@
 		refuse(true)
 		w.lookups(met, func() bool { return w.setAside(bad.ID) })
 		w.waitForRoute(others, version)
-		sound[1].Refuse(false) // the first host that the others would take still refuses
-		before := len(bad.Runs())
+		sound[1].Reject(false) // the first host that the others would take still refuses
+		before := len(bad.Executions())
 		for _, front := range others {
 			if got, _ := w.call(front, http.MethodGet, "/lookup/x", nil, ""); got.Status != http.StatusOK {
 				t.Errorf("front %d: %+v", front, got)
 			}
 		}
-		reached = len(bad.Runs()) - before
+		reached = len(bad.Executions()) - before
 		if w.setAside(bad.ID) {
 			break
 		}
--- a/harness/tierhost/serve_test.go
+++ b/harness/tierhost/serve_test.go
@@ -1,6 +1,7 @@
 package tierhost
 
 import (
+	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
@@ -18,7 +19,7 @@
 	}
 	for _, test := range tests {
 		host := &Host{ID: "h", Service: test.service}
-		request := httptest.NewRequest("POST", "/chat/1", strings.NewReader("hello"))
+		request := httptest.NewRequest(http.MethodPost, "/chat/1", strings.NewReader("hello"))
 		if test.count != "" {
 			request.Header.Set("X-Token-Count", test.count)
 		}
