--- /dev/null
+++ b/sim/workload/client.go
@@ -0,0 +1,127 @@
+package workload
+
+import (
+	"fmt"
+
+	"otterseam/sim/model"
+)
+
+const (
+	// minGatewayStay and maxGatewayStay bound how long a customer prefers an api gateway, as a part of the scenario's mean.
+	minGatewayStay = 0.5
+	maxGatewayStay = 1.5
+	// maxEagerWait is the longest time in seconds by which a client that honours the time to come back comes early.
+	maxEagerWait = 0.05
+	// immediateRetryWait is the mean wait in seconds of a client that a fault makes retry at once.
+	immediateRetryWait = 0.01
+	// A retry needs the latency objective over objectiveDivisor to be left before the deadline.
+	objectiveDivisor = 5
+)
+
+// The effects of operations, as scenarios name them, that let a client retry what may have run.
+const (
+	idempotentEffect = "idempotent"
+	tokenedEffect    = "tokened" // within the lifetime of the token, where all hosts share it
+	allHostsGroup    = "all"
+)
+
+// invoke sends a client's next invocation through one of the customer's api gateways.
+func (g *Generator) invoke(request *model.Request, retry bool) {
+	now := g.clock.Now()
+	clients := &g.scenario.Clients
+	request.InvocationCount++
+	g.invocations++
+	patience := g.clients.Uniform(clients.Patience.V(), 1) * request.Customer.PatienceFactor
+	invocation := &model.Invocation{
+		Ref:         fmt.Sprintf(keyFormat, g.invocations*invocationRefFactor),
+		Number:      g.invocations,
+		Request:     request,
+		SentAt:      now,
+		GiveUpAt:    min(request.Deadline, now+patience*request.Operation.Timeout.V()),
+		ClientRetry: retry && clients.Marked,
+	}
+	invocation.Gateway = g.chooseGateway(request.Customer)
+	g.environment.InvocationSent(invocation)
+	if !g.environment.Submit(invocation) {
+		g.HandleOutcome(invocation, model.Unreachable, 0, false)
+	}
+}
+
+// chooseGateway draws the api gateway: the one that is preferred now, or another of the customer's. One that the load balancer in
+// front knows to be dead is passed over.
+func (g *Generator) chooseGateway(customer *model.Customer) int {
+	clients := &g.scenario.Clients
+	now := g.clock.Now()
+	if now >= customer.PreferredUntil {
+		customer.PreferredUntil = now + g.routes.Uniform(minGatewayStay, maxGatewayStay)*clients.Change.V()
+		customer.Preferred = g.routes.IntN(customer.GatewayCount)
+	}
+	pick := customer.Preferred
+	if !customer.Concentrated && !g.routes.Chance(clients.Uneven.V()) {
+		pick = g.routes.IntN(customer.GatewayCount)
+	}
+	for i := range customer.GatewayCount {
+		gateway := (customer.FirstGateway + (pick+i)%customer.GatewayCount) % g.gateways
+		if g.environment.Admits(gateway) {
+			return gateway
+		}
+	}
+	return (customer.FirstGateway + pick) % g.gateways
+}
+
+// HandleOutcome tells a client how its invocation ended. retryAfter is the time to come back in seconds, 0 where none was told;
+// hadRoom says that the quota had room although it was throttled.
+func (g *Generator) HandleOutcome(invocation *model.Invocation, outcome model.Outcome, retryAfter float64, hadRoom bool) {
+	request := invocation.Request
+	if request.Closed {
+		return
+	}
+	now := g.clock.Now()
+	g.environment.InvocationEnded(outcome)
+	request.LastOutcome = outcome
+	request.QuotaHadRoom = hadRoom
+	wait, retries := g.retryWait(request, outcome, retryAfter)
+	// Nobody comes again for an answer that cannot be in time.
+	if retries && now+wait < request.Deadline-request.Operation.Objective.V()/objectiveDivisor {
+		g.clock.ScheduleAfter(wait, func() { g.invoke(request, true) })
+		return
+	}
+	request.Closed = true
+	g.environment.RequestClosed(request, now-invocation.SentAt)
+}
+
+// retryWait says whether a client retries after an outcome, and after how many seconds.
+func (g *Generator) retryWait(request *model.Request, outcome model.Outcome, retryAfter float64) (wait float64, retries bool) {
+	limit := g.scenario.Clients.Retries.N()
+	wait = g.clients.Exponential(g.scenario.Clients.Wait.V())
+	retries = request.InvocationCount <= limit
+	switch outcome {
+	case model.Served:
+		return wait, false
+	case model.Throttled:
+		customer := request.Customer
+		if customer.ImmediateRetries > 0 {
+			wait = g.clients.Exponential(immediateRetryWait)
+			return wait, request.InvocationCount <= customer.ImmediateRetries+limit
+		}
+		if customer.HonoursRetryAfter {
+			wait = max(retryAfter, min(wait, maxEagerWait))
+		}
+		return wait, retries
+	case model.Unreachable: // it cannot have run
+		return wait, retries
+	}
+	return wait, retries && g.mayRepeat(request, g.clock.Now()+wait)
+}
+
+// mayRepeat says whether a client may ask again at a clock time for what may have run.
+func (g *Generator) mayRepeat(request *model.Request, at float64) bool {
+	operation := request.Operation
+	switch operation.Effect {
+	case idempotentEffect:
+		return true
+	case tokenedEffect:
+		return operation.Group == allHostsGroup && at < request.CreatedAt+operation.TokenTime.V()
+	}
+	return false
+}
