--- a/tier/control/state/commands.go
+++ b/tier/control/state/commands.go
@@ -1,6 +1,8 @@
 package state
 
 import (
+	"cmp"
+
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/consensus"
@@ -128,28 +130,26 @@
 	if !known {
 		return nil, codes.Malformed
 	}
-	command, err := decode(d)
-	if err != nil {
-		return nil, err
-	}
-	if err := d.Err(); err != nil {
-		return nil, err
-	}
-	return command, nil
+	return decode(d)
 }
 
+// decoders reads each kind of command after its first byte.
 var decoders = map[Kind]func(*codec.Decoder) (Command, error){
-	KindReplaceConfig: decodeReplaceConfig,
-	KindPutHost:       decodePutHost,
-	KindRemoveHost:    decodeRemoveHost,
-	KindPutStore:      decodePutStore,
-	KindRemoveStore:   decodeRemoveStore,
-	KindPutShard:      decodePutShard,
-	KindRetireNode:    decodeRetireNode,
-	KindSetMembers:    decodeSetMembers,
-	KindReadConfig:    decodeReadConfig,
-	KindEjectHost:     decodeEjectHost,
-	KindReinstateHost: decodeReinstateHost,
+	KindReplaceConfig: decoderOf(decodeReplaceConfig),
+	KindPutHost:       decoderOf(decodePutHost),
+	KindRemoveHost:    decoderOf(decodeRemoveHost),
+	KindPutStore:      decoderOf(decodePutStore),
+	KindRemoveStore:   decoderOf(decodeRemoveStore),
+	KindPutShard:      decoderOf(decodePutShard),
+	KindRetireNode:    decoderOf(decodeRetireNode),
+	KindSetMembers:    decoderOf(decodeSetMembers),
+	KindReadConfig:    func(d *codec.Decoder) (Command, error) { return ReadConfig{}, d.Err() },
+	KindEjectHost:     decoderOf(decodeEjectHost),
+	KindReinstateHost: decoderOf(decodeReinstateHost),
+}
+
+func decoderOf[C Command](decode func(*codec.Decoder) (C, error)) func(*codec.Decoder) (Command, error) {
+	return func(d *codec.Decoder) (Command, error) { return decode(d) }
 }
 
 // begin starts an encoded command with its kind.
@@ -168,15 +168,14 @@
 	return e.Bytes
 }
 
-func decodeReplaceConfig(d *codec.Decoder) (Command, error) {
-	return ReplaceConfig{Base: d.Uint64(), Version: d.Uint64(), Body: d.Blob()}, nil
+func decodeReplaceConfig(d *codec.Decoder) (ReplaceConfig, error) {
+	c := ReplaceConfig{Base: d.Uint64(), Version: d.Uint64(), Body: d.Blob()}
+	return c, d.Err()
 }
 
 // Encode is the command's replicated form.
 func (ReadConfig) Encode() []byte { return begin(KindReadConfig).Bytes }
 
-func decodeReadConfig(*codec.Decoder) (Command, error) { return ReadConfig{}, nil }
-
 // Encode is the command's replicated form.
 func (c PutHost) Encode() []byte {
 	e := begin(KindPutHost)
@@ -185,9 +184,10 @@
 	return e.Bytes
 }
 
-func decodePutHost(d *codec.Decoder) (Command, error) {
+func decodePutHost(d *codec.Decoder) (PutHost, error) {
 	host, err := directory.DecodeHost(d.Blob())
-	return PutHost{Host: host, Seq: d.Uint64()}, err
+	c := PutHost{Host: host, Seq: d.Uint64()}
+	return c, cmp.Or(err, d.Err())
 }
 
 // Encode is the command's replicated form.
@@ -198,8 +198,9 @@
 	return e.Bytes
 }
 
-func decodeRemoveHost(d *codec.Decoder) (Command, error) {
-	return RemoveHost{ID: d.String(), Deregistered: d.Bool()}, nil
+func decodeRemoveHost(d *codec.Decoder) (RemoveHost, error) {
+	c := RemoveHost{ID: d.String(), Deregistered: d.Bool()}
+	return c, d.Err()
 }
 
 // Encode is the command's replicated form.
@@ -214,14 +215,16 @@
 	return e.Bytes
 }
 
-func decodePutStore(d *codec.Decoder) (Command, error) {
+func decodePutStore(d *codec.Decoder) (PutStore, error) {
 	store, err := directory.DecodeStore(d.Blob())
-	return PutStore{Store: store}, err
+	c := PutStore{Store: store}
+	return c, cmp.Or(err, d.Err())
 }
 
-func decodeRemoveStore(d *codec.Decoder) (Command, error) {
+func decodeRemoveStore(d *codec.Decoder) (RemoveStore, error) {
 	store, err := directory.DecodeStore(d.Blob())
-	return RemoveStore{Store: store}, err
+	c := RemoveStore{Store: store}
+	return c, cmp.Or(err, d.Err())
 }
 
 // Encode is the command's replicated form.
@@ -232,10 +235,11 @@
 	return e.Bytes
 }
 
-func decodePutShard(d *codec.Decoder) (Command, error) {
+func decodePutShard(d *codec.Decoder) (PutShard, error) {
 	epoch := d.Uint64()
 	shard, err := directory.DecodeShard(d.Blob())
-	return PutShard{Epoch: epoch, Shard: shard}, err
+	c := PutShard{Epoch: epoch, Shard: shard}
+	return c, cmp.Or(err, d.Err())
 }
 
 // Encode is the command's replicated form.
@@ -246,8 +250,9 @@
 	return e.Bytes
 }
 
-func decodeRetireNode(d *codec.Decoder) (Command, error) {
-	return RetireNode{Node: d.String(), Needed: d.Uint32()}, nil
+func decodeRetireNode(d *codec.Decoder) (RetireNode, error) {
+	c := RetireNode{Node: d.String(), Needed: d.Uint32()}
+	return c, d.Err()
 }
 
 // Encode is the command's replicated form.
@@ -257,8 +262,9 @@
 	return e.Bytes
 }
 
-func decodeSetMembers(d *codec.Decoder) (Command, error) {
-	return SetMembers{Record: consensus.DecodeRecord(d)}, nil
+func decodeSetMembers(d *codec.Decoder) (SetMembers, error) {
+	c := SetMembers{Record: consensus.DecodeRecord(d)}
+	return c, d.Err()
 }
 
 // Encode is the command's replicated form.
@@ -269,8 +275,9 @@
 	return e.Bytes
 }
 
-func decodeEjectHost(d *codec.Decoder) (Command, error) {
-	return EjectHost{ID: d.String(), TermMS: d.Int64()}, nil
+func decodeEjectHost(d *codec.Decoder) (EjectHost, error) {
+	c := EjectHost{ID: d.String(), TermMS: d.Int64()}
+	return c, d.Err()
 }
 
 // Encode is the command's replicated form.
@@ -280,6 +287,7 @@
 	return e.Bytes
 }
 
-func decodeReinstateHost(d *codec.Decoder) (Command, error) {
-	return ReinstateHost{ID: d.String()}, nil
+func decodeReinstateHost(d *codec.Decoder) (ReinstateHost, error) {
+	c := ReinstateHost{ID: d.String()}
+	return c, d.Err()
 }
--- a/tier/control/state/state.go
+++ b/tier/control/state/state.go
@@ -3,6 +3,7 @@
 import (
 	"sync"
 
+	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 	"otterseam/tier/configlog"
 	"otterseam/tier/feed"
@@ -30,11 +31,90 @@
 
 // Apply carries out a command at its index in the log. It returns a Result.
 func (s *State) Apply(index uint64, command []byte) any {
-	c, err := DecodeCommand(command)
-	if err != nil {
-		return Result{Code: codes.Malformed}
-	}
+	d := codec.NewDecoder(command)
+	kind := Kind(d.Uint8())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.apply(s, index)
+	switch kind {
+	case KindReplaceConfig, KindReadConfig:
+		return s.applyConfig(index, kind, d)
+	case KindPutHost, KindRemoveHost, KindEjectHost, KindReinstateHost:
+		return s.applyHost(index, kind, d)
+	case KindPutStore, KindRemoveStore, KindRetireNode:
+		return s.applyStore(index, kind, d)
+	case KindPutShard, KindSetMembers:
+		return s.applyPlacement(index, kind, d)
+	default:
+		return Result{Code: codes.Malformed}
+	}
+}
+
+// The following decode and apply commands by their concrete types: a Command in between would be allocated at every commit.
+
+func (s *State) applyConfig(index uint64, kind Kind, d *codec.Decoder) Result {
+	switch kind {
+	case KindReplaceConfig:
+		if c, err := decodeReplaceConfig(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindReadConfig:
+		if d.Err() == nil {
+			return ReadConfig{}.apply(s, index)
+		}
+	}
+	return Result{Code: codes.Malformed}
+}
+
+func (s *State) applyHost(index uint64, kind Kind, d *codec.Decoder) Result {
+	switch kind {
+	case KindPutHost:
+		if c, err := decodePutHost(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindRemoveHost:
+		if c, err := decodeRemoveHost(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindEjectHost:
+		if c, err := decodeEjectHost(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindReinstateHost:
+		if c, err := decodeReinstateHost(d); err == nil {
+			return c.apply(s, index)
+		}
+	}
+	return Result{Code: codes.Malformed}
+}
+
+func (s *State) applyStore(index uint64, kind Kind, d *codec.Decoder) Result {
+	switch kind {
+	case KindPutStore:
+		if c, err := decodePutStore(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindRemoveStore:
+		if c, err := decodeRemoveStore(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindRetireNode:
+		if c, err := decodeRetireNode(d); err == nil {
+			return c.apply(s, index)
+		}
+	}
+	return Result{Code: codes.Malformed}
+}
+
+func (s *State) applyPlacement(index uint64, kind Kind, d *codec.Decoder) Result {
+	switch kind {
+	case KindPutShard:
+		if c, err := decodePutShard(d); err == nil {
+			return c.apply(s, index)
+		}
+	case KindSetMembers:
+		if c, err := decodeSetMembers(d); err == nil {
+			return c.apply(s, index)
+		}
+	}
+	return Result{Code: codes.Malformed}
 }
