--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	peers, err := server.NewPeerSocket(loop, f.PeerListen, f.Settings.Slot, f.Peers, f.PeersAll)
+	peers, err := server.NewPeerSocket(loop, server.PeerOptions{Listen: f.PeerListen, Addrs: f.Peers, Self: f.Settings.Slot, Broadcast: f.PeersAll})
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
@@ -143,10 +143,12 @@
 		discoveryBackoffs = overload.DecorrelatedBackoffs(f.Settings.Gateways, seed+1)
 	}
 	counter := server.NewCounterClient(ctx, group, loop, server.CounterOptions{CallTimeout: f.Settings.Shared.CounterTimeout, Backoffs: counterBackoffs})
-	var copies *server.StoreStream
-	if store := operator.QuotaStore; len(store.Replicas) > 0 {
-		copies = server.NewStoreStream(ctx, group, loop, store.Replicas, fmt.Sprintf("%s/%s", f.Name, f.Seed), f.Settings.Slot)
-		copies.Configure(counter, store.Counters, store.Markers, store.Metering)
+	store := operator.QuotaStore
+	if len(store.Replicas) > 0 {
+		server.NewStoreStream(ctx, group, loop, counter, server.StoreOptions{
+			Servers: store.Replicas, FirstServer: f.Settings.Slot, Name: fmt.Sprintf("%s/%s", f.Name, f.Seed),
+			Counts: store.Counters, Markers: store.Markers, Metering: store.Metering,
+		})
 	}
 	discovery := server.NewDiscoveryClient(ctx, group, loop, log, server.DiscoveryOptions{Backoffs: discoveryBackoffs})
 	clients, err := server.NewClientListener(ctx, group, loop, log, buffers, server.ClientOptions{
@@ -157,7 +159,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 
-	if copies == nil || !operator.QuotaStore.Counters {
+	if len(store.Replicas) == 0 || !store.Counters {
 		counter.UseAddress(f.counter())
 	}
 	group.Go(func() error { return loop.Run(ctx, module, hosts, counter, peers) })
--- a/gateway/server/peers.go
+++ b/gateway/server/peers.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns the datagram socket between api gateways. It must never trust a datagram: one that is too long or
-// comes from an unknown address is dropped, and none may make the loop wait.
-
 import (
 	"context"
 	"net"
@@ -13,65 +10,89 @@
 	"otterseam/internal/mutation"
 )
 
-// datagram is the most bytes one may hold.
-const maxDatagram = 256
+const (
+	maxDatagramBytes     = 256
+	maxQueuedDatagrams   = 32
+	datagramWriteTimeout = 100 * time.Millisecond
+	datagramReadPause    = time.Millisecond // after a read that failed, as an earlier datagram came back as undeliverable
+)
+
+// PeerOptions say where the gateways of the fleet are.
+type PeerOptions struct {
+	Listen    string   // where this one listens, "ip:port"; empty: there are no peers
+	Addrs     []string // of each gateway by its number, this one's own too
+	Self      int      // this gateway's number
+	Broadcast string   // an address that reaches all others; empty: they are sent to one by one
+}
 
+// PeerSocket is the datagram socket between gateways: one goroutine writes (Write), one reads (Read). A datagram that is too long or
+// comes from an unknown address is dropped, and none makes the event loop wait.
 type PeerSocket struct {
 	loop     *EventLoop
-	udp      *net.UDPConn
+	udp      *net.UDPConn           // nil: there are no peers
 	others   []netip.AddrPort       // what reaches all others
 	peers    []netip.AddrPort       // each by its number
-	numbers  map[netip.AddrPort]int // by address
+	numbers  map[netip.AddrPort]int // of the others by their addresses
 	outgoing chan peerMessage
 	received func(from int, text string)
 }
 
-// line is a message to an api gateway by its number, or to all others.
+// peerMessage is for the gateway of that number, or for every other one: membership.Broadcast.
 type peerMessage struct {
 	to   int
 	text string
 }
 
-// NewPeers opens the socket; with no address to listen on there are no peers, and nothing is sent.
-func NewPeerSocket(loop *EventLoop, listen string, self int, addrs []string, broadcast string) (*PeerSocket, error) {
-	p := &PeerSocket{loop: loop, numbers: map[netip.AddrPort]int{}, outgoing: make(chan peerMessage, 32)}
+// NewPeerSocket opens the socket. The errors are those of addresses that make no sense and of listening.
+func NewPeerSocket(loop *EventLoop, options PeerOptions) (*PeerSocket, error) {
+	p := &PeerSocket{loop: loop, numbers: map[netip.AddrPort]int{}, outgoing: make(chan peerMessage, maxQueuedDatagrams)}
 	p.received = p.postToLoop
-	if listen == "" {
+	if options.Listen == "" {
 		return p, nil
 	}
-	for i, text := range addrs {
+	if err := p.parse(options); err != nil {
+		return nil, err
+	}
+	listen, err := net.ResolveUDPAddr("udp", options.Listen)
+	if err != nil {
+		return nil, err
+	}
+	p.udp, err = net.ListenUDP("udp", listen)
+	if mutation.AddressShared && err != nil {
+		p.udp, err = nil, nil
+	}
+	return p, err
+}
+
+func (p *PeerSocket) parse(options PeerOptions) error {
+	for number, text := range options.Addrs {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		if p.peers = append(p.peers, addr); i == self {
+		p.peers = append(p.peers, addr)
+		if number == options.Self {
 			continue
 		}
-		if p.numbers[addr] = i; broadcast == "" {
+		p.numbers[addr] = number
+		if options.Broadcast == "" {
 			p.others = append(p.others, addr)
 		}
 	}
-	if broadcast != "" {
-		addr, err := netip.ParseAddrPort(broadcast)
-		if err != nil {
-			return nil, err
-		}
-		p.others = []netip.AddrPort{addr}
+	if options.Broadcast == "" {
+		return nil
 	}
-	local, err := net.ResolveUDPAddr("udp", listen)
+	addr, err := netip.ParseAddrPort(options.Broadcast)
 	if err != nil {
-		return nil, err
-	}
-	p.udp, err = net.ListenUDP("udp", local)
-	if mutation.AddressShared && err != nil {
-		p.udp, err = nil, nil
+		return err
 	}
-	return p, err
+	p.others = []netip.AddrPort{addr}
+	return nil
 }
 
-// send hands a message over for a peer or all; a crowd of them is thinned out here, as the network would.
+// send hands a message to the writer. Where too many wait it is dropped, as the network would.
 func (p *PeerSocket) send(to int, text string) {
-	if p.udp == nil || len(text) > maxDatagram {
+	if p.udp == nil || len(text) > maxDatagramBytes {
 		return
 	}
 	select {
@@ -80,7 +101,7 @@
 	}
 }
 
-// Write sends what is handed over, and closes the socket at the end.
+// Write sends what is handed over, and closes the socket when ctx ends.
 func (p *PeerSocket) Write(ctx context.Context) error {
 	if p.udp == nil {
 		return nil
@@ -91,45 +112,50 @@
 		case <-ctx.Done():
 			return nil
 		case message := <-p.outgoing:
-			targets := p.others
-			if message.to != membership.Broadcast {
-				targets = nil
-				if message.to >= 0 && message.to < len(p.peers) {
-					targets = p.peers[message.to : message.to+1]
-				}
-			}
-			for _, addr := range targets {
-				p.udp.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-				p.udp.WriteToUDPAddrPort([]byte(message.text), addr)
+			for _, addr := range p.targets(message.to) {
+				// One that can't be sent is lost, as it may be on its way.
+				_ = p.udp.SetWriteDeadline(time.Now().Add(datagramWriteTimeout))
+				_, _ = p.udp.WriteToUDPAddrPort([]byte(message.text), addr)
 			}
 		}
 	}
 }
 
-// Read passes on what known peers say.
+// targets are the addresses to which a message is sent; none: there is no gateway of that number.
+func (p *PeerSocket) targets(to int) []netip.AddrPort {
+	switch {
+	case to == membership.Broadcast:
+		return p.others
+	case to >= 0 && to < len(p.peers):
+		return p.peers[to : to+1]
+	}
+	return nil
+}
+
+// Read passes on what known peers send, until ctx ends.
 func (p *PeerSocket) Read(ctx context.Context) error {
 	if p.udp == nil {
 		return nil
 	}
-	buffer := make([]byte, maxDatagram+1)
+	buffer := make([]byte, maxDatagramBytes+1) // one byte more shows that a datagram is too long
 	for {
 		n, from, err := p.udp.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil { // an earlier datagram came back as undeliverable
-			time.Sleep(time.Millisecond)
+		if err != nil {
+			time.Sleep(datagramReadPause)
 			continue
 		}
-		number, ok := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if n == 0 || n > maxDatagram || !ok {
+		number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if n == 0 || n > maxDatagramBytes || !known {
 			continue
 		}
 		p.received(number, string(buffer[:n]))
 	}
 }
 
-// toLoop passes a message on unless the loop is behind: the crowd of them must not hold up what matters more.
+// postToLoop passes a message on unless the event loop is behind: a crowd of them must not hold up what matters more.
 func (p *PeerSocket) postToLoop(from int, text string) {
 	select {
 	case p.loop.queue <- func() { p.loop.policy.PeerMessage(p.loop.now, from, text) }:
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	p, err := NewPeerSocket(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", peer.LocalAddr().String()}, "")
+	p, err := NewPeerSocket(nil, PeerOptions{Listen: "127.0.0.1:0", Addrs: []string{"127.0.0.1:1", peer.LocalAddr().String()}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	loop = NewEventLoop(zerolog.Nop())
-	c = NewStoreStream(ctx, group, loop, []string{listener.Addr().String()}, "edge-3.7f00ba12", 0)
+	c = NewStoreStream(ctx, group, loop, nil, StoreOptions{Servers: []string{listener.Addr().String()}, Name: "edge-3.7f00ba12"})
 	other, err = listener.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -341,7 +341,7 @@
 	stranger, _ := net.ListenPacket("udp", "127.0.0.1:0")
 	defer friend.Close()
 	defer stranger.Close()
-	p, err := NewPeerSocket(nil, "127.0.0.1:0", 0, []string{"127.0.0.1:1", friend.LocalAddr().String()}, "")
+	p, err := NewPeerSocket(nil, PeerOptions{Listen: "127.0.0.1:0", Addrs: []string{"127.0.0.1:1", friend.LocalAddr().String()}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -157,7 +157,7 @@
 	if x.connect != nil {
 		w.pool.connect = x.connect
 	}
-	peers, err := NewPeerSocket(w.loop, "127.0.0.1:0", 0, nil, "")
+	peers, err := NewPeerSocket(w.loop, PeerOptions{Listen: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
