--- a/tier/programs/settled.go
+++ b/tier/programs/settled.go
@@ -1,9 +1,6 @@
 package programs
 
 import (
-	"maps"
-	"slices"
-
 	"otterseam/tier/codec"
 	"otterseam/tier/codes"
 )
@@ -91,7 +88,7 @@
 		e.Uint32(uint32(each.answer))
 	}
 	e.Uint32(uint32(len(p.watermarks)))
-	for _, gateway := range slices.Sorted(maps.Keys(p.watermarks)) {
+	for _, gateway := range sortedKeys(p.watermarks) {
 		e.Uint64(gateway)
 		e.Uint64(p.watermarks[gateway].number)
 		e.Int64(p.watermarks[gateway].raisedAt)
--- a/tier/programs/snapshot.go
+++ b/tier/programs/snapshot.go
@@ -1,7 +1,7 @@
 package programs
 
 import (
-	"maps"
+	"cmp"
 	"slices"
 
 	"otterseam/tier/codec"
@@ -90,6 +90,11 @@
 }
 
 // sortedKeys orders the keys of a map, so that the same map always has the same bytes.
-func sortedKeys[V any](values map[string]V) []string {
-	return slices.Sorted(maps.Keys(values))
+func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
+	keys := make([]K, 0, len(values))
+	for key := range values {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
 }
