--- a/gateway/membership/gossip.go
+++ b/gateway/membership/gossip.go
@@ -114,10 +114,10 @@
 	m.incarnation = e.incarnation
 	switch {
 	case e.incarnation.dead() && !former.dead():
-		d.died(now, e.member)
+		d.markDead(now, e.member)
 	case !e.incarnation.dead() && former.dead():
 		m.lastHeard = math.NaN()
-		d.returned(e.member, former)
+		d.markReturned(e.member, former)
 	}
 }
 
--- a/gateway/membership/heartbeat.go
+++ b/gateway/membership/heartbeat.go
@@ -77,7 +77,7 @@
 	m.unseen = false
 	m.forgive()
 	if newLife && former != 0 {
-		d.returned(p.sender, former)
+		d.markReturned(p.sender, former)
 		if p.kind != kindNews { // news all hear: they must not all answer
 			d.publish(now, p.sender)
 			d.sendDead(p.sender)
--- a/gateway/membership/suspicion.go
+++ b/gateway/membership/suspicion.go
@@ -127,13 +127,13 @@
 	m := &d.members[k]
 	m.incarnation = m.incarnation.accused()
 	m.accusedAt = now
-	d.died(now, k)
+	d.markDead(now, k)
 	d.gossip.countAccusation(now)
 	d.publish(now, k)
 }
 
-// died notes that a member counts as dead from now on.
-func (d *Detector) died(now float64, k int) {
+// markDead notes that a member counts as dead from now on.
+func (d *Detector) markDead(now float64, k int) {
 	m := &d.members[k]
 	m.deadSince = now
 	m.lastHeard = math.NaN()
@@ -143,8 +143,8 @@
 	d.news.dead = append(d.news.dead, k)
 }
 
-// returned notes that a member that was accused, or whose former life is over, is alive.
-func (d *Detector) returned(k int, former incarnation) {
+// markReturned notes that a member that was accused, or whose former life is over, is alive.
+func (d *Detector) markReturned(k int, former incarnation) {
 	m := &d.members[k]
 	if former.dead() {
 		d.dead--
--- a/gateway/overload/breaker.go
+++ b/gateway/overload/breaker.go
@@ -216,7 +216,7 @@
 	case breakerClosed:
 		// A few gateways whose own links are broken see all hosts silent: an answer to what began since they said so
 		// speaks against them.
-		if c.peers.contradicts(startedAt) {
+		if c.peers.takeContradiction(startedAt) {
 			c.sendSampled(reportAnswering)
 		}
 	case breakerOpen:
--- a/gateway/overload/hostreports.go
+++ b/gateway/overload/hostreports.go
@@ -56,7 +56,7 @@
 	forgetAt float64
 }
 
-func (r *hostReports) get(host string) *hostReport {
+func (r *hostReports) getOrCreate(host string) *hostReport {
 	report := r.byHost[host]
 	if report == nil {
 		report = &hostReport{ejectedAt: map[int]float64{}, answeringAt: map[int]float64{}, takenAt: math.Inf(-1)}
@@ -125,7 +125,7 @@
 	if !c.exchangesHostReports() {
 		return false
 	}
-	report := c.hosts.get(host)
+	report := c.hosts.getOrCreate(host)
 	if now-report.takenAt < flapWindow { // the peer's report was wrong
 		c.peers.distrust(now, report.takenFrom)
 	}
@@ -206,7 +206,7 @@
 		if c.hosts.byHost[host] == nil && len(c.hosts.byHost) >= reportedHostsFactor*max(minReportedHosts, c.listedHosts) {
 			continue // names that nobody knows fill no memory
 		}
-		report := c.hosts.get(host)
+		report := c.hosts.getOrCreate(host)
 		switch word[0] {
 		case wordEjected:
 			report.ejectedAt[from] = now
--- a/gateway/overload/peerreports.go
+++ b/gateway/overload/peerreports.go
@@ -38,7 +38,7 @@
 	return countWithin(r.silentAt, now, reportMemory), countWithin(r.answeringAt, now, reportMemory)
 }
 
-func (r *peerReports) silent(now float64, peer int) {
+func (r *peerReports) recordSilent(now float64, peer int) {
 	r.silentAt[peer] = now
 	if r.unansweredAt == 0 {
 		r.unansweredAt = now
@@ -46,13 +46,13 @@
 	delete(r.answeringAt, peer)
 }
 
-func (r *peerReports) answering(now float64, peer int) {
+func (r *peerReports) recordAnswering(now float64, peer int) {
 	r.answeringAt[peer] = now
 	delete(r.silentAt, peer)
 }
 
-// contradicts says that an answered attempt began after a peer had reported silence, once for each such report.
-func (r *peerReports) contradicts(startedAt float64) bool {
+// takeContradiction says that an answered attempt began after a peer had reported silence, once for each such report.
+func (r *peerReports) takeContradiction(startedAt float64) bool {
 	if r.unansweredAt <= 0 || startedAt < r.unansweredAt {
 		return false
 	}
@@ -91,9 +91,9 @@
 	}
 	switch text[1:] {
 	case reportSilent:
-		c.peers.silent(now, from)
+		c.peers.recordSilent(now, from)
 	case reportAnswering:
-		c.peers.answering(now, from)
+		c.peers.recordAnswering(now, from)
 		if c.breaker.state == breakerOpen && c.peers.trusts(now, from) {
 			c.halfOpenByReport(now, from)
 		}
