--- a/tier/programs/fetch.go
+++ b/tier/programs/fetch.go
@@ -17,7 +17,3 @@
 	e.String(f.Request)
 	return e.Bytes
 }
-
-func decodeFetch(d *codec.Decoder) Fetch {
-	return Fetch{Now: d.Int64(), Request: d.String()}
-}
--- a/tier/programs/state.go
+++ b/tier/programs/state.go
@@ -46,11 +46,13 @@
 		}
 		return result, end.Now, d.Err()
 	case CommandFetch:
-		fetch := decodeFetch(d)
+		// read here, and not into a Fetch, so that the request takes no memory of the heap
+		now = d.Int64()
+		request := d.String()
 		if d.Err() == nil {
-			result = s.fetch(fetch)
+			result = s.fetch(request, now)
 		}
-		return result, fetch.Now, d.Err()
+		return result, now, d.Err()
 	default:
 		return Result{}, 0, codec.ErrMalformed
 	}
@@ -114,12 +116,12 @@
 }
 
 // fetch returns the chain of a turn of any program of the shard.
-func (s *State) fetch(f Fetch) Result {
-	p := s.programs[s.programOfTurn[f.Request]]
+func (s *State) fetch(request string, now int64) Result {
+	p := s.programs[s.programOfTurn[request]]
 	if p == nil {
 		return Result{Code: codes.TurnUnknown}
 	}
-	chain, host, found := p.chain(f.Request, f.Now)
+	chain, host, found := p.chain(request, now)
 	if !found {
 		return Result{Code: codes.TurnUnknown}
 	}
