--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -3,14 +3,12 @@
 import (
 	"otterseam/gateway/policy"
 	"otterseam/sim/eventqueue"
+	"otterseam/sim/model"
 	"otterseam/sim/overlap"
 	"otterseam/sim/randstream"
 	"otterseam/sim/scenario"
 )
 
-// stateLeft is the state of a host that is gone from the list.
-const stateLeft = "left"
-
 // A change takes its mean delay times a factor between these.
 const (
 	minDelayFactor = 0.5
@@ -93,7 +91,7 @@
 	}
 	list := latest[:0]
 	for _, host := range latest {
-		if host.State != stateLeft {
+		if host.State != model.HostLeft {
 			list = append(list, host)
 		}
 	}
--- /dev/null
+++ b/sim/oracle/attempts.go
@@ -0,0 +1,136 @@
+package oracle
+
+import (
+	"fmt"
+
+	"otterseam/sim/model"
+)
+
+// AttemptSent judges an attempt that an api gateway begins.
+func (o *Oracle) AttemptSent(attempt *model.Attempt) {
+	invocation := attempt.Invocation
+	now := o.now()
+	if invocation.Outcome != model.Pending {
+		o.violated(ruleOneAnswer, invocation.Ref, "%s is sent on after its final answer", invocation.Ref)
+	}
+	if now > invocation.GiveUpAt+Tolerance {
+		o.violated(ruleOneAnswer, invocation.Ref, "%s is sent on after its client gave up", invocation.Ref)
+	}
+	told, known := o.told[invocation.Gateway][attempt.Host]
+	if known && told.state != model.HostActive && now > told.toldAt+o.scenario.Gateway.Grace.V()+Tolerance {
+		o.violated(ruleLeavingHosts, invocation.Ref, "%s is sent to host %d, %s for %.3f s",
+			invocation.Ref, attempt.Host, told.state, now-told.toldAt)
+	}
+	for _, other := range invocation.Attempts {
+		if other != attempt && !other.Ended && !o.AllowsHedging {
+			o.ConcurrentAttempts(invocation)
+		}
+	}
+	o.CheckRetry(attempt)
+}
+
+// ConcurrentAttempts reports two attempts of one invocation in flight at once, also as seen where AttemptSent cannot: for longer than
+// the delay of messages explains.
+func (o *Oracle) ConcurrentAttempts(invocation *model.Invocation) {
+	o.violated(ruleEffect, invocation.Ref, "%s has two deliveries out at once", invocation.Ref)
+}
+
+// CheckRetry judges only whether an attempt may follow the earlier ones: all that can be said of one held up on its way.
+func (o *Oracle) CheckRetry(attempt *model.Attempt) {
+	if fault := o.retryFault(attempt); fault != "" {
+		invocation := attempt.Invocation
+		o.violated(ruleEffect, invocation.Ref, "%s, %s, is sent on again %s", invocation.Ref, invocation.Request.Operation.Effect, fault)
+	}
+}
+
+// retryFault says what is wrong with a further attempt; "": nothing.
+func (o *Oracle) retryFault(attempt *model.Attempt) string {
+	operation := attempt.Invocation.Request.Operation
+	for _, earlier := range attempt.Invocation.Attempts {
+		if earlier == attempt || earlier.ProvenNotRun {
+			continue
+		}
+		switch operation.Effect {
+		case model.EffectNonIdempotent:
+			return fmt.Sprintf("though delivery %d may have run", earlier.Number)
+		case model.EffectTokened:
+			if o.now() > earlier.SentAt+operation.TokenTime.V() {
+				return fmt.Sprintf("%.3f s after delivery %d, which may have run", o.now()-earlier.SentAt, earlier.Number)
+			}
+		}
+	}
+	return ""
+}
+
+// CheckGroup judges whether a tokened invocation is sent outside the group of a host where it may have run; sameGroup says whether two
+// hosts share tokens.
+func (o *Oracle) CheckGroup(attempt *model.Attempt, sameGroup func(a, b int) bool) {
+	invocation := attempt.Invocation
+	if invocation.Request.Operation.Effect != model.EffectTokened {
+		return
+	}
+	for _, earlier := range invocation.Attempts {
+		if earlier != attempt && !earlier.ProvenNotRun && !sameGroup(earlier.Host, attempt.Host) {
+			o.violated(ruleEffect, invocation.Ref, "%s, tokened, is sent outside its group, from host %d to %d",
+				invocation.Ref, earlier.Host, attempt.Host)
+		}
+	}
+}
+
+// AttemptStarted judges an attempt that has begun to run.
+func (o *Oracle) AttemptStarted(attempt *model.Attempt) {
+	invocation := attempt.Invocation
+	for _, other := range invocation.Attempts {
+		if other != attempt && other.Started && invocation.Request.Operation.Effect == model.EffectNonIdempotent {
+			o.violated(ruleEffect, invocation.Ref, "%s, non-idempotent, has run twice: deliveries %d and %d",
+				invocation.Ref, other.Number, attempt.Number)
+		}
+	}
+	attempt.Started = true
+}
+
+// InvocationAnswered judges a final answer of an api gateway.
+func (o *Oracle) InvocationAnswered(invocation *model.Invocation, outcome model.Outcome) {
+	if invocation.Outcome != model.Pending {
+		o.violated(ruleOneAnswer, invocation.Ref, "%s gets a second final answer: %s after %s",
+			invocation.Ref, model.OutcomeNames[outcome], model.OutcomeNames[invocation.Outcome])
+		return
+	}
+	invocation.Outcome = outcome
+	if o.now() > invocation.GiveUpAt+Tolerance {
+		o.violated(ruleOneAnswer, invocation.Ref, "%s is answered %.3f s after its client gave up",
+			invocation.Ref, o.now()-invocation.GiveUpAt)
+	}
+	if outcome == model.Throttled {
+		o.checkThrottling(invocation)
+	}
+}
+
+// checkThrottling judges a throttling, which invites the client to ask again, for attempts that may have run.
+func (o *Oracle) checkThrottling(invocation *model.Invocation) {
+	operation := invocation.Request.Operation
+	mayRunAgain := operation.Effect != model.EffectNonIdempotent &&
+		(operation.Effect != model.EffectTokened || operation.Group == model.GroupAll)
+	for _, attempt := range invocation.Attempts {
+		if !attempt.ProvenNotRun && !mayRunAgain {
+			o.violated(ruleEffect, invocation.Ref, "%s, %s, is throttled though delivery %d may have run",
+				invocation.Ref, operation.Effect, attempt.Number)
+		}
+	}
+}
+
+// ClientGaveUp judges an invocation whose client's time is over.
+func (o *Oracle) ClientGaveUp(invocation *model.Invocation) {
+	if invocation.Outcome == model.Pending {
+		o.violated(ruleOneAnswer, invocation.Ref, "%s was taken and got no final answer before its client gave up", invocation.Ref)
+		invocation.Outcome = model.Unanswered
+	}
+}
+
+// ConnectionDropped reports that an api gateway that ran all the while has ended a client's connection without an answer.
+func (o *Oracle) ConnectionDropped(invocation *model.Invocation) {
+	o.violated(ruleOneAnswer, invocation.Ref, "%s was taken, and its client's connection ended without an answer", invocation.Ref)
+}
+
+// ForeignContent reports that a client was served with, or a host was sent, what was not made for it.
+func (o *Oracle) ForeignContent(ref, text string) { o.violated(ruleOneAnswer, ref, "%s", text) }
--- /dev/null
+++ b/sim/oracle/quota.go
@@ -0,0 +1,139 @@
+package oracle
+
+import "otterseam/sim/model"
+
+const (
+	// unitsTolerance is how many units rounding may be off.
+	unitsTolerance = 1e-9
+	// slotFactor is for how many times an operation's mean work a request within a cap on concurrency holds its slot.
+	slotFactor = 1.5
+)
+
+// tokenBucket fills at a rate and holds one burst; it starts full.
+type tokenBucket struct{ rate, burst, level, filledAt float64 }
+
+func newTokenBucket(rate, burst, now float64) tokenBucket {
+	return tokenBucket{rate: rate, burst: burst, level: burst, filledAt: now}
+}
+
+func (b *tokenBucket) fill(now float64) {
+	b.level = min(b.burst, b.level+b.rate*(now-b.filledAt))
+	b.filledAt = now
+}
+
+// usage is what one customer has really used of its quota.
+type usage struct {
+	sent      tokenBucket // by what reached a host
+	requested tokenBucket // by what was asked for
+	ceiling   tokenBucket
+	inFlight  int       // attempts
+	slots     []float64 // when each request within the cap on concurrency would have been done
+}
+
+// usageOf is the account of a customer, which begins with full buckets when it is first asked for.
+func (o *Oracle) usageOf(customer *model.Customer) *usage {
+	used := o.usage[customer]
+	if used == nil {
+		plan := customer.Plan
+		now := o.now()
+		used = &usage{
+			sent:      newTokenBucket(plan.Rate.V(), plan.Burst.V(), now),
+			requested: newTokenBucket(plan.Rate.V(), plan.Burst.V(), now),
+			ceiling:   newTokenBucket(plan.CeilingRate.V(), plan.CeilingBurst.V(), now),
+		}
+		o.usage[customer] = used
+	}
+	return used
+}
+
+// RequestCreated says whether a request is within its customer's quota when it is first asked for; what is takes its units.
+func (o *Oracle) RequestCreated(request *model.Request) (within bool) {
+	used := o.usageOf(request.Customer)
+	plan := request.Customer.Plan
+	now := o.now()
+	used.requested.fill(now)
+	used.dropSlots(now)
+	hasRate := plan.Rate.V() > 0
+	hasCap := plan.MaxOut.N() > 0
+	if hasRate && request.ActualUnits > used.requested.level || hasCap && len(used.slots) >= plan.MaxOut.N() {
+		return false
+	}
+	if hasRate {
+		used.requested.level -= request.ActualUnits
+	}
+	if hasCap {
+		used.slots = append(used.slots, now+slotFactor*request.Operation.Work.V())
+	}
+	return true
+}
+
+// dropSlots drops the slots whose time is over.
+func (u *usage) dropSlots(now float64) {
+	held := u.slots[:0]
+	for _, endsAt := range u.slots {
+		if endsAt > now {
+			held = append(held, endsAt)
+		}
+	}
+	u.slots = held
+}
+
+// AttemptReached takes down that all of an attempt is at its host. The first of an invocation takes its units; beyond says that they
+// were beyond the quota.
+func (o *Oracle) AttemptReached(attempt *model.Attempt) (first, beyond bool) {
+	invocation := attempt.Invocation
+	used := o.usageOf(invocation.Request.Customer)
+	attempt.ReachedHost = true
+	first = !invocation.Charged
+	if first {
+		invocation.Charged = true
+		beyond = o.charge(used, invocation)
+	}
+	if !attempt.CountsAgainstQuota {
+		attempt.CountsAgainstQuota = true
+		used.inFlight++
+	}
+	return first, beyond
+}
+
+// charge takes the units of an invocation from its customer's quota and ceiling, and says whether they were beyond the quota.
+func (o *Oracle) charge(used *usage, invocation *model.Invocation) (beyond bool) {
+	request := invocation.Request
+	plan := request.Customer.Plan
+	now := o.now()
+	used.sent.fill(now)
+	if plan.Rate.V() > 0 {
+		if request.ActualUnits > used.sent.level+unitsTolerance {
+			beyond = true
+		} else {
+			used.sent.level -= request.ActualUnits
+		}
+	}
+	beyond = beyond || plan.MaxOut.N() > 0 && used.inFlight >= plan.MaxOut.N()
+	if plan.CeilingRate.V() > 0 {
+		used.ceiling.fill(now)
+		if request.Units > used.ceiling.level+unitsTolerance {
+			o.violated(ruleCeiling, invocation.Ref, "%s passes the ceiling of customer %s: %.2f units where %.2f were left",
+				invocation.Ref, request.Customer.Key, request.Units, used.ceiling.level)
+		}
+		used.ceiling.level -= request.Units
+	}
+	return beyond
+}
+
+// AttemptReleased takes down that an attempt is no longer in flight: its answer is written, or its connection has ended.
+func (o *Oracle) AttemptReleased(attempt *model.Attempt) {
+	if attempt.CountsAgainstQuota {
+		attempt.CountsAgainstQuota = false
+		o.usageOf(attempt.Invocation.Request.Customer).inFlight--
+	}
+}
+
+// QuotaHasRoom says whether a customer's quota would take so many units now, by what was really sent.
+func (o *Oracle) QuotaHasRoom(customer *model.Customer, units float64) bool {
+	used := o.usageOf(customer)
+	plan := customer.Plan
+	used.sent.fill(o.now())
+	return (plan.Rate.V() == 0 || units <= used.sent.level+unitsTolerance) &&
+		(plan.MaxOut.N() == 0 || used.inFlight < plan.MaxOut.N())
+}
--- a/sim/workload/client.go
+++ b/sim/workload/client.go
@@ -18,13 +18,6 @@
 	objectiveDivisor = 5
 )
 
-// The effects of operations, as scenarios name them, that let a client retry what may have run.
-const (
-	idempotentEffect = "idempotent"
-	tokenedEffect    = "tokened" // within the lifetime of the token, where all hosts share it
-	allHostsGroup    = "all"
-)
-
 // invoke sends a client's next invocation through one of the customer's api gateways.
 func (g *Generator) invoke(request *model.Request, retry bool) {
 	now := g.clock.Now()
@@ -118,10 +111,10 @@
 func (g *Generator) mayRepeat(request *model.Request, at float64) bool {
 	operation := request.Operation
 	switch operation.Effect {
-	case idempotentEffect:
+	case model.EffectIdempotent:
 		return true
-	case tokenedEffect:
-		return operation.Group == allHostsGroup && at < request.CreatedAt+operation.TokenTime.V()
+	case model.EffectTokened:
+		return operation.Group == model.GroupAll && at < request.CreatedAt+operation.TokenTime.V()
 	}
 	return false
 }
