--- /dev/null
+++ b/cmd/otterseam/config.go
@@ -0,0 +1,136 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"net/netip"
+	"os"
+	"time"
+
+	"otterseam/gateway/server"
+	"otterseam/gateway/simprotocol"
+)
+
+const (
+	defaultMemoryMB        = 192.0
+	defaultDescriptors     = 1024
+	reservedDescriptors    = 40 // for the counter, discovery, peers and the runtime
+	clientDescriptorShare  = 55 // in 100 of the others
+	hostDescriptorShare    = 40 // in 100 of the others
+	minConnections         = 8  // of clients and to hosts
+	shortestLongestTimeout = time.Second
+)
+
+var (
+	errNoConfig         = errors.New("EDGE_CONFIG names no configuration")
+	errIncompleteConfig = errors.New("listen, discovery or settings are missing")
+)
+
+// configError says what is wrong with the configuration.
+type configError struct {
+	path   string // of the file; empty where reason names it, or nothing in particular
+	reason error
+}
+
+func (e *configError) Error() string {
+	if e.path == "" {
+		return "configuration: " + e.reason.Error()
+	}
+	return "configuration " + e.path + ": " + e.reason.Error()
+}
+
+func (e *configError) Unwrap() error { return e.reason }
+
+// config is the configuration as it stands on disk.
+type config struct {
+	Name       string `json:"name"`
+	Listen     string `json:"listen"`
+	Discovery  string `json:"discovery"`
+	Seed       string `json:"seed"` // hexadecimal
+	PeerListen string `json:"peer_listen"`
+	Counter    string `json:"counter"`
+	Limits     struct {
+		MemoryMB    float64 `json:"memory_mb"`
+		Descriptors int     `json:"sockets"`
+	} `json:"limits"`
+	Peers    []string             `json:"peers"`
+	PeersAll string               `json:"peers_all"`
+	Known    server.Roster        `json:"known"`
+	Settings simprotocol.Settings `json:"settings"`
+}
+
+// loadConfig reads the file that EDGE_CONFIG names. What the environment says of addresses fills in what the file leaves out.
+func loadConfig() (*config, error) {
+	path := os.Getenv("EDGE_CONFIG")
+	if path == "" {
+		return nil, errNoConfig
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, &configError{reason: err}
+	}
+	c := &config{}
+	if err := json.Unmarshal(text, c); err != nil {
+		return nil, &configError{path: path, reason: err}
+	}
+	fillFromEnvironment(&c.Name, "EDGE_NAME")
+	fillFromEnvironment(&c.Listen, "EDGE_LISTEN")
+	fillFromEnvironment(&c.Discovery, "EDGE_DISCOVERY")
+	if c.Listen == "" || c.Discovery == "" || len(c.Settings.Operations) == 0 || c.Settings.Gateways < 1 {
+		return nil, &configError{path: path, reason: errIncompleteConfig}
+	}
+	return c, nil
+}
+
+func fillFromEnvironment(value *string, variable string) {
+	if *value == "" {
+		*value = os.Getenv(variable)
+	}
+}
+
+// checkAddresses says whether the addresses that a reload takes up make sense.
+func (c *config) checkAddresses() error {
+	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
+		return err
+	}
+	if c.counterAddr() == "" {
+		return nil
+	}
+	_, err := netip.ParseAddrPort(c.Counter)
+	return err
+}
+
+// counterAddr is the address of the counter; "": there is none.
+func (c *config) counterAddr() string {
+	if !c.Settings.Shared.Counter {
+		return ""
+	}
+	return c.Counter
+}
+
+func (c *config) memoryBytes() float64 {
+	memory := c.Limits.MemoryMB
+	if memory <= 0 {
+		memory = defaultMemoryMB
+	}
+	return memory * (1 << 20)
+}
+
+// maxConns is how many connections clients may have, and how many there may be to hosts.
+func (c *config) maxConns() (clients, hosts int) {
+	descriptors := c.Limits.Descriptors
+	if descriptors <= 0 {
+		descriptors = defaultDescriptors
+	}
+	free := descriptors - reservedDescriptors
+	return max(minConnections, free*clientDescriptorShare/100), max(minConnections, free*hostDescriptorShare/100)
+}
+
+// longestTimeout is for how long a client may still wait for an answer.
+func (c *config) longestTimeout() time.Duration {
+	longest := shortestLongestTimeout.Seconds()
+	for _, operation := range c.Settings.Operations {
+		longest = max(longest, operation.Timeout)
+	}
+	return time.Duration(longest * float64(time.Second))
+}
