--- a/tier/programs/bench_test.go
+++ b/tier/programs/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// bulkState is a state of about ten megabytes: programs with one kept turn each.
+// bulkState is a state of about ten megabytes: programs with one retained turn each.
 func bulkState() *shard {
 	s := newShard()
 	text := string(make([]byte, 2<<10))
--- a/tier/programs/settled.go
+++ b/tier/programs/settled.go
@@ -16,7 +16,7 @@
 	minWatermarkBytes   = 8 + 8 + 8
 )
 
-// settledTurn is a turn that has ended, or was refused for good.
+// settledTurn is a turn that has ended, or was rejected for good.
 type settledTurn struct {
 	request string
 	ticket  Ticket
@@ -42,7 +42,7 @@
 	return codes.OK, false
 }
 
-// settle remembers a turn that has ended or was refused.
+// settle remembers a turn that has ended or was rejected.
 func (p *program) settle(turn settledTurn, now int64) {
 	p.settled = append(p.settled, turn)
 	excess := len(p.settled) - maxSettledTurns
--- a/tier/store/store_test.go
+++ b/tier/store/store_test.go
@@ -76,11 +76,11 @@
 		holds     bool
 		wantEpoch uint64
 	}{
-		"led here":               {func(*Server) {}, true, 2},
-		"led elsewhere":          {func(s *Server) { give(s, 2, 3, 9, other, s.self.Identity) }, true, 3},
-		"moved away":             {func(s *Server) { give(s, 2, 3, 9, other) }, false, 0},
-		"moved away long ago":    {func(s *Server) { give(s, 2, 1, 9, other) }, true, 2},
-		"led by an earlier life": {func(s *Server) { give(s, 2, 3, s.self.Incarnation+1, s.self.Identity) }, true, 2},
+		"led here":                      {func(*Server) {}, true, 2},
+		"led elsewhere":                 {func(s *Server) { give(s, 2, 3, 9, other, s.self.Identity) }, true, 3},
+		"moved away":                    {func(s *Server) { give(s, 2, 3, 9, other) }, false, 0},
+		"moved away long ago":           {func(s *Server) { give(s, 2, 1, 9, other) }, true, 2},
+		"led by an earlier incarnation": {func(s *Server) { give(s, 2, 3, s.self.Incarnation+1, s.self.Identity) }, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t)
