--- a/cmd/localtier/takeover.go
+++ b/cmd/localtier/takeover.go
@@ -1,52 +1,72 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"net"
-	"sort"
+	"net/http"
+	"slices"
 	"time"
 
 	"otterseam/harness/tiercluster"
 )
 
-const copies = 3
+const (
+	// replicas is how many replicas control and each shard have.
+	replicas = 3
+	// takeoverPrograms is how many agent programs send a turn after a store was killed: all shards take part.
+	takeoverPrograms = 24
+)
+
+var errNoPrimary = errors.New("no machine has the address of the primary")
 
-// measureTakeovers kills the primary of control again and again, and prints how long it took until the next configuration was
-// acknowledged, and until a turn was served after a store was killed.
-func measureTakeovers(rig *tiercluster.Rig, times int) error {
+// measureTakeovers kills the primary of control and a store so many times, and prints how long it took until the next configuration was
+// acknowledged, and until turns were served.
+func measureTakeovers(cluster *tiercluster.Cluster, times int) error {
 	var control, store []time.Duration
-	version := uint64(1)
-	for i := range times {
-		if err := tiercluster.Until(startLimit, func() bool { return rig.InSync(copies) }); err != nil {
-			return fmt.Errorf("copies are missing: %w", err)
-		}
-		machine, err := controlPrimary(rig)
+	for round := range times {
+		took, err := controlTakeover(cluster, uint64(round+1))
 		if err != nil {
 			return err
 		}
-		killed := time.Now()
-		machine.Kill()
-		if answer := rig.Replace(version, tiercluster.Config(version+1), startLimit); answer.Err != nil || answer.Status != 200 {
-			return fmt.Errorf("configuration %d: status %d, %w", version+1, answer.Status, answer.Err)
-		}
-		control = append(control, time.Since(killed))
-		version++
-		if err := rig.StartMachine(machine); err != nil {
-			return err
-		}
-		took, err := storeTakeover(rig, i)
-		if err != nil {
+		control = append(control, took)
+		if took, err = storeTakeover(cluster, round); err != nil {
 			return err
 		}
 		store = append(store, took)
 	}
 	printTimes("next acknowledged configuration after the primary of control was killed", control)
-	printTimes("turns of 24 programs after a store was killed", store)
+	printTimes(fmt.Sprintf("turns of %d programs after a store was killed", takeoverPrograms), store)
+	return nil
+}
+
+func waitInSync(cluster *tiercluster.Cluster) error {
+	if err := tiercluster.WaitUntil(startTimeout, func() bool { return cluster.IsInSync(replicas) }); err != nil {
+		return fmt.Errorf("copies are missing: %w", err)
+	}
 	return nil
 }
 
-func controlPrimary(rig *tiercluster.Rig) (*tiercluster.Machine, error) {
-	state, err := rig.Status()
+// controlTakeover kills the primary of control and measures until the configuration after version is acknowledged.
+func controlTakeover(cluster *tiercluster.Cluster, version uint64) (time.Duration, error) {
+	if err := waitInSync(cluster); err != nil {
+		return 0, err
+	}
+	machine, err := controlPrimary(cluster)
+	if err != nil {
+		return 0, err
+	}
+	killed := time.Now()
+	machine.Kill()
+	if err := replaceConfig(cluster, version); err != nil {
+		return 0, err
+	}
+	took := time.Since(killed)
+	return took, cluster.StartMachine(machine)
+}
+
+func controlPrimary(cluster *tiercluster.Cluster) (*tiercluster.Machine, error) {
+	state, err := cluster.Status()
 	if err != nil {
 		return nil, err
 	}
@@ -55,44 +75,50 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, machine := range rig.Machines {
+	for _, machine := range cluster.Machines {
 		if machine.IP == host {
 			return machine, nil
 		}
 	}
-	return nil, fmt.Errorf("no machine has the address %s of the primary", host)
+	return nil, fmt.Errorf("%w: %s", errNoPrimary, host)
 }
 
-// storeTakeover kills a store and measures until turns of so many programs that all shards take part are served.
-func storeTakeover(rig *tiercluster.Rig, round int) (time.Duration, error) {
-	if err := tiercluster.Until(startLimit, func() bool { return rig.InSync(copies) }); err != nil {
-		return 0, fmt.Errorf("copies are missing: %w", err)
+// storeTakeover kills a store and measures until turns of takeoverPrograms programs are served.
+func storeTakeover(cluster *tiercluster.Cluster, round int) (time.Duration, error) {
+	if err := waitInSync(cluster); err != nil {
+		return 0, err
 	}
-	machine := rig.Machine(fmt.Sprintf("storage-%d", round%copies+1))
+	machine := cluster.Machine(fmt.Sprintf("storage-%d", round%replicas+1))
+	front := cluster.FrontAddresses()[0]
 	killed := time.Now()
 	machine.Kill()
-	const programs = 24
-	for program := range programs {
-		err := tiercluster.Until(startLimit, func() bool {
-			header := map[string]string{
-				"X-Request-Id": fmt.Sprintf("%x", time.Now().UnixNano()), "Program": fmt.Sprintf("p-%d-%d", round, program),
-				"X-Token-Count": "10,3", "Budget": "600",
-			}
-			answer := tiercluster.Call("POST", "http://"+rig.Fronts()[0]+"/chat/1", "try.example", header, "x")
-			return answer.Err == nil && answer.Status == 200
-		})
-		if err != nil {
+	for program := range takeoverPrograms {
+		name := fmt.Sprintf("p-%d-%d", round, program)
+		if err := tiercluster.WaitUntil(startTimeout, func() bool { return isTurnServed(front, name) }); err != nil {
 			return 0, err
 		}
 	}
 	took := time.Since(killed)
-	return took, rig.StartMachine(machine)
+	return took, cluster.StartMachine(machine)
+}
+
+// isTurnServed sends a turn of an agent program.
+func isTurnServed(front, program string) bool {
+	header := map[string]string{
+		"X-Request-Id":  fmt.Sprintf("%x", time.Now().UnixNano()),
+		"Program":       program,
+		"X-Token-Count": "10,3",
+		"Budget":        "600",
+	}
+	response := tiercluster.Call(http.MethodPost, "http://"+front+"/chat/1", tiercluster.ExampleHost, header, "x")
+	return response.Err == nil && response.Status == http.StatusOK
 }
 
+// printTimes prints a number of times, their median, their 90th percentile and the longest.
 func printTimes(what string, times []time.Duration) {
-	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
-	at := func(share float64) time.Duration {
-		return times[int(share*float64(len(times)-1))].Round(time.Millisecond)
+	slices.Sort(times)
+	quantile := func(q float64) time.Duration {
+		return times[int(q*float64(len(times)-1))].Round(time.Millisecond)
 	}
-	fmt.Printf("%s: n %d, p50 %v, p90 %v, longest %v\n", what, len(times), at(0.5), at(0.9), at(1))
+	fmt.Printf("%s: n %d, p50 %v, p90 %v, longest %v\n", what, len(times), quantile(0.5), quantile(0.9), quantile(1))
 }
--- a/cmd/otterctl/main_test.go
+++ b/cmd/otterctl/main_test.go
@@ -14,7 +14,7 @@
 	"otterseam/tier/status"
 )
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -29,10 +29,10 @@
 		says string
 		ok   bool
 	}{
-		{arguments{CheckConfig: &fileCommand{write(t, `{"version":3,"routes":[],"services":[]}`)}}, "is sound: version 3", true},
-		{arguments{CheckConfig: &fileCommand{write(t, `{"version":3,"routes":[{"name":"r","service":"x","timeout_ms":1}]}`)}}, "service x is unknown", false},
-		{arguments{CheckSettings: &fileCommand{write(t, "node=n\nrole=r\nip=1.2.3.4\nzone=z\ninternal_ports=1,9\n")}}, "is sound: node n", true},
-		{arguments{CheckSettings: &fileCommand{write(t, "node=n\n")}}, "role is missing", false},
+		{arguments{CheckConfig: &checkConfigCommand{writeFile(t, `{"version":3,"routes":[],"services":[]}`)}}, "is sound: version 3", true},
+		{arguments{CheckConfig: &checkConfigCommand{writeFile(t, `{"version":3,"routes":[{"name":"r","service":"x","timeout_ms":1}]}`)}}, "service x is unknown", false},
+		{arguments{CheckSettings: &checkSettingsCommand{writeFile(t, "node=n\nrole=r\nip=1.2.3.4\nzone=z\ninternal_ports=1,9\n")}}, "is sound: node n", true},
+		{arguments{CheckSettings: &checkSettingsCommand{writeFile(t, "node=n\n")}}, "role is missing", false},
 		{arguments{Explain: &explainCommand{"301"}}, "budget-spent", true},
 		{arguments{Explain: &explainCommand{"7"}}, "is no result code", false},
 		{arguments{Status: &statusCommand{Control: []string{"127.0.0.1:1"}, Timeout: time.Millisecond}}, "wanted are machines with their first internal port", false},
--- a/cmd/otterseam-tier/main.go
+++ b/cmd/otterseam-tier/main.go
@@ -13,11 +13,7 @@
 	"github.com/alexflint/go-arg"
 	"github.com/sirupsen/logrus"
 
-	"otterseam/tier/agent"
-	"otterseam/tier/control"
-	"otterseam/tier/proxy"
 	"otterseam/tier/settings"
-	"otterseam/tier/store"
 )
 
 type roleCommand struct{}
@@ -27,21 +23,25 @@
 	Agent    *roleCommand `arg:"subcommand:agent" help:"keep the link to control and feed the proxy of this machine"`
 	Control  *roleCommand `arg:"subcommand:control" help:"keep configuration, hosts and placement; serve operator and hosts"`
 	Store    *roleCommand `arg:"subcommand:store" help:"hold budgets and kept turns of agent programs, on a storage machine"`
-	LogLevel string       `arg:"--log-level,env:OTTERTIER_LOG_LEVEL" default:"info" help:"error, warn, info or debug"`
+	LogLevel string       `arg:"--log-level,env:OTTERTIER_LOG_LEVEL" default:"info" placeholder:"LEVEL" help:"least severe level that is logged: error, warn, info or debug"`
 }
 
-// Description tells what the program is, for --help.
+// Description is printed by --help.
 func (arguments) Description() string {
-	return "One process of the otterseam serving tier. " + settings.FileVariable + " names its settings file.\n" +
+	return "Runs one process of the otterseam serving tier. " + settings.FileVariable + " names its settings file.\n" +
+		"It logs JSON lines to standard error and ends on SIGTERM or SIGINT; SIGHUP is ignored.\n" +
 		"Exit codes: 0 ended as asked, 1 could not start or failed, 2 wrong arguments."
 }
 
+// Exit codes; 0 is success.
 const (
 	exitFailed = 1
 	exitUsage  = 2
-	gcPercent  = 60
 )
 
+// gcPercent is lower than Go's standard, so that a process needs less memory.
+const gcPercent = 60
+
 func main() {
 	var args arguments
 	parser := arg.MustParse(&args)
@@ -61,15 +61,13 @@
 	}
 }
 
+// run runs the role until it ends or a signal asks for that.
 func run(args arguments, level logrus.Level) error {
 	s, err := settings.Load()
 	if err != nil {
 		return err
 	}
-	logger := logrus.New()
-	logger.SetLevel(level)
-	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
-	log := logger.WithField("node", s.Node)
+	log := newLogger(level).WithField("node", s.Node)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGHUP) // the settings file is read again when it is needed
@@ -85,48 +83,10 @@
 	}
 }
 
-func runProxy(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
-	p, err := proxy.New(s, log)
-	if err != nil {
-		return err
-	}
-	return p.Run(ctx)
-}
-
-// runAgent keeps the agent up for as long as the proxy may need it.
-func runAgent(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
-	a, err := agent.New(s, log)
-	if err != nil {
-		return err
-	}
-	outlive, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	context.AfterFunc(ctx, func() { time.AfterFunc(s.Bounds.Grace-agentMargin, cancel) })
-	return a.Run(outlive)
-}
-
-// agentMargin is how long before the platform would kill it the agent ends.
-const agentMargin = 600 * time.Millisecond
-
-func runControl(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
-	c, err := control.New(s, log)
-	if err != nil {
-		return err
-	}
-	return c.Run(ctx)
-}
-
-func runStore(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
-	server, err := store.New(s, log)
-	if err != nil {
-		return err
-	}
-	serving, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	go func() {
-		<-ctx.Done()
-		server.Drain(serving)
-		cancel()
-	}()
-	return server.Run(serving)
+// newLogger logs JSON lines to standard error.
+func newLogger(level logrus.Level) *logrus.Logger {
+	logger := logrus.New()
+	logger.SetLevel(level)
+	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
+	return logger
 }
--- a/harness/tiercluster/catchup_test.go
+++ b/harness/tiercluster/catchup_test.go
@@ -29,7 +29,7 @@
 func (w *world) changes(version uint64, count int, config func(uint64) string) uint64 {
 	w.Helper()
 	for range count {
-		if got := w.rig.Replace(version, config(version+1), limit); got.Err != nil || got.Status != http.StatusOK {
+		if got := w.cluster.ReplaceConfig(version, config(version+1), limit); got.Err != nil || got.Status != http.StatusOK {
 			w.Fatalf("version %d: status %d, %v", version+1, got.Status, got.Err)
 		}
 		version++
@@ -41,14 +41,14 @@
 func (w *world) checkVersionWithout(version uint64, names ...string) {
 	w.Helper()
 	for _, name := range names {
-		machine := w.rig.Machine(name)
+		machine := w.cluster.Machine(name)
 		machine.Kill()
-		for _, control := range w.rig.Controls() {
+		for _, control := range w.cluster.ControlAddresses() {
 			if strings.HasPrefix(control, machine.IP+":") {
 				continue
 			}
-			var got Answer
-			if err := Until(limit, func() bool {
+			var got Response
+			if err := WaitUntil(limit, func() bool {
 				got = Call(http.MethodGet, "http://"+control+"/v1/config/read", control, nil, "")
 				return got.Err == nil && got.Status == http.StatusOK
 			}); err != nil {
@@ -66,14 +66,14 @@
 // A member of control is down for more changes than the others keep for it, another for a day's changes; both come back, are in sync,
 // and lead with the newest.
 func TestMembersThatWereAwayForHundredsOfChangesCatchUp(t *testing.T) {
-	w := newWorld(t, 3, 3)
+	w := newWorld(t, 3)
 	version := uint64(1)
 	for _, away := range []struct {
 		name    string
 		changes int
 		config  func(uint64) string
 	}{{"core-1", largeChanges, largeConfigOf}, {"core-2", changesADay, Config}} {
-		machine := w.rig.Machine(away.name)
+		machine := w.cluster.Machine(away.name)
 		machine.Kill()
 		version = w.changes(version, away.changes, away.config)
 		w.start(machine)
@@ -84,11 +84,11 @@
 
 // A member that is emptied, and killed again and again while it catches up, is in sync in the end.
 func TestAMemberKilledAgainAndAgainWhileItCatchesUp(t *testing.T) {
-	w := newWorld(t, 3, 3)
+	w := newWorld(t, 3)
 	version := w.changes(1, largeChanges, largeConfigOf)
-	machine := w.rig.Machine("core-2")
+	machine := w.cluster.Machine("core-2")
 	machine.Kill()
-	if err := w.rig.Wipe(machine); err != nil {
+	if err := w.cluster.WipeDisk(machine); err != nil {
 		t.Fatal(err)
 	}
 	for range awayRestarts {
@@ -104,39 +104,39 @@
 
 // A member that is given the disk of another installation is refused and named; with an empty disk it is taken in.
 func TestTheDiskOfAnotherInstallationIsRefused(t *testing.T) {
-	w := newWorld(t, 3, 3)
+	w := newWorld(t, 3)
 	other, err := Start(Options{
-		Program: program, Dir: t.TempDir(), Network: int(network.Add(1)), Process: os.Getpid() + 1, Controls: 3, Stores: 3, Tolerate: 1,
+		Program: program, Dir: t.TempDir(), Network: int(network.Add(1)), ProcessID: os.Getpid() + 1, Controls: 3, Stores: 3, ToleratedLosses: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(other.Stop)
-	if got := other.Replace(0, Config(1), limit); got.Err != nil || got.Status != http.StatusOK {
+	if got := other.ReplaceConfig(0, Config(1), limit); got.Err != nil || got.Status != http.StatusOK {
 		t.Fatalf("status %d, %v", got.Status, got.Err)
 	}
-	if err := Until(limit, func() bool { return other.InSync(3) }); err != nil {
+	if err := WaitUntil(limit, func() bool { return other.IsInSync(3) }); err != nil {
 		t.Fatal(err)
 	}
-	source, machine := other.Machine("core-2"), w.rig.Machine("core-2")
+	source, machine := other.Machine("core-2"), w.cluster.Machine("core-2")
 	source.Kill()
 	machine.Kill()
-	if err := w.rig.Wipe(machine); err != nil {
+	if err := w.cluster.WipeDisk(machine); err != nil {
 		t.Fatal(err)
 	}
 	from := filepath.Join(other.options.Dir, "data", "core-2-control")
-	to := filepath.Join(w.rig.options.Dir, "data", "core-2-control")
+	to := filepath.Join(w.cluster.options.Dir, "data", "core-2-control")
 	if err := os.CopyFS(to, os.DirFS(from)); err != nil {
 		t.Fatal(err)
 	}
 	w.start(machine)
 	version := w.changes(1, changesBeside, Config)
 	named := fmt.Sprintf(`"code":%d`, uint16(codes.DiskForeign))
-	if err := Until(limit, func() bool { return w.logged(named) }); err != nil {
+	if err := WaitUntil(limit, func() bool { return w.logged(named) }); err != nil {
 		t.Fatalf("nobody names the foreign disk (%s)", named)
 	}
 	machine.Kill()
-	if err := w.rig.Wipe(machine); err != nil {
+	if err := w.cluster.WipeDisk(machine); err != nil {
 		t.Fatal(err)
 	}
 	w.start(machine)
@@ -144,9 +144,9 @@
 	w.checkVersionWithout(version, "core-1")
 }
 
-// logged tells whether any process of the rig has written a text into its log.
+// logged tells whether any process of the cluster has written a text into its log.
 func (w *world) logged(text string) bool {
-	names, _ := filepath.Glob(filepath.Join(w.rig.options.Dir, "*.log"))
+	names, _ := filepath.Glob(filepath.Join(w.cluster.options.Dir, "*.log"))
 	for _, name := range names {
 		if content, err := os.ReadFile(name); err == nil && strings.Contains(string(content), text) {
 			return true
--- /dev/null
+++ b/harness/tiercluster/cluster.go
@@ -0,0 +1,124 @@
+package tiercluster
+
+import (
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"otterseam/harness/childprocess"
+	"otterseam/harness/tierhost"
+)
+
+// Classes of machines; a machine's name is its class and a number.
+const (
+	frontClass   = "front"
+	controlClass = "core"
+	storeClass   = "storage"
+)
+
+// seedCount is how many addresses of control processes the others are told.
+const seedCount = 3
+
+// Cluster is a running tier. Its methods aren't safe for concurrent use, but for those that only send requests.
+type Cluster struct {
+	Machines []*Machine
+	Hosts    []*tierhost.Host
+
+	options    Options
+	hasStarted map[string]bool // machines that ran before: they are told that the tier exists
+}
+
+// Start starts all machines but those that options call initially down.
+func Start(options Options) (*Cluster, error) {
+	var err error
+	if options.Dir, err = filepath.Abs(options.Dir); err != nil {
+		return nil, err
+	}
+	c := &Cluster{options: options, hasStarted: map[string]bool{}}
+	c.addMachines(controlClass, options.Controls, "control")
+	c.addMachines(storeClass, options.Stores, "store")
+	c.addMachines(frontClass, options.Fronts, "agent", "proxy")
+	for _, machine := range c.Machines {
+		if slices.Contains(options.InitiallyDown, machine.Name) {
+			continue
+		}
+		if err := c.StartMachine(machine); err != nil {
+			c.Stop()
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+// Stop kills all processes and stand-in hosts.
+func (c *Cluster) Stop() {
+	for _, host := range c.Hosts {
+		host.Stop()
+	}
+	for _, machine := range c.Machines {
+		machine.Kill()
+	}
+}
+
+func (c *Cluster) addMachines(class string, count int, roles ...string) {
+	for i := range count {
+		c.addMachine(class, i+1, roles)
+	}
+}
+
+func (c *Cluster) addMachine(class string, number int, roles []string) *Machine {
+	machine := &Machine{
+		Name:      machineName(class, number),
+		IP:        c.options.ip(len(c.Machines) + 2), // the hosts have the first address
+		roles:     roles,
+		processes: map[string]*childprocess.Process{},
+	}
+	c.Machines = append(c.Machines, machine)
+	return machine
+}
+
+// Machine finds a machine by its name; nil: there is none.
+func (c *Cluster) Machine(name string) *Machine {
+	for _, machine := range c.Machines {
+		if machine.Name == name {
+			return machine
+		}
+	}
+	return nil
+}
+
+// AddHost starts a stand-in host for so many requests at once.
+func (c *Cluster) AddHost(id, service string, slots int) (*tierhost.Host, error) {
+	host := &tierhost.Host{ID: id, Service: service, Slots: slots, Controls: c.ControlAddresses}
+	if err := host.Start(address(c.options.ip(1), 0)); err != nil {
+		return nil, err
+	}
+	c.Hosts = append(c.Hosts, host)
+	return host, nil
+}
+
+// FrontAddresses are the addresses that clients call.
+func (c *Cluster) FrontAddresses() []string { return c.addresses(frontClass, frontPort) }
+
+// ControlAddresses are the addresses that hosts and the operator call.
+func (c *Cluster) ControlAddresses() []string { return c.addresses(controlClass, controlPort) }
+
+// StatusAddresses are the addresses of control processes that otterctl status asks: those of their internal ports.
+func (c *Cluster) StatusAddresses() []string {
+	return c.addresses(controlClass, c.options.firstInternalPort())
+}
+
+func (c *Cluster) addresses(class string, port int) []string {
+	var all []string
+	for _, machine := range c.Machines {
+		if strings.HasPrefix(machine.Name, class+"-") {
+			all = append(all, address(machine.IP, port))
+		}
+	}
+	return all
+}
+
+func (c *Cluster) seeds() []string {
+	controls := c.ControlAddresses()
+	return controls[:min(len(controls), seedCount)]
+}
--- /dev/null
+++ b/harness/tiercluster/machine.go
@@ -0,0 +1,131 @@
+package tiercluster
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"otterseam/harness/childprocess"
+)
+
+// ErrNoMachine is returned for the name of a machine that the cluster doesn't have.
+var ErrNoMachine = errors.New("there is no such machine")
+
+// Machine is one machine of a cluster with its processes.
+type Machine struct {
+	Name string
+	IP   string
+
+	roles     []string
+	processes map[string]*childprocess.Process // by role
+}
+
+func machineName(class string, number int) string { return fmt.Sprintf("%s-%d", class, number) }
+
+// Process is the machine's process of a role; nil: it has never run.
+func (m *Machine) Process(role string) *childprocess.Process { return m.processes[role] }
+
+// Kill ends the machine's processes with SIGKILL and waits for that.
+func (m *Machine) Kill() {
+	for _, process := range m.processes {
+		process.Kill()
+		<-process.Done()
+	}
+}
+
+// ShutDown ends the machine's processes with SIGTERM and waits until they have exited, however long that takes.
+func (m *Machine) ShutDown() {
+	for _, process := range m.processes {
+		process.Terminate()
+	}
+	for _, process := range m.processes {
+		<-process.Done()
+	}
+}
+
+// AddMachine adds a machine of the class of another one and starts it. It is told that the tier exists already. It returns ErrNoMachine
+// if there is no such other one.
+func (c *Cluster) AddMachine(like string) (*Machine, error) {
+	model := c.Machine(like)
+	if model == nil {
+		return nil, fmt.Errorf("%w: %s", ErrNoMachine, like)
+	}
+	class, _, _ := strings.Cut(like, "-")
+	machine := c.addMachine(class, len(c.Machines)+1, model.roles)
+	c.hasStarted[machine.Name] = true
+	return machine, c.StartMachine(machine)
+}
+
+// StartMachine starts the processes of a machine that is down.
+func (c *Cluster) StartMachine(m *Machine) error {
+	for _, role := range m.roles {
+		if err := c.startProcess(m, role); err != nil {
+			return err
+		}
+	}
+	c.hasStarted[m.Name] = true
+	return nil
+}
+
+func (c *Cluster) startProcess(m *Machine, role string) error {
+	data := c.dataDir(m, role)
+	if err := os.MkdirAll(data, 0o755); err != nil {
+		return err
+	}
+	name := processName(m, role)
+	settingsFile := filepath.Join(c.options.Dir, name+".conf")
+	if err := os.WriteFile(settingsFile, []byte(c.settings(m, role, data)), 0o644); err != nil {
+		return err
+	}
+	process, err := childprocess.StartCommand([]string{c.options.Program, role}, name, c.options.Dir, "OTTERSEAM_NODE_FILE="+settingsFile)
+	if err != nil {
+		return err
+	}
+	m.processes[role] = process
+	return nil
+}
+
+func processName(m *Machine, role string) string { return m.Name + "-" + role }
+
+func (c *Cluster) dataDir(m *Machine, role string) string {
+	return filepath.Join(c.options.Dir, "data", processName(m, role))
+}
+
+// settings is the settings file of a process.
+func (c *Cluster) settings(m *Machine, role, data string) string {
+	firstPort := c.options.firstInternalPort()
+	var b strings.Builder
+	for _, setting := range [][2]string{
+		{"node", m.Name},
+		{"role", role},
+		{"ip", m.IP},
+		{"zone", "zone-a"},
+		{"zones.zone-a", "region-a"},
+		{"listen.front", address(m.IP, frontPort)},
+		{"listen.readiness", address(m.IP, readinessPort)},
+		{"listen.control", address(m.IP, controlPort)},
+		{"internal_ports", fmt.Sprintf("%d,%d", firstPort, firstPort+internalPorts-1)},
+		{"seeds", strings.Join(c.seeds(), ",")},
+		{"bootstrap", strconv.FormatBool(!c.hasStarted[m.Name])},
+		{"data_dir", data},
+		{"heartbeat_ms", "300"},
+		{"tolerate.machines", strconv.Itoa(c.options.ToleratedLosses)},
+		{"bounds.grace_s", "8"},
+	} {
+		b.WriteString(setting[0] + "=" + setting[1] + "\n")
+	}
+	return b.String()
+}
+
+// WipeDisk removes the disk of a machine that is down.
+func (c *Cluster) WipeDisk(m *Machine) error {
+	for _, role := range m.roles {
+		if err := os.RemoveAll(c.dataDir(m, role)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/harness/tiercluster/recorded_test.go
+++ b/harness/tiercluster/recorded_test.go
@@ -67,7 +67,7 @@
 	}
 	w := recordedWorld(t)
 	w.checkRecordedFolders(recorded)
-	for _, machine := range w.rig.Machines {
+	for _, machine := range w.cluster.Machines {
 		if strings.HasPrefix(machine.Name, "core-") {
 			w.start(machine)
 		}
@@ -76,12 +76,12 @@
 	for _, host := range recorded.Hosts {
 		w.startRecordedHost(host.ID, host.Service, host.Address)
 	}
-	for _, machine := range w.rig.Machines {
+	for _, machine := range w.cluster.Machines {
 		if !strings.HasPrefix(machine.Name, "core-") {
 			w.start(machine)
 		}
 	}
-	if err := w.rig.WaitReady(limit); err != nil {
+	if err := w.cluster.WaitReady(limit); err != nil {
 		t.Fatal(err)
 	}
 	w.checkRecordedPrograms(recorded.Programs)
@@ -101,13 +101,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { lock.Close() })
-	err = Until(recordedBatch, func() bool { return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil })
+	err = WaitUntil(recordedBatch, func() bool { return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil })
 	if err != nil {
 		t.Fatalf("another run holds the addresses: %v", err)
 	}
 }
 
-// recordedWorld is a rig whose machines are down and have the recorded disks.
+// recordedWorld is a cluster whose machines are down and have the recorded disks.
 func recordedWorld(t *testing.T) *world {
 	t.Helper()
 	dir := t.TempDir()
@@ -115,18 +115,18 @@
 		t.Fatal(err)
 	}
 	late := []string{"core-1", "core-2", "core-3", "storage-1", "storage-2", "storage-3", "storage-4", "front-1", "front-2"}
-	rig, err := Start(Options{
-		Program: program, Dir: dir, Network: recordedNetwork, Fronts: 2, Controls: 3, Stores: 4, Tolerate: 1, Late: late,
+	cluster, err := Start(Options{
+		Program: program, Dir: dir, Network: recordedNetwork, Fronts: 2, Controls: 3, Stores: 4, ToleratedLosses: 1, InitiallyDown: late,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range late {
-		rig.started[name] = true
+		cluster.hasStarted[name] = true
 	}
-	w := &world{T: t, rig: rig, next: 1 << 24}
+	w := &world{T: t, cluster: cluster, next: 1 << 24}
 	t.Cleanup(func() {
-		rig.Stop()
+		cluster.Stop()
 		if t.Failed() {
 			w.showLogs()
 		}
@@ -181,7 +181,7 @@
 	for _, folder := range recorded.Rewritten {
 		class, _, _ := strings.Cut(folder, "-")
 		classes[class]++
-		if _, err := os.Stat(filepath.Join(w.rig.options.Dir, "data", folder)); err != nil {
+		if _, err := os.Stat(filepath.Join(w.cluster.options.Dir, "data", folder)); err != nil {
 			w.Fatal(err)
 		}
 	}
@@ -191,12 +191,12 @@
 }
 
 // checkRecordedControl checks what control alone has: hosts before any of them was heard again, and the configuration.
-func (w *world) checkRecordedControl(recorded recording) {
+func (w *world) checkRecordedControl(recorded recording) { //nolint:cyclop // a test of recorded data changes in its identifiers alone
 	w.Helper()
 	var state status.Status
-	err := Until(limit, func() bool {
+	err := WaitUntil(limit, func() bool {
 		var err error
-		state, err = w.rig.Status()
+		state, err = w.cluster.Status()
 		return err == nil && state.ConfigVersion == recorded.Version
 	})
 	if err != nil {
@@ -214,9 +214,9 @@
 	if len(state.Hosts) != len(recorded.Hosts) {
 		w.Fatalf("hosts are %+v", state.Hosts)
 	}
-	for _, control := range w.rig.Controls() {
-		var got Answer
-		err := Until(limit, func() bool {
+	for _, control := range w.cluster.ControlAddresses() {
+		var got Response
+		err := WaitUntil(limit, func() bool {
 			got = Call(http.MethodGet, "http://"+control+"/v1/config/read", control, nil, "")
 			return got.Err == nil && got.Status != http.StatusServiceUnavailable
 		})
@@ -229,11 +229,11 @@
 // startRecordedHost starts a stand-in host at the address that it had.
 func (w *world) startRecordedHost(id, service, at string) {
 	w.Helper()
-	host := &tierhost.Host{ID: id, Service: service, Slots: 8, Controls: w.rig.Controls}
+	host := &tierhost.Host{ID: id, Service: service, Slots: 8, Controls: w.cluster.ControlAddresses}
 	if err := host.Start(at); err != nil {
 		w.Fatal(err)
 	}
-	w.rig.Hosts = append(w.rig.Hosts, host)
+	w.cluster.Hosts = append(w.cluster.Hosts, host)
 	switch service {
 	case "engine":
 		w.engines = append(w.engines, host)
@@ -277,12 +277,12 @@
 // checkRecordedRetirements checks that retirements are known and complete, also one that was begun when all was killed.
 func (w *world) checkRecordedRetirements(recorded recording) {
 	w.Helper()
-	read := func(node string) Answer {
-		return Call(http.MethodGet, "http://"+w.rig.Controls()[0]+"/v1/retire/"+node+"/read", "", nil, "")
+	read := func(node string) Response {
+		return Call(http.MethodGet, "http://"+w.cluster.ControlAddresses()[0]+"/v1/retire/"+node+"/read", "", nil, "")
 	}
 	for _, node := range append(slices.Clone(recorded.Retired), recorded.Retiring...) {
-		var got Answer
-		err := Until(limit, func() bool {
+		var got Response
+		err := WaitUntil(limit, func() bool {
 			if got = read(node); got.Status == http.StatusNotFound {
 				w.Fatalf("the retirement of %s is not known: %+v", node, got)
 			}
@@ -301,15 +301,15 @@
 func (w *world) checkDeregistered(id string) {
 	w.Helper()
 	const beat = `{"service":"records","address":"127.0.250.1:9004","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq_no":1000000}`
-	var got Answer
-	err := Until(limit, func() bool {
-		got = Call(http.MethodPost, "http://"+w.rig.Controls()[0]+"/v1/instances/"+id+"/heartbeat", "", nil, beat)
+	var got Response
+	err := WaitUntil(limit, func() bool {
+		got = Call(http.MethodPost, "http://"+w.cluster.ControlAddresses()[0]+"/v1/instances/"+id+"/heartbeat", "", nil, beat)
 		return got.Err == nil && got.Status == http.StatusOK
 	})
 	if err != nil {
 		w.Fatalf("late heartbeat of %s: %+v, %v", id, got, err)
 	}
-	state, err := w.rig.Status()
+	state, err := w.cluster.Status()
 	if err != nil {
 		w.Fatal(err)
 	}
--- a/harness/tiercluster/verdict_test.go
+++ b/harness/tiercluster/verdict_test.go
@@ -11,7 +11,7 @@
 
 // setAside tells whether control has set a host aside.
 func (w *world) setAside(host string) bool {
-	status, err := w.rig.Status()
+	status, err := w.cluster.Status()
 	_, aside := status.Ejected[host]
 	return err == nil && aside
 }
@@ -19,7 +19,7 @@
 // lookups asks for lookups through some fronts until a condition holds.
 func (w *world) lookups(fronts []int, until func() bool) {
 	w.Helper()
-	err := Until(limit, func() bool {
+	err := WaitUntil(limit, func() bool {
 		for _, front := range fronts {
 			w.call(front, http.MethodGet, "/lookup/x", nil, "")
 		}
@@ -33,7 +33,7 @@
 // Some gateways meet a host that fails; those that never met it send it nothing. The next judge finds the host again. Each gateway
 // keeps away by itself after a failure or two, so that a few have to see it before the judge has the evidence.
 func TestAHostThatFailsSomeGatewaysIsAvoidedByTheOthers(t *testing.T) {
-	w := startWorld(t, Options{Controls: 3, Stores: 3, Tolerate: 1, Fronts: 8})
+	w := startWorld(t, Options{Controls: 3, Stores: 3, ToleratedLosses: 1, Fronts: 8})
 	met, others := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
 	sound := []*tierhost.Host{w.records, w.addHost("records-2", "records")}
 	bad := w.addHost("records-bad", "records")
@@ -80,11 +80,11 @@
 	prefix := fmt.Sprintf("/late-%d/", version)
 	route := `{"name":"late","host":"try.example","path_prefix":"` + prefix + `","route_type":"safe","timeout_ms":1200,"service":"engine"},`
 	config := strings.Replace(Config(version), `"routes":[`, `"routes":[`+route, 1)
-	if got := w.rig.Replace(version-1, config, limit); got.Err != nil || got.Status != http.StatusOK {
+	if got := w.cluster.ReplaceConfig(version-1, config, limit); got.Err != nil || got.Status != http.StatusOK {
 		w.Fatalf("%+v", got)
 	}
 	for _, front := range fronts {
-		err := Until(limit, func() bool {
+		err := WaitUntil(limit, func() bool {
 			got, _ := w.call(front, http.MethodGet, prefix+"x", nil, "")
 			return got.Status != http.StatusNotFound
 		})
@@ -96,19 +96,19 @@
 
 // primaryOfControl is the machine that leads control, or nil while none is known.
 func (w *world) primaryOfControl() *Machine {
-	status, err := w.rig.Status()
+	status, err := w.cluster.Status()
 	if err != nil {
 		return nil
 	}
 	member, _ := status.Control.Member(status.Control.Primary)
-	return w.rig.Machine(member.Node)
+	return w.cluster.Machine(member.Node)
 }
 
 // Operators can ask control and the stores when they reached each step of their recovery.
 func TestStatusTellsTheRecoveryOfProcesses(t *testing.T) {
-	w := newWorld(t, 3, 3)
+	w := newWorld(t, 3)
 	w.turnOK(0, "p", "", "60", 3, "x")
-	status, err := w.rig.Status()
+	status, err := w.cluster.Status()
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/harness/tiercluster/wait.go
@@ -0,0 +1,42 @@
+package tiercluster
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// pollInterval is the pause between two looks at a condition.
+const pollInterval = 10 * time.Millisecond
+
+// TimeoutError is a condition that did not come in time.
+type TimeoutError struct {
+	Limit time.Duration
+}
+
+// Error says how long was waited.
+func (e *TimeoutError) Error() string { return fmt.Sprintf("not so within %s", e.Limit) }
+
+// WaitUntil polls a condition until it holds. It returns a *TimeoutError if that doesn't come within a time.
+func WaitUntil(limit time.Duration, condition func() bool) error {
+	deadline := time.Now().Add(limit)
+	for !condition() {
+		if time.Now().After(deadline) {
+			return &TimeoutError{Limit: limit}
+		}
+		time.Sleep(pollInterval)
+	}
+	return nil
+}
+
+// WaitReady waits until all fronts call themselves ready.
+func (c *Cluster) WaitReady(limit time.Duration) error {
+	return WaitUntil(limit, func() bool {
+		for _, front := range c.addresses(frontClass, readinessPort) {
+			if got := Call(http.MethodGet, "http://"+front+"/v1/readiness", front, nil, ""); got.Status != http.StatusOK {
+				return false
+			}
+		}
+		return true
+	})
+}
