--- /dev/null
+++ b/sim/simulation/gateways.go
@@ -0,0 +1,181 @@
+package simulation
+
+import (
+	"fmt"
+
+	"otterseam/gateway/membership"
+	"otterseam/gateway/policy"
+	"otterseam/gateway/policydriver"
+	"otterseam/sim/gatewaymodel"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/metrics"
+	"otterseam/sim/model"
+	"otterseam/sim/randstream"
+)
+
+var _ gatewaymodel.Environment = (*Simulation)(nil)
+
+// startGateway starts an api gateway with a policy of its own. An error ends the simulation.
+func (s *Simulation) startGateway(slot int) {
+	if s.err != nil || s.Queue.Stopped() {
+		return
+	}
+	gateway := s.Gateways[slot]
+	s.gatewayStarts++
+	decide, err := gatewaymodel.WithClockOffset(s.Day.Gateway.Clock.V(), gateway,
+		func(out policydriver.Output) (gatewaymodel.Policy, error) {
+			seed := randstream.New(s.Seed, "mind", slot, int(s.gatewayStarts)).Uint64() >> 1
+			return s.policies.NewPolicy(s, slot, seed, out)
+		})
+	if err != nil {
+		s.err = err
+		s.Queue.Stop()
+		return
+	}
+	s.Oracle.GatewayStarted(slot)
+	list := s.registry.HostList(slot)
+	for _, entry := range list {
+		s.hostStateTold(slot, entry)
+	}
+	gateway.Start(decide, list)
+	s.gatewaysAlive++
+}
+
+// hostChanged brings an api gateway a change of the list of hosts.
+func (s *Simulation) hostChanged(slot int, change policy.HostEntry) {
+	if s.Gateways[slot].Alive {
+		s.hostStateTold(slot, change)
+		s.Gateways[slot].HostChanged(change)
+	}
+}
+
+func (s *Simulation) hostStateTold(slot int, entry policy.HostEntry) {
+	s.Oracle.HostStateTold(slot, s.hostByAddr[entry.Addr].Number, entry.State, entry.StartedAt)
+}
+
+// Host is the host at an address, nil where there is none.
+func (s *Simulation) Host(addr string) *hostmodel.Host { return s.hostByAddr[addr] }
+
+// AttemptSent counts and judges an attempt that begins.
+func (s *Simulation) AttemptSent(attempt *model.Attempt) {
+	s.AttemptSwallowed()
+	s.Oracle.AttemptSent(attempt)
+	s.Oracle.CheckGroup(attempt, func(a, b int) bool {
+		return sameGroup(attempt.Invocation.Request.Operation.Group, s.Hosts[a], s.Hosts[b])
+	})
+}
+
+// sameGroup says whether two hosts share tokens.
+func sameGroup(group string, a, b *hostmodel.Host) bool {
+	switch group {
+	case model.GroupZone:
+		return a.Zone == b.Zone
+	case model.GroupCell:
+		return a.Cell == b.Cell
+	}
+	return true
+}
+
+// AttemptSentLate is AttemptSent for one that was held up on the way: when it set out is not known.
+func (s *Simulation) AttemptSentLate(attempt *model.Attempt) {
+	s.AttemptSwallowed()
+	s.Oracle.CheckRetry(attempt)
+}
+
+// AttemptSwallowed counts an attempt, also one that no host will ever see.
+func (s *Simulation) AttemptSwallowed() {
+	s.Results.Attempts++
+	s.Results.SecondAt(s.Queue.Now()).Attempts++
+}
+
+// AttemptReached counts the value of an invocation that reaches a host for the first time.
+func (s *Simulation) AttemptReached(attempt *model.Attempt) {
+	first, beyond := s.Oracle.AttemptReached(attempt)
+	s.traceAttempt(attempt, "delivery %d reaches host %d")
+	if !first {
+		return
+	}
+	request := attempt.Invocation.Request
+	request.BeyondQuota = beyond
+	share := metrics.Share{FirstSent: request.Value()}
+	if beyond {
+		share.BeyondQuota = request.Value()
+		share.BeyondCost = request.Value() * request.Customer.Plan.OverCost.V()
+		share.NetValue = -share.BeyondCost
+	}
+	s.Results.AddShare(request, share)
+}
+
+// AttemptStarted judges an attempt that begins to run.
+func (s *Simulation) AttemptStarted(attempt *model.Attempt) {
+	s.Oracle.AttemptStarted(attempt)
+	s.traceAttempt(attempt, "delivery %d runs on host %d")
+}
+
+// AttemptReleased takes down that an attempt is no longer in flight.
+func (s *Simulation) AttemptReleased(attempt *model.Attempt) { s.Oracle.AttemptReleased(attempt) }
+
+func (s *Simulation) traceAttempt(attempt *model.Attempt, format string) {
+	s.Trace(attempt.Invocation.Gateway, attempt.Invocation.Ref, fmt.Sprintf(format, attempt.Number, attempt.Host))
+}
+
+// InvocationAnswered judges a final answer and says whether the quota had room, if it is a throttling.
+func (s *Simulation) InvocationAnswered(invocation *model.Invocation, outcome model.Outcome) (hadRoom bool) {
+	switch outcome {
+	case model.Unanswered:
+		s.Oracle.ClientGaveUp(invocation)
+		return false
+	case model.Throttled:
+		hadRoom = s.Oracle.QuotaHasRoom(invocation.Request.Customer, invocation.Request.ActualUnits)
+	case model.Served:
+		s.addUsefulWork(invocation)
+	}
+	s.Oracle.InvocationAnswered(invocation, outcome)
+	return hadRoom
+}
+
+// addUsefulWork counts the work of the attempt whose answer served the client.
+func (s *Simulation) addUsefulWork(invocation *model.Invocation) {
+	for _, attempt := range invocation.Attempts {
+		if attempt.Started && attempt.Ended {
+			s.usefulWork += invocation.Request.Work / s.Hosts[attempt.Host].Speed
+			return
+		}
+	}
+}
+
+// DeliverAnswer brings an answer to its client.
+func (s *Simulation) DeliverAnswer(invocation *model.Invocation, outcome model.Outcome, retryAfter float64, hadRoom bool) {
+	s.Workload.HandleOutcome(invocation, outcome, retryAfter, hadRoom)
+}
+
+// SendPeerMessage sends a message to an api gateway, or to all others: membership.Broadcast.
+func (s *Simulation) SendPeerMessage(from, to int, text string) {
+	if !s.Day.Peers.Allowed {
+		return
+	}
+	sender := s.Gateways[from]
+	for slot, receiver := range s.Gateways {
+		addressed := to == membership.Broadcast && slot != from || slot == to
+		if addressed && receiver.Alive && !s.network.Partitioned(sender.Zone, receiver.Zone) {
+			s.peers.Send(slot, text, func() { receiver.PeerMessage(from, text) })
+		}
+	}
+}
+
+// CounterCalled counts a call to the counter, and whether it failed.
+func (s *Simulation) CounterCalled(failed bool) {
+	second := s.Results.SecondAt(s.Queue.Now())
+	second.CounterCalls++
+	s.Results.CounterCalls++
+	if failed {
+		second.CounterCallsFailed++
+		s.Results.CounterCallsFailed++
+	}
+}
+
+// ConnectionDialled counts a new connection to a host.
+func (s *Simulation) ConnectionDialled() {
+	s.Results.Dials++
+	s.Results.SecondAt(s.Queue.Now()).Dials++
+}
--- /dev/null
+++ b/sim/simulation/hosts.go
@@ -0,0 +1,79 @@
+package simulation
+
+import (
+	"fmt"
+
+	"otterseam/gateway/policy"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+	"otterseam/sim/randstream"
+	"otterseam/sim/scenario"
+)
+
+// hostsPerCell is how many hosts in a row share a cell.
+const hostsPerCell = 4
+
+// ZoneName is what a zone is called.
+func ZoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
+
+// firstHosts makes the hosts with which the scenario starts, and their list.
+func (s *Simulation) firstHosts() []policy.HostEntry {
+	var list []policy.HostEntry
+	for range s.Day.Fleet.Hosts.N() {
+		list = append(list, hostEntry(s.addHost(0), model.HostActive))
+	}
+	return list
+}
+
+// addHost adds a host that started at a clock time; 0: long ago.
+func (s *Simulation) addHost(startedAt float64) *hostmodel.Host {
+	number := len(s.Hosts)
+	host := hostmodel.New(s.Queue, number, hostAddr(number), s.drawHostKind(number), &s.Day.Cold, s.Seed)
+	host.Zone = number % s.Day.Fleet.Zones.N()
+	host.Cell = number / hostsPerCell
+	host.StartedAt = startedAt
+	host.OnOverload = func(arrivals []hostmodel.Arrival) {
+		s.Oracle.HostOverloaded(host, arrivals)
+		s.publish(host, model.HostLeft)
+	}
+	s.Hosts = append(s.Hosts, host)
+	s.hostByAddr[host.Addr] = host
+	return host
+}
+
+func hostAddr(number int) string {
+	return fmt.Sprintf("10.%d.%d.%d:9000", number>>16&255, number>>8&255, number&255)
+}
+
+// drawHostKind draws the kind of a host by the kinds' shares.
+func (s *Simulation) drawHostKind(number int) *scenario.HostKind {
+	kinds := s.Day.Hosts
+	total := 0.0
+	for i := range kinds {
+		total += kinds[i].Share.V()
+	}
+	left := randstream.New(s.Seed, "kind", number).Float64() * total
+	for i := range kinds {
+		left -= kinds[i].Share.V()
+		if left < 0 {
+			return &kinds[i]
+		}
+	}
+	return &kinds[len(kinds)-1]
+}
+
+// publish puts the state of a host on its way to the api gateways.
+func (s *Simulation) publish(host *hostmodel.Host, state string) {
+	s.registry.Publish(hostEntry(host, state))
+}
+
+func hostEntry(host *hostmodel.Host, state string) policy.HostEntry {
+	return policy.HostEntry{
+		Addr:      host.Addr,
+		Zone:      ZoneName(host.Zone),
+		Cell:      host.Cell,
+		State:     state,
+		StartedAt: host.StartedAt,
+		Weight:    1,
+	}
+}
