--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -93,7 +93,7 @@
 		member := server.MemberConfig{Name: fmt.Sprint("keeper-", i), Zone: fmt.Sprint("zone-", i)}
 		for _, to := range []*string{&member.PeerAddress, &member.CounterAddress} {
 			var err error
-			if *to, err = sockets.Free(); err != nil {
+			if *to, err = sockets.FreeAddress(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/cmd/otterseam-sim/sockets.go
+++ b/cmd/otterseam-sim/sockets.go
@@ -77,7 +77,7 @@
 	if err := sockets.Check(d.Draw(c.Seed)); err != nil {
 		return badInput{err}
 	}
-	f, err := sockets.StandIn(ctx, d, c.Seed, c.Dir, c.Listen, func(paths []string) {
+	f, err := sockets.RunStandIns(ctx, d, c.Seed, c.Dir, c.Listen, func(paths []string) {
 		fmt.Fprintf(s.out, "hosts, counter and discovery of %s stand on loopback for %.0f s; start each api gateway with\n", d.Name, d.Length.V())
 		for _, p := range paths {
 			fmt.Fprintf(s.out, "  EDGE_CONFIG=%s bin/otterseam\n", p)
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	f, late, err := sockets.Load(ctx, d, c.Seed, c.To)
+	f, late, err := sockets.RunClients(ctx, d, c.Seed, c.To)
 	if err != nil {
 		return badInput{err}
 	}
--- a/cmd/otterseam/process_test.go
+++ b/cmd/otterseam/process_test.go
@@ -41,8 +41,8 @@
 	ended   chan error
 	agent   net.Listener // discovery
 	watches chan net.Conn
-	host    *sockets.Script
-	counter *sockets.Script
+	host    *sockets.ScriptedServer
+	counter *sockets.ScriptedServer
 }
 
 type lockedText struct {
@@ -66,12 +66,12 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func script(t *testing.T, say func(m *http1.Message, n int) string) *sockets.Script {
-	s, err := sockets.NewScript(say)
+func script(t *testing.T, say func(m *http1.Message, n int) string) *sockets.ScriptedServer {
+	s, err := sockets.NewScriptedServer(say)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.End)
+	t.Cleanup(s.CloseAll)
 	return s
 }
 
@@ -117,7 +117,7 @@
 }
 
 func free(t *testing.T) string {
-	addr, err := sockets.Free()
+	addr, err := sockets.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	defer tcp.Close()
 	tcp.SetDeadline(time.Now().Add(4 * time.Second))
 	io.WriteString(tcp, request)
-	sockets.Messages(tcp, true, func(m *http1.Message) bool {
+	sockets.ReadMessages(tcp, true, func(m *http1.Message) bool {
 		status, body = m.Status, string(m.Body)
 		return false
 	})
@@ -237,7 +237,7 @@
 	p.t.Helper()
 	select {
 	case tcp := <-p.watches:
-		sockets.Messages(tcp, false, func(m *http1.Message) bool { return false })
+		sockets.ReadMessages(tcp, false, func(m *http1.Message) bool { return false })
 		fmt.Fprintf(tcp, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
 		return tcp
 	case <-time.After(5 * time.Second):
@@ -332,7 +332,7 @@
 			case <-stop:
 				return
 			case tcp := <-p.watches:
-				sockets.Messages(tcp, false, func(m *http1.Message) bool { return false })
+				sockets.ReadMessages(tcp, false, func(m *http1.Message) bool { return false })
 				s := list(2, true, entry("second", second.Addr().String(), "Ready"))
 				fmt.Fprintf(tcp, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(s), s)
 			}
@@ -347,7 +347,7 @@
 	if good < 5 {
 		t.Errorf("%d invocations reached the host that discovery told of", good)
 	}
-	if len(p.counter.Seen) == 0 {
+	if len(p.counter.Requests) == 0 {
 		t.Error("the counter was not reached")
 	}
 	if p.log.has("panic") {
@@ -397,7 +397,7 @@
 				kept.SetDeadline(time.Now().Add(3 * time.Second))
 				io.WriteString(kept, invocation([]string{"look", "pay"}[i%2]))
 				status, last := 0, false
-				err := sockets.Messages(kept, true, func(m *http1.Message) bool {
+				err := sockets.ReadMessages(kept, true, func(m *http1.Message) bool {
 					status, last = m.Status, m.Close
 					return false
 				})
@@ -469,8 +469,8 @@
 	s := list(20, false, entry("h", p.host.Addr().String(), "Terminating"))
 	fmt.Fprintf(last, "%x\r\n%s\r\n", len(s), s)
 	time.Sleep(100 * time.Millisecond)
-	for len(p.host.Seen) > 0 {
-		<-p.host.Seen
+	for len(p.host.Requests) > 0 {
+		<-p.host.Requests
 	}
 	for i := range 20 {
 		if status, body, _ := p.ask(invocation("pay")); status != 200 || body != "other" {
--- a/gateway/server/clients_test.go
+++ b/gateway/server/clients_test.go
@@ -58,7 +58,7 @@
 	h.nextRequest(t)
 	tcp.Close()
 	begun := time.Now()
-	<-h.Ended
+	<-h.Disconnects
 	if took := time.Since(begun); took > 300*time.Millisecond {
 		t.Errorf("its delivery went on for %v", took)
 	}
@@ -107,8 +107,8 @@
 		if rest := readToEnd(t, tcp); rest != "" {
 			t.Errorf("after the last answer came %.40q", rest)
 		}
-		for len(h.Seen) > 0 {
-			<-h.Seen
+		for len(h.Requests) > 0 {
+			<-h.Requests
 			answers--
 		}
 		if answers != 1 { // the first was seen above
@@ -352,7 +352,7 @@
 		if status, body := exchange(tcp, ""); status != 200 || body != "abcd" {
 			t.Fatalf("cut at %d: %d %q", at, status, body)
 		}
-		<-h.Seen
+		<-h.Requests
 	}
 }
 
--- a/gateway/server/server_test.go
+++ b/gateway/server/server_test.go
@@ -119,7 +119,7 @@
 		}
 		h.nextRequest(t)
 		if h.noRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
-			<-h.Ended // a connection that held nonsense is not used again
+			<-h.Disconnects // a connection that held nonsense is not used again
 		}
 	}
 }
@@ -150,7 +150,7 @@
 			if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 				t.Fatalf("invocation %d after %.9q: %d", i, after, status)
 			}
-			<-h.Ended
+			<-h.Disconnects
 			w.wait(func() bool { return len(w.pool.byID["h0"].idle) == 0 })
 		}
 	}
@@ -176,7 +176,7 @@
 	tcp.Write([]byte(invoke("pay", 900, "x")))
 	h.nextRequest(t)
 	tcp.Close()
-	<-h.Ended
+	<-h.Disconnects
 	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
 }
 
--- a/gateway/server/world_test.go
+++ b/gateway/server/world_test.go
@@ -30,27 +30,27 @@
 "extra":{"counter":true,"count_limit":0.3,"most_units":8}}`
 
 // standIn is a host or the counter, by a script of the laboratory's.
-type fakeServer struct{ *sockets.Script }
+type fakeServer struct{ *sockets.ScriptedServer }
 
 func newFakeServer(t *testing.T, say func(m *http1.Message, n int) string) *fakeServer {
 	t.Helper()
 	leakcheck.Check(t)
-	s, err := sockets.NewScript(say)
+	s, err := sockets.NewScriptedServer(say)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.End)
+	t.Cleanup(s.CloseAll)
 	return &fakeServer{s}
 }
 
 func messages(tcp net.Conn, response bool, each func(m *http1.Message) bool) {
-	sockets.Messages(tcp, response, each)
+	sockets.ReadMessages(tcp, response, each)
 }
 
 func (s *fakeServer) nextRequest(t *testing.T) string {
 	t.Helper()
 	select {
-	case x := <-s.Seen:
+	case x := <-s.Requests:
 		return x
 	case <-time.After(3 * time.Second):
 		t.Fatal("nothing came")
@@ -61,7 +61,7 @@
 func (s *fakeServer) noRequest(t *testing.T) {
 	t.Helper()
 	select {
-	case x := <-s.Seen:
+	case x := <-s.Requests:
 		t.Fatalf("got %q", x)
 	default:
 	}
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -49,7 +49,7 @@
 	for i := range n {
 		spot := server.MemberConfig{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
 		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
-			addr, err := sockets.Free()
+			addr, err := sockets.FreeAddress()
 			if err != nil {
 				return k, err
 			}
@@ -354,7 +354,7 @@
 	}
 	done := make(chan bool)
 	fleet.Do(func() {
-		k.rig.Seen(event, e)
+		k.rig.EventSeen(event, e)
 		close(done)
 	})
 	select {
--- a/harness/fleet/keepers_test.go
+++ b/harness/fleet/keepers_test.go
@@ -108,11 +108,11 @@
 			}()
 		}
 	}()
-	discovery, err := sockets.NewScript(func(*http1.Message, int) string { return "" })
+	discovery, err := sockets.NewScriptedServer(func(*http1.Message, int) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(discovery.End)
+	t.Cleanup(discovery.CloseAll)
 	var env []string
 	if copies {
 		k, end, err := bare(context.Background(), Options{Keeper: filepath.Join(programs, "keeper"), Dir: dir, Tell: func(s string) { t.Log(s) }}, 3, 4, false)
@@ -131,7 +131,7 @@
 	}
 	p := &pair{ran: ran}
 	for i := range 2 {
-		addr, err := sockets.Free()
+		addr, err := sockets.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -89,14 +89,14 @@
 	return l
 }
 
-func (r *rig) Between(e int, to string, each func(c net.Conn)) (string, error) {
+func (r *rig) ListenFor(e int, to string, each func(c net.Conn)) (string, error) {
 	if to == "counter" && r.keepers != nil {
 		each = func(c net.Conn) { r.keepers.door(e, c) }
 	}
 	return r.link(edge(e), to).ListenInProcess(each)
 }
 
-func (r *rig) Door(e int, addr string) (string, error) {
+func (r *rig) ClientAddress(e int, addr string) (string, error) {
 	return r.link("clients", edge(e)).Listen(func() (net.Conn, error) {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -108,21 +108,21 @@
 	})
 }
 
-// Down says that nobody was behind an api gateway's door at a time since a clock time.
-func (r *rig) Down(e int, since float64) bool {
+// UnreachableSince says that nobody was behind an api gateway's door at a time since a clock time.
+func (r *rig) UnreachableSince(e int, since float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.down[e].IsZero() && time.Since(r.down[e]).Seconds() <= r.world.Queue.Now()-since+0.05
 }
 
-func (r *rig) Mail(own []string) (known []string, err error) {
+func (r *rig) PeerAddresses(own []string) (known []string, err error) {
 	r.mail, err = netproxy.NewDatagramProxy(own, func(from, to int) *netproxy.Link { return r.link(edge(from), edge(to)) }, func(from, to int) {
 		r.mu.Lock()
 		r.mailed++
 		begun := r.fleet != nil && !r.over
 		r.mu.Unlock()
 		if begun {
-			r.fleet.Do(func() { r.Seen("mail", from) })
+			r.fleet.Do(func() { r.EventSeen("mail", from) })
 		}
 	})
 	if err != nil {
@@ -176,8 +176,8 @@
 	r.logs.begin(r)
 }
 
-// Seen lets faults that wait for an event strike at once, so that they are in force before what follows from it.
-func (r *rig) Seen(event string, e int) { r.seen(event, e, "") }
+// EventSeen lets faults that wait for an event strike at once, so that they are in force before what follows from it.
+func (r *rig) EventSeen(event string, e int) { r.seen(event, e, "") }
 
 func (r *rig) seen(event string, e int, line string) {
 	if r.world == nil {
@@ -200,9 +200,9 @@
 	}
 }
 
-// Struck says whether a fault was in force since a clock time, or a moment before, on an api gateway itself or its way
+// FaultSince says whether a fault was in force since a clock time, or a moment before, on an api gateway itself or its way
 // to clients (""), or on its way to a part. What strikes the api gateway holds up all its ways.
-func (r *rig) Struck(e int, to string, since float64) bool {
+func (r *rig) FaultSince(e int, to string, since float64) bool {
 	for _, s := range r.spans {
 		if s.Edge == e && s.Ends+healing > since && (s.to == "" && s.excuses() || to != "" && s.to == to) {
 			return true
@@ -216,8 +216,8 @@
 	return !slices.Contains([]string{"term", "twice", "full-disk", "start"}, s.Kind)
 }
 
-// Line keeps what happens to each invocation, for as long as its story may be asked for.
-func (r *rig) Line(e int, ref, text string) {
+// TraceInvocation keeps what happens to each invocation, for as long as its story may be asked for.
+func (r *rig) TraceInvocation(e int, ref, text string) {
 	if len(r.stories[ref]) == 0 && r.world != nil {
 		r.world.Queue.ScheduleAfter(10, func() { delete(r.stories, ref) })
 	}
--- a/harness/sockets/bench.go
+++ b/harness/sockets/bench.go
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// StandIn plays a day's hosts, counter and discovery until it is over or ctx ends; configurations for the api gateways
+// RunStandIns plays a day's hosts, counter and discovery until it is over or ctx ends; configurations for the api gateways
 // are written into dir first. ready is told their paths.
-func StandIn(ctx context.Context, d *scenario.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Results, error) {
+func RunStandIns(ctx context.Context, d *scenario.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Results, error) {
 	if err := Check(d); err != nil {
 		return nil, err
 	}
@@ -85,9 +85,9 @@
 func (nobodyAsks) InvocationSent(*model.Invocation)      {}
 func (nobodyAsks) InvocationEnded(model.Outcome)         {}
 
-// Load lets a day's customers ask api gateways at addresses on loopback, and gives what they got. Nobody knows here
+// RunClients lets a day's customers ask api gateways at addresses on loopback, and gives what they got. Nobody knows here
 // whether there was room.
-func Load(ctx context.Context, d *scenario.Day, seed uint64, addrs []string) (*metrics.Results, float64, error) {
+func RunClients(ctx context.Context, d *scenario.Day, seed uint64, addrs []string) (*metrics.Results, float64, error) {
 	for _, a := range addrs {
 		if err := loopback(a); err != nil {
 			return nil, 0, err
@@ -136,7 +136,7 @@
 	Dir     string // for configurations and logs
 	Memory  float64
 	Tell    func(text string)
-	Rig     Rig                     // nil: none
+	Rig     Interceptor                     // nil: none
 	Env     []string                // further variables for the api gateways
 	EnvOf   func(slot int) []string // and for each of them; nil: none
 }
@@ -167,7 +167,7 @@
 		return nil, nil, err
 	}
 	c.rig = o.Rig
-	w.OnTrace = s.rig.Line
+	w.OnTrace = s.rig.TraceInvocation
 	s.base = float64(time.Now().UnixNano()) / 1e9
 	s.lost = func(ref string) {
 		w.Oracle.ForeignContent(ref, fmt.Sprintf("a host got %.40q, which no client has sent", ref))
@@ -179,7 +179,7 @@
 		return nil, nil, err
 	}
 	for g := range n {
-		if c.addrs[g], err = s.rig.Door(g, addrs[g]); err != nil {
+		if c.addrs[g], err = s.rig.ClientAddress(g, addrs[g]); err != nil {
 			return nil, nil, err
 		}
 		s.tell(g, s.HostList(g), true)
--- a/harness/sockets/client.go
+++ b/harness/sockets/client.go
@@ -31,7 +31,7 @@
 	began  func(inv *model.Invocation)
 	ended  func(inv *model.Invocation)
 	judge  bool // the referee hears of answers
-	rig    Rig
+	rig    Interceptor
 	flying sync.WaitGroup
 }
 
@@ -67,7 +67,7 @@
 	until := c.pump.start.Add(time.Duration((inv.GiveUpAt + 0.05) * 1e9))
 	c.flying.Add(1)
 	if c.rig != nil {
-		c.rig.Seen("taken", gateway)
+		c.rig.EventSeen("taken", gateway)
 	}
 	go func() {
 		defer c.flying.Done()
@@ -110,7 +110,7 @@
 		k.tcp.SetDeadline(until)
 		if _, err = io.WriteString(k.tcp, text); err == nil {
 			last := false
-			err = Messages(k.tcp, true, func(m *http1.Message) bool {
+			err = ReadMessages(k.tcp, true, func(m *http1.Message) bool {
 				status, body = m.Status, string(m.Body)
 				if more := m.Rest(); len(more) > 0 && c.judge {
 					text := fmt.Sprintf("an answer of api gateway %d has %.40q behind it", gateway, more)
@@ -144,7 +144,7 @@
 // client sends it once more and sees nothing of it; but where a host has a delivery of it, it had been taken, and is owed an
 // answer. Without this a process that cuts off what it owes was seen only by those whose connection was new.
 func (c *Clients) closed(inv *model.Invocation) {
-	if c.rig == nil || len(inv.Attempts) == 0 || c.rig.Struck(inv.Gateway, "", inv.SentAt) {
+	if c.rig == nil || len(inv.Attempts) == 0 || c.rig.FaultSince(inv.Gateway, "", inv.SentAt) {
 		return
 	}
 	c.Oracle.ConnectionDropped(inv)
@@ -193,8 +193,8 @@
 	room := false
 	if c.rig != nil {
 		c.Trace(inv.Gateway, inv.Ref, "its client has: "+model.OutcomeNames[how])
-		switch struck := c.rig.Struck(inv.Gateway, "", inv.SentAt); {
-		case how == model.Broken && c.rig.Down(inv.Gateway, inv.SentAt): // its door stands, with nobody behind
+		switch struck := c.rig.FaultSince(inv.Gateway, "", inv.SentAt); {
+		case how == model.Broken && c.rig.UnreachableSince(inv.Gateway, inv.SentAt): // its door stands, with nobody behind
 			how = model.Unreachable
 		case unanswered(how) && struck: // what was struck owes nothing meanwhile
 			how = model.Broken
@@ -218,6 +218,6 @@
 	}
 	c.Workload.HandleOutcome(inv, how, retryAfter, room)
 	if c.rig != nil && !unanswered(how) && how != model.Unreachable {
-		c.rig.Seen("answered", inv.Gateway%len(c.addrs))
+		c.rig.EventSeen("answered", inv.Gateway%len(c.addrs))
 	}
 }
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -17,27 +17,27 @@
 	"otterseam/sim/simulation"
 )
 
-// Rig stands between the processes of a day. Without one they reach each other as they are.
-type Rig interface {
-	// Between gives the address at which an api gateway reaches a part ("counter", "discovery", "host 3"); each gets the
+// Interceptor stands between the processes of a day. Without one they reach each other as they are.
+type Interceptor interface {
+	// ListenFor gives the address at which an api gateway reaches a part ("counter", "discovery", "host 3"); each gets the
 	// part's side of each connection.
-	Between(edge int, to string, each func(c net.Conn)) (string, error)
-	// Door gives the address at which clients reach an api gateway that listens at addr.
-	Door(edge int, addr string) (string, error)
-	// Mail gives the addresses under which api gateways know each other, from those at which they listen.
-	Mail(own []string) ([]string, error)
+	ListenFor(edge int, to string, each func(c net.Conn)) (string, error)
+	// ClientAddress gives the address at which clients reach an api gateway that listens at addr.
+	ClientAddress(edge int, addr string) (string, error)
+	// PeerAddresses gives the addresses under which api gateways know each other, from those at which they listen.
+	PeerAddresses(own []string) ([]string, error)
 	// Begin is called when the day begins, on the pump's goroutine, on which it may call g.
 	Begin(w *simulation.Simulation, g *Gateways)
 	// End is called as the day ends, before its processes are ended.
 	End(g *Gateways)
-	// Seen tells of an event at an api gateway before what follows from it.
-	Seen(event string, edge int)
-	// Struck says that a fault was in force since a clock time on the way of an api gateway to a part, or ("") on itself.
-	Struck(edge int, to string, since float64) bool
-	// Down says that an api gateway could not be reached behind its door since a clock time.
-	Down(edge int, since float64) bool
-	// Line tells of something that happened to an invocation, for its story.
-	Line(edge int, ref, text string)
+	// EventSeen tells of an event at an api gateway before what follows from it.
+	EventSeen(event string, edge int)
+	// FaultSince says that a fault was in force since a clock time on the way of an api gateway to a part, or ("") on itself.
+	FaultSince(edge int, to string, since float64) bool
+	// UnreachableSince says that an api gateway could not be reached behind its door since a clock time.
+	UnreachableSince(edge int, since float64) bool
+	// TraceInvocation tells of something that happened to an invocation, for its story.
+	TraceInvocation(edge int, ref, text string)
 }
 
 // Gateways are the api gateway processes of a day.
@@ -236,17 +236,17 @@
 // direct is a day without a rig.
 type direct struct{ s *StandIns }
 
-func (d direct) Between(_ int, _ string, each func(c net.Conn)) (string, error) {
+func (d direct) ListenFor(_ int, _ string, each func(c net.Conn)) (string, error) {
 	return d.s.listen(each)
 }
-func (direct) Door(_ int, addr string) (string, error) { return addr, nil }
-func (direct) Mail(own []string) ([]string, error)     { return own, nil }
+func (direct) ClientAddress(_ int, addr string) (string, error) { return addr, nil }
+func (direct) PeerAddresses(own []string) ([]string, error)     { return own, nil }
 func (direct) Begin(*simulation.Simulation, *Gateways) {}
 func (direct) End(*Gateways)                           {}
-func (direct) Seen(string, int)                        {}
-func (direct) Struck(int, string, float64) bool        { return false }
-func (direct) Down(int, float64) bool                  { return false }
-func (direct) Line(int, string, string)                {}
+func (direct) EventSeen(string, int)                        {}
+func (direct) FaultSince(int, string, float64) bool        { return false }
+func (direct) UnreachableSince(int, float64) bool                  { return false }
+func (direct) TraceInvocation(int, string, string)                {}
 
 // unanswered: its client got nothing.
 func unanswered(how model.Outcome) bool { return how == model.Unanswered || how == model.Broken }
--- a/harness/sockets/script.go
+++ b/harness/sockets/script.go
@@ -11,25 +11,25 @@
 	"otterseam/gateway/http1"
 )
 
-// Script is a listener on loopback that answers each request with the text that its script gives. "" leaves it
+// ScriptedServer is a listener on loopback that answers each request with the text that its script gives. "" leaves it
 // unanswered; a text that ends in "!" is sent without that sign and the connection closed.
-type Script struct {
+type ScriptedServer struct {
 	net.Listener
-	Seen  chan string // heads and bodies as they came
-	Ended chan bool   // one for each connection that has ended
+	Requests  chan string // heads and bodies as they came
+	Disconnects chan bool   // one for each connection that has ended
 
 	mu    sync.Mutex
 	conns []net.Conn
 	n     int
 }
 
-// NewScript listens; say gets each request and its number, from 1.
-func NewScript(say func(m *http1.Message, n int) string) (*Script, error) {
+// NewScriptedServer listens; say gets each request and its number, from 1.
+func NewScriptedServer(say func(m *http1.Message, n int) string) (*ScriptedServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Script{Listener: l, Seen: make(chan string, 100), Ended: make(chan bool, 100)}
+	s := &ScriptedServer{Listener: l, Requests: make(chan string, 100), Disconnects: make(chan bool, 100)}
 	go func() {
 		for {
 			tcp, err := l.Accept()
@@ -45,19 +45,19 @@
 	return s, nil
 }
 
-func (s *Script) serve(tcp net.Conn, say func(m *http1.Message, n int) string) {
+func (s *ScriptedServer) serve(tcp net.Conn, say func(m *http1.Message, n int) string) {
 	defer func() {
 		tcp.Close()
 		select {
-		case s.Ended <- true:
+		case s.Disconnects <- true:
 		default: // nobody looks
 		}
 	}()
-	Messages(tcp, false, func(m *http1.Message) bool {
+	ReadMessages(tcp, false, func(m *http1.Message) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		select {
-		case s.Seen <- string(m.Method) + " " + string(m.Target) + " " + string(m.Body):
+		case s.Requests <- string(m.Method) + " " + string(m.Target) + " " + string(m.Body):
 		default: // nobody looks
 		}
 		s.n++
@@ -67,8 +67,8 @@
 	})
 }
 
-// End closes the listener and all connections.
-func (s *Script) End() {
+// CloseAll closes the listener and all connections.
+func (s *ScriptedServer) CloseAll() {
 	s.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/harness/sockets/server.go
+++ b/harness/sockets/server.go
@@ -10,8 +10,8 @@
 	"otterseam/gateway/http1"
 )
 
-// Messages reads one message after another from a connection, until what comes makes no sense or is not wanted.
-func Messages(tcp net.Conn, response bool, each func(m *http1.Message) bool) error {
+// ReadMessages reads one message after another from a connection, until what comes makes no sense or is not wanted.
+func ReadMessages(tcp net.Conn, response bool, each func(m *http1.Message) bool) error {
 	m, room, rest := &http1.Message{}, make([]byte, http1.MaxMessageBytes), []byte(nil)
 	for {
 		rest = append([]byte(nil), rest...)
--- a/harness/sockets/sockets_test.go
+++ b/harness/sockets/sockets_test.go
@@ -88,7 +88,7 @@
 func TestAddressesElsewhereAreRefused(t *testing.T) {
 	leakcheck.Check(t)
 	for _, a := range []string{"10.0.0.1:80", "192.0.2.1:8443", "example.org:80", "nonsense"} {
-		if _, _, err := Load(context.Background(), short(t, ""), 1, []string{a}); err == nil {
+		if _, _, err := RunClients(context.Background(), short(t, ""), 1, []string{a}); err == nil {
 			t.Errorf("%s was taken", a)
 		}
 	}
@@ -116,7 +116,7 @@
 // A slow api gateway hides nothing: times count from the intended sending, also when answers come one after another.
 func TestTimesCountFromTheIntendedSending(t *testing.T) {
 	leakcheck.Check(t)
-	s, err := NewScript(func(m *http1.Message, n int) string {
+	s, err := NewScriptedServer(func(m *http1.Message, n int) string {
 		time.Sleep(30 * time.Millisecond) // all of its connections wait for each other
 		body := field(m, "req-id") + " by nobody"
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -124,8 +124,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.End()
-	f, _, err := Load(context.Background(), short(t, "", "fleet.gateways=1", "length=2s", "clients.rate=60/s", "clients.retries=0"), 1, []string{s.Addr().String()})
+	defer s.CloseAll()
+	f, _, err := RunClients(context.Background(), short(t, "", "fleet.gateways=1", "length=2s", "clients.rate=60/s", "clients.retries=0"), 1, []string{s.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	defer stop()
 	dir := t.TempDir()
 	ready := make(chan []string, 1)
-	go StandIn(ctx, short(t, "", "length=20s"), 1, dir, nil, func(p []string) { ready <- p })
+	go RunStandIns(ctx, short(t, "", "length=20s"), 1, dir, nil, func(p []string) { ready <- p })
 	text, err := os.ReadFile((<-ready)[0])
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 		io.WriteString(tcp, "POST "+target+" HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n")
 	}
 	var got []string
-	Messages(tcp, true, func(m *http1.Message) bool {
+	ReadMessages(tcp, true, func(m *http1.Message) bool {
 		got = append(got, fmt.Sprint(m.Status, " ", string(m.Body)))
 		return len(got) < 5
 	})
--- a/harness/sockets/standin.go
+++ b/harness/sockets/standin.go
@@ -42,12 +42,12 @@
 	seen      map[string]*model.Invocation // made up for refs that no client here has sent
 	lost      func(ref string)             // called where a host got a ref that it should not have got
 	customers map[string]*model.Customer
-	rig       Rig
+	rig       Interceptor
 	told      []map[string]policy.HostEntry // by api gateway: what has got through of the list
 }
 
 // stand opens all listeners. known finds an invocation by its ref.
-func stand(w *simulation.Simulation, p *pump, gateways int, rig Rig) (*StandIns, error) {
+func stand(w *simulation.Simulation, p *pump, gateways int, rig Interceptor) (*StandIns, error) {
 	s := &StandIns{
 		Simulation: w, pump: p, conns: map[*conn]bool{}, addrs: map[[2]int]string{}, known: map[string]*model.Invocation{}, seen: map[string]*model.Invocation{},
 		customers: map[string]*model.Customer{}, rig: rig,
@@ -62,12 +62,12 @@
 		s.watches = append(s.watches, map[*conn]bool{})
 		s.versions = append(s.versions, 1)
 		s.told = append(s.told, map[string]policy.HostEntry{})
-		c, err := s.rig.Between(g, "counter", func(tcp net.Conn) { s.count(g, tcp) })
+		c, err := s.rig.ListenFor(g, "counter", func(tcp net.Conn) { s.count(g, tcp) })
 		if err != nil {
 			return s, err
 		}
 		s.counters = append(s.counters, c)
-		d, err := s.rig.Between(g, "discovery", func(tcp net.Conn) { s.roster(g, tcp) })
+		d, err := s.rig.ListenFor(g, "discovery", func(tcp net.Conn) { s.roster(g, tcp) })
 		if err != nil {
 			return s, err
 		}
@@ -128,7 +128,7 @@
 	if a := s.addrs[key]; a != "" {
 		return a, nil
 	}
-	a, err := s.rig.Between(gateway, fmt.Sprintf("host %d", h.Number), func(tcp net.Conn) { s.serve(h, gateway, tcp) })
+	a, err := s.rig.ListenFor(gateway, fmt.Sprintf("host %d", h.Number), func(tcp net.Conn) { s.serve(h, gateway, tcp) })
 	s.addrs[key] = a
 	return a, err
 }
@@ -144,14 +144,14 @@
 	var peers []string
 	for g := range gateways {
 		if g >= len(listens) {
-			a, err := Free()
+			a, err := FreeAddress()
 			if err != nil {
 				return nil, nil, err
 			}
 			listens = append(listens, a)
 		}
 		if s.Day.Peers.Allowed {
-			a, err := Free()
+			a, err := FreeAddress()
 			if err != nil {
 				return nil, nil, err
 			}
@@ -160,7 +160,7 @@
 	}
 	known := peers
 	if len(peers) > 0 {
-		if known, err = s.rig.Mail(peers); err != nil {
+		if known, err = s.rig.PeerAddresses(peers); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -193,9 +193,9 @@
 	return st
 }
 
-// Free finds an address on loopback that nobody holds at the moment, for streams and datagrams. It lies below the ports
+// FreeAddress finds an address on loopback that nobody holds at the moment, for streams and datagrams. It lies below the ports
 // that systems give to outgoing connections: one of those could be gone before the api gateway listens.
-func Free() (addr string, err error) {
+func FreeAddress() (addr string, err error) {
 	for range 50 {
 		addr = fmt.Sprintf("127.0.0.1:%d", 10000+rand.IntN(20000))
 		var l net.Listener
@@ -247,7 +247,7 @@
 // Told brings a change of the list to an api gateway's watches.
 func (s *StandIns) Told(gateway int, l policy.HostEntry) {
 	s.versions[gateway]++
-	s.rig.Seen("told", gateway)
+	s.rig.EventSeen("told", gateway)
 	line := s.line(gateway, false, []policy.HostEntry{l})
 	for c := range s.watches[gateway] {
 		c.writeThen(chunk(line), func() { s.pump.Do(func() { s.tell(gateway, []policy.HostEntry{l}, false) }) })
@@ -283,7 +283,7 @@
 
 func (s *StandIns) roster(gateway int, tcp net.Conn) {
 	c := s.conn(tcp)
-	Messages(tcp, false, func(m *http1.Message) bool {
+	ReadMessages(tcp, false, func(m *http1.Message) bool {
 		target := string(m.Target)
 		if !strings.HasPrefix(target, "/catalog/members") {
 			c.write([]byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
@@ -325,7 +325,7 @@
 func (s *StandIns) count(gateway int, tcp net.Conn) {
 	c := s.conn(tcp)
 	var line []*string // answers in the order of their calls; nil: not there yet. Only the pump's goroutine looks
-	Messages(tcp, false, func(m *http1.Message) bool {
+	ReadMessages(tcp, false, func(m *http1.Message) bool {
 		name, by, life, ok := call(m)
 		s.pump.Do(func() {
 			slot := new(string)
@@ -347,11 +347,11 @@
 			}
 			s.Queue.ScheduleAfter(net.Delay(zone, 0), func() {
 				s.CounterCalled(false)
-				s.rig.Seen("called", gateway)
+				s.rig.EventSeen("called", gateway)
 				// Every second api gateway sees the copy of a split counter: there are no edges to ask.
 				s.Counter.Add(gateway%2 == 1, name, by, life, func(how countermodel.Outcome, sum float64) {
 					if how == countermodel.Added {
-						s.rig.Seen("added", gateway)
+						s.rig.EventSeen("added", gateway)
 					}
 					s.Queue.ScheduleAfter(net.Delay(0, zone), func() {
 						switch how {
@@ -423,7 +423,7 @@
 	var d *model.Attempt
 	var job *hostmodel.Job
 	fresh := true
-	Messages(tcp, false, func(m *http1.Message) bool {
+	ReadMessages(tcp, false, func(m *http1.Message) bool {
 		ref, first := field(m, "req-id"), fresh
 		fresh = false
 		call, whole := http1.ParseInvocation(m) // the message is lent until this returns
@@ -498,7 +498,7 @@
 	net, zone, n := s.Network(), s.zone(gateway), d.Invocation.Request
 	to, open := fmt.Sprintf("host %d", h.Number), d.Invocation.Outcome == model.Pending
 	job := &hostmodel.Job{Operation: n.Operation.Number, Work: n.Work, Gateway: gateway, OnStart: func() {
-		s.rig.Seen("ran", gateway)
+		s.rig.EventSeen("ran", gateway)
 		s.AttemptStarted(d)
 	}}
 	if fresh {
@@ -509,7 +509,7 @@
 		if d.Ended {
 			return
 		}
-		s.rig.Seen("answering", gateway)
+		s.rig.EventSeen("answering", gateway)
 		s.Trace(gateway, d.Invocation.Ref, fmt.Sprintf("host %d ends delivery %d: %s", h.Number, d.Number, a))
 		if d.ProvenNotRun = a == hostmodel.Rejected; a == hostmodel.Succeeded && net.DrawLostAnswer() || net.Partitioned(zone, h.Zone) {
 			return
@@ -545,10 +545,10 @@
 			c.end(true)
 			return
 		}
-		s.rig.Seen("delivery", gateway)
+		s.rig.EventSeen("delivery", gateway)
 		// When one held up by a fault set out isn't known: how late it comes tells nothing. Nor does it where the final answer
 		// came while it was on its way here: it had been called off.
-		if s.rig.Struck(gateway, to, d.Invocation.SentAt) || open && d.Invocation.Outcome != model.Pending {
+		if s.rig.FaultSince(gateway, to, d.Invocation.SentAt) || open && d.Invocation.Outcome != model.Pending {
 			s.AttemptSentLate(d)
 		} else {
 			s.AttemptSent(d)
