--- a/tier/attempt/model_test.go
+++ b/tier/attempt/model_test.go
@@ -149,13 +149,14 @@
 			unsolicitedAnswers(i, try)
 		}
 	}
-	if connected && w.waiting < modelFrames {
+	if !connected {
+		return
+	}
+	if w.waiting < modelFrames {
 		try(emit(frame{owner: noRequest, status: http.StatusOK}))
 		try(emit(frame{owner: noRequest, status: http.StatusServiceUnavailable, notExecuted: true}))
 	}
-	if connected {
-		try(func(w *world) { w.cut = true })
-	}
+	try(func(w *world) { w.cut = true })
 }
 
 // unsolicitedAnswers are further ones to a request that was answered, early or late, of the same or of another kind.
--- a/tier/proxy/leave_test.go
+++ b/tier/proxy/disconnect_test.go
@@ -10,7 +10,7 @@
 )
 
 // A turn's connection may carry another request while the stores keep the turn. Its client must not take it along.
-func TestAClientThatLeavesWhileItsTurnIsKeptHarmsNobodyElse(t *testing.T) {
+func TestADisconnectWhileATurnIsStoredAffectsNoOtherRequest(t *testing.T) {
 	g := newGateway(t)
 	keeping := make(chan struct{}, 8)
 	g.addStore(func(kind programs.CommandKind, m rpc.Message) {
@@ -52,7 +52,7 @@
 const goneWithin = 500 * time.Millisecond
 
 // A client that leaves ends the work of its host at once, however far its answer has come, and nothing more is sent for it.
-func TestAClientThatLeavesEndsItsHostsWork(t *testing.T) {
+func TestADisconnectCancelsTheWorkOfTheHost(t *testing.T) {
 	for name, part := range map[string]string{
 		"before the head":      "",
 		"in the head":          "HTTP/1.1 200 OK\r\nX-Requ",
@@ -90,7 +90,7 @@
 }
 
 // A request that hosts turn away is not sent on for a client that has left meanwhile.
-func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
+func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	g := newGateway(t)
 	asked1 := make(chan asked, 1)
 	var counted []*connections
@@ -108,7 +108,7 @@
 }
 
 // A client that leaves while its request is held up by the stores reaches no host.
-func TestAClientThatLeavesBeforeItsTurnBeginsReachesNoHost(t *testing.T) {
+func TestADisconnectBeforeATurnBeginsReachesNoHost(t *testing.T) {
 	g := newGateway(t)
 	begun := make(chan rpc.Message, 4)
 	g.addStore(func(kind programs.CommandKind, m rpc.Message) {
@@ -131,7 +131,7 @@
 }
 
 // A client that has begun its next request before it leaves is seen to leave all the same.
-func TestAClientThatLeavesBehindAPipelinedRequestEndsItsHostsWork(t *testing.T) {
+func TestADisconnectBehindAPipelinedRequestCancelsTheWorkOfTheHost(t *testing.T) {
 	for _, further := range []string{"P", "POST /once/1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: r2\r\nContent-Length: 1\r\n\r\nx"} {
 		for _, part := range []string{"", streamOK + event(1)} {
 			g := newGateway(t)
--- a/tier/proxy/harness_test.go
+++ b/tier/proxy/harness_test.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.takeConfig(append(binary.BigEndian.AppendUint64(nil, 1), testConfig...))
-	if p.table.Load() == nil {
+	p.applyConfig(append(binary.BigEndian.AppendUint64(nil, 1), testConfig...))
+	if p.routes.Load() == nil {
 		t.Fatal("the configuration was not taken")
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 // settled waits until the proxy has ended every request that a host or store has seen.
 func (g *gateway) settled() {
 	g.serving.Wait()
-	g.proxy.work.Wait()
+	g.proxy.settlements.Wait()
 }
 
 // asked is a request that a host has read whole.
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -14,39 +14,43 @@
 	"otterseam/tier/upstream"
 )
 
-// target is a host with its connections.
-type target struct {
+// upstreamHost is a host with its connections.
+type upstreamHost struct {
 	balance.Host
 	address string
 	service string
 	pool    *upstream.Pool
 }
 
-// hostTable holds the hosts by service.
+// hostTable holds the hosts by service, and what this proxy observes of them.
 type hostTable struct {
-	mu        sync.Mutex
-	zone      string
-	byID      map[string]*target
-	byService map[string][]*balance.Host
-	seen      *outlier.Collector // what the fleet's judge is told
-	firstSeen func()             // called when the first failure of a window was seen; the lock is held
+	zone           string
+	onFirstFailure func() // called at the first failure of a window; the lock is held
+
+	mu           sync.Mutex // guards the fields below and the hosts
+	byID         map[string]*upstreamHost
+	byService    map[string][]*balance.Host
+	observations *outlier.Collector // for the fleet's outlier detection
 }
 
-func newHostTable(zone string, firstSeen func()) *hostTable {
+func newHostTable(zone string, onFirstFailure func()) *hostTable {
 	return &hostTable{
-		zone: zone, byID: map[string]*target{}, byService: map[string][]*balance.Host{},
-		seen: outlier.NewCollector(rand.Uint64()|1, zone), firstSeen: firstSeen,
+		zone:           zone,
+		onFirstFailure: onFirstFailure,
+		byID:           map[string]*upstreamHost{},
+		byService:      map[string][]*balance.Host{},
+		observations:   outlier.NewCollector(rand.Uint64()|1, zone),
 	}
 }
 
-// update follows the hosts that changed in the view.
+// update follows the hosts and ejections that changed in the view.
 func (t *hostTable) update(items []feed.Item) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
 	for _, item := range items {
 		if item.Section == feed.SectionEjection {
-			defer t.setAside(item) // behind the hosts of the same update
+			defer t.eject(item) // after the hosts of the same update
 		}
 		if item.Section != feed.SectionHost {
 			continue
@@ -59,52 +63,55 @@
 		}
 	}
 	if changed {
-		t.rebuild()
+		t.groupByService()
 	}
 }
 
-// setAside follows a verdict on a host; the lock is held. One that is taken back has lapsed here by itself.
-func (t *hostTable) setAside(item feed.Item) {
-	held := t.byID[item.Key]
-	if held == nil || item.Deleted {
+// eject follows the ejection of a host; the lock is held. One that is revoked has expired here by itself.
+func (t *hostTable) eject(item feed.Item) {
+	host := t.byID[item.Key]
+	if host == nil || item.Deleted {
 		return
 	}
-	if term, err := directory.DecodeEjectionDuration(item.Data); err == nil {
-		held.Eject(time.Now().Add(time.Duration(term) * time.Millisecond))
+	if durationMS, err := directory.DecodeEjectionDuration(item.Data); err == nil {
+		host.Eject(time.Now().Add(time.Duration(durationMS) * time.Millisecond))
 	}
 }
 
+// remove forgets a host; the lock is held.
 func (t *hostTable) remove(id string) {
-	if held := t.byID[id]; held != nil {
-		held.pool.Close()
+	if host := t.byID[id]; host != nil {
+		host.pool.Close()
 		delete(t.byID, id)
 	}
 }
 
-func (t *hostTable) put(host directory.Host) {
-	held := t.byID[host.ID]
-	if held == nil || held.address != host.Address {
-		t.remove(host.ID)
-		held = &target{address: host.Address, pool: upstream.NewPool(host.Address)}
-		held.ID = host.ID
-		held.HasIdleConnection = held.pool.HasIdle
-		t.byID[host.ID] = held
+// put adds or changes a host; the lock is held. One at another address is another host.
+func (t *hostTable) put(entry directory.Host) {
+	host := t.byID[entry.ID]
+	if host == nil || host.address != entry.Address {
+		t.remove(entry.ID)
+		host = &upstreamHost{address: entry.Address, pool: upstream.NewPool(entry.Address)}
+		host.ID = entry.ID
+		host.HasIdleConnection = host.pool.HasIdle
+		t.byID[entry.ID] = host
 	}
-	held.service = host.Service
-	held.Zone = host.Zone
-	held.Slots = host.Slots
-	held.Draining = host.Draining
+	host.service = entry.Service
+	host.Zone = entry.Zone
+	host.Slots = entry.Slots
+	host.Draining = entry.Draining
 }
 
-func (t *hostTable) rebuild() {
+// groupByService rebuilds byService; the lock is held.
+func (t *hostTable) groupByService() {
 	t.byService = map[string][]*balance.Host{}
-	for _, held := range t.byID {
-		t.byService[held.service] = append(t.byService[held.service], &held.Host)
+	for _, host := range t.byID {
+		t.byService[host.service] = append(t.byService[host.service], &host.Host)
 	}
 }
 
-// choose takes a host for a request and counts the request there.
-func (t *hostTable) choose(service, preferred string, tried map[string]bool) *target {
+// choose takes a host for a request and counts the request there; it returns nil if there is none.
+func (t *hostTable) choose(service, preferred string, tried map[string]bool) *upstreamHost {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	request := balance.Request{Zone: t.zone, Preferred: preferred, Tried: tried, Random: rand.Float64}
@@ -116,93 +123,96 @@
 	return t.byID[chosen.ID]
 }
 
-// outcome is how a request at a host ended.
-type outcome uint8
+// hostOutcome is what a request at a host says of the host.
+type hostOutcome uint8
 
 const (
-	outcomeAnswered outcome = iota
-	outcomeErred            // the host says that it failed
-	outcomeFull
-	outcomeFailed
-	outcomeUnreached // there was no connection
-	outcomeAbandoned // by the client
+	hostSucceeded   hostOutcome = iota
+	hostErred                   // it says that it failed, or was silent until the deadline
+	hostFull                    // it rejected the request
+	hostBrokeOff                // its response broke off
+	hostUnreachable             // there was no connection
+	hostUnjudged                // the request was cancelled
 )
 
-// done counts a request off.
-func (t *hostTable) done(host *target, how outcome) {
+// finish counts a request off, with what it says of its host.
+func (t *hostTable) finish(host *upstreamHost, outcome hostOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	host.End()
-	t.observe(host, how)
-	switch how {
-	case outcomeAnswered:
+	t.observe(host, outcome)
+	switch outcome {
+	case hostSucceeded:
 		host.RecordSuccess(time.Now())
-	case outcomeErred:
+	case hostErred:
 		host.RecordServerError(time.Now())
-	case outcomeFull:
+	case hostFull:
 		host.RecordRejection(time.Now())
-	case outcomeFailed, outcomeUnreached:
+	case hostBrokeOff, hostUnreachable:
 		host.RecordConnectionFailure(time.Now())
 	}
 }
 
-// observe counts an outcome for the fleet's judge; the lock is held.
-func (t *hostTable) observe(host *target, how outcome) {
-	t.seen.RecordRequest(host.ID)
-	switch how {
-	case outcomeErred:
-		t.failed(host, outlier.ServerError)
-	case outcomeFailed:
-		t.failed(host, outlier.ConnectionBroken)
-	case outcomeUnreached:
-		t.failed(host, outlier.ConnectFailed)
+// observe counts an outcome for the fleet's outlier detection; the lock is held.
+func (t *hostTable) observe(host *upstreamHost, outcome hostOutcome) {
+	t.observations.RecordRequest(host.ID)
+	switch outcome {
+	case hostErred:
+		t.observeFailure(host, outlier.ServerError)
+	case hostBrokeOff:
+		t.observeFailure(host, outlier.ConnectionBroken)
+	case hostUnreachable:
+		t.observeFailure(host, outlier.ConnectFailed)
 	}
 }
 
-func (t *hostTable) failed(host *target, how outlier.Failure) {
-	if t.seen.RecordFailure(host.ID, how) && t.firstSeen != nil {
-		t.firstSeen()
+// observeFailure counts a failure for the fleet's outlier detection; the lock is held.
+func (t *hostTable) observeFailure(host *upstreamHost, failure outlier.Failure) {
+	if t.observations.RecordFailure(host.ID, failure) && t.onFirstFailure != nil {
+		t.onFirstFailure()
 	}
 }
 
-// takeWindow ends a window of what was seen.
-func (t *hostTable) takeWindow() outlier.Window {
+// flushObservations ends a window of observations.
+func (t *hostTable) flushObservations() outlier.Window {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.seen.Flush()
+	return t.observations.Flush()
 }
 
-// told takes a host's load header: running, waiting, slots.
-func (t *hostTable) told(host *target, header string) {
+// updateLoad takes a host's load header: requests running, requests queued, and more that does not matter here. One that cannot be
+// read is ignored.
+func (t *hostTable) updateLoad(host *upstreamHost, header string) {
 	parts := strings.Split(header, ",")
 	if len(parts) < 2 {
 		return
 	}
 	running, err := strconv.Atoi(strings.TrimSpace(parts[0]))
-	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(parts[1]))
-	if err != nil || waitingErr != nil {
+	queued, queuedErr := strconv.Atoi(strings.TrimSpace(parts[1]))
+	if err != nil || queuedErr != nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	host.UpdateLoad(running, waiting, time.Now())
+	host.UpdateLoad(running, queued, time.Now())
 }
 
-// watchStall has a host known for a request that waits for longer than a time, until the function that it returns is called.
-func (t *hostTable) watchStall(host *target, stallAfter time.Duration) (moved func()) {
+// watchStall records a stall of the host if a request there waits for longer than a threshold, until the function that it returns
+// is called.
+func (t *hostTable) watchStall(host *upstreamHost, threshold time.Duration) (end func()) {
 	const (
 		waiting = iota
 		stalled
 		ended
 	)
 	state := waiting
-	timer := time.AfterFunc(stallAfter, func() {
+	timer := time.AfterFunc(threshold, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if state == waiting {
 			state = stalled
 			host.RecordStall()
-			t.failed(host, outlier.Hung)
+			t.observeFailure(host, outlier.Hung)
 		}
 	})
 	return func() {
@@ -216,12 +226,12 @@
 	}
 }
 
-// sweep closes connections that have rested for too long.
-func (t *hostTable) sweep() {
+// closeExpired closes connections that have been idle for too long.
+func (t *hostTable) closeExpired() {
 	t.mu.Lock()
 	pools := make([]*upstream.Pool, 0, len(t.byID))
-	for _, held := range t.byID {
-		pools = append(pools, held.pool)
+	for _, host := range t.byID {
+		pools = append(pools, host.pool)
 	}
 	t.mu.Unlock()
 	for _, pool := range pools {
--- a/tier/proxy/patience_test.go
+++ b/tier/proxy/latency_test.go
@@ -9,7 +9,7 @@
 )
 
 // A host that hangs: what may be repeated is given up while there is time, and goes on at another host.
-func TestAHungHostDoesNotHoldWhatMayBeRepeated(t *testing.T) {
+func TestAHungHostDoesNotHoldIdempotentRequests(t *testing.T) {
 	for path, text := range map[string]string{"/safe/1": plainOK, "/resume/1": streamOK + event(1) + lastChunk} {
 		g := newGateway(t)
 		var hangs atomic.Bool
@@ -39,10 +39,10 @@
 }
 
 // What may run once is never given up for its silence: its host may be at work.
-func TestAHungHostHoldsWhatMayRunOnce(t *testing.T) {
+func TestAHungHostHoldsRequestsThatMayRunOnce(t *testing.T) {
 	g := newGateway(t)
 	for range 40 {
-		g.proxy.patience.answered("brief", time.Millisecond)
+		g.proxy.latencies.observeResponse("brief", time.Millisecond)
 	}
 	counted := g.addHost(func(a asked) { a.gone() })
 	if got := g.dial().ask("/brief/1", "r", "", "x"); got.StatusCode != http.StatusGatewayTimeout {
--- a/tier/proxy/outages.go
+++ b/tier/proxy/outages.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"strconv"
 	"sync"
 	"time"
@@ -13,91 +12,89 @@
 )
 
 const (
-	// needsView is the key of the view that a proxy gets from its agent.
-	needsView = "view"
-	// needsService begins the key of a service's hosts, needsShard that of a shard of programs.
-	needsService = "service "
-	needsShard   = "shard "
+	// dependencyView is the view that a proxy gets from its agent.
+	dependencyView = "view"
+	// servicePrefix begins the name of the hosts of a service as a dependency, shardPrefix that of a shard of programs.
+	servicePrefix = "service "
+	shardPrefix   = "shard "
 
-	// assumedFailover is how long the view or a shard is taken to be away before that has been seen: until a silent primary's
-	// session has ended and another one leads.
+	// assumedFailover is how long an outage of the view or a shard is assumed to last before one has been seen: until a silent
+	// primary's session has ended and another one leads.
 	assumedFailover = (lease.StoreTimeout + lease.StoreHeartbeatInterval) * time.Millisecond
-	// assumedFull is how long the hosts of a service are taken to turn requests away.
-	assumedFull = 200 * time.Millisecond
+	// assumedOverload is how long the hosts of a service are assumed to reject requests.
+	assumedOverload = 200 * time.Millisecond
 
-	// tablePatience is how long a request waits in line for the first view of a proxy that has just started, and tableShare the
+	// maxRoutesWait is how long a request waits for the first view of a proxy that has just started, and routesWaitDivisor the
 	// part of the client's time that it waits at most. Clients give up a connection on which nothing is read for a second.
-	tablePatience = 800 * time.Millisecond
-	tableShare    = 4
+	maxRoutesWait     = 800 * time.Millisecond
+	routesWaitDivisor = 4
 )
 
-// outages is what this proxy has seen of the outages of what requests need.
-type outages struct {
+// outageTracker knows the outages that this proxy has seen of what requests depend on.
+type outageTracker struct {
 	mu        sync.Mutex
-	failovers *retryafter.OutageEstimator
-	services  *retryafter.OutageEstimator
+	failovers *retryafter.OutageEstimator // of the view and of the shards
+	overloads *retryafter.OutageEstimator // of services
 }
 
-func newOutages() *outages {
-	return &outages{failovers: retryafter.NewOutageEstimator(assumedFailover), services: retryafter.NewOutageEstimator(assumedFull)}
+func newOutageTracker() *outageTracker {
+	return &outageTracker{
+		failovers: retryafter.NewOutageEstimator(assumedFailover),
+		overloads: retryafter.NewOutageEstimator(assumedOverload),
+	}
 }
 
-func shardKey(shard uint32) string { return needsShard + strconv.FormatUint(uint64(shard), 10) }
+func shardDependency(shard uint32) string {
+	return shardPrefix + strconv.FormatUint(uint64(shard), 10)
+}
 
-// failed notes that the view or a shard could not be used.
-func (o *outages) failed(key string) {
+// recordFailure notes that the view or a shard could not be used.
+func (o *outageTracker) recordFailure(dependency string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.failovers.RecordFailure(key, time.Now())
+	o.failovers.RecordFailure(dependency, time.Now())
 }
 
-// worked notes that it could.
-func (o *outages) worked(key string) {
+// recordSuccess notes that the view or a shard could be used.
+func (o *outageTracker) recordSuccess(dependency string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.failovers.RecordSuccess(key, time.Now())
+	o.failovers.RecordSuccess(dependency, time.Now())
 }
 
-// remaining is how long the view or a shard is expected to be away.
-func (o *outages) remaining(key string) time.Duration {
+// remaining is how much longer the view or a shard is expected to be out.
+func (o *outageTracker) remaining(dependency string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.failovers.Remaining(key, time.Now())
+	return o.failovers.Remaining(dependency, time.Now())
 }
 
-// servedBy notes that a host of a service has taken a request.
-func (o *outages) servedBy(service string) {
+// recordService notes that a host of a service has taken a request.
+func (o *outageTracker) recordService(service string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.services.RecordSuccess(needsService+service, time.Now())
+	o.overloads.RecordSuccess(servicePrefix+service, time.Now())
 }
 
-// turnedAway notes that no host of a service has, and returns how long that is expected to last.
-func (o *outages) turnedAway(service string) time.Duration {
+// recordOverload notes that no host of a service has taken a request, and returns how long that is expected to last.
+func (o *outageTracker) recordOverload(service string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.services.RecordFailure(needsService+service, time.Now())
-	return o.services.Remaining(needsService+service, time.Now())
-}
-
-// clientTime is the time that a client gives its request, before its route is known.
-func clientTime(header http.Header) time.Duration {
-	if asked, ok := milliseconds(header.Get("X-Deadline-Ms")); ok {
-		return asked
-	}
-	return unroutedPatience
+	o.overloads.RecordFailure(servicePrefix+service, time.Now())
+	return o.overloads.Remaining(servicePrefix+service, time.Now())
 }
 
-// awaitTable returns the routes. A proxy that has just started has none yet; requests wait in line for them for a moment.
-func (p *Proxy) awaitTable(ctx context.Context, left time.Duration) *opconfig.Table {
-	if table := p.table.Load(); table != nil {
-		return table
+// awaitRoutes returns the routes, or nil if there are none. A proxy that has just started has none yet; requests wait for them for
+// a moment, within what is left of the client's time.
+func (p *Proxy) awaitRoutes(ctx context.Context, left time.Duration) *opconfig.Table {
+	if routes := p.routes.Load(); routes != nil {
+		return routes
 	}
-	wait, cancel := context.WithTimeout(ctx, min(tablePatience, left/tableShare))
+	wait, cancel := context.WithTimeout(ctx, min(maxRoutesWait, left/routesWaitDivisor))
 	defer cancel()
 	select {
-	case <-p.tabled:
+	case <-p.routesReady:
 	case <-wait.Done():
 	}
-	return p.table.Load()
+	return p.routes.Load()
 }
--- a/tier/proxy/programs.go
+++ b/tier/proxy/programs.go
@@ -3,7 +3,9 @@
 import (
 	"context"
 	"errors"
+	"math/rand/v2"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"otterseam/tier/codes"
@@ -15,139 +17,202 @@
 )
 
 const (
-	storeAttempt = 500 * time.Millisecond
-	storePause   = 30 * time.Millisecond
+	storeCallTimeout   = 500 * time.Millisecond
+	storeRetryInterval = 30 * time.Millisecond
 )
 
+// ticketSource numbers the turns that this process begins.
+type ticketSource struct {
+	gateway uint64 // identifies the process
+	last    atomic.Uint64
+}
+
+func newTicketSource() *ticketSource { return &ticketSource{gateway: rand.Uint64() | 1} }
+
+// next is the ticket of another turn.
+func (s *ticketSource) next() programs.Ticket {
+	return programs.Ticket{Gateway: s.gateway, Number: s.last.Add(1)}
+}
+
 // programClient calls the stores that lead the shards of programs.
 type programClient struct {
 	clients *rpc.Clients
 	view    *feed.View
-	tickets *tickets
-	outages *outages
+	tickets *ticketSource
+	outages *outageTracker
 
-	mu     sync.Mutex
-	shards map[uint32]directory.Shard
-	stores map[uint64]directory.Store
-	moved  chan struct{} // closed when the shard map changes
+	mu         sync.Mutex // guards the shard map below
+	shards     map[uint32]directory.Shard
+	stores     map[uint64]directory.Store
+	mapChanged chan struct{} // closed when the shard map changes
 }
 
-func newProgramClient(view *feed.View, outages *outages) *programClient {
-	return &programClient{clients: rpc.NewClients(nil), view: view, tickets: newTickets(), outages: outages, moved: make(chan struct{})}
+func newProgramClient(view *feed.View, outages *outageTracker) *programClient {
+	return &programClient{
+		clients: rpc.NewClients(nil), view: view, tickets: newTicketSource(), outages: outages, mapChanged: make(chan struct{}),
+	}
 }
 
-// update follows the shard map.
-func (p *programClient) update(items []feed.Item) {
+// update follows the shard map in the view.
+func (c *programClient) update(items []feed.Item) {
 	for _, item := range items {
 		if item.Section == feed.SectionShard || item.Section == feed.SectionStore {
-			p.setMap(directory.Shards(p.view), directory.Stores(p.view))
+			c.setMap(directory.Shards(c.view), directory.Stores(c.view))
 			return
 		}
 	}
 }
 
 // setMap takes a shard map.
-func (p *programClient) setMap(shards map[uint32]directory.Shard, stores map[uint64]directory.Store) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.shards = shards
-	p.stores = stores
-	close(p.moved)
-	p.moved = make(chan struct{})
+func (c *programClient) setMap(shards map[uint32]directory.Shard, stores map[uint64]directory.Store) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.shards = shards
+	c.stores = stores
+	close(c.mapChanged)
+	c.mapChanged = make(chan struct{})
 }
 
-// shardOf returns the shard of a program.
-func (p *programClient) shardOf(program string) (uint32, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	held, found := directory.ShardOfProgram(program, p.shards)
-	return held.ID, found
+// shardOf returns the shard of a program, or false while it is not known.
+func (c *programClient) shardOf(program string) (uint32, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	shard, found := directory.ShardOfProgram(program, c.shards)
+	return shard.ID, found
 }
 
 // primaryOf returns the address of a shard's primary, or nothing while it is not known.
-func (p *programClient) primaryOf(shard uint32) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.stores[p.shards[shard].View.Primary].Address
+func (c *programClient) primaryOf(shard uint32) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.stores[c.shards[shard].View.Primary].Address
 }
 
-// away is how long the shard of a program is expected to be out of reach.
-func (p *programClient) away(program string) time.Duration {
-	shard, found := p.shardOf(program)
+// expectedOutage is how long the shard of a program is expected to be out.
+func (c *programClient) expectedOutage(program string) time.Duration {
+	shard, found := c.shardOf(program)
 	if !found {
-		return p.outages.remaining(needsView)
+		return c.outages.remaining(dependencyView)
 	}
-	return p.outages.remaining(shardKey(shard))
+	return c.outages.remaining(shardDependency(shard))
 }
 
-// allShards lists the shards, if all of them are known.
-func (p *programClient) allShards() ([]uint32, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// allShards lists the shards, and whether all of them are known.
+func (c *programClient) allShards() ([]uint32, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var ids []uint32
 	total := uint32(0)
-	for id, shard := range p.shards {
+	for id, shard := range c.shards {
 		ids = append(ids, id)
 		total = shard.Total
 	}
 	return ids, len(ids) > 0 && uint32(len(ids)) == total
 }
 
-// call has a command carried out by the shard of a program. It tries until the context ends, so the command has to be
+// call has a command carried out by the shard of a program. It retries until the context ends, so the command has to be
 // idempotent.
-func (p *programClient) call(ctx context.Context, program string, command []byte) (programs.Result, error) {
+func (c *programClient) call(ctx context.Context, program string, command []byte) (programs.Result, error) {
 	for {
-		if shard, found := p.shardOf(program); found {
-			return p.callShard(ctx, shard, command)
+		if shard, found := c.shardOf(program); found {
+			return c.callShard(ctx, shard, command)
 		}
-		if !pause(ctx) {
+		if !awaitRetry(ctx) {
 			return programs.Result{}, codes.StoreUnreachable
 		}
 	}
 }
 
-func (p *programClient) callShard(ctx context.Context, shard uint32, command []byte) (programs.Result, error) {
+// callShard has a command carried out by a shard. It retries until the context ends.
+func (c *programClient) callShard(ctx context.Context, shard uint32, command []byte) (programs.Result, error) {
 	for {
-		result, err := p.attempt(ctx, shard, command)
+		result, err := c.callPrimary(ctx, shard, command)
 		if err == nil || isDecision(err) {
-			p.outages.worked(shardKey(shard))
+			c.outages.recordSuccess(shardDependency(shard))
 			return result, err
 		}
-		if !errors.Is(ctx.Err(), context.Canceled) { // the client's leaving says nothing of the shard
-			p.outages.failed(shardKey(shard))
+		if !errors.Is(ctx.Err(), context.Canceled) { // a client's disconnect says nothing of the shard
+			c.outages.recordFailure(shardDependency(shard))
 		}
-		if !pause(ctx) {
+		if !awaitRetry(ctx) {
 			return programs.Result{}, codes.StoreUnreachable
 		}
 	}
 }
 
-// pause waits a moment before a further attempt; it reports false when the context has ended.
-func pause(ctx context.Context) bool {
+// callPrimary has the store that leads a shard carry out a command, once.
+func (c *programClient) callPrimary(ctx context.Context, shard uint32, command []byte) (programs.Result, error) {
+	address := c.primaryOf(shard)
+	if address == "" {
+		return programs.Result{}, codes.StoreUnreachable
+	}
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
+	defer cancel()
+	go c.cancelWhenMoved(ctx, cancel, shard, address)
+	request := store.ProgramRequest{Shard: shard, Command: command}
+	answer, err := c.clients.To(address).Call(ctx, store.KindProgram, request.Encode())
+	if err != nil {
+		return programs.Result{}, err
+	}
+	return programs.DecodeResult(answer)
+}
+
+// cancelWhenMoved cancels a call once another store leads the shard: the one that was called may be silent for good. It ends with
+// the call.
+func (c *programClient) cancelWhenMoved(call context.Context, cancel context.CancelFunc, shard uint32, address string) {
+	for {
+		c.mu.Lock()
+		mapChanged := c.mapChanged
+		primary := c.stores[c.shards[shard].View.Primary].Address
+		c.mu.Unlock()
+		if primary != address {
+			cancel()
+			return
+		}
+		select {
+		case <-call.Done():
+			return
+		case <-mapChanged:
+		}
+	}
+}
+
+// awaitRetry waits before a further call; it reports false when the context has ended.
+func awaitRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(storePause):
+	case <-time.After(storeRetryInterval):
 		return true
 	}
 }
 
-// search looks for a turn in all shards, for a program that goes on from a turn of another one. TurnUnknown is returned only
-// when every shard has said so.
-func (p *programClient) search(ctx context.Context, request string) (programs.Result, error) {
-	shards, complete := p.allShards()
+// isDecision tells whether an error is the shard's answer, rather than that it could not be reached.
+func isDecision(err error) bool {
+	for _, code := range []codes.Code{codes.BudgetSpent, codes.TurnUnknown, codes.TurnSettled, codes.Malformed} {
+		if errors.Is(err, code) {
+			return true
+		}
+	}
+	return false
+}
+
+// findTurn looks for a turn in all shards at once, for a program that goes on from a turn of another one. TurnUnknown is returned
+// only when every shard has said so.
+func (c *programClient) findTurn(ctx context.Context, request string) (programs.Result, error) {
+	shards, complete := c.allShards()
 	if !complete {
 		return programs.Result{}, codes.StoreUnreachable
 	}
-	type found struct {
+	type answer struct {
 		result programs.Result
 		err    error
 	}
-	answers := make(chan found, len(shards))
+	answers := make(chan answer, len(shards))
 	for _, shard := range shards {
 		go func() {
-			result, err := p.callShard(ctx, shard, programs.Fetch{Request: request}.Encode())
-			answers <- found{result, err}
+			result, err := c.callShard(ctx, shard, programs.Fetch{Request: request}.Encode())
+			answers <- answer{result, err}
 		}()
 	}
 	verdict := error(codes.TurnUnknown)
@@ -162,49 +227,3 @@
 	}
 	return programs.Result{}, verdict
 }
-
-// isDecision tells whether an error is the shard's answer, rather than that it could not be reached.
-func isDecision(err error) bool {
-	for _, code := range []codes.Code{codes.BudgetSpent, codes.TurnUnknown, codes.TurnSettled, codes.Malformed} {
-		if errors.Is(err, code) {
-			return true
-		}
-	}
-	return false
-}
-
-// endWhenMoved ends an attempt once another store leads the shard: the one that was asked may be silent for good.
-func (p *programClient) endWhenMoved(attempt context.Context, end context.CancelFunc, shard uint32, address string) {
-	for {
-		p.mu.Lock()
-		moved := p.moved
-		leads := p.stores[p.shards[shard].View.Primary].Address
-		p.mu.Unlock()
-		if leads != address {
-			end()
-			return
-		}
-		select {
-		case <-attempt.Done():
-			return
-		case <-moved:
-		}
-	}
-}
-
-// attempt has the store that leads a shard carry out a command.
-func (p *programClient) attempt(ctx context.Context, shard uint32, command []byte) (programs.Result, error) {
-	address := p.primaryOf(shard)
-	if address == "" {
-		return programs.Result{}, codes.StoreUnreachable
-	}
-	attempt, cancel := context.WithTimeout(ctx, storeAttempt)
-	defer cancel()
-	go p.endWhenMoved(attempt, cancel, shard, address)
-	request := store.ProgramRequest{Shard: shard, Command: command}
-	answer, err := p.clients.To(address).Call(attempt, store.KindProgram, request.Encode())
-	if err != nil {
-		return programs.Result{}, err
-	}
-	return programs.DecodeResult(answer)
-}
--- a/tier/proxy/recorded_test.go
+++ b/tier/proxy/recorded_test.go
@@ -49,7 +49,7 @@
 		recorded.Check(t, "program-call", m.Payload)
 		m.Answer(codes.Code(code.Load()), recorded.Read(t, "program-answer"))
 	})
-	client := newProgramClient(feed.NewView(), newOutages())
+	client := newProgramClient(feed.NewView(), newOutageTracker())
 	client.setMap(
 		map[uint32]directory.Shard{37: {ID: 37, Total: 64, View: replica.View{Epoch: 1, Primary: 11}}},
 		map[uint64]directory.Store{11: {Identity: 11, Address: address}},
@@ -72,18 +72,18 @@
 	reports := make(chan rpc.Message, 1)
 	client := rpc.NewClient(listenRecorded(t, func(m rpc.Message) { reports <- m }), nil)
 	defer client.Close()
-	seen := outlier.NewCollector(0x0102030405060708, "zone-b")
+	observations := outlier.NewCollector(0x0102030405060708, "zone-b")
 	for host, failures := range map[string][]outlier.Failure{
 		"host-1": {outlier.Hung}, "host-2": {outlier.ConnectFailed, outlier.ServerError, outlier.ServerError}, "host-3": {outlier.ConnectionBroken, outlier.Hung},
 		"host-4": nil,
 	} {
-		seen.RecordRequest(host)
+		observations.RecordRequest(host)
 		for _, failure := range failures {
-			seen.RecordFailure(host, failure)
+			observations.RecordFailure(host, failure)
 		}
 	}
-	p := &Proxy{agent: client, hosts: &hostTable{seen: seen}}
-	p.report()
+	p := &Proxy{agent: client, hosts: &hostTable{observations: observations}}
+	p.reportObservations()
 	select {
 	case m := <-reports:
 		if m.Kind != 33 || m.IsCall() {
--- a/tier/proxy/relay.go
+++ b/tier/proxy/relay.go
@@ -14,141 +14,145 @@
 	"otterseam/tier/sse"
 )
 
-// relayState is the answer of a turn as far as the client has it.
-type relayState struct {
-	started  bool
-	events   uint64
-	lastID   int64
-	output   []byte
-	host     string
-	clientOK bool
-	attempts attempt.Attempts
+const (
+	streamReadBytes = 4 << 10
+	// maxEventBytes is the longest event; a host that sends more without an end of one has failed.
+	maxEventBytes = 4 << 20
+)
+
+// clientStream is the response of a turn as far as its client has it, over all attempts.
+type clientStream struct {
+	attempts     attempt.Attempts
+	started      bool // the head is written
+	disconnected bool
+	events       uint64
+	lastEventID  int64  // sse.NoID for none
+	output       []byte // data of the events, of a turn that is to be kept
+	hostID       string // of the last host that streamed
 }
 
-// relay sends a turn to hosts until one streams its answer, and passes the events on as they come. On a resumable route a
-// broken-off stream goes on at another host within the same answer.
+// relay sends a turn to hosts until one has streamed its response to the end, and forwards the events as they come. On a resumable
+// route a stream that broke off resumes at another host within the same response.
 func (p *Proxy) relay(ctx context.Context, w http.ResponseWriter, t *turn) {
-	state := &relayState{lastID: -1, clientOK: true, attempts: attempt.NewAttempts(repeatabilityOf(t.route), t.route.MaxAttempts)}
-	if id, err := strconv.ParseInt(t.header.Get("Last-Event-Id"), 10, 64); err == nil {
-		state.lastID = id
+	stream := &clientStream{lastEventID: sse.NoID, attempts: attempt.NewAttempts(repeatabilityOf(t.route), t.route.MaxAttempts)}
+	if id, err := strconv.ParseInt(t.header.Get(headerLastEventID), 10, 64); err == nil {
+		stream.lastEventID = id
 	}
 	tried := map[string]bool{}
 	failure := codes.NoHost
-	for state.attempts.CanAttempt() && ctx.Err() == nil && state.clientOK {
-		host := p.hosts.choose(t.service, t.hint, tried)
+	for stream.attempts.CanAttempt() && ctx.Err() == nil && !stream.disconnected {
+		host := p.hosts.choose(t.service, t.preferredHost, tried)
 		if host == nil {
 			break
 		}
 		tried[host.ID] = true
-		outcome := p.relayFrom(ctx, w, t, host, state)
-		if state.attempts.Next(outcome) == attempt.Forward {
+		outcome := p.attemptTurn(ctx, w, t, host, stream)
+		if stream.attempts.Next(outcome) == attempt.Forward {
 			return
 		}
 		failure = failureCode(outcome)
 	}
-	p.giveUp(ctx, w, t, state, failure)
+	p.failTurn(ctx, w, t, stream, failure)
 }
 
-// giveUp ends a turn that no host finished.
-func (p *Proxy) giveUp(ctx context.Context, w http.ResponseWriter, t *turn, state *relayState, failure codes.Code) {
-	p.settleLater(t, t.end(state.events*t.stride, false, nil, state.host))
-	step := state.attempts.FinalStep()
+// failTurn ends a turn that no host has completed. Failure is why the last attempt failed.
+func (p *Proxy) failTurn(ctx context.Context, w http.ResponseWriter, t *turn, stream *clientStream, failure codes.Code) {
+	p.settleInBackground(t, t.abortCommand(stream.events*t.tokensPerEvent, stream.hostID))
+	step := stream.attempts.FinalStep()
 	switch {
-	case step == attempt.Abort || !state.clientOK:
+	case step == attempt.Abort || stream.disconnected:
 		panic(http.ErrAbortHandler)
 	case ctx.Err() != nil:
-		p.outOfTime(ctx, w)
+		p.failCancelled(ctx, w)
 	case step == attempt.Fail:
 		p.fail(w, http.StatusBadGateway, codes.HostFailed)
 	default:
-		p.refuse(w, failure, t.left(), p.outages.turnedAway(t.service))
+		p.reject(w, failure, t.remaining(), p.outages.recordOverload(t.service))
 	}
 }
 
-// relayFrom serves the turn from one host. The outcome is Answered if the answer has ended.
-func (p *Proxy) relayFrom(ctx context.Context, w http.ResponseWriter, t *turn, host *target, state *relayState) attempt.Outcome {
-	lastEvent := t.header.Get("Last-Event-Id")
-	if state.started && state.lastID >= 0 {
-		lastEvent = strconv.FormatInt(state.lastID, 10)
-	}
-	limit := p.firstEventLimit(t, state)
-	sent, outcome := p.send(ctx, t.request, host, payload{lastEvent, t.prompt}, limit)
-	if sent == nil {
-		p.hosts.done(host, silentOutcome(ctx, outcome))
+// attemptTurn serves the turn from one host. The outcome is Answered if the client's response is complete.
+func (p *Proxy) attemptTurn(ctx context.Context, w http.ResponseWriter, t *turn, host *upstreamHost, stream *clientStream) attempt.Outcome {
+	deadline := p.firstEventDeadline(t, stream)
+	response, outcome := p.send(ctx, t.request, host, content{stream.resumePoint(t), t.prompt}, deadline)
+	if response == nil {
+		p.hosts.finish(host, outcomeOfSilent(ctx, outcome))
 		return outcome
 	}
 	switch {
-	case sent.refused():
-		sent.drain()
-		p.hosts.done(host, outcomeFull)
+	case response.isRefused():
+		response.discard()
+		p.hosts.finish(host, hostFull)
 		return attempt.Refused
-	case sent.response.StatusCode != http.StatusOK || !mayBeEvents(sent.response.Header):
-		return p.relayWhole(ctx, w, t, sent, state)
+	case response.StatusCode != http.StatusOK || !mayBeEventStream(response.Header):
+		return p.forwardBody(ctx, w, t, response, stream)
 	default:
-		return p.relayEvents(ctx, w, t, sent, state, limit)
+		return p.forwardEvents(ctx, w, t, response, stream, deadline)
 	}
 }
 
-// firstEventLimit is until when the first event of a stream has to come, or zero if there is no such time. Only a stream that may be
-// taken up elsewhere, and has given its client nothing yet, is given up for its silence.
-func (p *Proxy) firstEventLimit(t *turn, state *relayState) time.Time {
-	if repeatabilityOf(t.route) != attempt.Resumable || state.started {
+// resumePoint is the Last-Event-Id for the next host: that of the client's last event, or the client's own.
+func (s *clientStream) resumePoint(t *turn) string {
+	if s.started && s.lastEventID >= 0 {
+		return strconv.FormatInt(s.lastEventID, 10)
+	}
+	return t.header.Get(headerLastEventID)
+}
+
+// firstEventDeadline is until when the first event of a stream has to come, or zero if there is no such time. Only a stream that may
+// resume at another host, and has given its client nothing yet, is given up for its silence.
+func (p *Proxy) firstEventDeadline(t *turn, stream *clientStream) time.Time {
+	if repeatabilityOf(t.route) != attempt.Resumable || stream.started {
 		return time.Time{}
 	}
-	return p.patience.limit(t.request)
+	return p.latencies.responseDeadline(t.request)
 }
 
-// mayBeEvents tells whether the body of an answer is a stream of events, as far as its head says.
-func mayBeEvents(header http.Header) bool {
-	kind, _, _ := strings.Cut(header.Get("Content-Type"), ";")
-	kind = strings.TrimSpace(kind)
-	return kind == "" || strings.EqualFold(kind, "text/event-stream")
+// mayBeEventStream tells whether the body of a response is a stream of events, as far as its head says.
+func mayBeEventStream(header http.Header) bool {
+	mediaType, _, _ := strings.Cut(header.Get("Content-Type"), ";")
+	mediaType = strings.TrimSpace(mediaType)
+	return mediaType == "" || strings.EqualFold(mediaType, "text/event-stream")
 }
 
-// relayWhole passes on an answer that is no stream: a failure that the host itself gave, or the body of a host that generates
-// nothing. What a program may spend or keep has to be counted in events, so that such a success is no answer to its turn.
-func (p *Proxy) relayWhole(ctx context.Context, w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState) attempt.Outcome {
-	head := sent.head()
-	body, err := sent.readAll()
-	uncounted := t.accounted() && sent.response.StatusCode < http.StatusMultipleChoices
-	if err != nil || state.started || uncounted {
-		p.hosts.done(sent.host, failedOutcome(ctx))
+// forwardBody forwards a response that is no stream: a failure that the host itself gave, or the body of a host that generates
+// nothing. What a program may spend or keep has to be counted in events, so that such a success is no response to its turn.
+func (p *Proxy) forwardBody(ctx context.Context, w http.ResponseWriter, t *turn, response *hostResponse, stream *clientStream) attempt.Outcome {
+	head := response.head()
+	body, err := response.readAll()
+	uncounted := t.isAccounted() && response.StatusCode < http.StatusMultipleChoices
+	if err != nil || stream.started || uncounted {
+		p.hosts.finish(response.host, outcomeOfBroken(ctx))
 		return attempt.Uncertain
 	}
-	p.answered(t.request, sent.host, head)
-	p.settleLater(t, t.end(0, false, nil, sent.host.ID))
-	p.passOnPlain(w, t.request, state.attempts, plainAnswer{sent.response, head, body})
+	p.finishComplete(t.request, response.host, head)
+	p.settleInBackground(t, t.abortCommand(0, response.host.ID))
+	p.forwardPlain(w, t.request, stream.attempts, plainResponse{response.Response, head, body})
 	return attempt.Answered
 }
 
-const (
-	streamReadBytes = 4 << 10
-	// maxEventBytes is the longest event; a host that sends more without an end of one has failed.
-	maxEventBytes = 4 << 20
-)
-
-// relayEvents passes events on, each as soon as it is whole.
-func (p *Proxy) relayEvents(
-	ctx context.Context, w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState, limit time.Time,
+// forwardEvents forwards events, each as soon as it is complete.
+func (p *Proxy) forwardEvents(
+	ctx context.Context, w http.ResponseWriter, t *turn, response *hostResponse, stream *clientStream, firstEventDeadline time.Time,
 ) attempt.Outcome {
 	var splitter sse.Splitter
-	begun := false
+	firstEventCame := false
 	buffer := make([]byte, streamReadBytes)
-	state.host = sent.host.ID
+	stream.hostID = response.host.ID
 	for {
-		n, err := sent.response.Body.Read(buffer)
+		n, err := response.Body.Read(buffer)
 		for _, event := range splitter.Add(buffer[:n]) {
-			if !begun {
-				begun = true
-				sent.lease.ClearDeadline()
-				p.patience.answered(t.route.Name, time.Since(sent.sentAt))
+			if !firstEventCame {
+				firstEventCame = true
+				response.lease.ClearDeadline()
+				p.latencies.observeResponse(t.route.Name, time.Since(response.sentAt))
 			}
-			if event.ID >= 0 && event.ID <= state.lastID {
-				continue
+			if event.ID >= 0 && event.ID <= stream.lastEventID {
+				continue // the client has it from an earlier host
 			}
-			if !p.passOn(w, t, sent, state, event) {
-				sent.lease.Close()
-				p.hosts.done(sent.host, outcomeAbandoned)
+			if !stream.forward(w, t, response, event) {
+				response.lease.Close()
+				p.hosts.finish(response.host, hostUnjudged)
 				return attempt.Uncertain
 			}
 		}
@@ -156,67 +160,68 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && splitter.Pending() == 0 {
-			sent.lease.Release()
-			p.answered(t.request, sent.host, sent.head())
-			p.finish(ctx, w, t, sent, state)
+			response.lease.Release()
+			p.finishComplete(t.request, response.host, response.head())
+			p.finishTurn(ctx, w, t, response, stream)
 			return attempt.Answered
 		}
-		sent.lease.Close()
-		if !begun {
-			p.noteGivenUp(t.request, sent.sentAt, limit)
+		response.lease.Close()
+		if !firstEventCame {
+			p.observeTimeout(t.request, response.sentAt, firstEventDeadline)
 		}
-		p.hosts.done(sent.host, failedOutcome(ctx))
+		p.hosts.finish(response.host, outcomeOfBroken(ctx))
 		return attempt.Uncertain
 	}
 }
 
-// passOn writes one event to the client.
-func (p *Proxy) passOn(w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState, event sse.Event) bool {
-	state.start(w, sent)
-	state.events++
+// forward writes one event to the client. It reports false if the client has disconnected.
+func (s *clientStream) forward(w http.ResponseWriter, t *turn, response *hostResponse, event sse.Event) bool {
+	s.start(w, response)
+	s.events++
 	if event.ID >= 0 {
-		state.lastID = event.ID
+		s.lastEventID = event.ID
 	}
-	state.attempts.ResponseStarted(event.ID >= 0)
+	s.attempts.ResponseStarted(event.ID >= 0)
 	if t.route.Retained {
-		state.output = append(state.output, event.Data...)
-		state.output = append(state.output, '\n')
+		s.output = append(s.output, event.Data...)
+		s.output = append(s.output, '\n')
 	}
 	if _, err := w.Write(event.Raw); err != nil {
-		state.clientOK = false
+		s.disconnected = true
 		return false
 	}
-	if flusher, can := w.(http.Flusher); can {
+	if flusher, ok := w.(http.Flusher); ok {
 		flusher.Flush()
 	}
 	return true
 }
 
-// start writes the head of the answer, which stays that of the first host.
-func (s *relayState) start(w http.ResponseWriter, sent *hostResponse) {
+// start writes the head of the response, which stays that of the first host.
+func (s *clientStream) start(w http.ResponseWriter, response *hostResponse) {
 	if s.started {
 		return
 	}
 	s.started = true
-	copyHeader(w.Header(), sent.response.Header)
-	w.WriteHeader(sent.response.StatusCode)
+	copyHeader(w.Header(), response.Header)
+	w.WriteHeader(response.StatusCode)
 }
 
-// finish ends a whole answer. A turn that is to be kept is durable before the client can see that its answer has ended.
-func (p *Proxy) finish(ctx context.Context, w http.ResponseWriter, t *turn, sent *hostResponse, state *relayState) {
-	state.start(w, sent)
-	end := t.end(state.events*t.stride, true, state.output, state.host)
-	if !t.accounted() {
+// finishTurn ends a complete response. A turn that is to be kept is durable before the client can see that its response has ended.
+func (p *Proxy) finishTurn(ctx context.Context, w http.ResponseWriter, t *turn, response *hostResponse, stream *clientStream) {
+	stream.start(w, response)
+	if !t.isAccounted() {
 		return
 	}
+	received := stream.events * t.tokensPerEvent
+	end := t.completeCommand(received, stream.output, stream.hostID)
 	if !t.route.Retained {
-		p.settleLater(t, end)
+		p.settleInBackground(t, end)
 		return
 	}
-	if err := p.settle(ctx, t, end, min(endPatience, max(t.left(), 0))); err != nil {
+	if err := p.settle(ctx, t, end, min(endTimeout, max(t.remaining(), 0))); err != nil {
 		p.log.WithField("code", uint16(codes.AnswerNotKept)).WithField("request", t.id).WithError(err).
 			Warn("a turn could not be made durable; its answer is broken off")
-		p.settleLater(t, t.end(state.events*t.stride, false, nil, state.host))
+		p.settleInBackground(t, t.abortCommand(received, stream.hostID))
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/tier/proxy/relay_test.go
+++ b/tier/proxy/relay_test.go
@@ -26,7 +26,7 @@
 }
 
 // A resumable stream that breaks off at any byte goes on at another host inside the same answer, which keeps its head.
-func TestAResumableStreamGoesOnWhereverItBreaksOff(t *testing.T) {
+func TestAResumableStreamResumesWhereverItBreaksOff(t *testing.T) {
 	whole := strings.Replace(streamOK, "X-Response-Seal: s", "X-Response-Seal: first", 1) + event(1) + event(2) + event(3) + lastChunk
 	for length := range len(whole) {
 		g := newGateway(t)
@@ -85,7 +85,7 @@
 }
 
 // A plain answer that breaks off at any byte is never passed on as a success, and what may run once runs once.
-func TestAPlainAnswerThatBreaksOffIsNoSuccess(t *testing.T) {
+func TestAPlainResponseThatBreaksOffIsNoSuccess(t *testing.T) {
 	for length := range len(plainOK) {
 		for path, runs := range map[string]int64{"/once/1": 1, "/safe/1": 2} {
 			g := newGateway(t)
@@ -107,7 +107,7 @@
 }
 
 // Without ids it is not known where a stream goes on: it is cut off, and no second run follows.
-func TestAStreamWithoutIDsIsNotTakenUp(t *testing.T) {
+func TestAStreamWithoutEventIDsIsNotResumed(t *testing.T) {
 	g := newGateway(t)
 	var count atomic.Int64
 	serve := func(a asked) {
@@ -124,7 +124,7 @@
 }
 
 // A surplus answer, whenever it comes, reaches nobody.
-func TestASurplusAnswerReachesNobody(t *testing.T) {
+func TestAnUnsolicitedResponseReachesNobody(t *testing.T) {
 	surplus := strings.Replace(plainOK, "hello", "wrong", 1)
 	for name, test := range map[string]func(a asked){
 		"right behind": func(a asked) { a.answer(plainOK + surplus) },
@@ -146,7 +146,7 @@
 }
 
 // A stream that ends with its connection is whole only if it ends behind an event.
-func TestAStreamWithoutALengthThatEndsInAnEventIsNotWhole(t *testing.T) {
+func TestAStreamWithoutALengthThatEndsInsideAnEventIsIncomplete(t *testing.T) {
 	text := "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n"
 	for length := range len(text) + 1 {
 		g := newGateway(t)
@@ -168,7 +168,7 @@
 }
 
 // A client that takes up a stream itself gets what follows, from whichever host.
-func TestAClientTakesUpAStreamItself(t *testing.T) {
+func TestAClientResumesAStreamItself(t *testing.T) {
 	g := newGateway(t)
 	g.addHost(func(a asked) { streamFrom(a, "s", 4) })
 	if got := g.dial().ask("/resume/1", "id", "Last-Event-Id: 2\r\n", "x"); got.text != events(3, 4) || got.err != nil {
@@ -177,7 +177,7 @@
 }
 
 // A stream ends with its route's time, also if its host goes on and its client does not read.
-func TestAStreamEndsWithItsRoutesTime(t *testing.T) {
+func TestAStreamEndsAtItsRouteTimeout(t *testing.T) {
 	for _, reading := range []bool{true, false} {
 		g := newGateway(t)
 		ended := make(chan time.Time, 1)
--- a/tier/proxy/request_test.go
+++ b/tier/proxy/request_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"net/http"
 	"testing"
 	"time"
@@ -31,13 +32,13 @@
 	return r
 }
 
-func TestARequestGoesOnUnchanged(t *testing.T) {
+func TestARequestIsForwardedUnchanged(t *testing.T) {
 	r := newRequest(map[string]string{
 		"X-Request-Id": "r1", "Program": "p", "Cookie": "c", "Connection": "keep-alive, X-Hop", "X-Hop": "1", "Keep-Alive": "timeout=9",
 		"Transfer-Encoding": "chunked", "X-Deadline-Ms": "1", "X-Expect-Instance": "forged", "Priority": "0", "Upgrade": "h2c",
 	}, &opconfig.Route{RouteType: opconfig.RouteStreaming, Priority: 1})
 	got := sent(t, r.encode("host-1", "", r.body))
-	if got.Method != "POST" || got.RequestURI != "/chat/7?x=%2F" || got.Host != "a.example" || got.ContentLength != 4 {
+	if got.Method != http.MethodPost || got.RequestURI != "/chat/7?x=%2F" || got.Host != "a.example" || got.ContentLength != 4 {
 		t.Fatalf("%+v", got)
 	}
 	for name, want := range map[string]string{
@@ -48,12 +49,12 @@
 			t.Errorf("%s is %q, not %q", name, have, want)
 		}
 	}
-	if left, ok := milliseconds(got.Header.Get("X-Deadline-Ms")); !ok || left < 50*time.Second || left > time.Minute {
+	if left, ok := parseMilliseconds(got.Header.Get("X-Deadline-Ms")); !ok || left < 50*time.Second || left > time.Minute {
 		t.Errorf("deadline %v", left)
 	}
 }
 
-func TestAResumedRequestSaysWhereItGoesOn(t *testing.T) {
+func TestAResumedRequestCarriesTheLastEventID(t *testing.T) {
 	r := newRequest(map[string]string{"Last-Event-Id": "3"}, &opconfig.Route{RouteType: opconfig.RouteStreaming})
 	if got := sent(t, r.encode("h", "9", r.body)); got.Header.Get("Last-Event-Id") != "9" {
 		t.Fatal(got.Header)
@@ -74,45 +75,88 @@
 	}
 }
 
-func TestTurnsAreRead(t *testing.T) {
-	route := &opconfig.Route{RouteType: opconfig.RouteStreaming, Retained: true, RetentionS: 60}
-	service := &opconfig.Service{Engine: &opconfig.Engine{Stride: 3}}
-	got, err := readTurn(newRequest(map[string]string{"Program": "p", "Budget": "100", "X-Token-Count": "1460, 80", "Previous": "x"}, route), service)
-	if err != nil || got.most != 80 || got.budget != 100 || !got.limited || got.stride != 3 || got.previous != "x" || !got.accounted() {
-		t.Fatalf("%+v, %v", got, err)
+// retainedRoute and strideService are the route and the service of the turns below.
+var (
+	retainedRoute = &opconfig.Route{RouteType: opconfig.RouteStreaming, Retained: true, RetentionS: 60}
+	strideService = &opconfig.Service{Engine: &opconfig.Engine{Stride: 3}}
+)
+
+func TestParseTurn(t *testing.T) {
+	type parsed struct {
+		budget, maxTokens, tokensPerEvent uint64
+		hasBudget, accounted              bool
+		previous                          string
+	}
+	for name, test := range map[string]struct {
+		header map[string]string
+		want   parsed
+	}{
+		"all headers": {
+			map[string]string{"Program": "p", "Budget": "100", "X-Token-Count": "1460, 80", "Previous": "x"},
+			parsed{budget: 100, maxTokens: 80, tokensPerEvent: 3, hasBudget: true, accounted: true, previous: "x"},
+		},
+		// without the most that may be generated, nothing less than the whole budget covers the turn
+		"no token count": {
+			map[string]string{"Program": "p", "Budget": "100"},
+			parsed{budget: 100, maxTokens: 100, tokensPerEvent: 3, hasBudget: true, accounted: true},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			turn, err := parseTurn(newRequest(test.header, retainedRoute), strideService)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := parsed{
+				budget: turn.budget, maxTokens: turn.maxTokens, tokensPerEvent: turn.tokensPerEvent,
+				hasBudget: turn.hasBudget, accounted: turn.isAccounted(), previous: turn.previous,
+			}
+			if got != test.want {
+				t.Fatalf("%+v, not %+v", got, test.want)
+			}
+		})
 	}
-	end := got.end(24, true, []byte("out"), "h")
+}
+
+func TestACompleteTurnIsSettledWithItsTexts(t *testing.T) {
+	turn, err := parseTurn(newRequest(map[string]string{"Program": "p", "Budget": "100"}, retainedRoute), strideService)
+	if err != nil {
+		t.Fatal(err)
+	}
+	end := turn.completeCommand(24, []byte("out"), "h")
 	if end.Actual != 24 || !end.Retain || end.RetentionMS != 60_000 || string(end.Input) != "body" {
 		t.Fatalf("%+v", end)
 	}
-	// without the most that may be generated, nothing less than the whole budget covers the turn
-	if got, err = readTurn(newRequest(map[string]string{"Program": "p", "Budget": "100"}, route), service); err != nil || got.most != 100 {
-		t.Fatalf("%+v, %v", got, err)
-	}
-	for _, header := range []map[string]string{
-		{"Budget": "ten"},
-		{"Budget": "-1"},
-		{"Budget": "1.5"},
-		{"X-Token-Count": "5"},
-		{"X-Token-Count": "a,5"},
-		{"X-Token-Count": "5,b"},
-		{"X-Token-Count": "5,-1"},
-		{"X-Token-Count": "5,6,7"},
+}
+
+func TestAMalformedTurnIsRejected(t *testing.T) {
+	for _, test := range []struct {
+		name, value string
+		want        error
+	}{
+		{"Budget", "ten", errBudgetHeader},
+		{"Budget", "-1", errBudgetHeader},
+		{"Budget", "1.5", errBudgetHeader},
+		{"X-Token-Count", "5", errTokenCountHeader},
+		{"X-Token-Count", "a,5", errTokenCountHeader},
+		{"X-Token-Count", "5,b", errTokenCountHeader},
+		{"X-Token-Count", "5,-1", errTokenCountHeader},
+		{"X-Token-Count", "5,6,7", errTokenCountHeader},
 	} {
-		if _, err := readTurn(newRequest(header, route), service); err == nil {
-			t.Errorf("%v was taken", header)
+		header := map[string]string{test.name: test.value}
+		if _, err := parseTurn(newRequest(header, retainedRoute), strideService); !errors.Is(err, test.want) {
+			t.Errorf("%v: %v, not %v", header, err, test.want)
 		}
 	}
 }
 
 func TestATurnOutsideProgramsNeedsNoStore(t *testing.T) {
-	got, err := readTurn(newRequest(map[string]string{"X-Token-Count": "5,6"}, &opconfig.Route{}), nil)
-	if err != nil || got.accounted() {
+	got, err := parseTurn(newRequest(map[string]string{"X-Token-Count": "5,6"}, &opconfig.Route{}), nil)
+	if err != nil || got.isAccounted() {
 		t.Fatalf("%+v, %v", got, err)
 	}
 }
 
-func TestHeadersOfOneConnectionAreNotPassedOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	from := http.Header{
 		"X-Response-Seal": {"s"}, "Content-Type": {"text/event-stream"}, "Connection": {"close, X-Hop"}, "X-Hop": {"1"},
 		"Keep-Alive": {"timeout=1"}, "Content-Length": {"9"}, "Transfer-Encoding": {"chunked"},
--- a/tier/proxy/serve_test.go
+++ b/tier/proxy/server_test.go
@@ -12,16 +12,16 @@
 	"otterseam/harness/tierhost"
 )
 
-func TestARequestWithoutAConfigurationIsRefusedForNow(t *testing.T) {
+func TestARequestWithoutAConfigurationIsRejectedForNow(t *testing.T) {
 	g := newGateway(t)
-	g.proxy.table.Store(nil)
+	g.proxy.routes.Store(nil)
 	if got := g.dial().ask("/safe/1", "r", "", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" {
 		t.Fatalf("%d %v", got.StatusCode, got.Header)
 	}
 }
 
 // Without an id an answer cannot be told from others; the request reaches no host.
-func TestARequestWithoutAnIDIsToldSo(t *testing.T) {
+func TestARequestWithoutAnIDGets400(t *testing.T) {
 	g := newGateway(t)
 	counted := g.addHost(func(a asked) { a.answer(plainOK) })
 	for _, path := range []string{"/safe/1", "/once/1", "/stream/1"} {
@@ -39,7 +39,7 @@
 }
 
 // On a streaming route a request that names no tokens may be answered with a body that is no stream.
-func TestABareRequestOnAStreamingRouteGetsItsAnswer(t *testing.T) {
+func TestABareRequestOnAStreamingRouteGetsItsResponse(t *testing.T) {
 	g := newGateway(t)
 	host := &tierhost.Host{ID: "host-1", Service: "hosts", Slots: 4, Controls: func() []string { return nil }}
 	if err := host.Start("127.0.0.1:0"); err != nil {
@@ -59,7 +59,7 @@
 }
 
 // Each host is told what is left of the client's time, also if it is reached late.
-func TestEachHostIsToldTheTimeThatIsLeft(t *testing.T) {
+func TestEachHostGetsTheRemainingDeadline(t *testing.T) {
 	g := newGateway(t)
 	type told struct {
 		left time.Duration
@@ -67,7 +67,7 @@
 	}
 	seen := make(chan told, 4)
 	serve := func(a asked) {
-		left, ok := milliseconds(a.Header.Get("X-Deadline-Ms"))
+		left, ok := parseMilliseconds(a.Header.Get("X-Deadline-Ms"))
 		if !ok {
 			t.Errorf("no deadline: %v", a.Header)
 		}
@@ -126,7 +126,7 @@
 }
 
 // Hosts that prove that they did not run a request count as no run.
-func TestARefusedRequestGoesToAnotherHost(t *testing.T) {
+func TestARefusedRequestIsRetriedAtAnotherHost(t *testing.T) {
 	wrongPlace := "HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: ID\r\nContent-Length: 0\r\n\r\n"
 	brokenRefusal := "HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: ID\r\nX-Not-Executed: 1\r\nContent-Length: 9\r\n\r\nbr"
 	for _, refusal := range []string{turnedOff, wrongPlace, brokenRefusal} {
@@ -149,7 +149,7 @@
 }
 
 // A status that promises that a request has not run is passed on only where that is proved, or where it may run again.
-func TestAPromiseThatIsNotProvedIsNotPassedOn(t *testing.T) {
+func TestAnUnprovedPromiseIsNotForwarded(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		for path, want := range map[string]int{"/once/1": http.StatusBadGateway, "/stream/1": http.StatusBadGateway, "/safe/1": status} {
 			g := newGateway(t)
@@ -165,7 +165,7 @@
 }
 
 // An answer without a length ends with its connection; one that is reset is not complete.
-func TestAnAnswerWithoutALengthIsWholeOnlyIfItsConnectionEnds(t *testing.T) {
+func TestAResponseWithoutALengthIsCompleteOnlyIfItsConnectionCloses(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		for path, text := range map[string]string{"/once/1": "hello", "/stream/1": "id: 1\ndata: e1\n\n"} {
 			g := newGateway(t)
@@ -200,7 +200,7 @@
 }
 
 // A host may reject a long request before it has read it; the request then goes to another host.
-func TestALongRequestThatIsRejectedEarlyGoesElsewhere(t *testing.T) {
+func TestALongRequestThatIsRejectedEarlyIsRetried(t *testing.T) {
 	g := newGateway(t)
 	var bodies atomic.Int64
 	g.addEarlyHost(turnedOff)
@@ -220,7 +220,7 @@
 }
 
 // The body of a request is waited for no longer than the request may take.
-func TestASlowBodyEndsWithItsRequestsTime(t *testing.T) {
+func TestASlowBodyEndsAtTheRequestDeadline(t *testing.T) {
 	g := newGateway(t)
 	counted := g.addHost(func(a asked) { a.answer(plainOK) })
 	c := g.dial()
@@ -233,7 +233,7 @@
 }
 
 // A body that comes in time leaves no bound on its connection behind.
-func TestAConnectionOutlivesTheTimeOfItsRequests(t *testing.T) {
+func TestAConnectionOutlivesTheDeadlineOfItsRequests(t *testing.T) {
 	g := newGateway(t)
 	g.addHost(func(a asked) {
 		if strings.HasPrefix(a.RequestURI, "/brief/") {
@@ -252,7 +252,7 @@
 }
 
 // A host that is silent does not hold a request beyond its route's time.
-func TestARequestEndsWithItsRoutesTime(t *testing.T) {
+func TestARequestEndsAtItsRouteTimeout(t *testing.T) {
 	g := newGateway(t)
 	ended := make(chan struct{}, 1)
 	g.addHost(func(a asked) {
--- a/tier/proxy/stop_test.go
+++ b/tier/proxy/shutdown_test.go
@@ -1,12 +1,18 @@
 package proxy
 
 import (
+	"context"
+	"io"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"testing"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"otterseam/tier/feed"
+	"otterseam/tier/settings"
 )
 
 // readiness is the answer to the platform's question.
@@ -23,16 +29,16 @@
 	if got := g.readiness(); got != http.StatusOK {
 		t.Fatalf("before: %d", got)
 	}
-	g.proxy.stopping.Store(true)
+	g.proxy.draining.Store(true)
 	if got := g.readiness(); got != http.StatusServiceUnavailable {
 		t.Fatalf("while it stops: %d", got)
 	}
 }
 
 // A request that is still under way when the process has to end gets a whole answer, and its host is let go.
-func TestARequestUnderWayGetsAnAnswerBeforeTheProcessEnds(t *testing.T) {
+func TestARequestInFlightGetsAResponseBeforeTheProcessEnds(t *testing.T) {
 	g := newGateway(t)
-	g.proxy.settings.Bounds.Grace = graceMargin + lastAnswers + 200*time.Millisecond
+	g.proxy.settings.Bounds.Grace = graceMargin + finalResponseTime + 200*time.Millisecond
 	reached := make(chan struct{}, 2)
 	let := make(chan struct{}, 2)
 	g.addHost(func(a asked) {
@@ -46,7 +52,7 @@
 	<-reached
 	<-reached
 	ended := make(chan error, 1)
-	go func() { ended <- g.proxy.stop(g.server) }()
+	go func() { ended <- g.proxy.shutdown(context.Background(), g.server) }()
 	for _, c := range clients {
 		if got := c.receive(); got.StatusCode != http.StatusBadGateway || got.err != nil {
 			t.Errorf("%d %q, %v", got.StatusCode, got.text, got.err)
@@ -62,11 +68,11 @@
 func TestAProxyThatIsAboutToEndTakesNoRequests(t *testing.T) {
 	g := newGateway(t)
 	counted := g.addHost(func(a asked) { a.answer(plainOK) })
-	g.proxy.stopping.Store(true)
+	g.proxy.draining.Store(true)
 	if got := g.dial().ask("/once/1", "r1", "", "x"); got.StatusCode != http.StatusOK || !got.Close {
 		t.Fatalf("while it drains: %d, close %v", got.StatusCode, got.Close)
 	}
-	g.proxy.refusing.Store(true)
+	g.proxy.rejecting.Store(true)
 	got := g.dial().ask("/once/1", "r2", "", "x")
 	if got.StatusCode != http.StatusServiceUnavailable || !got.Close || got.Header.Get("Retry-After") == "" {
 		t.Fatalf("at its end: %d %v", got.StatusCode, got.Header)
@@ -75,3 +81,57 @@
 		t.Fatal("a host was asked")
 	}
 }
+
+// A proxy whose context ends shuts down in order: Run returns, and nothing listens any more.
+func TestRunEndsWithItsContext(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	s := &settings.Settings{ListenFront: freeAddress(t), ListenReadiness: freeAddress(t), Zone: "z"}
+	s.Bounds.Grace = graceMargin + finalResponseTime + 200*time.Millisecond
+	p, err := New(s, logrus.NewEntry(log))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- p.Run(ctx) }()
+	for _, address := range []string{s.ListenFront, s.ListenReadiness} {
+		conn := dialUntilItListens(t, address)
+		_ = conn.Close()
+	}
+	cancel()
+	if err := <-ended; err != nil {
+		t.Fatal(err)
+	}
+	for _, address := range []string{s.ListenFront, s.ListenReadiness} {
+		if conn, err := net.Dial("tcp", address); err == nil {
+			_ = conn.Close()
+			t.Errorf("%s still listens", address)
+		}
+	}
+}
+
+// freeAddress is an address on which nothing listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// dialUntilItListens connects to an address as soon as something listens there.
+func dialUntilItListens(t *testing.T, address string) net.Conn {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		conn, err := net.Dial("tcp", address)
+		if err == nil {
+			return conn
+		}
+		if time.Now().After(deadline) {
+			t.Fatal(err)
+		}
+	}
+}
--- a/tier/proxy/turn.go
+++ b/tier/proxy/turn.go
@@ -14,113 +14,135 @@
 	"otterseam/tier/timeline"
 )
 
+// beginTimeout is how long a turn waits at most for the stores to charge it.
+const beginTimeout = 1800 * time.Millisecond
+
 // turn is a request on a streaming route and what the stores know of it.
 type turn struct {
 	*request
-	program  string
-	session  string
-	limited  bool
-	budget   uint64
-	most     uint64 // tokens that it may generate
-	previous string
-	prompt   []byte // what the host gets: the chain and the new input
-	hint     string // the host of the turn before
-	stride   uint64 // tokens in each event
-	ticket   programs.Ticket
+	program string // empty for a request outside of programs
+	session string
+
+	hasBudget bool
+	budget    uint64 // tokens that the program may spend
+	maxTokens uint64 // tokens that the turn may generate
+
+	previous       string          // request id of the turn that it goes on from
+	prompt         []byte          // what the host gets: the chain of earlier turns and the new input
+	preferredHost  string          // that of the turn before, which has its prefix cached
+	tokensPerEvent uint64          // in the stream of the service's engine
+	ticket         programs.Ticket // tells the copies of the turn's commands from those of others
 }
 
-// accounted tells whether the stores have to be asked.
-func (t *turn) accounted() bool { return t.program != "" && (t.limited || t.route.Retained) }
-
-const (
-	beginPatience = 1800 * time.Millisecond
-	endPatience   = 3 * time.Second
-	endLater      = 20 * time.Second
-)
-
 var (
-	errBudgetHeader = errors.New("header Budget is no whole number")
-	errTokenHeader  = errors.New("header X-Token-Count is not two whole numbers separated by a comma")
+	errBudgetHeader     = errors.New("header Budget is no whole number")
+	errTokenCountHeader = errors.New("header X-Token-Count is not two whole numbers separated by a comma")
 )
 
-// readTurn takes the headers of a turn.
-func readTurn(r *request, service *opconfig.Service) (*turn, error) {
+// isAccounted tells whether the stores charge or keep the turn.
+func (t *turn) isAccounted() bool { return t.program != "" && (t.hasBudget || t.route.Retained) }
+
+// parseTurn reads the headers of a turn.
+func parseTurn(r *request, service *opconfig.Service) (*turn, error) {
 	t := &turn{
-		request:  r,
-		program:  r.header.Get("Program"),
-		session:  r.header.Get("Session"),
-		previous: r.header.Get("Previous"),
-		prompt:   r.body,
-		stride:   1,
+		request:        r,
+		program:        r.header.Get(headerProgram),
+		session:        r.header.Get(headerSession),
+		previous:       r.header.Get(headerPrevious),
+		prompt:         r.body,
+		tokensPerEvent: 1,
 	}
 	if service != nil && service.Engine != nil {
-		t.stride = uint64(max(service.Engine.Stride, 1))
+		t.tokensPerEvent = uint64(max(service.Engine.Stride, 1))
 	}
-	if text := r.header.Get("Budget"); text != "" {
-		budget, err := strconv.ParseUint(strings.TrimSpace(text), 10, 63)
+	if text := r.header.Get(headerBudget); text != "" {
+		budget, err := parseTokens(text)
 		if err != nil {
 			return nil, errBudgetHeader
 		}
-		t.limited = true
+		t.hasBudget = true
 		t.budget = budget
 	}
-	t.most = t.budget
-	if text := r.header.Get("X-Token-Count"); text != "" {
-		prompt, most, found := strings.Cut(text, ",")
-		_, promptErr := strconv.ParseUint(strings.TrimSpace(prompt), 10, 63)
-		value, err := strconv.ParseUint(strings.TrimSpace(most), 10, 63)
+	t.maxTokens = t.budget // unless the client says less, nothing below the whole budget covers the turn
+	if text := r.header.Get(headerTokenCount); text != "" {
+		promptTokens, maxTokens, found := strings.Cut(text, ",")
+		_, promptErr := parseTokens(promptTokens)
+		value, err := parseTokens(maxTokens)
 		if !found || promptErr != nil || err != nil {
-			return nil, errTokenHeader
+			return nil, errTokenCountHeader
 		}
-		t.most = value
+		t.maxTokens = value
 	}
 	return t, nil
 }
 
+// parseTokens reads a number of tokens.
+func parseTokens(text string) (uint64, error) {
+	return strconv.ParseUint(strings.TrimSpace(text), 10, 63)
+}
+
+// serveTurn serves a request on a streaming route: it is charged, streamed and settled.
+func (p *Proxy) serveTurn(ctx context.Context, w http.ResponseWriter, r *request, service *opconfig.Service) {
+	t, err := parseTurn(r, service)
+	if err != nil {
+		p.failText(w, http.StatusBadRequest, codes.RequestMalformed, err.Error())
+		return
+	}
+	if t.isAccounted() {
+		if err := p.begin(ctx, t); err != nil {
+			p.rejectTurn(w, t, err)
+			return
+		}
+		p.timeline.Reach(timeline.FirstBeginCommitted)
+	}
+	p.relay(ctx, w, t)
+}
+
 // begin charges the turn's estimate and fetches its chain. The turn may be sent only if the error is nil.
 func (p *Proxy) begin(ctx context.Context, t *turn) error {
-	call, cancel := context.WithTimeout(ctx, min(beginPatience, t.left()/2))
+	ctx, cancel := context.WithTimeout(ctx, min(beginTimeout, t.remaining()/2))
 	defer cancel()
 	if !t.route.Retained {
 		t.previous = ""
 	}
 	t.ticket = p.programs.tickets.next()
-	result, err := p.programs.call(call, t.program, t.beginCommand().Encode())
+	result, err := p.programs.call(ctx, t.program, t.beginCommand().Encode())
 	if errors.Is(err, codes.TurnUnknown) && t.previous != "" {
-		return p.beginFromOther(call, t)
+		return p.beginFromOtherProgram(ctx, t)
 	}
 	if err != nil {
 		return err
 	}
-	t.hint = result.Host
-	t.prompt = joined(result.Chain, t.body)
+	t.preferredHost = result.Host
+	t.prompt = appendChain(result.Chain, t.body)
 	return nil
 }
 
-// beginFromOther begins a turn that goes on from a turn of another program. The chain becomes part of the input that is kept,
-// so that the turn stands for itself in its own program's shard.
-func (p *Proxy) beginFromOther(ctx context.Context, t *turn) error {
-	found, err := p.programs.search(ctx, t.previous)
+// beginFromOtherProgram begins a turn that goes on from a turn of another program. The chain becomes part of the input that is
+// kept, so that the turn stands for itself in its own program's shard.
+func (p *Proxy) beginFromOtherProgram(ctx context.Context, t *turn) error {
+	found, err := p.programs.findTurn(ctx, t.previous)
 	if err != nil {
 		return err
 	}
 	t.previous = ""
-	t.prompt = joined(found.Chain, t.body)
+	t.prompt = appendChain(found.Chain, t.body)
 	t.body = t.prompt
-	t.hint = found.Host
+	t.preferredHost = found.Host
 	_, err = p.programs.call(ctx, t.program, t.beginCommand().Encode())
 	return err
 }
 
+// beginCommand charges the turn.
 func (t *turn) beginCommand() programs.Begin {
 	return programs.Begin{
-		Request: t.id, Program: t.program, Session: t.session, Limited: t.limited, Budget: t.budget, Estimate: t.most,
+		Request: t.id, Program: t.program, Session: t.session, Limited: t.hasBudget, Budget: t.budget, Estimate: t.maxTokens,
 		Previous: t.previous, Ticket: t.ticket,
 	}
 }
 
-// joined is the chain followed by the new input.
-func joined(chain [][]byte, input []byte) []byte {
+// appendChain is a chain of texts followed by the new input.
+func appendChain(chain [][]byte, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
 	}
@@ -131,74 +153,18 @@
 	return append(prompt, input...)
 }
 
-// end settles a turn with what the client received, and keeps it if it ended whole. The store needs the texts of a turn only to
-// keep them: without them a command is a few numbers on its way to every copy.
-func (t *turn) end(received uint64, whole bool, output []byte, host string) programs.End {
-	end := programs.End{
-		Request: t.id, Program: t.program, Session: t.session, Actual: received, Host: host, Ticket: t.ticket,
-	}
-	if whole && t.route.Retained {
-		end.Retain = true
-		end.RetentionMS = int64(t.route.RetentionS * 1000)
-		end.Previous = t.previous
-		end.Input = t.body
-		end.Output = output
-	}
-	return end
-}
-
-// settle has the stores take the end of a turn, now or, where nobody waits for it, later.
-func (p *Proxy) settle(ctx context.Context, t *turn, end programs.End, patience time.Duration) error {
-	call, cancel := context.WithTimeout(ctx, patience)
-	defer cancel()
-	_, err := p.programs.call(call, t.program, end.Encode())
-	return err
-}
-
-// settleLater settles a turn that the client does not wait for.
-func (p *Proxy) settleLater(t *turn, end programs.End) {
-	if !t.accounted() {
-		return
-	}
-	p.work.Add(1)
-	go func() {
-		defer p.work.Done()
-		if err := p.settle(context.Background(), t, end, endLater); err != nil {
-			p.log.WithField("code", uint16(codes.StoreUnreachable)).WithField("program", t.program).
-				Warn("a turn could not be settled; its estimate stays charged")
-		}
-	}()
-}
-
-// serveTurn serves a request on a streaming route.
-func (p *Proxy) serveTurn(ctx context.Context, w http.ResponseWriter, r *request, service *opconfig.Service) {
-	t, err := readTurn(r, service)
-	if err != nil {
-		p.failText(w, http.StatusBadRequest, codes.RequestMalformed, err.Error())
-		return
-	}
-	if t.accounted() {
-		if err := p.begin(ctx, t); err != nil {
-			p.refuseTurn(w, t, err)
-			return
-		}
-		p.timeline.Reach(timeline.FirstBeginCommitted)
-	}
-	p.relay(ctx, w, t)
-}
-
-// refuseTurn answers a turn that was not begun.
-func (p *Proxy) refuseTurn(w http.ResponseWriter, t *turn, err error) {
+// rejectTurn answers a turn that was not begun.
+func (p *Proxy) rejectTurn(w http.ResponseWriter, t *turn, err error) {
 	switch {
 	case errors.Is(err, codes.BudgetSpent):
 		p.fail(w, http.StatusPaymentRequired, codes.BudgetSpent)
 	case errors.Is(err, codes.TurnUnknown):
-		// a copy of the begin may still be under way: once the turn is settled, it is charged nothing
-		p.settleLater(t, t.end(0, false, nil, ""))
+		// a copy of the begin may still be in flight: once the turn is settled, it is charged nothing
+		p.settleInBackground(t, t.abortCommand(0, ""))
 		p.fail(w, http.StatusNotFound, codes.TurnUnknown)
 	default:
 		// whether the estimate was charged is not known
-		p.settleLater(t, t.end(0, false, nil, ""))
-		p.refuse(w, codes.StoreUnreachable, t.left(), p.programs.away(t.program))
+		p.settleInBackground(t, t.abortCommand(0, ""))
+		p.reject(w, codes.StoreUnreachable, t.remaining(), p.programs.expectedOutage(t.program))
 	}
 }
--- a/tier/proxy/turn_test.go
+++ b/tier/proxy/turn_test.go
@@ -17,7 +17,7 @@
 const turnHeaders = "Program: p\r\nBudget: 100\r\nX-Token-Count: 1,10\r\n"
 
 // A 402 promises that the turn has not run and never will, and a 404 that there is no turn to go on from: no host is asked.
-func TestATurnThatTheStoresTurnDownReachesNoHost(t *testing.T) {
+func TestATurnRejectedByTheStoresReachesNoHost(t *testing.T) {
 	for code, want := range map[codes.Code]int{
 		codes.BudgetSpent: http.StatusPaymentRequired,
 		codes.TurnUnknown: http.StatusNotFound,
@@ -58,7 +58,7 @@
 }
 
 // The texts of a turn go to the stores only where they are kept: every byte of a command goes to each copy.
-func TestOnlyATurnThatIsKeptBringsItsTextToTheStores(t *testing.T) {
+func TestOnlyARetainedTurnSendsItsTextToTheStores(t *testing.T) {
 	const input, output = "what was asked", "e1"
 	for path, kept := range map[string]bool{"/turn/1": true, "/stream/1": false} {
 		g := newGateway(t)
@@ -82,28 +82,28 @@
 }
 
 // A proxy that has just started lets requests wait in line for its first view instead of spending one of their few tries.
-func TestARequestWaitsInLineForTheFirstView(t *testing.T) {
+func TestARequestWaitsForTheFirstView(t *testing.T) {
 	g := newGateway(t)
-	table := g.proxy.table.Swap(nil)
-	g.proxy.tabled = make(chan struct{})
+	table := g.proxy.routes.Swap(nil)
+	g.proxy.routesReady = make(chan struct{})
 	g.addHost(func(a asked) { a.answer(plainOK) })
 	c := g.dial()
 	c.send("/safe/1", "r", "", "")
-	g.proxy.table.Store(table)
-	close(g.proxy.tabled)
+	g.proxy.routes.Store(table)
+	close(g.proxy.routesReady)
 	if got := c.receive(); got.StatusCode != http.StatusOK {
 		t.Fatal(got.StatusCode)
 	}
 }
 
 // Whoever waited for the first view finds hosts as soon as there are routes.
-func TestRoutesComeBehindHosts(t *testing.T) {
+func TestRoutesAreUpdatedAfterHosts(t *testing.T) {
 	g := newGateway(t)
-	g.proxy.table.Store(nil)
-	g.proxy.tabled = make(chan struct{})
+	g.proxy.routes.Store(nil)
+	g.proxy.routesReady = make(chan struct{})
 	known := make(chan bool, 1)
 	go func() {
-		<-g.proxy.tabled
+		<-g.proxy.routesReady
 		host := g.proxy.hosts.choose("hosts", "", nil)
 		known <- host != nil
 	}()
@@ -118,7 +118,7 @@
 }
 
 // A host that leaves gets no further request, neither a new one nor the rest of a stream.
-func TestAHostThatLeavesGetsNoFurtherRequest(t *testing.T) {
+func TestARemovedHostGetsNoFurtherRequest(t *testing.T) {
 	g := newGateway(t)
 	var counted []*connections
 	for range 2 {
@@ -143,7 +143,7 @@
 }
 
 // A store that falls silent holds a turn only until another leads its shard.
-func TestATurnFollowsItsShard(t *testing.T) {
+func TestATurnFollowsItsShardToANewPrimary(t *testing.T) {
 	g := newGateway(t)
 	g.addHost(func(a asked) { a.answer(streamOK + event(1) + lastChunk) })
 	g.addStore(func(_ programs.CommandKind, m rpc.Message) { taken(m) })
