--- a/sim/faultsim/adversary.go
+++ b/sim/faultsim/adversary.go
@@ -1,33 +1,33 @@
 package faultsim
 
-// aim is which replica the adversary strikes.
-type aim int
+// targetKind is which replica the adversary picks.
+type targetKind int
 
 const (
-	aimPrimary aim = iota
-	aimOldestDisk
-	aimNewestInSync // the one taken in last
-	aimLeaver
-	aimAnyInSync
-	aims
+	targetPrimary targetKind = iota
+	targetOldestDisk
+	targetNewestInSync // the one admitted last
+	targetDraining
+	targetAnyInSync
+	targetKinds
 )
 
-// adversary strikes again and again, at times of its own and right after the group has changed. It never takes more disks at once
-// than are tolerated. A loss is over when the group has noticed it and has acknowledged something since: by that the group says
-// that it bears the next one.
+// adversary injects faults again and again, at times of its own and right after the group has changed. It never takes more disks
+// at once than are tolerated. A loss is over when the group has noticed it and has acknowledged something since: by that the group
+// says that it survives the next one.
 type adversary struct {
-	play     *play
-	tolerate int
-	spaced   int64 // most milliseconds between harms
-	inSync   func() []uint64
-	primary  func() uint64
-	bears    func() int  // losses that a group of its present size can bear, whole
-	struck   func()      // a disk was taken away
-	leave    func(*node) // a process is stopped as planned
-	replace  func()      // a machine is replaced as planned
+	sim              *simulation
+	toleratedLosses  int
+	maxInterval      int64 // most milliseconds between faults
+	inSync           func() []uint64
+	primary          func() uint64
+	survivableLosses func() int // that a fully replicated group of its present size survives
+	onDiskLost       func()
+	drain            func(*node) // a process is stopped as planned
+	replaceMachine   func()      // a machine is replaced as planned
 
-	open    map[uint64]loss // by the identity that was lost
-	strikes int
+	openLosses map[uint64]loss // by the identity that was lost
+	disksLost  int
 }
 
 // loss is a lost disk that is not over.
@@ -36,135 +36,136 @@
 	after   uint32 // the newest command when it was noticed
 }
 
-// act does one harm and has the next one come.
-func (a *adversary) act() {
-	a.play.After(a.play.Between(0, a.spaced), a.act)
-	if a.play.quiet {
+// injectFault injects one fault and schedules the next.
+func (a *adversary) injectFault() {
+	a.sim.after(a.sim.between(0, a.maxInterval), a.injectFault)
+	if a.sim.quiesced {
 		return
 	}
-	switch draw := a.play.Random.Intn(20); {
+	switch draw := a.sim.random.Intn(20); {
 	case draw < 9:
-		a.strike()
+		a.loseDisks()
 	case draw < 11:
-		a.herd()
+		a.killAll()
 	case draw < 14:
-		a.leaveAndReturn()
+		a.drainSome()
 	case draw < 16:
-		a.replace()
+		a.replaceMachine()
 	}
 }
 
-const provokedWithin = 60 // milliseconds after a change of the group
+// provokedFaultDelay is the most milliseconds from a change of the group until the fault that it provokes.
+const provokedFaultDelay = 60
 
-// provoked is called after each change of the group, and may strike right then.
-func (a *adversary) provoked() {
-	if a.play.Chance(4) {
-		a.play.After(a.play.Between(0, provokedWithin), func() {
-			if !a.play.quiet {
-				a.strike()
+// onGroupChange is called after each change of the group, and may take disks right then.
+func (a *adversary) onGroupChange() {
+	if a.sim.oneIn(4) {
+		a.sim.after(a.sim.between(0, provokedFaultDelay), func() {
+			if !a.sim.quiesced {
+				a.loseDisks()
 			}
 		})
 	}
 }
 
-// mayStrike tells whether another loss is within what is tolerated.
-func (a *adversary) mayStrike() bool {
+// mayLoseDisk reports whether another loss is within what is tolerated.
+func (a *adversary) mayLoseDisk() bool {
 	counted := map[uint64]bool{}
 	for _, id := range a.inSync() {
 		counted[id] = true
 	}
 	for id := range counted {
-		if _, known := a.open[id]; !known && a.play.find(id) == nil {
-			a.open[id] = loss{} // it went for good just before it was taken in
+		if _, known := a.openLosses[id]; !known && a.sim.find(id) == nil {
+			a.openLosses[id] = loss{} // it went for good just before it was admitted
 		}
 	}
-	for id, lost := range a.open {
+	for id, lost := range a.openLosses {
 		switch {
 		case !lost.noticed && !counted[id]:
-			a.open[id] = loss{noticed: true, after: a.play.lastCommand}
-		case lost.noticed && a.play.newestAcknowledged > lost.after:
-			delete(a.open, id)
+			a.openLosses[id] = loss{noticed: true, after: a.sim.lastCommand}
+		case lost.noticed && a.sim.newestAcknowledged > lost.after:
+			delete(a.openLosses, id)
 		}
 	}
-	return len(a.open) < min(a.tolerate, a.bears())
+	return len(a.openLosses) < min(a.toleratedLosses, a.survivableLosses())
 }
 
-// strike takes a disk away.
-func (a *adversary) strike() {
-	for range 1 + a.play.Random.Intn(a.tolerate) {
-		if !a.mayStrike() {
+// loseDisks takes disks away, one at least.
+func (a *adversary) loseDisks() {
+	for range 1 + a.sim.random.Intn(a.toleratedLosses) {
+		if !a.mayLoseDisk() {
 			return
 		}
-		target := a.target(aim(a.play.Random.Intn(int(aims))))
+		target := a.target(targetKind(a.sim.random.Intn(int(targetKinds))))
 		if target == nil {
 			return
 		}
-		a.open[target.identity] = loss{}
-		target.wipe(a.play.Between(100, 1500))
-		a.strikes++
-		a.struck()
+		a.openLosses[target.identity] = loss{}
+		target.loseDisk(a.sim.between(100, 1500))
+		a.disksLost++
+		a.onDiskLost()
 	}
 }
 
 // target picks an in-sync replica.
-func (a *adversary) target(what aim) *node {
+func (a *adversary) target(what targetKind) *node {
 	var candidates []*node
 	for _, id := range a.inSync() {
-		_, lost := a.open[id]
-		if n := a.play.find(id); n != nil && !lost {
+		_, lost := a.openLosses[id]
+		if n := a.sim.find(id); n != nil && !lost {
 			candidates = append(candidates, n)
 		}
 	}
 	if len(candidates) == 0 {
 		return nil
 	}
-	chosen := candidates[a.play.Random.Intn(len(candidates))]
+	chosen := candidates[a.sim.random.Intn(len(candidates))]
 	for _, n := range candidates {
 		switch {
-		case what == aimPrimary && n.identity == a.primary(),
-			what == aimOldestDisk && n.born < chosen.born,
-			what == aimLeaver && n.leaving:
+		case what == targetPrimary && n.identity == a.primary(),
+			what == targetOldestDisk && n.diskCreatedAt < chosen.diskCreatedAt,
+			what == targetDraining && n.draining:
 			chosen = n
-		case what == aimNewestInSync:
+		case what == targetNewestInSync:
 			chosen = n
 		}
 	}
 	return chosen
 }
 
-// herd kills all processes; the disks stay.
-func (a *adversary) herd() {
-	if !a.play.Chance(4) {
+// killAll kills all processes; the disks stay.
+func (a *adversary) killAll() {
+	if !a.sim.oneIn(4) {
 		return
 	}
-	for _, n := range a.play.nodes {
+	for _, n := range a.sim.nodes {
 		if n.up {
 			n.crash()
-			a.play.After(a.play.Between(50, 900), n.start)
+			a.sim.after(a.sim.between(50, 900), n.start)
 		}
 	}
 }
 
-// leaveAndReturn stops one process or two as planned; they come back with their disks. A kill may come in the middle.
-func (a *adversary) leaveAndReturn() {
-	count := 1 + a.play.Random.Intn(2)
-	for _, position := range a.play.Random.Perm(len(a.play.nodes)) {
-		n := a.play.nodes[position]
-		if count == 0 || !n.up || n.leaving {
+// drainSome stops one process or two as planned; they come back with their disks. A kill may come in the middle.
+func (a *adversary) drainSome() {
+	count := 1 + a.sim.random.Intn(2)
+	for _, position := range a.sim.random.Perm(len(a.sim.nodes)) {
+		n := a.sim.nodes[position]
+		if count == 0 || !n.up || n.draining {
 			continue
 		}
 		count--
-		a.leave(n)
-		if a.play.Chance(4) {
-			n.later(a.play.Between(0, 400), func() { a.stop(n) })
+		a.drain(n)
+		if a.sim.oneIn(4) {
+			n.afterIfRunning(a.sim.between(0, 400), func() { a.restart(n) })
 		}
 	}
 }
 
-// stop ends a process that starts again with its disk.
-func (a *adversary) stop(n *node) {
+// restart ends a process that starts again with its disk.
+func (a *adversary) restart(n *node) {
 	if n.up {
 		n.crash()
-		a.play.After(a.play.Between(100, 1200), n.start)
+		a.sim.after(a.sim.between(100, 1200), n.start)
 	}
 }
--- a/sim/faultsim/digest_test.go
+++ b/sim/faultsim/digest_test.go
@@ -6,19 +6,19 @@
 	"otterseam/internal/digesttest"
 )
 
-// digestOutcome adds what a play came to. The times of the repairs follow from all that was drawn and decided before them.
+// digestOutcome adds what a simulation ended with. The times of recovery follow from all that was drawn and decided before them.
 func digestOutcome(t *testing.T, d *digesttest.Digest, outcome Outcome) {
 	t.Helper()
-	if outcome.Fault != "" {
-		t.Error(outcome.Fault)
+	if outcome.Violation != "" {
+		t.Error(outcome.Violation)
 	}
-	d.Int(int64(outcome.Acknowledged), int64(outcome.Strikes), int64(len(outcome.Protected)))
-	d.Int(outcome.Protected...)
-	d.Int(int64(len(outcome.Full)))
-	d.Int(outcome.Full...)
+	d.Int(int64(outcome.Acknowledged), int64(outcome.DisksLost), int64(len(outcome.ProtectedAfter)))
+	d.Int(outcome.ProtectedAfter...)
+	d.Int(int64(len(outcome.FullAfter)))
+	d.Int(outcome.FullAfter...)
 }
 
-// The eager plays have the adversary strike more often, on a state that takes a while to copy.
+// The eager simulations have the adversary take disks more often, on a state that takes a while to copy.
 const (
 	eagerSpaced = 500 // milliseconds
 	eagerLength = 20_000
@@ -27,18 +27,18 @@
 
 func TestShardDigests(t *testing.T) {
 	digesttest.Check(t, "shard", func(t *testing.T, seed int64, d *digesttest.Digest) {
-		digestOutcome(t, d, PlayShard(seed, shardOptions(seed)))
+		digestOutcome(t, d, SimulateShard(seed, shardOptions(seed)))
 		eager := shardOptions(seed)
-		eager.Spaced, eager.Length, eager.StateSize = eagerSpaced, eagerLength, eagerState
-		digestOutcome(t, d, PlayShard(seed, eager))
+		eager.MaxFaultInterval, eager.Duration, eager.StateBytes = eagerSpaced, eagerLength, eagerState
+		digestOutcome(t, d, SimulateShard(seed, eager))
 	})
 }
 
 func TestControlDigests(t *testing.T) {
 	digesttest.Check(t, "control", func(t *testing.T, seed int64, d *digesttest.Digest) {
-		digestOutcome(t, d, PlayControl(seed, controlOptions(seed)))
+		digestOutcome(t, d, SimulateControl(seed, controlOptions(seed)))
 		eager := controlOptions(seed)
-		eager.Spaced, eager.Length, eager.StateSize = eagerSpaced, eagerLength, eagerState
-		digestOutcome(t, d, PlayControl(seed, eager))
+		eager.MaxFaultInterval, eager.Duration, eager.StateBytes = eagerSpaced, eagerLength, eagerState
+		digestOutcome(t, d, SimulateControl(seed, eager))
 	})
 }
--- /dev/null
+++ b/sim/faultsim/shard_store.go
@@ -0,0 +1,143 @@
+package faultsim
+
+import (
+	"fmt"
+	"slices"
+
+	"otterseam/tier/directory"
+	"otterseam/tier/placement"
+)
+
+// The times of store processes and of control's work on the map, in milliseconds.
+const (
+	storeHeartbeatInterval = 120
+	storeSessionTimeout    = 650
+	storeAwayTimeout       = 4000
+	storeForgetTimeout     = 15000
+	storeWatchInterval     = 60
+	storeDrainTimeout      = 6800
+	placementInterval      = 50
+	maxMapDelay            = 40
+)
+
+const (
+	shardNumber    = 1
+	slowChangeOdds = 6 // one change of the map in so many takes long
+)
+
+// newStore starts a store on a new machine.
+func (s *shardSimulation) newStore() {
+	s.machinesMade++
+	n := s.addNode(fmt.Sprintf("store-%d", s.machinesMade))
+	n.start()
+}
+
+// startStore runs a store process: it keeps a session, follows the map and asks for changes of the in-sync set.
+func (s *shardSimulation) startStore(n *node) {
+	delete(s.latestMap, n)
+	delete(s.changePending, n)
+	n.every(storeHeartbeatInterval, func() { s.heartbeat(n) })
+	n.every(storeWatchInterval, func() { s.requestInSyncChange(n) })
+	n.afterIfRunning(s.between(5, maxMapDelay), func() { s.applyMap(n, s.shard) })
+}
+
+func (s *shardSimulation) storeOf(n *node) directory.Store {
+	return directory.Store{Identity: n.identity, Incarnation: n.incarnation, Node: n.name, Address: n.address, Zone: "z"}
+}
+
+func (s *shardSimulation) heartbeat(n *node) {
+	store, draining := s.storeOf(n), n.draining
+	s.after(s.between(1, 6), func() {
+		s.sessions[store.Identity] = storeSession{lastHeartbeat: s.now(), incarnation: store.Incarnation, draining: draining}
+		s.stores[store.Identity] = store
+	})
+}
+
+// applyMap acts on a map as a store process does.
+func (s *shardSimulation) applyMap(n *node, shard directory.Shard) {
+	if shard.View.Epoch == 0 || s.latestMap[n].View.Epoch > shard.View.Epoch {
+		return
+	}
+	s.latestMap[n] = shard
+	switch {
+	case !slices.Contains(shard.View.Replicas, n.identity):
+		if n.group != nil && shard.View.Epoch >= n.group.View().Epoch {
+			n.disk = disk{}
+			n.openReplica()
+		}
+	case shard.View.Primary == n.identity && shard.PrimaryIncarnation != n.incarnation:
+	default:
+		n.group.SetView(shard.View, s.now())
+		n.handleOutput()
+	}
+}
+
+// requestInSyncChange asks control to change the in-sync set for the shard's primary.
+func (s *shardSimulation) requestInSyncChange(n *node) {
+	if n.group == nil || s.changePending[n] {
+		return
+	}
+	epoch := n.group.View().Epoch
+	change := func(id uint64, admit bool) {
+		s.changePending[n] = true
+		delay := s.between(2, 12)
+		if s.oneIn(slowChangeOdds) {
+			delay = s.between(150, 450)
+		}
+		s.after(delay, func() {
+			if epoch == s.shard.View.Epoch {
+				if next, allowed := s.cluster().ChangeInSync(s.shard, id, admit); allowed {
+					s.publish(next)
+				}
+			}
+		})
+		n.afterIfRunning(delay+s.between(60, 120), func() { delete(s.changePending, n) })
+	}
+	if caughtUp := s.caughtUp(n); len(caughtUp) > 0 {
+		if !s.options.Bugs.AdmitLate {
+			n.group.Admit(caughtUp[0])
+		}
+		change(caughtUp[0], true)
+	} else if silent := n.group.Unresponsive(s.now()); len(silent) > 0 {
+		change(silent[0], false)
+	}
+}
+
+func (s *shardSimulation) caughtUp(n *node) []uint64 {
+	if s.options.Bugs.AdmitLagging && n.group.IsPrimary() {
+		var ids []uint64
+		for _, id := range n.group.View().Replicas {
+			if !n.group.View().IsInSync(id) {
+				ids = append(ids, id)
+			}
+		}
+		return ids
+	}
+	return n.group.CaughtUp(s.now())
+}
+
+// drain stops a process as planned: it ends when the shard can do without it or time is up, and starts again with its disk.
+func (s *shardSimulation) drain(n *node) {
+	n.draining = true
+	n.afterIfRunning(0, func() { s.exitWhenDrained(n, s.now()+storeDrainTimeout) })
+}
+
+// exitWhenDrained ends a draining process once nothing depends on it.
+func (s *shardSimulation) exitWhenDrained(n *node, limit int64) {
+	shards := map[uint32]directory.Shard{shardNumber: s.latestMap[n]}
+	needed := placement.IsNeeded(shards, n.identity) || (n.group != nil && n.group.IsPrimary())
+	if s.options.Bugs.LeaveWithoutDrain {
+		needed = false
+	}
+	if needed && s.now() < limit {
+		n.afterIfRunning(storeWatchInterval, func() { s.exitWhenDrained(n, limit) })
+		return
+	}
+	n.crash()
+	if s.options.Bugs.LeaveWithoutDrain {
+		n.removed = true
+		s.newStore()
+		return
+	}
+	s.after(s.between(100, 1200), n.start)
+}
