--- a/tier/hangdetect/doc.go
+++ b/tier/hangdetect/doc.go
@@ -3,4 +3,10 @@
 //
 // It is pure, and has no figure of a service: what is usual is learned from the latencies observed, as retransmission timers learn
 // round-trip times (RFC 6298).
+//
+// # Compared with gateway/policy
+//
+// The gateway judges a host by the silence of all attempts there and then ejects it; here a single request is judged, by the latencies
+// of its route, and given up. Its retries are bounded for the fleet by gateway/overload, these by a budget in the estimator. Nothing is
+// shared.
 package hangdetect
--- a/tier/httpguard/guard_test.go
+++ b/tier/httpguard/guard_test.go
@@ -76,10 +76,12 @@
 		"the same length twice": {head + "Content-Length: 2\r\ncontent-length: 2\r\n\r\nok", http.StatusBadRequest},
 		"two lengths":           {head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nok", http.StatusBadRequest},
 	} {
-		conn, reader := dial(t, address)
-		if got, _ := ask(t, conn, reader, test.text); got != test.want {
-			t.Errorf("%s: %d, not %d", name, got, test.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			conn, reader := dial(t, address)
+			if got, _ := ask(t, conn, reader, test.text); got != test.want {
+				t.Errorf("%d, not %d", got, test.want)
+			}
+		})
 	}
 }
 
--- a/tier/proxy/disconnect_test.go
+++ b/tier/proxy/disconnect_test.go
@@ -11,25 +11,25 @@
 
 // A turn's connection may carry another request while the stores keep the turn. Its client must not take it along.
 func TestADisconnectWhileATurnIsStoredAffectsNoOtherRequest(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	keeping := make(chan struct{}, 8)
 	g.addStore(func(kind programs.CommandKind, m rpc.Message) {
 		if kind == programs.CommandEnd {
 			keeping <- struct{}{} // and never an answer
 		} else {
-			taken(m)
+			acknowledge(m)
 		}
 	})
-	second := make(chan asked, 1)
+	second := make(chan hostRequest, 1)
 	left := make(chan struct{})
-	counted := g.addHost(func(a asked) {
+	counted := g.addHost(func(a hostRequest) {
 		if a.Header.Get("X-Request-Id") == "turn" {
-			a.answer(streamOK + event(1) + lastChunk)
+			a.respond(streamOK + event(1) + lastChunk)
 			return
 		}
 		second <- a
 		<-left
-		a.answer(plainOK)
+		a.respond(plainOK)
 	})
 	first := g.dial()
 	first.send("/turn/1", "turn", "Program: p\r\nX-Token-Count: 1,10\r\n", "in")
@@ -48,8 +48,8 @@
 	}
 }
 
-// goneWithin is how soon a host's work has to end after its client has left.
-const goneWithin = 500 * time.Millisecond
+// cancelledWithin is how soon a host's work has to end after its client has left.
+const cancelledWithin = 500 * time.Millisecond
 
 // A client that leaves ends the work of its host at once, however far its answer has come, and nothing more is sent for it.
 func TestADisconnectCancelsTheWorkOfTheHost(t *testing.T) {
@@ -64,13 +64,13 @@
 		"behind interim heads": "HTTP/1.1 103 Early Hints\r\n\r\n",
 	} {
 		for _, path := range []string{"/safe/1", "/once/1", "/stream/1", "/resume/1"} {
-			g := newGateway(t)
+			g := newTestProxy(t)
 			reached := make(chan struct{}, 4)
 			ended := make(chan time.Time, 4)
-			serve := func(a asked) {
-				a.answer(part)
+			serve := func(a hostRequest) {
+				a.respond(part)
 				reached <- struct{}{}
-				a.gone()
+				a.awaitDisconnect()
 				ended <- time.Now()
 			}
 			first, second := g.addHost(serve), g.addHost(serve)
@@ -79,7 +79,7 @@
 			<-reached
 			left := time.Now()
 			_ = c.Close()
-			if took := (<-ended).Sub(left); took > goneWithin {
+			if took := (<-ended).Sub(left); took > cancelledWithin {
 				t.Errorf("%s, %s: the host worked on for %v", path, name, took)
 			}
 			if total := first.total() + second.total(); total != 1 {
@@ -91,15 +91,15 @@
 
 // A request that hosts turn away is not sent on for a client that has left meanwhile.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
-	g := newGateway(t)
-	asked1 := make(chan asked, 1)
+	g := newTestProxy(t)
+	reached := make(chan hostRequest, 1)
 	var counted []*connections
 	for range 2 {
-		counted = append(counted, g.addHost(func(a asked) { asked1 <- a; a.gone(); a.answer(turnedOff) }))
+		counted = append(counted, g.addHost(func(a hostRequest) { reached <- a; a.awaitDisconnect(); a.respond(refused) }))
 	}
 	c := g.dial()
 	c.send("/once/1", "r", "", "x")
-	<-asked1
+	<-reached
 	_ = c.Close()
 	g.settled()
 	if counted[0].total()+counted[1].total() != 1 {
@@ -109,22 +109,22 @@
 
 // A client that leaves while its request is held up by the stores reaches no host.
 func TestADisconnectBeforeATurnBeginsReachesNoHost(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	begun := make(chan rpc.Message, 4)
 	g.addStore(func(kind programs.CommandKind, m rpc.Message) {
 		if kind == programs.CommandBegin {
 			begun <- m
 		} else {
-			taken(m)
+			acknowledge(m)
 		}
 	})
-	counted := g.addHost(func(a asked) { a.answer(streamOK + event(1) + lastChunk) })
+	counted := g.addHost(func(a hostRequest) { a.respond(streamOK + event(1) + lastChunk) })
 	c := g.dial()
 	c.send("/turn/1", "turn", "Program: p\r\nX-Token-Count: 1,10\r\n", "in")
 	m := <-begun
 	_ = c.Close()
 	g.settled()
-	taken(m)
+	acknowledge(m)
 	if counted.total() != 0 {
 		t.Fatal("a host was asked for nobody")
 	}
@@ -134,13 +134,13 @@
 func TestADisconnectBehindAPipelinedRequestCancelsTheWorkOfTheHost(t *testing.T) {
 	for _, further := range []string{"P", "POST /once/1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: r2\r\nContent-Length: 1\r\n\r\nx"} {
 		for _, part := range []string{"", streamOK + event(1)} {
-			g := newGateway(t)
+			g := newTestProxy(t)
 			reached := make(chan struct{}, 2)
 			ended := make(chan time.Time, 2)
-			counted := g.addHost(func(a asked) {
-				a.answer(part)
+			counted := g.addHost(func(a hostRequest) {
+				a.respond(part)
 				reached <- struct{}{}
-				a.gone()
+				a.awaitDisconnect()
 				ended <- time.Now()
 			})
 			c := g.dial()
@@ -151,7 +151,7 @@
 			}
 			left := time.Now()
 			_ = c.Close()
-			if took := (<-ended).Sub(left); took > goneWithin {
+			if took := (<-ended).Sub(left); took > cancelledWithin {
 				t.Errorf("%q, %q: the host worked on for %v", further, part, took)
 			}
 			g.settled()
--- a/tier/proxy/harness_test.go
+++ b/tier/proxy/harness_test.go
@@ -33,8 +33,8 @@
 {"name":"turn","host":"a.example","path_prefix":"/turn/","route_type":"streaming","timeout_ms":20000,"service":"hosts","max_attempts":3,"retained":true,"keep_s":60}
 ],"services":[{"name":"hosts","health_path":"/health"}],"limits":{"max_header_bytes":16384,"max_body_bytes":16777216}}`
 
-// gateway is a proxy behind a socket.
-type gateway struct {
+// testProxy is a proxy behind a socket.
+type testProxy struct {
 	*testing.T
 	proxy   *Proxy
 	server  *http.Server
@@ -43,7 +43,7 @@
 	serving sync.WaitGroup // requests that the proxy has not ended
 }
 
-func newGateway(t *testing.T) *gateway {
+func newTestProxy(t *testing.T) *testProxy {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -59,49 +59,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gateway{T: t, proxy: p, address: listener.Addr().String()}
+	g := &testProxy{T: t, proxy: p, address: listener.Addr().String()}
 	g.server = p.newServer(http.HandlerFunc(g.serve))
 	go func() { _ = g.server.Serve(p.guard.Listen(listener)) }()
 	t.Cleanup(func() { g.server.Close() })
 	return g
 }
 
-func (g *gateway) serve(w http.ResponseWriter, r *http.Request) {
+func (g *testProxy) serve(w http.ResponseWriter, r *http.Request) {
 	g.serving.Add(1)
 	defer g.serving.Done()
 	g.proxy.serve(w, r)
 }
 
 // settled waits until the proxy has ended every request that a host or store has seen.
-func (g *gateway) settled() {
+func (g *testProxy) settled() {
 	g.serving.Wait()
 	g.proxy.settlements.Wait()
 }
 
-// asked is a request that a host has read whole.
-type asked struct {
+// hostRequest is a request that a host has read whole.
+type hostRequest struct {
 	*http.Request
 	body  string
 	conn  net.Conn
 	other *bufio.Reader // what follows on the connection
 }
 
-// answer writes bytes, in which ID stands for the request's id.
-func (a asked) answer(text string) {
+// respond writes bytes, in which ID stands for the request's id.
+func (a hostRequest) respond(text string) {
 	_, _ = io.WriteString(a.conn, strings.ReplaceAll(text, "ID", a.Header.Get("X-Request-Id")))
 }
 
-// gone waits until the caller ends the connection.
-func (a asked) gone() { _, _ = io.Copy(io.Discard, a.other) }
+// awaitDisconnect waits until the caller ends the connection.
+func (a hostRequest) awaitDisconnect() { _, _ = io.Copy(io.Discard, a.other) }
 
 // reset ends the connection with a reset.
-func (a asked) reset() {
+func (a hostRequest) reset() {
 	_ = a.conn.(*net.TCPConn).SetLinger(0)
 	_ = a.conn.Close()
 }
 
 // addHost adds a host that serves requests by a function, one after the other on each connection, and counts connections.
-func (g *gateway) addHost(serve func(asked)) *connections {
+func (g *testProxy) addHost(serve func(hostRequest)) *connections {
 	g.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,7 +124,7 @@
 }
 
 // addEarlyHost adds a host that answers each request before it reads its body, which it reads then.
-func (g *gateway) addEarlyHost(text string) {
+func (g *testProxy) addEarlyHost(text string) {
 	g.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -151,7 +151,7 @@
 		if err != nil {
 			return
 		}
-		asked{Request: request, conn: conn}.answer(text)
+		hostRequest{Request: request, conn: conn}.respond(text)
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
@@ -159,15 +159,15 @@
 }
 
 // register has the proxy know a host.
-func (g *gateway) register(listener net.Listener) { g.registerAddress(listener.Addr().String()) }
+func (g *testProxy) register(listener net.Listener) { g.registerAddress(listener.Addr().String()) }
 
-func (g *gateway) registerAddress(address string) {
+func (g *testProxy) registerAddress(address string) {
 	g.hosts++
 	host := directory.Host{ID: fmt.Sprintf("host-%d", g.hosts), Service: "hosts", Address: address, Zone: "z", Slots: 8}
 	g.proxy.hosts.update([]feed.Item{{Section: feed.SectionHost, Key: host.ID, Data: host.Encode()}})
 }
 
-func serveHost(conn net.Conn, serve func(asked)) {
+func serveHost(conn net.Conn, serve func(hostRequest)) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -179,7 +179,7 @@
 		if err != nil {
 			return
 		}
-		serve(asked{request, string(body), conn, reader})
+		serve(hostRequest{request, string(body), conn, reader})
 	}
 }
 
@@ -208,7 +208,7 @@
 	reader *bufio.Reader
 }
 
-func (g *gateway) dial() *client {
+func (g *testProxy) dial() *client {
 	g.Helper()
 	conn, err := net.Dial("tcp", g.address)
 	if err != nil {
@@ -228,24 +228,24 @@
 	}
 }
 
-// answer is what a client got.
-type answer struct {
+// clientResponse is what a client got.
+type clientResponse struct {
 	*http.Response
 	text string
 	err  error // why the body is not whole
 }
 
-func (c *client) receive() answer {
+func (c *client) receive() clientResponse {
 	c.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.Fatal(err)
 	}
 	body, err := io.ReadAll(response.Body)
-	return answer{response, string(body), err}
+	return clientResponse{response, string(body), err}
 }
 
-func (c *client) ask(path, id, headers, body string) answer {
+func (c *client) ask(path, id, headers, body string) clientResponse {
 	c.Helper()
 	c.send(path, id, headers, body)
 	return c.receive()
@@ -256,7 +256,7 @@
 	plainOK   = sealed + "Content-Length: 5\r\n\r\nhello"
 	streamOK  = sealed + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	lastChunk = "0\r\n\r\n"
-	turnedOff = "HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: ID\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	refused   = "HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: ID\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 // event is one event of a stream, as a chunk.
@@ -275,7 +275,7 @@
 }
 
 // addStore adds a store that leads the only shard of programs.
-func (g *gateway) addStore(serve func(kind programs.CommandKind, m rpc.Message)) {
+func (g *testProxy) addStore(serve func(kind programs.CommandKind, m rpc.Message)) {
 	g.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -295,5 +295,5 @@
 	g.proxy.programs.stores = map[uint64]directory.Store{1: {Identity: 1, Address: listener.Addr().String()}}
 }
 
-// taken answers that a command was carried out.
-func taken(m rpc.Message) { m.Answer(codes.OK, programs.Result{}.Encode()) }
+// acknowledge answers that a command was carried out.
+func acknowledge(m rpc.Message) { m.Answer(codes.OK, programs.Result{}.Encode()) }
--- a/tier/proxy/latency_test.go
+++ b/tier/proxy/latency_test.go
@@ -11,15 +11,15 @@
 // A host that hangs: what may be repeated is given up while there is time, and goes on at another host.
 func TestAHungHostDoesNotHoldIdempotentRequests(t *testing.T) {
 	for path, text := range map[string]string{"/safe/1": plainOK, "/resume/1": streamOK + event(1) + lastChunk} {
-		g := newGateway(t)
+		g := newTestProxy(t)
 		var hangs atomic.Bool
 		for range 2 {
-			g.addHost(func(a asked) {
+			g.addHost(func(a hostRequest) {
 				if hangs.CompareAndSwap(true, false) { // the first that is asked
-					a.gone()
+					a.awaitDisconnect()
 					return
 				}
-				a.answer(text)
+				a.respond(text)
 			})
 		}
 		for i := range 40 { // what is usual has to be known
@@ -40,11 +40,11 @@
 
 // What may run once is never given up for its silence: its host may be at work.
 func TestAHungHostHoldsRequestsThatMayRunOnce(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	for range 40 {
 		g.proxy.latencies.observeResponse("brief", time.Millisecond)
 	}
-	counted := g.addHost(func(a asked) { a.gone() })
+	counted := g.addHost(func(a hostRequest) { a.awaitDisconnect() })
 	if got := g.dial().ask("/brief/1", "r", "", "x"); got.StatusCode != http.StatusGatewayTimeout {
 		t.Fatal(got.StatusCode)
 	}
--- a/tier/proxy/relay_test.go
+++ b/tier/proxy/relay_test.go
@@ -13,26 +13,26 @@
 )
 
 // streamFrom answers with the events behind Last-Event-Id, up to last.
-func streamFrom(a asked, seal string, last int) {
+func streamFrom(a hostRequest, seal string, last int) {
 	first := 1
 	if id, err := strconv.Atoi(a.Header.Get("Last-Event-Id")); err == nil {
 		first = id + 1
 	}
-	a.answer(strings.Replace(streamOK, "X-Response-Seal: s", "X-Response-Seal: "+seal, 1))
+	a.respond(strings.Replace(streamOK, "X-Response-Seal: s", "X-Response-Seal: "+seal, 1))
 	for id := first; id <= last; id++ {
-		a.answer(event(id))
+		a.respond(event(id))
 	}
-	a.answer(lastChunk)
+	a.respond(lastChunk)
 }
 
 // A resumable stream that breaks off at any byte goes on at another host inside the same answer, which keeps its head.
 func TestAResumableStreamResumesWhereverItBreaksOff(t *testing.T) {
 	whole := strings.Replace(streamOK, "X-Response-Seal: s", "X-Response-Seal: first", 1) + event(1) + event(2) + event(3) + lastChunk
 	for length := range len(whole) {
-		g := newGateway(t)
+		g := newTestProxy(t)
 		var count atomic.Int64
 		var head atomic.Bool
-		serve := func(a asked) {
+		serve := func(a hostRequest) {
 			if count.Add(1) == 1 {
 				text := strings.ReplaceAll(whole, "ID", a.Header.Get("X-Request-Id"))
 				_, _ = io.WriteString(a.conn, text[:length])
@@ -59,9 +59,9 @@
 func TestAStreamThatBreaksOffDoesNotLookComplete(t *testing.T) {
 	whole := streamOK + event(1) + event(2) + lastChunk
 	for length := range len(whole) {
-		g := newGateway(t)
+		g := newTestProxy(t)
 		var count atomic.Int64
-		serve := func(a asked) {
+		serve := func(a hostRequest) {
 			count.Add(1)
 			text := strings.ReplaceAll(whole, "ID", a.Header.Get("X-Request-Id"))
 			_, _ = io.WriteString(a.conn, text[:length])
@@ -88,9 +88,9 @@
 func TestAPlainResponseThatBreaksOffIsNoSuccess(t *testing.T) {
 	for length := range len(plainOK) {
 		for path, runs := range map[string]int64{"/once/1": 1, "/safe/1": 2} {
-			g := newGateway(t)
+			g := newTestProxy(t)
 			var count atomic.Int64
-			serve := func(a asked) {
+			serve := func(a hostRequest) {
 				count.Add(1)
 				text := strings.ReplaceAll(plainOK, "ID", a.Header.Get("X-Request-Id"))
 				_, _ = io.WriteString(a.conn, text[:length])
@@ -108,11 +108,11 @@
 
 // Without ids it is not known where a stream goes on: it is cut off, and no second run follows.
 func TestAStreamWithoutEventIDsIsNotResumed(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	var count atomic.Int64
-	serve := func(a asked) {
+	serve := func(a hostRequest) {
 		count.Add(1)
-		a.answer(streamOK + "b\r\ndata: old\n\n\r\n")
+		a.respond(streamOK + "b\r\ndata: old\n\n\r\n")
 		_ = a.conn.Close()
 	}
 	g.addHost(serve)
@@ -123,17 +123,17 @@
 	}
 }
 
-// A surplus answer, whenever it comes, reaches nobody.
+// An unsolicited response, whenever it comes, reaches nobody.
 func TestAnUnsolicitedResponseReachesNobody(t *testing.T) {
-	surplus := strings.Replace(plainOK, "hello", "wrong", 1)
-	for name, test := range map[string]func(a asked){
-		"right behind": func(a asked) { a.answer(plainOK + surplus) },
-		"in its own write": func(a asked) {
-			a.answer(plainOK)
-			a.answer(surplus)
+	unsolicited := strings.Replace(plainOK, "hello", "wrong", 1)
+	for name, test := range map[string]func(a hostRequest){
+		"right behind": func(a hostRequest) { a.respond(plainOK + unsolicited) },
+		"in its own write": func(a hostRequest) {
+			a.respond(plainOK)
+			a.respond(unsolicited)
 		},
 	} {
-		g := newGateway(t)
+		g := newTestProxy(t)
 		g.addHost(test)
 		c := g.dial()
 		for i := range 200 {
@@ -149,9 +149,9 @@
 func TestAStreamWithoutALengthThatEndsInsideAnEventIsIncomplete(t *testing.T) {
 	text := "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n"
 	for length := range len(text) + 1 {
-		g := newGateway(t)
-		g.addHost(func(a asked) {
-			a.answer(sealed + "\r\n" + text[:length])
+		g := newTestProxy(t)
+		g.addHost(func(a hostRequest) {
+			a.respond(sealed + "\r\n" + text[:length])
 			_ = a.conn.Close()
 		})
 		c := g.dial()
@@ -169,8 +169,8 @@
 
 // A client that takes up a stream itself gets what follows, from whichever host.
 func TestAClientResumesAStreamItself(t *testing.T) {
-	g := newGateway(t)
-	g.addHost(func(a asked) { streamFrom(a, "s", 4) })
+	g := newTestProxy(t)
+	g.addHost(func(a hostRequest) { streamFrom(a, "s", 4) })
 	if got := g.dial().ask("/resume/1", "id", "Last-Event-Id: 2\r\n", "x"); got.text != events(3, 4) || got.err != nil {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
@@ -179,10 +179,10 @@
 // A stream ends with its route's time, also if its host goes on and its client does not read.
 func TestAStreamEndsAtItsRouteTimeout(t *testing.T) {
 	for _, reading := range []bool{true, false} {
-		g := newGateway(t)
+		g := newTestProxy(t)
 		ended := make(chan time.Time, 1)
-		g.addHost(func(a asked) {
-			a.answer(streamOK)
+		g.addHost(func(a hostRequest) {
+			a.respond(streamOK)
 			text := strings.Repeat("x", 1<<20)
 			for id := 1; ; id++ {
 				data := fmt.Sprintf("id: %d\ndata: %s\n\n", id, text)
--- a/tier/proxy/server_test.go
+++ b/tier/proxy/server_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestARequestWithoutAConfigurationIsRejectedForNow(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	g.proxy.routes.Store(nil)
 	if got := g.dial().ask("/safe/1", "r", "", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" {
 		t.Fatalf("%d %v", got.StatusCode, got.Header)
@@ -22,8 +22,8 @@
 
 // Without an id an answer cannot be told from others; the request reaches no host.
 func TestARequestWithoutAnIDGets400(t *testing.T) {
-	g := newGateway(t)
-	counted := g.addHost(func(a asked) { a.answer(plainOK) })
+	g := newTestProxy(t)
+	counted := g.addHost(func(a hostRequest) { a.respond(plainOK) })
 	for _, path := range []string{"/safe/1", "/once/1", "/stream/1"} {
 		c := g.dial()
 		if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a.example\r\n\r\n", path); err != nil {
@@ -40,7 +40,7 @@
 
 // On a streaming route a request that names no tokens may be answered with a body that is no stream.
 func TestABareRequestOnAStreamingRouteGetsItsResponse(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	host := &tierhost.Host{ID: "host-1", Service: "hosts", Slots: 4, Controls: func() []string { return nil }}
 	if err := host.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -60,13 +60,13 @@
 
 // Each host is told what is left of the client's time, also if it is reached late.
 func TestEachHostGetsTheRemainingDeadline(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	type told struct {
 		left time.Duration
 		at   time.Time
 	}
 	seen := make(chan told, 4)
-	serve := func(a asked) {
+	serve := func(a hostRequest) {
 		left, ok := parseMilliseconds(a.Header.Get("X-Deadline-Ms"))
 		if !ok {
 			t.Errorf("no deadline: %v", a.Header)
@@ -76,7 +76,7 @@
 			a.reset()
 			return
 		}
-		a.answer(plainOK)
+		a.respond(plainOK)
 	}
 	g.addHost(serve)
 	g.addHost(serve)
@@ -108,20 +108,22 @@
 		"/stream/1": {1, http.StatusBadGateway},
 		"/resume/1": {3, http.StatusBadGateway},
 	} {
-		g := newGateway(t)
-		var runs atomic.Int64
-		for range 6 {
-			g.addHost(func(a asked) {
-				runs.Add(1)
-				a.reset()
-			})
-		}
-		if got := g.dial().ask(path, "r", "", "x"); got.StatusCode != want.status {
-			t.Errorf("%s: %d", path, got.StatusCode)
-		}
-		if runs.Load() != want.runs {
-			t.Errorf("%s ran on %d hosts, not %d", path, runs.Load(), want.runs)
-		}
+		t.Run(path, func(t *testing.T) {
+			g := newTestProxy(t)
+			var runs atomic.Int64
+			for range 6 {
+				g.addHost(func(a hostRequest) {
+					runs.Add(1)
+					a.reset()
+				})
+			}
+			if got := g.dial().ask(path, "r", "", "x"); got.StatusCode != want.status {
+				t.Errorf("status %d, not %d", got.StatusCode, want.status)
+			}
+			if runs.Load() != want.runs {
+				t.Errorf("ran on %d hosts, not %d", runs.Load(), want.runs)
+			}
+		})
 	}
 }
 
@@ -129,17 +131,17 @@
 func TestARefusedRequestIsRetriedAtAnotherHost(t *testing.T) {
 	wrongPlace := "HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: ID\r\nContent-Length: 0\r\n\r\n"
 	brokenRefusal := "HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: ID\r\nX-Not-Executed: 1\r\nContent-Length: 9\r\n\r\nbr"
-	for _, refusal := range []string{turnedOff, wrongPlace, brokenRefusal} {
-		g := newGateway(t)
+	for _, refusal := range []string{refused, wrongPlace, brokenRefusal} {
+		g := newTestProxy(t)
 		var count atomic.Int64
 		for range 2 {
-			g.addHost(func(a asked) {
+			g.addHost(func(a hostRequest) {
 				if count.Add(1) == 1 {
-					a.answer(refusal)
+					a.respond(refusal)
 					_ = a.conn.Close()
 					return
 				}
-				a.answer(plainOK)
+				a.respond(plainOK)
 			})
 		}
 		if got := g.dial().ask("/once/1", "r", "", "x"); got.StatusCode != http.StatusOK || count.Load() != 2 {
@@ -152,9 +154,9 @@
 func TestAnUnprovedPromiseIsNotForwarded(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		for path, want := range map[string]int{"/once/1": http.StatusBadGateway, "/stream/1": http.StatusBadGateway, "/safe/1": status} {
-			g := newGateway(t)
-			g.addHost(func(a asked) {
-				a.answer(fmt.Sprintf("HTTP/1.1 %d Later\r\nX-Request-Id: ID\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n", status))
+			g := newTestProxy(t)
+			g.addHost(func(a hostRequest) {
+				a.respond(fmt.Sprintf("HTTP/1.1 %d Later\r\nX-Request-Id: ID\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n", status))
 			})
 			got := g.dial().ask(path, "r", "", "x")
 			if got.StatusCode != want || (want == http.StatusBadGateway && got.Header.Get("X-Response-Seal") != "") {
@@ -168,10 +170,10 @@
 func TestAResponseWithoutALengthIsCompleteOnlyIfItsConnectionCloses(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		for path, text := range map[string]string{"/once/1": "hello", "/stream/1": "id: 1\ndata: e1\n\n"} {
-			g := newGateway(t)
+			g := newTestProxy(t)
 			part := make(chan struct{})
-			g.addHost(func(a asked) {
-				a.answer(sealed + "\r\n" + text)
+			g.addHost(func(a hostRequest) {
+				a.respond(sealed + "\r\n" + text)
 				if reset {
 					<-part
 					a.reset()
@@ -201,12 +203,12 @@
 
 // A host may reject a long request before it has read it; the request then goes to another host.
 func TestALongRequestThatIsRejectedEarlyIsRetried(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	var bodies atomic.Int64
-	g.addEarlyHost(turnedOff)
-	g.addHost(func(a asked) {
+	g.addEarlyHost(refused)
+	g.addHost(func(a hostRequest) {
 		bodies.Store(int64(len(a.body)))
-		a.answer(plainOK)
+		a.respond(plainOK)
 	})
 	const length = 8 << 20
 	for i := range 3 {
@@ -221,8 +223,8 @@
 
 // The body of a request is waited for no longer than the request may take.
 func TestASlowBodyEndsAtTheRequestDeadline(t *testing.T) {
-	g := newGateway(t)
-	counted := g.addHost(func(a asked) { a.answer(plainOK) })
+	g := newTestProxy(t)
+	counted := g.addHost(func(a hostRequest) { a.respond(plainOK) })
 	c := g.dial()
 	if _, err := io.WriteString(c, "POST /brief/1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: r\r\nContent-Length: 9\r\n\r\nhalf"); err != nil {
 		t.Fatal(err)
@@ -234,13 +236,13 @@
 
 // A body that comes in time leaves no bound on its connection behind.
 func TestAConnectionOutlivesTheDeadlineOfItsRequests(t *testing.T) {
-	g := newGateway(t)
-	g.addHost(func(a asked) {
+	g := newTestProxy(t)
+	g.addHost(func(a hostRequest) {
 		if strings.HasPrefix(a.RequestURI, "/brief/") {
-			a.gone()
+			a.awaitDisconnect()
 			return
 		}
-		a.answer(plainOK)
+		a.respond(plainOK)
 	})
 	c := g.dial()
 	if got := c.ask("/brief/1", "r1", "", "body"); got.StatusCode != http.StatusGatewayTimeout {
@@ -253,10 +255,10 @@
 
 // A host that is silent does not hold a request beyond its route's time.
 func TestARequestEndsAtItsRouteTimeout(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	ended := make(chan struct{}, 1)
-	g.addHost(func(a asked) {
-		a.gone()
+	g.addHost(func(a hostRequest) {
+		a.awaitDisconnect()
 		ended <- struct{}{}
 	})
 	begun := time.Now()
--- a/tier/proxy/shutdown_test.go
+++ b/tier/proxy/shutdown_test.go
@@ -16,7 +16,7 @@
 )
 
 // readiness is the answer to the platform's question.
-func (g *gateway) readiness() int {
+func (g *testProxy) readiness() int {
 	recorder := httptest.NewRecorder()
 	g.proxy.readinessRoutes().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/v1/readiness", nil))
 	return recorder.Code
@@ -24,7 +24,7 @@
 
 // The platform hears at its first question after SIGTERM that the proxy takes no more connections.
 func TestAStoppingProxyIsNotReady(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	g.proxy.view.Put(feed.SectionHost, "h", 1, nil)
 	if got := g.readiness(); got != http.StatusOK {
 		t.Fatalf("before: %d", got)
@@ -37,13 +37,13 @@
 
 // A request that is still under way when the process has to end gets a whole answer, and its host is let go.
 func TestARequestInFlightGetsAResponseBeforeTheProcessEnds(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	g.proxy.settings.Bounds.Grace = graceMargin + finalResponseTime + 200*time.Millisecond
 	reached := make(chan struct{}, 2)
 	let := make(chan struct{}, 2)
-	g.addHost(func(a asked) {
+	g.addHost(func(a hostRequest) {
 		reached <- struct{}{}
-		a.gone()
+		a.awaitDisconnect()
 		let <- struct{}{}
 	})
 	clients := []*client{g.dial(), g.dial()}
@@ -66,8 +66,8 @@
 
 // Work that could last beyond the end is not taken: the client is told to ask elsewhere, on another connection.
 func TestAProxyThatIsAboutToEndTakesNoRequests(t *testing.T) {
-	g := newGateway(t)
-	counted := g.addHost(func(a asked) { a.answer(plainOK) })
+	g := newTestProxy(t)
+	counted := g.addHost(func(a hostRequest) { a.respond(plainOK) })
 	g.proxy.draining.Store(true)
 	if got := g.dial().ask("/once/1", "r1", "", "x"); got.StatusCode != http.StatusOK || !got.Close {
 		t.Fatalf("while it drains: %d, close %v", got.StatusCode, got.Close)
--- a/tier/proxy/turn_test.go
+++ b/tier/proxy/turn_test.go
@@ -23,30 +23,32 @@
 		codes.TurnUnknown: http.StatusNotFound,
 		codes.Unavailable: http.StatusServiceUnavailable,
 	} {
-		g := newGateway(t)
-		counted := g.addHost(func(a asked) { a.answer(streamOK + event(1) + lastChunk) })
-		g.addStore(func(_ programs.CommandKind, m rpc.Message) { m.Answer(code, nil) })
-		if got := g.dial().ask("/turn/1", "r", turnHeaders+"X-Deadline-Ms: 300\r\n", "x"); got.StatusCode != want {
-			t.Errorf("%v: %d", code, got.StatusCode)
-		}
-		if counted.total() != 0 {
-			t.Errorf("%v: a host was asked", code)
-		}
+		t.Run(code.Error(), func(t *testing.T) {
+			g := newTestProxy(t)
+			counted := g.addHost(func(a hostRequest) { a.respond(streamOK + event(1) + lastChunk) })
+			g.addStore(func(_ programs.CommandKind, m rpc.Message) { m.Answer(code, nil) })
+			if got := g.dial().ask("/turn/1", "r", turnHeaders+"X-Deadline-Ms: 300\r\n", "x"); got.StatusCode != want {
+				t.Errorf("status %d, not %d", got.StatusCode, want)
+			}
+			if counted.total() != 0 {
+				t.Error("a host was asked")
+			}
+		})
 	}
 }
 
 // A turn is settled with what its client received, once, however many hosts it took.
 func TestATurnIsSettledWithWhatItsClientReceived(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	settled := make(chan string, 4)
 	g.addStore(func(kind programs.CommandKind, m rpc.Message) {
 		if kind == programs.CommandEnd {
 			settled <- string(m.Payload)
 		}
-		taken(m)
+		acknowledge(m)
 	})
-	g.addHost(func(a asked) {
-		a.answer(streamOK + event(1) + event(2) + lastChunk)
+	g.addHost(func(a hostRequest) {
+		a.respond(streamOK + event(1) + event(2) + lastChunk)
 	})
 	if got := g.dial().ask("/turn/1", "r", turnHeaders, "x"); got.text != events(1, 2) || got.err != nil {
 		t.Fatalf("%q, %v", got.text, got.err)
@@ -61,15 +63,15 @@
 func TestOnlyARetainedTurnSendsItsTextToTheStores(t *testing.T) {
 	const input, output = "what was asked", "e1"
 	for path, kept := range map[string]bool{"/turn/1": true, "/stream/1": false} {
-		g := newGateway(t)
+		g := newTestProxy(t)
 		ended := make(chan string, 4)
 		g.addStore(func(kind programs.CommandKind, m rpc.Message) {
 			if kind == programs.CommandEnd {
 				ended <- string(m.Payload)
 			}
-			taken(m)
+			acknowledge(m)
 		})
-		g.addHost(func(a asked) { a.answer(streamOK + event(1) + lastChunk) })
+		g.addHost(func(a hostRequest) { a.respond(streamOK + event(1) + lastChunk) })
 		if got := g.dial().ask(path, "r", turnHeaders, input); got.text != events(1, 1) {
 			t.Fatalf("%s: %q", path, got.text)
 		}
@@ -83,10 +85,10 @@
 
 // A proxy that has just started lets requests wait in line for its first view instead of spending one of their few tries.
 func TestARequestWaitsForTheFirstView(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	table := g.proxy.routes.Swap(nil)
 	g.proxy.routesReady = make(chan struct{})
-	g.addHost(func(a asked) { a.answer(plainOK) })
+	g.addHost(func(a hostRequest) { a.respond(plainOK) })
 	c := g.dial()
 	c.send("/safe/1", "r", "", "")
 	g.proxy.routes.Store(table)
@@ -98,7 +100,7 @@
 
 // Whoever waited for the first view finds hosts as soon as there are routes.
 func TestRoutesAreUpdatedAfterHosts(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	g.proxy.routes.Store(nil)
 	g.proxy.routesReady = make(chan struct{})
 	known := make(chan bool, 1)
@@ -119,10 +121,10 @@
 
 // A host that leaves gets no further request, neither a new one nor the rest of a stream.
 func TestARemovedHostGetsNoFurtherRequest(t *testing.T) {
-	g := newGateway(t)
+	g := newTestProxy(t)
 	var counted []*connections
 	for range 2 {
-		counted = append(counted, g.addHost(func(a asked) { a.answer(plainOK) }))
+		counted = append(counted, g.addHost(func(a hostRequest) { a.respond(plainOK) }))
 	}
 	for _, held := range g.proxy.hosts.byID {
 		if held.ID == "host-1" {
@@ -144,9 +146,9 @@
 
 // A store that falls silent holds a turn only until another leads its shard.
 func TestATurnFollowsItsShardToANewPrimary(t *testing.T) {
-	g := newGateway(t)
-	g.addHost(func(a asked) { a.answer(streamOK + event(1) + lastChunk) })
-	g.addStore(func(_ programs.CommandKind, m rpc.Message) { taken(m) })
+	g := newTestProxy(t)
+	g.addHost(func(a hostRequest) { a.respond(streamOK + event(1) + lastChunk) })
+	g.addStore(func(_ programs.CommandKind, m rpc.Message) { acknowledge(m) })
 	client := g.proxy.programs
 	successor := client.stores[1].Address
 	asked := make(chan struct{}, 8)
--- a/tier/upstream/roundtrip_test.go
+++ b/tier/upstream/roundtrip_test.go
@@ -117,7 +117,7 @@
 		t.Fatal("a response came from nowhere")
 	}
 	<-ended
-	if state := lease.Exchange(); !state.MayHaveRun() {
+	if exchange := lease.Exchange(); !exchange.MayHaveRun() {
 		t.Fatal("the host had the whole request")
 	}
 }
@@ -221,29 +221,31 @@
 		"no answer":                        {"\x00\x01garbage\r\n\r\n", false},
 		"an endless head":                  {strings.Replace(short, "\r\n\r\n", "\r\nX: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n\r\n", 1), false},
 	} {
-		address, _ := script(t, after(test.text), respond(short))
-		p := NewPool(address)
-		lease, first, _ := exchangeOn(t, p)
-		lease.Release()
-		lease = acquire(t, p)
-		if lease.conn != first {
-			t.Fatalf("%s: a connection of its own", name)
-		}
-		response, err := lease.RoundTrip(get(nextID()))
-		switch {
-		case (err == nil) != test.good:
-			t.Errorf("%s: %v", name, err)
-		case err != nil:
-			if state := lease.Exchange(); !state.MayHaveRun() || state.IsComplete() {
-				t.Errorf("%s: %+v", name, state)
+		t.Run(name, func(t *testing.T) {
+			address, _ := script(t, after(test.text), respond(short))
+			p := NewPool(address)
+			defer p.Close()
+			lease, first, _ := exchangeOn(t, p)
+			lease.Release()
+			lease = acquire(t, p)
+			defer lease.Close()
+			if lease.conn != first {
+				t.Fatal("a connection of its own")
 			}
-		default:
-			if body, err := io.ReadAll(response.Body); err != nil || string(body) != "ok" {
-				t.Errorf("%s: %q, %v", name, body, err)
+			response, err := lease.RoundTrip(get(nextID()))
+			switch {
+			case (err == nil) != test.good:
+				t.Error(err)
+			case err != nil:
+				if exchange := lease.Exchange(); !exchange.MayHaveRun() || exchange.IsComplete() {
+					t.Errorf("%+v", exchange)
+				}
+			default:
+				if body, err := io.ReadAll(response.Body); err != nil || string(body) != "ok" {
+					t.Errorf("%q, %v", body, err)
+				}
 			}
-		}
-		lease.Close()
-		p.Close()
+		})
 	}
 }
 
@@ -326,9 +328,9 @@
 		if _, err := io.ReadAll(response.Body); err != nil {
 			t.Fatal(err)
 		}
-		state := lease.Exchange()
-		if !state.IsRefused() || state.MayHaveRun() || !state.IsComplete() || state.IsReusable() != (state.Written() == attempt.WrittenAll) {
-			t.Fatalf("%d bytes: %+v", length, state)
+		exchange := lease.Exchange()
+		if !exchange.IsRefused() || exchange.MayHaveRun() || !exchange.IsComplete() || exchange.IsReusable() != (exchange.Written() == attempt.WrittenAll) {
+			t.Fatalf("%d bytes: %+v", length, exchange)
 		}
 		lease.Release()
 		close(goOn)
@@ -355,7 +357,7 @@
 	if _, err := lease.RoundTrip(post(nextID(), 8<<20)); err != nil {
 		t.Fatal(err)
 	}
-	if state := lease.Exchange(); !state.IsRefused() {
-		t.Fatalf("%+v", state)
+	if exchange := lease.Exchange(); !exchange.IsRefused() {
+		t.Fatalf("%+v", exchange)
 	}
 }
