--- a/cmd/otterseam-sim/sockets.go
+++ b/cmd/otterseam-sim/sockets.go
@@ -41,8 +41,8 @@
 		defer os.RemoveAll(dir)
 	}
 	f, w, err := sockets.Play(ctx, d, c.Seed, sockets.Options{
-		Gateway: c.Gateway, Dir: dir, Memory: c.Memory,
-		Tell: func(t string) { fmt.Fprintln(s.errs, t) },
+		Gateway: c.Gateway, Dir: dir, MemoryMB: c.Memory,
+		Report: func(t string) { fmt.Fprintln(s.errs, t) },
 	})
 	if err != nil {
 		return err
--- a/harness/fleet/fleet.go
+++ b/harness/fleet/fleet.go
@@ -122,8 +122,8 @@
 	res := &Result{Script: d, Seed: seed, Gateways: n, Runs: make([]bool, n)}
 	at := &atEnd{rig: r, res: res}
 	f, w, err := sockets.Play(ctx, d, seed, sockets.Options{
-		Gateway: o.Gateway, Dir: o.Dir, Memory: o.Memory, Env: o.Env, EnvOf: envOf,
-		Tell: o.Tell, Rig: at,
+		Gateway: o.Gateway, Dir: o.Dir, MemoryMB: o.Memory, Env: o.Env, EnvOf: envOf,
+		Report: o.Tell, Interceptor: at,
 	})
 	if r.world != nil {
 		r.logs.end()
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -395,7 +395,7 @@
 	span := &Span{Kind: s.Kind, What: edge(e), Edge: e, Begins: now, Ends: ends}
 	if s.Kind == "start" {
 		if p == nil {
-			r.fleet.Back(e, 0)
+			r.fleet.RestartAfter(e, 0)
 		}
 		span.Ends = now
 		r.note(span, p == nil)
@@ -413,12 +413,12 @@
 			p.RemoveDir()
 		}
 		if ends < forever {
-			r.fleet.Back(e, s.Lasts.V())
+			r.fleet.RestartAfter(e, s.Lasts.V())
 		}
 	case "term":
-		r.fleet.Term(e)
+		r.fleet.Terminate(e)
 		if ends < forever {
-			r.fleet.Back(e, s.Lasts.V())
+			r.fleet.RestartAfter(e, s.Lasts.V())
 		}
 	case "freeze":
 		p.Suspend()
@@ -433,7 +433,7 @@
 		later(func() { p.LimitFileSize(-1) })
 	case "twice":
 		span.Ends = now + 1
-		err := r.fleet.Twice(e, func(err error) {
+		err := r.fleet.StartSecond(e, func(err error) {
 			if err == nil {
 				r.world.Oracle.ExpectationFailed(fmt.Sprintf("a second process under the name of api gateway %d runs beside the first", e))
 			}
--- /dev/null
+++ b/harness/sockets/counter.go
@@ -0,0 +1,122 @@
+package sockets
+
+import (
+	"fmt"
+	"math"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"otterseam/gateway/http1"
+	"otterseam/sim/countermodel"
+)
+
+const (
+	// counterTimeout is how long the counter's answer may take, in seconds: one that never comes would hold up all behind it.
+	counterTimeout = 1
+	// maxExpiry is the longest life of a counter, in seconds.
+	maxExpiry = 60
+)
+
+// counterConn is a connection to the counter's stand-in. Answers go out in the order of the calls.
+type counterConn struct {
+	*StandIns
+	gateway int
+	conn    *conn
+	pending []*string // answers in the order of their calls; "": not there yet
+}
+
+// counterCall is a call of the counter.
+type counterCall struct {
+	name     uint64
+	amount   float64
+	lifetime float64 // seconds
+}
+
+// serveCounter answers an api gateway's calls of the counter.
+func (s *StandIns) serveCounter(gateway int, tcp net.Conn) {
+	c := &counterConn{StandIns: s, gateway: gateway, conn: s.takeOver(tcp)}
+	readRequests(tcp, func(m *http1.Message) {
+		call, ok := parseCounterCall(m)
+		s.loop.Do(func() { c.handle(call, ok) })
+	})
+	s.loop.Do(func() { c.conn.end(false) })
+}
+
+// handle carries out a call; ok is whether it is one.
+func (c *counterConn) handle(call counterCall, ok bool) {
+	slot := new(string)
+	c.pending = append(c.pending, slot)
+	if !ok {
+		c.answer(slot, "400 Bad Request", "")
+		return
+	}
+	network := c.Network()
+	zone := c.zone(c.gateway)
+	if network.Partitioned(zone, 0) {
+		return
+	}
+	c.Queue.ScheduleAfter(network.Delay(zone, 0), func() { c.add(call, slot, network.Delay) })
+	c.Queue.ScheduleAfter(counterTimeout, func() {
+		if *slot == "" {
+			c.conn.end(true)
+		}
+	})
+}
+
+// add has the model of the counter add, and answers. delay draws how long the way between two zones takes.
+func (c *counterConn) add(call counterCall, slot *string, delay func(from, to int) float64) {
+	c.CounterCalled(false)
+	c.interceptor.EventSeen("called", c.gateway)
+	// Every second api gateway sees the replica of a split counter: there are no gateways of the model to ask.
+	c.Counter.Add(c.gateway%2 == 1, call.name, call.amount, call.lifetime, func(outcome countermodel.Outcome, total float64) {
+		if outcome == countermodel.Added {
+			c.interceptor.EventSeen("added", c.gateway)
+		}
+		c.Queue.ScheduleAfter(delay(0, c.zone(c.gateway)), func() {
+			switch outcome {
+			case countermodel.Added:
+				c.answer(slot, "200 OK", strconv.FormatFloat(total, 'f', -1, 64))
+			case countermodel.Rejected:
+				c.answer(slot, "503 Service Unavailable", "")
+			case countermodel.ConnectionRefused:
+				c.conn.end(true)
+			}
+		})
+	})
+}
+
+// answer puts an answer into its place, and writes those whose turn it is.
+func (c *counterConn) answer(slot *string, status, body string) {
+	*slot = fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	for len(c.pending) > 0 && *c.pending[0] != "" {
+		c.conn.write([]byte(*c.pending[0]))
+		c.pending = c.pending[1:]
+	}
+}
+
+// parseCounterCall reads POST /counters/NAME?by=AMOUNT&expire_ms=LIFETIME.
+func parseCounterCall(m *http1.Message) (call counterCall, ok bool) {
+	path, query, _ := strings.Cut(string(m.Target), "?")
+	text, found := strings.CutPrefix(path, "/counters/")
+	name, err := strconv.ParseUint(text, 10, 64)
+	if !found || err != nil || string(m.Method) != http.MethodPost {
+		return counterCall{}, false
+	}
+	call.name = name
+	for pair := range strings.SplitSeq(query, "&") {
+		key, value, _ := strings.Cut(pair, "=")
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsInf(number, 0) || math.IsNaN(number) {
+			return counterCall{}, false
+		}
+		switch key {
+		case "by":
+			call.amount = number
+		case "expire_ms":
+			call.lifetime = min(maxExpiry, number/1000)
+		}
+	}
+	return call, call.lifetime > 0
+}
--- /dev/null
+++ b/harness/sockets/eventloop_test.go
@@ -0,0 +1,36 @@
+package sockets
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+
+	"otterseam/harness/leakcheck"
+	"otterseam/sim/eventqueue"
+)
+
+// Events happen in the order of their times though they come from sockets and from the queue.
+func TestEventLoopKeepsTheOrderOfTimes(t *testing.T) {
+	leakcheck.Check(t)
+	queue := &eventqueue.Queue{}
+	loop := newEventLoop(queue)
+	var order []string
+	fired := make(chan struct{})
+	loop.Do(func() { order = append(order, "first") })
+	queue.Schedule(0.2, func() {
+		order = append(order, "queue")
+		close(fired)
+	})
+	go func() {
+		<-fired
+		loop.Do(func() {
+			order = append(order, fmt.Sprintf("after %v", queue.Now() >= 0.2))
+			queue.Stop()
+		})
+	}()
+	loop.run(context.Background(), 30)
+	if strings.Join(order, ",") != "first,queue,after true" {
+		t.Fatal(order)
+	}
+}
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -1,252 +1,238 @@
 package sockets
 
-// This file owns the api gateway processes of a day: who runs, who is admitted to, who comes back. All of it happens on
-// the pump's goroutine.
-
 import (
 	"bufio"
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"strings"
 	"time"
 
 	"otterseam/harness/childprocess"
-	"otterseam/sim/model"
-	"otterseam/sim/simulation"
 )
 
-// Interceptor stands between the processes of a day. Without one they reach each other as they are.
-type Interceptor interface {
-	// ListenFor gives the address at which an api gateway reaches a part ("counter", "discovery", "host 3"); each gets the
-	// part's side of each connection.
-	ListenFor(edge int, to string, each func(c net.Conn)) (string, error)
-	// ClientAddress gives the address at which clients reach an api gateway that listens at addr.
-	ClientAddress(edge int, addr string) (string, error)
-	// PeerAddresses gives the addresses under which api gateways know each other, from those at which they listen.
-	PeerAddresses(own []string) ([]string, error)
-	// Begin is called when the day begins, on the pump's goroutine, on which it may call g.
-	Begin(w *simulation.Simulation, g *Gateways)
-	// End is called as the day ends, before its processes are ended.
-	End(g *Gateways)
-	// EventSeen tells of an event at an api gateway before what follows from it.
-	EventSeen(event string, edge int)
-	// FaultSince says that a fault was in force since a clock time on the way of an api gateway to a part, or ("") on itself.
-	FaultSince(edge int, to string, since float64) bool
-	// UnreachableSince says that an api gateway could not be reached behind its door since a clock time.
-	UnreachableSince(edge int, since float64) bool
-	// TraceInvocation tells of something that happened to an invocation, for its story.
-	TraceInvocation(edge int, ref, text string)
-}
+const (
+	// startTimeout is how long an api gateway may take until it is ready; the platform gives it as long.
+	startTimeout     = 30 * time.Second
+	healthTimeout    = time.Second
+	healthInterval   = 10 * time.Millisecond
+	secondRunTimeout = 5 * time.Second
+	// noticeOfTermination is how long the front goes on sending to an api gateway that was asked to end, in seconds.
+	noticeOfTermination = 0.2
+)
+
+// Errors of an api gateway's start.
+var (
+	ErrNotReady = errors.New("it did not say in 30 s that it is ready")
+	ErrExited   = errors.New("it has ended")
+)
 
-// Gateways are the api gateway processes of a day.
+// Gateways are the api gateway processes of a scenario: which run, which get requests of clients, which come back. All methods but Do
+// are called on the event loop's goroutine.
 type Gateways struct {
-	ctx     context.Context
-	o       Options
-	clients *Clients
-	paths   []string
-	addrs   []string // where they listen
-	procs   []*childprocess.Process
-	all     []*childprocess.Process
-	begun   bool
-	anew    func(slot int) // a process starts with what its configuration says
+	ctx       context.Context // of the whole run: nobody is started after its end
+	options   Options
+	clients   *Clients
+	configs   []string // paths, by api gateway
+	addresses []string // where they listen
+	current   []*childprocess.Process
+	started   []*childprocess.Process // all that ever were
+	running   bool                    // the scenario has begun and not ended
+	onRestart func(gateway int)       // a process starts with what its configuration says
 }
 
-func (g *Gateways) name(slot int) string { return fmt.Sprintf("edge-%d", slot) }
+func gatewayName(gateway int) string { return fmt.Sprintf("edge-%d", gateway) }
 
-func (g *Gateways) launch(slot int) (*childprocess.Process, error) {
-	env := append([]string{"EDGE_CONFIG=" + g.paths[slot], "GODEBUG=schedtrace=2000000000"}, g.o.Env...)
-	if g.o.EnvOf != nil {
-		env = append(env, g.o.EnvOf(slot)...)
+// start starts a process of an api gateway.
+func (g *Gateways) start(gateway int) (*childprocess.Process, error) {
+	env := append([]string{"EDGE_CONFIG=" + g.configs[gateway], "GODEBUG=schedtrace=2000000000"}, g.options.Env...)
+	if g.options.EnvOf != nil {
+		env = append(env, g.options.EnvOf(gateway)...)
 	}
-	p, err := childprocess.Start(g.o.Gateway, g.name(slot), g.o.Dir, env...)
+	process, err := childprocess.Start(g.options.Gateway, gatewayName(gateway), g.options.Dir, env...)
 	if err != nil {
 		return nil, err
 	}
-	g.all = append(g.all, p)
+	g.started = append(g.started, process)
 	go func() {
-		<-p.Done()
-		g.clients.pump.Do(func() { g.ended(slot, p) })
+		<-process.Done()
+		g.Do(func() { g.exited(gateway, process) })
 	}()
-	return p, nil
+	return process, nil
 }
 
-// ended: a process has ended; one whose end nobody asked for has crashed.
-func (g *Gateways) ended(slot int, p *childprocess.Process) {
-	_, asked, err := p.ExitState()
-	if !g.begun || asked || g.procs[slot] != p { // till all have begun, who starts them looks
+// startAll starts all api gateways one after the other and waits until each is ready.
+func (g *Gateways) startAll() error {
+	for gateway := range g.current {
+		process, err := g.start(gateway)
+		if err == nil {
+			g.current[gateway] = process
+			err = waitReady(g.ctx, g.addresses[gateway], process)
+		}
+		if err != nil {
+			return fmt.Errorf("api gateway %d does not come up: %w (its log is in %s)", gateway, err, g.options.Dir)
+		}
+	}
+	return nil
+}
+
+// exited handles the end of a process; one that nobody asked for is a crash. Until all have begun, whoever starts them looks.
+func (g *Gateways) exited(gateway int, process *childprocess.Process) {
+	_, requested, err := process.ExitState()
+	if !g.running || requested || g.current[gateway] != process {
 		return
 	}
-	g.o.Tell(fmt.Sprintf("%.1f s: api gateway %d has ended by itself: %v", g.clients.Queue.Now(), slot, err))
-	g.clients.Oracle.GatewayCrashed(slot, err)
-	g.clients.up[slot] = false
+	g.options.Report(fmt.Sprintf("%.1f s: api gateway %d has ended by itself: %v", g.clients.Queue.Now(), gateway, err))
+	g.clients.Oracle.GatewayCrashed(gateway, err)
+	g.clients.up[gateway] = false
 }
 
 // Process is the one that runs for an api gateway; nil: none does.
-func (g *Gateways) Process(slot int) *childprocess.Process {
-	p := g.procs[slot]
-	if p == nil {
+func (g *Gateways) Process(gateway int) *childprocess.Process {
+	process := g.current[gateway]
+	if process == nil {
 		return nil
 	}
-	if ended, _, _ := p.ExitState(); ended {
+	if exited, _, _ := process.ExitState(); exited {
 		return nil
 	}
-	return p
+	return process
 }
 
-// Running is how many run.
-func (g *Gateways) Running() (n int) {
-	for slot := range g.procs {
-		if g.Process(slot) != nil {
-			n++
-		}
+// Do has a function called on the event loop's goroutine.
+func (g *Gateways) Do(call func()) { g.clients.loop.Do(call) }
+
+// Kill ends an api gateway with SIGKILL. Clients go on coming to it until the front notices.
+func (g *Gateways) Kill(gateway int) {
+	if process := g.Process(gateway); process != nil {
+		process.Kill()
+		g.stopRequestsAfter(gateway, process, g.clients.Day.Gateway.Notice.V())
 	}
-	return n
 }
 
-// Do has f called on the pump's goroutine.
-func (g *Gateways) Do(f func()) { g.clients.pump.Do(f) }
-
-// Kill ends one outright: the front notices its death later.
-func (g *Gateways) Kill(slot int) {
-	if p := g.Process(slot); p != nil {
-		p.Kill()
-		g.unnoticed(slot, p)
+// Terminate ends an api gateway with SIGTERM. Soon the front sends it nothing more.
+func (g *Gateways) Terminate(gateway int) {
+	if process := g.Process(gateway); process != nil {
+		process.Terminate()
+		g.stopRequestsAfter(gateway, process, noticeOfTermination)
 	}
 }
 
-// unnoticed: clients go on coming to a dead one until the front notices.
-func (g *Gateways) unnoticed(slot int, p *childprocess.Process) {
-	g.clients.Queue.ScheduleAfter(g.clients.Day.Gateway.Notice.V(), func() {
-		if g.procs[slot] == p {
-			g.clients.up[slot] = false
+// stopRequestsAfter has clients no longer come after a delay in seconds, unless another process runs by then.
+func (g *Gateways) stopRequestsAfter(gateway int, process *childprocess.Process, delay float64) {
+	g.clients.Queue.ScheduleAfter(delay, func() {
+		if g.current[gateway] == process {
+			g.clients.up[gateway] = false
 		}
 	})
 }
 
-// late is for how long the front goes on sending to one that was asked to end, in seconds.
-const late = 0.2
-
-// Term asks one to end: soon the front sends it nothing more.
-func (g *Gateways) Term(slot int) {
-	if p := g.Process(slot); p != nil {
-		p.Terminate()
-		g.clients.Queue.ScheduleAfter(late, func() {
-			if g.procs[slot] == p {
-				g.clients.up[slot] = false
-			}
-		})
-	}
-}
-
-// Twice starts a second process under the name of one that runs, and says what became of it.
-func (g *Gateways) Twice(slot int, became func(err error)) error {
-	p, err := g.launch(slot)
+// StartSecond starts a second process under the name of an api gateway that runs. ended is told how it exited, or nil if it still runs
+// after 5 s.
+func (g *Gateways) StartSecond(gateway int, ended func(err error)) error {
+	process, err := g.start(gateway)
 	if err != nil {
 		return err
 	}
 	go func() {
 		select {
-		case <-p.Done():
-			_, _, err := p.ExitState()
-			g.Do(func() { became(err) })
-		case <-time.After(5 * time.Second):
-			g.Do(func() { became(nil) })
+		case <-process.Done():
+			_, _, err := process.ExitState()
+			g.Do(func() { ended(err) })
+		case <-time.After(secondRunTimeout):
+			g.Do(func() { ended(nil) })
 		}
 	}()
 	return nil
 }
 
-// Back starts one so many seconds after the one before it has ended, and admits clients once it is ready.
-func (g *Gateways) Back(slot int, down float64) {
-	old := g.procs[slot]
+// RestartAfter starts an api gateway so many seconds after its process has ended, and lets clients come once it is ready.
+func (g *Gateways) RestartAfter(gateway int, delay float64) {
+	old := g.current[gateway]
 	go func() {
 		if old != nil {
 			<-old.Done()
 		}
 		select {
-		case <-time.After(time.Duration(down * 1e9)):
+		case <-time.After(seconds(delay)):
+			g.Do(func() { g.restart(gateway) })
 		case <-g.ctx.Done():
-			return
 		}
+	}()
+}
+
+func (g *Gateways) restart(gateway int) {
+	if g.Process(gateway) != nil || g.ctx.Err() != nil {
+		return
+	}
+	g.onRestart(gateway)
+	process, err := g.start(gateway)
+	if err != nil {
+		g.options.Report(fmt.Sprintf("api gateway %d does not come back: %v", gateway, err))
+		return
+	}
+	g.current[gateway] = process
+	go func() {
+		err := waitReady(g.ctx, g.addresses[gateway], process)
 		g.Do(func() {
-			if g.Process(slot) != nil || g.ctx.Err() != nil {
+			if err != nil && g.current[gateway] == process {
+				g.options.Report(fmt.Sprintf("api gateway %d does not come back: %v", gateway, err))
 				return
 			}
-			g.anew(slot)
-			p, err := g.launch(slot)
-			if err != nil {
-				g.o.Tell(fmt.Sprintf("api gateway %d does not come back: %v", slot, err))
-				return
-			}
-			g.procs[slot] = p
-			go func() {
-				err := healthy(g.ctx, g.addrs[slot], p)
-				g.Do(func() {
-					if err != nil && g.procs[slot] == p {
-						g.o.Tell(fmt.Sprintf("api gateway %d does not come back: %v", slot, err))
-						return
-					}
-					g.clients.up[slot] = true
-				})
-			}()
+			g.clients.up[gateway] = true
 		})
 	}()
 }
 
-// end ends all that were ever started.
+// end ends all processes that were ever started.
 func (g *Gateways) end() {
-	g.begun = false
-	for _, p := range g.all {
-		p.Terminate()
+	g.running = false
+	for _, process := range g.started {
+		process.Terminate()
 	}
-	for _, p := range g.all {
-		if err := p.Stop(); err != nil {
-			g.o.Tell(err.Error())
+	for _, process := range g.started {
+		if err := process.Stop(); err != nil {
+			g.options.Report(err.Error())
 		}
 	}
 }
 
-// healthy waits until an api gateway says that it is ready, for as long as the platform does: 30 s.
-func healthy(ctx context.Context, addr string, p *childprocess.Process) error {
-	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); {
+// waitReady waits until an api gateway says that it is ready. It returns ErrNotReady after startTimeout, and ErrExited if the process has
+// ended.
+func waitReady(ctx context.Context, address string, process *childprocess.Process) error {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(healthInterval) {
 		select {
-		case <-p.Done():
-			_, _, err := p.ExitState()
-			return fmt.Errorf("it has ended: %v", err)
+		case <-process.Done():
+			_, _, err := process.ExitState()
+			if err == nil {
+				return ErrExited
+			}
+			return fmt.Errorf("%w: %w", ErrExited, err)
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
 		}
-		if tcp, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
-			tcp.SetDeadline(time.Now().Add(time.Second))
-			fmt.Fprint(tcp, "GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n")
-			line, _ := bufio.NewReader(tcp).ReadString('\n')
-			tcp.Close()
-			if strings.Contains(line, " 200 ") {
-				return nil
-			}
+		if isHealthy(address) {
+			return nil
 		}
-		time.Sleep(10 * time.Millisecond)
 	}
-	return errors.New("it did not say in 30 s that it is ready")
+	return ErrNotReady
 }
 
-// direct is a day without a rig.
-type direct struct{ s *StandIns }
-
-func (d direct) ListenFor(_ int, _ string, each func(c net.Conn)) (string, error) {
-	return d.s.listen(each)
+func isHealthy(address string) bool {
+	tcp, err := net.DialTimeout("tcp", address, healthTimeout)
+	if err != nil {
+		return false
+	}
+	defer tcp.Close()
+	if err := tcp.SetDeadline(time.Now().Add(healthTimeout)); err != nil {
+		return false
+	}
+	if _, err := io.WriteString(tcp, "GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n"); err != nil {
+		return false
+	}
+	line, err := bufio.NewReader(tcp).ReadString('\n')
+	return err == nil && strings.Contains(line, " 200 ")
 }
-func (direct) ClientAddress(_ int, addr string) (string, error) { return addr, nil }
-func (direct) PeerAddresses(own []string) ([]string, error)     { return own, nil }
-func (direct) Begin(*simulation.Simulation, *Gateways) {}
-func (direct) End(*Gateways)                           {}
-func (direct) EventSeen(string, int)                        {}
-func (direct) FaultSince(int, string, float64) bool        { return false }
-func (direct) UnreachableSince(int, float64) bool                  { return false }
-func (direct) TraceInvocation(int, string, string)                {}
-
-// unanswered: its client got nothing.
-func unanswered(how model.Outcome) bool { return how == model.Unanswered || how == model.Broken }
--- /dev/null
+++ b/harness/sockets/hosts.go
@@ -0,0 +1,262 @@
+package sockets
+
+import (
+	"fmt"
+	"net"
+
+	"otterseam/gateway/http1"
+	"otterseam/sim/hostmodel"
+	"otterseam/sim/model"
+)
+
+const (
+	// forgetForeignAfter is how long after its deadline an invocation of clients elsewhere is still known, in seconds.
+	forgetForeignAfter = 10
+	// concurrencyMargin is how much later than the next attempt the end of one may be heard of, in seconds.
+	concurrencyMargin = 0.05
+)
+
+// hostConn is a connection of an api gateway to a host's stand-in.
+type hostConn struct {
+	*StandIns
+	host        *hostmodel.Host
+	gateway     int
+	conn        *conn
+	incarnation int            // of the host when the connection came
+	attempt     *model.Attempt // the last one on it
+	job         *hostmodel.Job // its job; nil: none yet
+}
+
+// serveHost takes attempts on a connection of an api gateway to a host.
+func (s *StandIns) serveHost(host *hostmodel.Host, gateway int, tcp net.Conn) {
+	c := &hostConn{StandIns: s, host: host, gateway: gateway, conn: s.takeOver(tcp)}
+	accepted := make(chan bool, 1)
+	s.loop.Do(func() { accepted <- c.open() })
+	select {
+	case ok := <-accepted:
+		if !ok {
+			c.conn.end(true)
+			return
+		}
+	case <-s.loop.ended:
+		c.conn.end(false)
+		return
+	}
+	fresh := true
+	readRequests(tcp, func(m *http1.Message) {
+		first := fresh
+		fresh = false
+		ref := field(m, "req-id")
+		call, complete := http1.ParseInvocation(m) // the message is lent until this returns
+		s.loop.Do(func() { c.begin(ref, call, complete, first) })
+	})
+	s.loop.Do(c.close)
+}
+
+// open tells whether the host takes the connection. A silent one does, and answers nothing.
+func (c *hostConn) open() bool {
+	c.incarnation = c.host.Incarnation
+	ok := c.host.IsSilent() || c.host.OpenConnection()
+	c.ConnectionDialled()
+	return ok
+}
+
+// begin begins an attempt that has come; first is whether it is the connection's first.
+func (c *hostConn) begin(ref string, call http1.Invocation, complete, first bool) {
+	inv := c.findInvocation(ref, call, complete)
+	if inv == nil {
+		c.conn.write([]byte(notFound))
+		return
+	}
+	c.attempt = &model.Attempt{Invocation: inv, Number: len(inv.Attempts), Host: c.host.Number, SentAt: c.Queue.Now(), Written: true}
+	inv.Gateway = c.gateway
+	inv.Attempts = append(inv.Attempts, c.attempt)
+	c.job = c.submit(c.attempt, first)
+}
+
+// close ends the connection, which the api gateway has closed, or we have.
+func (c *hostConn) close() {
+	c.conn.end(false)
+	if c.incarnation == c.host.Incarnation && !c.host.IsSilent() {
+		c.host.Connections--
+	}
+	if c.attempt == nil || c.attempt.Ended {
+		return
+	}
+	c.attempt.Ended = true
+	if c.job != nil {
+		c.host.Cancel(c.job)
+	}
+	c.AttemptReleased(c.attempt)
+}
+
+// submit lets the oracle and the host see an attempt once it has come over the model's network.
+func (c *hostConn) submit(attempt *model.Attempt, first bool) *hostmodel.Job {
+	network := c.Network()
+	zone := c.zone(c.gateway)
+	request := attempt.Invocation.Request
+	wasPending := attempt.Invocation.Outcome == model.Pending
+	job := &hostmodel.Job{Operation: request.Operation.Number, Work: request.Work, Gateway: c.gateway}
+	job.OnStart = func() {
+		c.interceptor.EventSeen("ran", c.gateway)
+		c.AttemptStarted(attempt)
+	}
+	if first {
+		job.Work += c.host.ConnectWork
+	}
+	reset, resetBefore := network.DrawReset()
+	job.OnAnswer = func(answer hostmodel.Answer) { c.answer(attempt, answer, reset) }
+	if network.Partitioned(zone, c.host.Zone) || c.host.IsSilent() {
+		c.AttemptSwallowed()
+		return job
+	}
+	c.Queue.ScheduleAfter(network.Delay(zone, c.host.Zone), func() {
+		if c.incarnation != c.host.Incarnation || reset && resetBefore {
+			attempt.Ended = true
+			c.conn.end(true)
+			return
+		}
+		c.arrive(attempt, job, wasPending)
+	})
+	return job
+}
+
+// arrive hands an attempt to the oracle and to the host. wasPending is whether its invocation had no answer yet when it was sent.
+func (c *hostConn) arrive(attempt *model.Attempt, job *hostmodel.Job, wasPending bool) {
+	inv := attempt.Invocation
+	c.interceptor.EventSeen("delivery", c.gateway)
+	// When one held up by a fault set out isn't known: how late it comes tells nothing. Nor does it where the final answer
+	// came while it was on its way here: it had been called off.
+	if c.interceptor.FaultSince(c.gateway, hostName(c.host), inv.SentAt) || wasPending && inv.Outcome != model.Pending {
+		c.AttemptSentLate(attempt)
+	} else {
+		c.AttemptSent(attempt)
+		c.checkConcurrency(attempt)
+	}
+	c.AttemptReached(attempt)
+	c.host.Submit(job)
+	if attempt.Ended {
+		c.host.Cancel(job)
+		c.AttemptReleased(attempt)
+	}
+}
+
+// checkConcurrency looks again a moment later whether an earlier attempt is still out: that its connection was closed may be heard of
+// after the next attempt has come.
+func (c *hostConn) checkConcurrency(attempt *model.Attempt) {
+	for _, earlier := range attempt.Invocation.Attempts {
+		if earlier == attempt || earlier.Ended {
+			continue
+		}
+		c.Queue.ScheduleAfter(concurrencyMargin, func() {
+			if !earlier.Ended { // it had ended before the next one was sent, or never did
+				c.Oracle.ConcurrentAttempts(attempt.Invocation)
+			}
+		})
+	}
+}
+
+// answer sends the host's answer over the model's network; reset is whether that resets the connection.
+func (c *hostConn) answer(attempt *model.Attempt, answer hostmodel.Answer, reset bool) {
+	if attempt.Ended {
+		return
+	}
+	network := c.Network()
+	zone := c.zone(c.gateway)
+	c.interceptor.EventSeen("answering", c.gateway)
+	c.Trace(c.gateway, attempt.Invocation.Ref, fmt.Sprintf("host %d ends delivery %d: %s", c.host.Number, attempt.Number, answer))
+	attempt.ProvenNotRun = answer == hostmodel.Rejected
+	if answer == hostmodel.Succeeded && network.DrawLostAnswer() || network.Partitioned(zone, c.host.Zone) {
+		return
+	}
+	c.Queue.ScheduleAfter(network.Delay(c.host.Zone, zone), func() {
+		if attempt.Ended {
+			return
+		}
+		attempt.Ended = true
+		c.AttemptReleased(attempt)
+		if reset || answer == hostmodel.Reset {
+			c.conn.end(true)
+			return
+		}
+		c.conn.write(hostResponse(answer, attempt.Invocation.Ref, c.host.Number))
+	})
+}
+
+// hostResponse is a host's answer as it goes out.
+func hostResponse(answer hostmodel.Answer, ref string, host int) []byte {
+	switch answer {
+	case hostmodel.Rejected:
+		return []byte("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+	case hostmodel.Failed:
+		return []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	case hostmodel.Corrupted:
+		return []byte("HTTP/1.1 2\x00\x01 noise that is no answer\r\n\r\n")
+	}
+	body := fmt.Sprintf("%s by host %d\n", ref, host)
+	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// findInvocation gives the invocation of a ref: that of a client here, or one made up from what the request says of itself. It is nil if
+// the request makes no sense, or if no client here has sent it.
+func (s *StandIns) findInvocation(ref string, call http1.Invocation, complete bool) *model.Invocation {
+	if inv := s.invocations[ref]; inv != nil {
+		return inv
+	}
+	if s.onForeignRef != nil {
+		s.onForeignRef(ref)
+		return nil
+	}
+	if !complete {
+		return nil
+	}
+	if inv := s.foreign[ref]; inv != nil {
+		return inv
+	}
+	request := s.foreignRequest(call)
+	if request == nil {
+		return nil
+	}
+	inv := &model.Invocation{Ref: ref, Request: request, GiveUpAt: request.Deadline, Accepted: true}
+	s.foreign[ref] = inv
+	s.Queue.ScheduleAfter(call.Timeout+forgetForeignAfter, func() { delete(s.foreign, ref) })
+	return inv
+}
+
+// foreignRequest makes up the request of a client elsewhere; nil: the scenario doesn't have its operation or plan.
+func (s *StandIns) foreignRequest(call http1.Invocation) *model.Request {
+	customer := s.foreignCustomer(call)
+	now := s.Queue.Now()
+	for i := range s.Day.Operations {
+		operation := &s.Day.Operations[i]
+		if operation.Name != call.Operation || customer == nil {
+			continue
+		}
+		return &model.Request{
+			Units:       call.Units,
+			ActualUnits: call.Units,
+			CreatedAt:   now,
+			Deadline:    now + call.Timeout,
+			Operation:   model.Operation{Operation: operation, Number: i},
+			Work:        operation.Work.V(),
+			Customer:    customer,
+		}
+	}
+	return nil
+}
+
+// foreignCustomer gives the customer of a call, which is made up at its first one; nil: the scenario doesn't have its plan.
+func (s *StandIns) foreignCustomer(call http1.Invocation) *model.Customer {
+	if customer := s.customers[call.Customer]; customer != nil {
+		return customer
+	}
+	for i := range s.Day.Plans {
+		plan := &s.Day.Plans[i]
+		if plan.Name == call.Plan {
+			customer := &model.Customer{Key: call.Customer, Plan: plan, PlanNumber: i}
+			s.customers[call.Customer] = customer
+			return customer
+		}
+	}
+	return nil
+}
