--- a/cmd/otterseam-sim/owndays.go
+++ b/cmd/otterseam-sim/owndays.go
@@ -34,21 +34,21 @@
 	if err := c.prepare(); err != nil {
 		return badInput{err}
 	}
-	hunt := &scenariogen.Hunt{
-		Bench:     &scenariogen.Bench{Program: c.Bench, Root: c.Root, Days: c.Dir, Why: c.Why},
-		FirstSeed: c.Seed, Days: c.Days, Jobs: c.Jobs, LengthS: c.Length.Seconds(),
-		Least: c.Least, Kept: c.Kept, ShrinkPlays: c.Shrink, WriteOnly: c.Write,
-		Tell: func(line string) { fmt.Fprintln(s.out, line) },
+	campaign := &scenariogen.Campaign{
+		Bench:     &scenariogen.Bench{Program: c.Bench, Root: c.Root, Dir: c.Dir, Reason: c.Why},
+		FirstSeed: c.Seed, DaysPerSite: c.Days, Jobs: c.Jobs, Length: c.Length.Seconds(),
+		KeepBelow: c.Least, KeepDir: c.Kept, ShrinkBudget: c.Shrink, WriteOnly: c.Write,
+		OnLine: func(line string) { fmt.Fprintln(s.out, line) },
 	}
-	played, err := hunt.Run(ctx, c.Sites)
+	results, err := campaign.Run(ctx, c.Sites)
 	if !c.Write {
-		c.summary(s, played)
+		c.summary(s, results)
 	}
 	if err != nil {
 		return err
 	}
-	for _, p := range played {
-		if p.Broken() || p.Err != nil {
+	for _, result := range results {
+		if result.Violated() || result.Err != nil {
 			return errBroken
 		}
 	}
@@ -94,22 +94,22 @@
 }
 
 // summary tells how many days were played, and each broken one with its shortest form.
-func (c *owndaysCmd) summary(s *streams, played []*scenariogen.Played) {
+func (c *owndaysCmd) summary(s *streams, results []*scenariogen.Result) {
 	broken, failed, sum := 0, 0, 0.0
-	for _, p := range played {
+	for _, result := range results {
 		switch {
-		case p.Err != nil:
+		case result.Err != nil:
 			failed++
 			continue
-		case p.Broken():
+		case result.Violated():
 			broken++
-			fmt.Fprintf(s.out, "broken: %s seed %d: %s; shortest day: %s\n", p.Site, p.Seed, strings.Join(p.Outcome.Broken(), " "), p.Shrunk)
+			fmt.Fprintf(s.out, "broken: %s seed %d: %s; shortest day: %s\n", result.Site, result.Seed, strings.Join(result.Report.ViolatedRules(), " "), result.Shrunk)
 		}
-		sum += p.Outcome.Worth
+		sum += result.Report.Score
 	}
 	mean := 0.0
-	if judged := len(played) - failed; judged > 0 {
+	if judged := len(results) - failed; judged > 0 {
 		mean = sum / float64(judged)
 	}
-	fmt.Fprintf(s.out, "%d days played, %d with a broken rule, %d not played to the end; mean worth %.3f\n", len(played), broken, failed, mean)
+	fmt.Fprintf(s.out, "%d days played, %d with a broken rule, %d not played to the end; mean worth %.3f\n", len(results), broken, failed, mean)
 }
--- a/sim/scenariogen/hunt_test.go
+++ b/sim/scenariogen/campaign_test.go
@@ -44,7 +44,7 @@
 	return 0
 }
 
-func newTestHunt(t *testing.T) (*Hunt, string, *[]string) {
+func newTestCampaign(t *testing.T) (*Campaign, string, *[]string) {
 	t.Helper()
 	t.Setenv(standInVariable, "1")
 	program, err := os.Executable()
@@ -58,42 +58,42 @@
 	}
 	var lines []string
 	var adding sync.Mutex
-	hunt := &Hunt{
-		Bench:     &Bench{Program: program, Root: folder, Days: t.TempDir(), Why: "test"},
-		FirstSeed: 1, Days: 12, Jobs: 3, Kept: t.TempDir(), ShrinkPlays: 60,
-		Tell: func(line string) {
+	campaign := &Campaign{
+		Bench:     &Bench{Program: program, Root: folder, Dir: t.TempDir(), Reason: "test"},
+		FirstSeed: 1, DaysPerSite: 12, Jobs: 3, KeepDir: t.TempDir(), ShrinkBudget: 60,
+		OnLine: func(line string) {
 			adding.Lock()
 			defer adding.Unlock()
 			lines = append(lines, line)
 		},
 	}
-	return hunt, site, &lines
+	return campaign, site, &lines
 }
 
-func TestHuntKeepsAndShrinksDaysThatBrokeARule(t *testing.T) {
-	hunt, site, lines := newTestHunt(t)
-	played, err := hunt.Run(t.Context(), []string{site})
+func TestACampaignKeepsAndShrinksDaysThatBrokeARule(t *testing.T) {
+	campaign, site, lines := newTestCampaign(t)
+	played, err := campaign.Run(t.Context(), []string{site})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(played) != hunt.Days {
-		t.Fatalf("%d days played, want %d", len(played), hunt.Days)
+	if len(played) != campaign.DaysPerSite {
+		t.Fatalf("%d days played, want %d", len(played), campaign.DaysPerSite)
 	}
 	broken, failed := 0, 0
-	for i, p := range played {
-		if p.Seed != uint64(i+1) {
-			t.Errorf("day %d has seed %d", i, p.Seed)
+	for i, result := range played {
+		if result.Seed != uint64(i+1) {
+			t.Errorf("day %d has seed %d", i, result.Seed)
 		}
-		_, kept := os.Stat(filepath.Join(hunt.Kept, p.Name+dayEnding))
+		_, kept := os.Stat(filepath.Join(campaign.KeepDir, result.Name+dayExtension))
 		if kept != nil {
-			t.Errorf("%s was not kept: %v", p.Name, kept)
+			t.Errorf("%s was not kept: %v", result.Name, kept)
 		}
 		switch {
-		case p.Err != nil:
+		case result.Err != nil:
 			failed++
-		case p.Broken():
+		case result.Violated():
 			broken++
-			checkShrunk(t, p)
+			checkShrunk(t, result)
 		}
 	}
 	if broken == 0 || failed == 0 {
@@ -109,9 +109,9 @@
 }
 
 // checkShrunk wants one disruption to be left, the one by which the stand-in's rule breaks.
-func checkShrunk(t *testing.T, p *Played) {
+func checkShrunk(t *testing.T, result *Result) {
 	t.Helper()
-	shrunk, err := os.ReadFile(p.Shrunk)
+	shrunk, err := os.ReadFile(result.Shrunk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,45 +120,45 @@
 	}
 }
 
-func TestHuntOnlyWritesDaysWhereAsked(t *testing.T) {
-	hunt, site, lines := newTestHunt(t)
-	hunt.WriteOnly = true
-	played, err := hunt.Run(t.Context(), []string{site})
-	if err != nil || len(played) != 0 || len(*lines) != hunt.Days {
-		t.Fatalf("%d played, said %q, %v", len(played), *lines, err)
-	}
-	written, err := os.ReadFile(hunt.Bench.File("orchard-own-1"))
+func TestACampaignOnlyWritesDaysWhereAsked(t *testing.T) {
+	campaign, site, lines := newTestCampaign(t)
+	campaign.WriteOnly = true
+	played, err := campaign.Run(t.Context(), []string{site})
+	if err != nil || len(played) != 0 || len(*lines) != campaign.DaysPerSite {
+		t.Fatalf("%d played, output %q, %v", len(played), *lines, err)
+	}
+	written, err := os.ReadFile(campaign.Bench.DayFile("orchard-own-1"))
 	if want := newTestGenerator(t, 1).Day(1).TOML(); err != nil || string(written) != want {
 		t.Errorf("%v: wrote\n%s\nwant\n%s", err, written, want)
 	}
-	if reports, _ := filepath.Glob(filepath.Join(hunt.Bench.Days, "*.json")); len(reports) > 0 {
+	if reports, _ := filepath.Glob(filepath.Join(campaign.Bench.Dir, "*.json")); len(reports) > 0 {
 		t.Errorf("there are reports: %q", reports)
 	}
 }
 
-func TestHuntSaysWhichFileIsNoSite(t *testing.T) {
-	hunt, _, _ := newTestHunt(t)
+func TestACampaignNamesTheFileThatIsNoSite(t *testing.T) {
+	campaign, _, _ := newTestCampaign(t)
 	other := filepath.Join(t.TempDir(), "other.toml")
 	if err := os.WriteFile(other, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := hunt.Run(t.Context(), []string{other}); err == nil || !strings.Contains(err.Error(), "other.toml") {
+	if _, err := campaign.Run(t.Context(), []string{other}); err == nil || !strings.Contains(err.Error(), "other.toml") {
 		t.Fatalf("error %v", err)
 	}
 }
 
-func TestOutcomeNamesBrokenRulesAndFaults(t *testing.T) {
+func TestAReportNamesViolatedRulesAndFaults(t *testing.T) {
 	tests := []struct {
-		outcome Outcome
-		want    []string
+		report Report
+		want   []string
 	}{
-		{Outcome{}, nil},
-		{Outcome{Fault: []byte("null"), Breaks: map[string]any{"GONE": 0.0}}, nil},
-		{Outcome{Fault: []byte(`"out of memory"`), Breaks: map[string]any{"LOST": 2.0, "CONFIG": []any{"x"}}}, []string{"CONFIG", "LOST", "fault"}},
+		{Report{}, nil},
+		{Report{Fault: []byte("null"), Violations: map[string]any{"GONE": 0.0}}, nil},
+		{Report{Fault: []byte(`"out of memory"`), Violations: map[string]any{"LOST": 2.0, "CONFIG": []any{"x"}}}, []string{"CONFIG", "LOST", "fault"}},
 	}
 	for _, test := range tests {
-		if got := test.outcome.Broken(); !slices.Equal(got, test.want) {
-			t.Errorf("%+v: broken %q, want %q", test.outcome, got, test.want)
+		if got := test.report.ViolatedRules(); !slices.Equal(got, test.want) {
+			t.Errorf("%+v: broken %q, want %q", test.report, got, test.want)
 		}
 	}
 }
--- a/sim/scenariogen/kinds.go
+++ b/sim/scenariogen/kinds.go
@@ -1,7 +1,3 @@
-// Package scenariogen generates days of disruptions for the serving tier, plays them with a bench program and shrinks those that
-// broke a rule. What a day holds depends on the seed, the site and the bench's list of kinds alone.
-//
-// Everything but the player is pure: it reads no file, no clock and no environment.
 package scenariogen
 
 import (
@@ -11,11 +7,11 @@
 	"strings"
 )
 
-// Kind is one kind of disruption, as the bench's list tells of it.
+// Kind is one kind of disruption, as the bench's list describes it.
 type Kind struct {
 	Name      string
 	Text      string   // what the list says of it
-	Hows      []string // variants, one of which may be chosen
+	Variants  []string // one of which may be chosen
 	Additions []string // variants that only stand after another
 }
 
@@ -23,10 +19,10 @@
 var ErrNoKinds = errors.New("the list of kinds holds no line NAME: TEXT")
 
 var (
-	kindLine    = regexp.MustCompile(`^([a-z][a-z0-9_]*): (.+)$`)
-	variantWord = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
-	namedHow    = regexp.MustCompile(`\bhow ([a-z][a-z0-9_]*):`)
-	addedHow    = regexp.MustCompile(`\+ ([a-z][a-z0-9_]*)`)
+	kindLine     = regexp.MustCompile(`^([a-z][a-z0-9_]*): (.+)$`)
+	variantWord  = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+	namedVariant = regexp.MustCompile(`\bhow ([a-z][a-z0-9_]*):`)
+	addedVariant = regexp.MustCompile(`\+ ([a-z][a-z0-9_]*)`)
 )
 
 // listHead is what a list of variants begins with.
@@ -54,8 +50,8 @@
 
 func parseKind(name, text string) Kind {
 	k := Kind{Name: name, Text: text}
-	for _, m := range addedHow.FindAllStringSubmatch(text, -1) {
-		k.Additions = appendNew(k.Additions, m[1])
+	for _, m := range addedVariant.FindAllStringSubmatch(text, -1) {
+		k.Additions = appendMissing(k.Additions, m[1])
 	}
 	for rest := text; ; {
 		i := strings.Index(rest, listHead)
@@ -64,17 +60,17 @@
 		}
 		rest = rest[i+len(listHead):]
 		for _, word := range listedVariants(rest) {
-			k.Hows = appendNew(k.Hows, word)
+			k.Variants = appendMissing(k.Variants, word)
 		}
 	}
-	for _, m := range namedHow.FindAllStringSubmatch(text, -1) {
-		k.Hows = appendNew(k.Hows, m[1])
+	for _, m := range namedVariant.FindAllStringSubmatch(text, -1) {
+		k.Variants = appendMissing(k.Variants, m[1])
 	}
-	k.Hows = slices.DeleteFunc(k.Hows, func(how string) bool { return slices.Contains(k.Additions, how) })
+	k.Variants = slices.DeleteFunc(k.Variants, func(how string) bool { return slices.Contains(k.Additions, how) })
 	return k
 }
 
-// listedVariants gives the words of a list of variants that begins the text. The list ends with a closing parenthesis that
+// listedVariants returns the words of a list of variants that begins the text. The list ends with a closing parenthesis that
 // was not opened in it. What stands in parentheses explains, and so does a part that begins with "they".
 func listedVariants(text string) (words []string) {
 	for _, part := range strings.FieldsFunc(withoutParentheses(text), func(r rune) bool { return r == ',' || r == ';' }) {
@@ -118,7 +114,7 @@
 	return kept.String()
 }
 
-func appendNew(list []string, word string) []string {
+func appendMissing(list []string, word string) []string {
 	if slices.Contains(list, word) {
 		return list
 	}
--- a/sim/scenariogen/kinds_test.go
+++ b/sim/scenariogen/kinds_test.go
@@ -25,37 +25,37 @@
 brand_new: count (1) things break; how: odd even
 `
 
-func TestParseKinds(t *testing.T) {
+func TestParseKindsReadsVariantsAndAdditions(t *testing.T) {
 	kinds, err := ParseKinds(list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Kind{
-		{Name: "node_kill", Hows: []string{"power"}},
-		{Name: "herd_kill", Hows: []string{"power", "taken"}, Additions: []string{"all"}},
-		{Name: "replace_core", Hows: []string{"planned", "oldest"}},
-		{Name: "core_cut", Hows: []string{"all", "near", "one_way", "lure"}},
-		{Name: "config_change", Hows: []string{"route", "weights", "idle"}},
-		{Name: "srv_grey", Hows: []string{"errors", "shed", "slow"}, Additions: []string{"one_zone"}},
-		{Name: "replace_with_reuse", Hows: []string{"drain", "dark"}},
-		{Name: "srv_lying_health", Hows: []string{"errors", "hang", "bad"}},
-		{Name: "after_ack_kill", Hows: []string{"kill", "timed", "taken"}, Additions: []string{"gone"}},
+		{Name: "node_kill", Variants: []string{"power"}},
+		{Name: "herd_kill", Variants: []string{"power", "taken"}, Additions: []string{"all"}},
+		{Name: "replace_core", Variants: []string{"planned", "oldest"}},
+		{Name: "core_cut", Variants: []string{"all", "near", "one_way", "lure"}},
+		{Name: "config_change", Variants: []string{"route", "weights", "idle"}},
+		{Name: "srv_grey", Variants: []string{"errors", "shed", "slow"}, Additions: []string{"one_zone"}},
+		{Name: "replace_with_reuse", Variants: []string{"drain", "dark"}},
+		{Name: "srv_lying_health", Variants: []string{"errors", "hang", "bad"}},
+		{Name: "after_ack_kill", Variants: []string{"kill", "timed", "taken"}, Additions: []string{"gone"}},
 		{Name: "burst"},
 		{Name: "give_up"},
-		{Name: "brand_new", Hows: []string{"odd", "even"}},
+		{Name: "brand_new", Variants: []string{"odd", "even"}},
 	}
 	if len(kinds) != len(want) {
 		t.Fatalf("%d kinds, want %d: %v", len(kinds), len(want), kinds)
 	}
 	for i, k := range kinds {
 		w := want[i]
-		if k.Name != w.Name || !slices.Equal(k.Hows, w.Hows) || !slices.Equal(k.Additions, w.Additions) {
-			t.Errorf("read %s %q + %q, want %s %q + %q", k.Name, k.Hows, k.Additions, w.Name, w.Hows, w.Additions)
+		if k.Name != w.Name || !slices.Equal(k.Variants, w.Variants) || !slices.Equal(k.Additions, w.Additions) {
+			t.Errorf("read %s %q + %q, want %s %q + %q", k.Name, k.Variants, k.Additions, w.Name, w.Variants, w.Additions)
 		}
 	}
 }
 
-func TestParseKindsRefusesAListWithoutKinds(t *testing.T) {
+func TestParseKindsRejectsAListWithoutKinds(t *testing.T) {
 	if _, err := ParseKinds("no such verb\n"); err == nil {
 		t.Fatal("no error")
 	}
--- a/sim/scenariogen/losses.go
+++ b/sim/scenariogen/losses.go
@@ -1,6 +1,8 @@
 package scenariogen
 
-import "strings"
+import (
+	"strings"
+)
 
 // Loss is a span in which counted machines are lost, with the time that they need to catch up.
 type Loss struct {
@@ -8,29 +10,31 @@
 	Machines int
 }
 
-// losses is a ledger of the counted machines that a day loses.
-type losses struct {
-	most int // that may be lost at once
-	held []Loss
+// lossLedger holds the losses of counted machines in a day.
+type lossLedger struct {
+	limit   int // machines that may be lost at once
+	entries []Loss
 }
 
-// fits says whether the ledger stays within what is tolerated when the loss is added.
-func (l *losses) fits(loss Loss) bool { return l.mostAt(loss) <= l.most }
+// fits reports whether the ledger stays within what is tolerated when the loss is added.
+func (l *lossLedger) fits(loss Loss) bool { return l.peak(loss) <= l.limit }
 
-// mostAt is the largest number of machines lost at one moment of the span, the span's own included. The sum of losses only
+// peak is the largest number of machines lost at one moment of the span, the span's own included. The sum of losses only
 // rises where one begins, so those moments are enough.
-func (l *losses) mostAt(loss Loss) int {
-	most := l.sumAt(loss.From)
-	for _, other := range l.held {
+func (l *lossLedger) peak(loss Loss) int {
+	most := l.lostAt(loss.From)
+	for _, other := range l.entries {
 		if other.From > loss.From && other.From < loss.To {
-			most = max(most, l.sumAt(other.From))
+			most = max(most, l.lostAt(other.From))
 		}
 	}
 	return most + loss.Machines
 }
 
-func (l *losses) sumAt(at float64) (sum int) {
-	for _, other := range l.held {
+// lostAt is how many machines are lost at a moment.
+func (l *lossLedger) lostAt(at float64) int {
+	sum := 0
+	for _, other := range l.entries {
 		if other.From <= at && at < other.To {
 			sum += other.Machines
 		}
@@ -38,12 +42,12 @@
 	return sum
 }
 
-func (l *losses) add(loss Loss) { l.held = append(l.held, loss) }
+func (l *lossLedger) add(loss Loss) { l.entries = append(l.entries, loss) }
 
 // earliest is the first moment from a given one on at which the loss fits, found among the ends of others.
-func (l *losses) earliest(loss Loss) float64 {
+func (l *lossLedger) earliest(loss Loss) float64 {
 	best, found := loss.From, l.fits(loss)
-	for _, other := range l.held {
+	for _, other := range l.entries {
 		if other.To <= loss.From || found && other.To >= best {
 			continue
 		}
@@ -56,29 +60,36 @@
 }
 
 // lossOf is the span in which an entry has counted machines lost, with their time to catch up. A kill of all at once may come
-// whatever is tolerated and is not booked.
+// whatever is tolerated and is not counted.
 func (s *Site) lossOf(d Disruption) (Loss, bool) {
-	sp, known := specs[d.Kind]
+	kind, known := kindSpecs[d.Kind]
 	if !known {
-		sp = spec{loses: d.On != "" && s.Counted(d.On)}
+		kind = kindSpec{losesMachines: d.MachineClass != "" && s.CountsAsLoss(d.MachineClass)}
 	}
-	counted := s.Counted(d.On) || d.On == "" && (sp.target == targetCore || sp.target == targetDisks || d.Kind == kindRetire)
-	if !sp.loses || !counted {
+	if !kind.losesMachines || !s.affectsCounted(d, kind) {
 		return Loss{}, false
 	}
-	lost := Loss{From: d.At, To: d.At + max(1, d.ForS) + s.CatchUpS, Machines: max(1, min(d.Count, s.Machines))}
+	lost := Loss{From: d.At, To: d.At + max(1, d.Duration) + s.CatchUp, Machines: max(1, min(d.Count, s.ToleratedMachines))}
 	switch d.Kind {
 	case kindAddNodes:
-		lost.To = d.At + s.CatchUpS
+		lost.To = d.At + s.CatchUp
 	case kindReplaceCore:
-		lost.To = d.At + d.X + 1 + s.CatchUpS
+		lost.To = d.At + d.Magnitude + 1 + s.CatchUp
 	case kindRollTerm:
-		lost.To = d.At + 3*d.GapS + s.CatchUpS
+		lost.To = d.At + rollingRestartSteps*d.Interval + s.CatchUp
 	case kindRetire:
-		if strings.Contains(d.How, wipingVariant) {
-			lost.Machines = s.Machines
-			lost.To += s.CatchUpS
+		if strings.Contains(d.Variant, wipingVariant) {
+			lost.Machines = s.ToleratedMachines
+			lost.To += s.CatchUp
 		}
 	}
 	return lost, true
 }
+
+// affectsCounted reports whether an entry's machines are counted ones: by their class, or by the kind where it names none.
+func (s *Site) affectsCounted(d Disruption, kind kindSpec) bool {
+	if d.MachineClass != "" {
+		return s.CountsAsLoss(d.MachineClass)
+	}
+	return kind.affects == affectsCore || kind.affects == affectsDisks || d.Kind == kindRetire
+}
--- /dev/null
+++ b/sim/scenariogen/result.go
@@ -0,0 +1,46 @@
+package scenariogen
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Result is one generated day and what became of it.
+type Result struct {
+	Site   string
+	Seed   uint64
+	Name   string
+	Day    *Day
+	Report *Report
+	Err    error
+	Shrunk string // file of the shortest day that breaks the same rule; empty if none was looked for
+}
+
+// Violated reports whether a rule was broken.
+func (r *Result) Violated() bool { return r.Report != nil && len(r.Report.ViolatedRules()) > 0 }
+
+// worthKeeping reports whether the day is worth keeping.
+func (r *Result) worthKeeping(keepBelow float64) bool {
+	return r.Err != nil || r.Violated() || r.Report.UnexpectedExits > 0 || len(r.Report.GateFailures) > 0 || r.Report.Score < keepBelow
+}
+
+// summary is a line on what became of a day: site, seed, worth, served, the slowest change of the configuration, broken rules,
+// processes that ended by themselves and the gate's lines.
+func (r *Result) summary() string {
+	if r.Err != nil {
+		return fmt.Sprintf("%s seed %d: not played: %v", r.Site, r.Seed, r.Err)
+	}
+	broken := "no rule broken"
+	if r.Violated() {
+		broken = "BROKEN " + strings.Join(r.Report.ViolatedRules(), " ")
+	}
+	line := fmt.Sprintf("%s seed %d: worth %.3f, served %.3f, slowest change %.0f ms, %s", r.Site, r.Seed, r.Report.Score,
+		r.Report.Served, r.Report.SlowestConfig(), broken)
+	if r.Report.UnexpectedExits > 0 {
+		line += fmt.Sprintf("; %d processes ended by themselves", r.Report.UnexpectedExits)
+	}
+	for _, short := range r.Report.GateLines() {
+		line += "; gate: " + short
+	}
+	return line
+}
--- a/sim/scenariogen/shrink_test.go
+++ b/sim/scenariogen/shrink_test.go
@@ -8,13 +8,13 @@
 
 func brokenDay() *Day {
 	return &Day{
-		Name: "own-3", LengthS: 40,
-		Closing: &Closing{Kind: "kill_all", DownS: 1},
+		Name: "own-3", Length: 40,
+		FinalFault: &FinalFault{Kind: "kill_all", Downtime: 1},
 		Disruptions: []Disruption{
 			{At: 2, Kind: "hup"},
-			{At: 3, Kind: "node_kill", On: "core", Count: 2, ForS: 4},
-			{At: 4, Kind: "burst", X: 2, ForS: 3},
-			{At: 5, Kind: "core_cut", ForS: 3},
+			{At: 3, Kind: "node_kill", MachineClass: "core", Count: 2, Duration: 4},
+			{At: 4, Kind: "burst", Magnitude: 2, Duration: 3},
+			{At: 5, Kind: "core_cut", Duration: 3},
 			{At: 9, Kind: "hup"},
 		},
 	}
@@ -34,10 +34,10 @@
 		t.Fatal(err)
 	}
 	want := &Day{
-		Name: "own-3", LengthS: 13.75,
+		Name: "own-3", Length: 13.75,
 		Disruptions: []Disruption{
-			{At: 3, Kind: "node_kill", On: "core", Count: 1, ForS: 1},
-			{At: 5, Kind: "core_cut", ForS: 0.75},
+			{At: 3, Kind: "node_kill", MachineClass: "core", Count: 1, Duration: 1},
+			{At: 5, Kind: "core_cut", Duration: 0.75},
 		},
 	}
 	if shortest.TOML() != want.TOML() {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestShrinkPlaysNoMoreThanAllowed(t *testing.T) {
+func TestShrinkStaysWithinItsBudget(t *testing.T) {
 	plays := 0
 	_, err := Shrink(brokenDay(), 3, func(*Day) (bool, error) { plays++; return true, nil }, func(string) {})
 	if err != nil || plays != 3 {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestShrinkGivesTheBestSoFarWithAnError(t *testing.T) {
+func TestShrinkReturnsTheBestSoFarWithAnError(t *testing.T) {
 	failure := errors.New("no play")
 	plays := 0
 	shortest, err := Shrink(brokenDay(), 10, func(*Day) (bool, error) {
@@ -65,7 +65,7 @@
 		}
 		return true, nil
 	}, func(string) {})
-	if !errors.Is(err, failure) || shortest.Closing != nil {
-		t.Fatalf("%v, closing %v", err, shortest.Closing)
+	if !errors.Is(err, failure) || shortest.FinalFault != nil {
+		t.Fatalf("%v, final fault %v", err, shortest.FinalFault)
 	}
 }
--- a/sim/scenariogen/site.go
+++ b/sim/scenariogen/site.go
@@ -7,22 +7,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Site is what a day has to know of a deployment.
+// Site is what a day has to know of a deployment. Times are seconds.
 type Site struct {
-	Name      string
-	LengthS   float64
-	Zones     []string
-	Classes   []string // classes of machines, in the order in which the site names them
-	Services  []string
-	Routes    []string            // classes of requests that a burst may be of
-	CatchUpS  float64             // a machine stays lost for so long after it is back
-	Machines  int                 // counted machines that may be lost at once
-	Variants  map[string][]string // variants that the site's own disruptions use, by kind
-	HasSpares map[string]bool     // classes with machines that may join
+	Name              string
+	Length            float64 // of a day
+	Zones             []string
+	MachineClasses    []string // in the order in which the site names them
+	Services          []string
+	BurstClasses      []string            // classes of requests that a burst may be of
+	CatchUp           float64             // a machine stays lost for so long after it is back
+	ToleratedMachines int                 // counted machines that may be lost at once
+	Variants          map[string][]string // that the site's own disruptions use, by kind
 }
 
-// Counted says whether the loss of a machine of the class counts towards what the deployment tolerates: those with a disk do.
-func (s *Site) Counted(class string) bool { return class == classCore || class == classStore }
+// CountsAsLoss reports whether the loss of a machine of the class counts towards what the deployment tolerates: those with a disk do.
+func (s *Site) CountsAsLoss(class string) bool { return class == classCore || class == classStore }
 
 // The classes of machines that a site file names.
 const (
@@ -40,7 +39,6 @@
 	} `toml:"zones"`
 	Machines []struct {
 		Class string `toml:"class"`
-		Spare int    `toml:"spare"`
 	} `toml:"machines"`
 	Services []struct {
 		Name string `toml:"name"`
@@ -49,11 +47,8 @@
 		Name  string         `toml:"name"`
 		Agent map[string]any `toml:"agent"`
 	} `toml:"classes"`
-	Troubles []struct {
-		Kind string `toml:"kind"`
-		How  string `toml:"how"`
-	} `toml:"troubles"`
-	Timing struct {
+	Disruptions []siteDisruption `toml:"troubles"`
+	Timing      struct {
 		CatchUpS float64 `toml:"catch_up_s"`
 	} `toml:"timing"`
 	Tolerate struct {
@@ -61,6 +56,12 @@
 	} `toml:"tolerate"`
 }
 
+// siteDisruption is an entry of a site file's own disruptions.
+type siteDisruption struct {
+	Kind    string `toml:"kind"`
+	Variant string `toml:"how"`
+}
+
 // ErrNotASite is returned for a file that lacks what a site has to say.
 var ErrNotASite = errors.New("not a site file: name, length_s, zones and machines are wanted")
 
@@ -74,28 +75,31 @@
 		return nil, ErrNotASite
 	}
 	site := &Site{
-		Name: f.Name, LengthS: f.LengthS, CatchUpS: f.Timing.CatchUpS, Machines: f.Tolerate.Machines,
-		Variants: map[string][]string{}, HasSpares: map[string]bool{},
+		Name: f.Name, Length: f.LengthS, CatchUp: f.Timing.CatchUpS, ToleratedMachines: f.Tolerate.Machines, Variants: map[string][]string{},
 	}
 	for _, zone := range f.Zones {
 		site.Zones = append(site.Zones, zone.Name)
 	}
 	for _, machines := range f.Machines {
-		site.Classes = appendNew(site.Classes, machines.Class)
-		site.HasSpares[machines.Class] = site.HasSpares[machines.Class] || machines.Spare > 0
+		site.MachineClasses = appendMissing(site.MachineClasses, machines.Class)
 	}
 	for _, service := range f.Services {
 		site.Services = append(site.Services, service.Name)
 	}
 	for _, class := range f.Classes {
 		if class.Agent != nil {
-			site.Routes = append(site.Routes, class.Name)
+			site.BurstClasses = append(site.BurstClasses, class.Name)
 		}
 	}
-	for _, trouble := range f.Troubles {
-		if trouble.How != "" {
-			site.Variants[trouble.Kind] = appendNew(site.Variants[trouble.Kind], trouble.How)
+	site.addVariants(f.Disruptions)
+	return site, nil
+}
+
+// addVariants keeps the variants that a site's disruptions use.
+func (s *Site) addVariants(disruptions []siteDisruption) {
+	for _, disruption := range disruptions {
+		if disruption.Variant != "" {
+			s.Variants[disruption.Kind] = appendMissing(s.Variants[disruption.Kind], disruption.Variant)
 		}
 	}
-	return site, nil
 }
--- a/sim/scenariogen/specs.go
+++ b/sim/scenariogen/specs.go
@@ -1,112 +1,114 @@
 package scenariogen
 
-import "strings"
+import (
+	"strings"
+)
 
-// target is what a kind of disruption strikes.
-type target int
+// affected is what a kind of disruption affects.
+type affected int
 
 const (
-	targetNone     target = iota // the operator's changes, clients, all machines alike
-	targetMachines               // machines of a class
-	targetDisks                  // disks of machines of a class
-	targetCore                   // counted machines only
-	targetServers                // servers of a service
-	targetTraffic                // requests of a class
+	affectsNone     affected = iota // the operator's changes, clients, all machines alike
+	affectsMachines                 // machines of a class
+	affectsDisks                    // disks of machines of a class
+	affectsCore                     // counted machines only
+	affectsServers                  // servers of a service
+	affectsTraffic                  // requests of a class
 )
 
 // span is a range from which a figure is drawn; a span of zeros leaves the field to the bench.
 type span struct{ lo, hi float64 }
 
-// spec tells how the fields of a kind are drawn.
-type spec struct {
-	target  target
-	planned bool
-	spoils  bool // servers that are struck serve no more, or badly
-	loses   bool // a counted machine that is struck counts as lost
-	share   span
-	count   span
-	x       span
-	wholeX  bool // x counts things
-	forS    span
-	gapS    span
-	weight  float64 // chance to be drawn, beside the other kinds
-	// variants that the list of kinds says in words of another kind ("the same")
-	hows []string
-	// fraction of entries that name no class of machines, so that the bench picks by its rule
-	noClass float64
+// kindSpec says how the fields of a kind are drawn.
+type kindSpec struct {
+	affects         affected
+	planned         bool
+	degradesServers bool // affected servers serve no more, or badly
+	losesMachines   bool // an affected counted machine counts as lost
+	share           span
+	count           span
+	magnitude       span
+	wholeMagnitude  bool    // the magnitude counts things
+	duration        span    // seconds
+	interval        span    // seconds
+	weight          float64 // chance to be drawn, beside the other kinds
+	// variants that the list of kinds describes in words of another kind ("the same")
+	variants []string
+	// classlessShare is the part of entries that name no class of machines, so that the bench picks by its rule
+	classlessShare float64
 }
 
-// specs are the kinds known. A kind of the list that isn't here gets guessedSpec.
-var specs = map[string]spec{
-	"burst":       {target: targetTraffic, x: span{1.4, 2.4}, forS: span{2, 5}, weight: 0.6},
-	"release":     {target: targetServers, planned: true, share: span{0.2, 0.5}, x: span{1, 3}, wholeX: true, gapS: span{0.5, 1.5}, weight: 0.6},
-	"answer_lost": {target: targetServers, share: span{0.3, 0.6}, x: span{0.02, 0.06}, forS: span{3, 6}, weight: 0.5},
-	"garble":      {target: targetServers, share: span{0.3, 0.6}, x: span{0.01, 0.04}, forS: span{3, 6}, weight: 0.5},
-	"give_up":     {target: targetNone, share: span{0.05, 0.3}, x: span{200, 3000}, forS: span{3, 8}, weight: 0.5},
-
-	"srv_crash":          {target: targetServers, spoils: true, share: span{0.1, 0.25}, forS: span{1, 6}, weight: 0.7},
-	"srv_slow":           {target: targetServers, spoils: true, share: span{0.1, 0.3}, x: span{2, 6}, forS: span{3, 6}, weight: 0.5},
-	"srv_grey":           {target: targetServers, spoils: true, share: span{0.1, 0.2}, x: span{0.3, 0.6}, forS: span{3, 7}, weight: 0.5},
-	"srv_lying_health":   {target: targetServers, spoils: true, share: span{0.08, 0.15}, forS: span{4, 7}, weight: 0.4},
-	"srv_flap":           {target: targetServers, spoils: true, share: span{0.08, 0.2}, forS: span{4, 7}, gapS: span{0.6, 2}, weight: 0.5},
-	"srv_cut":            {target: targetServers, share: span{0.1, 0.5}, forS: span{1.5, 6}, weight: 1},
-	"replace_with_reuse": {target: targetServers, share: span{0.1, 0.3}, weight: 0.7},
-	"scale_out":          {target: targetServers, planned: true, share: span{0.1, 0.4}, gapS: span{0.5, 3}, weight: 0.4},
-	"scale_in":           {target: targetServers, spoils: true, planned: true, share: span{0.1, 0.25}, weight: 0.7},
-	"idle_race":          {target: targetServers, share: span{0.3, 0.6}, x: span{100, 600}, forS: span{3, 6}, weight: 0.4},
-
-	"node_kill":    {target: targetMachines, loses: true, share: span{0.1, 0.4}, forS: span{0.5, 5}, weight: 1.6},
-	"node_freeze":  {target: targetMachines, loses: true, share: span{0.1, 0.3}, forS: span{0.5, 5}, weight: 1.2},
-	"node_slow":    {target: targetMachines, loses: true, share: span{0.1, 0.3}, x: span{3, 8}, forS: span{2, 5}, weight: 0.6},
-	"node_cut":     {target: targetMachines, loses: true, share: span{0.1, 0.4}, forS: span{0.8, 6}, weight: 1.2},
-	"roll_term":    {target: targetMachines, planned: true, loses: true, share: span{0.3, 1}, x: span{1, 2}, wholeX: true, gapS: span{0.6, 1.5}, weight: 0.9},
-	"add_nodes":    {target: targetMachines, planned: true, loses: true, weight: 0.6},
-	"herd_kill":    {target: targetMachines, share: span{0.3, 0.7}, forS: span{0.4, 2.5}, weight: 0.8, noClass: 0.4},
-	"reset_conns":  {target: targetMachines, share: span{0.1, 0.6}, x: span{0.2, 1}, weight: 0.5},
-	"hup":          {target: targetMachines, planned: true, share: span{0.2, 1}, gapS: span{0.2, 2}, weight: 0.5},
-	"clock_step":   {target: targetNone, share: span{0.2, 0.6}, x: span{500, 4000}, forS: span{2, 6}, weight: 0.5},
-	"replace_core": {target: targetCore, loses: true, x: span{0.5, 3}, weight: 1},
-	"core_cut":     {target: targetCore, loses: true, forS: span{0.8, 7}, weight: 1.8, noClass: 0.5},
-
-	"after_ack_kill": {target: targetCore, loses: true, forS: span{0.8, 3}, weight: 1.2, noClass: 0.5},
-	"after_ack_wipe": {target: targetCore, loses: true, forS: span{0.8, 3}, weight: 1.4, noClass: 0.5, hows: []string{"timed"}},
-	"disk_slow":      {target: targetDisks, loses: true, x: span{10, 40}, forS: span{2, 6}, weight: 0.5},
-	"disk_full":      {target: targetDisks, loses: true, forS: span{2, 6}, weight: 0.5},
-	"disk_stall":     {target: targetDisks, loses: true, forS: span{1, 5}, weight: 0.7},
-	"retire":         {target: targetNone, planned: true, loses: true, forS: span{7, 9}, weight: 0.5},
-
-	"config_change": {target: targetNone, planned: true, weight: 0.8},
-	"config_race":   {target: targetNone, planned: true, count: span{1, 4}, gapS: span{0.6, 1.5}, weight: 0.5},
-	"bad_config":    {target: targetNone, planned: true, count: span{1, 3}, gapS: span{0.6, 1.2}, weight: 0.4},
-	"big_config":    {target: targetNone, planned: true, count: span{50, 350}, weight: 0.4},
-	"ack_lost":      {target: targetNone, x: span{0.4, 0.8}, forS: span{4, 14}, weight: 0.6},
-	"seed_turnover": {target: targetNone, planned: true, weight: 0.5},
+// kindSpecs are the kinds known. A kind of the list that isn't here gets guessSpec.
+var kindSpecs = map[string]kindSpec{
+	"burst":       {affects: affectsTraffic, magnitude: span{1.4, 2.4}, duration: span{2, 5}, weight: 0.6},
+	"release":     {affects: affectsServers, planned: true, share: span{0.2, 0.5}, magnitude: span{1, 3}, wholeMagnitude: true, interval: span{0.5, 1.5}, weight: 0.6},
+	"answer_lost": {affects: affectsServers, share: span{0.3, 0.6}, magnitude: span{0.02, 0.06}, duration: span{3, 6}, weight: 0.5},
+	"garble":      {affects: affectsServers, share: span{0.3, 0.6}, magnitude: span{0.01, 0.04}, duration: span{3, 6}, weight: 0.5},
+	"give_up":     {affects: affectsNone, share: span{0.05, 0.3}, magnitude: span{200, 3000}, duration: span{3, 8}, weight: 0.5},
+
+	"srv_crash":          {affects: affectsServers, degradesServers: true, share: span{0.1, 0.25}, duration: span{1, 6}, weight: 0.7},
+	"srv_slow":           {affects: affectsServers, degradesServers: true, share: span{0.1, 0.3}, magnitude: span{2, 6}, duration: span{3, 6}, weight: 0.5},
+	"srv_grey":           {affects: affectsServers, degradesServers: true, share: span{0.1, 0.2}, magnitude: span{0.3, 0.6}, duration: span{3, 7}, weight: 0.5},
+	"srv_lying_health":   {affects: affectsServers, degradesServers: true, share: span{0.08, 0.15}, duration: span{4, 7}, weight: 0.4},
+	"srv_flap":           {affects: affectsServers, degradesServers: true, share: span{0.08, 0.2}, duration: span{4, 7}, interval: span{0.6, 2}, weight: 0.5},
+	"srv_cut":            {affects: affectsServers, share: span{0.1, 0.5}, duration: span{1.5, 6}, weight: 1},
+	"replace_with_reuse": {affects: affectsServers, share: span{0.1, 0.3}, weight: 0.7},
+	"scale_out":          {affects: affectsServers, planned: true, share: span{0.1, 0.4}, interval: span{0.5, 3}, weight: 0.4},
+	"scale_in":           {affects: affectsServers, degradesServers: true, planned: true, share: span{0.1, 0.25}, weight: 0.7},
+	"idle_race":          {affects: affectsServers, share: span{0.3, 0.6}, magnitude: span{100, 600}, duration: span{3, 6}, weight: 0.4},
+
+	"node_kill":    {affects: affectsMachines, losesMachines: true, share: span{0.1, 0.4}, duration: span{0.5, 5}, weight: 1.6},
+	"node_freeze":  {affects: affectsMachines, losesMachines: true, share: span{0.1, 0.3}, duration: span{0.5, 5}, weight: 1.2},
+	"node_slow":    {affects: affectsMachines, losesMachines: true, share: span{0.1, 0.3}, magnitude: span{3, 8}, duration: span{2, 5}, weight: 0.6},
+	"node_cut":     {affects: affectsMachines, losesMachines: true, share: span{0.1, 0.4}, duration: span{0.8, 6}, weight: 1.2},
+	"roll_term":    {affects: affectsMachines, planned: true, losesMachines: true, share: span{0.3, 1}, magnitude: span{1, 2}, wholeMagnitude: true, interval: span{0.6, 1.5}, weight: 0.9},
+	"add_nodes":    {affects: affectsMachines, planned: true, losesMachines: true, weight: 0.6},
+	"herd_kill":    {affects: affectsMachines, share: span{0.3, 0.7}, duration: span{0.4, 2.5}, weight: 0.8, classlessShare: 0.4},
+	"reset_conns":  {affects: affectsMachines, share: span{0.1, 0.6}, magnitude: span{0.2, 1}, weight: 0.5},
+	"hup":          {affects: affectsMachines, planned: true, share: span{0.2, 1}, interval: span{0.2, 2}, weight: 0.5},
+	"clock_step":   {affects: affectsNone, share: span{0.2, 0.6}, magnitude: span{500, 4000}, duration: span{2, 6}, weight: 0.5},
+	"replace_core": {affects: affectsCore, losesMachines: true, magnitude: span{0.5, 3}, weight: 1},
+	"core_cut":     {affects: affectsCore, losesMachines: true, duration: span{0.8, 7}, weight: 1.8, classlessShare: 0.5},
+
+	"after_ack_kill": {affects: affectsCore, losesMachines: true, duration: span{0.8, 3}, weight: 1.2, classlessShare: 0.5},
+	"after_ack_wipe": {affects: affectsCore, losesMachines: true, duration: span{0.8, 3}, weight: 1.4, classlessShare: 0.5, variants: []string{"timed"}},
+	"disk_slow":      {affects: affectsDisks, losesMachines: true, magnitude: span{10, 40}, duration: span{2, 6}, weight: 0.5},
+	"disk_full":      {affects: affectsDisks, losesMachines: true, duration: span{2, 6}, weight: 0.5},
+	"disk_stall":     {affects: affectsDisks, losesMachines: true, duration: span{1, 5}, weight: 0.7},
+	"retire":         {affects: affectsNone, planned: true, losesMachines: true, duration: span{7, 9}, weight: 0.5},
+
+	"config_change": {affects: affectsNone, planned: true, weight: 0.8},
+	"config_race":   {affects: affectsNone, planned: true, count: span{1, 4}, interval: span{0.6, 1.5}, weight: 0.5},
+	"bad_config":    {affects: affectsNone, planned: true, count: span{1, 3}, interval: span{0.6, 1.2}, weight: 0.4},
+	"big_config":    {affects: affectsNone, planned: true, count: span{50, 350}, weight: 0.4},
+	"ack_lost":      {affects: affectsNone, magnitude: span{0.4, 0.8}, duration: span{4, 14}, weight: 0.6},
+	"seed_turnover": {affects: affectsNone, planned: true, weight: 0.5},
 }
 
-// specOf gives what is known of a kind, or a guess from its line in the list.
-func specOf(k Kind) spec {
-	if s, known := specs[k.Name]; known {
+// specOf returns what is known of a kind, or a guess from its line in the list.
+func specOf(k Kind) kindSpec {
+	if s, known := kindSpecs[k.Name]; known {
 		return s
 	}
-	return guessedSpec(k.Text)
+	return guessSpec(k.Text)
 }
 
-// guessedSpec reads the fields of a kind that came after this table off its line.
-func guessedSpec(text string) spec {
-	guess := spec{forS: span{2, 5}, weight: 1}
+// guessSpec reads the fields of a kind that came after this table off its line.
+func guessSpec(text string) kindSpec {
+	guess := kindSpec{duration: span{2, 5}, weight: 1}
 	switch {
 	case strings.Contains(text, "machines"):
-		guess.target, guess.loses = targetMachines, true
+		guess.affects, guess.losesMachines = affectsMachines, true
 	case strings.Contains(text, "disks"):
-		guess.target, guess.loses = targetDisks, true
+		guess.affects, guess.losesMachines = affectsDisks, true
 	case strings.Contains(text, "servers"):
-		guess.target = targetServers
+		guess.affects = affectsServers
 	}
 	if strings.Contains(text, "share (") {
 		guess.share = span{0.1, 0.4}
 	}
 	if strings.Contains(text, "gap_s") {
-		guess.gapS = span{0.5, 1.5}
+		guess.interval = span{0.5, 1.5}
 	}
 	return guess
 }
@@ -125,10 +127,10 @@
 // wipingVariant of an emptied machine makes the others lose their disks.
 const wipingVariant = "wipe"
 
-// closings are the final faults that a day may end with, and their variants.
-var closings = []struct {
-	kind string
-	hows []string
+// finalFaults are the final faults that a day may end with, and their variants.
+var finalFaults = []struct {
+	kind     string
+	variants []string
 }{
 	{"power_off_all", []string{"", "taken", "all taken", "timed"}},
 	{"wipe_after_ack", []string{"", "all", "timed", "oldest"}},
