--- a/sim/search/search.go
+++ b/sim/search/search.go
@@ -1,5 +1,3 @@
-// Package search looks for the day on which a decider does worst within a day's ranges, then takes away what does not
-// matter, so that the day that is left shows its cause.
 package search
 
 import (
@@ -9,22 +7,35 @@
 	"slices"
 
 	"otterseam/sim/batch"
+	"otterseam/sim/metrics"
 	"otterseam/sim/randstream"
 	"otterseam/sim/scenario"
 )
 
+const (
+	// A run that violates a rule scores violationScore less the logarithm of how often: worse than any other, and above it nothing is
+	// worse than violationLimit.
+	violationScore = -10
+	violationLimit = -5
+	// A round near the worst runs a part of the samples, but not fewer than some.
+	samplesPerRound    = 4 // the divisor
+	minSamplesPerRound = 4
+	// minRedrawn is the least probability with which each value is drawn anew near the worst.
+	minRedrawn = 0.25
+)
+
 // Options say how long to look.
 type Options struct {
-	Decider  string
-	Samples  int    // days drawn
-	Rounds   int    // rounds of drawing near the worst so far
-	Seed     uint64 // of the search itself
-	Workers  int
-	KeepLoss float64 // part of the loss found that a smaller day must keep
+	Decider  string  // a name of policies.Names, or wire:PATH
+	Samples  int     // scenarios drawn; at least 1
+	Rounds   int     // rounds of drawing near the worst so far
+	Seed     uint64  // of the search itself
+	Workers  int     // 0: one a core
+	KeepLoss float64 // the part of the loss found that a smaller scenario must keep
 	Progress func(text string)
 }
 
-// Result is the worst day.
+// Result is the worst run, made small.
 type Result struct {
 	Day   *scenario.Day
 	Seed  uint64
@@ -32,110 +43,112 @@
 	Steps []string // what was taken away
 }
 
-// Worst looks for it in a day that has ranges or troubles. A broken rule is worse than any score.
-func Worst(ctx context.Context, d *scenario.Day, o Options) (*Result, error) {
-	play := func(days []*scenario.Day, seeds []uint64) ([]float64, error) {
-		plans := make([]batch.Plan, len(days))
-		for i := range days {
-			plans[i] = batch.Plan{Day: days[i], Decider: o.Decider, Seed: seeds[i]}
-		}
-		rs, err := batch.RunAll(ctx, plans, o.Workers, nil)
-		if err != nil {
+// candidate is a scenario to be run with a seed.
+type candidate struct {
+	day  *scenario.Day
+	seed uint64
+}
+
+// searcher looks through one scenario.
+type searcher struct {
+	Options
+	from  *scenario.Day
+	spans []string // paths of the values that have ranges
+	best  Result
+}
+
+// Worst looks for the worst run of a scenario that has ranges or faults. A violated rule is worse than any score.
+func Worst(ctx context.Context, from *scenario.Day, options Options) (*Result, error) {
+	s := &searcher{Options: options, from: from, spans: from.Spans()}
+	median, err := s.sample(ctx)
+	if err != nil {
+		return nil, err
+	}
+	for round := range s.Rounds {
+		if err := s.sampleNearWorst(ctx, round); err != nil {
 			return nil, err
 		}
-		scores := make([]float64, len(rs))
-		for i, r := range rs {
-			if scores[i] = r.Score(); r.ViolationCount > 0 {
-				scores[i] = -10 - math.Log10(float64(r.ViolationCount))
-			}
-		}
-		return scores, nil
 	}
-	take := func(days []*scenario.Day, seeds []uint64, scores []float64, best *Result) {
-		for i, s := range scores {
-			if best.Day == nil || s < best.Score {
-				*best = Result{Day: days[i], Seed: seeds[i], Score: s}
-			}
-		}
+	if err := s.shrink(ctx, s.scoreLimit(median)); err != nil {
+		return nil, err
 	}
-	best := &Result{}
-	var days []*scenario.Day
-	var seeds []uint64
-	for i := range o.Samples {
-		seed := randstream.New(o.Seed, "search", i).Uint64() >> 1
-		days, seeds = append(days, d.Draw(seed)), append(seeds, seed)
+	s.best.Day.Name = from.Name + "-worst"
+	s.best.Day.About = fmt.Sprintf("found by a search of %s with seed %d; play it with seed %d", from.Name, s.Seed, s.best.Seed)
+	return &s.best, nil
+}
+
+// sample draws scenarios from the ranges and gives the median of their scores.
+func (s *searcher) sample(ctx context.Context) (median float64, err error) {
+	var candidates []candidate
+	for i := range s.Samples {
+		seed := randstream.New(s.Seed, "search", i).Uint64() >> 1
+		candidates = append(candidates, candidate{s.from.Draw(seed), seed})
 	}
-	scores, err := play(days, seeds)
+	scores, err := s.runAll(ctx, candidates)
 	if err != nil {
-		return nil, err
+		return 0, err
 	}
-	take(days, seeds, scores, best)
-	usual := slices.Clone(scores)
-	slices.Sort(usual)
-	middle := usual[len(usual)/2]
-	o.Progress(fmt.Sprintf("%d days drawn: worst %.3f, middle %.3f", len(days), best.Score, middle))
+	slices.Sort(scores)
+	median = scores[len(scores)/2]
+	s.Progress(fmt.Sprintf("%d days drawn: worst %.3f, middle %.3f", len(candidates), s.best.Score, median))
+	return median, nil
+}
 
-	// Near the worst: some of its figures drawn anew.
-	spans := d.Spans()
-	for round := range o.Rounds {
-		days, seeds = nil, nil
-		for i := range max(4, o.Samples/4) {
-			s := randstream.New(o.Seed, "near", round, i)
-			other, c := d.Draw(s.Uint64()>>1), best.Day.Clone()
-			for _, path := range spans {
-				if s.Chance(max(0.25, 1/float64(len(spans)))) {
-					*c.At(path) = *other.At(path)
-				}
+// sampleNearWorst draws some values of the worst scenario anew.
+func (s *searcher) sampleNearWorst(ctx context.Context, round int) error {
+	redrawn := max(minRedrawn, 1/float64(len(s.spans)))
+	var candidates []candidate
+	for i := range max(minSamplesPerRound, s.Samples/samplesPerRound) {
+		random := randstream.New(s.Seed, "near", round, i)
+		other := s.from.Draw(random.Uint64() >> 1)
+		near := s.best.Day.Clone()
+		for _, path := range s.spans {
+			if random.Chance(redrawn) {
+				*near.At(path) = *other.At(path)
 			}
-			days, seeds = append(days, c), append(seeds, best.Seed)
 		}
-		if scores, err = play(days, seeds); err != nil {
-			return nil, err
-		}
-		take(days, seeds, scores, best)
-		o.Progress(fmt.Sprintf("round %d: worst %.3f", round+1, best.Score))
+		candidates = append(candidates, candidate{near, s.best.Seed})
+	}
+	if _, err := s.runAll(ctx, candidates); err != nil {
+		return err
 	}
+	s.Progress(fmt.Sprintf("round %d: worst %.3f", round+1, s.best.Score))
+	return nil
+}
 
-	// Smaller: each trouble left out, then each figure at its range's mild end, as long as most of the loss stays.
-	limit := middle - o.KeepLoss*(middle-best.Score)
-	if best.Score < -5 {
-		limit = -5 // the rule must stay broken
+// runAll runs candidates, keeps the worst of all, and gives their scores.
+func (s *searcher) runAll(ctx context.Context, candidates []candidate) ([]float64, error) {
+	scores, err := s.scores(ctx, candidates)
+	if err != nil {
+		return nil, err
 	}
-	worst := *best
-	try := func(c *scenario.Day, what string) error {
-		s, err := play([]*scenario.Day{c}, []uint64{best.Seed})
-		if err != nil {
-			return err
+	for i, score := range scores {
+		if s.best.Day == nil || score < s.best.Score {
+			s.best = Result{Day: candidates[i].day, Seed: candidates[i].seed, Score: score}
 		}
-		if s[0] <= limit {
-			best.Day, best.Score = c, s[0]
-			best.Steps = append(best.Steps, fmt.Sprintf("%s (%.3f)", what, s[0]))
-			o.Progress(what)
-		}
-		return nil
 	}
-	for i := len(best.Day.Troubles) - 1; i >= 0; i-- {
-		c := best.Day.Clone()
-		kind := c.Troubles[i].Kind
-		c.Troubles = slices.Delete(c.Troubles, i, i+1)
-		if err := try(c, "without the trouble "+kind); err != nil {
-			return nil, err
-		}
+	return scores, nil
+}
+
+func (s *searcher) scores(ctx context.Context, candidates []candidate) ([]float64, error) {
+	plans := make([]batch.Plan, len(candidates))
+	for i, each := range candidates {
+		plans[i] = batch.Plan{Day: each.day, Decider: s.Decider, Seed: each.seed}
 	}
-	if len(best.Day.Troubles) == len(worst.Day.Troubles) { // the paths still mean the same
-		for _, path := range spans {
-			from, to := d.At(path), best.Day.At(path)
-			if to == nil || to.Lo == from.Lo {
-				continue
-			}
-			c := best.Day.Clone()
-			c.At(path).Lo, c.At(path).Hi = from.Lo, from.Lo
-			if err := try(c, path+" at the mild end"); err != nil {
-				return nil, err
-			}
-		}
+	runs, err := batch.RunAll(ctx, plans, s.Workers, nil)
+	if err != nil {
+		return nil, err
+	}
+	scores := make([]float64, len(runs))
+	for i, run := range runs {
+		scores[i] = score(run.Results)
+	}
+	return scores, nil
+}
+
+func score(results *metrics.Results) float64 {
+	if results.ViolationCount > 0 {
+		return violationScore - math.Log10(float64(results.ViolationCount))
 	}
-	best.Day.Name = d.Name + "-worst"
-	best.Day.About = fmt.Sprintf("found by a search of %s with seed %d; play it with seed %d", d.Name, o.Seed, best.Seed)
-	return best, nil
+	return results.Score()
 }
