--- a/cmd/otterseam-sim/compare.go
+++ b/cmd/otterseam-sim/compare.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that plays a day with several deciders.
-
 import (
 	"context"
 	"fmt"
@@ -11,47 +9,47 @@
 	"otterseam/sim/report"
 )
 
-type compareCmd struct {
-	choose
-	Decider string   `default:"module" help:"The first; differences are from it."`
-	Against []string `required:"" help:"The others: names as for run, or the path of an earlier build's wirehost." placeholder:"NAME|PATH"`
-	Seeds   int      `default:"4" help:"How many seeds."`
+type compareCommand struct {
+	dayArguments
+	Decider string   `default:"module" help:"The first policy (names as for run); differences are given from its results."`
+	Against []string `required:"" help:"The other policies: names as for run, or the path of an earlier build's wirehost." placeholder:"NAME|PATH"`
+	Seeds   int      `default:"4" help:"Number of seeds that each policy runs with."`
 }
 
-func (c *compareCmd) Run(ctx context.Context, s *streams) error {
-	d, err := c.load()
+func (c *compareCommand) Run(ctx context.Context, out *output) error {
+	day, err := c.loadDay()
 	if err != nil {
 		return err
 	}
 	var plans []batch.Plan
-	for _, n := range c.deciders() {
-		if err := decider(n); err != nil {
+	for _, name := range c.deciders() {
+		if err := checkDecider(name); err != nil {
 			return err
 		}
-		plans = append(plans, c.seeds(d, n, c.Set, c.Seeds)...)
+		plans = append(plans, c.plans(day, name, c.Set, c.Seeds)...)
 	}
-	rs, err := batch.RunAll(ctx, plans, c.Workers, s.progress("days", len(plans)))
+	runs, err := batch.RunAll(ctx, plans, c.Workers, out.progress("days", len(plans)))
 	if err != nil {
 		return err
 	}
-	if err := c.tell(s, d.Name, rs); err != nil {
+	if err := c.writeResults(out, day.Name, runs); err != nil {
 		return err
 	}
 	if !c.JSON {
-		fmt.Fprintln(s.out)
-		if err := report.Differences(s.out, rs); err != nil {
+		fmt.Fprintln(out.stdout)
+		if err := report.Differences(out.stdout, runs); err != nil {
 			return err
 		}
 	}
-	return judge(rs)
+	return checkRules(runs)
 }
 
 // deciders are the first and those it is compared with; a path is that of an earlier build's wirehost.
-func (c *compareCmd) deciders() []string {
+func (c *compareCommand) deciders() []string {
 	names := []string{c.Decider}
 	for _, name := range c.Against {
-		if strings.ContainsAny(name, "/.") && !strings.HasPrefix(name, "wire:") {
-			name = "wire:" + name
+		if strings.ContainsAny(name, "/.") && !strings.HasPrefix(name, programPrefix) {
+			name = programPrefix + name
 		}
 		names = append(names, name)
 	}
--- /dev/null
+++ b/cmd/otterseam-sim/day_arguments.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+
+	"otterseam/sim/batch"
+	"otterseam/sim/report"
+	"otterseam/sim/scenario"
+	"otterseam/sim/scenarios"
+)
+
+// dayArguments are the arguments of all subcommands that run a day. The names of the fields are those of the flags.
+type dayArguments struct {
+	Day     string            `arg:"" help:"Name of a day (see otterseam-sim days) or path of its file."`
+	Set     map[string]string `help:"Override keys of the day, as in counter.capacity=900/s; may be repeated." placeholder:"KEY=VALUE"`
+	Seed    uint64            `default:"1" help:"First seed of the random numbers."`
+	Workers int               `help:"How many days run at once; 0: one a core."`
+	JSON    bool              `name:"json" help:"Print the results as JSON."`
+	Keep    string            `help:"Also write the results to this file, for the report subcommand." placeholder:"FILE"`
+	Report  string            `help:"Also write a page with charts to this file." placeholder:"FILE.html"`
+}
+
+// loadDay reads the day with its overrides. It fails before anything is run if a result could not be written.
+func (c *dayArguments) loadDay() (*scenario.Day, error) {
+	day, err := scenarios.Load(c.Day)
+	if err != nil {
+		return nil, inputError{err}
+	}
+	if err := applyOverrides(day, c.Set); err != nil {
+		return nil, err
+	}
+	for _, file := range []string{c.Keep, c.Report} {
+		if err := batch.CheckWritable(file); err != nil {
+			return nil, inputError{fmt.Errorf("no result could be written: %w", err)}
+		}
+	}
+	return day, nil
+}
+
+// applyOverrides sets keys of a day.
+func applyOverrides(day *scenario.Day, overrides map[string]string) error {
+	for _, key := range slices.Sorted(maps.Keys(overrides)) { // errors come in the same order each time
+		if err := day.Set(key, overrides[key]); err != nil {
+			return inputError{err}
+		}
+	}
+	return nil
+}
+
+// plans are runs of a day with so many seeds, from the first on; at least one.
+func (c *dayArguments) plans(day *scenario.Day, decider string, overrides map[string]string, seeds int) []batch.Plan {
+	var plans []batch.Plan
+	for i := range max(1, seeds) {
+		plans = append(plans, batch.Plan{Day: day, Decider: decider, Seed: c.Seed + uint64(i), Overrides: overrides})
+	}
+	return plans
+}
+
+// writeResults writes results in the forms that were asked for.
+func (c *dayArguments) writeResults(out *output, title string, runs []*batch.Run) error {
+	if c.Keep != "" {
+		if err := batch.Save(c.Keep, runs); err != nil {
+			return err
+		}
+	}
+	if c.Report != "" {
+		page, err := report.HTML(title, runs)
+		if err != nil {
+			return err
+		}
+		if err := batch.WriteFile(c.Report, page); err != nil {
+			return err
+		}
+	}
+	if c.JSON {
+		return out.json(runs)
+	}
+	return report.Text(out.stdout, runs)
+}
+
+// checkRules returns errRuleBroken if a run broke a rule.
+func checkRules(runs []*batch.Run) error {
+	for _, run := range runs {
+		if run.ViolationCount > 0 {
+			return errRuleBroken
+		}
+	}
+	return nil
+}
+
+// programPrefix stands before the path of a program that decides in place of a policy of this build.
+const programPrefix = "wire:"
+
+// checkDecider reports whether there is a policy of that name, or a program.
+func checkDecider(name string) error {
+	if path, isProgram := strings.CutPrefix(name, programPrefix); isProgram {
+		if _, err := os.Stat(path); err != nil {
+			return inputError{err}
+		}
+		return nil
+	}
+	if _, err := batch.NewPolicySource(name); err != nil {
+		return inputError{err}
+	}
+	return nil
+}
--- a/cmd/otterseam-sim/days.go
+++ b/cmd/otterseam-sim/days.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that lists days and their form.
-
 import (
 	"fmt"
 
@@ -9,46 +7,60 @@
 	"otterseam/sim/scenarios"
 )
 
-type daysCmd struct {
-	Form  bool   `help:"The keys of a day's file, as a table."`
-	Kinds bool   `help:"The kinds of troubles, as a table."`
-	Show  string `help:"Print a day whole, with all its defaults." placeholder:"DAY"`
-	Seed  uint64 `help:"With --show: with its ranges drawn by this seed."`
+type daysCommand struct {
+	Form  bool   `help:"Print the keys of a day's file as a table, with units, ranges and defaults."`
+	Kinds bool   `help:"Print the kinds of faults of a day (troubles) as a table."`
+	Show  string `help:"Print the file of a day with all its defaults." placeholder:"DAY"`
+	Seed  uint64 `help:"With --show: draw the ranges of the day with this seed; 0: leave them."`
 }
 
-func (c *daysCmd) Run(s *streams) error {
+func (c *daysCommand) Run(out *output) error {
 	switch {
 	case c.Form:
-		fmt.Fprint(s.out, "| key | what it is | range | if it is not given |\n| --- | --- | --- | --- |\n", scenario.Form())
+		fmt.Fprint(out.stdout, "| key | what it is | range | if it is not given |\n| --- | --- | --- | --- |\n", scenario.Form())
 	case c.Kinds:
-		fmt.Fprint(s.out, "| kind | what happens | `part` is of the | `size` is |\n| --- | --- | --- | --- |\n")
-		for _, k := range scenario.Kinds {
-			fmt.Fprintf(s.out, "| `%s` | %s | %s | %s |\n", k.Name, k.Does, dash(k.Part), dash(k.Size))
-		}
+		printFaultKinds(out)
 	case c.Show != "":
-		d, err := scenarios.Load(c.Show)
-		if err != nil {
-			return badInput{err}
-		}
-		if c.Seed > 0 {
-			d = d.Draw(c.Seed)
-		}
-		fmt.Fprint(s.out, d.Text())
+		return c.printDay(out)
 	default:
-		for _, n := range scenarios.Names() {
-			d, err := scenarios.Load(n)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(s.out, "%-24s %s\n", n, d.About)
+		return listDays(out)
+	}
+	return nil
+}
+
+func printFaultKinds(out *output) {
+	fmt.Fprint(out.stdout, "| kind | what happens | `part` is of the | `size` is |\n| --- | --- | --- | --- |\n")
+	for _, kind := range scenario.Kinds {
+		fmt.Fprintf(out.stdout, "| `%s` | %s | %s | %s |\n", kind.Name, kind.Does, orDash(kind.Part), orDash(kind.Size))
+	}
+}
+
+func (c *daysCommand) printDay(out *output) error {
+	day, err := scenarios.Load(c.Show)
+	if err != nil {
+		return inputError{err}
+	}
+	if c.Seed > 0 {
+		day = day.Draw(c.Seed)
+	}
+	fmt.Fprint(out.stdout, day.Text())
+	return nil
+}
+
+func listDays(out *output) error {
+	for _, name := range scenarios.Names() {
+		day, err := scenarios.Load(name)
+		if err != nil {
+			return err
 		}
+		fmt.Fprintf(out.stdout, "%-24s %s\n", name, day.About)
 	}
 	return nil
 }
 
-func dash(s string) string {
-	if s == "" {
+func orDash(text string) string {
+	if text == "" {
 		return "-"
 	}
-	return s
+	return text
 }
--- a/cmd/otterseam-sim/keepers.go
+++ b/cmd/otterseam-sim/keepers.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that plays keepers on a simulated network.
-
 import (
 	"context"
 	"fmt"
@@ -9,37 +7,37 @@
 	"otterseam/sim/quotastoresim"
 )
 
-type keepersCmd struct {
+type keepersCommand struct {
 	Seed   uint64  `default:"1" help:"First seed."`
-	Seeds  int     `default:"100" help:"How many, on all cores."`
-	Length float64 `default:"12" help:"Seconds of faults in each."`
-	First  bool    `help:"Stop at the first seed with which something was broken."`
-	Trace  bool    `help:"Say what the keepers of one seed log."`
+	Seeds  int     `default:"100" help:"Number of seeds, run on all cores."`
+	Length float64 `default:"12" help:"Seconds of virtual time with faults, in each run: 4 to 600."`
+	First  bool    `help:"Stop at the first seed with which a guarantee was broken."`
+	Trace  bool    `help:"Run one seed and print what its replicas log."`
 }
 
-func (c *keepersCmd) Run(ctx context.Context, s *streams) error {
+func (c *keepersCommand) Run(ctx context.Context, out *output) error {
 	if c.Seeds < 1 || c.Length < 4 || c.Length > 600 {
-		return badInput{fmt.Errorf("one seed at least and 4 to 600 seconds are wanted")}
+		return inputError{fmt.Errorf("one seed at least and 4 to 600 seconds are wanted")}
 	}
-	var sum *quotastoresim.Summary
+	var summary *quotastoresim.Summary
 	if c.Trace {
-		o := quotastoresim.OptionsForSeed(c.Seed, c.Length)
-		o.OnLogLine = func(at float64, keeper int, line string) {
-			fmt.Fprintf(s.out, "%8.3f s  keeper %d: %s\n", at, keeper, line)
+		options := quotastoresim.OptionsForSeed(c.Seed, c.Length)
+		options.OnLogLine = func(at float64, keeper int, line string) {
+			fmt.Fprintf(out.stdout, "%8.3f s  keeper %d: %s\n", at, keeper, line)
 		}
-		sum = &quotastoresim.Summary{}
-		sum.Add(quotastoresim.RunSeed(c.Seed, o))
+		summary = &quotastoresim.Summary{}
+		summary.Add(quotastoresim.RunSeed(c.Seed, options))
 	} else {
-		sum = quotastoresim.RunSeeds(ctx, c.Seed, c.Seeds, c.Length, func(v *quotastoresim.Verdict) bool { return c.First && !v.OK() })
+		summary = quotastoresim.RunSeeds(ctx, c.Seed, c.Seeds, c.Length, func(v *quotastoresim.Verdict) bool { return c.First && !v.OK() })
 	}
-	for _, v := range sum.Failed {
-		fmt.Fprintln(s.out, v)
+	for _, verdict := range summary.Failed {
+		fmt.Fprintln(out.stdout, verdict)
 	}
-	fmt.Fprintf(s.out, "%d seeds: %d asked for and answered, %d refused, %d unknown; %d faults, %d machines lost with their disks; %d histories undecided\n",
-		sum.Seeds, sum.Answered, sum.Rejected, sum.Unknown, sum.Faults, sum.MachinesLost, sum.Undecided)
-	fmt.Fprintf(s.out, "promised and lost: %d; put back twice: %d; second effects: %d; not whole at the end: %d\n", sum.Lost, sum.DoubleCounted, sum.DuplicateEffects, sum.NotRecovered)
-	if !sum.OK() {
-		return errBroken
+	fmt.Fprintf(out.stdout, "%d seeds: %d asked for and answered, %d refused, %d unknown; %d faults, %d machines lost with their disks; %d histories undecided\n",
+		summary.Seeds, summary.Answered, summary.Rejected, summary.Unknown, summary.Faults, summary.MachinesLost, summary.Undecided)
+	fmt.Fprintf(out.stdout, "promised and lost: %d; put back twice: %d; second effects: %d; not whole at the end: %d\n", summary.Lost, summary.DoubleCounted, summary.DuplicateEffects, summary.NotRecovered)
+	if !summary.OK() {
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/otterseam-sim/main.go
+++ b/cmd/otterseam-sim/main.go
@@ -1,12 +1,11 @@
-// Command otterseam-sim is the laboratory: it plays days with the deciding module and others, looks for the worst, and says in
-// figures and pictures what a change does.
+// Command otterseam-sim simulates a fleet of api gateways, the quota store and the serving tier, in virtual time and with real
+// processes on loopback, and reports what a change does. Each subcommand has a file of its own.
 //
-// This file owns the command line, its exit codes and its streams. It must never reckon.
+// Exit codes: 0 success; 1 a rule was broken, or a run failed; 2 wrong arguments or files, found before anything is run.
 package main
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -15,95 +14,88 @@
 	"syscall"
 
 	"github.com/alecthomas/kong"
-	"github.com/mattn/go-isatty"
 )
 
-// line is the command line.
-type line struct {
-	Run      runCmd      `cmd:"" help:"Play one day and say what became of it."`
-	Compare  compareCmd  `cmd:"" help:"Play a day with several deciders, or with an earlier build, on the same seeds."`
-	Sweep    sweepCmd    `cmd:"" help:"Play a day over values of its keys and several seeds, on all cores."`
-	Search   searchCmd   `cmd:"" help:"Look for the worst day within a day's ranges, then shrink it."`
-	Report   reportCmd   `cmd:"" help:"Write results that were kept as one HTML page or as text."`
-	Sockets  socketsCmd  `cmd:"" help:"Play a day in real time on loopback, with api gateway processes, beside the model."`
-	Standin  standinCmd  `cmd:"" help:"Stand in for a day's hosts, counter and discovery on loopback."`
-	Fleet    fleetCmd    `cmd:"" help:"Play a script of faults between real processes on loopback, or list the scripts."`
-	Member   memberCmd   `cmd:"" help:"Play membership alone, at any size, and say what it finds, how fast and at what cost."`
-	Keepers  keepersCmd  `cmd:"" help:"Play keepers on a simulated network over seeds, and say what of their promises was broken."`
-	Adds     addsCmd     `cmd:"" help:"Load a counter, or keepers in its place, in open loop, and say how fast it answers."`
-	Takeover takeoverCmd `cmd:"" help:"Kill keepers on real processes and measure until others answer, or until a lost machine holds its part again."`
-	Outage   outageCmd   `cmd:"" help:"Play days with an outage of all hosts and say what all api gateways together did in it, and how soon they came back."`
-	Load     loadCmd     `cmd:"" help:"Let a day's customers ask api gateways on loopback, in open loop."`
-	Owndays  owndaysCmd  `cmd:"" help:"Generate days of the serving tier, play them and shrink those that broke a rule."`
-	Causes   causesCmd   `cmd:"" help:"Where the programs of played days of the serving tier were lost, from the reports of the plays."`
-	Days     daysCmd     `cmd:"" help:"List the days there are, or the form of a day's file."`
+const programName = "otterseam-sim"
+
+const description = "Simulates a fleet of api gateways that keep customers to their plans, the quota store and the serving tier, " +
+	"in virtual time or with real processes on loopback. Exit codes: 0 success, 1 a rule was broken or a run failed, " +
+	"2 wrong arguments or files."
+
+// Exit codes; 0 is success.
+const (
+	exitFailed = 1
+	exitUsage  = 2
+)
+
+// commandLine is the command line; each field is a subcommand.
+type commandLine struct {
+	Run      runCommand      `cmd:"" help:"Simulate one day and print what became of it."`
+	Compare  compareCommand  `cmd:"" help:"Simulate a day with several policies, or with an earlier build, on the same seeds."`
+	Sweep    sweepCommand    `cmd:"" help:"Simulate a day over values of its keys and several seeds, on all cores."`
+	Search   searchCommand   `cmd:"" help:"Look for the worst day within a day's ranges, then shrink it."`
+	Report   reportCommand   `cmd:"" help:"Write kept results as one HTML page or as text."`
+	Sockets  socketsCommand  `cmd:"" help:"Run a day in real time on loopback with api gateway processes, beside its simulation."`
+	Standin  standinCommand  `cmd:"" help:"Serve stand-ins for a day's hosts, counter and discovery on loopback."`
+	Fleet    fleetCommand    `cmd:"" help:"Run a script of faults between real processes on loopback, or list the scripts."`
+	Member   memberCommand   `cmd:"" help:"Simulate membership alone, at any size, and print how fast failures are detected and at what cost."`
+	Keepers  keepersCommand  `cmd:"" help:"Simulate replicas of the quota store over seeds and print which guarantees were broken."`
+	Adds     addsCommand     `cmd:"" help:"Load a counter, or the quota store in its place, in open loop and print how fast it answers."`
+	Takeover takeoverCommand `cmd:"" help:"Kill processes of the quota store and measure until others answer, or until a lost machine holds its replicas again."`
+	Outage   outageCommand   `cmd:"" help:"Simulate days with an outage of all hosts and print what all api gateways together sent into it, and how soon they recovered."`
+	Load     loadCommand     `cmd:"" help:"Send the requests of a day's customers to api gateways on loopback, in open loop."`
+	Owndays  owndaysCommand  `cmd:"" help:"Generate days of disruptions for the serving tier, play them and shrink those that broke a rule."`
+	Causes   causesCommand   `cmd:"" help:"Print where the programs of played days of the serving tier were lost, from the reports of the plays."`
+	Days     daysCommand     `cmd:"" help:"List the days there are, or the keys of a day's file."`
 }
 
-// errBroken is returned where a rule was broken: exit code 1.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken is returned where a rule was broken. What it was is printed before.
+var errRuleBroken = errors.New("a rule was broken")
 
-func main() { os.Exit(do(os.Args[1:], os.Stdout, os.Stderr)) }
+// inputError is an error that the user can mend.
+type inputError struct{ error }
 
-// do carries out one command line and gives the exit code: 0, 1 where a rule was broken or a run failed, 2 for bad input.
-func do(args []string, out, errs io.Writer) (code int) {
-	var l line
-	exited := -1
-	parser, err := kong.New(&l, kong.Name("otterseam-sim"), kong.Description("A laboratory for api gateways that keep customers to their plans."),
-		kong.Writers(out, errs), kong.Exit(func(c int) { exited = c }), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+func (e inputError) Unwrap() error { return e.error }
+
+func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
+
+// execute runs one command line and returns the exit code.
+func execute(args []string, stdout, stderr io.Writer) int {
+	exited := -1 // set by --help
+	parser, err := kong.New(&commandLine{}, kong.Name(programName), kong.Description(description), kong.Writers(stdout, stderr),
+		kong.Exit(func(code int) { exited = code }), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		panic(err) // the command line's own form is wrong
+		panic(err) // the tags of commandLine are wrong
 	}
 	if len(args) == 0 {
 		args = []string{"--help"}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	k, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if exited >= 0 {
 		return exited
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "otterseam-sim:", err)
-		return 2
+		fmt.Fprintf(stderr, "%s: %v\n", programName, err)
+		return exitUsage
 	}
-	k.BindTo(ctx, (*context.Context)(nil))
-	err = k.Run(&streams{out, errs})
-	var bad badInput
+	parsed.BindTo(ctx, (*context.Context)(nil))
+	return exitCode(parsed.Run(&output{stdout: stdout, stderr: stderr}), stderr)
+}
+
+// exitCode prints the error of a subcommand and returns the code that stands for it.
+func exitCode(err error, stderr io.Writer) int {
+	var input inputError
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errBroken):
-		return 1
-	case errors.As(err, &bad):
-		fmt.Fprintln(errs, bad.error)
-		return 2
-	}
-	fmt.Fprintln(errs, "otterseam-sim:", err)
-	return 1
-}
-
-type streams struct{ out, errs io.Writer }
-
-// json writes figures for other programs.
-func (s *streams) json(figures any) error {
-	e := json.NewEncoder(s.out)
-	e.SetIndent("", " ")
-	return e.Encode(figures)
-}
-
-// badInput is what the user can mend.
-type badInput struct{ error }
-
-// progress says how far long work is, where somebody looks.
-func (s *streams) progress(what string, all int) func(n int) {
-	f, ok := s.errs.(*os.File)
-	if !ok || !isatty.IsTerminal(f.Fd()) {
-		return func(int) {}
-	}
-	return func(n int) {
-		fmt.Fprintf(f, "\r%s: %d of %d ", what, n, all)
-		if n >= all {
-			fmt.Fprint(f, "\r\033[K")
-		}
+	case errors.Is(err, errRuleBroken):
+		return exitFailed
+	case errors.As(err, &input):
+		fmt.Fprintln(stderr, input.error)
+		return exitUsage
 	}
+	fmt.Fprintf(stderr, "%s: %v\n", programName, err)
+	return exitFailed
 }
--- a/cmd/otterseam-sim/owndays.go
+++ b/cmd/otterseam-sim/owndays.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that generates days of the serving tier, plays them and shrinks those that broke a rule.
-
 import (
 	"context"
 	"errors"
@@ -14,49 +12,49 @@
 	"otterseam/sim/scenariogen"
 )
 
-type owndaysCmd struct {
-	Sites  []string      `arg:"" type:"existingfile" help:"Files of the sites whose days are made."`
-	Bench  string        `required:"" type:"existingfile" help:"The program that plays days." placeholder:"PROGRAM"`
-	Dir    string        `required:"" type:"path" help:"Folder for the files of days, outside the repository." placeholder:"DIR"`
-	Kept   string        `type:"path" help:"Folder for the days that fell short." placeholder:"DIR"`
-	Root   string        `default:"." type:"existingdir" help:"The repository under test, where the program that plays is called."`
+type owndaysCommand struct {
+	Sites  []string      `arg:"" type:"existingfile" help:"Site files of the deployments for which days are generated."`
+	Bench  string        `required:"" type:"existingfile" help:"Bench program that plays days." placeholder:"PROGRAM"`
+	Dir    string        `required:"" type:"path" help:"Folder for the files of days and reports, outside the repository under test." placeholder:"DIR"`
+	Kept   string        `type:"path" help:"Folder for copies of the days that failed, outside the repository under test." placeholder:"DIR"`
+	Root   string        `default:"." type:"existingdir" help:"Repository under test, in which the bench program is run."`
 	Seed   uint64        `default:"1" help:"First seed."`
-	Days   int           `default:"10" help:"Days of each site, from the first seed on."`
-	Jobs   int           `default:"1" help:"Days played at once."`
-	Length time.Duration `help:"Length of a day; without it, the site's." placeholder:"24s"`
-	Least  float64       `default:"0.6" help:"Days worth less are kept too."`
-	Shrink int           `default:"40" help:"Plays spent on shrinking a day that broke a rule; 0: it isn't shrunk."`
-	Write  bool          `help:"Write the files of days and play none."`
-	Why    string        `default:"generated day" help:"What the journal of plays says of them."`
+	Days   int           `default:"10" help:"Number of days of each site, from the first seed on."`
+	Jobs   int           `default:"1" help:"How many days are played at once."`
+	Length time.Duration `help:"Length of a day; without it, that of the site." placeholder:"24s"`
+	Least  float64       `default:"0.6" help:"Also keep days that score less than this."`
+	Shrink int           `default:"40" help:"Most plays spent on shrinking a day that broke a rule; 0: it isn't shrunk."`
+	Write  bool          `help:"Only write the files of days; play none."`
+	Why    string        `default:"generated day" help:"Reason that the bench program notes in its journal of plays."`
 }
 
-func (c *owndaysCmd) Run(ctx context.Context, s *streams) error {
+func (c *owndaysCommand) Run(ctx context.Context, out *output) error {
 	if err := c.prepare(); err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
 	campaign := &scenariogen.Campaign{
 		Bench:     &scenariogen.Bench{Program: c.Bench, Root: c.Root, Dir: c.Dir, Reason: c.Why},
 		FirstSeed: c.Seed, DaysPerSite: c.Days, Jobs: c.Jobs, Length: c.Length.Seconds(),
 		KeepBelow: c.Least, KeepDir: c.Kept, ShrinkBudget: c.Shrink, WriteOnly: c.Write,
-		OnLine: func(line string) { fmt.Fprintln(s.out, line) },
+		OnLine: func(line string) { fmt.Fprintln(out.stdout, line) },
 	}
 	results, err := campaign.Run(ctx, c.Sites)
 	if !c.Write {
-		c.summary(s, results)
+		printSummary(out, results)
 	}
 	if err != nil {
 		return err
 	}
 	for _, result := range results {
 		if result.Violated() || result.Err != nil {
-			return errBroken
+			return errRuleBroken
 		}
 	}
 	return nil
 }
 
-// prepare gives paths the form that the program that plays needs, seen from the repository under test, and makes the folders.
-func (c *owndaysCmd) prepare() error {
+// prepare makes paths absolute, as the bench program is run in the repository under test, and makes the folders.
+func (c *owndaysCommand) prepare() error {
 	root, err := filepath.Abs(c.Root)
 	if err != nil {
 		return err
@@ -87,14 +85,14 @@
 	return nil
 }
 
-// within says whether a path lies in a folder.
+// within reports whether a path lies in a folder.
 func within(folder, path string) bool {
 	relative, err := filepath.Rel(folder, path)
 	return err == nil && relative != ".." && !strings.HasPrefix(relative, ".."+string(filepath.Separator))
 }
 
-// summary tells how many days were played, and each broken one with its shortest form.
-func (c *owndaysCmd) summary(s *streams, results []*scenariogen.Result) {
+// printSummary prints each day that broke a rule with its shortest form, and how many days were played.
+func printSummary(out *output, results []*scenariogen.Result) {
 	broken, failed, sum := 0, 0, 0.0
 	for _, result := range results {
 		switch {
@@ -103,7 +101,7 @@
 			continue
 		case result.Violated():
 			broken++
-			fmt.Fprintf(s.out, "broken: %s seed %d: %s; shortest day: %s\n", result.Site, result.Seed, strings.Join(result.Report.ViolatedRules(), " "), result.Shrunk)
+			fmt.Fprintf(out.stdout, "broken: %s seed %d: %s; shortest day: %s\n", result.Site, result.Seed, strings.Join(result.Report.ViolatedRules(), " "), result.Shrunk)
 		}
 		sum += result.Report.Score
 	}
@@ -111,5 +109,5 @@
 	if judged := len(results) - failed; judged > 0 {
 		mean = sum / float64(judged)
 	}
-	fmt.Fprintf(s.out, "%d days played, %d with a broken rule, %d not played to the end; mean worth %.3f\n", len(results), broken, failed, mean)
+	fmt.Fprintf(out.stdout, "%d days played, %d with a broken rule, %d not played to the end; mean worth %.3f\n", len(results), broken, failed, mean)
 }
--- a/cmd/otterseam-sim/report.go
+++ b/cmd/otterseam-sim/report.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that writes pages and text from kept results.
-
 import (
 	"errors"
 
@@ -9,33 +7,33 @@
 	"otterseam/sim/report"
 )
 
-type reportCmd struct {
-	Results []string `arg:"" help:"Files that --keep wrote."`
-	Out     string   `short:"o" help:"The page to write; without it, text is written." placeholder:"FILE.html"`
-	Title   string   `default:"Results" help:"Of the page."`
+type reportCommand struct {
+	Results []string `arg:"" help:"Files that --keep of other subcommands wrote."`
+	Out     string   `short:"o" help:"Write an HTML page to this file; without it, text is printed." placeholder:"FILE.html"`
+	Title   string   `default:"Results" help:"Title of the page."`
 }
 
-func (c *reportCmd) Run(s *streams) error {
+func (c *reportCommand) Run(out *output) error {
 	if err := batch.CheckWritable(c.Out); err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
 	var all []*batch.Run
-	for _, f := range c.Results {
-		rs, err := batch.Load(f)
+	for _, file := range c.Results {
+		runs, err := batch.Load(file)
 		if err != nil {
-			return badInput{err}
+			return inputError{err}
 		}
-		all = append(all, rs...)
+		all = append(all, runs...)
 	}
 	if len(all) == 0 {
-		return badInput{errors.New("there are no runs in these files")}
+		return inputError{errors.New("there are no runs in these files")}
 	}
 	if c.Out == "" {
-		return report.Text(s.out, all)
+		return report.Text(out.stdout, all)
 	}
-	b, err := report.HTML(c.Title, all)
+	page, err := report.HTML(c.Title, all)
 	if err != nil {
 		return err
 	}
-	return batch.WriteFile(c.Out, b)
+	return batch.WriteFile(c.Out, page)
 }
--- a/cmd/otterseam-sim/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -1,9 +1,6 @@
 package main
 
-// This file owns the command that plays one day.
-
 import (
-	"context"
 	"fmt"
 	"strings"
 
@@ -11,49 +8,50 @@
 	"otterseam/sim/simulation"
 )
 
-type runCmd struct {
-	choose
-	Decider string `default:"module" help:"Who decides: module, random, share, design, omniscient or wire:PATH."`
-	Ref     string `help:"Tell the story of this invocation as well." placeholder:"ID"`
+type runCommand struct {
+	dayArguments
+	Decider string `default:"module" help:"Policy that decides: module (the product's own), members, damped, random, share, design, omniscient, or wire:PATH for a program that speaks the line protocol."`
+	Ref     string `help:"Also print the events of this invocation." placeholder:"ID"`
 }
 
-func (c *runCmd) Run(ctx context.Context, s *streams) error {
-	d, err := c.load()
+func (c *runCommand) Run(out *output) error {
+	day, err := c.loadDay()
 	if err != nil {
 		return err
 	}
-	if err := decider(c.Decider); err != nil {
+	if err := checkDecider(c.Decider); err != nil {
 		return err
 	}
-	plan := batch.Plan{Day: d, Decider: c.Decider, Seed: c.Seed, Overrides: c.Set}
-	tick := s.progress("second", int(d.Length.Hi))
-	r, w, err := batch.RunOne(plan, simulation.WithStory(c.Ref), simulation.WithProgress(func(at float64) { tick(int(at)) }))
+	plan := batch.Plan{Day: day, Decider: c.Decider, Seed: c.Seed, Overrides: c.Set}
+	showProgress := out.progress("second", int(day.Length.Hi))
+	run, simulated, err := batch.RunOne(plan, simulation.WithStory(c.Ref), simulation.WithProgress(func(at float64) { showProgress(int(at)) }))
 	if err != nil {
 		return err
 	}
-	if err := c.tell(s, d.Name, []*batch.Run{r}); err != nil {
+	if err := c.writeResults(out, day.Name, []*batch.Run{run}); err != nil {
 		return err
 	}
-	for _, l := range w.StoryLines() {
-		fmt.Fprintln(s.errs, l)
+	for _, line := range simulated.StoryLines() {
+		fmt.Fprintln(out.stderr, line)
 	}
-	if err := tellFirstBreak(s, plan, r); err != nil {
+	if err := printFirstViolation(out, plan, run); err != nil {
 		return err
 	}
-	return judge([]*batch.Run{r})
+	return checkRules([]*batch.Run{run})
 }
 
-// tellFirstBreak plays the day again for the story of the first invocation with which a rule was broken, if there is one.
-func tellFirstBreak(s *streams, plan batch.Plan, r *batch.Run) error {
-	for _, b := range r.Violations {
-		if b.Ref == "" {
+// printFirstViolation runs the day again and prints the events of the first invocation with which a rule was broken, if there is
+// one.
+func printFirstViolation(out *output, plan batch.Plan, run *batch.Run) error {
+	for _, violation := range run.Violations {
+		if violation.Ref == "" {
 			continue
 		}
-		story, err := batch.Story(plan, b.Ref)
+		story, err := batch.Story(plan, violation.Ref)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.errs, "%s\n%s\n", b, strings.Join(story, "\n"))
+		fmt.Fprintf(out.stderr, "%s\n%s\n", violation, strings.Join(story, "\n"))
 		return nil
 	}
 	return nil
--- a/cmd/otterseam-sim/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that looks for the worst day.
-
 import (
 	"context"
 	"errors"
@@ -9,38 +7,30 @@
 	"strings"
 
 	"otterseam/sim/batch"
+	"otterseam/sim/scenario"
 	"otterseam/sim/search"
 )
 
-type searchCmd struct {
-	choose
-	Decider string  `default:"module" help:"Who decides."`
-	Tries   int     `default:"32" help:"Days drawn."`
-	Rounds  int     `default:"3" help:"Rounds of drawing near the worst."`
-	Part    float64 `default:"0.8" help:"Part of the loss that a smaller day must keep."`
+type searchCommand struct {
+	dayArguments
+	Decider string  `default:"module" help:"Policy that decides (names as for run)."`
+	Tries   int     `default:"32" help:"Number of days drawn from the ranges."`
+	Rounds  int     `default:"3" help:"Number of rounds of days drawn near the worst so far."`
+	Part    float64 `default:"0.8" help:"Part of the loss that a day must keep while it is shrunk, over 0 and at most 1."`
 	Out     string  `help:"Write the day that was found to this file." placeholder:"FILE.toml"`
 }
 
-func (c *searchCmd) Run(ctx context.Context, s *streams) error {
-	d, err := c.load()
+func (c *searchCommand) Run(ctx context.Context, out *output) error {
+	day, err := c.loadDay()
 	if err != nil {
 		return err
 	}
-	if err := decider(c.Decider); err != nil {
+	if err := c.check(day); err != nil {
 		return err
 	}
-	if err := batch.CheckWritable(c.Out); err != nil {
-		return badInput{fmt.Errorf("no day could be written: %w", err)}
-	}
-	if len(d.Spans()) == 0 && len(d.Troubles) == 0 {
-		return badInput{fmt.Errorf("%s has neither ranges nor troubles: there is nothing to look through", d.Name)}
-	}
-	if c.Tries < 1 || c.Part <= 0 || c.Part > 1 {
-		return badInput{errors.New("--tries is at least 1, and --part over 0 and at most 1")}
-	}
-	found, err := search.Worst(ctx, d, search.Options{
+	found, err := search.Worst(ctx, day, search.Options{
 		Decider: c.Decider, Samples: c.Tries, Rounds: c.Rounds, Seed: c.Seed,
-		Workers: c.Workers, KeepLoss: c.Part, Progress: func(t string) { fmt.Fprintln(s.errs, t) },
+		Workers: c.Workers, KeepLoss: c.Part, Progress: func(text string) { fmt.Fprintln(out.stderr, text) },
 	})
 	if err != nil {
 		return err
@@ -50,13 +40,30 @@
 			return err
 		}
 	}
-	r, _, err := batch.RunOne(batch.Plan{Day: found.Day, Decider: c.Decider, Seed: found.Seed})
+	run, _, err := batch.RunOne(batch.Plan{Day: found.Day, Decider: c.Decider, Seed: found.Seed})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "worst: seed %d, score %.3f; taken away without losing it: %s\n", found.Seed, found.Score, strings.Join(found.Steps, "; "))
-	if err := c.tell(s, found.Day.Name, []*batch.Run{r}); err != nil {
+	fmt.Fprintf(out.stdout, "worst: seed %d, score %.3f; taken away without losing it: %s\n", found.Seed, found.Score, strings.Join(found.Steps, "; "))
+	if err := c.writeResults(out, found.Day.Name, []*batch.Run{run}); err != nil {
 		return err
 	}
-	return judge([]*batch.Run{r})
+	return checkRules([]*batch.Run{run})
+}
+
+// check reports what is wrong with the arguments for a day.
+func (c *searchCommand) check(day *scenario.Day) error {
+	if err := checkDecider(c.Decider); err != nil {
+		return err
+	}
+	if err := batch.CheckWritable(c.Out); err != nil {
+		return inputError{fmt.Errorf("no day could be written: %w", err)}
+	}
+	if len(day.Spans()) == 0 && len(day.Troubles) == 0 {
+		return inputError{fmt.Errorf("%s has neither ranges nor troubles: there is nothing to look through", day.Name)}
+	}
+	if c.Tries < 1 || c.Part <= 0 || c.Part > 1 {
+		return inputError{errors.New("--tries is at least 1, and --part over 0 and at most 1")}
+	}
+	return nil
 }
--- a/cmd/otterseam-sim/sweep.go
+++ b/cmd/otterseam-sim/sweep.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that plays a day over values of its keys.
-
 import (
 	"context"
 	"fmt"
@@ -11,15 +9,15 @@
 	"otterseam/sim/batch"
 )
 
-type sweepCmd struct {
-	choose
-	Over    []string `required:"" sep:"none" help:"A key and its values, as in counter.capacity=500/s,1000/s. Several make a grid." placeholder:"KEY=V1,V2"`
-	Seeds   int      `default:"3" help:"How many seeds."`
-	Decider []string `default:"module" help:"Who decides; several are played side by side."`
+type sweepCommand struct {
+	dayArguments
+	Over    []string `required:"" sep:"none" help:"A key and its values, as in counter.capacity=500/s,1000/s; several make a grid." placeholder:"KEY=V1,V2"`
+	Seeds   int      `default:"3" help:"Number of seeds for each combination."`
+	Decider []string `default:"module" help:"Policies that decide (names as for run), run side by side."`
 }
 
-func (c *sweepCmd) Run(ctx context.Context, s *streams) error {
-	d, err := c.load()
+func (c *sweepCommand) Run(ctx context.Context, out *output) error {
+	day, err := c.loadDay()
 	if err != nil {
 		return err
 	}
@@ -28,42 +26,42 @@
 		return err
 	}
 	var plans []batch.Plan
-	for _, n := range c.Decider {
-		if err := decider(n); err != nil {
+	for _, name := range c.Decider {
+		if err := checkDecider(name); err != nil {
 			return err
 		}
 		for _, set := range sets {
-			x := d.Clone()
-			if err := change(x, set); err != nil {
+			variant := day.Clone()
+			if err := applyOverrides(variant, set); err != nil {
 				return err
 			}
-			plans = append(plans, c.seeds(x, n, set, c.Seeds)...)
+			plans = append(plans, c.plans(variant, name, set, c.Seeds)...)
 		}
 	}
-	rs, err := batch.RunAll(ctx, plans, c.Workers, s.progress("days", len(plans)))
+	runs, err := batch.RunAll(ctx, plans, c.Workers, out.progress("days", len(plans)))
 	if err != nil {
 		return err
 	}
-	if err := c.tell(s, d.Name+" over "+strings.Join(c.Over, ", "), rs); err != nil {
+	if err := c.writeResults(out, day.Name+" over "+strings.Join(c.Over, ", "), runs); err != nil {
 		return err
 	}
-	return judge(rs)
+	return checkRules(runs)
 }
 
-// grid gives each combination of the values of keys, each key as in KEY=V1,V2.
+// grid returns each combination of the values of keys, each key as in KEY=V1,V2.
 func grid(over []string) ([]map[string]string, error) {
 	sets := []map[string]string{{}}
-	for _, o := range over {
-		key, values, ok := strings.Cut(o, "=")
+	for _, keyAndValues := range over {
+		key, values, ok := strings.Cut(keyAndValues, "=")
 		if !ok || values == "" {
-			return nil, badInput{fmt.Errorf("--over %s: KEY=V1,V2 is wanted", o)}
+			return nil, inputError{fmt.Errorf("--over %s: KEY=V1,V2 is wanted", keyAndValues)}
 		}
 		var next []map[string]string
 		for _, set := range sets {
 			for _, value := range strings.Split(values, ",") {
-				one := maps.Clone(set)
-				one[key] = value
-				next = append(next, one)
+				extended := maps.Clone(set)
+				extended[key] = value
+				next = append(next, extended)
 			}
 		}
 		sets = next
--- a/cmd/otterseam-sim/takeover.go
+++ b/cmd/otterseam-sim/takeover.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that measures keepers on real processes.
-
 import (
 	"context"
 	"fmt"
@@ -10,35 +8,35 @@
 	"otterseam/harness/fleet"
 )
 
-type takeoverCmd struct {
-	Keeper string  `default:"bin/otterseam-quotastore" help:"The program of keepers."`
-	Copies int     `default:"3" help:"Keepers, all of which hold everything."`
-	Groups int     `default:"16" help:"Parts."`
-	Times  int     `default:"30" help:"How often the keeper that leads most is killed."`
-	Names  int     `help:"Instead: fill so many names, take a machine with its disk and measure until it holds its part again."`
-	Rate   float64 `default:"2000" help:"Adds a second meanwhile."`
-	Disk   bool    `default:"true" negatable:"" help:"They have disks."`
+type takeoverCommand struct {
+	Keeper string  `default:"bin/otterseam-quotastore" help:"Program of the quota store."`
+	Copies int     `default:"3" help:"Number of processes, 3 to 9; each holds a replica of all groups."`
+	Groups int     `default:"16" help:"Number of replica groups, 1 to 256."`
+	Times  int     `default:"30" help:"How often the process that leads most groups is killed."`
+	Names  int     `help:"Instead: fill so many names, lose a machine with its disk and measure until it holds its replicas again."`
+	Rate   float64 `default:"2000" help:"With --names: adds a second meanwhile."`
+	Disk   bool    `default:"true" negatable:"" help:"Keep state on disk."`
 }
 
-func (c *takeoverCmd) Run(ctx context.Context, s *streams) error {
+func (c *takeoverCommand) Run(ctx context.Context, out *output) error {
 	if c.Copies < 3 || c.Copies > 9 || c.Groups < 1 || c.Groups > 256 || c.Times < 1 {
-		return badInput{fmt.Errorf("3 to 9 copies, 1 to 256 groups and one time at least are wanted")}
+		return inputError{fmt.Errorf("3 to 9 copies, 1 to 256 groups and one time at least are wanted")}
 	}
 	if _, err := os.Stat(c.Keeper); err != nil {
-		return badInput{fmt.Errorf("the keepers' program: %w (make build makes it)", err)}
+		return inputError{fmt.Errorf("the keepers' program: %w (make build makes it)", err)}
 	}
 	dir, err := os.MkdirTemp("", "otterseam-sim-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	o := fleet.Options{Keeper: c.Keeper, Dir: dir, Tell: func(t string) { fmt.Fprintln(s.errs, t) }}
+	o := fleet.Options{Keeper: c.Keeper, Dir: dir, Tell: func(t string) { fmt.Fprintln(out.stderr, t) }}
 	if c.Names > 0 {
 		took, calm, meanwhile, err := fleet.Recopied(ctx, o, c.Copies, c.Groups, c.Names, c.Disk, c.Rate)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "%d names: held again after %.2f s; adds before p50 %.2f, p99 %.2f ms; meanwhile p50 %.2f, p99 %.2f ms, %d turned away, %d without an answer\n",
+		fmt.Fprintf(out.stdout, "%d names: held again after %.2f s; adds before p50 %.2f, p99 %.2f ms; meanwhile p50 %.2f, p99 %.2f ms, %d turned away, %d without an answer\n",
 			c.Names, took, 1e3*calm.P50, 1e3*calm.P99, 1e3*meanwhile.P50, 1e3*meanwhile.P99, meanwhile.Rejected, meanwhile.Broken)
 		return nil
 	}
@@ -47,7 +45,7 @@
 		return err
 	}
 	at := func(q float64) float64 { return took[min(len(took)-1, int(q*float64(len(took))))] }
-	fmt.Fprintf(s.out, "%d kills, %d groups without a leader: p50 %.3f s, p90 %.3f s, p99 %.3f s, most %.3f s; %d calls turned away or cut off meanwhile\n",
+	fmt.Fprintf(out.stdout, "%d kills, %d groups without a leader: p50 %.3f s, p90 %.3f s, p99 %.3f s, most %.3f s; %d calls turned away or cut off meanwhile\n",
 		c.Times, len(took), at(0.5), at(0.9), at(0.99), at(1), failed)
 	return nil
 }
