--- a/cmd/otterseam-sim/day_arguments.go
+++ b/cmd/otterseam-sim/day_arguments.go
@@ -25,7 +25,7 @@
 }
 
 // loadDay reads the day with its overrides. It fails before anything is run if a result could not be written.
-func (c *dayArguments) loadDay() (*scenario.Day, error) {
+func (c *dayArguments) loadDay() (*scenario.Scenario, error) {
 	day, err := scenarios.Load(c.Day)
 	if err != nil {
 		return nil, inputError{err}
@@ -42,7 +42,7 @@
 }
 
 // applyOverrides sets keys of a day.
-func applyOverrides(day *scenario.Day, overrides map[string]string) error {
+func applyOverrides(day *scenario.Scenario, overrides map[string]string) error {
 	for _, key := range slices.Sorted(maps.Keys(overrides)) { // errors come in the same order each time
 		if err := day.Set(key, overrides[key]); err != nil {
 			return inputError{err}
@@ -52,7 +52,7 @@
 }
 
 // plans are runs of a day with so many seeds, from the first on; at least one.
-func (c *dayArguments) plans(day *scenario.Day, decider string, overrides map[string]string, seeds int) []batch.Plan {
+func (c *dayArguments) plans(day *scenario.Scenario, decider string, overrides map[string]string, seeds int) []batch.Plan {
 	var plans []batch.Plan
 	for i := range max(1, seeds) {
 		plans = append(plans, batch.Plan{Day: day, Decider: decider, Seed: c.Seed + uint64(i), Overrides: overrides})
--- a/cmd/otterseam-sim/days.go
+++ b/cmd/otterseam-sim/days.go
@@ -30,8 +30,8 @@
 
 func printFaultKinds(out *output) {
 	fmt.Fprint(out.stdout, "| kind | what happens | `part` is of the | `size` is |\n| --- | --- | --- | --- |\n")
-	for _, kind := range scenario.Kinds {
-		fmt.Fprintf(out.stdout, "| `%s` | %s | %s | %s |\n", kind.Name, kind.Does, orDash(kind.Part), orDash(kind.Size))
+	for _, kind := range scenario.FaultKinds {
+		fmt.Fprintf(out.stdout, "| `%s` | %s | %s | %s |\n", kind.Name, kind.Description, orDash(kind.Part), orDash(kind.Size))
 	}
 }
 
--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -60,11 +60,11 @@
 func printKinds(out *output) {
 	for _, table := range []struct {
 		head string
-		list []scenario.Named
-	}{{"fault", scenario.Strikes}, {"event", scenario.Events}, {"promise", scenario.Promises}} {
+		list []scenario.NamedItem
+	}{{"fault", scenario.ProcessFaultKinds}, {"event", scenario.Events}, {"promise", scenario.ExpectationKinds}} {
 		fmt.Fprintf(out.stdout, "| %s | what it is |\n| --- | --- |\n", table.head)
 		for _, n := range table.list {
-			fmt.Fprintf(out.stdout, "| `%s` | %s |\n", n.Name, n.Does)
+			fmt.Fprintf(out.stdout, "| `%s` | %s |\n", n.Name, n.Description)
 		}
 		fmt.Fprintln(out.stdout)
 	}
@@ -82,7 +82,7 @@
 }
 
 // loadScript reads the script with its overrides. It fails before anything is run if a file is missing or could not be written.
-func (c *fleetCommand) loadScript() (*scenario.Day, error) {
+func (c *fleetCommand) loadScript() (*scenario.Scenario, error) {
 	script, err := fleet.Load(c.Script)
 	if err != nil {
 		return nil, inputError{err}
@@ -100,7 +100,7 @@
 }
 
 // runSeed runs the script with a seed, in the folder that was asked for or in one that is deleted afterwards.
-func (c *fleetCommand) runSeed(ctx context.Context, out *output, script *scenario.Day, seed uint64) (*fleet.Result, error) {
+func (c *fleetCommand) runSeed(ctx context.Context, out *output, script *scenario.Scenario, seed uint64) (*fleet.Result, error) {
 	dir := c.Dir
 	if dir == "" {
 		var err error
--- a/cmd/otterseam-sim/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -52,14 +52,14 @@
 }
 
 // check reports what is wrong with the arguments for a day.
-func (c *searchCommand) check(day *scenario.Day) error {
+func (c *searchCommand) check(day *scenario.Scenario) error {
 	if err := checkDecider(c.Decider); err != nil {
 		return err
 	}
 	if err := batch.CheckWritable(c.Out); err != nil {
 		return inputError{fmt.Errorf("no day could be written: %w", err)}
 	}
-	if len(day.Spans()) == 0 && len(day.Troubles) == 0 {
+	if len(day.Spans()) == 0 && len(day.Faults) == 0 {
 		return inputError{fmt.Errorf("%s has neither ranges nor troubles: there is nothing to look through", day.Name)}
 	}
 	if c.Tries < 1 || c.Part <= 0 || c.Part > 1 {
--- a/cmd/otterseam-sim/standin.go
+++ b/cmd/otterseam-sim/standin.go
@@ -24,7 +24,7 @@
 		return inputError{err}
 	}
 	results, err := sockets.RunStandIns(ctx, day, c.Seed, c.Dir, c.Listen, func(paths []string) {
-		fmt.Fprintf(out.stdout, "hosts, counter and discovery of %s stand on loopback for %.0f s; start each api gateway with\n", day.Name, day.Length.V())
+		fmt.Fprintf(out.stdout, "hosts, counter and discovery of %s stand on loopback for %.0f s; start each api gateway with\n", day.Name, day.Length.Float())
 		for _, path := range paths {
 			fmt.Fprintf(out.stdout, "  EDGE_CONFIG=%s bin/otterseam\n", path)
 		}
--- a/harness/fleet/fleet.go
+++ b/harness/fleet/fleet.go
@@ -28,7 +28,7 @@
 func Names() []string { return scripts.Names() }
 
 // Load reads a script by its name, or from a file.
-func Load(name string) (*scenario.Day, error) {
+func Load(name string) (*scenario.Scenario, error) {
 	file, text, err := scripts.Read(name)
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 }
 
 // Check says what of a script can't be played.
-func Check(d *scenario.Day) error {
+func Check(d *scenario.Scenario) error {
 	if err := sockets.Check(d); err != nil {
 		return err
 	}
@@ -71,27 +71,27 @@
 
 // Result is a script that was played.
 type Result struct {
-	Script   *scenario.Day    `json:"-"`
-	Seed     uint64           `json:"seed"`
-	Gateways int              `json:"gateways"`
-	Figures  *metrics.Results `json:"figures"`
-	Spans    []*Span          `json:"faults"`
-	Lines    []Line           `json:"log"`
-	Mail     float64          `json:"mail"`
-	Struck   int              `json:"struck"`
-	Runs     []bool           `json:"runs"` // by api gateway, at the end
-	Held     *Kept            `json:"held,omitempty"`
-	Kept     []string         `json:"promises"`
-	Broken   []Story          `json:"broken"`
+	Script   *scenario.Scenario `json:"-"`
+	Seed     uint64             `json:"seed"`
+	Gateways int                `json:"gateways"`
+	Figures  *metrics.Results   `json:"figures"`
+	Spans    []*Span            `json:"faults"`
+	Lines    []Line             `json:"log"`
+	Mail     float64            `json:"mail"`
+	Struck   int                `json:"struck"`
+	Runs     []bool             `json:"runs"` // by api gateway, at the end
+	Held     *Kept              `json:"held,omitempty"`
+	Kept     []string           `json:"promises"`
+	Broken   []Story            `json:"broken"`
 }
 
 // Play plays a script.
-func Play(ctx context.Context, script *scenario.Day, seed uint64, o Options) (*Result, error) {
+func Play(ctx context.Context, script *scenario.Scenario, seed uint64, o Options) (*Result, error) {
 	if err := Check(script); err != nil {
 		return nil, err
 	}
 	d := script.Draw(seed)
-	n := d.Fleet.Gateways.N()
+	n := d.Fleet.Gateways.Int()
 	for e := range n { // of an earlier play in the same folder
 		os.Remove(filepath.Join(o.Dir, fmt.Sprintf("edge-%d.log", e)))
 	}
@@ -99,17 +99,17 @@
 	r.logs = newLogs(o.Dir, n)
 	defer r.close()
 	var envOf func(int) []string
-	if d.Keepers.Count.N() > 0 {
+	if d.QuotaStore.Count.Int() > 0 {
 		if o.Keeper == "" {
 			o.Keeper = filepath.Join(filepath.Dir(o.Gateway), "otterseam-quotastore")
 		}
 		var err error
-		r.keepers, err = newKeepers(ctx, r, o, &d.Keepers, seed)
+		r.keepers, err = newKeepers(ctx, r, o, &d.QuotaStore, seed)
 		defer r.keepers.end()
 		if err != nil {
 			return nil, err
 		}
-		if d.Keepers.Holds == "all" {
+		if d.QuotaStore.Holds == "all" {
 			files := make([]string, n)
 			for e := range n {
 				if files[e], err = r.keepers.operator(e); err != nil {
@@ -182,11 +182,11 @@
 
 // promises checks what the script promises; each that does not hold is broken.
 func (res *Result) promises(broken func(text string)) {
-	for _, p := range res.Script.Promises {
+	for _, p := range res.Script.Expectations {
 		x, of := res.figure(p)
-		text := fmt.Sprintf("%s%s: %.4g", p.What, of, x)
-		if x < p.Least.V() || x > p.Most.V() || x != x {
-			broken(fmt.Sprintf("promised: %s, from %g to %g wanted", text, p.Least.V(), p.Most.V()))
+		text := fmt.Sprintf("%s%s: %.4g", p.Kind, of, x)
+		if x < p.Min.Float() || x > p.Max.Float() || x != x {
+			broken(fmt.Sprintf("promised: %s, from %g to %g wanted", text, p.Min.Float(), p.Max.Float()))
 			continue
 		}
 		res.Kept = append(res.Kept, text)
@@ -194,9 +194,9 @@
 }
 
 // figure is the value of a promise's figure, and a word on what it is of.
-func (res *Result) figure(p scenario.Promise) (x float64, of string) {
+func (res *Result) figure(p scenario.Expectation) (x float64, of string) {
 	d, f := res.Script, res.Figures
-	from, until := p.From.V(), min(p.Until.V(), d.Length.V())
+	from, until := p.From.Float(), min(p.Until.Float(), d.Length.Float())
 	var sum metrics.Share
 	var sends, dials, calls float64
 	for i, s := range f.Seconds {
@@ -205,12 +205,12 @@
 			sends, dials, calls = sends+s.Attempts, dials+s.Dials, calls+s.CounterCalls
 		}
 	}
-	if from > 0 || until < d.Length.V() {
+	if from > 0 || until < d.Length.Float() {
 		of = fmt.Sprintf(" in seconds %g to %g", from, until)
 	}
 	long := max(1e-9, until-from)
-	in, _ := scenario.Some(p.Edge, res.Gateways) // the reader has checked it
-	switch p.What {
+	in, _ := scenario.ParseNumbers(p.Edge, res.Gateways) // the reader has checked it
+	switch p.Kind {
 	case "served":
 		return sum.Served / max(1e-9, sum.Requested), of
 	case "served-value":
@@ -236,9 +236,9 @@
 		return map[string]float64{
 			"promised-lost": float64(len(res.Held.Lost)), "put-back-twice": float64(len(res.Held.Twice)),
 			"second-effects": float64(len(res.Held.Second)), "kept-answers": float64(res.Held.Answered),
-		}[p.What], ""
+		}[p.Kind], ""
 	case "mail":
-		return res.Mail / d.Length.V() / float64(res.Gateways), ""
+		return res.Mail / d.Length.Float() / float64(res.Gateways), ""
 	case "struck":
 		return float64(res.Struck), ""
 	case "runs":
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -164,7 +164,7 @@
 	var served [2]float64
 	for i, env := range [][]string{nil, {"EDGE_OPERATOR=" + path}} {
 		r := script(t, "eight-of-twelve", "whole", env)
-		served[i], _ = r.figure(scenario.Promise{What: "served", From: scenario.Span{Lo: 8, Hi: 8}, Until: scenario.Span{Lo: 13, Hi: 13}})
+		served[i], _ = r.figure(scenario.Expectation{Kind: "served", From: scenario.Span{Lo: 8, Hi: 8}, Until: scenario.Span{Lo: 13, Hi: 13}})
 		for _, b := range r.Broken {
 			if !strings.Contains(b.Text, "gave up") && !strings.Contains(b.Text, "promised") {
 				t.Error(b.Text, b.Lines)
@@ -220,10 +220,10 @@
 			t.Errorf("%s: %v", n, err)
 			continue
 		}
-		if len(d.Promises) == 0 || d.About == "" {
+		if len(d.Expectations) == 0 || d.About == "" {
 			t.Errorf("%s promises nothing", n)
 		}
-		for _, s := range d.Strikes {
+		for _, s := range d.ProcessFaults {
 			used[s.Kind] = true
 		}
 	}
--- a/harness/fleet/keepers.go
+++ b/harness/fleet/keepers.go
@@ -29,7 +29,7 @@
 type keepers struct {
 	rig     *rig
 	o       Options
-	day     *scenario.Keepers
+	day     *scenario.QuotaStore
 	seed    uint64
 	direct  *server.ClusterConfig // at their own addresses
 	lists   []string              // files, by keeper
@@ -42,10 +42,10 @@
 func keeperName(n int) string { return fmt.Sprintf("keeper-%d", n) }
 
 // newKeepers starts and founds them.
-func newKeepers(ctx context.Context, r *rig, o Options, d *scenario.Keepers, seed uint64) (*keepers, error) {
+func newKeepers(ctx context.Context, r *rig, o Options, d *scenario.QuotaStore, seed uint64) (*keepers, error) {
 	k := &keepers{rig: r, o: o, day: d, seed: seed, witness: newWitness()}
-	n := d.Count.N()
-	k.direct = &server.ClusterConfig{Groups: d.Groups.N(), Replicas: min(d.Copies.N(), n), ReplaceAfter: d.Lost.V(), SnapshotRate: 4e6, MaxLogEntries: 4096}
+	n := d.Count.Int()
+	k.direct = &server.ClusterConfig{Groups: d.Groups.Int(), Replicas: min(d.Replicas.Int(), n), ReplaceAfter: d.Lost.Float(), SnapshotRate: 4e6, MaxLogEntries: 4096}
 	for i := range n {
 		spot := server.MemberConfig{Name: keeperName(i), Zone: fmt.Sprint(i % 3)}
 		for _, to := range []*string{&spot.PeerAddress, &spot.CounterAddress} {
@@ -205,18 +205,18 @@
 	if _, err := fmt.Sscanf(text, "some %d", &many); err == nil {
 		return randstream.New(k.seed, "keepers struck", n).Perm(count)[:min(many, count)]
 	}
-	in, _ = scenario.Some(text, count) // the reader has checked it
+	in, _ = scenario.ParseNumbers(text, count) // the reader has checked it
 	return in
 }
 
 // strike strikes keepers. It runs on the pump's goroutine.
-func (k *keepers) strike(n int, s *scenario.Strike, now, ends float64, later func(func())) {
+func (k *keepers) strike(n int, s *scenario.ProcessFault, now, ends float64, later func(func())) {
 	for _, i := range k.which(n, s.Keeper) {
 		k.one(i, s, now, ends, later)
 	}
 }
 
-func (k *keepers) one(i int, s *scenario.Strike, now, ends float64, later func(func())) {
+func (k *keepers) one(i int, s *scenario.ProcessFault, now, ends float64, later func(func())) {
 	r := k.rig
 	r.mu.Lock()
 	p := k.process(i)
@@ -237,12 +237,12 @@
 			p.RemoveDir()
 		}
 		if ends < forever {
-			k.back(i, s.Lasts.V())
+			k.back(i, s.Lasts.Float())
 		}
 	case "term":
 		p.Terminate()
 		if ends < forever {
-			k.back(i, s.Lasts.V())
+			k.back(i, s.Lasts.Float())
 		}
 	case "freeze":
 		p.Suspend()
@@ -250,7 +250,7 @@
 	case "starve":
 		r.starve(p, s, ends)
 	case "full-disk":
-		p.LimitFileSize(int64(s.Size.V()))
+		p.LimitFileSize(int64(s.Size.Float()))
 		later(func() {
 			p.LimitFileSize(-1)
 			if ended, _, _ := p.ExitState(); ended { // it ended, as it could not write
--- a/harness/fleet/measure.go
+++ b/harness/fleet/measure.go
@@ -19,11 +19,11 @@
 
 // bare starts keepers without api gateways.
 func bare(ctx context.Context, o Options, copies, groups int, disk bool) (*keepers, func(), error) {
-	d := &scenario.Day{Name: "bare", Keepers: scenario.Keepers{Disk: disk, Holds: "adds"}}
-	d.Keepers.Count.Lo, d.Keepers.Copies.Lo, d.Keepers.Groups.Lo, d.Keepers.Lost.Lo = float64(copies), float64(copies), float64(groups), 30
+	d := &scenario.Scenario{Name: "bare", QuotaStore: scenario.QuotaStore{Disk: disk, Holds: "adds"}}
+	d.QuotaStore.Count.Lo, d.QuotaStore.Replicas.Lo, d.QuotaStore.Groups.Lo, d.QuotaStore.Lost.Lo = float64(copies), float64(copies), float64(groups), 30
 	o.direct = true // a link of ours would take connections for a process that is gone
 	r := newRig(d, 1)
-	k, err := newKeepers(ctx, r, o, &d.Keepers, 1)
+	k, err := newKeepers(ctx, r, o, &d.QuotaStore, 1)
 	return k, func() { k.end(); r.close() }, err
 }
 
--- a/harness/fleet/page.go
+++ b/harness/fleet/page.go
@@ -59,7 +59,7 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
 	p.Title.TextStyle.Font.Size, p.X.Label.TextStyle.Font.Size, p.Y.Label.TextStyle.Font.Size = 11, 9, 9
-	p.X.Min, p.X.Max = 0, r.Script.Length.V()
+	p.X.Min, p.X.Max = 0, r.Script.Length.Float()
 	return p
 }
 
@@ -97,7 +97,7 @@
 		if strings.Contains(s.What, ">") {
 			half, c = 0.14, blue
 		}
-		ends := min(max(s.Ends, s.Begins+0.03), r.Script.Length.V())
+		ends := min(max(s.Ends, s.Begins+0.03), r.Script.Length.Float())
 		if err := bar(s.Begins, ends, y, half, c); err != nil {
 			return "", err
 		}
--- a/harness/fleet/rig.go
+++ b/harness/fleet/rig.go
@@ -27,7 +27,7 @@
 
 // rig stands between the processes of one script.
 type rig struct {
-	script *scenario.Day // drawn
+	script *scenario.Scenario // drawn
 	seed   uint64
 	world  *simulation.Simulation
 	fleet  *sockets.Gateways
@@ -61,13 +61,13 @@
 // wait is a fault that waits for an event.
 type wait struct {
 	number int
-	strike *scenario.Strike
+	strike *scenario.ProcessFault
 	by     []int
 	seen   int
 	done   bool
 }
 
-func newRig(script *scenario.Day, seed uint64) *rig {
+func newRig(script *scenario.Scenario, seed uint64) *rig {
 	return &rig{
 		script: script, seed: seed, links: map[string]*netproxy.Link{}, down: map[int]time.Time{},
 		stories: map[string][]string{}, kept: map[string][]string{},
@@ -160,17 +160,17 @@
 	r.mu.Lock()
 	r.world, r.fleet = w, g
 	r.awaits = map[string]bool{}
-	for i := range r.script.Strikes {
-		r.awaits[r.script.Strikes[i].On] = true
+	for i := range r.script.ProcessFaults {
+		r.awaits[r.script.ProcessFaults[i].On] = true
 	}
 	r.mu.Unlock()
-	for i := range r.script.Strikes {
-		s := &r.script.Strikes[i]
+	for i := range r.script.ProcessFaults {
+		s := &r.script.ProcessFaults[i]
 		if s.On == "" {
-			w.Queue.ScheduleAfter(s.At.V(), func() { r.strike(i, s) })
+			w.Queue.ScheduleAfter(s.At.Float(), func() { r.strike(i, s) })
 			continue
 		}
-		by, _ := scenario.Some(s.By, r.script.Fleet.Gateways.N()) // the reader has checked it
+		by, _ := scenario.ParseNumbers(s.Gateways, r.script.Fleet.Gateways.Int()) // the reader has checked it
 		r.waiting = append(r.waiting, &wait{number: i, strike: s, by: by})
 	}
 	r.logs.begin(r)
@@ -188,12 +188,12 @@
 		if w.done || s.On != event || !slices.Contains(w.by, e) || event == "log" && !strings.Contains(line, s.Text) {
 			continue
 		}
-		if w.seen++; w.seen < s.Count.N() {
+		if w.seen++; w.seen < s.Count.Int() {
 			continue
 		}
 		w.done = true
-		if s.At.V() > 0 {
-			r.world.Queue.ScheduleAfter(s.At.V(), func() { r.strike(w.number, s) })
+		if s.At.Float() > 0 {
+			r.world.Queue.ScheduleAfter(s.At.Float(), func() { r.strike(w.number, s) })
 		} else {
 			r.strike(w.number, s)
 		}
@@ -239,17 +239,17 @@
 }
 
 // strike lets a fault begin, on all that it is of, and sets when it ends.
-func (r *rig) strike(n int, s *scenario.Strike) {
+func (r *rig) strike(n int, s *scenario.ProcessFault) {
 	now, ends := r.world.Queue.Now(), forever
-	if s.Lasts.V() > 0 {
-		ends = now + s.Lasts.V()
+	if s.Lasts.Float() > 0 {
+		ends = now + s.Lasts.Float()
 	}
 	later := func(do func()) {
 		if ends < forever {
-			r.world.Queue.ScheduleAfter(s.Lasts.V(), do)
+			r.world.Queue.ScheduleAfter(s.Lasts.Float(), do)
 		}
 	}
-	if scenario.OfLink(s.Kind) {
+	if scenario.IsLinkFault(s.Kind) {
 		for _, p := range r.ends(s) {
 			r.onLink(s, p[0], p[1], now, ends, later)
 		}
@@ -265,10 +265,10 @@
 }
 
 // ends are the two ends of each link that a fault is of.
-func (r *rig) ends(s *scenario.Strike) (all [][2]string) {
-	gateways := r.script.Fleet.Gateways.N()
+func (r *rig) ends(s *scenario.ProcessFault) (all [][2]string) {
+	gateways := r.script.Fleet.Gateways.Int()
 	list := func(end string) (names []string) {
-		what, in, _ := scenario.End(end, gateways, len(r.world.Hosts)) // the reader has checked it
+		what, in, _ := scenario.ParseLinkEnd(end, gateways, len(r.world.Hosts)) // the reader has checked it
 		if in == nil {
 			return []string{what}
 		}
@@ -302,7 +302,7 @@
 	dir  netproxy.Direction
 }
 
-func (r *rig) onLink(s *scenario.Strike, from, to string, now, ends float64, later func(func())) {
+func (r *rig) onLink(s *scenario.ProcessFault, from, to string, now, ends float64, later func(func())) {
 	l := r.link(from, to)
 	// Datagrams go one way only; the way back is another link.
 	mail := number(from) >= 0 && number(to) >= 0
@@ -325,8 +325,8 @@
 	hit := 1
 	switch s.Kind {
 	case "reset":
-		hit = l.ResetConnections(dirs[0], max(0.05, s.Time.V()))
-		span.Ends = now + max(0.05, s.Time.V())
+		hit = l.ResetConnections(dirs[0], max(0.05, s.Time.Float()))
+		span.Ends = now + max(0.05, s.Time.Float())
 	case "half-open":
 		hit = l.HalfOpenConnections(dirs[0])
 		span.Ends = now + 2
@@ -344,23 +344,23 @@
 	r.note(span, hit > 0)
 }
 
-func faultOf(s *scenario.Strike, mail bool) *netproxy.Fault {
+func faultOf(s *scenario.ProcessFault, mail bool) *netproxy.Fault {
 	f := &netproxy.Fault{}
 	switch s.Kind {
 	case "drop":
-		if f.Stall, f.BlockConnects = true, true; mail && s.Part.V() < 1 {
-			f.Stall, f.BlockConnects, f.LossProbability = false, false, s.Part.V()
+		if f.Stall, f.BlockConnects = true, true; mail && s.Part.Float() < 1 {
+			f.Stall, f.BlockConnects, f.LossProbability = false, false, s.Part.Float()
 		}
 	case "stall":
 		f.Stall = true
 	case "delay":
-		f.Delay, f.Jitter = s.Time.V(), s.Jitter.V()
+		f.Delay, f.Jitter = s.Time.Float(), s.Jitter.Float()
 	case "rate":
-		f.Rate = s.Size.V()
+		f.Rate = s.Size.Float()
 	case "double":
-		f.DuplicateProbability = s.Part.V()
+		f.DuplicateProbability = s.Part.Float()
 	case "disorder":
-		f.ReorderProbability, f.Delay = s.Part.V(), s.Time.V()
+		f.ReorderProbability, f.Delay = s.Part.Float(), s.Time.Float()
 	case "refuse":
 		f.RefuseConnects = true
 	}
@@ -376,13 +376,13 @@
 }
 
 // which are the api gateways that a fault of processes is of.
-func (r *rig) which(n int, s *scenario.Strike) (in []int) {
-	gateways := r.script.Fleet.Gateways.N()
-	if s.Edge != "" {
-		in, _ = scenario.Some(s.Edge, gateways) // the reader has checked it
+func (r *rig) which(n int, s *scenario.ProcessFault) (in []int) {
+	gateways := r.script.Fleet.Gateways.Int()
+	if s.Edges != "" {
+		in, _ = scenario.ParseNumbers(s.Edges, gateways) // the reader has checked it
 		return in
 	}
-	for i, hit := range randstream.New(r.seed, "fault", n).SampleShare(gateways, s.Part.V()) {
+	for i, hit := range randstream.New(r.seed, "fault", n).SampleShare(gateways, s.Part.Float()) {
 		if hit {
 			in = append(in, i)
 		}
@@ -390,7 +390,7 @@
 	return in
 }
 
-func (r *rig) onProcess(s *scenario.Strike, e int, now, ends float64, later func(func())) {
+func (r *rig) onProcess(s *scenario.ProcessFault, e int, now, ends float64, later func(func())) {
 	p := r.fleet.Process(e)
 	span := &Span{Kind: s.Kind, What: edge(e), Edge: e, Begins: now, Ends: ends}
 	if s.Kind == "start" {
@@ -413,12 +413,12 @@
 			p.RemoveDir()
 		}
 		if ends < forever {
-			r.fleet.RestartAfter(e, s.Lasts.V())
+			r.fleet.RestartAfter(e, s.Lasts.Float())
 		}
 	case "term":
 		r.fleet.Terminate(e)
 		if ends < forever {
-			r.fleet.RestartAfter(e, s.Lasts.V())
+			r.fleet.RestartAfter(e, s.Lasts.Float())
 		}
 	case "freeze":
 		p.Suspend()
@@ -429,7 +429,7 @@
 	case "starve":
 		r.starve(p, s, ends)
 	case "full-disk":
-		p.LimitFileSize(int64(s.Size.V()))
+		p.LimitFileSize(int64(s.Size.Float()))
 		later(func() { p.LimitFileSize(-1) })
 	case "twice":
 		span.Ends = now + 1
@@ -445,20 +445,20 @@
 }
 
 // starve stops a process and lets it go in turn until a clock time.
-func (r *rig) starve(p *childprocess.Process, s *scenario.Strike, ends float64) {
+func (r *rig) starve(p *childprocess.Process, s *scenario.ProcessFault, ends float64) {
 	if r.world.Queue.Now() >= ends {
 		return
 	}
 	if gone, _, _ := p.ExitState(); gone {
 		return
 	}
-	period := s.Time.V()
+	period := s.Time.Float()
 	if period == 0 {
 		period = 0.02
 	}
 	p.Suspend()
-	r.world.Queue.ScheduleAfter(period*(1-s.Size.V()), func() {
+	r.world.Queue.ScheduleAfter(period*(1-s.Size.Float()), func() {
 		p.Resume()
-		r.world.Queue.ScheduleAfter(period*s.Size.V(), func() { r.starve(p, s, ends) })
+		r.world.Queue.ScheduleAfter(period*s.Size.Float(), func() { r.starve(p, s, ends) })
 	})
 }
--- a/harness/sockets/clients.go
+++ b/harness/sockets/clients.go
@@ -116,7 +116,7 @@
 	if c.onSend != nil {
 		c.onSend(inv)
 	}
-	text := requestText(inv, c.Day.Fleet.Gateways.N())
+	text := requestText(inv, c.Day.Fleet.Gateways.Int())
 	deadline := c.loop.start.Add(seconds(inv.GiveUpAt + readMargin))
 	c.inFlight.Add(1)
 	if c.interceptor != nil {
--- a/harness/sockets/configuration.go
+++ b/harness/sockets/configuration.go
@@ -89,7 +89,7 @@
 		"discovery": s.discoveryAddresses[gateway],
 		"counter":   s.counterAddresses[gateway],
 		"seed":      fmt.Sprintf("%x", s.Seed+uint64(gateway)),
-		"limits":    map[string]any{"cores": s.Day.Gateway.Core.V(), "memory_mb": memoryMB, "sockets": gatewaySockets},
+		"limits":    map[string]any{"cores": s.Day.Gateway.CoreShare.Float(), "memory_mb": memoryMB, "sockets": gatewaySockets},
 		"known":     map[string]any{"version": 1, "full": true, "servers": hosts},
 		"settings":  settings,
 	}
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -108,7 +108,7 @@
 func (g *Gateways) Kill(gateway int) {
 	if process := g.Process(gateway); process != nil {
 		process.Kill()
-		g.stopRequestsAfter(gateway, process, g.clients.Day.Gateway.Notice.V())
+		g.stopRequestsAfter(gateway, process, g.clients.Day.Gateway.FailureNotice.Float())
 	}
 }
 
--- a/harness/sockets/hosts.go
+++ b/harness/sockets/hosts.go
@@ -238,7 +238,7 @@
 			CreatedAt:   now,
 			Deadline:    now + call.Timeout,
 			Operation:   model.Operation{Operation: operation, Number: i},
-			Work:        operation.Work.V(),
+			Work:        operation.Work.Float(),
 			Customer:    customer,
 		}
 	}
--- a/harness/sockets/play.go
+++ b/harness/sockets/play.go
@@ -37,14 +37,14 @@
 func (e *UnplayableError) Error() string { return e.Scenario + ": " + e.Reason }
 
 // Check returns an *UnplayableError if something of a scenario can't be played on sockets.
-func Check(d *scenario.Day) error {
+func Check(d *scenario.Scenario) error {
 	gateways := int(d.Fleet.Gateways.Hi)
 	hosts := int(d.Fleet.Hosts.Hi)
 	if gateways*hosts > maxListeners {
 		return &UnplayableError{Scenario: d.Name, Reason: fmt.Sprintf(
 			"%d api gateways times %d hosts are more listeners than one machine should hold: at most %d", gateways, hosts, maxListeners)}
 	}
-	for _, trouble := range d.Troubles {
+	for _, trouble := range d.Faults {
 		switch trouble.Kind {
 		case "starve", "mail-loss":
 			return &UnplayableError{Scenario: d.Name, Reason: fmt.Sprintf("the trouble %s can be played by the model only", trouble.Kind)}
@@ -94,7 +94,7 @@
 
 // Play plays a scenario on sockets: it starts a process for each api gateway, lets the customers send requests once all are ready, and
 // ends the processes it started. It returns ctx's error, with the results so far, if ctx ended.
-func Play(ctx context.Context, d *scenario.Day, seed uint64, o Options) (*metrics.Results, *simulation.Simulation, error) {
+func Play(ctx context.Context, d *scenario.Scenario, seed uint64, o Options) (*metrics.Results, *simulation.Simulation, error) {
 	if err := Check(d); err != nil {
 		return nil, nil, err
 	}
@@ -124,12 +124,12 @@
 	return results, r.simulation, ctx.Err()
 }
 
-func newRun(d *scenario.Day, seed uint64, o Options) *run {
+func newRun(d *scenario.Scenario, seed uint64, o Options) *run {
 	r := &run{options: o, clients: &Clients{judge: true}}
 	external := simulation.ExternalGateways(r.clients, func(gateway int, host policy.HostEntry) { r.standIns.HostChanged(gateway, host) })
 	r.simulation = simulation.New(d, seed, externalPolicy("sockets"), external)
 	r.simulation.Oracle.AllowsHedging = true
-	r.clients.addresses = make([]string, r.simulation.Day.Fleet.Gateways.N())
+	r.clients.addresses = make([]string, r.simulation.Day.Fleet.Gateways.Int())
 	r.clients.attach(r.simulation)
 	return r
 }
--- a/harness/sockets/play_test.go
+++ b/harness/sockets/play_test.go
@@ -26,13 +26,13 @@
 }
 
 // shortScenario is a scenario of 4 s with two api gateways and three hosts, with troubles and further values set.
-func shortScenario(t *testing.T, troubles string, sets ...string) *scenario.Day {
+func shortScenario(t *testing.T, troubles string, sets ...string) *scenario.Scenario {
 	t.Helper()
 	rough, err := scenarios.Load("rough-4")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rough.Troubles = nil
+	rough.Faults = nil
 	d, err := scenario.Read("short.toml", []byte(rough.Text()+troubles))
 	if err != nil {
 		t.Fatal(err)
--- a/harness/sockets/standalone.go
+++ b/harness/sockets/standalone.go
@@ -15,7 +15,7 @@
 
 // RunStandIns plays a scenario's hosts, counter and discovery until its length is over or ctx ends. Configurations for api gateways, which
 // listen at the addresses given, are written into dir first; ready is told their paths.
-func RunStandIns(ctx context.Context, d *scenario.Day, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Results, error) {
+func RunStandIns(ctx context.Context, d *scenario.Scenario, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Results, error) {
 	if err := Check(d); err != nil {
 		return nil, err
 	}
@@ -24,7 +24,7 @@
 	w := simulation.New(d, seed, externalPolicy("stand-ins"), external)
 	w.Oracle.AllowsHedging = true
 	loop := newEventLoop(w.Queue)
-	count := w.Day.Fleet.Gateways.N()
+	count := w.Day.Fleet.Gateways.Int()
 	s, err := newStandIns(w, loop, count, nil)
 	if s != nil {
 		defer s.Close()
@@ -39,13 +39,13 @@
 	}
 	ready(paths)
 	w.BeginWithoutClients()
-	loop.run(ctx, w.Day.Length.V()) // the scenario begins with the loop
+	loop.run(ctx, w.Day.Length.Float()) // the scenario begins with the loop
 	return w.Finish(), nil
 }
 
 // RunClients lets a scenario's customers send requests to api gateways at addresses on loopback. It returns what they got, and how late an
 // event came at most, in seconds. Nobody knows here whether there was quota left. It returns an *AddressError for an address elsewhere.
-func RunClients(ctx context.Context, d *scenario.Day, seed uint64, addresses []string) (*metrics.Results, float64, error) {
+func RunClients(ctx context.Context, d *scenario.Scenario, seed uint64, addresses []string) (*metrics.Results, float64, error) {
 	for _, address := range addresses {
 		if err := checkLoopback(address); err != nil {
 			return nil, 0, err
--- a/harness/sockets/standins.go
+++ b/harness/sockets/standins.go
@@ -152,4 +152,4 @@
 
 func hostName(host *hostmodel.Host) string { return fmt.Sprintf("host %d", host.Number) }
 
-func (s *StandIns) zone(gateway int) int { return gateway % s.Day.Fleet.Zones.N() }
+func (s *StandIns) zone(gateway int) int { return gateway % s.Day.Fleet.Zones.Int() }
--- a/sim/batch/batch.go
+++ b/sim/batch/batch.go
@@ -21,7 +21,7 @@
 
 // Plan is one simulation to be run.
 type Plan struct {
-	Day       *scenario.Day
+	Day       *scenario.Scenario
 	Decider   string // a name of policies.Names, or wire:PATH
 	Seed      uint64
 	Overrides map[string]string // keys of the scenario that were changed, for the report
@@ -72,17 +72,17 @@
 	day := simulated.Day
 	run := &Run{
 		Overrides: plan.Overrides,
-		Length:    day.Length.V(),
-		Gateways:  day.Fleet.Gateways.N(),
-		Hosts:     day.Fleet.Hosts.N(),
+		Length:    day.Length.Float(),
+		Gateways:  day.Fleet.Gateways.Int(),
+		Hosts:     day.Fleet.Hosts.Int(),
 		Results:   results,
 	}
 	if day.Counter.Present {
-		run.Capacity = day.Counter.Capacity.V()
+		run.Capacity = day.Counter.Capacity.Float()
 	}
-	for i := range day.Troubles {
-		fault := &day.Troubles[i]
-		run.Faults = append(run.Faults, Fault{Kind: fault.Kind, At: fault.At.V(), Ends: fault.At.V() + fault.Lasts.V()})
+	for i := range day.Faults {
+		fault := &day.Faults[i]
+		run.Faults = append(run.Faults, Fault{Kind: fault.Kind, At: fault.At.Float(), Ends: fault.At.Float() + fault.Lasts.Float()})
 	}
 	return run
 }
--- a/sim/batch/batch_test.go
+++ b/sim/batch/batch_test.go
@@ -20,7 +20,7 @@
 )
 
 // small is a day of a few api gateways that plays in a moment, with what a test adds to it.
-func small(t testing.TB, more string, sets ...string) *scenario.Day {
+func small(t testing.TB, more string, sets ...string) *scenario.Scenario {
 	t.Helper()
 	calm, err := scenarios.Load("calm-300")
 	if err != nil {
@@ -39,7 +39,7 @@
 	return d
 }
 
-func run(t testing.TB, d *scenario.Day, decider string) *Run {
+func run(t testing.TB, d *scenario.Scenario, decider string) *Run {
 	t.Helper()
 	r, _, err := RunOne(Plan{Day: d, Decider: decider, Seed: 5})
 	if err != nil {
@@ -204,7 +204,7 @@
 			t.Errorf("%s: %.4g on the calm day, %.4g with it, wanted %.2f times as much", each.kind, calm, hit, each.times)
 		}
 	}
-	for _, kind := range scenario.Kinds {
+	for _, kind := range scenario.FaultKinds {
 		if !slices.ContainsFunc(faultCases, func(c faultCase) bool { return c.kind == kind.Name }) {
 			t.Errorf("no case for the fault %s", kind.Name)
 		}
--- a/sim/countermodel/countermodel.go
+++ b/sim/countermodel/countermodel.go
@@ -67,13 +67,13 @@
 
 // New makes the counter of a scenario.
 func New(queue *eventqueue.Queue, config *scenario.Counter, seed uint64) *Counter {
-	partitions := config.Parts.N()
+	partitions := config.Partitions.Int()
 	counter := &Counter{
 		queue:       queue,
 		random:      randstream.New(seed, "counter"),
-		capacity:    config.Capacity.V() / float64(partitions),
-		maxBacklog:  config.Queue.V(),
-		serviceTime: config.Time.V(),
+		capacity:    config.Capacity.Float() / float64(partitions),
+		maxBacklog:  config.Queue.Float(),
+		serviceTime: config.ServiceTime.Float(),
 
 		leaderlessShares: map[uint64]float64{},
 	}
--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -41,7 +41,7 @@
 	registry := &Registry{
 		queue:       queue,
 		random:      randstream.New(seed, "registry"),
-		meanDelay:   config.Delay.V(),
+		meanDelay:   config.Delay.Float(),
 		notify:      notify,
 		changes:     hosts,
 		known:       make([]int, gateways),
--- a/sim/gatewaymodel/connection.go
+++ b/sim/gatewaymodel/connection.go
@@ -18,7 +18,7 @@
 func (g *Gateway) takeIdle(host *hostmodel.Host) (taken connection, ok bool) {
 	idle := g.idleConnections[host]
 	now := g.clock.Now()
-	for len(idle) > 0 && (idle[0].incarnation != host.Incarnation || now-idle[0].idleSince > idleMargin*g.scenario.Network.Idle.V()) {
+	for len(idle) > 0 && (idle[0].incarnation != host.Incarnation || now-idle[0].idleSince > idleMargin*g.scenario.Network.IdleTimeout.Float()) {
 		if idle[0].incarnation == host.Incarnation {
 			host.Connections--
 		}
@@ -45,7 +45,7 @@
 	incarnation := g.incarnation
 	f.dialled = true
 	g.environment.ConnectionDialled()
-	g.clock.ScheduleAfter(g.scenario.Network.Dial.V(), func() {
+	g.clock.ScheduleAfter(g.scenario.Network.DialTimeout.Float(), func() {
 		if g.incarnation == incarnation && !f.connected {
 			g.endAttempt(f.attempt, policy.NoConnection)
 		}
@@ -86,7 +86,7 @@
 		return
 	}
 	if g.network.Partitioned(g.Zone, f.host.Zone) { // the host never learns of it, and closes the connection when it has idled
-		g.clock.ScheduleAfter(g.scenario.Network.Idle.V(), func() { g.hostClosed(f) })
+		g.clock.ScheduleAfter(g.scenario.Network.IdleTimeout.Float(), func() { g.hostClosed(f) })
 		return
 	}
 	g.afterDelayTo(f.host.Zone, func() { g.hostClosed(f) })
--- a/sim/gatewaymodel/counter.go
+++ b/sim/gatewaymodel/counter.go
@@ -17,7 +17,7 @@
 // AddCount adds amount to a count of the counter that lives for lifetime seconds.
 func (g *Gateway) AddCount(name uint64, amount, lifetime float64) {
 	call := &counterCall{gateway: g, incarnation: g.incarnation, name: name, startedAt: g.clock.Now()}
-	g.clock.ScheduleAfter(g.scenario.Counter.Limit.V(), func() { call.end(policy.TimedOut, 0) })
+	g.clock.ScheduleAfter(g.scenario.Counter.Timeout.Float(), func() { call.end(policy.TimedOut, 0) })
 	if !g.counter.AcceptsConnections() {
 		g.clock.ScheduleAfter(2*g.network.Delay(g.Zone, g.counterZone), func() { call.end(policy.NoConnection, 0) })
 		return
@@ -36,7 +36,7 @@
 	if g.network.Partitioned(g.Zone, g.counterZone) {
 		return
 	}
-	partition := int(c.name % uint64(g.scenario.Counter.Parts.N()))
+	partition := int(c.name % uint64(g.scenario.Counter.Partitions.Int()))
 	arrival := max(g.lastCounterReply[partition], g.clock.Now()+g.network.Delay(g.counterZone, g.Zone))
 	if g.incarnation == c.incarnation {
 		g.lastCounterReply[partition] = arrival
--- a/sim/gatewaymodel/gateway.go
+++ b/sim/gatewaymodel/gateway.go
@@ -29,7 +29,7 @@
 	network     *network.Network
 	counter     *countermodel.Counter
 	counterZone int
-	scenario    *scenario.Day
+	scenario    *scenario.Scenario
 	environment Environment
 
 	costPerEvent float64 // seconds for each thing that it handles, at its share of a core
@@ -47,7 +47,7 @@
 
 // New makes an api gateway; Start starts it.
 func New(
-	slot, zone int, clock *eventqueue.Queue, paths *network.Network, counter *countermodel.Counter, day *scenario.Day,
+	slot, zone int, clock *eventqueue.Queue, paths *network.Network, counter *countermodel.Counter, day *scenario.Scenario,
 	environment Environment,
 ) *Gateway {
 	gateway := &Gateway{
@@ -58,7 +58,7 @@
 		counter:      counter,
 		scenario:     day,
 		environment:  environment,
-		costPerEvent: day.Gateway.Cost.V() / day.Gateway.Core.V(),
+		costPerEvent: day.Gateway.Cost.Float() / day.Gateway.CoreShare.Float(),
 		cpuFactor:    1,
 	}
 	if day.Counter.Zone == ownZone {
--- a/sim/gossip/gossip.go
+++ b/sim/gossip/gossip.go
@@ -36,9 +36,9 @@
 	n := &Network{
 		queue:     queue,
 		random:    randstream.New(seed, "post"), // the name gives the numbers: it stays as it was
-		rate:      peers.Mail.V(),
-		meanDelay: peers.Delay.V(),
-		loss:      overlap.Values{peers.Loss.V()},
+		rate:      peers.MessageRate.Float(),
+		meanDelay: peers.Delay.Float(),
+		loss:      overlap.Values{peers.Loss.Float()},
 		receivers: make([]receiver, gateways),
 	}
 	for i := range n.receivers {
--- a/sim/hostmodel/host.go
+++ b/sim/hostmodel/host.go
@@ -46,7 +46,7 @@
 	random         randstream.Stream
 	queueLimit     int
 	maxConnections int
-	cold           *scenario.Cold
+	cold           *scenario.ColdStart
 
 	running  []*Job
 	busy     int // cores at work
@@ -56,19 +56,19 @@
 }
 
 // New makes a host of a kind; its speed is drawn.
-func New(clock *eventqueue.Queue, number int, addr string, kind *scenario.HostKind, cold *scenario.Cold, seed uint64) *Host {
+func New(clock *eventqueue.Queue, number int, addr string, kind *scenario.HostKind, cold *scenario.ColdStart, seed uint64) *Host {
 	random := randstream.New(seed, "host", number)
 	return &Host{
 		Number:      number,
 		Addr:        addr,
-		Cores:       kind.Cores.N(),
+		Cores:       kind.Cores.Int(),
 		Speed:       random.Uniform(kind.Speed.Lo, kind.Speed.Hi),
-		ConnectWork: kind.ConnectWork.V(),
+		ConnectWork: kind.ConnectWork.Float(),
 
 		clock:          clock,
 		random:         random,
-		queueLimit:     kind.Queue.N(),
-		maxConnections: kind.Connections.N(),
+		queueLimit:     kind.Queue.Int(),
+		maxConnections: kind.Connections.Int(),
 		cold:           cold,
 		faults:         faults{silencedOperations: map[int]*overlap.Values{}},
 	}
@@ -76,11 +76,11 @@
 
 // Warmth is the part of its capacity that a host has now: it grows evenly from the cold share to 1.
 func (h *Host) Warmth() float64 {
-	if h.StartedAt <= 0 || h.cold.Warm.V() <= 0 {
+	if h.StartedAt <= 0 || h.cold.Warm.Float() <= 0 {
 		return 1
 	}
 	age := max(0, h.clock.Now()-h.StartedAt)
-	return min(1, h.cold.Share.V()+(1-h.cold.Share.V())*age/h.cold.Warm.V())
+	return min(1, h.cold.Share.Float()+(1-h.cold.Share.Float())*age/h.cold.Warm.Float())
 }
 
 // CoreSpeed is the work that one core does in a second, at present.
--- a/sim/hostmodel/hostmodel_test.go
+++ b/sim/hostmodel/hostmodel_test.go
@@ -13,7 +13,7 @@
 
 func newHost(q *eventqueue.Queue, cores int, queue float64) *Host {
 	kind := &scenario.HostKind{Cores: fixed(float64(cores)), Speed: fixed(1), Queue: fixed(queue), Connections: fixed(3)}
-	cold := &scenario.Cold{Share: fixed(0.2), Warm: fixed(10), Factor: fixed(3), Window: fixed(2)}
+	cold := &scenario.ColdStart{Share: fixed(0.2), Warm: fixed(10), Factor: fixed(3), Window: fixed(2)}
 	return New(q, 0, "h", kind, cold, 1)
 }
 
--- a/sim/hostmodel/work.go
+++ b/sim/hostmodel/work.go
@@ -85,7 +85,7 @@
 		return
 	}
 	now := h.clock.Now()
-	window := h.cold.Window.V()
+	window := h.cold.Window.Float()
 	h.arrivals = append(h.arrivals, Arrival{At: now, Work: job.Work, Gateway: job.Gateway})
 	for len(h.arrivals) > 0 && h.arrivals[0].At < now-window {
 		h.arrivals = h.arrivals[1:]
@@ -96,7 +96,7 @@
 		sum += arrival.Work
 		largest = max(largest, arrival.Work)
 	}
-	budget := h.cold.Factor.V() * float64(h.Cores) * h.CoreSpeed() * window
+	budget := h.cold.Factor.Float() * float64(h.Cores) * h.CoreSpeed() * window
 	if sum <= budget+toleratedJobs*largest {
 		return
 	}
--- a/sim/metrics/requests.go
+++ b/sim/metrics/requests.go
@@ -24,7 +24,7 @@
 			"plan "+request.Customer.Plan.Name,
 			"customers "+model.QuotaUseNames[request.Customer.QuotaUse])
 	}
-	inTime := served && seconds <= request.Operation.Objective.V()
+	inTime := served && seconds <= request.Operation.Objective.Float()
 	value := request.Value()
 	var share Share
 	if inTime && !request.BeyondQuota {
@@ -49,7 +49,7 @@
 		s.NetValue = value
 	case request.LastOutcome == model.Served:
 		s.Late = value
-		s.NetValue = value * request.Operation.Late.V()
+		s.NetValue = value * request.Operation.Late.Float()
 	case request.LastOutcome == model.Throttled && request.QuotaHadRoom:
 		s.ThrottledWithRoom = value
 	case request.LastOutcome == model.Throttled:
--- a/sim/model/request.go
+++ b/sim/model/request.go
@@ -28,7 +28,7 @@
 
 // Value is what serving the request in time is worth.
 func (r *Request) Value() float64 {
-	return r.Operation.Value.V() * r.Customer.Plan.Price.V() * r.Units
+	return r.Operation.Value.Float() * r.Customer.Plan.Price.Float() * r.Units
 }
 
 // Outcome is how an invocation ended for its client.
--- a/sim/network/network.go
+++ b/sim/network/network.go
@@ -25,9 +25,9 @@
 // New makes the network of a scenario.
 func New(config *scenario.Network, zones int, seed uint64) *Network {
 	return &Network{
-		withinZone:   config.Near.V(),
-		betweenZones: config.Far.V(),
-		jitter:       config.Jitter.V(),
+		withinZone:   config.WithinZone.Float(),
+		betweenZones: config.BetweenZones.Float(),
+		jitter:       config.Jitter.Float(),
 		random:       randstream.New(seed, "network"),
 		isolations:   make([]int, zones),
 	}
--- a/sim/oracle/attempts.go
+++ b/sim/oracle/attempts.go
@@ -17,7 +17,7 @@
 		o.violated(ruleOneAnswer, invocation.Ref, "%s is sent on after its client gave up", invocation.Ref)
 	}
 	told, known := o.told[invocation.Gateway][attempt.Host]
-	if known && told.state != model.HostActive && now > told.toldAt+o.scenario.Gateway.Grace.V()+Tolerance {
+	if known && told.state != model.HostActive && now > told.toldAt+o.scenario.Gateway.DrainGrace.Float()+Tolerance {
 		o.violated(ruleLeavingHosts, invocation.Ref, "%s is sent to host %d, %s for %.3f s",
 			invocation.Ref, attempt.Host, told.state, now-told.toldAt)
 	}
@@ -54,7 +54,7 @@
 		case model.EffectNonIdempotent:
 			return fmt.Sprintf("though delivery %d may have run", earlier.Number)
 		case model.EffectTokened:
-			if o.now() > earlier.SentAt+operation.TokenTime.V() {
+			if o.now() > earlier.SentAt+operation.TokenTime.Float() {
 				return fmt.Sprintf("%.3f s after delivery %d, which may have run", o.now()-earlier.SentAt, earlier.Number)
 			}
 		}
--- a/sim/oracle/oracle.go
+++ b/sim/oracle/oracle.go
@@ -47,7 +47,7 @@
 	AllowsHedging bool // two attempts of one invocation may be in flight at once
 
 	now      func() float64
-	scenario *scenario.Day
+	scenario *scenario.Scenario
 	usage    map[*model.Customer]*usage
 	told     []map[int]hostState // by api gateway and host
 }
@@ -60,7 +60,7 @@
 }
 
 // New makes the oracle of a scenario whose values have been drawn; now reads the clock.
-func New(day *scenario.Day, gateways int, now func() float64) *Oracle {
+func New(day *scenario.Scenario, gateways int, now func() float64) *Oracle {
 	oracle := &Oracle{
 		MaxKept:  standardMaxKept,
 		now:      now,
@@ -98,7 +98,7 @@
 // GatewayResumed takes down that an api gateway was stopped since a clock time. What it was told meanwhile it could not hear.
 func (o *Oracle) GatewayResumed(gateway int, since float64) {
 	for host, told := range o.told[gateway] { // each by itself: the order does not show
-		if told.toldAt >= since-o.scenario.Gateway.Grace.V() {
+		if told.toldAt >= since-o.scenario.Gateway.DrainGrace.Float() {
 			told.toldAt = o.now()
 			o.told[gateway][host] = told
 		}
@@ -126,6 +126,6 @@
 	if byThoseWhoKnew >= total*2/3 { // the gateways' doing, not chance
 		o.violated(ruleColdHosts, "",
 			"host %d fell over %.2f s after its start under %.3f core seconds in %.2f s, %.0f%% of it from api gateways that knew",
-			host.Number, o.now()-host.StartedAt, total, o.scenario.Cold.Window.V(), 100*byThoseWhoKnew/total)
+			host.Number, o.now()-host.StartedAt, total, o.scenario.Cold.Window.Float(), 100*byThoseWhoKnew/total)
 	}
 }
--- a/sim/oracle/oracle_test.go
+++ b/sim/oracle/oracle_test.go
@@ -21,7 +21,7 @@
 
 func newFixture() *fixture {
 	f := &fixture{}
-	d := &scenario.Day{Gateway: scenario.Gateway{Grace: fixed(0.25)}, Cold: scenario.Cold{Window: fixed(2)}}
+	d := &scenario.Scenario{Gateway: scenario.Gateway{DrainGrace: fixed(0.25)}, Cold: scenario.ColdStart{Window: fixed(2)}}
 	f.Oracle = New(d, 2, func() float64 { return f.now })
 	return f
 }
@@ -191,7 +191,7 @@
 // A customer at its cap on attempts in flight is beyond it with one more, and not once a delivery has ended.
 func TestAttemptsInFlightAreCountedAgainstTheCap(t *testing.T) {
 	f := newFixture()
-	cust := &model.Customer{Key: "p", Plan: &scenario.Plan{MaxOut: fixed(2)}}
+	cust := &model.Customer{Key: "p", Plan: &scenario.Plan{MaxConcurrent: fixed(2)}}
 	reach := func() (*model.Attempt, bool) {
 		inv := newInvocation("idempotent", "")
 		inv.Request.Customer = cust
--- a/sim/oracle/quota.go
+++ b/sim/oracle/quota.go
@@ -37,9 +37,9 @@
 		plan := customer.Plan
 		now := o.now()
 		used = &usage{
-			sent:      newTokenBucket(plan.Rate.V(), plan.Burst.V(), now),
-			requested: newTokenBucket(plan.Rate.V(), plan.Burst.V(), now),
-			ceiling:   newTokenBucket(plan.CeilingRate.V(), plan.CeilingBurst.V(), now),
+			sent:      newTokenBucket(plan.Rate.Float(), plan.Burst.Float(), now),
+			requested: newTokenBucket(plan.Rate.Float(), plan.Burst.Float(), now),
+			ceiling:   newTokenBucket(plan.CeilingRate.Float(), plan.CeilingBurst.Float(), now),
 		}
 		o.usage[customer] = used
 	}
@@ -53,16 +53,16 @@
 	now := o.now()
 	used.requested.fill(now)
 	used.dropSlots(now)
-	hasRate := plan.Rate.V() > 0
-	hasCap := plan.MaxOut.N() > 0
-	if hasRate && request.ActualUnits > used.requested.level || hasCap && len(used.slots) >= plan.MaxOut.N() {
+	hasRate := plan.Rate.Float() > 0
+	hasCap := plan.MaxConcurrent.Int() > 0
+	if hasRate && request.ActualUnits > used.requested.level || hasCap && len(used.slots) >= plan.MaxConcurrent.Int() {
 		return false
 	}
 	if hasRate {
 		used.requested.level -= request.ActualUnits
 	}
 	if hasCap {
-		used.slots = append(used.slots, now+slotFactor*request.Operation.Work.V())
+		used.slots = append(used.slots, now+slotFactor*request.Operation.Work.Float())
 	}
 	return true
 }
@@ -102,15 +102,15 @@
 	plan := request.Customer.Plan
 	now := o.now()
 	used.sent.fill(now)
-	if plan.Rate.V() > 0 {
+	if plan.Rate.Float() > 0 {
 		if request.ActualUnits > used.sent.level+unitsTolerance {
 			beyond = true
 		} else {
 			used.sent.level -= request.ActualUnits
 		}
 	}
-	beyond = beyond || plan.MaxOut.N() > 0 && used.inFlight >= plan.MaxOut.N()
-	if plan.CeilingRate.V() > 0 {
+	beyond = beyond || plan.MaxConcurrent.Int() > 0 && used.inFlight >= plan.MaxConcurrent.Int()
+	if plan.CeilingRate.Float() > 0 {
 		used.ceiling.fill(now)
 		if request.Units > used.ceiling.level+unitsTolerance {
 			o.violated(ruleCeiling, invocation.Ref, "%s passes the ceiling of customer %s: %.2f units where %.2f were left",
@@ -134,6 +134,6 @@
 	used := o.usageOf(customer)
 	plan := customer.Plan
 	used.sent.fill(o.now())
-	return (plan.Rate.V() == 0 || units <= used.sent.level+unitsTolerance) &&
-		(plan.MaxOut.N() == 0 || used.inFlight < plan.MaxOut.N())
+	return (plan.Rate.Float() == 0 || units <= used.sent.level+unitsTolerance) &&
+		(plan.MaxConcurrent.Int() == 0 || used.inFlight < plan.MaxConcurrent.Int())
 }
--- a/sim/policies/admission.go
+++ b/sim/policies/admission.go
@@ -46,7 +46,7 @@
 	case design:
 		// What has no time left to hear the total passes, as what hears none does: a final answer is owed.
 		counter := &b.simulation.Day.Counter
-		if rate > 0 && counter.Present && request.Deadline-now > counter.Limit.V()+counterMargin {
+		if rate > 0 && counter.Present && request.Deadline-now > counter.Timeout.Float()+counterMargin {
 			b.countFirst(now, inv, burst/rate)
 			return
 		}
@@ -58,7 +58,7 @@
 func (b *baseline) quota(plan string) (rate, burst float64) {
 	for i := range b.simulation.Day.Plans {
 		if p := &b.simulation.Day.Plans[i]; p.Name == plan {
-			return p.Rate.V(), p.Burst.V()
+			return p.Rate.Float(), p.Burst.Float()
 		}
 	}
 	return 0, 0
--- a/sim/policies/baseline.go
+++ b/sim/policies/baseline.go
@@ -139,7 +139,7 @@
 		inv.mayHaveRun = true
 	}
 	mayRetry := !inv.mayHaveRun || b.idempotent(inv)
-	if mayRetry && inv.attempts < b.simulation.Day.Gateway.Deliveries.N() && now < inv.Deadline-retryMargin {
+	if mayRetry && inv.attempts < b.simulation.Day.Gateway.MaxAttempts.Int() && now < inv.Deadline-retryMargin {
 		b.send(inv)
 		return
 	}
--- a/sim/scenario/read.go
+++ b/sim/scenario/read.go
@@ -23,20 +23,20 @@
 // Span is a figure, or the range it is drawn from: seconds, a second, a share, a number or a factor.
 type Span struct{ Lo, Hi float64 }
 
-// V is the figure of a day that has been drawn.
-func (s Span) V() float64 { return s.Lo }
+// Float is the figure of a day that has been drawn.
+func (s Span) Float() float64 { return s.Lo }
 
-// N is V as a whole number.
-func (s Span) N() int { return int(math.Round(s.Lo)) }
+// Int is V as a whole number.
+func (s Span) Int() int { return int(math.Round(s.Lo)) }
 
-// Fault is one thing wrong with a file.
-type Fault struct {
-	File      string
-	Line      int
-	Key, What string
+// Problem is one thing wrong with a file.
+type Problem struct {
+	File         string
+	Line         int
+	Key, Message string
 }
 
-func (f Fault) String() string {
+func (f Problem) String() string {
 	at := f.File
 	if f.Line > 0 {
 		at += ":" + strconv.Itoa(f.Line)
@@ -44,13 +44,13 @@
 	if f.Key != "" {
 		at += ": " + f.Key
 	}
-	return at + ": " + f.What
+	return at + ": " + f.Message
 }
 
-// Faults is all that is wrong with a file.
-type Faults []Fault
+// InvalidError is all that is wrong with a file.
+type InvalidError []Problem
 
-func (fs Faults) Error() string {
+func (fs InvalidError) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.String()
@@ -59,7 +59,7 @@
 }
 
 // Load reads a day from a file. What is wrong with it comes back as Faults.
-func Load(path string) (*Day, error) {
+func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 }
 
 // Read reads a day; file is what faults call it.
-func Read(file string, text []byte) (*Day, error) { return ReadOver(file, text, nil) }
+func Read(file string, text []byte) (*Scenario, error) { return ReadOver(file, text, nil) }
 
 // BaseOf is the day that a file says it is built on; "": none.
 func BaseOf(text []byte) string {
@@ -80,18 +80,18 @@
 }
 
 // ReadOver reads a day of which what is not given is as in another; a list of tables that is given replaces the other's.
-func ReadOver(file string, text []byte, base *Day) (*Day, error) {
+func ReadOver(file string, text []byte, base *Scenario) (*Scenario, error) {
 	r := &reader{file: file, lines: lines(text), over: base != nil}
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		f := Fault{File: file, What: err.Error()}
+		f := Problem{File: file, Message: err.Error()}
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
 			f.Line, _ = at.Position()
 		}
-		return nil, Faults{f}
+		return nil, InvalidError{f}
 	}
-	d := &Day{}
+	d := &Scenario{}
 	if base != nil {
 		d = base.Clone()
 	}
@@ -103,7 +103,7 @@
 		d.Base = "" // it is in it now
 	}
 	if len(r.faults) > 0 {
-		slices.SortStableFunc(r.faults, func(a, b Fault) int { return a.Line - b.Line })
+		slices.SortStableFunc(r.faults, func(a, b Problem) int { return a.Line - b.Line })
 		return nil, r.faults
 	}
 	return d, nil
@@ -112,7 +112,7 @@
 type reader struct {
 	file   string
 	lines  map[string]int
-	faults Faults
+	faults InvalidError
 	over   bool // what is not given stays as it is
 }
 
@@ -162,7 +162,7 @@
 		up = up[:strings.LastIndex(up, ".")]
 		line = r.lines[up]
 	}
-	r.faults = append(r.faults, Fault{r.file, line, key, fmt.Sprintf(what, args...)})
+	r.faults = append(r.faults, Problem{r.file, line, key, fmt.Sprintf(what, args...)})
 }
 
 func (r *reader) table(path string, tree map[string]any, to reflect.Value) {
@@ -382,7 +382,7 @@
 }
 
 // whole checks what one field alone does not show.
-func (r *reader) whole(d *Day) {
+func (r *reader) whole(d *Scenario) {
 	if len(d.Hosts) == 0 || len(d.Operations) == 0 || len(d.Plans) == 0 {
 		r.fault("host", "a day has at least one [[host]], one [[operation]] and one [[plan]]")
 	}
@@ -414,25 +414,25 @@
 		if p.Rate.Hi > 0 && p.Burst.Lo < d.Clients.Units.Hi {
 			r.fault(at+".burst", "holds less than one invocation may have: %s units", text("n", d.Clients.Units.Hi))
 		}
-		if p.Rate.Lo == 0 && p.Use.Lo == 0 {
+		if p.Rate.Lo == 0 && p.UseRate.Lo == 0 {
 			r.fault(at+".use", "is needed where there is no rate")
 		}
 		if p.CeilingRate.Hi > 0 && p.CeilingBurst.Lo < d.Clients.Units.Hi {
 			r.fault(at+".ceiling_burst", "holds less than one invocation may have")
 		}
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		at := fmt.Sprintf("trouble[%d]", i)
-		k, ok := KindOf(t.Kind)
+		k, ok := FaultKindOf(t.Kind)
 		if !ok {
 			var all []string
-			for _, k := range Kinds {
+			for _, k := range FaultKinds {
 				all = append(all, k.Name)
 			}
 			r.fault(at+".kind", "%q is not known; there are %s", t.Kind, strings.Join(all, ", "))
 			continue
 		}
-		if k.Long && t.Lasts.Lo == 0 {
+		if k.Lasts && t.Lasts.Lo == 0 {
 			r.fault(at+".lasts", "%s needs a time", t.Kind)
 		}
 		if t.At.Lo > d.Length.Hi {
@@ -449,7 +449,7 @@
 		if strings.HasPrefix(k.Size, "part") && t.Size.Hi > 1 {
 			r.fault(at+".size", "is a part here: at most 1")
 		}
-		if k.Divides && t.Size.Lo == 0 {
+		if k.PositiveSize && t.Size.Lo == 0 {
 			r.fault(at+".size", "is a factor here: over 0")
 		}
 		if t.Kind == "cut" && d.Fleet.Zones.Lo < 2 {
@@ -478,17 +478,17 @@
 }
 
 // Clone copies a day whole.
-func (d *Day) Clone() *Day {
+func (d *Scenario) Clone() *Scenario {
 	c := *d
 	c.Hosts, c.Operations = slices.Clone(d.Hosts), slices.Clone(d.Operations)
-	c.Plans, c.Troubles = slices.Clone(d.Plans), slices.Clone(d.Troubles)
-	c.Strikes, c.Promises = slices.Clone(d.Strikes), slices.Clone(d.Promises)
+	c.Plans, c.Faults = slices.Clone(d.Plans), slices.Clone(d.Faults)
+	c.ProcessFaults, c.Expectations = slices.Clone(d.ProcessFaults), slices.Clone(d.Expectations)
 	return &c
 }
 
 // Draw picks one figure from each range, by the day's seed; times and rates evenly, numbers as whole ones. The speed of
 // hosts stays a range: each host draws its own.
-func (d *Day) Draw(seed uint64) *Day {
+func (d *Scenario) Draw(seed uint64) *Scenario {
 	c := d.Clone()
 	each("", reflect.ValueOf(c).Elem(), func(path string, tag reflect.StructTag, s *Span) {
 		if s.Lo == s.Hi || strings.HasSuffix(path, "].speed") {
@@ -504,7 +504,7 @@
 }
 
 // Spans gives the paths of all ranges that are yet to be drawn.
-func (d *Day) Spans() (paths []string) {
+func (d *Scenario) Spans() (paths []string) {
 	each("", reflect.ValueOf(d.Clone()).Elem(), func(path string, tag reflect.StructTag, s *Span) {
 		if s.Lo != s.Hi && !strings.HasSuffix(path, "].speed") {
 			paths = append(paths, path)
@@ -513,8 +513,8 @@
 	return paths
 }
 
-// At gives the span at a path, to be read or changed; nil where there is none.
-func (d *Day) At(path string) (found *Span) {
+// SpanAt gives the span at a path, to be read or changed; nil where there is none.
+func (d *Scenario) SpanAt(path string) (found *Span) {
 	each("", reflect.ValueOf(d).Elem(), func(p string, _ reflect.StructTag, s *Span) {
 		if p == path {
 			found = s
@@ -524,7 +524,7 @@
 }
 
 // Set changes one key, such as counter.capacity, plan[0].rate or trouble[1].kind, to what a file would hold there.
-func (d *Day) Set(path, value string) error {
+func (d *Scenario) Set(path, value string) error {
 	v, field, ok := reflect.ValueOf(d).Elem(), reflect.StructField{}, false
 	for _, part := range strings.Split(path, ".") {
 		key, index, listed := strings.Cut(strings.TrimSuffix(part, "]"), "[")
@@ -560,7 +560,7 @@
 }
 
 // Text writes a day as a file.
-func (d *Day) Text() string {
+func (d *Scenario) Text() string {
 	var b strings.Builder
 	writeTable(&b, "", reflect.ValueOf(*d))
 	return b.String()
@@ -606,7 +606,7 @@
 // Form writes a table of all keys, for the pages and for help.
 func Form() string {
 	var b strings.Builder
-	form(&b, "", reflect.TypeFor[Day]())
+	form(&b, "", reflect.TypeFor[Scenario]())
 	return b.String()
 }
 
--- a/sim/scenario/scenario.go
+++ b/sim/scenario/scenario.go
@@ -2,28 +2,28 @@
 // file. It reads, checks, draws and writes days, and must never play one.
 package scenario
 
-// Day is a deployment, its load and what happens to it. Where a figure is a range, Draw picks one by seed.
-type Day struct {
-	Format     int         `day:"format" min:"1" max:"1" about:"version of this form; 1"`
-	Name       string      `day:"name" about:"what the day is called in reports"`
-	About      string      `day:"about" def:"" about:"one sentence for whoever reads the list of days"`
-	Base       string      `day:"base" def:"" about:"a day that comes with the program; what is not given here is as there"`
-	Length     Span        `day:"length" unit:"s" min:"1s" max:"24h" about:"how long clients come"`
-	Fleet      Fleet       `day:"fleet" about:"sizes"`
-	Network    Network     `day:"network" about:"the way between machines"`
-	Hosts      []HostKind  `day:"host" about:"kinds of hosts"`
-	Cold       Cold        `day:"cold" about:"hosts that have just started"`
-	Operations []Operation `day:"operation" about:"what clients ask for"`
-	Plans      []Plan      `day:"plan" about:"what customers are promised"`
-	Clients    Clients     `day:"clients" about:"how much they ask for, and how they take an answer"`
-	Counter    Counter     `day:"counter" about:"the shared counter"`
-	Discovery  Discovery   `day:"discovery" about:"how the list of hosts gets to api gateways"`
-	Peers      Peers       `day:"peers" about:"mail between api gateways"`
-	Gateway    Gateway     `day:"gateway" about:"each api gateway"`
-	Troubles   []Trouble   `day:"trouble" about:"what goes wrong, and when; they may overlap"`
-	Keepers    Keepers     `day:"keepers" about:"scripts: keepers that hold counts, debts, marks and use for the api gateways"`
-	Strikes    []Strike    `day:"fault" about:"scripts: faults of processes and of the links between them"`
-	Promises   []Promise   `day:"promise" about:"scripts: what has to hold at the end"`
+// Scenario is a deployment, its load and what happens to it. Where a figure is a range, Draw picks one by seed.
+type Scenario struct {
+	Format        int            `day:"format" min:"1" max:"1" about:"version of this form; 1"`
+	Name          string         `day:"name" about:"what the day is called in reports"`
+	About         string         `day:"about" def:"" about:"one sentence for whoever reads the list of days"`
+	Base          string         `day:"base" def:"" about:"a day that comes with the program; what is not given here is as there"`
+	Length        Span           `day:"length" unit:"s" min:"1s" max:"24h" about:"how long clients come"`
+	Fleet         Fleet          `day:"fleet" about:"sizes"`
+	Network       Network        `day:"network" about:"the way between machines"`
+	Hosts         []HostKind     `day:"host" about:"kinds of hosts"`
+	Cold          ColdStart      `day:"cold" about:"hosts that have just started"`
+	Operations    []Operation    `day:"operation" about:"what clients ask for"`
+	Plans         []Plan         `day:"plan" about:"what customers are promised"`
+	Clients       Clients        `day:"clients" about:"how much they ask for, and how they take an answer"`
+	Counter       Counter        `day:"counter" about:"the shared counter"`
+	Discovery     Discovery      `day:"discovery" about:"how the list of hosts gets to api gateways"`
+	Peers         Peers          `day:"peers" about:"mail between api gateways"`
+	Gateway       Gateway        `day:"gateway" about:"each api gateway"`
+	Faults        []Fault        `day:"trouble" about:"what goes wrong, and when; they may overlap"`
+	QuotaStore    QuotaStore     `day:"keepers" about:"scripts: keepers that hold counts, debts, marks and use for the api gateways"`
+	ProcessFaults []ProcessFault `day:"fault" about:"scripts: faults of processes and of the links between them"`
+	Expectations  []Expectation  `day:"promise" about:"scripts: what has to hold at the end"`
 }
 
 type Fleet struct {
@@ -33,11 +33,11 @@
 }
 
 type Network struct {
-	Near   Span `day:"near" unit:"s" min:"0s" max:"1s" def:"300us" about:"one way inside a zone"`
-	Far    Span `day:"far" unit:"s" min:"0s" max:"1s" def:"1ms" about:"one way between zones"`
-	Jitter Span `day:"jitter" unit:"share" min:"0" max:"10" def:"0.3" about:"mean of what comes on top, as a part of the way"`
-	Dial   Span `day:"dial_limit" unit:"s" min:"1ms" max:"30s" def:"250ms" about:"a connection not up by then is given up"`
-	Idle   Span `day:"idle_close" unit:"s" min:"100ms" max:"1h" def:"15s" about:"hosts close a connection at rest for so long"`
+	WithinZone   Span `day:"near" unit:"s" min:"0s" max:"1s" def:"300us" about:"one way inside a zone"`
+	BetweenZones Span `day:"far" unit:"s" min:"0s" max:"1s" def:"1ms" about:"one way between zones"`
+	Jitter       Span `day:"jitter" unit:"share" min:"0" max:"10" def:"0.3" about:"mean of what comes on top, as a part of the way"`
+	DialTimeout  Span `day:"dial_limit" unit:"s" min:"1ms" max:"30s" def:"250ms" about:"a connection not up by then is given up"`
+	IdleTimeout  Span `day:"idle_close" unit:"s" min:"100ms" max:"1h" def:"15s" about:"hosts close a connection at rest for so long"`
 }
 
 type HostKind struct {
@@ -50,7 +50,7 @@
 	ConnectWork Span   `day:"connect_work" unit:"s" min:"0s" max:"1s" def:"500us" about:"work that a new connection costs it"`
 }
 
-type Cold struct {
+type ColdStart struct {
 	Share  Span `day:"share" unit:"share" min:"0.01" max:"1" def:"0.2" about:"of its capacity that a host starts with"`
 	Warm   Span `day:"warm" unit:"s" min:"0s" max:"10m" def:"10s" about:"until it has all of it"`
 	Factor Span `day:"factor" unit:"x" min:"1" max:"100" def:"3" about:"sent so many times its present capacity, it falls over"`
@@ -72,44 +72,44 @@
 }
 
 type Plan struct {
-	Name         string `day:"name" about:"of the plan"`
-	Share        Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of the load inside quotas, beside the others' shares"`
-	Rate         Span   `day:"rate" unit:"/s" min:"0/s" max:"1000000/s" def:"0/s" about:"units a second for each customer; 0/s: no such quota"`
-	Burst        Span   `day:"burst" unit:"x" min:"0" max:"10000000" def:"0" about:"units at once"`
-	MaxOut       Span   `day:"max_out" unit:"n" min:"0" max:"100000" def:"0" about:"deliveries out at once; 0: no such quota"`
-	Use          Span   `day:"use" unit:"/s" min:"0/s" max:"1000000/s" def:"0/s" about:"units a second that a customer at its quota asks for; 0/s: the rate"`
-	CeilingRate  Span   `day:"ceiling_rate" unit:"/s" min:"0/s" max:"1000000/s" def:"0/s" about:"hard ceiling; 0/s: none"`
-	CeilingBurst Span   `day:"ceiling_burst" unit:"x" min:"0" max:"10000000" def:"0" about:"units at once under it"`
-	OverCost     Span   `day:"over_cost" unit:"x" min:"0" max:"10" def:"1" about:"part of its value that a send beyond the quota costs"`
-	Price        Span   `day:"price" unit:"x" min:"0" max:"100" def:"1" about:"factor on the billed value"`
+	Name          string `day:"name" about:"of the plan"`
+	Share         Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of the load inside quotas, beside the others' shares"`
+	Rate          Span   `day:"rate" unit:"/s" min:"0/s" max:"1000000/s" def:"0/s" about:"units a second for each customer; 0/s: no such quota"`
+	Burst         Span   `day:"burst" unit:"x" min:"0" max:"10000000" def:"0" about:"units at once"`
+	MaxConcurrent Span   `day:"max_out" unit:"n" min:"0" max:"100000" def:"0" about:"deliveries out at once; 0: no such quota"`
+	UseRate       Span   `day:"use" unit:"/s" min:"0/s" max:"1000000/s" def:"0/s" about:"units a second that a customer at its quota asks for; 0/s: the rate"`
+	CeilingRate   Span   `day:"ceiling_rate" unit:"/s" min:"0/s" max:"1000000/s" def:"0/s" about:"hard ceiling; 0/s: none"`
+	CeilingBurst  Span   `day:"ceiling_burst" unit:"x" min:"0" max:"10000000" def:"0" about:"units at once under it"`
+	OverCost      Span   `day:"over_cost" unit:"x" min:"0" max:"10" def:"1" about:"part of its value that a send beyond the quota costs"`
+	Price         Span   `day:"price" unit:"x" min:"0" max:"100" def:"1" about:"factor on the billed value"`
 }
 
 type Clients struct {
-	Rate     Span `day:"rate" unit:"/s" min:"0.1/s" max:"1000000/s" about:"first tries a second inside the quotas, from all customers; what the others ask for comes on top"`
-	Units    Span `day:"units" unit:"n" min:"1" max:"1000" def:"1" about:"most units of one invocation; drawn from 1, falling"`
-	Set      Span `day:"set" unit:"n" min:"1" max:"5000" def:"3" about:"api gateways a customer comes in through, at most all"`
-	Uneven   Span `day:"uneven" unit:"share" min:"0" max:"1" def:"0.5" about:"part of a customer's invocations that goes to its present favourite"`
-	Change   Span `day:"change" unit:"s" min:"100ms" max:"24h" def:"8s" about:"how long it stays the favourite"`
-	Near     Span `day:"near" unit:"share" min:"0" max:"1" def:"0.15" about:"customers that use nearly all of their quota"`
-	Over     Span `day:"over" unit:"share" min:"0" max:"1" def:"0.1" about:"customers that ask for more"`
-	OverBy   Span `day:"over_by" unit:"x" min:"1" max:"100" def:"3" about:"how many times their quota"`
-	Heavy    Span `day:"heavy" unit:"x" min:"1.05" max:"100" def:"2.5" about:"power of the tail by which customers far under it differ; smaller: more uneven"`
-	Patience Span `day:"patience" unit:"share" min:"0.05" max:"1" def:"1" about:"part of the integration timeout that the shortest-tempered try is waited for"`
-	Retries  Span `day:"retries" unit:"n" min:"0" max:"20" def:"1" about:"further tries of a client"`
-	Wait     Span `day:"wait" unit:"s" min:"0s" max:"10m" def:"200ms" about:"mean wait before one, where no time to come back was told"`
-	Follow   Span `day:"follow" unit:"share" min:"0" max:"1" def:"0.8" about:"customers that keep to the time to come back"`
-	Marked   bool `day:"marked" def:"true" about:"clients mark their repeats"`
+	Rate             Span `day:"rate" unit:"/s" min:"0.1/s" max:"1000000/s" about:"first tries a second inside the quotas, from all customers; what the others ask for comes on top"`
+	Units            Span `day:"units" unit:"n" min:"1" max:"1000" def:"1" about:"most units of one invocation; drawn from 1, falling"`
+	GatewaysEach     Span `day:"set" unit:"n" min:"1" max:"5000" def:"3" about:"api gateways a customer comes in through, at most all"`
+	PreferredShare   Span `day:"uneven" unit:"share" min:"0" max:"1" def:"0.5" about:"part of a customer's invocations that goes to its present favourite"`
+	PreferenceTime   Span `day:"change" unit:"s" min:"100ms" max:"24h" def:"8s" about:"how long it stays the favourite"`
+	Near             Span `day:"near" unit:"share" min:"0" max:"1" def:"0.15" about:"customers that use nearly all of their quota"`
+	Over             Span `day:"over" unit:"share" min:"0" max:"1" def:"0.1" about:"customers that ask for more"`
+	OverBy           Span `day:"over_by" unit:"x" min:"1" max:"100" def:"3" about:"how many times their quota"`
+	TailPower        Span `day:"heavy" unit:"x" min:"1.05" max:"100" def:"2.5" about:"power of the tail by which customers far under it differ; smaller: more uneven"`
+	Patience         Span `day:"patience" unit:"share" min:"0.05" max:"1" def:"1" about:"part of the integration timeout that the shortest-tempered try is waited for"`
+	Retries          Span `day:"retries" unit:"n" min:"0" max:"20" def:"1" about:"further tries of a client"`
+	RetryWait        Span `day:"wait" unit:"s" min:"0s" max:"10m" def:"200ms" about:"mean wait before one, where no time to come back was told"`
+	HonourRetryAfter Span `day:"follow" unit:"share" min:"0" max:"1" def:"0.8" about:"customers that keep to the time to come back"`
+	MarkRetries      bool `day:"marked" def:"true" about:"clients mark their repeats"`
 }
 
 type Counter struct {
-	Present  bool   `day:"present" def:"true" about:"there is one"`
-	Parts    Span   `day:"parts" unit:"n" min:"1" max:"64" def:"1" about:"parts, by name"`
-	Capacity Span   `day:"capacity" unit:"/s" min:"0.1/s" max:"10000000/s" def:"100000/s" about:"calls a second that all parts together take"`
-	Queue    Span   `day:"queue" unit:"n" min:"1" max:"1000000" def:"4096" about:"calls that wait at a part; what is more is turned away"`
-	Time     Span   `day:"time" unit:"s" min:"0s" max:"1s" def:"500us" about:"for a call, beside waiting and the way"`
-	Limit    Span   `day:"limit" unit:"s" min:"1ms" max:"10s" def:"50ms" about:"a call is given up after this"`
-	Settles  bool   `day:"settles" def:"false" about:"units are a guess and the answer brings the true ones"`
-	Zone     string `day:"zone" one:"spread|own" def:"spread" about:"spread: its way is that between zones for two thirds of the api gateways; own: near to all"`
+	Present     bool   `day:"present" def:"true" about:"there is one"`
+	Partitions  Span   `day:"parts" unit:"n" min:"1" max:"64" def:"1" about:"parts, by name"`
+	Capacity    Span   `day:"capacity" unit:"/s" min:"0.1/s" max:"10000000/s" def:"100000/s" about:"calls a second that all parts together take"`
+	Queue       Span   `day:"queue" unit:"n" min:"1" max:"1000000" def:"4096" about:"calls that wait at a part; what is more is turned away"`
+	ServiceTime Span   `day:"time" unit:"s" min:"0s" max:"1s" def:"500us" about:"for a call, beside waiting and the way"`
+	Timeout     Span   `day:"limit" unit:"s" min:"1ms" max:"10s" def:"50ms" about:"a call is given up after this"`
+	Settles     bool   `day:"settles" def:"false" about:"units are a guess and the answer brings the true ones"`
+	Zone        string `day:"zone" one:"spread|own" def:"spread" about:"spread: its way is that between zones for two thirds of the api gateways; own: near to all"`
 }
 
 type Discovery struct {
@@ -117,23 +117,23 @@
 }
 
 type Peers struct {
-	Allowed bool `day:"allowed" def:"false" about:"api gateways may send each other mail"`
-	Mail    Span `day:"mail" unit:"/s" min:"0/s" max:"100000/s" def:"60/s" about:"messages that one takes in"`
-	Delay   Span `day:"delay" unit:"s" min:"0s" max:"10s" def:"5ms" about:"mean time on the way"`
-	Loss    Span `day:"loss" unit:"share" min:"0" max:"1" def:"0.01" about:"messages lost"`
+	Allowed     bool `day:"allowed" def:"false" about:"api gateways may send each other mail"`
+	MessageRate Span `day:"mail" unit:"/s" min:"0/s" max:"100000/s" def:"60/s" about:"messages that one takes in"`
+	Delay       Span `day:"delay" unit:"s" min:"0s" max:"10s" def:"5ms" about:"mean time on the way"`
+	Loss        Span `day:"loss" unit:"share" min:"0" max:"1" def:"0.01" about:"messages lost"`
 }
 
 type Gateway struct {
-	Deliveries Span `day:"deliveries" unit:"n" min:"1" max:"100" def:"4" about:"for one invocation at most"`
-	Cancel     bool `day:"cancel" def:"true" about:"a delivery may be withdrawn"`
-	Cost       Span `day:"cost" unit:"s" min:"0s" max:"100ms" def:"20us" about:"CPU time for each thing it hears, on a whole core"`
-	Core       Span `day:"core" unit:"share" min:"0.01" max:"1" def:"0.5" about:"part of a core that it gets"`
-	Grace      Span `day:"grace" unit:"s" min:"0s" max:"1m" def:"250ms" about:"new work to a draining host may go on for so long"`
-	Clock      Span `day:"clock" unit:"s" min:"0s" max:"24h" def:"0s" about:"what their clock says as the day begins: the windows of quotas lie by it; on sockets it is the true time"`
-	Notice     Span `day:"notice" unit:"s" min:"0s" max:"1m" def:"2s" about:"invocations go on coming to a dead one for so long"`
+	MaxAttempts   Span `day:"deliveries" unit:"n" min:"1" max:"100" def:"4" about:"for one invocation at most"`
+	Cancel        bool `day:"cancel" def:"true" about:"a delivery may be withdrawn"`
+	Cost          Span `day:"cost" unit:"s" min:"0s" max:"100ms" def:"20us" about:"CPU time for each thing it hears, on a whole core"`
+	CoreShare     Span `day:"core" unit:"share" min:"0.01" max:"1" def:"0.5" about:"part of a core that it gets"`
+	DrainGrace    Span `day:"grace" unit:"s" min:"0s" max:"1m" def:"250ms" about:"new work to a draining host may go on for so long"`
+	ClockOffset   Span `day:"clock" unit:"s" min:"0s" max:"24h" def:"0s" about:"what their clock says as the day begins: the windows of quotas lie by it; on sockets it is the true time"`
+	FailureNotice Span `day:"notice" unit:"s" min:"0s" max:"1m" def:"2s" about:"invocations go on coming to a dead one for so long"`
 }
 
-type Trouble struct {
+type Fault struct {
 	Kind      string `day:"kind" about:"see the kinds"`
 	At        Span   `day:"at" unit:"s" min:"0s" max:"24h" about:"when it begins"`
 	Lasts     Span   `day:"lasts" unit:"s" min:"0s" max:"24h" def:"0s" about:"how long it lasts"`
@@ -143,59 +143,59 @@
 	Back      string `day:"back" one:"kept|empty|old" def:"kept" about:"with what the counter comes back"`
 }
 
-// Kind tells what a trouble does.
-type Kind struct {
-	Name    string
-	Does    string
-	Part    string // of what; "": part means nothing
-	Size    string // what it says; "": size means nothing
-	Long    bool   // it lasts
-	Needs   string // "operation", "peers" or "counter"
-	Divides bool   // a size of 0 makes no sense
-}
-
-// Kinds are the troubles in the order in which the pages list them.
-var Kinds = []Kind{
-	{Name: "slow", Does: "hosts work at a part of their speed", Part: "hosts", Size: "how many times slower", Long: true, Divides: true},
-	{Name: "silent", Does: "hosts answer nothing and run nothing; connections stay open", Part: "hosts", Long: true},
-	{Name: "vanish", Does: "hosts are silent, then back cold", Part: "hosts", Long: true},
-	{Name: "operation-silent", Does: "hosts leave a part of one operation's deliveries unanswered", Part: "hosts", Size: "part of them", Long: true, Needs: "operation"},
-	{Name: "errors", Does: "hosts answer a part of the deliveries with an error, after they ran", Part: "hosts", Size: "part of them", Long: true},
-	{Name: "spoilt", Does: "a part of the answers can't be read; their delivery has run", Part: "hosts", Size: "part of them", Long: true},
-	{Name: "refuse", Does: "hosts hold fewer connections", Part: "hosts", Size: "part of their limit", Long: true},
-	{Name: "replace", Does: "hosts drain and leave, one after another, and new cold ones come in their place", Part: "hosts", Long: true},
-	{Name: "grow", Does: "cold hosts come on top", Part: "of the hosts there are", Long: false},
-	{Name: "reset", Does: "connections are reset under a part of the deliveries, half of them after they ran", Size: "part of them", Long: true},
-	{Name: "delay", Does: "the way between machines takes longer", Size: "how many times", Long: true, Divides: true},
-	{Name: "cut", Does: "zones are cut off from the others and from the counter", Part: "zones, at most all but one", Long: true},
-	{Name: "half-open", Does: "a part of the answers never arrives though the connection stays open", Size: "part of them", Long: true},
-	{Name: "counter-silent", Does: "the counter answers nothing and adds nothing", Long: true, Needs: "counter"},
-	{Name: "counter-refuse", Does: "the counter takes no connections", Long: true, Needs: "counter"},
-	{Name: "counter-small", Does: "the counter takes a part of its calls a second", Size: "part of its capacity", Long: true, Needs: "counter", Divides: true},
-	{Name: "counter-drop", Does: "the counter adds all but answers only a part of the calls", Size: "part answered", Long: true, Needs: "counter"},
-	{Name: "counter-split", Does: "a part of the api gateways sees another copy of the counter; the first copy's counts stand afterwards", Part: "api gateways", Long: true, Needs: "counter"},
-	{Name: "counter-takeover", Does: "the counter is kept by several: the names whose leader is gone are turned away until another leads; nothing is lost", Part: "names", Long: true, Needs: "counter"},
-	{Name: "counter-replaced", Does: "the counter is replaced by an empty one at a stroke", Long: false, Needs: "counter"},
-	{Name: "list-late", Does: "changes of the list come later", Size: "how many times", Long: true, Divides: true},
-	{Name: "list-silent", Does: "changes of the list don't come until it ends", Long: true},
-	{Name: "list-wrong", Does: "the list says of some hosts that they drain, though they work", Part: "hosts", Long: true},
-	{Name: "mail-loss", Does: "mail between api gateways is lost", Size: "part lost", Long: true, Needs: "peers"},
-	{Name: "burst", Does: "customers ask for more", Part: "customers", Size: "how many times", Long: true, Divides: true},
-	{Name: "gather", Does: "customers come in through one api gateway of their set only", Part: "customers", Long: true},
-	{Name: "move", Does: "customers come in through another set from now on", Part: "customers", Long: false},
-	{Name: "ignore", Does: "customers that were throttled come again at once, as often as size says", Part: "customers", Size: "further tries", Long: true},
-	{Name: "impatient", Does: "clients give up after a part of their time", Part: "customers", Size: "part of their time", Long: true, Divides: true},
-	{Name: "kill", Does: "api gateways are killed; each is back with empty hands after the time it lasts", Part: "api gateways", Long: true},
-	{Name: "restart", Does: "api gateways are restarted, one after another: each ends what it holds, then starts with empty hands", Part: "api gateways", Long: true},
-	{Name: "starve", Does: "api gateways get a part of their share of a core", Part: "api gateways", Size: "part of it", Long: true, Divides: true},
-}
-
-// KindOf gives what is known of a kind of trouble.
-func KindOf(name string) (Kind, bool) {
-	for _, k := range Kinds {
+// FaultKind tells what a trouble does.
+type FaultKind struct {
+	Name         string
+	Description  string
+	Part         string // of what; "": part means nothing
+	Size         string // what it says; "": size means nothing
+	Lasts        bool   // it lasts
+	Needs        string // "operation", "peers" or "counter"
+	PositiveSize bool   // a size of 0 makes no sense
+}
+
+// FaultKinds are the troubles in the order in which the pages list them.
+var FaultKinds = []FaultKind{
+	{Name: "slow", Description: "hosts work at a part of their speed", Part: "hosts", Size: "how many times slower", Lasts: true, PositiveSize: true},
+	{Name: "silent", Description: "hosts answer nothing and run nothing; connections stay open", Part: "hosts", Lasts: true},
+	{Name: "vanish", Description: "hosts are silent, then back cold", Part: "hosts", Lasts: true},
+	{Name: "operation-silent", Description: "hosts leave a part of one operation's deliveries unanswered", Part: "hosts", Size: "part of them", Lasts: true, Needs: "operation"},
+	{Name: "errors", Description: "hosts answer a part of the deliveries with an error, after they ran", Part: "hosts", Size: "part of them", Lasts: true},
+	{Name: "spoilt", Description: "a part of the answers can't be read; their delivery has run", Part: "hosts", Size: "part of them", Lasts: true},
+	{Name: "refuse", Description: "hosts hold fewer connections", Part: "hosts", Size: "part of their limit", Lasts: true},
+	{Name: "replace", Description: "hosts drain and leave, one after another, and new cold ones come in their place", Part: "hosts", Lasts: true},
+	{Name: "grow", Description: "cold hosts come on top", Part: "of the hosts there are", Lasts: false},
+	{Name: "reset", Description: "connections are reset under a part of the deliveries, half of them after they ran", Size: "part of them", Lasts: true},
+	{Name: "delay", Description: "the way between machines takes longer", Size: "how many times", Lasts: true, PositiveSize: true},
+	{Name: "cut", Description: "zones are cut off from the others and from the counter", Part: "zones, at most all but one", Lasts: true},
+	{Name: "half-open", Description: "a part of the answers never arrives though the connection stays open", Size: "part of them", Lasts: true},
+	{Name: "counter-silent", Description: "the counter answers nothing and adds nothing", Lasts: true, Needs: "counter"},
+	{Name: "counter-refuse", Description: "the counter takes no connections", Lasts: true, Needs: "counter"},
+	{Name: "counter-small", Description: "the counter takes a part of its calls a second", Size: "part of its capacity", Lasts: true, Needs: "counter", PositiveSize: true},
+	{Name: "counter-drop", Description: "the counter adds all but answers only a part of the calls", Size: "part answered", Lasts: true, Needs: "counter"},
+	{Name: "counter-split", Description: "a part of the api gateways sees another copy of the counter; the first copy's counts stand afterwards", Part: "api gateways", Lasts: true, Needs: "counter"},
+	{Name: "counter-takeover", Description: "the counter is kept by several: the names whose leader is gone are turned away until another leads; nothing is lost", Part: "names", Lasts: true, Needs: "counter"},
+	{Name: "counter-replaced", Description: "the counter is replaced by an empty one at a stroke", Lasts: false, Needs: "counter"},
+	{Name: "list-late", Description: "changes of the list come later", Size: "how many times", Lasts: true, PositiveSize: true},
+	{Name: "list-silent", Description: "changes of the list don't come until it ends", Lasts: true},
+	{Name: "list-wrong", Description: "the list says of some hosts that they drain, though they work", Part: "hosts", Lasts: true},
+	{Name: "mail-loss", Description: "mail between api gateways is lost", Size: "part lost", Lasts: true, Needs: "peers"},
+	{Name: "burst", Description: "customers ask for more", Part: "customers", Size: "how many times", Lasts: true, PositiveSize: true},
+	{Name: "gather", Description: "customers come in through one api gateway of their set only", Part: "customers", Lasts: true},
+	{Name: "move", Description: "customers come in through another set from now on", Part: "customers", Lasts: false},
+	{Name: "ignore", Description: "customers that were throttled come again at once, as often as size says", Part: "customers", Size: "further tries", Lasts: true},
+	{Name: "impatient", Description: "clients give up after a part of their time", Part: "customers", Size: "part of their time", Lasts: true, PositiveSize: true},
+	{Name: "kill", Description: "api gateways are killed; each is back with empty hands after the time it lasts", Part: "api gateways", Lasts: true},
+	{Name: "restart", Description: "api gateways are restarted, one after another: each ends what it holds, then starts with empty hands", Part: "api gateways", Lasts: true},
+	{Name: "starve", Description: "api gateways get a part of their share of a core", Part: "api gateways", Size: "part of it", Lasts: true, PositiveSize: true},
+}
+
+// FaultKindOf gives what is known of a kind of trouble.
+func FaultKindOf(name string) (FaultKind, bool) {
+	for _, k := range FaultKinds {
 		if k.Name == name {
 			return k, true
 		}
 	}
-	return Kind{}, false
+	return FaultKind{}, false
 }
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	_, err := Read("d.toml", []byte(strings.NewReplacer(`length = "60s"`, `length = 60`, `gateways = 300`, `gateways = 0`).Replace(good(t))))
-	if fs, ok := err.(Faults); !ok || len(fs) != 2 {
+	if fs, ok := err.(InvalidError); !ok || len(fs) != 2 {
 		t.Errorf("two faults: %v", err)
 	}
 }
@@ -65,7 +65,7 @@
 	if got := d.Spans(); len(got) != 2 {
 		t.Fatalf("ranges: %v", got)
 	}
-	if n := a.Fleet.Gateways.N(); n < 3 || n > 3000 || a.Fleet.Gateways.Lo != a.Fleet.Gateways.Hi {
+	if n := a.Fleet.Gateways.Int(); n < 3 || n > 3000 || a.Fleet.Gateways.Lo != a.Fleet.Gateways.Hi {
 		t.Fatalf("drew %v", a.Fleet.Gateways)
 	}
 	more := d.Clone()
@@ -73,7 +73,7 @@
 	if x := more.Draw(1); x.Fleet.Gateways != a.Fleet.Gateways || x.Clients.Near != a.Clients.Near {
 		t.Fatal("another range moved the draw")
 	}
-	if err := d.Set("plan[0].rate", "5/s"); err != nil || d.Plans[0].Rate.V() != 5 {
+	if err := d.Set("plan[0].rate", "5/s"); err != nil || d.Plans[0].Rate.Float() != 5 {
 		t.Fatal(err)
 	}
 	for _, x := range [][2]string{{"plan[9].rate", "5/s"}, {"plan[0].rate", "5"}, {"plan.rate", "5/s"}, {"rain", "1"}, {"fleet", "1"}} {
@@ -94,8 +94,8 @@
 			t.Errorf("docs/laboratory.md lacks\n%s", line)
 		}
 	}
-	for _, k := range Kinds {
-		if !strings.Contains(string(b), "| `"+k.Name+"` | "+k.Does+" |") {
+	for _, k := range FaultKinds {
+		if !strings.Contains(string(b), "| `"+k.Name+"` | "+k.Description+" |") {
 			t.Errorf("docs/laboratory.md lacks the trouble %s", k.Name)
 		}
 	}
--- a/sim/scenario/strike.go
+++ b/sim/scenario/strike.go
@@ -10,52 +10,52 @@
 	"strings"
 )
 
-// Keepers are the processes that hold for api gateways what has to outlive them.
-type Keepers struct {
-	Count  Span   `day:"count" unit:"n" min:"0" max:"9" def:"0" about:"how many; 0: the counter counts"`
-	Copies Span   `day:"copies" unit:"n" min:"1" max:"5" def:"3" about:"how many hold each part: 1, 3 or 5"`
-	Groups Span   `day:"groups" unit:"n" min:"1" max:"64" def:"8" about:"parts into which names are spread"`
-	Lost   Span   `day:"lost" unit:"s" min:"1s" max:"1h" def:"3s" about:"a silent keeper's part is copied to another after this"`
-	Disk   bool   `day:"disk" def:"true" about:"they have disks"`
-	Holds  string `day:"holds" one:"all|adds" def:"all" about:"all: what an api gateway says of itself; adds: counts by the counter's protocol alone"`
+// QuotaStore are the processes that hold for api gateways what has to outlive them.
+type QuotaStore struct {
+	Count    Span   `day:"count" unit:"n" min:"0" max:"9" def:"0" about:"how many; 0: the counter counts"`
+	Replicas Span   `day:"copies" unit:"n" min:"1" max:"5" def:"3" about:"how many hold each part: 1, 3 or 5"`
+	Groups   Span   `day:"groups" unit:"n" min:"1" max:"64" def:"8" about:"parts into which names are spread"`
+	Lost     Span   `day:"lost" unit:"s" min:"1s" max:"1h" def:"3s" about:"a silent keeper's part is copied to another after this"`
+	Disk     bool   `day:"disk" def:"true" about:"they have disks"`
+	Holds    string `day:"holds" one:"all|adds" def:"all" about:"all: what an api gateway says of itself; adds: counts by the counter's protocol alone"`
 }
 
-// Strike is a fault of a link between two processes, or of a process, at a moment or on an event.
-type Strike struct {
-	Kind   string `day:"kind" about:"see the kinds of faults"`
-	From   string `day:"from" def:"" about:"links: clients, edge *, or some as in edge 0,2"`
-	To     string `day:"to" def:"" about:"links: counter, discovery, host *, host 0,2, edge * or edge 0,2"`
-	Way    string `day:"way" one:"both|there|back" def:"both" about:"links: which direction is struck"`
-	Edge   string `day:"edge" def:"" about:"processes: api gateways by number, as in 0,2; all; or empty, and part says how many"`
-	Keeper string `day:"keeper" def:"" about:"processes: keepers instead, by number, as in 0,2; *; leader: of most groups; some 2: drawn by the seed"`
-	Part   Span   `day:"part" unit:"share" min:"0" max:"1" def:"1" about:"processes: part of all, drawn by the seed, where edge is empty; links: part of the datagrams that is struck"`
-	At     Span   `day:"at" unit:"s" min:"0s" max:"24h" def:"0s" about:"when it begins, from the day's begin or from the event"`
-	Lasts  Span   `day:"lasts" unit:"s" min:"0s" max:"24h" def:"0s" about:"how long; 0s: for good"`
-	On     string `day:"on" def:"" about:"the event that it waits for; see the events"`
-	By     string `day:"by" def:"" about:"of which api gateways the event is, as in 0,2; empty: of any"`
-	Count  Span   `day:"count" unit:"n" min:"1" max:"1000000" def:"1" about:"the how many'th such event"`
-	Text   string `day:"text" def:"" about:"event log: what the line holds"`
-	Time   Span   `day:"time" unit:"s" min:"0s" max:"1m" def:"0s" about:"delay: how long; starve: the period"`
-	Jitter Span   `day:"jitter" unit:"s" min:"0s" max:"1m" def:"0s" about:"delay: mean of what comes on top"`
-	Size   Span   `day:"size" unit:"x" min:"0" max:"1000000000" def:"0" about:"rate: bytes a second; full-disk: bytes a file may hold; starve: part of the time that is left"`
+// ProcessFault is a fault of a link between two processes, or of a process, at a moment or on an event.
+type ProcessFault struct {
+	Kind     string `day:"kind" about:"see the kinds of faults"`
+	From     string `day:"from" def:"" about:"links: clients, edge *, or some as in edge 0,2"`
+	To       string `day:"to" def:"" about:"links: counter, discovery, host *, host 0,2, edge * or edge 0,2"`
+	Way      string `day:"way" one:"both|there|back" def:"both" about:"links: which direction is struck"`
+	Edges    string `day:"edge" def:"" about:"processes: api gateways by number, as in 0,2; all; or empty, and part says how many"`
+	Keeper   string `day:"keeper" def:"" about:"processes: keepers instead, by number, as in 0,2; *; leader: of most groups; some 2: drawn by the seed"`
+	Part     Span   `day:"part" unit:"share" min:"0" max:"1" def:"1" about:"processes: part of all, drawn by the seed, where edge is empty; links: part of the datagrams that is struck"`
+	At       Span   `day:"at" unit:"s" min:"0s" max:"24h" def:"0s" about:"when it begins, from the day's begin or from the event"`
+	Lasts    Span   `day:"lasts" unit:"s" min:"0s" max:"24h" def:"0s" about:"how long; 0s: for good"`
+	On       string `day:"on" def:"" about:"the event that it waits for; see the events"`
+	Gateways string `day:"by" def:"" about:"of which api gateways the event is, as in 0,2; empty: of any"`
+	Count    Span   `day:"count" unit:"n" min:"1" max:"1000000" def:"1" about:"the how many'th such event"`
+	Text     string `day:"text" def:"" about:"event log: what the line holds"`
+	Time     Span   `day:"time" unit:"s" min:"0s" max:"1m" def:"0s" about:"delay: how long; starve: the period"`
+	Jitter   Span   `day:"jitter" unit:"s" min:"0s" max:"1m" def:"0s" about:"delay: mean of what comes on top"`
+	Size     Span   `day:"size" unit:"x" min:"0" max:"1000000000" def:"0" about:"rate: bytes a second; full-disk: bytes a file may hold; starve: part of the time that is left"`
 }
 
-// Promise is what has to hold at the end of a script.
-type Promise struct {
-	What  string `day:"what" about:"see the promises"`
+// Expectation is what has to hold at the end of a script.
+type Expectation struct {
+	Kind  string `day:"what" about:"see the promises"`
 	Text  string `day:"text" def:"" about:"what the figure is of; see the promises"`
 	Edge  string `day:"edge" def:"" about:"of which api gateways, as in 0,2; empty: of all"`
 	From  Span   `day:"from" unit:"s" min:"0s" max:"24h" def:"0s" about:"from which second on"`
 	Until Span   `day:"until" unit:"s" min:"0s" max:"24h" def:"24h" about:"up to which"`
-	Least Span   `day:"least" unit:"x" min:"0" max:"1000000000" def:"0" about:"at least so much"`
-	Most  Span   `day:"most" unit:"x" min:"0" max:"1000000000" def:"1000000000" about:"at most so much"`
+	Min   Span   `day:"least" unit:"x" min:"0" max:"1000000000" def:"0" about:"at least so much"`
+	Max   Span   `day:"most" unit:"x" min:"0" max:"1000000000" def:"1000000000" about:"at most so much"`
 }
 
-// Named is something that a page lists.
-type Named struct{ Name, Does string }
+// NamedItem is something that a page lists.
+type NamedItem struct{ Name, Description string }
 
-// Strikes are the kinds of faults; those of links come first.
-var Strikes = []Named{
+// ProcessFaultKinds are the kinds of faults; those of links come first.
+var ProcessFaultKinds = []NamedItem{
 	{"drop", "nothing gets through; new connections never come up; datagrams are lost (part of them)"},
 	{"stall", "connections are accepted and pass nothing on until it ends"},
 	{"delay", "what passes takes time and jitter longer"},
@@ -79,7 +79,7 @@
 const links = 9
 
 // Events are what a fault can wait for. Each happens before what follows from it: the fault is in force first.
-var Events = []Named{
+var Events = []NamedItem{
 	{"taken", "a client's try has been sent to the api gateway"},
 	{"called", "a call has reached the counter, which has not added yet"},
 	{"added", "the counter has added and not answered"},
@@ -92,8 +92,8 @@
 	{"log", "a line of its log holds the text"},
 }
 
-// Promises are the figures that a script can hold to bounds.
-var Promises = []Named{
+// ExpectationKinds are the figures that a script can hold to bounds.
+var ExpectationKinds = []NamedItem{
 	{"served", "part of the value asked for inside quotas that was served in time"},
 	{"served-value", "value served in time within quotas, a second"},
 	{"throttled", "part of that value that was throttled"},
@@ -113,11 +113,11 @@
 	{"kept-answers", "keepers: things they promised, in all"},
 }
 
-func named(list []Named, name string) bool {
-	return slices.ContainsFunc(list, func(n Named) bool { return n.Name == name })
+func named(list []NamedItem, name string) bool {
+	return slices.ContainsFunc(list, func(n NamedItem) bool { return n.Name == name })
 }
 
-func known(list []Named) string {
+func known(list []NamedItem) string {
 	var all []string
 	for _, n := range list {
 		all = append(all, n.Name)
@@ -125,11 +125,11 @@
 	return strings.Join(all, ", ")
 }
 
-// OfLink says whether a kind of fault strikes links.
-func OfLink(kind string) bool { return named(Strikes[:links], kind) }
+// IsLinkFault says whether a kind of fault strikes links.
+func IsLinkFault(kind string) bool { return named(ProcessFaultKinds[:links], kind) }
 
-// Some reads numbers such as "0,2"; "*", "all" and "" are all of n. Numbers from n on are an error.
-func Some(text string, n int) (in []int, err error) {
+// ParseNumbers reads numbers such as "0,2"; "*", "all" and "" are all of n. Numbers from n on are an error.
+func ParseNumbers(text string, n int) (in []int, err error) {
 	if text == "*" || text == "all" || text == "" {
 		for i := range n {
 			in = append(in, i)
@@ -149,8 +149,8 @@
 	return in, nil
 }
 
-// End reads one end of a link: what it is and which of them; n is how many api gateways and hosts there are.
-func End(text string, gateways, hosts int) (what string, in []int, err error) {
+// ParseLinkEnd reads one end of a link: what it is and which of them; n is how many api gateways and hosts there are.
+func ParseLinkEnd(text string, gateways, hosts int) (what string, in []int, err error) {
 	what, which, _ := strings.Cut(text, " ")
 	switch what {
 	case "counter", "discovery", "clients":
@@ -159,11 +159,11 @@
 		}
 		return what, nil, nil
 	case "keeper":
-		in, err = Some(which, 9)
+		in, err = ParseNumbers(which, 9)
 	case "edge":
-		in, err = Some(which, gateways)
+		in, err = ParseNumbers(which, gateways)
 	case "host":
-		in, err = Some(which, hosts)
+		in, err = ParseNumbers(which, hosts)
 	default:
 		return what, nil, fmt.Errorf("%q is no end of a link: clients, counter, discovery, edge N, keeper N or host N", text)
 	}
@@ -171,31 +171,31 @@
 }
 
 // strikes checks faults and promises.
-func (r *reader) strikes(d *Day) {
+func (r *reader) strikes(d *Scenario) {
 	gateways, hosts := int(d.Fleet.Gateways.Lo), int(d.Fleet.Hosts.Lo)
-	for i, s := range d.Strikes {
+	for i, s := range d.ProcessFaults {
 		at := fmt.Sprintf("fault[%d]", i)
-		if !named(Strikes, s.Kind) {
-			r.fault(at+".kind", "%q is not known; there are %s", s.Kind, known(Strikes))
+		if !named(ProcessFaultKinds, s.Kind) {
+			r.fault(at+".kind", "%q is not known; there are %s", s.Kind, known(ProcessFaultKinds))
 			continue
 		}
-		if OfLink(s.Kind) {
+		if IsLinkFault(s.Kind) {
 			r.link(at, &s, gateways, hosts)
 		} else {
 			if s.From != "" || s.To != "" {
 				r.fault(at+".from", "%s strikes a process: edge says which", s.Kind)
 			}
-			if _, err := Some(s.Edge, gateways); err != nil {
+			if _, err := ParseNumbers(s.Edges, gateways); err != nil {
 				r.fault(at+".edge", "%v", err)
 			}
 			if s.Keeper != "" {
-				r.keeper(at, &s, int(d.Keepers.Count.Lo))
+				r.keeper(at, &s, int(d.QuotaStore.Count.Lo))
 			}
 		}
 		if s.On != "" && !named(Events, s.On) {
 			r.fault(at+".on", "%q is no event; there are %s", s.On, known(Events))
 		}
-		if _, err := Some(s.By, gateways); err != nil {
+		if _, err := ParseNumbers(s.Gateways, gateways); err != nil {
 			r.fault(at+".by", "%v", err)
 		}
 		if s.On == "log" && s.Text == "" {
@@ -215,51 +215,51 @@
 			r.fault(at+".at", "is after the day's end at %s", text("s", d.Length.Hi))
 		}
 	}
-	for i, p := range d.Promises {
+	for i, p := range d.Expectations {
 		at := fmt.Sprintf("promise[%d]", i)
-		if !named(Promises, p.What) {
-			r.fault(at+".what", "%q is not known; there are %s", p.What, known(Promises))
+		if !named(ExpectationKinds, p.Kind) {
+			r.fault(at+".what", "%q is not known; there are %s", p.Kind, known(ExpectationKinds))
 		}
-		if _, err := Some(p.Edge, gateways); err != nil {
+		if _, err := ParseNumbers(p.Edge, gateways); err != nil {
 			r.fault(at+".edge", "%v", err)
 		}
-		if p.Edge != "" && p.What != "log" && p.What != "runs" {
-			r.fault(at+".edge", "%s is of the whole fleet", p.What)
+		if p.Edge != "" && p.Kind != "log" && p.Kind != "runs" {
+			r.fault(at+".edge", "%s is of the whole fleet", p.Kind)
 		}
-		if p.What == "log" && p.Text == "" {
+		if p.Kind == "log" && p.Text == "" {
 			r.fault(at+".text", "log needs a text")
 		}
-		if p.Least.Lo > p.Most.Hi || p.From.Lo >= p.Until.Hi {
+		if p.Min.Lo > p.Max.Hi || p.From.Lo >= p.Until.Hi {
 			r.fault(at+".least", "can't be kept: its bounds cross")
 		}
 	}
 }
 
-func (r *reader) keeper(at string, s *Strike, count int) {
+func (r *reader) keeper(at string, s *ProcessFault, count int) {
 	var n int
 	_, drawn := fmt.Sscanf(s.Keeper, "some %d", &n)
 	if s.Keeper != "leader" && (drawn != nil || n < 1 || n > count) {
-		if _, err := Some(s.Keeper, count); err != nil {
+		if _, err := ParseNumbers(s.Keeper, count); err != nil {
 			r.fault(at+".keeper", "%v, leader, or some N", err)
 		}
 	}
-	if s.Edge != "" || s.Kind == "twice" {
+	if s.Edges != "" || s.Kind == "twice" {
 		r.fault(at+".keeper", "strikes keepers: neither edge nor twice goes with it")
 	}
 }
 
-func (r *reader) link(at string, s *Strike, gateways, hosts int) {
-	from, _, err := End(s.From, gateways, hosts)
+func (r *reader) link(at string, s *ProcessFault, gateways, hosts int) {
+	from, _, err := ParseLinkEnd(s.From, gateways, hosts)
 	if err != nil {
 		r.fault(at+".from", "%v", err)
 		return
 	}
-	to, _, err := End(s.To, gateways, hosts)
+	to, _, err := ParseLinkEnd(s.To, gateways, hosts)
 	if err != nil {
 		r.fault(at+".to", "%v", err)
 		return
 	}
-	if s.Edge != "" {
+	if s.Edges != "" {
 		r.fault(at+".edge", "%s strikes links: from and to say which", s.Kind)
 	}
 	mail := from == "edge" && to == "edge"
--- a/sim/search/search.go
+++ b/sim/search/search.go
@@ -37,7 +37,7 @@
 
 // Result is the worst run, made small.
 type Result struct {
-	Day   *scenario.Day
+	Day   *scenario.Scenario
 	Seed  uint64
 	Score float64
 	Steps []string // what was taken away
@@ -45,20 +45,20 @@
 
 // candidate is a scenario to be run with a seed.
 type candidate struct {
-	day  *scenario.Day
+	day  *scenario.Scenario
 	seed uint64
 }
 
 // searcher looks through one scenario.
 type searcher struct {
 	Options
-	from  *scenario.Day
+	from  *scenario.Scenario
 	spans []string // paths of the values that have ranges
 	best  Result
 }
 
 // Worst looks for the worst run of a scenario that has ranges or faults. A violated rule is worse than any score.
-func Worst(ctx context.Context, from *scenario.Day, options Options) (*Result, error) {
+func Worst(ctx context.Context, from *scenario.Scenario, options Options) (*Result, error) {
 	s := &searcher{Options: options, from: from, spans: from.Spans()}
 	median, err := s.sample(ctx)
 	if err != nil {
@@ -104,7 +104,7 @@
 		near := s.best.Day.Clone()
 		for _, path := range s.spans {
 			if random.Chance(redrawn) {
-				*near.At(path) = *other.At(path)
+				*near.SpanAt(path) = *other.SpanAt(path)
 			}
 		}
 		candidates = append(candidates, candidate{near, s.best.Seed})
--- a/sim/search/shrink.go
+++ b/sim/search/shrink.go
@@ -18,21 +18,21 @@
 
 // shrink leaves out each fault, then puts each value at the mild end of its range, as long as the score stays within a limit.
 func (s *searcher) shrink(ctx context.Context, limit float64) error {
-	faults := len(s.best.Day.Troubles)
+	faults := len(s.best.Day.Faults)
 	if err := s.dropFaults(ctx, limit); err != nil {
 		return err
 	}
-	if len(s.best.Day.Troubles) != faults { // the paths of values mean others now
+	if len(s.best.Day.Faults) != faults { // the paths of values mean others now
 		return nil
 	}
 	return s.calmValues(ctx, limit)
 }
 
 func (s *searcher) dropFaults(ctx context.Context, limit float64) error {
-	for i := len(s.best.Day.Troubles) - 1; i >= 0; i-- {
+	for i := len(s.best.Day.Faults) - 1; i >= 0; i-- {
 		smaller := s.best.Day.Clone()
-		kind := smaller.Troubles[i].Kind
-		smaller.Troubles = slices.Delete(smaller.Troubles, i, i+1)
+		kind := smaller.Faults[i].Kind
+		smaller.Faults = slices.Delete(smaller.Faults, i, i+1)
 		if err := s.try(ctx, smaller, limit, "without the trouble "+kind); err != nil {
 			return err
 		}
@@ -42,13 +42,13 @@
 
 func (s *searcher) calmValues(ctx context.Context, limit float64) error {
 	for _, path := range s.spans {
-		mildest := s.from.At(path).Lo
-		value := s.best.Day.At(path)
+		mildest := s.from.SpanAt(path).Lo
+		value := s.best.Day.SpanAt(path)
 		if value == nil || value.Lo == mildest {
 			continue
 		}
 		calmer := s.best.Day.Clone()
-		*calmer.At(path) = withValue(*calmer.At(path), mildest)
+		*calmer.SpanAt(path) = withValue(*calmer.SpanAt(path), mildest)
 		if err := s.try(ctx, calmer, limit, path+" at the mild end"); err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 }
 
 // try runs a smaller scenario and keeps it if its score is within the limit.
-func (s *searcher) try(ctx context.Context, smaller *scenario.Day, limit float64, step string) error {
+func (s *searcher) try(ctx context.Context, smaller *scenario.Scenario, limit float64, step string) error {
 	scores, err := s.scores(ctx, []candidate{{smaller, s.best.Seed}})
 	if err != nil {
 		return err
--- a/sim/simulation/faults.go
+++ b/sim/simulation/faults.go
@@ -12,7 +12,7 @@
 // fault is one fault of the scenario that begins now.
 type fault struct {
 	*Simulation
-	config *scenario.Trouble
+	config *scenario.Fault
 	random randstream.Stream // of its own, so that one fault more changes none of the others
 	size   float64
 	part   float64
@@ -81,21 +81,21 @@
 }
 
 // scheduleFault sets when a fault begins and ends.
-func (s *Simulation) scheduleFault(number int, config *scenario.Trouble) {
+func (s *Simulation) scheduleFault(number int, config *scenario.Fault) {
 	f := &fault{
 		Simulation: s,
 		config:     config,
 		random:     randstream.New(s.Seed, "trouble", number),
-		size:       config.Size.V(),
-		part:       config.Part.V(),
+		size:       config.Size.Float(),
+		part:       config.Part.Float(),
 	}
-	s.Queue.ScheduleAfter(config.At.V(), func() {
+	s.Queue.ScheduleAfter(config.At.Float(), func() {
 		begin := faultKinds[config.Kind]
 		if begin == nil {
 			return
 		}
 		if end := begin(f); end != nil {
-			s.Queue.ScheduleAfter(config.Lasts.V(), end)
+			s.Queue.ScheduleAfter(config.Lasts.Float(), end)
 		}
 	})
 }
@@ -166,7 +166,7 @@
 
 // isolatedZones are the last zones, at least one, and never the first, where the counter is.
 func (f *fault) isolatedZones() []int {
-	zones := f.Day.Fleet.Zones.N()
+	zones := f.Day.Fleet.Zones.Int()
 	count := max(1, int(math.Round(f.part*float64(zones))))
 	var isolated []int
 	for zone := zones - 1; zone >= 1 && zone >= zones-count; zone-- {
@@ -192,7 +192,7 @@
 
 // splitCounter gives a part of the api gateways the second replica of the counter.
 func (f *fault) splitCounter() (end func()) {
-	onSecond := f.random.SampleShare(f.Day.Fleet.Gateways.N(), f.part)
+	onSecond := f.random.SampleShare(f.Day.Fleet.Gateways.Int(), f.part)
 	return whileItLasts(func(begin bool) {
 		f.Counter.Split(begin)
 		for slot, gateway := range f.Gateways {
--- a/sim/simulation/gatewayfaults.go
+++ b/sim/simulation/gatewayfaults.go
@@ -10,17 +10,17 @@
 )
 
 func (f *fault) killGateways() (end func()) {
-	for _, slot := range f.sampleSlots(f.Day.Fleet.Gateways.N()) {
-		f.kill(slot, f.config.Lasts.V())
+	for _, slot := range f.sampleSlots(f.Day.Fleet.Gateways.Int()) {
+		f.kill(slot, f.config.Lasts.Float())
 	}
 	return nil
 }
 
 // restartGateways restarts gateways gracefully, one after another.
 func (f *fault) restartGateways() (end func()) {
-	struck := f.sampleSlots(f.Day.Fleet.Gateways.N())
+	struck := f.sampleSlots(f.Day.Fleet.Gateways.Int())
 	for i, slot := range struck {
-		f.Queue.ScheduleAfter(f.config.Lasts.V()*float64(i)/float64(len(struck)), func() { f.restart(slot) })
+		f.Queue.ScheduleAfter(f.config.Lasts.Float()*float64(i)/float64(len(struck)), func() { f.restart(slot) })
 	}
 	return nil
 }
@@ -43,7 +43,7 @@
 	gateway.Kill()
 	s.gatewaysAlive--
 	gateway.Admits = true // not noticed yet
-	s.Queue.ScheduleAfter(s.Day.Gateway.Notice.V(), func() {
+	s.Queue.ScheduleAfter(s.Day.Gateway.FailureNotice.Float(), func() {
 		if !gateway.Alive {
 			gateway.Admits = false
 		}
--- a/sim/simulation/gateways.go
+++ b/sim/simulation/gateways.go
@@ -22,7 +22,7 @@
 	}
 	gateway := s.Gateways[slot]
 	s.gatewayStarts++
-	decide, err := gatewaymodel.WithClockOffset(s.Day.Gateway.Clock.V(), gateway,
+	decide, err := gatewaymodel.WithClockOffset(s.Day.Gateway.ClockOffset.Float(), gateway,
 		func(out policydriver.Output) (gatewaymodel.Policy, error) {
 			seed := randstream.New(s.Seed, "mind", slot, int(s.gatewayStarts)).Uint64() >> 1
 			return s.policies.NewPolicy(s, slot, seed, out)
@@ -100,7 +100,7 @@
 	share := metrics.Share{FirstSent: request.Value()}
 	if beyond {
 		share.BeyondQuota = request.Value()
-		share.BeyondCost = request.Value() * request.Customer.Plan.OverCost.V()
+		share.BeyondCost = request.Value() * request.Customer.Plan.OverCost.Float()
 		share.NetValue = -share.BeyondCost
 	}
 	s.Results.AddShare(request, share)
--- a/sim/simulation/hostfaults.go
+++ b/sim/simulation/hostfaults.go
@@ -58,7 +58,7 @@
 func (f *fault) replaceHosts() (end func()) {
 	struck := f.sampleHosts()
 	for i, host := range struck {
-		f.Queue.ScheduleAfter(f.config.Lasts.V()*float64(i)/float64(len(struck)), func() { f.replaceHost(host) })
+		f.Queue.ScheduleAfter(f.config.Lasts.Float()*float64(i)/float64(len(struck)), func() { f.replaceHost(host) })
 	}
 	return nil
 }
--- a/sim/simulation/hosts.go
+++ b/sim/simulation/hosts.go
@@ -19,7 +19,7 @@
 // firstHosts makes the hosts with which the scenario starts, and their list.
 func (s *Simulation) firstHosts() []policy.HostEntry {
 	var list []policy.HostEntry
-	for range s.Day.Fleet.Hosts.N() {
+	for range s.Day.Fleet.Hosts.Int() {
 		list = append(list, hostEntry(s.addHost(0), model.HostActive))
 	}
 	return list
@@ -29,7 +29,7 @@
 func (s *Simulation) addHost(startedAt float64) *hostmodel.Host {
 	number := len(s.Hosts)
 	host := hostmodel.New(s.Queue, number, hostAddr(number), s.drawHostKind(number), &s.Day.Cold, s.Seed)
-	host.Zone = number % s.Day.Fleet.Zones.N()
+	host.Zone = number % s.Day.Fleet.Zones.Int()
 	host.Cell = number / hostsPerCell
 	host.StartedAt = startedAt
 	host.OnOverload = func(arrivals []hostmodel.Arrival) {
@@ -50,11 +50,11 @@
 	kinds := s.Day.Hosts
 	total := 0.0
 	for i := range kinds {
-		total += kinds[i].Share.V()
+		total += kinds[i].Share.Float()
 	}
 	left := randstream.New(s.Seed, "kind", number).Float64() * total
 	for i := range kinds {
-		left -= kinds[i].Share.V()
+		left -= kinds[i].Share.Float()
 		if left < 0 {
 			return &kinds[i]
 		}
--- a/sim/simulation/run.go
+++ b/sim/simulation/run.go
@@ -37,8 +37,8 @@
 // BeginWithoutClients lets faults come and nobody ask.
 func (s *Simulation) BeginWithoutClients() {
 	s.Results.StartedAt = s.Queue.Now()
-	for i := range s.Day.Troubles {
-		s.scheduleFault(i, &s.Day.Troubles[i])
+	for i := range s.Day.Faults {
+		s.scheduleFault(i, &s.Day.Faults[i])
 	}
 	s.Queue.ScheduleAfter(1, s.endSecond)
 }
@@ -47,9 +47,9 @@
 func (s *Simulation) EndTime() float64 {
 	longest := 0.0
 	for i := range s.Day.Operations {
-		longest = max(longest, s.Day.Operations[i].Timeout.V())
+		longest = max(longest, s.Day.Operations[i].Timeout.Float())
 	}
-	return s.Results.StartedAt + s.Day.Length.V() + longest + 1
+	return s.Results.StartedAt + s.Day.Length.Float() + longest + 1
 }
 
 // Finish adds up the results of a run that is over.
@@ -67,7 +67,7 @@
 	if work > 0 {
 		results.WastedWork = max(0, 1-s.usefulWork/work)
 	}
-	results.Seconds = results.Seconds[:min(len(results.Seconds), int(s.Day.Length.V())+1)]
+	results.Seconds = results.Seconds[:min(len(results.Seconds), int(s.Day.Length.Float())+1)]
 	return results
 }
 
@@ -82,7 +82,7 @@
 	if s.policies.Err() != nil {
 		s.Queue.Stop()
 	}
-	if now < s.Results.StartedAt+s.Day.Length.V() {
+	if now < s.Results.StartedAt+s.Day.Length.Float() {
 		s.Queue.ScheduleAfter(1, s.endSecond)
 	}
 }
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -30,7 +30,7 @@
 
 // Simulation is a scenario that is run with a seed.
 type Simulation struct {
-	Day      *scenario.Day
+	Day      *scenario.Scenario
 	Seed     uint64
 	Queue    *eventqueue.Queue
 	Hosts    []*hostmodel.Host
@@ -90,7 +90,7 @@
 }
 
 // New makes the simulation of a scenario, drawn by a seed, with the policies of a source.
-func New(day *scenario.Day, seed uint64, policies PolicySource, options ...Option) *Simulation {
+func New(day *scenario.Scenario, seed uint64, policies PolicySource, options ...Option) *Simulation {
 	s := &Simulation{
 		Day:           day.Draw(seed),
 		Seed:          seed,
@@ -105,8 +105,8 @@
 		option(s)
 	}
 	day = s.Day
-	gateways := day.Fleet.Gateways.N()
-	s.network = network.New(&day.Network, day.Fleet.Zones.N(), seed)
+	gateways := day.Fleet.Gateways.Int()
+	s.network = network.New(&day.Network, day.Fleet.Zones.Int(), seed)
 	s.Counter = countermodel.New(s.Queue, &day.Counter, seed)
 	s.Oracle = oracle.New(day, gateways, s.Queue.Now)
 	s.Results = metrics.New(day.Name, policies.Name(), seed)
@@ -123,7 +123,7 @@
 }
 
 func (s *Simulation) addGateways(count int) {
-	zones := s.Day.Fleet.Zones.N()
+	zones := s.Day.Fleet.Zones.Int()
 	for slot := range count {
 		s.Gateways = append(s.Gateways, gatewaymodel.New(slot, slot%zones, s.Queue, s.network, s.Counter, s.Day, s))
 	}
--- a/sim/workload/client.go
+++ b/sim/workload/client.go
@@ -24,14 +24,14 @@
 	clients := &g.scenario.Clients
 	request.InvocationCount++
 	g.invocations++
-	patience := g.clients.Uniform(clients.Patience.V(), 1) * request.Customer.PatienceFactor
+	patience := g.clients.Uniform(clients.Patience.Float(), 1) * request.Customer.PatienceFactor
 	invocation := &model.Invocation{
 		Ref:         fmt.Sprintf(keyFormat, g.invocations*invocationRefFactor),
 		Number:      g.invocations,
 		Request:     request,
 		SentAt:      now,
-		GiveUpAt:    min(request.Deadline, now+patience*request.Operation.Timeout.V()),
-		ClientRetry: retry && clients.Marked,
+		GiveUpAt:    min(request.Deadline, now+patience*request.Operation.Timeout.Float()),
+		ClientRetry: retry && clients.MarkRetries,
 	}
 	invocation.Gateway = g.chooseGateway(request.Customer)
 	g.environment.InvocationSent(invocation)
@@ -46,11 +46,11 @@
 	clients := &g.scenario.Clients
 	now := g.clock.Now()
 	if now >= customer.PreferredUntil {
-		customer.PreferredUntil = now + g.routes.Uniform(minGatewayStay, maxGatewayStay)*clients.Change.V()
+		customer.PreferredUntil = now + g.routes.Uniform(minGatewayStay, maxGatewayStay)*clients.PreferenceTime.Float()
 		customer.Preferred = g.routes.IntN(customer.GatewayCount)
 	}
 	pick := customer.Preferred
-	if !customer.Concentrated && !g.routes.Chance(clients.Uneven.V()) {
+	if !customer.Concentrated && !g.routes.Chance(clients.PreferredShare.Float()) {
 		pick = g.routes.IntN(customer.GatewayCount)
 	}
 	for i := range customer.GatewayCount {
@@ -75,7 +75,7 @@
 	request.QuotaHadRoom = hadRoom
 	wait, retries := g.retryWait(request, outcome, retryAfter)
 	// Nobody comes again for an answer that cannot be in time.
-	if retries && now+wait < request.Deadline-request.Operation.Objective.V()/objectiveDivisor {
+	if retries && now+wait < request.Deadline-request.Operation.Objective.Float()/objectiveDivisor {
 		g.clock.ScheduleAfter(wait, func() { g.invoke(request, true) })
 		return
 	}
@@ -85,8 +85,8 @@
 
 // retryWait says whether a client retries after an outcome, and after how many seconds.
 func (g *Generator) retryWait(request *model.Request, outcome model.Outcome, retryAfter float64) (wait float64, retries bool) {
-	limit := g.scenario.Clients.Retries.N()
-	wait = g.clients.Exponential(g.scenario.Clients.Wait.V())
+	limit := g.scenario.Clients.Retries.Int()
+	wait = g.clients.Exponential(g.scenario.Clients.RetryWait.Float())
 	retries = request.InvocationCount <= limit
 	switch outcome {
 	case model.Served:
@@ -114,7 +114,7 @@
 	case model.EffectIdempotent:
 		return true
 	case model.EffectTokened:
-		return operation.Group == model.GroupAll && at < request.CreatedAt+operation.TokenTime.V()
+		return operation.Group == model.GroupAll && at < request.CreatedAt+operation.TokenTime.Float()
 	}
 	return false
 }
--- a/sim/workload/draws.go
+++ b/sim/workload/draws.go
@@ -58,7 +58,7 @@
 
 // drawUnits draws from 1 to the scenario's most, by the inverse of the distribution function.
 func (g *Generator) drawUnits() float64 {
-	most := g.scenario.Clients.Units.N()
+	most := g.scenario.Clients.Units.Int()
 	x := g.arrivals.Float64() * (1 - math.Pow(unitsRatio, -float64(most)))
 	return min(float64(most), 1+math.Floor(-math.Log(1-x)/math.Log(unitsRatio)))
 }
@@ -75,7 +75,7 @@
 
 // drawWork draws what a request costs a host. It grows with neither its units nor its customer.
 func (g *Generator) drawWork(operation model.Operation) float64 {
-	work := operation.Work.V()
+	work := operation.Work.Float()
 	x := g.arrivals.Float64() // also where the work is not spread, so that the draws after it stay the same
 	switch operation.Spread {
 	case exponentialWork:
@@ -91,18 +91,18 @@
 	plans := g.scenario.Plans
 	shares := 0.0
 	for i := range plans {
-		shares += plans[i].Share.V()
+		shares += plans[i].Share.Float()
 	}
 	for i := range plans {
-		g.drawCustomersOf(random, i, g.scenario.Clients.Rate.V()*plans[i].Share.V()/shares)
+		g.drawCustomersOf(random, i, g.scenario.Clients.Rate.Float()*plans[i].Share.Float()/shares)
 	}
 }
 
 // drawCustomersOf adds customers of one plan until what they ask for within their quotas comes to rate invocations a second.
 func (g *Generator) drawCustomersOf(random randstream.Stream, plan int, rate float64) {
-	quota := g.scenario.Plans[plan].Use.V()
+	quota := g.scenario.Plans[plan].UseRate.Float()
 	if quota == 0 {
-		quota = g.scenario.Plans[plan].Rate.V()
+		quota = g.scenario.Plans[plan].Rate.Float()
 	}
 	for within := 0.0; within < rate && len(g.Customers) < maxCustomers; {
 		customer, part := g.drawCustomer(random, plan)
@@ -123,22 +123,22 @@
 		PlanNumber:     plan,
 		RateFactor:     1,
 		PatienceFactor: 1,
-		GatewayCount:   min(g.gateways, max(1, clients.Set.N())),
+		GatewayCount:   min(g.gateways, max(1, clients.GatewaysEach.Int())),
 	}
 	customer.QuotaUse, part = drawQuotaUse(random, clients)
 	customer.FirstGateway = random.IntN(g.gateways)
 	customer.Preferred = customer.FirstGateway
-	customer.HonoursRetryAfter = random.Chance(clients.Follow.V())
+	customer.HonoursRetryAfter = random.Chance(clients.HonourRetryAfter.Float())
 	return customer, part
 }
 
 func drawQuotaUse(random randstream.Stream, clients *scenario.Clients) (use model.QuotaUse, part float64) {
 	x := random.Float64()
 	switch {
-	case x < clients.Over.V():
-		return model.OverQuota, clients.OverBy.V() * random.Uniform(minOverFactor, maxOverFactor)
-	case x < clients.Over.V()+clients.Near.V():
+	case x < clients.Over.Float():
+		return model.OverQuota, clients.OverBy.Float() * random.Uniform(minOverFactor, maxOverFactor)
+	case x < clients.Over.Float()+clients.Near.Float():
 		return model.NearQuota, random.Uniform(minNearPart, 1)
 	}
-	return model.FarBelowQuota, min(maxFarPart, meanFarPart*random.Pareto(clients.Heavy.V()))
+	return model.FarBelowQuota, min(maxFarPart, meanFarPart*random.Pareto(clients.TailPower.Float()))
 }
--- a/sim/workload/generator.go
+++ b/sim/workload/generator.go
@@ -28,7 +28,7 @@
 	Customers []*model.Customer
 
 	clock       *eventqueue.Queue
-	scenario    *scenario.Day
+	scenario    *scenario.Scenario
 	environment Environment
 
 	arrivals randstream.Stream // when, and what
@@ -46,7 +46,7 @@
 
 // New draws the customers of a scenario. Each plan has so many that those far below, near and over their quotas together ask for
 // the plan's part of the load within them.
-func New(clock *eventqueue.Queue, day *scenario.Day, seed uint64, environment Environment) *Generator {
+func New(clock *eventqueue.Queue, day *scenario.Scenario, seed uint64, environment Environment) *Generator {
 	generator := &Generator{
 		clock:       clock,
 		scenario:    day,
@@ -54,13 +54,13 @@
 		arrivals:    randstream.New(seed, "load"),
 		routes:      randstream.New(seed, "ways"),
 		clients:     randstream.New(seed, "mood"),
-		gateways:    day.Fleet.Gateways.N(),
-		meanUnits:   meanUnits(day.Clients.Units.N()),
+		gateways:    day.Fleet.Gateways.Int(),
+		meanUnits:   meanUnits(day.Clients.Units.Int()),
 	}
 	total := 0.0
 	for i := range day.Operations {
 		generator.operations = append(generator.operations, model.Operation{Operation: &day.Operations[i], Number: i})
-		total += day.Operations[i].Share.V()
+		total += day.Operations[i].Share.Float()
 		generator.cumulativeShares = append(generator.cumulativeShares, total)
 	}
 	generator.drawCustomers(randstream.New(seed, "customers"))
@@ -70,7 +70,7 @@
 
 // Start has all customers make requests from now on, for the length of the scenario.
 func (g *Generator) Start() {
-	g.endsAt = g.clock.Now() + g.scenario.Length.V()
+	g.endsAt = g.clock.Now() + g.scenario.Length.Float()
 	for _, customer := range g.Customers {
 		g.scheduleNext(customer)
 	}
@@ -100,7 +100,7 @@
 		Operation: operation,
 		Units:     g.drawUnits(),
 		CreatedAt: now,
-		Deadline:  now + operation.Timeout.V(),
+		Deadline:  now + operation.Timeout.Float(),
 	}
 	request.Work = g.drawWork(operation)
 	request.ActualUnits = request.Units
