--- a/cmd/otterseam-sim/adds.go
+++ b/cmd/otterseam-sim/adds.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -22,7 +23,7 @@
 
 func (c *addsCommand) Run(ctx context.Context, out *output) error {
 	if c.Rate <= 0 || math.IsNaN(c.Rate) || c.Conns < 1 || c.Names < 1 || c.Length <= 0 {
-		return inputError{fmt.Errorf("a rate, a length, connections and names over 0 are wanted")}
+		return inputError{errors.New("a rate, a length, connections and names over 0 are wanted")}
 	}
 	load := counterload.Load{Addresses: c.Doors, Rate: c.Rate, Duration: c.Length, Conns: c.Conns, Keys: c.Names, HotKey: c.Third, Prefix: c.Prefix}
 	totals := load.Run(ctx)
--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -63,8 +63,8 @@
 		list []scenario.NamedItem
 	}{{"fault", scenario.ProcessFaultKinds}, {"event", scenario.Events}, {"promise", scenario.ExpectationKinds}} {
 		fmt.Fprintf(out.stdout, "| %s | what it is |\n| --- | --- |\n", table.head)
-		for _, n := range table.list {
-			fmt.Fprintf(out.stdout, "| `%s` | %s |\n", n.Name, n.Description)
+		for _, kind := range table.list {
+			fmt.Fprintf(out.stdout, "| `%s` | %s |\n", kind.Name, kind.Description)
 		}
 		fmt.Fprintln(out.stdout)
 	}
@@ -140,30 +140,38 @@
 
 // printResult prints what became of a script: its figures, the promises that were kept, and those that were broken with the events
 // around them.
-func printResult(out *output, name string, r *fleet.Result) {
-	f := r.Figures
-	fmt.Fprintf(out.stdout, "%s, seed %d: %.0f tries (%s), %.0f deliveries, %.0f dials, %.0f calls, %.0f datagrams; %d faults struck\n", name, r.Seed,
-		f.Invocations, strings.Join(f.OutcomeSummary(), ", "), f.Attempts, f.Dials, f.CounterCalls, r.Mail, r.Struck)
-	for _, k := range r.Kept {
-		fmt.Fprintln(out.stdout, "  kept:", k)
-	}
-	if r.Held != nil {
-		for _, list := range [][]string{r.Held.Lost, r.Held.Twice, r.Held.Second} {
-			for _, x := range list[:min(5, len(list))] {
-				fmt.Fprintln(out.stdout, "  not kept:", x)
+func printResult(out *output, name string, result *fleet.Result) {
+	figures := result.Figures
+	fmt.Fprintf(out.stdout, "%s, seed %d: %.0f tries (%s), %.0f deliveries, %.0f dials, %.0f calls, %.0f datagrams; %d faults struck\n", name, result.Seed,
+		figures.Invocations, strings.Join(figures.OutcomeSummary(), ", "), figures.Attempts, figures.Dials, figures.CounterCalls, result.Mail, result.Struck)
+	for _, promise := range result.Kept {
+		fmt.Fprintln(out.stdout, "  kept:", promise)
+	}
+	if result.Held != nil {
+		for _, list := range [][]string{result.Held.Lost, result.Held.Twice, result.Held.Second} {
+			for _, line := range list[:min(maxPrinted, len(list))] {
+				fmt.Fprintln(out.stdout, "  not kept:", line)
 			}
 		}
 	}
-	for _, b := range r.Broken {
-		fmt.Fprintln(out.stdout, "  broken:", b.Text)
-		for _, l := range b.Lines {
-			fmt.Fprintln(out.stdout, "     ", l)
-		}
-		for _, x := range b.Faults {
-			fmt.Fprintln(out.stdout, "      in force:", x)
-		}
+	for _, broken := range result.Broken {
+		printBroken(out, broken.Text, broken.Lines, broken.Faults)
+	}
+	if result.Held != nil {
+		fmt.Fprintln(out.stdout, result.Held)
 	}
-	if r.Held != nil {
-		fmt.Fprintln(out.stdout, r.Held)
+}
+
+// maxPrinted is how many examples of each kind of broken guarantee are printed.
+const maxPrinted = 5
+
+// printBroken prints a broken promise, the events around it and the faults in force.
+func printBroken(out *output, text string, events, faults []string) {
+	fmt.Fprintln(out.stdout, "  broken:", text)
+	for _, event := range events {
+		fmt.Fprintln(out.stdout, "     ", event)
+	}
+	for _, fault := range faults {
+		fmt.Fprintln(out.stdout, "      in force:", fault)
 	}
 }
--- a/cmd/otterseam-sim/keepers.go
+++ b/cmd/otterseam-sim/keepers.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 
 	"otterseam/sim/quotastoresim"
@@ -17,7 +18,7 @@
 
 func (c *keepersCommand) Run(ctx context.Context, out *output) error {
 	if c.Seeds < 1 || c.Length < 4 || c.Length > 600 {
-		return inputError{fmt.Errorf("one seed at least and 4 to 600 seconds are wanted")}
+		return inputError{errors.New("one seed at least and 4 to 600 seconds are wanted")}
 	}
 	var summary *quotastoresim.Summary
 	if c.Trace {
@@ -35,7 +36,8 @@
 	}
 	fmt.Fprintf(out.stdout, "%d seeds: %d asked for and answered, %d refused, %d unknown; %d faults, %d machines lost with their disks; %d histories undecided\n",
 		summary.Seeds, summary.Answered, summary.Rejected, summary.Unknown, summary.Faults, summary.MachinesLost, summary.Undecided)
-	fmt.Fprintf(out.stdout, "promised and lost: %d; put back twice: %d; second effects: %d; not whole at the end: %d\n", summary.Lost, summary.DoubleCounted, summary.DuplicateEffects, summary.NotRecovered)
+	fmt.Fprintf(out.stdout, "promised and lost: %d; put back twice: %d; second effects: %d; not whole at the end: %d\n",
+		summary.Lost, summary.DoubleCounted, summary.DuplicateEffects, summary.NotRecovered)
 	if !summary.OK() {
 		return errRuleBroken
 	}
--- a/cmd/otterseam-sim/takeover.go
+++ b/cmd/otterseam-sim/takeover.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 
@@ -20,7 +21,7 @@
 
 func (c *takeoverCommand) Run(ctx context.Context, out *output) error {
 	if c.Copies < 3 || c.Copies > 9 || c.Groups < 1 || c.Groups > 256 || c.Times < 1 {
-		return inputError{fmt.Errorf("3 to 9 copies, 1 to 256 groups and one time at least are wanted")}
+		return inputError{errors.New("3 to 9 copies, 1 to 256 groups and one time at least are wanted")}
 	}
 	if _, err := os.Stat(c.Keeper); err != nil {
 		return inputError{fmt.Errorf("the keepers' program: %w (make build makes it)", err)}
@@ -30,22 +31,32 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	o := fleet.Options{Keeper: c.Keeper, Dir: dir, Tell: func(t string) { fmt.Fprintln(out.stderr, t) }}
+	options := fleet.Options{Keeper: c.Keeper, Dir: dir, Tell: func(text string) { fmt.Fprintln(out.stderr, text) }}
 	if c.Names > 0 {
-		took, calm, meanwhile, err := fleet.Recopied(ctx, o, c.Copies, c.Groups, c.Names, c.Disk, c.Rate)
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(out.stdout, "%d names: held again after %.2f s; adds before p50 %.2f, p99 %.2f ms; meanwhile p50 %.2f, p99 %.2f ms, %d turned away, %d without an answer\n",
-			c.Names, took, 1e3*calm.P50, 1e3*calm.P99, 1e3*meanwhile.P50, 1e3*meanwhile.P99, meanwhile.Rejected, meanwhile.Broken)
-		return nil
+		return c.measureRebuild(ctx, out, options)
 	}
-	took, failed, err := fleet.Takeovers(ctx, o, c.Copies, c.Groups, c.Times, c.Disk)
+	return c.measureTakeovers(ctx, out, options)
+}
+
+// measureRebuild prints how long a machine that lost its disk takes until it holds its replicas again.
+func (c *takeoverCommand) measureRebuild(ctx context.Context, out *output, options fleet.Options) error {
+	seconds, before, meanwhile, err := fleet.Recopied(ctx, options, c.Copies, c.Groups, c.Names, c.Disk, c.Rate)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out.stdout, "%d names: held again after %.2f s; adds before p50 %.2f, p99 %.2f ms; meanwhile p50 %.2f, p99 %.2f ms, %d turned away, %d without an answer\n",
+		c.Names, seconds, 1e3*before.P50, 1e3*before.P99, 1e3*meanwhile.P50, 1e3*meanwhile.P99, meanwhile.Rejected, meanwhile.Broken)
+	return nil
+}
+
+// measureTakeovers prints how long groups whose leader was killed are without one.
+func (c *takeoverCommand) measureTakeovers(ctx context.Context, out *output, options fleet.Options) error {
+	seconds, failed, err := fleet.Takeovers(ctx, options, c.Copies, c.Groups, c.Times, c.Disk)
 	if err != nil {
 		return err
 	}
-	at := func(q float64) float64 { return took[min(len(took)-1, int(q*float64(len(took))))] }
+	quantile := func(q float64) float64 { return seconds[min(len(seconds)-1, int(q*float64(len(seconds))))] }
 	fmt.Fprintf(out.stdout, "%d kills, %d groups without a leader: p50 %.3f s, p90 %.3f s, p99 %.3f s, most %.3f s; %d calls turned away or cut off meanwhile\n",
-		c.Times, len(took), at(0.5), at(0.9), at(0.99), at(1), failed)
+		c.Times, len(seconds), quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), failed)
 	return nil
 }
