--- a/scripts/tests.sh
+++ b/scripts/tests.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Lists the test, fuzz, example and benchmark functions of the repository, one a line: the package's folder, then the name. Lists
-# made before and after a change are compared to show that no test got lost. Files that git doesn't know yet are listed too.
-# Usage: scripts/tests.sh [folder of a repository]
+# Prints the test, fuzz, benchmark and example functions of the repository, one a line: the package's folder, then the name. Lists
+# made before and after a change show that no test was lost. Files that git doesn't track yet are listed too.
+# Usage: scripts/tests.sh [REPOSITORY]
 set -eu
 export LC_ALL=C
 cd "${1:-$(dirname "$0")/..}"
--- a/sim/ablation/ablate.sh
+++ b/sim/ablation/ablate.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Switches mechanisms of the serving tier's decisions off, one at a time, each on a scratch copy of the sources, and plays the same
-# days with each copy. Nothing of it is in the product: a mechanism is switched off by a change of its source that is named here.
+# Ablation study of the serving tier: switches its mechanisms off, one at a time, each in a scratch copy of the sources, and plays the
+# same day with each copy. The product has no switch for it: a mechanism is switched off by an edit of its source that stands below.
 #
 #   ablate.sh BENCH SITE DAY DIR [MECHANISM...]
 #
-# BENCH is the program that plays days, SITE a site file, DAY a day of it (a name, "quick", or a file), DIR a folder for the
-# copies. SEED, JOBS (copies played at once) and OPTIONS (of the bench's run) may be given as variables. It prints a line for each mechanism: its
-# name, worth, share served, share failed.
+# BENCH is the bench program, SITE a site file, DAY a day of it (a name, "quick", or a file), DIR a folder for the copies and the
+# bench's output. Without MECHANISM all are switched off in turn. Environment variables: SEED of the day, JOBS (copies played at
+# once, 4 by default) and OPTIONS of the bench's run. It prints a line for each mechanism: its name, worth, share served, share
+# failed.
 set -euo pipefail
 bench=$(realpath "$1") site=$(realpath "$2") day=$3 dir=$4
 shift 4
@@ -42,7 +43,7 @@
   git -C "$root" worktree add -q --force --detach "$copy" HEAD
   if [ -n "$3" ]; then
     sed -i "$3" "$copy/$2"
-    ! git -C "$copy" diff --quiet || { echo "$1: its source has changed; mend sim/ablation/ablate.sh" >&2; return 1; }
+    ! git -C "$copy" diff --quiet || { echo "$1: its source has changed; adapt the expression in sim/ablation/ablate.sh" >&2; return 1; }
   fi
   [ -z "${SEED:-}" ] || seed=(--seed "$SEED")
   local why="ablation: $1 off, day $(basename "$day")"
