--- a/sim/faultsim/acceptor.go
+++ b/sim/faultsim/acceptor.go
@@ -1,10 +1,9 @@
 package faultsim
 
-import (
-	"otterseam/tier/consensus"
-)
+import "otterseam/tier/consensus"
 
-const voteTimeout = 350 // milliseconds
+// voteTimeout is how long a proposer waits for an acceptor, in milliseconds.
+const voteTimeout = 350
 
 // vote has an acceptor act on a request and answer once that is durable. Another identity at the address gives no vote; it may be the
 // proof that the acceptor's disk is lost.
@@ -35,7 +34,7 @@
 		}
 		other.afterIfRunning(p.sim.diskDelay(), func() {
 			response := other.decide(request)
-			p.afterIfRunning(p.sim.between(1, 4), once(func() { answered(response) }))
+			p.afterIfRunning(p.sim.draw(messageDelays), once(func() { answered(response) }))
 		})
 		return nil
 	})
--- a/sim/faultsim/adversary.go
+++ b/sim/faultsim/adversary.go
@@ -1,5 +1,29 @@
 package faultsim
 
+// A fault is a number drawn below faultDraws: below the first of these bounds disks are lost, and so on; from the last one on nothing
+// happens.
+const (
+	loseDisksBelow      = 9
+	killAllBelow        = 11
+	drainSomeBelow      = 14
+	replaceMachineBelow = 16
+	faultDraws          = 20
+)
+
+// Chances, one in so many.
+const (
+	provokedFaultOdds     = 4 // a change of the group provokes a fault
+	killAllOdds           = 4 // all processes are killed when it is their turn
+	killWhileDrainingOdds = 4 // a process is killed while it drains
+)
+
+var (
+	provokedFaultDelays     = delays{0, 60} // from a change of the group until the fault that it provokes
+	diskReplacementDelays   = delays{100, 1500}
+	powerLossDelays         = delays{50, 900}
+	killWhileDrainingDelays = delays{0, 400}
+)
+
 // targetKind is which replica the adversary picks.
 type targetKind int
 
@@ -42,25 +66,22 @@
 	if a.sim.quiesced {
 		return
 	}
-	switch draw := a.sim.random.Intn(20); {
-	case draw < 9:
+	switch draw := a.sim.random.Intn(faultDraws); {
+	case draw < loseDisksBelow:
 		a.loseDisks()
-	case draw < 11:
+	case draw < killAllBelow:
 		a.killAll()
-	case draw < 14:
+	case draw < drainSomeBelow:
 		a.drainSome()
-	case draw < 16:
+	case draw < replaceMachineBelow:
 		a.replaceMachine()
 	}
 }
 
-// provokedFaultDelay is the most milliseconds from a change of the group until the fault that it provokes.
-const provokedFaultDelay = 60
-
 // onGroupChange is called after each change of the group, and may take disks right then.
 func (a *adversary) onGroupChange() {
-	if a.sim.oneIn(4) {
-		a.sim.after(a.sim.between(0, provokedFaultDelay), func() {
+	if a.sim.oneIn(provokedFaultOdds) {
+		a.sim.after(a.sim.draw(provokedFaultDelays), func() {
 			if !a.sim.quiesced {
 				a.loseDisks()
 			}
@@ -101,7 +122,7 @@
 			return
 		}
 		a.openLosses[target.identity] = loss{}
-		target.loseDisk(a.sim.between(100, 1500))
+		target.loseDisk(a.sim.draw(diskReplacementDelays))
 		a.disksLost++
 		a.onDiskLost()
 	}
@@ -135,13 +156,13 @@
 
 // killAll kills all processes; the disks stay.
 func (a *adversary) killAll() {
-	if !a.sim.oneIn(4) {
+	if !a.sim.oneIn(killAllOdds) {
 		return
 	}
 	for _, n := range a.sim.nodes {
 		if n.up {
 			n.crash()
-			a.sim.after(a.sim.between(50, 900), n.start)
+			a.sim.after(a.sim.draw(powerLossDelays), n.start)
 		}
 	}
 }
@@ -156,8 +177,8 @@
 		}
 		count--
 		a.drain(n)
-		if a.sim.oneIn(4) {
-			n.afterIfRunning(a.sim.between(0, 400), func() { a.restart(n) })
+		if a.sim.oneIn(killWhileDrainingOdds) {
+			n.afterIfRunning(a.sim.draw(killWhileDrainingDelays), func() { a.restart(n) })
 		}
 	}
 }
@@ -166,6 +187,6 @@
 func (a *adversary) restart(n *node) {
 	if n.up {
 		n.crash()
-		a.sim.after(a.sim.between(100, 1200), n.start)
+		a.sim.after(a.sim.draw(restartDelays), n.start)
 	}
 }
--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -32,6 +32,16 @@
 	newest       consensus.Record // the newest that was decided
 }
 
+const (
+	lateSeed           = 2 // which seed starts late
+	controlCommandOdds = 2 // a primary gets a command in one of so many rounds
+)
+
+var (
+	startDelays    = delays{0, 300}
+	lateSeedDelays = delays{2000, 9000}
+)
+
 // SimulateControl simulates the control group under faults and checks it.
 func SimulateControl(seed int64, options ControlOptions) Outcome {
 	c := &controlSimulation{
@@ -47,9 +57,9 @@
 		if i < seedCount {
 			c.seeds = append(c.seeds, n.address)
 		}
-		delay := c.between(0, 300)
-		if options.LateSeed && i == 2 {
-			delay = c.between(2000, 9000)
+		delay := c.draw(startDelays)
+		if options.LateSeed && i == lateSeed {
+			delay = c.draw(lateSeedDelays)
 		}
 		c.after(delay, n.start)
 	}
@@ -101,7 +111,7 @@
 func (c *controlSimulation) submitCommands() {
 	c.after(c.between(1, 2*meanCommandInterval), c.submitCommands)
 	for _, n := range c.nodes {
-		if n.up && n.group.IsReady() && c.oneIn(2) {
+		if n.up && n.group.IsReady() && c.oneIn(controlCommandOdds) {
 			n.propose()
 		}
 	}
--- a/sim/faultsim/control_election.go
+++ b/sim/faultsim/control_election.go
@@ -44,7 +44,7 @@
 // watchPrimary takes over when the primary has been silent for too long.
 func (p *process) watchPrimary() {
 	if !p.mayLead() {
-		if p.sim.oneIn(4) {
+		if p.sim.oneIn(locateOdds) {
 			p.locate()
 		}
 		return
@@ -88,7 +88,7 @@
 	suspected := p.known.Epoch
 	p.locate()
 	p.proposing = true
-	p.afterIfRunning(p.sim.between(10, 30), func() {
+	p.afterIfRunning(p.sim.draw(takeOverDelays), func() {
 		p.proposing = false
 		if p.known.Epoch != suspected {
 			return
--- a/sim/faultsim/control_machines.go
+++ b/sim/faultsim/control_machines.go
@@ -50,10 +50,13 @@
 	n.draining = true
 	p := c.processes[n]
 	n.afterIfRunning(0, func() {
-		p.exitWhenDrained(c.now()+controlDrainTimeout, always, func() { c.after(c.between(100, 1200), n.start) })
+		p.exitWhenDrained(c.now()+controlDrainTimeout, always, func() { c.after(c.draw(restartDelays), n.start) })
 	})
 }
 
+// replacementDelays are how long an old machine runs beside the one that replaces it.
+var replacementDelays = delays{300, 1500}
+
 // replaceOldest replaces the machine with the oldest disk as planned: a new one comes first, then the old one is stopped for good.
 func (c *controlSimulation) replaceOldest(a *adversary) {
 	oldest := c.nodes[0]
@@ -70,7 +73,7 @@
 	}
 	fresh := c.newMachine(false)
 	fresh.start()
-	oldest.afterIfRunning(c.between(300, 1500), func() {
+	oldest.afterIfRunning(c.draw(replacementDelays), func() {
 		oldest.draining = true
 		allowed := func() bool { return c.mayRemove(oldest, a) }
 		c.processes[oldest].exitWhenDrained(c.now()+controlDrainTimeout, allowed, func() { c.retireMachine(oldest, a) })
--- a/sim/faultsim/control_process.go
+++ b/sim/faultsim/control_process.go
@@ -24,8 +24,12 @@
 const (
 	seedCount         = 3  // addresses of seeds in a process's settings
 	primaryLocateOdds = 20 // a primary looks for others in one of so many rounds
+	locateOdds        = 4  // a process that may not lead, likewise
 )
 
+// takeOverDelays leave time to hear from others before a takeover.
+var takeOverDelays = delays{10, 30}
+
 // process is a control process in its present incarnation, with what its disk keeps of its acceptor.
 type process struct {
 	*node
--- a/sim/faultsim/disk.go
+++ b/sim/faultsim/disk.go
@@ -7,6 +7,11 @@
 	diskBytesPerMillisecond = 100_000
 )
 
+var (
+	writeDelays     = delays{2, 8}
+	slowWriteDelays = delays{30, 200}
+)
+
 // disk is what a loss of power leaves of a replica.
 type disk struct {
 	snapshot replica.Snapshot
@@ -81,9 +86,9 @@
 // diskDelay is how long a disk takes; now and then one is slow.
 func (s *simulation) diskDelay() int64 {
 	if s.oneIn(slowDiskOdds) {
-		return s.between(30, 200)
+		return s.draw(slowWriteDelays)
 	}
-	return s.between(2, 8)
+	return s.draw(writeDelays)
 }
 
 // reportDurable tells the replica what has reached the disk.
--- a/sim/faultsim/kernel.go
+++ b/sim/faultsim/kernel.go
@@ -33,6 +33,12 @@
 // between draws a number from low to high, both included.
 func (k *kernel) between(low, high int64) int64 { return low + k.random.Int63n(high-low+1) }
 
+// delays is a range of milliseconds, both ends included.
+type delays struct{ shortest, longest int64 }
+
+// draw draws a delay of a range.
+func (k *kernel) draw(from delays) int64 { return k.between(from.shortest, from.longest) }
+
 // oneIn draws a chance of one in so many.
 func (k *kernel) oneIn(times int) bool { return k.random.Intn(times) == 0 }
 
--- a/sim/faultsim/network.go
+++ b/sim/faultsim/network.go
@@ -7,12 +7,14 @@
 	linkBytesPerMillisecond = 75_000
 )
 
+var messageDelays = delays{1, 4}
+
 // send carries a message between replicas.
 func (s *simulation) send(from uint64, out replica.Outgoing) {
 	if s.oneIn(messageLossOdds) {
 		return
 	}
-	delay := s.between(1, 4) + int64(len(out.Message.Chunk)/linkBytesPerMillisecond)
+	delay := s.draw(messageDelays) + int64(len(out.Message.Chunk)/linkBytesPerMillisecond)
 	s.after(delay, func() {
 		if to := s.find(out.To); to != nil && to.up && to.group != nil {
 			to.group.Step(from, out.Message, s.now())
@@ -25,13 +27,13 @@
 // here; nothing is run if no process is there or a message is lost.
 func (p *process) ask(address string, question func(other *process) (answer func())) {
 	c := p.sim
-	c.after(c.between(1, 4), func() {
+	c.after(c.draw(messageDelays), func() {
 		for _, n := range c.nodes {
 			if n.address != address || !n.up || n.removed || c.oneIn(messageLossOdds) {
 				continue
 			}
 			if answer := question(c.processes[n]); answer != nil {
-				p.afterIfRunning(c.between(1, 4), answer)
+				p.afterIfRunning(c.draw(messageDelays), answer)
 			}
 		}
 	})
--- a/sim/faultsim/node.go
+++ b/sim/faultsim/node.go
@@ -11,6 +11,9 @@
 	tickInterval    = 40 // milliseconds between ticks of a replica
 )
 
+// restartDelays are how long a process is down that was stopped or killed alone.
+var restartDelays = delays{100, 1200}
+
 // node is a machine with one process that holds one replica. The identity belongs to its disk, the incarnation to its process.
 type node struct {
 	sim           *simulation
--- a/sim/faultsim/proposal.go
+++ b/sim/faultsim/proposal.go
@@ -1,16 +1,14 @@
 package faultsim
 
-import (
-	"otterseam/tier/consensus"
-)
+import "otterseam/tier/consensus"
 
 // prepareMode tells an acceptor why it is asked.
 type prepareMode int
 
 const (
-	prepareBySelf prepareMode = iota
-	prepareOnSilence
-	prepareOnTransfer
+	prepareBySelf     prepareMode = iota // the proposer leads, or led last
+	prepareOnSilence                     // the primary is silent; refused while the acceptor hears from it
+	prepareOnTransfer                    // the primary asked for a successor
 )
 
 // attempt is a change of the register by a process, with the proposals that it takes.
@@ -23,6 +21,7 @@
 	ended     bool
 }
 
+// maxProposals is how many proposals an attempt makes before it gives up.
 const maxProposals = 5
 
 // propose changes the register; one attempt of a process runs at a time.
--- a/sim/faultsim/shard_placement.go
+++ b/sim/faultsim/shard_placement.go
@@ -59,11 +59,14 @@
 	}
 	s.shard = shard
 	for _, n := range s.nodes {
-		n.afterIfRunning(s.between(1, maxMapDelay), func() { s.applyMap(n, shard) })
+		n.afterIfRunning(s.draw(mapDelays), func() { s.applyMap(n, shard) })
 	}
 	s.onChange()
 }
 
+// retirementDelays are how long a store that retires is left before it is looked at.
+var retirementDelays = delays{200, 900}
+
 // replaceStore replaces a store as planned: a new one comes, the old one is emptied and goes with its disk when it is complete.
 func (s *shardSimulation) replaceStore() {
 	if len(s.retiring) > 0 {
@@ -89,5 +92,5 @@
 		n.removed = true
 		delete(s.retiring, n.name)
 	}
-	s.after(s.between(200, 900), look)
+	s.after(s.draw(retirementDelays), look)
 }
--- a/sim/faultsim/shard_store.go
+++ b/sim/faultsim/shard_store.go
@@ -17,7 +17,15 @@
 	storeWatchInterval     = 60
 	storeDrainTimeout      = 6800
 	placementInterval      = 50
-	maxMapDelay            = 40
+)
+
+var (
+	mapDelays         = delays{1, 40}
+	firstMapDelays    = delays{5, 40} // to a process that has started
+	heartbeatDelays   = delays{1, 6}
+	changeDelays      = delays{2, 12} // until control acts on a request
+	slowChangeDelays  = delays{150, 450}
+	changeRetryDelays = delays{60, 120}
 )
 
 const (
@@ -38,7 +46,7 @@
 	delete(s.changePending, n)
 	n.every(storeHeartbeatInterval, func() { s.heartbeat(n) })
 	n.every(storeWatchInterval, func() { s.requestInSyncChange(n) })
-	n.afterIfRunning(s.between(5, maxMapDelay), func() { s.applyMap(n, s.shard) })
+	n.afterIfRunning(s.draw(firstMapDelays), func() { s.applyMap(n, s.shard) })
 }
 
 func (s *shardSimulation) storeOf(n *node) directory.Store {
@@ -47,7 +55,7 @@
 
 func (s *shardSimulation) heartbeat(n *node) {
 	store, draining := s.storeOf(n), n.draining
-	s.after(s.between(1, 6), func() {
+	s.after(s.draw(heartbeatDelays), func() {
 		s.sessions[store.Identity] = storeSession{lastHeartbeat: s.now(), incarnation: store.Incarnation, draining: draining}
 		s.stores[store.Identity] = store
 	})
@@ -80,9 +88,9 @@
 	epoch := n.group.View().Epoch
 	change := func(id uint64, admit bool) {
 		s.changePending[n] = true
-		delay := s.between(2, 12)
+		delay := s.draw(changeDelays)
 		if s.oneIn(slowChangeOdds) {
-			delay = s.between(150, 450)
+			delay = s.draw(slowChangeDelays)
 		}
 		s.after(delay, func() {
 			if epoch == s.shard.View.Epoch {
@@ -91,7 +99,7 @@
 				}
 			}
 		})
-		n.afterIfRunning(delay+s.between(60, 120), func() { delete(s.changePending, n) })
+		n.afterIfRunning(delay+s.draw(changeRetryDelays), func() { delete(s.changePending, n) })
 	}
 	if caughtUp := s.caughtUp(n); len(caughtUp) > 0 {
 		if !s.options.Bugs.AdmitLate {
@@ -139,5 +147,5 @@
 		s.newStore()
 		return
 	}
-	s.after(s.between(100, 1200), n.start)
+	s.after(s.draw(restartDelays), n.start)
 }
