--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -44,56 +44,81 @@
 
 // SimulateControl simulates the control group under faults and checks it.
 func SimulateControl(seed int64, options ControlOptions) Outcome {
+	c := newControlSimulation(seed, options)
+	c.startMembers()
+	c.submitCommands()
+	if !c.runUntilHolds(func() bool { return c.newestAcknowledged > 0 }) {
+		c.fail("the group was not bootstrapped")
+		return c.end()
+	}
+	a := c.newAdversary()
+	c.onChange = a.onGroupChange
+	a.injectFault()
+	c.runUntil(c.now() + options.Duration)
+	c.quiesced = true
+	c.outcome.DisksLost = a.disksLost
+	if !c.runUntilHolds(c.hasRecovered) {
+		c.fail(fmt.Sprintf("not recovered: %+v", c.newest))
+		return c.end()
+	}
+	c.checkAcknowledged(c.find(c.newest.Primary))
+	return c.end()
+}
+
+func newControlSimulation(seed int64, options ControlOptions) *controlSimulation {
 	c := &controlSimulation{
-		simulation: newSimulation(seed), options: options, policy: membership.Policy{Tolerate: options.ToleratedLosses},
-		processes: map[*node]*process{}, onChange: func() {},
+		simulation: newSimulation(seed),
+		options:    options,
+		policy:     membership.Policy{Tolerate: options.ToleratedLosses},
+		processes:  map[*node]*process{},
+		onChange:   func() {},
 	}
 	c.stateBytes = options.StateBytes
 	c.bugs = options.Bugs.Bugs
 	c.eagerCommit = true
 	c.onStart = c.startProcess
-	for i := range options.Members {
+	return c
+}
+
+// startMembers makes the machines of the first members and schedules their start.
+func (c *controlSimulation) startMembers() {
+	for i := range c.options.Members {
 		n := c.newMachine(true)
 		if i < seedCount {
 			c.seeds = append(c.seeds, n.address)
 		}
 		delay := c.draw(startDelays)
-		if options.LateSeed && i == lateSeed {
+		if c.options.LateSeed && i == lateSeed {
 			delay = c.draw(lateSeedDelays)
 		}
 		c.after(delay, n.start)
 	}
-	c.submitCommands()
-	if !c.runUntilHolds(func() bool { return c.newestAcknowledged > 0 }) {
-		c.fail("the group was not bootstrapped")
-		return c.end()
-	}
+}
+
+func (c *controlSimulation) newAdversary() *adversary {
 	a := &adversary{
-		sim: c.simulation, toleratedLosses: options.ToleratedLosses, openLosses: map[uint64]loss{}, maxInterval: options.MaxFaultInterval,
-		inSync: c.protectingIDs, primary: func() uint64 { return c.newest.Primary }, drain: c.drain,
+		sim:              c.simulation,
+		toleratedLosses:  c.options.ToleratedLosses,
+		maxInterval:      c.options.MaxFaultInterval,
+		inSync:           c.protectingIDs,
+		primary:          func() uint64 { return c.newest.Primary },
 		survivableLosses: c.survivableLosses,
 		onDiskLost:       func() { c.recovery = recoveryClock{since: c.now()} },
+		drain:            c.drain,
+		openLosses:       map[uint64]loss{},
 	}
 	a.replaceMachine = func() { c.replaceOldest(a) }
-	c.onChange = a.onGroupChange
-	a.injectFault()
-	c.runUntil(c.now() + options.Duration)
-	c.quiesced = true
-	c.outcome.DisksLost = a.disksLost
-	if !c.runUntilHolds(c.hasRecovered) {
-		c.fail(fmt.Sprintf("not recovered: %+v", c.newest))
-		return c.end()
-	}
-	c.checkAcknowledged(c.find(c.newest.Primary))
-	return c.end()
+	return a
 }
 
+// end completes the outcome.
 func (c *controlSimulation) end() Outcome {
 	c.outcome.Violation = c.violation
 	c.outcome.Acknowledged = len(c.acknowledged)
 	return c.outcome
 }
 
+// newMachine makes a machine with a process that may found the group, or not.
 func (c *controlSimulation) newMachine(bootstrap bool) *node {
 	c.machinesMade++
 	n := c.addNode(fmt.Sprintf("core-%d", c.machinesMade))
@@ -108,6 +133,7 @@
 	return n
 }
 
+// submitCommands has a client give primaries a command now and then.
 func (c *controlSimulation) submitCommands() {
 	c.after(c.between(1, 2*meanCommandInterval), c.submitCommands)
 	for _, n := range c.nodes {
--- a/sim/faultsim/control_machines.go
+++ b/sim/faultsim/control_machines.go
@@ -6,8 +6,8 @@
 	"otterseam/tier/consensus"
 )
 
-// survivableLosses is how many lost votes a group of its size can do without; while its members change, so many of those before too. Half of
-// an even number may be lost, if each loss can be proved: a machine that has gone for good answers nothing.
+// survivableLosses is how many lost votes a group of its size can do without; while its members change, so many of those before
+// too. Half of an even number may be lost, if each loss can be proved: a machine that has gone for good answers nothing.
 func (c *controlSimulation) survivableLosses() int {
 	votes := c.spareVotes(c.newest.Members)
 	if len(c.newest.Previous) > 0 {
--- a/sim/faultsim/proposal.go
+++ b/sim/faultsim/proposal.go
@@ -6,7 +6,7 @@
 type prepareMode int
 
 const (
-	prepareBySelf     prepareMode = iota // the proposer leads, or led last
+	prepareBySelf     prepareMode = iota // the proposer is the primary, or bootstraps
 	prepareOnSilence                     // the primary is silent; refused while the acceptor hears from it
 	prepareOnTransfer                    // the primary asked for a successor
 )
--- a/sim/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -40,14 +40,7 @@
 
 // SimulateShard simulates a shard under faults and checks it.
 func SimulateShard(seed int64, options ShardOptions) Outcome {
-	s := &shardSimulation{
-		simulation: newSimulation(seed), options: options, stores: map[uint64]directory.Store{}, sessions: map[uint64]storeSession{},
-		retiring: map[string]bool{}, latestMap: map[*node]directory.Shard{}, changePending: map[*node]bool{},
-	}
-	s.stateBytes = options.StateBytes
-	s.bugs = options.Bugs.Bugs
-	s.onChange = func() {}
-	s.onStart = s.startStore
+	s := newShardSimulation(seed, options)
 	for range options.Stores {
 		s.newStore()
 	}
@@ -57,11 +50,7 @@
 		s.fail("the shard was not placed")
 		return s.end()
 	}
-	a := &adversary{
-		sim: s.simulation, toleratedLosses: options.ToleratedLosses, openLosses: map[uint64]loss{}, maxInterval: options.MaxFaultInterval,
-		inSync: func() []uint64 { return s.shard.View.InSync }, primary: func() uint64 { return s.shard.View.Primary },
-		survivableLosses: func() int { return s.options.ToleratedLosses }, drain: s.drain, replaceMachine: s.replaceStore, onDiskLost: func() { s.recovery = recoveryClock{since: s.now()} },
-	}
+	a := s.newAdversary()
 	s.onChange = a.onGroupChange
 	a.injectFault()
 	s.runUntil(s.now() + options.Duration)
@@ -75,6 +64,39 @@
 	return s.end()
 }
 
+func newShardSimulation(seed int64, options ShardOptions) *shardSimulation {
+	s := &shardSimulation{
+		simulation:    newSimulation(seed),
+		options:       options,
+		stores:        map[uint64]directory.Store{},
+		sessions:      map[uint64]storeSession{},
+		retiring:      map[string]bool{},
+		latestMap:     map[*node]directory.Shard{},
+		changePending: map[*node]bool{},
+		onChange:      func() {},
+	}
+	s.stateBytes = options.StateBytes
+	s.bugs = options.Bugs.Bugs
+	s.onStart = s.startStore
+	return s
+}
+
+func (s *shardSimulation) newAdversary() *adversary {
+	return &adversary{
+		sim:              s.simulation,
+		toleratedLosses:  s.options.ToleratedLosses,
+		maxInterval:      s.options.MaxFaultInterval,
+		inSync:           func() []uint64 { return s.shard.View.InSync },
+		primary:          func() uint64 { return s.shard.View.Primary },
+		survivableLosses: func() int { return s.options.ToleratedLosses },
+		onDiskLost:       func() { s.recovery = recoveryClock{since: s.now()} },
+		drain:            s.drain,
+		replaceMachine:   s.replaceStore,
+		openLosses:       map[uint64]loss{},
+	}
+}
+
+// end completes the outcome.
 func (s *shardSimulation) end() Outcome {
 	s.outcome.Violation = s.violation
 	s.outcome.Acknowledged = len(s.acknowledged)
--- a/sim/scenariogen/disruption.go
+++ b/sim/scenariogen/disruption.go
@@ -40,7 +40,7 @@
 	chanceOfAll       = 0.2  // that all follow-ups come together
 	chanceOfOne       = 0.25 // that one of them comes, otherwise
 	chanceOfCutEnding = 0.25 // that a partition isn't silent
-	chanceOfBusy      = 0.4  // that a rolling restart strikes machines that answer
+	chanceOfBusy      = 0.4  // that a rolling restart hits machines that are at work
 )
 
 // drawDisruption draws the fields of a disruption of a kind.
--- a/sim/scenariogen/kinds.go
+++ b/sim/scenariogen/kinds.go
@@ -66,7 +66,7 @@
 	for _, m := range namedVariant.FindAllStringSubmatch(text, -1) {
 		k.Variants = appendMissing(k.Variants, m[1])
 	}
-	k.Variants = slices.DeleteFunc(k.Variants, func(how string) bool { return slices.Contains(k.Additions, how) })
+	k.Variants = slices.DeleteFunc(k.Variants, func(variant string) bool { return slices.Contains(k.Additions, variant) })
 	return k
 }
 
