--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -114,8 +114,8 @@
 		env = append(env, name+"="+c.Env[name])
 	}
 	return fleet.Play(ctx, script, seed, fleet.Options{
-		Gateway: c.Gateway, Dir: dir, Memory: c.Memory, Env: env,
-		Tell: func(text string) { fmt.Fprintln(out.stderr, text) },
+		Gateway: c.Gateway, Dir: dir, MemoryMB: c.Memory, Env: env,
+		Report: func(text string) { fmt.Fprintln(out.stderr, text) },
 	})
 }
 
@@ -148,7 +148,7 @@
 		fmt.Fprintln(out.stdout, "  kept:", promise)
 	}
 	if result.Held != nil {
-		for _, list := range [][]string{result.Held.Lost, result.Held.Twice, result.Held.Second} {
+		for _, list := range [][]string{result.Held.Lost, result.Held.CountedTwice, result.Held.SecondEffects} {
 			for _, line := range list[:min(maxPrinted, len(list))] {
 				fmt.Fprintln(out.stdout, "  not kept:", line)
 			}
--- a/cmd/otterseam-sim/takeover.go
+++ b/cmd/otterseam-sim/takeover.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	options := fleet.Options{Keeper: c.Keeper, Dir: dir, Tell: func(text string) { fmt.Fprintln(out.stderr, text) }}
+	options := fleet.Options{QuotaStore: c.Keeper, Dir: dir, Report: func(text string) { fmt.Fprintln(out.stderr, text) }}
 	if c.Names > 0 {
 		return c.measureRebuild(ctx, out, options)
 	}
@@ -40,7 +40,7 @@
 
 // measureRebuild prints how long a machine that lost its disk takes until it holds its replicas again.
 func (c *takeoverCommand) measureRebuild(ctx context.Context, out *output, options fleet.Options) error {
-	seconds, before, meanwhile, err := fleet.Recopied(ctx, options, c.Copies, c.Groups, c.Names, c.Disk, c.Rate)
+	seconds, before, meanwhile, err := fleet.MeasureRejoin(ctx, options, c.Copies, c.Groups, c.Names, c.Disk, c.Rate)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 
 // measureTakeovers prints how long groups whose leader was killed are without one.
 func (c *takeoverCommand) measureTakeovers(ctx context.Context, out *output, options fleet.Options) error {
-	seconds, failed, err := fleet.Takeovers(ctx, options, c.Copies, c.Groups, c.Times, c.Disk)
+	seconds, failed, err := fleet.MeasureTakeovers(ctx, options, c.Copies, c.Groups, c.Times, c.Disk)
 	if err != nil {
 		return err
 	}
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -1,11 +1,13 @@
 package fleet
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -13,19 +15,21 @@
 	"otterseam/sim/scenario"
 )
 
-// built are the programs as they stand, without and with the seeded bugs; built once.
-var built = sync.OnceValues(func() (dir string, err error) {
+// buildPrograms builds the quota store as "keeper" and the api gateway as it stands, without and with the seeded bugs, as "whole" and
+// "seeded"; once for all tests.
+var buildPrograms = sync.OnceValues(func() (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "fleet-"); err != nil {
 		return "", err
 	}
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "keeper"), "otterseam/cmd/otterseam-quotastore").CombinedOutput(); err != nil {
-		os.Stderr.Write(out)
-		return dir, err
+	builds := [][]string{
+		{"-o", filepath.Join(dir, "keeper"), "otterseam/cmd/otterseam-quotastore"},
+		{"-tags", "none", "-o", filepath.Join(dir, "whole"), "otterseam/cmd/otterseam"},
+		{"-tags", "seeded", "-o", filepath.Join(dir, "seeded"), "otterseam/cmd/otterseam"},
 	}
-	for name, tags := range map[string]string{"whole": "none", "seeded": "seeded"} {
-		if out, err := exec.Command("go", "build", "-tags", tags, "-o", filepath.Join(dir, name), "otterseam/cmd/otterseam").CombinedOutput(); err != nil {
-			os.Stderr.Write(out)
-			return dir, err
+	for _, arguments := range builds {
+		out, err := exec.Command("go", append([]string{"build"}, arguments...)...).CombinedOutput()
+		if err != nil {
+			return dir, fmt.Errorf("go build %v: %w\n%s", arguments, err, out)
 		}
 	}
 	return dir, nil
@@ -33,68 +37,102 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if dir, err := built(); err == nil {
+	if dir, err := buildPrograms(); err == nil {
 		os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
 
-// cores are how many scripts are played at once.
-var cores = make(chan bool, 2)
+// slots bound how many scripts are played at once.
+var slots = make(chan struct{}, 2)
 
-func script(t *testing.T, name, program string, env []string, sets ...string) *Result {
-	t.Helper()
-	return seededScript(t, 1, name, program, env, sets...)
+// scriptPlay is a script to play, with what is changed in it.
+type scriptPlay struct {
+	name    string
+	seed    uint64 // 0: 1
+	program string // of the api gateway; "": "whole"
+	env     []string
+	sets    []string // keys of the script, as KEY=VALUE
 }
 
-func seededScript(t *testing.T, seed uint64, name, program string, env []string, sets ...string) *Result {
+// read reads the script with its changes.
+func (p *scriptPlay) read(t *testing.T) *scenario.Scenario {
 	t.Helper()
-	dir, err := built()
+	script, err := Load(p.name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Load(name)
+	for _, set := range p.sets {
+		key, value, _ := strings.Cut(set, "=")
+		if err := script.Set(key, value); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return script
+}
+
+// play plays the script. What could not begin has shown nothing, and is played once more; then it has to.
+func (p scriptPlay) play(t *testing.T) *Result {
+	t.Helper()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range sets {
-		key, value, _ := strings.Cut(s, "=")
-		if err := d.Set(key, value); err != nil {
-			t.Fatal(err)
-		}
+	script := p.read(t)
+	slots <- struct{}{}
+	defer func() { <-slots }()
+	result, reports, err := p.try(t, script, dir)
+	if err == nil {
+		return result
 	}
-	cores <- true
-	defer func() { <-cores }()
-	for again := range 2 { // what could not begin has shown nothing; the second time it has to
-		var told []string
-		r, err := Play(context.Background(), d, seed, Options{
-			Gateway: filepath.Join(dir, program), Keeper: filepath.Join(dir, "keeper"), Dir: t.TempDir(), Memory: 64, Env: env,
-			Tell: func(s string) { told = append(told, s) },
-		})
-		if err == nil {
-			return r
-		}
-		if again > 0 {
-			t.Fatal(err, told)
-		}
-		t.Log("it did not begin:", err, told)
+	t.Log("it did not begin:", err, reports)
+	if result, reports, err = p.try(t, script, dir); err != nil {
+		t.Fatal(err, reports)
 	}
-	return nil
+	return result
 }
 
-// of says whether something broken is of a kind, by how its text begins.
-func (r *Result) of(kind string) bool {
-	for _, b := range r.Broken {
-		if strings.Contains(b.Text, kind) {
-			return true
+func (p *scriptPlay) try(t *testing.T, script *scenario.Scenario, dir string) (result *Result, reports []string, err error) {
+	t.Helper()
+	result, err = Play(context.Background(), script, max(p.seed, 1), Options{
+		Gateway:    filepath.Join(dir, cmp.Or(p.program, "whole")),
+		QuotaStore: filepath.Join(dir, "keeper"),
+		Dir:        t.TempDir(),
+		MemoryMB:   64,
+		Env:        p.env,
+		Report:     func(text string) { reports = append(reports, text) },
+	})
+	return result, reports, err
+}
+
+// operatorFile writes an operator's file and gives the variable that names it.
+func operatorFile(t *testing.T, text string) []string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "operator.json")
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return []string{"EDGE_OPERATOR=" + path}
+}
+
+// checkRules wants nothing broken but what a busy machine may break: clients that gave up, and what excused begins with.
+func checkRules(t *testing.T, r *Result, excused string) {
+	t.Helper()
+	for _, broken := range r.Broken {
+		if !strings.Contains(broken.Text, "gave up") && !strings.Contains(broken.Text, excused) {
+			t.Error(broken.Text, broken.Lines, broken.Faults)
 		}
 	}
-	return false
+}
+
+// isBroken says whether something broken has a text.
+func isBroken(r *Result, text string) bool {
+	return slices.ContainsFunc(r.Broken, func(story Story) bool { return strings.Contains(story.Text, text) })
 }
 
 // Each bug that was put in on purpose is caught by a script, for the reason it was put in; the stories name the faults.
 func TestSeededBugsAreCaught(t *testing.T) {
-	for _, x := range []struct{ bug, script, want string }{
+	for _, test := range []struct{ bug, script, want string }{
 		{"ResetCountsAsNeverRan", "reset-in-answer", "non-idempotent, is sent on again though"},
 		{"DrainIgnored", "drain-told-in-flight", "rule 3"},
 		{"AnswerDropped", "quiet", "got no final answer"},
@@ -108,10 +146,10 @@
 		{"AddressShared", "twice", "runs beside the first"},
 		{"CounterResetPanics", "added-not-answered", "has ended by itself"},
 	} {
-		t.Run(x.bug, func(t *testing.T) {
+		t.Run(test.bug, func(t *testing.T) {
 			t.Parallel()
 			sets := []string{"length=3s"}
-			switch x.script {
+			switch test.script {
 			case "twice": // it is looked for long enough
 				sets = []string{"length=5s"}
 			case "ended-under-load": // whoever is late in ending it still finds work in hand
@@ -119,13 +157,19 @@
 			}
 			var broken []Story
 			for seed := range uint64(3) { // one catch shows it; a machine that stands still for a moment may let a play miss it
-				r := seededScript(t, seed+1, x.script, "seeded", []string{"EDGE_SEEDED=" + x.bug}, sets...)
-				if r.of(x.want) {
+				r := scriptPlay{
+					name:    test.script,
+					seed:    seed + 1,
+					program: "seeded",
+					env:     []string{"EDGE_SEEDED=" + test.bug},
+					sets:    sets,
+				}.play(t)
+				if isBroken(r, test.want) {
 					return
 				}
 				broken = append(broken, r.Broken...)
 			}
-			t.Errorf("%s was not caught in three plays: %v", x.bug, broken)
+			t.Errorf("%s was not caught in three plays: %v", test.bug, broken)
 		})
 	}
 }
@@ -139,12 +183,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := script(t, name, "whole", nil, "length=4s")
-			for _, b := range r.Broken {
-				if !strings.Contains(b.Text, "gave up") && !strings.Contains(b.Text, "promised: served") {
-					t.Error(b.Text, b.Lines, b.Faults)
-				}
-			}
+			r := scriptPlay{name: name, sets: []string{"length=4s"}}.play(t)
+			checkRules(t, r, "promised: served")
 			if r.Struck < struck {
 				t.Errorf("%d faults struck, %d are wanted", r.Struck, struck)
 			}
@@ -157,20 +197,14 @@
 
 // Eight of twelve are killed while the counter is away: with membership the four left find that out and serve what they
 // would have refused; without it they don't.
-func TestTheFourLeftServeForTwelve(t *testing.T) {
+func TestFourLeftServeForTwelve(t *testing.T) {
 	t.Parallel()
-	path := filepath.Join(t.TempDir(), "operator.json")
-	os.WriteFile(path, []byte(`{"membership":{"on":true}}`), 0o644)
 	var served [2]float64
-	for i, env := range [][]string{nil, {"EDGE_OPERATOR=" + path}} {
-		r := script(t, "eight-of-twelve", "whole", env)
+	for i, env := range [][]string{nil, operatorFile(t, `{"membership":{"on":true}}`)} {
+		r := scriptPlay{name: "eight-of-twelve", env: env}.play(t)
 		served[i], _ = r.figure(scenario.Expectation{Kind: "served", From: scenario.Span{Lo: 8, Hi: 8}, Until: scenario.Span{Lo: 13, Hi: 13}})
-		for _, b := range r.Broken {
-			if !strings.Contains(b.Text, "gave up") && !strings.Contains(b.Text, "promised") {
-				t.Error(b.Text, b.Lines)
-			}
-		}
-		if off := i == 0; off != r.of("membership: 4 of 12") {
+		checkRules(t, r, "promised")
+		if off := i == 0; off != isBroken(r, "membership: 4 of 12") {
 			t.Errorf("on %v: %v", !off, r.Broken)
 		}
 	}
@@ -181,34 +215,23 @@
 
 // All hosts are silent: with the bound on what all send into a silence it holds and all come back, though two see no host and
 // three begin with empty hands; without it it does not hold.
-func TestAnOutageIsMetAsOne(t *testing.T) {
+func TestOutageIsMetAsOne(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{false, true} {
-		path := filepath.Join(t.TempDir(), "operator.json")
-		os.WriteFile(path, fmt.Appendf(nil, `{"membership":{"on":true},"overload":{"on":%v}}`, on), 0o644)
-		r := script(t, "outage-12", "whole", []string{"EDGE_OPERATOR=" + path})
-		for _, b := range r.Broken {
-			if !strings.Contains(b.Text, "gave up") && !strings.Contains(b.Text, "promised") {
-				t.Error(b.Text, b.Lines)
-			}
-		}
-		if r.of("promised: deliveries") == on || on && r.of("promised: served") {
+		env := operatorFile(t, fmt.Sprintf(`{"membership":{"on":true},"overload":{"on":%v}}`, on))
+		r := scriptPlay{name: "outage-12", env: env}.play(t)
+		checkRules(t, r, "promised")
+		if isBroken(r, "promised: deliveries") == on || on && isBroken(r, "promised: served") {
 			t.Errorf("on %v: kept %v, broken %v", on, r.Kept, r.Broken)
 		}
 	}
 }
 
 // Two halves whose mail is cut give each other up, and find each other again once it has healed.
-func TestAHealedCutIsFound(t *testing.T) {
+func TestHealedPartitionIsNoticed(t *testing.T) {
 	t.Parallel()
-	path := filepath.Join(t.TempDir(), "operator.json")
-	os.WriteFile(path, []byte(`{"membership":{"on":true}}`), 0o644)
-	r := script(t, "mail-cut", "whole", []string{"EDGE_OPERATOR=" + path})
-	for _, b := range r.Broken {
-		if !strings.Contains(b.Text, "gave up") && !strings.Contains(b.Text, "promised: served") {
-			t.Error(b.Text, b.Lines)
-		}
-	}
+	r := scriptPlay{name: "mail-cut", env: operatorFile(t, `{"membership":{"on":true}}`)}.play(t)
+	checkRules(t, r, "promised: served")
 }
 
 // Each script reads, and each kind of fault and each event is in one that comes with the program.
@@ -241,12 +264,12 @@
 }
 
 // Faults of a script's file come with their line, as those of a day; nothing is started.
-func TestBadScripts(t *testing.T) {
-	good, err := files.ReadFile("scripts/killed.toml")
+func TestWrongScriptIsRefusedWithItsKey(t *testing.T) {
+	good, err := scriptFiles.ReadFile("scripts/killed.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct{ from, to, want string }{
+	for _, test := range []struct{ from, to, want string }{
 		{`kind = "kill"`, `kind = "rain"`, `fault[0].kind: "rain" is not known; there are drop, stall`},
 		{`kind = "kill"`, `kind = "drop"`, `fault[0].from: "" is no end of a link`},
 		{`on = "delivery"`, `on = "dawn"`, `fault[0].on: "dawn" is no event; there are taken`},
@@ -257,9 +280,11 @@
 		{`lasts = "1s"`, `lasts = 1`, `fault[0].lasts: 1 is not a time with its unit`},
 	} {
 		path := filepath.Join(t.TempDir(), "s.toml")
-		os.WriteFile(path, []byte(strings.Replace(string(good), x.from, x.to, 1)), 0o644)
-		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s: %v\nwant %s", x.to, err, x.want)
+		if err := os.WriteFile(path, []byte(strings.Replace(string(good), test.from, test.to, 1)), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v\nwant %s", test.to, err, test.want)
 		}
 	}
 	if _, err := Load("nonsense"); err == nil || !strings.Contains(err.Error(), "there are added-not-answered") {
@@ -268,10 +293,10 @@
 }
 
 // The page holds its pictures and nothing from elsewhere.
-func TestPage(t *testing.T) {
-	r := script(t, "killed", "whole", nil, "length=3s")
-	b, err := Page(r)
-	if err != nil || strings.Count(string(b), "<svg") != 2 || strings.Contains(string(b), "src=") || !strings.Contains(string(b), "kill") {
-		t.Errorf("%v, %d bytes", err, len(b))
+func TestPageHoldsItsPictures(t *testing.T) {
+	r := scriptPlay{name: "killed", sets: []string{"length=3s"}}.play(t)
+	page, err := Page(r)
+	if err != nil || strings.Count(string(page), "<svg") != 2 || strings.Contains(string(page), "src=") || !strings.Contains(string(page), "kill") {
+		t.Errorf("%v, %d bytes", err, len(page))
 	}
 }
--- a/harness/fleet/logs.go
+++ b/harness/fleet/logs.go
@@ -1,114 +1,126 @@
 package fleet
 
-// This file owns the logs of the api gateways while a script is played: it reads what is added to each, counts lines and
-// tells of them as events. It must never hold up a process: the logs are files.
-
 import (
 	"bytes"
 	"encoding/json"
 	"io"
 	"os"
-	"path/filepath"
-	"strconv"
+	"slices"
 	"strings"
 	"sync"
 	"time"
 )
 
+const (
+	// maxLines are kept of all logs together.
+	maxLines = 100_000
+	// logInterval is the pause between two looks at a log.
+	logInterval = 15 * time.Millisecond
+	// afterEnd is the time of lines that were read after the end.
+	afterEnd = -1
+)
+
 // Line is one line of an api gateway's log.
 type Line struct {
-	At   float64 `json:"at"` // when it was read, in the day's time; at most a few hundredths of a second late
-	Edge int     `json:"edge"`
-	Text string  `json:"text"`
+	At      float64 `json:"at"` // when it was read, in seconds of the scenario, at most a few hundredths late; -1: after the end
+	Gateway int     `json:"edge"`
+	Text    string  `json:"text"`
 }
 
-type logs struct {
-	dir  string
-	n    int
-	mu   sync.Mutex
-	all  []Line
-	done chan struct{}
-	wait sync.WaitGroup
-}
+// logFollower reads what the api gateways add to their logs, keeps the lines and tells of them as events. The logs are files, so that it
+// holds up no process.
+type logFollower struct {
+	dir      string
+	gateways int
+	done     chan struct{}
+	readers  sync.WaitGroup
 
-func newLogs(dir string, n int) *logs { return &logs{dir: dir, n: n, done: make(chan struct{})} }
+	mu    sync.Mutex // guards lines
+	lines []Line
+}
 
-// mostLines are kept of all logs together.
-const mostLines = 100_000
+func newLogFollower(dir string, gateways int) *logFollower {
+	return &logFollower{dir: dir, gateways: gateways, done: make(chan struct{})}
+}
 
-func (l *logs) begin(r *rig) {
-	for e := range l.n {
-		l.wait.Add(1)
-		go l.follow(r, e)
+// begin reads all logs until end. f is told of each line.
+func (l *logFollower) begin(f *injector) {
+	for gateway := range l.gateways {
+		l.readers.Go(func() { l.follow(f, gateway) })
 	}
 }
 
 // end reads what is left and stops.
-func (l *logs) end() {
+func (l *logFollower) end() {
 	close(l.done)
-	l.wait.Wait()
+	l.readers.Wait()
 }
 
-func (l *logs) follow(r *rig, e int) {
-	defer l.wait.Done()
-	f, err := os.Open(filepath.Join(l.dir, "edge-"+strconv.Itoa(e)+".log"))
+// follow reads one log until end.
+func (l *logFollower) follow(f *injector, gateway int) {
+	file, err := os.Open(logPath(l.dir, gateway))
 	if err != nil {
 		return
 	}
-	defer f.Close()
+	defer file.Close()
 	var rest []byte
-	last := false
+	ending := false
 	for {
-		b, _ := io.ReadAll(f)
-		rest = append(rest, b...)
+		added, _ := io.ReadAll(file) // what can't be read now is read next time
+		rest = append(rest, added...)
 		for {
-			line, more, whole := bytes.Cut(rest, []byte("\n"))
-			if !whole {
+			line, more, complete := bytes.Cut(rest, []byte("\n"))
+			if !complete {
 				break
 			}
 			rest = more
-			l.line(r, e, string(line), last)
+			l.take(f, gateway, lineText(line), ending)
 		}
-		if last {
+		if ending {
 			return
 		}
 		select {
 		case <-l.done:
-			last = true
-		case <-time.After(15 * time.Millisecond):
+			ending = true
+		case <-time.After(logInterval):
 		}
 	}
 }
 
-func (l *logs) line(r *rig, e int, raw string, last bool) {
-	var j struct {
+// lineText is what a log line says: its message and error if it is JSON, all of it otherwise.
+func lineText(line []byte) string {
+	var entry struct {
 		Message string `json:"message"`
 		Error   string `json:"error"`
-		Level   string `json:"level"`
 	}
-	text := raw
-	if json.Unmarshal([]byte(raw), &j) == nil {
-		text = strings.TrimSpace(j.Message + " " + j.Error)
-	}
-	keep := func(at float64) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if len(l.all) < mostLines {
-			l.all = append(l.all, Line{at, e, text})
-		}
+	if json.Unmarshal(line, &entry) != nil {
+		return string(line)
 	}
-	if last { // the day's clock has stopped
-		keep(-1)
+	return strings.TrimSpace(entry.Message + " " + entry.Error)
+}
+
+// take keeps a line and tells f of it, unless the scenario's clock has stopped.
+func (l *logFollower) take(f *injector, gateway int, text string, ending bool) {
+	if ending {
+		l.keep(Line{At: afterEnd, Gateway: gateway, Text: text})
 		return
 	}
-	r.fleet.Do(func() {
-		keep(r.world.Queue.Now())
-		r.seen("log", e, text)
+	f.gateways.Do(func() {
+		l.keep(Line{At: f.world.Queue.Now(), Gateway: gateway, Text: text})
+		f.event("log", gateway, text)
 	})
 }
 
-func (l *logs) lines() []Line {
+func (l *logFollower) keep(line Line) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.lines) < maxLines {
+		l.lines = append(l.lines, line)
+	}
+}
+
+func (l *logFollower) all() []Line {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Line(nil), l.all...)
+	return slices.Clone(l.lines)
 }
--- a/harness/fleet/page.go
+++ b/harness/fleet/page.go
@@ -1,8 +1,5 @@
 package fleet
 
-// This file draws the timeline of a script: one row a process, what struck it and its links, what its log said, and what
-// was served.
-
 import (
 	"bytes"
 	"fmt"
@@ -15,6 +12,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
+	"otterseam/sim/metrics"
 	"otterseam/sim/report"
 )
 
@@ -26,13 +24,21 @@
 <pre>{{range .Lines}}{{.}}
 {{end}}{{range .Faults}}in force: {{.}}
 {{end}}</pre></li>{{end}}</ul>
-<h2>What the api gateways said</h2><pre>{{range .Lines}}{{printf "%8.2f s  api gateway %d  %s" .At .Edge .Text}}
+<h2>What the api gateways said</h2><pre>{{range .Lines}}{{printf "%8.2f s  api gateway %d  %s" .At .Gateway .Text}}
 {{end}}</pre>`))
 
 var (
-	red  = color.RGBA{0xb0, 0x3a, 0x5b, 0xd0}
-	grey = color.RGBA{0x60, 0x60, 0x60, 0xb0}
-	blue = color.RGBA{0x2a, 0x6f, 0xb5, 0xb0}
+	red    = color.RGBA{0xb0, 0x3a, 0x5b, 0xd0}
+	grey   = color.RGBA{0x60, 0x60, 0x60, 0xb0}
+	blue   = color.RGBA{0x2a, 0x6f, 0xb5, 0xb0}
+	green  = color.RGBA{0x3b, 0x8e, 0x5a, 255}
+	orange = color.RGBA{0xe0, 0x8b, 0x2c, 255}
+)
+
+const (
+	pageWidth = 22 * vg.Centimeter
+	// maxPageLines are log lines on a page.
+	maxPageLines = 400
 )
 
 // Page writes a result as one HTML page with its pictures in it.
@@ -41,122 +47,189 @@
 	if err != nil {
 		return nil, err
 	}
-	served, err := fate(r)
+	served, err := outcomes(r)
 	if err != nil {
 		return nil, err
 	}
-	lines := r.Lines[:min(len(r.Lines), 400)]
+	lines := r.Lines[:min(len(r.Lines), maxPageLines)]
 	var b bytes.Buffer
 	err = page.Execute(&b, map[string]any{
-		"Name": r.Script.Name, "Seed": r.Seed, "About": r.Script.About, "Rows": rows, "Served": served,
-		"Kept": r.Kept, "Broken": r.Broken, "Lines": lines,
+		"Name":   r.Script.Name,
+		"Seed":   r.Seed,
+		"About":  r.Script.About,
+		"Rows":   rows,
+		"Served": served,
+		"Kept":   r.Kept,
+		"Broken": r.Broken,
+		"Lines":  lines,
 	})
 	return b.Bytes(), err
 }
 
-func picture(title, y string, r *Result) *plot.Plot {
+// newPlot is an empty picture over the length of the script.
+func newPlot(title, y string, r *Result) *plot.Plot {
 	plot.DefaultFont = font.Font{Typeface: "Liberation", Variant: "Sans"}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
-	p.Title.TextStyle.Font.Size, p.X.Label.TextStyle.Font.Size, p.Y.Label.TextStyle.Font.Size = 11, 9, 9
-	p.X.Min, p.X.Max = 0, r.Script.Length.Float()
+	p.Title.Text = title
+	p.Title.TextStyle.Font.Size = 11
+	p.X.Label.Text = "seconds"
+	p.X.Label.TextStyle.Font.Size = 9
+	p.Y.Label.Text = y
+	p.Y.Label.TextStyle.Font.Size = 9
+	p.X.Min = 0
+	p.X.Max = r.Script.Length.Float()
 	return p
 }
 
-// timeline draws a row for each api gateway; faults of links to parts stand in its row, thinner.
-func timeline(r *Result) (template.HTML, error) {
-	p := picture("What struck whom, and what was said", "api gateway", r)
+// Sizes in a row of the timeline, which is 1 high.
+const (
+	faultHalf     = 0.32 // half the height of a fault's bar
+	linkFaultHalf = 0.14
+	faultLabel    = 0.33 // above the middle
+	lineBelow     = 0.42
+	lineHalf      = 0.07
+	lineLabel     = 0.34 // below the middle
+	minFault      = 0.03 // seconds
+	lineWidth     = 0.012
+)
+
+// timelinePlot is the picture of a timeline: a row for each api gateway, and one below for what is of none.
+type timelinePlot struct {
+	*plot.Plot
+	result *Result
+}
+
+func newTimelinePlot(r *Result) *timelinePlot {
+	p := newPlot("What struck whom, and what was said", "api gateway", r)
 	var ticks []plot.Tick
-	for e := range r.Gateways {
-		ticks = append(ticks, plot.Tick{Value: float64(e), Label: fmt.Sprint(e)})
+	for gateway := range r.Gateways {
+		ticks = append(ticks, plot.Tick{Value: float64(gateway), Label: fmt.Sprint(gateway)})
 	}
 	ticks = append(ticks, plot.Tick{Value: -1, Label: "others"})
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	p.Y.Min, p.Y.Max = -1.6, float64(r.Gateways)
-	bar := func(from, to, y, half float64, c color.Color) error {
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: y - half}, {X: to, Y: y - half}, {X: to, Y: y + half}, {X: from, Y: y + half}})
-		if err != nil {
-			return err
-		}
-		box.Color, box.LineStyle.Width = c, 0
-		p.Add(box)
-		return nil
+	p.Y.Min = -1.6
+	p.Y.Max = float64(r.Gateways)
+	return &timelinePlot{Plot: p, result: r}
+}
+
+// addBar draws a bar around the height y.
+func (t *timelinePlot) addBar(from, to, y, half float64, c color.Color) error {
+	box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: y - half}, {X: to, Y: y - half}, {X: to, Y: y + half}, {X: from, Y: y + half}})
+	if err != nil {
+		return err
 	}
-	label := func(x, y float64, text string) error {
-		l, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: y}}, Labels: []string{text}})
-		if err != nil {
-			return err
-		}
-		l.TextStyle[0].Font.Size = 7
-		p.Add(l)
-		return nil
+	box.Color = c
+	box.Width = 0
+	t.Add(box)
+	return nil
+}
+
+func (t *timelinePlot) addLabel(x, y float64, text string) error {
+	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: y}}, Labels: []string{text}})
+	if err != nil {
+		return err
 	}
-	named := map[string]bool{}
-	for _, s := range r.Spans {
-		y, half, c := float64(s.Edge), 0.32, color.Color(red)
-		if strings.Contains(s.What, ">") {
-			half, c = 0.14, blue
+	label.TextStyle[0].Font.Size = 7
+	t.Add(label)
+	return nil
+}
+
+// addFaults draws all faults; those of links are thinner. Several that begin together in a row have one label for each kind.
+func (t *timelinePlot) addFaults() error {
+	labelled := map[string]bool{}
+	for _, span := range t.result.Spans {
+		y := float64(span.Gateway)
+		half := faultHalf
+		c := red
+		if strings.Contains(span.Target, ">") {
+			half = linkFaultHalf
+			c = blue
 		}
-		ends := min(max(s.Ends, s.Begins+0.03), r.Script.Length.Float())
-		if err := bar(s.Begins, ends, y, half, c); err != nil {
-			return "", err
+		ends := min(max(span.Ends, span.Begins+minFault), t.result.Script.Length.Float())
+		if err := t.addBar(span.Begins, ends, y, half, c); err != nil {
+			return err
 		}
-		if text := s.Kind; !named[fmt.Sprint(s.Edge, text, s.Begins)] {
-			named[fmt.Sprint(s.Edge, text, s.Begins)] = true
-			if err := label(s.Begins, y+0.33, text); err != nil {
-				return "", err
-			}
+		key := fmt.Sprint(span.Gateway, span.Kind, span.Begins)
+		if labelled[key] {
+			continue
+		}
+		labelled[key] = true
+		if err := t.addLabel(span.Begins, y+faultLabel, span.Kind); err != nil {
+			return err
 		}
 	}
-	for _, l := range r.Lines {
-		if l.At < 0 {
+	return nil
+}
+
+// addLines draws a mark for each log line; above it stands how many others its api gateway believes to be there, if it says so.
+func (t *timelinePlot) addLines() error {
+	for _, line := range t.result.Lines {
+		if line.At < 0 {
 			continue
 		}
-		if err := bar(l.At, l.At+0.012, float64(l.Edge)-0.42, 0.07, grey); err != nil {
-			return "", err
+		y := float64(line.Gateway)
+		if err := t.addBar(line.At, line.At+lineWidth, y-lineBelow, lineHalf, grey); err != nil {
+			return err
 		}
-		var there, all int // what it believes of the others stands above its line
-		if n, _ := fmt.Sscanf(l.Text, "membership: %d of %d", &there, &all); n == 2 {
-			if err := label(l.At, float64(l.Edge)-0.34, fmt.Sprint(there)); err != nil {
-				return "", err
-			}
+		var there, all int
+		if _, err := fmt.Sscanf(line.Text, "membership: %d of %d", &there, &all); err != nil {
+			continue // another line
+		}
+		if err := t.addLabel(line.At, y-lineLabel, fmt.Sprint(there)); err != nil {
+			return err
 		}
 	}
-	return report.SVG(p, 22*vg.Centimeter, vg.Length(4+r.Gateways)*vg.Centimeter)
+	return nil
+}
+
+// timeline draws a row for each api gateway with its faults, those of its links and its log lines.
+func timeline(r *Result) (template.HTML, error) {
+	t := newTimelinePlot(r)
+	if err := t.addFaults(); err != nil {
+		return "", err
+	}
+	if err := t.addLines(); err != nil {
+		return "", err
+	}
+	return report.SVG(t.Plot, pageWidth, vg.Length(4+r.Gateways)*vg.Centimeter)
+}
+
+// valueCurves are drawn by outcomes.
+var valueCurves = []struct {
+	name  string
+	color color.Color
+	of    func(s *metrics.Share) float64
+}{
+	{"served in time", green, func(s *metrics.Share) float64 { return s.Served }},
+	{"throttled", orange, func(s *metrics.Share) float64 { return s.ThrottledWithRoom + s.ThrottledWithoutRoom }},
+	{"errored or lost", red, func(s *metrics.Share) float64 { return s.Errored + s.Lost }},
 }
 
-// fate draws what became of the value asked for, second by second.
-func fate(r *Result) (template.HTML, error) {
-	p := picture("Value inside quotas by the second it was first asked for", "part of it", r)
-	for _, c := range []struct {
-		name  string
-		color color.Color
-		of    func(i int) float64
-	}{
-		{"served in time", color.RGBA{0x3b, 0x8e, 0x5a, 255}, func(i int) float64 { return r.Figures.Seconds[i].Served }},
-		{"throttled", color.RGBA{0xe0, 0x8b, 0x2c, 255}, func(i int) float64 {
-			return r.Figures.Seconds[i].ThrottledWithRoom + r.Figures.Seconds[i].ThrottledWithoutRoom
-		}},
-		{"errored or lost", red, func(i int) float64 { return r.Figures.Seconds[i].Errored + r.Figures.Seconds[i].Lost }},
-	} {
-		var xys plotter.XYs
-		for i, s := range r.Figures.Seconds {
-			if s.Requested > 0 {
-				xys = append(xys, plotter.XY{X: float64(i) + 0.5, Y: c.of(i) / s.Requested})
+// outcomes draws what became of the value asked for, second by second.
+func outcomes(r *Result) (template.HTML, error) {
+	p := newPlot("Value inside quotas by the second it was first asked for", "part of it", r)
+	for _, curve := range valueCurves {
+		var points plotter.XYs
+		for i := range r.Figures.Seconds {
+			if second := &r.Figures.Seconds[i]; second.Requested > 0 {
+				points = append(points, plotter.XY{X: float64(i) + 0.5, Y: curve.of(&second.Share) / second.Requested})
 			}
 		}
-		if len(xys) == 0 {
+		if len(points) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(xys)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		l.Color, l.Width = c.color, vg.Points(1.4)
-		p.Add(l)
-		p.Legend.Add(c.name, l)
+		line.Color = curve.color
+		line.Width = vg.Points(1.4)
+		p.Add(line)
+		p.Legend.Add(curve.name, line)
 	}
-	p.Legend.Top, p.Legend.TextStyle.Font.Size = true, 8
-	p.Y.Min, p.Y.Max = 0, 1.25
-	return report.SVG(p, 22*vg.Centimeter, 6*vg.Centimeter)
+	p.Legend.Top = true
+	p.Legend.TextStyle.Font.Size = 8
+	p.Y.Min = 0
+	p.Y.Max = 1.25
+	return report.SVG(p, pageWidth, 6*vg.Centimeter)
 }
