--- a/gateway/server/hostconn_test.go
+++ b/gateway/server/hostconn_test.go
@@ -213,13 +213,16 @@
 		w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
 		w.sendList(2, h.entry())
 		tcp := w.dial()
+		clientLeft := make(chan struct{})
 		k.on(point, func() {
+			defer close(clientLeft)
 			tcp.Close()
 			w.wait(func() bool { return len(w.loop.invocations) == 0 })
 		})
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
 		w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
+		<-clientLeft // else the gateway may end while the hook still waits for its loop
 		if point == "up" {
 			w.wait(func() bool { return w.idleConns() == 1 })
 			w.wait(func() bool { w.pool.UpdateHost("h0", "", false); return true })
