--- a/gateway/server/hostconn.go
+++ b/gateway/server/hostconn.go
@@ -94,7 +94,9 @@
 // abandon runs on the event loop: it ends the sending at once; readLoop then closes the connection.
 func (c *hostConn) abandon() {
 	c.abandoned = true
-	closeWrite(c.tcp)
+	if tcp, ok := c.tcp.(*net.TCPConn); ok { // a connection of a test keeps its sending side until readLoop closes it
+		_ = tcp.CloseWrite()
+	}
 	interrupt(c.tcp)
 }
 
