--- /dev/null
+++ b/sim/scenario/lines.go
@@ -0,0 +1,59 @@
+package scenario
+
+import (
+	"bytes"
+	"fmt"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// keyLines finds the line of each key of a TOML text; of an array of tables each table has its number.
+func keyLines(text []byte) map[string]int {
+	lines := map[string]int{}
+	tablesSeen := map[string]int{}
+	table := ""
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		key, line := keyOf(text, expression)
+		switch expression.Kind {
+		case unstable.Table:
+			table = key
+			lines[key] = line
+		case unstable.ArrayTable:
+			table = indexed(key, tablesSeen[key])
+			tablesSeen[key]++
+			lines[table] = line
+			if lines[key] == 0 {
+				lines[key] = line
+			}
+		case unstable.KeyValue:
+			lines[joinKey(table, key)] = line
+		}
+	}
+	return lines
+}
+
+// keyOf is the key of an expression, and its line.
+func keyOf(text []byte, expression *unstable.Node) (key string, line int) {
+	for parts := expression.Key(); parts.Next(); {
+		node := parts.Node()
+		if line == 0 {
+			line = 1 + bytes.Count(text[:node.Raw.Offset], []byte("\n"))
+		}
+		key = joinKey(key, string(node.Data))
+	}
+	return key, line
+}
+
+// joinKey is the path of a key in a table; "" is the top.
+func joinKey(table, key string) string {
+	if table == "" {
+		return key
+	}
+	return table + "." + key
+}
+
+// indexed is the path of one table of an array.
+func indexed(key string, index int) string { return fmt.Sprintf("%s[%d]", key, index) }
--- a/sim/scenario/scenario.go
+++ b/sim/scenario/scenario.go
@@ -1,5 +1,3 @@
-// Package scenario owns the form of a day of the laboratory: a deployment, its load and its troubles, as they stand in a
-// file. It reads, checks, draws and writes days, and must never play one.
 package scenario
 
 // Scenario is a deployment, its load and what happens to it. Where a figure is a range, Draw picks one by seed.
@@ -26,12 +24,14 @@
 	Expectations  []Expectation  `day:"promise" about:"scripts: what has to hold at the end"`
 }
 
+// Fleet is how many machines there are.
 type Fleet struct {
 	Gateways Span `day:"gateways" unit:"n" min:"1" max:"5000" about:"api gateways"`
 	Hosts    Span `day:"hosts" unit:"n" min:"1" max:"10000" about:"hosts at the start"`
 	Zones    Span `day:"zones" unit:"n" min:"1" max:"16" def:"1" about:"zones; machines stand in them in turn"`
 }
 
+// Network is the paths between machines.
 type Network struct {
 	WithinZone   Span `day:"near" unit:"s" min:"0s" max:"1s" def:"300us" about:"one way inside a zone"`
 	BetweenZones Span `day:"far" unit:"s" min:"0s" max:"1s" def:"1ms" about:"one way between zones"`
@@ -40,6 +40,7 @@
 	IdleTimeout  Span `day:"idle_close" unit:"s" min:"100ms" max:"1h" def:"15s" about:"hosts close a connection at rest for so long"`
 }
 
+// HostKind is one kind of hosts.
 type HostKind struct {
 	Name        string `day:"name" about:"of the kind"`
 	Share       Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of all hosts, beside the other kinds' shares"`
@@ -50,6 +51,7 @@
 	ConnectWork Span   `day:"connect_work" unit:"s" min:"0s" max:"1s" def:"500us" about:"work that a new connection costs it"`
 }
 
+// ColdStart is how hosts behave that have just started.
 type ColdStart struct {
 	Share  Span `day:"share" unit:"share" min:"0.01" max:"1" def:"0.2" about:"of its capacity that a host starts with"`
 	Warm   Span `day:"warm" unit:"s" min:"0s" max:"10m" def:"10s" about:"until it has all of it"`
@@ -57,6 +59,7 @@
 	Window Span `day:"window" unit:"s" min:"100ms" max:"1m" def:"2s" about:"for so long"`
 }
 
+// Operation is something that clients ask for.
 type Operation struct {
 	Name      string `day:"name" about:"of the operation"`
 	Share     Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of all invocations, beside the others' shares"`
@@ -71,6 +74,7 @@
 	TokenTime Span   `day:"token_time" unit:"s" min:"0s" max:"10m" def:"0s" about:"tokened: for how long"`
 }
 
+// Plan is what customers are promised: their quota and its price.
 type Plan struct {
 	Name          string `day:"name" about:"of the plan"`
 	Share         Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of the load inside quotas, beside the others' shares"`
@@ -84,6 +88,7 @@
 	Price         Span   `day:"price" unit:"x" min:"0" max:"100" def:"1" about:"factor on the billed value"`
 }
 
+// Clients is how much customers ask for, and how their clients take an answer.
 type Clients struct {
 	Rate             Span `day:"rate" unit:"/s" min:"0.1/s" max:"1000000/s" about:"first tries a second inside the quotas, from all customers; what the others ask for comes on top"`
 	Units            Span `day:"units" unit:"n" min:"1" max:"1000" def:"1" about:"most units of one invocation; drawn from 1, falling"`
@@ -101,6 +106,7 @@
 	MarkRetries      bool `day:"marked" def:"true" about:"clients mark their repeats"`
 }
 
+// Counter is the shared counter.
 type Counter struct {
 	Present     bool   `day:"present" def:"true" about:"there is one"`
 	Partitions  Span   `day:"parts" unit:"n" min:"1" max:"64" def:"1" about:"parts, by name"`
@@ -112,10 +118,12 @@
 	Zone        string `day:"zone" one:"spread|own" def:"spread" about:"spread: its way is that between zones for two thirds of the api gateways; own: near to all"`
 }
 
+// Discovery is how the list of hosts gets to api gateways.
 type Discovery struct {
 	Delay Span `day:"delay" unit:"s" min:"0s" max:"10m" def:"500ms" about:"until a change is told; drawn for each change and api gateway from half of it to one and a half"`
 }
 
+// Peers is the messages between api gateways.
 type Peers struct {
 	Allowed     bool `day:"allowed" def:"false" about:"api gateways may send each other mail"`
 	MessageRate Span `day:"mail" unit:"/s" min:"0/s" max:"100000/s" def:"60/s" about:"messages that one takes in"`
@@ -123,6 +131,7 @@
 	Loss        Span `day:"loss" unit:"share" min:"0" max:"1" def:"0.01" about:"messages lost"`
 }
 
+// Gateway is each api gateway.
 type Gateway struct {
 	MaxAttempts   Span `day:"deliveries" unit:"n" min:"1" max:"100" def:"4" about:"for one invocation at most"`
 	Cancel        bool `day:"cancel" def:"true" about:"a delivery may be withdrawn"`
@@ -133,6 +142,7 @@
 	FailureNotice Span `day:"notice" unit:"s" min:"0s" max:"1m" def:"2s" about:"invocations go on coming to a dead one for so long"`
 }
 
+// Fault is something that goes wrong in a simulation.
 type Fault struct {
 	Kind      string `day:"kind" about:"see the kinds"`
 	At        Span   `day:"at" unit:"s" min:"0s" max:"24h" about:"when it begins"`
@@ -142,60 +152,3 @@
 	Operation string `day:"operation" def:"" about:"the one operation that is struck"`
 	Back      string `day:"back" one:"kept|empty|old" def:"kept" about:"with what the counter comes back"`
 }
-
-// FaultKind tells what a trouble does.
-type FaultKind struct {
-	Name         string
-	Description  string
-	Part         string // of what; "": part means nothing
-	Size         string // what it says; "": size means nothing
-	Lasts        bool   // it lasts
-	Needs        string // "operation", "peers" or "counter"
-	PositiveSize bool   // a size of 0 makes no sense
-}
-
-// FaultKinds are the troubles in the order in which the pages list them.
-var FaultKinds = []FaultKind{
-	{Name: "slow", Description: "hosts work at a part of their speed", Part: "hosts", Size: "how many times slower", Lasts: true, PositiveSize: true},
-	{Name: "silent", Description: "hosts answer nothing and run nothing; connections stay open", Part: "hosts", Lasts: true},
-	{Name: "vanish", Description: "hosts are silent, then back cold", Part: "hosts", Lasts: true},
-	{Name: "operation-silent", Description: "hosts leave a part of one operation's deliveries unanswered", Part: "hosts", Size: "part of them", Lasts: true, Needs: "operation"},
-	{Name: "errors", Description: "hosts answer a part of the deliveries with an error, after they ran", Part: "hosts", Size: "part of them", Lasts: true},
-	{Name: "spoilt", Description: "a part of the answers can't be read; their delivery has run", Part: "hosts", Size: "part of them", Lasts: true},
-	{Name: "refuse", Description: "hosts hold fewer connections", Part: "hosts", Size: "part of their limit", Lasts: true},
-	{Name: "replace", Description: "hosts drain and leave, one after another, and new cold ones come in their place", Part: "hosts", Lasts: true},
-	{Name: "grow", Description: "cold hosts come on top", Part: "of the hosts there are", Lasts: false},
-	{Name: "reset", Description: "connections are reset under a part of the deliveries, half of them after they ran", Size: "part of them", Lasts: true},
-	{Name: "delay", Description: "the way between machines takes longer", Size: "how many times", Lasts: true, PositiveSize: true},
-	{Name: "cut", Description: "zones are cut off from the others and from the counter", Part: "zones, at most all but one", Lasts: true},
-	{Name: "half-open", Description: "a part of the answers never arrives though the connection stays open", Size: "part of them", Lasts: true},
-	{Name: "counter-silent", Description: "the counter answers nothing and adds nothing", Lasts: true, Needs: "counter"},
-	{Name: "counter-refuse", Description: "the counter takes no connections", Lasts: true, Needs: "counter"},
-	{Name: "counter-small", Description: "the counter takes a part of its calls a second", Size: "part of its capacity", Lasts: true, Needs: "counter", PositiveSize: true},
-	{Name: "counter-drop", Description: "the counter adds all but answers only a part of the calls", Size: "part answered", Lasts: true, Needs: "counter"},
-	{Name: "counter-split", Description: "a part of the api gateways sees another copy of the counter; the first copy's counts stand afterwards", Part: "api gateways", Lasts: true, Needs: "counter"},
-	{Name: "counter-takeover", Description: "the counter is kept by several: the names whose leader is gone are turned away until another leads; nothing is lost", Part: "names", Lasts: true, Needs: "counter"},
-	{Name: "counter-replaced", Description: "the counter is replaced by an empty one at a stroke", Lasts: false, Needs: "counter"},
-	{Name: "list-late", Description: "changes of the list come later", Size: "how many times", Lasts: true, PositiveSize: true},
-	{Name: "list-silent", Description: "changes of the list don't come until it ends", Lasts: true},
-	{Name: "list-wrong", Description: "the list says of some hosts that they drain, though they work", Part: "hosts", Lasts: true},
-	{Name: "mail-loss", Description: "mail between api gateways is lost", Size: "part lost", Lasts: true, Needs: "peers"},
-	{Name: "burst", Description: "customers ask for more", Part: "customers", Size: "how many times", Lasts: true, PositiveSize: true},
-	{Name: "gather", Description: "customers come in through one api gateway of their set only", Part: "customers", Lasts: true},
-	{Name: "move", Description: "customers come in through another set from now on", Part: "customers", Lasts: false},
-	{Name: "ignore", Description: "customers that were throttled come again at once, as often as size says", Part: "customers", Size: "further tries", Lasts: true},
-	{Name: "impatient", Description: "clients give up after a part of their time", Part: "customers", Size: "part of their time", Lasts: true, PositiveSize: true},
-	{Name: "kill", Description: "api gateways are killed; each is back with empty hands after the time it lasts", Part: "api gateways", Lasts: true},
-	{Name: "restart", Description: "api gateways are restarted, one after another: each ends what it holds, then starts with empty hands", Part: "api gateways", Lasts: true},
-	{Name: "starve", Description: "api gateways get a part of their share of a core", Part: "api gateways", Size: "part of it", Lasts: true, PositiveSize: true},
-}
-
-// FaultKindOf gives what is known of a kind of trouble.
-func FaultKindOf(name string) (FaultKind, bool) {
-	for _, k := range FaultKinds {
-		if k.Name == name {
-			return k, true
-		}
-	}
-	return FaultKind{}, false
-}
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"errors"
 	"os"
 	"strings"
 	"testing"
@@ -16,7 +17,7 @@
 }
 
 // What is wrong with a file is said with its line and what was expected, all of it at once.
-func TestFaultsNameLineAndKey(t *testing.T) {
+func TestProblemsNameLineAndKey(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{`length = "60s"`, `length = 60`, `d.toml:4: length: 60 is not a time with its unit, such as "250ms"`},
 		{`length = "60s"`, `length = "60 minutes"`, `d.toml:4: length: 60 minutes is not a time`},
@@ -41,44 +42,61 @@
 		}
 	}
 	_, err := Read("d.toml", []byte(strings.NewReplacer(`length = "60s"`, `length = 60`, `gateways = 300`, `gateways = 0`).Replace(good(t))))
-	if fs, ok := err.(InvalidError); !ok || len(fs) != 2 {
-		t.Errorf("two faults: %v", err)
+	var invalid InvalidError
+	if !errors.As(err, &invalid) || len(invalid) != 2 {
+		t.Errorf("two problems: %v", err)
 	}
 }
 
-// What is written reads back the same, and a draw depends on the seed and the key alone.
-func TestDaysAreWrittenAndDrawn(t *testing.T) {
+// withRanges is a scenario in which two figures are ranges.
+func withRanges(t *testing.T) *Scenario {
+	t.Helper()
 	text := strings.Replace(good(t), `gateways = 300`, `gateways = [3, 3000]`, 1)
 	text = strings.Replace(text, `near = 0.15`, `near = [0.1, 0.2]`, 1)
-	d, err := Read("d.toml", []byte(text))
+	read, err := Read("d.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Read("again", []byte(d.Text()))
-	if err != nil || again.Text() != d.Text() {
+	return read
+}
+
+func TestScenariosReadBackAsTheyWereWritten(t *testing.T) {
+	written := withRanges(t)
+	again, err := Read("again", []byte(written.Text()))
+	if err != nil || again.Text() != written.Text() {
 		t.Fatalf("it does not read back: %v", err)
 	}
-	a, b, c := d.Draw(1), d.Draw(1), d.Draw(2)
-	if a.Text() != b.Text() || a.Text() == c.Text() {
-		t.Fatal("a draw is not the seed's alone")
+	if ranges := written.Spans(); len(ranges) != 2 {
+		t.Fatalf("ranges: %v", ranges)
 	}
-	if got := d.Spans(); len(got) != 2 {
-		t.Fatalf("ranges: %v", got)
+}
+
+// A draw depends on the seed and the key alone.
+func TestDrawsDependOnSeedAndKey(t *testing.T) {
+	undrawn := withRanges(t)
+	first := undrawn.Draw(1)
+	if first.Text() != undrawn.Draw(1).Text() || first.Text() == undrawn.Draw(2).Text() {
+		t.Fatal("a draw is not the seed's alone")
 	}
-	if n := a.Fleet.Gateways.Int(); n < 3 || n > 3000 || a.Fleet.Gateways.Lo != a.Fleet.Gateways.Hi {
-		t.Fatalf("drew %v", a.Fleet.Gateways)
+	gateways := first.Fleet.Gateways
+	if n := gateways.Int(); n < 3 || n > 3000 || gateways.Lo != gateways.Hi {
+		t.Fatalf("drew %v", gateways)
 	}
-	more := d.Clone()
-	more.Network.Jitter.Hi = 3 // a range more moves no other draw
-	if x := more.Draw(1); x.Fleet.Gateways != a.Fleet.Gateways || x.Clients.Near != a.Clients.Near {
+	another := undrawn.Clone()
+	another.Network.Jitter.Hi = 3 // a range more moves no other draw
+	if drawn := another.Draw(1); drawn.Fleet.Gateways != gateways || drawn.Clients.Near != first.Clients.Near {
 		t.Fatal("another range moved the draw")
 	}
-	if err := d.Set("plan[0].rate", "5/s"); err != nil || d.Plans[0].Rate.Float() != 5 {
+}
+
+func TestSetChangesAKeyOrSaysWhatIsWrong(t *testing.T) {
+	changed := withRanges(t)
+	if err := changed.Set("plan[0].rate", "5/s"); err != nil || changed.Plans[0].Rate.Float() != 5 {
 		t.Fatal(err)
 	}
-	for _, x := range [][2]string{{"plan[9].rate", "5/s"}, {"plan[0].rate", "5"}, {"plan.rate", "5/s"}, {"rain", "1"}, {"fleet", "1"}} {
-		if d.Set(x[0], x[1]) == nil {
-			t.Errorf("%s=%s was taken", x[0], x[1])
+	for _, wrong := range [][2]string{{"plan[9].rate", "5/s"}, {"plan[0].rate", "5"}, {"plan.rate", "5/s"}, {"rain", "1"}, {"fleet", "1"}} {
+		if changed.Set(wrong[0], wrong[1]) == nil {
+			t.Errorf("%s=%s was taken", wrong[0], wrong[1])
 		}
 	}
 }
