--- a/cmd/otterseam/config.go
+++ b/cmd/otterseam/config.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	defaultMemoryMB        = 192.0
-	defaultDescriptors     = 1024
-	reservedDescriptors    = 40 // for the counter, discovery, peers and the runtime
-	clientDescriptorShare  = 55 // in 100 of the others
-	hostDescriptorShare    = 40 // in 100 of the others
-	minConnections         = 8  // of clients and to hosts
-	shortestLongestTimeout = time.Second
+	defaultMemoryMB       = 192.0
+	defaultDescriptors    = 1024
+	reservedDescriptors   = 40 // for the counter, discovery, peers and the runtime
+	clientDescriptorShare = 55 // in 100 of the others
+	hostDescriptorShare   = 40 // in 100 of the others
+	minConnections        = 8  // of clients and to hosts
+	minClientTimeout      = time.Second
 )
 
 var (
@@ -128,7 +128,7 @@
 
 // longestTimeout is for how long a client may still wait for an answer.
 func (c *config) longestTimeout() time.Duration {
-	longest := shortestLongestTimeout.Seconds()
+	longest := minClientTimeout.Seconds()
 	for _, operation := range c.Settings.Operations {
 		longest = max(longest, operation.Timeout)
 	}
