--- a/harness/tiercluster/machine.go
+++ b/harness/tiercluster/machine.go
@@ -25,9 +25,6 @@
 
 func machineName(class string, number int) string { return fmt.Sprintf("%s-%d", class, number) }
 
-// Process is the machine's process of a role; nil: it has never run.
-func (m *Machine) Process(role string) *childprocess.Process { return m.processes[role] }
-
 // Kill ends the machine's processes with SIGKILL and waits for that.
 func (m *Machine) Kill() {
 	for _, process := range m.processes {
--- a/sim/scenario/read.go
+++ b/sim/scenario/read.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"os"
 	"reflect"
 	"slices"
 	"strconv"
@@ -13,15 +12,6 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads a scenario from a file. What is wrong with it comes back as an InvalidError.
-func Load(path string) (*Scenario, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	return Read(path, text)
-}
-
 // Read reads a scenario; file is what problems call it.
 func Read(file string, text []byte) (*Scenario, error) { return ReadOver(file, text, nil) }
 
