--- a/tier/programs/begin.go
+++ b/tier/programs/begin.go
@@ -2,20 +2,21 @@
 
 import "otterseam/tier/codec"
 
-// Begin reserves the estimate of a turn before it is sent, and asks for the chain of turns it goes on from.
+// Begin is the command that reserves the estimated tokens of a turn before the turn is sent, and reads the chain of turns that it
+// continues.
 type Begin struct {
-	Now      int64 // time of day in milliseconds, set by the primary
+	Now      int64 // wall-clock time in milliseconds, set by the primary
 	Request  string
 	Program  string
 	Session  string
-	Limited  bool   // the turn carries a budget
-	Budget   uint64 // tokens of the whole program
+	Limited  bool   // whether Budget applies
+	Budget   uint64 // tokens that the whole program may use
 	Estimate uint64 // tokens
-	Previous string // the turn to go on from; empty for none
+	Previous string // request ID of the turn to continue; empty for none
 	Ticket   Ticket
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command in its replicated form.
 func (b Begin) Encode() []byte {
 	var e codec.Encoder
 	e.Uint8(uint8(CommandBegin))
--- a/tier/programs/bench_test.go
+++ b/tier/programs/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// bulkState is a state of about ten megabytes: programs with one retained turn each.
-func bulkState() *shard {
+// largeState returns a state of about ten megabytes: programs with one retained turn each.
+func largeState() *shard {
 	s := newShard()
 	text := string(make([]byte, 2<<10))
 	for i := range 2500 {
@@ -17,17 +17,17 @@
 	return s
 }
 
-// BenchmarkSnapshot measures how long a state of ten megabytes is held for a transfer to begin.
+// BenchmarkSnapshot measures how long a state of ten megabytes is blocked while its snapshot for a transfer is taken.
 func BenchmarkSnapshot(b *testing.B) {
-	s := bulkState()
+	s := largeState()
 	for b.Loop() {
 		b.SetBytes(int64(len(s.state.Snapshot())))
 	}
 }
 
-// BenchmarkRestore measures how long a member takes to install such a state.
+// BenchmarkRestore measures how long a member takes to install a snapshot of ten megabytes.
 func BenchmarkRestore(b *testing.B) {
-	snapshot := bulkState().state.Snapshot()
+	snapshot := largeState().state.Snapshot()
 	b.SetBytes(int64(len(snapshot)))
 	for b.Loop() {
 		if err := NewState().Restore(snapshot); err != nil {
--- a/tier/programs/chain.go
+++ b/tier/programs/chain.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// clockSkew is added to the time for which a turn is retained, in milliseconds, because clocks of machines differ.
+// clockSkew is a margin in milliseconds that is added to the retention period of a turn, because the clocks of machines differ.
 const clockSkew = 10 * 1000
 
-// minTurnBytes is the encoded size of a turn with empty texts.
+// minTurnBytes is the encoded size of a turn whose strings and blobs are empty.
 const minTurnBytes = 5*minBlobBytes + 8
 
 // turn is a retained turn.
@@ -17,11 +17,11 @@
 	input     []byte
 	output    []byte
 	host      string
-	expiresAt int64 // by the time that commands carry
+	expiresAt int64 // compared with the times that commands carry
 }
 
-// chain collects the turns that a new one goes on from, and the host that ran the last of them. It is not found if one of them is not
-// retained, or no longer.
+// chain returns the inputs and outputs of the turns that a new turn continues, the oldest first, and the host that ran the last of
+// them. found is false if one of these turns is not retained, or no longer.
 func (p *program) chain(previous string, now int64) (parts [][]byte, host string, found bool) {
 	if previous == "" {
 		return nil, "", true
@@ -43,8 +43,8 @@
 	return reversed, last.host, true
 }
 
-// lineage yields a turn and those that it goes on from, as far as they are retained. It ends even if they should form a cycle, which
-// retain prevents but which a state made by an older version may hold.
+// lineage yields a turn and its predecessors, the newest first, up to the first one that is not retained. It terminates even if they
+// form a cycle: retain prevents cycles, but a state stored by an older version may contain one.
 func (p *program) lineage(id string) iter.Seq2[string, turn] {
 	return func(yield func(string, turn) bool) {
 		for range len(p.turns) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// retain stores a turn; its chain lasts as long as it does. A turn that would go on from itself is not stored: its ID is that of an
-// earlier turn, which stays.
+// retain stores a turn and extends the retention of its predecessors to at least its own. A turn that would be its own predecessor is
+// not stored: its ID is that of an earlier turn, which is kept.
 func (p *program) retain(c End) {
 	for id := range p.lineage(c.Previous) {
 		if id == c.Request {
--- a/tier/programs/command.go
+++ b/tier/programs/command.go
@@ -2,7 +2,7 @@
 
 import "otterseam/tier/codec"
 
-// CommandKind tells what a replicated command does. It is the first byte of a command, before the time.
+// CommandKind is the type of a replicated command. It is the first byte of an encoded command; the timestamp follows it.
 type CommandKind uint8
 
 // The kinds of commands.
@@ -15,20 +15,20 @@
 	CommandFetch
 )
 
-// Where the time stands in an encoded command.
+// Offsets of the timestamp in an encoded command.
 const (
-	stampStart = 1
-	stampEnd   = stampStart + 8
+	timestampStart = 1
+	timestampEnd   = timestampStart + 8
 )
 
-// IsCommand tells whether bytes begin as an encoded command that can be stamped.
+// IsCommand reports whether the bytes start with the kind and the timestamp of an encoded command, so that Stamp can be applied.
 func IsCommand(command []byte) bool {
-	return len(command) >= stampEnd && command[0] >= uint8(CommandBegin) && command[0] <= uint8(CommandFetch)
+	return len(command) >= timestampEnd && command[0] >= uint8(CommandBegin) && command[0] <= uint8(CommandFetch)
 }
 
-// Stamp writes the time into an encoded command.
+// Stamp sets the timestamp of an encoded command.
 func Stamp(command []byte, now int64) {
 	var e codec.Encoder
 	e.Int64(now)
-	copy(command[stampStart:stampEnd], e.Bytes)
+	copy(command[timestampStart:timestampEnd], e.Bytes)
 }
--- a/tier/programs/doc.go
+++ b/tier/programs/doc.go
@@ -1,25 +1,25 @@
-// Package programs is the state machine of a shard of agent programs: for each program one count of tokens that all gateways
-// charge, and the turns that are retained so that later turns can go on from them.
+// Package programs implements the replicated state machine of a shard of agent programs. For each program it keeps one token count,
+// which all gateways charge, and the retained turns that later turns can continue.
 //
-// # The life of one turn
+// # Life cycle of a turn
 //
-// A gateway sends Begin before it sends a turn to a host. The estimate is reserved from the program's budget, and the answer has the
-// chain of turns that the new one goes on from. When the turn has ended the gateway sends End: the reservation goes, the tokens
-// that the client received are charged, and the turn is retained if its route wants that. Fetch reads a chain and changes nothing.
-// The primary of the shard stamps each command with its time of day and has it replicated; State.Apply carries it out on every
-// replica, in the order of the log.
+// A gateway sends Begin before it sends a turn to a host. Begin reserves the estimate from the program's budget, and its result
+// contains the chain of turns that the new turn continues. When the turn has ended, the gateway sends End, which releases the
+// reservation, charges the tokens that the client received, and retains the turn if its route requires that. Fetch reads a chain
+// and changes nothing. The primary of the shard stamps each command with its wall-clock time and replicates it; State.Apply
+// executes it on every replica, in log order.
 //
 // # Invariants
 //
-//   - Settled and reserved tokens together never exceed a budget by which they were begun.
-//   - A Begin or an End counts once, however often and late it comes again: by its request while the turn is open or among the
-//     newest settled ones, and by its Ticket for ever after.
-//   - A retained turn lasts as long as the newest turn of its chain.
-//   - What is remembered of a program is bounded: open turns by time, settled turns, sessions and watermarks by number.
+//   - Settled and reserved tokens together never exceed the budget that the Begin commands of these turns carried.
+//   - A Begin or an End takes effect once, however often and however late it is repeated. A repeat is recognized by its request ID
+//     while the turn is open or among the newest settled turns, and by its Ticket at any time after that.
+//   - A retained turn is kept as long as the newest turn of its chain.
+//   - The state of each program is bounded: open turns by time; settled turns, sessions and watermarks by number.
 //
-// # What it must not do
+// # Constraints
 //
-// It reads no clock, draws no number and does no I/O: replicas that apply the same commands have the same state and the same
-// snapshot, to the byte. Times are those that commands carry, in milliseconds of the day of the primary that took them; between two
-// primaries they may step back, by the skew of the machines' clocks.
+// The package reads no clock, generates no random numbers and does no I/O, so that replicas that apply the same commands have the
+// same state and byte-identical snapshots. Times are those that commands carry, in milliseconds of the wall clock of the primary
+// that accepted them. Between two primaries they may step back by the skew of the machines' clocks.
 package programs
--- a/tier/programs/end.go
+++ b/tier/programs/end.go
@@ -2,23 +2,23 @@
 
 import "otterseam/tier/codec"
 
-// End settles a turn's true cost and retains the turn where its route wants it.
+// End is the command that replaces a turn's reservation by its actual cost, and retains the turn if its route requires that.
 type End struct {
-	Now         int64 // time of day in milliseconds, set by the primary
+	Now         int64 // wall-clock time in milliseconds, set by the primary
 	Request     string
 	Program     string
 	Session     string
 	Actual      uint64 // tokens that the client received
-	Retain      bool   // the turn ended complete and is to be retained
-	RetentionMS int64  // for how long, in milliseconds
+	Retain      bool   // whether to retain the turn, which completed
+	RetentionMS int64  // retention period in milliseconds
 	Previous    string
 	Input       []byte
-	Output      []byte // the data of each event with a line feed behind
-	Host        string // the host that ran it
-	Ticket      Ticket // of the turn's begin
+	Output      []byte // the data of each event, each followed by a line feed
+	Host        string // the host that ran the turn
+	Ticket      Ticket // the ticket of the turn's Begin
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command in its replicated form.
 func (c End) Encode() []byte {
 	var e codec.Encoder
 	e.Uint8(uint8(CommandEnd))
--- a/tier/programs/example_test.go
+++ b/tier/programs/example_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/programs"
 )
 
-// A turn is charged before it is sent and settled after; the next one goes on from it.
+// A turn's estimate is reserved before the turn is sent, and its actual cost is settled afterwards. The next turn continues it.
 func Example() {
 	shard := programs.NewState()
 	apply := func(command []byte) programs.Result { return shard.Apply(0, command).(programs.Result) }
@@ -17,12 +17,12 @@
 
 	next := programs.Begin{Request: "r2", Program: "p", Limited: true, Budget: 60, Estimate: 30, Previous: "r1"}
 	result := apply(next.Encode())
-	fmt.Printf("%v, goes on from %s", result.Code, result.Chain)
+	fmt.Printf("%v, continues %s", result.Code, result.Chain)
 	fmt.Println()
 	fmt.Println(apply(programs.Begin{Request: "r3", Program: "p", Limited: true, Budget: 60, Estimate: 30}.Encode()).Code)
 	// Output:
 	// code 0 ok
-	// code 0 ok, goes on from [hello  hi
+	// code 0 ok, continues [hello  hi
 	// ]
 	// code 301 budget-spent
 }
--- a/tier/programs/fetch.go
+++ b/tier/programs/fetch.go
@@ -2,14 +2,14 @@
 
 import "otterseam/tier/codec"
 
-// Fetch asks for the chain of a turn, whichever program it belongs to. It changes nothing; as a replicated command it is answered
-// only by a primary that still leads.
+// Fetch is the command that reads the chain of a turn, whichever program the turn belongs to. It changes nothing. It is replicated
+// so that only a primary that still leads can answer it.
 type Fetch struct {
-	Now     int64 // time of day in milliseconds, set by the primary
+	Now     int64 // wall-clock time in milliseconds, set by the primary
 	Request string
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command in its replicated form.
 func (f Fetch) Encode() []byte {
 	var e codec.Encoder
 	e.Uint8(uint8(CommandFetch))
--- a/tier/programs/program.go
+++ b/tier/programs/program.go
@@ -3,12 +3,12 @@
 // program is the state of one agent program.
 type program struct {
 	charged      uint64                 // tokens of turns that were settled or abandoned
-	reserved     map[string]reservation // of turns that have not ended, by request
-	settled      []settledTurn          // the newest ones
-	watermarks   map[uint64]watermark   // by gateway, of the settled turns before these
-	turns        map[string]turn        // retained, by request
-	sessionHosts map[string]string      // the last host, by session
-	lastUsed     int64                  // by the time that commands carry
+	reserved     map[string]reservation // reservations of open turns, by request
+	settled      []settledTurn          // the newest settled turns, in order of settlement
+	watermarks   map[uint64]watermark   // by gateway, covers the settled turns that are no longer in settled
+	turns        map[string]turn        // retained turns, by request
+	sessionHosts map[string]string      // the last host of each session
+	lastUsed     int64                  // the highest time of a command for the program
 }
 
 func newProgram() *program {
@@ -17,7 +17,7 @@
 	}
 }
 
-// total is what counts against the budget: settled tokens and reserved ones.
+// total returns the tokens that count against the budget: charged and reserved ones.
 func (p *program) total() uint64 {
 	total := p.charged
 	for _, each := range p.reserved {
--- a/tier/programs/programs_test.go
+++ b/tier/programs/programs_test.go
@@ -10,7 +10,7 @@
 	"otterseam/tier/codes"
 )
 
-// shard drives a state with a clock and log index.
+// shard applies commands to a state with a simulated clock and log index.
 type shard struct {
 	state *State
 	now   int64
@@ -19,21 +19,21 @@
 
 func newShard() *shard { return &shard{state: NewState(), now: 1_000_000} }
 
-// apply has the state carry out a command at the present time.
+// apply stamps a command with the current time and applies it to the state.
 func (s *shard) apply(command []byte) Result {
 	s.index++
 	Stamp(command, s.now)
 	return s.state.Apply(s.index, command).(Result)
 }
 
-// begin begins a turn of session s.
+// begin applies the Begin of a turn of session s.
 func (s *shard) begin(request, program string, budget, estimate uint64, previous string) Result {
 	return s.apply(Begin{
 		Request: request, Program: program, Session: "s", Limited: true, Budget: budget, Estimate: estimate, Previous: previous,
 	}.Encode())
 }
 
-// end ends a turn on host h-<request>, which is retained for a minute.
+// end applies the End of a turn that ran on host h-<request> and is retained for one minute.
 func (s *shard) end(request, program string, actual uint64, previous, input, output string) Result {
 	return s.apply(End{
 		Request: request, Program: program, Session: "s", Actual: actual, Retain: true, RetentionMS: 60_000, Previous: previous,
@@ -41,20 +41,20 @@
 	}.Encode())
 }
 
-func TestBeginRejectsWhatTheBudgetDoesNotHold(t *testing.T) {
+func TestBeginRejectsEstimateOverBudget(t *testing.T) {
 	s := newShard()
 	if got := s.begin("a", "p", 100, 60, ""); got.Code != codes.OK {
 		t.Fatal(got.Code)
 	}
 	if got := s.begin("b", "p", 100, 41, ""); got.Code != codes.BudgetSpent {
-		t.Fatalf("41 beside 60 of 100 gave %v", got.Code)
+		t.Fatalf("reserving 41 when 60 of 100 are reserved: %v", got.Code)
 	}
 	if got := s.begin("c", "p", 100, 40, ""); got.Code != codes.OK {
-		t.Fatalf("the rejected estimate was not taken off: %v", got.Code)
+		t.Fatalf("the rejected estimate was not released: %v", got.Code)
 	}
 }
 
-func TestBeginAndEndCountOnceForARequest(t *testing.T) {
+func TestRepeatedBeginAndEndCountOnce(t *testing.T) {
 	s := newShard()
 	for range 3 {
 		if got := s.begin("a", "p", 100, 60, ""); got.Code != codes.OK {
@@ -67,11 +67,11 @@
 		}
 	}
 	if got := s.begin("b", "p", 100, 90, ""); got.Code != codes.OK {
-		t.Fatalf("10 of 100 are spent, and 90 gave %v", got.Code)
+		t.Fatalf("reserving 90 when 10 of 100 are spent: %v", got.Code)
 	}
 }
 
-func TestLateBeginAfterTheEndChargesNothing(t *testing.T) {
+func TestBeginAfterEndChargesNothing(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 100, 60, "")
 	s.end("a", "p", 10, "", "", "")
@@ -79,7 +79,7 @@
 		t.Fatal(got.Code)
 	}
 	if got := s.begin("b", "p", 100, 90, ""); got.Code != codes.OK {
-		t.Fatalf("the late begin was charged: %v", got.Code)
+		t.Fatalf("the late Begin was charged: %v", got.Code)
 	}
 }
 
@@ -92,11 +92,11 @@
 	}
 }
 
-func TestChainHoldsInputsAndOutputsFromTheOldestOn(t *testing.T) {
+func TestChainListsInputsAndOutputsOldestFirst(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 1, "", "A", "a\n")
 	s.end("b", "p", 1, "a", "B", "b\n")
-	s.end("c", "p", 1, "a", "C", "c\n") // another line goes on from the same turn
+	s.end("c", "p", 1, "a", "C", "c\n") // a second chain continues the same turn
 	got := s.begin("d", "p", 100, 1, "b")
 	if text := string(bytes.Join(got.Chain, nil)); text != "Aa\nBb\n" || got.Host != "h-b" {
 		t.Fatalf("chain %q at host %q", text, got.Host)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestTurnThatIsNotRetainedIsUnknown(t *testing.T) {
+func TestUnretainedTurnIsUnknown(t *testing.T) {
 	s := newShard()
 	if got := s.begin("a", "p", 100, 1, "never"); got.Code != codes.TurnUnknown {
 		t.Fatal(got.Code)
@@ -117,7 +117,7 @@
 	}
 }
 
-// A chain lasts as long as the newest turn that goes on from it.
+// A chain is retained as long as the newest turn that continues it.
 func TestChainIsRetainedAsLongAsItsNewestTurn(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 1, "", "A", "a\n")
@@ -131,15 +131,15 @@
 	s.now += 60_000
 	s.state.sweep(s.now)
 	if got := s.begin("d", "p", 100, 1, "b"); got.Code != codes.TurnUnknown {
-		t.Fatalf("long after its time: %v", got.Code)
+		t.Fatalf("after its expiry: %v", got.Code)
 	}
 	if len(s.state.programOfTurn) != 0 {
 		t.Fatalf("%d turns are still indexed", len(s.state.programOfTurn))
 	}
 }
 
-// A turn that would go on from itself, at once or by way of others, is not stored; the chain stays as it was.
-func TestAChainNeverComesBackToItsOwnTurn(t *testing.T) {
+// A turn that would be its own predecessor, directly or through other turns, is not stored, and the chain does not change.
+func TestRetainRejectsCycles(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 1, "", "in-a", "out-a")
 	s.end("b", "p", 1, "a", "in-b", "out-b")
@@ -149,37 +149,37 @@
 		t.Fatalf("%v: %s", got.Code, bytes.Join(got.Chain, nil))
 	}
 	if got := s.begin("e", "p", 1000, 1, "c"); got.Code != codes.TurnUnknown {
-		t.Fatalf("a turn that goes on from itself: %v", got.Code)
+		t.Fatalf("a turn that continues itself: %v", got.Code)
 	}
 }
 
-// A cycle in a state that an older version stored ends in an unknown turn.
-func TestACycleInStoredTurnsEnds(t *testing.T) {
+// A state stored by an older version may contain a cycle. Its chain is not found, and neither chain nor retain loops forever.
+func TestChainTerminatesOnStoredCycle(t *testing.T) {
 	p := newProgram()
 	p.turns["a"] = turn{previous: "b", expiresAt: 10}
 	p.turns["b"] = turn{previous: "a", expiresAt: 10}
 	if _, _, found := p.chain("a", 1); found {
-		t.Fatal("a cycle has no beginning")
+		t.Fatal("the chain of a cycle was found")
 	}
 	p.retain(End{Now: 1, Request: "c", Previous: "a"})
 }
 
-func TestCountOutlivesTheTurns(t *testing.T) {
+func TestTokenCountOutlivesRetainedTurns(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 90, "", "A", "a\n")
 	s.now += 10 * 60_000
 	s.state.sweep(s.now)
 	if got := s.begin("b", "p", 100, 11, ""); got.Code != codes.BudgetSpent {
-		t.Fatalf("after ten minutes of rest: %v", got.Code)
+		t.Fatalf("after ten idle minutes: %v", got.Code)
 	}
 	s.now += 16 * 60_000
 	s.state.sweep(s.now)
 	if len(s.state.programs) != 0 {
-		t.Fatal("the program was never dropped")
+		t.Fatal("the idle program was not deleted")
 	}
 }
 
-// A new program may go on from a turn of another one.
+// A new program may continue a turn of another program.
 func TestFetchFindsTurnsOfAnyProgram(t *testing.T) {
 	s := newShard()
 	s.end("a", "p", 1, "", "A", "a\n")
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestApplyRejectsCommandsCutShort(t *testing.T) {
+func TestApplyRejectsTruncatedCommands(t *testing.T) {
 	for name, encoded := range map[string][]byte{
 		"begin": Begin{Request: "a", Program: "p", Budget: 1}.Encode(),
 		"end":   End{Request: "a", Program: "p", Actual: 1}.Encode(),
@@ -202,7 +202,7 @@
 			for n := range encoded {
 				state := NewState()
 				if got := state.Apply(1, encoded[:n]).(Result); got.Code != codes.Malformed {
-					t.Fatalf("%d of %d bytes gave %v", n, len(encoded), got.Code)
+					t.Fatalf("%d of %d bytes: %v", n, len(encoded), got.Code)
 				}
 				if !bytes.Equal(state.Snapshot(), NewState().Snapshot()) {
 					t.Fatalf("%d of %d bytes changed the state", n, len(encoded))
@@ -212,17 +212,17 @@
 	}
 }
 
-// Only bytes that hold a kind and a time can be stamped.
+// Only bytes that contain a known kind and a timestamp can be stamped.
 func TestIsCommand(t *testing.T) {
 	for name, test := range map[string]struct {
 		command []byte
 		want    bool
 	}{
-		"fetch":                 {Fetch{}.Encode(), true},
-		"empty":                 {nil, false},
-		"cut within the time":   {Fetch{}.Encode()[:stampEnd-1], false},
-		"no kind":               {make([]byte, stampEnd), false},
-		"kind beyond the known": {append([]byte{byte(CommandFetch) + 1}, make([]byte, stampEnd)...), false},
+		"fetch":               {Fetch{}.Encode(), true},
+		"empty":               {nil, false},
+		"truncated timestamp": {Fetch{}.Encode()[:timestampEnd-1], false},
+		"no kind":             {make([]byte, timestampEnd), false},
+		"unknown kind":        {append([]byte{byte(CommandFetch) + 1}, make([]byte, timestampEnd)...), false},
 	} {
 		if got := IsCommand(test.command); got != test.want {
 			t.Errorf("%s: %v", name, got)
@@ -230,9 +230,9 @@
 	}
 }
 
-// Over any order of begins, ends, repeats and restores from a snapshot, the tokens that may reach clients never pass the budget
-// by more than what one begin may add, and replicas that restored agree with those that did not.
-func TestBudgetHoldsOverRetriesAndRestores(t *testing.T) {
+// For any order of Begins, Ends, repeated Ends and restores from a snapshot, the spent and reserved tokens never exceed the budget,
+// and a restored state equals the original.
+func TestBudgetHoldsAcrossRetriesAndRestores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const budget = 500
 		s := newShard()
@@ -260,20 +260,20 @@
 				reserved += estimate
 			}
 			if spent+reserved > budget {
-				rt.Fatalf("%d spent and %d reserved of %d", spent, reserved, budget)
+				rt.Fatalf("%d spent and %d reserved, budget %d", spent, reserved, budget)
 			}
 			if got := s.state.programs["p"].total(); got != spent+reserved {
-				rt.Fatalf("the count is %d, and %d spent and %d reserved", got, spent, reserved)
+				rt.Fatalf("total is %d with %d spent and %d reserved", got, spent, reserved)
 			}
 			if rapid.IntRange(0, 9).Draw(rt, "restore") == 0 {
-				again := NewState()
-				if err := again.Restore(s.state.Snapshot()); err != nil {
+				restored := NewState()
+				if err := restored.Restore(s.state.Snapshot()); err != nil {
 					rt.Fatal(err)
 				}
-				if !bytes.Equal(again.Snapshot(), s.state.Snapshot()) {
-					rt.Fatal("a restored state differs")
+				if !bytes.Equal(restored.Snapshot(), s.state.Snapshot()) {
+					rt.Fatal("the restored state differs")
 				}
-				s.state = again
+				s.state = restored
 			}
 		}
 	})
--- a/tier/programs/recorded_test.go
+++ b/tier/programs/recorded_test.go
@@ -28,12 +28,12 @@
 	}
 }
 
-// afterKind reads a command behind the byte that says its kind.
-func afterKind[T any](t *testing.T, kind CommandKind, decode func(*codec.Decoder) T) func([]byte) (T, error) {
+// decodeAfterKind returns a function that checks the kind byte of a command and decodes the rest.
+func decodeAfterKind[T any](t *testing.T, kind CommandKind, decode func(*codec.Decoder) T) func([]byte) (T, error) {
 	return func(data []byte) (T, error) {
 		d := codec.NewDecoder(data)
 		if got := CommandKind(d.Uint8()); got != kind {
-			t.Errorf("kind %d, not %d", got, kind)
+			t.Errorf("kind is %d, want %d", got, kind)
 		}
 		value := decode(d)
 		return value, d.Err()
@@ -41,12 +41,12 @@
 }
 
 func TestRecordedCommands(t *testing.T) {
-	recorded.CheckBoth(t, "command-begin", recordedBegin(), Begin.Encode, afterKind(t, CommandBegin, decodeBegin))
-	recorded.CheckBoth(t, "command-end", recordedEnd(), End.Encode, afterKind(t, CommandEnd, decodeEnd))
+	recorded.CheckBoth(t, "command-begin", recordedBegin(), Begin.Encode, decodeAfterKind(t, CommandBegin, decodeBegin))
+	recorded.CheckBoth(t, "command-end", recordedEnd(), End.Encode, decodeAfterKind(t, CommandEnd, decodeEnd))
 	recorded.Check(t, "command-fetch", Fetch{Now: recordedNow, Request: "request-2"}.Encode())
 	for _, name := range []string{"command-begin", "command-end", "command-fetch"} {
 		if !IsCommand(recorded.Read(t, name)) {
-			t.Errorf("%s is not taken for a command", name)
+			t.Errorf("IsCommand(%s) is false", name)
 		}
 	}
 	stamped := recordedBegin()
@@ -61,7 +61,7 @@
 	recorded.CheckBoth(t, "result", result, Result.Encode, DecodeResult)
 }
 
-// recordedState has two programs, of which the first has several of each thing.
+// recordedState returns a state with two programs, of which the first has several entries of each kind.
 func recordedState() *State {
 	s := NewState()
 	s.commands = 77
@@ -71,8 +71,8 @@
 	first.reserved["request-8"] = reservation{estimate: 800, begunAt: recordedNow - 20}
 	first.reserved["request-9"] = reservation{estimate: 900, begunAt: recordedNow - 30}
 	first.settled = []settledTurn{
-		{request: "request-1", ticket: Ticket{Gateway: 5, Number: 1}, answer: codes.TurnSettled},
-		{request: "request-2", ticket: Ticket{Gateway: 6, Number: 2}, answer: codes.BudgetSpent},
+		{request: "request-1", ticket: Ticket{Gateway: 5, Number: 1}, code: codes.TurnSettled},
+		{request: "request-2", ticket: Ticket{Gateway: 6, Number: 2}, code: codes.BudgetSpent},
 	}
 	first.watermarks[0x0203] = watermark{number: 40, raisedAt: recordedNow - 40}
 	first.watermarks[0x0102] = watermark{number: 50, raisedAt: recordedNow - 50}
@@ -104,12 +104,12 @@
 func TestRecordedSnapshot(t *testing.T) {
 	recorded.Check(t, "snapshot", recordedState().Snapshot())
 	if got := restoreRecorded(t); !reflect.DeepEqual(got, recordedState()) {
-		t.Fatalf("restored %+v", got)
+		t.Fatalf("restored state: %+v", got)
 	}
 }
 
-// The recorded commands on the recorded state give the recorded state again.
-func TestRecordedCommandsOnTheRecordedSnapshot(t *testing.T) {
+// Applying the recorded commands to the recorded snapshot yields the recorded results and the recorded snapshot after them.
+func TestRecordedCommandsAppliedToRecordedSnapshot(t *testing.T) {
 	s := restoreRecorded(t)
 	chain := [][]byte{[]byte("input 1"), []byte("output 1\n"), []byte("input 2"), []byte("output 2\n")}
 	for _, step := range []struct {
--- a/tier/programs/reservation.go
+++ b/tier/programs/reservation.go
@@ -1,20 +1,21 @@
 package programs
 
-// reservationTTL is how long a turn that was begun may stay without an end before its estimate is charged for good, in
-// milliseconds: longer than any turn runs and its end is repeated.
+// reservationTTL is the time in milliseconds after which the estimate of a turn without an End is charged permanently. It is longer
+// than any turn runs and its End is retried.
 const reservationTTL = 15 * 60 * 1000
 
 // minReservationBytes is the encoded size of a reservation with an empty request.
 const minReservationBytes = minBlobBytes + 8 + 8
 
-// reservation is the estimate of a turn that has not ended.
+// reservation holds the estimated tokens of an open turn.
 type reservation struct {
 	estimate uint64
-	begunAt  int64 // when it was begun, by the time that commands carry
+	begunAt  int64 // the time that its Begin carried
 }
 
-// chargeAbandoned charges the estimates of turns whose end has not come for so long that it never will: the gateway that ran them
-// is gone. The program's total stays what it was; only their ids are forgotten, so that a program that lives for long doesn't grow.
+// chargeAbandoned charges the reservations that are older than reservationTTL: the gateway that ran these turns has failed and will
+// not send an End. The program's total does not change. Only the request IDs are dropped, so that the state of a long-lived program
+// does not grow.
 func (p *program) chargeAbandoned(now int64) {
 	for request, each := range p.reserved {
 		if now-each.begunAt > reservationTTL {
--- a/tier/programs/result.go
+++ b/tier/programs/result.go
@@ -8,14 +8,14 @@
 // minBlobBytes is the encoded size of an empty blob or string.
 const minBlobBytes = 4
 
-// Result is what applying a command gave.
+// Result is the result of applying a command.
 type Result struct {
 	Code  codes.Code
 	Chain [][]byte // inputs and outputs of the earlier turns, the oldest first
-	Host  string   // the host that ran the turn before in this chain or session, if known
+	Host  string   // the host that ran the previous turn of this chain or session, if known
 }
 
-// Encode is the result's form on the wire, without the code.
+// Encode returns the result in its wire form, without the code.
 func (r Result) Encode() []byte {
 	var e codec.Encoder
 	e.String(r.Host)
@@ -26,7 +26,7 @@
 	return e.Bytes
 }
 
-// DecodeResult reads a result.
+// DecodeResult decodes a result, whose code stays codes.OK.
 func DecodeResult(data []byte) (Result, error) {
 	d := codec.NewDecoder(data)
 	r := Result{Host: d.String()}
--- a/tier/programs/settled.go
+++ b/tier/programs/settled.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// maxSettledTurns is how many settled turns of a program are remembered by their request. Later ones are known by their tickets.
+	// maxSettledTurns is the number of settled turns of a program that are stored by request ID. Older ones are recognized by their
+	// tickets.
 	maxSettledTurns = 24
-	// maxWatermarks is how many gateways have a watermark in a program: those through which it settled turns last.
+	// maxWatermarks is the number of gateways that have a watermark in a program. The watermarks that rose last are kept.
 	maxWatermarks = 256
 
-	// Encoded sizes, the former with an empty request.
+	// Minimum encoded sizes: of a settled turn with an empty request, and of a watermark.
 	minSettledTurnBytes = minBlobBytes + 8 + 8 + 4
 	minWatermarkBytes   = 8 + 8 + 8
 )
 
-// settledTurn is a turn that has ended, or was rejected for good.
+// settledTurn is a turn that has ended or was permanently rejected.
 type settledTurn struct {
 	request string
 	ticket  Ticket
-	answer  codes.Code // to a begin that comes again
+	code    codes.Code // the result of a repeated Begin
 }
 
-// watermark is the highest number of a gateway's turns that were settled and forgotten.
+// watermark is the highest ticket number among a gateway's settled turns that are no longer stored.
 type watermark struct {
 	number   uint64
-	raisedAt int64 // when it last rose, by the time that commands carry
+	raisedAt int64 // time of the command that last raised it
 }
 
-// settledAnswer returns what a begin gets whose turn was settled, or false if the turn is not known to have been.
-func (p *program) settledAnswer(request string, ticket Ticket) (codes.Code, bool) {
+// settledCode returns the result of a Begin whose turn was settled, or false if the turn is not known to be settled.
+func (p *program) settledCode(request string, ticket Ticket) (codes.Code, bool) {
 	for _, each := range p.settled {
 		if each.request == request {
-			return each.answer, true
+			return each.code, true
 		}
 	}
 	if ticket.Gateway != 0 && ticket.Number <= p.watermarks[ticket.Gateway].number {
@@ -42,7 +43,7 @@
 	return codes.OK, false
 }
 
-// settle remembers a turn that has ended or was rejected.
+// settle stores a turn that has ended or was rejected. It replaces the oldest settled turns beyond maxSettledTurns by watermarks.
 func (p *program) settle(turn settledTurn, now int64) {
 	p.settled = append(p.settled, turn)
 	excess := len(p.settled) - maxSettledTurns
@@ -55,7 +56,8 @@
 	p.settled = append([]settledTurn(nil), p.settled[excess:]...)
 }
 
-// raiseWatermark notes that a settled turn is forgotten. From now on its ticket alone tells that it was settled.
+// raiseWatermark raises the watermark of a gateway to the ticket of a settled turn that is no longer stored. From then on only the
+// ticket identifies the turn as settled.
 func (p *program) raiseWatermark(ticket Ticket, now int64) {
 	if ticket.Gateway == 0 || ticket.Number <= p.watermarks[ticket.Gateway].number {
 		return
@@ -66,26 +68,26 @@
 	}
 }
 
-// oldestWatermark is the gateway whose watermark rose longest ago; of several, the one with the lowest identity, so that all
-// replicas forget the same.
+// oldestWatermark returns the gateway whose watermark rose longest ago. Among equals it returns the gateway with the lowest identity,
+// so that all replicas drop the same one.
 func (p *program) oldestWatermark() uint64 {
 	oldest := uint64(0)
 	for gateway, each := range p.watermarks {
-		held := p.watermarks[oldest]
-		if oldest == 0 || each.raisedAt < held.raisedAt || (each.raisedAt == held.raisedAt && gateway < oldest) {
+		selected := p.watermarks[oldest]
+		if oldest == 0 || each.raisedAt < selected.raisedAt || (each.raisedAt == selected.raisedAt && gateway < oldest) {
 			oldest = gateway
 		}
 	}
 	return oldest
 }
 
-// encodeSettled writes what is remembered of settled turns.
+// encodeSettled encodes the settled turns and the watermarks.
 func (p *program) encodeSettled(e *codec.Encoder) {
 	e.Uint32(uint32(len(p.settled)))
 	for _, each := range p.settled {
 		e.String(each.request)
 		each.ticket.encode(e)
-		e.Uint32(uint32(each.answer))
+		e.Uint32(uint32(each.code))
 	}
 	e.Uint32(uint32(len(p.watermarks)))
 	for _, gateway := range sortedKeys(p.watermarks) {
@@ -95,12 +97,12 @@
 	}
 }
 
-// decodeSettled reads it.
+// decodeSettled decodes the settled turns and the watermarks.
 func (p *program) decodeSettled(d *codec.Decoder) {
 	for range d.Count(minSettledTurnBytes) {
 		turn := settledTurn{request: d.String()}
 		turn.ticket = decodeTicket(d)
-		turn.answer = codes.Code(d.Uint32())
+		turn.code = codes.Code(d.Uint32())
 		p.settled = append(p.settled, turn)
 	}
 	for range d.Count(minWatermarkBytes) {
--- a/tier/programs/settled_test.go
+++ b/tier/programs/settled_test.go
@@ -10,8 +10,8 @@
 	"otterseam/tier/codes"
 )
 
-// numbered is a turn of program p with its ticket.
-func numbered(number uint64) (begin, end []byte) {
+// ticketedTurn returns the commands of a turn of program p whose ticket has the given number.
+func ticketedTurn(number uint64) (begin, end []byte) {
 	ticket := Ticket{Gateway: 7, Number: number}
 	request := fmt.Sprint("turn-", number)
 	begin = Begin{Request: request, Program: "p", Session: "s", Limited: true, Budget: 100_000, Estimate: 60, Ticket: ticket}.Encode()
@@ -19,13 +19,13 @@
 	return begin, end
 }
 
-// A begin that stood in a stalled connection for 30 seconds comes after its turn ended, and after so many others that the turn is
-// forgotten. It is not charged, and neither is its end a second time.
-func TestCallsAfterTheirTurnWasForgottenAreNotCharged(t *testing.T) {
+// A Begin can be delayed by 30 seconds in a stalled connection and arrive after its turn has ended, when so many later turns were
+// settled that the turn is no longer stored. It must not be charged, and a repeated End must not be charged a second time.
+func TestLateRetriesOfEvictedTurnsAreNotCharged(t *testing.T) {
 	s := newShard()
 	const turns = 3 * maxSettledTurns
 	for number := uint64(1); number <= turns; number++ {
-		begin, end := numbered(number)
+		begin, end := ticketedTurn(number)
 		s.apply(begin)
 		s.apply(end)
 	}
@@ -37,40 +37,40 @@
 	for name, state := range map[string]*State{"same": s.state, "restored": restored} {
 		s.state = state
 		for number := uint64(1); number <= turns; number++ {
-			begin, end := numbered(number)
+			begin, end := ticketedTurn(number)
 			if got := s.apply(begin).Code; got != codes.TurnSettled {
-				t.Fatalf("%s: turn %d begun late: %v", name, number, got)
+				t.Fatalf("%s: late Begin of turn %d: %v", name, number, got)
 			}
 			if got := s.apply(end).Code; got != codes.OK {
-				t.Fatalf("%s: turn %d ended again: %v", name, number, got)
+				t.Fatalf("%s: repeated End of turn %d: %v", name, number, got)
 			}
 		}
 		if got := state.programs["p"].total(); got != 10*turns {
-			t.Fatalf("%s: the total is %d, not %d", name, got, 10*turns)
+			t.Fatalf("%s: total is %d, want %d", name, got, 10*turns)
 		}
 	}
 }
 
-// A turn that is still open stays so, however many later ones of its gateway were settled.
-func TestLongTurnOutlivesLaterOnes(t *testing.T) {
+// An open turn stays open, however many later turns of its gateway are settled.
+func TestOpenTurnSurvivesLaterSettledTurns(t *testing.T) {
 	s := newShard()
-	longBegin, longEnd := numbered(1)
+	longBegin, longEnd := ticketedTurn(1)
 	s.apply(longBegin)
 	for number := uint64(2); number <= 3*maxSettledTurns; number++ {
-		begin, end := numbered(number)
+		begin, end := ticketedTurn(number)
 		s.apply(begin)
 		s.apply(end)
 	}
 	if got := s.apply(longBegin).Code; got != codes.OK {
-		t.Fatalf("begun again: %v", got)
+		t.Fatalf("repeated Begin: %v", got)
 	}
 	s.apply(longEnd)
 	if got := s.state.programs["p"].total(); got != 10*3*maxSettledTurns {
-		t.Fatalf("the total is %d", got)
+		t.Fatalf("total is %d", got)
 	}
 }
 
-// A turn that the budget rejected is rejected again, also when there is room by then: its gateway has given it up.
+// A turn that was rejected for its budget is rejected again even if the budget has room by then, because its gateway has given it up.
 func TestRejectedTurnIsNotChargedLater(t *testing.T) {
 	s := newShard()
 	s.begin("a", "p", 100, 60, "")
@@ -79,10 +79,10 @@
 	}
 	s.end("a", "p", 1, "", "", "")
 	if got := s.begin("b", "p", 100, 60, ""); got.Code != codes.BudgetSpent {
-		t.Fatalf("the rejected turn again: %v", got.Code)
+		t.Fatalf("repeated Begin of the rejected turn: %v", got.Code)
 	}
 	if got := s.state.programs["p"].total(); got != 1 {
-		t.Fatalf("the total is %d", got)
+		t.Fatalf("total is %d", got)
 	}
 }
 
@@ -95,15 +95,15 @@
 	}
 	p := s.state.programs["p"]
 	if len(p.watermarks) != maxWatermarks {
-		t.Fatalf("%d gateways are remembered", len(p.watermarks))
+		t.Fatalf("%d gateways have a watermark", len(p.watermarks))
 	}
 	if _, kept := p.watermarks[3*maxWatermarks-maxSettledTurns]; !kept {
-		t.Fatal("the gateway that settled last is not remembered")
+		t.Fatal("the newest watermark was dropped")
 	}
 }
 
-// However often and late the calls of turns come again, in whatever order after their first time, each turn is charged once.
-func TestEachTurnIsChargedOnceOverLateRetries(t *testing.T) {
+// Each turn is charged once, however often, how late and in which order its calls are repeated after the first time.
+func TestTurnIsChargedOnceAcrossLateRetries(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newShard()
 		var sent [][]byte
@@ -114,13 +114,13 @@
 				continue
 			}
 			number++
-			begin, end := numbered(number)
+			begin, end := ticketedTurn(number)
 			sent = append(sent, begin, end)
 			s.apply(bytes.Clone(begin))
 			s.apply(bytes.Clone(end))
 		}
 		if p := s.state.programs["p"]; p.total() != 10*number {
-			rt.Fatalf("%d turns of 10 tokens are charged %d", number, p.total())
+			rt.Fatalf("%d turns of 10 tokens were charged %d tokens", number, p.total())
 		}
 	})
 }
--- a/tier/programs/snapshot.go
+++ b/tier/programs/snapshot.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/codec"
 )
 
-// Snapshot is the state as bytes, the same for the same state.
+// Snapshot encodes the state. Equal states have equal snapshots.
 func (s *State) Snapshot() []byte {
 	var e codec.Encoder
 	e.Uint64(s.commands)
@@ -20,7 +20,7 @@
 	return e.Bytes
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by a snapshot. On an error the state is unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	d := codec.NewDecoder(snapshot)
 	commands := d.Uint64()
@@ -89,7 +89,7 @@
 	return p
 }
 
-// sortedKeys orders the keys of a map, so that the same map always has the same bytes.
+// sortedKeys returns the keys of a map in ascending order, so that equal maps have equal encodings.
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
 	keys := make([]K, 0, len(values))
 	for key := range values {
--- a/tier/programs/state.go
+++ b/tier/programs/state.go
@@ -5,19 +5,20 @@
 	"otterseam/tier/codes"
 )
 
-// State is the programs of one shard. It has a single owner: the replica that applies commands to it.
+// State holds the programs of one shard. It is not safe for concurrent use: its single owner is the replica that applies commands to
+// it.
 type State struct {
 	programs      map[string]*program
-	programOfTurn map[string]string // by request, of each retained turn; derived from programs
-	commands      uint64
+	programOfTurn map[string]string // program of each retained turn, by request; derived from programs
+	commands      uint64            // number of commands applied
 }
 
-// NewState makes an empty state.
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{programs: map[string]*program{}, programOfTurn: map[string]string{}}
 }
 
-// Apply carries out an encoded command and returns its Result. A command that cannot be read changes nothing, and is answered with
+// Apply executes an encoded command and returns its Result. A command that cannot be decoded changes nothing and results in
 // codes.Malformed.
 func (s *State) Apply(_ uint64, command []byte) any {
 	result, now, err := s.dispatch(codec.NewDecoder(command))
@@ -30,7 +31,7 @@
 	return result
 }
 
-// dispatch reads a command and carries it out. It returns the time of the command too.
+// dispatch decodes a command and executes it. It also returns the time that the command carries.
 func (s *State) dispatch(d *codec.Decoder) (result Result, now int64, err error) {
 	switch CommandKind(d.Uint8()) {
 	case CommandBegin:
@@ -46,7 +47,7 @@
 		}
 		return result, end.Now, d.Err()
 	case CommandFetch:
-		// read here, and not into a Fetch, so that the request takes no memory of the heap
+		// Decoded here and not into a Fetch, so that the request ID causes no heap allocation.
 		now = d.Int64()
 		request := d.String()
 		if d.Err() == nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// program returns a program, a new one if it is not known, and notes that it is in use.
+// program returns a program, which it creates if it does not exist, and updates its time of last use.
 func (s *State) program(name string, now int64) *program {
 	p := s.programs[name]
 	if p == nil {
@@ -69,13 +70,12 @@
 	return p
 }
 
-// begin adds the estimate and reads the total; past the budget the estimate is taken off again. Asked twice for the same
-// request it charges once.
+// begin reserves the estimate of a turn, and releases it again if the total exceeds the budget. A repeated Begin reserves it once.
 func (s *State) begin(b Begin) Result {
 	p := s.program(b.Program, b.Now)
-	_, again := p.reserved[b.Request]
-	if answer, settled := p.settledAnswer(b.Request, b.Ticket); settled && !again {
-		return Result{Code: answer}
+	_, repeated := p.reserved[b.Request]
+	if code, settled := p.settledCode(b.Request, b.Ticket); settled && !repeated {
+		return Result{Code: code}
 	}
 	chain, host, found := p.chain(b.Previous, b.Now)
 	if !found {
@@ -84,7 +84,7 @@
 	if host == "" {
 		host = p.sessionHosts[b.Session]
 	}
-	if !again {
+	if !repeated {
 		p.reserved[b.Request] = reservation{estimate: b.Estimate, begunAt: b.Now}
 		if b.Limited && p.total() > b.Budget {
 			delete(p.reserved, b.Request)
@@ -95,11 +95,11 @@
 	return Result{Code: codes.OK, Chain: chain, Host: host}
 }
 
-// end settles actual minus estimate. Asked twice it settles once.
+// end releases a turn's reservation and charges its actual tokens. A repeated End charges them once.
 func (s *State) end(c End) Result {
 	p := s.program(c.Program, c.Now)
 	_, open := p.reserved[c.Request]
-	if _, settled := p.settledAnswer(c.Request, c.Ticket); settled && !open {
+	if _, settled := p.settledCode(c.Request, c.Ticket); settled && !open {
 		return Result{Code: codes.OK}
 	}
 	delete(p.reserved, c.Request)
@@ -115,7 +115,7 @@
 	return Result{Code: codes.OK}
 }
 
-// fetch returns the chain of a turn of any program of the shard.
+// fetch returns the chain of a turn, which may belong to any program of the shard.
 func (s *State) fetch(request string, now int64) Result {
 	p := s.programs[s.programOfTurn[request]]
 	if p == nil {
--- a/tier/programs/sweep.go
+++ b/tier/programs/sweep.go
@@ -1,14 +1,15 @@
 package programs
 
 const (
-	// idleProgramTTL is how long a program's count stays after its last turn, in milliseconds: longer than any program rests.
+	// idleProgramTTL is the time in milliseconds for which a program's token count is kept after its last turn. It is longer than any
+	// program pauses between two turns.
 	idleProgramTTL = 15 * 60 * 1000
-	// sweepInterval is how many commands pass between two sweeps.
+	// sweepInterval is the number of commands from one sweep to the next.
 	sweepInterval = 512
 )
 
-// sweep charges reservations that were abandoned, and drops turns that are no longer retained and programs that have rested for
-// long and retain no turn.
+// sweep charges abandoned reservations, deletes expired turns, and deletes programs that have been idle for more than idleProgramTTL
+// and have no retained turn.
 func (s *State) sweep(now int64) {
 	for name, p := range s.programs {
 		p.chargeAbandoned(now)
--- a/tier/programs/ticket.go
+++ b/tier/programs/ticket.go
@@ -2,12 +2,12 @@
 
 import "otterseam/tier/codec"
 
-// Ticket numbers the turns that one incarnation of a gateway begins, in rising order. With it a shard knows a call for a turn that was
-// settled long ago, however late it comes, without remembering the turn: for each gateway it is enough to remember the highest
-// number among the turns that were settled and forgotten. It depends on no clock.
+// Ticket is a sequence number for the turns that one incarnation of a gateway begins. With it a shard recognizes a call for a turn
+// that was settled long ago, however late the call arrives, without storing the turn: for each gateway it stores only the highest
+// number among the settled turns that it no longer stores. Tickets depend on no clock.
 type Ticket struct {
-	Gateway uint64 // drawn by the gateway's process when it starts; 0 for a call without a ticket
-	Number  uint64
+	Gateway uint64 // random number that the gateway's process generates at its start; 0 for a call without a ticket
+	Number  uint64 // increases with each turn of the gateway
 }
 
 func (t Ticket) encode(e *codec.Encoder) {
