--- a/tier/codes/codes.go
+++ b/tier/codes/codes.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Code is a numbered result. It is an error, so that it can be returned and compared with errors.Is.
-type Code uint16 //nolint:errname // a number on the wire first and an error besides, as syscall.Errno
+// Code is a numbered result. It implements error, so that it can be returned and tested with errors.Is.
+type Code uint16 //nolint:errname // primarily a number on the wire that also implements error, like syscall.Errno
 
-// The result codes, by the page's names. Numbers are never used again for another meaning.
+// The result codes. Their constants follow the names in docs/codes.md. A number is never reused for another meaning.
 //
-//nolint:errname // values of Code, as those of syscall.Errno
+//nolint:errname // values of Code, like those of syscall.Errno
 const (
 	OK Code = 0
 
-	// Of groups and the messages between processes.
+	// Codes of replication groups and of messages between processes.
 	NotPrimary    Code = 101
 	Unavailable   Code = 102
 	Timeout       Code = 103
@@ -20,25 +20,25 @@
 	NoVote        Code = 106
 	PrimaryAlive  Code = 107
 
-	// Of the operator's configuration.
+	// Codes of the operator's configuration.
 	ConfigInvalid   Code = 201
 	ConfigBase      Code = 202
 	ConfigNone      Code = 203
 	ConfigForgotten Code = 204
 
-	// Of hosts.
+	// Codes of hosts.
 	HostStale Code = 211
 
-	// Of the retirement of store machines.
+	// Codes of the retirement of store machines.
 	RetireUnknown Code = 221
 	RetireTooFew  Code = 222
 
-	// Of programs and their turns.
+	// Codes of programs and their turns.
 	BudgetSpent Code = 301
 	TurnUnknown Code = 302
 	TurnSettled Code = 303
 
-	// Of requests at a proxy.
+	// Codes of requests at a proxy.
 	NoRoute          Code = 401
 	NoHost           Code = 402
 	HostsFull        Code = 403
@@ -53,20 +53,20 @@
 	AnswerNotKept    Code = 412
 	Stopping         Code = 413
 
-	// Of disks.
+	// Codes of disks.
 	DiskDamaged   Code = 501
 	DiskWrite     Code = 502
 	DiskRegressed Code = 503
 	DiskForeign   Code = 504
 	DiskStalled   Code = 505
 
-	// Of connections between processes.
+	// Codes of connections between processes.
 	LinkBroken        Code = 511
 	LinkBusy          Code = 512
 	SubscriptionStale Code = 513
 )
 
-// Error gives the code's number and name.
+// Error returns the code's number and name.
 func (c Code) Error() string {
 	for _, row := range Table {
 		if row.Code == c {
--- a/tier/codes/codes_test.go
+++ b/tier/codes/codes_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-const page = "../../docs/codes.md"
+const documentationPath = "../../docs/codes.md"
 
-// tablePage is the page for operators, made from Table.
-func tablePage() string {
+// documentation returns the operators' page docs/codes.md, generated from Table.
+func documentation() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\nThe numbers that processes of the serving tier give each other, write into their logs as `code`, and put into\n" +
 		"the JSON bodies of their own answers. The page is made from `tier/codes`; a number is never used again for another meaning.\n\n" +
@@ -22,38 +22,38 @@
 	return b.String()
 }
 
-func TestThePageListsAllCodes(t *testing.T) {
+func TestDocumentationListsAllCodes(t *testing.T) {
 	if os.Getenv("UPDATE_CODES") != "" {
-		if err := os.WriteFile(page, []byte(tablePage()), 0o644); err != nil {
+		if err := os.WriteFile(documentationPath, []byte(documentation()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(documentationPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(text) != tablePage() {
-		t.Fatalf("docs/codes.md is not what the table says; UPDATE_CODES=1 go test ./tier/codes writes it")
+	if string(text) != documentation() {
+		t.Fatalf("docs/codes.md differs from the table; run UPDATE_CODES=1 go test ./tier/codes to update it")
 	}
 }
 
-func TestCodesAreDistinctAndInOrder(t *testing.T) {
+func TestNamesAreUniqueAndCodesAscend(t *testing.T) {
 	names := map[string]bool{}
 	for i, row := range Table {
 		if i > 0 && row.Code <= Table[i-1].Code {
-			t.Errorf("%v stands behind %v", row.Code, Table[i-1].Code)
+			t.Errorf("%v follows %v", row.Code, Table[i-1].Code)
 		}
 		if names[row.Name] || row.Meaning == "" {
-			t.Errorf("%q is a name twice or has no meaning", row.Name)
+			t.Errorf("name %q is not unique, or its meaning is empty", row.Name)
 		}
 		names[row.Name] = true
 	}
 }
 
-func TestACodeIsAnErrorThatCanBeCompared(t *testing.T) {
+func TestErrorsIsMatchesWrappedCodes(t *testing.T) {
 	err := fmt.Errorf("while calling: %w", BudgetSpent)
 	if !errors.Is(err, BudgetSpent) || errors.Is(err, TurnUnknown) {
-		t.Fatal("codes can't be told apart in wrapped errors")
+		t.Fatal("errors.Is doesn't distinguish the codes in wrapped errors")
 	}
 	for code, want := range map[Code]string{
 		BudgetSpent: "code 301 budget-spent",
@@ -61,7 +61,7 @@
 		Code(9999):  "code 9999",
 	} {
 		if got := code.Error(); got != want {
-			t.Errorf("%q, not %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
--- a/tier/codes/doc.go
+++ b/tier/codes/doc.go
@@ -1,12 +1,12 @@
-// Package codes numbers the results that processes of the serving tier give each other, write into their logs as the field code, and
-// put into the JSON bodies of their own answers. The table in docs/codes.md is made from [Table].
+// Package codes defines the numbered results that processes of the serving tier return to each other, log in the field code, and
+// include in the JSON bodies of the responses that they generate themselves. The table in docs/codes.md is generated from [Table].
 //
-// A [Code] is an error value in the manner of syscall.Errno: packages return it, wrapped with %w where a caller needs more, and
-// callers test it with errors.Is. Which HTTP status a code becomes is decided by the package that answers over HTTP.
+// A [Code] is an error value like syscall.Errno: packages return it, wrapped with %w where a caller needs more detail, and callers
+// test it with errors.Is. The package that responds over HTTP maps codes to HTTP statuses.
 //
 // # Invariants
 //
-//   - A number is never used again for another meaning, nor a name.
-//   - Hundreds tell the field: 1 groups and messages, 2 what operators and hosts ask of control, 3 programs, 4 requests at a proxy,
-//     5 disks and connections.
+//   - Neither a number nor a name is ever reused for another meaning.
+//   - The hundreds digit is the category: 1 groups and messages, 2 requests of operators and hosts to control, 3 programs, 4 requests
+//     at a proxy, 5 disks and connections.
 package codes
--- a/tier/codes/example_test.go
+++ b/tier/codes/example_test.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/codes"
 )
 
-// A code is an error with a number and a name, and is found in errors that wrap it.
+// A code is an error with a number and a name. errors.Is and errors.As find it in errors that wrap it.
 func ExampleCode() {
 	err := fmt.Errorf("heartbeat: %w", codes.NotPrimary)
 	fmt.Println(err)
--- a/tier/codes/recorded_test.go
+++ b/tier/codes/recorded_test.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/internal/recorded"
 )
 
-// The numbers of the codes and what they are called in logs and answers are those recorded.
+// The numbers of the codes and their names in logs and responses must not change.
 func TestRecordedTable(t *testing.T) {
 	var table []byte
 	for _, row := range Table {
--- a/tier/codes/table.go
+++ b/tier/codes/table.go
@@ -1,6 +1,6 @@
 package codes
 
-// Row describes a code for the table and for operators.
+// Row is the entry of a code in Table, with its name and its meaning for operators.
 type Row struct {
 	Code    Code
 	Name    string
--- a/tier/directory/directory_test.go
+++ b/tier/directory/directory_test.go
@@ -10,7 +10,7 @@
 	"otterseam/tier/feed"
 )
 
-// shardsOfFour holds some shards of a map of four.
+// shardsOfFour returns the shards with the given IDs, out of a total of four.
 func shardsOfFour(ids ...uint32) map[uint32]Shard {
 	shards := map[uint32]Shard{}
 	for _, id := range ids {
@@ -29,8 +29,8 @@
 	// false
 }
 
-// A map that lacks shards sends no program to another one.
-func TestShardOfProgramInAnIncompleteMap(t *testing.T) {
+// An incomplete map must not assign a program to a wrong shard.
+func TestShardOfProgramWithIncompleteMap(t *testing.T) {
 	const program = "program-a"
 	home, _ := ShardOfProgram(program, shardsOfFour(0, 1, 2, 3))
 	for name, test := range map[string]struct {
@@ -48,14 +48,14 @@
 				t.Fatalf("found %v", found)
 			}
 			if found && shard.Total > 0 && shard.ID != home.ID {
-				t.Fatalf("shard %d, not %d", shard.ID, home.ID)
+				t.Fatalf("shard is %d, want %d", shard.ID, home.ID)
 			}
 		})
 	}
 }
 
-// An item that cannot be decoded hides no other one.
-func TestReadersSkipItemsThatCannotBeDecoded(t *testing.T) {
+// An item that cannot be decoded must not hide the other items of its section.
+func TestReadersSkipUndecodableItems(t *testing.T) {
 	view := feed.NewView()
 	for i, section := range []feed.Section{feed.SectionHost, feed.SectionStore, feed.SectionShard, feed.SectionEjection} {
 		view.Put(section, "cut", uint64(i+1), []byte{0})
@@ -72,12 +72,12 @@
 		"ejections": {Ejections(view), map[string]int64{"host-1": 90_000}},
 	} {
 		if !reflect.DeepEqual(test.got, test.want) {
-			t.Errorf("%s: %+v, not %+v", name, test.got, test.want)
+			t.Errorf("%s: got %+v, want %+v", name, test.got, test.want)
 		}
 	}
 }
 
-// decodeError drops what a decode function read.
+// decodeError adapts a decode function to return only its error.
 func decodeError[T any](decode func([]byte) (T, error)) func([]byte) error {
 	return func(data []byte) error {
 		_, err := decode(data)
--- a/tier/directory/doc.go
+++ b/tier/directory/doc.go
@@ -1,18 +1,19 @@
-// Package directory defines what control distributes: hosts, store machines, shards, members of control and ejections, as items
-// of a feed. It has one encode and one decode for each kind of item, the keys of the items, and readers of a feed.View.
+// Package directory defines the feed items that control distributes: hosts, store machines, shards, members of control and
+// ejections. It has an encoder and a decoder for each kind of item, the keys of the items, and functions that read them from a
+// feed.View.
 //
-// The encoded forms are the same on the wire and in the snapshots of control, so they are held to recorded bytes. A field can only
-// be added behind the others.
+// The encoded forms are the same on the wire and in the snapshots of control. Tests compare them with recorded bytes. A new field can
+// only be appended after the existing ones.
 //
 // # Invariants
 //
-//   - An identity belongs to a disk, an incarnation to one run of a process: a store that was started again has its identity and
-//     another incarnation.
-//   - Each shard carries the total number of shards. A program belongs to the shard whose ID is its CRC-32 modulo this total, which
-//     every process computes alike.
+//   - An identity belongs to a disk, an incarnation to one run of a process: a restarted store has the same identity and a new
+//     incarnation.
+//   - Each shard carries the total number of shards. A program belongs to the shard whose ID is the CRC-32 of the program's name
+//     modulo this total, so that every process computes the same shard.
 //
-// # What it must not do
+// # Limits
 //
-// It decides nothing: package placement says which stores hold a shard, package outlier which hosts are ejected. Readers of a view
-// skip an item that cannot be decoded; the others stay usable.
+// The package makes no decisions: package placement determines which stores hold a shard, and package outlier which hosts are
+// ejected. The functions that read a view skip an item that cannot be decoded and return the others.
 package directory
--- a/tier/directory/ejection.go
+++ b/tier/directory/ejection.go
@@ -2,7 +2,7 @@
 
 import "otterseam/tier/codec"
 
-// EncodeEjectionDuration is the form in a feed of the duration, in milliseconds, for which a host is ejected. The key of the item is
+// EncodeEjectionDuration encodes the duration in milliseconds for which a host is ejected, as a feed item's data. The item's key is
 // the host's ID.
 func EncodeEjectionDuration(ms int64) []byte {
 	var e codec.Encoder
@@ -10,7 +10,7 @@
 	return e.Bytes
 }
 
-// DecodeEjectionDuration reads a duration in milliseconds.
+// DecodeEjectionDuration decodes an ejection duration in milliseconds.
 func DecodeEjectionDuration(data []byte) (int64, error) {
 	d := codec.NewDecoder(data)
 	ms := d.Int64()
--- a/tier/directory/host.go
+++ b/tier/directory/host.go
@@ -2,20 +2,20 @@
 
 import "otterseam/tier/codec"
 
-// Host is a host of a service, as it described itself.
+// Host describes a host of a service, as reported by the host itself.
 type Host struct {
 	ID       string
 	Service  string
 	Address  string
 	Zone     string
 	Version  string
-	Slots    int // requests that it serves at once
+	Slots    int // maximum number of concurrent requests
 	Draining bool
 	Stage    string
-	Models   string // as JSON, unread
+	Models   string // JSON, passed on without being parsed
 }
 
-// Encode is the host's form in a feed.
+// Encode returns the host in its feed form.
 func (h Host) Encode() []byte {
 	var e codec.Encoder
 	e.String(h.ID)
@@ -30,7 +30,7 @@
 	return e.Bytes
 }
 
-// DecodeHost reads a host.
+// DecodeHost decodes a host.
 func DecodeHost(data []byte) (Host, error) {
 	d := codec.NewDecoder(data)
 	h := Host{
--- a/tier/directory/members.go
+++ b/tier/directory/members.go
@@ -6,14 +6,14 @@
 	"otterseam/tier/feed"
 )
 
-// EncodeControlMembers is the form of the members of control in a feed.
+// EncodeControlMembers encodes the membership record of control as a feed item's data.
 func EncodeControlMembers(record consensus.Record) []byte {
 	var e codec.Encoder
 	consensus.EncodeRecord(&e, record)
 	return e.Bytes
 }
 
-// ControlAddresses reads the addresses of the members of control from a view.
+// ControlAddresses returns the addresses of the members of control in a view.
 func ControlAddresses(view *feed.View) []string {
 	data, found := view.Get(feed.SectionControl, CurrentKey)
 	if !found {
--- a/tier/directory/read.go
+++ b/tier/directory/read.go
@@ -2,10 +2,10 @@
 
 import "otterseam/tier/feed"
 
-// CurrentKey is the key of the only item in the sections of the configuration and of the members of control.
+// CurrentKey is the key of the single item in the section of the configuration, and in that of the members of control.
 const CurrentKey = "current"
 
-// Shards reads the shard map of a view.
+// Shards returns the shards of a view by their ID.
 func Shards(view *feed.View) map[uint32]Shard {
 	shards := map[uint32]Shard{}
 	for _, item := range view.All(feed.SectionShard) {
@@ -16,7 +16,7 @@
 	return shards
 }
 
-// Stores reads the store machines of a view by their identity.
+// Stores returns the stores of a view by their identity.
 func Stores(view *feed.View) map[uint64]Store {
 	stores := map[uint64]Store{}
 	for _, item := range view.All(feed.SectionStore) {
@@ -27,7 +27,7 @@
 	return stores
 }
 
-// Hosts reads the hosts of a view in the order of their IDs.
+// Hosts returns the hosts of a view in the order of their IDs.
 func Hosts(view *feed.View) []Host {
 	var hosts []Host
 	for _, item := range view.All(feed.SectionHost) {
@@ -38,7 +38,7 @@
 	return hosts
 }
 
-// Ejections reads how long, in milliseconds, the ejected hosts of a view are ejected, by their IDs.
+// Ejections returns the ejection durations of a view in milliseconds, by host ID.
 func Ejections(view *feed.View) map[string]int64 {
 	ejections := map[string]int64{}
 	for _, item := range view.All(feed.SectionEjection) {
--- a/tier/directory/recorded_test.go
+++ b/tier/directory/recorded_test.go
@@ -41,7 +41,7 @@
 	recorded.CheckBoth(t, "term", int64(90_000), EncodeEjectionDuration, DecodeEjectionDuration)
 }
 
-// The keys of the items, and the shard of a program, which all processes have to compute alike.
+// All processes must compute the same item keys and the same shard of a program.
 func TestRecordedKeys(t *testing.T) {
 	var e codec.Encoder
 	e.String(CurrentKey)
@@ -69,6 +69,6 @@
 	view := feed.NewView()
 	view.Put(feed.SectionControl, CurrentKey, 1, recorded.Read(t, "members"))
 	if got := ControlAddresses(view); !slices.Equal(got, []string{"10.0.0.1:7401", "10.0.0.2:7402"}) {
-		t.Fatalf("addresses: %v", got)
+		t.Fatalf("addresses are %v", got)
 	}
 }
--- a/tier/directory/shard.go
+++ b/tier/directory/shard.go
@@ -8,17 +8,17 @@
 	"otterseam/tier/replica"
 )
 
-// Shard is a group of programs and the stores that hold it. The JSON keys are those that operators read.
+// Shard describes a group of programs and the stores that hold its replicas. Operators read its JSON form.
 type Shard struct {
 	ID uint32
-	// Total is how many shards there are in all, so that a view which is not complete yet sends no program to the wrong one.
+	// Total is the number of all shards. With it, a program is not mapped to a wrong shard by a view that is still incomplete.
 	Total uint32
 	View  replica.View
-	// PrimaryIncarnation names the incarnation of the primary store that may act as primary.
+	// PrimaryIncarnation is the incarnation of the primary store in which it may act as primary.
 	PrimaryIncarnation uint64 `json:"PrimaryBoot"`
 }
 
-// Encode is the shard's form in a feed. Learners of the view are not part of it.
+// Encode returns the shard in its feed form, which leaves out the learners of the view.
 func (s Shard) Encode() []byte {
 	var e codec.Encoder
 	e.Uint32(s.ID)
@@ -32,7 +32,7 @@
 	return e.Bytes
 }
 
-// DecodeShard reads a shard.
+// DecodeShard decodes a shard.
 func DecodeShard(data []byte) (Shard, error) {
 	d := codec.NewDecoder(data)
 	s := Shard{ID: d.Uint32(), Total: d.Uint32()}
@@ -45,10 +45,11 @@
 	return s, d.Err()
 }
 
-// ShardKey is the shard's key in its section.
+// ShardKey returns a shard's key in the shard section of a feed.
 func ShardKey(id uint32) string { return strconv.FormatUint(uint64(id), 10) }
 
-// ShardOfProgram returns the shard of a program, if the map holds it. Any shard of the map tells how many there are.
+// ShardOfProgram returns the shard of a program and whether the map contains it. The total number of shards is read from any shard of
+// the map.
 func ShardOfProgram(program string, shards map[uint32]Shard) (Shard, bool) {
 	for _, anyShard := range shards {
 		shard, found := shards[crc32.ChecksumIEEE([]byte(program))%max(anyShard.Total, 1)]
--- a/tier/directory/store.go
+++ b/tier/directory/store.go
@@ -6,8 +6,8 @@
 	"otterseam/tier/codec"
 )
 
-// Store is a store process in one incarnation. Its identity belongs to its disk, its incarnation to the process. The JSON keys are
-// those that operators read.
+// Store describes one incarnation of a store process. The identity belongs to the disk, the incarnation to the process. Operators
+// read its JSON form.
 type Store struct {
 	Identity    uint64
 	Incarnation uint64 `json:"Boot"`
@@ -16,7 +16,7 @@
 	Zone        string
 }
 
-// Encode is the store's form in a feed.
+// Encode returns the store in its feed form.
 func (s Store) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(s.Identity)
@@ -27,12 +27,12 @@
 	return e.Bytes
 }
 
-// DecodeStore reads a store.
+// DecodeStore decodes a store.
 func DecodeStore(data []byte) (Store, error) {
 	d := codec.NewDecoder(data)
 	s := Store{Identity: d.Uint64(), Incarnation: d.Uint64(), Node: d.String(), Address: d.String(), Zone: d.String()}
 	return s, d.Err()
 }
 
-// StoreKey is the store's key in its section.
+// StoreKey returns a store's key in the store section of a feed.
 func StoreKey(identity uint64) string { return strconv.FormatUint(identity, 16) }
