--- a/tier/codec/codec_test.go
+++ b/tier/codec/codec_test.go
@@ -23,7 +23,7 @@
 	fmt.Println(cut.Uint32(), cut.String() == "", cut.Err())
 	// Output:
 	// 7 host-1 <nil>
-	// 7 true message is cut short or malformed
+	// 7 true message is truncated or malformed
 }
 
 func TestEncodedForm(t *testing.T) {
@@ -48,13 +48,13 @@
 			e := Encoder{Bytes: []byte("before")}
 			test.encode(&e)
 			if got := hex.EncodeToString(e.Bytes[len("before"):]); got != test.want {
-				t.Fatalf("%s, not %s", got, test.want)
+				t.Fatalf("got %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// fields has one value of each type.
+// fields has one field for most of the encoded types.
 type fields struct {
 	small  uint8
 	flag   bool
@@ -97,16 +97,16 @@
 	}
 }
 
-func TestDecoderReadsWhatWasEncoded(t *testing.T) {
+func TestDecoderReadsEncodedFields(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		want := drawFields(rt)
-		behind := rapid.SliceOf(rapid.Byte()).Draw(rt, "behind")
-		got, d := decodeFields(append(want.encode(), behind...))
-		if d.Err() != nil || !bytes.Equal(d.Rest(), behind) {
-			rt.Fatalf("%v, with %x left", d.Err(), d.Rest())
+		trailing := rapid.SliceOf(rapid.Byte()).Draw(rt, "behind")
+		got, d := decodeFields(append(want.encode(), trailing...))
+		if d.Err() != nil || !bytes.Equal(d.Rest(), trailing) {
+			rt.Fatalf("error %v, remaining bytes %x", d.Err(), d.Rest())
 		}
 		if !bytes.Equal(got.encode(), want.encode()) {
-			rt.Fatalf("%+v, not %+v", got, want)
+			rt.Fatalf("got %+v, want %+v", got, want)
 		}
 	})
 }
@@ -121,11 +121,11 @@
 	})
 }
 
-// After an error every field is zero, also one that the rest of the message would hold.
+// After an error every field is zero, even if the rest of the message is long enough for it.
 func TestDecoderReturnsZerosAfterAnError(t *testing.T) {
 	d := NewDecoder([]byte{0xff, 0xff, 0xff, 0xff, 1, 1, 1, 1, 1, 1, 1, 1, 1})
 	if blob := d.Blob(); blob != nil {
-		t.Fatalf("a blob of %d bytes", len(blob))
+		t.Fatalf("got a blob of %d bytes", len(blob))
 	}
 	for name, isZero := range map[string]bool{
 		"uint8": d.Uint8() == 0, "uint16": d.Uint16() == 0, "bool": !d.Bool(), "uint32": d.Uint32() == 0, "uint64": d.Uint64() == 0, "int64": d.Int64() == 0,
@@ -143,7 +143,7 @@
 func TestCountRejectsLengthsBeyondTheMessage(t *testing.T) {
 	for name, test := range map[string]struct {
 		length   uint32
-		elements int // bytes behind the length
+		elements int // bytes after the length
 		min      int
 		rejected bool
 	}{
@@ -161,21 +161,21 @@
 				t.Fatalf("%d elements, %v", n, d.Err())
 			}
 			if want := int(test.length); !test.rejected && n != want {
-				t.Fatalf("%d elements, not %d", n, want)
+				t.Fatalf("got %d elements, want %d", n, want)
 			}
 		})
 	}
 }
 
-// Memory behind a blob belongs to the fields that follow: appending to it copies.
-func TestBlobsDoNotGrowIntoTheMessage(t *testing.T) {
+// The memory after a blob belongs to the following fields, so that appending to the blob must copy it.
+func TestAppendToBlobDoesNotOverwriteMessage(t *testing.T) {
 	var e Encoder
 	e.Blob([]byte("ab"))
 	e.Uint8(7)
 	d := NewDecoder(e.Bytes)
 	_ = append(d.Blob(), 0xff)
 	if got := d.Uint8(); got != 7 {
-		t.Fatalf("the next field reads %d", got)
+		t.Fatalf("the next field is %d", got)
 	}
 }
 
@@ -186,8 +186,8 @@
 		if d.Err() != nil {
 			return
 		}
-		if again, d := decodeFields(got.encode()); d.Err() != nil || !bytes.Equal(again.encode(), got.encode()) {
-			t.Fatalf("%+v, %v", again, d.Err())
+		if decoded, d := decodeFields(got.encode()); d.Err() != nil || !bytes.Equal(decoded.encode(), got.encode()) {
+			t.Fatalf("%+v, %v", decoded, d.Err())
 		}
 	})
 }
--- a/tier/codec/doc.go
+++ b/tier/codec/doc.go
@@ -1,18 +1,19 @@
-// Package codec encodes the messages and the records on disk of the serving tier. It has no reflection and no schema: a message
-// writes its fields in order and reads them in the same order.
+// Package codec encodes and decodes the messages and on-disk records of the serving tier. It uses no reflection and no schema: a
+// message type writes its fields in a fixed order and reads them in the same order.
 //
-// # The format
+// # Format
 //
-//   - Integers are big-endian, of 1, 4 or 8 bytes. A bool is one byte, 0 or 1.
-//   - Strings and byte slices stand behind their length, of 4 bytes.
-//   - A list stands behind the number of its elements, of 4 bytes.
+//   - Integers are big-endian and have 1, 2, 4 or 8 bytes. A bool is one byte, 0 or 1.
+//   - A string or byte slice is preceded by its length, in 4 bytes.
+//   - A list is preceded by the number of its elements, in 4 bytes.
 //
 // # Invariants
 //
-//   - A decoder keeps its first error and returns zeros from then on, so that a message is read field by field and checked once,
-//     with Err.
-//   - No length that a message names takes memory before the message is known to hold that much.
-//   - Blobs that a decoder returns share the message's memory; who keeps one longer, or changes it, copies it.
+//   - A decoder keeps its first error and returns zero values from then on, so that a caller can read a message field by field and
+//     check for an error once, with Err.
+//   - No memory is allocated for a length in a message before the message is known to contain that many bytes.
+//   - Blobs that a decoder returns share the message's memory. A caller that modifies a blob, or keeps it longer than the message,
+//     must copy it.
 //
-// Bytes behind the last field are no error: a later version may append fields.
+// Bytes after the last field are not an error, because a later version may append fields.
 package codec
--- a/tier/codec/encoder.go
+++ b/tier/codec/encoder.go
@@ -29,19 +29,19 @@
 // Int64 appends eight bytes.
 func (e *Encoder) Int64(v int64) { e.Uint64(uint64(v)) }
 
-// Blob appends a byte slice behind its length.
+// Blob appends the length of a byte slice and its bytes.
 func (e *Encoder) Blob(v []byte) {
 	e.Uint32(uint32(len(v)))
 	e.Bytes = append(e.Bytes, v...)
 }
 
-// String appends a string behind its length.
+// String appends the length of a string and its bytes.
 func (e *Encoder) String(v string) {
 	e.Uint32(uint32(len(v)))
 	e.Bytes = append(e.Bytes, v...)
 }
 
-// Uint64s appends a list of integers behind its length.
+// Uint64s appends the number of integers in a list and the integers.
 func (e *Encoder) Uint64s(values []uint64) {
 	e.Uint32(uint32(len(values)))
 	for _, v := range values {
--- a/tier/internal/recorded/recorded.go
+++ b/tier/internal/recorded/recorded.go
@@ -1,6 +1,7 @@
-// Package recorded holds tests to recorded bytes: files under testdata/recorded of the package under test, written once by the
-// code of an earlier version. What is stored or sent today has to be these bytes, and these bytes have to be read as they were
-// then. Nothing here writes a file, so that a test cannot replace its own recording.
+// Package recorded compares encoded forms with recorded bytes, to detect incompatible changes of what is stored or sent. The
+// recordings are files under testdata/recorded of the package under test that an earlier version wrote. The current version must
+// encode a value to exactly these bytes and decode them to the same value. The package never writes a file, so that a test cannot
+// replace its own recording.
 package recorded
 
 import (
@@ -11,7 +12,7 @@
 	"testing"
 )
 
-// Read returns a recording of the package under test. The name has no folder and no suffix.
+// Read returns a recording of the package under test. The name is that of its file, without directory and extension.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "recorded", name+".bin"))
@@ -21,7 +22,7 @@
 	return content
 }
 
-// Check fails the test unless the bytes are exactly the recorded ones. It names the first byte that differs.
+// Check fails the test unless the bytes equal the recorded ones. The failure states the offset of the first difference.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	want := Read(t, name)
@@ -32,19 +33,19 @@
 	for at < len(got) && at < len(want) && got[at] == want[at] {
 		at++
 	}
-	t.Errorf("%s: %d bytes differ from the %d recorded ones from byte %d on:\n got %x\nwant %x", name, len(got), len(want), at, got, want)
+	t.Errorf("%s: %d bytes differ from the %d recorded bytes, first at offset %d:\n got %x\nwant %x", name, len(got), len(want), at, got, want)
 }
 
-// CheckBoth fails the test unless a value is written as the recorded bytes and read back from them.
+// CheckBoth fails the test unless a value is encoded to the recorded bytes and decoded from them.
 func CheckBoth[T any](t testing.TB, name string, value T, encode func(T) []byte, decode func([]byte) (T, error)) {
 	t.Helper()
 	Check(t, name, encode(value))
 	got, err := decode(Read(t, name))
 	if err != nil {
-		t.Errorf("%s: the recorded bytes are not read: %v", name, err)
+		t.Errorf("%s: decoding the recorded bytes: %v", name, err)
 		return
 	}
 	if !reflect.DeepEqual(got, value) {
-		t.Errorf("%s: read from the recorded bytes:\n got %+v\nwant %+v", name, got, value)
+		t.Errorf("%s: decoded from the recorded bytes:\n got %+v\nwant %+v", name, got, value)
 	}
 }
--- a/tier/internal/recorded/recorded_test.go
+++ b/tier/internal/recorded/recorded_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// failures stands for a test that is to fail.
-type failures struct {
+// failureCounter is a testing.TB that counts its failures, to test checks that are expected to fail.
+type failureCounter struct {
 	testing.TB
 	count int
 }
 
-func (f *failures) Helper()               {}
-func (f *failures) Errorf(string, ...any) { f.count++ }
+func (f *failureCounter) Helper()               {}
+func (f *failureCounter) Errorf(string, ...any) { f.count++ }
 
 func identity(b string) []byte { return []byte(b) }
 
-func TestCheckTakesTheRecordedBytesAlone(t *testing.T) {
-	f := &failures{TB: t}
+func TestCheckAcceptsOnlyRecordedBytes(t *testing.T) {
+	f := &failureCounter{TB: t}
 	Check(f, "sample", []byte("sample"))
 	if f.count != 0 {
-		t.Fatal("the recorded bytes were refused")
+		t.Fatal("Check rejected the recorded bytes")
 	}
 	for _, other := range []string{"", "sampl", "sample2", "Sample"} {
-		f := &failures{TB: t}
+		f := &failureCounter{TB: t}
 		Check(f, "sample", []byte(other))
 		if f.count != 1 {
-			t.Errorf("%q was taken for the recorded bytes", other)
+			t.Errorf("Check accepted %q", other)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 		"error": {func([]byte) (string, error) { return "sample", errors.New("unread") }, true},
 	}
 	for name, each := range decoders {
-		f := &failures{TB: t}
+		f := &failureCounter{TB: t}
 		CheckBoth(f, "sample", "sample", identity, each.decode)
 		if (f.count > 0) != each.fails {
 			t.Errorf("%s: %d failures", name, f.count)
--- a/tier/periodic/doc.go
+++ b/tier/periodic/doc.go
@@ -1,5 +1,6 @@
-// Package periodic runs work at intervals until a context ends.
+// Package periodic calls a function at intervals until a context is cancelled.
 //
-// The work runs on the caller's goroutine, one call after the other, so it needs no lock against itself and its owner knows that it
-// has ended once the function returns. A context that ends does not interrupt a call; work that takes long looks at it itself.
+// The calls run sequentially on the caller's goroutine. They therefore need no lock against each other, and none is running any more
+// when Run, RunOrWake or While returns. Cancelling the context does not interrupt a call, so a function that runs for long must check
+// the context itself.
 package periodic
--- a/tier/periodic/periodic.go
+++ b/tier/periodic/periodic.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Run calls work once in each interval until the context ends, the first time after one interval. Work that takes longer than the
-// interval is not made up for.
+// Run calls work once per interval until the context is cancelled, for the first time after one interval. Calls that are missed
+// because work takes longer than the interval are not made up for.
 func Run(ctx context.Context, interval time.Duration, work func()) {
 	RunOrWake(ctx, interval, nil, work)
 }
 
-// RunOrWake calls work once in each interval and whenever it is woken, until the context ends. A wake does not move the interval.
+// RunOrWake calls work once per interval and on each receive from wake, until the context is cancelled. A wake-up does not reset the
+// interval.
 func RunOrWake(ctx context.Context, interval time.Duration, wake <-chan struct{}, work func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -27,7 +28,8 @@
 	}
 }
 
-// While calls step at once and then again and again, with a pause between, until it returns false or the context ends.
+// While calls step immediately and then repeatedly, with a pause between two calls, until step returns false or the context is
+// cancelled.
 func While(ctx context.Context, pause time.Duration, step func() bool) {
 	for ctx.Err() == nil && step() {
 		select {
--- a/tier/periodic/periodic_test.go
+++ b/tier/periodic/periodic_test.go
@@ -20,8 +20,8 @@
 	// 0
 }
 
-// Work that is waited for does not wait for the interval.
-func TestRunOrWakeRunsAtOnceWhenWoken(t *testing.T) {
+// A wake-up runs the work without waiting for the interval.
+func TestRunOrWakeRunsImmediatelyWhenWoken(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	wake := make(chan struct{}, 1)
 	wake <- struct{}{}
@@ -34,11 +34,11 @@
 		wake <- struct{}{}
 	})
 	if calls != 3 {
-		t.Fatalf("it ended after %d calls", calls)
+		t.Fatalf("RunOrWake returned after %d calls", calls)
 	}
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunReturnsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := 0
 	Run(ctx, time.Millisecond, func() {
@@ -47,14 +47,14 @@
 		}
 	})
 	if calls < 3 {
-		t.Fatalf("it ended after %d calls", calls)
+		t.Fatalf("Run returned after %d calls", calls)
 	}
 }
 
-func TestWhileEndsWithItsStepOrItsContext(t *testing.T) {
+func TestWhileReturnsOnFalseStepOrCancelledContext(t *testing.T) {
 	for name, test := range map[string]struct {
 		pause time.Duration
-		// step is called with the number of the call, from 1 on.
+		// step receives the number of the call, starting at 1.
 		step      func(call int, cancel context.CancelFunc) bool
 		cancelled bool // before the start
 		want      int
@@ -78,7 +78,7 @@
 				return test.step(calls, cancel)
 			})
 			if calls != test.want {
-				t.Fatalf("%d steps, not %d", calls, test.want)
+				t.Fatalf("got %d steps, want %d", calls, test.want)
 			}
 		})
 	}
--- a/tier/sse/doc.go
+++ b/tier/sse/doc.go
@@ -1,3 +1,3 @@
-// Package sse splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events, each with its bytes as they
-// came.
+// Package sse splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events, and keeps the original bytes of
+// each event.
 package sse
--- a/tier/sse/splitter.go
+++ b/tier/sse/splitter.go
@@ -5,22 +5,23 @@
 	"strconv"
 )
 
-// NoID is the ID of an event without one.
+// NoID is the ID of an event that has no numeric ID.
 const NoID = -1
 
 // Event is one complete event.
 type Event struct {
-	Raw  []byte // as it came, with the empty line that ends it
-	ID   int64  // NoID if it has none, or one that is no number
-	Data []byte // its data lines joined by line feeds
+	Raw  []byte // the original bytes, including the empty line that ends the event
+	ID   int64  // NoID if the event has no ID or its ID is not an integer
+	Data []byte // the data lines, joined by line feeds
 }
 
-// Splitter collects bytes until events are complete. Its zero value is ready; it is not safe for concurrent use.
+// Splitter buffers the bytes of a stream until an event is complete. Its zero value is ready to use. It is not safe for concurrent
+// use.
 type Splitter struct {
 	buffer []byte
 }
 
-// Add takes bytes of the stream and returns the events that they complete.
+// Add appends bytes of the stream and returns the events that they complete.
 func (s *Splitter) Add(data []byte) []Event {
 	s.buffer = append(s.buffer, data...)
 	var events []Event
@@ -35,7 +36,7 @@
 	}
 }
 
-// Pending is how many bytes belong to an event that is not complete yet.
+// Pending returns the number of bytes of the event that is not complete yet.
 func (s *Splitter) Pending() int { return len(s.buffer) }
 
 const (
@@ -43,7 +44,7 @@
 	emptyLineCRLF = "\n\r\n"
 )
 
-// eventEnd is the offset behind the first empty line, or -1 if there is none.
+// eventEnd returns the offset after the first empty line, or -1 if there is none.
 func eventEnd(buffer []byte) int {
 	lf := bytes.Index(buffer, []byte(emptyLineLF))
 	crlf := bytes.Index(buffer, []byte(emptyLineCRLF))
@@ -57,7 +58,7 @@
 	}
 }
 
-// parse reads the fields of a complete event that matter here. Other fields, and comments, stay in its bytes alone.
+// parse reads the id and data fields of a complete event. Other fields, and comments, are only in its raw bytes.
 func parse(raw []byte) Event {
 	event := Event{Raw: raw, ID: NoID}
 	firstData := true
--- a/tier/sse/splitter_test.go
+++ b/tier/sse/splitter_test.go
@@ -10,11 +10,11 @@
 
 const stream = "id: 1\ndata: a\n\nversions: 4\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata:d\r\n\r\n"
 
-func TestStreamIsSplitIntoEvents(t *testing.T) {
+func TestSplitterReturnsEvents(t *testing.T) {
 	var s Splitter
 	events := s.Add([]byte(stream))
 	if len(events) != 3 || s.Pending() != 0 {
-		t.Fatalf("%d events, %d bytes left", len(events), s.Pending())
+		t.Fatalf("%d events, %d bytes pending", len(events), s.Pending())
 	}
 	for i, want := range []string{"a", "b\nc", "d"} {
 		if string(events[i].Data) != want || events[i].ID != int64(i+1) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// However the bytes arrive, the events are the same and no byte is lost.
-func TestEventsDoNotDependOnHowBytesArrive(t *testing.T) {
+// The events do not depend on how the stream is divided into chunks, and no byte is lost.
+func TestEventsAreIndependentOfChunkBoundaries(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var s Splitter
 		var raw []byte
@@ -43,14 +43,14 @@
 	})
 }
 
-func TestAnIncompleteEventIsNotReturned(t *testing.T) {
+func TestIncompleteEventIsNotReturned(t *testing.T) {
 	var s Splitter
 	if events := s.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n")); len(events) != 1 || s.Pending() == 0 {
-		t.Fatalf("%d events, %d bytes left", len(events), s.Pending())
+		t.Fatalf("%d events, %d bytes pending", len(events), s.Pending())
 	}
 }
 
-func TestAnEmptyLineMayEndInLFOrCRLF(t *testing.T) {
+func TestEmptyLineMayEndInLFOrCRLF(t *testing.T) {
 	var splitter Splitter
 	got := splitter.Add([]byte("id: 1\ndata: a\n\r\nid: 2\r\ndata: b\r\n\nid: 3\r\ndata: c\r\n\r\n"))
 	if len(got) != 3 || string(got[1].Data) != "b" || got[2].ID != 3 || splitter.Pending() != 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Events do not depend on where the stream was cut on its way, and no byte is lost or doubled.
+// The events do not depend on how the stream is divided into chunks, and no byte is lost or duplicated.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), uint8(3))
 	f.Add([]byte("versions: 3\nid: 1\r\ndata: a\r\n\r\ndata:x\n\r\nrest"), uint8(1))
@@ -73,14 +73,14 @@
 			rest = rest[n:]
 		}
 		if !reflect.DeepEqual(got, want) || parts.Pending() != whole.Pending() {
-			t.Fatalf("in steps of %d: %+v, at once: %+v", int(step)+1, got, want)
+			t.Fatalf("in chunks of %d bytes: %+v, in one piece: %+v", int(step)+1, got, want)
 		}
 		var joined []byte
 		for _, event := range want {
 			joined = append(joined, event.Raw...)
 		}
 		if !bytes.HasPrefix(stream, joined) || len(joined)+whole.Pending() != len(stream) {
-			t.Fatalf("%q became %q and %d bytes", stream, joined, whole.Pending())
+			t.Fatalf("%q was split into %q and %d pending bytes", stream, joined, whole.Pending())
 		}
 	})
 }
