--- a/tier/lease/backoff.go
+++ b/tier/lease/backoff.go
@@ -1,24 +1,25 @@
 package lease
 
 const (
-	// undelayedElections is how many proposals of a candidate for one epoch may fail before it waits between them. One or two fail
-	// where two candidates meet, and a wait would only prolong the time without a primary.
+	// undelayedElections is the number of proposals of a candidate for one epoch that may fail before it delays further ones. One or
+	// two fail when two candidates compete, and a delay would only prolong the time without a primary.
 	undelayedElections = 3
-	// firstElectionBackoff is the shortest wait, in milliseconds; it doubles with each further failure, maxElectionDoublings times.
+	// firstElectionBackoff is the shortest delay in milliseconds. The delay doubles with each further failure, up to the limit that
+	// maxElectionDoublings sets.
 	firstElectionBackoff = 100
 	maxElectionDoublings = 4
 )
 
-// ElectionBackoff spaces the proposals of a candidate that fail again and again. Two candidates of which each reaches a voter that the
-// other does not can raise their proposal numbers above each other's for ever; randomized waits let one of them through.
+// ElectionBackoff delays the proposals of a candidate after repeated failures. Two candidates, each of which reaches a voter that the
+// other does not reach, can outbid each other's proposal numbers indefinitely. Randomized delays let one of them succeed.
 type ElectionBackoff struct {
-	epoch    uint64 // that is to be replaced
+	epoch    uint64 // the epoch to replace
 	failures int
 	retryAt  int64
 }
 
-// Fail notes that a proposal to replace an epoch failed. Random returns a number from 0 up to below its argument; it is called only
-// where the next proposal is to wait.
+// Fail records that a proposal to replace an epoch failed. random returns a number from 0 to its argument, exclusive. It is called
+// only if the next proposal is delayed.
 func (b *ElectionBackoff) Fail(epoch uint64, now int64, random func(int64) int64) {
 	if epoch != b.epoch {
 		*b = ElectionBackoff{epoch: epoch}
@@ -31,7 +32,7 @@
 	b.retryAt = now + longest/2 + random(longest/2)
 }
 
-// MayPropose tells whether a proposal to replace an epoch may be made now.
+// MayPropose reports whether a proposal to replace an epoch may be made now.
 func (b *ElectionBackoff) MayPropose(epoch uint64, now int64) bool {
 	return epoch != b.epoch || now >= b.retryAt
 }
--- a/tier/lease/backoff_test.go
+++ b/tier/lease/backoff_test.go
@@ -7,16 +7,16 @@
 	"otterseam/tier/lease"
 )
 
-func TestElectionsWaitOnlyAfterFailuresInARow(t *testing.T) {
+func TestElectionBackoffDelaysOnlyRepeatedFailures(t *testing.T) {
 	var backoff lease.ElectionBackoff
 	noRandom := func(int64) int64 {
-		t.Fatal("a random number was drawn for a proposal that may follow at once")
+		t.Fatal("a random number was generated for a proposal without delay")
 		return 0
 	}
 	for range 3 {
 		backoff.Fail(5, 1000, noRandom)
 		if !backoff.MayPropose(5, 1000) {
-			t.Fatal("one of the first proposals has to wait")
+			t.Fatal("one of the first proposals is delayed")
 		}
 	}
 	longest := int64(0)
@@ -28,16 +28,17 @@
 		longest = max(longest, now-failedAt)
 	}
 	if longest < 1000 || longest > 1600 {
-		t.Fatalf("the longest wait is %d ms", longest)
+		t.Fatalf("the longest delay is %d ms", longest)
 	}
 	if !backoff.MayPropose(6, 1000) {
-		t.Fatal("a new epoch has to wait")
+		t.Fatal("a proposal for a new epoch is delayed")
 	}
 	backoff.Fail(6, 1000, noRandom)
 }
 
-// Two candidates that preempt each other whenever their proposals overlap: without waits neither ever wins, with them one does soon.
-func TestTwoCandidatesDoNotPreemptEachOtherForEver(t *testing.T) {
+// Two candidates preempt each other whenever their proposals overlap. Without delays neither of them ever wins. With delays one of
+// them must win within 20 s.
+func TestTwoCandidatesDoNotPreemptEachOtherIndefinitely(t *testing.T) {
 	const proposalTakes, tick = 60, 40
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -46,7 +47,7 @@
 		won := int64(0)
 		for now := int64(1); won == 0; now++ {
 			if now > 20_000 {
-				t.Fatalf("seed %d: nobody has won after 20 s", seed)
+				t.Fatalf("seed %d: no candidate has won after 20 s", seed)
 			}
 			for i := range backoffs {
 				if busyUntil[i] == now {
--- a/tier/lease/basis.go
+++ b/tier/lease/basis.go
@@ -1,11 +1,11 @@
 package lease
 
-// Answer is a kind of answer that control gives.
-type Answer uint8
+// ResponseKind is a kind of response of control.
+type ResponseKind uint8
 
-// The kinds of answers.
+// The kinds of responses.
 const (
-	ConfigChange Answer = iota
+	ConfigChange ResponseKind = iota
 	ConfigRead
 	HostHeartbeat
 	HostDeregistration
@@ -15,20 +15,20 @@
 	StoreSession
 	ControlSession
 	InSyncChange
-	SessionEnd // of a host or store that was silent
+	SessionEnd // the expiry of a silent host's or store's session
 )
 
-// Basis is what makes an answer true, besides the lease without which none is given.
+// Basis is the guarantee that a response requires in addition to the lease, which every response requires.
 type Basis uint8
 
-// The bases of answers.
+// The bases of responses.
 const (
-	OnLease  Basis = iota // the lease alone, checked after the work and before the answer
-	OnCommit              // a command on every in-sync disk
+	OnLease  Basis = iota // the lease alone, checked after the work and before the response
+	OnCommit              // a command that is on the disk of every in-sync replica
 )
 
-// bases says for each kind of answer what it rests on.
-var bases = map[Answer]Basis{
+// bases maps each kind of response to its basis.
+var bases = map[ResponseKind]Basis{
 	ConfigChange:       OnCommit,
 	ConfigRead:         OnCommit,
 	HostHeartbeat:      OnLease,
@@ -42,5 +42,5 @@
 	SessionEnd:         OnCommit,
 }
 
-// BasisOf tells what a kind of answer rests on.
-func BasisOf(answer Answer) Basis { return bases[answer] }
+// BasisOf returns the basis of a kind of response.
+func BasisOf(kind ResponseKind) Basis { return bases[kind] }
--- a/tier/lease/example_test.go
+++ b/tier/lease/example_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/lease"
 )
 
-// A primary answers while a majority has confirmed it lately, and not a moment longer.
+// A primary may decide only until the TTL after its newest confirmation by a majority has passed.
 func ExampleStatus_MayDecide() {
 	status := lease.Status{Role: lease.Primary, Ready: true, ConfirmedSince: 10_000}
 	fmt.Println(status.MayDecide(10_000 + lease.TTL - 1))
@@ -16,7 +16,7 @@
 	// code 102 unavailable
 }
 
-// A backup takes over once the primary has been silent for the election timeout, but no voter helps it before.
+// A backup takes over once the primary has been unconfirmed for longer than the election timeout. By then a voter grants its vote.
 func ExampleFailoverInput_Next() {
 	backup := lease.FailoverInput{InSync: true, PrimaryConfirmedAt: 10_000}
 	backup.Now = 10_000 + lease.ElectionTimeout
@@ -32,7 +32,8 @@
 	// true
 }
 
-// A host that misses its heartbeats at a control process that is well has expired.
+// The session of a host expires when the host misses its heartbeats and the control process that received them is in contact with the
+// primary.
 func ExampleHostSessions() {
 	const heartbeat = 300
 	sessions := lease.NewHostSessions()
--- a/tier/lease/host_sessions.go
+++ b/tier/lease/host_sessions.go
@@ -2,91 +2,93 @@
 
 import "sort"
 
-// HostSessions is who of the hosts was heard when, and by which control process. The primary keeps it. A new primary begins
-// anew and gives all hosts the time in which they, wherever they were acknowledged before, must reach it.
+// HostSessions is the primary's table of host sessions: when each host sent its last heartbeat, and which control process received
+// it. A new primary starts all sessions anew and grants each host enough time to reach it, whichever process acknowledged the host
+// before.
 type HostSessions struct {
 	hosts    map[string]hostSession
 	holders  map[uint64]holder
-	removing map[string]bool // hosts whose removal may be committed yet
+	removing map[string]bool // hosts whose removal may still be committed
 }
 
 type hostSession struct {
-	heardAt   int64
-	holder    uint64 // the control process that heard it last, 0 if none has reported it to this primary
-	graceFrom int64  // when this primary last knew nothing of where the host was; what is heard later may be old
+	lastSeenAt int64
+	holder     uint64 // the control process that received the last heartbeat, 0 if this primary has no report of the host
+	graceStart int64  // when this primary last started the session without a heartbeat; a report received later may be outdated
 }
 
-// holder is a control process that keeps sessions of hosts.
+// holder is a control process that receives heartbeats of hosts and reports them to the primary.
 type holder struct {
-	heardAt     int64
-	refusals    uint64 // heartbeats that it has refused for want of a lease
-	recoveredAt int64  // when it was heard again after a silence or such a refusal
+	lastSeenAt  int64  // when the newest probe that it answered was sent
+	rejections    uint64 // number of heartbeats that it has rejected because it had no lease
+	recoveredAt int64  // when it last responded again after a silence or such a rejection
 }
 
-// NewHostSessions makes an empty table.
+// NewHostSessions returns an empty table.
 func NewHostSessions() *HostSessions {
 	return &HostSessions{hosts: map[string]hostSession{}, holders: map[uint64]holder{}, removing: map[string]bool{}}
 }
 
-// Begin starts the sessions of all hosts anew.
+// Begin replaces all sessions by new ones of the given hosts.
 func (s *HostSessions) Begin(hosts []string, now int64) {
 	s.hosts = make(map[string]hostSession, len(hosts))
 	clear(s.removing)
 	for _, id := range hosts {
-		s.hosts[id] = hostSession{heardAt: now, graceFrom: now}
+		s.hosts[id] = hostSession{lastSeenAt: now, graceStart: now}
 	}
 }
 
-// Restart starts all sessions anew, after this process stood still.
+// Restart starts all sessions anew, after this process was stalled.
 func (s *HostSessions) Restart(now int64) {
 	for id := range s.hosts {
-		s.hosts[id] = hostSession{heardAt: now, graceFrom: now}
+		s.hosts[id] = hostSession{lastSeenAt: now, graceStart: now}
 	}
 }
 
-// Renew renews a host's session, for the control process that heard the host at a time. It tells whether a removal of the host may
-// be in flight: then the heartbeat is worth nothing unless it is committed behind the removal.
-func (s *HostSessions) Renew(id string, by uint64, at int64) (removing bool) {
-	if session := s.hosts[id]; at > session.heardAt {
-		s.hosts[id] = hostSession{heardAt: at, holder: by, graceFrom: session.graceFrom}
+// Renew renews the session of a host from which a holder received a heartbeat at a time. It reports whether a removal of the host may
+// be in flight: then the heartbeat counts only if it is committed after the removal.
+func (s *HostSessions) Renew(id string, holderID uint64, seenAt int64) (removing bool) {
+	if session := s.hosts[id]; seenAt > session.lastSeenAt {
+		s.hosts[id] = hostSession{lastSeenAt: seenAt, holder: holderID, graceStart: session.graceStart}
 	}
 	return s.removing[id]
 }
 
-// BeginRemoval notes that a host is to be removed; its session ends.
+// BeginRemoval ends the session of a host and records that its removal is in flight.
 func (s *HostSessions) BeginRemoval(id string) {
 	delete(s.hosts, id)
 	s.removing[id] = true
 }
 
-// FinishRemoval notes what became of a removal. One that may still be committed gives the host a new session with its grace.
+// FinishRemoval records the outcome of a removal. If the removal is not known to be committed, it may still be, and the host gets a
+// new session with a grace period.
 func (s *HostSessions) FinishRemoval(id string, committed bool, now int64) {
 	if committed {
 		delete(s.removing, id)
 		return
 	}
-	if _, heard := s.hosts[id]; !heard {
-		s.hosts[id] = hostSession{heardAt: now, graceFrom: now}
+	if _, exists := s.hosts[id]; !exists {
+		s.hosts[id] = hostSession{lastSeenAt: now, graceStart: now}
 	}
 }
 
-// Readmit notes that a host was put on the list behind any removal.
+// Readmit records that a host was added to the list of hosts after any removal.
 func (s *HostSessions) Readmit(id string) { delete(s.removing, id) }
 
-// RenewHolder notes that a control process has answered what this one asked at a time, and how many heartbeats it has refused for
-// want of a lease: the hosts that it sent away are on their way to another.
-func (s *HostSessions) RenewHolder(id, refusals uint64, asked, now int64) {
+// RenewHolder records that a control process has answered the probe that this one sent at probeSentAt, and how many heartbeats it has
+// rejected because it had no lease: the rejected hosts still have to reach another control process.
+func (s *HostSessions) RenewHolder(id, rejections uint64, probeSentAt, now int64) {
 	observed, known := s.holders[id]
-	if known && (now-observed.heardAt > HolderTimeout || refusals != observed.refusals) {
+	if known && (now-observed.lastSeenAt > HolderTimeout || rejections != observed.rejections) {
 		observed.recoveredAt = now
 	}
-	observed.refusals = refusals
-	observed.heardAt = max(observed.heardAt, asked)
+	observed.rejections = rejections
+	observed.lastSeenAt = max(observed.lastSeenAt, probeSentAt)
 	s.holders[id] = observed
 }
 
-// CountByHolder counts the hosts by the control process that heard them last. It is not complete while some of them have not been
-// heard by this primary.
+// CountByHolder returns the number of hosts by the control process that received their last heartbeat. The counts are complete if
+// this primary has a report of every host.
 func (s *HostSessions) CountByHolder() (counts map[uint64]int, complete bool) {
 	counts = map[uint64]int{}
 	for _, session := range s.hosts {
@@ -98,7 +100,8 @@
 // Forget ends a host's session.
 func (s *HostSessions) Forget(id string) { delete(s.hosts, id) }
 
-// Expired lists the hosts whose sessions have expired, in order, where a host sends a heartbeat each heartbeat milliseconds.
+// Expired returns the hosts whose sessions have expired, in ascending order. heartbeat is the heartbeat interval of hosts in
+// milliseconds.
 func (s *HostSessions) Expired(heartbeat, now int64) []string {
 	var expired []string
 	for id, session := range s.hosts {
@@ -110,21 +113,21 @@
 	return expired
 }
 
-// expiryOf is when a session ends unless the host is heard. The silence of a host may be the fault of the control process that
-// kept it, or of the one that led before; then there is time for the host to find another. That time is never cut short by a
-// report, which may have been on its way for long.
+// expiryOf returns when a session expires without a further heartbeat. If the silence of the host may be caused by its holder or by
+// the previous primary, the session is extended by HostGrace, in which the host can reach another control process. A report never
+// shortens this extension, because it may have been in transit for a long time.
 func (s *HostSessions) expiryOf(session hostSession, heartbeat, now int64) int64 {
 	timeout := MaxMissedHeartbeats * heartbeat
-	end := session.heardAt + timeout
-	if session.graceFrom > 0 {
-		end = max(end, session.graceFrom+timeout+HostGrace)
+	end := session.lastSeenAt + timeout
+	if session.graceStart > 0 {
+		end = max(end, session.graceStart+timeout+HostGrace)
 	}
-	keeper := s.holders[session.holder]
-	if now-keeper.heardAt > HolderTimeout {
-		return max(end, max(session.heardAt, keeper.heardAt)+timeout+HostGrace)
+	lastHolder := s.holders[session.holder]
+	if now-lastHolder.lastSeenAt > HolderTimeout {
+		return max(end, max(session.lastSeenAt, lastHolder.lastSeenAt)+timeout+HostGrace)
 	}
-	if keeper.recoveredAt > 0 {
-		return max(end, keeper.recoveredAt+timeout+HostGrace)
+	if lastHolder.recoveredAt > 0 {
+		return max(end, lastHolder.recoveredAt+timeout+HostGrace)
 	}
 	return end
 }
--- a/tier/lease/status.go
+++ b/tier/lease/status.go
@@ -2,36 +2,36 @@
 
 import "otterseam/tier/codes"
 
-// Role is a process's part in the control group.
+// Role is the role of a process in the control group.
 type Role uint8
 
 // The roles of a control process.
 const (
-	Outsider Role = iota // no replica: it forwards calls to the primary
+	Outsider Role = iota // not a member: it has no replica and forwards calls to the primary
 	Backup
 	Primary
 )
 
-// Status is the lease status of a control process at a moment: what it can prove of itself.
+// Status is the lease status of a control process at one point in time.
 type Status struct {
 	Role Role
-	// Ready says that a primary has committed the entry that opened its epoch.
+	// Ready is true for a primary that has committed the entry that opens its epoch.
 	Ready bool
-	// ConfirmedSince is the start of the newest question of this process that was answered by the primary in force, or by a
-	// majority if it is the primary itself; 0 if none was.
+	// ConfirmedSince is the time at which this process sent its newest probe that was answered by the current primary, or by a
+	// majority if this process is the primary. It is 0 if no probe was answered.
 	ConfirmedSince int64
 }
 
-// HasLease tells whether the proof is recent enough to answer for the group.
+// HasLease reports whether the newest confirmation is recent enough to respond on behalf of the group.
 func (s Status) HasLease(now int64) bool {
 	return s.ConfirmedSince > 0 && now-s.ConfirmedSince < TTL
 }
 
-// Age is how old the proof is.
+// Age returns the age of the newest confirmation in milliseconds.
 func (s Status) Age(now int64) int64 { return now - s.ConfirmedSince }
 
-// MayDecide tells whether this process may give an answer of its own as the primary. The error is codes.NotPrimary or, without a
-// lease, codes.Unavailable.
+// MayDecide returns nil if this process may respond as the primary. Otherwise the error is codes.NotPrimary or, for a primary without
+// a lease, codes.Unavailable.
 func (s Status) MayDecide(now int64) error {
 	if s.Role != Primary || !s.Ready {
 		return codes.NotPrimary
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// MayForward tells whether this process can expect the primary to answer what it forwards. The error is codes.Unavailable.
+// MayForward returns nil if this process can expect the primary to answer the calls that it forwards. Otherwise the error is
+// codes.Unavailable.
 func (s Status) MayForward(now int64) error {
 	if !s.HasLease(now) {
 		return codes.Unavailable
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// MayServe tells whether this process may serve its replica of the state, and keep sessions for the primary.
+// MayServe reports whether this process may serve its replica of the state and acknowledge heartbeats for the primary.
 func (s Status) MayServe(now int64) bool {
 	if s.Role == Outsider || (s.Role == Primary && !s.Ready) {
 		return false
--- a/tier/lease/status_test.go
+++ b/tier/lease/status_test.go
@@ -7,15 +7,15 @@
 	"otterseam/tier/codes"
 )
 
-func TestEveryAnswerHasABasis(t *testing.T) {
-	for answer := ConfigChange; answer <= SessionEnd; answer++ {
-		if _, found := bases[answer]; !found {
-			t.Errorf("answer %d rests on nothing", answer)
+func TestEveryResponseKindHasABasis(t *testing.T) {
+	for kind := ConfigChange; kind <= SessionEnd; kind++ {
+		if _, found := bases[kind]; !found {
+			t.Errorf("response kind %d has no basis", kind)
 		}
 	}
 }
 
-func TestNobodyAnswersWithoutALease(t *testing.T) {
+func TestStatusRequiresLease(t *testing.T) {
 	const now = 10_000
 	fresh, old := int64(now-TTL+1), int64(now-TTL)
 	for name, step := range map[string]struct {
--- a/tier/lease/vote.go
+++ b/tier/lease/vote.go
@@ -1,23 +1,23 @@
 package lease
 
-// Voter is what a control process knows when it is asked whether it would help to replace a primary.
+// Voter is what a control process knows when it is asked for its vote to replace a primary.
 type Voter struct {
 	Now                int64
-	StartedAt          int64  // of the voter's process: before it has listened for a while it can't tell that there is no primary
+	StartedAt          int64  // start of the voter's process, which can't conclude right after its start that there is no primary
 	KnownEpoch         uint64 // the newest epoch known to its acceptor or its replica
 	KnownPrimary       uint64
-	PrimaryConfirmedAt int64 // when a majority last stood behind the primary
-	Leads              bool  // it is itself the primary and has a lease
+	PrimaryConfirmedAt int64 // when a majority is last known to have confirmed the primary
+	Leads              bool  // whether it is itself the primary and has a lease
 }
 
-// VoteRequest asks a voter for help before any proposal number is raised, as a PreVote of Raft does.
+// VoteRequest asks a voter for its vote before any proposal number is raised, like a PreVote of Raft.
 type VoteRequest struct {
 	Candidate          uint64
-	Epoch              uint64 // the epoch that is to be replaced
-	LeadershipTransfer bool   // the primary itself asked to be replaced
+	Epoch              uint64 // the epoch to replace
+	LeadershipTransfer bool   // whether the primary itself asked to be replaced
 }
 
-// Grants tells whether the voter would help.
+// Grants reports whether the voter grants its vote.
 func (v Voter) Grants(request VoteRequest) bool {
 	if request.Epoch < v.KnownEpoch {
 		return false
--- a/tier/lease/vote_test.go
+++ b/tier/lease/vote_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAVoterKeepsAPrimaryThatAMajorityStandsBehind(t *testing.T) {
+func TestVoterProtectsConfirmedPrimary(t *testing.T) {
 	v := Voter{Now: 5000, KnownEpoch: 4, KnownPrimary: 1, PrimaryConfirmedAt: 5001 - LeaderStickiness}
 	for name, step := range map[string]struct {
 		request VoteRequest
@@ -19,20 +19,20 @@
 		}
 	}
 	if v.PrimaryConfirmedAt--; !v.Grants(VoteRequest{Candidate: 2, Epoch: 4}) {
-		t.Error("it protects a primary without a majority")
+		t.Error("the voter protects a primary that no majority confirmed recently")
 	}
 }
 
-// A voter that has just started has heard no primary yet, which says nothing about the primary.
-func TestAVoterThatHasJustStartedHelpsNobody(t *testing.T) {
+// A voter that has just started has not been in contact with the primary yet, so that it cannot conclude that the primary failed.
+func TestNewlyStartedVoterGrantsNoVote(t *testing.T) {
 	v := Voter{StartedAt: 5000, KnownEpoch: 4, KnownPrimary: 1}
 	if v.Now = 4999 + LeaderStickiness; v.Grants(VoteRequest{Candidate: 2, Epoch: 4}) {
-		t.Error("it helps to replace a primary that it may not have heard yet")
+		t.Error("the voter grants its vote although it may not have been in contact with the primary yet")
 	}
 	if v.Now++; !v.Grants(VoteRequest{Candidate: 2, Epoch: 4}) {
-		t.Error("it never helps")
+		t.Error("the voter never grants its vote")
 	}
 	if LeaderStickiness >= ElectionTimeout {
-		t.Error("after a start of all, voters are not ready before candidates")
+		t.Error("when all processes start together, candidates ask before voters may grant a vote")
 	}
 }
