--- a/tier/configlog/configlog.go
+++ b/tier/configlog/configlog.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxAccepted is how many configurations stay known after they were accepted, the newest ones. An operator has eight changes in
-	// flight at most and repeats each without a limit of time; a day is designed for 4,700 changes. One that is repeated after
-	// maxAccepted newer ones were accepted gets no clear result, and is never rejected.
+	// maxAccepted is the number of accepted changes whose results are kept, the newest ones. An operator has at most eight changes in
+	// flight and may repeat each of them after any time. The design load is 4,700 changes a day. A change that is repeated after
+	// maxAccepted newer ones were accepted gets codes.ConfigForgotten and is never rejected.
 	maxAccepted = 8192
-	// maxRejected is how many rejections stay known. A duplicate of a rejected change may still be in flight, to be read by a member
-	// that stood still: it must not be accepted then. Rejections that are forgotten hold by themselves unless the change named a
-	// version that was yet to come, which only an operator does whose change before got no clear result: with eight changes in
-	// flight there are a few of these at a time.
+	// maxRejected is the number of rejected changes whose results are kept. A duplicate of a rejected change may still be in flight
+	// to a member that was stalled, and must not be accepted when it arrives. Without its entry, a rejected change is still
+	// rejected unless its base is a version that was accepted after the rejection. Only an operator whose previous change got no
+	// definite result sends such a change: with eight changes in flight, there are only a few of them at a time.
 	maxRejected = 256
 
 	hashBytes = 16
 )
 
-// Hash is a digest of a configuration's body.
+// Hash is a truncated SHA-256 digest of a configuration's body.
 type Hash [hashBytes]byte
 
-// HashOf digests a body.
+// HashOf returns the hash of a body.
 func HashOf(body []byte) Hash {
 	sum := sha256.Sum256(body)
 	return Hash(sum[:hashBytes])
 }
 
-// Change is one configuration as the operator sends it. That it was accepted is known by its version and body; that it was
-// rejected, by the version it builds on besides, since a rejected body may be sent anew on top of another version.
+// Change is a configuration that the operator sends. A repeated accepted change is recognized by version and body. A repeated
+// rejected change must also have the same base, because a rejected body may be sent again on top of another version.
 type Change struct {
-	Base    uint64 // the version that it builds on
-	Version uint64 // the version that it becomes
+	Base    uint64 // the version that the change is based on
+	Version uint64 // the version that the change creates
 	Body    Hash
 }
 
@@ -48,16 +48,17 @@
 	result codes.Code
 }
 
-// Log holds the results given.
+// Log holds the results of earlier changes.
 type Log struct {
-	accepted  []acceptedChange // by rising versions
-	compacted uint64           // the highest accepted version that is no longer known
+	accepted  []acceptedChange // by ascending version
+	compacted uint64           // the highest accepted version that was dropped from accepted
 	rejected  []rejection
 }
 
-// Decide gives the result of a change, where current is the version in force: codes.OK, codes.ConfigBase if it builds on another
-// version, codes.ConfigInvalid if its version does not rise, or codes.ConfigForgotten if it is too old to tell. accepted says that
-// it is accepted by this very call and comes in force; a change that was accepted before gets codes.OK without it.
+// Decide returns the result of a change to the current version: codes.OK, codes.ConfigBase if the change has another base,
+// codes.ConfigInvalid if its version is not higher than the current one, or codes.ConfigForgotten if it is so old that its result
+// is no longer known. accepted is true if this call accepted the change, so that it becomes the current configuration. For a change
+// that was accepted before, the result is codes.OK and accepted is false.
 func (l *Log) Decide(change Change, current uint64) (result codes.Code, accepted bool) {
 	if earlier, known := l.resultOf(change); known {
 		return earlier, false
@@ -73,7 +74,7 @@
 	}
 }
 
-// resultOf returns the result that a change got before.
+// resultOf returns the earlier result of a change and whether there is one.
 func (l *Log) resultOf(change Change) (codes.Code, bool) {
 	if change.Version <= l.compacted {
 		return codes.ConfigForgotten, true
@@ -89,8 +90,8 @@
 	return codes.OK, false
 }
 
-// wasAccepted tells whether a change of this version and body was accepted. One whose version is not above its base is invalid by
-// itself and never was.
+// wasAccepted reports whether a change with this version and body was accepted. A change whose version is not higher than its base is
+// invalid and was never accepted.
 func (l *Log) wasAccepted(change Change) bool {
 	if change.Base >= change.Version {
 		return false
--- a/tier/configlog/configlog_test.go
+++ b/tier/configlog/configlog_test.go
@@ -11,13 +11,13 @@
 	"otterseam/tier/codes"
 )
 
-// configurations is a log with the version in force.
-type configurations struct {
+// testLog is a log with the current version.
+type testLog struct {
 	log     Log
 	current uint64
 }
 
-func (c *configurations) send(base, version uint64, body string) codes.Code {
+func (c *testLog) send(base, version uint64, body string) codes.Code {
 	result, accepted := c.log.Decide(Change{base, version, HashOf([]byte(body))}, c.current)
 	if accepted {
 		c.current = version
@@ -25,8 +25,8 @@
 	return result
 }
 
-// mustBegin sends the first change, which has to be accepted.
-func (c *configurations) mustBegin(t testing.TB, version uint64, body string) {
+// mustSendFirst sends the first change, which must be accepted.
+func (c *testLog) mustSendFirst(t testing.TB, version uint64, body string) {
 	t.Helper()
 	if got := c.send(0, version, body); got != codes.OK {
 		t.Fatalf("the first change, version %d: %v", version, got)
@@ -39,46 +39,46 @@
 	return e.Bytes
 }
 
-func TestTheSameBodyIsTheSameChangeOnAnyBase(t *testing.T) {
-	c := &configurations{}
-	c.mustBegin(t, 3, "three")
+func TestAcceptedChangeIsRecognizedOnAnyOlderBase(t *testing.T) {
+	c := &testLog{}
+	c.mustSendFirst(t, 3, "three")
 	for _, base := range []uint64{0, 1, 2, 3, 9} {
 		if got := c.send(base, 3, "three"); (got == codes.OK) != (base < 3) {
 			t.Errorf("on base %d: %v", base, got)
 		}
 		if got := c.send(base, 3, "another three"); got == codes.OK {
-			t.Errorf("another body under the number was accepted on base %d", base)
+			t.Errorf("another body with the same version was accepted on base %d", base)
 		}
 	}
 }
 
-// A rejected change stays rejected, also where a duplicate of it arrives when the version that it builds on was accepted. The same
-// body sent on top of the version in force is another change.
-func TestARejectedChangeIsNotAcceptedLater(t *testing.T) {
-	c := &configurations{}
-	c.mustBegin(t, 5, "five")
+// A rejected change stays rejected, even if a duplicate of it arrives after its base version was accepted. The same body on top of
+// the current version is a different change.
+func TestRejectedChangeIsNotAcceptedLater(t *testing.T) {
+	c := &testLog{}
+	c.mustSendFirst(t, 5, "five")
 	if got := c.send(9, 10, "ten"); got != codes.ConfigBase {
-		t.Fatalf("on a version yet to come: %v", got)
+		t.Fatalf("on a future version: %v", got)
 	}
 	if got := c.send(5, 9, "nine"); got != codes.OK {
 		t.Fatal(got)
 	}
 	if got := c.send(9, 10, "ten"); got != codes.ConfigBase || c.current != 9 {
-		t.Fatalf("the rejected change, late: %v, %d in force", got, c.current)
+		t.Fatalf("late duplicate of the rejected change: %v, current version %d", got, c.current)
 	}
 	if got := c.send(5, 11, "eleven"); got != codes.ConfigBase {
-		t.Fatalf("on a version passed by: %v", got)
+		t.Fatalf("on an outdated version: %v", got)
 	}
 	if got := c.send(9, 11, "eleven"); got != codes.OK {
-		t.Fatalf("the same body on the version in force: %v", got)
+		t.Fatalf("the same body on the current version: %v", got)
 	}
 }
 
-// A day of 4,700 changes is known completely. Beyond what is kept a change gets no clear result; it is never rejected and changes
+// The results of all 4,700 changes of a day are kept. An older change gets codes.ConfigForgotten: it is never rejected and changes
 // nothing.
-func TestWhatIsForgottenIsNeverRejected(t *testing.T) {
+func TestCompactedChangeIsNeverRejected(t *testing.T) {
 	const day, total = 4700, maxAccepted + 500
-	c := &configurations{}
+	c := &testLog{}
 	body := func(version uint64) string { return fmt.Sprint("body ", version) }
 	for version := uint64(1); version <= total; version++ {
 		if got := c.send(version-1, version, body(version)); got != codes.OK {
@@ -91,26 +91,26 @@
 			want = codes.ConfigForgotten
 		}
 		if got := c.send(version-1, version, body(version)); got != want {
-			t.Fatalf("version %d again: %v, not %v", version, got, want)
+			t.Fatalf("repeated version %d: got %v, want %v", version, got, want)
 		}
 		if version > total-day && c.send(version-1, version, body(version)) != codes.OK {
-			t.Fatalf("version %d of the last day is not known", version)
+			t.Fatalf("the result of version %d of the last day was dropped", version)
 		}
 	}
 	if c.current != total {
-		t.Fatalf("%d is in force", c.current)
+		t.Fatalf("the current version is %d", c.current)
 	}
 	if size := len(c.log.encoded()); size > maxAccepted*(minAcceptedBytes+1)+maxRejected*minRejectionBytes {
-		t.Fatalf("the log takes %d bytes", size)
+		t.Fatalf("the encoded log has %d bytes", size)
 	}
 }
 
 func TestRejectionsAreBounded(t *testing.T) {
-	c := &configurations{}
-	c.mustBegin(t, 5, "five")
+	c := &testLog{}
+	c.mustSendFirst(t, 5, "five")
 	for i := range uint64(10 * maxRejected) {
 		if got := c.send(100+i, 200+i, "later"); got != codes.ConfigBase {
-			t.Fatalf("on a version yet to come: %v", got)
+			t.Fatalf("on a future version: %v", got)
 		}
 	}
 	if len(c.log.rejected) != maxRejected {
@@ -118,9 +118,9 @@
 	}
 }
 
-// Whatever changes come, and wherever a replica starts from a snapshot: a result never turns, at most one change is accepted on
-// each version, and what was rejected never comes in force.
-func TestAChangeAlwaysGetsItsFirstResult(t *testing.T) {
+// For any sequence of changes and restores from a snapshot: a result never changes, at most one change is accepted on each version,
+// and a rejected change never becomes current.
+func TestRepeatedChangeGetsFirstResult(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := &history{results: map[Change]codes.Code{}, acceptedOn: map[uint64]Change{}}
 		for range rapid.IntRange(1, 80).Draw(rt, "changes") {
@@ -136,23 +136,23 @@
 	})
 }
 
-// history is a log with all that it decided.
+// history is a log with the results that it has returned.
 type history struct {
-	configurations
+	testLog
 	results    map[Change]codes.Code
 	acceptedOn map[uint64]Change
 }
 
-// decide has the log decide a change and checks the result against those before.
+// decide passes a change to the log and checks the result against the earlier results.
 func (h *history) decide(t *rapid.T, change Change) {
 	before := h.current
 	result, accepted := h.log.Decide(change, before)
 	if accepted {
 		if other, found := h.acceptedOn[before]; found {
-			t.Fatalf("%+v and %+v were both accepted on %d", other, change, before)
+			t.Fatalf("%+v and %+v were both accepted on version %d", other, change, before)
 		}
 		if change.Base != before || change.Version <= before {
-			t.Fatalf("%+v was accepted on %d", change, before)
+			t.Fatalf("%+v was accepted on version %d", change, before)
 		}
 		h.acceptedOn[before] = change
 		h.current = change.Version
@@ -162,24 +162,24 @@
 		t.Fatalf("%+v: first %v, then %v", change, first, result)
 	}
 	if repeated && first != codes.OK && accepted {
-		t.Fatalf("%+v was rejected and is in force", change)
+		t.Fatalf("%+v was rejected first and accepted later", change)
 	}
 	h.results[change] = result
 }
 
-// restore has a replica start from a snapshot of the log.
+// restore replaces the log by one that is decoded from its encoded form.
 func (h *history) restore(t *rapid.T) {
 	d := codec.NewDecoder(h.log.encoded())
 	restored := Decode(d)
 	if d.Err() != nil || !bytes.Equal(restored.encoded(), h.log.encoded()) {
-		t.Fatalf("a restored log differs: %v", d.Err())
+		t.Fatalf("the restored log differs: %v", d.Err())
 	}
 	h.log = restored
 }
 
 func FuzzDecode(f *testing.F) {
-	c := &configurations{}
-	c.mustBegin(f, 3, "three")
+	c := &testLog{}
+	c.mustSendFirst(f, 3, "three")
 	if got := c.send(0, 4, "four"); got != codes.ConfigBase {
 		f.Fatal(got)
 	}
@@ -188,7 +188,7 @@
 		d := codec.NewDecoder(data)
 		log := Decode(d)
 		if d.Err() == nil && len(log.encoded()) == 0 {
-			t.Fatal("a log has no bytes")
+			t.Fatal("a decoded log has an empty encoding")
 		}
 	})
 }
--- a/tier/configlog/encoding.go
+++ b/tier/configlog/encoding.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// The shortest encodings, by which the counts of a snapshot are checked before anything is allocated.
+// Minimum sizes of encoded entries. Counts in a snapshot are checked against them before memory is allocated.
 const (
 	minAcceptedBytes  = 8 + 4 + hashBytes
 	minRejectionBytes = 8 + 8 + 4 + hashBytes + 4
 )
 
-// Decode reads a log from a snapshot; the decoder keeps the error.
+// Decode reads a log from a snapshot. An error is kept by the decoder.
 func Decode(d *codec.Decoder) Log {
 	l := Log{compacted: d.Uint64()}
 	for range d.Count(minAcceptedBytes) {
--- a/tier/configlog/example_test.go
+++ b/tier/configlog/example_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/configlog"
 )
 
-// Of two changes that build on one version the first is accepted; each gets the same result when it is repeated.
+// Of two changes with the same base, the first is accepted. Each of them gets the same result when it is repeated.
 func ExampleLog_Decide() {
 	var log configlog.Log
 	current := uint64(0)
--- a/tier/lease/host_sessions.go
+++ b/tier/lease/host_sessions.go
@@ -20,7 +20,7 @@
 // holder is a control process that receives heartbeats of hosts and reports them to the primary.
 type holder struct {
 	lastSeenAt  int64  // when the newest probe that it answered was sent
-	rejections    uint64 // number of heartbeats that it has rejected because it had no lease
+	rejections  uint64 // number of heartbeats that it has rejected because it had no lease
 	recoveredAt int64  // when it last responded again after a silence or such a rejection
 }
 
