--- a/tier/directory/directory_test.go
+++ b/tier/directory/directory_test.go
@@ -37,10 +37,10 @@
 		shards map[uint32]Shard
 		found  bool
 	}{
-		"empty":           {nil, false},
-		"only its shard":  {shardsOfFour(home.ID), true},
-		"only another":    {shardsOfFour((home.ID + 1) % 4), false},
-		"total not known": {map[uint32]Shard{0: {}}, true},
+		"empty":          {nil, false},
+		"only its shard": {shardsOfFour(home.ID), true},
+		"only another":   {shardsOfFour((home.ID + 1) % 4), false},
+		"unknown total":  {map[uint32]Shard{0: {}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			shard, found := ShardOfProgram(program, test.shards)
--- a/tier/internal/recorded/recorded.go
+++ b/tier/internal/recorded/recorded.go
@@ -29,11 +29,11 @@
 	if bytes.Equal(got, want) {
 		return
 	}
-	at := 0
-	for at < len(got) && at < len(want) && got[at] == want[at] {
-		at++
+	offset := 0
+	for offset < len(got) && offset < len(want) && got[offset] == want[offset] {
+		offset++
 	}
-	t.Errorf("%s: %d bytes differ from the %d recorded bytes, first at offset %d:\n got %x\nwant %x", name, len(got), len(want), at, got, want)
+	t.Errorf("%s: %d bytes differ from the %d recorded bytes, first at offset %d:\n got %x\nwant %x", name, len(got), len(want), offset, got, want)
 }
 
 // CheckBoth fails the test unless a value is encoded to the recorded bytes and decoded from them.
--- a/tier/internal/recorded/recorded_test.go
+++ b/tier/internal/recorded/recorded_test.go
@@ -40,10 +40,10 @@
 		"wrong": {func([]byte) (string, error) { return "other", nil }, true},
 		"error": {func([]byte) (string, error) { return "sample", errors.New("unread") }, true},
 	}
-	for name, each := range decoders {
+	for name, test := range decoders {
 		f := &failureCounter{TB: t}
-		CheckBoth(f, "sample", "sample", identity, each.decode)
-		if (f.count > 0) != each.fails {
+		CheckBoth(f, "sample", "sample", identity, test.decode)
+		if (f.count > 0) != test.fails {
 			t.Errorf("%s: %d failures", name, f.count)
 		}
 	}
--- a/tier/lease/status_test.go
+++ b/tier/lease/status_test.go
@@ -24,14 +24,14 @@
 		forward error
 		serve   bool
 	}{
-		"primary":                  {Status{Primary, true, fresh}, nil, nil, true},
-		"primary, lease over":      {Status{Primary, true, old}, codes.Unavailable, codes.Unavailable, false},
-		"primary, never answered":  {Status{Primary, true, 0}, codes.Unavailable, codes.Unavailable, false},
-		"primary, not ready":       {Status{Primary, false, fresh}, codes.NotPrimary, nil, false},
-		"backup":                   {Status{Backup, false, fresh}, codes.NotPrimary, nil, true},
-		"backup, lease over":       {Status{Backup, false, old}, codes.NotPrimary, codes.Unavailable, false},
-		"outsider":                 {Status{Outsider, false, fresh}, codes.NotPrimary, nil, false},
-		"outsider, out of contact": {Status{Outsider, false, old}, codes.NotPrimary, codes.Unavailable, false},
+		"primary":                 {Status{Primary, true, fresh}, nil, nil, true},
+		"primary, lease expired":  {Status{Primary, true, old}, codes.Unavailable, codes.Unavailable, false},
+		"primary, never answered": {Status{Primary, true, 0}, codes.Unavailable, codes.Unavailable, false},
+		"primary, not ready":      {Status{Primary, false, fresh}, codes.NotPrimary, nil, false},
+		"backup":                  {Status{Backup, false, fresh}, codes.NotPrimary, nil, true},
+		"backup, lease expired":   {Status{Backup, false, old}, codes.NotPrimary, codes.Unavailable, false},
+		"outsider":                {Status{Outsider, false, fresh}, codes.NotPrimary, nil, false},
+		"outsider, lease expired": {Status{Outsider, false, old}, codes.NotPrimary, codes.Unavailable, false},
 	} {
 		s := step.status
 		if !errors.Is(s.MayDecide(now), step.decide) || !errors.Is(s.MayForward(now), step.forward) || s.MayServe(now) != step.serve {
--- a/tier/lease/vote_test.go
+++ b/tier/lease/vote_test.go
@@ -8,11 +8,11 @@
 		request VoteRequest
 		want    bool
 	}{
-		"on silence":       {VoteRequest{Candidate: 2, Epoch: 4}, false},
-		"by itself":        {VoteRequest{Candidate: 1, Epoch: 4}, true},
-		"on request":       {VoteRequest{Candidate: 2, Epoch: 4, LeadershipTransfer: true}, true},
-		"of an old epoch":  {VoteRequest{Candidate: 2, Epoch: 3, LeadershipTransfer: true}, false},
-		"itself, too late": {VoteRequest{Candidate: 1, Epoch: 3}, false},
+		"silent primary":                           {VoteRequest{Candidate: 2, Epoch: 4}, false},
+		"candidate is the primary":                 {VoteRequest{Candidate: 1, Epoch: 4}, true},
+		"leadership transfer":                      {VoteRequest{Candidate: 2, Epoch: 4, LeadershipTransfer: true}, true},
+		"outdated epoch":                           {VoteRequest{Candidate: 2, Epoch: 3, LeadershipTransfer: true}, false},
+		"candidate is the primary, outdated epoch": {VoteRequest{Candidate: 1, Epoch: 3}, false},
 	} {
 		if v.Grants(step.request) != step.want {
 			t.Errorf("%s: %v", name, !step.want)
--- a/tier/periodic/periodic_test.go
+++ b/tier/periodic/periodic_test.go
@@ -59,9 +59,9 @@
 		cancelled bool // before the start
 		want      int
 	}{
-		"step returns false": {time.Millisecond, func(call int, _ context.CancelFunc) bool { return call < 3 }, false, 3},
-		"ended before":       {time.Hour, func(int, context.CancelFunc) bool { return true }, true, 0},
-		"ends during a step": {time.Hour, func(_ int, cancel context.CancelFunc) bool {
+		"step returns false":         {time.Millisecond, func(call int, _ context.CancelFunc) bool { return call < 3 }, false, 3},
+		"cancelled before the start": {time.Hour, func(int, context.CancelFunc) bool { return true }, true, 0},
+		"cancelled during a step": {time.Hour, func(_ int, cancel context.CancelFunc) bool {
 			cancel()
 			return true
 		}, false, 1},
--- a/tier/programs/end.go
+++ b/tier/programs/end.go
@@ -9,7 +9,7 @@
 	Program     string
 	Session     string
 	Actual      uint64 // tokens that the client received
-	Retain      bool   // whether to retain the turn, which completed
+	Retain      bool   // whether the turn completed and is to be retained
 	RetentionMS int64  // retention period in milliseconds
 	Previous    string
 	Input       []byte
