--- a/sim/placementsim/exchange.go
+++ b/sim/placementsim/exchange.go
@@ -25,7 +25,7 @@
 		known.UpdateOthers(h.aggregator.Inflight(fleetload.KeyOf(known.ID)), s.time())
 	}
 	chosen := balance.Choose(h.known, balance.Request{
-		Zone: zoneName(h.zone), Random: s.random.Float64, FleetBegins: max(float64(h.aggregator.BeginsPerSecond()), 1), KnowsZone: true,
+		Zone: zoneName(h.zone), Random: s.random.Float64, FleetRequestRate: max(float64(h.aggregator.BeginsPerSecond()), 1), KnowsZone: true,
 	}, s.time())
 	return s.byKey[fleetload.KeyOf(chosen.ID)]
 }
--- a/sim/placementsim/simulation.go
+++ b/sim/placementsim/simulation.go
@@ -269,7 +269,7 @@
 	}
 	request := balance.Request{Zone: zoneName(g.zone), Random: s.random.Float64}
 	if s.Policy != OwnKnowledge && s.time().Sub(g.knownAt) < hostKnowledgeAge {
-		request.FleetBegins = max(g.fleetRate, 1)
+		request.FleetRequestRate = max(g.fleetRate, 1)
 	}
 	chosen := balance.Choose(g.known, request, s.time())
 	return slices.Index(g.known, chosen)
--- a/tier/balance/choose.go
+++ b/tier/balance/choose.go
@@ -29,9 +29,9 @@
 	Preferred string          // host with the prefix cache of the earlier turns; empty if not known
 	Tried     map[string]bool // hosts that this request has been sent to
 	Random    func() float64  // between 0 and 1
-	// FleetBegins is how many requests all gateways send to hosts in a second; 0 if this gateway does not know what the others
-	// have in flight.
-	FleetBegins float64
+	// FleetRequestRate is the number of requests per second that all gateways together send to hosts. It is 0 if this gateway does
+	// not know what the other gateways have in flight.
+	FleetRequestRate float64
 	// KnowsZone says that what is in flight at the hosts of the zone is known as of now: requests to them are placed here alone.
 	KnowsZone bool
 }
@@ -43,7 +43,7 @@
 	if len(candidates) == 0 {
 		candidates = eligible(hosts, request, now, true)
 	}
-	if request.FleetBegins > 0 {
+	if request.FleetRequestRate > 0 {
 		return chooseOfSample(candidates, request, now)
 	}
 	return lowestScore(candidates, request, now)
@@ -88,7 +88,7 @@
 	if h.HasIdleConnection != nil && h.HasIdleConnection() {
 		score -= idleConnectionBonus
 	}
-	if h.ID == request.Preferred && stallShare < 1 && (request.FleetBegins > 0 || load < affinityMaxLoad) {
+	if h.ID == request.Preferred && stallShare < 1 && (request.FleetRequestRate > 0 || load < affinityMaxLoad) {
 		score -= affinityBonus
 	}
 	return score
--- a/tier/balance/sample.go
+++ b/tier/balance/sample.go
@@ -30,7 +30,7 @@
 			remote = append(remote, host)
 		}
 	}
-	share := sampleShare(request.FleetBegins)
+	share := sampleShare(request.FleetRequestRate)
 	if request.KnowsZone {
 		sample = append(sample, local...)
 	} else {
--- a/tier/balance/sample_test.go
+++ b/tier/balance/sample_test.go
@@ -41,7 +41,7 @@
 		"crowded everywhere": {[]int{8, 8, 9, 9}, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request := Request{Zone: "A", Random: zeroRandom, FleetBegins: 1, KnowsZone: true}
+			request := Request{Zone: "A", Random: zeroRandom, FleetRequestRate: 1, KnowsZone: true}
 			if got := Choose(fleetOf(now, 2, test.others...), request, now); got.ID != test.want {
 				t.Fatalf("%s, not %s", got.ID, test.want)
 			}
@@ -72,7 +72,7 @@
 	}
 	taken := 0
 	for range gateways {
-		request := Request{Zone: "A", Random: random.Float64, FleetBegins: 1000}
+		request := Request{Zone: "A", Random: random.Float64, FleetRequestRate: 1000}
 		if Choose(fleetOf(now, 1, others...), request, now).ID == hosts(1)[0].ID {
 			taken++
 		}
@@ -88,7 +88,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		all := fleetOf(now, 3, others...)
-		request := Request{Zone: "A", Preferred: all[31].ID, Random: random.Float64, FleetBegins: 1000}
+		request := Request{Zone: "A", Preferred: all[31].ID, Random: random.Float64, FleetRequestRate: 1000}
 		if got := Choose(all, request, now); got != all[31] {
 			t.Fatalf("%s", got.ID)
 		}
@@ -110,7 +110,7 @@
 		"a little above the others": {[]int{9, 12, 10}, 1, "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request := Request{Zone: "A", Preferred: "b", Random: zeroRandom, FleetBegins: test.rate, KnowsZone: true}
+			request := Request{Zone: "A", Preferred: "b", Random: zeroRandom, FleetRequestRate: test.rate, KnowsZone: true}
 			if got := Choose(fleetOf(now, 1, test.others...), request, now); got.ID != test.want {
 				t.Fatalf("%s, not %s", got.ID, test.want)
 			}
@@ -132,7 +132,7 @@
 			}
 		}
 		request := Request{
-			Zone: "A", Tried: tried, FleetBegins: rapid.Float64Range(0.1, 5000).Draw(rt, "rate"), KnowsZone: rapid.Bool().Draw(rt, "knows"),
+			Zone: "A", Tried: tried, FleetRequestRate: rapid.Float64Range(0.1, 5000).Draw(rt, "rate"), KnowsZone: rapid.Bool().Draw(rt, "knows"),
 			Random: func() float64 { return rapid.Float64Range(0, 1).Draw(rt, "random") },
 		}
 		got := Choose(all, request, now)
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -119,7 +119,7 @@
 	defer t.mu.Unlock()
 	now := time.Now()
 	request := balance.Request{
-		Zone: t.zone, Preferred: preferred, Tried: tried, Random: rand.Float64, FleetBegins: t.fleet.beginsPerSecond(now),
+		Zone: t.zone, Preferred: preferred, Tried: tried, Random: rand.Float64, FleetRequestRate: t.fleet.beginsPerSecond(now),
 	}
 	chosen := balance.Choose(t.byService[service], request, now)
 	if chosen == nil {
--- a/tier/store/placer.go
+++ b/tier/store/placer.go
@@ -98,7 +98,7 @@
 		hosts = append(hosts, &host.Host)
 	}
 	chosen := balance.Choose(hosts, balance.Request{
-		Zone: p.zone, Preferred: preferred, Random: rand.Float64, FleetBegins: max(float64(loads.BeginsPerSecond()), 1), KnowsZone: true,
+		Zone: p.zone, Preferred: preferred, Random: rand.Float64, FleetRequestRate: max(float64(loads.BeginsPerSecond()), 1), KnowsZone: true,
 	}, now)
 	if chosen == nil {
 		return 0, false
