--- a/sim/ablation/ablate.sh
+++ b/sim/ablation/ablate.sh
@@ -23,7 +23,7 @@
 failure-rate|tier/balance/choose.go|s/errorRatePenalty = 2.0/errorRatePenalty = 0.0/
 pause|tier/balance/host.go|s/maxBackoff         = 5 \* time.Second/maxBackoff         = 0/
 stall-share|tier/balance/choose.go|s/stallPenalty     = 1.0/stallPenalty     = 0.0/
-reported-load|tier/balance/host.go|s/reportTrust = 400 \* time.Millisecond/reportTrust = 0/
+reported-load|tier/balance/host.go|s/reportedLoadTTL = 400 \* time.Millisecond/reportedLoadTTL = 0/
 hung-given-up|tier/hangdetect/estimator.go|s/budgetPerResponse = 0.1/budgetPerResponse = 0.0/
 fleet-verdicts|tier/outlier/detector.go|s/minExcessFailures = 2.5/minExcessFailures = 1e9/
 retry-after|tier/proxy/respond.go|s/delay := retryafter.Delay(left, expected, rand.Float64())/delay := retryafter.Delay(left, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
--- a/tier/balance/choose.go
+++ b/tier/balance/choose.go
@@ -5,51 +5,55 @@
 	"time"
 )
 
-// Bonuses and penalties change a host's score, which is in units of load: 1 is a host whose slots are all taken.
+// Bonuses and penalties that change a host's score. The score is in units of load, where 1 means that all slots of the host are in
+// use. The host with the lowest score is chosen.
 const (
 	localZoneBonus      = 0.10
 	idleConnectionBonus = 0.05
 
-	// affinityBonus is that of the host that holds the prefix cache of the request. Where the load of the others is not known, it
-	// has the bonus only while its load is below affinityMaxLoad. Where it is known, there is no such bound: when all hosts are
-	// full, each request that leaves its prefix cache has another host read its prompt again, and they get fuller still.
+	// affinityBonus is the bonus of the host that holds the prefix cache of the request. If the requests of other gateways are
+	// unknown, the bonus applies only while the host's load is below affinityMaxLoad. If they are known, there is no such bound:
+	// when all hosts are full, a request that is sent away from its prefix cache makes another host process the prompt again, which
+	// increases the load further.
 	affinityBonus   = 0.35
 	affinityMaxLoad = 0.85
 
-	errorRatePenalty = 2.0 // of a host that always fails
-	stallPenalty     = 1.0 // of a host whose requests are all stalled
+	errorRatePenalty = 2.0 // at an error rate of 1
+	stallPenalty     = 1.0 // when all requests of this gateway at the host are stalled
 
-	// tieBreak spreads the scores of hosts that are otherwise equal.
+	// tieBreak is the range of the random term that separates hosts with equal scores.
 	tieBreak = 0.02
 )
 
-// Request is what a choice depends on besides the hosts.
+// Request holds the inputs of a choice other than the hosts.
 type Request struct {
-	Zone      string          // of this gateway
-	Preferred string          // host with the prefix cache of the earlier turns; empty if not known
-	Tried     map[string]bool // hosts that this request has been sent to
-	Random    func() float64  // between 0 and 1
+	Zone      string          // zone of this gateway
+	Preferred string          // ID of the host with the prefix cache of the earlier turns; empty if unknown
+	Tried     map[string]bool // IDs of the hosts that this request was already sent to
+	Random    func() float64  // returns a random number between 0 and 1
 	// FleetRequestRate is the number of requests per second that all gateways together send to hosts. It is 0 if this gateway does
 	// not know what the other gateways have in flight.
 	FleetRequestRate float64
-	// KnowsZone says that what is in flight at the hosts of the zone is known as of now: requests to them are placed here alone.
+	// KnowsZone is set if the number of requests in flight at the hosts of the zone is up to date, because this process alone
+	// places requests on them.
 	KnowsZone bool
 }
 
-// Choose returns the host to send a request to, or nil if there is none. Hosts that back off or are ejected are used only when no
-// other is left.
+// Choose returns the host to send a request to, or nil if there is none. Hosts that are backing off or ejected are used only if no
+// other host is left.
 func Choose(hosts []*Host, request Request, now time.Time) *Host {
 	candidates := eligible(hosts, request, now, false)
 	if len(candidates) == 0 {
 		candidates = eligible(hosts, request, now, true)
 	}
 	if request.FleetRequestRate > 0 {
-		return chooseOfSample(candidates, request, now)
+		return chooseFromSample(candidates, request, now)
 	}
 	return lowestScore(candidates, request, now)
 }
 
-// eligible lists the hosts that may take a request, the unhealthy ones too if they are included.
+// eligible returns the hosts that may receive the request. It leaves out draining hosts and hosts already tried, and, unless
+// includeUnhealthy is set, hosts that are backing off or ejected.
 func eligible(hosts []*Host, request Request, now time.Time, includeUnhealthy bool) []*Host {
 	candidates := make([]*Host, 0, len(hosts))
 	for _, host := range hosts {
@@ -64,7 +68,7 @@
 	return candidates
 }
 
-// lowestScore returns the host with the lowest score, nil of none.
+// lowestScore returns the host with the lowest score, or nil if there are no hosts.
 func lowestScore(hosts []*Host, request Request, now time.Time) *Host {
 	var best *Host
 	bestScore := math.Inf(1)
@@ -77,7 +81,7 @@
 	return best
 }
 
-// score is the load of the host as it counts for a request.
+// score returns the cost of sending a request to the host: its load, adjusted by bonuses and penalties.
 func (h *Host) score(request Request, now time.Time) float64 {
 	load := h.load(now)
 	stallShare := h.stallShare()
--- a/tier/balance/choose_test.go
+++ b/tier/balance/choose_test.go
@@ -47,18 +47,18 @@
 	}
 }
 
-func TestAHostThatFailedBacksOffForATimeThatGrows(t *testing.T) {
+func TestBackoffGrowsWithConsecutiveFailures(t *testing.T) {
 	all := hosts(2)
 	now := time.Now()
 	all[0].RecordConnectionFailure(now)
-	for range 9 { // so loaded that only the backoff keeps requests there
+	for range 9 { // b is loaded so heavily that requests go there only while a backs off
 		all[1].Begin()
 	}
 	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "b" {
 		t.Fatal(got.ID)
 	}
 	if got := Choose(all, Request{Random: zeroRandom}, now.Add(initialBackoff)); got.ID != "a" {
-		t.Fatal("it was avoided for longer than the first backoff")
+		t.Fatal("the host is avoided for longer than the first backoff")
 	}
 	all[0].RecordConnectionFailure(now)
 	if got := Choose(all, Request{Random: zeroRandom}, now.Add(initialBackoff)); got.ID != "b" {
@@ -66,12 +66,13 @@
 	}
 	all[0].RecordSuccess(now)
 	if got := Choose(all, Request{Random: zeroRandom}, now); got.ID != "a" {
-		t.Fatal("it is avoided after an answer")
+		t.Fatal("the host is avoided after a successful response")
 	}
 }
 
-// A host that fails now and then and answers in between is used less than the others, and as much as they some time after.
-func TestAHostThatFailsInPartIsUsedLess(t *testing.T) {
+// A host that fails intermittently is used less than others. A success in between ends only its backoff; the error rate decays with
+// time.
+func TestHostWithIntermittentFailuresIsUsedLess(t *testing.T) {
 	all := hosts(2)
 	now := time.Now()
 	for range 10 {
@@ -85,11 +86,11 @@
 		t.Fatal(got.ID)
 	}
 	if got := Choose(all, Request{Random: zeroRandom}, now.Add(4*errorRateHalfLife)); got.ID != "a" {
-		t.Fatal("it is avoided for ever")
+		t.Fatal("the host is still avoided after its error rate has decayed")
 	}
 }
 
-func TestAHostWithStalledRequestsIsUsedLess(t *testing.T) {
+func TestHostWithStalledRequestsIsUsedLess(t *testing.T) {
 	all := hosts(2)
 	now := time.Now()
 	all[0].RecordStall()
@@ -103,12 +104,12 @@
 	}
 }
 
-func TestHostsThatFailedServeWhenNoOtherIsLeft(t *testing.T) {
+func TestFailedHostIsUsedWhenNoOtherIsLeft(t *testing.T) {
 	all := hosts(1)
 	now := time.Now()
 	all[0].RecordConnectionFailure(now)
 	if got := Choose(all, Request{Random: zeroRandom}, now); got == nil {
-		t.Fatal("nobody was chosen")
+		t.Fatal("no host was chosen")
 	}
 	all[0].Draining = true
 	if got := Choose(all, Request{Random: zeroRandom}, now); got != nil {
@@ -116,7 +117,7 @@
 	}
 }
 
-// Whatever happens, neither a draining host nor one that was tried is chosen, and a choice is made whenever one is left.
+// Choose never returns a draining host or one already tried, and returns a host whenever another one is left.
 func TestChooseNeverTakesADrainingOrTriedHost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := hosts(rapid.IntRange(0, 8).Draw(rt, "hosts"))
@@ -138,7 +139,7 @@
 		}
 		got := Choose(all, Request{Random: func() float64 { return 0.5 }, Tried: tried}, now)
 		if (got == nil) != (left == 0) {
-			rt.Fatalf("%d are left, chosen %v", left, got)
+			rt.Fatalf("%d hosts are left, chosen %v", left, got)
 		}
 		if got != nil && (got.Draining || tried[got.ID]) {
 			rt.Fatalf("chose %+v", got)
@@ -146,8 +147,9 @@
 	})
 }
 
-// A host that the fleet ejected gets nothing for its term, and then its share back in steps; it is used where there is no other.
-func TestAnEjectedHostComesBackInSteps(t *testing.T) {
+// An ejected host gets no requests until the ejection ends, and then a growing share of them. If it is the only host, it is used
+// although it is ejected.
+func TestEjectedHostWarmsUpGradually(t *testing.T) {
 	now := time.Now()
 	ejected, other := &Host{ID: "ejected", Slots: 8}, &Host{ID: "other", Slots: 8}
 	ejected.Eject(now.Add(2 * time.Second))
@@ -169,11 +171,11 @@
 		{0, 0, 0}, {1999 * time.Millisecond, 0, 0}, {2 * time.Second, 0.02, 0.1}, {4 * time.Second, 0.1, 0.35}, {6 * time.Second, 0.4, 0.6},
 	} {
 		if got := share(step.after); got < step.least || got > step.most {
-			t.Errorf("after %v: a share of %v", step.after, got)
+			t.Errorf("%v after the ejection began: share of choices is %v", step.after, got)
 		}
 	}
 	ejected.Eject(now.Add(time.Hour))
 	if Choose([]*Host{ejected}, Request{Random: stream.Float64}, now) != ejected {
-		t.Error("the last host gets nothing")
+		t.Error("the only host is not chosen while ejected")
 	}
 }
--- a/tier/balance/host.go
+++ b/tier/balance/host.go
@@ -6,89 +6,90 @@
 )
 
 const (
-	// reportTrust is for how long the load that a host reported is believed.
-	reportTrust = 400 * time.Millisecond
+	// reportedLoadTTL is how long the load that a host reported is used.
+	reportedLoadTTL = 400 * time.Millisecond
 
-	// A host whose connection failed backs off for initialBackoff, doubled with each failure in a row, up to maxBackoff.
+	// A host whose connection failed is avoided for initialBackoff, which doubles with each consecutive failure, up to maxBackoff.
 	initialBackoff     = 300 * time.Millisecond
 	maxBackoff         = 5 * time.Second
 	maxBackoffDoubling = 4
 
-	// fleetTrust is for how long it is believed what the other gateways have in flight.
-	fleetTrust = 700 * time.Millisecond
+	// otherRequestsTTL is how long the number of requests that other gateways have in flight is used.
+	otherRequestsTTL = 700 * time.Millisecond
 
 	// errorRateGain is the weight of the newest outcome in a host's error rate.
 	errorRateGain = 0.2
-	// errorRateHalfLife is the time in which an error rate halves without new errors.
+	// errorRateHalfLife is the half-life of an error rate without new outcomes.
 	errorRateHalfLife = 4 * time.Second
 
-	// reentryShare is the share of choices in which a host is considered when its ejection has just ended; the share doubles in
-	// each reentryDoubling, so that the host warms up in steps.
-	reentryShare    = 0.1
-	reentryDoubling = time.Second
+	// initialWarmUpShare is the share of choices in which a host is considered right after its ejection has ended. The share doubles
+	// every warmUpDoublingTime, so that the host's load grows gradually.
+	initialWarmUpShare = 0.1
+	warmUpDoublingTime = time.Second
 )
 
-// Host is a host and what this gateway knows of its load and health. The exported fields belong to the caller.
+// Host is a host together with its load and health as this gateway observes them. The caller sets the exported fields.
 type Host struct {
 	ID       string
 	Zone     string
-	Slots    int // requests that it runs at once
+	Slots    int // number of requests that the host runs at once
 	Draining bool
 	// HasIdleConnection reports whether a connection to the host is open and idle; nil means never.
 	HasIdleConnection func() bool
 
-	inflight int // requests of this gateway there
-	others   int // requests of all other gateways there, at othersAt
+	inflight int // requests of this gateway at the host
+	others   int // requests of all other gateways at the host, as of othersAt
 	othersAt time.Time
-	stalled  int // those of them without a sign of life for longer than usual
+	stalled  int // requests of this gateway that have received nothing for longer than usual
 
 	reportedLoad float64 // requests running and queued, as the host reported
 	reportedAt   time.Time
 
 	consecutiveFailures int
 	backoffUntil        time.Time
-	ejectedUntil        time.Time // by the fleet's outlier detection; zero if not ejected or warmed up again
+	ejectedUntil        time.Time // end of the ejection by the fleet's outlier detection; zero if not ejected and not warming up
 
-	errorRate   float64 // exponentially weighted share of requests that failed, at errorRateAt
+	errorRate   float64 // exponentially weighted share of failed requests, as of errorRateAt
 	errorRateAt time.Time
 }
 
 // Begin counts a request as in flight.
 func (h *Host) Begin() { h.inflight++ }
 
-// End counts off a request that was in flight.
+// End stops counting a request as in flight.
 func (h *Host) End() { h.inflight-- }
 
-// Inflight is the number of this gateway's requests at the host.
+// Inflight returns the number of requests that this gateway has in flight at the host.
 func (h *Host) Inflight() int { return h.inflight }
 
-// UpdateOthers takes how many requests all other gateways have in flight at the host.
+// UpdateOthers sets the number of requests that all other gateways have in flight at the host.
 func (h *Host) UpdateOthers(inflight int, now time.Time) {
 	h.others = inflight
 	h.othersAt = now
 }
 
-// UpdateLoad takes the load that the host reported: requests running and queued.
+// UpdateLoad sets the load that the host reported: the requests running and queued.
 func (h *Host) UpdateLoad(running, queued int, now time.Time) {
 	h.reportedLoad = float64(running + queued)
 	h.reportedAt = now
 }
 
-// RecordSuccess notes a complete response, which ends a backoff.
+// RecordSuccess records a complete response. It ends a backoff.
 func (h *Host) RecordSuccess(now time.Time) {
 	h.consecutiveFailures = 0
 	h.backoffUntil = time.Time{}
 	h.updateErrorRate(0, now)
 }
 
-// RecordServerError notes a response that says that the host failed. The request itself may be the cause, so the host doesn't back
-// off.
+// RecordServerError records a response that reports a failure of the host. The request itself may be the cause, so no backoff
+// starts.
 func (h *Host) RecordServerError(now time.Time) {
 	h.consecutiveFailures = 0
 	h.updateErrorRate(1, now)
 }
 
-// RecordConnectionFailure notes a request that broke off or could not be sent; the host is avoided for a backoff that grows.
+// RecordConnectionFailure records a request whose connection broke or that could not be sent. The host is avoided for an
+// exponentially growing backoff.
 func (h *Host) RecordConnectionFailure(now time.Time) {
 	h.consecutiveFailures++
 	backoff := initialBackoff << min(h.consecutiveFailures-1, maxBackoffDoubling)
@@ -96,29 +97,29 @@
 	h.updateErrorRate(1, now)
 }
 
-// RecordRejection notes that the host rejected a request for lack of slots, so that it is at least full.
+// RecordRejection records that the host rejected a request for lack of slots: its load is at least its number of slots.
 func (h *Host) RecordRejection(now time.Time) {
 	h.reportedLoad = math.Max(h.reportedLoad, float64(h.slots()))
 	h.reportedAt = now
 }
 
-// Eject keeps requests away from the host until a time, as the fleet's outlier detection decided. After it the host gets its share
-// back in steps.
+// Eject keeps requests away from the host until the given time, which the fleet's outlier detection decided. After that, the host
+// warms up: it is considered in a growing share of choices.
 func (h *Host) Eject(until time.Time) { h.ejectedUntil = until }
 
-// IsSuspect tells whether the host backs off, has requests that are stalled, or fails for more than a share of its requests.
+// IsSuspect reports whether the host is backing off, has stalled requests, or has an error rate above the given one.
 func (h *Host) IsSuspect(now time.Time, errorRate float64) bool {
 	return now.Before(h.backoffUntil) || h.stalled > 0 || h.decayedErrorRate(now) > errorRate
 }
 
-// RecordStall counts a request in flight that has waited for longer than usual without a sign of life.
+// RecordStall counts a request in flight that has received nothing for longer than usual.
 func (h *Host) RecordStall() { h.stalled++ }
 
-// ClearStall counts off a request that was recorded as stalled.
+// ClearStall stops counting a request as stalled.
 func (h *Host) ClearStall() { h.stalled-- }
 
-// isEjected reports whether an ejection, or the warm-up after it, keeps the host out of a choice. It draws from random, between 0
-// and 1, only during the warm-up.
+// isEjected reports whether an ejection, or the warm-up after it, excludes the host from a choice. It calls random, which returns a
+// number between 0 and 1, only during the warm-up.
 func (h *Host) isEjected(now time.Time, random func() float64) bool {
 	if h.ejectedUntil.IsZero() {
 		return false
@@ -126,7 +127,7 @@
 	if now.Before(h.ejectedUntil) {
 		return true
 	}
-	share := reentryShare * math.Exp2(now.Sub(h.ejectedUntil).Seconds()/reentryDoubling.Seconds())
+	share := initialWarmUpShare * math.Exp2(now.Sub(h.ejectedUntil).Seconds()/warmUpDoublingTime.Seconds())
 	if share >= 1 {
 		h.ejectedUntil = time.Time{}
 		return false
@@ -134,8 +135,8 @@
 	return random() >= share
 }
 
-// stallShare is the share of this gateway's requests there that are stalled. It is a share, so that hosts that are all slow under
-// load are not told apart by chance.
+// stallShare returns the share of this gateway's requests at the host that are stalled. It is a share and not a count, so that
+// chance does not decide between hosts that are all slow under load.
 func (h *Host) stallShare() float64 {
 	if h.stalled == 0 {
 		return 0
@@ -143,12 +144,14 @@
 	return float64(h.stalled) / float64(max(h.inflight, h.stalled))
 }
 
-// updateErrorRate follows the share of requests that fail, so that a host that succeeds in between is still known for its errors.
+// updateErrorRate adds an outcome, 1 for a failed request and 0 for a successful one, to the error rate. A single success does not
+// reset the rate.
 func (h *Host) updateErrorRate(failed float64, now time.Time) {
 	h.errorRate = (1-errorRateGain)*h.decayedErrorRate(now) + errorRateGain*failed
 	h.errorRateAt = now
 }
 
+// decayedErrorRate returns the error rate, decayed since the last outcome.
 func (h *Host) decayedErrorRate(now time.Time) float64 {
 	if h.errorRate == 0 {
 		return 0
@@ -158,13 +161,13 @@
 
 func (h *Host) slots() int { return max(h.Slots, 1) }
 
-// load is the share of the host's slots that is taken, as far as is known here.
+// load returns the share of the host's slots that this gateway knows to be in use. It exceeds 1 when requests are queued.
 func (h *Host) load(now time.Time) float64 {
 	busy := float64(h.inflight)
-	if now.Sub(h.othersAt) < fleetTrust {
+	if now.Sub(h.othersAt) < otherRequestsTTL {
 		busy += float64(h.others)
 	}
-	if now.Sub(h.reportedAt) < reportTrust {
+	if now.Sub(h.reportedAt) < reportedLoadTTL {
 		busy = math.Max(busy, h.reportedLoad)
 	}
 	return busy / float64(h.slots())
--- a/tier/balance/sample_test.go
+++ b/tier/balance/sample_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleetOf is hosts over zones, a known number of requests of others at each.
+// fleetOf returns hosts spread over zones, each with a known number of requests of other gateways.
 func fleetOf(now time.Time, zones int, others ...int) []*Host {
 	all := hosts(len(others))
 	for i, count := range others {
@@ -18,51 +18,51 @@
 	return all
 }
 
-func TestRequestsOfOtherGatewaysCountForAWhile(t *testing.T) {
+func TestRequestsOfOtherGatewaysExpire(t *testing.T) {
 	now := time.Now()
 	all := fleetOf(now, 1, 5, 0)
 	all[1].Begin()
 	if got := Choose(all, Request{Zone: "A", Random: zeroRandom}, now); got.ID != "b" {
-		t.Fatal("the requests of the others are not counted")
+		t.Fatal("requests of other gateways are not counted")
 	}
-	if got := Choose(all, Request{Zone: "A", Random: zeroRandom}, now.Add(fleetTrust)); got.ID != "a" {
-		t.Fatal("requests of long ago are counted")
+	if got := Choose(all, Request{Zone: "A", Random: zeroRandom}, now.Add(otherRequestsTTL)); got.ID != "a" {
+		t.Fatal("outdated requests of other gateways are counted")
 	}
 }
 
-func TestTheOwnZoneYieldsToLoad(t *testing.T) {
+func TestLoadSpillsOverToOtherZones(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
-		others []int // by host: zones A and B in turn
+		others []int // by host; the hosts are in zones A and B alternately
 		want   string
 	}{
-		"own zone with room": {[]int{4, 0, 5, 0}, "a"},
-		"own zone crowded":   {[]int{8, 2, 9, 3}, "b"},
-		"crowded everywhere": {[]int{8, 8, 9, 9}, "a"},
+		"local zone has capacity": {[]int{4, 0, 5, 0}, "a"},
+		"local zone is loaded":    {[]int{8, 2, 9, 3}, "b"},
+		"all zones are loaded":    {[]int{8, 8, 9, 9}, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := Request{Zone: "A", Random: zeroRandom, FleetRequestRate: 1, KnowsZone: true}
 			if got := Choose(fleetOf(now, 2, test.others...), request, now); got.ID != test.want {
-				t.Fatalf("%s, not %s", got.ID, test.want)
+				t.Fatalf("chose %s, want %s", got.ID, test.want)
 			}
 		})
 	}
 }
 
-// The more requests are sent before the next loads arrive, the fewer hosts each of them looks at.
-func TestSamplesShrinkWithTheRateOfTheFleet(t *testing.T) {
+// The more requests are sent between two load updates, the fewer hosts are sampled for each of them.
+func TestSamplesShrinkWithTheFleetRequestRate(t *testing.T) {
 	for rate, want := range map[float64]int{1: 100, 8: 50, 40: 10, 4000: minSample} {
 		if got := sampleSize(100, sampleShare(rate)); got != want {
-			t.Errorf("at %v a second %d of 100 hosts are sampled, not %d", rate, got, want)
+			t.Errorf("at %v requests per second %d of 100 hosts are sampled, want %d", rate, got, want)
 		}
 	}
 	if got := sampleSize(1, sampleShare(4000)); got != 1 {
-		t.Errorf("%d of one host", got)
+		t.Errorf("%d hosts are sampled of one", got)
 	}
 }
 
-// Gateways that all see the same idle host at the same moment do not all take it.
-func TestAnIdleHostDrawsNoHerd(t *testing.T) {
+// Gateways that all see the same idle host at the same time do not all choose it.
+func TestIdleHostAttractsNoThunderingHerd(t *testing.T) {
 	const gateways = 300
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Now()
@@ -70,19 +70,19 @@
 	for i := 1; i < len(others); i++ {
 		others[i] = 4
 	}
-	taken := 0
+	chosen := 0
 	for range gateways {
 		request := Request{Zone: "A", Random: random.Float64, FleetRequestRate: 1000}
 		if Choose(fleetOf(now, 1, others...), request, now).ID == hosts(1)[0].ID {
-			taken++
+			chosen++
 		}
 	}
-	if taken > gateways/20 {
-		t.Fatalf("%d of %d gateways took the idle host", taken, gateways)
+	if chosen > gateways/20 {
+		t.Fatalf("%d of %d gateways chose the idle host", chosen, gateways)
 	}
 }
 
-func TestAHostWithThePrefixCacheIsInEverySample(t *testing.T) {
+func TestHostWithThePrefixCacheIsInEverySample(t *testing.T) {
 	now := time.Now()
 	others := make([]int, 60)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -90,13 +90,13 @@
 		all := fleetOf(now, 3, others...)
 		request := Request{Zone: "A", Preferred: all[31].ID, Random: random.Float64, FleetRequestRate: 1000}
 		if got := Choose(all, request, now); got != all[31] {
-			t.Fatalf("%s", got.ID)
+			t.Fatalf("chose %s", got.ID)
 		}
 	}
 }
 
-// When all hosts are full, requests stay with their prefix caches; one whose host is far above the others leaves it. Where the load of
-// the others is not known, a full host is left.
+// When all hosts are full, a request stays at the host with its prefix cache, unless that host's load is far above the others'. When
+// the requests of other gateways are unknown, the request leaves a full host.
 func TestPrefixCachesAreKeptWhenAllHostsAreFull(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
@@ -104,21 +104,21 @@
 		rate   float64
 		want   string
 	}{
-		"all full":                  {[]int{12, 12, 12}, 1, "b"},
-		"far above the others":      {[]int{8, 12, 8}, 1, "a"},
-		"all full, nothing known":   {[]int{11, 12, 12}, 0, "a"},
-		"a little above the others": {[]int{9, 12, 10}, 1, "b"},
+		"all full":                         {[]int{12, 12, 12}, 1, "b"},
+		"far above the others":             {[]int{8, 12, 8}, 1, "a"},
+		"all full, unknown other requests": {[]int{11, 12, 12}, 0, "a"},
+		"slightly above the others":        {[]int{9, 12, 10}, 1, "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := Request{Zone: "A", Preferred: "b", Random: zeroRandom, FleetRequestRate: test.rate, KnowsZone: true}
 			if got := Choose(fleetOf(now, 1, test.others...), request, now); got.ID != test.want {
-				t.Fatalf("%s, not %s", got.ID, test.want)
+				t.Fatalf("chose %s, want %s", got.ID, test.want)
 			}
 		})
 	}
 }
 
-func TestAChoiceOfASampleKeepsToWhatMayBeChosen(t *testing.T) {
+func TestSampledChoiceIsAlwaysEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Now()
 		all := fleetOf(now, 2, rapid.SliceOfN(rapid.IntRange(0, 20), 1, 12).Draw(rt, "others")...)
@@ -137,7 +137,7 @@
 		}
 		got := Choose(all, request, now)
 		if (got == nil) != (left == 0) || (got != nil && (got.Draining || tried[got.ID])) {
-			rt.Fatalf("%+v of %d that may be chosen", got, left)
+			rt.Fatalf("chose %+v of %d eligible hosts", got, left)
 		}
 	})
 }
