--- a/tier/fleetload/doc.go
+++ b/tier/fleetload/doc.go
@@ -1,33 +1,37 @@
-// Package fleetload has gateways know what the whole fleet has in flight at each host.
+// Package fleetload gives each gateway the number of requests that the whole fleet has in flight at each host.
 //
-// A gateway of a large fleet hears from a given host once in tens of seconds, while a host's load changes within a fraction of one. So
-// each gateway reports what it has in flight to the home of its zone, and gets the sum over all gateways back. Homes tell each other
-// the sums of their zones.
+// In a large fleet a gateway receives a response from a given host only once in tens of seconds, while the load of a host changes
+// within a fraction of a second. So each gateway reports its requests in flight to the home of its zone, a store machine that
+// aggregates them, and receives the totals over all gateways. Homes send each other the totals of their zones.
 //
-// # The ways weighed
+// # Alternatives considered
 //
-//   - Load in the answers of hosts (X-Server-Load) is exact but old: it is still used where nothing better is known.
-//   - Asking hosts (GET /v1/report, health checks) costs a request each and is priced as a probe.
-//   - Gossip between gateways brings each gateway everything late, or everybody's messages to everybody.
-//   - Tickets for free slots (join-idle-queue) bind a slot for the time that a ticket travels, and are lost with a gateway.
-//   - One home for all zones would carry 2,700 messages a second at 410 gateways, most of them between zones.
+//   - The load in host responses (X-Server-Load) is exact but old. It is still used where nothing better is known.
+//   - Polling hosts (GET /v1/report, health checks) costs one request per poll and is priced as a probe.
+//   - Gossip between gateways either delivers information late or sends every message to every gateway.
+//   - Tickets for free slots (join-idle-queue) reserve a slot while the ticket is in transit, and are lost if a gateway fails.
+//   - A single home for all zones would handle 2,700 messages per second at 410 gateways, most of them between zones.
 //
-// # What it owns
+// # State
 //
-// [Aggregator] is the state of a home: the newest report of each gateway and the newest sum of each other home. [Estimator] is that of
-// a gateway: its reports on the way, and what the others have in flight. [Homes] orders the store machines, which may be the home of a
-// zone, alike for everyone who knows the same machines.
+// [Aggregator] is the state of a home: the newest report of each gateway and the newest zone total of each other home. [Estimator]
+// is the state of a gateway: the reports that it sent recently, from which it derives what the other gateways have in flight.
+// [Homes] lists the store machines that may be the home of a zone, in the same order for every process that knows the same machines.
 //
 // # Invariants
 //
-//   - A report holds everything that a gateway has in flight, not a change: one that is lost or comes twice changes nothing for good.
-//   - Reports that cross on their way are told apart by their numbers; the older one is dropped.
-//   - A gateway's own requests are never counted twice: what its home had counted of them is taken off, and what it has now is added.
-//   - What is silent for long is dropped: a gateway, a home, and the sums that a gateway has.
-//   - Nothing depends on it: without a home, and until a home has heard all gateways once, gateways choose by what they know alone.
+//   - A report contains all requests that a gateway has in flight, not a difference, so a lost or duplicated report causes no lasting
+//     error.
+//   - Reports are numbered, so that one overtaken by a newer one is recognized and dropped.
+//   - A gateway's own requests are never counted twice: the gateway subtracts its requests that the home counted and adds its present
+//     ones.
+//   - State is dropped when its source has been silent for too long: the reports of a gateway, the zone total of a home, and the
+//     totals held by a gateway.
+//   - The exchange is optional: without a home, and until a home has received reports from all gateways, each gateway chooses hosts
+//     by its own observations.
 //
-// # What it must not do
+// # Non-goals
 //
-// It chooses no host; package balance does, and bounds how many gateways may follow the same number. It has neither clock nor
-// connections.
+// The package chooses no host. Package balance does, and limits how many gateways act on the same number. This package has no clock
+// and no connections.
 package fleetload
--- a/tier/fleetload/estimator.go
+++ b/tier/fleetload/estimator.go
@@ -1,37 +1,37 @@
 package fleetload
 
 const (
-	// TotalsTrust is how long sums are used after they came, in milliseconds: a host's load changes within a second.
+	// TotalsTrust is how long a gateway uses totals after it received them, in milliseconds: a host's load changes within a second.
 	TotalsTrust = 700
-	// rememberedReports is how many reports may be on their way; a home that counts an older one is not believed.
-	rememberedReports = 8
+	// keptReports is how many of the newest reports are kept. Totals that count an older report are not used.
+	keptReports = 8
 )
 
-// Estimator is what a gateway knows of the others. It has a single owner.
+// Estimator derives the load of the other gateways from the totals of a home. It is not safe for concurrent use.
 type Estimator struct {
 	gateway uint64
 	number  uint64
-	sent    [rememberedReports]Report
+	sent    [keptReports]Report
 }
 
-// NewEstimator makes the state of a gateway with a number drawn for the present run of its process.
+// NewEstimator returns the estimator of a gateway. The number gateway identifies the current run of the gateway's process.
 func NewEstimator(gateway uint64) *Estimator { return &Estimator{gateway: gateway} }
 
-// Gateway is the number of the present run of the gateway's process.
+// Gateway returns the number that identifies the current run of the gateway's process.
 func (e *Estimator) Gateway() uint64 { return e.gateway }
 
-// NextReport is the report to send now.
+// NextReport returns the next report to send and keeps it, so that totals that count it can be used.
 func (e *Estimator) NextReport(inflight Loads, beginsPerSecond uint32, placed uint64) Report {
 	e.number++
 	report := Report{Gateway: e.gateway, Number: e.number, BeginsPerSecond: beginsPerSecond, Placed: placed, Inflight: inflight}
-	e.sent[e.number%rememberedReports] = report
+	e.sent[e.number%keptReports] = report
 	return report
 }
 
-// Others is what the other gateways have in flight by the totals of a home. It is not known if the totals are not complete, or
-// count a report that is not remembered.
+// Others returns what the other gateways have in flight according to the totals of a home. It is unknown if the totals are
+// incomplete or count a report that is no longer kept.
 func (e *Estimator) Others(totals Totals) (others Loads, known bool) {
-	counted := e.sent[totals.Number%rememberedReports]
+	counted := e.sent[totals.Number%keptReports]
 	if !totals.Complete || counted.Number != totals.Number || totals.Number == 0 {
 		return nil, false
 	}
--- a/tier/fleetload/fleetload_test.go
+++ b/tier/fleetload/fleetload_test.go
@@ -24,7 +24,7 @@
 	recorded.CheckBoth(t, "place-response", PlaceResponse{Host: 0x31323334}, PlaceResponse.Encode, DecodePlaceResponse)
 }
 
-func TestMessagesCutShortAreRejected(t *testing.T) {
+func TestTruncatedMessagesAreRejected(t *testing.T) {
 	inflight := Loads{1: 2, 3: 4}
 	for name, test := range map[string]struct {
 		encoded []byte
@@ -39,7 +39,7 @@
 		t.Run(name, func(t *testing.T) {
 			for n := range len(test.encoded) {
 				if test.decode(test.encoded[:n]) == nil {
-					t.Fatalf("%d of %d bytes are read", n, len(test.encoded))
+					t.Fatalf("a message truncated to %d of %d bytes is decoded", n, len(test.encoded))
 				}
 			}
 		})
@@ -51,8 +51,8 @@
 	hostB HostKey = 2
 )
 
-// settled is a home that has listened long enough to a gateway with one request at host A.
-func settled(t *testing.T) (home *Aggregator, now int64) {
+// completeHome returns a home whose totals are complete, after reports of one gateway with one request at host A.
+func completeHome(t *testing.T) (home *Aggregator, now int64) {
 	t.Helper()
 	home = NewAggregator()
 	for number := uint64(1); now <= completeAfter; number++ {
@@ -62,24 +62,24 @@
 	return home, now
 }
 
-func TestAHomeAddsUpGatewaysAndOtherHomes(t *testing.T) {
-	home, now := settled(t)
+func TestHomeSumsGatewaysAndOtherHomes(t *testing.T) {
+	home, now := completeHome(t)
 	home.TakeZoneLoad(ZoneLoad{Home: 9, Number: 1, Address: "b", BeginsPerSecond: 100, Inflight: Loads{hostA: 5, hostB: 2}}, now)
 	got := home.TakeReport(Report{Gateway: 2, Number: 1, BeginsPerSecond: 6, Inflight: Loads{hostB: 3}}, now)
 	if want := (Loads{hostA: 6, hostB: 5}); !maps.Equal(got.Inflight, want) || got.BeginsPerSecond != 110 || !got.Complete || got.Number != 1 {
-		t.Fatalf("%+v, not %v", got, want)
+		t.Fatalf("totals are %+v, want %v", got, want)
 	}
-	told, active := home.ZoneLoad(7, "a", now)
-	if want := (Loads{hostA: 1, hostB: 3}); !active || !maps.Equal(told.Inflight, want) || told.BeginsPerSecond != 10 {
-		t.Fatalf("the other homes are told %+v, not %v", told, want)
+	sent, active := home.ZoneLoad(7, "a", now)
+	if want := (Loads{hostA: 1, hostB: 3}); !active || !maps.Equal(sent.Inflight, want) || sent.BeginsPerSecond != 10 {
+		t.Fatalf("the zone load for other homes is %+v, want %v", sent, want)
 	}
-	if heard := home.HeardHomes(now); len(heard) != 1 || heard[0] != "b" {
-		t.Fatalf("heard %v", heard)
+	if recent := home.HeardHomes(now); len(recent) != 1 || recent[0] != "b" {
+		t.Fatalf("homes with a recent zone total: %v", recent)
 	}
 }
 
-func TestAReportThatWasOvertakenChangesNothing(t *testing.T) {
-	home, now := settled(t)
+func TestOvertakenMessagesAreDropped(t *testing.T) {
+	home, now := completeHome(t)
 	home.TakeReport(Report{Gateway: 2, Number: 5, Inflight: Loads{hostB: 3}}, now)
 	late := home.TakeReport(Report{Gateway: 2, Number: 4, Inflight: Loads{hostB: 9}}, now)
 	if late.Inflight[hostB] != 3 || late.Number != 5 {
@@ -92,14 +92,14 @@
 	}
 }
 
-// A gateway that died, or a home of another zone, is forgotten after a second, and what it had in flight with it.
-func TestWhatIsSilentIsDropped(t *testing.T) {
-	home, now := settled(t)
+// The load of a gateway or of another home is dropped once its source has been silent for more than a second.
+func TestSilentSourcesAreDropped(t *testing.T) {
+	home, now := completeHome(t)
 	home.TakeReport(Report{Gateway: 2, Number: 1, BeginsPerSecond: 6, Inflight: Loads{hostB: 3}}, now)
 	home.TakeZoneLoad(ZoneLoad{Home: 9, Number: 1, Inflight: Loads{hostB: 2}}, now)
 	now += sourceTimeout
 	if got := home.TakeReport(Report{Gateway: 1, Number: 100, Inflight: Loads{hostA: 1}}, now); got.Inflight[hostB] != 5 {
-		t.Fatalf("dropped too soon: %+v", got)
+		t.Fatalf("the load was dropped too early: %+v", got)
 	}
 	now++
 	got := home.TakeReport(Report{Gateway: 1, Number: 101, BeginsPerSecond: 4, Inflight: Loads{hostA: 1}}, now)
@@ -108,103 +108,105 @@
 	}
 	now += sourceTimeout + 1
 	if _, active := home.ZoneLoad(7, "a", now); active {
-		t.Fatal("a home without gateways tells others of its zone")
+		t.Fatal("a home without gateways has a zone load to send")
 	}
 }
 
-// A home that was started again, or that took the place of another, says that it may not have heard all yet.
-func TestAHomeThatHasJustBegunIsNotComplete(t *testing.T) {
+// The totals of a home that was restarted, or that replaced another home, are incomplete until all gateways have had time to report.
+func TestNewHomeIsNotComplete(t *testing.T) {
 	home := NewAggregator()
 	home.TakeZoneLoad(ZoneLoad{Home: 9, Number: 1, Inflight: Loads{hostA: 5}}, 100_000)
 	if got := home.TakeReport(Report{Gateway: 1, Number: 1}, 100_000); got.Complete {
-		t.Fatal("complete at once")
+		t.Fatal("the totals are complete at the first report")
 	}
 	if got := home.TakeReport(Report{Gateway: 1, Number: 2}, 100_000+completeAfter); !got.Complete {
-		t.Fatal("never complete")
+		t.Fatal("the totals are incomplete after completeAfter")
 	}
 }
 
-// A placed request counts at once, and not twice when its gateway reports it; one that came to nothing is taken off by the report.
-func TestAPlacementCountsUntilItIsReported(t *testing.T) {
-	home, now := settled(t)
+// A placed request counts at once and is not counted twice when its gateway reports it. A placement that was not used stops counting
+// with that report.
+func TestPlacementCountsUntilItIsReported(t *testing.T) {
+	home, now := completeHome(t)
 	if !home.MayPlace(1, now) || home.MayPlace(2, now) {
-		t.Fatal("a gateway that does not report here is served")
+		t.Fatal("MayPlace is wrong for a gateway that reports to this home or for one that does not")
 	}
 	home.Place(1, 1, hostB)
 	home.Place(1, 2, hostB)
 	home.Place(1, 3, hostB)
-	home.Place(2, 1, hostB) // not known
+	home.Place(2, 1, hostB) // gateway 2 is unknown here
 	if got := home.Inflight(hostB); got != 3 {
-		t.Fatalf("%d at the host", got)
+		t.Fatalf("%d requests in flight at the host", got)
 	}
-	home.TakeReport(Report{Gateway: 1, Number: 100, Placed: 2, Inflight: Loads{hostB: 1}}, now) // the second came to nothing
+	home.TakeReport(Report{Gateway: 1, Number: 100, Placed: 2, Inflight: Loads{hostB: 1}}, now) // placement 2 was not used
 	if got := home.Inflight(hostB); got != 2 {
-		t.Fatalf("%d at the host after a report that counts two of three", got)
+		t.Fatalf("%d requests in flight at the host after a report that covers two of three placements", got)
 	}
 	home.TakeReport(Report{Gateway: 1, Number: 101, Placed: 3, Inflight: Loads{hostB: 2}}, now)
 	if got := home.Inflight(hostB); got != 2 {
-		t.Fatalf("%d at the host after a report of all", got)
+		t.Fatalf("%d requests in flight at the host after a report that covers all placements", got)
 	}
 	home.Place(1, 4, hostA)
 	now += sourceTimeout + 1
 	if home.MayPlace(1, now) || home.Inflight(hostA) != 0 {
-		t.Fatalf("a silent gateway's placements stay: %d", home.Inflight(hostA))
+		t.Fatalf("placements of a silent gateway still count: %d", home.Inflight(hostA))
 	}
 }
 
-func TestAGatewayTakesItsOwnRequestsOff(t *testing.T) {
+func TestEstimatorSubtractsOwnRequests(t *testing.T) {
 	e := NewEstimator(3)
 	first := e.NextReport(Loads{hostA: 2}, 1, 0)
 	e.NextReport(Loads{hostA: 4}, 1, 0)
 	totals := Totals{Number: first.Number, Complete: true, Inflight: Loads{hostA: 5, hostB: 1}}
 	others, known := e.Others(totals)
 	if want := (Loads{hostA: 3, hostB: 1}); !known || !maps.Equal(others, want) {
-		t.Fatalf("%v, not %v", others, want)
+		t.Fatalf("load of the other gateways is %v, want %v", others, want)
 	}
-	for range rememberedReports {
+	for range keptReports {
 		e.NextReport(nil, 0, 0)
 	}
 	if _, known := e.Others(totals); known {
-		t.Fatal("totals that count a report long past are believed")
+		t.Fatal("totals that count a report no longer kept are used")
 	}
 	if _, known := e.Others(Totals{Complete: true}); known {
-		t.Fatal("totals that count no report are believed")
+		t.Fatal("totals that count no report are used")
 	}
 	totals = Totals{Number: e.number, Inflight: Loads{hostA: 5}}
 	if _, known := e.Others(totals); known {
-		t.Fatal("totals that are not complete are believed")
+		t.Fatal("incomplete totals are used")
 	}
 }
 
-// Whatever is reported, lost, overtaken or silent in whatever order, a home's sums are those of the newest reports that it has.
-func TestSumsAreThoseOfTheNewestReports(t *testing.T) {
+// The totals of a home are the sums of the newest reports that have not expired, in whatever order reports arrive, are lost or are
+// overtaken.
+func TestTotalsAreTheSumOfTheNewestReports(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		home := NewAggregator()
 		now := int64(1)
 		newest := map[uint64]Report{}
-		heardAt := map[uint64]int64{}
+		receivedAt := map[uint64]int64{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += rapid.Int64Range(0, 400).Draw(rt, "pause")
 			r := Report{
 				Gateway: rapid.Uint64Range(1, 4).Draw(rt, "gateway"), Number: rapid.Uint64Range(1, 50).Draw(rt, "number"),
 				Inflight: Loads{HostKey(rapid.Uint32Range(1, 3).Draw(rt, "host")): rapid.Uint16Range(1, 9).Draw(rt, "count")},
 			}
-			for id, at := range heardAt {
+			for id, at := range receivedAt {
 				if now-at > sourceTimeout {
 					delete(newest, id)
-					delete(heardAt, id)
+					delete(receivedAt, id)
 				}
 			}
 			if r.Number > newest[r.Gateway].Number {
 				newest[r.Gateway] = r
-				heardAt[r.Gateway] = now
+				receivedAt[r.Gateway] = now
 			}
 			want := Loads{}
 			for _, each := range newest {
 				want.add(each.Inflight)
 			}
 			if got := home.TakeReport(r, now); !maps.Equal(got.Inflight, want) {
-				rt.Fatalf("at %d: %v, not %v", now, got.Inflight, want)
+				rt.Fatalf("at %d: totals are %v, want %v", now, got.Inflight, want)
 			}
 		}
 	})
@@ -224,22 +226,22 @@
 	for zone, want := range map[string]int{"a": 3, "b": 2, "c": 1} {
 		homes := Homes(stores, zone)
 		if len(homes) != want {
-			t.Errorf("zone %s: %v", zone, homes)
+			t.Errorf("homes of zone %s: %v", zone, homes)
 		}
 		for _, home := range homes {
 			if home[:1] != zone {
-				t.Errorf("zone %s has a home in another: %s", zone, home)
+				t.Errorf("zone %s has a home in another zone: %s", zone, home)
 			}
 		}
 	}
 	if without, again := Homes(stores, "without stores"), Homes(stores, "without stores"); len(without) == 0 || without[0] != again[0] {
-		t.Errorf("a zone without stores: %v, %v", without, again)
+		t.Errorf("homes of a zone without stores: %v, %v", without, again)
 	}
 	if homes := Homes(nil, "a"); len(homes) != 0 {
-		t.Errorf("without any store: %v", homes)
+		t.Errorf("homes without any store: %v", homes)
 	}
 	self := Homes(stores, "b")[0]
 	if peers := PeerHomes(stores, self); len(peers) != 2 || peers[0] != Homes(stores, "a")[0] || peers[1] != Homes(stores, "c")[0] {
-		t.Errorf("the home of b tells %v", peers)
+		t.Errorf("peers of the home of b: %v", peers)
 	}
 }
--- a/tier/fleetload/homes.go
+++ b/tier/fleetload/homes.go
@@ -10,8 +10,9 @@
 	"otterseam/tier/directory"
 )
 
-// Homes lists the addresses of the machines that may be the home of a zone, the preferred one first. Everyone who knows the same store
-// machines gets the same list. A zone without store machines shares the homes of another.
+// Homes returns the addresses of the store machines that may be the home of a zone, the preferred one first. The result depends only
+// on the store machines and the zone, so that all processes agree on it. A zone without store machines uses the homes of another
+// zone.
 func Homes(stores map[uint64]directory.Store, zone string) []string {
 	zones := Zones(stores)
 	if len(zones) == 0 {
@@ -36,12 +37,12 @@
 	return addresses
 }
 
-// rank spreads the homes over the machines by their identities.
+// rank returns the position of a machine in the order of preference. It is a hash of the machine's identity.
 func rank(identity uint64) uint32 {
 	return crc32.ChecksumIEEE([]byte("home " + strconv.FormatUint(identity, 16)))
 }
 
-// Zones lists the zones that have store machines, in order.
+// Zones returns the zones that have store machines, sorted.
 func Zones(stores map[uint64]directory.Store) []string {
 	var zones []string
 	for _, store := range stores {
@@ -51,7 +52,7 @@
 	return slices.Compact(zones)
 }
 
-// PeerHomes lists the addresses of the preferred homes of all zones but for one's own address.
+// PeerHomes returns the addresses of the preferred homes of all zones, except the address self.
 func PeerHomes(stores map[uint64]directory.Store, self string) []string {
 	var peers []string
 	for _, zone := range Zones(stores) {
--- a/tier/fleetload/loads.go
+++ b/tier/fleetload/loads.go
@@ -9,23 +9,24 @@
 	"otterseam/tier/codec"
 )
 
-// HostKey names a host in four bytes. Hosts that share one, by chance, are taken for one with the sum of both.
+// HostKey identifies a host by a four-byte checksum of its ID. Hosts whose keys collide are treated as one host with the sum of their
+// loads.
 type HostKey uint32
 
-// KeyOf is the key of the host with an ID.
+// KeyOf returns the key of the host with the given ID.
 func KeyOf(id string) HostKey { return HostKey(crc32.ChecksumIEEE([]byte(id))) }
 
-// Loads is how many requests are in flight at each host; hosts without any are left out.
+// Loads is the number of requests in flight at each host. Hosts without requests are omitted.
 type Loads map[HostKey]uint16
 
-// add counts requests, up to the largest number.
+// add adds the counts of others. A sum that exceeds the range of uint16 saturates.
 func (l Loads) add(others Loads) {
 	for key, count := range others {
 		l[key] = uint16(min(uint32(l[key])+uint32(count), math.MaxUint16))
 	}
 }
 
-// subtract takes requests off that were added before.
+// subtract removes counts that were added before.
 func (l Loads) subtract(others Loads) {
 	for key, count := range others {
 		if l[key] <= count {
@@ -36,7 +37,7 @@
 	}
 }
 
-// minLoadBytes is the encoded size of one host's load.
+// minLoadBytes is the encoded size of the load of one host.
 const minLoadBytes = 4 + 2
 
 func (l Loads) encode(e *codec.Encoder) {
--- a/tier/fleetload/messages.go
+++ b/tier/fleetload/messages.go
@@ -5,26 +5,27 @@
 	"otterseam/tier/rpc"
 )
 
-// The kinds of messages.
+// Message kinds.
 const (
-	// KindReport is a call of a gateway with a Report. A home answers it with codes.OK and Totals.
+	// KindReport is a call from a gateway with a Report. A home answers it with codes.OK and Totals.
 	KindReport rpc.Kind = 41
-	// KindZoneLoad is a one-way message of a home with a ZoneLoad, to other homes.
+	// KindZoneLoad is a one-way message with a ZoneLoad from a home to another home.
 	KindZoneLoad rpc.Kind = 42
-	// KindPlace is a call of a gateway with a PlaceRequest. A home answers it with codes.OK and a PlaceResponse, or with codes.NoHost.
+	// KindPlace is a call from a gateway with a PlaceRequest. A home answers it with codes.OK and a PlaceResponse, or with
+	// codes.NoHost.
 	KindPlace rpc.Kind = 43
 )
 
-// Report is all that a gateway has in flight.
+// Report contains all requests that a gateway has in flight.
 type Report struct {
 	Gateway         uint64 // identifies one run of a gateway's process
-	Number          uint64 // rises with each report of the gateway
-	BeginsPerSecond uint32 // requests that the gateway sends to hosts
-	Placed          uint64 // all placements up to this number are in flight here, or have ended
+	Number          uint64 // increases with each report of the gateway
+	BeginsPerSecond uint32 // rate of the requests that the gateway sends to hosts
+	Placed          uint64 // all placements up to this number are counted in Inflight or have ended
 	Inflight        Loads
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the wire encoding.
 func (r Report) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(r.Gateway)
@@ -35,22 +36,22 @@
 	return e.Bytes
 }
 
-// DecodeReport reads the message.
+// DecodeReport decodes a Report.
 func DecodeReport(message []byte) (Report, error) {
 	d := codec.NewDecoder(message)
 	r := Report{Gateway: d.Uint64(), Number: d.Uint64(), BeginsPerSecond: d.Uint32(), Placed: d.Uint64(), Inflight: decodeLoads(d)}
 	return r, d.Err()
 }
 
-// Totals is what all gateways have in flight, as far as a home knows.
+// Totals contains the requests that all gateways have in flight, as known to a home.
 type Totals struct {
-	Number          uint64 // of the newest report of the receiver that is counted
-	Complete        bool   // the home has listened for long enough to have heard all
-	BeginsPerSecond uint32 // of all gateways
+	Number          uint64 // number of the receiver's newest report that is counted
+	Complete        bool   // the home has been running long enough to have received reports from all gateways
+	BeginsPerSecond uint32 // request rate of all gateways together
 	Inflight        Loads
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the wire encoding.
 func (t Totals) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(t.Number)
@@ -60,23 +61,23 @@
 	return e.Bytes
 }
 
-// DecodeTotals reads the message.
+// DecodeTotals decodes a Totals message.
 func DecodeTotals(message []byte) (Totals, error) {
 	d := codec.NewDecoder(message)
 	t := Totals{Number: d.Uint64(), Complete: d.Bool(), BeginsPerSecond: d.Uint32(), Inflight: decodeLoads(d)}
 	return t, d.Err()
 }
 
-// ZoneLoad is what the gateways that report to a home have in flight together.
+// ZoneLoad contains the total of the requests that the gateways reporting to a home have in flight.
 type ZoneLoad struct {
 	Home            uint64 // identifies one run of the home's process
-	Number          uint64 // rises with each message of the home
-	Address         string // of the home, for answers
+	Number          uint64 // increases with each message of the home
+	Address         string // address of the home, to which the receiver sends its own ZoneLoad messages
 	BeginsPerSecond uint32
 	Inflight        Loads
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the wire encoding.
 func (z ZoneLoad) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(z.Home)
@@ -87,7 +88,7 @@
 	return e.Bytes
 }
 
-// DecodeZoneLoad reads the message.
+// DecodeZoneLoad decodes a ZoneLoad.
 func DecodeZoneLoad(message []byte) (ZoneLoad, error) {
 	d := codec.NewDecoder(message)
 	z := ZoneLoad{Home: d.Uint64(), Number: d.Uint64(), Address: d.String(), BeginsPerSecond: d.Uint32(), Inflight: decodeLoads(d)}
@@ -97,13 +98,13 @@
 // PlaceRequest asks a home for the host of one request.
 type PlaceRequest struct {
 	Gateway   uint64
-	Placement uint64 // numbers the placements of the gateway
+	Placement uint64 // sequence number of the placement at the gateway
 	Service   string
 	Preferred HostKey   // the host with the prefix cache, 0 for none
-	Avoid     []HostKey // hosts that the gateway does not want
+	Avoid     []HostKey // hosts that the home must not choose
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the wire encoding.
 func (r PlaceRequest) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(r.Gateway)
@@ -120,7 +121,7 @@
 // minKeyBytes is the encoded size of a HostKey.
 const minKeyBytes = 4
 
-// DecodePlaceRequest reads the message.
+// DecodePlaceRequest decodes a PlaceRequest.
 func DecodePlaceRequest(message []byte) (PlaceRequest, error) {
 	d := codec.NewDecoder(message)
 	r := PlaceRequest{Gateway: d.Uint64(), Placement: d.Uint64(), Service: d.String(), Preferred: HostKey(d.Uint32())}
@@ -130,17 +131,17 @@
 	return r, d.Err()
 }
 
-// PlaceResponse names the host of a request. The home counts the request there from now on.
+// PlaceResponse names the host chosen for a request. The home counts the request as in flight at that host.
 type PlaceResponse struct{ Host HostKey }
 
-// Encode is the message's form on the wire.
+// Encode returns the wire encoding.
 func (r PlaceResponse) Encode() []byte {
 	var e codec.Encoder
 	e.Uint32(uint32(r.Host))
 	return e.Bytes
 }
 
-// DecodePlaceResponse reads the message.
+// DecodePlaceResponse decodes a PlaceResponse.
 func DecodePlaceResponse(message []byte) (PlaceResponse, error) {
 	d := codec.NewDecoder(message)
 	r := PlaceResponse{Host: HostKey(d.Uint32())}
