--- a/tier/placement/example_test.go
+++ b/tier/placement/example_test.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/placement"
 )
 
-// A shard is placed in three zones; when its primary falls silent an in-sync replica follows.
+// A shard is placed in three zones. When its primary's machine is no longer alive, an in-sync replica becomes the primary.
 func ExampleCluster_Next() {
 	cluster := placement.Cluster{Machines: map[uint64]placement.Machine{}, Tolerate: 1}
 	for id := uint64(1); id <= 3; id++ {
--- a/tier/placement/in_sync.go
+++ b/tier/placement/in_sync.go
@@ -8,8 +8,8 @@
 	"otterseam/tier/replica"
 )
 
-// ChangeInSync takes a replica into a shard's in-sync set, or out of it, as the shard's primary asks. It reports false if the
-// primary may not.
+// ChangeInSync adds a replica to a shard's in-sync set, or removes it, at the request of the shard's primary. Its second result
+// reports whether the change is allowed.
 func (c Cluster) ChangeInSync(shard directory.Shard, id uint64, admit bool) (directory.Shard, bool) {
 	next := shard
 	next.View.Epoch++
@@ -21,7 +21,7 @@
 	return next, slices.Contains(shard.View.Replicas, id) && c.Machines[id].Alive
 }
 
-// MayDrop tells whether a replica may be taken out of the in-sync set because its primary does not hear it.
+// MayDrop reports whether a primary may remove a replica that does not respond to it from the in-sync set.
 func (c Cluster) MayDrop(view replica.View, id uint64) bool {
 	if !slices.Contains(view.InSync, id) {
 		return true
--- a/tier/placement/place.go
+++ b/tier/placement/place.go
@@ -5,7 +5,7 @@
 	"otterseam/tier/replica"
 )
 
-// Place places a new shard. It reports false while too few machines are alive.
+// Place returns the initial view of a new shard, or false while too few machines are alive.
 func (c Cluster) Place(id uint32) (directory.Shard, bool) {
 	desired := c.Desired(id)
 	if len(desired) <= c.Tolerate {
--- a/tier/placement/placement_test.go
+++ b/tier/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"otterseam/tier/directory"
 )
 
-// machines makes stores spread over zones.
+// machines returns live store machines spread over zones.
 func machines(count, zones int) map[uint64]Machine {
 	all := map[uint64]Machine{}
 	for i := range count {
@@ -24,19 +24,20 @@
 	return all
 }
 
+// change edits one machine of the cluster.
 func change(c Cluster, id uint64, edit func(*Machine)) {
 	machine := c.Machines[id]
 	edit(&machine)
 	c.Machines[id] = machine
 }
 
-// fataler is a test of testing or of rapid.
+// fataler is implemented by *testing.T and *rapid.T.
 type fataler interface{ Fatalf(string, ...any) }
 
-// maxSteps is how many steps a shard may take until it rests.
+// maxSteps is the number of steps within which a shard must converge.
 const maxSteps = 50
 
-// converge takes steps until nothing changes, admitting replicas as a primary would.
+// converge takes steps until nothing changes. It admits replicas to the in-sync set as a primary would.
 func converge(t fataler, c Cluster, shard directory.Shard) directory.Shard {
 	for range maxSteps {
 		next, changed := c.Next(shard)
@@ -62,12 +63,12 @@
 		}
 		for _, id := range next.View.InSync {
 			if !slices.Contains(shard.View.InSync, id) {
-				t.Fatalf("%d came into the in-sync set by itself", id)
+				t.Fatalf("placement added replica %d to the in-sync set", id)
 			}
 		}
 		shard = next
 	}
-	t.Fatalf("placement does not come to rest: %+v", shard)
+	t.Fatalf("placement does not converge: %+v", shard)
 	return shard
 }
 
@@ -84,13 +85,13 @@
 			zones[c.Machines[replica].Store.Zone] = true
 		}
 		if len(zones) != 3 {
-			t.Fatalf("shard %d stands in %d zones", id, len(zones))
+			t.Fatalf("replicas of shard %d are in %d zones", id, len(zones))
 		}
 		primaries[shard.View.Primary]++
 	}
 	for id := range c.Machines {
 		if primaries[id] == 0 {
-			t.Errorf("machine %d leads nothing", id)
+			t.Errorf("machine %d is the primary of no shard", id)
 		}
 	}
 }
@@ -98,11 +99,11 @@
 func TestPlaceWaitsForEnoughMachines(t *testing.T) {
 	c := Cluster{Machines: machines(1, 1), Tolerate: 1}
 	if _, placed := c.Place(0); placed {
-		t.Fatal("one machine was enough to bear the loss of one")
+		t.Fatal("a shard that must tolerate the loss of one machine was placed on a single machine")
 	}
 }
 
-func TestALostPrimaryIsFollowedByAnInSyncReplica(t *testing.T) {
+func TestLostPrimaryIsReplacedByAnInSyncReplica(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	lost := shard.View.Primary
@@ -113,13 +114,13 @@
 	}
 }
 
-// A replica that is still being filled never leads, whatever is preferred.
-func TestOnlyAnInSyncReplicaLeads(t *testing.T) {
+// A replica that is still catching up never becomes the primary, even on the preferred machine.
+func TestOnlyAnInSyncReplicaBecomesPrimary(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	for id := range uint32(ShardCount) {
 		shard, _ := c.Place(id)
-		filled := shard.View.Replicas[0]
-		shard.View.InSync = consensus.Without(shard.View.InSync, filled)
+		catchingUp := shard.View.Replicas[0]
+		shard.View.InSync = consensus.Without(shard.View.InSync, catchingUp)
 		shard.View.Primary = shard.View.InSync[0]
 		change(c, shard.View.Primary, func(m *Machine) { m.Alive = false })
 		if next, _ := c.Next(shard); !next.View.IsInSync(next.View.Primary) {
@@ -129,8 +130,9 @@
 	}
 }
 
-// After all were stopped, the first one back does not drop the others: they are coming back too.
-func TestTheFirstOneBackDropsNobody(t *testing.T) {
+// After all machines were stopped, the first one to return does not drop the others from the in-sync set, as they are expected to
+// return too.
+func TestFirstMachineToReturnDropsNoReplica(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	for id := range c.Machines {
@@ -149,8 +151,9 @@
 	}
 }
 
-// With as many lost as are tolerated, no further silent replica leaves the set: it may be the one that survives.
-func TestTheInSyncSetStaysAboveItsFloor(t *testing.T) {
+// Once as many replicas have been lost as are tolerated, no further silent replica is dropped from the in-sync set: it may hold the
+// only surviving data.
+func TestInSyncSetStaysAboveItsFloor(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	first, second := shard.View.InSync[1], shard.View.InSync[2]
@@ -164,12 +167,12 @@
 		t.Fatalf("%+v", again.View)
 	}
 	if c.MayDrop(next.View, next.View.InSync[1]) {
-		t.Fatal("a primary may drop the last but one replica")
+		t.Fatal("a primary may drop the only other in-sync replica")
 	}
 }
 
-// A replica whose disk is lost leaves the set whatever its size: it will never hold anything again.
-func TestALostDiskLeavesTheSet(t *testing.T) {
+// A replica whose disk is lost is removed from the in-sync set whatever the set's size, because its data will not come back.
+func TestReplicaWithALostDiskLeavesTheInSyncSet(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	survivor := shard.View.InSync[2]
@@ -182,7 +185,7 @@
 	}
 }
 
-func TestARestartedPrimaryGetsANewEpoch(t *testing.T) {
+func TestRestartedPrimaryGetsANewEpoch(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	change(c, shard.View.Primary, func(m *Machine) { m.Store.Incarnation++ })
@@ -192,7 +195,7 @@
 	}
 }
 
-func TestARetiringMachineEndsEmpty(t *testing.T) {
+func TestRetiringMachineIsEmptied(t *testing.T) {
 	c := Cluster{Machines: machines(4, 4), Tolerate: 1}
 	shards := map[uint32]directory.Shard{}
 	for id := range uint32(ShardCount) {
@@ -202,15 +205,15 @@
 	for id, shard := range shards {
 		shards[id] = converge(t, c, shard)
 		if len(shards[id].View.InSync) != 3 {
-			t.Fatalf("shard %d has %d copies", id, len(shards[id].View.InSync))
+			t.Fatalf("shard %d has %d replicas in sync", id, len(shards[id].View.InSync))
 		}
 	}
 	if !IsEmpty(shards, 2) {
-		t.Fatal("the machine still holds shards")
+		t.Fatal("the retiring machine still holds shards")
 	}
 }
 
-func TestADrainingMachineLeadsNothing(t *testing.T) {
+func TestDrainingMachineHandsOverItsShards(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	draining := shard.View.Primary
@@ -221,14 +224,15 @@
 	}
 }
 
-// From any state of the machines, steps keep the rules and come to rest; once all are well, every shard has all its replicas.
-func TestPlacementComesToRest(t *testing.T) {
+// From any state of the machines, the steps keep the invariants and converge. Once all machines are healthy, every shard has all its
+// replicas in sync.
+func TestPlacementConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tolerate := rapid.IntRange(0, 2).Draw(rt, "tolerate")
 		c := Cluster{Machines: machines(rapid.IntRange(2*tolerate+1, 12).Draw(rt, "machines"), rapid.IntRange(1, 4).Draw(rt, "zones")), Tolerate: tolerate}
 		shard, placed := c.Place(rapid.Uint32Range(0, ShardCount-1).Draw(rt, "shard"))
 		if !placed {
-			rt.Fatalf("not placed on %d machines", len(c.Machines))
+			rt.Fatalf("the shard was not placed on %d machines", len(c.Machines))
 		}
 		for range rapid.IntRange(0, 6).Draw(rt, "events") {
 			id := rapid.Uint64Range(1, uint64(len(c.Machines))).Draw(rt, "machine")
@@ -254,7 +258,7 @@
 		}
 		shard = converge(rt, c, shard)
 		if len(shard.View.InSync) != c.ReplicationFactor() {
-			rt.Fatalf("%d of %d copies are in sync", len(shard.View.InSync), c.ReplicationFactor())
+			rt.Fatalf("%d of %d replicas are in sync", len(shard.View.InSync), c.ReplicationFactor())
 		}
 	})
 }
--- a/tier/placement/primary.go
+++ b/tier/placement/primary.go
@@ -7,48 +7,50 @@
 	"otterseam/tier/replica"
 )
 
-// primary chooses who leads: the present primary while it can, else the fittest in-sync replica that is alive; 0 if there is none.
+// primary returns the machine that is to be the primary: the current primary while it can lead, otherwise the in-sync replica on a
+// live machine with the highest score, or 0 if there is none.
 func (c Cluster) primary(shard directory.Shard, next replica.View, desired []uint64) uint64 {
-	present := c.Machines[next.Primary]
+	current := c.Machines[next.Primary]
 	moved := !slices.Contains(desired, next.Primary) && allIn(next.InSync, desired)
-	canLead := slices.Contains(next.InSync, next.Primary) && present.Alive && present.Store.Incarnation == shard.PrimaryIncarnation
-	if canLead && !moved && !present.Draining {
+	canLead := slices.Contains(next.InSync, next.Primary) && current.Alive && current.Store.Incarnation == shard.PrimaryIncarnation
+	if canLead && !moved && !current.Draining {
 		return next.Primary
 	}
-	fittest := c.fittestPrimary(next.InSync, desired)
-	if canLead && (fittest == 0 || c.Machines[fittest].Draining) {
-		return next.Primary // one that drains too would only hand it on
+	best := c.bestPrimary(next.InSync, desired)
+	if canLead && (best == 0 || c.Machines[best].Draining) {
+		return next.Primary // a successor that is draining too would have to hand over again
 	}
-	return fittest
+	return best
 }
 
-// What speaks for a replica as the next primary. Each counts more than those below it together.
+// Scores of a replica as the next primary. Each score exceeds the sum of those below it.
 const (
-	staysScore     = 4 // its machine is not draining
-	desiredScore   = 2 // it is to keep the shard
-	preferredScore = 1 // it is the first of the desired ones
+	notDrainingScore = 4 // its machine is not draining
+	desiredScore     = 2 // its machine is one of the desired ones, so it keeps the shard
+	preferredScore   = 1 // its machine is the first of the desired ones
 )
 
-// fittestPrimary is the replica of the in-sync set that should lead, the first of several alike; 0 if none is alive.
-func (c Cluster) fittestPrimary(inSync, desired []uint64) uint64 {
-	fittest := uint64(0)
+// bestPrimary returns the in-sync replica with the highest score, the first one if several are equal, or 0 if none is alive.
+func (c Cluster) bestPrimary(inSync, desired []uint64) uint64 {
+	best := uint64(0)
 	highest := -1
 	for _, id := range inSync {
 		if !c.Machines[id].Alive {
 			continue
 		}
 		if score := c.primaryScore(id, desired); score > highest {
-			fittest = id
+			best = id
 			highest = score
 		}
 	}
-	return fittest
+	return best
 }
 
+// primaryScore returns the score of a replica as the next primary.
 func (c Cluster) primaryScore(id uint64, desired []uint64) int {
 	score := 0
 	if !c.Machines[id].Draining {
-		score += staysScore
+		score += notDrainingScore
 	}
 	if slices.Contains(desired, id) {
 		score += desiredScore
--- a/tier/placement/reconcile.go
+++ b/tier/placement/reconcile.go
@@ -8,7 +8,7 @@
 	"otterseam/tier/replica"
 )
 
-// Next returns the shard as it should become, and whether it differs. At most one step of a move is taken at a time.
+// Next returns the next state of the shard and whether it differs from the current one. It takes at most one step of a move.
 func (c Cluster) Next(shard directory.Shard) (directory.Shard, bool) {
 	desired := c.Desired(shard.ID)
 	view := shard.View
@@ -33,7 +33,8 @@
 	return directory.Shard{ID: shard.ID, Total: shard.Total, View: next, PrimaryIncarnation: incarnation}, true
 }
 
-// remainingInSync is the in-sync set without replicas whose disk is lost and, down to the floor, without silent ones.
+// remainingInSync returns the in-sync set without the replicas whose disk is lost. Replicas on silent machines are removed too, as
+// long as the set does not shrink below its floor.
 func (c Cluster) remainingInSync(view replica.View) []uint64 {
 	var known []uint64
 	for _, id := range view.InSync {
@@ -42,7 +43,9 @@
 		}
 	}
 	if c.countSilent(known) > c.Tolerate {
-		return known // all were stopped, or this process cannot hear; whoever comes back first must not be left alone
+		// All machines were stopped, or this process is partitioned. The first machine to return must not end up as the only
+		// in-sync replica.
+		return known
 	}
 	floor := c.inSyncFloor(view)
 	rest := known
@@ -54,7 +57,7 @@
 	return rest
 }
 
-// countSilent counts the replicas whose session does not hold.
+// countSilent returns the number of machines without a valid session.
 func (c Cluster) countSilent(ids []uint64) int {
 	count := 0
 	for _, id := range ids {
@@ -65,7 +68,8 @@
 	return count
 }
 
-// replicas adds machines that should hold the shard, and removes others once all that should are in sync.
+// replicas returns the replicas with the desired live machines added. Other machines, except the primary, are removed once all
+// desired ones are in sync.
 func (c Cluster) replicas(view replica.View, desired []uint64) []uint64 {
 	var replicas []uint64
 	for _, id := range view.Replicas {
@@ -82,7 +86,7 @@
 	return replicas
 }
 
-// onlyIn is the list without what is not allowed.
+// onlyIn returns the elements of ids that are in allowed.
 func onlyIn(ids, allowed []uint64) []uint64 {
 	var rest []uint64
 	for _, id := range ids {
@@ -93,7 +97,7 @@
 	return rest
 }
 
-// allIn tells whether a set holds all that is wanted.
+// allIn reports whether set contains all elements of wanted.
 func allIn(set, wanted []uint64) bool {
 	for _, id := range wanted {
 		if !slices.Contains(set, id) {
--- a/tier/placement/rendezvous.go
+++ b/tier/placement/rendezvous.go
@@ -8,14 +8,14 @@
 	"otterseam/tier/directory"
 )
 
-// candidate is a machine that could hold a shard, with its rendezvous weight for it.
+// candidate is a machine that could hold a shard, with its rendezvous weight for that shard.
 type candidate struct {
 	store  directory.Store
 	weight uint32
 }
 
-// Desired lists the machines that should hold a shard, the preferred primary first: by rendezvous hashing, each zone once
-// before any zone twice.
+// Desired returns the machines that should hold a shard, the preferred primary first. They are chosen by rendezvous hashing; each
+// zone is used once before any zone is used twice.
 func (c Cluster) Desired(shard uint32) []uint64 {
 	var candidates []candidate
 	for _, machine := range c.Machines {
@@ -37,7 +37,7 @@
 	return chosen
 }
 
-// spread takes candidates in order, so many from each zone at most.
+// spread returns up to want candidates in order, at most perZone from each zone.
 func spread(candidates []candidate, perZone, want int) []uint64 {
 	used := map[string]int{}
 	var chosen []uint64
@@ -50,13 +50,14 @@
 	return chosen
 }
 
-// weight is the rendezvous weight of a machine for a shard. Its inputs and its hash never change: shards would move.
+// weight returns the rendezvous weight of a machine for a shard. Its inputs and its hash must never change, because shards would
+// move.
 func weight(shard uint32, store directory.Store) uint32 {
 	key := strconv.FormatUint(uint64(shard), 10) + "/" + store.Node + "/" + strconv.FormatUint(store.Identity, 16)
 	return mix(crc32.ChecksumIEEE([]byte(key)))
 }
 
-// mix spreads the bits of a checksum, which alone is linear in its input: the lowbias32 finaliser of Wellons.
+// mix spreads the bits of a CRC, which by itself is linear in its input. It is the lowbias32 finalizer of Wellons.
 func mix(x uint32) uint32 {
 	x ^= x >> 16
 	x *= 0x7feb352d
--- a/tier/placement/repair_order.go
+++ b/tier/placement/repair_order.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/directory"
 )
 
-// LeastProtectedFirst lists shards in the order in which they are repaired: those that bear the fewest losses first.
+// LeastProtectedFirst returns the shards in the order in which they are repaired: those that tolerate the fewest losses first.
 func LeastProtectedFirst(shards map[uint32]directory.Shard) []directory.Shard {
 	ordered := make([]directory.Shard, 0, len(shards))
 	for _, shard := range shards {
--- a/tier/placement/replicas_test.go
+++ b/tier/placement/replicas_test.go
@@ -6,17 +6,17 @@
 	"otterseam/tier/directory"
 )
 
-// A shard demands one replica more than losses are tolerated from its placement on, and keeps the demand whatever becomes of it.
-func TestAShardKeepsItsMinInSync(t *testing.T) {
+// MinInSync of a shard is set at its placement to one more than the tolerated losses, and later views keep it.
+func TestShardKeepsItsMinInSync(t *testing.T) {
 	for tolerate := range 3 {
 		c := Cluster{Machines: machines(2*tolerate+1, 3), Tolerate: tolerate}
 		shard, _ := c.Place(1)
 		if shard.View.MinInSync != tolerate+1 {
-			t.Fatalf("tolerate %d: %d copies", tolerate, shard.View.MinInSync)
+			t.Fatalf("tolerate %d: MinInSync is %d", tolerate, shard.View.MinInSync)
 		}
 		decoded, err := directory.DecodeShard(shard.Encode())
 		if err != nil || decoded.View.MinInSync != tolerate+1 {
-			t.Fatalf("read %+v, %v", decoded, err)
+			t.Fatalf("decoded %+v, error %v", decoded, err)
 		}
 		lost := shard.View.InSync[len(shard.View.InSync)-1]
 		if len(shard.View.InSync) > 1 {
@@ -28,8 +28,9 @@
 	}
 }
 
-// On two machines that have to bear the loss of one, a silent replica stays in the set: nothing could be acknowledged without it.
-func TestASilentReplicaStaysWhereMinInSyncNeedsIt(t *testing.T) {
+// On two machines that must tolerate the loss of one, a silent replica stays in the in-sync set, because nothing could be
+// acknowledged without it.
+func TestSilentReplicaStaysIfMinInSyncNeedsIt(t *testing.T) {
 	c := Cluster{Machines: machines(2, 2), Tolerate: 1}
 	shard, _ := c.Place(1)
 	silent := shard.View.InSync[1]
@@ -38,42 +39,42 @@
 		t.Fatalf("%+v", next.View)
 	}
 	if c.MayDrop(shard.View, silent) {
-		t.Fatal("a primary may drop the only other copy")
+		t.Fatal("a primary may drop the only other replica")
 	}
 }
 
-// What proves that a disk is lost: the same machine, at its address, under another identity.
-func TestWhatProvesThatADiskIsLost(t *testing.T) {
+// A disk is provably lost if the same machine sends heartbeats from the same address with a different identity.
+func TestProofOfALostDisk(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	change(c, 1, func(m *Machine) { m.Alive = false; m.Store.Address = "x" })
 	if c.DiskLost(1) {
-		t.Fatal("silence counts as a lost disk")
+		t.Fatal("silence counts as proof of a lost disk")
 	}
 	other := directory.Store{Identity: 9, Incarnation: 1, Node: "store-9", Address: "x", Zone: "z0"}
 	c.Machines[9] = Machine{Store: other, Alive: true}
 	if c.DiskLost(1) {
-		t.Fatal("another machine at the address counts as proof")
+		t.Fatal("a different machine at the address counts as proof")
 	}
 	other.Node = "store-1"
 	c.Machines[9] = Machine{Store: other, Alive: true}
 	if !c.DiskLost(1) || c.DiskLost(9) {
-		t.Fatal("an empty disk in the same machine is no proof")
+		t.Fatal("a new identity of the same machine is not accepted as proof")
 	}
 	change(c, 1, func(m *Machine) { m.Alive = true })
 	if c.DiskLost(1) {
-		t.Fatal("a store that is heard counts as lost")
+		t.Fatal("the disk of a store that sends heartbeats counts as lost")
 	}
 	change(c, 1, func(m *Machine) { m.Unconfirmed = true })
 	if !c.DiskLost(1) {
-		t.Fatal("the benefit of the doubt, after all were without power, holds up the repair of a lost disk")
+		t.Fatal("an unconfirmed session, as after a power failure of all machines, delays the repair of a lost disk")
 	}
 	change(c, 9, func(m *Machine) { m.Unconfirmed = true })
 	if c.DiskLost(1) || c.DiskLost(9) {
-		t.Fatal("one that was not heard proves something")
+		t.Fatal("an unconfirmed machine counts as proof of a lost disk")
 	}
 }
 
-// Of replicas that all leave, none takes the lead from another.
+// If all replicas are draining, the primary does not hand over to another one.
 func TestDrainingMachinesDoNotHandOverToEachOther(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	for id := range uint32(ShardCount) {
@@ -85,14 +86,14 @@
 			shard.View.Primary = primary
 			shard.PrimaryIncarnation = c.Machines[primary].Store.Incarnation
 			if next, _ := c.Next(shard); next.View.Primary != primary {
-				t.Fatalf("shard %d: %d handed over to %d, which leaves too", id, primary, next.View.Primary)
+				t.Fatalf("shard %d: %d handed over to %d, which is draining too", id, primary, next.View.Primary)
 			}
 		}
 	}
 }
 
-// Of two that leave at once, the third leads.
-func TestTheOneThatStaysLeads(t *testing.T) {
+// If two of three replicas are draining at the same time, the third becomes the primary.
+func TestReplicaThatIsNotDrainingBecomesPrimary(t *testing.T) {
 	c := Cluster{Machines: machines(3, 3), Tolerate: 1}
 	shard, _ := c.Place(1)
 	stays := shard.View.InSync[2]
@@ -100,6 +101,6 @@
 		change(c, id, func(m *Machine) { m.Draining = true })
 	}
 	if next, _ := c.Next(shard); next.View.Primary != stays {
-		t.Fatalf("%d leads", next.View.Primary)
+		t.Fatalf("the primary is %d", next.View.Primary)
 	}
 }
--- a/tier/placement/retire.go
+++ b/tier/placement/retire.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/directory"
 )
 
-// IsEmpty tells whether a machine holds no shard any more.
+// IsEmpty reports whether a machine holds no replica of any shard.
 func IsEmpty(shards map[uint32]directory.Shard, identity uint64) bool {
 	for _, shard := range shards {
 		if slices.Contains(shard.View.Replicas, identity) || slices.Contains(shard.View.InSync, identity) {
@@ -16,8 +16,8 @@
 	return true
 }
 
-// IsNeeded tells whether shards can't do without a machine that is draining: it leads one, or holds a replica that another machine
-// is still to get.
+// IsNeeded reports whether a draining machine must not stop yet: it is the primary of a shard, or holds an in-sync replica that
+// another machine still has to replace.
 func IsNeeded(shards map[uint32]directory.Shard, identity uint64) bool {
 	for _, shard := range shards {
 		if shard.View.Primary == identity || shard.View.WouldUnderReplicate(identity) {
@@ -27,7 +27,8 @@
 	return false
 }
 
-// IsRetired tells whether a machine may go for good: it holds nothing, and every shard has all its replicas on the others.
+// IsRetired reports whether a retiring machine may be removed: it holds no replicas, and every shard has all its replicas in sync on
+// other machines.
 func (c Cluster) IsRetired(shards map[uint32]directory.Shard, identity uint64) bool {
 	if !IsEmpty(shards, identity) {
 		return false
--- a/tier/placement/retire_test.go
+++ b/tier/placement/retire_test.go
@@ -7,8 +7,8 @@
 	"otterseam/tier/replica"
 )
 
-// A machine may go for good once every shard has all its replicas on others, not when it is merely empty.
-func TestARetiredMachineIsNeededUntilAllReplicasAreElsewhere(t *testing.T) {
+// A machine may be removed once every shard has all its replicas in sync on other machines. It is not enough that it is empty.
+func TestMachineIsNotRetiredUntilAllReplicasAreElsewhere(t *testing.T) {
 	c := Cluster{Machines: machines(4, 4), Tolerate: 1}
 	shard, _ := c.Place(1)
 	retiring := shard.View.InSync[0]
@@ -21,12 +21,13 @@
 	short := shard
 	short.View.InSync = shard.View.InSync[:2]
 	if c.IsRetired(map[uint32]directory.Shard{1: short}, retiring) {
-		t.Fatal("retired while a copy is missing")
+		t.Fatal("the machine counts as retired while a replica is missing")
 	}
 }
 
-// A machine that is draining is needed while it leads or holds a replica that another is still to get.
-func TestWhenAMachineIsNeeded(t *testing.T) {
+// A draining machine is needed while it is the primary of a shard or holds an in-sync replica that another machine still has to
+// replace.
+func TestDrainingMachineIsNeeded(t *testing.T) {
 	shard := directory.Shard{ID: 1, View: replica.View{Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}}
 	shards := map[uint32]directory.Shard{1: shard}
 	if !IsNeeded(shards, 1) || !IsNeeded(shards, 2) || IsNeeded(shards, 3) {
@@ -35,6 +36,6 @@
 	shard.View.InSync = []uint64{1, 2, 3}
 	shards[1] = shard
 	if !IsNeeded(shards, 1) || IsNeeded(shards, 2) {
-		t.Fatalf("with all copies: %v %v", IsNeeded(shards, 1), IsNeeded(shards, 2))
+		t.Fatalf("needed with all replicas in sync: %v %v", IsNeeded(shards, 1), IsNeeded(shards, 2))
 	}
 }
