--- a/tier/outlier/collector.go
+++ b/tier/outlier/collector.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Collector counts what one gateway sees. It has one owner.
+// Collector counts the requests and failures that one gateway observes. It is not safe for concurrent use.
 type Collector struct {
 	reporter  uint64
 	zone      string
@@ -14,15 +14,17 @@
 	failed    map[string]*Observation
 }
 
-// NewCollector makes the collector of a gateway. reporter is drawn by its process, zone is where it runs.
+// NewCollector returns the collector of a gateway in a zone. The number reporter identifies the gateway's process, which draws it at
+// random.
 func NewCollector(reporter uint64, zone string) *Collector {
 	return &Collector{reporter: reporter, zone: zone, contacted: map[string]bool{}, failed: map[string]*Observation{}}
 }
 
-// RecordRequest notes that a request went to a host.
+// RecordRequest records that a request was sent to a host.
 func (c *Collector) RecordRequest(host string) { c.contacted[host] = true }
 
-// RecordFailure notes a failure there. It reports whether it is the first of the window, which is then to be flushed soon.
+// RecordFailure records a failure of a host. It reports whether the failure is the first one of the window, in which case the window
+// should be flushed soon.
 func (c *Collector) RecordFailure(host string, kind Failure) (first bool) {
 	first = len(c.failed) == 0
 	observation := c.failed[host]
@@ -34,7 +36,7 @@
 	return first
 }
 
-// Flush ends the window and begins another one.
+// Flush returns the current window and begins a new one.
 func (c *Collector) Flush() Window {
 	c.number++
 	w := Window{Reporter: c.reporter, Number: c.number, Zone: c.zone, Contacted: uint32(len(c.contacted))}
--- a/tier/outlier/collector_test.go
+++ b/tier/outlier/collector_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// crowdedCollector has seen failures at ten times the hosts that a window names: one, two and three at a third of them each.
+// crowdedCollector returns a collector with failures of ten times as many hosts as a window names. One third of the hosts has one
+// failure each, one third has two and one third has three.
 func crowdedCollector() *Collector {
 	c := NewCollector(7, "zone")
 	for i := range 10 * MaxHosts {
@@ -19,7 +20,7 @@
 	return c
 }
 
-func TestAWindowNamesTheWorstHostsAndIsBounded(t *testing.T) {
+func TestWindowNamesTheWorstHostsAndIsBounded(t *testing.T) {
 	c := crowdedCollector()
 	w := c.Flush()
 	if len(w.Hosts) != MaxHosts || w.Hosts[0].Total() != 3 || len(w.Encode()) > 2000 {
@@ -30,15 +31,15 @@
 	}
 }
 
-func TestAWindowSurvivesItsEncoding(t *testing.T) {
+func TestWindowEncodingRoundTrip(t *testing.T) {
 	w := crowdedCollector().Flush()
 	decoded, err := DecodeWindow(w.Encode())
 	if err != nil || !reflect.DeepEqual(w, decoded) {
-		t.Fatalf("%v, %+v", err, decoded)
+		t.Fatalf("error %v, decoded %+v", err, decoded)
 	}
 	for n := range w.Encode() {
 		if _, err := DecodeWindow(w.Encode()[:n]); err == nil {
-			t.Fatalf("%d bytes are taken for a window", n)
+			t.Fatalf("a window truncated to %d bytes is decoded", n)
 		}
 	}
 }
--- a/tier/outlier/detector.go
+++ b/tier/outlier/detector.go
@@ -7,74 +7,77 @@
 	"strings"
 )
 
-// What makes a host an outlier among its peers; see [thresholdOf]. Times are in milliseconds.
+// Parameters that decide which hosts are outliers among their peers; see [thresholdOf]. Times are in milliseconds.
 const (
-	// halfLife is the time in which what was seen counts half.
+	// halfLife is the half-life of the failure count of a host.
 	halfLife = 2000
-	// minExcessFailures is how many failures it takes beyond what the peers show, and deviations how many standard deviations of a
-	// Poisson count besides; a host has to fail peerFactor times as often as its usual peer.
+	// To be an outlier, a host must fail more than peerFactor times as often as its average peer, plus deviations standard
+	// deviations of a Poisson-distributed count, plus minExcessFailures failures.
 	minExcessFailures = 2.5
 	deviations        = 4
 	peerFactor        = 2
-	// serverErrorWeight is what an answer counts that says that the host failed: it may be the request's own doing.
+	// serverErrorWeight is the weight of a response that reports a server error. It is below 1 because the request itself may be the
+	// cause.
 	serverErrorWeight = 0.5
-	// minReporters have to have seen it lately. If all of them lie in one zone, the host has to be an outlier among at least
-	// minZonePeers hosts of its own zone as well: a partition between two zones strikes these alike.
+	// minReporters is how many reporters must have seen the host fail recently. If all of them are in one zone, the host must also be
+	// an outlier among at least minZonePeers hosts of its own zone, because a partition between two zones affects all of these
+	// equally.
 	minReporters = 2
 	minZonePeers = 4
-	// reportTTL is how long a reporter counts.
+	// reportTTL is how long a report is counted for minReporters.
 	reportTTL = 3000
-	// maxReporters bounds the reporters whose newest window is remembered.
+	// maxReporters is the maximum number of reporters whose newest window number is kept.
 	maxReporters = 8192
 )
 
-// How long and how many hosts are ejected. Times are in milliseconds.
+// Parameters of the ejections. Times are in milliseconds.
 const (
-	// maxEjectedShare is the share of a service's hosts that may be ejected at once; one at least always may, the last never.
+	// maxEjectedShare is the share of a service's hosts that may be ejected at the same time. At least one host may always be ejected,
+	// but never the last one.
 	maxEjectedShare = 0.3
-	// baseEjectionTime is how long a host is ejected, twice as long each time it is again, up to maxEjectionTime. It counts as again
-	// within ejectionMemory of the end of the ejection before.
+	// baseEjectionTime is the duration of a host's first ejection. Each consecutive ejection lasts twice as long as the previous one, up
+	// to maxEjectionTime. Ejections are consecutive if the next one begins within ejectionMemory after the end of the previous one.
 	baseEjectionTime int64 = 2000
 	maxEjectionTime  int64 = 16000
 	ejectionMemory   int64 = 30000
-	// maxDoublings keeps the doubling from overflowing; maxEjectionTime is reached long before.
+	// maxDoublings prevents an overflow of the doubled duration. maxEjectionTime is reached after fewer doublings.
 	maxDoublings = 8
 )
 
-// Ejection says that a host is kept out of use for a time.
+// Ejection is the decision to send no requests to a host for a time.
 type Ejection struct {
 	Host       string
 	DurationMS int64
 }
 
-// report is when a reporter named a host last.
+// report is the newest report of a host's failure by one reporter.
 type report struct {
-	zone string // of the reporter
+	zone string // zone of the reporter
 	at   int64
 }
 
-// hostRecord is what is known of a host that failed lately.
+// hostRecord is the state of a host that failed or was ejected recently.
 type hostRecord struct {
-	failures     float64 // decayed
+	failures     float64 // weighted and decayed
 	updatedAt    int64
 	reports      map[uint64]report // by reporter
-	ejections    int               // in a row
+	ejections    int               // number of consecutive ejections
 	ejectedUntil int64
 }
 
-// Detector decides for all gateways. It has one owner and forgets everything when another takes over: ejections end by
-// themselves.
+// Detector decides on ejections for all gateways. Its state is lost when another process takes over, which does no lasting harm
+// because ejections end by themselves. It is not safe for concurrent use.
 type Detector struct {
 	hosts   map[string]*hostRecord
-	windows map[uint64]uint64 // the newest by reporter
+	windows map[uint64]uint64 // number of the newest window by reporter
 }
 
-// NewDetector makes a detector that has seen nothing.
+// NewDetector returns a detector without any observations.
 func NewDetector() *Detector {
 	return &Detector{hosts: map[string]*hostRecord{}, windows: map[uint64]uint64{}}
 }
 
-// Add adds a window, unless it was added before or tells of its reporter's own fault.
+// Add adds a window, unless it was added before or its failures are likely the reporter's own fault.
 func (d *Detector) Add(w Window, now int64) {
 	if w.Number <= d.windows[w.Reporter] || w.IsReporterFault() {
 		return
@@ -95,11 +98,12 @@
 	}
 }
 
-// weight is what the failures of an observation count.
+// weight returns the weighted number of failures of an observation.
 func (o Observation) weight() float64 {
 	return float64(o.Total()) - (1-serverErrorWeight)*float64(o.Counts[ServerError])
 }
 
+// decay decays the failure count and drops expired reports.
 func (r *hostRecord) decay(now int64) {
 	r.failures *= math.Exp2(-float64(now-r.updatedAt) / halfLife)
 	r.updatedAt = now
@@ -116,10 +120,10 @@
 	Zone string
 }
 
-// Fleet is the hosts of each service.
+// Fleet contains the hosts of each service.
 type Fleet map[string][]Host
 
-// Decide returns the hosts that are to be ejected from now on, in order. Those that are already are not named again.
+// Decide returns the ejections that begin now, sorted by host. Hosts that are already ejected are not included.
 func (d *Detector) Decide(fleet Fleet, now int64) []Ejection {
 	d.forget(fleet, now)
 	var ejections []Ejection
@@ -130,7 +134,7 @@
 	return ejections
 }
 
-// forget drops hosts that have departed or that nothing was heard of for long.
+// forget drops the state of hosts that left the fleet, and of hosts without recent reports or ejections.
 func (d *Detector) forget(fleet Fleet, now int64) {
 	listed := map[string]bool{}
 	for _, hosts := range fleet {
@@ -140,14 +144,14 @@
 	}
 	for host, record := range d.hosts {
 		record.decay(now)
-		longWell := now-record.ejectedUntil > ejectionMemory && len(record.reports) == 0
-		if !listed[host] || longWell {
+		expired := now-record.ejectedUntil > ejectionMemory && len(record.reports) == 0
+		if !listed[host] || expired {
 			delete(d.hosts, host)
 		}
 	}
 }
 
-// ejectFromService ejects the outliers of one service, the worst first, as many as may be.
+// ejectFromService ejects the outliers of one service, the worst first, up to the maximum number.
 func (d *Detector) ejectFromService(hosts []Host, now int64) []Ejection {
 	suspects := d.suspects(hosts, now)
 	ejected := d.countEjected(hosts, now)
@@ -162,7 +166,7 @@
 	return ejections
 }
 
-// countEjected counts the hosts that are ejected now.
+// countEjected returns the number of hosts that are ejected now.
 func (d *Detector) countEjected(hosts []Host, now int64) int {
 	count := 0
 	for _, host := range hosts {
@@ -173,7 +177,7 @@
 	return count
 }
 
-// suspects lists the hosts of a service that are outliers and not ejected yet, the worst first.
+// suspects returns the hosts of a service that are outliers and not ejected yet, the worst first.
 func (d *Detector) suspects(hosts []Host, now int64) []Host {
 	threshold := thresholdOf(d.failures(hosts))
 	var found []Host
@@ -182,7 +186,7 @@
 		if record == nil || now < record.ejectedUntil || record.failures <= threshold || len(record.reports) < minReporters {
 			continue
 		}
-		if zone, sole := record.soleZone(); sole && !d.standsOutInZone(host, zone, hosts) {
+		if zone, sole := record.soleZone(); sole && !d.isZoneOutlier(host, zone, hosts) {
 			continue
 		}
 		found = append(found, host)
@@ -197,7 +201,7 @@
 	return found
 }
 
-// failures are those of each host.
+// failures returns the failure count of each host.
 func (d *Detector) failures(hosts []Host) []float64 {
 	counts := make([]float64, len(hosts))
 	for i, host := range hosts {
@@ -208,9 +212,9 @@
 	return counts
 }
 
-// standsOutInZone tells whether a host that is reported from one zone alone is an outlier among the hosts of its own zone. With too
-// few to compare, it has to lie in the zone of those who report it: no link between zones is in question then.
-func (d *Detector) standsOutInZone(host Host, reportedFrom string, hosts []Host) bool {
+// isZoneOutlier reports whether a host whose reporters are all in one zone is an outlier among the hosts of its own zone. If there
+// are too few hosts to compare, the host must be in the zone of its reporters, so that a partition between zones cannot be the cause.
+func (d *Detector) isZoneOutlier(host Host, reportedFrom string, hosts []Host) bool {
 	var peers []Host
 	for _, each := range hosts {
 		if each.Zone == host.Zone {
@@ -223,24 +227,25 @@
 	return d.hosts[host.ID].failures > thresholdOf(d.failures(peers))
 }
 
-// maxEjected is how many of the hosts of a service may be ejected at once.
+// maxEjected returns how many of a service's hosts may be ejected at the same time.
 func maxEjected(hosts int) int {
 	return min(max(1, int(maxEjectedShare*float64(hosts))), max(hosts-1, 0))
 }
 
-// thresholdOf is how many failures make a host an outlier among its peers. The usual peer is the mean of those that stay if as many
-// as may be are ejected, so that many bad hosts don't hide each other; where all fail alike, none is an outlier.
+// thresholdOf returns the number of failures above which a host is an outlier among its peers. The average is taken without the worst
+// hosts, as many as may be ejected, so that several bad hosts do not mask each other. If all hosts fail equally often, none is an
+// outlier. It sorts counts.
 func thresholdOf(counts []float64) float64 {
 	sort.Float64s(counts)
 	peers := counts[:len(counts)-maxEjected(len(counts))]
-	usual := 0.0
+	average := 0.0
 	for _, count := range peers {
-		usual += count / float64(len(peers))
+		average += count / float64(len(peers))
 	}
-	return peerFactor*usual + deviations*math.Sqrt(usual) + minExcessFailures
+	return peerFactor*average + deviations*math.Sqrt(average) + minExcessFailures
 }
 
-// soleZone is the zone in which all lie that have reported the host lately, or false if there is no such zone.
+// soleZone returns the zone of all recent reporters of the host, or false if they are in different zones.
 func (r *hostRecord) soleZone() (zone string, sole bool) {
 	first := true
 	for _, each := range r.reports {
@@ -253,7 +258,7 @@
 	return zone, true
 }
 
-// eject ejects the host and returns for how long.
+// eject ejects the host and returns the duration of the ejection.
 func (r *hostRecord) eject(now int64) (duration int64) {
 	if now-r.ejectedUntil > ejectionMemory {
 		r.ejections = 0
@@ -261,7 +266,7 @@
 	duration = min(baseEjectionTime<<min(r.ejections, maxDoublings), maxEjectionTime)
 	r.ejections++
 	r.ejectedUntil = now + duration
-	r.failures = 0 // what it does from now on counts
+	r.failures = 0 // only failures from now on count
 	clear(r.reports)
 	return duration
 }
--- a/tier/outlier/digest_test.go
+++ b/tier/outlier/digest_test.go
@@ -6,11 +6,11 @@
 	"otterseam/internal/digesttest"
 )
 
-// digestFleet plays a fleet and adds where it stands again and again.
-func digestFleet(d *digesttest.Digest, f *fleet, looks int, fails func(gateway, host int) bool) {
-	const lookEvery = 50 // milliseconds
-	for range looks {
-		f.run(lookEvery, fails)
+// digestFleet simulates a fleet and adds its state to the digest at regular intervals.
+func digestFleet(d *digesttest.Digest, f *fleet, samples int, fails func(gateway, host int) bool) {
+	const sampleInterval = 50 // milliseconds
+	for range samples {
+		f.run(sampleInterval, fails)
 		d.Int(f.now, int64(f.failed), int64(f.countEjected()))
 		for _, host := range f.hosts {
 			d.Int(f.ejectedUntil[host], f.ejectedAt[host])
@@ -24,7 +24,8 @@
 	}
 }
 
-// Fleets in which some hosts fail, all do, or a zone is cut off: who is ejected, when and for how long.
+// Digests of which hosts are ejected, when and for how long, in fleets where some hosts fail, where all hosts fail, and where two
+// zones are partitioned.
 func TestFleetDigests(t *testing.T) {
 	digesttest.Check(t, "bad-hosts", func(_ *testing.T, seed int64, d *digesttest.Digest) {
 		f := newFleet(uint64(seed), 20, 40, 4, 30)
--- a/tier/outlier/doc.go
+++ b/tier/outlier/doc.go
@@ -1,27 +1,29 @@
-// Package outlier finds hosts that fail where their peers do not, from what all gateways see together. Each gateway meets a given host
-// rarely, so that its own record of it is always too old; the sum over the fleet is not.
+// Package outlier detects hosts that fail significantly more often than their peers, from the observations of all gateways. A single
+// gateway uses a given host too rarely for its own record of that host to be current. The sum over the fleet is current.
 //
 // # Sources
 //
-// It is outlier detection with ejection as in Envoy (base and maximal ejection time that doubles, maximal share of ejected hosts,
-// comparison with the hosts of the same service), decided once for the fleet in place of by each proxy, and by a count that decays
-// in place of consecutive errors.
+// The algorithm is outlier detection with ejection as in Envoy: a base ejection time that doubles up to a maximum, a maximum share of
+// ejected hosts, and a comparison with the hosts of the same service. It differs in two points: the decision is made once for the
+// fleet and not by each proxy, and it uses a decaying count of failures instead of consecutive errors.
 //
-// # The life of a failure
+// # Path of a failure
 //
-// A gateway's [Collector] counts it and flushes a [Window] soon after the first failure. The window travels by the agent to the
-// primary of control, whose [Detector] adds it and decides on an [Ejection], which control commits and the feed distributes.
+// A gateway's [Collector] counts the failure and flushes a [Window] soon after the first failure. The agent sends the window to the
+// primary of control. The primary's [Detector] adds the window and decides on an [Ejection], which control commits and the feed
+// distributes.
 //
 // # Invariants
 //
-//   - Each window counts once, whenever and however often it arrives.
-//   - A host is ejected only if at least two reporters saw it fail; a gateway that most of its hosts fail is not believed, nor a zone
-//     about hosts of another zone, unless these are outliers among their own.
-//   - At most maxEjectedShare of a service is ejected at once, one host at least may be, and the last one never is.
-//   - An ejection ends by itself; what the host did before does not count against it afterwards.
-//   - Memory is bounded: a window names at most [MaxHosts] hosts, the detector remembers the reporters and hosts of the fleet.
+//   - A window counts at most once, regardless of when and how often it arrives.
+//   - A host is ejected only if at least two reporters saw it fail. Reports of a gateway that sees most of its hosts fail are ignored.
+//     Reports from a single zone about a host of another zone count only if the host is an outlier among the hosts of its own zone.
+//   - At most maxEjectedShare of a service's hosts is ejected at the same time. At least one host may be ejected, but never the last.
+//   - An ejection ends by itself. Failures from before the ejection do not count afterwards.
+//   - Memory is bounded: a window names at most [MaxHosts] hosts, and the detector keeps state only for reporters and hosts of the
+//     fleet.
 //
 // # Limits
 //
-// The package is pure: times in milliseconds are handed in. A [Collector] and a [Detector] have one owner each.
+// The package is pure: the caller passes in times in milliseconds. A [Collector] and a [Detector] are not safe for concurrent use.
 package outlier
--- a/tier/outlier/example_test.go
+++ b/tier/outlier/example_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/outlier"
 )
 
-// Two gateways see one of four hosts break connections; the detector ejects it, for longer the second time.
+// Two gateways see one of four hosts break connections. The detector ejects the host, for longer the second time.
 func ExampleDetector() {
 	fleet := outlier.Fleet{"chat": {{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}}
 	gateways := []*outlier.Collector{outlier.NewCollector(1, "zone-1"), outlier.NewCollector(2, "zone-2")}
--- a/tier/outlier/fleet_test.go
+++ b/tier/outlier/fleet_test.go
@@ -5,23 +5,23 @@
 	"math/rand/v2"
 )
 
-// fleet is a simulated fleet: gateways that send to hosts, one detector, and hosts that fail.
+// fleet is a simulated fleet: gateways that send requests to hosts, some of which fail, and one detector.
 type fleet struct {
 	stream        *rand.Rand
 	gateways      []*Collector
 	zones         int
-	pending       []int64 // when each gateway's window ends, 0 for none
+	pending       []int64 // time at which each gateway flushes its window, 0 for none
 	hosts         []string
-	sameZone      float64 // share of requests that stay in the gateway's zone
+	sameZone      float64 // probability with which a host of another zone is drawn again
 	detector      *Detector
 	ejectedUntil  map[string]int64
 	now           int64
-	requestsPerMS float64 // requests of the fleet in a millisecond
+	requestsPerMS float64 // requests of the fleet per millisecond
 	failed        int
 	ejectedAt     map[string]int64
 }
 
-// windowMS is how long after its first failure a gateway flushes its window.
+// windowMS is the time from the first failure of a window to its flush, in milliseconds.
 const windowMS = 150
 
 func newFleet(seed uint64, gateways, hosts, zones int, perHost float64) *fleet {
@@ -38,6 +38,7 @@
 	return f
 }
 
+// known returns the fleet's hosts as the detector's input.
 func (f *fleet) known() Fleet {
 	var hosts []Host
 	for i, host := range f.hosts {
@@ -46,7 +47,7 @@
 	return Fleet{"s": hosts}
 }
 
-// run plays a time. fails tells whether a request of a gateway to a host fails.
+// run simulates the given number of milliseconds. The function fails reports whether a request of a gateway to a host fails.
 func (f *fleet) run(ms int, fails func(gateway, host int) bool) {
 	for range ms {
 		f.now++
@@ -65,6 +66,7 @@
 	}
 }
 
+// requests returns the number of requests in the next millisecond.
 func (f *fleet) requests() int {
 	whole := int(f.requestsPerMS)
 	if f.stream.Float64() < f.requestsPerMS-float64(whole) {
@@ -73,6 +75,7 @@
 	return whole
 }
 
+// request simulates one request of a random gateway to a random host.
 func (f *fleet) request(fails func(gateway, host int) bool) {
 	gateway := f.stream.IntN(len(f.gateways))
 	host := f.stream.IntN(len(f.hosts))
@@ -80,7 +83,7 @@
 		host = f.stream.IntN(len(f.hosts))
 	}
 	if f.ejectedUntil[f.hosts[host]] > f.now {
-		return // goes elsewhere
+		return // the request goes to another host
 	}
 	f.gateways[gateway].RecordRequest(f.hosts[host])
 	if !fails(gateway, host) {
@@ -92,6 +95,7 @@
 	}
 }
 
+// report adds the windows that are due to the detector.
 func (f *fleet) report() {
 	for i, due := range f.pending {
 		if due != 0 && f.now >= due {
--- a/tier/outlier/window.go
+++ b/tier/outlier/window.go
@@ -2,29 +2,29 @@
 
 import "otterseam/tier/codec"
 
-// Failure tells how a request at a host failed.
+// Failure is the kind of a failed request at a host.
 type Failure uint8
 
-// The kinds of failures.
+// Kinds of failures.
 const (
 	ConnectFailed    Failure = iota // the host could not be reached
-	ConnectionBroken                // the connection or the answer broke off
-	Hung                            // nothing came for out of the ordinary long
-	ServerError                     // the host said that it failed
+	ConnectionBroken                // the connection was lost, or the response was incomplete
+	Hung                            // the host sent nothing for unusually long
+	ServerError                     // the host responded with a server error
 
 	failureKinds
 )
 
-// MaxHosts bounds the hosts that one window names, so that its size is bounded whatever fails: those with most failures.
+// MaxHosts is the maximum number of hosts that a window names, which bounds its size. The hosts with the most failures are kept.
 const MaxHosts = 24
 
-// Observation is what a gateway saw of one host.
+// Observation contains the failures of one host as a gateway saw them.
 type Observation struct {
 	Host   string
 	Counts [failureKinds]uint32
 }
 
-// Total is the sum over all kinds.
+// Total returns the number of failures of all kinds.
 func (o Observation) Total() (sum uint32) {
 	for _, count := range o.Counts {
 		sum += count
@@ -32,24 +32,25 @@
 	return sum
 }
 
-// Window is what one gateway saw since the window before. It names only hosts at which something failed.
+// Window contains the observations of one gateway since its previous window. It names only hosts with failures.
 type Window struct {
-	Reporter  uint64 // drawn by the gateway's process when it starts
-	Number    uint64 // rises with each window of the reporter
-	Zone      string // of the reporter
-	Contacted uint32 // how many hosts it has sent requests to
+	Reporter  uint64 // random number of the gateway's process, drawn when it starts
+	Number    uint64 // increases with each window of the reporter
+	Zone      string // zone of the reporter
+	Contacted uint32 // number of hosts that the reporter sent requests to
 	Hosts     []Observation
 }
 
-// fewFailed is how many hosts may fail a reporter, whatever their share, before it is suspected itself.
+// fewFailed is the number of failing hosts up to which a reporter is never assumed to be at fault itself, whatever their share.
 const fewFailed = 2
 
-// IsReporterFault tells whether most of the hosts that the reporter used failed it: then the cause is more likely its own.
+// IsReporterFault reports whether most of the hosts that the reporter used failed, so that the cause is more likely the reporter
+// itself.
 func (w Window) IsReporterFault() bool {
 	return len(w.Hosts) > fewFailed && 2*len(w.Hosts) > int(w.Contacted)
 }
 
-// Encode is the window's form on the wire.
+// Encode returns the wire encoding of the window.
 func (w Window) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(w.Reporter)
@@ -66,10 +67,11 @@
 	return e.Bytes
 }
 
-// minObservationBytes is the shortest encoding of an observation, by which the count of a window is checked.
+// minObservationBytes is the size of the shortest encoding of an observation. The decoder checks the number of observations against
+// it.
 const minObservationBytes = 4 + 4*int(failureKinds)
 
-// DecodeWindow reads a window; the error is that of the decoder.
+// DecodeWindow decodes a window.
 func DecodeWindow(data []byte) (Window, error) {
 	d := codec.NewDecoder(data)
 	w := Window{Reporter: d.Uint64(), Number: d.Uint64(), Zone: d.String(), Contacted: d.Uint32()}
