--- a/tier/hangdetect/doc.go
+++ b/tier/hangdetect/doc.go
@@ -1,12 +1,12 @@
-// Package hangdetect decides for how long a request waits for the first byte of its response before it is taken for hung, so that
-// it can be retried while there is time.
+// Package hangdetect decides how long a request waits for the first byte of its response before it is considered hung, so that it can
+// be retried in the remaining time.
 //
-// It is pure, and has no figure of a service: what is usual is learned from the latencies observed, as retransmission timers learn
-// round-trip times (RFC 6298).
+// It is pure and has no parameters specific to a service: it estimates the usual latency from observed latencies, as retransmission
+// timers estimate round-trip times (RFC 6298).
 //
 // # Compared with gateway/policy
 //
-// The gateway judges a host by the silence of all attempts there and then ejects it; here a single request is judged, by the
-// latencies of its route, and times out. Its retries are bounded for the fleet by gateway/overload, these by a budget in the
-// estimator. Nothing is shared.
+// gateway/policy judges a host by the silence of all attempts at it, and ejects the host. This package judges a single request by the
+// latencies of its route, and the request times out. The retries of gateway/policy are limited for the whole fleet by
+// gateway/overload, these by a budget in the estimator. The packages share no code.
 package hangdetect
--- a/tier/hangdetect/estimator_test.go
+++ b/tier/hangdetect/estimator_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// latency draws times around a mean as hosts with a queue show them.
+// latency draws a random latency with the given mean, distributed as for a host with a queue.
 func latency(stream *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration((0.4 + 0.6*stream.ExpFloat64()) * float64(mean))
 }
 
-// The same decisions come out when all times are three times as long, or a third: nothing depends on a service's figures.
-func TestTimeoutsScaleWithTheService(t *testing.T) {
+// The timeouts scale with the latencies: if all times are three times as long, or a third as long, so are the timeouts. No parameter
+// is specific to a service.
+func TestTimeoutsScaleWithTheLatencies(t *testing.T) {
 	timeouts := map[float64]time.Duration{}
 	for _, scale := range []float64{1.0 / 3, 1, 3} {
 		stream := rand.New(rand.NewPCG(1, 1))
@@ -27,12 +28,12 @@
 		}
 		timeouts[scale] = time.Duration(float64(timeout) / scale)
 		if _, enabled := e.Timeout(mean, 4*mean); enabled {
-			t.Errorf("mean %v: a request times out that has no time for a retry", mean)
+			t.Errorf("mean %v: a request without time for a retry times out", mean)
 		}
 	}
 	for scale, timeout := range timeouts {
 		if off := (timeout - timeouts[1]).Abs(); off > timeouts[1]/1000 {
-			t.Errorf("at scale %v the timeout is %v, and %v at 1", scale, timeout, timeouts[1])
+			t.Errorf("at scale %v the timeout divided by the scale is %v, and %v at scale 1", scale, timeout, timeouts[1])
 		}
 	}
 }
@@ -42,12 +43,12 @@
 	for range minSamples - 1 {
 		e.ObserveResponse(50 * time.Millisecond)
 		if _, enabled := e.Timeout(0, time.Minute); enabled {
-			t.Fatal("timed out too soon")
+			t.Fatal("a request may time out before minSamples latencies are known")
 		}
 	}
 }
 
-func TestARequestWithinItsTargetDoesNotTimeOut(t *testing.T) {
+func TestRequestWithinItsTargetDoesNotTimeOut(t *testing.T) {
 	var e Estimator
 	for range 100 {
 		e.ObserveResponse(10 * time.Millisecond)
@@ -57,7 +58,8 @@
 	}
 }
 
-// run plays requests of which a share hangs, or which are all slowed down, and counts those that time out.
+// run simulates requests and counts those that time out. The share hung of them never gets a response; the latencies of the others
+// are multiplied by slowed.
 func run(e *Estimator, stream *rand.Rand, requests int, hung float64, slowed float64) (timedOut, needlessly int) {
 	const mean, remaining = 90 * time.Millisecond, 5 * time.Second
 	for range requests {
@@ -87,17 +89,17 @@
 		t.Fatalf("%d timed out, %d of them needlessly, and about 100 hang", timedOut, needlessly)
 	}
 	if _, needlessly := run(&e, stream, 20000, 0, 1); needlessly > 40 {
-		t.Fatalf("%d of 20000 time out on a quiet day", needlessly)
+		t.Fatalf("%d of 20000 requests time out although none hangs", needlessly)
 	}
 }
 
-// When everything is five times as slow at once, that is soon usual, and few time out meanwhile.
-func TestASlowFleetIsSoonUsual(t *testing.T) {
+// If all requests suddenly take five times as long, the estimate soon adapts, and few requests time out in the meantime.
+func TestEstimateAdaptsToASlowFleet(t *testing.T) {
 	stream := rand.New(rand.NewPCG(3, 3))
 	var e Estimator
 	run(&e, stream, 300, 0, 1)
 	timedOut, _ := run(&e, stream, 1000, 0, 5)
 	if timedOut > 20 {
-		t.Fatalf("%d of 1000 time out in a burst", timedOut)
+		t.Fatalf("%d of 1000 requests time out when all of them become slow", timedOut)
 	}
 }
