--- a/tier/retryafter/delay.go
+++ b/tier/retryafter/delay.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// heededShare is the part of its remaining time up to which a client heeds Retry-After.
+	// heededShare is the share of its remaining time up to which a client honors Retry-After.
 	heededShare = 1.0 / 3
-	// heededMargin keeps the delay below that bound, as the client's time runs on until it has read it.
+	// heededMargin keeps the delay below that bound, because the client's remaining time decreases until it has read the response.
 	heededMargin = 0.95
-	// jitterShare is how far the delay is spread at random, so that clients rejected in one instant don't retry in one.
+	// jitterShare is the relative range of the random jitter, so that clients rejected at the same moment do not retry at the same
+	// moment.
 	jitterShare = 0.3
-	// minDelay is the shortest delay: below it a client would retry before anything can have changed.
+	// minDelay is the shortest delay. After a shorter one, nothing can have changed yet.
 	minDelay = 100 * time.Millisecond
 )
 
-// Delay is the Retry-After of a client that has some time remaining, when what it needs is expected back after a time. Random lies
-// between 0 and 1.
+// Delay returns the Retry-After delay for a client. The parameter remaining is the time until the client's deadline, expected is the
+// time after which the failed dependency is expected to work again, and random is a number between 0 and 1.
 func Delay(remaining, expected time.Duration, random float64) time.Duration {
 	longest := time.Duration(heededShare * heededMargin * float64(remaining))
 	delay := time.Duration((1 + jitterShare*random) * float64(expected))
-	if delay > longest { // beyond the bound nothing is heeded: the spread lies below it
+	if delay > longest { // clients do not honor a longer delay, so the jitter is subtracted from the bound
 		delay = time.Duration((1 - jitterShare*random) * float64(longest))
 	}
 	return max(delay, min(minDelay, longest))
--- a/tier/retryafter/doc.go
+++ b/tier/retryafter/doc.go
@@ -1,10 +1,11 @@
-// Package retryafter works out when a rejected client had best retry.
+// Package retryafter computes the delay after which a rejected client should retry.
 //
-// It is pure: when a dependency of requests failed and worked again goes in, with the time, and the delay for Retry-After comes
-// out. Nothing in it is tuned to a deployment: it learns how long outages last from those that this process has seen.
+// It is pure: its inputs are the times at which a dependency of requests failed and worked again, and its output is the delay for
+// Retry-After. It has no parameters specific to a deployment: it estimates the duration of outages from those that this process has
+// seen.
 //
 // # Compared with gateway/policy
 //
-// The gateway's Retry-After says when a customer's quota is refilled, which its plan tells; it has no outage to estimate. Nothing is
-// shared.
+// The Retry-After of gateway/policy is the time at which a customer's quota is refilled, which follows from the customer's plan. It
+// has no outage to estimate, so the packages share no code.
 package retryafter
--- a/tier/retryafter/estimate_test.go
+++ b/tier/retryafter/estimate_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// outageOf plays an outage that is met every few milliseconds.
+// outageOf records an outage of the given duration, in which requests fail at the interval every.
 func outageOf(o *OutageEstimator, key string, from time.Time, lasted, every time.Duration) {
 	for at := time.Duration(0); at < lasted; at += every {
 		o.RecordFailure(key, from.Add(at))
@@ -19,24 +19,24 @@
 	o.RecordSuccess(key, from.Add(lasted))
 }
 
-func TestTheDelayStaysWithinWhatClientsHeed(t *testing.T) {
+func TestDelayStaysWithinTheTimeClientsHonor(t *testing.T) {
 	for _, left := range []time.Duration{0, 30 * ms, 200 * ms, time.Second, 5 * time.Second} {
 		for _, expected := range []time.Duration{0, 100 * ms, time.Second, time.Hour} {
 			for _, random := range []float64{0, 0.5, 0.999} {
 				got := Delay(left, expected, random)
 				if got < 0 || got > left/3 {
-					t.Errorf("%v left, %v expected, random %v: %v", left, expected, random, got)
+					t.Errorf("%v left, %v expected, random %v: delay %v", left, expected, random, got)
 				}
 			}
 		}
 	}
 }
 
-func TestTheDelayReachesTheExpectedEnd(t *testing.T) {
+func TestDelayReachesTheExpectedEndOfTheOutage(t *testing.T) {
 	for _, step := range []struct{ left, expected, lowest, highest time.Duration }{
 		{5 * time.Second, 600 * ms, 600 * ms, 780 * ms},
 		{5 * time.Second, 0, minDelay, minDelay},
-		{5 * time.Second, time.Minute, 1100 * ms, 1584 * ms}, // beyond what is heeded: spread below it
+		{5 * time.Second, time.Minute, 1100 * ms, 1584 * ms}, // longer than clients honor: jitter below the bound
 		{150 * ms, 0, 47 * ms, 48 * ms},
 	} {
 		low, high := Delay(step.left, step.expected, 0), Delay(step.left, step.expected, 1)
@@ -44,7 +44,7 @@
 			low, high = high, low
 		}
 		if low < step.lowest || high > step.highest {
-			t.Errorf("%v left, %v expected: %v to %v", step.left, step.expected, low, high)
+			t.Errorf("%v left, %v expected: delay of %v to %v", step.left, step.expected, low, high)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 func TestOutageDurationsAreLearned(t *testing.T) {
 	o := NewOutageEstimator(time.Second)
 	if got := o.Remaining("a", start); got != time.Second {
-		t.Fatalf("before any outage: %v", got)
+		t.Fatalf("before any outage: expected duration %v", got)
 	}
 	for i := range 20 {
 		outageOf(o, "a", start.Add(time.Duration(i)*time.Minute), 3*time.Second, 100*ms)
@@ -60,18 +60,18 @@
 	later := start.Add(time.Hour)
 	o.RecordFailure("b", later)
 	if got := o.Remaining("b", later); got < 2900*ms || got > 3300*ms {
-		t.Fatalf("after 20 outages of 3 s another one is expected to last %v", got)
+		t.Fatalf("after 20 outages of 3 s the expected duration is %v", got)
 	}
 	if got := o.Remaining("b", later.Add(2*time.Second)); got < time.Second || got > 1300*ms {
-		t.Fatalf("2 s later: %v", got)
+		t.Fatalf("2 s later: remaining %v", got)
 	}
 	if got := o.Remaining("b", later.Add(20*time.Second)); got != 10*time.Second {
-		t.Fatalf("one that lasts longer than expected: %v", got)
+		t.Fatalf("an outage longer than expected: remaining %v", got)
 	}
 }
 
-// A thing that is rarely used may have been back for long when it is used next.
-func TestAnOutageWhoseEndWasNotSeenTeachesNothing(t *testing.T) {
+// A dependency that is used rarely may have recovered long before its next use, so the duration of such an outage is not used.
+func TestOutageWithoutAKnownEndIsIgnored(t *testing.T) {
 	o := NewOutageEstimator(time.Second)
 	o.RecordFailure("a", start)
 	o.RecordSuccess("a", start.Add(time.Hour))
@@ -80,11 +80,11 @@
 	}
 }
 
-// client is one of the operators' pages: it tries a turn a few times within its time, heeds the Retry-After up to a third of what is
-// left, and begins a turn that failed again twice.
+// client is a client as the operators specify it: it sends a turn up to tries times before its deadline, honors Retry-After up to a
+// third of the remaining time, and starts the turn at most turns times.
 type client struct{ tries, turns int }
 
-// survives tells whether a turn that begins at a moment of an outage, by its age, is served.
+// survives reports whether a turn that begins when an outage has the given age is served.
 func (c client) survives(age, lasts time.Duration, retryAfter func(left, age time.Duration) time.Duration, stream *rand.Rand) bool {
 	const deadline = 5 * time.Second
 	now := age
@@ -101,7 +101,7 @@
 	return false
 }
 
-// saved is the share of turns that outlive outages of about a second, of clients with few tries.
+// saved returns the share of turns that survive outages of 0.4 to 2.4 s, for clients with few tries.
 func saved(retryAfter func(left, age time.Duration) time.Duration) float64 {
 	const clients = 4000
 	stream := rand.New(rand.NewPCG(1, 2))
@@ -116,21 +116,21 @@
 	return float64(survivors) / clients
 }
 
-// Learned delays save more programs than either constant that was in use or tried.
-func TestLearnedDelaysSaveMoreThanConstants(t *testing.T) {
+// Estimated delays save at least as many turns as either of the two constant delays that were in use or tried before.
+func TestEstimatedDelaysSaveMoreThanConstants(t *testing.T) {
 	stream := rand.New(rand.NewPCG(3, 4))
-	learned := NewOutageEstimator(750 * ms)
-	worked := saved(func(left, age time.Duration) time.Duration {
-		learned.ongoing["a"] = outage{since: start}
-		return Delay(left, learned.Remaining("a", start.Add(age)), stream.Float64())
+	estimator := NewOutageEstimator(750 * ms)
+	estimated := saved(func(left, age time.Duration) time.Duration {
+		estimator.ongoing["a"] = outage{since: start}
+		return Delay(left, estimator.Remaining("a", start.Add(age)), stream.Float64())
 	})
 	for _, constant := range []time.Duration{200 * ms, time.Second} {
-		if got := saved(func(time.Duration, time.Duration) time.Duration { return constant }); worked < got {
-			t.Errorf("learned delays save %.3f, %v saves %.3f", worked, constant, got)
+		if got := saved(func(time.Duration, time.Duration) time.Duration { return constant }); estimated < got {
+			t.Errorf("estimated delays save %.3f, a constant delay of %v saves %.3f", estimated, constant, got)
 		}
 	}
-	if worked < 0.95 {
-		t.Errorf("learned delays save %.3f", worked)
+	if estimated < 0.95 {
+		t.Errorf("estimated delays save %.3f", estimated)
 	}
 }
 
--- a/tier/retryafter/outages.go
+++ b/tier/retryafter/outages.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	// newestWeight is how much the newest outage counts against those before it.
+	// newestWeight is the weight of the newest outage in the mean and the mean deviation.
 	newestWeight = 0.3
-	// overrunShare is the part of its present age for which an outage is expected to last on, once it is older than expected.
+	// overrunShare is the share of its current age for which an outage is expected to continue, once it has lasted longer than
+	// expected.
 	overrunShare = 0.5
-	// maxUnseenGap is the longest pause between the last failure and the next success after which it is known when an outage
-	// ended.
+	// maxUnseenGap is the maximum time between the last failure and the next success for which the end of an outage is known
+	// precisely enough to use its duration.
 	maxUnseenGap = 250 * time.Millisecond
 )
 
-// outage is one that is under way.
+// outage is an ongoing outage.
 type outage struct {
 	since       time.Time // first failure
 	lastFailure time.Time
 }
 
-// OutageEstimator knows the outages of dependencies of one kind: which are under way, and how long such outages have lasted. It is
-// not safe for concurrent use.
+// OutageEstimator tracks the ongoing outages of dependencies of one kind and estimates their duration from past outages. It is not
+// safe for concurrent use.
 type OutageEstimator struct {
 	mean      time.Duration
 	deviation time.Duration
 	ongoing   map[string]outage // by dependency
 }
 
-// NewOutageEstimator begins with the duration that outages are assumed to have until one has been seen.
+// NewOutageEstimator returns an estimator. Outages are expected to last for the assumed duration until one has been observed.
 func NewOutageEstimator(assumed time.Duration) *OutageEstimator {
 	return &OutageEstimator{mean: assumed, ongoing: map[string]outage{}}
 }
 
-// RecordFailure notes that a dependency could not be used.
+// RecordFailure records a failed use of a dependency.
 func (e *OutageEstimator) RecordFailure(dependency string, now time.Time) {
 	current, ongoing := e.ongoing[dependency]
 	if !ongoing {
@@ -41,7 +42,7 @@
 	e.ongoing[dependency] = current
 }
 
-// RecordSuccess notes that a dependency could be used, which ends its outage.
+// RecordSuccess records a successful use of a dependency, which ends its outage.
 func (e *OutageEstimator) RecordSuccess(dependency string, now time.Time) {
 	ended, ongoing := e.ongoing[dependency]
 	if !ongoing {
@@ -49,23 +50,24 @@
 	}
 	delete(e.ongoing, dependency)
 	if now.Sub(ended.lastFailure) <= maxUnseenGap {
-		e.learn(now.Sub(ended.since))
+		e.update(now.Sub(ended.since))
 	}
 }
 
-// learn follows mean and mean deviation of the outages, as estimates of round-trip times do.
-func (e *OutageEstimator) learn(duration time.Duration) {
+// update updates the mean and the mean deviation with the duration of an outage, as estimators of round-trip times do.
+func (e *OutageEstimator) update(duration time.Duration) {
 	difference := (duration - e.mean).Abs()
 	e.mean += weighted(duration - e.mean)
 	e.deviation += weighted(difference - e.deviation)
 }
 
+// weighted returns the change of a moving average for the difference of the newest value from it.
 func weighted(difference time.Duration) time.Duration {
 	return time.Duration(newestWeight * float64(difference))
 }
 
-// Remaining is how much longer the outage of a dependency is expected to last; for one that is not under way, how long it would.
-// One that is older than expected is taken to last on for a part of its age.
+// Remaining returns how much longer the outage of a dependency is expected to last. If there is no outage, it returns the expected
+// duration of one. An outage that has lasted longer than expected is assumed to continue for a share of its age.
 func (e *OutageEstimator) Remaining(dependency string, now time.Time) time.Duration {
 	expected := e.mean + e.deviation
 	current, ongoing := e.ongoing[dependency]
