--- a/tier/attempt/attempts.go
+++ b/tier/attempt/attempts.go
@@ -1,30 +1,30 @@
 package attempt
 
-// Repeatability tells how often a request may run.
+// Repeatability states whether a request may run more than once.
 type Repeatability uint8
 
-// The repeatabilities.
+// Repeatability values.
 const (
-	AtMostOnce Repeatability = iota // a retry must not be able to run it again
-	Idempotent                      // may run more than once
-	Resumable                       // may run more than once, each run going on behind the last event of the one before
+	AtMostOnce Repeatability = iota // a retry must not be able to run the request again
+	Idempotent                      // the request may run more than once
+	Resumable                       // the request may run more than once, and each run continues after the last event of the previous one
 )
 
-// MaxRefusals is how many hosts may reject a request, or be out of reach, before it is refused.
+// MaxRefusals is the number of hosts that may reject a request or be unreachable before the request is refused.
 const MaxRefusals = 4
 
-// Outcome is how an attempt at a host ended.
+// Outcome is the result of an attempt at a host.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
-	Unsent    Outcome = iota // no byte reached the host
+	Unsent    Outcome = iota // no byte of the request was sent to the host
 	Refused                  // the host proved that it did not run the request
-	Uncertain                // the request may have run, and no complete response came
-	Answered                 // the response came complete
+	Uncertain                // the request may have run, and no complete response was received
+	Answered                 // a complete response was received
 )
 
-// OutcomeOf is that of an exchange that is over.
+// OutcomeOf returns the outcome of an exchange that has ended.
 func OutcomeOf(x Exchange) Outcome {
 	switch {
 	case x.IsRefused():
@@ -38,10 +38,10 @@
 	}
 }
 
-// Step is what follows an attempt.
+// Step is the next step after an attempt.
 type Step uint8
 
-// The steps.
+// Steps after an attempt.
 const (
 	Forward Step = iota // the client gets the host's response
 	Retry               // the request may be sent to another host
@@ -50,17 +50,17 @@
 	Abort               // the client has part of a response, which must not look complete
 )
 
-// Attempts counts the attempts of one request over its whole life. Its zero value is not ready; use NewAttempts.
+// Attempts is the state of one request over all its attempts. The zero value is not usable; use NewAttempts.
 type Attempts struct {
 	repeatability     Repeatability
 	remainingRuns     int // how many more hosts may run the request
-	remainingRefusals int // how many more hosts may reject it
+	remainingRefusals int // how many more hosts may reject the request
 	mayHaveRun        bool
-	started           bool // the client has part of a response
-	resumePointKnown  bool // the stream can go on behind its last event
+	started           bool // the client has received part of a response
+	resumePointKnown  bool // another host can continue the stream after its last event
 }
 
-// NewAttempts begins the life of a request that at most maxAttempts hosts may run.
+// NewAttempts returns the state of a request before its first attempt. At most maxAttempts hosts may run the request.
 func NewAttempts(repeatability Repeatability, maxAttempts int) Attempts {
 	runs := max(maxAttempts, 1)
 	if repeatability == AtMostOnce {
@@ -69,21 +69,22 @@
 	return Attempts{repeatability: repeatability, remainingRuns: runs, remainingRefusals: MaxRefusals}
 }
 
-// CanAttempt tells whether the request may be sent to a further host.
+// CanAttempt reports whether the request may be sent to another host.
 func (a *Attempts) CanAttempt() bool {
 	return a.remainingRuns > 0 && a.remainingRefusals > 0 && (!a.mayHaveRun || a.repeatability != AtMostOnce) && (!a.started || a.resumePointKnown)
 }
 
-// IsLast tells whether no host may run the request after the attempt that is due.
+// IsLast reports whether no host may run the request after the next attempt.
 func (a *Attempts) IsLast() bool { return a.remainingRuns <= 1 }
 
-// ResponseStarted notes that the client has part of a response, and whether it is known behind which event another host can go on.
+// ResponseStarted records that the client has received part of a response, and whether the event after which another host can
+// continue is known.
 func (a *Attempts) ResponseStarted(resumePointKnown bool) {
 	a.started = true
 	a.resumePointKnown = resumePointKnown && a.repeatability == Resumable
 }
 
-// Next counts an attempt that is over and says what follows.
+// Next records the outcome of an attempt and returns the next step.
 func (a *Attempts) Next(outcome Outcome) Step {
 	switch outcome {
 	case Answered:
@@ -101,7 +102,7 @@
 	return a.FinalStep()
 }
 
-// FinalStep is how the request ends if no further host is asked.
+// FinalStep returns the step that ends the request without another attempt.
 func (a *Attempts) FinalStep() Step {
 	switch {
 	case a.started:
@@ -113,8 +114,8 @@
 	}
 }
 
-// MayForward tells whether a host's own response may be forwarded. A status that promises that the request has not run may not, for
-// a request that must not run twice, unless the host proves it.
+// MayForward reports whether the response of a host may be forwarded to the client. For a request that must not run twice, a response
+// whose status promises that the request has not run is forwarded only if the host proves it.
 func (a *Attempts) MayForward(head Head) bool {
 	return a.repeatability != AtMostOnce || head.IsRefusal() || !PromisesNotExecuted(head.Status)
 }
--- a/tier/attempt/doc.go
+++ b/tier/attempt/doc.go
@@ -1,10 +1,13 @@
-// Package attempt decides about one attempt of a request at a host (Exchange), and about a request over all of its attempts
-// (Attempts): when a response is the request's own, when a connection may be reused, and when a retry cannot run a request twice.
+// Package attempt contains the rules for one attempt of a request at a host (Exchange) and for all attempts of a request (Attempts).
+// They decide whether a response belongs to the request, whether a connection may be reused, and whether a request can be retried
+// without the risk that it runs twice.
 //
-// It is pure: what happened on a connection goes in, what may follow comes out. Sockets, clocks and headers belong to the callers.
+// It is pure: its inputs are the events of a connection, its outputs the permitted next steps. The callers handle sockets, clocks and
+// headers.
 //
 // # Compared with gateway/policy
 //
-// The gateway's operations are declared idempotent, deduplicated within a window and scope, or neither, and it may retry where a
-// repeat is recognised; here only the kind of route and the proof of the host count, and a stream can be resumed. Nothing is shared.
+// The operations of gateway/policy are declared idempotent, deduplicated within a window and scope, or neither, and gateway/policy
+// may retry where the host recognizes a repeat. Here a retry depends only on the kind of route and on the host's proof that it did
+// not run the request, and a stream can be resumed. The packages share no code.
 package attempt
--- a/tier/attempt/head.go
+++ b/tier/attempt/head.go
@@ -2,43 +2,43 @@
 
 import "net/http"
 
-// Owner tells whose response a head belongs to, by its request id.
+// Owner is the request that a response belongs to, according to the request ID in its head.
 type Owner uint8
 
-// The owners of a response.
+// Owners of a response.
 const (
-	OwnerNone    Owner = iota // no id, or one that this connection never carried
-	OwnerOwn                  // the request under way
-	OwnerEarlier              // a request that this connection carried before
+	OwnerNone    Owner = iota // the response has no request ID, or one that this connection never carried
+	OwnerOwn                  // the current request
+	OwnerEarlier              // an earlier request on this connection
 )
 
-// Framing tells how the body of a response ends.
+// Framing is how the end of a response's body is determined.
 type Framing uint8
 
-// The framings.
+// Framings of a response's body.
 const (
-	FramedByItself Framing = iota // by its length, or by its last chunk
+	FramedByItself Framing = iota // by its length or its last chunk
 	FramedByClose                 // by the end of the connection
-	FramedByMethod                // not known, as the response to another method may have no body
+	FramedByMethod                // unknown, because the request may be a HEAD request, whose response has no body
 )
 
-// Head is what matters of a response's head.
+// Head contains the relevant parts of a response's head.
 type Head struct {
 	Status      int
 	Owner       Owner
 	Framing     Framing
-	NotExecuted bool // the host says that it did not run the request
-	Sealed      bool // the host's seal is there
-	Encoded     bool // the body is encoded, which the client did not ask for
-	Closing     bool // the host ends the connection behind this response
+	NotExecuted bool // the host states that it did not run the request
+	Sealed      bool // the host's seal is present
+	Encoded     bool // the body has a content encoding, which the client did not ask for
+	Closing     bool // the host closes the connection after this response
 }
 
-// IsRefusal tells whether the head proves that the request has not run and never will.
+// IsRefusal reports whether the head proves that the request has not run and never will.
 func (h Head) IsRefusal() bool {
 	return h.Owner == OwnerOwn && (h.NotExecuted || h.Status == http.StatusMisdirectedRequest)
 }
 
-// PromisesNotExecuted tells whether a status promises a client that its request has not run.
+// PromisesNotExecuted reports whether a status promises a client that its request has not run.
 func PromisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -48,7 +48,7 @@
 	}
 }
 
-// isValid tells whether the response can be the host's response to the request under way.
+// isValid reports whether the response can be the host's response to the current request.
 func (h Head) isValid() bool {
 	success := h.Status >= http.StatusOK && h.Status < http.StatusMultipleChoices
 	return h.Owner == OwnerOwn && !h.Encoded && h.Status >= http.StatusOK && (h.Sealed || !success)
--- a/tier/attempt/model_test.go
+++ b/tier/attempt/model_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// The model: two requests share a connection to a host that does whatever a host in trouble may do. What the package decides is
-// taken from rules, so that tests can put in bugs. Every sequence of events up to a depth is explored; states that were seen
-// before are not explored again.
+// Model checker for the rules of this package. Two requests share a connection to a host that may fail in any way. The decisions of
+// the package are called through rules, so that tests can inject bugs. The checker explores every sequence of events up to a depth,
+// but no state twice.
 
 const (
-	modelDepth   = 18
-	modelRequest = 2 // requests on the connection
-	modelFrames  = 2 // answers on their way to the client
-	modelRuns    = 2 // max_attempts of idempotent requests
+	modelDepth    = 18
+	modelRequests = 2 // number of requests on the connection
+	modelFrames   = 2 // maximum number of responses in transit to the client
+	modelRuns     = 2 // max_attempts of idempotent requests
 )
 
-// rules are the decisions under test.
+// rules contains the decisions under test.
 type rules struct {
 	receive    func(*Exchange, Head) Verdict
 	lost       func(*Exchange)
@@ -27,6 +27,7 @@
 	mayForward func(Attempts, Head) bool
 }
 
+// soundRules returns the rules as the package implements them.
 func soundRules() rules {
 	return rules{
 		receive:    func(x *Exchange, head Head) Verdict { return x.ReceiveHead(head) },
@@ -38,10 +39,10 @@
 	}
 }
 
-// noRequest is the owner of an answer to nothing that the connection carried.
+// noRequest is the owner of a response to a request that the connection never carried.
 const noRequest = int8(-1)
 
-// frame is an answer on its way to the client.
+// frame is a response in transit to the client.
 type frame struct {
 	owner       int8
 	status      int
@@ -49,41 +50,42 @@
 	unsealed    bool
 	byClose     bool
 	closing     bool
-	broken      bool // the connection ends in its body
+	broken      bool // the connection ends within the body
 }
 
-// modelled is a request, what its client knows of it, and the truth.
-type modelled struct {
-	exchange Exchange
-	attempts Attempts
-	reading  frame // whose head was accepted
-	over     bool  // the client has its answer, or never will
-	left     bool  // the client has gone
-
-	ran      uint8 // how often it has run, at all hosts
-	ranHere  bool
-	refused  bool // this host has said that it never will run it
-	answered bool // this host has answered it
-	promised bool // its client was told that it has not run and never will
+// modelRequestState is a request: its state at the client and its actual state at the hosts.
+type modelRequestState struct {
+	exchange     Exchange
+	attempts     Attempts
+	reading      frame // the response whose head was accepted
+	over         bool  // the client has received its response, or never will
+	disconnected bool  // the client has disconnected
+
+	ran      uint8 // number of runs at all hosts
+	ranHere  bool  // this host has run the request
+	refused  bool  // this host has stated that it will never run the request
+	answered bool  // this host has responded to the request
+	promised bool  // the client was told that the request has not run and never will
 }
 
 // world is a state of the model. It is comparable.
 type world struct {
-	requests [modelRequest]modelled
-	current  int8 // the request that holds the connection
-	wire     [modelFrames]frame
-	waiting  int8 // frames on the wire
-	cut      bool // the connection has ended, as the host sees it
-	dropped  bool // nobody uses the connection any more
+	requests   [modelRequests]modelRequestState
+	current    int8 // the request that owns the connection
+	wire       [modelFrames]frame
+	inTransit  int8 // number of frames on the wire
+	hostClosed bool // the host's end of the connection is closed
+	abandoned  bool // the client's end of the connection is no longer used
 }
 
-// model explores the worlds that rules allow.
+// model explores the worlds that are reachable under the rules.
 type model struct {
 	rules           rules
-	repeatabilities [modelRequest]Repeatability
+	repeatabilities [modelRequests]Repeatability
 	violation       string
 }
 
+// first returns the initial world.
 func (m *model) first() world {
 	w := world{}
 	for i := range w.requests {
@@ -92,46 +94,47 @@
 	return w
 }
 
+// violate records the first violation.
 func (m *model) violate(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// run has a host run a request.
+// run records that a host runs a request, and checks that the run is permitted.
 func (m *model) run(w *world, i int8) {
 	request := &w.requests[i]
 	request.ran++
 	if m.repeatabilities[i] == AtMostOnce && request.ran > 1 {
-		m.violate("request %d, which may run once, ran %d times", i, request.ran)
+		m.violate("request %d, which may run at most once, ran %d times", i, request.ran)
 	}
 	if request.ran > modelRuns {
 		m.violate("request %d ran %d times", i, request.ran)
 	}
 	if m.repeatabilities[i] == AtMostOnce && request.promised {
-		m.violate("request %d ran, though its client was told that it never will", i)
+		m.violate("request %d ran although its client was told that it never will", i)
 	}
 }
 
-// next lists the worlds that follow a world by one event.
+// next returns the worlds that are reached from a world by one event.
 func (m *model) next(w world) []world {
-	var following []world
+	var successors []world
 	try := func(change func(*world)) {
 		copied := w
 		change(&copied)
-		following = append(following, copied)
+		successors = append(successors, copied)
 	}
 	m.hostEvents(w, try)
-	if !w.dropped {
+	if !w.abandoned {
 		m.clientEvents(w, try)
 	}
-	return following
+	return successors
 }
 
-// hostEvents are what a host may do with what it was sent, also after the connection has ended.
+// hostEvents tries the events of the host. It may run a request that it has received even after the connection has ended.
 func (m *model) hostEvents(w world, try func(func(*world))) {
-	connected := !w.cut && !w.dropped
-	for i := range int8(modelRequest) {
+	connected := !w.hostClosed && !w.abandoned
+	for i := range int8(modelRequests) {
 		request := w.requests[i]
 		sent := request.exchange.Written() != WrittenNone
 		if sent && !request.ranHere && !request.refused {
@@ -140,7 +143,7 @@
 				m.run(w, i)
 			})
 		}
-		if !sent || !connected || w.waiting == modelFrames {
+		if !sent || !connected || w.inTransit == modelFrames {
 			continue
 		}
 		if !request.answered {
@@ -152,22 +155,22 @@
 	if !connected {
 		return
 	}
-	if w.waiting < modelFrames {
+	if w.inTransit < modelFrames {
 		try(emit(frame{owner: noRequest, status: http.StatusOK}))
 		try(emit(frame{owner: noRequest, status: http.StatusServiceUnavailable, notExecuted: true}))
 	}
-	try(func(w *world) { w.cut = true })
+	try(func(w *world) { w.hostClosed = true })
 }
 
-// unsolicitedAnswers are further ones to a request that was answered, early or late, of the same or of another kind.
+// unsolicitedAnswers tries additional responses to a request that was already answered, of the same or of a different kind.
 func unsolicitedAnswers(i int8, try func(func(*world))) {
 	try(emit(frame{owner: i, status: http.StatusOK}))
 	try(emit(frame{owner: i, status: http.StatusServiceUnavailable, notExecuted: true}))
 	try(emit(frame{owner: i, status: http.StatusOK, byClose: true}))
 }
 
-// answers are what a host may say to a request that it has at least begun to read.
-func (m *model) answers(i int8, request modelled, try func(func(*world))) {
+// answers tries the responses of a host to a request that it has read at least in part.
+func (m *model) answers(i int8, request modelRequestState, try func(func(*world))) {
 	answer := func(f frame) {
 		f.owner = i
 		try(func(w *world) {
@@ -195,31 +198,31 @@
 	}
 }
 
-// emit puts an answer onto the wire.
+// emit returns the event of a response being put on the wire.
 func emit(f frame) func(*world) {
 	return func(w *world) {
-		w.wire[w.waiting] = f
-		w.waiting++
-		w.cut = w.cut || f.broken || f.byClose || f.closing
+		w.wire[w.inTransit] = f
+		w.inTransit++
+		w.hostClosed = w.hostClosed || f.broken || f.byClose || f.closing
 	}
 }
 
-// take takes the first answer off the wire.
+// take removes the first response from the wire and returns it.
 func (w *world) take() frame {
 	f := w.wire[0]
 	copy(w.wire[:], w.wire[1:])
 	w.wire[modelFrames-1] = frame{}
-	w.waiting--
+	w.inTransit--
 	return f
 }
 
-// clientEvents are what the owner of the connection may do or see.
+// clientEvents tries the events at the client's end of the connection.
 func (m *model) clientEvents(w world, try func(func(*world))) {
 	i := w.current
 	request := w.requests[i]
 	if request.exchange.Written() != WrittenAll {
 		for _, progress := range []Progress{WrittenSome, WrittenAll} {
-			if progress > request.exchange.Written() && !w.cut {
+			if progress > request.exchange.Written() && !w.hostClosed {
 				try(func(w *world) { m.write(w, progress) })
 			}
 		}
@@ -227,26 +230,28 @@
 	switch stage := request.exchange.Stage(); {
 	case stage >= HeadRead:
 		try(m.readBody)
-	case w.waiting > 0 && request.exchange.Written() != WrittenNone:
+	case w.inTransit > 0 && request.exchange.Written() != WrittenNone:
 		try(m.readHead)
-	case w.cut:
+	case w.hostClosed:
 		try(func(w *world) { m.fail(w) })
 	}
-	try(func(w *world) { // the client leaves, or its time is up
-		w.requests[i].left = true
+	try(func(w *world) { // the client disconnects, or its deadline passes
+		w.requests[i].disconnected = true
 		m.fail(w)
 	})
 }
 
+// write records how much of the current request has been sent, and checks that it is not sent within the body of an earlier request.
 func (m *model) write(w *world, progress Progress) {
 	for i := range w.current {
 		if w.requests[i].exchange.Written() != WrittenAll {
-			m.violate("request %d stands where the body of request %d is due", w.current, i)
+			m.violate("request %d is sent before the body of request %d is complete", w.current, i)
 		}
 	}
 	w.requests[w.current].exchange.Write(progress)
 }
 
+// readHead reads the head of the first response on the wire.
 func (m *model) readHead(w *world) {
 	request := &w.requests[w.current]
 	f := w.take()
@@ -269,6 +274,7 @@
 	}
 }
 
+// readBody reads the body of the accepted response.
 func (m *model) readBody(w *world) {
 	request := &w.requests[w.current]
 	request.exchange.ReceiveBody()
@@ -277,46 +283,46 @@
 	} else {
 		request.exchange.End()
 	}
-	if w.waiting > 0 {
+	if w.inTransit > 0 {
 		request.exchange.ReceiveUnsolicited()
 	}
 	m.settle(w)
 }
 
-// fail ends the exchange without an answer.
+// fail ends the exchange without a response.
 func (m *model) fail(w *world) {
 	w.requests[w.current].exchange.Break()
 	m.settle(w)
 }
 
-// settle has what follows an exchange that is over happen: the client's answer, or further hosts, and the connection's next owner.
+// settle handles the end of an exchange: further attempts or the response to the client, and the next request on the connection.
 func (m *model) settle(w *world) {
 	i := w.current
 	request := &w.requests[i]
 	step := m.rules.next(&request.attempts, m.rules.outcome(request.exchange))
-	for step == Retry && !request.left {
-		// the worst that another host can do: it runs the request, and its answer is lost
+	for step == Retry && !request.disconnected {
+		// Worst case of another host: it runs the request, and its response is lost.
 		m.run(w, i)
 		step = m.rules.next(&request.attempts, Uncertain)
 	}
-	if request.left && step != Forward {
-		step = Fail // an answer that promises nothing, if there is anybody to get it
+	if request.disconnected && step != Forward {
+		step = Fail // the response promises nothing, if the client still receives it
 	}
 	m.deliver(w, i, step)
 	request.over = true
-	if m.rules.reusable(request.exchange) && w.waiting == 0 && int(i)+1 < modelRequest {
+	if m.rules.reusable(request.exchange) && w.inTransit == 0 && int(i)+1 < modelRequests {
 		if request.reading.closing || request.reading.byClose {
-			m.violate("request %d is sent on a connection that its host ends", i+1)
+			m.violate("request %d is sent on a connection that the host closes", i+1)
 		}
 		w.current++
 		return
 	}
-	w.dropped = true
+	w.abandoned = true
 	w.wire = [modelFrames]frame{}
-	w.waiting = 0
+	w.inTransit = 0
 }
 
-// deliver gives the client its answer.
+// deliver gives the client its response, and checks that the response is correct.
 func (m *model) deliver(w *world, i int8, step Step) {
 	request := &w.requests[i]
 	switch step {
@@ -326,10 +332,10 @@
 			return
 		}
 		if f.owner != i {
-			m.violate("request %d got the answer of request %d", i, f.owner)
+			m.violate("request %d got the response to request %d", i, f.owner)
 		}
 		if f.broken || (f.unsealed && f.status == http.StatusOK) {
-			m.violate("request %d got a broken answer as a whole one", i)
+			m.violate("request %d got a broken response as a complete one", i)
 		}
 		if PromisesNotExecuted(f.status) {
 			m.promise(w, i)
@@ -339,29 +345,29 @@
 	}
 }
 
-// promise tells the client that its request has not run and never will.
+// promise records that the client was told that its request has not run and never will.
 func (m *model) promise(w *world, i int8) {
 	request := &w.requests[i]
 	request.promised = true
 	if m.repeatabilities[i] == AtMostOnce && request.ran > 0 {
-		m.violate("request %d has run, though its client was told that it has not", i)
+		m.violate("request %d has run although its client was told that it has not", i)
 	}
 }
 
-// explore goes through every sequence of events up to the depth. It returns the number of states, or the first violation.
+// explore explores every sequence of events up to the depth. It returns the number of states and the first violation, if any.
 func (m *model) explore(depth int) (states int, violation string) {
 	frontier := []world{m.first()}
 	seen := map[world]bool{frontier[0]: true}
 	for range depth {
 		var reached []world
 		for _, w := range frontier {
-			for _, following := range m.next(w) {
+			for _, successor := range m.next(w) {
 				if m.violation != "" {
 					return len(seen), m.violation
 				}
-				if !seen[following] {
-					seen[following] = true
-					reached = append(reached, following)
+				if !seen[successor] {
+					seen[successor] = true
+					reached = append(reached, successor)
 				}
 			}
 		}
@@ -370,20 +376,20 @@
 	return len(seen), ""
 }
 
-// repeatabilityPairs are the repeatabilities of the two requests.
-func repeatabilityPairs() [][modelRequest]Repeatability {
-	var pairs [][modelRequest]Repeatability
+// repeatabilityPairs returns the combinations of repeatabilities of the two requests.
+func repeatabilityPairs() [][modelRequests]Repeatability {
+	var pairs [][modelRequests]Repeatability
 	for _, first := range []Repeatability{AtMostOnce, Idempotent, Resumable} {
 		for _, second := range []Repeatability{AtMostOnce, Idempotent} {
-			pairs = append(pairs, [modelRequest]Repeatability{first, second})
+			pairs = append(pairs, [modelRequests]Repeatability{first, second})
 		}
 	}
 	return pairs
 }
 
-// An answer reaches only its request, nothing that may have run once is sent again, and no broken answer is a success, whatever
-// happens on the connection.
-func TestNoSequenceOfEventsBreaksARule(t *testing.T) {
+// Whatever happens on the connection, a response reaches only its own request, a request that must not run twice is not sent again
+// after it may have run, and no broken response is forwarded as a success.
+func TestNoSequenceOfEventsViolatesARule(t *testing.T) {
 	total := 0
 	for _, repeatabilities := range repeatabilityPairs() {
 		m := &model{rules: soundRules(), repeatabilities: repeatabilities}
@@ -395,13 +401,13 @@
 	}
 	t.Logf("%d states to a depth of %d events, 0 violations", total, modelDepth)
 	if total < 10_000 {
-		t.Fatalf("%d states: the model explores too little", total)
+		t.Fatalf("the model explores only %d states", total)
 	}
 }
 
-// bugs are faults put into the rules, each of which the model has to find.
+// bugs contains faults to inject into the rules. The model must find each of them.
 var bugs = map[string]func(*rules){
-	"a request that left in part counts as unsent": func(r *rules) {
+	"a partly sent request counts as unsent": func(r *rules) {
 		r.outcome = func(x Exchange) Outcome {
 			if x.written == WrittenSome && x.stage == Broken {
 				return Unsent
@@ -409,25 +415,25 @@
 			return OutcomeOf(x)
 		}
 	},
-	"a connection is given back while the body is still written": func(r *rules) {
+	"a connection is reused while the request body is still being written": func(r *rules) {
 		r.reusable = func(x Exchange) bool {
 			x.written = WrittenAll
 			return x.IsReusable()
 		}
 	},
-	"a connection that its host ends is given back": func(r *rules) {
+	"a connection that the host closes is reused": func(r *rules) {
 		r.reusable = func(x Exchange) bool {
 			x.head.Closing = false
 			return x.IsReusable()
 		}
 	},
-	"an answer without a length leaves its connection to others": func(r *rules) {
+	"a connection is reused after a response without a length": func(r *rules) {
 		r.reusable = func(x Exchange) bool {
 			x.head.Framing = FramedByItself
 			return x.IsReusable()
 		}
 	},
-	"an answer to an earlier request is taken": func(r *rules) {
+	"a response to an earlier request is accepted": func(r *rules) {
 		r.receive = func(x *Exchange, head Head) Verdict {
 			if head.Owner == OwnerEarlier {
 				head.Owner = OwnerOwn
@@ -435,7 +441,7 @@
 			return x.ReceiveHead(head)
 		}
 	},
-	"an answer to no request is taken": func(r *rules) {
+	"a response to no request is accepted": func(r *rules) {
 		r.receive = func(x *Exchange, head Head) Verdict {
 			if head.Owner == OwnerNone {
 				head.Owner = OwnerOwn
@@ -443,10 +449,10 @@
 			return x.ReceiveHead(head)
 		}
 	},
-	"an answer that broke off counts as whole": func(r *rules) {
+	"an incomplete response counts as complete": func(r *rules) {
 		r.lost = func(x *Exchange) { x.End() }
 	},
-	"a success without a seal is taken": func(r *rules) {
+	"a successful response without a seal is accepted": func(r *rules) {
 		r.receive = func(x *Exchange, head Head) Verdict {
 			head.Sealed = true
 			return x.ReceiveHead(head)
@@ -458,10 +464,10 @@
 			return x.ReceiveHead(head)
 		}
 	},
-	"a promise is passed on without proof": func(r *rules) {
+	"a promise is forwarded without proof": func(r *rules) {
 		r.mayForward = func(Attempts, Head) bool { return true }
 	},
-	"a request that may run once is sent again after silence": func(r *rules) {
+	"a request that may run at most once is retried after an uncertain outcome": func(r *rules) {
 		r.next = func(a *Attempts, outcome Outcome) Step {
 			if outcome == Uncertain {
 				outcome = Refused
@@ -483,20 +489,20 @@
 	},
 }
 
-// Each bug that is put into the rules is found.
-func TestTheModelFindsEachBug(t *testing.T) {
-	for name, put := range bugs {
+// The model finds each bug that is injected into the rules.
+func TestModelFindsEachBug(t *testing.T) {
+	for name, inject := range bugs {
 		t.Run(name, func(t *testing.T) {
 			found := ""
 			for _, repeatabilities := range repeatabilityPairs() {
 				m := &model{rules: soundRules(), repeatabilities: repeatabilities}
-				put(&m.rules)
+				inject(&m.rules)
 				if _, found = m.explore(modelDepth); found != "" {
 					break
 				}
 			}
 			if found == "" {
-				t.Fatal("not found")
+				t.Fatal("the model did not find the bug")
 			}
 			t.Log(found)
 		})
