--- a/tier/attempt/head.go
+++ b/tier/attempt/head.go
@@ -19,7 +19,7 @@
 const (
 	FramedByItself Framing = iota // by its length or its last chunk
 	FramedByClose                 // by the end of the connection
-	FramedByMethod                // unknown, because the request may be a HEAD request, whose response has no body
+	FramedByMethod                // unknown, because the earlier or the current request is a HEAD request, whose response has no body
 )
 
 // Head contains the relevant parts of a response's head.
--- a/tier/outlier/detector.go
+++ b/tier/outlier/detector.go
@@ -20,7 +20,7 @@
 	// cause.
 	serverErrorWeight = 0.5
 	// minReporters is how many reporters must have seen the host fail recently. If all of them are in one zone, the host must also be
-	// an outlier among at least minZonePeers hosts of its own zone, because a partition between two zones affects all of these
+	// an outlier among at least minZonePeers hosts of its own zone, because a partition between two zones affects all hosts of a zone
 	// equally.
 	minReporters = 2
 	minZonePeers = 4
@@ -232,8 +232,8 @@
 	return min(max(1, int(maxEjectedShare*float64(hosts))), max(hosts-1, 0))
 }
 
-// thresholdOf returns the number of failures above which a host is an outlier among its peers. The average is taken without the worst
-// hosts, as many as may be ejected, so that several bad hosts do not mask each other. If all hosts fail equally often, none is an
+// thresholdOf returns the number of failures above which a host is an outlier among its peers. The average excludes as many of the
+// worst hosts as may be ejected, so that several bad hosts do not mask each other. If all hosts fail equally often, none is an
 // outlier. It sorts counts.
 func thresholdOf(counts []float64) float64 {
 	sort.Float64s(counts)
--- a/tier/retryafter/estimate_test.go
+++ b/tier/retryafter/estimate_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestOutageDurationsAreLearned(t *testing.T) {
+func TestOutageDurationsAreEstimated(t *testing.T) {
 	o := NewOutageEstimator(time.Second)
 	if got := o.Remaining("a", start); got != time.Second {
 		t.Fatalf("before any outage: expected duration %v", got)
