--- a/gateway/membership/cluster_test.go
+++ b/gateway/membership/cluster_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testPart is the part of the messages that is for membership in these tests.
+// The message rate in these tests, and the fraction of it for membership.
 const (
 	testMessageRate = 60
 	testPart        = 0.1
@@ -15,26 +15,26 @@
 	return New(Config{Self: self, Members: members, MessageRate: testMessageRate, Part: testPart, Seed: seed})
 }
 
-// startedDetector is member 0 of so many, with its life begun.
+// startedDetector returns a started detector of member 0.
 func startedDetector(members int, now float64) *Detector {
 	d := newTestDetector(0, members, 1)
 	d.start(now)
 	return d
 }
 
-// cluster is members on one clock, with links between them that may be cut one way. Messages arrive at once.
+// cluster simulates members with a common clock. Links may be cut in one direction, and messages arrive without delay.
 type cluster struct {
-	now       float64
-	detectors []*Detector // nil: it does not run
-	stopped   []bool
-	cut       func(from, to int) bool
-	logged    []string
-	maxShares float64 // the largest sum of shares, 1 being the whole
+	now           float64
+	detectors     []*Detector // nil for a member that is not running
+	stopped       []bool
+	cut           func(from, to int) bool
+	logged        []string
+	maxTotalShare float64 // maximum sum of the shares of all members, as a fraction of the total
 }
 
 func noCut(int, int) bool { return false }
 
-// newCluster gives members that have had time to hear of each other.
+// newCluster returns a cluster whose members have had time to discover each other.
 func newCluster(t *testing.T, members int) *cluster {
 	t.Helper()
 	c := &cluster{now: 5000, stopped: make([]bool, members), cut: noCut}
@@ -42,8 +42,8 @@
 		c.detectors = append(c.detectors, newTestDetector(i, members, uint64(i)))
 	}
 	c.run(10)
-	if wrong := c.wrongBeliefs(); wrong != 0 {
-		t.Fatalf("%d wrong beliefs from the start", wrong)
+	if wrong := c.wrongStates(); wrong != 0 {
+		t.Fatalf("%d wrong states after the start", wrong)
 	}
 	return c
 }
@@ -64,11 +64,11 @@
 				shares += 1 / d.ShareDivisor(c.now, 0, len(c.detectors))
 			}
 		}
-		c.maxShares = max(c.maxShares, shares)
+		c.maxTotalShare = max(c.maxTotalShare, shares)
 	}
 }
 
-// deliver brings messages, and the answers to them some steps deep.
+// deliver delivers messages and the replies to them, up to a limited depth.
 func (c *cluster) deliver(from int, messages []Message, depth int) {
 	for _, message := range messages {
 		for to, d := range c.detectors {
@@ -88,13 +88,13 @@
 
 func (c *cluster) kill(k int) { c.detectors[k] = nil }
 
-// restart begins a new life of a member that has kept nothing.
+// restart starts a new process of a member without persistent state.
 func (c *cluster) restart(k int, seed uint64) {
 	c.detectors[k] = newTestDetector(k, len(c.detectors), seed)
 }
 
-// wrongBeliefs counts beliefs of those that run which are not so.
-func (c *cluster) wrongBeliefs() (n int) {
+// wrongStates counts the states in the views of running members that don't match reality.
+func (c *cluster) wrongStates() (n int) {
 	for i, d := range c.detectors {
 		for k := range c.detectors {
 			if d != nil && i != k && (d.StateOf(c.now, k) == Dead) != (c.detectors[k] == nil) {
@@ -109,7 +109,7 @@
 	return strings.Contains(strings.Join(c.logged, "\n"), text)
 }
 
-// divisor is by how many a member divides what all share.
+// divisor returns a member's divisor for a quantity shared by all members.
 func (c *cluster) divisor(k int) float64 {
 	return c.detectors[k].ShareDivisor(c.now, 0, len(c.detectors))
 }
--- a/gateway/membership/detector.go
+++ b/gateway/membership/detector.go
@@ -6,26 +6,26 @@
 	"otterseam/internal/rng"
 )
 
-// Broadcast as a recipient stands for every other gateway.
+// Broadcast is the recipient of a message to every other gateway.
 const Broadcast = -1
 
-// Message is to be sent to another gateway.
+// Message is a message to be sent to another gateway.
 type Message struct {
 	// To is the number of a gateway, or Broadcast.
 	To   int
 	Text string
 }
 
-// Config says where a gateway stands.
+// Config configures a Detector.
 type Config struct {
-	// Self is this gateway's number in the list of Members.
+	// Self is the index of this gateway in the configured list, and Members the length of that list.
 	Self    int
 	Members int
-	// MessageRate is how many messages a second a gateway takes in from all others for all purposes; Part is the part of it
-	// that is for membership in quiet times.
+	// MessageRate is the number of messages per second that a gateway accepts from all others for all purposes. Part is the
+	// fraction of it that membership uses while nothing fails.
 	MessageRate float64
 	Part        float64
-	// Seed gives the random numbers.
+	// Seed determines the random numbers.
 	Seed uint64
 }
 
@@ -33,63 +33,63 @@
 	// minPeriod and maxPeriod bound the time between heartbeats, in seconds.
 	minPeriod = 0.2
 	maxPeriod = 5
-	// periodMargin leaves room for pings beside the heartbeats.
+	// periodMargin lengthens the period to leave part of the message rate for pings.
 	periodMargin = 1.2
-	// pauseAllowed is how long a gateway may go without a tick before it counts as having been stopped, in seconds.
-	pauseAllowed = 0.3
-	// minWait is the shortest time between ticks that is asked for, in seconds.
+	// maxTickGap is the maximum time between two ticks, in seconds. A longer gap means that the process was paused.
+	maxTickGap = 0.3
+	// minWait is the minimum of Detector.Wait, in seconds.
 	minWait = 0.001
 )
 
-// member is what is known of one gateway.
+// member is the local view of one gateway.
 type member struct {
 	incarnation   incarnation
-	lastHeard     float64 // the last sign of it that came straight; NaN: none was waited for yet
-	deadSince     float64 // the longer ago, the less it counts
-	watchedAt     float64 // when it was last looked after
-	lastHeartbeat float64 // that came by itself, not asked for
-	unseen        bool    // nothing has come of it since it is looked after
-	nextPingAt    float64 // no ping before
-	tolerance     float64 // factor on the silence allowed: more after it was accused wrongly
-	accusedAt     float64 // when it was accused here; 0: it was not
+	lastHeard     float64 // time of the last message from the member itself; NaN while its silence is not measured
+	deadSince     float64 // start of the fading of its weight
+	watchedAt     float64 // time when it was last watched
+	lastHeartbeat float64 // time of the last heartbeat, not counting replies to pings
+	unseen        bool    // nothing was received from it since watching began
+	nextPingAt    float64 // earliest time of the next ping
+	tolerance     float64 // factor on the allowed silence, raised by false accusations
+	accusedAt     float64 // time of the accusation by this gateway, or 0
 }
 
-// Detector is one gateway's view of all members. A nil Detector knows only the list.
+// Detector is one gateway's view of all members. A nil Detector does nothing and divides shares by the configured number.
 //
-// Tick gives what is to be sent now, Wait how long until it should be called again, Receive brings a message. StateOf, AliveCount
-// and ShareDivisor say what is believed, LogLine what the log should hear. Flush does what a loop's turn needs at once.
+// The caller passes incoming messages to Receive, and calls Flush at least as often as Wait requires. Flush sends the messages
+// that Tick returns and logs the line that LogLine returns. StateOf, AliveCount and ShareDivisor return the current view.
 type Detector struct {
 	self    int
 	members []member
-	period  float64 // between heartbeats, in seconds
+	period  float64 // mean interval between heartbeats, in seconds
 	random  rng.Stream
 
 	started  bool
 	tickedAt float64
-	dead     int // members that count as dead
+	dead     int // number of dead members
 
 	heartbeats heartbeats
 	pings      pingBudget
 	health     localHealth
 	reconnect  reconnect
 	gossip     gossip
-	news       logNews
+	pendingLog logEvents
 	outbox     []Message
 
-	// Malformed counts messages that made no sense.
+	// Malformed counts the invalid messages received.
 	Malformed int
-	// Changes counts changes of what is believed of any member.
+	// Changes counts the state changes of members.
 	Changes int
 }
 
-// New makes a gateway's view of a list of which nobody has been heard yet.
+// New returns a detector that has not heard from any member yet.
 func New(config Config) *Detector {
 	watching := float64(min(watchers, config.Members-1))
 	d := &Detector{
 		self:       config.Self,
 		members:    make([]member, config.Members),
 		period:     min(maxPeriod, max(minPeriod, periodMargin*watching/max(0.01, config.MessageRate*config.Part))),
-		random:     rng.New("member %d ", config.Seed), // the name gives the numbers: it stays as it was recorded
+		random:     rng.New("member %d ", config.Seed), // the text determines the random numbers, so recorded messages depend on it
 		heartbeats: heartbeats{meanGap: initialMeanGap},
 		gossip:     gossip{maxRate: config.MessageRate / 2},
 	}
@@ -99,7 +99,7 @@
 	return d
 }
 
-// start begins a new life at the first moment, with nobody heard of.
+// start sets the initial times and the incarnation when the detector is first used.
 func (d *Detector) start(now float64) {
 	if d.started {
 		return
@@ -112,7 +112,7 @@
 	d.heartbeats.nextAt = now + d.random.Float64()*d.period
 }
 
-// Flush sends what is due and logs what is new.
+// Flush sends the messages that are due and logs new changes.
 func (d *Detector) Flush(now float64, send func(to int, text string), log func(text string)) {
 	for _, message := range d.Tick(now) {
 		send(message.To, message.Text)
@@ -122,14 +122,14 @@
 	}
 }
 
-// Tick gives what is to be sent now.
+// Tick returns the messages that are due.
 func (d *Detector) Tick(now float64) []Message {
 	if d == nil {
 		return nil
 	}
 	d.start(now)
-	if pause := now - d.tickedAt - pauseAllowed; pause > 0 {
-		d.wasStopped(now, pause)
+	if pause := now - d.tickedAt - maxTickGap; pause > 0 {
+		d.handlePause(now, pause)
 	}
 	d.pings.refill(now-d.tickedAt, d.period)
 	d.tickedAt = now
@@ -137,42 +137,43 @@
 	d.sendHeartbeats(now)
 	d.watchRing(now)
 	d.pingDead(now)
-	d.spreadNews(now)
+	d.broadcastUpdates(now)
 	messages := d.outbox
 	d.outbox = nil
 	return messages
 }
 
-// Wait is how long Tick need not be called, in seconds.
+// Wait returns the time in seconds until Tick must be called next.
 func (d *Detector) Wait(now float64) float64 {
 	if d == nil {
 		return math.Inf(1)
 	}
 	next := min(d.heartbeats.nextAt-now, d.period/4)
-	if d.gossip.waiting() {
+	if d.gossip.hasPending() {
 		next = min(next, d.gossip.nextAt-now)
 	}
 	return max(minWait, next)
 }
 
-// Receive brings a message; the next Tick may hold an answer to it. It returns false for one that is not about membership.
+// Receive processes an incoming message; the next Tick returns the replies to it. Receive returns false if the message does not
+// belong to this package. from is the index of the sender, or negative if it is unknown.
 func (d *Detector) Receive(now float64, from int, text string) bool {
 	if d == nil || !isPacket(text) {
 		return false
 	}
 	d.start(now)
 	p, err := parsePacket(text, len(d.members))
-	if err != nil || p.sender == d.self || from >= 0 && p.sender != from { // spoilt or forged: nothing is believed of it
+	if err != nil || p.sender == d.self || from >= 0 && p.sender != from { // corrupt or forged
 		d.Malformed++
 		return true
 	}
-	d.heardAnybody(now)
-	d.signOfLife(now, &p)
-	if p.kind == kindNews {
+	d.recordReceive(now)
+	d.recordSender(now, &p)
+	if p.kind == kindUpdate {
 		d.gossip.countBroadcast(now)
 	}
 	for _, e := range p.entries {
-		d.learn(now, p.sender, e)
+		d.applyEntry(now, p.sender, e)
 	}
 	return true
 }
--- a/gateway/membership/doc.go
+++ b/gateway/membership/doc.go
@@ -1,24 +1,24 @@
-// Package membership knows which API gateways of a configured list are alive.
+// Package membership detects which API gateways of a configured list are alive.
 //
-// It is a ring failure detector with gossip. Each member sends heartbeats to the next two of the ring that are alive, and so is
-// watched by two. One that falls silent is suspected, asked, and at last accused: its incarnation is marked dead, and all are
-// told. A member that hears itself called dead refutes it with a newer incarnation. What counts is always the newer incarnation
-// number, as in SWIM (Das, Gupta, Motivala, 2002); the local health of Lifeguard (Dadgar, Phillips, Currey, 2017) keeps a
-// process that was stopped or cut off from accusing the others.
+// It is a ring failure detector with gossip. Each member sends heartbeats to its next two live successors in the ring, so that
+// two members watch it. A silent member is suspected, pinged and finally accused: its incarnation is marked dead, and all members
+// are informed. A member that learns of its own accusation refutes it with a newer incarnation. A newer incarnation number always
+// overrides an older one, as in SWIM (Das, Gupta, Motivala, 2002). Local health as in Lifeguard (Dadgar, Phillips, Currey, 2017)
+// prevents a process that was paused or isolated from accusing the others.
 //
-// One concern a file:
+// The files:
 //
-//   - detector.go: the state of a gateway's view, its clock and its messages in and out
+//   - detector.go: the state of a gateway's view, its ticks, and its incoming and outgoing messages
 //   - incarnation.go: incarnation numbers and their order
-//   - heartbeat.go: heartbeats to the ring, and the part of them that gets lost
+//   - heartbeat.go: heartbeats along the ring, and their loss rate
 //   - suspicion.go: watching the ring, pings, accusations, reconnecting after a partition, and local health
-//   - gossip.go: news of members, their spread and refutation
-//   - packet.go: the text of messages
-//   - share.go: by how many gateways something shared is divided
-//   - log.go: lines for the log
+//   - gossip.go: broadcasting updates about members, and refutation
+//   - packet.go: the encoding of messages
+//   - share.go: the number of gateways by which a shared quantity is divided
+//   - log.go: log lines
 //
-// Times are seconds on the caller's clock. The package does no I/O, reads no clock and draws no random number that its seed
-// does not give. A [Detector] is used by one goroutine at a time.
+// Times are in seconds on the caller's clock. The package does no I/O, reads no clock, and derives all random numbers from its
+// seed. A [Detector] is not safe for concurrent use.
 //
-// docs/membership.md gives the alternatives weighed, the bounds and the measurements.
+// docs/membership.md describes the alternatives considered, the bounds and the measurements.
 package membership
--- a/gateway/membership/gossip.go
+++ b/gateway/membership/gossip.go
@@ -7,82 +7,84 @@
 )
 
 const (
-	// newsDelay is the time within which news are told, in seconds; newsDelayPerAccusation is added for each accusation of late,
-	// up to maxNewsDelay: who has found more speaks later, since others will have found the same.
-	newsDelay              = 0.1
-	newsDelayPerAccusation = 0.4
-	maxNewsDelay           = 3
-	// newsSpacing and newsSpacingJitter are the seconds between two broadcasts; heldJitter is the latter while there are many.
-	newsSpacing       = 0.3
-	newsSpacingJitter = 0.3
-	heldJitter        = 0.5
+	// broadcastDelay is the maximum delay of the first broadcast of an update, in seconds. Each recent accusation by this member
+	// adds broadcastDelayPerAccusation, up to maxBroadcastDelay: a member that detected many failures waits longer, because
+	// others have probably detected the same ones and report them first.
+	broadcastDelay              = 0.1
+	broadcastDelayPerAccusation = 0.4
+	maxBroadcastDelay           = 3
+	// broadcastInterval is the minimum time between two broadcasts and broadcastJitter its maximum random extension, in seconds.
+	// overRateJitter replaces broadcastJitter while the rate of broadcasts exceeds gossip.maxRate.
+	broadcastInterval = 0.3
+	broadcastJitter   = 0.3
+	overRateJitter    = 0.5
 )
 
-// gossip holds the news that all members should hear. Counts of late fade by a factor of e a second.
+// gossip holds the updates to be broadcast to all members. Its counts of recent events decay by a factor of e per second.
 type gossip struct {
-	pending []int // members of whom all should hear
-	last    []int // those of the last broadcast
-	repeats int   // how often the last broadcast is still to be repeated
-	nextAt  float64
+	pending  []int // members with updates still to be broadcast
+	lastSent []int // members in the last broadcast
+	repeats  int   // remaining repetitions of the last broadcast
+	nextAt   float64
 
-	maxRate       float64 // broadcasts a second from which on this member holds back
-	rate          float64 // those heard or sent of late
+	maxRate       float64 // limit of rate above which this member postpones broadcasts
+	rate          float64 // recent broadcasts, received or sent
 	rateAt        float64
-	accusations   float64 // made here of late
+	accusations   float64 // recent accusations by this member
 	accusationsAt float64
 }
 
-func (g *gossip) waiting() bool { return len(g.pending)+g.repeats > 0 }
+func (g *gossip) hasPending() bool { return len(g.pending)+g.repeats > 0 }
 
 func (g *gossip) countBroadcast(now float64) {
 	g.rate = g.rate*math.Exp(g.rateAt-now) + 1
 	g.rateAt = now
 }
 
-func (g *gossip) crowded(now float64) bool { return g.rate*math.Exp(g.rateAt-now) > g.maxRate }
+func (g *gossip) overRate(now float64) bool { return g.rate*math.Exp(g.rateAt-now) > g.maxRate }
 
 func (g *gossip) countAccusation(now float64) {
 	g.accusations = g.accusations*math.Exp(g.accusationsAt-now) + 1
 	g.accusationsAt = now
 }
 
-// publish has all hear of a member soon.
-func (d *Detector) publish(now float64, k int) {
+// queueUpdate schedules the broadcast of a member's incarnation.
+func (d *Detector) queueUpdate(now float64, k int) {
 	g := &d.gossip
 	if slices.Contains(g.pending, k) {
 		return
 	}
 	g.pending = append(g.pending, k)
 	if len(g.pending) == 1 {
-		delay := min(maxNewsDelay, newsDelay+newsDelayPerAccusation*max(0, g.accusations-1))
+		delay := min(maxBroadcastDelay, broadcastDelay+broadcastDelayPerAccusation*max(0, g.accusations-1))
 		g.nextAt = now + d.random.Float64()*delay
 	}
 }
 
-// spreadNews broadcasts the news, and once more a little later; it holds back while many speak.
-func (d *Detector) spreadNews(now float64) {
+// broadcastUpdates broadcasts the pending updates, each twice. It postpones them while the rate of broadcasts is too high.
+func (d *Detector) broadcastUpdates(now float64) {
 	g := &d.gossip
-	if !g.waiting() || now < g.nextAt {
+	if !g.hasPending() || now < g.nextAt {
 		return
 	}
-	if g.crowded(now) {
-		g.nextAt = now + newsSpacing + heldJitter*d.random.Float64()
+	if g.overRate(now) {
+		g.nextAt = now + broadcastInterval + overRateJitter*d.random.Float64()
 		return
 	}
 	if len(g.pending) > 0 {
 		n := min(len(g.pending), maxEntries)
-		g.last = append(g.last[:0], g.pending[:n]...)
+		g.lastSent = append(g.lastSent[:0], g.pending[:n]...)
 		g.pending = append(g.pending[:0], g.pending[n:]...)
 		g.repeats = 1
 	} else {
 		g.repeats--
 	}
-	d.send(Broadcast, d.newsText(g.last))
+	d.send(Broadcast, d.updateText(g.lastSent))
 	g.countBroadcast(now)
-	g.nextAt = now + newsSpacing + newsSpacingJitter*d.random.Float64()
+	g.nextAt = now + broadcastInterval + broadcastJitter*d.random.Float64()
 }
 
-// sendDead tells a member that comes back empty of those that are dead.
+// sendDead sends the list of dead members to a member that has restarted without state.
 func (d *Detector) sendDead(to int) {
 	var dead []int
 	for i := range d.members {
@@ -91,22 +93,23 @@
 		}
 	}
 	for batch := range slices.Chunk(dead, maxEntries) {
-		d.send(to, d.newsText(batch))
+		d.send(to, d.updateText(batch))
 	}
 }
 
-// learn takes what another member says of one.
-func (d *Detector) learn(now float64, by int, e entry) {
+// applyEntry applies what the member reporter says about another one.
+func (d *Detector) applyEntry(now float64, reporter int, e entry) {
 	if e.member == d.self {
-		d.refute(now, by, e.incarnation)
+		d.refute(now, reporter, e.incarnation)
 		return
 	}
 	m := &d.members[e.member]
-	if !e.incarnation.newer(m.incarnation) || e.member == by {
+	if !e.incarnation.newer(m.incarnation) || e.member == reporter {
 		return
 	}
 	if e.incarnation.dead() && !math.IsNaN(m.lastHeard) && d.silence(now, m) < pingAfter {
-		// Everyone may think so but this gateway has just heard it: it shall speak for itself.
+		// This gateway has just received a message from the accused member. It forwards the accusation, so that the member can
+		// refute it.
 		d.send(e.member, d.entryText(e))
 		return
 	}
@@ -121,16 +124,16 @@
 	}
 }
 
-// refute answers an accusation of this gateway, or news of a later life of its name, with a newer incarnation. It doubts the
-// deaths it believes before it acts on shares: the accused may have been cut off.
-func (d *Detector) refute(now float64, by int, accusation incarnation) {
+// refute responds to an accusation of this gateway, or to an update with a later incarnation of it, with a newer incarnation. It
+// also counts all dead members fully again for shares, because this gateway may have been cut off from them.
+func (d *Detector) refute(now float64, accuser int, accusation incarnation) {
 	self := &d.members[d.self]
 	if !accusation.newer(self.incarnation) {
 		return
 	}
-	d.news.note += fmt.Sprintf("; given up by %d, nobody counts as gone", by)
+	d.pendingLog.note += fmt.Sprintf("; accused by %d, no member counts as gone", accuser)
 	self.incarnation = accusation.refuted()
-	d.doubtDeaths(now)
-	d.publish(now, d.self)
+	d.resetDeadWeights(now)
+	d.queueUpdate(now, d.self)
 	d.gossip.nextAt = now
 }
--- a/gateway/membership/heartbeat.go
+++ b/gateway/membership/heartbeat.go
@@ -3,29 +3,29 @@
 import "math"
 
 const (
-	// watchers is how many members watch each: a death is missed only if all of them miss it.
+	// watchers is the number of members that watch each member. A failure stays undetected only if none of them detects it.
 	watchers = 2
-	// initialMeanGap is the mean of periods between heartbeats before any are counted; gapSmoothing the weight of the newest.
+	// initialMeanGap is the initial value of heartbeats.meanGap, and gapSmoothing the weight of each new gap in it.
 	initialMeanGap = 1.1
 	gapSmoothing   = 0.02
-	// maxCountedGap is from how many periods on a gap says nothing of lost messages.
+	// maxCountedGap is the length of a gap, in periods, from which on it is not attributed to lost messages.
 	maxCountedGap = 20
-	// heartbeatJitter is the part of a period by which heartbeats are drawn apart.
+	// heartbeatJitter is the random variation of the heartbeat interval, as a fraction of the period.
 	heartbeatJitter = 0.1
 )
 
-// heartbeats is the state of those sent and received.
+// heartbeats is the state of sending and receiving heartbeats.
 type heartbeats struct {
 	nextAt      float64
-	windowStart int     // the member at which the next window of incarnations begins
-	meanGap     float64 // mean of periods between heartbeats of late: over 1 by those that did not come
+	windowStart int     // first member of the next window of incarnations
+	meanGap     float64 // moving average of the gap between heartbeats, in periods; lost heartbeats raise it above 1
 }
 
-// lost is the part of the heartbeats of late that did not come.
-func (h *heartbeats) lost() float64 { return 1 - 1/h.meanGap }
+// lossRate returns the fraction of recent heartbeats that were lost.
+func (h *heartbeats) lossRate() float64 { return 1 - 1/h.meanGap }
 
-// count takes the gap between two heartbeats of a member into the mean, in periods.
-func (h *heartbeats) count(gap float64) {
+// recordGap adds a gap between two heartbeats of a member, in periods, to the moving average.
+func (h *heartbeats) recordGap(gap float64) {
 	if gap >= 1 && gap < maxCountedGap {
 		h.meanGap += gapSmoothing * (gap - h.meanGap)
 	}
@@ -40,11 +40,11 @@
 	for _, to := range d.nextAlive(watchers) {
 		d.send(to, d.heartbeatText(kindHeartbeat))
 	}
-	// All of a round carry the same window: else each of two watchers would see every second one only.
+	// All heartbeats of a round carry the same window. Otherwise each of the two watchers would receive only every second window.
 	h.windowStart = (h.windowStart + min(window, len(d.members))) % len(d.members)
 }
 
-// nextAlive gives the next so many members of the ring that are alive.
+// nextAlive returns the next limit live members of the ring.
 func (d *Detector) nextAlive(limit int) (alive []int) {
 	n := len(d.members)
 	for i := 1; i < n && len(alive) < limit; i++ {
@@ -56,18 +56,18 @@
 	return alive
 }
 
-// signOfLife takes a packet as a sign that its sender is alive, if it is of its newest life.
-func (d *Detector) signOfLife(now float64, p *packet) {
+// recordSender records that the sender of a packet is alive, provided that the packet carries its newest incarnation.
+func (d *Detector) recordSender(now float64, p *packet) {
 	m := &d.members[p.sender]
-	if m.incarnation.newer(p.incarnation) { // of a former life, or it does not know it was accused, or its clock went back
-		d.send(p.sender, d.newsText([]int{p.sender}))
+	if m.incarnation.newer(p.incarnation) { // before a restart, unaware of an accusation, or its clock went back
+		d.send(p.sender, d.updateText([]int{p.sender}))
 		return
 	}
 	newLife := p.incarnation.newer(m.incarnation)
 	former := m.incarnation
 	if p.kind == kindHeartbeat {
 		if !newLife {
-			d.heartbeats.count(math.Round((now - m.lastHeartbeat) / d.period))
+			d.heartbeats.recordGap(math.Round((now - m.lastHeartbeat) / d.period))
 		}
 		m.lastHeartbeat = now
 	}
@@ -75,11 +75,11 @@
 	m.lastHeard = now
 	m.nextPingAt = 0
 	m.unseen = false
-	m.forgive()
+	m.decayTolerance()
 	if newLife && former != 0 {
 		d.markReturned(p.sender, former)
-		if p.kind != kindNews { // news all hear: they must not all answer
-			d.publish(now, p.sender)
+		if p.kind != kindUpdate { // all members receive a broadcast and must not all reply to it
+			d.queueUpdate(now, p.sender)
 			d.sendDead(p.sender)
 		}
 	}
--- a/gateway/membership/log.go
+++ b/gateway/membership/log.go
@@ -6,48 +6,50 @@
 )
 
 const (
-	// logInterval is the least time between two lines, in seconds, so that a death of hundreds is a few lines.
+	// logInterval is the minimum time between two lines, in seconds, so that the failure of hundreds of members takes a few
+	// lines.
 	logInterval = 0.5
-	// maxNamed is how many members a line names.
-	maxNamed = 8
+	// maxLoggedMembers is the maximum number of members listed in a line.
+	maxLoggedMembers = 8
 )
 
-// logNews is what has happened since the last line for the log.
-type logNews struct {
+// logEvents collects what has happened since the last log line.
+type logEvents struct {
 	dead     []int
 	alive    []int
-	note     string // something else
+	note     string // other events
 	loggedAt float64
 }
 
-// LogLine gives a line for the log, "" where there is nothing new: one for all that changed within half a second.
+// LogLine returns a log line for all changes since the previous one, or "" if there are none or the previous line is less than
+// logInterval old.
 func (d *Detector) LogLine(now float64) string {
 	if d == nil {
 		return ""
 	}
-	news := &d.news
-	nothing := len(news.dead)+len(news.alive) == 0 && news.note == ""
-	if nothing || now-news.loggedAt < logInterval {
+	pendingLog := &d.pendingLog
+	nothing := len(pendingLog.dead)+len(pendingLog.alive) == 0 && pendingLog.note == ""
+	if nothing || now-pendingLog.loggedAt < logInterval {
 		return ""
 	}
-	news.loggedAt = now
+	pendingLog.loggedAt = now
 	var line strings.Builder
-	fmt.Fprintf(&line, "membership: %d of %d are there; %.2f of the beats missing", d.AliveCount(), len(d.members), d.heartbeats.lost())
-	writeNamed(&line, "gone", news.dead)
-	writeNamed(&line, "back", news.alive)
-	line.WriteString(news.note)
-	news.dead = news.dead[:0]
-	news.alive = news.alive[:0]
-	news.note = ""
+	fmt.Fprintf(&line, "membership: %d of %d alive; heartbeat loss rate %.2f", d.AliveCount(), len(d.members), d.heartbeats.lossRate())
+	writeMembers(&line, "gone", pendingLog.dead)
+	writeMembers(&line, "back", pendingLog.alive)
+	line.WriteString(pendingLog.note)
+	pendingLog.dead = pendingLog.dead[:0]
+	pendingLog.alive = pendingLog.alive[:0]
+	pendingLog.note = ""
 	return line.String()
 }
 
-func writeNamed(line *strings.Builder, what string, members []int) {
+func writeMembers(line *strings.Builder, label string, members []int) {
 	if len(members) == 0 {
 		return
 	}
-	fmt.Fprintf(line, "; %s %d:", what, len(members))
-	for _, k := range members[:min(maxNamed, len(members))] {
+	fmt.Fprintf(line, "; %s %d:", label, len(members))
+	for _, k := range members[:min(maxLoggedMembers, len(members))] {
 		fmt.Fprintf(line, " %d", k)
 	}
 }
--- a/gateway/membership/packet.go
+++ b/gateway/membership/packet.go
@@ -2,26 +2,26 @@
 
 import "errors"
 
-// errMalformed is of a text that is no message among so many members. It is counted in [Detector.Malformed].
+// errMalformed is the error for a text that is not a valid message. [Detector.Malformed] counts these errors.
 var errMalformed = errors.New("membership: malformed message")
 
-// A message is printable text of at most maxPacket bytes. All begin with packetPrefix, the kind, the sender's number and its
-// incarnation. Behind it stand, in a heartbeat, a ping and an ack, the first member of a window and the incarnations of that
-// window in turn; in news, members with their incarnations.
+// A message is printable text of at most maxPacket bytes. It begins with packetPrefix, the kind, the sender's index and the
+// sender's incarnation. In a heartbeat, a ping and an ack, the first member of a window and the incarnations of the members in
+// that window follow. In an update, pairs of a member and its incarnation follow.
 const (
 	packetPrefix  = '!'
 	kindHeartbeat = 'b'
-	kindPing      = 'a' // a heartbeat that asks for an ack
+	kindPing      = 'a' // a heartbeat that requests an ack
 	kindAck       = 'c'
-	kindNews      = 'n'
+	kindUpdate    = 'n'
 
 	maxPacket = 256
-	// memberDigits and incarnationDigits are the widths of numbers, in digits of base 64.
+	// memberDigits and incarnationDigits are the widths of encoded numbers, in base-64 digits.
 	memberDigits      = 2
 	incarnationDigits = 5
 	entryDigits       = memberDigits + incarnationDigits
-	headLength        = 2 + memberDigits + incarnationDigits
-	// maxEntries is how many entries news may hold; window how many incarnations ride with a heartbeat.
+	headerLength      = 2 + memberDigits + incarnationDigits
+	// maxEntries is the maximum number of entries in an update, and window the number of incarnations in a heartbeat.
 	maxEntries = 30
 	window     = 20
 )
@@ -38,13 +38,13 @@
 	return values
 }()
 
-// entry is what a message says of a member.
+// entry is the incarnation of a member as stated in a message.
 type entry struct {
 	member      int
 	incarnation incarnation
 }
 
-// packet is a message as it was parsed.
+// packet is a parsed message.
 type packet struct {
 	kind        byte
 	sender      int
@@ -65,16 +65,16 @@
 	return appendNumber(b, uint32(a), incarnationDigits)
 }
 
-// head begins a message with room for so many bytes more.
-func (d *Detector) head(kind byte, more int) []byte {
-	b := append(make([]byte, 0, headLength+more), packetPrefix, kind)
+// header returns the beginning of a message, with capacity for extra more bytes.
+func (d *Detector) header(kind byte, extra int) []byte {
+	b := append(make([]byte, 0, headerLength+extra), packetPrefix, kind)
 	return appendIncarnation(appendMember(b, d.self), d.members[d.self].incarnation)
 }
 
-// heartbeatText is a heartbeat, a ping or an ack, with a window of what is known of the others.
+// heartbeatText encodes a heartbeat, a ping or an ack, with the incarnations of a window of members.
 func (d *Detector) heartbeatText(kind byte) string {
 	start := d.heartbeats.windowStart
-	b := appendMember(d.head(kind, memberDigits+incarnationDigits*window), start)
+	b := appendMember(d.header(kind, memberDigits+incarnationDigits*window), start)
 	n := len(d.members)
 	for i := range min(window, n) {
 		b = appendIncarnation(b, d.members[(start+i)%n].incarnation)
@@ -82,25 +82,25 @@
 	return string(b)
 }
 
-// newsText says what is known of some members.
-func (d *Detector) newsText(members []int) string {
-	b := d.head(kindNews, entryDigits*len(members))
+// updateText encodes an update with the incarnations of some members.
+func (d *Detector) updateText(members []int) string {
+	b := d.header(kindUpdate, entryDigits*len(members))
 	for _, k := range members {
 		b = appendIncarnation(appendMember(b, k), d.members[k].incarnation)
 	}
 	return string(b)
 }
 
-// entryText passes on to a member what another said of it.
+// entryText encodes an update with a single entry received from another member.
 func (d *Detector) entryText(e entry) string {
-	b := d.head(kindNews, entryDigits)
+	b := d.header(kindUpdate, entryDigits)
 	return string(appendIncarnation(appendMember(b, e.member), e.incarnation))
 }
 
-// isPacket says whether a text is meant for this package.
+// isPacket reports whether a text is a message of this package.
 func isPacket(text string) bool { return len(text) > 0 && text[0] == packetPrefix }
 
-// parser takes numbers off the front of a text, and remembers whether one was missing.
+// parser decodes numbers from the beginning of a text. failed is set once one is missing or invalid.
 type parser struct {
 	text   string
 	failed bool
@@ -123,7 +123,7 @@
 	return x
 }
 
-// member takes the number of one of so many members.
+// member decodes the index of one of the given number of members.
 func (p *parser) member(members int) int {
 	k := int(p.number(memberDigits))
 	if k >= members {
@@ -134,21 +134,21 @@
 
 func (p *parser) incarnation() incarnation { return incarnation(p.number(incarnationDigits)) }
 
-// parsePacket parses a message among so many members.
+// parsePacket parses a message, given the number of members.
 func parsePacket(text string, members int) (packet, error) {
 	if !isPacket(text) || len(text) < 2 || len(text) > maxPacket {
 		return packet{}, errMalformed
 	}
 	p := parser{text: text[2:]}
 	result := packet{kind: text[1], sender: p.member(members), incarnation: p.incarnation()}
-	if p.failed || result.incarnation <= 1 || result.incarnation.dead() { // nobody says that itself is dead
+	if p.failed || result.incarnation <= 1 || result.incarnation.dead() { // no member accuses itself
 		return packet{}, errMalformed
 	}
 	switch result.kind {
 	case kindPing, kindHeartbeat, kindAck:
 		result.entries = p.windowEntries(members)
-	case kindNews:
-		result.entries = p.newsEntries(members)
+	case kindUpdate:
+		result.entries = p.updateEntries(members)
 	default:
 		return packet{}, errMalformed
 	}
@@ -158,7 +158,7 @@
 	return result, nil
 }
 
-// windowEntries gives those of a window of which the sender has heard.
+// windowEntries decodes a window and returns the entries of the members that the sender has heard from.
 func (p *parser) windowEntries(members int) (entries []entry) {
 	k := p.member(members)
 	if len(p.text)%incarnationDigits != 0 || len(p.text)/incarnationDigits > members {
@@ -172,7 +172,7 @@
 	return entries
 }
 
-func (p *parser) newsEntries(members int) (entries []entry) {
+func (p *parser) updateEntries(members int) (entries []entry) {
 	if len(p.text)%entryDigits != 0 {
 		p.failed = true
 	}
--- a/gateway/membership/packet_test.go
+++ b/gateway/membership/packet_test.go
@@ -6,7 +6,7 @@
 	const members = 40
 	d := startedDetector(members, 5000)
 	f.Add(d.heartbeatText(kindHeartbeat))
-	f.Add(d.newsText([]int{1, 2, 3}))
+	f.Add(d.updateText([]int{1, 2, 3}))
 	f.Add("!n")
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := parsePacket(text, members)
@@ -17,13 +17,13 @@
 			t.Fatalf("%+v", p)
 		}
 		for _, e := range p.entries {
-			if e.member < 0 || e.member >= members || e.incarnation >= incarnations {
+			if e.member < 0 || e.member >= members || e.incarnation >= incarnationCount {
 				t.Fatalf("%+v", e)
 			}
 		}
 		d.Receive(5001, p.sender, text)
-		if by := d.ShareDivisor(5001, 0, members); by < members/2 || by > members {
-			t.Fatalf("divides by %g", by)
+		if divisor := d.ShareDivisor(5001, 0, members); divisor < members/2 || divisor > members {
+			t.Fatalf("share divisor %g", divisor)
 		}
 	})
 }
--- a/gateway/membership/share.go
+++ b/gateway/membership/share.go
@@ -3,26 +3,27 @@
 import "math"
 
 const (
-	// deadFadeTime is for how long a dead member goes on counting, less and less, in seconds: shares grow slowly.
+	// deadFadeTime is the time in seconds over which the weight of a dead member falls to 0, so that the shares of the others
+	// grow slowly.
 	deadFadeTime = 4.0
-	// minCountedPart is the smallest part of a set that ever counts as alive: no share is more than its listed one over the
-	// root of it, whatever anybody believes.
+	// minCountedPart is the minimum fraction of a set that counts as alive. No share exceeds the configured one divided by the
+	// square root of it, whatever the views of the members are.
 	minCountedPart = 0.25
 )
 
-// State is what is believed of a member.
+// State is the state of a member in the local view.
 type State int
 
 const (
-	// Alive members answer, or nothing of them is waited for.
+	// Alive members were heard from recently, or their silence is not measured.
 	Alive State = iota
-	// Suspect members have been silent for unusually long.
+	// Suspect members have been silent for longer than suspectAfter.
 	Suspect
 	// Dead members were accused and have not refuted it.
 	Dead
 )
 
-// StateOf says what is believed of a member.
+// StateOf returns the state of a member.
 func (d *Detector) StateOf(now float64, k int) State {
 	m := &d.members[k]
 	switch {
@@ -36,10 +37,10 @@
 	return Alive
 }
 
-// AliveCount is how many members are not dead, this one with them.
+// AliveCount returns the number of members that are not dead, including this one.
 func (d *Detector) AliveCount() int { return len(d.members) - d.dead }
 
-// weight is what a member counts for: 1, and less and less once it is dead.
+// weight returns the weight of a member in shares: 1, fading to 0 once it is dead.
 func (d *Detector) weight(now float64, k int) float64 {
 	m := &d.members[k]
 	if k == d.self || !m.incarnation.dead() {
@@ -48,13 +49,14 @@
 	return min(1, max(0, 1-(now-m.deadSince)/deadFadeTime))
 }
 
-// ShareDivisor is by how many something is divided that is shared by width members from first on, counted round.
+// ShareDivisor returns the divisor of a quantity that is shared by width consecutive members starting at first, wrapping around.
 //
-// With x the part of them that counts, it is width times the root of x. A set cut into k sides, each of which sees the
-// others as dead, then uses at most the sum of the roots of their parts, which is never more than the root of k: 1.42
-// times the whole for two. Survivors of a death get the root of their part, so 0.55 of the whole where three in ten
-// are left, not 0.3. Those that come back count at once, and begin by dividing by all: with survivors that have not heard
-// of it yet, at most root(x) + 1 - x, 1.25. Whatever is believed, no share is more than twice its listed part.
+// With x as the fraction of these members that counts, the divisor is width*sqrt(x). If a set is partitioned into k sides, each
+// of which considers the others dead, the sides together use at most the sum of the square roots of their fractions. That sum is
+// at most sqrt(k), which is 1.42 times the total for two sides. The survivors of a failure together get the square root of their
+// fraction: 0.55 of the total if three in ten are left, rather than 0.3. Members that return count immediately and start by
+// dividing by the full number. Together with survivors that don't know of the return yet, they use at most sqrt(x) + 1 - x, which
+// is 1.25. Whatever the views of the members are, no share exceeds twice its configured part.
 func (d *Detector) ShareDivisor(now float64, first, width int) float64 {
 	if d == nil || width <= 1 || d.dead == 0 {
 		return float64(max(1, width))
--- a/gateway/membership/suspicion.go
+++ b/gateway/membership/suspicion.go
@@ -5,40 +5,41 @@
 	"math"
 )
 
-// Silence is counted in periods of the heartbeats.
+// Durations of silence, in heartbeat periods.
 const (
-	// pingAfter is the silence after which a member is asked whether it is alive.
+	// pingAfter is the silence after which a member is pinged.
 	pingAfter = 1.4
-	// suspectAfter is that after which it is suspected, and members further back in the ring are watched as well.
+	// suspectAfter is the silence after which a member is suspected and members further back in the ring are watched as well.
 	suspectAfter = 2.2
 	// accuseAfter is that after which it is accused; accusePerLost is added for the part of the heartbeats that gets lost, of
 	// which maxLostCounted counts.
-	accuseAfter    = 3.3
-	accusePerLost  = 8
-	maxLostCounted = 0.6
-	// unseenSuspectAfter is that after which one that was never heard is suspected.
+	accuseAfter       = 3.3
+	accusePerLossRate = 8
+	maxLossRate       = 0.6
+	// unseenSuspectAfter is the silence after which a member is suspected if nothing was received from it since watching began.
 	unseenSuspectAfter = 1
-	// startAllowance is for how many periods more one that was never heard of is waited for: it need not be up yet.
+	// startAllowance is the additional silence allowed to a member never heard from, because it may not have started yet.
 	startAllowance = 2
-	// isolatedAfter is the silence of all after which this gateway counts as cut off.
+	// isolatedAfter is the silence of all members after which this gateway considers itself isolated.
 	isolatedAfter = 3
 )
 
 const (
-	// extraWatched is how many more members are watched for each suspected one, maxWatched at most.
+	// extraWatched is the number of additional members watched for each suspected one. maxWatched limits the total.
 	extraWatched = 2
 	maxWatched   = 16
-	// pingSpacing is the part of a period between two pings of a member.
-	pingSpacing = 3
-	// maxTolerance bounds the factor on the silence allowed to a member that refuted an accusation of this gateway; it falls by
-	// toleranceDecay with each sign of life.
+	// memberPingsPerPeriod is the maximum number of pings to one member per period.
+	memberPingsPerPeriod = 3
+	// maxTolerance limits member.tolerance, which grows with each accusation by this gateway that the member refutes. Each
+	// message from the member multiplies it by toleranceDecay.
 	maxTolerance   = 8
 	toleranceDecay = 0.995
-	// longPause is from how many seconds on a gateway that was stopped doubts what it believes.
+	// longPause is the length of a pause of this process, in seconds, after which dead members count fully for shares again.
 	longPause = 1
 )
 
-// pingBudget bounds the pings that may be sent.
+// pingBudget is a token bucket that limits the rate of pings. It holds at most maxPings tokens and gains pingsPerPeriod tokens
+// per heartbeat period.
 type pingBudget struct{ tokens float64 }
 
 const (
@@ -58,32 +59,32 @@
 	return true
 }
 
-// localHealth says whether this gateway hears anybody.
+// localHealth records whether this gateway receives any messages.
 type localHealth struct {
-	lastHeard float64 // when anybody was heard
-	isolated  bool    // nobody is
+	lastHeard float64 // time of the last message from any member
+	isolated  bool    // no messages have been received for isolatedAfter periods
 }
 
-// silence is for how long a member has been silent, in periods; NaN where none of it was waited for.
+// silence returns for how long a member has been silent, in periods, or NaN if its silence is not measured.
 func (d *Detector) silence(now float64, m *member) float64 { return (now - m.lastHeard) / d.period }
 
-// silenceAllowed is after how many periods of silence a member is accused: the more messages get lost, the later.
+// silenceAllowed returns the silence, in periods, after which a member is accused. It grows with the loss rate of heartbeats.
 func (d *Detector) silenceAllowed(m *member) float64 {
-	return (accuseAfter + accusePerLost*min(maxLostCounted, d.heartbeats.lost())) * m.tolerance
+	return (accuseAfter + accusePerLossRate*min(maxLossRate, d.heartbeats.lossRate())) * m.tolerance
 }
 
-// watchRing looks after those before this member in the ring, and further back the more of them are silent: most of their
-// watchers may have died with them.
+// watchRing checks the live predecessors of this member in the ring. The more of them are silent, the more it checks, because
+// most watchers of those further back may have failed as well.
 func (d *Detector) watchRing(now float64) {
 	n := len(d.members)
 	limit := watchers
-	for i, seen := 1, 0; i < n && seen < limit; i++ {
+	for i, watched := 1, 0; i < n && watched < limit; i++ {
 		k := (d.self - i + n) % n
 		m := &d.members[k]
 		if m.incarnation.dead() {
 			continue
 		}
-		seen++
+		watched++
 		d.watch(now, m)
 		silence := d.silence(now, m)
 		if silence < pingAfter && !m.unseen {
@@ -96,11 +97,12 @@
 	}
 }
 
-// watch begins to wait for a member that was not looked after of late, which it may not know.
+// watch starts to measure the silence of a member that was not watched within the last period. Such a member may not know yet
+// that it should send heartbeats here, so its earlier silence does not count.
 func (d *Detector) watch(now float64, m *member) {
 	if now-m.watchedAt > d.period {
-		heardLately := m.lastHeard > now-d.period // false for NaN
-		if !heardLately {
+		heardRecently := m.lastHeard > now-d.period // false for NaN
+		if !heardRecently {
 			m.lastHeard = now
 			if m.incarnation == 0 {
 				m.lastHeard = now + startAllowance*d.period
@@ -118,7 +120,7 @@
 	case silence > d.silenceAllowed(m) && !d.health.isolated:
 		d.accuse(now, k)
 	case now >= m.nextPingAt && d.pings.take():
-		m.nextPingAt = now + d.period/pingSpacing
+		m.nextPingAt = now + d.period/memberPingsPerPeriod
 		d.send(k, d.heartbeatText(kindPing))
 	}
 }
@@ -129,10 +131,10 @@
 	m.accusedAt = now
 	d.markDead(now, k)
 	d.gossip.countAccusation(now)
-	d.publish(now, k)
+	d.queueUpdate(now, k)
 }
 
-// markDead notes that a member counts as dead from now on.
+// markDead records that a member is dead.
 func (d *Detector) markDead(now float64, k int) {
 	m := &d.members[k]
 	m.deadSince = now
@@ -140,57 +142,58 @@
 	m.nextPingAt = 0
 	d.dead++
 	d.Changes++
-	d.news.dead = append(d.news.dead, k)
+	d.pendingLog.dead = append(d.pendingLog.dead, k)
 }
 
-// markReturned notes that a member that was accused, or whose former life is over, is alive.
+// markReturned records that a member that was accused or has restarted is alive.
 func (d *Detector) markReturned(k int, former incarnation) {
 	m := &d.members[k]
 	if former.dead() {
 		d.dead--
 	}
 	if m.accusedAt > 0 && former.dead() && m.incarnation == former.refuted() {
-		// A link that is dead one way would have it accused again and again: who is refuted waits longer the next time.
+		// A link that fails in one direction would cause repeated accusations. Each refutation therefore doubles the silence
+		// allowed before the next accusation.
 		m.tolerance = min(maxTolerance, 2*m.tolerance)
 	}
 	m.accusedAt = 0
 	d.Changes++
-	d.news.alive = append(d.news.alive, k)
+	d.pendingLog.alive = append(d.pendingLog.alive, k)
 }
 
-// forgive lets the tolerance fall back with a sign of life.
-func (m *member) forgive() {
+// decayTolerance reduces the tolerance after a message from the member.
+func (m *member) decayTolerance() {
 	if m.tolerance > 1 {
 		m.tolerance = max(1, m.tolerance*toleranceDecay)
 	}
 }
 
-// reconnect paces pings to members that count as dead.
+// reconnect limits the rate of pings to dead members.
 type reconnect struct {
-	lastAt  float64
-	spacing float64 // factor on the usual time until the next
+	lastAt         float64
+	intervalFactor float64 // random factor on the interval until the next ping
 }
 
 const (
-	// fleetReconnectRate is how many pings a second a dead member gets at most, from all together.
+	// fleetReconnectRate is the mean rate of pings per second that one dead member gets from all others together.
 	fleetReconnectRate = 2
-	// reconnectPeriods is how many periods one member leaves between two such pings at least.
+	// reconnectPeriods is the minimum mean interval, in periods, between two pings by one member to dead members.
 	reconnectPeriods = 4
 )
 
-// pingDead asks one of the dead now and then: after a partition has healed neither side would hear of it, since each sends
-// the other nothing.
+// pingDead pings one of the dead members from time to time. Otherwise neither side would notice that a partition has healed,
+// because neither sends anything to the other.
 func (d *Detector) pingDead(now float64) {
 	if d.dead == 0 {
 		return
 	}
 	r := &d.reconnect
 	interval := max(reconnectPeriods*d.period, float64(d.AliveCount())/(fleetReconnectRate*float64(d.dead)))
-	if now < r.lastAt+r.spacing*interval {
+	if now < r.lastAt+r.intervalFactor*interval {
 		return
 	}
 	r.lastAt = now
-	r.spacing = 0.5 + d.random.Float64()
+	r.intervalFactor = 0.5 + d.random.Float64()
 	n := len(d.members)
 	first := int(d.random.Float64() * float64(n))
 	for i := range n {
@@ -202,42 +205,44 @@
 	}
 }
 
-// checkIsolation notes whether anybody is heard at all. All others at once are seldom dead, so while none is heard this gateway's
-// own link is taken to be, nobody is accused, and the dead count as alive for shares.
+// checkIsolation determines whether this gateway has stopped receiving messages from all members. All others rarely fail at the
+// same time, so the gateway then assumes that its own link has failed: it accuses nobody, and counts dead members as alive for
+// shares.
 func (d *Detector) checkIsolation(now float64) {
 	isolated := now-d.health.lastHeard > isolatedAfter*d.period
 	if isolated && !d.health.isolated {
-		d.news.note += "; nobody is heard, so nobody counts as gone"
+		d.pendingLog.note += "; no messages from any member, so no member counts as gone"
 	}
 	d.health.isolated = isolated
 	if isolated {
-		d.doubtDeaths(now)
+		d.resetDeadWeights(now)
 	}
 }
 
-// heardAnybody ends an isolation. What could not be heard in it counts as nobody's silence.
-func (d *Detector) heardAnybody(now float64) {
+// recordReceive records that a message was received, which ends an isolation. The time of the isolation does not count as silence
+// of any member.
+func (d *Detector) recordReceive(now float64) {
 	if d.health.isolated {
-		d.excuseSilence(now - d.health.lastHeard)
+		d.discountSilence(now - d.health.lastHeard)
 		d.pings.tokens = maxPings
 	}
 	d.health.lastHeard = now
 	d.health.isolated = false
 }
 
-// wasStopped is told that this process made no tick for so long. What it could not hear then counts as nobody's silence, and
-// after a long pause the dead count as alive for shares until their silence is seen again.
-func (d *Detector) wasStopped(now, pause float64) {
+// handlePause handles a pause of this process, in seconds, during which it made no tick. The pause does not count as silence of
+// any member. After a long one, dead members count fully for shares again, because they may have returned during the pause.
+func (d *Detector) handlePause(now, pause float64) {
 	d.health.lastHeard += pause
-	d.excuseSilence(pause)
+	d.discountSilence(pause)
 	if pause > longPause {
-		d.news.note += fmt.Sprintf("; asleep for %.2f s, nobody counts as gone", pause)
-		d.doubtDeaths(now)
+		d.pendingLog.note += fmt.Sprintf("; paused for %.2f s, no member counts as gone", pause)
+		d.resetDeadWeights(now)
 	}
 }
 
-// excuseSilence lets some seconds count as nobody's silence.
-func (d *Detector) excuseSilence(seconds float64) {
+// discountSilence shifts all times by some seconds, so that these don't count as silence of any member.
+func (d *Detector) discountSilence(seconds float64) {
 	for i := range d.members {
 		m := &d.members[i]
 		m.lastHeard += seconds
@@ -247,8 +252,8 @@
 	}
 }
 
-// doubtDeaths lets all that are dead count as alive for shares again, and less only as time goes on.
-func (d *Detector) doubtDeaths(now float64) {
+// resetDeadWeights makes all dead members count fully for shares again. Their weights then fade anew.
+func (d *Detector) resetDeadWeights(now float64) {
 	for i := range d.members {
 		d.members[i].deadSince = max(d.members[i].deadSince, now)
 	}
