--- a/gateway/http1/chunked.go
+++ b/gateway/http1/chunked.go
@@ -2,29 +2,29 @@
 
 import "bytes"
 
-// maxChunkLine is the most bytes of a line between chunks, its extensions included.
+// maxChunkLine is the maximum length in bytes of a line between chunks, including chunk extensions.
 const maxChunkLine = 256
 
-// chunkDecoder is how far a chunked body has been decoded.
+// chunkDecoder is the state of decoding a chunked body.
 type chunkDecoder struct {
-	endless      bool // a stream: its chunks may be of any length
-	left         int  // bytes of the present chunk
-	closing      bool // the line end behind a chunk is still to come
-	trailer      bool // only trailer lines are to come
-	trailerBytes int
+	unbounded     bool // the body is a stream whose chunks may exceed MaxBodyBytes
+	remaining     int  // bytes of the current chunk still to be read
+	expectLineEnd bool // the line end after the chunk data is expected next
+	inTrailer     bool // the last chunk was read and only trailer lines follow
+	trailerBytes  int
 }
 
-// decode appends to dst the data in src, and returns how many bytes were written and read. dst may begin where src does: no
-// more is written than was read.
+// decode appends the chunk data in src to dst, and returns the numbers of bytes written and read. dst may start at the same
+// address as src, because decode never writes more bytes than it has read.
 func (d *chunkDecoder) decode(dst, src []byte) (written, read int, done bool, err error) {
 	for read < len(src) {
-		if d.left > 0 {
-			n := min(d.left, len(src)-read)
+		if d.remaining > 0 {
+			n := min(d.remaining, len(src)-read)
 			dst = append(dst, src[read:read+n]...)
 			read += n
 			written += n
-			d.left -= n
-			d.closing = true
+			d.remaining -= n
+			d.expectLineEnd = true
 			continue
 		}
 		line, size, err := cutChunkLine(src[read:])
@@ -35,7 +35,7 @@
 			break
 		}
 		read += size
-		done, err := d.line(line)
+		done, err := d.handleLine(line)
 		if done || err != nil {
 			return written, read, done, err
 		}
@@ -43,7 +43,8 @@
 	return written, read, false, nil
 }
 
-// cutChunkLine gives the line that b begins with, and its size with the line end; 0 while it is not complete.
+// cutChunkLine returns the first line of b without its line end, and its size including the line end. The size is 0 if the line
+// is incomplete.
 func cutChunkLine(b []byte) (line []byte, size int, err error) {
 	i := bytes.IndexByte(b, '\n')
 	switch {
@@ -55,16 +56,16 @@
 	return b[:i-1], i + 1, nil
 }
 
-// line takes a line that is no data.
-func (d *chunkDecoder) line(line []byte) (done bool, err error) {
+// handleLine processes a line that is not chunk data: a chunk size, the line end after chunk data, or a trailer line.
+func (d *chunkDecoder) handleLine(line []byte) (done bool, err error) {
 	switch {
-	case d.closing:
+	case d.expectLineEnd:
 		if len(line) > 0 {
 			return false, ErrMalformed
 		}
-		d.closing = false
+		d.expectLineEnd = false
 		return false, nil
-	case d.trailer:
+	case d.inTrailer:
 		d.trailerBytes += len(line)
 		if d.trailerBytes > MaxHeadBytes {
 			return false, ErrHeadTooLong
@@ -76,21 +77,21 @@
 	if !ok {
 		return false, ErrMalformed
 	}
-	if size > MaxBodyBytes && !d.endless {
+	if size > MaxBodyBytes && !d.unbounded {
 		return false, ErrBodyTooLong
 	}
-	d.left = size
-	d.trailer = size == 0
+	d.remaining = size
+	d.inTrailer = size == 0
 	return false, nil
 }
 
-// ChunkedStream decodes a chunked stream without end, as a watch is.
+// ChunkedStream decodes a chunked stream of unlimited length, such as the response to a watch.
 type ChunkedStream struct{ chunks chunkDecoder }
 
-// Decode appends to dst the data in src. It returns how many bytes of src were used, and whether the stream has ended.
-// ErrBodyTooLong is returned where dst has no room for the data.
+// Decode appends the chunk data in src to dst. It returns the number of bytes of src that were used, and whether the stream has
+// ended. It returns ErrBodyTooLong if the capacity of dst is too small for the data.
 func (s *ChunkedStream) Decode(dst, src []byte) (data []byte, used int, done bool, err error) {
-	s.chunks.endless = true
+	s.chunks.unbounded = true
 	written, read, done, err := s.chunks.decode(dst[len(dst):], src)
 	if cap(dst)-len(dst) >= written {
 		return dst[:len(dst)+written], read, done, err
--- a/gateway/http1/doc.go
+++ b/gateway/http1/doc.go
@@ -1,13 +1,13 @@
-// Package http1 parses and writes HTTP/1.1 messages (RFC 9112) of a gateway's clients, hosts, quota counter and discovery, in
-// buffers that its callers lend.
+// Package http1 parses and writes the HTTP/1.1 messages (RFC 9112) that a gateway exchanges with clients, hosts, the quota
+// counter and discovery. The callers provide the buffers.
 //
-//   - message.go: a [Message] is given bytes as they come and says when it is complete
-//   - head.go: the request or status line and the fields, and what they say of the body
+//   - message.go: the incremental parser [Message]
+//   - head.go: the start line, the header fields, and the body length that they define
 //   - chunked.go: the chunked transfer coding
-//   - syntax.go: characters and numbers
-//   - invocation.go: the fields that make a client's request an [Invocation], and what a host's response proves
+//   - syntax.go: character classes and numbers
+//   - invocation.go: the header fields of a client's request as an [Invocation], and the header field of declined attempts
 //   - write.go: the messages that a gateway sends
 //
-// The package opens no socket and keeps no buffer that its caller has taken back. A request whose length can be understood in
-// two ways is malformed: the next reader might take the other one.
+// The package opens no sockets and does not use a buffer after its caller has reclaimed it. A request with an ambiguous body
+// length is rejected as malformed, because the next recipient might interpret it differently (request smuggling).
 package http1
--- a/gateway/http1/head.go
+++ b/gateway/http1/head.go
@@ -7,7 +7,7 @@
 	headEnd = "\r\n\r\n"
 )
 
-// parseHead parses the head once all of it has come.
+// parseHead parses the head if it has been received completely.
 func (m *Message) parseHead() (complete bool, err error) {
 	if m.scanned == 0 {
 		m.skipEmptyLines()
@@ -25,18 +25,18 @@
 		return false, ErrHeadTooLong
 	}
 	head := m.buffer[:m.bodyStart-len(lineEnd)]
-	first, lines, _ := bytes.Cut(head, []byte(lineEnd))
-	http10, ok := m.parseFirstLine(first)
+	startLine, fieldLines, _ := bytes.Cut(head, []byte(lineEnd))
+	http10, ok := m.parseStartLine(startLine)
 	if !ok {
 		return false, ErrMalformed
 	}
-	if err := m.parseFields(lines, http10); err != nil {
+	if err := m.parseFields(fieldLines, http10); err != nil {
 		return false, err
 	}
 	return true, nil
 }
 
-// skipEmptyLines passes over those before a message (RFC 9112, 2.2).
+// skipEmptyLines skips empty lines before a message (RFC 9112, section 2.2).
 func (m *Message) skipEmptyLines() {
 	skip := 0
 	for m.end-skip >= 2 && m.buffer[skip] == '\r' && m.buffer[skip+1] == '\n' {
@@ -47,8 +47,8 @@
 	}
 }
 
-// parseFirstLine parses the request or status line. http10: connections of that version do not stay.
-func (m *Message) parseFirstLine(line []byte) (http10, ok bool) {
+// parseStartLine parses the request or status line. http10 reports version 1.0, whose connections close by default.
+func (m *Message) parseStartLine(line []byte) (http10, ok bool) {
 	var version []byte
 	if m.response {
 		version, ok = m.parseStatusLine(line)
@@ -78,18 +78,18 @@
 	var hasVersion bool
 	m.Method, line, _ = bytes.Cut(line, []byte(" "))
 	m.Target, version, hasVersion = bytes.Cut(line, []byte(" "))
-	return version, hasVersion && isToken(m.Method) && len(m.Target) > 0 && isVisible(m.Target)
+	return version, hasVersion && isToken(m.Method) && len(m.Target) > 0 && isRequestTarget(m.Target)
 }
 
-func (m *Message) parseFields(lines []byte, http10 bool) error {
-	m.bodyLength = lengthUntilEnd
+func (m *Message) parseFields(fieldLines []byte, http10 bool) error {
+	m.bodyLength = lengthUntilClose
 	m.Close = http10
 	chunked := false
-	for len(lines) > 0 {
+	for len(fieldLines) > 0 {
 		var line []byte
-		line, lines, _ = bytes.Cut(lines, []byte(lineEnd))
+		line, fieldLines, _ = bytes.Cut(fieldLines, []byte(lineEnd))
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) { // a folded line, a space before the colon, no name
+		if !ok || !isToken(name) { // a missing name, a space before the colon, or a folded line
 			return ErrMalformed
 		}
 		value = trimSpace(value)
@@ -110,10 +110,10 @@
 			return ErrMalformed
 		}
 	}
-	return m.frameBody(chunked, http10)
+	return m.determineBodyLength(chunked, http10)
 }
 
-// parseContentLength returns false for what is no length, or another than the one before.
+// parseContentLength returns false if value is not a length or contradicts an earlier Content-Length.
 func (m *Message) parseContentLength(value []byte) bool {
 	n, ok := parseDecimal(value)
 	if !ok || m.bodyLength >= 0 && m.bodyLength != n {
@@ -137,10 +137,10 @@
 	}
 }
 
-// frameBody decides how the end of the body is found (RFC 9112, 6.3).
-func (m *Message) frameBody(chunked, http10 bool) error {
+// determineBodyLength sets bodyLength from the header fields (RFC 9112, section 6.3).
+func (m *Message) determineBodyLength(chunked, http10 bool) error {
 	switch {
-	case chunked && m.bodyLength >= 0, chunked && http10: // two lengths
+	case chunked && m.bodyLength >= 0, chunked && http10: // ambiguous length
 		return ErrMalformed
 	case chunked:
 		m.bodyLength = lengthChunked
@@ -148,9 +148,9 @@
 		return ErrBodyTooLong
 	case m.response && hasNoBody(m.Status):
 		m.bodyLength = 0
-	case m.bodyLength == lengthUntilEnd && !m.response:
+	case m.bodyLength == lengthUntilClose && !m.response:
 		m.bodyLength = 0
-	case m.bodyLength == lengthUntilEnd:
+	case m.bodyLength == lengthUntilClose:
 		m.Close = true
 	}
 	return nil
--- a/gateway/http1/invocation.go
+++ b/gateway/http1/invocation.go
@@ -7,34 +7,35 @@
 	"strings"
 )
 
-// HealthPath is asked for by the front until it is answered well.
+// HealthPath is the path of the health check, which the front polls until the response is successful.
 const HealthPath = "/_health"
 
 const (
 	maxRefBytes = 64
-	// customerKeyBytes is the length of a customer's key, in hexadecimal digits; its number is below maxCustomer.
+	// customerKeyBytes is the length of a customer's key in hexadecimal digits. As a number, the key is below maxCustomer.
 	customerKeyBytes = 16
 	maxCustomer      = 1 << 33
 	maxTimeoutMillis = 3600_000
 	maxUnits         = 1e6
 )
 
-// Statuses of a host that may prove that an attempt never ran. net/http has them too, and costs memory at rest.
+// Status codes of hosts that, together with Srv-Declined, prove that an attempt was not executed. They are not taken from
+// net/http because importing it costs memory in an idle process.
 const (
 	statusUnavailable    = 503
 	statusGatewayTimeout = 504
 )
 
-// Invocation is what the head of a client's request says of it.
+// Invocation is an invocation as described by the head of a client's request.
 type Invocation struct {
 	Ref, Operation, Customer, Plan string
 	Units                          float64
-	Timeout                        float64 // seconds from its sending until the client gives up
-	GatewayCount, FirstGateway     int     // the gateways that the customer comes in through, counted round
-	Retry                          bool    // the client has sent it before
+	Timeout                        float64 // seconds for which the client waits after sending the request
+	GatewayCount, FirstGateway     int     // the gateways that serve the customer, consecutive and wrapping around
+	Retry                          bool    // the client has sent the request before
 }
 
-// invocationFields are the fields of a request that are checked against each other.
+// invocationFields holds the header fields that are validated after all of them were read.
 type invocationFields struct {
 	operation  []byte
 	terms      []byte
@@ -43,13 +44,13 @@
 	duplicated bool
 }
 
-// ParseInvocation reads a client's request. It returns false where a field is missing, malformed or given twice: a host might
-// go by the other one.
+// ParseInvocation parses a client's request. It returns false if a required field is missing, malformed or duplicated: a host
+// might use the other one of two duplicates.
 func ParseInvocation(m *Message) (Invocation, bool) {
 	var inv Invocation
 	var fields invocationFields
 	for _, f := range m.Fields {
-		inv.takeField(f, &fields)
+		inv.parseField(f, &fields)
 	}
 	timeout, timeoutOK := parseDecimal(fields.timeout)
 	inv.Operation = string(fields.operation)
@@ -64,7 +65,7 @@
 	return inv, ok
 }
 
-func (inv *Invocation) takeField(f Field, fields *invocationFields) {
+func (inv *Invocation) parseField(f Field, fields *invocationFields) {
 	switch {
 	case equalFold(f.Name, "req-id"):
 		fields.setText(&inv.Ref, f.Value)
@@ -95,7 +96,7 @@
 	*field = string(value)
 }
 
-// operationMatches says whether the first part of the path names the operation, as it must.
+// operationMatches reports whether the first segment of the path is the name of the operation, as required.
 func (f *invocationFields) operationMatches(target []byte) bool {
 	path, _, _ := bytes.Cut(target, []byte("?"))
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
@@ -107,7 +108,7 @@
 	return ok && len(f.customer) == customerKeyBytes && number < maxCustomer
 }
 
-// cookieKey gives the value of the cookie that names the customer, nil for none.
+// cookieKey returns the value of the cookie with the customer's key, or nil if there is none.
 func cookieKey(cookies []byte) []byte {
 	for len(cookies) > 0 {
 		var pair []byte
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// The terms that must be given.
+// The required terms of X-Call-Terms.
 const (
 	termUnits = 1 << iota
 	termSpread
@@ -127,7 +128,7 @@
 	allTerms = termUnits | termSpread | termFirst
 )
 
-// parseTerms parses "units=2,spread=3,first=1". Names it does not know are passed over.
+// parseTerms parses the value of X-Call-Terms, for example "units=2,spread=3,first=1". Unknown names are ignored.
 func (inv *Invocation) parseTerms(terms []byte) bool {
 	given := 0
 	for len(terms) > 0 {
@@ -162,14 +163,14 @@
 // ParseNumber parses a finite decimal number.
 func ParseNumber(v []byte) (float64, bool) {
 	v = bytes.Trim(v, " \t\r\n")
-	if bytes.ContainsAny(v, "xXpP_") { // Go's forms that are no decimal numbers
+	if bytes.ContainsAny(v, "xXpP_") { // non-decimal forms that strconv.ParseFloat accepts
 		return 0, false
 	}
 	x, err := strconv.ParseFloat(string(v), 64)
 	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
 }
 
-// Declined says whether a host's response proves that the attempt never ran.
+// Declined reports whether a host's response proves that the attempt was not executed.
 func Declined(m *Message) bool {
 	if m.Status != statusUnavailable && m.Status != statusGatewayTimeout {
 		return false
--- a/gateway/http1/message.go
+++ b/gateway/http1/message.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Sizes in bytes. MaxMessageBytes holds a head and a body of the largest, and a head written anew; SmallBufferBytes holds most
-// messages.
+// Size limits in bytes. MaxMessageBytes is enough for a head and a body of maximum size, plus a rewritten head. SmallBufferBytes
+// is enough for most messages.
 const (
 	MaxHeadBytes     = 8 << 10
 	MaxBodyBytes     = 64 << 10
@@ -12,55 +12,55 @@
 )
 
 var (
-	// ErrMalformed is returned for what is no message of HTTP/1.0 or 1.1, or can be understood in two ways.
+	// ErrMalformed is returned for input that is not a valid HTTP/1.0 or HTTP/1.1 message or has an ambiguous length.
 	ErrMalformed = errors.New("malformed message")
-	// ErrHeadTooLong is returned for a head, or a trailer, over MaxHeadBytes.
-	ErrHeadTooLong = errors.New("head over its limit")
-	// ErrBodyTooLong is returned for a body over MaxBodyBytes, or chunks that fill MaxMessageBytes.
-	ErrBodyTooLong = errors.New("body over its limit")
+	// ErrHeadTooLong is returned for a head or a trailer longer than MaxHeadBytes.
+	ErrHeadTooLong = errors.New("head exceeds the size limit")
+	// ErrBodyTooLong is returned for a body longer than MaxBodyBytes, and for chunks that fill MaxMessageBytes.
+	ErrBodyTooLong = errors.New("body exceeds the size limit")
 )
 
-// Field is one header line. Like all slices here it points into the caller's buffer.
+// Field is one header field. Like all slices of a Message, it points into the caller's buffer.
 type Field struct{ Name, Value []byte }
 
-// The lengths of a body that are not a number of bytes.
+// Special values of Message.bodyLength.
 const (
-	lengthChunked  = -1
-	lengthUntilEnd = -2 // until the sender closes
+	lengthChunked    = -1
+	lengthUntilClose = -2 // the body ends when the sender closes the connection
 )
 
-// Message is one request or response on its way in. Bytes are read into Space and announced by Advance until the message is
-// complete.
+// Message is an incremental parser of one incoming request or response. The caller reads bytes into Space and calls Advance,
+// until the message is complete.
 type Message struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
 	Fields         []Field
 	Body           []byte
-	Close          bool // the sender will not use the connection again
+	Close          bool // the sender will not reuse the connection
 
 	buffer     []byte
 	response   bool
-	end        int // bytes in buffer
-	scanned    int // no end of the head before here
-	bodyStart  int // 0: the head is not complete
-	bodyLength int // or one of the lengths above
+	end        int // number of bytes in buffer
+	scanned    int // offset up to which buffer holds no end of the head
+	bodyStart  int // offset of the body, or 0 while the head is incomplete
+	bodyLength int // number of bytes, lengthChunked or lengthUntilClose
 	chunks     chunkDecoder
-	restStart  int // where what follows the message begins
+	restStart  int // offset of the bytes that follow the message
 }
 
-// Reset makes m ready for a new message in buffer.
+// Reset prepares m for a new message in buffer.
 func (m *Message) Reset(buffer []byte, response bool) {
 	*m = Message{buffer: buffer, response: response, Fields: m.Fields[:0]}
 }
 
-// Space is where the next bytes are to be read into. Where it is empty before the message is complete, the message is to be
-// moved to a larger buffer.
+// Space returns the free part of the buffer, into which the caller reads the next bytes. If it is empty before the message is
+// complete, the caller must move the message to a larger buffer.
 func (m *Message) Space() []byte { return m.buffer[m.end:] }
 
-// Empty says that nothing of the message has come.
+// Empty reports whether no byte of the message has been received.
 func (m *Message) Empty() bool { return m.end == 0 }
 
-// MoveTo takes what has come to a larger buffer.
+// MoveTo moves the bytes received so far to a larger buffer.
 func (m *Message) MoveTo(buffer []byte) {
 	old := *m
 	m.Reset(buffer, old.response)
@@ -70,22 +70,23 @@
 		return
 	}
 	m.scanned = 0
-	_, _ = m.parseHead() // it was good before, and points into the new buffer now
+	_, _ = m.parseHead() // makes the slices point into the new buffer; can't fail, because the same head was parsed before
 	m.chunks = old.chunks
 	m.Body = buffer[m.bodyStart : m.bodyStart+len(old.Body)]
 }
 
-// Rest is what came after the end of a complete message.
+// Rest returns the bytes received after the end of a complete message.
 func (m *Message) Rest() []byte { return m.buffer[m.restStart:m.end] }
 
-// Next makes m ready for the message that follows a complete one in the same buffer, and returns how many bytes of it are there.
+// Next prepares m for the message that follows a complete one in the same buffer, and returns the number of its bytes already
+// received.
 func (m *Message) Next() int {
 	n := copy(m.buffer, m.Rest())
 	m.Reset(m.buffer, m.response)
 	return n
 }
 
-// Advance tells that n more bytes stand in Space, and returns whether the message is complete.
+// Advance parses n more bytes, which the caller has read into Space, and reports whether the message is complete.
 func (m *Message) Advance(n int) (complete bool, err error) {
 	m.end += n
 	if m.bodyStart == 0 {
@@ -95,8 +96,8 @@
 	}
 	switch {
 	case m.bodyLength == lengthChunked:
-		return m.joinChunks()
-	case m.bodyLength == lengthUntilEnd:
+		return m.decodeChunks()
+	case m.bodyLength == lengthUntilClose:
 		m.Body = m.buffer[m.bodyStart:m.end]
 		m.restStart = m.end
 		if len(m.Body) > MaxBodyBytes {
@@ -111,14 +112,15 @@
 	return true, nil
 }
 
-// AdvanceRest tells that n more bytes stand in Space, behind a message that is complete.
+// AdvanceRest accounts for n more bytes that the caller has read into Space after a complete message.
 func (m *Message) AdvanceRest(n int) { m.end += n }
 
-// EndOfInput tells that the sender closed before the message was complete, and returns whether that completes it.
-func (m *Message) EndOfInput() bool { return m.bodyStart > 0 && m.bodyLength == lengthUntilEnd }
+// EndOfInput must be called if the sender closes the connection before the message is complete. It reports whether the close
+// completes the message.
+func (m *Message) EndOfInput() bool { return m.bodyStart > 0 && m.bodyLength == lengthUntilClose }
 
-// joinChunks joins the chunks that have come, and moves what is left of the raw bytes up behind them.
-func (m *Message) joinChunks() (complete bool, err error) {
+// decodeChunks decodes the chunks received so far in place, and moves the remaining raw bytes up to the end of the decoded body.
+func (m *Message) decodeChunks() (complete bool, err error) {
 	from := m.bodyStart + len(m.Body)
 	written, read, done, err := m.chunks.decode(m.buffer[from:from], m.buffer[from:m.end])
 	if err != nil {
@@ -137,8 +139,8 @@
 	return done, nil
 }
 
-// ParseStreamHead parses the head of a response whose body has no end. size is the bytes of the head, 0 while it is not
-// complete.
+// ParseStreamHead parses the head of a response whose body is a stream. size is the length of the head in bytes, or 0 while the
+// head is incomplete.
 func ParseStreamHead(b []byte) (status int, chunked bool, size int, err error) {
 	var m Message
 	m.Reset(b, true)
--- a/gateway/http1/message_test.go
+++ b/gateway/http1/message_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// feed gives a message the text in pieces of so many bytes, and what is left of it behind a complete one.
+// feed passes text to a message in pieces of at most piece bytes. Once the message is complete or an error occurs, it adds the
+// remaining text as the rest.
 func feed(text string, response bool, piece int) (*Message, bool, error) {
 	m := &Message{}
 	m.Reset(make([]byte, 512), response)
@@ -31,18 +32,18 @@
 	return m, false, nil
 }
 
-// parseComplete parses one message that came whole, with nothing behind it.
+// parseComplete parses text, which must be one complete message, in a single step.
 func parseComplete(t *testing.T, text string, response bool) *Message {
 	t.Helper()
 	m := &Message{}
 	m.Reset(make([]byte, 4096), response)
 	if complete, err := m.Advance(copy(m.Space(), text)); !complete || err != nil {
-		t.Fatalf("%q is read as %v, %v", text, complete, err)
+		t.Fatalf("%q: complete %v, error %v", text, complete, err)
 	}
 	return m
 }
 
-func TestMessageIsCompleteHoweverItIsCut(t *testing.T) {
+func TestMessageParsingIsIndependentOfSplits(t *testing.T) {
 	const next = "GET /next"
 	for _, tc := range []struct{ name, text, body string }{
 		{"no body", "GET /a?b=1 HTTP/1.1\r\nHost: x\r\n\r\n", ""},
@@ -60,7 +61,7 @@
 					t.Errorf("%s: complete %v, %v, body %q, rest %q", how, complete, err, m.Body, m.Rest())
 				}
 			}
-			for at := range tc.text { // in two pieces, at every byte
+			for at := range tc.text { // split into two pieces at every byte
 				m := &Message{}
 				m.Reset(make([]byte, 512), false)
 				complete, err := m.Advance(copy(m.Space(), tc.text[:at]))
@@ -89,7 +90,7 @@
 	}{
 		{"no version", "GET /a\r\n\r\n", ErrMalformed},
 		{"no target", "GET  HTTP/1.1\r\n\r\n", ErrMalformed},
-		{"method is no token", "G(T /a HTTP/1.1\r\n\r\n", ErrMalformed},
+		{"method is not a token", "G(T /a HTTP/1.1\r\n\r\n", ErrMalformed},
 		{"other version", "GET /a HTTP/2.0\r\n\r\n", ErrMalformed},
 		{"no colon", "GET /a HTTP/1.1\r\nno colon\r\n\r\n", ErrMalformed},
 		{"space before the colon", "GET /a HTTP/1.1\r\nA : b\r\n\r\n", ErrMalformed},
@@ -99,7 +100,7 @@
 		{"length with a sign", "POST /a HTTP/1.1\r\nContent-Length: +1\r\n\r\n", ErrMalformed},
 		{"length and chunked", "POST /a HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", ErrMalformed},
 		{"other coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
-		{"chunk size is no number", chunked + "zz\r\n", ErrMalformed},
+		{"chunk size is not a number", chunked + "zz\r\n", ErrMalformed},
 		{"chunk longer than its size", chunked + "1\r\nabc\r\n", ErrMalformed},
 		{"chunk size without a carriage return", chunked + "1\nabc\r\n", ErrMalformed},
 		{"chunk size without end", chunked + strings.Repeat("0", 400), ErrMalformed},
@@ -117,42 +118,42 @@
 	}
 }
 
-func TestResponseEndsAsItsHeadSays(t *testing.T) {
+func TestResponseBodyLengthFollowsHead(t *testing.T) {
 	m, complete, err := feed("HTTP/1.1 200 OK\r\n\r\nall of it", true, 5)
 	if complete || err != nil || !m.EndOfInput() || string(m.Body) != "all of it" || !m.Close {
-		t.Errorf("until the end: complete %v, %v, %q", complete, err, m.Body)
+		t.Errorf("body until close: complete %v, %v, %q", complete, err, m.Body)
 	}
 	if m, _, _ = feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", true, 5); m.EndOfInput() {
-		t.Error("a body cut short counts as complete")
+		t.Error("a truncated body counts as complete")
 	}
 	if m, complete, _ = feed("HTTP/1.1 204 No Content\r\n\r\n", true, 5); !complete || m.Close {
-		t.Error("a body is expected after 204")
+		t.Error("a body is expected after status 204")
 	}
 	for _, text := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n", "garbage\r\n\r\n"} {
 		if _, complete, err = feed(text, true, 100); complete || err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-func TestStreamTakesChunksLongerThanABody(t *testing.T) {
+func TestStreamAcceptsChunksOverBodyLimit(t *testing.T) {
 	var s ChunkedStream
 	text := "20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n1\r\n\n\r\n"
 	got := 0
 	for buffer := make([]byte, 0, 1000); len(text) > 0; {
 		data, used, done, err := s.Decode(buffer, []byte(text[:min(1000, len(text))]))
 		if err != nil || done || used == 0 {
-			t.Fatalf("after %d: %v %v", got, done, err)
+			t.Fatalf("after %d bytes: done %v, error %v", got, done, err)
 		}
 		got += len(data)
 		text = text[used:]
 	}
 	if got != 0x20001 {
-		t.Fatalf("%d bytes", got)
+		t.Fatalf("decoded %d bytes", got)
 	}
 }
 
-// Whatever comes, in whatever pieces: nothing is read out of bounds, and the pieces do not change what is understood.
+// For any input, the parser does not read out of bounds, and the result does not depend on how the input is split.
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte(request+"GET / HTTP/1.1\r\n\r\n"), 3, false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"), 1, true)
@@ -165,13 +166,13 @@
 		one, completeAtOnce, err1 := feed(string(b), response, len(b)+1)
 		two, complete, err2 := feed(string(b), response, piece)
 		if completeAtOnce != complete {
-			t.Fatalf("complete %v (%v) at once, %v (%v) by %d", completeAtOnce, err1, complete, err2, piece)
+			t.Fatalf("complete %v (%v) in one piece, %v (%v) in pieces of %d", completeAtOnce, err1, complete, err2, piece)
 		}
 		if !complete {
 			return
 		}
 		if string(one.Body) != string(two.Body) || string(one.Rest()) != string(two.Rest()) {
-			t.Fatalf("%q and %q at once, %q and %q by %d", one.Body, one.Rest(), two.Body, two.Rest(), piece)
+			t.Fatalf("body %q and rest %q in one piece, %q and %q in pieces of %d", one.Body, one.Rest(), two.Body, two.Rest(), piece)
 		}
 		if response {
 			return
@@ -179,7 +180,7 @@
 		ParseInvocation(one)
 		again, ok, err := feed(string(AppendRequest(nil, one, 1)), false, 1000)
 		if !ok || err != nil || string(again.Body) != string(one.Body) {
-			t.Fatalf("what is written can't be read: %v", err)
+			t.Fatalf("the written request can't be parsed: %v", err)
 		}
 	})
 }
--- a/gateway/http1/syntax.go
+++ b/gateway/http1/syntax.go
@@ -2,10 +2,10 @@
 
 import "bytes"
 
-// maxNumber bounds what parseDecimal and parseHex take, so that nothing overflows.
+// maxNumber limits the numbers that parseDecimal and parseHex accept, to prevent overflows.
 const maxNumber = 1 << 40
 
-// trimSpace takes spaces and tabs off both ends.
+// trimSpace removes leading and trailing spaces and tabs.
 func trimSpace(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
 		b = b[1:]
@@ -16,7 +16,7 @@
 	return b
 }
 
-// isToken says whether b may be a method or a field name.
+// isToken reports whether b is a token, the syntax of methods and field names.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
@@ -26,8 +26,8 @@
 	return len(b) > 0
 }
 
-// isVisible says whether b may be a target: without spaces or control characters.
-func isVisible(b []byte) bool {
+// isRequestTarget reports whether all bytes of b are allowed in a request target, which excludes spaces and control characters.
+func isRequestTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == 0x7f {
 			return false
@@ -36,7 +36,7 @@
 	return true
 }
 
-// isFieldValue says whether b holds no control character but tabs.
+// isFieldValue reports whether b contains no control characters other than tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// equalFold compares a name with one in lower case, ASCII letters in either case.
+// equalFold reports whether b equals lower, which is in lower case, ignoring the case of ASCII letters.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
