--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs the policy of gateways for the simulator: batches of the line protocol on standard input, commands on
-// standard output. It ends with status 1 at input that is not valid.
+// Command wirehost runs gateway policies for the simulator. It reads batches of the line protocol from standard input and writes
+// commands to standard output. Invalid input ends it with status 1.
 package main
 
 import (
--- a/gateway/simadapter/adapter.go
+++ b/gateway/simadapter/adapter.go
@@ -12,27 +12,27 @@
 	"otterseam/gateway/simprotocol"
 )
 
-// readBufferBytes holds most lines of a batch at once.
+// readBufferBytes is large enough for most batches, each of which is one line.
 const readBufferBytes = 1 << 20
 
-// NotCreatedError says that a message is for a gateway that does not run.
+// NotCreatedError reports a message for a gateway that does not exist.
 type NotCreatedError struct {
 	Gateway int
 	Message any
 }
 
 func (e *NotCreatedError) Error() string {
-	return fmt.Sprintf("%T: instance %d has not been created", e.Message, e.Gateway)
+	return fmt.Sprintf("%T: gateway %d has not been created", e.Message, e.Gateway)
 }
 
-// UnknownListError says that a message names a list of hosts that was not given.
+// UnknownListError reports a message that refers to an unknown host list.
 type UnknownListError struct{ Number int }
 
 func (e *UnknownListError) Error() string {
-	return fmt.Sprintf("DISCOVERY: no list numbered %d", e.Number)
+	return fmt.Sprintf("DISCOVERY: unknown host list %d", e.Number)
 }
 
-// Run answers every batch on in until it ends.
+// Run replies on out to every batch read from in, and returns nil at the end of in.
 func Run(in io.Reader, out io.Writer) error {
 	operator, err := operatorconfig.Read()
 	if err != nil {
@@ -48,7 +48,7 @@
 	for {
 		line, readErr := lines.ReadBytes('\n')
 		if isBatch(line, readErr) {
-			if err := a.answer(line, out); err != nil {
+			if err := a.handleBatch(line, out); err != nil {
 				return err
 			}
 		}
@@ -61,28 +61,28 @@
 	}
 }
 
-// isBatch says whether what was read is to be answered: a line, or at the end of the input one that was not ended.
+// isBatch reports whether line holds a batch. The last line of the input may lack its newline.
 func isBatch(line []byte, readErr error) bool {
 	return len(line) > 1 || readErr == nil && len(line) > 0
 }
 
-// adapter is the process: its gateways, and the lists of hosts that all of them know, by number.
+// adapter is the state of the process: its gateways, and the host lists that they share, each by number.
 type adapter struct {
-	membershipShare float64 // as the operator sets it
-	overloadControl bool    // as the operator sets it
+	membershipShare float64 // from the operator's file
+	overloadControl bool    // from the operator's file
 	gateways        map[int]*gateway
 	hostLists       map[int][]policy.HostEntry
 	reply           simprotocol.Reply
 }
 
-func (a *adapter) answer(line []byte, out io.Writer) error {
+func (a *adapter) handleBatch(line []byte, out io.Writer) error {
 	batch, err := simprotocol.ParseBatch(line)
 	if err != nil {
 		return err
 	}
 	a.reply.Begin()
 	for _, group := range batch.Groups {
-		a.reply.For(group.Gateway)
+		a.reply.SelectGateway(group.Gateway)
 		if err := a.handleGroup(batch.At, group); err != nil {
 			return err
 		}
@@ -91,11 +91,11 @@
 	return err
 }
 
-// handleGroup passes on what happened to one gateway. A panic there is reported and leaves the others alone.
+// handleGroup passes the messages of one group to its gateway. A panic is reported with FAULT and does not affect other gateways.
 func (a *adapter) handleGroup(now float64, group simprotocol.Group) error {
 	defer func() {
 		if r := recover(); r != nil {
-			a.reply.Put("FAULT", fmt.Sprint("panic: ", r))
+			a.reply.Add("FAULT", fmt.Sprint("panic: ", r))
 		}
 	}()
 	for _, message := range group.Inbox {
--- a/gateway/simadapter/adapter_test.go
+++ b/gateway/simadapter/adapter_test.go
@@ -30,7 +30,7 @@
 
 func request(ref string) string { return `["JOB_IN","` + ref + `",1,2,"read","c",14,"p",0,0]` }
 
-func TestAnInvocationIsSentAndForgotten(t *testing.T) {
+func TestFinishedInvocationIsForgotten(t *testing.T) {
 	got := run(t, batch("10", create+","+hosts+","+request("a1")),
 		batch("10.1", `["VERDICT","a1",true,0,0.1,"h:1",0,0,"S",null],["VERDICT","a1",true,0,0.1,"h:1",0,0,"S",null],`+
 			`["HANGUP","a1"],["HANGUP","ff"]`))
@@ -39,15 +39,15 @@
 	}
 }
 
-func TestACrashDropsEverythingAndACreateInTheSameBatchIsNew(t *testing.T) {
-	got := run(t, batch("10", create+","+request("a1")), // no hosts: a1 waits
+func TestCrashThenCreateInOneBatchStartsEmpty(t *testing.T) {
+	got := run(t, batch("10", create+","+request("a1")), // a1 is queued because there are no hosts
 		batch("10.1", `["CRASH_NOW"],`+create+","+hosts))
 	if strings.Contains(got, "a1") {
-		t.Fatalf("an invocation outlived its instance: %s", got)
+		t.Fatalf("an invocation survived the crash of its gateway: %s", got)
 	}
 }
 
-func TestAListNumberIsReusedInEventOrder(t *testing.T) {
+func TestHostListNumberIsReusedInMessageOrder(t *testing.T) {
 	got := run(t, batch("10", create+","+hosts+","+request("a1")+
 		`,["DIRECTORY",0,[["h:2","z","k",0,"active",1,null]]],["DISCOVERY","whole",2,0],`+request("a2")))
 	if !strings.Contains(got, `["PASS_ON","a1",0,"h:1"],["PASS_ON","a2",0,"h:2"]`) {
@@ -55,14 +55,14 @@
 	}
 }
 
-func TestInvalidInputEndsWithAnError(t *testing.T) {
+func TestRunRejectsInvalidInput(t *testing.T) {
 	for _, tc := range []struct {
 		name, line string
 		want       any // a pointer for errors.As
 	}{
 		{"gateway not created", batch("10", request("a1")), new(*NotCreatedError)},
-		{"list not given", batch("10", create+`,["DISCOVERY","whole",1,9]`), new(*UnknownListError)},
-		{"no JSON", "no json", new(*simprotocol.ParseError)},
+		{"unknown host list", batch("10", create+`,["DISCOVERY","whole",1,9]`), new(*UnknownListError)},
+		{"invalid JSON", "no json", new(*simprotocol.ParseError)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := Run(strings.NewReader(tc.line+"\n"), &bytes.Buffer{})
--- a/gateway/simadapter/doc.go
+++ b/gateway/simadapter/doc.go
@@ -1,4 +1,4 @@
-// Package simadapter runs gateways for the simulator: it takes batches of the line protocol (gateway/simprotocol), passes
-// their messages to the gateways' policies by way of gateway/policydriver, and answers with the commands they give. It keeps
-// the gateways and the lists of hosts by their numbers, and decides nothing.
+// Package simadapter runs gateways for the simulator. It reads batches of the line protocol (gateway/simprotocol), passes their
+// messages to the gateways' policies through gateway/policydriver, and replies with the commands that the policies issue. It
+// stores the gateways and the host lists by number and makes no policy decisions itself.
 package simadapter
--- a/gateway/simadapter/gateway.go
+++ b/gateway/simadapter/gateway.go
@@ -7,10 +7,10 @@
 	"otterseam/gateway/simprotocol"
 )
 
-// discoverOnRequest is the settings' mode of discovery in which a gateway asks to be told of changes.
+// discoverOnRequest is the discovery mode of the settings in which a gateway must subscribe to changes.
 const discoverOnRequest = "on_request"
 
-// gateway is the policy of one gateway. What it decides it writes as commands.
+// gateway runs the policy of one gateway and writes its decisions as commands.
 type gateway struct {
 	*policydriver.Driver
 	reply *simprotocol.Reply
@@ -26,12 +26,13 @@
 	}
 	g.Driver = driver
 	if m.Settings.DiscoveryMode == discoverOnRequest {
-		reply.Put("TRACK", true)
+		reply.Add("TRACK", true)
 	}
 	return g, nil
 }
 
-// handle turns one message into one call of the policy. Streamed responses and health checks say nothing to it.
+// handle translates one message into one call of the policy. The policy does not use the messages about the start of streamed
+// responses and about health checks, so they are ignored.
 func (g *gateway) handle(now float64, message any) {
 	switch m := message.(type) {
 	case *simprotocol.Request:
@@ -56,34 +57,34 @@
 
 // Send writes PASS_ON.
 func (g *gateway) Send(ref, host string, timeout float64) {
-	g.reply.Put("PASS_ON", ref, timeout, host)
+	g.reply.Add("PASS_ON", ref, timeout, host)
 }
 
 // Throttle writes SHED.
-func (g *gateway) Throttle(ref string, retryAfter float64) { g.reply.Put("SHED", ref, retryAfter) }
+func (g *gateway) Throttle(ref string, retryAfter float64) { g.reply.Add("SHED", ref, retryAfter) }
 
 // Fail writes SURRENDER.
-func (g *gateway) Fail(ref string) { g.reply.Put("SURRENDER", ref) }
+func (g *gateway) Fail(ref string) { g.reply.Add("SURRENDER", ref) }
 
 // SetTimer writes SCHEDULE.
-func (g *gateway) SetTimer(nonce uint64, at float64) { g.reply.Put("SCHEDULE", nonce, at) }
+func (g *gateway) SetTimer(nonce uint64, at float64) { g.reply.Add("SCHEDULE", nonce, at) }
 
 // CancelAttempt writes CALL_OFF.
-func (g *gateway) CancelAttempt(ref string, number int) { g.reply.Put("CALL_OFF", ref, number) }
+func (g *gateway) CancelAttempt(ref string, number int) { g.reply.Add("CALL_OFF", ref, number) }
 
-// SendPeer writes ANNOUNCE, to nobody by name for all.
+// SendPeer writes ANNOUNCE, with null as the recipient for a broadcast.
 func (g *gateway) SendPeer(to int, text string) {
 	if to == membership.Broadcast {
-		g.reply.Put("ANNOUNCE", nil, text)
+		g.reply.Add("ANNOUNCE", nil, text)
 		return
 	}
-	g.reply.Put("ANNOUNCE", to, text)
+	g.reply.Add("ANNOUNCE", to, text)
 }
 
 // Log writes TRACE.
-func (g *gateway) Log(text string) { g.reply.Put("TRACE", text) }
+func (g *gateway) Log(text string) { g.reply.Add("TRACE", text) }
 
 // AddCount writes BUMP.
 func (g *gateway) AddCount(name uint64, amount, life float64) {
-	g.reply.Put("BUMP", name, amount, life)
+	g.reply.Add("BUMP", name, amount, life)
 }
--- a/gateway/simprotocol/batch.go
+++ b/gateway/simprotocol/batch.go
@@ -6,31 +6,31 @@
 	"fmt"
 )
 
-// ParseError says what of a line is not valid.
+// ParseError reports an invalid line.
 type ParseError struct {
-	Part    string // the batch, a message, or the name of one
+	Part    string // "batch", "message" or the name of a message
 	Problem string
-	Err     error // the JSON error behind it, if there is one
+	Err     error // the underlying JSON error, if any
 }
 
 func (e *ParseError) Error() string { return e.Part + ": " + e.Problem }
 
-// Unwrap gives the JSON error behind it.
+// Unwrap returns the underlying JSON error, if any.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// Batch is one line in: what happened to some gateways at one moment.
+// Batch is one input line: the messages for some gateways at one point in time.
 type Batch struct {
 	At     float64
 	Groups []Group
 }
 
-// Group is what happened to one gateway, in the order of events. Lists of hosts that it brings are known to the whole process.
+// Group holds the messages for one gateway, in the order of events. Host lists in it are valid for all gateways of the process.
 type Group struct {
-	Gateway int   // "who"
-	Inbox   []any // pointers to the types of messages.go
+	Gateway int   // number of the gateway
+	Inbox   []any // pointers to the message types of messages.go
 }
 
-// ParseBatch parses one line. Errors are *ParseError.
+// ParseBatch parses one line. Its errors are of type *ParseError.
 func ParseBatch(line []byte) (Batch, error) {
 	var raw struct {
 		At     *float64 `json:"at_time"`
@@ -43,12 +43,12 @@
 		return Batch{}, &ParseError{Part: "batch", Problem: err.Error() + ": " + excerpt(line), Err: err}
 	}
 	if raw.At == nil {
-		return Batch{}, &ParseError{Part: "batch", Problem: "no at_time: " + excerpt(line)}
+		return Batch{}, &ParseError{Part: "batch", Problem: "missing at_time: " + excerpt(line)}
 	}
 	batch := Batch{At: *raw.At, Groups: make([]Group, 0, len(raw.Groups))}
 	for _, g := range raw.Groups {
 		if g.Gateway == nil {
-			return Batch{}, &ParseError{Part: "batch", Problem: "a group without who: " + excerpt(line)}
+			return Batch{}, &ParseError{Part: "batch", Problem: "group without who: " + excerpt(line)}
 		}
 		group := Group{Gateway: *g.Gateway, Inbox: make([]any, 0, len(g.Inbox))}
 		for _, text := range g.Inbox {
@@ -67,13 +67,13 @@
 	var parts []json.RawMessage
 	err := json.Unmarshal(text, &parts)
 	if err != nil || len(parts) == 0 {
-		return nil, &ParseError{Part: "message", Problem: "not an array with a name: " + excerpt(text), Err: err}
+		return nil, &ParseError{Part: "message", Problem: "not an array that begins with a name: " + excerpt(text), Err: err}
 	}
 	var name string
 	if err := json.Unmarshal(parts[0], &name); err != nil {
-		return nil, &ParseError{Part: "message", Problem: "its name is no string: " + excerpt(parts[0]), Err: err}
+		return nil, &ParseError{Part: "message", Problem: "the name is not a string: " + excerpt(parts[0]), Err: err}
 	}
-	newMessage, known := messages[name]
+	newMessage, known := messageTypes[name]
 	if !known {
 		return nil, &ParseError{Part: "message", Problem: fmt.Sprintf("unknown name %q: %s", name, excerpt(text))}
 	}
@@ -88,25 +88,25 @@
 	return m, nil
 }
 
-// parseValues parses the values behind a message's name, in order; null leaves the zero value. More values than are wanted are
-// passed over.
-func parseValues(values []json.RawMessage, into ...any) error {
-	if len(values) < len(into) {
-		return &ParseError{Problem: fmt.Sprintf("%d values, %d wanted", len(values), len(into))}
+// parseValues parses the values that follow a message's name, in order. A null leaves its target unchanged. Surplus values are
+// ignored.
+func parseValues(values []json.RawMessage, targets ...any) error {
+	if len(values) < len(targets) {
+		return &ParseError{Problem: fmt.Sprintf("got %d values, want %d", len(values), len(targets))}
 	}
-	for i, to := range into {
-		if err := json.Unmarshal(values[i], to); err != nil {
-			return &ParseError{Problem: fmt.Sprintf("value %d is of the wrong kind: %s", i+1, excerpt(values[i])), Err: err}
+	for i, target := range targets {
+		if err := json.Unmarshal(values[i], target); err != nil {
+			return &ParseError{Problem: fmt.Sprintf("value %d has the wrong type: %s", i+1, excerpt(values[i])), Err: err}
 		}
 	}
 	return nil
 }
 
-// excerpt is the beginning of a text for an error.
+// excerpt returns the beginning of text for an error message.
 func excerpt(text []byte) string {
-	const most = 80
-	if len(text) > most {
-		return string(text[:most]) + "..."
+	const maxLength = 80
+	if len(text) > maxLength {
+		return string(text[:maxLength]) + "..."
 	}
 	return string(text)
 }
--- a/gateway/simprotocol/batch_test.go
+++ b/gateway/simprotocol/batch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestBatchOfTheDocumentIsParsed(t *testing.T) {
+func TestParseBatch(t *testing.T) {
 	line := `{"at_time":8.41225,"gateways":[{"who":3,"inbox":[["JOB_IN","fc64a7745d3a91c4",3,2,"result-lookup",` +
 		`"c-kd6b5sum7ecwe",8.65225,"club-basic",1,1],["BELL",9223372036854775807]]},` +
 		`{"who":5,"inbox":[["HANGUP","44ff55230e6f2b19"],["SUM","S",38,9041552,0.00215],` +
@@ -42,20 +42,20 @@
 	}
 }
 
-func TestInvalidLinesAreRejected(t *testing.T) {
+func TestParseBatchRejectsInvalidLines(t *testing.T) {
 	batch := func(message string) string { return `{"at_time":1,"gateways":[{"who":1,"inbox":[` + message + `]}]}` }
 	for _, tc := range []struct{ name, line, part, text string }{
-		{"no JSON", `{"at_time":1,"gateways":[`, "batch", "batch: unexpected end of JSON input"},
+		{"invalid JSON", `{"at_time":1,"gateways":[`, "batch", "batch: unexpected end of JSON input"},
 		{"no time", `{"gateways":[]}`, "batch", "at_time"},
 		{"no gateway", `{"at_time":1,"gateways":[{"inbox":[]}]}`, "batch", "who"},
 		{"unknown message", batch(`["WHAT",1]`), "message", `"WHAT"`},
 		{"message without a name", batch(`[]`), "message", "name"},
-		{"name is no string", batch(`[1]`), "message", "no string"},
-		{"value of the wrong kind", batch(`["BELL","soon"]`), "BELL", `BELL: value 1`},
+		{"name is not a string", batch(`[1]`), "message", "not a string"},
+		{"value of the wrong type", batch(`["BELL","soon"]`), "BELL", `BELL: value 1`},
 		{"value missing", batch(`["HANGUP"]`), "HANGUP", "HANGUP"},
 		{"unknown outcome", batch(`["SUM","Q",1,2,3]`), "SUM", `"Q"`},
 		{"unknown mode", batch(`["DISCOVERY","none",1,2]`), "DISCOVERY", `"none"`},
-		{"unknown state of a host", batch(`["DIRECTORY",1,[["h","z","k",0,"up",1,0]]]`), "DIRECTORY", `"up"`},
+		{"unknown host state", batch(`["DIRECTORY",1,[["h","z","k",0,"up",1,0]]]`), "DIRECTORY", `"up"`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := ParseBatch([]byte(tc.line))
@@ -64,7 +64,7 @@
 				t.Fatalf("got %v, want a *ParseError", err)
 			}
 			if parseErr.Part != tc.part || !strings.Contains(err.Error(), tc.text) {
-				t.Errorf("got %q of %q, want %q of %q", err, parseErr.Part, tc.text, tc.part)
+				t.Errorf("got error %q with part %q, want %q with part %q", err, parseErr.Part, tc.text, tc.part)
 			}
 		})
 	}
@@ -73,12 +73,12 @@
 func TestReplyIsOneLine(t *testing.T) {
 	var r Reply
 	r.Begin()
-	r.For(3)
-	r.Put("PASS_ON", "fc64a7745d3a91c4", 0.08, "10.18.74.7:9003")
-	r.Put("SCHEDULE", uint64(1<<63), 8.91225)
-	r.For(4) // does nothing: left out
-	r.For(5)
-	r.Put("ANNOUNCE", nil, "hi \"7\"")
+	r.SelectGateway(3)
+	r.Add("PASS_ON", "fc64a7745d3a91c4", 0.08, "10.18.74.7:9003")
+	r.Add("SCHEDULE", uint64(1<<63), 8.91225)
+	r.SelectGateway(4) // issues no command and is omitted
+	r.SelectGateway(5)
+	r.Add("ANNOUNCE", nil, "hi \"7\"")
 	want := `{"gateways":[{"who":3,"cmds":[["PASS_ON","fc64a7745d3a91c4",0.08,"10.18.74.7:9003"],` +
 		`["SCHEDULE",9223372036854775808,8.91225]]},{"who":5,"cmds":[["ANNOUNCE",null,"hi \"7\""]]}]}` + "\n"
 	if got := string(r.Line()); got != want {
--- a/gateway/simprotocol/messages.go
+++ b/gateway/simprotocol/messages.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
-// message is one of a batch. parse takes the values behind its name; an error gets the name as its Part.
+// message is one message of a batch. parse decodes the values that follow its name and leaves ParseError.Part to the caller,
+// which sets it to that name.
 type message interface {
 	parse(values []json.RawMessage) error
 }
 
-// messages makes the message of each name.
-var messages = map[string]func() message{
+// messageTypes maps the name of each message to its constructor.
+var messageTypes = map[string]func() message{
 	"CREATE":      func() message { return &Create{} },
 	"CRASH_NOW":   func() message { return &Crash{} },
 	"DIRECTORY":   func() message { return &HostList{} },
@@ -28,7 +29,7 @@
 	"SUM":         func() message { return &CounterReplied{} },
 }
 
-// The letters of outcomes, as policy.Outcome has them.
+// The letters of the outcomes, as defined by policy.Outcome.
 const (
 	attemptOutcomes = "SEFTCRXN"
 	counterOutcomes = "SFCT"
@@ -44,12 +45,12 @@
 	return parseValues(values, &m.Seed, &m.Settings)
 }
 
-// Crash ends a gateway at once.
+// Crash stops a gateway immediately and discards its state.
 type Crash struct{}
 
 func (m *Crash) parse([]json.RawMessage) error { return nil }
 
-// HostList is a list of hosts, by a number that HostsChanged refers to until another list gets it.
+// HostList is a numbered list of hosts. HostsChanged refers to it by the number, which a later list may reuse.
 type HostList struct {
 	Number  int
 	Entries []HostEntry
@@ -77,7 +78,7 @@
 			return err
 		}
 		if !slices.Contains(hostStates, e.State) {
-			return &ParseError{Problem: fmt.Sprintf("unknown readiness %q", e.State)}
+			return &ParseError{Problem: fmt.Sprintf("unknown host state %q", e.State)}
 		}
 		m.Entries = append(m.Entries, e)
 	}
@@ -86,15 +87,15 @@
 
 // The modes of HostsChanged.
 const (
-	ModePatch  = "patch"      // the list holds changes
+	ModePatch  = "patch"      // the list holds changes only
 	ModeWhole  = "whole"      // the list is complete
-	ModeStale  = "stale_copy" // the list is complete, and may be old
-	ModeBroken = "broken"     // discovery can't be reached: there is no list
+	ModeStale  = "stale_copy" // the list is complete and possibly outdated
+	ModeBroken = "broken"     // discovery is unreachable and there is no list
 )
 
-var hostModes = []string{ModePatch, ModeWhole, ModeStale, ModeBroken}
+var discoveryModes = []string{ModePatch, ModeWhole, ModeStale, ModeBroken}
 
-// HostsChanged is what discovery has.
+// HostsChanged reports a host list or a change of it from discovery.
 type HostsChanged struct {
 	Mode       string
 	Generation uint64
@@ -105,29 +106,29 @@
 	if err := parseValues(values, &m.Mode, &m.Generation, &m.List); err != nil {
 		return err
 	}
-	if !slices.Contains(hostModes, m.Mode) {
+	if !slices.Contains(discoveryModes, m.Mode) {
 		return &ParseError{Problem: fmt.Sprintf("unknown mode %q", m.Mode)}
 	}
 	return nil
 }
 
-// Request is an invocation that a client asks for.
+// Request is an invocation requested by a client.
 type Request struct {
 	Ref          string
-	GatewayCount int // gateways that its customer comes in through, from FirstGateway on, counted round
+	GatewayCount int // number of gateways that serve the customer, consecutive from FirstGateway and wrapping around
 	Units        float64
 	Operation    string
 	Customer     string
-	Deadline     float64 // when its client gives up
+	Deadline     float64 // time at which the client gives up
 	Plan         string
-	Options      int // optionRetry
+	Options      int // flags, of which optionRetry is used
 	FirstGateway int
 }
 
-// optionRetry of a Request says that its client has sent it before.
+// optionRetry is the bit of Request.Options that marks a repeat by the client.
 const optionRetry = 2
 
-// IsRetry says that its client has sent it before.
+// IsRetry reports whether the client has sent the request before.
 func (m *Request) IsRetry() bool { return m.Options&optionRetry != 0 }
 
 func (m *Request) parse(values []json.RawMessage) error {
@@ -135,7 +136,7 @@
 		&m.Options, &m.FirstGateway)
 }
 
-// ResponseStarted says that a streamed response has begun.
+// ResponseStarted reports the start of a streamed response.
 type ResponseStarted struct {
 	Ref     string
 	Attempt int
@@ -147,14 +148,14 @@
 	return parseValues(values, &m.Ref, &m.Attempt, &m.Host, &m.Delay)
 }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded reports the outcome of an attempt.
 type AttemptEnded struct {
 	Ref      string
 	Final    bool // the invocation is over
 	Use      int
 	Duration float64
 	Host     string
-	Units    float64 // that it really took
+	Units    float64 // units actually consumed
 	Attempt  int
 	Outcome  string // one letter of attemptOutcomes
 	Pressure map[string]float64
@@ -168,17 +169,17 @@
 	return checkOutcome(m.Outcome, attemptOutcomes)
 }
 
-// ClientGone says that a client has left.
+// ClientGone reports that the client of an invocation disconnected.
 type ClientGone struct{ Ref string }
 
 func (m *ClientGone) parse(values []json.RawMessage) error { return parseValues(values, &m.Ref) }
 
-// TimerFired says that a timer ran out.
+// TimerFired reports that a timer expired.
 type TimerFired struct{ Nonce uint64 }
 
 func (m *TimerFired) parse(values []json.RawMessage) error { return parseValues(values, &m.Nonce) }
 
-// ProbeEnded says how a health check ended.
+// ProbeEnded reports the outcome of a health check.
 type ProbeEnded struct {
 	Host     string
 	Outcome  string // one letter of attemptOutcomes
@@ -193,7 +194,7 @@
 	return checkOutcome(m.Outcome, attemptOutcomes)
 }
 
-// PeerMessage is a message of another gateway.
+// PeerMessage is a message from another gateway.
 type PeerMessage struct {
 	From int
 	Text string
@@ -203,7 +204,7 @@
 	return parseValues(values, &m.From, &m.Text)
 }
 
-// CounterReplied says how a call to the counter ended, and the total it gave.
+// CounterReplied reports the outcome of a call to the counter, and the total that the counter returned.
 type CounterReplied struct {
 	Outcome  string // one letter of counterOutcomes
 	Total    float64
@@ -218,9 +219,9 @@
 	return checkOutcome(m.Outcome, counterOutcomes)
 }
 
-func checkOutcome(outcome, known string) error {
-	if len(outcome) == 1 && strings.Contains(known, outcome) {
+func checkOutcome(outcome, allowed string) error {
+	if len(outcome) == 1 && strings.Contains(allowed, outcome) {
 		return nil
 	}
-	return &ParseError{Problem: fmt.Sprintf("unknown ending %q", outcome)}
+	return &ParseError{Problem: fmt.Sprintf("unknown outcome %q", outcome)}
 }
--- a/gateway/simprotocol/recorded_test.go
+++ b/gateway/simprotocol/recorded_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// The lines in testdata/recorded are as the code of commit 1895881 read and wrote them.
+// The lines in testdata/recorded were read and written by the code of commit 1895881.
 
-// recordedSettings are those of the recorded CREATE.
+// recordedSettings returns the settings of the recorded CREATE.
 func recordedSettings() Settings {
 	return Settings{
 		Gateways: 5, Slot: 3, Zone: "floor-2",
@@ -32,7 +32,7 @@
 	}
 }
 
-// recordedBatch is the value of the recorded line in, with each message that there is.
+// recordedBatch returns the value of the recorded input line, which contains every kind of message.
 func recordedBatch() Batch {
 	pressure := map[string]float64{"outstanding": 4, "new": 1.5}
 	return Batch{At: 8.41225, Groups: []Group{
@@ -69,45 +69,45 @@
 	return text
 }
 
-func TestRecordedLineIsRead(t *testing.T) {
+func TestRecordedLineIsParsed(t *testing.T) {
 	text := recorded(t, "line-in.bin")
 	b, err := ParseBatch(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := recordedBatch(); !reflect.DeepEqual(b, want) {
-		got, _ := json.Marshal(b)
-		wanted, _ := json.Marshal(want)
-		t.Errorf("the recorded line is read as\n%s\nwanted is\n%s", got, wanted)
+		gotJSON, _ := json.Marshal(b)
+		wantJSON, _ := json.Marshal(want)
+		t.Errorf("the recorded line was parsed as\n%s\nwant\n%s", gotJSON, wantJSON)
 	}
 	for _, name := range []string{
 		"CREATE", "CRASH_NOW", "DIRECTORY", "DISCOVERY", "JOB_IN", "FLOWING", "VERDICT", "HANGUP", "BELL",
 		"STATUS_BACK", "MESSAGE", "SUM",
 	} {
 		if !strings.Contains(string(text), `["`+name+`"`) {
-			t.Errorf("no %s is recorded", name)
+			t.Errorf("the recorded line contains no %s", name)
 		}
 	}
 }
 
-// recordedReplies are lines out: commands with values of all kinds, instances that say nothing, and an empty line.
+// recordedReplies returns output lines: commands with values of all types, gateways without commands, and an empty reply.
 func recordedReplies() (text []byte) {
 	var r Reply
 	r.Begin()
-	r.For(3)
-	r.Put("PASS_ON", "fc64a7745d3a91c4", 0.08, "10.18.74.7:9003", 1e21, 1e-9, -0.5)
-	r.Put("SCHEDULE", uint64(1<<64-1), 8.91225)
-	r.Put("NOTHING")
-	r.For(4)
-	r.For(5)
-	r.Put("ANNOUNCE", nil, "hi \"7\" <&> \u00fc\n", true, -12, []string{"a", "b"}, map[string]float64{"b": 1.5, "a": 2})
+	r.SelectGateway(3)
+	r.Add("PASS_ON", "fc64a7745d3a91c4", 0.08, "10.18.74.7:9003", 1e21, 1e-9, -0.5)
+	r.Add("SCHEDULE", uint64(1<<64-1), 8.91225)
+	r.Add("NOTHING")
+	r.SelectGateway(4)
+	r.SelectGateway(5)
+	r.Add("ANNOUNCE", nil, "hi \"7\" <&> \u00fc\n", true, -12, []string{"a", "b"}, map[string]float64{"b": 1.5, "a": 2})
 	text = append(text, r.Line()...)
 	r.Begin()
 	return append(text, r.Line()...)
 }
 
-func TestRepliesAreTheRecordedBytes(t *testing.T) {
+func TestRepliesMatchRecordedBytes(t *testing.T) {
 	if got, want := string(recordedReplies()), string(recorded(t, "lines-out.bin")); got != want {
-		t.Errorf("written is\n%s\nrecorded is\n%s", got, want)
+		t.Errorf("got\n%s\nwant the recorded\n%s", got, want)
 	}
 }
--- a/gateway/simprotocol/reply.go
+++ b/gateway/simprotocol/reply.go
@@ -7,49 +7,49 @@
 	"strconv"
 )
 
-// Reply collects the commands with which one batch is answered.
+// Reply collects the commands in reply to one batch.
 type Reply struct {
-	line    bytes.Buffer
-	gateway int
-	open    bool // the list of the present gateway has been begun
-	first   bool // no list has
+	line     bytes.Buffer
+	gateway  int
+	listOpen bool // whether the command list of the current gateway was opened
+	noList   bool // whether no command list was opened yet
 }
 
 // Begin starts the reply to one batch.
 func (r *Reply) Begin() {
 	r.line.Reset()
 	r.line.WriteString(`{"gateways":[`)
-	r.open = false
-	r.first = true
+	r.listOpen = false
+	r.noList = true
 }
 
-// For says whose commands follow. A gateway without commands is left out.
-func (r *Reply) For(gateway int) {
+// SelectGateway sets the gateway whose commands follow. A gateway without commands is omitted from the reply.
+func (r *Reply) SelectGateway(gateway int) {
 	r.closeList()
 	r.gateway = gateway
 }
 
 func (r *Reply) openList() {
-	if !r.first {
+	if !r.noList {
 		r.line.WriteByte(',')
 	}
 	r.line.WriteString(`{"who":`)
 	r.line.WriteString(strconv.Itoa(r.gateway))
 	r.line.WriteString(`,"cmds":[`)
-	r.open = true
-	r.first = false
+	r.listOpen = true
+	r.noList = false
 }
 
 func (r *Reply) closeList() {
-	if r.open {
+	if r.listOpen {
 		r.line.WriteString("]}")
-		r.open = false
+		r.listOpen = false
 	}
 }
 
-// Put writes one command: its name and its values in order.
-func (r *Reply) Put(name string, values ...any) {
-	if r.open {
+// Add appends one command: its name and its values in order.
+func (r *Reply) Add(name string, values ...any) {
+	if r.listOpen {
 		r.line.WriteByte(',')
 	} else {
 		r.openList()
@@ -63,7 +63,7 @@
 	r.line.WriteByte(']')
 }
 
-// writeValue writes numbers without exponents; one that is infinite or none is 0.
+// writeValue writes one value. Numbers have no exponents, and NaN and infinities are written as 0.
 func (r *Reply) writeValue(v any) {
 	switch x := v.(type) {
 	case float64:
@@ -84,7 +84,7 @@
 	}
 }
 
-// Line ends the reply and gives it, newline included. It is valid until the next Begin.
+// Line ends the reply and returns it as a line with its newline. The result is valid until the next Begin.
 func (r *Reply) Line() []byte {
 	r.closeList()
 	r.line.WriteString("]}\n")
--- a/gateway/simprotocol/settings.go
+++ b/gateway/simprotocol/settings.go
@@ -8,11 +8,11 @@
 	"otterseam/gateway/policy"
 )
 
-// Settings are the start settings of a gateway, as the line protocol and the configuration of a gateway on sockets both carry
-// them. Unknown keys are skipped.
+// Settings are the start settings of a gateway. Both the line protocol and the configuration of cmd/otterseam contain them.
+// Unknown keys are ignored.
 type Settings struct {
-	Gateways      int         `json:"balancers"` // of the fleet's list
-	Slot          int         `json:"slot_no"`   // this gateway's number in it
+	Gateways      int         `json:"balancers"` // number of gateways in the fleet
+	Slot          int         `json:"slot_no"`   // index of this gateway in the fleet
 	Zone          string      `json:"locality"`
 	Caps          Caps        `json:"caps"`
 	Operations    []Operation `json:"classes"`
@@ -21,28 +21,30 @@
 	Plans         []Plan      `json:"plans"`
 	DiscoveryMode string      `json:"registry_mode"`
 
-	// MembershipShare is the part of the messages that membership may use in quiet times, as the operator sets it; 0: it is off.
+	// MembershipShare is the fraction of the message rate that membership may use while nothing fails, or 0 if membership is
+	// disabled. It comes from the operator's file.
 	MembershipShare float64 `json:"-"`
-	// OverloadControl has package overload bound what all gateways do while hosts don't answer, as the operator sets it.
+	// OverloadControl enables the limits of package overload on the combined load that all gateways cause while hosts don't
+	// respond. It comes from the operator's file.
 	OverloadControl bool `json:"-"`
 }
 
-// Caps are what a deployment lets a gateway do.
+// Caps are the capabilities and limits that a deployment grants to a gateway.
 type Caps struct {
-	Cancel       bool    `json:"cancel"`        // it may cancel attempts
-	MayProbe     bool    `json:"may_probe"`     // it may check the health of hosts
-	PeerMessages bool    `json:"peer_messages"` // gateways may send each other messages
-	Hedging      bool    `json:"second_copies"` // two attempts of one invocation may run at once
-	MaxAttempts  int     `json:"try_limit"`     // of an invocation
-	IdleTimeout  float64 `json:"idle_close"`    // after which a host closes an idle connection
+	Cancel       bool    `json:"cancel"`        // the gateway may cancel attempts
+	MayProbe     bool    `json:"may_probe"`     // the gateway may check the health of hosts
+	PeerMessages bool    `json:"peer_messages"` // gateways may send messages to each other
+	Hedging      bool    `json:"second_copies"` // two attempts of one invocation may run concurrently
+	MaxAttempts  int     `json:"try_limit"`     // maximum number of attempts of an invocation
+	IdleTimeout  float64 `json:"idle_close"`    // time after which a host closes an idle connection
 	DialTimeout  float64 `json:"dial_timeout"`
 }
 
-// Operation is an operation as the settings have it.
+// Operation is the configuration of an operation.
 type Operation struct {
 	Name          string  `json:"name"`
 	LatencyTarget float64 `json:"goal_time"`
-	Timeout       float64 `json:"deadline"` // after which its clients give up at the latest
+	Timeout       float64 `json:"deadline"` // longest time for which a client waits
 	Value         float64 `json:"gain"`
 	LateValue     float64 `json:"late_worth"`
 	Effect        string  `json:"effect"` // a key of effects
@@ -51,23 +53,23 @@
 	Streamed      bool    `json:"streamed"`
 }
 
-// SlowStart is how much hosts that have just started may be given.
+// SlowStart limits the load on hosts that have just started.
 type SlowStart struct {
 	InitialCapacity float64 `json:"start_capacity"`
 	Duration        float64 `json:"warm_up"`
 	OverloadFactor  float64 `json:"overload_factor"`
 }
 
-// Shared is what the gateways of the fleet share: the quota counter, and messages to each other.
+// Shared configures what the gateways of the fleet share: the quota counter, and the messages between them.
 type Shared struct {
-	Counter         bool    `json:"counter"`     // there is one
-	CounterTimeout  float64 `json:"count_limit"` // of a call to it
-	SettlesUnits    bool    `json:"settles"`     // the units that an invocation really took are known after it
-	MaxUnits        float64 `json:"most_units"`  // of an invocation; 0: any
-	PeerMessageRate float64 `json:"mail_per_s"`  // that a gateway takes in from all others
+	Counter         bool    `json:"counter"`     // a quota counter exists
+	CounterTimeout  float64 `json:"count_limit"` // timeout of a call to the counter
+	SettlesUnits    bool    `json:"settles"`     // the units that an invocation actually consumed are known after it
+	MaxUnits        float64 `json:"most_units"`  // maximum units of an invocation, or 0 for no limit
+	PeerMessageRate float64 `json:"mail_per_s"`  // messages per second that a gateway accepts from all others together
 }
 
-// Plan is a plan as the settings have it.
+// Plan is the configuration of a plan.
 type Plan struct {
 	Name          string  `json:"name"`
 	Rate          float64 `json:"rate"`
@@ -77,21 +79,21 @@
 	CeilingBurst  float64 `json:"hard_burst"`
 }
 
-// effects are the policy's by the settings' names.
+// effects maps the names used in the settings to the effects of the policy.
 var effects = map[string]policy.Effect{
 	"idempotent":   policy.Idempotent,
 	"deduplicated": policy.Deduplicated,
 	"at_most_once": policy.NonIdempotent,
 }
 
-// UnknownEffectError says that an operation has an effect that is not known.
+// UnknownEffectError reports an operation with an unknown effect.
 type UnknownEffectError struct{ Effect string }
 
 func (e *UnknownEffectError) Error() string {
 	return fmt.Sprintf("settings: unknown effect %q", e.Effect)
 }
 
-// NewPolicy makes the policy of a gateway. Errors are *UnknownEffectError.
+// NewPolicy creates the policy of a gateway. Its errors are of type *UnknownEffectError.
 func (s *Settings) NewPolicy(seed uint64, output policy.Output) (*policy.Gateway, error) {
 	operations, err := s.policyOperations()
 	if err != nil {
@@ -143,11 +145,11 @@
 	return plans
 }
 
-// newDetector gives nil where membership is off, or can't work.
+// newDetector returns nil if membership is disabled or the settings don't allow it to work.
 func (s *Settings) newDetector(seed uint64) *membership.Detector {
 	listed := s.Gateways > 1 && s.Slot >= 0 && s.Slot < s.Gateways
-	heard := s.Caps.PeerMessages && s.Shared.PeerMessageRate > 0
-	if s.MembershipShare <= 0 || !listed || !heard {
+	canExchange := s.Caps.PeerMessages && s.Shared.PeerMessageRate > 0
+	if s.MembershipShare <= 0 || !listed || !canExchange {
 		return nil
 	}
 	return membership.New(membership.Config{
@@ -155,7 +157,7 @@
 	})
 }
 
-// newOverloadController gives nil where overload control is off.
+// newOverloadController returns nil if overload control is disabled.
 func (s *Settings) newOverloadController(seed uint64) *overload.Controller {
 	if !s.OverloadControl {
 		return nil
@@ -167,18 +169,19 @@
 	return overload.New(config)
 }
 
-// Accepts says whether an invocation is one that the settings know, and for how long a client may wait for it at most.
+// Accepts reports whether the settings allow an invocation, and returns the longest time for which a client may wait for it.
 func (s *Settings) Accepts(
 	operation, method, plan string, units float64, gatewayCount, firstGateway int,
 ) (timeout float64, ok bool) {
 	timeout, ok = s.acceptsOperation(operation, method)
-	ok = ok && s.knowsPlan(plan) &&
+	ok = ok && s.hasPlan(plan) &&
 		(s.Shared.MaxUnits <= 0 || units <= s.Shared.MaxUnits) &&
 		gatewayCount <= s.Gateways && firstGateway < s.Gateways
 	return timeout, ok
 }
 
-// acceptsOperation holds an operation to its method: one that may run again changes nothing, so it is asked for by GET.
+// acceptsOperation reports whether an operation exists and is called with the right method: GET for idempotent operations, which
+// change nothing and may run again, and POST for all others.
 func (s *Settings) acceptsOperation(name, method string) (timeout float64, ok bool) {
 	for _, o := range s.Operations {
 		if o.Name == name {
@@ -190,7 +193,7 @@
 	return timeout, ok
 }
 
-func (s *Settings) knowsPlan(name string) bool {
+func (s *Settings) hasPlan(name string) bool {
 	if len(s.Plans) == 0 {
 		return true
 	}
