--- a/gateway/operatorconfig/doc.go
+++ b/gateway/operatorconfig/doc.go
@@ -1,3 +1,4 @@
-// Package operatorconfig reads the operator's file: what an installation wants of its gateways beyond the settings that all of them
-// share, that is what is enabled and how much of a resource it may use. The package knows nothing of what the parts do with it.
+// Package operatorconfig reads the operator's file, which configures the gateways of an installation beyond the settings that all
+// of them share: which optional features are enabled, and how much of a resource each may use. The package validates the file
+// and implements none of the features.
 package operatorconfig
--- a/gateway/operatorconfig/operatorconfig.go
+++ b/gateway/operatorconfig/operatorconfig.go
@@ -9,8 +9,8 @@
 	"os"
 )
 
-// Variable names the environment variable that holds the file's path. Without it nothing is enabled.
-const Variable = "EDGE_OPERATOR"
+// EnvVariable is the environment variable with the path of the file. If it is empty, no feature is enabled.
+const EnvVariable = "EDGE_OPERATOR"
 
 // Bounds and default of Membership.MessageShare.
 const (
@@ -19,40 +19,40 @@
 	defaultMessageShare = 0.1
 )
 
-// Config is what the file holds.
+// Config is the content of the file.
 type Config struct {
 	Membership Membership `json:"membership"`
 	Overload   Overload   `json:"overload"`
 	QuotaStore QuotaStore `json:"copies"`
 }
 
-// Membership has API gateways find out which of them are there.
+// Membership configures failure detection among API gateways.
 type Membership struct {
 	Enabled bool `json:"on"`
-	// MessageShare is the part of the messages that a gateway takes in which membership may use in quiet times.
+	// MessageShare is the fraction of a gateway's incoming message rate that membership may use while nothing fails.
 	MessageShare float64 `json:"mail"`
 }
 
-// Overload bounds what all API gateways do together while hosts don't answer.
+// Overload configures the limit on the combined load that all API gateways cause while hosts don't respond.
 type Overload struct {
 	Enabled bool `json:"on"`
 }
 
-// QuotaStore has replicas of the quota store hold state of the gateways.
+// QuotaStore configures which state of the gateways the replicas of the quota store hold.
 type QuotaStore struct {
-	Replicas []string `json:"keepers"` // addresses at which they hear gateways; none: nothing is held elsewhere
-	Counters bool     `json:"counts"`  // counters and unreported usage, in place of the counter service
-	Markers  bool     `json:"marks"`   // before a delivery that must not run twice, its marker
-	Metering bool     `json:"use"`     // what customers have used, until it is billed
+	Replicas []string `json:"keepers"` // addresses for gateway connections; if empty, the quota store is not used
+	Counters bool     `json:"counts"`  // store counters and unreported usage, in place of the counter service
+	Markers  bool     `json:"marks"`   // store a marker before each delivery that must not run twice
+	Metering bool     `json:"use"`     // store customers' usage until it is billed
 }
 
-// used says whether the quota store is to hold anything.
-func (q *QuotaStore) used() bool { return q.Counters || q.Markers || q.Metering }
+// enabled reports whether the quota store holds any state.
+func (q *QuotaStore) enabled() bool { return q.Counters || q.Markers || q.Metering }
 
-// errQuotaStore is what is wrong with replicas without anything to hold, and the other way round.
-var errQuotaStore = errors.New("copies wants keepers, and something for them to hold: counts, marks or use")
+// errQuotaStoreIncomplete is the error for replicas without any state to hold, or state without replicas.
+var errQuotaStoreIncomplete = errors.New("copies requires both keepers and at least one of counts, marks and use")
 
-// InvalidError says what in the file is not valid.
+// InvalidError reports an invalid file.
 type InvalidError struct {
 	Path string
 	Err  error
@@ -60,10 +60,10 @@
 
 func (e *InvalidError) Error() string { return fmt.Sprintf("operator's file %s: %v", e.Path, e.Err) }
 
-// Unwrap returns what was wrong.
+// Unwrap returns the underlying error.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// MembershipShare is the part of the messages that membership may use; 0: it is disabled.
+// MembershipShare returns the fraction of the message rate that membership may use, or 0 if membership is disabled.
 func (c *Config) MembershipShare() float64 {
 	if !c.Membership.Enabled {
 		return 0
@@ -71,10 +71,10 @@
 	return c.Membership.MessageShare
 }
 
-// Read reads the file that the environment names. The error is an InvalidError, or wraps what reading it met.
+// Read reads the file that the environment variable names. The error is an *InvalidError, or wraps the error of reading the file.
 func Read() (Config, error) {
 	config := Config{Membership: Membership{MessageShare: defaultMessageShare}}
-	path := os.Getenv(Variable)
+	path := os.Getenv(EnvVariable)
 	if path == "" {
 		return config, nil
 	}
@@ -83,7 +83,7 @@
 		return config, fmt.Errorf("operator's file: %w", err)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.DisallowUnknownFields() // a key that is misspelt would be a wish that is silently not followed
+	decoder.DisallowUnknownFields() // otherwise a misspelt key would be ignored silently
 	if err := decoder.Decode(&config); err != nil {
 		return config, &InvalidError{path, err}
 	}
@@ -99,11 +99,11 @@
 			return fmt.Errorf("copies.keepers: %w", err)
 		}
 	}
-	if c.QuotaStore.used() != (len(c.QuotaStore.Replicas) > 0) {
-		return errQuotaStore
+	if c.QuotaStore.enabled() != (len(c.QuotaStore.Replicas) > 0) {
+		return errQuotaStoreIncomplete
 	}
 	if share := c.Membership.MessageShare; share < minMessageShare || share > maxMessageShare {
-		return fmt.Errorf("membership.mail is %g; a part from %g to %g is wanted", share, minMessageShare, maxMessageShare)
+		return fmt.Errorf("membership.mail is %g, but must be from %g to %g", share, minMessageShare, maxMessageShare)
 	}
 	return nil
 }
--- a/gateway/operatorconfig/operatorconfig_test.go
+++ b/gateway/operatorconfig/operatorconfig_test.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-func write(t *testing.T, text string) (path string) {
+func writeConfig(t *testing.T, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "operator.json")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(Variable, path)
+	t.Setenv(EnvVariable, path)
 	return path
 }
 
-// What can't be read, is misspelt or out of range is said in one line; without a file nothing is enabled.
+// An unparsable file, a misspelt key or a value out of range yields an InvalidError that names the file.
 func TestRead(t *testing.T) {
 	for _, c := range []struct {
 		text       string
@@ -37,11 +37,11 @@
 		{text: `{`, wantError: "EOF"},
 		{text: `{"overload":{"on":"yes"}}`, wantError: "bool"},
 		{text: `{"copies":{"keepers":["10.0.0.1"],"counts":true}}`, wantError: "copies.keepers"},
-		{text: `{"copies":{"keepers":["10.0.0.1:7000"]}}`, wantError: "something for them to hold"},
-		{text: `{"copies":{"use":true}}`, wantError: "wants keepers"},
+		{text: `{"copies":{"keepers":["10.0.0.1:7000"]}}`, wantError: "at least one of counts, marks and use"},
+		{text: `{"copies":{"use":true}}`, wantError: "requires both keepers"},
 	} {
 		t.Run(c.text, func(t *testing.T) {
-			path := write(t, c.text)
+			path := writeConfig(t, c.text)
 			config, err := Read()
 			if c.wantError == "" {
 				if err != nil || (config.MembershipShare() > 0) != c.membership {
@@ -51,25 +51,25 @@
 			}
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || invalid.Path != path {
-				t.Fatalf("want an InvalidError of %s, got %v", path, err)
+				t.Fatalf("want an InvalidError for %s, got %v", path, err)
 			}
 			if !strings.Contains(err.Error(), c.wantError) || !strings.Contains(err.Error(), path) {
-				t.Errorf("want an error that names %q and the file, got %v", c.wantError, err)
+				t.Errorf("want an error containing %q and the path of the file, got %v", c.wantError, err)
 			}
 		})
 	}
 }
 
-func TestReadWithoutFileEnablesNothing(t *testing.T) {
-	t.Setenv(Variable, "")
+func TestReadWithoutFile(t *testing.T) {
+	t.Setenv(EnvVariable, "")
 	if config, err := Read(); err != nil || config.MembershipShare() != 0 {
 		t.Error(config, err)
 	}
 }
 
-func TestReadOfMissingFileFails(t *testing.T) {
-	t.Setenv(Variable, "/no/such/file")
+func TestReadMissingFile(t *testing.T) {
+	t.Setenv(EnvVariable, "/no/such/file")
 	if _, err := Read(); !errors.Is(err, fs.ErrNotExist) {
-		t.Error("a file that is missing was passed over:", err)
+		t.Error("want fs.ErrNotExist for a missing file, got", err)
 	}
 }
