--- a/internal/digesttest/digesttest.go
+++ b/internal/digesttest/digesttest.go
@@ -1,9 +1,9 @@
-// Package digesttest keeps digests of what seeded simulations do, so that a change of names alone can be shown to have changed
-// nothing else. A digest is taken over numbers, times and identifiers in the order in which they came, never over names of Go
-// types or fields or over the text of log lines. It is compared with the one recorded in the package's testdata/digests.txt.
+// Package digesttest compares digests of seeded simulations with recorded ones, to show that a refactoring changed no behaviour.
+// A digest covers numbers, times and identifiers in the order in which they occur, but no names of Go types or fields and no log
+// text. The recorded digests are in testdata/digests.txt of the tested package.
 //
-// Floating-point numbers enter with all their bits, so that digests hold for amd64, where the compiler doesn't fuse a
-// multiplication with an addition.
+// Floating-point numbers are hashed with all their bits. The recorded digests are therefore valid on amd64, where the compiler
+// doesn't fuse a multiplication and an addition.
 package digesttest
 
 import (
@@ -23,22 +23,22 @@
 )
 
 const (
-	// Seeds is how many seeds, from 0 on, each simulation is played with.
+	// Seeds is the number of seeds, counted from 0, with which each simulation runs.
 	Seeds = 10
 
-	// recordVariable, if it is set in the environment, has digests written down instead of compared. It is meant for a change that
-	// is to alter what a simulation does, never for one that is not.
+	// recordVariable is the environment variable that makes Check record digests instead of comparing them. Set it only for a
+	// change that is meant to alter the behaviour of a simulation.
 	recordVariable = "OTTERSEAM_RECORD_DIGESTS"
 
-	digestBytes = 12 // kept of the SHA-256
+	digestBytes = 12 // length of the SHA-256 prefix that is used
 )
 
-var recorded = filepath.Join("testdata", "digests.txt")
+var digestFile = filepath.Join("testdata", "digests.txt")
 
-// Digest is taken over values in the order in which they are added.
+// Digest is a hash of values in the order in which they are added.
 type Digest struct{ sum hash.Hash }
 
-// New begins a digest.
+// New returns an empty digest.
 func New() *Digest { return &Digest{sha256.New()} }
 
 // Int adds signed numbers.
@@ -57,14 +57,14 @@
 	}
 }
 
-// Float adds floating-point numbers with all their bits.
+// Float adds floating-point numbers, each with all its bits.
 func (d *Digest) Float(values ...float64) {
 	for _, value := range values {
 		d.Uint(math.Float64bits(value))
 	}
 }
 
-// Bool adds truth values.
+// Bool adds booleans.
 func (d *Digest) Bool(values ...bool) {
 	for _, value := range values {
 		number := uint64(0)
@@ -75,53 +75,53 @@
 	}
 }
 
-// Text adds identifiers, each with its length.
+// Text adds strings, each preceded by its length.
 func (d *Digest) Text(values ...string) {
 	for _, value := range values {
 		d.Bytes([]byte(value))
 	}
 }
 
-// Bytes adds bytes with their length.
+// Bytes adds bytes, preceded by their length.
 func (d *Digest) Bytes(value []byte) {
 	d.Uint(uint64(len(value)))
 	d.sum.Write(value)
 }
 
-// String is the digest so far in hexadecimal digits.
+// String returns the digest of the values added so far, in hexadecimal.
 func (d *Digest) String() string { return hex.EncodeToString(d.sum.Sum(nil)[:digestBytes]) }
 
-// Check plays a simulation with each seed and compares the digests with those recorded under a name.
-func Check(t *testing.T, name string, play func(t *testing.T, seed int64, d *Digest)) {
+// Check runs a simulation with each seed and compares the digests with those recorded under name.
+func Check(t *testing.T, name string, simulate func(t *testing.T, seed int64, d *Digest)) {
 	t.Helper()
-	known := read(t)
+	digests := readDigests(t)
 	for seed := range int64(Seeds) {
 		t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 			d := New()
-			play(t, seed, d)
+			simulate(t, seed, d)
 			key := fmt.Sprintf("%s %d", name, seed)
 			switch got := d.String(); {
 			case os.Getenv(recordVariable) != "":
-				known[key] = got
-			case known[key] == "":
-				t.Errorf("no digest is recorded for seed %d of %s, it is %s", seed, name, got)
-			case known[key] != got:
-				t.Errorf("seed %d of %s: the digest is %s, recorded is %s", seed, name, got, known[key])
+				digests[key] = got
+			case digests[key] == "":
+				t.Errorf("seed %d of %s: no recorded digest, got %s", seed, name, got)
+			case digests[key] != got:
+				t.Errorf("seed %d of %s: digest %s, want the recorded %s", seed, name, got, digests[key])
 			}
 		})
 	}
 	if os.Getenv(recordVariable) != "" {
-		write(t, known)
+		writeDigests(t, digests)
 	}
 }
 
-// read gives the recorded digests by name and seed.
-func read(t *testing.T) map[string]string {
+// readDigests returns the recorded digests, keyed by name and seed.
+func readDigests(t *testing.T) map[string]string {
 	t.Helper()
-	known := map[string]string{}
-	text, err := os.ReadFile(recorded)
+	digests := map[string]string{}
+	text, err := os.ReadFile(digestFile)
 	if errors.Is(err, fs.ErrNotExist) {
-		return known
+		return digests
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -129,24 +129,24 @@
 	for line := range strings.Lines(string(text)) {
 		fields := strings.Fields(line)
 		if len(fields) != 3 {
-			t.Fatalf("%s: %q is not a name, a seed and a digest", recorded, line)
+			t.Fatalf("%s: line %q does not consist of a name, a seed and a digest", digestFile, line)
 		}
-		known[fields[0]+" "+fields[1]] = fields[2]
+		digests[fields[0]+" "+fields[1]] = fields[2]
 	}
-	return known
+	return digests
 }
 
-func write(t *testing.T, known map[string]string) {
+func writeDigests(t *testing.T, digests map[string]string) {
 	t.Helper()
 	var lines []string
-	for key, digest := range known {
+	for key, digest := range digests {
 		lines = append(lines, key+" "+digest+"\n")
 	}
 	slices.Sort(lines)
-	if err := os.MkdirAll(filepath.Dir(recorded), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(digestFile), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(recorded, []byte(strings.Join(lines, "")), 0o644); err != nil {
+	if err := os.WriteFile(digestFile, []byte(strings.Join(lines, "")), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/mutation/doc.go
+++ b/internal/mutation/doc.go
@@ -1,4 +1,5 @@
-// Package mutation holds defects that are put into test builds on purpose (build tag seeded), to see that the fault scripts of
-// harness/fleet and the simulations of sim/quotastoresim catch them. In every other build each is a constant false, and its
-// code is not in the program. In a build with the tag the one that the environment variable EDGE_SEEDED names is on.
+// Package mutation declares defects that are compiled into test builds deliberately (build tag seeded), to check that the fault
+// scripts of harness/fleet and the simulations of sim/quotastoresim detect them. In every other build each defect is a constant
+// false, and the compiler removes its code. A build with the tag enables the defect named by the environment variable
+// EDGE_SEEDED.
 package mutation
--- a/internal/mutation/enabled.go
+++ b/internal/mutation/enabled.go
@@ -4,12 +4,12 @@
 
 import "os"
 
-// variable names the environment variable that holds the name of the defect that is on.
-const variable = "EDGE_SEEDED"
+// envVariable is the environment variable with the name of the enabled defect.
+const envVariable = "EDGE_SEEDED"
 
-var selected = os.Getenv(variable)
+var selected = os.Getenv(envVariable)
 
-// Defects of the gateway; disabled.go says what each does.
+// Defects of the gateway, described in disabled.go.
 var (
 	ResetCountsAsNeverRan        = selected == "ResetCountsAsNeverRan"
 	DrainIgnored                 = selected == "DrainIgnored"
@@ -26,7 +26,7 @@
 	CounterResetPanics           = selected == "CounterResetPanics"
 )
 
-// Defects of the quota store.
+// Defects of the quota store, described in disabled.go.
 var (
 	LeaderUsesLocalClock     = selected == "LeaderUsesLocalClock"
 	LeaderAcksBeforeCommit   = selected == "LeaderAcksBeforeCommit"
--- a/internal/renamed/renamed.go
+++ b/internal/renamed/renamed.go
@@ -1,5 +1,5 @@
-// Package renamed is what is left of a program under its former name: one line that says which program replaced it. The former
-// names stay for one release, for operators who have them in a script.
+// Package renamed implements the commands that keep the former names of renamed programs: each prints one line with the new name
+// and exits. The former names stay for one release, for operators who use them in scripts.
 package renamed
 
 import (
@@ -8,15 +8,15 @@
 	"os"
 )
 
-// exitCode is that of wrong arguments: nothing was run.
+// exitCode is the exit code for invalid arguments, which also means that nothing was run.
 const exitCode = 2
 
-// Exit tells on standard error which program took the place of the former one, and ends the process with exit code 2.
+// Exit prints on standard error which program replaced the former one, and ends the process with exit code 2.
 func Exit(former, current string) {
-	os.Exit(notice(os.Stderr, former, current))
+	os.Exit(printNotice(os.Stderr, former, current))
 }
 
-func notice(out io.Writer, former, current string) int {
+func printNotice(out io.Writer, former, current string) int {
 	fmt.Fprintf(out, "%s is called %s now and takes the same arguments; nothing was run\n", former, current)
 	return exitCode
 }
--- a/internal/renamed/renamed_test.go
+++ b/internal/renamed/renamed_test.go
@@ -7,7 +7,7 @@
 
 func TestNoticeNamesBothProgramsAndFails(t *testing.T) {
 	var out strings.Builder
-	code := notice(&out, "ottertier", "otterseam-tier")
+	code := printNotice(&out, "ottertier", "otterseam-tier")
 	if code != 2 {
 		t.Errorf("exit code %d, want 2", code)
 	}
--- a/internal/rng/rng.go
+++ b/internal/rng/rng.go
@@ -1,6 +1,6 @@
-// Package rng gives code that decides its random numbers: the same ones for the same seed, wherever and whenever it runs. It
-// asks neither a clock nor the machine. The numbers are a hash of the seed and a counter, so that any program can work them
-// out again; they are not for cryptography.
+// Package rng generates random numbers for decision code. The same seed yields the same numbers on every machine and in every
+// run. The numbers are a hash of the seed and a counter, so that any program can reproduce them. They are not suitable for
+// cryptography.
 package rng
 
 import (
@@ -10,30 +10,31 @@
 )
 
 const (
-	// knuthMultiplier spreads the bits of a checksum, which differs little from one counter to the next (multiplicative
-	// hashing; Knuth, The Art of Computer Programming, volume 3, section 6.4).
+	// knuthMultiplier spreads the bits of a checksum, because the checksums of consecutive counters differ little
+	// (multiplicative hashing; Knuth, The Art of Computer Programming, volume 3, section 6.4).
 	knuthMultiplier = 2654435761
-	// range32 is how many values 32 bits have.
-	range32 = 1 << 32
-	// maxDigits is how many decimal digits a counter has at most.
+	// uint32Values is the number of values of a uint32.
+	uint32Values = 1 << 32
+	// maxDigits is the maximum number of decimal digits of a counter.
 	maxDigits = 20
 )
 
 // Stream is a sequence of random numbers. It is not safe for concurrent use.
 type Stream struct {
 	seedSum uint32 // CRC-32 of the seed's text
-	drawn   uint64 // numbers so far
+	drawn   uint64 // count of numbers generated so far
 }
 
-// New begins a stream whose seed is the text that fmt.Sprintf gives: what it is for, and a number.
+// New returns a stream seeded with the text that fmt.Sprintf formats. The text names the purpose of the stream and holds a
+// number.
 func New(format string, args ...any) Stream {
 	return Stream{seedSum: crc32.ChecksumIEEE(fmt.Appendf(nil, format, args...))}
 }
 
-// Float64 gives the next number, from 0 to below 1.
+// Float64 returns the next number in [0, 1).
 func (s *Stream) Float64() float64 {
 	var digits [maxDigits]byte
 	s.drawn++
 	text := strconv.AppendUint(digits[:0], s.drawn, 10)
-	return float64(knuthMultiplier*crc32.Update(s.seedSum, crc32.IEEETable, text)) / range32
+	return float64(knuthMultiplier*crc32.Update(s.seedSum, crc32.IEEETable, text)) / uint32Values
 }
--- a/internal/rng/rng_test.go
+++ b/internal/rng/rng_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The numbers are those of the seed's text followed by the counter, under one checksum.
+// Each number is derived from the checksum of the seed text followed by the counter.
 func TestFloat64IsHashOfSeedAndCounter(t *testing.T) {
 	s := New("test %d ", 7)
 	for counter := 1; counter <= 1000; counter++ {
