--- a/cmd/otterseam/config.go
+++ b/cmd/otterseam/config.go
@@ -15,20 +15,20 @@
 	defaultMemoryMB       = 192.0
 	defaultDescriptors    = 1024
 	reservedDescriptors   = 40 // for the counter, discovery, peers and the runtime
-	clientDescriptorShare = 55 // in 100 of the others
-	hostDescriptorShare   = 40 // in 100 of the others
-	minConnections        = 8  // of clients and to hosts
+	clientDescriptorShare = 55 // percent of the remaining descriptors
+	hostDescriptorShare   = 40 // percent of the remaining descriptors
+	minConnections        = 8  // minimum for clients and for hosts, each
 	minClientTimeout      = time.Second
 )
 
 var (
-	errNoConfig         = errors.New("EDGE_CONFIG names no configuration")
+	errNoConfig         = errors.New("EDGE_CONFIG is not set")
 	errIncompleteConfig = errors.New("listen, discovery or settings are missing")
 )
 
-// configError says what is wrong with the configuration.
+// configError reports a missing or invalid configuration.
 type configError struct {
-	path   string // of the file; empty where reason names it, or nothing in particular
+	path   string // path of the file, or empty if reason contains it or it does not apply
 	reason error
 }
 
@@ -41,7 +41,7 @@
 
 func (e *configError) Unwrap() error { return e.reason }
 
-// config is the configuration as it stands on disk.
+// config is the content of the configuration file.
 type config struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -59,7 +59,7 @@
 	Settings simprotocol.Settings `json:"settings"`
 }
 
-// loadConfig reads the file that EDGE_CONFIG names. What the environment says of addresses fills in what the file leaves out.
+// loadConfig reads the file that EDGE_CONFIG names. The environment supplies the name and the addresses that the file omits.
 func loadConfig() (*config, error) {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkAddresses says whether the addresses that a reload takes up make sense.
+// checkAddresses validates the addresses that a reload applies.
 func (c *config) checkAddresses() error {
 	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return err
 }
 
-// counterAddr is the address of the counter; "": there is none.
+// counterAddr returns the address of the counter, or "" if there is none.
 func (c *config) counterAddr() string {
 	if !c.Settings.Shared.Counter {
 		return ""
@@ -116,7 +116,7 @@
 	return memory * (1 << 20)
 }
 
-// maxConns is how many connections clients may have, and how many there may be to hosts.
+// maxConns returns the maximum numbers of client connections and of host connections.
 func (c *config) maxConns() (clients, hosts int) {
 	descriptors := c.Limits.Descriptors
 	if descriptors <= 0 {
@@ -126,7 +126,7 @@
 	return max(minConnections, free*clientDescriptorShare/100), max(minConnections, free*hostDescriptorShare/100)
 }
 
-// longestTimeout is for how long a client may still wait for an answer.
+// longestTimeout returns the longest time for which a client may still wait for a response.
 func (c *config) longestTimeout() time.Duration {
 	longest := minClientTimeout.Seconds()
 	for _, operation := range c.Settings.Operations {
--- a/cmd/otterseam/doc.go
+++ b/cmd/otterseam/doc.go
@@ -1,10 +1,11 @@
-// Command otterseam is the API gateway on sockets: it reads its configuration, makes the parts of gateway/server and runs them
-// until SIGTERM.
+// Command otterseam is the API gateway. It reads its configuration, creates the components of gateway/server and runs them until
+// SIGTERM.
 //
-// config.go reads the file that EDGE_CONFIG names, gateway.go makes and owns the parts, main.go owns the process: its signals, its
-// log, its limits and the group in which all goroutines live. The program neither knows the protocol nor decides anything.
+// config.go reads the file that EDGE_CONFIG names. gateway.go creates and owns the components. main.go owns the process: its
+// signals, its log, its resource limits, and the errgroup that runs all goroutines. The command implements neither the protocol
+// nor any policy.
 //
-// SIGTERM and SIGINT end the gateway once all that it has taken is answered; the exit code is 0. SIGHUP has it read the
-// configuration again and take up the addresses of discovery and of the counter. It exits with code 1 if it can't start, and with
-// code 2, by a panic, if the policy fails.
+// SIGTERM and SIGINT end the gateway with exit code 0, once all accepted requests have been answered. SIGHUP makes it reload the
+// configuration and apply the addresses of discovery and the counter. It exits with code 1 if it can't start, and panics, which
+// is exit code 2, if the policy fails.
 package main
--- a/cmd/otterseam/gateway.go
+++ b/cmd/otterseam/gateway.go
@@ -19,12 +19,12 @@
 const (
 	maxFreeBuffers     = 64
 	minLargeBuffers    = 16
-	largeBufferShare   = 4                      // one in so many bytes of memory may be large buffers
-	shutdownSlack      = 200 * time.Millisecond // beyond the longest time that a client waits
-	counterIdleTimeout = 100 * time.Millisecond // for what the policy gives back to the counter at the end
+	largeBufferShare   = 4                      // large buffers may use 1/largeBufferShare of the memory
+	shutdownSlack      = 200 * time.Millisecond // added to the longest client timeout during shutdown
+	counterIdleTimeout = 100 * time.Millisecond // for releasing reservations at the counter during shutdown
 )
 
-// gateway is the parts of gateway/server, wired. Its goroutines live in group.
+// gateway holds the connected components of gateway/server. Its goroutines run in group.
 type gateway struct {
 	config    *config
 	log       zerolog.Logger
@@ -38,7 +38,7 @@
 	clients   *server.ClientListener
 }
 
-// newGateway makes the parts and opens the listener. Nothing is accepted before start.
+// newGateway creates the components and opens the listener. Connections are accepted only after start.
 func newGateway(ctx context.Context, group *errgroup.Group, log zerolog.Logger, c *config, operator operatorconfig.Config, seed uint64) (*gateway, error) {
 	g := &gateway{config: c, log: log, group: group, loop: server.NewEventLoop(log)}
 	memory := c.memoryBytes()
@@ -79,7 +79,7 @@
 	return g, nil
 }
 
-// connectServices makes the clients of the counter, the quota store and discovery.
+// connectServices creates the clients of the counter, the quota store and discovery.
 func (g *gateway) connectServices(ctx context.Context, operator operatorconfig.Config, seed uint64) {
 	settings := &g.config.Settings
 	var counterBackoffs, discoveryBackoffs *overload.Backoffs
@@ -104,7 +104,7 @@
 	g.discovery = server.NewDiscoveryClient(ctx, g.group, g.loop, g.log, server.DiscoveryOptions{Backoffs: discoveryBackoffs})
 }
 
-// start has the gateway serve. The saved list of hosts is taken over before any client is accepted.
+// start makes the gateway serve. It applies the saved host list before it accepts clients.
 func (g *gateway) start(ctx context.Context) {
 	g.group.Go(func() error { return g.loop.Run(ctx, g.policy, g.hosts, g.counter, g.peers) })
 	g.group.Go(func() error { return g.peers.Read(ctx) })
@@ -116,7 +116,7 @@
 	g.log.Info().Str("listen", g.config.Listen).Int("hosts", len(g.config.Known.Servers)).Msg("up")
 }
 
-// handleSignals does what signals ask for until the gateway ends; stop ends it.
+// handleSignals handles signals until ctx is done. It calls stop after a graceful shutdown.
 func (g *gateway) handleSignals(ctx context.Context, signals processSignals, stop func()) {
 	defer g.clients.Close()
 	shutdown := sync.OnceFunc(func() {
@@ -132,29 +132,29 @@
 			return
 		case <-signals.reload:
 			g.reload(ctx)
-		case s := <-signals.end:
+		case s := <-signals.terminate:
 			g.log.Info().Str("signal", s.String()).Msg("ending")
 			shutdown()
 		}
 	}
 }
 
-// shutdown answers what has been taken, and has the policy give back what it holds at the counter.
+// shutdown waits until all accepted requests are answered, and until the policy has released its reservations at the counter.
 func (g *gateway) shutdown(ctx context.Context) {
 	g.clients.Shutdown(g.config.longestTimeout() + shutdownSlack)
 	g.loop.WaitCounterIdle(ctx, counterIdleTimeout)
 }
 
-// reload takes up the addresses of a configuration that was replaced. One that can't be used changes nothing.
+// reload applies the addresses of a replaced configuration. An invalid configuration changes nothing.
 func (g *gateway) reload(ctx context.Context) {
 	c, err := loadConfig()
 	if err == nil {
 		err = c.checkAddresses()
 	}
 	if err != nil {
-		g.log.Error().Err(err).Msg("new configuration not used")
+		g.log.Error().Err(err).Msg("failed to reload the configuration")
 		return
 	}
-	g.log.Info().Str("discovery", c.Discovery).Str("counter", c.counterAddr()).Msg("new configuration")
+	g.log.Info().Str("discovery", c.Discovery).Str("counter", c.counterAddr()).Msg("configuration reloaded")
 	g.loop.UseAddresses(ctx, g.discovery, c.Discovery, c.counterAddr())
 }
--- a/cmd/otterseam/main.go
+++ b/cmd/otterseam/main.go
@@ -18,8 +18,8 @@
 
 const (
 	timestampFormat  = "2006-01-02T15:04:05.000Z07:00"
-	gcPercent        = 100 // at 400 the heap grew to 16 MB before the collector first ran
-	memoryLimitShare = 0.7 // of the configured memory, which the collector holds to
+	gcPercent        = 100 // with 400 the heap grew to 16 MB before the first garbage collection
+	memoryLimitShare = 0.7 // Go memory limit as a fraction of the configured memory
 )
 
 func main() {
@@ -31,27 +31,28 @@
 	}
 }
 
-// processSignals are those that the gateway hears. Each kind has a place of its own: however often one comes, the other is not
-// lost, and a configuration that is replaced while the one before is taken up is read after it.
+// processSignals holds the channels of the signals that the gateway handles. Each kind has its own channel with a buffer of one,
+// so that repeated signals of one kind don't displace the other, and a configuration that is replaced during a reload is read
+// afterwards.
 type processSignals struct {
-	end    chan os.Signal
-	reload chan os.Signal
+	terminate chan os.Signal
+	reload    chan os.Signal
 }
 
-// notifySignals begins to hear signals: from then on none ends the process by itself.
+// notifySignals starts to receive signals. From then on they no longer terminate the process by default.
 func notifySignals() processSignals {
-	s := processSignals{end: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, os.Interrupt)
+	s := processSignals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(s.terminate, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
 func (s processSignals) stop() {
-	signal.Stop(s.end)
+	signal.Stop(s.terminate)
 	signal.Stop(s.reload)
 }
 
-// run is the gateway's life. It returns nil once it has ended as it was told to.
+// run runs the gateway. It returns nil after a shutdown that was requested by a signal.
 func run(log zerolog.Logger) error {
 	signals := notifySignals()
 	defer signals.stop()
--- a/cmd/otterseam/main_test.go
+++ b/cmd/otterseam/main_test.go
@@ -17,8 +17,8 @@
 
 const settings = `{"balancers":1,"classes":[{"name":"look","goal_time":0.5,"deadline":1,"effect":"idempotent"}]}`
 
-// configure has EDGE_CONFIG name a file with that text.
-func configure(t *testing.T, text string) {
+// setConfig writes text to a file and sets EDGE_CONFIG to its path.
+func setConfig(t *testing.T, text string) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -26,30 +26,30 @@
 	t.Setenv("EDGE_CONFIG", path)
 }
 
-func TestStartFailsWithWhatIsWrong(t *testing.T) {
+func TestStartErrorNamesTheCause(t *testing.T) {
 	leakcheck.Check(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer inUse.Close()
 	for text, want := range map[string]string{
 		`{`:                                    "configuration",
 		`{"listen":"127.0.0.1:0"}`:             "missing",
 		`{"listen":5}`:                         "configuration",
 		configText("127.0.0.1:0", "x"):         "seed",
-		configText(taken.Addr().String(), "1"): "address already in use",
+		configText(inUse.Addr().String(), "1"): "address already in use",
 		strings.Replace(configText("127.0.0.1:0", "1"), "idempotent", "unheard of", 1): "unknown effect",
 	} {
-		configure(t, text)
+		setConfig(t, text)
 		if err := run(zerolog.Nop()); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: want an error that names %s, got %v", text, want, err)
+			t.Errorf("%s: want an error containing %s, got %v", text, want, err)
 		}
 	}
-	configure(t, configText("127.0.0.1:0", "1"))
+	setConfig(t, configText("127.0.0.1:0", "1"))
 	t.Setenv("EDGE_OPERATOR", "/no/such/file")
 	if err := run(zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "operator's file") {
-		t.Errorf("an operator's file that is missing: %v", err)
+		t.Errorf("missing operator's file: %v", err)
 	}
 	t.Setenv("EDGE_CONFIG", "")
 	if err := run(zerolog.Nop()); err == nil {
@@ -57,12 +57,12 @@
 	}
 }
 
-// configText is a configuration that listens at an address.
+// configText returns a configuration with the given listen address and seed.
 func configText(listen, seed string) string {
 	return fmt.Sprintf(`{"listen":%q,"discovery":"127.0.0.1:1","seed":%q,"settings":%s}`, listen, seed, settings)
 }
 
-// logLines is a log that is read line by line.
+// logLines is a log output that passes each line to the test.
 type logLines chan string
 
 func (l logLines) Write(p []byte) (int, error) {
@@ -70,29 +70,29 @@
 	return len(p), nil
 }
 
-// until waits for a line with a part in it.
-func (l logLines) until(t *testing.T, part string) {
+// waitFor waits for a line that contains part.
+func (l logLines) waitFor(t *testing.T, part string) {
 	t.Helper()
-	for late := time.After(5 * time.Second); ; {
+	for timeout := time.After(5 * time.Second); ; {
 		select {
 		case line := <-l:
 			if strings.Contains(line, part) {
 				return
 			}
-		case <-late:
-			t.Fatalf("no line with %s came", part)
+		case <-timeout:
+			t.Fatalf("no log line contains %s", part)
 		}
 	}
 }
 
-// With neither counter nor discovery to be had the api gateway comes up all the same, and SIGTERM ends it well.
-func TestSIGTERMEndsAGatewayWithoutCounterAndDiscovery(t *testing.T) {
+// The gateway starts even if counter and discovery are unavailable, and SIGTERM ends it without an error.
+func TestSIGTERMStopsGatewayWithoutCounterAndDiscovery(t *testing.T) {
 	leakcheck.Check(t)
-	configure(t, configText("127.0.0.1:0", "1"))
+	setConfig(t, configText("127.0.0.1:0", "1"))
 	log := make(logLines, 100)
 	done := make(chan error, 1)
 	go func() { done <- run(zerolog.New(log)) }()
-	log.until(t, `"up"`)
+	log.waitFor(t, `"up"`)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -101,21 +101,21 @@
 		if err != nil {
 			t.Fatalf("ended with %v", err)
 		}
-		log.until(t, "terminated")
+		log.waitFor(t, "terminated")
 	case <-time.After(5 * time.Second):
 		t.Fatal("did not end")
 	}
 }
 
-// SIGHUP ended the process. The file replaced names other addresses, which are taken up; one that can't be used is not.
-func TestSIGHUPTakesUpAReplacedConfiguration(t *testing.T) {
+// SIGHUP once terminated the process. It must apply the addresses of a replaced configuration, and reject an invalid one.
+func TestSIGHUPAppliesReplacedConfiguration(t *testing.T) {
 	leakcheck.Check(t)
 	text := strings.Replace(configText("127.0.0.1:0", "1"), `"balancers":1`, `"balancers":1,"extra":{"counter":true}`, 1)
-	configure(t, text)
+	setConfig(t, text)
 	log := make(logLines, 100)
 	done := make(chan error, 1)
 	go func() { done <- run(zerolog.New(log)) }()
-	log.until(t, `"up"`)
+	log.waitFor(t, `"up"`)
 	replace := func(text string) {
 		if err := os.WriteFile(os.Getenv("EDGE_CONFIG"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -126,20 +126,20 @@
 	}
 	for _, bad := range []string{"{", strings.Replace(text, "127.0.0.1:1", "nowhere", 1)} {
 		replace(bad)
-		log.until(t, "not used")
+		log.waitFor(t, "failed to reload")
 	}
-	var at []net.Listener
+	var listeners []net.Listener
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
-		at = append(at, l)
+		listeners = append(listeners, l)
 	}
-	replace(strings.Replace(strings.Replace(text, "127.0.0.1:1", at[0].Addr().String(), 1), `"seed"`,
-		fmt.Sprintf(`"counter":%q,"seed"`, at[1].Addr()), 1))
-	for _, l := range at {
+	replace(strings.Replace(strings.Replace(text, "127.0.0.1:1", listeners[0].Addr().String(), 1), `"seed"`,
+		fmt.Sprintf(`"counter":%q,"seed"`, listeners[1].Addr()), 1))
+	for _, l := range listeners {
 		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second))
 		c, err := l.Accept()
 		if err != nil {
--- a/cmd/otterseam/process_test.go
+++ b/cmd/otterseam/process_test.go
@@ -21,54 +21,54 @@
 	"otterseam/harness/sockets"
 )
 
-// TestMain is the program itself where a test starts it so.
+// TestMain runs the program instead of the tests if a test has started this binary with OTTERSEAM_TEST_RUN.
 func TestMain(m *testing.M) {
 	if os.Getenv("OTTERSEAM_TEST_RUN") != "" {
 		main()
 		return
 	}
-	signal.Notify(make(chan os.Signal, 1), syscall.SIGUSR2) // what the runtime keeps for signals is there before tests count
+	signal.Notify(make(chan os.Signal, 1), syscall.SIGUSR2) // starts the runtime's signal handling before leakcheck counts
 	os.Exit(m.Run())
 }
 
-// program is the api gateway as a process of its own, with stand-ins round it.
-type program struct {
+// gatewayProcess runs the API gateway as a separate process, with fake services around it.
+type gatewayProcess struct {
 	t         *testing.T
 	cmd       *exec.Cmd
 	addr      string
-	path      string // of the configuration
+	path      string // path of the configuration file
 	config    map[string]any
-	log       *logText
-	ended     chan error
-	discovery net.Listener // discovery
+	log       *logBuffer
+	exited    chan error
+	discovery net.Listener
 	watches   chan net.Conn
 	host      *sockets.ScriptedServer
 	counter   *sockets.ScriptedServer
 }
 
-type logText struct {
+type logBuffer struct {
 	mu sync.Mutex
 	strings.Builder
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Builder.Write(p)
 }
 
-func (l *logText) has(part string) bool {
+func (l *logBuffer) contains(part string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.String(), part)
 }
 
-func text(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func newScript(t *testing.T, say func(m *http1.Message, n int) string) *sockets.ScriptedServer {
-	s, err := sockets.NewScriptedServer(say)
+func newScriptedServer(t *testing.T, respond func(m *http1.Message, n int) string) *sockets.ScriptedServer {
+	s, err := sockets.NewScriptedServer(respond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	return s
 }
 
-// listen is a listener whose connections are handed over.
+// listen opens a listener and returns it with a channel of its accepted connections.
 func listen(t *testing.T) (net.Listener, chan net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,27 +97,27 @@
 	return l, conns
 }
 
-const operations = `{"balancers":1,"classes":[{"name":"look","goal_time":0.5,"deadline":1,"effect":"idempotent"},
+const settingsWithCounter = `{"balancers":1,"classes":[{"name":"look","goal_time":0.5,"deadline":1,"effect":"idempotent"},
 {"name":"pay","goal_time":0.5,"deadline":1,"late_worth":0.5,"effect":"at_most_once"}],"plans":[{"name":"team","rate":1000,"burst":1000}],
 "caps":{"try_limit":3,"cancel":true,"dial_timeout":0.25,"idle_close":10},"extra":{"counter":true,"count_limit":0.1,"most_units":8}}`
 
-// newProgram prepares one; what it says of its configuration may be changed before it starts.
-func newProgram(t *testing.T) *program {
+// newGatewayProcess prepares a process. The test may change its configuration before calling start.
+func newGatewayProcess(t *testing.T) *gatewayProcess {
 	leakcheck.Check(t)
-	p := &program{t: t, path: filepath.Join(t.TempDir(), "config.json"), log: &logText{}}
+	p := &gatewayProcess{t: t, path: filepath.Join(t.TempDir(), "config.json"), log: &logBuffer{}}
 	p.discovery, p.watches = listen(t)
-	p.host = newScript(t, func(m *http1.Message, n int) string { return text("served") })
-	p.counter = newScript(t, func(m *http1.Message, n int) string { return text("1") })
-	p.addr = free(t)
+	p.host = newScriptedServer(t, func(m *http1.Message, n int) string { return okResponse("served") })
+	p.counter = newScriptedServer(t, func(m *http1.Message, n int) string { return okResponse("1") })
+	p.addr = freeAddress(t)
 	p.config = map[string]any{
 		"name": "n", "listen": p.addr, "discovery": p.discovery.Addr().String(), "seed": "1",
-		"counter": p.counter.Addr().String(), "settings": json.RawMessage(operations),
-		"known": json.RawMessage(list(1, true, entry("h", p.host.Addr().String(), "Ready"))),
+		"counter": p.counter.Addr().String(), "settings": json.RawMessage(settingsWithCounter),
+		"known": json.RawMessage(hostList(1, true, hostEntry("h", p.host.Addr().String(), "Ready"))),
 	}
 	return p
 }
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	addr, err := sockets.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
@@ -125,16 +125,16 @@
 	return addr
 }
 
-func entry(id, addr, state string) string {
+func hostEntry(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q,"weight":1,"started_ms":0}`, id, addr, state)
 }
 
-func list(version int, full bool, entries ...string) string {
+func hostList(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// write writes the configuration, whole at once, as who replaces one should.
-func (p *program) write() {
+// writeConfig writes the configuration and replaces the file atomically, as operators should do it.
+func (p *gatewayProcess) writeConfig() {
 	p.t.Helper()
 	b, err := json.Marshal(p.config)
 	if err == nil {
@@ -148,10 +148,10 @@
 	}
 }
 
-// start starts it, with so many descriptors at most.
-func (p *program) start(descriptors int) {
+// start starts the process with a limit on its file descriptors.
+func (p *gatewayProcess) start(descriptors int) {
 	p.t.Helper()
-	p.write()
+	p.writeConfig()
 	p.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %q", descriptors, os.Args[0]))
 	p.cmd.Env = append(os.Environ(), "OTTERSEAM_TEST_RUN=1", "EDGE_CONFIG="+p.path, "EDGE_OPERATOR=")
 	p.cmd.Stderr = p.log
@@ -159,45 +159,45 @@
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	p.ended = ended
+	exited := make(chan error, 1)
+	p.exited = exited
 	cmd := p.cmd
-	go func() { ended <- cmd.Wait() }()
+	go func() { exited <- cmd.Wait() }()
 	p.t.Cleanup(func() {
 		_ = cmd.Process.Kill()
-		_, _ = p.exit(5 * time.Second)
+		_, _ = p.waitExit(5 * time.Second)
 		if p.t.Failed() {
 			p.t.Log(p.log.String())
 		}
 	})
 }
 
-// exit waits for its end; ok: it has come.
-func (p *program) exit(within time.Duration) (err error, ok bool) {
+// waitExit waits until the process exits and returns its error. ok is false if it did not exit in time.
+func (p *gatewayProcess) waitExit(within time.Duration) (err error, ok bool) {
 	select {
-	case err = <-p.ended:
-		p.ended <- err
+	case err = <-p.exited:
+		p.exited <- err
 		return err, true
 	case <-time.After(within):
 		return nil, false
 	}
 }
 
-// ready waits until it says that it is, and gives how long that took.
-func (p *program) ready() time.Duration {
+// waitReady waits until the health check succeeds, and returns how long that took.
+func (p *gatewayProcess) waitReady() time.Duration {
 	p.t.Helper()
-	begun := time.Now()
-	for ; time.Since(begun) < 12*time.Second; time.Sleep(5 * time.Millisecond) {
-		if status, _ := p.ask("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); status == 200 {
-			return time.Since(begun)
+	started := time.Now()
+	for ; time.Since(started) < 12*time.Second; time.Sleep(5 * time.Millisecond) {
+		if status, _ := p.roundTrip("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); status == 200 {
+			return time.Since(started)
 		}
 	}
-	p.t.Fatal("it is not ready: ", p.log.String())
+	p.t.Fatal("the process did not become ready: ", p.log.String())
 	return 0
 }
 
-// ask asks on a connection of its own; status 0: it got no answer.
-func (p *program) ask(request string) (status int, body string) {
+// roundTrip sends a request on a new connection. The returned status is 0 if there was no response.
+func (p *gatewayProcess) roundTrip(request string) (status int, body string) {
 	tcp, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		return 0, ""
@@ -208,9 +208,10 @@
 	return status, body
 }
 
-// exchange sends a request and reads its answer; last: the connection ends with it. err is what ended the reading.
+// exchange sends a request and reads its response. last reports that the response closes the connection, and err is the error
+// that ended reading.
 func exchange(tcp net.Conn, request string) (status int, body string, last bool, err error) {
-	_, _ = io.WriteString(tcp, request) // an error shows by what is read
+	_, _ = io.WriteString(tcp, request) // a failed write also makes the read fail
 	err = sockets.ReadMessages(tcp, true, func(m *http1.Message) bool {
 		status, body, last = m.Status, string(m.Body), m.Close
 		return false
@@ -219,7 +220,7 @@
 }
 
 // signal sends the process a signal.
-func (p *program) signal(s os.Signal) {
+func (p *gatewayProcess) signal(s os.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		p.t.Errorf("%v: %v", s, err)
@@ -227,16 +228,16 @@
 }
 
 var (
-	requestCount int
-	askedMu      sync.Mutex
+	requestCount   int
+	requestCountMu sync.Mutex
 )
 
-// invocation is a request with an id of its own.
-func invocation(operation string) string {
-	askedMu.Lock()
+// newInvocation returns a request with a unique ID.
+func newInvocation(operation string) string {
+	requestCountMu.Lock()
 	requestCount++
 	id := requestCount
-	askedMu.Unlock()
+	requestCountMu.Unlock()
 	method, length := "GET", ""
 	if operation == "pay" {
 		method, length = "POST", "Content-Length: 1\r\n\r\nx"
@@ -247,27 +248,27 @@
 		"Req-Deadline-Ms: 1000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n%s", method, operation, id, operation, length)
 }
 
-// watch answers the next watch with a head and a list.
-func (p *program) watch(text string) net.Conn {
+// acceptWatch accepts the next watch connection, and sends a response head and text as the first chunk of its stream.
+func (p *gatewayProcess) acceptWatch(text string) net.Conn {
 	p.t.Helper()
 	select {
 	case tcp := <-p.watches:
 		answerWatch(tcp, text)
 		return tcp
 	case <-time.After(5 * time.Second):
-		p.t.Fatal("no watch came")
+		p.t.Fatal("no watch request was received")
 		return nil
 	}
 }
 
-// answerWatch reads the request of a watch, and begins its stream with a text.
+// answerWatch reads a watch request and sends a response head and text as the first chunk of its stream.
 func answerWatch(tcp net.Conn, text string) {
 	_ = sockets.ReadMessages(tcp, false, func(m *http1.Message) bool { return false })
 	fmt.Fprintf(tcp, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
 }
 
-// deaf is an address on which no connection ever comes up.
-func deaf(t *testing.T) string {
+// unacceptingAddress returns an address at which connection attempts get no reply.
+func unacceptingAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -281,51 +282,51 @@
 	}
 	at, _ := syscall.Getsockname(fd)
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	for range 10 { // nobody accepts: once its line is full, the next gets no answer
+	for range 10 { // nothing accepts, so connection attempts get no reply once the backlog is full
 		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			return addr
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("this system goes on accepting")
+	t.Fatal("the kernel completed all connections despite the full backlog")
 	return ""
 }
 
-// A restarted process is ready soon, whether or not counter and discovery can be had.
-func TestReadyThoughCounterAndDiscoveryAreAway(t *testing.T) {
-	for name, away := range map[string]func(t *testing.T) string{
-		"refused": free,
+// A restarted process becomes ready soon even if counter and discovery are unavailable.
+func TestReadyWithoutCounterAndDiscovery(t *testing.T) {
+	for name, unavailable := range map[string]func(t *testing.T) string{
+		"refused": freeAddress,
 		"silent":  func(t *testing.T) string { l, _ := listen(t); return l.Addr().String() },
-		"deaf":    deaf,
+		"deaf":    unacceptingAddress,
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newProgram(t)
-			p.config["discovery"], p.config["counter"] = away(t), away(t)
+			p := newGatewayProcess(t)
+			p.config["discovery"], p.config["counter"] = unavailable(t), unavailable(t)
 			p.start(256)
-			if took := p.ready(); took > 3*time.Second {
+			if took := p.waitReady(); took > 3*time.Second {
 				t.Errorf("ready after %v", took)
 			}
-			if status, body := p.ask(invocation("pay")); status != 200 || body != "served" {
+			if status, body := p.roundTrip(newInvocation("pay")); status != 200 || body != "served" {
 				t.Errorf("got %d %q", status, body)
 			}
 		})
 	}
 }
 
-// crowd is idle clients without end: each comes again as soon as its connection is closed.
-func (p *program) crowd(clients int, stop chan bool, running *sync.WaitGroup) {
+// startIdleClients starts clients that keep idle connections open. Each reconnects as soon as its connection is closed.
+func (p *gatewayProcess) startIdleClients(clients int, stop chan bool, running *sync.WaitGroup) {
 	for range clients {
 		running.Go(func() {
 			for !stopped(stop) {
-				p.stayIdle(stop)
+				p.holdIdleConnection(stop)
 			}
 		})
 	}
 }
 
-// stayIdle connects and says nothing, until the connection is closed or the test stops.
-func (p *program) stayIdle(stop chan bool) {
+// holdIdleConnection connects and sends nothing until the connection is closed or the test stops.
+func (p *gatewayProcess) holdIdleConnection(stop chan bool) {
 	tcp, err := net.DialTimeout("tcp", p.addr, time.Second)
 	if err != nil {
 		time.Sleep(10 * time.Millisecond)
@@ -348,70 +349,71 @@
 	}
 }
 
-// Idle clients take all the descriptors they can get while discovery is down. When it is back it is heard, and counter and
-// hosts are reached; usual clients are served meanwhile.
-func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
-	p := newProgram(t)
-	const most = 100
-	p.config["limits"] = map[string]any{"memory_mb": 64, "sockets": most}
-	p.start(most)
-	p.ready()
+// Idle clients take all the descriptors they can get while discovery does not respond. The process must still have descriptors to
+// reach discovery once it is back, the counter and the hosts, and to serve other clients.
+func TestIdleClientsLeaveDescriptorsForOtherUses(t *testing.T) {
+	p := newGatewayProcess(t)
+	const descriptorLimit = 100
+	p.config["limits"] = map[string]any{"memory_mb": 64, "sockets": descriptorLimit}
+	p.start(descriptorLimit)
+	p.waitReady()
 	stop := make(chan bool)
 	var running sync.WaitGroup
-	p.crowd(3*most, stop, &running)
+	p.startIdleClients(3*descriptorLimit, stop, &running)
 	defer running.Wait()
 	defer close(stop)
-	time.Sleep(2 * time.Second) // discovery says nothing all this while
-	second := newScript(t, func(m *http1.Message, n int) string { return text("second") })
+	time.Sleep(2 * time.Second) // discovery does not respond during this time
+	second := newScriptedServer(t, func(m *http1.Message, n int) string { return okResponse("second") })
 	running.Go(func() {
 		for {
 			select {
 			case <-stop:
 				return
 			case tcp := <-p.watches:
-				answerWatch(tcp, list(2, true, entry("second", second.Addr().String(), "Ready")))
+				answerWatch(tcp, hostList(2, true, hostEntry("second", second.Addr().String(), "Ready")))
 			}
 		}
 	})
-	good := 0
-	for until := time.Now().Add(6 * time.Second); good < 5 && time.Now().Before(until); {
-		if status, body := p.ask(invocation("pay")); status == 200 && body == "second" {
-			good++
+	reached := 0
+	for until := time.Now().Add(6 * time.Second); reached < 5 && time.Now().Before(until); {
+		if status, body := p.roundTrip(newInvocation("pay")); status == 200 && body == "second" {
+			reached++
 		}
 	}
-	if good < 5 {
-		t.Errorf("%d invocations reached the host that discovery told of", good)
+	if reached < 5 {
+		t.Errorf("%d invocations reached the host announced by discovery, want 5", reached)
 	}
 	if len(p.counter.Requests) == 0 {
 		t.Error("the counter was not reached")
 	}
-	if p.log.has("panic") {
-		t.Error("it has ended")
+	if p.log.contains("panic") {
+		t.Error("the process panicked")
 	}
 }
 
-// load is clients that ask all the time, on connections that they keep and on new ones.
+// load is a set of clients that send requests continuously, on persistent and on new connections.
 type load struct {
-	p       *program
+	p       *gatewayProcess
 	stop    chan bool
 	running sync.WaitGroup
 
 	mu     sync.Mutex
-	counts map[string]int // requests by what became of them
+	counts map[string]int // number of requests by outcome
 }
 
-func (l *load) count(what string) {
+func (l *load) count(outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[what]++
+	l.counts[outcome]++
 }
 
-// client asks until the load stops: every 0 to 6 ms, and each third client on a new connection each time.
+// client sends requests until the load stops, with a delay of 0 to 6 ms between them. Every third client opens a new connection
+// for each request.
 func (l *load) client(number int) {
-	var kept net.Conn
+	var conn net.Conn
 	defer func() {
-		if kept != nil {
-			kept.Close()
+		if conn != nil {
+			conn.Close()
 		}
 	}()
 	for {
@@ -420,74 +422,74 @@
 			return
 		case <-time.After(time.Duration(number%7) * time.Millisecond):
 		}
-		fresh := kept == nil
+		fresh := conn == nil
 		if fresh {
 			var err error
-			if kept, err = net.Dial("tcp", l.p.addr); err != nil {
-				kept = nil
+			if conn, err = net.Dial("tcp", l.p.addr); err != nil {
+				conn = nil
 				l.count("refused")
 				time.Sleep(5 * time.Millisecond)
 				continue
 			}
 		}
-		if keep := l.ask(kept, number, fresh); !keep || number%3 == 0 {
-			kept.Close()
-			kept = nil
+		if keep := l.roundTrip(conn, number, fresh); !keep || number%3 == 0 {
+			conn.Close()
+			conn = nil
 		}
 	}
 }
 
-// ask asks once and counts what becomes of it; keep: the connection can be used on.
-func (l *load) ask(tcp net.Conn, number int, fresh bool) (keep bool) {
+// roundTrip sends one request and counts its outcome. keep reports whether the connection can be reused.
+func (l *load) roundTrip(tcp net.Conn, number int, fresh bool) (keep bool) {
 	_ = tcp.SetDeadline(time.Now().Add(3 * time.Second))
-	status, _, last, err := exchange(tcp, invocation([]string{"look", "pay"}[number%2]))
+	status, _, last, err := exchange(tcp, newInvocation([]string{"look", "pay"}[number%2]))
 	switch {
 	case status != 0:
 		l.count(fmt.Sprint(status))
 	case fresh:
 		l.count("lost on a new connection")
 	case err == nil || strings.Contains(err.Error(), "reset") || errors.Is(err, io.EOF):
-		l.count("crossed a close")
+		l.count("raced with a close")
 	default:
 		l.count("lost: " + err.Error())
 	}
 	return status != 0 && !last
 }
 
-// SIGTERM while clients ask on connections they keep and on new ones: each request on a new connection is answered, one on a
-// kept one is answered or its connection was closed before it was read, and the process ends well.
+// SIGTERM while clients send requests. Each request on a new connection is answered. A request on a persistent connection is
+// answered, or the connection was closed before the request was read. The process exits without an error.
 func TestSIGTERMUnderLoadLosesNoRequest(t *testing.T) {
-	p := newProgram(t)
+	p := newGatewayProcess(t)
 	p.start(512)
-	p.ready()
+	p.waitReady()
 	l := &load{p: p, stop: make(chan bool), counts: map[string]int{}}
 	for number := range 40 {
 		l.running.Go(func() { l.client(number) })
 	}
 	time.Sleep(300 * time.Millisecond)
 	p.signal(syscall.SIGTERM)
-	time.Sleep(lateFront)
-	close(l.stop) // the front sends nobody any more
+	time.Sleep(frontStopDelay)
+	close(l.stop) // the front has stopped routing clients to this process
 	l.running.Wait()
-	if err, ok := p.exit(4 * time.Second); !ok || err != nil {
-		t.Errorf("it ended: %v, with %v", ok, err)
+	if err, ok := p.waitExit(4 * time.Second); !ok || err != nil {
+		t.Errorf("exited: %v, with error %v", ok, err)
 	}
-	for what, n := range l.counts {
-		if strings.HasPrefix(what, "lost") {
-			t.Errorf("%s: %d", what, n)
+	for outcome, n := range l.counts {
+		if strings.HasPrefix(outcome, "lost") {
+			t.Errorf("%s: %d", outcome, n)
 		}
 	}
 	if l.counts["200"] < 100 {
-		t.Errorf("too little was asked: %v", l.counts)
+		t.Errorf("too few requests were answered: %v", l.counts)
 	}
 	t.Log(l.counts)
 }
 
-// lateFront is for how long a front sends to a process that was told to end.
-const lateFront = 400 * time.Millisecond
+// frontStopDelay is how long a front still routes clients to a process after SIGTERM.
+const frontStopDelay = 400 * time.Millisecond
 
-// reloadHalfAFile has the process read a configuration that is half written, and waits until it says so.
-func (p *program) reloadHalfAFile() {
+// reloadTruncatedConfig makes the process read a partially written configuration, and waits until it logs the failure.
+func (p *gatewayProcess) reloadTruncatedConfig() {
 	p.t.Helper()
 	complete, err := os.ReadFile(p.path)
 	if err == nil {
@@ -497,46 +499,46 @@
 		p.t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	for until := time.Now().Add(3 * time.Second); !p.log.has("not used") && time.Now().Before(until); {
+	for until := time.Now().Add(3 * time.Second); !p.log.contains("failed to reload") && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// moveDiscovery puts discovery at another address, and writes the configuration that says so.
-func (p *program) moveDiscovery() {
+// moveDiscovery moves discovery to another address and writes the configuration with that address.
+func (p *gatewayProcess) moveDiscovery() {
 	p.t.Helper()
 	p.discovery, p.watches = listen(p.t)
 	p.config["discovery"] = p.discovery.Addr().String()
-	p.write()
+	p.writeConfig()
 }
 
-// New addresses in a row, among them files that are half written, and then a drain at the newest: nothing goes to the host
-// that left, and SIGTERM is heard behind all of it.
-func TestSIGHUPsThenADrainThenSIGTERMAreAllHeard(t *testing.T) {
-	p := newProgram(t)
+// Repeated reloads, some of a partially written file, are followed by the drain of a host at the newest discovery address. No
+// request goes to the drained host, and a SIGTERM after many SIGHUPs is still handled.
+func TestSIGHUPsThenADrainThenSIGTERMAreAllHandled(t *testing.T) {
+	p := newGatewayProcess(t)
 	p.start(256)
-	p.ready()
-	other := newScript(t, func(m *http1.Message, n int) string { return text("other") })
+	p.waitReady()
+	other := newScriptedServer(t, func(m *http1.Message, n int) string { return okResponse("other") })
 	var last net.Conn
 	for i := range 5 {
-		p.reloadHalfAFile()
+		p.reloadTruncatedConfig()
 		p.moveDiscovery()
 		for range 20 {
 			p.signal(syscall.SIGHUP)
 		}
-		last = p.watch(list(10+i, true, entry("h", p.host.Addr().String(), "Ready"), entry("o", other.Addr().String(), "Ready")))
+		last = p.acceptWatch(hostList(10+i, true, hostEntry("h", p.host.Addr().String(), "Ready"), hostEntry("o", other.Addr().String(), "Ready")))
 	}
-	if !p.log.has("not used") {
-		t.Error("the log does not say that a file could not be used")
+	if !p.log.contains("failed to reload") {
+		t.Error("the log does not report the failed reload")
 	}
-	s := list(20, false, entry("h", p.host.Addr().String(), "Terminating"))
+	s := hostList(20, false, hostEntry("h", p.host.Addr().String(), "Terminating"))
 	fmt.Fprintf(last, "%x\r\n%s\r\n", len(s), s)
 	time.Sleep(100 * time.Millisecond)
 	for len(p.host.Requests) > 0 {
 		<-p.host.Requests
 	}
 	for i := range 20 {
-		if status, body := p.ask(invocation("pay")); status != 200 || body != "other" {
+		if status, body := p.roundTrip(newInvocation("pay")); status != 200 || body != "other" {
 			t.Fatalf("invocation %d: %d %q", i, status, body)
 		}
 	}
@@ -544,42 +546,43 @@
 		p.signal(syscall.SIGHUP)
 	}
 	p.signal(syscall.SIGTERM)
-	if err, ok := p.exit(4 * time.Second); !ok || err != nil {
-		t.Errorf("it ended: %v, with %v", ok, err)
+	if err, ok := p.waitExit(4 * time.Second); !ok || err != nil {
+		t.Errorf("exited: %v, with error %v", ok, err)
 	}
 }
 
-// SIGTERM at any moment of its start ends it, and well once it has its configuration.
-func TestSIGTERMAtAnyMomentOfTheStartEndsTheProcess(t *testing.T) {
+// SIGTERM at any time during startup ends the process, without an error once the process has logged that it is up.
+func TestSIGTERMDuringStartupEndsTheProcess(t *testing.T) {
 	for _, after := range []time.Duration{0, 2, 5, 10, 20, 40} {
-		p := newProgram(t)
+		p := newGatewayProcess(t)
 		p.start(256)
 		time.Sleep(after * time.Millisecond)
 		p.signal(syscall.SIGTERM)
-		err, ok := p.exit(4 * time.Second)
-		if !ok || err != nil && p.log.has(`"up"`) {
-			t.Errorf("after %d ms: ended %v with %v", after, ok, err)
+		err, ok := p.waitExit(4 * time.Second)
+		if !ok || err != nil && p.log.contains(`"up"`) {
+			t.Errorf("SIGTERM after %d ms: exited: %v, with error %v", after, ok, err)
 		}
 	}
 }
 
-// Killed with connections open, and at once after an accept: its next life listens at the same address and serves.
+// A process is killed with open connections, right after it accepted one. The next process listens on the same address and
+// serves.
 func TestARestartedProcessServesAtTheSameAddress(t *testing.T) {
-	p := newProgram(t)
+	p := newGatewayProcess(t)
 	p.start(256)
-	p.ready()
+	p.waitReady()
 	for range 3 {
 		tcp, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(tcp, invocation("pay"))
+		_, _ = io.WriteString(tcp, newInvocation("pay"))
 		p.signal(syscall.SIGKILL)
-		_, _ = p.exit(3 * time.Second)
+		_, _ = p.waitExit(3 * time.Second)
 		p.start(256)
-		p.ready()
+		p.waitReady()
 		tcp.Close()
-		if status, body := p.ask(invocation("pay")); status != 200 || body != "served" {
+		if status, body := p.roundTrip(newInvocation("pay")); status != 200 || body != "served" {
 			t.Fatalf("got %d %q", status, body)
 		}
 	}
