--- a/gateway/membership/detector.go
+++ b/gateway/membership/detector.go
@@ -45,7 +45,7 @@
 type member struct {
 	incarnation   incarnation
 	lastHeard     float64 // time of the last message from the member itself; NaN while its silence is not measured
-	deadSince     float64 // start of the fading of its weight
+	deadSince     float64 // time from which its weight fades
 	watchedAt     float64 // time when it was last watched
 	lastHeartbeat float64 // time of the last heartbeat, not counting replies to pings
 	unseen        bool    // nothing was received from it since watching began
--- a/gateway/membership/detector_test.go
+++ b/gateway/membership/detector_test.go
@@ -15,11 +15,11 @@
 		t.Errorf("%d wrong states 2 s after the failure", wrong)
 	}
 	if got := c.divisor(0); got < 11 || got > 12 {
-		t.Errorf("divisor %.2f, but the dead member should still count almost fully", got)
+		t.Errorf("divisor %.2f 2 s after the failure, want 11 to 12", got)
 	}
 	c.run(5)
 	if got := c.divisor(0); math.Abs(got-12*math.Sqrt(11.0/12)) > 1e-9 {
-		t.Errorf("divisor %.3f, but it should follow the square root of the live fraction", got)
+		t.Errorf("divisor %.3f 7 s after the failure, want 12 times the square root of the live fraction", got)
 	}
 	c.restart(5, 99)
 	c.run(1)
--- a/gateway/membership/gossip.go
+++ b/gateway/membership/gossip.go
@@ -27,7 +27,7 @@
 	repeats  int   // remaining repetitions of the last broadcast
 	nextAt   float64
 
-	maxRate       float64 // limit of rate above which this member postpones broadcasts
+	maxRate       float64 // limit on rate, above which this member postpones its broadcasts
 	rate          float64 // recent broadcasts, received or sent
 	rateAt        float64
 	accusations   float64 // recent accusations by this member
--- a/gateway/membership/share.go
+++ b/gateway/membership/share.go
@@ -55,8 +55,8 @@
 // of which considers the others dead, the sides together use at most the sum of the square roots of their fractions. That sum is
 // at most sqrt(k), which is 1.42 times the total for two sides. The survivors of a failure together get the square root of their
 // fraction: 0.55 of the total if three in ten are left, rather than 0.3. Members that return count immediately and start by
-// dividing by the full number. Together with survivors that don't know of the return yet, they use at most sqrt(x) + 1 - x, which
-// is 1.25. Whatever the views of the members are, no share exceeds twice its configured part.
+// dividing by the full number. Together with survivors that don't know of the return yet, they use sqrt(x) + 1 - x, which is
+// at most 1.25. Whatever the views of the members are, no share exceeds twice its configured part.
 func (d *Detector) ShareDivisor(now float64, first, width int) float64 {
 	if d == nil || width <= 1 || d.dead == 0 {
 		return float64(max(1, width))
--- a/gateway/membership/suspicion.go
+++ b/gateway/membership/suspicion.go
@@ -11,8 +11,8 @@
 	pingAfter = 1.4
 	// suspectAfter is the silence after which a member is suspected and members further back in the ring are watched as well.
 	suspectAfter = 2.2
-	// accuseAfter is that after which it is accused; accusePerLost is added for the part of the heartbeats that gets lost, of
-	// which maxLostCounted counts.
+	// accuseAfter is the silence after which a member is accused. It is extended by accusePerLossRate times the loss rate of
+	// heartbeats, which counts up to maxLossRate.
 	accuseAfter       = 3.3
 	accusePerLossRate = 8
 	maxLossRate       = 0.6
