--- a/gateway/http1/write.go
+++ b/gateway/http1/write.go
@@ -37,7 +37,7 @@
 	return b
 }
 
-// AppendRequest appends a client's request for a host. The request tells the host the timeout in seconds.
+// AppendRequest appends a client's request for a host, with the timeout, given in seconds, as its Req-Deadline-Ms.
 func AppendRequest(b []byte, m *Message, timeout float64) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
--- a/gateway/membership/gossip.go
+++ b/gateway/membership/gossip.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyEntry applies what the member reporter says about another one.
+// applyEntry applies an entry of an update or a heartbeat from the member reporter.
 func (d *Detector) applyEntry(now float64, reporter int, e entry) {
 	if e.member == d.self {
 		d.refute(now, reporter, e.incarnation)
