--- a/gateway/overload/amplification.go
+++ b/gateway/overload/amplification.go
@@ -5,10 +5,11 @@
 	"math"
 )
 
-// amplificationWindow is the time constant, in seconds, by which the figures of the log fade.
-const amplificationWindow = 5
+// amplificationDecayTime is the time constant, in seconds, of the exponential decay of the logged counts.
+const amplificationDecayTime = 5
 
-// amplification counts how much more goes to hosts than clients ask for. Its counts fade exponentially; it decides nothing.
+// amplification measures how many attempts and dials are made for each client request. Its counts decay exponentially. They
+// are only logged and influence no decision.
 type amplification struct {
 	updatedAt     float64
 	requests      float64
@@ -17,8 +18,8 @@
 	dials         float64
 }
 
-func (a *amplification) fade(now float64) {
-	factor := math.Exp(-(now - a.updatedAt) / amplificationWindow)
+func (a *amplification) decay(now float64) {
+	factor := math.Exp(-(now - a.updatedAt) / amplificationDecayTime)
 	a.updatedAt = now
 	a.requests *= factor
 	a.firstAttempts *= factor
@@ -27,7 +28,7 @@
 }
 
 func (a *amplification) attemptStarted(now float64, retry bool) {
-	a.fade(now)
+	a.decay(now)
 	if retry {
 		a.retries++
 	} else {
@@ -36,25 +37,25 @@
 }
 
 func (a *amplification) logText(now float64) string {
-	a.fade(now)
+	a.decay(now)
 	attempts := a.firstAttempts + a.retries
-	return fmt.Sprintf("%.2f deliveries a wish, %.2f dials a delivery", attempts/max(1, a.requests), a.dials/max(1, attempts))
+	return fmt.Sprintf("%.2f attempts per request, %.2f dials per attempt", attempts/max(1, a.requests), a.dials/max(1, attempts))
 }
 
-// RequestArrived counts a client's request, once however often it is attempted.
+// RequestArrived counts a client's request. It is called once per request, however many attempts are made.
 func (c *Controller) RequestArrived(now float64) {
 	if c == nil {
 		return
 	}
-	c.amplification.fade(now)
+	c.amplification.decay(now)
 	c.amplification.requests++
 }
 
-// DialStarted counts a connection to a host that is being set up.
+// DialStarted counts a dial to a host.
 func (c *Controller) DialStarted(now float64) {
 	if c == nil {
 		return
 	}
-	c.amplification.fade(now)
+	c.amplification.decay(now)
 	c.amplification.dials++
 }
--- a/gateway/overload/attempts.go
+++ b/gateway/overload/attempts.go
@@ -1,22 +1,23 @@
 package overload
 
 const (
-	// initialLatency is the usual answer time before any is known, in seconds.
+	// initialLatency is the mean latency assumed before the first answer, in seconds.
 	initialLatency = 0.05
-	// latencySmoothing is the weight of the newest answer in the usual time; one answer counts as at most four usual ones
-	// and latencySlack seconds.
+	// latencySmoothing is the weight of a new latency in the mean. A new latency is capped at lateFactor times the mean plus
+	// latencySlack seconds.
 	latencySmoothing = 0.1
 	latencySlack     = 0.02
-	// lateFactor times the usual answer time is when an attempt counts as unanswered, minLate seconds at least. It keeps hosts
-	// that are only slow from counting as silent: all of them would have to be four times as slow from one moment to the next.
+	// An attempt counts as unanswered after lateFactor times the mean latency, and after at least minLate seconds. The
+	// factor keeps slow hosts from counting as silent: all of them would have to become four times as slow at once.
 	lateFactor = 4
 	minLate    = 0.08
-	// connectFailureWeight is the weight of an attempt whose connection did not come up: refused at once it costs little, and
-	// may be for want of descriptors here.
+	// connectFailureWeight is the weight of an attempt whose connection failed. It is below 1 because an immediate refusal
+	// costs little and may be caused by a lack of file descriptors in this process.
 	connectFailureWeight = 0.5
-	// attemptMemory is for how long an attempt without an answer counts, in seconds.
+	// attemptMemory is how long an unanswered attempt counts after its start, in seconds.
 	attemptMemory = 3.0
-	// maxEvaluationGap is after how long without an evaluation this process counts as stopped meanwhile, in seconds.
+	// maxEvaluationGap is the time between two evaluations, in seconds, above which this process is assumed to have been
+	// paused in between.
 	maxEvaluationGap = 0.3
 )
 
@@ -24,31 +25,31 @@
 type AttemptResult int
 
 const (
-	// Answered means by its host, well or not.
+	// Answered means that the host answered, with success or with an error.
 	Answered AttemptResult = iota
-	// Unanswered means given up, or its connection broke.
+	// Unanswered means that the attempt timed out or its connection broke.
 	Unanswered
-	// ConnectFailed means that no connection came up.
+	// ConnectFailed means that no connection could be established.
 	ConnectFailed
-	// Inconclusive means cancelled here, or never begun: it says nothing of the host.
+	// Inconclusive means that this gateway cancelled the attempt or never sent it, so that it gives no evidence about the host.
 	Inconclusive
-	// Rejected means that its host turned it away: it is there.
+	// Rejected means that the host refused the request, which shows that the host is reachable.
 	Rejected
 )
 
-// attempt is one that got no answer, yet or at all.
+// attempt is an attempt that is in flight or ended without an answer.
 type attempt struct {
 	host      string
 	startedAt float64
 	ended     bool
-	weight    float64 // of its silence
+	weight    float64 // contribution to silence if unanswered
 }
 
-// attemptLog holds the attempts without an answer, in the order in which they began.
+// attemptLog holds the attempts without an answer, in the order of their start.
 type attemptLog struct {
 	unanswered     []attempt
-	usualLatency   float64 // of answers of late
-	lastAnsweredAt float64 // when the newest attempt that was answered began
+	meanLatency    float64 // moving average of the latencies of answers, in seconds
+	lastAnsweredAt float64 // start of the most recently started attempt that was answered
 	evaluatedAt    float64
 }
 
@@ -59,7 +60,7 @@
 	l.unanswered = append(l.unanswered, attempt{host: host, startedAt: now, weight: 1})
 }
 
-// find gives the index of an attempt that has not ended, -1 where it is no longer kept.
+// find returns the index of an attempt that has not ended, or -1 if it is no longer in the log.
 func (l *attemptLog) find(host string, startedAt float64) int {
 	for i := range l.unanswered {
 		a := &l.unanswered[i]
@@ -75,11 +76,11 @@
 }
 
 func (l *attemptLog) observeLatency(latency float64) {
-	capped := min(latency, lateFactor*l.usualLatency+latencySlack)
-	l.usualLatency += latencySmoothing * (capped - l.usualLatency)
+	capped := min(latency, lateFactor*l.meanLatency+latencySlack)
+	l.meanLatency += latencySmoothing * (capped - l.meanLatency)
 }
 
-// inFlightSince counts the attempts begun at a time or later that have not ended.
+// inFlightSince returns the number of attempts in flight that were started at or after the given time.
 func (l *attemptLog) inFlightSince(at float64) (n float64) {
 	for i := range l.unanswered {
 		if !l.unanswered[i].ended && l.unanswered[i].startedAt >= at {
@@ -89,12 +90,12 @@
 	return n
 }
 
-// lateAfter is after how long an attempt counts as unanswered, in seconds.
-func (l *attemptLog) lateAfter() float64 { return max(minLate, lateFactor*l.usualLatency) }
+// lateAfter returns the time in flight after which an attempt counts as unanswered, in seconds.
+func (l *attemptLog) lateAfter() float64 { return max(minLate, lateFactor*l.meanLatency) }
 
-// silence gives the weight of the attempts begun from a time on that are unanswered, with no answer to anything begun since,
-// and how many hosts they went to.
-func (l *attemptLog) silence(now, from float64) (weight float64, hosts int) {
+// silentWeight returns the total weight of the unanswered attempts started at or after from, and the number of hosts they were
+// sent to. Attempts that started before the most recently started answered attempt do not count.
+func (l *attemptLog) silentWeight(now, from float64) (weight float64, hosts int) {
 	seen := map[string]bool{}
 	for i := range l.unanswered {
 		a := &l.unanswered[i]
@@ -107,15 +108,16 @@
 	return weight, len(seen)
 }
 
-// prune forgets what no longer counts. Where this process was stopped nothing does: it could not hear the answers.
+// prune removes attempts that no longer count. If this process was paused it removes all of them, because answers could
+// not be received meanwhile.
 func (l *attemptLog) prune(now float64) {
 	if l.evaluatedAt > 0 && now-l.evaluatedAt > maxEvaluationGap {
 		l.unanswered = nil
 	}
 	l.evaluatedAt = now
-	old := 0
-	for old < len(l.unanswered) && l.unanswered[old].ended && now-l.unanswered[old].startedAt > attemptMemory {
-		old++
+	expired := 0
+	for expired < len(l.unanswered) && l.unanswered[expired].ended && now-l.unanswered[expired].startedAt > attemptMemory {
+		expired++
 	}
-	l.unanswered = l.unanswered[old:]
+	l.unanswered = l.unanswered[expired:]
 }
--- a/gateway/overload/backoff.go
+++ b/gateway/overload/backoff.go
@@ -3,31 +3,32 @@
 import "otterseam/internal/rng"
 
 const (
-	// maxBackoff is the longest pause of a gateway that decides alone, in seconds.
+	// maxBackoff is the longest delay that does not depend on the size of the fleet, in seconds.
 	maxBackoff = 0.25
-	// fleetDialRate is how many dials a second all gateways together make to an address that does not answer.
+	// fleetDialRate is the target for the dials per second of all gateways together to an address that does not answer.
 	fleetDialRate = 600.0
-	// jitterFactor is how much longer than the last pause the next one may be drawn.
-	jitterFactor = 3
+	// maxJitterFactor is the largest ratio of a delay to the one before it.
+	maxJitterFactor = 3
 )
 
-// Backoffs makes the pauses of a gateway's connections to what is not a host: the quota counter, discovery.
+// Backoffs creates the backoffs of a gateway's connections to services other than hosts: the quota counter and discovery.
 type Backoffs struct {
-	gateways float64 // of the fleet; 0: each gateway backs off as if it were alone
+	gateways float64 // size of the fleet; 0: plain exponential backoff
 	random   rng.Stream
 }
 
-// ExponentialBackoffs doubles each pause up to a quarter of a second.
+// ExponentialBackoffs returns a Backoffs whose delays double each time, up to a quarter of a second.
 func ExponentialBackoffs() *Backoffs { return &Backoffs{} }
 
-// DecorrelatedBackoffs draws each pause anew (decorrelated jitter: up to three times the one before), and longer the more
-// gateways there are. It keeps hundreds of them that lost the counter in the same millisecond from meeting it in step.
+// DecorrelatedBackoffs returns a Backoffs with decorrelated jitter: each delay is random, up to three times the one before.
+// The longest delay grows with the number of gateways. This keeps hundreds of gateways that lost the counter in the same
+// millisecond from dialing it in synchronized bursts.
 func DecorrelatedBackoffs(gateways int, seed uint64) *Backoffs {
 	return &Backoffs{gateways: float64(max(1, gateways)), random: rng.New("pauses %d ", seed)}
 }
 
-// New gives the backoff of one connection, whose first pause is base seconds. A nil Backoffs gives exponential ones.
-// It is called from one goroutine.
+// New returns the backoff of one connection, with a base delay of base seconds. A nil Backoffs returns exponential
+// backoffs. New must be called from one goroutine.
 func (b *Backoffs) New(base float64) *Backoff {
 	backoff := &Backoff{base: base, limit: maxBackoff, last: base}
 	if b != nil && b.gateways > 0 {
@@ -38,7 +39,7 @@
 	return backoff
 }
 
-// Backoff gives the pauses between the dials of one connection.
+// Backoff computes the delays between the dials of one connection.
 type Backoff struct {
 	base   float64
 	limit  float64
@@ -47,16 +48,16 @@
 	random rng.Stream
 }
 
-// Next is how long to wait before the next dial, in seconds.
+// Next returns the delay before the next dial, in seconds.
 func (b *Backoff) Next() float64 {
 	if !b.jitter {
-		pause := b.last
+		delay := b.last
 		b.last = min(2*b.last, b.limit)
-		return pause
+		return delay
 	}
-	b.last = min(b.limit, b.base+b.random.Float64()*(jitterFactor*b.last-b.base))
+	b.last = min(b.limit, b.base+b.random.Float64()*(maxJitterFactor*b.last-b.base))
 	return b.last
 }
 
-// Reset is called when the connection stood: the next pause is a first one again.
+// Reset restarts the sequence of delays. It is called once a connection was established.
 func (b *Backoff) Reset() { b.last = b.base }
--- a/gateway/overload/backoff_test.go
+++ b/gateway/overload/backoff_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// dialsInStep lets that many gateways dial for 10 s and counts from the fourth second on, when pauses have grown to their
-// longest: all dials, and the most within a hundredth of a second.
-func dialsInStep(gateways int, backoffs func(gateway int) *Backoffs) (most, sum int) {
+// countDials simulates the dials of the given number of gateways for 10 s. It returns the largest number of dials within a
+// hundredth of a second and the number of all dials, both from the fourth second on, when delays have reached their maximum.
+func countDials(gateways int, backoffs func(gateway int) *Backoffs) (most, sum int) {
 	perHundredth := map[int]int{}
 	for i := range gateways {
 		backoff := backoffs(i).New(0.01)
@@ -24,18 +24,19 @@
 	return most, sum
 }
 
-// Hundreds of gateways lose the counter in the same millisecond for ten seconds. They do not dial it together: in no hundredth
-// of a second much more than in another, and all stay within what the fleet may. With exponential backoff they come in step.
+// Gateways lose the counter in the same millisecond for ten seconds. With decorrelated jitter no hundredth of a second has many
+// more dials than another, and the dial rate of the fleet stays within its limit. With exponential backoff all gateways dial at
+// the same moments.
 func TestDialsOfTheFleetAreSpread(t *testing.T) {
 	for _, gateways := range []int{3, 300, 1000} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
-			most, sum := dialsInStep(gateways, func(i int) *Backoffs { return DecorrelatedBackoffs(gateways, uint64(i)) })
+			most, sum := countDials(gateways, func(i int) *Backoffs { return DecorrelatedBackoffs(gateways, uint64(i)) })
 			limit := 7 * max(fleetDialRate, float64(gateways)/maxBackoff) * 2.2
 			if float64(sum) > limit || most > 8+5*sum/700 {
-				t.Errorf("%d dials in 7 s, want at most %.0f; %d in a hundredth of a second", sum, limit, most)
+				t.Errorf("%d dials in 7 s, want at most %.0f; up to %d dials in a hundredth of a second", sum, limit, most)
 			}
-			if most, _ := dialsInStep(gateways, func(int) *Backoffs { return ExponentialBackoffs() }); most != gateways {
-				t.Errorf("exponential backoff: %d of %d in step", most, gateways)
+			if most, _ := countDials(gateways, func(int) *Backoffs { return ExponentialBackoffs() }); most != gateways {
+				t.Errorf("exponential backoff: at most %d of %d gateways dial at the same moment, want all", most, gateways)
 			}
 		})
 	}
--- a/gateway/overload/bound_test.go
+++ b/gateway/overload/bound_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain has rapid draw the same cases each time; by hand with another -rapid.seed and more -rapid.checks.
+// TestMain makes rapid draw the same cases in each run. Flags -rapid.seed and -rapid.checks override the defaults.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -20,23 +20,23 @@
 	os.Exit(m.Run())
 }
 
-// outageCase is what rapid draws of an outage: any number of gateways, of hosts and of attempts wished for, messages that are
-// lost, wrong or come from one that lies, attempts that end in any way or not at all, gateways that restart at any moment.
+// outageCase is a simulated outage with parameters drawn by rapid. Messages may be lost, gateways may report answers that they
+// did not get or restart at any moment, and attempts may end in any way or not at all.
 type outageCase struct {
-	gateways     int
-	hosts        int
-	messageRate  float64
-	demand       float64 // attempts a second of each
-	loss         float64 // part of the messages
-	liars        int     // gateways that report an answer without one
-	restarts     float64 // a second of each
-	endings      float64 // part of the attempts that end
-	randomState  uint64
-	now          float64
-	controllers  []*Controller
-	incarnations int
-	sent         int
-	inFlight     []outageAttempt
+	gateways       int
+	hosts          int
+	messageRate    float64
+	demand         float64 // attempts per second wanted by each gateway
+	loss           float64 // fraction of the messages
+	falseReporters int     // number of gateways that report answers without having one
+	restarts       float64 // per second, of each gateway
+	endedShare     float64 // fraction of the attempts that end
+	randomState    uint64
+	now            float64
+	controllers    []*Controller
+	incarnations   int
+	sent           int
+	inFlight       []outageAttempt
 }
 
 type outageAttempt struct {
@@ -47,20 +47,20 @@
 
 func drawOutage(t *rapid.T) *outageCase {
 	return &outageCase{
-		gateways:    rapid.SampledFrom([]int{1, 2, 3, 12, 30, 100, 300, 1000}).Draw(t, "gateways"),
-		hosts:       rapid.IntRange(1, 200).Draw(t, "hosts"),
-		messageRate: rapid.SampledFrom([]float64{0, 60}).Draw(t, "messages a second"),
-		demand:      rapid.Float64Range(0.5, 60).Draw(t, "attempts a second of each"),
-		loss:        rapid.Float64Range(0, 1).Draw(t, "messages lost"),
-		liars:       rapid.IntRange(0, 3).Draw(t, "who report an answer without one"),
-		restarts:    rapid.Float64Range(0, 0.2).Draw(t, "restarts a second of each"),
-		endings:     rapid.Float64Range(0, 1).Draw(t, "attempts that end"),
-		randomState: rapid.Uint64().Draw(t, "seed"),
-		now:         500,
+		gateways:       rapid.SampledFrom([]int{1, 2, 3, 12, 30, 100, 300, 1000}).Draw(t, "gateways"),
+		hosts:          rapid.IntRange(1, 200).Draw(t, "hosts"),
+		messageRate:    rapid.SampledFrom([]float64{0, 60}).Draw(t, "messages per second"),
+		demand:         rapid.Float64Range(0.5, 60).Draw(t, "attempts per second of each gateway"),
+		loss:           rapid.Float64Range(0, 1).Draw(t, "fraction of messages lost"),
+		falseReporters: rapid.IntRange(0, 3).Draw(t, "gateways that falsely report answers"),
+		restarts:       rapid.Float64Range(0, 0.2).Draw(t, "restarts per second of each gateway"),
+		endedShare:     rapid.Float64Range(0, 1).Draw(t, "fraction of attempts that end"),
+		randomState:    rapid.Uint64().Draw(t, "seed"),
+		now:            500,
 	}
 }
 
-// random is drawn beside rapid: a case has up to a million chances.
+// random returns a random number from 0 to below 1. It does not use rapid's draws because a case needs up to a million numbers.
 func (o *outageCase) random() float64 {
 	o.randomState = o.randomState*6364136223846793005 + 1442695040888963407
 	return float64(o.randomState>>33) / (1 << 31)
@@ -82,7 +82,7 @@
 		for i := range o.controllers {
 			o.stepGateway(i, step)
 		}
-		o.lie()
+		o.sendFalseReports()
 		o.endAttempts()
 	}
 }
@@ -101,7 +101,7 @@
 		}
 	}
 	if o.random() < 0.1 {
-		return // it evaluates a little later
+		return // simulates a delayed evaluation
 	}
 	c.Evaluate(o.now)
 	c.Flush(o.now, func(_ int, text string) {
@@ -113,10 +113,10 @@
 	}, func(string) {})
 }
 
-func (o *outageCase) lie() {
-	if o.messageRate > 0 && o.gateways > 3 && o.liars > 0 && o.random() < 0.2 {
-		for to := o.liars; to < o.gateways; to++ {
-			o.controllers[to].Receive(o.now, int(o.random()*float64(o.liars)), "~l")
+func (o *outageCase) sendFalseReports() {
+	if o.messageRate > 0 && o.gateways > 3 && o.falseReporters > 0 && o.random() < 0.2 {
+		for to := o.falseReporters; to < o.gateways; to++ {
+			o.controllers[to].Receive(o.now, int(o.random()*float64(o.falseReporters)), "~l")
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	results := []AttemptResult{Unanswered, ConnectFailed, Inconclusive}
 	kept := o.inFlight[:0]
 	for _, a := range o.inFlight {
-		if o.now-a.startedAt > 0.1 && o.random() < 0.2*o.endings {
+		if o.now-a.startedAt > 0.1 && o.random() < 0.2*o.endedShare {
 			a.controller.AttemptEnded(o.now, a.host, a.startedAt, results[int(o.random()*3)])
 			continue
 		}
@@ -134,9 +134,9 @@
 	o.inFlight = kept
 }
 
-// No host answers anything, and everything else is as it may be. What all send stays within the bound of docs/storms.md: for
-// each incarnation what it takes to find out, and the probes.
-func TestFleetBoundHoldsInAnyOrder(t *testing.T) {
+// No host answers, and all else varies. The attempts of the whole fleet must stay within the bound of docs/storms.md: the
+// attempts by which each incarnation detects the outage, and the probes.
+func TestFleetAttemptsAreBoundedInRandomOutages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const seconds = 4.0
 		o := drawOutage(t)
@@ -145,16 +145,16 @@
 		if o.messageRate == 0 {
 			fleetRate = fleetProbeRateNoMessages
 		}
-		// What ended in a way that tells nothing, or half of it, is not held against the hosts; so it may take longer.
-		untilOpen := 2*openAlone/max(0.2, 1-0.7*o.endings) + o.demand*0.4
+		// Inconclusive attempts do not count towards opening the breaker, and failed connections count half.
+		untilOpen := 2*openWeightAlone/max(0.2, 1-0.7*o.endedShare) + o.demand*0.4
 		probeRate := min(float64(o.gateways)*maxProbeRate, fleetRate)
-		limit := float64(o.incarnations)*(untilOpen+float64(1+o.liars)) + 2*probeRate*seconds + 40
+		limit := float64(o.incarnations)*(untilOpen+float64(1+o.falseReporters)) + 2*probeRate*seconds + 40
 		if float64(o.sent) > limit {
-			t.Fatalf("%d sent by %d incarnations of %d, at most %.0f", o.sent, o.incarnations, o.gateways, limit)
+			t.Fatalf("%d attempts by %d incarnations of %d gateways, want at most %.0f", o.sent, o.incarnations, o.gateways, limit)
 		}
 		half := float64(o.incarnations) * o.demand * seconds / 2
 		if o.gateways >= 30 && o.demand > 30 && float64(o.sent) > half {
-			t.Fatalf("%d sent of %.0f wished for: nothing was bounded", o.sent, 2*half)
+			t.Fatalf("%d attempts of %.0f wanted by clients: nothing was bounded", o.sent, 2*half)
 		}
 	})
 }
--- a/gateway/overload/breaker.go
+++ b/gateway/overload/breaker.go
@@ -5,74 +5,78 @@
 	"math"
 )
 
-// breakerState is how all hosts together are seen. Its texts are those of the log.
+// breakerState is the state of the circuit breaker over all hosts. String returns the name used in the log.
 type breakerState int
 
 const (
-	// breakerClosed lets every attempt pass.
+	// breakerClosed allows every attempt.
 	breakerClosed breakerState = iota
-	// breakerOpen means that no host answers: only probes pass.
+	// breakerOpen means that no host answers. Only probes are allowed.
 	breakerOpen
-	// breakerHalfOpen means that one host has answered, or a peer says so: more passes with each answer.
+	// breakerHalfOpen means that a host has answered this gateway or, by its report, a peer. Each answer widens the window of
+	// allowed attempts.
 	breakerHalfOpen
 )
 
 func (s breakerState) String() string { return [...]string{"calm", "silent", "returning"}[s] }
 
-// Weights of unanswered attempts. With the part q of the hosts silent, n attempts in a row go to silent ones with a chance of
-// q to the power of n, and the next answer of any host ends the error.
+// Total weights of unanswered attempts at which the breaker acts. If a fraction q of the hosts is silent, the probability
+// that n attempts in a row all go to silent hosts is q to the power of n. If the breaker opened by such chance, the next
+// answer of any host corrects it.
 const (
-	// openAlone opens the breaker by this gateway's own attempts.
-	openAlone = 6.0
-	// askPeers is from where on peers are asked for what they see.
-	askPeers = 3.0
-	// openConfirmed opens it where peers report the same.
-	openConfirmed = 1.0
-	// minSilentHosts is how many hosts must be silent where as many are listed.
+	// openWeightAlone opens the breaker by this gateway's own attempts.
+	openWeightAlone = 6.0
+	// queryPeersWeight makes this gateway ask its peers for their observations.
+	queryPeersWeight = 3.0
+	// openWeightConfirmed opens the breaker if peers report the same.
+	openWeightConfirmed = 1.0
+	// minSilentHosts is the number of hosts that must be silent, or all listed hosts if there are fewer.
 	minSilentHosts = 3
 )
 
 const (
-	// fleetProbeRate is how many probes a second all gateways together send into an outage whose end is told by messages.
+	// fleetProbeRate is the number of probes per second that all gateways together send during an outage, where messages
+	// announce its end.
 	fleetProbeRate = 20.0
-	// fleetProbeRateNoMessages is that where each gateway has to find the end by itself.
+	// fleetProbeRateNoMessages is the same where each gateway must detect the end of the outage by itself.
 	fleetProbeRateNoMessages = 600.0
-	// maxProbeRate is the most probes a second of one gateway.
+	// maxProbeRate is the maximum number of probes per second of one gateway.
 	maxProbeRate = 6.0
 )
 
 const (
-	// closeAtWindow is how many attempts may be in flight when a recovery counts as over.
+	// closeAtWindow is the window above which a recovery is complete.
 	closeAtWindow = 16.0
-	// closeAfter is how many seconds after the first answer it counts as over at the latest.
+	// closeAfter is the time after the first answer, in seconds, after which a recovery is complete whatever its window.
 	closeAfter = 0.5
-	// windowAfterAnswer and windowAfterReport are the attempts in flight with which a recovery begins.
+	// windowAfterAnswer and windowAfterReport are the initial windows of a recovery.
 	windowAfterAnswer = 2
 	windowAfterReport = 1
-	// probesOnlyBelow is the window under which an attempt of a recovery is a probe.
+	// probesOnlyBelow is the window below which the attempts of a recovery are probes.
 	probesOnlyBelow = 3
-	// recoverySpread is over how many seconds many gateways begin again, each at a moment of its own.
+	// recoverySpread is the interval, in seconds, over which many gateways randomize the start of their recovery.
 	recoverySpread = 0.4
-	// gatewaysPerHost is how many gateways a host can take at once; where there are more, they use all of recoverySpread.
+	// gatewaysPerHost is the number of gateways that a host can serve at once. With more of them per host, the gateways
+	// use all of recoverySpread.
 	gatewaysPerHost = 4
 )
 
-// noReporter stands for this gateway's own observation.
+// noReporter marks a recovery that began with an answer to this gateway instead of a peer's report.
 const noReporter = -1
 
-// breaker is a circuit breaker over all hosts of one gateway. [Controller] holds the decisions that move it.
+// breaker is the state of a gateway's circuit breaker over all hosts. [Controller] has the methods that change it.
 type breaker struct {
 	state       breakerState
-	openedAt    float64 // of this outage
-	probes      float64 // sent in this outage
-	nextProbeAt float64 // open: no attempt before
-	admitFrom   float64 // half-open: no attempt before
-	window      float64 // half-open: how many may be in flight that began since admitFrom
-	answeredAt  float64 // half-open: when an answer came here; 0: none has
-	reporter    int     // half-open: the peer by whose report, or noReporter
+	openedAt    float64 // start of this outage
+	probes      float64 // number of probes sent in this outage
+	nextProbeAt float64 // open: earliest time of the next attempt
+	admitFrom   float64 // half-open: earliest time of the next attempt
+	window      float64 // half-open: maximum number of attempts in flight that started since admitFrom
+	answeredAt  float64 // half-open: time of the first answer to this gateway; 0: none yet
+	reporter    int     // half-open: the peer whose report started the recovery, or noReporter
 }
 
-// AllowsAttempt says whether an attempt may begin now.
+// AllowsAttempt reports whether an attempt may be started now.
 func (c *Controller) AllowsAttempt(now float64) bool {
 	if c == nil {
 		return true
@@ -87,7 +91,7 @@
 	return true
 }
 
-// ProbesOnly says that an attempt that begins now is a probe, and so must be of an operation that may run again.
+// ProbesOnly reports whether an attempt that is started now is a probe. A probe must be of an operation that may run again.
 func (c *Controller) ProbesOnly() bool {
 	if c == nil {
 		return false
@@ -96,8 +100,10 @@
 	return b.state == breakerOpen || b.state == breakerHalfOpen && b.window < probesOnlyBelow
 }
 
-// probeInterval draws the time until this gateway's next probe, so that all together probe at the fleet's rate at any number of
-// them, and no two that lost sight in the same moment probe in the same one. A dead gateway is simply not drawn.
+// probeInterval returns a random time until this gateway's next probe, in seconds. Its mean is proportional to the number of
+// live gateways, so that the probe rate of the whole fleet does not depend on their number. The jitter keeps gateways that
+// detected the outage at the same moment from probing at the same moment. No gateway is assigned a turn, so the failure of
+// one delays no other's probes.
 func (c *Controller) probeInterval() float64 {
 	fleetRate := fleetProbeRate
 	if c.messageRate == 0 {
@@ -106,17 +112,18 @@
 	return max(1/maxProbeRate, c.liveGateways/fleetRate) * (0.5 + c.random.Float64())
 }
 
-// Evaluate judges whether hosts answer. It is to be called often while attempts are in flight.
+// Evaluate updates the breaker by the unanswered attempts and the peers' reports. It must be called often while attempts
+// are in flight.
 func (c *Controller) Evaluate(now float64) {
 	if c == nil {
 		return
 	}
 	c.attempts.prune(now)
 	from := math.Inf(-1)
-	if c.breaker.state == breakerHalfOpen { // what was sent into the outage says nothing of the recovery
+	if c.breaker.state == breakerHalfOpen { // attempts sent during the outage give no evidence about the recovery
 		from = c.breaker.admitFrom
 	}
-	weight, hosts := c.attempts.silence(now, from)
+	weight, hosts := c.attempts.silentWeight(now, from)
 	fewHosts := hosts < min(minSilentHosts, c.listedHosts)
 	switch c.breaker.state {
 	case breakerClosed:
@@ -129,16 +136,16 @@
 
 func (c *Controller) evaluateClosed(now, weight float64, hosts int, fewHosts bool) {
 	silent, answering := c.peers.counts(now)
-	needed := openAlone
-	if answering > silent { // half of the hosts silent looks like all from here now and then
-		needed = 2 * openAlone
+	needed := openWeightAlone
+	if answering > silent { // with half of the hosts silent, one gateway's attempts sometimes all go to silent hosts
+		needed = 2 * openWeightAlone
 	}
-	confirmed := weight >= openConfirmed && silent >= quorum && silent > 2*answering
+	confirmed := weight >= openWeightConfirmed && silent >= quorum && silent > 2*answering
 	switch {
 	case weight >= needed && !fewHosts || confirmed:
-		c.open(now, fmt.Sprintf("%.0f deliveries to %d hosts without an answer, %d peers say the same", weight, hosts, silent))
-	case weight >= askPeers && !fewHosts && !c.peers.asked:
-		c.peers.asked = true
+		c.open(now, fmt.Sprintf("%.0f unanswered attempts to %d hosts, %d peers report the same", weight, hosts, silent))
+	case weight >= queryPeersWeight && !fewHosts && !c.peers.queried:
+		c.peers.queried = true
 		c.sendSampled(reportSilent)
 	}
 }
@@ -149,21 +156,21 @@
 		if weight < 1 || now < b.admitFrom {
 			return
 		}
-		if b.reporter != noReporter { // a wrong report costs one attempt here, and is not believed again at once
+		if b.reporter != noReporter { // a wrong report costs this gateway one attempt, then its sender is ignored for a while
 			c.peers.distrust(now, b.reporter)
 		}
-		c.open(now, "a peer had an answer, here there is none")
+		c.open(now, "a peer reported an answer, but this gateway's attempt is unanswered")
 		return
 	}
 	switch {
 	case weight >= max(2, b.window/2) && !fewHosts:
-		c.open(now, fmt.Sprintf("%.0f without an answer while coming back", weight))
+		c.open(now, fmt.Sprintf("%.0f unanswered attempts during recovery", weight))
 	case b.window > closeAtWindow || now-b.answeredAt > closeAfter:
-		c.transition(breakerClosed, now, fmt.Sprintf("silent for %.2f s", now-b.openedAt))
+		c.transition(breakerClosed, now, fmt.Sprintf("outage lasted %.2f s", now-b.openedAt))
 	}
 }
 
-// open lets only probes pass from now on.
+// open opens the breaker. From now on only probes are allowed.
 func (c *Controller) open(now float64, reason string) {
 	b := &c.breaker
 	if b.state == breakerClosed {
@@ -176,9 +183,9 @@
 	c.outbox.nextReportAt = now + c.liveGateways/fleetReportRate*2*c.random.Float64()
 }
 
-// halfOpenByAnswer begins a recovery by an answer that came here.
+// halfOpenByAnswer starts a recovery because of an answer to this gateway.
 func (c *Controller) halfOpenByAnswer(now float64) {
-	c.transition(breakerHalfOpen, now, "answered here")
+	c.transition(breakerHalfOpen, now, "a host answered this gateway")
 	b := &c.breaker
 	b.admitFrom = now
 	b.window = windowAfterAnswer
@@ -186,10 +193,10 @@
 	b.reporter = noReporter
 }
 
-// halfOpenByReport begins one by a peer's report. All gateways at once would be the next outage: the more they are beside the
-// hosts, the longer they take to begin, each with one attempt.
+// halfOpenByReport starts a recovery because of a peer's report, with one attempt. If all gateways started at once they could
+// cause the next outage. The higher the ratio of gateways to hosts, the longer the interval over which they spread their start.
 func (c *Controller) halfOpenByReport(now float64, peer int) {
-	c.transition(breakerHalfOpen, now, fmt.Sprintf("api gateway %d had an answer", peer))
+	c.transition(breakerHalfOpen, now, fmt.Sprintf("API gateway %d reported an answer", peer))
 	b := &c.breaker
 	hosts := float64(gatewaysPerHost * max(1, c.listedHosts))
 	b.admitFrom = now + recoverySpread*min(1, c.liveGateways/hosts)*c.random.Float64()
@@ -201,26 +208,26 @@
 func (c *Controller) transition(to breakerState, now float64, reason string) {
 	b := &c.breaker
 	if b.state != to {
-		c.outbox.logLines = append(c.outbox.logLines, fmt.Sprintf("overload: hosts %v, were %v: %s; %s, %.0f trials",
+		c.outbox.logLines = append(c.outbox.logLines, fmt.Sprintf("overload: hosts %v, previously %v: %s; %s, %.0f probes",
 			to, b.state, reason, c.amplification.logText(now), b.probes))
 	}
 	b.state = to
 }
 
-// answerSeen is told of an attempt that began at startedAt and was answered.
-func (c *Controller) answerSeen(now, startedAt float64) {
+// observeAnswer updates the breaker after an answer to an attempt that was started at startedAt.
+func (c *Controller) observeAnswer(now, startedAt float64) {
 	c.attempts.lastAnsweredAt = max(c.attempts.lastAnsweredAt, startedAt)
-	c.peers.asked = false
+	c.peers.queried = false
 	b := &c.breaker
 	switch b.state {
 	case breakerClosed:
-		// A few gateways whose own links are broken see all hosts silent: an answer to what began since they said so
-		// speaks against them.
+		// Gateways whose own links are broken report all hosts as silent. An answer to an attempt that started after such
+		// a report contradicts it.
 		if c.peers.takeContradiction(startedAt) {
 			c.sendSampled(reportAnswering)
 		}
 	case breakerOpen:
-		if startedAt < b.openedAt-c.attempts.lateAfter() { // of before the outage: it was only slow
+		if startedAt < b.openedAt-c.attempts.lateAfter() { // a slow answer to an attempt from before the outage
 			return
 		}
 		c.send(reportAnswering)
--- a/gateway/overload/breaker_test.go
+++ b/gateway/overload/breaker_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// All hosts are silent for 10 s. What all send does not grow with their number, and all are back within a second; without
-// messages it is bounded by what each probes for itself.
+// All hosts are silent for 10 s. The number of attempts during the outage does not grow with the number of gateways, and the
+// fleet recovers within a second. Without messages it is bounded by the probe rate of each gateway, and recovery takes longer.
 func TestAttemptsOfTheFleetAreBoundedInAnOutage(t *testing.T) {
 	for _, gateways := range []int{3, 30, 300, 1000} {
 		for _, messageRate := range []float64{60, 0} {
 			t.Run(fmt.Sprintf("%d gateways, %g messages a second", gateways, messageRate), func(t *testing.T) {
 				sent, recovery := newSimulatedFleet(gateways, messageRate).outage(10)
-				// Until it is found, a second's demand at most; then probes, half as many again for the chances.
+				// At most a second's demand until the outage is detected, then probes with a margin of half for randomness.
 				limit, late := 3000+10*fleetProbeRate*1.5, 10
 				if messageRate == 0 {
 					limit, late = 3000+10*min(fleetProbeRateNoMessages, maxProbeRate*float64(gateways))*1.5, 20
 				}
 				if float64(sent) > limit {
-					t.Errorf("%d attempts into the outage, want at most %.0f", sent, limit)
+					t.Errorf("%d attempts during the outage, want at most %.0f", sent, limit)
 				}
 				if at := recoveredAfter(recovery); at < 0 || at >= late {
-					t.Errorf("recovered after %d tenths of a second, want under %d: %.2f", at, late, recovery)
+					t.Errorf("recovered after %d tenths of a second, want fewer than %d: %.2f", at, late, recovery)
 				}
 			})
 		}
@@ -32,17 +32,17 @@
 	}
 }
 
-// A third of the messages are lost: the same, a little later.
+// With 30 % of the messages lost, attempts stay bounded and recovery may take a little longer.
 func TestOutageIsBoundedWithLostMessages(t *testing.T) {
 	f := newSimulatedFleet(300, 60)
 	f.loss = 0.3
 	sent, recovery := f.outage(10)
 	if at := recoveredAfter(recovery); sent > 4000 || at < 0 || at > 10 {
-		t.Errorf("%d sent, recovered after %d tenths of a second: %.2f", sent, at, recovery)
+		t.Errorf("%d attempts, recovered after %d tenths of a second: %.2f", sent, at, recovery)
 	}
 }
 
-// The hosts come back for a tenth of a second and fall silent again: the recovery is aborted.
+// The hosts answer again for a tenth of a second and then fall silent. The gateways must abort the recovery.
 func TestRecoveryIsAbortedByASecondOutage(t *testing.T) {
 	f := newSimulatedFleet(300, 60)
 	f.outage(5)
@@ -54,11 +54,11 @@
 	f.sent = 0
 	f.run(5)
 	if f.sent > 2500 {
-		t.Errorf("%d sent into the second outage", f.sent)
+		t.Errorf("%d attempts during the second outage", f.sent)
 	}
 }
 
-// Some of the 40 hosts are silent: the others answer, and the breaker is not open for long.
+// Some of the 40 hosts are silent and the others answer. The breaker must not stay open for long.
 func TestBreakerStaysClosedWithSomeHostsSilent(t *testing.T) {
 	for _, silent := range []int{4, 20} {
 		t.Run(fmt.Sprint(silent), func(t *testing.T) {
@@ -66,14 +66,14 @@
 			f.hostAlive = func(_, host int) bool { return host >= silent }
 			f.run(10)
 			if f.sent < 29000 {
-				t.Errorf("%d of 30,000 were sent", f.sent)
+				t.Errorf("%d attempts of 30,000 wanted", f.sent)
 			}
 		})
 	}
 }
 
-// Three of 300 have broken links and see every host silent. The others go on; the three probe little, and are back when
-// their links are.
+// Three of 300 gateways have broken links and get no answer from any host. The others must continue. The three must probe at a
+// low rate, and recover once their links do.
 func TestGatewaysWithBrokenLinksOpenAlone(t *testing.T) {
 	const broken = 3
 	f := newSimulatedFleet(300, 60)
@@ -81,9 +81,9 @@
 	f.hostAlive = func(gateway, _ int) bool { return gateway >= broken }
 	clear(f.sentBy)
 	f.run(20)
-	for i, n := range f.sentBy { // 200 are wished for
+	for i, n := range f.sentBy { // clients want 200 per gateway
 		if i < broken && n > 60 || i >= broken && n < 130 {
-			t.Fatalf("gateway %d sent %d in 20 s", i, n)
+			t.Fatalf("gateway %d sent %d attempts in 20 s", i, n)
 		}
 	}
 	f.hostAlive = everyHostAnswers
@@ -95,8 +95,8 @@
 	}
 }
 
-// One reports without end that a host has answered, in an outage: it is believed once in ten seconds, and costs each gateway
-// one attempt.
+// During an outage one gateway keeps reporting that a host has answered. The others must accept this once in ten seconds, at the
+// cost of one attempt each.
 func TestWrongReportOfAnAnswerIsDistrusted(t *testing.T) {
 	f := openFleet(t, 100, 2)
 	for range 80 {
@@ -106,11 +106,12 @@
 		f.run(0.1)
 	}
 	if f.sent > 100+8*60 {
-		t.Errorf("%d sent in 8 s", f.sent)
+		t.Errorf("%d attempts in 8 s", f.sent)
 	}
 }
 
-// Half of all gateways restart in the outage and know of none: they hear of it, or find it themselves.
+// Half of all gateways restart during an outage and lose their state. They must learn of the outage from their peers or detect
+// it themselves.
 func TestRestartedGatewaysLearnOfTheOutage(t *testing.T) {
 	f := openFleet(t, 300, 3)
 	for i := range 150 {
@@ -118,19 +119,20 @@
 	}
 	f.run(5)
 	if f.sent > 1500 {
-		t.Errorf("%d sent", f.sent)
+		t.Errorf("%d attempts", f.sent)
 	}
 	f.hostAlive = everyHostAnswers
 	f.run(1)
 	f.served = 0
 	f.run(1)
 	if f.served < 2800 {
-		t.Errorf("%d served in the second second", f.served)
+		t.Errorf("%d requests served in the second second after the outage", f.served)
 	}
 }
 
-// A gateway was stopped for some seconds with attempts in flight. What it could not hear does not count.
-func TestStoppedProcessJudgesNothing(t *testing.T) {
+// A gateway is paused for some seconds with attempts in flight. It must not count them as unanswered, because it could not
+// receive the answers.
+func TestPausedProcessDoesNotOpenBreaker(t *testing.T) {
 	f := newSimulatedFleet(30, 60)
 	f.run(2)
 	c := f.gateways[3]
@@ -139,11 +141,11 @@
 	}
 	c.Evaluate(f.now + 4)
 	if c.breaker.state != breakerClosed {
-		t.Error("its own pause is taken for the hosts' silence")
+		t.Error("a pause of the process opened the breaker")
 	}
 }
 
-// All hosts are three times as slow from one moment on: no silence.
+// All hosts become three times as slow at once. This must not count as silence.
 func TestSlowHostsAreNotSilent(t *testing.T) {
 	c := New(Config{Gateways: 30, MessageRate: 60, Seed: 1})
 	c.SetFleet(30, 40)
@@ -169,12 +171,12 @@
 	}
 }
 
-// Whatever else comes as a message is left to others, and nonsense of this kind changes nothing.
+// Receive leaves messages without this package's prefix to others, and ignores invalid ones with it.
 func TestForgedMessagesChangeNothing(t *testing.T) {
 	c := New(Config{Gateways: 3, MessageRate: 60})
 	for _, text := range []string{"", "~", "!b", "+host"} {
 		if c.Receive(1, 1, text) {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	for _, message := range []struct {
@@ -182,13 +184,13 @@
 		text string
 	}{{99, "~s"}, {-1, "~l"}, {1, "~?"}, {1, "~- + ="}, {1, "~sx"}} {
 		if !c.Receive(1, message.from, message.text) {
-			t.Errorf("%q of %d was left to others", message.text, message.from)
+			t.Errorf("%q from gateway %d was left to others", message.text, message.from)
 		}
 	}
-	if len(c.peers.silentAt)+len(c.peers.answeringAt)+len(c.hosts.words) > 0 {
-		t.Error("a report of nobody counts")
+	if len(c.peers.silentAt)+len(c.peers.answeringAt)+len(c.hosts.entries) > 0 {
+		t.Error("an invalid report was recorded")
 	}
 	if len(c.outbox.messages) > 0 {
-		t.Errorf("it is answered: %q", c.outbox.messages)
+		t.Errorf("an invalid message was answered: %q", c.outbox.messages)
 	}
 }
--- a/gateway/overload/controller.go
+++ b/gateway/overload/controller.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// openWait and busyWait are the longest times between evaluations while the breaker is open, and while attempts are in
-	// flight; minWait is the shortest. All in seconds.
+	// openWait and busyWait are the longest times between evaluations while the breaker is open and while attempts are in
+	// flight. minWait is the shortest. All are in seconds.
 	openWait = 0.25
 	busyWait = 0.05
 	minWait  = 0.001
 )
 
-// Config says where a gateway stands.
+// Config is the configuration of a gateway's Controller.
 type Config struct {
-	// Gateways is how many gateways the fleet's list has.
+	// Gateways is the configured number of gateways in the fleet.
 	Gateways int
-	// MessageRate is how many messages a second one gateway takes in from all others; 0: there are no messages.
+	// MessageRate is the number of messages per second that one gateway accepts from all others; 0: there are no messages.
 	MessageRate float64
-	// Seed gives the random numbers.
+	// Seed seeds the random numbers.
 	Seed uint64
 }
 
-// Controller is one gateway's part in what the fleet does while hosts do not answer. A nil Controller bounds nothing.
+// Controller implements one gateway's part of the fleet's overload control. A nil Controller bounds nothing.
 //
-// AttemptStarted and AttemptEnded tell of attempts, Receive of peers' messages, Evaluate judges. AllowsAttempt, ProbesOnly and
-// AllowsRetry are asked before an attempt. Flush gives what is to be sent and logged.
+// The caller reports attempts by AttemptStarted and AttemptEnded, passes on peers' messages by Receive, and calls Evaluate
+// periodically. It consults AllowsAttempt, ProbesOnly and AllowsRetry before an attempt. Flush emits pending messages and log
+// lines.
 type Controller struct {
-	gateways     float64 // of the fleet's list
+	gateways     float64 // configured number in the fleet
 	liveGateways float64
 	listedHosts  int
 	messageRate  float64
@@ -45,22 +46,22 @@
 	amplification amplification
 }
 
-// New makes a gateway's controller.
+// New returns a gateway's controller.
 func New(config Config) *Controller {
 	gateways := float64(max(1, config.Gateways))
 	return &Controller{
 		gateways:     gateways,
 		liveGateways: gateways,
 		messageRate:  config.MessageRate,
-		random:       rng.New("damp %d ", config.Seed), // the name gives the numbers: it stays as it was recorded
-		attempts:     attemptLog{usualLatency: initialLatency},
+		random:       rng.New("damp %d ", config.Seed), // the name determines the numbers, which recorded digests hold
+		attempts:     attemptLog{meanLatency: initialLatency},
 		peers:        newPeerReports(),
 		hosts:        hostReports{byHost: map[string]*hostReport{}},
 		retries:      newRetryBudget(gateways),
 	}
 }
 
-// SetFleet says how many gateways are alive, and how many hosts are listed.
+// SetFleet sets the number of live gateways and the number of listed hosts.
 func (c *Controller) SetFleet(liveGateways float64, listedHosts int) {
 	if c == nil {
 		return
@@ -69,7 +70,7 @@
 	c.listedHosts = listedHosts
 }
 
-// AttemptStarted is told of an attempt that begins; retry: it is not the first of its invocation.
+// AttemptStarted records the start of an attempt. retry is whether it is other than the first of its invocation.
 func (c *Controller) AttemptStarted(now float64, host string, retry bool) {
 	if c == nil {
 		return
@@ -83,15 +84,15 @@
 	}
 }
 
-// AttemptEnded is told how the attempt that began at startedAt ended.
+// AttemptEnded records the result of the attempt that was started at startedAt.
 func (c *Controller) AttemptEnded(now float64, host string, startedAt float64, result AttemptResult) {
 	if c == nil {
 		return
 	}
 	i := c.attempts.find(host, startedAt)
-	if i < 0 { // it is no longer kept, but an answer is a sign of life all the same
+	if i < 0 { // the attempt was pruned, but an answer still shows that a host is alive
 		if result == Answered {
-			c.answerSeen(now, startedAt)
+			c.observeAnswer(now, startedAt)
 		}
 		return
 	}
@@ -99,10 +100,10 @@
 	case Answered:
 		c.attempts.remove(i)
 		c.attempts.observeLatency(now - startedAt)
-		c.answerSeen(now, startedAt)
+		c.observeAnswer(now, startedAt)
 	case Rejected:
 		c.attempts.remove(i)
-		c.answerSeen(now, startedAt)
+		c.observeAnswer(now, startedAt)
 	case Inconclusive:
 		c.attempts.remove(i)
 	case ConnectFailed:
@@ -113,12 +114,12 @@
 	}
 }
 
-// Flush sends what is due to all peers, and gives the log its lines.
+// Flush sends the due messages to all peers and writes the pending log lines.
 func (c *Controller) Flush(now float64, send func(to int, text string), log func(text string)) {
 	if c == nil {
 		return
 	}
-	if c.breaker.state == breakerOpen && now >= c.outbox.nextReportAt { // gateways that have just started know of no outage
+	if c.breaker.state == breakerOpen && now >= c.outbox.nextReportAt { // repeated for gateways that started during the outage
 		c.outbox.nextReportAt = now + c.liveGateways/fleetReportRate*(0.5+c.random.Float64())
 		c.send(reportSilent)
 	}
@@ -136,7 +137,7 @@
 	c.outbox.logLines = c.outbox.logLines[:0]
 }
 
-// Wait is how long Evaluate and Flush need not be called, in seconds.
+// Wait returns the time until the next calls of Evaluate and Flush are due, in seconds.
 func (c *Controller) Wait(now float64) float64 {
 	if c == nil {
 		return math.Inf(1)
--- a/gateway/overload/doc.go
+++ b/gateway/overload/doc.go
@@ -1,20 +1,21 @@
-// Package overload bounds what all API gateways of a fleet do together while hosts do not answer: attempts into an outage,
-// health probes, retries, dials. Each gateway holds one [Controller] and decides by what it is told and when: with its
-// peers' reports where messages between gateways are allowed, by its own observations and the size of the fleet where not.
+// Package overload bounds the load that all API gateways of a fleet generate together while hosts do not answer: attempts
+// during an outage, health probes, retries and dials. Each gateway holds one [Controller]. Where messages between gateways
+// are enabled, it decides by its own observations and its peers' reports; otherwise by its own observations and the size
+// of the fleet.
 //
 // The mechanisms, one file each:
 //
-//   - attempts.go: the attempts without an answer, and the usual answer time
-//   - breaker.go: a circuit breaker over all hosts; while it is open the probes of the whole fleet stay within a limit
-//   - peerreports.go: what gateways tell each other of an outage of all hosts
-//   - hostreports.go: what they tell each other of single hosts, and the probe limit of an ejected one
-//   - retrybudget.go: retries as a part of first attempts (Google's SRE book; Finagle)
-//   - amplification.go: attempts for each request and dials for each attempt, for the log
-//   - backoff.go: pauses between dials, with decorrelated jitter
+//   - attempts.go: unanswered attempts and the mean latency of answers
+//   - breaker.go: a circuit breaker over all hosts; while it is open, the probe rate of the whole fleet is limited
+//   - peerreports.go: the reports that gateways exchange about an outage of all hosts
+//   - hostreports.go: the reports that they exchange about single hosts, and the probe rate of an ejected host
+//   - retrybudget.go: retries as a fraction of first attempts (Google's SRE book; Finagle)
+//   - amplification.go: attempts per request and dials per attempt, for the log
+//   - backoff.go: delays between dials, with decorrelated jitter
 //   - calllimiter.go: the rate of calls to the quota counter
 //
-// Times are seconds on the caller's clock. The package does no I/O, reads no clock and draws no random number that its seed
-// does not give. A Controller, and each [Backoff] and [CallLimiter], is used by one goroutine at a time.
+// Times are seconds on the caller's clock. The package does no I/O, reads no clock and derives all random numbers from its
+// seed. A Controller, and each [Backoff] and [CallLimiter], must be used by one goroutine at a time.
 //
-// docs/storms.md gives the reasons, the bound on the sum of all gateways, and the measurements.
+// docs/storms.md has the reasons, the bound on the load of all gateways together, and the measurements.
 package overload
--- a/gateway/overload/fleet_test.go
+++ b/gateway/overload/fleet_test.go
@@ -10,20 +10,20 @@
 
 const simulatedHosts = 40
 
-// simulatedFleet is gateways on one clock, with hosts that answer after a while or not at all, and messages that arrive at once.
+// simulatedFleet simulates gateways on one clock. Hosts answer after a delay or not at all, and messages arrive immediately.
 type simulatedFleet struct {
-	now        float64
-	gateways   []*Controller
-	hosts      int
-	hostAlive  func(gateway, host int) bool
-	random     *rand.Rand
-	loss       float64 // part of the messages
-	demand     float64 // attempts a second that all together wish for
-	pending    []simulatedAttempt
-	sent       int
-	sentBy     []int
-	served     int
-	messageCap float64 // a second, as the configuration has it
+	now               float64
+	gateways          []*Controller
+	hosts             int
+	hostAlive         func(gateway, host int) bool
+	random            *rand.Rand
+	loss              float64 // fraction of the messages
+	demand            float64 // attempts per second wanted by all gateways together
+	pending           []simulatedAttempt
+	sent              int
+	sentBy            []int
+	served            int
+	messagesPerSecond float64 // configured messages per second
 }
 
 type simulatedAttempt struct {
@@ -36,7 +36,7 @@
 
 func newSimulatedFleet(gateways int, messageRate float64) *simulatedFleet {
 	f := &simulatedFleet{
-		now: 1000, hosts: simulatedHosts, hostAlive: everyHostAnswers, messageCap: messageRate,
+		now: 1000, hosts: simulatedHosts, hostAlive: everyHostAnswers, messagesPerSecond: messageRate,
 		random: rand.New(rand.NewPCG(uint64(gateways), 7)), demand: 3000, sentBy: make([]int, gateways),
 	}
 	for i := range gateways {
@@ -46,7 +46,7 @@
 }
 
 func (f *simulatedFleet) newController(gateways int, seed uint64) *Controller {
-	c := New(Config{Gateways: gateways, MessageRate: f.messageCap, Seed: seed})
+	c := New(Config{Gateways: gateways, MessageRate: f.messagesPerSecond, Seed: seed})
 	c.SetFleet(float64(gateways), f.hosts)
 	return c
 }
@@ -57,7 +57,7 @@
 
 func hostName(host int) string { return fmt.Sprint("h", host) }
 
-// run lets time go on in steps of 5 ms.
+// run advances the simulation in steps of 5 ms.
 func (f *simulatedFleet) run(seconds float64) {
 	const step = 0.005
 	for until := f.now + seconds; f.now < until; f.now += step {
@@ -115,8 +115,8 @@
 	f.pending = append(f.pending, a)
 }
 
-// outage has all hosts silent for so long. It gives what was sent meanwhile, and what was served in each tenth of a second
-// after the recovery as a part of what was before.
+// outage simulates an outage of all hosts. It returns the number of attempts during the outage, and for each tenth of a second
+// after it the served requests as a fraction of those before it.
 func (f *simulatedFleet) outage(seconds float64) (sent int, recovery []float64) {
 	f.run(3)
 	f.served = 0
@@ -135,12 +135,12 @@
 	return sent, recovery
 }
 
-// recoveredAfter gives the first tenth of a second in which nine in ten were served, -1 for none.
+// recoveredAfter returns the index of the first tenth of a second in which more than nine in ten requests were served, or -1.
 func recoveredAfter(recovery []float64) int {
 	return slices.IndexFunc(recovery, func(part float64) bool { return part > 0.9 })
 }
 
-// openFleet is one whose hosts have been silent for so long.
+// openFleet returns a fleet whose hosts have been silent for the given seconds.
 func openFleet(t *testing.T, gateways int, seconds float64) *simulatedFleet {
 	t.Helper()
 	f := newSimulatedFleet(gateways, 60)
--- a/gateway/overload/hostreports.go
+++ b/gateway/overload/hostreports.go
@@ -7,93 +7,96 @@
 )
 
 const (
-	// ejectedProbeRate is how many probes a second all gateways together make of one ejected host.
+	// ejectedProbeRate is the target for the probes per second that all gateways together send to one ejected host.
 	ejectedProbeRate = 4.0
-	// hostReportMemory is for how long a report on a host counts, in seconds.
+	// hostReportMemory is how long a report about a host counts, in seconds.
 	hostReportMemory = 30.0
-	// repeatChance is the part of failed probes after which an ejection is reported again.
+	// repeatChance is the probability with which a failed probe reports the ejection again.
 	repeatChance = 0.1
-	// flapWindow is within how many seconds a host ejected again was not back, so that the peer whose report brought it back is
-	// distrusted.
+	// flapWindow is the time after a readmission by a peer's report, in seconds, within which another ejection shows that the
+	// report was wrong, so that its sender is distrusted.
 	flapWindow = 5.0
-	// hostMessageInterval is the least time between two messages on hosts, in seconds; maxWordsPerMessage how many hosts one
-	// names, within maxHostMessage bytes.
-	hostMessageInterval = 0.5
-	maxWordsPerMessage  = 12
-	maxHostMessage      = 250
-	maxQueuedWords      = 4 * maxWordsPerMessage
-	// reportedHostsFactor times the listed hosts, minReportedHosts at least, is of how many reports are kept.
+	// hostMessageInterval is the shortest time between two messages about hosts, in seconds. A message has at most
+	// maxEntriesPerMessage entries and maxHostMessageBytes bytes.
+	hostMessageInterval  = 0.5
+	maxEntriesPerMessage = 12
+	maxHostMessageBytes  = 250
+	maxQueuedEntries     = 4 * maxEntriesPerMessage
+	// Reports are kept for at most reportedHostsFactor times the number of listed hosts, where at least minReportedHosts are
+	// taken as listed.
 	reportedHostsFactor = 4
 	minReportedHosts    = 8
 )
 
-// The first byte of a word on a host; its address follows. A message holds words with spaces between.
+// Kinds of message entries. An entry is its kind's byte followed by the host's address. A message holds entries separated by
+// spaces.
 const (
-	wordEjected   = '-'
-	wordAnswers   = '=' // it answers here, though a peer has ejected it
-	wordRecovered = '+' // it answers here, where it was ejected
+	entryEjected   = '-'
+	entryAnswers   = '=' // the host answers the sender, although a peer has ejected it
+	entryRecovered = '+' // the host answers the sender, which had ejected it
 )
 
-// hostReport is what peers said of a host, by the peer's number.
+// hostReport holds the peers' reports about one host. The maps are keyed by the peer's number.
 type hostReport struct {
 	ejectedAt   map[int]float64
 	answeringAt map[int]float64
-	// questionedAt is when a peer ejected it, with no answer here since to what began later; 0: none.
-	questionedAt float64
-	// recoveredAt is when the peer recoveredBy said that it answers again, 0 once that was taken.
+	// unrefutedEjectionAt is the time of a peer's ejection report that no answer to this gateway has contradicted yet; 0: none.
+	// Only an answer to an attempt started since then contradicts it.
+	unrefutedEjectionAt float64
+	// recoveredAt is when the peer recoveredBy reported that the host answers again; 0: no such report is pending.
 	recoveredAt float64
 	recoveredBy int
-	// takenAt is when the report of takenFrom was believed here.
-	takenAt   float64
-	takenFrom int
+	// acceptedAt is when this gateway last acted on a recovery report, sent by the peer acceptedFrom.
+	acceptedAt   float64
+	acceptedFrom int
 }
 
-// hostReports is what is said of single hosts.
+// hostReports holds the reports about single hosts and the entries to be sent about them.
 type hostReports struct {
 	byHost   map[string]*hostReport
-	words    []string // for the next message
-	sendAt   float64  // no message before
-	forgetAt float64
+	entries  []string // queued for the next messages
+	sendAt   float64  // earliest time of the next message
+	forgetAt float64  // time of the next removal of old reports
 }
 
 func (r *hostReports) getOrCreate(host string) *hostReport {
 	report := r.byHost[host]
 	if report == nil {
-		report = &hostReport{ejectedAt: map[int]float64{}, answeringAt: map[int]float64{}, takenAt: math.Inf(-1)}
+		report = &hostReport{ejectedAt: map[int]float64{}, answeringAt: map[int]float64{}, acceptedAt: math.Inf(-1)}
 		r.byHost[host] = report
 	}
 	return report
 }
 
-// queue has a word on a host go with the next message.
+// queue adds an entry about a host to those of the next messages.
 func (r *hostReports) queue(kind byte, host string) {
-	word := string(kind) + host
-	if !slices.Contains(r.words, word) && len(r.words) < maxQueuedWords {
-		r.words = append(r.words, word)
+	entry := string(kind) + host
+	if !slices.Contains(r.entries, entry) && len(r.entries) < maxQueuedEntries {
+		r.entries = append(r.entries, entry)
 	}
 }
 
-// withdraw takes an ejection back that has not been sent yet and is no longer so.
+// withdraw removes the queued ejection entry of a host that is no longer ejected.
 func (r *hostReports) withdraw(host string) {
-	r.words = slices.DeleteFunc(r.words, func(word string) bool {
-		return word[0] == wordEjected && word[1:] == host
+	r.entries = slices.DeleteFunc(r.entries, func(entry string) bool {
+		return entry[0] == entryEjected && entry[1:] == host
 	})
 }
 
-// message gives the next message, "" where there is none or it is too early.
+// message returns the next message, or "" if there is none or it is not due yet.
 func (r *hostReports) message(now float64) string {
-	if len(r.words) == 0 || now < r.sendAt {
+	if len(r.entries) == 0 || now < r.sendAt {
 		return ""
 	}
 	var text strings.Builder
 	text.WriteByte(messagePrefix)
 	n := 0
-	for n < len(r.words) && n < maxWordsPerMessage && text.Len()+len(r.words[n])+1 <= maxHostMessage {
-		text.WriteString(r.words[n])
+	for n < len(r.entries) && n < maxEntriesPerMessage && text.Len()+len(r.entries[n])+1 <= maxHostMessageBytes {
+		text.WriteString(r.entries[n])
 		text.WriteByte(' ')
 		n++
 	}
-	r.words = append(r.words[:0], r.words[max(1, n):]...) // a word that fits in no message is dropped
+	r.entries = append(r.entries[:0], r.entries[max(1, n):]...) // an entry that is too long for any message is dropped
 	r.sendAt = now + hostMessageInterval
 	if n == 0 {
 		return ""
@@ -101,7 +104,7 @@
 	return strings.TrimSuffix(text.String(), " ")
 }
 
-// forget drops hosts of which nothing was said for long. The order of the map does not show.
+// forget removes the hosts without a report within hostReportMemory. The result does not depend on the iteration order.
 func (r *hostReports) forget(now float64) {
 	if now < r.forgetAt {
 		return
@@ -114,29 +117,29 @@
 	}
 }
 
-// exchangesHostReports says whether gateways tell each other of single hosts at all.
+// exchangesHostReports reports whether gateways exchange reports about single hosts.
 func (c *Controller) exchangesHostReports() bool {
 	return c != nil && c.messageRate > 0 && c.gateways > 1
 }
 
-// HostEjected is told that a host was ejected here, or that its probe failed: again. It returns false where peers are not
-// told of it by this package.
+// HostEjected records that this gateway ejected a host or, if again is set, that a probe of an ejected host failed. It
+// returns false if this package does not exchange reports about hosts with peers.
 func (c *Controller) HostEjected(now float64, host string, again bool) bool {
 	if !c.exchangesHostReports() {
 		return false
 	}
 	report := c.hosts.getOrCreate(host)
-	if now-report.takenAt < flapWindow { // the peer's report was wrong
-		c.peers.distrust(now, report.takenFrom)
+	if now-report.acceptedAt < flapWindow { // the peer's recovery report was wrong
+		c.peers.distrust(now, report.acceptedFrom)
 	}
 	if !again && c.sampled() || again && c.random.Float64() < repeatChance {
-		c.hosts.queue(wordEjected, host)
+		c.hosts.queue(entryEjected, host)
 	}
 	return true
 }
 
-// HostAnswered is told that a host answered an attempt that began at startedAt; ejected: it is ejected here. It returns false
-// where peers are not told of it by this package.
+// HostAnswered records that a host answered an attempt that was started at startedAt. ejected is whether this gateway has
+// ejected the host. HostAnswered returns false if this package does not exchange reports about hosts with peers.
 func (c *Controller) HostAnswered(host string, startedAt float64, ejected bool) bool {
 	if !c.exchangesHostReports() {
 		return false
@@ -148,17 +151,17 @@
 		if report != nil {
 			clear(report.ejectedAt)
 		}
-		c.hosts.queue(wordRecovered, host)
-	case report != nil && report.questionedAt > 0 && startedAt >= report.questionedAt:
-		report.questionedAt = 0
+		c.hosts.queue(entryRecovered, host)
+	case report != nil && report.unrefutedEjectionAt > 0 && startedAt >= report.unrefutedEjectionAt:
+		report.unrefutedEjectionAt = 0
 		if c.sampled() {
-			c.hosts.queue(wordAnswers, host)
+			c.hosts.queue(entryAnswers, host)
 		}
 	}
 	return true
 }
 
-// EjectionConfirmed says that enough peers have ejected a host too, by what they saw themselves.
+// EjectionConfirmed reports whether enough peers have ejected a host by their own observations.
 func (c *Controller) EjectionConfirmed(now float64, host string) bool {
 	if !c.exchangesHostReports() || c.hosts.byHost[host] == nil {
 		return false
@@ -168,17 +171,17 @@
 	return ejected >= quorum && ejected > 2*countWithin(report.answeringAt, now, reportMemory)
 }
 
-// ProbeInterval is the time until the next probe of an ejected host, interval what one gateway alone would wait: longer where
-// all have ejected it, so that all together probe it as often at any number of them. One that has ejected it alone may be
-// wrong, and waits for itself.
+// ProbeInterval returns the time until the next probe of an ejected host. interval is the one that a single gateway would
+// use. If peers confirm the ejection the result is longer, so that the probe rate of the whole fleet does not depend on the
+// number of gateways. A gateway whose ejection is not confirmed may be wrong and uses interval itself.
 func (c *Controller) ProbeInterval(now float64, host string, interval float64) float64 {
 	if interval == 0 || !c.EjectionConfirmed(now, host) {
 		return interval
 	}
-	return max(interval, 2*c.liveGateways/ejectedProbeRate*c.random.Float64()) // from the first moment on some are due
+	return max(interval, 2*c.liveGateways/ejectedProbeRate*c.random.Float64()) // from 0: some probe is always due soon
 }
 
-// TakeRecovery says that a host answers again by a peer's report, once for each report.
+// TakeRecovery reports whether a trusted peer recently reported that a host answers again. It consumes the report.
 func (c *Controller) TakeRecovery(now float64, host string) bool {
 	if !c.exchangesHostReports() || c.hosts.byHost[host] == nil {
 		return false
@@ -190,36 +193,36 @@
 	recent := now-report.recoveredAt < reportMemory
 	report.recoveredAt = 0
 	if recent {
-		report.takenAt = now
-		report.takenFrom = report.recoveredBy
+		report.acceptedAt = now
+		report.acceptedFrom = report.recoveredBy
 	}
 	return recent
 }
 
-// receiveHostWords takes a peer's message on hosts.
-func (c *Controller) receiveHostWords(now float64, from int, text string) {
-	for _, word := range strings.Fields(text) {
-		if len(word) < 2 {
+// receiveHostEntries records the entries of a peer's message about hosts.
+func (c *Controller) receiveHostEntries(now float64, from int, text string) {
+	for _, entry := range strings.Fields(text) {
+		if len(entry) < 2 {
 			continue
 		}
-		host := word[1:]
+		host := entry[1:]
 		if c.hosts.byHost[host] == nil && len(c.hosts.byHost) >= reportedHostsFactor*max(minReportedHosts, c.listedHosts) {
-			continue // names that nobody knows fill no memory
+			continue // bounds the memory that reports about unknown hosts use
 		}
 		report := c.hosts.getOrCreate(host)
-		switch word[0] {
-		case wordEjected:
+		switch entry[0] {
+		case entryEjected:
 			report.ejectedAt[from] = now
 			delete(report.answeringAt, from)
-			if report.questionedAt == 0 {
-				report.questionedAt = now
+			if report.unrefutedEjectionAt == 0 {
+				report.unrefutedEjectionAt = now
 			}
-		case wordAnswers:
+		case entryAnswers:
 			report.answeringAt[from] = now
 			delete(report.ejectedAt, from)
-		case wordRecovered:
+		case entryRecovered:
 			report.answeringAt[from] = now
-			clear(report.ejectedAt) // those that had ejected it hear this too
+			clear(report.ejectedAt) // peers that had ejected the host receive this report too
 			c.hosts.withdraw(host)
 			report.recoveredAt = now
 			report.recoveredBy = from
--- a/gateway/overload/hostreports_test.go
+++ b/gateway/overload/hostreports_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// ejectedHost plays one host that all gateways have ejected in a moment of their own, until it answers again.
+// ejectedHost simulates one host that all gateways eject, each at a different moment, and that later answers again.
 type ejectedHost struct {
 	now       float64
 	gateways  []*Controller
@@ -67,9 +67,10 @@
 	h.probeAt[i] = h.now + c.ProbeInterval(h.now, "h", 2)
 }
 
-// A host is dead and all have ejected it: all together probe it four times a second, at any number of them. It is back, one
-// finds out, and all know; meanwhile one alone with a broken link has ejected every host, and is believed by nobody.
-func TestEjectedHostIsProbedByTheFleet(t *testing.T) {
+// All gateways have ejected a dead host. The fleet must probe it about four times per second, whatever the number of gateways.
+// When it answers again and one gateway detects this, all must readmit it. A single gateway with a broken link that ejects a
+// host must not convince the others.
+func TestFleetProbeRateOfEjectedHostIsBounded(t *testing.T) {
 	for _, gateways := range []int{30, 300} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			h := newEjectedHost(gateways)
@@ -81,45 +82,46 @@
 				t.Errorf("%d probes in 20 s, want at most %.0f; %d messages", h.probes, limit, h.messages)
 			}
 			if h.recovered != gateways {
-				t.Errorf("%d of %d have it back", h.recovered, gateways)
+				t.Errorf("%d of %d gateways readmitted the host", h.recovered, gateways)
 			}
 			if h.gateways[5].EjectionConfirmed(h.now, "h") {
-				t.Error("it counts as ejected by all though it is back")
+				t.Error("the ejection is still confirmed after the host's recovery")
 			}
 			first, others := h.gateways[0], h.gateways[1:]
 			first.HostEjected(h.now, "k", false)
 			for _, c := range others {
 				c.Receive(h.now, 0, "~-k")
 				if c.EjectionConfirmed(h.now, "k") || c.TakeRecovery(h.now, "k") {
-					t.Fatal("one alone is believed")
+					t.Fatal("the report of a single gateway was accepted")
 				}
 			}
 			if first.ProbeInterval(h.now, "k", 2) != 2 {
-				t.Error("one alone waits for all")
+				t.Error("an unconfirmed ejection lengthened the probe interval")
 			}
 		})
 	}
 }
 
-// A peer reports again and again that a host answers, and it does not: after the first time it is not believed for a while.
+// A peer keeps reporting that a host answers although it does not. After the first wrong report the peer must be ignored for a
+// while.
 func TestWrongHostReportIsDistrusted(t *testing.T) {
 	c := New(Config{Gateways: 30, MessageRate: 60})
 	c.SetFleet(30, 4)
-	believed := 0
+	accepted := 0
 	for now := 100.0; now < 109; now += 0.1 {
 		c.Receive(now, 7, "~+h")
 		if c.TakeRecovery(now, "h") {
-			believed++
+			accepted++
 			c.HostEjected(now+0.05, "h", false)
 		}
 	}
-	if believed != 1 {
-		t.Errorf("believed %d times", believed)
+	if accepted != 1 {
+		t.Errorf("accepted %d times, want once", accepted)
 	}
 	for i := range 1000 {
 		c.Receive(110, 7, fmt.Sprint("~-x", i))
 	}
 	if kept := len(c.hosts.byHost); kept > 40 {
-		t.Errorf("%d hosts that nobody knows are kept", kept)
+		t.Errorf("reports about %d unknown hosts are kept", kept)
 	}
 }
--- a/gateway/overload/peerreports.go
+++ b/gateway/overload/peerreports.go
@@ -1,47 +1,47 @@
 package overload
 
 const (
-	// quorum is how many peers must report the same, and reportMemory for how long a report counts, in seconds.
+	// quorum is the number of peers that must report the same. reportMemory is how long a report counts, in seconds.
 	quorum       = 3
 	reportMemory = 2.0
-	// fleetReportRate is how many messages a second all gateways together say that an outage goes on.
+	// fleetReportRate is the number of messages per second by which all gateways together report that an outage continues.
 	fleetReportRate = 6.0
-	// sampledSenders is how many of the fleet speak, on average, when all have the same to say.
+	// sampledSenders is the mean number of gateways that send when all have the same to report.
 	sampledSenders = 24.0
-	// distrustFor is for how long a peer is not believed whose report of an answer turned out wrong, in seconds.
+	// distrustFor is how long a peer's reports of answers are ignored after one was wrong, in seconds.
 	distrustFor = 10.0
 )
 
-// The messages between gateways. Each begins with messagePrefix; behind it stands one of the two reports on all hosts, or
-// words on single ones (hostreports.go).
+// The messages between gateways. Each is messagePrefix followed by one of the two reports about all hosts, or by entries
+// about single hosts (hostreports.go).
 const (
 	messagePrefix   = '~'
 	reportSilent    = "s"
 	reportAnswering = "l"
 )
 
-// peerReports is what peers say of all hosts together, by the peer's number.
+// peerReports holds the peers' reports about all hosts. The maps are keyed by the peer's number.
 type peerReports struct {
-	silentAt        map[int]float64
-	answeringAt     map[int]float64
-	distrustedUntil map[int]float64
-	asked           bool    // peers were asked for what they see
-	unansweredAt    float64 // a peer asked, and no answer has come here since to what began later; 0: none did
+	silentAt           map[int]float64
+	answeringAt        map[int]float64
+	distrustedUntil    map[int]float64
+	queried            bool    // this gateway has asked its peers for their observations
+	unrefutedSilenceAt float64 // time of a peer's silence report that no answer to a later attempt has contradicted; 0: none
 }
 
 func newPeerReports() peerReports {
 	return peerReports{silentAt: map[int]float64{}, answeringAt: map[int]float64{}, distrustedUntil: map[int]float64{}}
 }
 
-// counts gives how many peers see the hosts silent, and how many have answers.
+// counts returns the numbers of peers that recently reported all hosts silent and that recently reported an answer.
 func (r *peerReports) counts(now float64) (silent, answering int) {
 	return countWithin(r.silentAt, now, reportMemory), countWithin(r.answeringAt, now, reportMemory)
 }
 
 func (r *peerReports) recordSilent(now float64, peer int) {
 	r.silentAt[peer] = now
-	if r.unansweredAt == 0 {
-		r.unansweredAt = now
+	if r.unrefutedSilenceAt == 0 {
+		r.unrefutedSilenceAt = now
 	}
 	delete(r.answeringAt, peer)
 }
@@ -51,12 +51,13 @@
 	delete(r.silentAt, peer)
 }
 
-// takeContradiction says that an answered attempt began after a peer had reported silence, once for each such report.
+// takeContradiction reports whether an answered attempt, started at startedAt, contradicts a peer's silence report because it
+// started later. It then clears the report.
 func (r *peerReports) takeContradiction(startedAt float64) bool {
-	if r.unansweredAt <= 0 || startedAt < r.unansweredAt {
+	if r.unrefutedSilenceAt <= 0 || startedAt < r.unrefutedSilenceAt {
 		return false
 	}
-	r.unansweredAt = 0
+	r.unrefutedSilenceAt = 0
 	return true
 }
 
@@ -64,7 +65,8 @@
 
 func (r *peerReports) trusts(now float64, peer int) bool { return now >= r.distrustedUntil[peer] }
 
-// countWithin counts the reports that are not older than some seconds. The order of the map does not show.
+// countWithin returns the number of reports younger than the given seconds. The result does not depend on the iteration
+// order.
 func countWithin(reports map[int]float64, now, seconds float64) (n int) {
 	for _, at := range reports {
 		if now-at < seconds {
@@ -74,14 +76,14 @@
 	return n
 }
 
-// outbox is what the next [Controller.Flush] gives away.
+// outbox holds the messages and log lines that the next [Controller.Flush] emits.
 type outbox struct {
 	messages     []string
 	logLines     []string
-	nextReportAt float64 // open: when it is said again that the outage goes on
+	nextReportAt float64 // open: time of the next report that the outage continues
 }
 
-// Receive brings a peer's message. It returns false for one that is not of this package.
+// Receive processes a peer's message. It returns false for a message that does not belong to this package.
 func (c *Controller) Receive(now float64, from int, text string) bool {
 	if len(text) < 2 || text[0] != messagePrefix {
 		return false
@@ -98,7 +100,7 @@
 			c.halfOpenByReport(now, from)
 		}
 	default:
-		c.receiveHostWords(now, from, text[1:])
+		c.receiveHostEntries(now, from, text[1:])
 	}
 	return true
 }
@@ -109,12 +111,12 @@
 	}
 }
 
-// sendSampled sends what many gateways have to say at the same moment: some of them do.
+// sendSampled sends a report that many gateways have at the same moment. Only a random sample of them sends it.
 func (c *Controller) sendSampled(report string) {
 	if c.sampled() {
 		c.send(report)
 	}
 }
 
-// sampled draws whether this gateway speaks where all have the same to say.
+// sampled draws whether this gateway is in the sample that sends a report which all gateways have.
 func (c *Controller) sampled() bool { return c.random.Float64() < sampledSenders/c.liveGateways }
--- a/gateway/overload/retrybudget.go
+++ b/gateway/overload/retrybudget.go
@@ -1,16 +1,17 @@
 package overload
 
 const (
-	// retryRatio is how many retries each first attempt allows, over all gateways.
+	// retryRatio is the number of retries that each first attempt adds to the budget.
 	retryRatio = 0.2
-	// maxSavedRetries is how many retries one gateway may have saved up. In a large fleet each may save less, so that all
-	// together stay within maxSavedRetriesFleet: an outage meets all of them with what they have saved.
+	// maxSavedRetries is the capacity of one gateway's budget. It is smaller in a large fleet, where the capacities of all
+	// gateways together are limited to maxSavedRetriesFleet (but each is at least 1), because an outage may start while all
+	// budgets are full.
 	maxSavedRetries      = 10.0
 	maxSavedRetriesFleet = 300.0
 )
 
-// retryBudget is one gateway's part of the fleet's retries. Where most gateways need none, what they leave is lost, and one
-// that needs many has its own fifth and what it saved: the sum is bounded without messages.
+// retryBudget is one gateway's share of the fleet's retries. Gateways do not share unused budget: one that needs many retries
+// has only a fifth of its own first attempts and what it saved. This bounds the fleet's retries without messages.
 type retryBudget struct {
 	available float64
 	capacity  float64
@@ -31,5 +32,5 @@
 
 func (b *retryBudget) allows() bool { return b.available >= 1 }
 
-// AllowsRetry says whether an invocation may have one more attempt.
+// AllowsRetry reports whether an invocation may have one more attempt.
 func (c *Controller) AllowsRetry() bool { return c == nil || c.retries.allows() }
--- a/gateway/overload/retrybudget_test.go
+++ b/gateway/overload/retrybudget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Retries stay within a fifth of the first attempts and what was saved up, over the whole fleet.
+// The retries of the whole fleet stay within a fifth of its first attempts and the initial budgets.
 func TestRetryBudgetOfTheFleet(t *testing.T) {
 	for _, gateways := range []int{3, 300, 1000} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -24,7 +24,7 @@
 			earned := retryRatio * float64(firstAttempts)
 			limit := earned + max(float64(gateways), min(maxSavedRetries*float64(gateways), maxSavedRetriesFleet))
 			if float64(retries) > limit+1 || float64(retries) < earned-1 {
-				t.Errorf("%d retries to %d first attempts, want %.0f to %.0f", retries, firstAttempts, earned, limit)
+				t.Errorf("%d retries for %d first attempts, want %.0f to %.0f", retries, firstAttempts, earned, limit)
 			}
 		})
 	}
