--- a/gateway/policydriver/timer.go
+++ b/gateway/policydriver/timer.go
@@ -2,20 +2,19 @@
 
 import "math"
 
-// Timer is one of an API gateway's two timers: for Tick, or for RefreshMembership, whose rhythm is another. It holds the
-// soonest time that was asked for.
+// Timer is a timer for calls of Tick or of RefreshMembership. It holds the soonest time that was requested.
 type Timer struct {
 	at float64 // clock time; 0: not set
 }
 
-// Due says whether the timer has run out.
+// Due reports whether the timer has expired.
 func (t *Timer) Due(now float64) bool { return t.at > 0 && now >= t.at }
 
-// Clear takes the timer back.
+// Clear unsets the timer.
 func (t *Timer) Clear() { t.at = 0 }
 
-// Schedule asks for the timer to run out delay seconds from now at the latest. It gives the clock time at which it does, 0 for
-// never, and whether that has changed.
+// Schedule makes the timer expire at most delay seconds from now. It returns the clock time of the expiry, or 0 if the timer is
+// not set, and whether that has changed.
 func (t *Timer) Schedule(delay, now float64) (at float64, changed bool) {
 	next := now + delay
 	if t.at > 0 && t.at <= next || math.IsInf(next, 1) {
--- a/gateway/policydriver/timer_test.go
+++ b/gateway/policydriver/timer_test.go
@@ -9,7 +9,7 @@
 	const now = 100
 	for _, c := range []struct {
 		name        string
-		set         float64 // time left of the timer that is set; 0: none is
+		set         float64 // time left on the timer; 0: not set
 		delay       float64
 		wantAt      float64
 		wantChanged bool
