--- a/gateway/policy/admission.go
+++ b/gateway/policy/admission.go
@@ -1,22 +1,23 @@
 package policy
 
 const (
-	// answerMargin is how many mean latencies before the client's deadline an invocation is no longer worth sending.
-	answerMargin = 0.7
-	// counterMargin is what must be left of the client's time beside the counter's time-out, in seconds.
-	counterMargin = 0.01
-	// freshTotal is for how long the last total decides without a new call, in seconds, and crowdedTotal while the counter
-	// can't answer all calls.
-	freshTotal   = 0.07
-	crowdedTotal = 1
-	// minRate keeps a time to come back finite where a plan has no quota on the rate, in units/s.
+	// deadlineMargin is the least time before the client's deadline at which an invocation is still sent, in mean latencies.
+	deadlineMargin = 0.7
+	// counterTimeMargin is the time that the client's deadline must leave beyond the counter's time-out for a call to the
+	// counter to be made, in seconds.
+	counterTimeMargin = 0.01
+	// maxTotalAge is how long an invocation may be throttled by the last total without a new call, in seconds.
+	// maxTotalAgeLimited applies while the calls to the counter are limited.
+	maxTotalAge        = 0.07
+	maxTotalAgeLimited = 1
+	// minRate keeps the computed Retry-After time finite for plans without a quota on the rate, in units/s.
 	minRate = 0.001
 )
 
-// admit decides about a new invocation: it is answered at once, queued, or asked for at the counter.
+// admit decides about a new invocation. It answers it at once, queues it, or calls the counter for it.
 func (g *Gateway) admit(now float64, inv *Invocation) Decision {
 	c := inv.customer
-	tooLate := now >= inv.deadline-answerMargin*inv.operation.meanLatency
+	tooLate := now >= inv.deadline-deadlineMargin*inv.operation.meanLatency
 	if tooLate || !c.underCeiling(now, inv) {
 		return g.finish(now, inv)
 	}
@@ -25,7 +26,7 @@
 		g.enqueue(inv)
 		return Decision{}
 	}
-	c.slots.usualOpen += slotGain * (float64(c.slots.open) - c.slots.usualOpen)
+	c.slots.meanOpen += slotGain * (float64(c.slots.open) - c.slots.meanOpen)
 	if !inv.clientRetry {
 		c.quota.recentRequested += inv.quotaUnits
 	}
@@ -33,7 +34,7 @@
 		return g.finish(now, inv)
 	}
 	c.reserve(inv)
-	if !g.counter.limiter.Allows(now, 1) || inv.deadline-now < g.counter.config.Timeout+counterMargin {
+	if !g.counter.limiter.Allows(now, 1) || inv.deadline-now < g.counter.config.Timeout+counterTimeMargin {
 		g.admitLocally(now, inv)
 		return Decision{}
 	}
@@ -42,12 +43,12 @@
 	return Decision{}
 }
 
-// knownOverQuota says whether no call is needed to know that an invocation must be throttled: by a total just seen, or by
-// the slots that are open here alone. It sets when the client should come back.
+// knownOverQuota reports whether an invocation must be throttled by what is known without a call: by a recent total, or
+// because the slots open in this instance alone use up the quota. It then sets the invocation's retryAfter.
 func (g *Gateway) knownOverQuota(now float64, inv *Invocation) bool {
 	c := inv.customer
 	totalAge := now - c.quota.lastTotalAt
-	recent := totalAge < freshTotal || g.counter.limiter.Limited && totalAge < crowdedTotal
+	recent := totalAge < maxTotalAge || g.counter.limiter.Limited && totalAge < maxTotalAgeLimited
 	full := c.plan.MaxConcurrent > 0 && c.slots.open >= c.plan.MaxConcurrent
 	missing := inv.quotaUnits - c.quota.available
 	over := missing > 0 && recent || full
@@ -57,9 +58,9 @@
 	return over
 }
 
-// throttle gives back what an invocation had reserved; its final answer is due.
+// throttle releases the reservation of an invocation and schedules its final answer.
 func (g *Gateway) throttle(now float64, inv *Invocation) {
 	g.release(now, inv)
 	inv.stage = stageThrottled
-	g.queue.decideSoon(inv)
+	g.queue.addUndecided(inv)
 }
--- a/gateway/policy/counter.go
+++ b/gateway/policy/counter.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// reportDelay is how long an instance may owe a report before Tick makes a call for it, in seconds, and
-	// reportBurstDivisor from which part of a burst on it does.
+	// reportDelay is the time since the last call after which Tick makes one for unreported changes, in seconds.
+	// reportBurstDivisor gives the fraction of a burst that unreported units must exceed for that.
 	reportDelay        = 0.25
 	reportBurstDivisor = 4
-	// lentDivisor: an eighth of a second's calls may be lent to report a slot that was given back.
-	lentDivisor = 8
-	// overQuotaCut and peerOverQuotaCut are what is left of a customer's local admissions after a total, or a peer's word,
-	// that it is over its quota.
-	overQuotaCut     = 0.5
-	peerOverQuotaCut = 0.6
+	// A call that reports a released slot may exceed the rate limit by 1/advanceDivisor of a second's calls.
+	advanceDivisor = 8
+	// overQuotaFactor and peerOverQuotaFactor are the factors by which a customer's admitted fraction is cut after a total, or a
+	// peer's report, that it is over its quota.
+	overQuotaFactor     = 0.5
+	peerOverQuotaFactor = 0.6
 )
 
 // counterClient is this instance's view of the counter service.
 type counterClient struct {
 	config  CounterConfig
-	limiter overload.CallLimiter      // of calls
-	calls   map[uint64][]*counterCall // in flight, by the count's name, the oldest first
+	limiter overload.CallLimiter
+	calls   map[uint64][]*counterCall // calls in flight by the count's name, oldest first
 }
 
-// counterCall is a call that adds to a count and brings its total.
+// counterCall is a call that adds to a count and returns its total.
 type counterCall struct {
 	customer     *customer
-	invocation   *Invocation // that waits for the total; nil: none does
+	invocation   *Invocation // the invocation that waits for the total; nil: none
 	window       int64
 	added        float64 // units
-	estimate     float64 // units of added that are the invocation's
-	slots        int     // open slots added; below 0: taken off
-	countedSlots int     // held here and on the counter, with those
+	estimate     float64 // the invocation's part of added
+	slots        int     // open slots added; negative: subtracted
+	countedSlots int     // this instance's slots on the counter after the call
 }
 
 func newCounterClient(config CounterConfig) counterClient {
@@ -47,13 +47,14 @@
 	}
 }
 
-// tokensFor is how many tokens the limiter must have for a report: less than one call, for a slot of which others must hear.
-func (k *counterClient) tokensFor(c *customer) float64 {
-	return 1 - k.limiter.Rate/lentDivisor*float64(min(1, max(0, c.slots.counted-c.slots.open)))
+// tokensNeeded returns the number of tokens that a report of a customer's changes requires. It is less than 1 if a released slot
+// is still counted, since the other instances should learn of it soon.
+func (k *counterClient) tokensNeeded(c *customer) float64 {
+	return 1 - k.limiter.Rate/advanceDivisor*float64(min(1, max(0, c.slots.counted-c.slots.open)))
 }
 
-// oldest takes the oldest call on a count; nil: there is none.
-func (k *counterClient) oldest(name uint64) *counterCall {
+// popOldest removes and returns the oldest call on a count, or nil if there is none.
+func (k *counterClient) popOldest(name uint64) *counterCall {
 	calls := k.calls[name]
 	if len(calls) == 0 {
 		return nil
@@ -65,7 +66,8 @@
 	return calls[0]
 }
 
-// report adds what a customer owes to its count, and the estimate of an invocation that waits for the total, if any.
+// report makes a call that adds a customer's unreported changes to its count. If inv is not nil the call also adds its
+// estimate, and inv waits for the total.
 func (g *Gateway) report(now float64, c *customer, inv *Invocation) {
 	call := &counterCall{customer: c, window: c.quota.window, invocation: inv}
 	if inv != nil {
@@ -87,7 +89,7 @@
 	g.output.AddCount(c.quota.counterName, amount, c.plan.countLife())
 }
 
-// reportIfDue makes a call for what the other instances should hear, where no invocation has made one.
+// reportIfDue reports a customer's changes to the counter if no invocation has done so recently.
 func (g *Gateway) reportIfDue(now float64, c *customer) {
 	due := math.Abs(c.quota.unreported) > c.plan.Burst/reportBurstDivisor || c.slots.counted > c.slots.open
 	if due && c.plan.limited() && now-c.quota.reportedAt > reportDelay && g.counter.limiter.Allows(now, 1) {
@@ -96,21 +98,22 @@
 	}
 }
 
-// CounterReplied takes the end of the oldest call on a count: its total where it succeeded, after so many seconds.
-func (g *Gateway) CounterReplied(now float64, name uint64, outcome Outcome, total, took float64) {
-	call := g.counter.oldest(name)
+// CounterReplied processes the end of the oldest call on a count. total is the count's total if the call succeeded, and
+// duration is the duration of the call in seconds.
+func (g *Gateway) CounterReplied(now float64, name uint64, outcome Outcome, total, duration float64) {
+	call := g.counter.popOldest(name)
 	if call == nil {
 		return
 	}
 	c, inv := call.customer, call.invocation
 	c.refill(now, g.peers.observedShare)
 	lost := outcome == Rejected || outcome == TimedOut || outcome == NoConnection
-	if g.counter.limiter.CallEnded(now, g.peers.live, outcome == Succeeded, lost, took) {
-		g.output.Log(fmt.Sprintf("counter: last %c in %.3f s, at most %.1f calls a second", outcome, took, g.counter.limiter.Rate))
+	if g.counter.limiter.CallEnded(now, g.peers.live, outcome == Succeeded, lost, duration) {
+		g.output.Log(fmt.Sprintf("counter: limiting changed, last call %c in %.3f s, at most %.1f calls/s", outcome, duration, g.counter.limiter.Rate))
 	}
 	c.quota.pending -= call.estimate
 	if outcome != Succeeded {
-		g.counterMissed(now, call, outcome)
+		g.counterCallFailed(now, call, outcome)
 		return
 	}
 	c.local.budgetAt = 0
@@ -125,21 +128,24 @@
 		return
 	}
 	g.broadcast(now, "="+c.id)
-	c.local.cut(now, overQuotaCut)
-	g.throttle(now, inv) // the estimate is taken off again, at once
+	c.local.cutAdmitFraction(now, overQuotaFactor)
+	g.throttle(now, inv) // subtracts the estimate from the count at once
 }
 
-// counterMissed takes a call without a total as one that added nothing: in doubt a count is too high, not too low.
-func (g *Gateway) counterMissed(now float64, call *counterCall, outcome Outcome) {
+// counterCallFailed processes a call that returned no total. In general its units count as not added and are reported again: a
+// count that may be too high is preferred to one that may be too low.
+func (g *Gateway) counterCallFailed(now float64, call *counterCall, outcome Outcome) {
 	waiting := call.invocation != nil && call.invocation.stage == stageCounting
 	if outcome != Failed {
 		call.customer.quota.unreported += call.added - call.estimate
-		// A late call has most often been added: added twice, its slot would be lost.
+		// A call that timed out has usually been applied. If its slots were added again, they would stay counted after
+		// their release.
 		if call.window == call.customer.quota.window && outcome != TimedOut {
 			call.customer.slots.counted -= call.slots
 		}
 	} else if waiting {
-		// An answer that can't be read: it was added all the same, and admitLocally would owe it again.
+		// The answer can't be read, but the call was applied. This compensates for admitLocally, which adds the estimate to
+		// the unreported units.
 		call.customer.quota.unreported -= call.estimate
 	}
 	if waiting {
@@ -147,8 +153,8 @@
 	}
 }
 
-// CounterCallLost tells that a late call of so much will never be answered. Its open slots were taken for added; now they
-// are not. Guards against slots that stay in a total until its window ends.
+// CounterCallLost reports that a timed-out call that added amount will never be answered. Its slots were assumed to be
+// counted and now are not. Without this, a lost subtraction would leave its slots in the total until the window ends.
 func (g *Gateway) CounterCallLost(name uint64, amount float64) {
 	i := slices.IndexFunc(g.customers.ordered, func(c *customer) bool {
 		return c.quota.counterName == name && c.plan.MaxConcurrent > 0
--- a/gateway/policy/counter_test.go
+++ b/gateway/policy/counter_test.go
@@ -11,14 +11,14 @@
 	f.wantAttempts(inv, 1)
 }
 
-func TestThrottlesAndTakesOffEstimateWhenTotalIsOverQuota(t *testing.T) {
+func TestThrottlesAndSubtractsEstimateWhenTotalIsOverQuota(t *testing.T) {
 	f := newHarness(t, smallPlan)
 	inv := f.accept(4, 2)
 	f.wantCall(4)
-	f.replyTotal(12) // others have 8 of the 10
+	f.replyTotal(12) // others have used 8 of the 10
 	f.wantCall(-4)
-	if a := f.decisions[inv]; a.Action != Throttle || a.RetryAfter < 0.9 || a.RetryAfter > 1.1 {
-		t.Fatalf("want a throttling that says 1 s, got %+v", a)
+	if decision := f.decisions[inv]; decision.Action != Throttle || decision.RetryAfter < 0.9 || decision.RetryAfter > 1.1 {
+		t.Fatalf("want Throttle with a RetryAfter of 1 s, got %+v", decision)
 	}
 }
 
@@ -37,7 +37,7 @@
 	f.accept(4, 2)
 	f.reply(TimedOut, 0)
 	f.accept(1, 2)
-	f.wantCall(5) // too high, if the first was added, rather than too low
+	f.wantCall(5) // if the first call was applied the count is too high, which is preferred to too low
 }
 
 func TestSilentCounterIsCalledLess(t *testing.T) {
@@ -47,26 +47,26 @@
 		f.timeOutCalls()
 	}
 	before := len(f.calls)
-	for i := range 500 { // 5 s, 100 a second
+	for i := range 500 { // 5 s, 100 per second
 		f.accept(1, 2)
 		f.timeOutCalls()
 		if i%10 == 9 {
 			f.wait(0.1)
 		}
 	}
-	if asked := len(f.calls) - before; asked < 10 || asked > 110 {
-		t.Fatalf("%d calls in 5 s at a silent counter, want a few trials", asked)
+	if made := len(f.calls) - before; made < 10 || made > 110 {
+		t.Fatalf("%d calls to a silent counter in 5 s, want a few", made)
 	}
-	for range 100 { // it answers again
+	for range 100 { // the counter answers again
 		f.accept(1, 2)
 		f.replyEachAlone()
 		f.wait(0.1)
 	}
 	if f.gateway.counter.limiter.Rate < 20 {
-		t.Fatalf("%.1f calls a second 10 s after the counter is back", f.gateway.counter.limiter.Rate)
+		t.Fatalf("%.1f calls/s 10 s after the counter's recovery", f.gateway.counter.limiter.Rate)
 	}
 	if len(f.logs) != 2 {
-		t.Fatalf("want one line for each change of mode, got %q", f.logs)
+		t.Fatalf("want one line for each change of limiting, got %q", f.logs)
 	}
 }
 
@@ -74,12 +74,12 @@
 	f := newHarness(t, Plan{Name: "p", MaxConcurrent: 2})
 	first := f.accept(1, 2)
 	f.wantCall(1000)
-	f.replyTotal(2000) // another API gateway has one out
+	f.replyTotal(2000) // another API gateway holds one slot
 	f.wantAttempts(first, 1)
 	second := f.accept(1, 2)
 	f.replyTotal(3000)
 	if f.decisions[second].Action != Throttle {
-		t.Fatalf("a third went out: %+v", f.decisions[second])
+		t.Fatalf("a third invocation was admitted: %+v", f.decisions[second])
 	}
 	f.wantCall(-1000)
 	f.replyTotal(2000)
@@ -87,7 +87,8 @@
 	f.wantCall(-1000)
 }
 
-// One burst of time-outs at the counter took the rate of calls down once for each call in it, and seconds went by until it was back.
+// Each time-out in a burst once cut the rate of calls to the counter, which then took seconds to recover. A burst must cut it
+// only once.
 func TestBurstOfTimeoutsCutsCallRateOnce(t *testing.T) {
 	f := newHarness(t, Plan{Name: "p", Rate: 1000, Burst: 10000})
 	for range 300 {
@@ -101,9 +102,9 @@
 	}
 	f.now += 0.05
 	if f.timeOutCalls(); f.gateway.counter.limiter.Rate < 0.7*before || f.gateway.counter.limiter.Rate >= before {
-		t.Fatalf("%.0f calls a second after a burst of time-outs, %.0f before", f.gateway.counter.limiter.Rate, before)
+		t.Fatalf("%.0f calls/s after a burst of time-outs, %.0f before", f.gateway.counter.limiter.Rate, before)
 	}
-	for range 20 { // slow answers are a sign of it before any is missing
+	for range 20 { // slow answers must lower the rate before any call times out
 		f.accept(1, 2)
 		for before = f.gateway.counter.limiter.Rate; f.replied < len(f.calls); {
 			f.replied++
@@ -112,11 +113,11 @@
 		f.wait(0.1)
 	}
 	if f.gateway.counter.limiter.Rate >= before {
-		t.Fatalf("%.0f calls a second with slow answers, %.0f before the last", f.gateway.counter.limiter.Rate, before)
+		t.Fatalf("%.0f calls/s with slow answers, %.0f before the last", f.gateway.counter.limiter.Rate, before)
 	}
 }
 
-// The counter's answer can't be read: the estimate was added all the same and is not owed again, and the calls go on.
+// A call whose answer can't be read was applied. Its estimate must not be reported again, and the rate of calls must not fall.
 func TestUnreadableTotalCountsAsAdded(t *testing.T) {
 	f := newHarness(t, smallPlan)
 	before := f.gateway.counter.limiter.Rate
@@ -130,9 +131,9 @@
 	f.replyTotal(9)
 	f.wait(0.1)
 	if f.gateway.counter.limiter.Rate < before {
-		t.Fatalf("%.1f calls a second, %.1f before", f.gateway.counter.limiter.Rate, before)
+		t.Fatalf("%.1f calls/s, %.1f before", f.gateway.counter.limiter.Rate, before)
 	}
-	inv = f.accept(8, 1) // over its room, and what was added is taken off
+	inv = f.accept(8, 1) // over the available units; what was added is subtracted
 	f.reply(Failed, 0)
 	if f.decisions[inv].Action != Throttle {
 		t.Fatalf("got %+v", f.decisions[inv])
@@ -140,7 +141,7 @@
 	f.wantCall(-8)
 }
 
-// A call whose answer is late has most often been added: its open slot, added again, was one that nobody held.
+// A call that timed out has usually been applied. Its open slot once was added again, and then stayed counted after its release.
 func TestSlotOfTimedOutCallIsNotAddedAgain(t *testing.T) {
 	p := Plan{Name: "p", MaxConcurrent: 2}
 	f := newHarness(t, p)
@@ -152,8 +153,8 @@
 	f.wantCall(-p.slotUnit())
 }
 
-// After the counter's silence few calls are made, and few answers come to let the rate grow again: a few seconds of
-// quick answers must bring back most of what is wanted.
+// After a silence of the counter the rate of calls is low, so that few answers can raise it. A few seconds of quick answers must
+// restore most of the wanted rate.
 func TestCallRateRecoversWithinSeconds(t *testing.T) {
 	f := newHarnessOf(t, Plan{Name: "p", Rate: 1000, Burst: 10000}, 4)
 	f.gateway.counter.limiter.Rate, f.gateway.counter.limiter.Tokens = 15.3, 1
@@ -164,13 +165,13 @@
 		f.answerAll()
 	}
 	if f.gateway.counter.limiter.Rate < 60 {
-		t.Fatalf("%.1f calls a second 2.5 s after the counter is back, 100 are wanted", f.gateway.counter.limiter.Rate)
+		t.Fatalf("%.1f calls/s 2.5 s after the counter's recovery, 100 are wanted", f.gateway.counter.limiter.Rate)
 	}
 }
 
-// A place given back stays counted until the counter hears of it, and refuses the customer elsewhere: with no call left
-// it is told all the same, by a call lent, and the next invocations wait for it.
-func TestReleasedSlotIsReportedByLentCall(t *testing.T) {
+// A released slot that is still counted throttles the customer at other instances. It must be reported even if the limiter has
+// no token left, by a call ahead of the rate limit. Later calls wait until the limiter has made up for it.
+func TestReleasedSlotIsReportedAheadOfRateLimit(t *testing.T) {
 	p := Plan{Name: "p", MaxConcurrent: 2}
 	f := newHarness(t, p)
 	inv := f.accept(1, 2)
@@ -181,11 +182,12 @@
 	f.wantCall(-p.slotUnit())
 	f.replyTotal(0)
 	if f.accept(1, 2); len(f.calls) != 2 {
-		t.Fatalf("a call was left: %+v", f.calls)
+		t.Fatalf("a call was made without a token: %+v", f.calls)
 	}
 }
 
-// A late subtraction was taken for added; when it is lost with its connection, its slot is reported again and not left in the total.
+// A subtraction that timed out is assumed to be applied. If it is lost with its connection its slot must be reported again, else
+// it would stay in the total.
 func TestSlotOfLostCallIsReportedAgain(t *testing.T) {
 	p := Plan{Name: "p", MaxConcurrent: 2}
 	f := newHarness(t, p)
@@ -195,7 +197,7 @@
 	f.reply(TimedOut, 0)
 	f.wait(0.3)
 	if len(f.calls) != 2 {
-		t.Fatalf("reported again while it may have been added: %+v", f.calls)
+		t.Fatalf("reported again while it may have been applied: %+v", f.calls)
 	}
 	f.gateway.CounterCallLost(f.calls[1].name, f.calls[1].amount)
 	f.wait(0.3)
--- a/gateway/policy/customer.go
+++ b/gateway/policy/customer.go
@@ -3,31 +3,32 @@
 import "math"
 
 const (
-	// idleForgotten is after how many idle seconds a customer under a hard ceiling may be forgotten: its ceiling starts empty.
-	idleForgotten = 60
-	// longAgo lies behind now, in seconds, so that what is counted from it is over.
+	// idleEviction is the idle time after which a customer with a hard ceiling may be evicted, in seconds. It is long because
+	// the ceiling starts empty when the customer returns.
+	idleEviction = 60
+	// longAgo is an age that puts the initial admitFractionAt far enough into the past to have no effect, in seconds.
 	longAgo = 60
 )
 
-// customer is what this instance knows of one customer of a plan.
+// customer is this instance's state of one customer of a plan.
 type customer struct {
 	id           string // plan and name
 	plan         *Plan
-	firstGateway float64 // of the API gateways through which it comes in
-	gatewayCount float64 // how many they are
+	firstGateway float64 // number of the first API gateway that receives its requests
+	gatewayCount float64 // number of API gateways that receive its requests
 	quota        quotaState
 	slots        slotState
 	local        localShare
 	ceiling      ceiling
 }
 
-// customerTable holds the customers that are known.
+// customerTable holds the known customers.
 type customerTable struct {
 	byID    map[string]*customer
-	ordered []*customer // as they came
+	ordered []*customer // in order of arrival
 }
 
-// customer gives the customer of a request, which is new where it is not known.
+// customer returns the customer of a request, and creates it if it is not known.
 func (g *Gateway) customer(now float64, r Request) *customer {
 	id := r.Plan + " " + r.Customer
 	c := g.customers.byID[id]
@@ -41,13 +42,13 @@
 	return c
 }
 
-// plan gives a plan by its name. One that the settings don't name promises nothing and limits nothing.
+// plan returns the plan with the given name. A plan that is not configured has no quotas.
 func (g *Gateway) plan(name string) *Plan {
 	p := g.plans[name]
 	if p == nil {
 		p = &Plan{Name: name}
 		g.plans[name] = p
-		g.output.Log("a plan is unknown: no quota for " + name)
+		g.output.Log("unknown plan, no quota is applied: " + name)
 	}
 	return p
 }
@@ -62,30 +63,32 @@
 	}
 }
 
-// forgettable says whether forgetting it changes no decision. Guards against memory that grows with all who ever came.
-func (c *customer) forgettable(now float64) bool {
+// evictable reports whether the customer's state can be dropped without an effect on decisions. Eviction keeps memory from
+// growing with every customer ever seen.
+func (c *customer) evictable(now float64) bool {
 	idle := now - c.quota.availableAt
 	nothingOpen := c.slots.open == 0 && c.slots.counted == 0 && c.quota.pending == 0
 	return nothingOpen && c.quota.available+c.plan.Rate*idle >= c.plan.Burst &&
-		c.local.admitFractionNow(now) == 1 && idle > c.plan.windowLength() &&
-		(idle > idleForgotten || c.plan.CeilingRate == 0)
+		c.local.currentAdmitFraction(now) == 1 && idle > c.plan.windowLength() &&
+		(idle > idleEviction || c.plan.CeilingRate == 0)
 }
 
 const (
-	// A window of the counter lasts as long as the burst takes to fill, within bounds: long ones make edges rare. Where only
-	// slots are counted it is short: a slot stranded by a dead API gateway lapses with its window. In seconds.
+	// A counter window lasts as long as the burst takes to refill, from minWindow to maxWindow: long windows make window
+	// changes rare. slotWindow applies to plans that count only slots. It is short because the slots of a crashed API gateway
+	// stay counted until their window ends. All are in seconds.
 	minWindow  = 15
 	maxWindow  = 25
 	slotWindow = 2
-	// minSlotUnit and slotUnitBursts make a slot so much more than all units of a window that a total holds both.
+	// minSlotUnit and slotUnitBursts make a slot's amount exceed all units of a window, so that a total can hold both.
 	minSlotUnit    = 1000
 	slotUnitBursts = 4
-	// A count outlives its window by some, up to a limit of the counter service, in seconds.
+	// A count is kept for countLifeWindows windows, but not longer than maxCountLife seconds, a limit of the counter service.
 	countLifeWindows = 2.2
 	maxCountLife     = 60
 )
 
-// windowLength is how long a window of the counter lasts for this plan, in seconds.
+// windowLength returns the length of the plan's counter windows, in seconds.
 func (p *Plan) windowLength() float64 {
 	if p.Rate <= 0 {
 		return slotWindow
@@ -93,15 +96,16 @@
 	return min(maxWindow, max(minWindow, p.Burst/p.Rate))
 }
 
-// countLife is how long a count is kept by the counter service, in seconds.
+// countLife returns how long the counter service keeps a count, in seconds.
 func (p *Plan) countLife() float64 { return min(maxCountLife, countLifeWindows*p.windowLength()) }
 
-// slotUnit is what one open slot adds to a count that also keeps units: a power of ten; totals have seven digits.
+// slotUnit returns the amount that one open slot adds to a count, which also holds units. It is a power of ten. Totals have
+// seven digits.
 func (p *Plan) slotUnit() float64 {
 	return math.Pow(10, math.Ceil(math.Log10(max(minSlotUnit, slotUnitBursts*(p.Burst+p.Rate*p.windowLength())))))
 }
 
-// splitTotal takes a total of the counter apart into units and open slots.
+// splitTotal splits a total of the counter into units and open slots.
 func (p *Plan) splitTotal(total float64) (units, slots float64) {
 	if p.MaxConcurrent <= 0 {
 		return total, 0
@@ -109,5 +113,5 @@
 	return math.Remainder(total, p.slotUnit()), math.Round(total / p.slotUnit())
 }
 
-// limited says whether the plan has a quota that the counter keeps.
+// limited reports whether the plan has a quota that is kept by the counter.
 func (p *Plan) limited() bool { return p.Rate > 0 || p.MaxConcurrent > 0 }
--- a/gateway/policy/gateway.go
+++ b/gateway/policy/gateway.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxTickDelay is the longest time between two ticks, and busyTickDelay that while work is queued or in flight, so that
-	// silence is noticed; minTickDelay keeps ticks from following each other at once. In seconds.
+	// maxTickDelay is the longest time between two ticks. busyTickDelay applies while invocations are queued or in flight, so
+	// that silent hosts are detected soon. minTickDelay keeps ticks from following each other immediately. All are in seconds.
 	maxTickDelay  = 0.25
 	busyTickDelay = 0.05
 	minTickDelay  = 0.001
-	// retryAfterDivisor: a throttled client is to wait for half of a mean latency at least.
+	// retryAfterDivisor makes a throttled client wait for at least half of the mean latency.
 	retryAfterDivisor = 2
 )
 
-// Gateway decides for one API gateway. It is owned by one goroutine.
+// Gateway makes the decisions of one API gateway. It must be used by one goroutine only.
 type Gateway struct {
 	instance    Instance
 	limits      Limits
@@ -25,7 +25,7 @@
 	random      rng.Stream
 	operations  map[string]*operation
 	plans       map[string]*Plan
-	meanLatency float64 // s; of good answers of late, over all operations
+	meanLatency float64 // s; moving average over the successful answers of all operations
 
 	peers       peerView
 	customers   customerTable
@@ -36,7 +36,7 @@
 	slowStart   SlowStart
 }
 
-// New makes the policy of one API gateway, which has its decisions carried out by an output.
+// New returns the policy of one API gateway. Actions that belong to no single invocation are carried out by output.
 func New(config Config, output Output) *Gateway {
 	g := &Gateway{
 		instance:    config.Instance,
@@ -62,7 +62,7 @@
 	return g
 }
 
-// Accept takes in an invocation; Next will name it.
+// Accept registers a new invocation. Next will return it.
 func (g *Gateway) Accept(now float64, r Request) *Invocation {
 	op := g.operations[r.Operation]
 	if op == nil {
@@ -82,22 +82,22 @@
 	if inv.customer.plan.Rate > 0 {
 		inv.quotaUnits = r.Units
 	}
-	g.queue.decideSoon(inv)
+	g.queue.addUndecided(inv)
 	if !r.ClientRetry {
 		g.instance.Overload.RequestArrived(now)
 	}
 	return inv
 }
 
-// Next names the next invocation about which Decide is to be asked; nil: there is none now.
+// Next returns the next invocation to pass to Decide, or nil if there is none now.
 func (g *Gateway) Next(now float64) *Invocation {
-	if inv := g.queue.nextUndecided(); inv != nil {
+	if inv := g.queue.popUndecided(); inv != nil {
 		return inv
 	}
-	return g.nextQueued(now)
+	return g.popQueued(now)
 }
 
-// Decide says what to do with an invocation that Next has named.
+// Decide returns what to do with an invocation that Next has returned.
 func (g *Gateway) Decide(now float64, inv *Invocation) Decision {
 	switch {
 	case inv.stage == stageNew:
@@ -110,7 +110,7 @@
 	return Decision{}
 }
 
-// send begins an attempt.
+// send starts an attempt.
 func (g *Gateway) send(now float64, inv *Invocation, h *Host) Decision {
 	inv.host = nil
 	inv.stage = stageSent
@@ -126,39 +126,39 @@
 	inv.inFlight++
 	g.concurrency.inFlight++
 	g.concurrency.dither = g.random.Float64()
-	h.warmUp.nextSendGrowth = g.slowStart.growth(now, h.warmUp.startedAt) + g.growthGap()
+	h.warmUp.nextSendCapacity = g.slowStart.cumulativeCapacity(now, h.warmUp.startedAt) + g.capacityGap()
 	h.health.probeAt = now + g.instance.Overload.ProbeInterval(now, h.Addr, h.health.probeInterval)
 	if inv.unprovenAttempt == nil {
 		inv.unprovenAttempt = attempt
 	}
 	if len(h.inFlight) == 0 {
-		h.health.lastAnswerAt = now // its silence begins now
+		h.health.lastAnswerAt = now // the host's silence is measured from now
 	}
 	h.inFlight = append(h.inFlight, attempt)
 	decision := Decision{Action: Send, Host: h}
 	if inv.operation.LateValue == 0 && inv.operation.Effect != NonIdempotent {
-		// Guards against silence that holds slots for nothing.
+		// A late answer would be worth nothing, so the attempt need not hold its slots any longer.
 		decision.Timeout = max(inv.targetAt-now, inv.operation.baseLatency)
 	}
 	return decision
 }
 
-// ConfirmSend looks once more at an attempt that waited for its connection, as it is about to leave. Guards against hosts
-// that left or started anew meanwhile, repeats whose deduplication window has ended, and attempts to a starting host that
-// were chosen far apart and would leave together.
+// ConfirmSend reports whether an attempt that has waited for its connection may still be sent. It may not if its host has left
+// or restarted meanwhile, or if it is a repeat whose deduplication window has ended. Attempts to a starting host that were chosen
+// at different times are also kept from being sent together.
 func (g *Gateway) ConfirmSend(now float64, attempt *Attempt) bool {
 	h, inv := attempt.Host, attempt.Invocation
-	growth := g.slowStart.growth(now, h.warmUp.startedAt)
+	cumulativeCapacity := g.slowStart.cumulativeCapacity(now, h.warmUp.startedAt)
 	if !h.active || h.warmUp.startedAt != attempt.hostStartedAt ||
 		inv.unprovenAttempt != attempt && !inv.repeatable(now) ||
-		g.slowStart.warmth(now, h.warmUp.startedAt) < 1 && growth < h.warmUp.nextReleaseGrowth {
+		g.slowStart.warmUpFraction(now, h.warmUp.startedAt) < 1 && cumulativeCapacity < h.warmUp.nextReleaseCapacity {
 		return false
 	}
-	h.warmUp.nextReleaseGrowth = growth + g.growthGap()/releasesPerSend
+	h.warmUp.nextReleaseCapacity = cumulativeCapacity + g.capacityGap()/releasesPerSend
 	return true
 }
 
-// AttemptEnded takes how an attempt ended: the invocation is over, queued for another attempt, or answered.
+// AttemptEnded processes the result of an attempt. The invocation is then over, queued for a retry, or answered.
 func (g *Gateway) AttemptEnded(now float64, attempt *Attempt, result AttemptResult) Decision {
 	inv := attempt.Invocation
 	inv.inFlight--
@@ -181,7 +181,7 @@
 	return g.finish(now, inv)
 }
 
-// overloadOutcome is what an outcome says of all hosts.
+// overloadOutcome converts an outcome for package overload.
 func overloadOutcome(o Outcome) overload.AttemptResult {
 	switch o {
 	case Rejected:
@@ -197,7 +197,8 @@
 	}
 }
 
-// finish gives the final answer. Throttling needs proof that nothing has run, or an operation that may run again anywhere.
+// finish returns the final answer. It throttles only if nothing has run or the operation may run again on any host, since a
+// throttled client may retry.
 func (g *Gateway) finish(now float64, inv *Invocation) Decision {
 	op := inv.operation
 	repeatable := inv.repeatable(now)
@@ -208,7 +209,8 @@
 	return Decision{Action: Throttle, RetryAfter: max(inv.retryAfter, op.meanLatency/retryAfterDivisor)}
 }
 
-// Abandon ends an invocation: its client has gone, or it has its final answer. An attempt in flight keeps what it holds.
+// Abandon ends an invocation whose client has disconnected or that has its final answer. Its units and slot stay reserved
+// until an attempt in flight has ended.
 func (g *Gateway) Abandon(now float64, inv *Invocation) {
 	g.queue.remove(inv)
 	inv.stage = stageFinished
@@ -217,22 +219,23 @@
 	}
 }
 
-// Tick judges hosts by their silence, and tells the counter and the peers what is due.
+// Tick evaluates the health of hosts by their silence and sends due reports to the counter and the peers. It also evicts idle
+// customers.
 func (g *Gateway) Tick(now float64) {
-	g.judgeSilence(now)
+	g.evaluateSilence(now)
 	g.instance.Overload.Evaluate(now)
 	g.instance.Overload.Flush(now, g.output.SendPeer, g.output.Log)
 	g.customers.ordered = slices.DeleteFunc(g.customers.ordered, func(c *customer) bool {
 		g.reportIfDue(now, c)
-		forget := c.forgettable(now)
-		if forget {
+		evict := c.evictable(now)
+		if evict {
 			delete(g.customers.byID, c.id)
 		}
-		return forget
+		return evict
 	})
 }
 
-// TickDelay is how many seconds may pass until the next Tick and Next.
+// TickDelay returns the time until the next calls of Tick and Next are due, in seconds.
 func (g *Gateway) TickDelay(now float64) float64 {
 	delay := maxTickDelay
 	for _, inv := range g.queue.waiting {
--- a/gateway/policy/harness_test.go
+++ b/gateway/policy/harness_test.go
@@ -8,7 +8,8 @@
 // smallPlan has a quota on the rate alone.
 var smallPlan = Plan{Name: "p", Rate: 2, Burst: 10}
 
-// harness drives a Gateway in a test: it keeps the clock, and what the gateway decided and put out.
+// harness drives a Gateway in a test. It provides the clock and is the gateway's Output. It records calls of the Output and
+// decisions.
 type harness struct {
 	t            *testing.T
 	now          float64
@@ -19,7 +20,7 @@
 	peerMessages []string
 	logs         []string
 	cancelled    []*Attempt
-	replied      int
+	replied      int // number of calls that have been answered
 }
 
 type addedCount struct {
@@ -30,9 +31,9 @@
 func (f *harness) AddCount(name uint64, amount, life float64) {
 	f.calls = append(f.calls, addedCount{name, amount})
 }
-func (f *harness) CancelAttempt(d *Attempt)     { f.cancelled = append(f.cancelled, d) }
-func (f *harness) SendPeer(to int, text string) { f.peerMessages = append(f.peerMessages, text) }
-func (f *harness) Log(text string)              { f.logs = append(f.logs, text) }
+func (f *harness) CancelAttempt(attempt *Attempt) { f.cancelled = append(f.cancelled, attempt) }
+func (f *harness) SendPeer(to int, text string)   { f.peerMessages = append(f.peerMessages, text) }
+func (f *harness) Log(text string)                { f.logs = append(f.logs, text) }
 
 var testOperations = []Operation{
 	{Name: "read", LatencyTarget: 1, Value: 1, Effect: Idempotent},
@@ -40,7 +41,7 @@
 	{Name: "once", LatencyTarget: 1, Value: 5, Effect: NonIdempotent},
 }
 
-// newHarness starts an API gateway, one of three, with the plan and two hosts.
+// newHarness returns a harness for one of three API gateways, with the plan and two hosts.
 func newHarness(t *testing.T, p Plan) *harness { return newHarnessOf(t, p, 3) }
 
 func newHarnessOf(t *testing.T, p Plan, gateways int) *harness {
@@ -55,14 +56,14 @@
 	return f
 }
 
-func (f *harness) accept(units float64, width int) *Invocation {
-	return f.acceptOperation("read", units, width)
+func (f *harness) accept(units float64, gatewayCount int) *Invocation {
+	return f.acceptOperation("read", units, gatewayCount)
 }
 
-func (f *harness) acceptOperation(op string, units float64, width int) *Invocation {
+func (f *harness) acceptOperation(op string, units float64, gatewayCount int) *Invocation {
 	inv := f.gateway.Accept(f.now, Request{
 		Ref: "r", Operation: op, Customer: "c", Plan: "p", Units: units,
-		Deadline: f.now + 4, GatewayCount: width,
+		Deadline: f.now + 4, GatewayCount: gatewayCount,
 	})
 	f.decide()
 	return inv
@@ -70,24 +71,24 @@
 
 func (f *harness) decide() {
 	for inv := f.gateway.Next(f.now); inv != nil; inv = f.gateway.Next(f.now) {
-		f.record(inv, f.gateway.Decide(f.now, inv))
+		f.recordDecision(inv, f.gateway.Decide(f.now, inv))
 	}
 }
 
-func (f *harness) record(inv *Invocation, a Decision) {
-	if a.Action == Pending {
+func (f *harness) recordDecision(inv *Invocation, decision Decision) {
+	if decision.Action == Pending {
 		return
 	}
-	if a.Action != Send && f.decisions[inv].Action > Send {
-		f.t.Fatalf("a second final answer: %+v after %+v", a, f.decisions[inv])
+	if decision.Action != Send && f.decisions[inv].Action > Send {
+		f.t.Fatalf("a second final answer: %+v after %+v", decision, f.decisions[inv])
 	}
-	f.decisions[inv] = a
-	if a.Action == Send {
+	f.decisions[inv] = decision
+	if decision.Action == Send {
 		f.attempts = append(f.attempts, inv.Attempts[len(inv.Attempts)-1])
 	}
 }
 
-// wait lets time pass, with a Tick whenever the gateway asks for one.
+// wait advances the clock by s seconds and calls Tick whenever it is due.
 func (f *harness) wait(s float64) {
 	for end := f.now + s; f.now < end; {
 		f.now = math.Min(end, f.now+f.gateway.TickDelay(f.now))
@@ -103,16 +104,16 @@
 	}
 }
 
-// replyTotal answers the oldest counter call.
-func (f *harness) replyTotal(sum float64) { f.reply(Succeeded, sum) }
+// replyTotal answers the oldest counter call with a total.
+func (f *harness) replyTotal(total float64) { f.reply(Succeeded, total) }
 
-func (f *harness) reply(how Outcome, sum float64) {
+func (f *harness) reply(outcome Outcome, total float64) {
 	f.t.Helper()
 	if f.replied >= len(f.calls) {
 		f.t.Fatal("no counter call is in flight")
 	}
 	f.replied++
-	f.gateway.CounterReplied(f.now, f.calls[f.replied-1].name, how, sum, 0.002)
+	f.gateway.CounterReplied(f.now, f.calls[f.replied-1].name, outcome, total, 0.002)
 	f.decide()
 }
 
@@ -124,16 +125,16 @@
 }
 
 // end ends the newest attempt of an invocation.
-func (f *harness) end(inv *Invocation, how Outcome) { f.endWith(inv, AttemptResult{Outcome: how}) }
+func (f *harness) end(inv *Invocation, o Outcome) { f.endWith(inv, AttemptResult{Outcome: o}) }
 
-func (f *harness) endWith(inv *Invocation, e AttemptResult) {
-	d := inv.Attempts[len(inv.Attempts)-1]
-	e.Final, e.Duration = e.Final || e.Outcome == Succeeded, f.now-d.sentAt
-	f.record(inv, f.gateway.AttemptEnded(f.now, d, e))
+func (f *harness) endWith(inv *Invocation, result AttemptResult) {
+	attempt := inv.Attempts[len(inv.Attempts)-1]
+	result.Final, result.Duration = result.Final || result.Outcome == Succeeded, f.now-attempt.sentAt
+	f.recordDecision(inv, f.gateway.AttemptEnded(f.now, attempt, result))
 	f.decide()
 }
 
-// warmUp lets n invocations of 20 ms succeed, one after the other.
+// warmUp runs n invocations, one after the other, that succeed after 20 ms each.
 func (f *harness) warmUp(n int) {
 	for range n {
 		inv := f.accept(1, 2)
@@ -142,18 +143,18 @@
 	}
 }
 
-// answerAll lets every attempt succeed that has been in flight for 10 ms.
+// answerAll ends every attempt with success that has been in flight for about 10 ms or longer.
 func (f *harness) answerAll() {
-	for _, d := range f.attempts {
-		if d.Invocation.inFlight > 0 && f.now-d.sentAt > 0.0099 {
-			f.end(d.Invocation, Succeeded)
+	for _, attempt := range f.attempts {
+		if attempt.Invocation.inFlight > 0 && f.now-attempt.sentAt > 0.0099 {
+			f.end(attempt.Invocation, Succeeded)
 		}
 	}
 }
 
-// passes says whether an invocation is sent now; it is answered at once.
-func (f *harness) passes(units float64, width int) bool {
-	inv := f.accept(units, width)
+// admits reports whether a new invocation is sent now. It ends its attempt at once.
+func (f *harness) admits(units float64, gatewayCount int) bool {
+	inv := f.accept(units, gatewayCount)
 	if len(inv.Attempts) == 0 {
 		return false
 	}
@@ -161,14 +162,14 @@
 	return true
 }
 
-// replyEachAlone answers all counter calls, each as if it had been the first on its count.
+// replyEachAlone answers all counter calls, each with a total that holds only the call's own amount.
 func (f *harness) replyEachAlone() {
 	for f.replied < len(f.calls) {
 		f.replyTotal(f.calls[f.replied].amount)
 	}
 }
 
-// timeOutCalls lets all counter calls end without an answer.
+// timeOutCalls makes all counter calls time out.
 func (f *harness) timeOutCalls() {
 	for f.replied < len(f.calls) {
 		f.reply(TimedOut, 0)
--- a/gateway/policy/health.go
+++ b/gateway/policy/health.go
@@ -7,64 +7,70 @@
 )
 
 const (
-	// Weights of a new value in the means: of latencies, of a host's slowness after an answer and after a time-out, of the gap
-	// between its answers, and of failed connections.
+	// Weights of a new value in moving averages: of latencies, of a host's slowness after an answer and after a time-out, of the
+	// gap between its answers, and of the rate of failed connections. connectFailureDecay is the weight of the previous rate.
 	latencyGain         = 0.05
 	slownessGain        = 0.2
 	timeoutSlownessGain = 0.12
 	answerGapGain       = 0.1
 	connectFailureGain  = 0.03
-	connectFailureKept  = 0.97
-	// baseLatencyRise and bestSlownessRise have an operation's base latency, and a host's best slowness, be forgotten slowly:
-	// else a long press would teach that slow is normal, and limits would creep up.
+	connectFailureDecay = 0.97
+	// baseLatencyRise and bestSlownessRise are the factors by which an operation's base latency and a host's best slowness may
+	// rise per answer. They are small so that during a long overload high latency does not become the baseline, which would let
+	// the limits creep up.
 	baseLatencyRise  = 1.0001
 	bestSlownessRise = 1.0005
-	// Backoff after a failure: failureBackoff doubles with each one in a row, up to maxFailureBackoff. In seconds.
+	// Backoff from a host after a failure, in seconds: failureBackoff doubles with each consecutive failure, up to
+	// maxFailureBackoff.
 	failureBackoff    = 0.02
 	maxFailureBackoff = 1
-	// ejectingFailures in a row eject a host.
-	ejectingFailures = 3
-	// Suspicion from which on a host is ejected for its silence, or an invocation is sent beside a silent one to tell the host
-	// from the connection; either only if it is usualFactor times that of half of the others.
-	ejectingSuspicion = 12
-	doubtfulSuspicion = 2
-	usualFactor       = 4
-	// Suspicion grows with the silent attempts to this power, and is counted in suspicionGaps of the gap between answers.
-	silentPower   = 1.5
-	suspicionGaps = 3
-	// An ejected host is probed after minProbeInterval, doubling up to maxProbeInterval. In seconds.
+	// ejectionFailures is the number of consecutive failures after which a host is ejected.
+	ejectionFailures = 3
+	// Suspicion above which a host is ejected for its silence, and above which a host is suspect, so that a second attempt is sent
+	// beside a silent one to tell a silent host from a broken connection. A host is ejected by its suspicion only if this also
+	// exceeds medianFactor times the median of the silent hosts.
+	ejectionThreshold = 12
+	suspectThreshold  = 2
+	medianFactor      = 4
+	// Suspicion is proportional to the number of silent attempts to the power of silentPower, and to the length of the silence
+	// in units of suspicionGapUnit gaps between answers.
+	silentPower      = 1.5
+	suspicionGapUnit = 3
+	// An ejected host is probed after minProbeInterval, which doubles with each failed probe up to maxProbeInterval. Both are in
+	// seconds.
 	minProbeInterval = 1
 	maxProbeInterval = 8
-	// readmittedLimit is the limit of attempts in flight with which a host comes back.
+	// readmittedLimit is the limit of the attempts in flight to a host when it is readmitted.
 	readmittedLimit = 1
 )
 
-// hostHealth is how far a host is trusted.
+// hostHealth is the health of a host as observed by this instance.
 type hostHealth struct {
 	ejected       bool
-	peerAsked     bool    // a peer asked for word of it
-	failures      int     // in a row
-	backoffUntil  float64 // nothing is sent to it before
-	answerGap     float64 // s; mean of the time between good answers, times attempts in flight; 0: none has come
-	lastAnswerAt  float64 // last good answer, or when it was given work after it had none
-	suspicion     float64 // how unusual its silence is
-	probeAt       float64 // ejected: no probe before
-	probeInterval float64 // s between probes; 0: it has answered since it was last ejected
+	peerQueried   bool    // a peer asked whether the host answers
+	failures      int     // consecutive
+	backoffUntil  float64 // earliest time of the next attempt
+	answerGap     float64 // s; mean time between successful answers, times attempts in flight; 0: no answer yet
+	lastAnswerAt  float64 // last successful answer, or the start of an attempt while there was none in flight
+	suspicion     float64 // how unusual the host's silence is
+	probeAt       float64 // ejected: earliest time of the next probe
+	probeInterval float64 // s between probes; 0: the host has answered since its last ejection
 }
 
-// doubtful says whether one attempt alone is silent, as its connection may be: another one, that may run again, will tell.
-func (h *Host) doubtful() bool {
-	return !h.health.ejected && len(h.inFlight) == 1 && h.health.suspicion > doubtfulSuspicion
+// isSuspect reports whether the host has a single attempt in flight that is silent. Its connection alone may be the cause, which
+// another attempt of a repeatable operation will show.
+func (h *Host) isSuspect() bool {
+	return !h.health.ejected && len(h.inFlight) == 1 && h.health.suspicion > suspectThreshold
 }
 
-// observe learns from how an attempt ended.
+// observe updates latencies, limits and the host's health by the result of an attempt.
 func (g *Gateway) observe(now float64, attempt *Attempt, result AttemptResult) {
 	h, op := attempt.Host, attempt.Invocation.operation
-	// One that is stuck, while others sent since are answered, tells nothing; nor does what all hosts have in common.
+	// A stuck attempt gives no evidence about its host if later ones were answered, nor does a time-out while all hosts are silent.
 	if result.Outcome == TimedOut && (attempt.sentAt < h.health.lastAnswerAt || g.instance.Overload.ProbesOnly()) {
 		return
 	}
-	g.hosts.connectFailureRate *= connectFailureKept
+	g.hosts.connectFailureRate *= connectFailureDecay
 	if result.Outcome == NoConnection {
 		g.hosts.connectFailureRate += connectFailureGain
 	}
@@ -72,17 +78,17 @@
 	switch result.Outcome {
 	case Succeeded:
 		g.observeSuccess(now, attempt, result.Duration)
-	case TimedOut, Rejected, Failed, NoConnection, Reset: // time-outs in a row are silence too
+	case TimedOut, Rejected, Failed, NoConnection, Reset: // consecutive time-outs count as failures too
 		g.observeFailure(now, attempt, result)
 	}
 }
 
-func (g *Gateway) observeSuccess(now float64, attempt *Attempt, took float64) {
+func (g *Gateway) observeSuccess(now float64, attempt *Attempt, duration float64) {
 	h, op := attempt.Host, attempt.Invocation.operation
-	op.meanLatency += latencyGain * (took - op.meanLatency)
-	g.meanLatency += latencyGain * (took - g.meanLatency)
+	op.meanLatency += latencyGain * (duration - op.meanLatency)
+	g.meanLatency += latencyGain * (duration - g.meanLatency)
 	op.baseLatency = min(op.meanLatency, op.baseLatency*baseLatencyRise)
-	h.latency.slowness += slownessGain * (took/op.baseLatency - h.latency.slowness)
+	h.latency.slowness += slownessGain * (duration/op.baseLatency - h.latency.slowness)
 	h.latency.best = min(h.latency.slowness, h.latency.best*bestSlownessRise)
 	if h.health.answerGap == 0 {
 		h.health.answerGap = op.meanLatency
@@ -92,16 +98,16 @@
 	h.health.failures = 0
 	h.health.probeInterval = 0
 	h.health.suspicion = 0
-	h.adapt()
-	told := g.instance.Overload.HostAnswered(h.Addr, attempt.sentAt, h.health.ejected)
-	if !told && (h.health.ejected || h.health.peerAsked) {
-		h.health.peerAsked = false
+	h.adaptLimit()
+	reported := g.instance.Overload.HostAnswered(h.Addr, attempt.sentAt, h.health.ejected)
+	if !reported && (h.health.ejected || h.health.peerQueried) {
+		h.health.peerQueried = false
 		g.broadcast(now, "+"+h.Addr)
 	}
-	g.readmit(h, fmt.Sprintf("answered in %.3f s", took))
+	g.readmit(h, fmt.Sprintf("answered in %.3f s", duration))
 }
 
-// observeFailure backs off from a host. Guards against hosts that end work fast and badly and so draw it all.
+// observeFailure backs off from a host. Without this, a host that fails fast would attract most invocations.
 func (g *Gateway) observeFailure(now float64, attempt *Attempt, result AttemptResult) {
 	h, op := attempt.Host, attempt.Invocation.operation
 	h.health.failures++
@@ -112,43 +118,44 @@
 			(max(h.latency.slowness, result.Duration/op.baseLatency) - h.latency.slowness)
 	}
 	h.limit = max(minHostLimit, h.limit*failureLimitDecrease)
-	if h.health.failures >= ejectingFailures && result.Outcome != Rejected {
-		g.eject(now, h, fmt.Sprintf("%d bad endings in a row", h.health.failures))
+	if h.health.failures >= ejectionFailures && result.Outcome != Rejected {
+		g.eject(now, h, fmt.Sprintf("%d consecutive failures", h.health.failures))
 	}
 }
 
-// judgeSilence ejects hosts by how unusual their silence is, given the gaps between their answers so far and the silence of
-// the others, or by what peers say too.
-func (g *Gateway) judgeSilence(now float64) {
-	usual := g.suspect(now)
+// evaluateSilence ejects hosts whose silence is unusual, by their past gaps between answers and by the silence of the other
+// hosts. It ejects a host on weaker evidence if peers confirm it, and readmits hosts by peers' reports.
+func (g *Gateway) evaluateSilence(now float64) {
+	median := g.updateSuspicions(now)
 	for _, h := range g.hosts.ordered {
 		health := &h.health
-		unusual := health.suspicion > usualFactor*usual
+		unusual := health.suspicion > medianFactor*median
 		switch {
-		case health.suspicion > ejectingSuspicion && unusual:
-			g.eject(now, h, fmt.Sprintf("silent %.2f s, %.0f gaps, fellows %.1f",
-				now-health.lastAnswerAt, health.suspicion, usual))
-		case !health.ejected && (health.failures > 0 || health.suspicion > doubtfulSuspicion && unusual) &&
+		case health.suspicion > ejectionThreshold && unusual:
+			g.eject(now, h, fmt.Sprintf("silent for %.2f s, suspicion %.0f, median suspicion %.1f",
+				now-health.lastAnswerAt, health.suspicion, median))
+		case !health.ejected && (health.failures > 0 || health.suspicion > suspectThreshold && unusual) &&
 			g.instance.Overload.EjectionConfirmed(now, h.Addr):
-			g.eject(now, h, fmt.Sprintf("%d bad endings, %.1f gaps, and peers say the same",
+			g.eject(now, h, fmt.Sprintf("%d consecutive failures, suspicion %.1f, confirmed by peers",
 				health.failures, health.suspicion))
 		case g.instance.Overload.TakeRecovery(now, h.Addr):
-			g.readmit(h, "a peer had an answer")
+			g.readmit(h, "a peer reported an answer")
 		}
 	}
 }
 
-// suspect works out how unusual each host's silence is, and gives the median of those that are silent; 0: at most one is.
-func (g *Gateway) suspect(now float64) float64 {
+// updateSuspicions computes how unusual each host's silence is. It returns the median over the silent hosts, or 0 if at most one
+// is silent.
+func (g *Gateway) updateSuspicions(now float64) float64 {
 	var suspicions []float64
 	for _, h := range g.hosts.ordered {
-		// Guards against one attempt that is stuck while others sent since are answered.
+		// An attempt counts as stuck on its own if later ones were answered.
 		stuck := func(a *Attempt) bool { return a.sentAt < h.health.lastAnswerAt && g.hasSlot(now, h) }
 		silent := slices.DeleteFunc(slices.Clone(h.inFlight), stuck)
 		h.health.suspicion = 0
 		if h.active && !h.health.ejected && len(silent) > 0 && h.health.answerGap > 0 {
 			since := max(h.health.lastAnswerAt, silent[0].sentAt)
-			h.health.suspicion = (now - since) / h.health.answerGap * math.Pow(float64(len(silent)), silentPower) / suspicionGaps
+			h.health.suspicion = (now - since) / h.health.answerGap * math.Pow(float64(len(silent)), silentPower) / suspicionGapUnit
 			suspicions = append(suspicions, h.health.suspicion)
 		}
 	}
@@ -159,9 +166,9 @@
 	return suspicions[(len(suspicions)-1)/2]
 }
 
-// eject stops sending to a host, except for probes, unless half of the hosts are out of use already. Attempts in flight there
-// are cancelled where they may be sent again.
-func (g *Gateway) eject(now float64, h *Host, why string) {
+// eject stops sending to a host, except for probes, unless more than half of the hosts would then be unused. Attempts in flight
+// to the host are cancelled if they may be retried.
+func (g *Gateway) eject(now float64, h *Host, reason string) {
 	unused := 0
 	for _, x := range g.hosts.ordered {
 		if !x.active || x.health.ejected {
@@ -170,13 +177,13 @@
 	}
 	h.health.probeInterval = min(maxProbeInterval, max(minProbeInterval, 2*h.health.probeInterval))
 	h.health.probeAt = now + g.instance.Overload.ProbeInterval(now, h.Addr, h.health.probeInterval)
-	told := g.instance.Overload.HostEjected(now, h.Addr, h.health.ejected)
+	reported := g.instance.Overload.HostEjected(now, h.Addr, h.health.ejected)
 	if h.health.ejected || 2*(1+unused) > len(g.hosts.ordered) {
 		return
 	}
 	h.health.ejected = true
-	g.output.Log("host " + h.Addr + " set aside: " + why)
-	if !told {
+	g.output.Log("host " + h.Addr + " ejected: " + reason)
+	if !reported {
 		g.broadcast(now, "-"+h.Addr)
 	}
 	for _, attempt := range h.inFlight {
@@ -188,7 +195,7 @@
 }
 
 // readmit ends a host's ejection.
-func (g *Gateway) readmit(h *Host, why string) {
+func (g *Gateway) readmit(h *Host, reason string) {
 	if !h.health.ejected {
 		return
 	}
@@ -196,5 +203,5 @@
 	h.health.failures = 0
 	h.limit = readmittedLimit
 	h.health.answerGap = 0
-	g.output.Log("host " + h.Addr + " back: " + why)
+	g.output.Log("host " + h.Addr + " readmitted: " + reason)
 }
--- a/gateway/policy/health_test.go
+++ b/gateway/policy/health_test.go
@@ -12,35 +12,35 @@
 	h := inv.Attempts[0].Host
 	f.wait(0.9)
 	if !h.health.ejected || len(f.cancelled) != 1 || f.peerMessages[0] != "-"+h.Addr {
-		t.Fatalf("ejected %v, cancels %d, told %q", h.health.ejected, len(f.cancelled), f.peerMessages)
+		t.Fatalf("ejected %v, %d attempts cancelled, messages %q", h.health.ejected, len(f.cancelled), f.peerMessages)
 	}
 	f.end(inv, Cancelled)
 	f.wantAttempts(inv, 2)
 	if inv.Attempts[1].Host == h {
-		t.Fatal("sent again to the silent host")
+		t.Fatal("the retry was sent to the silent host")
 	}
 }
 
 func TestEjectedHostIsReadmittedByPeerOrProbe(t *testing.T) {
-	for _, word := range []string{"+a", ""} {
+	for _, message := range []string{"+a", ""} {
 		f := newHarness(t, Plan{Name: "p"})
 		f.warmUp(20)
 		h := f.gateway.hosts.byAddr["a"]
 		f.gateway.eject(f.now, h, "by the test")
 		f.gateway.PeerMessage(f.now, 0, "+nobody")
 		f.gateway.PeerMessage(f.now, 0, "\x00")
-		f.gateway.PeerMessage(f.now, 0, word)
-		if h.health.ejected != (word == "") {
-			t.Fatalf("ejected %v after %q", h.health.ejected, word)
+		f.gateway.PeerMessage(f.now, 0, message)
+		if h.health.ejected != (message == "") {
+			t.Fatalf("ejected %v after %q", h.health.ejected, message)
 		}
 		f.wait(1.1)
 		inv := f.accept(1, 2)
-		if word == "" && inv.Attempts[0].Host != h {
-			t.Fatal("no probe")
+		if message == "" && inv.Attempts[0].Host != h {
+			t.Fatal("the ejected host was not probed")
 		}
 		f.end(inv, Succeeded)
 		if h.health.ejected {
-			t.Fatal("a good answer did not bring it back")
+			t.Fatal("a successful answer did not readmit the host")
 		}
 	}
 }
@@ -79,7 +79,7 @@
 
 func TestFailingHostsAreBackedOffFromWhenNoneMayBeEjected(t *testing.T) {
 	f := newHarness(t, Plan{Name: "p"})
-	for range 200 { // 2 s, both hosts refuse at once
+	for range 200 { // 2 s; both hosts refuse connections
 		inv := f.accept(1, 2)
 		for len(inv.Attempts) > 0 && inv.inFlight > 0 {
 			f.end(inv, NoConnection)
@@ -87,7 +87,7 @@
 		f.wait(0.01)
 	}
 	if n := len(f.attempts); n < 4 || n > 60 {
-		t.Fatalf("%d attempts in 2 s to hosts that refuse", n)
+		t.Fatalf("%d attempts in 2 s to hosts that refuse connections", n)
 	}
 }
 
@@ -97,7 +97,7 @@
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "y", State: "leaving"}}, true)
 	f.warmUp(5)
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "b", Zone: "y", State: "active"}}, false)
-	for range 3 { // one at a time, so that its silence begins anew with each
+	for range 3 { // one at a time, so that the silence is measured anew from each
 		inv := &Invocation{operation: f.gateway.operations["once"], customer: f.gateway.customers.ordered[0], targetAt: f.now + 1, deadline: f.now + 4}
 		f.gateway.send(f.now, inv, h)
 		f.now += 0.1
@@ -108,7 +108,8 @@
 	}
 }
 
-// One connection fell silent under its attempt, and with no other work for a moment its host counted as silent too.
+// A host must not be ejected for one attempt on a broken connection. Previously, the stuck attempt made its host count as silent
+// when no other attempt was in flight for a moment.
 func TestOneStuckAttemptDoesNotEjectHost(t *testing.T) {
 	f := newHarness(t, Plan{Name: "p"})
 	f.gateway.UpdateHosts(f.now, []HostEntry{
@@ -119,7 +120,7 @@
 	f.warmUp(30)
 	stuck := f.acceptOperation("once", 1, 2)
 	h := stuck.Attempts[0].Host
-	for range 30 { // all else is answered
+	for range 30 { // all other attempts are answered
 		one, two, three := f.accept(1, 2), f.accept(1, 2), f.accept(1, 2)
 		f.now += 0.02
 		f.end(one, Succeeded)
@@ -127,28 +128,28 @@
 		f.end(three, Succeeded)
 	}
 	if h.health.lastAnswerAt <= stuck.Attempts[0].sentAt {
-		t.Fatal("the host has answered nothing since: no story")
+		t.Fatal("test setup: the host has not answered any later attempt")
 	}
 	h.limit = 4
 	if f.wait(0.5); h.health.ejected {
 		t.Fatalf("ejected: %q", f.logs)
 	}
-	places, slow := h.limit, h.latency.slowness // nor is it slow, or to be sent less, when that one is given up
-	if f.end(stuck, TimedOut); h.limit != places || h.latency.slowness != slow || h.health.failures > 0 {
-		t.Fatalf("%.1f slots after %.1f, slow %.2f after %.2f, %d failures", h.limit, places, h.latency.slowness, slow, h.health.failures)
+	limitBefore, slownessBefore := h.limit, h.latency.slowness // the time-out of the stuck attempt must change neither
+	if f.end(stuck, TimedOut); h.limit != limitBefore || h.latency.slowness != slownessBefore || h.health.failures > 0 {
+		t.Fatalf("limit %.1f, previously %.1f; slowness %.2f, previously %.2f; %d failures", h.limit, limitBefore, h.latency.slowness, slownessBefore, h.health.failures)
 	}
-	for range 9 { // it really is silent now
+	for range 9 { // now the hosts are silent
 		f.acceptOperation("once", 1, 2)
 	}
 	if f.wait(1); !slices.ContainsFunc(f.gateway.hosts.ordered, func(h *Host) bool { return h.health.suspicion > 12 }) {
-		t.Fatal("silence is no longer seen")
+		t.Fatal("the silence of a host is not detected")
 	}
 }
 
-// A connection that fell silent took its host with it, wherever the host had one slot here: the one attempt was all its
-// silence. One more, which may run again, tells the two apart.
+// A broken connection once caused the ejection of its host if the host had only one slot, since the attempt on it was the only
+// evidence. A second attempt of a repeatable operation must be sent first, to tell a silent host from a broken connection.
 func TestDoubtfulHostGetsOneMoreAttemptBeforeEjection(t *testing.T) {
-	for _, good := range []bool{true, false} {
+	for _, answered := range []bool{true, false} {
 		f := newHarness(t, Plan{Name: "p"})
 		f.warmUp(40)
 		for _, h := range f.gateway.hosts.ordered {
@@ -157,20 +158,20 @@
 		stuck := f.acceptOperation("once", 1, 2)
 		h := stuck.Attempts[0].Host
 		f.wait(0.3)
-		other := f.accept(1, 2) // takes the other host's place
+		other := f.accept(1, 2) // takes the other host's slot
 		unsafe := f.acceptOperation("once", 1, 2)
 		f.wantAttempts(unsafe, 0)
-		beside := f.accept(1, 2)
-		f.wantAttempts(beside, 1)
-		if beside.Attempts[0].Host != h || h.health.ejected {
-			t.Fatalf("went to %s, not %s; ejected %v", beside.Attempts[0].Host.Addr, h.Addr, h.health.ejected)
+		second := f.accept(1, 2)
+		f.wantAttempts(second, 1)
+		if second.Attempts[0].Host != h || h.health.ejected {
+			t.Fatalf("sent to %s, want %s; ejected %v", second.Attempts[0].Host.Addr, h.Addr, h.health.ejected)
 		}
 		f.end(other, Succeeded)
-		if good {
-			f.end(beside, Succeeded)
+		if answered {
+			f.end(second, Succeeded)
 		}
-		if f.wait(0.2); h.health.ejected == good {
-			t.Fatalf("answered %v, ejected %v: %q", good, h.health.ejected, f.logs)
+		if f.wait(0.2); h.health.ejected == answered {
+			t.Fatalf("answered %v, ejected %v: %q", answered, h.health.ejected, f.logs)
 		}
 	}
 }
--- a/gateway/policy/hosts.go
+++ b/gateway/policy/hosts.go
@@ -6,40 +6,40 @@
 	"strings"
 )
 
-// Host is a backend as this instance sees it.
+// Host is this instance's state of a backend host.
 type Host struct {
 	Addr     string
 	zone     string
 	cell     int
-	active   bool       // it may be sent new work, by the list
-	inFlight []*Attempt // from this instance, in the order in which they were sent
-	limit    float64    // how many of them there may be; 0: nothing is known of it
+	active   bool       // listed as one that may get new attempts
+	inFlight []*Attempt // from this instance, in the order of sending
+	limit    float64    // maximum number of attempts in flight; 0: not initialized yet
 	warmUp   warmUp
 	latency  hostLatency
 	health   hostHealth
 }
 
-// hostLatency is how slow a host answers. Slowness is the time of an answer over its operation's base latency.
+// hostLatency measures how slowly a host answers. Slowness is the ratio of an answer's time to its operation's base latency.
 type hostLatency struct {
-	slowness     float64 // of late
-	best         float64 // the least slowness, forgotten slowly
-	costSlowness float64 // for which cost was worked out
+	slowness     float64 // moving average
+	best         float64 // least slowness; rises slowly
+	costSlowness float64 // slowness for which cost was computed
 	cost         float64
 }
 
-// hostTable holds the hosts that are listed, and those that have left and have attempts in flight.
+// hostTable holds the listed hosts, and removed hosts that still have attempts in flight.
 type hostTable struct {
 	ordered            []*Host // by address
 	byAddr             map[string]*Host
-	connectFailureRate float64 // share of attempts of late that got no connection
+	connectFailureRate float64 // moving average of the fraction of attempts that got no connection
 }
 
-// remove takes an attempt out of those in flight.
+// remove removes an attempt from those in flight.
 func (h *Host) remove(attempt *Attempt) {
 	h.inFlight = slices.DeleteFunc(h.inFlight, func(x *Attempt) bool { return x == attempt })
 }
 
-// UpdateHosts takes the list of hosts, or changes to it where it is not complete.
+// UpdateHosts applies a list of hosts. If complete is set it replaces the known list, otherwise it holds only changes.
 func (g *Gateway) UpdateHosts(now float64, list []HostEntry, complete bool) {
 	for _, h := range g.hosts.ordered {
 		h.active = h.active && !complete
@@ -51,9 +51,9 @@
 	for i := range list {
 		g.updateHost(now, &list[i], meanWeight)
 	}
-	left := func(h *Host) bool { return !h.active && len(h.inFlight) == 0 }
-	g.hosts.ordered = slices.DeleteFunc(g.hosts.ordered, left)
-	maps.DeleteFunc(g.hosts.byAddr, func(_ string, h *Host) bool { return left(h) })
+	removable := func(h *Host) bool { return !h.active && len(h.inFlight) == 0 }
+	g.hosts.ordered = slices.DeleteFunc(g.hosts.ordered, removable)
+	maps.DeleteFunc(g.hosts.byAddr, func(_ string, h *Host) bool { return removable(h) })
 	slices.SortFunc(g.hosts.ordered, func(a, b *Host) int { return strings.Compare(a.Addr, b.Addr) })
 	g.instance.Overload.SetFleet(g.peers.live, len(g.hosts.ordered))
 }
@@ -73,9 +73,10 @@
 	h.active = entry.State == stateActive
 }
 
-// startIncarnation forgets what was learned of an earlier incarnation of a host. Until answers tell, its size does.
+// startIncarnation resets the state of a host that has started anew. Its weight determines the slowness that is assumed until it
+// answers.
 func (g *Gateway) startIncarnation(now float64, h *Host, entry *HostEntry, meanWeight float64) {
-	h.limit = min(initialHostLimit, initialHostShared/g.peers.live)
+	h.limit = min(initialHostLimit, initialHostLimitTotal/g.peers.live)
 	h.latency.slowness = 1
 	h.latency.best = 1
 	h.health.answerGap = 0
@@ -87,6 +88,6 @@
 		h.latency.slowness = meanWeight / entry.Weight
 		h.latency.best = meanWeight / entry.Weight
 	}
-	h.warmUp.nextSendGrowth = g.slowStart.growth(now, h.warmUp.startedAt) + g.random.Float64()*g.growthGap()
-	h.warmUp.nextReleaseGrowth = 0
+	h.warmUp.nextSendCapacity = g.slowStart.cumulativeCapacity(now, h.warmUp.startedAt) + g.random.Float64()*g.capacityGap()
+	h.warmUp.nextReleaseCapacity = 0
 }
--- a/gateway/policy/hosts_test.go
+++ b/gateway/policy/hosts_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Customers and hosts that came once were kept for good; the hosts gone also counted as ejected, so that after some
-// time none could be.
-func TestIdleCustomersAndGoneHostsAreForgotten(t *testing.T) {
+// Customers and hosts once were kept forever. Removed hosts also counted as unused, so that after some time no host could be
+// ejected.
+func TestIdleCustomersAndRemovedHostsAreEvicted(t *testing.T) {
 	f := newHarness(t, smallPlan)
 	inv := f.accept(4, 2)
 	f.replyTotal(4)
@@ -14,18 +14,18 @@
 		f.timeOutCalls()
 	}
 	if len(f.gateway.customers.byID)+len(f.gateway.customers.ordered) > 0 {
-		t.Fatalf("%d customers are kept, a full burst and nothing out", len(f.gateway.customers.byID))
+		t.Fatalf("%d customers are kept with a full burst and no slot open", len(f.gateway.customers.byID))
 	}
 	inv = f.accept(4, 2)
 	f.replyTotal(4)
-	d := inv.Attempts[0]
+	attempt := inv.Attempts[0]
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active"}}, true)
-	if len(f.gateway.hosts.ordered) != 2 || f.gateway.hosts.byAddr[d.Host.Addr] != d.Host {
-		t.Fatalf("%d hosts: want the new one and the one with a attempt out", len(f.gateway.hosts.ordered))
+	if len(f.gateway.hosts.ordered) != 2 || f.gateway.hosts.byAddr[attempt.Host.Addr] != attempt.Host {
+		t.Fatalf("%d hosts, want the new one and the one with an attempt in flight", len(f.gateway.hosts.ordered))
 	}
 	f.end(inv, Succeeded)
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "c", Zone: "z", State: "active"}}, false)
 	if len(f.gateway.hosts.ordered) != 1 || len(f.gateway.hosts.byAddr) != 1 {
-		t.Fatalf("%d hosts are kept", len(f.gateway.hosts.ordered))
+		t.Fatalf("%d hosts are kept, want one", len(f.gateway.hosts.ordered))
 	}
 }
--- a/gateway/policy/inspect.go
+++ b/gateway/policy/inspect.go
@@ -1,8 +1,9 @@
 package policy
 
-// What others may know of an instance's state, so that it can be kept elsewhere too. Nothing here decides or changes a decision.
+// This file gives read access to an instance's state, so that it can also be kept elsewhere. Nothing in it influences a decision
+// of the policy.
 
-// CountedSlots is what this instance's open slots on a count stand for in its total, the call just made included.
+// CountedSlots returns the amount that this instance's open slots contribute to the total of a count, including the last call.
 func (g *Gateway) CountedSlots(name uint64) float64 {
 	calls := g.counter.calls[name]
 	if len(calls) == 0 {
@@ -15,22 +16,22 @@
 	return float64(max(0, c.slots.counted)) * c.plan.slotUnit()
 }
 
-// UnreportedUnits tells of each count on which this instance owes units: admitted, and neither reported nor in a call in
-// flight. life is that of the count, in seconds.
-func (g *Gateway) UnreportedUnits(each func(name uint64, units, life float64)) {
+// UnreportedUnits calls report for each count with unreported units: units that were admitted by this instance and are neither
+// on the counter nor in a call in flight. life is the lifetime of the count, in seconds.
+func (g *Gateway) UnreportedUnits(report func(name uint64, units, life float64)) {
 	for _, c := range g.customers.ordered {
 		if c.plan.Rate > 0 && c.quota.unreported != 0 && c.quota.counterName != 0 {
-			each(c.quota.counterName, c.quota.unreported, c.plan.countLife())
+			report(c.quota.counterName, c.quota.unreported, c.plan.countLife())
 		}
 	}
 }
 
-// DedupScope says whether a delivery of an operation has to be recorded elsewhere before it begins, and within which hosts a
-// repeat of it is recognised; "": within none that can be told beforehand.
+// DedupScope reports whether an attempt of an operation has to be recorded elsewhere before it starts, and the scope of hosts
+// that recognize a repeat of it. The scope is "" unless all hosts do.
 func (g *Gateway) DedupScope(name string) (scope string, record bool) {
 	op := g.operations[name]
 	if op == nil {
-		return "", true // taken as non-idempotent
+		return "", true // treated as non-idempotent
 	}
 	if op.Effect == Deduplicated && op.DedupScope == scopeAll {
 		return op.DedupScope, true
@@ -38,5 +39,5 @@
 	return "", op.Effect != Idempotent
 }
 
-// DialStarted tells that a connection to a host was begun, for the figures by which load is seen to be multiplied.
+// DialStarted counts a dial to a host for the amplification figures in the log.
 func (g *Gateway) DialStarted(now float64) { g.instance.Overload.DialStarted(now) }
--- a/gateway/policy/invocation.go
+++ b/gateway/policy/invocation.go
@@ -1,68 +1,68 @@
 package policy
 
-// stage is how far an invocation has come.
+// stage is the stage of an invocation's processing.
 type stage int
 
 const (
-	stageNew       stage = iota // to be admitted
+	stageNew       stage = iota // not admitted yet
 	stageCounting               // its call to the counter is in flight
 	stageThrottled              // over the quota; its final answer is due
-	stageQueued                 // waits for a host
+	stageQueued                 // waiting for a host
 	stageSent                   // an attempt is in flight
 	stageFinished               // has its final answer
 )
 
-// Invocation is one request of a client, from its arrival to its final answer and the end of its last attempt.
+// Invocation is one client request, from its arrival to its final answer and the end of its last attempt.
 type Invocation struct {
 	Ref        string
 	Attempts   []*Attempt
 	operation  *operation
 	customer   *customer
 	units      float64 // estimated
-	quotaUnits float64 // units that count against the quota on the rate; 0 where the plan has none
-	retryAfter float64 // s; when its client should come back; 0: it is not throttled
+	quotaUnits float64 // units that count against the quota on the rate; 0 if the plan has none
+	retryAfter float64 // s until the client should retry; 0: not throttled
 	arrivedAt  float64
-	targetAt   float64 // its latency target ends
-	deadline   float64 // its client gives up
+	targetAt   float64 // clock time of arrival plus the latency target
+	deadline   float64 // clock time at which the client gives up
 
 	stage       stage
-	clientRetry bool  // marked as a client's repeat
-	reserved    bool  // it holds units and an open slot of its customer
-	inFlight    int   // attempts
+	clientRetry bool  // marked by the client as a retry
+	reserved    bool  // units and an open slot of the customer are reserved for it
+	inFlight    int   // number of attempts in flight
 	host        *Host // chosen by Next for the next attempt
 
-	// unprovenAttempt is the first attempt that is not proved to have never run; nil: nothing has run.
+	// unprovenAttempt is the first attempt that may have run; nil: nothing has run.
 	unprovenAttempt *Attempt
 }
 
-// Finished says whether nothing more will happen to it.
+// Finished reports whether the invocation has its final answer and no attempt in flight.
 func (inv *Invocation) Finished() bool { return inv.stage == stageFinished && inv.inFlight == 0 }
 
-// Attempt is one delivery of an invocation to a host.
+// Attempt is one attempt to have an invocation executed by a host.
 type Attempt struct {
 	Invocation    *Invocation
 	Host          *Host
 	Number        int // from 0
 	sentAt        float64
-	hostStartedAt float64 // of the incarnation of the host that was chosen
+	hostStartedAt float64 // start of the host's incarnation that was chosen
 }
 
 const (
-	// initialMeanDivisor and initialBaseDivisor give an operation's latencies, from its target, until answers tell them.
+	// An operation's initial mean and base latency are its latency target divided by these, until there are answers.
 	initialMeanDivisor = 5
 	initialBaseDivisor = 8
-	// An operation that the settings don't name gets half of its client's time as its target.
+	// The latency target of an operation that is not configured is half of the time until the client's deadline.
 	unknownTargetDivisor = 2
 	unknownMeanDivisor   = unknownTargetDivisor * initialMeanDivisor
 	unknownBaseDivisor   = unknownTargetDivisor * initialBaseDivisor
 	unknownValue         = 1
 )
 
-// operation is an Operation with what its answers have told.
+// operation is an Operation with its measured latencies.
 type operation struct {
 	Operation
-	meanLatency float64 // s; of good answers of late
-	baseLatency float64 // s; of good answers of hosts that are not pressed
+	meanLatency float64 // s; moving average over successful answers
+	baseLatency float64 // s; estimate for hosts that are not overloaded
 }
 
 func newOperation(o Operation) *operation {
@@ -73,7 +73,8 @@
 	}
 }
 
-// newUnknownOperation is taken as the strictest kind; timeLeft is what its client's deadline leaves, in seconds.
+// newUnknownOperation returns an operation that is not configured. It is treated as non-idempotent, the strictest kind. timeLeft
+// is the time until its client's deadline, in seconds.
 func newUnknownOperation(name string, timeLeft float64) *operation {
 	return &operation{
 		Operation: Operation{
--- a/gateway/policy/peers_test.go
+++ b/gateway/policy/peers_test.go
@@ -6,25 +6,25 @@
 	"otterseam/internal/rng"
 )
 
-func TestPeerThatAsksHearsOfGoodAnswer(t *testing.T) {
+func TestPeerQueryIsAnsweredAfterSuccess(t *testing.T) {
 	f := newHarness(t, Plan{Name: "p"})
 	f.gateway.PeerMessage(f.now, 0, "-a")
 	f.warmUp(4)
 	if len(f.peerMessages) != 1 || f.peerMessages[0] != "+a" {
-		t.Fatalf("told %q", f.peerMessages)
+		t.Fatalf("messages %q, want one that the host answers", f.peerMessages)
 	}
 }
 
 func TestFewOfManyGatewaysBroadcast(t *testing.T) {
-	told := 0
+	broadcasts := 0
 	for seed := range uint64(100) {
 		f := newHarnessOf(t, Plan{Name: "p"}, 300)
 		f.gateway.random = rng.New("%d ", seed)
 		f.gateway.eject(f.now, f.gateway.hosts.ordered[0], "by the test")
-		told += len(f.peerMessages)
+		broadcasts += len(f.peerMessages)
 	}
-	if told == 0 || told > 15 {
-		t.Fatalf("%d of 100 told 299 peers", told)
+	if broadcasts == 0 || broadcasts > 15 {
+		t.Fatalf("%d of 100 instances broadcast to 299 peers, want 1 to 15", broadcasts)
 	}
 }
 
@@ -36,6 +36,6 @@
 	f.gateway.eject(f.now, h, "again")
 	f.gateway.PeerMessage(f.now, 0, "+a")
 	if !h.health.ejected {
-		t.Fatal("back by peers' word although it failed here again")
+		t.Fatal("readmitted by a peer's report although it failed again")
 	}
 }
--- a/gateway/policy/queue.go
+++ b/gateway/policy/queue.go
@@ -3,32 +3,33 @@
 import "slices"
 
 const (
-	// queueTargetMargin is how many mean latencies before its target ends an invocation leaves the queue, and
-	// maxQueuedShare for which part of its target it waits at most.
+	// queueTargetMargin is the time before the end of its latency target at which an invocation leaves the queue, in mean latencies.
+	// maxQueuedShare is the fraction of its latency target that it may wait at most.
 	queueTargetMargin = 1.3
 	maxQueuedShare    = 0.5
-	// pressedShare is the part of its target after which an invocation counts as pressed.
-	pressedShare = 0.2
-	// An invocation of clearly higher priority goes before an older one, and a pressed one before one of slightly higher.
-	clearlyHigher = 1.2
-	slightlyLower = 0.8
-	// A client's retry counts for less than an invocation that comes for the first time; one that holds a slot, which its
-	// customer lacks meanwhile, for more.
+	// urgentShare is the fraction of its latency target after which a waiting invocation is urgent.
+	urgentShare = 0.2
+	// An invocation precedes the best one before it in the queue if its priority is higher by clearlyHigherFactor. If it is urgent,
+	// a priority above slightlyLowerFactor times that of the best one is enough.
+	clearlyHigherFactor = 1.2
+	slightlyLowerFactor = 0.8
+	// clientRetryDivisor lowers the priority of a client's retry. slotPriorityFactor raises that of an invocation that holds a slot
+	// of its customer's concurrency quota, since the customer can't use the slot meanwhile.
 	clientRetryDivisor = 4
-	slotPriority       = 1.5
+	slotPriorityFactor = 1.5
 )
 
-// queue holds the invocations about which something is to be decided.
+// queue holds the invocations that need a decision.
 type queue struct {
-	undecided []*Invocation // Next names them first
-	waiting   []*Invocation // for a host, in the order in which they came
+	undecided []*Invocation // returned by Next first
+	waiting   []*Invocation // waiting for a host, in the order in which they were queued
 }
 
-// decideSoon has Next name an invocation.
-func (q *queue) decideSoon(inv *Invocation) { q.undecided = append(q.undecided, inv) }
+// addUndecided makes Next return an invocation.
+func (q *queue) addUndecided(inv *Invocation) { q.undecided = append(q.undecided, inv) }
 
-// nextUndecided takes the first invocation that is to be decided; nil: there is none.
-func (q *queue) nextUndecided() *Invocation {
+// popUndecided removes and returns the first undecided invocation, or nil if there is none.
+func (q *queue) popUndecided() *Invocation {
 	if len(q.undecided) == 0 {
 		return nil
 	}
@@ -37,12 +38,12 @@
 	return inv
 }
 
-// remove takes an invocation out of those that wait.
+// remove removes an invocation from those waiting for a host.
 func (q *queue) remove(inv *Invocation) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(x *Invocation) bool { return x == inv })
 }
 
-// enqueue has an invocation wait for a host. The first time it counts as admitted.
+// enqueue adds an invocation to those waiting for a host. The first time, its units are counted as admitted.
 func (g *Gateway) enqueue(inv *Invocation) {
 	if inv.stage < stageQueued {
 		inv.customer.quota.recentLocal += inv.quotaUnits
@@ -53,36 +54,37 @@
 	g.queue.waiting = append(g.queue.waiting, inv)
 }
 
-// queueDeadline is the clock time at which a waiting invocation is given up: early, so that its client's next try may still be
-// in time.
+// queueDeadline returns the clock time at which a waiting invocation is throttled. It is early enough for a client's retry to
+// succeed in time.
 func (inv *Invocation) queueDeadline() float64 {
 	byTarget := min(inv.targetAt-queueTargetMargin*inv.operation.meanLatency,
 		inv.arrivedAt+maxQueuedShare*inv.operation.LatencyTarget)
-	return min(inv.deadline-answerMargin*inv.operation.meanLatency, max(inv.arrivedAt, byTarget))
+	return min(inv.deadline-deadlineMargin*inv.operation.meanLatency, max(inv.arrivedAt, byTarget))
 }
 
-// priority is what an invocation earns for the time for which it holds a host that is not pressed.
+// priority returns the priority of an invocation: its value per second of time on a host that is not overloaded, weighted for
+// retries and for slots.
 func (inv *Invocation) priority() float64 {
 	priority := inv.operation.Value / inv.operation.baseLatency
 	if inv.clientRetry {
 		return priority / clientRetryDivisor
 	}
 	if inv.customer.plan.MaxConcurrent > 0 {
-		return priority * slotPriority
+		return priority * slotPriorityFactor
 	}
 	return priority
 }
 
-// nextQueued takes the waiting invocation that the next free slot is for, with its host, or one whose time in the queue is
-// over; nil: neither.
-func (g *Gateway) nextQueued(now float64) *Invocation {
+// popQueued removes and returns the waiting invocation that gets the next free slot, with its host set. It may instead return,
+// without a host, one whose queue deadline has passed, or nil if there is neither.
+func (g *Gateway) popQueued(now float64) *Invocation {
 	hosts := g.hostsWithSlot(now)
 	var best *Invocation
 	highest := 0.0
 	for _, inv := range g.queue.waiting {
 		priority := inv.priority()
-		pressed := now-inv.arrivedAt > pressedShare*inv.operation.LatencyTarget
-		if best == nil || priority > highest*clearlyHigher || pressed && priority > highest*slightlyLower {
+		urgent := now-inv.arrivedAt > urgentShare*inv.operation.LatencyTarget
+		if best == nil || priority > highest*clearlyHigherFactor || urgent && priority > highest*slightlyLowerFactor {
 			if h := g.pickHost(now, inv, hosts); h != nil {
 				best = inv
 				highest = priority
--- a/gateway/policy/quota.go
+++ b/gateway/policy/quota.go
@@ -7,59 +7,61 @@
 )
 
 const (
-	// noWindow is the window of a customer of which nothing has been counted.
+	// noWindow is the window of a customer before its first refill.
 	noWindow = math.MinInt64
-	// recentSeconds is the time constant in which recent use fades.
-	recentSeconds = 8
-	// slotGain is the weight of a new value in the means of open slots.
+	// usageTimeConstant is the time constant of the exponential decay of recent usage, in seconds.
+	usageTimeConstant = 8
+	// slotGain is the weight of a new value in the moving averages of open slots.
 	slotGain = 0.1
-	// minWindowAge keeps the use of others, told from the start of a window, from growing without bound, in seconds.
+	// minWindowAge bounds the estimated rate of the other instances shortly after the start of a window, in seconds.
 	minWindowAge = 1
-	// unseenMemory is how many seconds without a total halve what is taken from it for the use of others in between.
-	unseenMemory = 4
-	// A count was forgotten by the counter service if it fell by more than forgottenMaxUnits of the largest invocations and
-	// this part of a burst.
-	forgottenMaxUnits     = 4
-	forgottenBurstDivisor = 4
+	// unseenHalfTime is the time since the last total, in seconds, for which half of the units that others added are taken as
+	// added evenly over that time, and the rest as a burst.
+	unseenHalfTime = 4
+	// The counter service has lost a count if its total fell by more than lostCountMaxUnits times the largest invocation's units
+	// plus a burst divided by lostCountBurstDivisor.
+	lostCountMaxUnits     = 4
+	lostCountBurstDivisor = 4
 )
 
-// quotaState is what this instance knows of a customer's quota on the rate, in the current window of the counter.
+// quotaState is this instance's state of a customer's quota on the rate, in the current window of the counter.
 type quotaState struct {
 	window      int64
-	counterName uint64 // of the window's count on the counter service
+	counterName uint64 // name of the window's count on the counter service
 
-	available   float64 // units that may still be admitted, less those of calls in flight
+	available   float64 // units that may still be admitted, excluding those of calls in flight
 	availableAt float64
 	pending     float64 // units of estimates in calls in flight
 
 	unreported float64 // units to add with the next call
-	reportedAt float64 // last call
+	reportedAt float64 // time of the last call
 
 	lastTotal    float64 // units in the last total; 0: none in this window
 	lastTotalAt  float64
 	overAdmitted float64 // units in the last total that others admitted beyond what was available
 
-	recentRequested float64 // units asked for here of late, without clients' retries
-	recentLocal     float64 // units admitted of late by this instance
-	recentTotal     float64 // units admitted of late by all
+	recentRequested float64 // units requested from this instance, without clients' retries; decays
+	recentLocal     float64 // units admitted by this instance; decays
+	recentTotal     float64 // units admitted by all instances; decays
 }
 
-// slotState is what this instance knows of a customer's quota on invocations in flight.
+// slotState is this instance's state of a customer's concurrency quota.
 type slotState struct {
-	open       int     // held here
-	counted    int     // of those held here, on the counter
-	usualOpen  float64 // mean of open, at each invocation
+	open       int     // slots held by this instance
+	counted    int     // this instance's slots on the counter
+	meanOpen   float64 // mean of open, at each invocation
 	othersOpen float64 // mean of others' slots in totals
 	ownOpen    float64 // mean of this instance's slots in totals
 }
 
-// refill brings what is available up to now and, at a window's edge, to the window's new count. What passes one burst is lost
-// once a total has come, so an edge carries over one burst at most. observedShare is peerView's.
+// refill adds the units that became available since the last refill. At the start of a new window it switches to the window's
+// count. The next total limits the available units to one burst, so that at most one burst is carried over to a new window.
+// observedShare is the field of peerView.
 func (c *customer) refill(now, observedShare float64) {
 	q, p := &c.quota, c.plan
 	q.available += p.Rate * (now - q.availableAt)
 	if window := int64(math.Floor(now / p.windowLength())); window != q.window {
-		if q.window == noWindow { // no total seen: the whole burst counts as unused
+		if q.window == noWindow { // no total is known, so the whole burst is taken as unused
 			q.available = p.Burst + (1-observedShare)*p.Rate*math.Mod(now, p.windowLength())
 		}
 		q.window = window
@@ -68,29 +70,29 @@
 		q.counterName = countName(c.id, window)
 		c.slots.counted = 0
 	}
-	fade := math.Exp(-(now - q.availableAt) / recentSeconds)
+	fade := math.Exp(-(now - q.availableAt) / usageTimeConstant)
 	q.recentLocal *= fade
 	q.recentTotal *= fade
 	q.recentRequested *= fade
 	q.availableAt = now
 }
 
-// countName names a customer's count of one window on the counter service.
+// countName returns the name of a customer's count for one window on the counter service.
 func countName(customer string, window int64) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %d", customer, window)
 	return h.Sum64() >> 1
 }
 
-// reserve takes an invocation's units and its slot, until release.
+// reserve reserves an invocation's units and a slot until release is called.
 func (c *customer) reserve(inv *Invocation) {
 	inv.reserved = true
 	c.slots.open++
 	c.quota.available -= inv.quotaUnits
 }
 
-// release gives back an invocation's slot, and its units if nothing has run. Guards against slots given back that stay
-// counted, and so refuse others: they are reported first, by a call lent.
+// release frees an invocation's slot, and its units if nothing has run. A freed slot that stays counted could throttle the
+// customer at other instances, so it is reported at once, if need be by a call ahead of the rate limit.
 func (g *Gateway) release(now float64, inv *Invocation) {
 	if !inv.reserved {
 		return
@@ -105,12 +107,12 @@
 		c.quota.available += inv.quotaUnits
 	}
 	overcounted := c.slots.counted > c.slots.open
-	if (neverRan && c.quota.unreported < 0 || overcounted) && g.counter.limiter.Allows(now, g.counter.tokensFor(c)) {
+	if (neverRan && c.quota.unreported < 0 || overcounted) && g.counter.limiter.Allows(now, g.counter.tokensNeeded(c)) {
 		g.report(now, c, nil)
 	}
 }
 
-// settle replaces an invocation's estimate by its true units; the difference rides with the next call.
+// settle replaces an invocation's estimate by its actual units. The difference is reported with the next call.
 func (g *Gateway) settle(inv *Invocation, result AttemptResult) {
 	settles := g.counter.config.SettlesUnits && result.Outcome == Succeeded && result.ActualUnits > 0
 	if settles && inv.reserved && inv.quotaUnits > 0 {
@@ -120,8 +122,8 @@
 	}
 }
 
-// applyTotal takes the total that a call of the current window brought, and decides by it about the call's invocation: it is
-// to be throttled where retryAfter is set.
+// applyTotal processes the total returned by a call of the current window. It sets retryAfter of the call's invocation if this
+// must be throttled.
 func (g *Gateway) applyTotal(now float64, call *counterCall, total float64) {
 	c := call.customer
 	units, slots := c.plan.splitTotal(total)
@@ -142,14 +144,14 @@
 	}
 }
 
-// addedByOthers is what others have added since the last total, in units, with what they are likely to have added before this
-// window and no total told of.
+// addedByOthers returns the units that other instances have added since the last total. If that was before this window it
+// includes an estimate of what they added to the earlier counts since.
 func (g *Gateway) addedByOthers(now float64, call *counterCall, units float64) float64 {
 	c, p := call.customer, call.customer.plan
 	others := units - call.added - c.quota.lastTotal
-	if others < -(forgottenMaxUnits*g.counter.config.MaxUnits + p.Burst/forgottenBurstDivisor) {
-		// Guards against a forgotten count: nothing taken off explains so low a total. What was used stays used.
-		g.output.Log(fmt.Sprintf("a count was forgotten: %.0f after %.0f", units-call.added, c.quota.lastTotal))
+	if others < -(lostCountMaxUnits*g.counter.config.MaxUnits + p.Burst/lostCountBurstDivisor) {
+		// No subtraction explains so low a total, so the count was lost. Units used before do not become available again.
+		g.output.Log(fmt.Sprintf("the counter lost a count: total %.0f, previously %.0f", units-call.added, c.quota.lastTotal))
 		others = max(0, units-call.added)
 	}
 	unseen := now - c.quota.lastTotalAt
@@ -159,31 +161,31 @@
 	return others
 }
 
-// addedBeforeWindow is what others are likely to have added between the last total and the start of this window, in units:
-// at the rate at which they added in this one.
+// addedBeforeWindow estimates the units that other instances added between the last total and the start of this window, by their
+// rate in this window.
 func (g *Gateway) addedBeforeWindow(c *customer, others, unseen, windowAge float64) float64 {
 	rate := others / max(minWindowAge, windowAge)
-	if c.quota.lastTotalAt == 0 { // no total was ever seen: above half of the plan's rate they had begun to use up its burst
+	if c.quota.lastTotalAt == 0 { // no total yet: above half of the plan's rate, others are taken to have used part of its burst
 		return (1 - g.peers.observedShare) * c.plan.Burst * min(1, max(0, 2*rate/c.plan.Rate-1))
 	}
 	return (1 - g.peers.observedShare) * rate * (unseen - windowAge)
 }
 
-// updateAvailable takes what others have added off what is available. What they added beyond that took nothing: it is no
-// debt, nor does it become available when it is taken off.
+// updateAvailable subtracts the units that others have added from the available ones. Units that they admitted beyond those are
+// not owed, and do not become available when they are subtracted from the count again.
 func (g *Gateway) updateAvailable(now float64, call *counterCall, others float64) {
 	q, p := &call.customer.quota, call.customer.plan
 	unseen := now - q.lastTotalAt
-	usual := max((q.recentTotal-q.recentLocal)/recentSeconds*unseen, max(0, others)*unseen/(unseen+unseenMemory))
-	held := q.pending
+	expected := max((q.recentTotal-q.recentLocal)/usageTimeConstant*unseen, max(0, others)*unseen/(unseen+unseenHalfTime))
+	reserved := q.pending
 	if call.invocation != nil && call.invocation.stage == stageCounting {
-		held += call.invocation.quotaUnits
+		reserved += call.invocation.quotaUnits
 	}
-	takenBack := min(q.overAdmitted, max(0, -others))
-	q.available = min(p.Burst-held, min(q.available, p.Burst-held+usual)-others-takenBack)
-	q.overAdmitted -= takenBack
-	if !g.counter.config.SettlesUnits { // settlements may take it below
-		q.overAdmitted += max(0, -held-q.available)
-		q.available = max(q.available, -held)
+	returned := min(q.overAdmitted, max(0, -others))
+	q.available = min(p.Burst-reserved, min(q.available, p.Burst-reserved+expected)-others-returned)
+	q.overAdmitted -= returned
+	if !g.counter.config.SettlesUnits { // otherwise settlements may make it negative
+		q.overAdmitted += max(0, -reserved-q.available)
+		q.available = max(q.available, -reserved)
 	}
 }
--- a/gateway/policy/retry.go
+++ b/gateway/policy/retry.go
@@ -1,12 +1,13 @@
 package policy
 
-// repeatable says whether an invocation may be sent now: nothing has run, or running again does no harm.
+// repeatable reports whether an invocation may be sent now: nothing has run yet, or running again does no harm.
 func (inv *Invocation) repeatable(now float64) bool {
 	return inv.unprovenAttempt == nil || inv.operation.Effect == Idempotent ||
 		inv.operation.Effect == Deduplicated && now < inv.unprovenAttempt.sentAt+inv.operation.DedupWindow
 }
 
-// mayRunAt says whether an invocation may be sent to a host: repeatable, and where a repeat is recognised.
+// mayRunAt reports whether an invocation may be sent to a host: it has no attempt in flight, is repeatable, and if it is a repeat
+// that must be recognized, the host is within the deduplication scope.
 func (inv *Invocation) mayRunAt(now float64, h *Host) bool {
 	if inv.inFlight != 0 || !inv.repeatable(now) {
 		return false
@@ -26,7 +27,8 @@
 	return false
 }
 
-// mayRetry says whether the limits leave room for another attempt: their number, the time left, and overload's budget.
+// mayRetry reports whether the limits allow another attempt: the number of attempts, the time left, and the retry budget of
+// package overload.
 func (g *Gateway) mayRetry(now float64, inv *Invocation) bool {
 	return len(inv.Attempts) < g.limits.MaxAttempts &&
 		now < min(inv.targetAt, inv.deadline)-inv.operation.meanLatency &&
--- a/gateway/policy/retry_test.go
+++ b/gateway/policy/retry_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A retry needs proof that nothing ran, or an operation that may run again; one that is deduplicated by zone stays in it.
+// A retry requires proof that nothing has run, or an operation that may run again. A retry of an operation deduplicated by zone
+// must stay in its zone.
 func TestRetryByEffectAndOutcome(t *testing.T) {
 	const fails, retries, mayRetry = "fails", "retries", "retries where the host's zone allows it"
 	for _, c := range []struct {
@@ -56,22 +57,22 @@
 	f := newHarness(t, Plan{Name: "p"})
 	inv := f.acceptOperation("mark", 1, 2)
 	f.gateway.operations["mark"].LatencyTarget, inv.targetAt = 4, f.now+4
-	f.now += 2.1 // its token lives for 2 s
+	f.now += 2.1 // its deduplication window is 2 s
 	f.end(inv, Failed)
 	f.wantAttempts(inv, 1)
 	if f.decisions[inv].Action != Fail {
-		t.Fatalf("want errored, got %+v", f.decisions[inv])
+		t.Fatalf("want Fail, got %+v", f.decisions[inv])
 	}
 }
 
-// A repeat of what carries a token may wait for its connection until the token's time is over.
+// A retry of a deduplicated operation may wait for its connection until its deduplication window has ended.
 func TestConfirmSendRefusesRetryAfterDedupWindow(t *testing.T) {
 	f := newHarness(t, Plan{Name: "p"})
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active"}, {Addr: "b", Zone: "z", State: "active"}}, true)
 	inv := f.acceptOperation("mark", 1, 1)
 	first := inv.Attempts[0]
 	if !f.gateway.ConfirmSend(f.now, first) {
-		t.Fatal("the first one does not go")
+		t.Fatal("the first attempt is not confirmed")
 	}
 	f.now += 0.3
 	f.end(inv, Reset)
@@ -79,9 +80,9 @@
 	f.wantAttempts(inv, 2)
 	again := inv.Attempts[1]
 	if f.now = first.sentAt + 1.99; !f.gateway.ConfirmSend(f.now, again) {
-		t.Error("a repeat in time does not go")
+		t.Error("a retry within the window is not confirmed")
 	}
 	if f.now = first.sentAt + 2; f.gateway.ConfirmSend(f.now, again) {
-		t.Error("a repeat goes as its token is forgotten")
+		t.Error("a retry after the window is confirmed")
 	}
 }
--- a/gateway/policy/routing.go
+++ b/gateway/policy/routing.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	// loadCost is what each attempt in flight adds to a host's cost, as a part of it.
+	// loadCost is the relative increase of a host's cost with each attempt in flight.
 	loadCost = 0.5
-	// connectFailureCost multiplies the share of failed connections into the cost of a host that has not answered here yet.
+	// connectFailureCost is the relative increase of the cost of a host that has not answered this instance yet, multiplied by the
+	// rate of failed connections.
 	connectFailureCost = 100
-	// zoneCost is added for a host in another zone, and triedCost for one that the invocation was sent to already.
-	zoneCost  = 0.05
-	triedCost = 10
+	// zoneCost is added for a host in another zone. retriedHostCost is added for one that the invocation was already sent to.
+	zoneCost        = 0.05
+	retriedHostCost = 10
 	// minCapacity keeps a starting host's cost finite.
 	minCapacity = 0.01
 )
 
-// pickHost gives the host with the least cost among those that have a slot; nil: the invocation may be sent to none of them.
+// pickHost returns the host with the lowest cost among hosts, or nil if the invocation may be sent to none of them.
 func (g *Gateway) pickHost(now float64, inv *Invocation, hosts []*Host) *Host {
 	var best *Host
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, h := range hosts {
-		probe := h.health.ejected || h.doubtful() || g.instance.Overload.ProbesOnly()
+		probe := h.health.ejected || h.isSuspect() || g.instance.Overload.ProbesOnly()
 		if !inv.mayRunAt(now, h) || probe && inv.operation.Effect == NonIdempotent {
 			continue
 		}
-		if cost := g.hostCost(now, inv, h, least); cost < least {
+		if cost := g.hostCost(now, inv, h, lowest); cost < lowest {
 			best = h
-			least = cost
+			lowest = cost
 		}
 	}
 	return best
 }
 
-// hostCost is what speaks against sending an invocation to a host; least or more where it is not below least.
-func (g *Gateway) hostCost(now float64, inv *Invocation, h *Host, least float64) float64 {
+// hostCost returns the cost of sending an invocation to a host. If it is not below lowest, hostCost may return any value that is
+// not below lowest.
+func (g *Gateway) hostCost(now float64, inv *Invocation, h *Host, lowest float64) float64 {
 	slowness := max(h.latency.slowness, 1/max(minCapacity, g.slowStart.capacity(now, h.warmUp.startedAt)))
 	if slowness != h.latency.costSlowness {
 		h.latency.costSlowness = slowness
@@ -43,21 +45,21 @@
 	}
 	cost := h.latency.cost * (1 + loadCost*float64(len(h.inFlight)))
 	chance := g.random.Float64()
-	if !h.health.ejected && cost*chance >= least { // what follows is never less: spares large fleets two powers a host
-		return least
+	if !h.health.ejected && cost*chance >= lowest { // the cost can't become lower; saves two powers per host in large fleets
+		return lowest
 	}
-	// Guards against all choosing the same host: the less one knows of hosts, the more it goes by chance.
+	// Randomization keeps instances from all choosing the same host. It grows as each instance's view of the hosts shrinks.
 	cost *= math.Pow(-math.Log(1-chance), 1-g.peers.observedShare)
-	if h.health.answerGap == 0 { // guards against hosts that hold all the connections they take: stay where one is in
+	if h.health.answerGap == 0 { // if hosts are out of connections, prefers those that have answered
 		cost *= 1 + connectFailureCost*g.hosts.connectFailureRate
 	}
 	if h.zone != g.instance.Zone {
 		cost += zoneCost
 	}
 	if slices.ContainsFunc(inv.Attempts, func(a *Attempt) bool { return a.Host == h }) {
-		cost += triedCost
+		cost += retriedHostCost
 	} else if h.health.ejected {
-		cost = 0 // the sparing probe of an ejected host
+		cost = 0 // an ejected host is due for a probe, which is rare
 	}
 	return cost
 }
--- a/gateway/policy/routing_test.go
+++ b/gateway/policy/routing_test.go
@@ -22,12 +22,12 @@
 		list = append(list, HostEntry{Addr: a, Zone: "z", State: "active"})
 	}
 	f.gateway.UpdateHosts(f.now, list, true)
-	met := map[*Host]bool{}
+	triedHosts := map[*Host]bool{}
 	for range 300 {
 		inv := f.accept(1, 2)
 		for inv.inFlight > 0 {
-			d := inv.Attempts[len(inv.Attempts)-1]
-			if met[d.Host] = true; d.Host.Addr == "in" {
+			attempt := inv.Attempts[len(inv.Attempts)-1]
+			if triedHosts[attempt.Host] = true; attempt.Host.Addr == "in" {
 				f.end(inv, Succeeded)
 			} else {
 				f.end(inv, NoConnection)
@@ -36,6 +36,6 @@
 		f.wait(0.05)
 	}
 	if bad := len(f.attempts) - 300; bad > 150 {
-		t.Fatalf("%d attempts without a connection at %d hosts", bad, len(met))
+		t.Fatalf("%d attempts without a connection, %d hosts tried", bad, len(triedHosts))
 	}
 }
--- a/gateway/policy/slowstart_test.go
+++ b/gateway/policy/slowstart_test.go
@@ -10,13 +10,13 @@
 	f := newHarness(t, Plan{Name: "p"})
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active", StartedAt: f.now}}, true)
 	f.gateway.meanLatency = 0.01
-	for range 300 { // 3 s, each answered within 10 ms
+	for range 300 { // 3 s, each answered after 10 ms
 		f.accept(1, 2)
 		f.wait(0.01)
 		f.answerAll()
 	}
 	n := len(f.attempts)
-	// Factor 2 x share 0.2 to 0.44 x two cores, a third of it for this API gateway: of work of 10 ms, 128 at most.
+	// Overload factor 2 x capacity 0.2 to 0.44 x two cores, a third of it for this API gateway: at most 128 attempts of 10 ms.
 	if n < 20 || n > 128 {
 		t.Fatalf("%d attempts to a starting host in 3 s", n)
 	}
@@ -34,13 +34,14 @@
 		}
 		n += len(f.attempts)
 	}
-	// Two cores at a fifth to 0.28 of their capacity for 1 s: 2 to 3 attempts of 0.2 s.
+	// Two cores at 0.2 to 0.28 of their capacity for 1 s: 2 to 3 attempts of 0.2 s.
 	if n > 8 {
 		t.Fatalf("%d attempts from 300 API gateways in the first second", n)
 	}
 }
 
-// Connections to a starting host that come up late, and together: what was chosen one by one goes out one by one.
+// Connections to a starting host may be established late and at the same time. Attempts that were chosen one at a time must also
+// be sent one at a time.
 func TestConfirmSendSpacesAttemptsToStartingHost(t *testing.T) {
 	f := newHarness(t, Plan{Name: "p"})
 	f.gateway.UpdateHosts(f.now, []HostEntry{{Addr: "a", Zone: "z", State: "active", StartedAt: f.now}}, true)
@@ -52,17 +53,17 @@
 	}
 	admitted := 0
 	for range 2 {
-		for _, d := range waiting {
-			if f.gateway.ConfirmSend(f.now, d) {
+		for _, attempt := range waiting {
+			if f.gateway.ConfirmSend(f.now, attempt) {
 				admitted++
 			}
 		}
 	}
 	if admitted != 1 {
-		t.Fatalf("%d of %d went out at one moment", admitted, len(waiting))
+		t.Fatalf("%d of %d attempts were confirmed at the same time, want 1", admitted, len(waiting))
 	}
 	f.now += 2
 	if !f.gateway.ConfirmSend(f.now, waiting[1]) {
-		t.Fatal("the next one does not go when its time has come")
+		t.Fatal("the next attempt is not confirmed when it is due")
 	}
 }
--- a/gateway/server/hostconn_test.go
+++ b/gateway/server/hostconn_test.go
@@ -160,7 +160,7 @@
 			return true
 		})
 	}
-	if w.log.has("set aside") {
+	if w.log.has("ejected") {
 		t.Fatal("the host is blamed")
 	}
 }
