--- a/gateway/server/bufferpool.go
+++ b/gateway/server/bufferpool.go
@@ -6,23 +6,23 @@
 	"otterseam/gateway/http1"
 )
 
-// mostFreeLarge is how many large areas are kept for later use at most.
-const mostFreeLarge = 16
+// maxFreeLarge is the maximum number of unused large arrays that are kept for reuse.
+const maxFreeLarge = 16
 
-// Buffer holds one message, read or about to be written, with its place in memory.
+// Buffer holds one message that was read or is about to be written, and its memory.
 type Buffer struct {
 	http1.Message
-	Bytes []byte // where the message is, in the small area or in a large one
+	Bytes []byte // the array that holds the message, small or large
 
-	small   []byte // the buffer's own area, http1.SmallBufferBytes
-	isLarge bool   // Bytes is a large area, http1.MaxMessageBytes, lent by the pool
+	small   []byte // the buffer's own array of http1.SmallBufferBytes
+	isLarge bool   // Bytes is a large array of http1.MaxMessageBytes, owned by the pool
 	inUse   bool
 }
 
-// BufferPool lends buffers for messages. Each has a small area of its own; one whose message does not fit is lent a large area
-// until it is given back. The number of large areas is bounded, as a large one for each of many idle connections is more than a
-// small machine has. A buffer has one owner at a time: whoever holds it passes it on whole or gives it back once. The pool is
-// safe for concurrent use.
+// BufferPool provides buffers for messages. Each buffer has a small array of its own. A buffer whose message does not fit gets a
+// large array until it is returned. The number of large arrays is limited, because a large array for each of many idle connections
+// would exceed the memory of a small machine. A buffer has one owner at a time, which either passes it on or returns it exactly
+// once. The pool is safe for concurrent use.
 type BufferPool struct {
 	free       chan *Buffer
 	freeLarge  chan []byte
@@ -30,17 +30,17 @@
 	maxLarge   int32
 }
 
-// NewBufferPool keeps at most maxFree buffers for later use; beyond them memory goes back to the collector. maxLarge is how many
-// large areas are lent at once.
+// NewBufferPool returns a pool that keeps at most maxFree unused buffers; the garbage collector frees the others. At most maxLarge
+// large arrays are in use at a time.
 func NewBufferPool(maxFree, maxLarge int) *BufferPool {
 	return &BufferPool{
 		free:      make(chan *Buffer, maxFree),
-		freeLarge: make(chan []byte, min(maxFree, maxLarge, mostFreeLarge)),
+		freeLarge: make(chan []byte, min(maxFree, maxLarge, maxFreeLarge)),
 		maxLarge:  int32(maxLarge),
 	}
 }
 
-// Get lends a buffer, ready for a message.
+// Get returns a buffer that is ready for a message.
 func (p *BufferPool) Get(isResponse bool) *Buffer {
 	var b *Buffer
 	select {
@@ -54,8 +54,8 @@
 	return b
 }
 
-// GetFollowing lends a buffer that holds what has come behind a whole message; n is how many bytes that is. nil: no large area
-// is left for it.
+// GetFollowing returns a buffer that holds the bytes after the complete message in b, and the number of these bytes. It returns nil
+// if they need a large array and none is available.
 func (p *BufferPool) GetFollowing(b *Buffer) (next *Buffer, n int) {
 	next = p.Get(false)
 	if len(b.Rest()) > len(next.Bytes) && !p.Grow(next, p.maxLarge) {
@@ -65,7 +65,7 @@
 	return next, copy(next.Space(), b.Rest())
 }
 
-// Grow lends a large area to a buffer that is full, unless limit of them are lent.
+// Grow moves the message in a full buffer to a large array, unless limit of them are in use.
 func (p *BufferPool) Grow(b *Buffer, limit int32) bool {
 	if b.isLarge || p.largeInUse.Load() >= limit {
 		return false
@@ -81,13 +81,13 @@
 	return true
 }
 
-// Put takes a buffer back; nil is nothing. It panics if the buffer was given back before.
+// Put returns a buffer to the pool. A nil buffer is ignored. Put panics if the buffer was already returned.
 func (p *BufferPool) Put(b *Buffer) {
 	if b == nil {
 		return
 	}
 	if !b.inUse {
-		panic("a buffer was given back twice")
+		panic("buffer returned to the pool twice")
 	}
 	b.inUse = false
 	if b.isLarge {
@@ -98,7 +98,7 @@
 		}
 	}
 	b.Bytes, b.isLarge = nil, false
-	b.Reset(nil, false) // so that it keeps no memory alive but its own
+	b.Reset(nil, false) // so that it references no memory but its own
 	select {
 	case p.free <- b:
 	default:
--- a/gateway/server/bufferpool_test.go
+++ b/gateway/server/bufferpool_test.go
@@ -10,7 +10,7 @@
 	p.Put(b)
 	defer func() {
 		if recover() == nil {
-			t.Fatal("not noticed")
+			t.Fatal("no panic on a second Put")
 		}
 	}()
 	p.Put(b)
@@ -20,10 +20,10 @@
 	p := NewBufferPool(4, 1)
 	a, b := p.Get(false), p.Get(false)
 	if !p.Grow(a, 1) || p.Grow(b, 1) {
-		t.Fatal("one large room, and no more, was to be had")
+		t.Fatal("want exactly one large array available")
 	}
 	p.Put(a)
 	if !p.Grow(b, 1) {
-		t.Fatal("the room given back is not lent again")
+		t.Fatal("the returned large array is not available again")
 	}
 }
--- a/gateway/server/clientconn.go
+++ b/gateway/server/clientconn.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	lingerTimeout  = 200 * time.Millisecond // what comes after the sending side was shut is read for this long
-	maxLingerBytes = 1 << 20                // and so much of it
+	lingerTimeout  = 200 * time.Millisecond // how long input is still read after the write side was closed
+	maxLingerBytes = 1 << 20                // how much input is read and discarded at most
 )
 
 var (
-	errNoBuffer   = errors.New("no room for a large message")
+	errNoBuffer   = errors.New("no large buffer available")
 	errDrainLimit = errors.New("drained")
 )
 
-// clientConn is a connection of a client. One goroutine (readLoop) reads until the end of what the client sends; one (serve)
-// takes requests out of what has come, waits for their answers and writes them, one at a time.
+// clientConn is a client connection. One goroutine (readLoop) reads until the client stops sending. The other (serve) takes
+// requests from the input, waits for their responses and writes them, one at a time.
 //
-// A connection is shut only while nothing has come on it, and nothing comes in once it is shut: both happen under mu.
+// The write side of an idle connection is closed only while there is no input, and no input is accepted afterwards. Both are
+// decided under mu.
 type clientConn struct {
 	listener     *ClientListener
 	tcp          net.Conn
 	raw          syscall.RawConn
-	responses    chan response // room for the one that can be owed
-	requestReady chan struct{} // holds a token when a request may be there to take
-	readEnded    chan struct{} // closed when nothing more is read
+	responses    chan response // has room for the only response that can be pending
+	requestReady chan struct{} // holds a token when a request may be available
+	readEnded    chan struct{} // closed when readLoop has returned
 
-	current        *invocation // the one taken last; set by serve before submitCurrent is posted
-	submitCurrent  func()      // brings it to the event loop; made once for each connection, as is abandonCurrent
-	abandonCurrent func()      // says that nobody waits for it any more
+	current        *invocation // the request taken last; set by serve before submitCurrent is posted
+	submitCurrent  func()      // passes it to the event loop; created once per connection, like abandonCurrent
+	abandonCurrent func()      // reports that its client is gone
 
 	mu            sync.Mutex
 	state         clientState
-	input         *Buffer   // what has come and was not taken; nil in inputEmpty
-	malformed     error     // what is wrong with it, in inputMalformed
-	lastReadAt    time.Time // when bytes came last
-	requestReadAt time.Time // when the last byte of the request that stands in input came
-	drainedBytes  int       // bytes that were read and dropped
+	input         *Buffer   // received and not yet taken; nil in inputEmpty
+	malformed     error     // why the input is invalid, in inputMalformed
+	lastReadAt    time.Time // when bytes were last received
+	requestReadAt time.Time // when the last byte of the request in input was received
+	drainedBytes  int       // bytes that were read and discarded
 }
 
-// response is what is to be answered to a request; status 0: the client is gone, nothing is to be written.
+// response is the response to a request. status 0 means that the client is gone and nothing is written.
 type response struct {
 	request    *Buffer
-	upstream   *Buffer // the host's answer; nil: the gateway answers by itself
+	upstream   *Buffer // the host's response; nil: the gateway generates the response
 	status     int
 	retryAfter float64 // seconds
-	last       bool    // the connection ends with it
+	last       bool    // the connection closes after it
 }
 
 func newClientConn(listener *ClientListener, tcp net.Conn, raw syscall.RawConn) *clientConn {
@@ -70,14 +71,15 @@
 	return c
 }
 
-// readLoop reads until the client ends its sending, or the connection breaks or has been drained. It goes on while an answer is
-// owed, so that a client that leaves with a further request behind the one in progress is seen to leave, and neither is sent on.
+// readLoop reads until the client stops sending, the connection breaks, or the drain limit is reached. It continues while a
+// response is pending, so that the departure of a client that has pipelined a further request is detected and neither request is
+// sent on.
 func (c *clientConn) readLoop() {
 	defer close(c.readEnded)
 	for {
 		var readErr error
 		err := c.raw.Read(func(fd uintptr) (done bool) {
-			done, readErr = c.readable(fd)
+			done, readErr = c.readAvailable(fd)
 			return done
 		})
 		if err != nil || readErr != nil {
@@ -86,12 +88,12 @@
 	}
 }
 
-// readable reads what stands in the system, in one step with what it means for the connection.
-func (c *clientConn) readable(fd uintptr) (done bool, err error) {
+// readAvailable reads the available bytes and updates the connection's state under the same lock.
+func (c *clientConn) readAvailable(fd uintptr) (done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state.acceptsInput() {
-		c.provideBuffer()
+		c.ensureBuffer()
 	}
 	if !c.state.acceptsInput() {
 		return c.drain(fd)
@@ -101,7 +103,7 @@
 	switch {
 	case n > 0:
 		c.lastReadAt = time.Now()
-		c.state.bytesCame(c.lastReadAt, wasEmpty)
+		c.state.bytesReceived(c.lastReadAt, wasEmpty)
 		c.advanceInput(n)
 	case wasEmpty:
 		c.listener.buffers.Put(c.input)
@@ -110,9 +112,9 @@
 	return !wouldBlock, err
 }
 
-// provideBuffer makes space for what comes next. Without space the input overflows: half of the large buffers are kept for
-// answers, against a crowd of large bodies.
-func (c *clientConn) provideBuffer() {
+// ensureBuffer makes space for the next bytes. Without space the input overflows. Input may use only half of the large buffers, so
+// that many large request bodies can't exhaust the buffers for responses.
+func (c *clientConn) ensureBuffer() {
 	buffers := c.listener.buffers
 	if c.input == nil {
 		c.input = buffers.Get(false)
@@ -127,7 +129,7 @@
 	}
 }
 
-// advanceInput takes in bytes that have been read into the space of the input.
+// advanceInput parses count bytes that were read into the free space of the input buffer.
 func (c *clientConn) advanceInput(count int) {
 	if c.state.hasRequest() {
 		c.input.AdvanceRest(count)
@@ -147,7 +149,7 @@
 	c.wakeServer()
 }
 
-// wakeServer has serve look for a request.
+// wakeServer signals serve to look for a request.
 func (c *clientConn) wakeServer() {
 	select {
 	case c.requestReady <- struct{}{}:
@@ -155,9 +157,9 @@
 	}
 }
 
-// drain reads and drops what is not taken any more: what comes after the sending side was shut, or behind more requests than
-// there are buffers for. A close over unread bytes would reset the connection and with it the answer before, and behind bytes
-// that are never read the client's leaving would not be seen.
+// drain reads and discards input that is no longer accepted: input after the write side was closed, or input beyond the available
+// buffers. Closing a connection with unread bytes would reset it, and the client could lose the previous response. If the bytes
+// were left unread, the departure of the client would not be detected.
 func (c *clientConn) drain(fd uintptr) (done bool, err error) {
 	scratch := c.listener.buffers.Get(false)
 	defer c.listener.buffers.Put(scratch)
@@ -169,14 +171,14 @@
 	return !wouldBlock, err
 }
 
-// serve answers one request after the other, until there is none to come or an answer was the last.
+// serve handles one request after another until no more come or a response closes the connection.
 func (c *clientConn) serve() {
 	for c.serveRequest() {
 	}
 	c.close()
 }
 
-// serveRequest waits for a request and answers it; false: it was the last, or none came.
+// serveRequest waits for a request and responds to it. It returns false if the response closes the connection or no request came.
 func (c *clientConn) serveRequest() (more bool) {
 	request, readAt, malformed := c.nextRequest()
 	if request == nil {
@@ -190,7 +192,8 @@
 	return !last
 }
 
-// respond finds the response to a request: at once, or from the event loop; false: the gateway has ended.
+// respond returns the response to a request, either at once or from the event loop. It returns false if the gateway's context has
+// ended.
 func (c *clientConn) respond(request *Buffer, readAt time.Time, malformed error) (resp response, ok bool) {
 	status, details := c.classify(request, malformed)
 	if status != 0 {
@@ -201,7 +204,7 @@
 	return c.awaitResponse()
 }
 
-// nextRequest waits for the next request, well formed or not, and takes it; nil: none comes any more. What stands behind a
+// nextRequest waits for the next request, valid or not, and takes it. It returns nil when no more requests come. A pipelined
 // request whose client has left is not taken.
 func (c *clientConn) nextRequest() (request *Buffer, readAt time.Time, malformed error) {
 	for {
@@ -222,7 +225,7 @@
 	}
 }
 
-// takeRequest takes the request that has come, and moves what came behind it into a buffer of its own; nil: none has come.
+// takeRequest takes the buffered request, and moves the bytes after it into a new buffer. It returns nil if there is no request.
 func (c *clientConn) takeRequest() (request *Buffer, readAt time.Time, malformed error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,8 +246,8 @@
 	return request, readAt, malformed
 }
 
-// awaitResponse waits for the response that is owed, and tells the event loop if the client leaves before it; false: the gateway
-// has ended.
+// awaitResponse waits for the pending response, and informs the event loop if the client leaves before it. It returns false if the
+// gateway's context has ended.
 func (c *clientConn) awaitResponse() (resp response, ok bool) {
 	readEnded := c.readEnded
 	for {
@@ -260,8 +263,8 @@
 	}
 }
 
-// writeResponse writes a response into the buffer of its request, sends it, and gives both buffers back; it says whether it was
-// the connection's last.
+// writeResponse encodes a response into the buffer of its request, sends it, and returns both buffers to the pool. It reports
+// whether the response closes the connection.
 func (c *clientConn) writeResponse(resp response) (last bool) {
 	last = c.decideLast(resp.last || resp.request.Close)
 	if out := appendResponse(resp, last); len(out) > 0 {
@@ -273,7 +276,7 @@
 	c.listener.buffers.Put(resp.request)
 	c.listener.buffers.Put(resp.upstream)
 	c.mu.Lock()
-	c.state.answerWritten(time.Now())
+	c.state.responseWritten(time.Now())
 	c.mu.Unlock()
 	return last
 }
@@ -297,12 +300,13 @@
 	return out
 }
 
-// decideLast says whether the answer about to be written is the connection's last: the caller asks for it, or the gateway shuts
-// down and nothing has come behind the request, or what has come behind it was dropped. From then on no request is taken.
+// decideLast reports whether the connection closes after the response that is about to be written. It does if the caller asks for
+// it, if the gateway is shutting down and either no further input was received or closeAfterResponse is set, or if input after the
+// request was discarded. In these cases no further request is accepted.
 func (c *clientConn) decideLast(last bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	shuttingDown := c.listener.shuttingDown.Load() && (c.state.input == inputEmpty || c.listener.everyAnswerLast.Load())
+	shuttingDown := c.listener.shuttingDown.Load() && (c.state.input == inputEmpty || c.listener.closeAfterResponse.Load())
 	dropped := c.state.overflowed && c.state.input != inputComplete
 	if last || shuttingDown || dropped {
 		c.state.finish()
@@ -310,8 +314,8 @@
 	return c.state.phase != phaseOpen
 }
 
-// halfClose tells the client that nothing more will come. What it still sends is read and dropped, for as long as linger says.
-// It is called under mu.
+// halfClose closes the write side of the connection. Further input is read and discarded for the time linger. It is called under
+// mu.
 func (c *clientConn) halfClose(linger time.Duration) {
 	if c.state.phase == phaseHalfClosed {
 		return
@@ -319,15 +323,15 @@
 	c.state.phase = phaseHalfClosed
 	c.listener.halfClosed.Add(1)
 	closeWrite(c.tcp)
-	deadline := expired
+	deadline := pastDeadline
 	if linger > 0 && c.listener.ctx.Err() == nil {
 		deadline = time.Now().Add(linger)
 	}
 	_ = c.tcp.SetReadDeadline(deadline)
 }
 
-// close ends the connection: the one place where that is done. The sending side is shut first, and what the client sent till it
-// saw that is read.
+// close closes the connection, and is the only place that does. It closes the write side first, and reads what the client sends
+// until it has seen that.
 func (c *clientConn) close() {
 	c.mu.Lock()
 	c.halfClose(lingerTimeout)
--- a/gateway/server/clientconn_test.go
+++ b/gateway/server/clientconn_test.go
@@ -11,7 +11,7 @@
 	"otterseam/gateway/http1"
 )
 
-// onlyConnection is the one connection of a client that there is.
+// onlyConnection returns the client connection, and waits until there is exactly one.
 func (w *testGateway) onlyConnection() *clientConn {
 	w.t.Helper()
 	var c *clientConn
@@ -22,11 +22,11 @@
 		}
 		c = nil
 	}
-	w.t.Fatal("there is not one connection")
+	w.t.Fatal("want exactly one client connection")
 	return c
 }
 
-// waitIdle waits until a connection has been answered on and is idle.
+// waitIdle waits until a connection is idle after a response.
 func (w *testGateway) waitIdle(c *clientConn) {
 	w.t.Helper()
 	w.wait(func() bool {
@@ -36,20 +36,21 @@
 	})
 }
 
-// hasUnread says that bytes stand in the system.
-func hasUnread(c *clientConn) bool { return !nothingUnread(c.tcp) }
+// hasUnread reports whether a connection has unread bytes.
+func hasUnread(c *clientConn) bool { return !receiveBufferEmpty(c.tcp) }
 
-// readToEnd reads to the end of a connection; a reset is none.
+// readToEnd reads until EOF. A reset fails the test.
 func readToEnd(t *testing.T, tcp net.Conn) (rest string) {
 	t.Helper()
 	b, err := io.ReadAll(tcp)
 	if err != nil {
-		t.Errorf("no clean end: %v", err)
+		t.Errorf("no clean EOF: %v", err)
 	}
 	return string(b)
 }
 
-// A client sent a second request behind the one in hand and left: nobody was reading, so both were sent on.
+// A client pipelines a second request and disconnects. The disconnect was not detected because nothing was reading, so both
+// requests were sent to hosts.
 func TestAClientThatPipelinesAndLeavesIsSeenToLeave(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
 	w := start(t, plentyOfQuota, h)
@@ -60,14 +61,14 @@
 	begun := time.Now()
 	<-h.Disconnects
 	if took := time.Since(begun); took > 300*time.Millisecond {
-		t.Errorf("its delivery went on for %v", took)
+		t.Errorf("its delivery continued for %v", took)
 	}
 	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
 	h.noRequest(t)
 }
 
-// The same with more behind it than is kept: what is whole of that is served in turn, the rest dropped, and the client,
-// which reads that the connection ends, knows it has to send the rest anew. Its leaving is seen all the same.
+// The same with more pipelined input than is kept. The complete requests in the kept input are served in order, the rest is
+// discarded. The client reads EOF and thereby knows that it must resend the rest. Its disconnect is still detected.
 func TestMoreBehindARequestThanIsKeptIsDropped(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -102,17 +103,17 @@
 			return !m.Close
 		})
 		if answers < 3 || answers >= n || !last {
-			t.Errorf("%d of %d answered, the last said so: %v", answers, n, last)
+			t.Errorf("%d of %d requests served, close announced: %v", answers, n, last)
 		}
 		if rest := readToEnd(t, tcp); rest != "" {
-			t.Errorf("after the last answer came %.40q", rest)
+			t.Errorf("received %.40q after the last response", rest)
 		}
 		for len(h.Requests) > 0 {
 			<-h.Requests
 			answers--
 		}
-		if answers != 1 { // the first was seen above
-			t.Errorf("the host got %d more than were answered", 1-answers)
+		if answers != 1 { // the first was read above
+			t.Errorf("the host received %d more requests than were served", 1-answers)
 		}
 	})
 	t.Run("leaves", func(t *testing.T) {
@@ -128,7 +129,7 @@
 	})
 }
 
-// A request that stands unread when its resting connection is to be closed is served.
+// A request that is unread when its idle connection is about to be closed is served.
 func TestARequestThatCameBeforeTheCloseIsServed(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	k := &connHook{}
@@ -139,9 +140,9 @@
 	}
 	c, late := w.onlyConnection(), make(chan bool)
 	w.waitIdle(c)
-	k.on("read", func() { // woken by the bytes, it has not read them
+	k.on("read", func() { // the reader was woken by the bytes but has not read them
 		if c.closeIdle(time.Now().Add(newConnGrace), lingerTimeout) {
-			t.Error("closed with a request unread")
+			t.Error("closed with an unread request")
 		}
 		close(late)
 	})
@@ -152,7 +153,7 @@
 	}
 }
 
-// One that comes after the last look is not taken: its client reads a clean end and may send it anew.
+// A request that arrives after the last check is not processed. Its client reads a clean EOF and may resend it.
 func TestARequestThatComesAfterTheCloseIsNotTaken(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	k := &connHook{}
@@ -164,24 +165,24 @@
 	h.nextRequest(t)
 	c := w.onlyConnection()
 	w.waitIdle(c)
-	k.on("shut", func() { // decided, not yet done
+	k.on("shut", func() { // decided but not yet done
 		sendText(tcp, invoke("pay", 900, "x"))
 		for !hasUnread(c) {
 		}
 	})
 	if !c.closeIdle(time.Now().Add(newConnGrace), lingerTimeout) {
-		t.Fatal("it is not closed")
+		t.Fatal("the connection was not closed")
 	}
 	if rest := readToEnd(t, tcp); rest != "" {
-		t.Fatalf("answered after the end: %q", rest)
+		t.Fatalf("response after the close: %q", rest)
 	}
 	tcp.Close()
 	w.wait(func() bool { return w.connections() == 0 && len(w.loop.invocations) == 0 })
 	h.noRequest(t)
 }
 
-// The last answer is lost with the reset that a close over unread bytes is: its client has sent more behind the request,
-// and comes to read only after the connection is closed.
+// Closing a connection with unread bytes resets it, and the last response can be lost. Here the client sends more input after the
+// request, and reads only after the connection is closed.
 func TestTheLastAnswerIsReadWhateverStandsBehindIt(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(strings.Repeat("x", 60<<10)) })
 	k := &connHook{}
@@ -213,7 +214,7 @@
 	h.noRequest(t)
 }
 
-// The client reads the end at once, before the time in which it may still send is over.
+// The client reads EOF at once, before the time in which it may still send is over.
 func TestTheEndIsToldBeforeTheConnectionIsClosed(t *testing.T) {
 	k := &connHook{}
 	w := gatewaySetup{counter: plentyOfQuota, listener: k.listener}.start(t)
@@ -222,7 +223,7 @@
 		select {
 		case <-read:
 		case <-time.After(2 * time.Second):
-			t.Error("closed, and no end was told")
+			t.Error("closed before the client could read EOF")
 		}
 	})
 	sendText(tcp, "nonsense\r\n\r\n")
@@ -233,7 +234,7 @@
 	close(read)
 }
 
-// A request comes byte by byte, one that never comes to its end too.
+// Requests that arrive in pieces are served, wherever they are cut.
 func TestRequestsInPiecesAreServed(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
 	w := start(t, plentyOfQuota, h)
@@ -253,7 +254,7 @@
 		sendText(tcp, whole[:at])
 		sendText(tcp, whole[at:])
 		if status, body := exchange(tcp, ""); status != 200 || body != "abcd" {
-			t.Fatalf("cut at %d: %d %q", at, status, body)
+			t.Fatalf("cut at %d: status %d %q", at, status, body)
 		}
 		<-h.Requests
 	}
@@ -280,12 +281,12 @@
 	begun := time.Now()
 	readToEnd(t, tcp)
 	if took := time.Since(begun); took > w.clients.requestTimeout+4*reapInterval {
-		t.Fatalf("it took %v", took)
+		t.Fatalf("closed after %v", took)
 	}
 	h.noRequest(t)
 }
 
-// A flood of requests that can't be read, of those that are turned away, and of bytes that nobody asked for.
+// Floods of invalid requests, health checks and valid requests, sent without waiting for responses, end at the limits.
 func TestAFloodEndsAtItsBound(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	for _, text := range []string{"nonsense\r\n\r\n", "GET /_health HTTP/1.1\r\n\r\n", invoke("look", 900, "")} {
@@ -301,7 +302,7 @@
 		c := w.onlyConnection()
 		w.wait(func() bool { return w.connections() == 0 })
 		if c.drainedBytes > maxLingerBytes+http1.MaxMessageBytes {
-			t.Errorf("%d bytes were read for nothing", c.drainedBytes)
+			t.Errorf("%d bytes were read and discarded", c.drainedBytes)
 		}
 		tcp.Close()
 	}
@@ -339,8 +340,8 @@
 		}
 	}
 	h.noRequest(t)
-	if n := w.log.count("request refused"); n < 1 || n > 2*peerErrorsPerSecond { // some of them: a flood must not become one of lines
-		t.Errorf("%d lines say that a request was refused", n)
+	if n := w.log.count("request refused"); n < 1 || n > 2*protocolErrorLogsPerSecond { // only some of them, as a flood of requests must not flood the log
+		t.Errorf("%d log lines about refused requests", n)
 	}
 }
 
@@ -348,7 +349,7 @@
 	w := start(t, plentyOfQuota)
 	tcp := w.dial()
 	if status, _ := exchange(tcp, "POST /pay HTTP/1.1\r\nReq-"); status != 0 {
-		t.Fatalf("answered %d", status)
+		t.Fatalf("status %d", status)
 	}
 }
 
@@ -366,6 +367,6 @@
 		t.Fatalf("got %q", got)
 	}
 	if a, b := h.nextRequest(t), h.nextRequest(t); a != "POST /pay/1?x=2 a" || b != "POST /pay/1?x=2 b" {
-		t.Fatalf("the host got %q, %q", a, b)
+		t.Fatalf("the host received %q, %q", a, b)
 	}
 }
--- a/gateway/server/clientidle.go
+++ b/gateway/server/clientidle.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	defaultRequestTimeout = 2300 * time.Millisecond // a request begun must be whole after this, an answer written
-	firstRequestTimeout   = 2500 * time.Millisecond // the first one, since its connection was accepted
-	silentConnTimeout     = 2 * time.Second         // a connection on which nothing has come yet is closed after this
-	idleConnTimeout       = 2 * time.Second         // one between requests
-	newConnGrace          = 100 * time.Millisecond  // one that has said nothing is not closed to make room before this
-	reapInterval          = 200 * time.Millisecond  // how often connections are looked through
+	defaultRequestTimeout = 2300 * time.Millisecond // for receiving a complete request from its first byte, and for writing a response
+	firstRequestTimeout   = 2500 * time.Millisecond // for receiving the first request, counted from accept
+	firstByteTimeout      = 2 * time.Second         // for receiving the first byte on a new connection
+	idleConnTimeout       = 2 * time.Second         // between requests
+	newConnGrace          = 100 * time.Millisecond  // a new connection without input is not evicted before this
+	reapInterval          = 200 * time.Millisecond  // how often connections are checked for timeouts
 )
 
-// ReapIdle closes connections that have been idle for long, and those on which a request has begun and does not come to its
-// end: clients that ask once, or never, and stay would hold descriptors and memory for good. It returns at the gateway's end.
+// ReapIdle closes connections that have been idle for too long, and those whose request is not complete in time. Clients that send
+// one request or none and stay connected would otherwise hold file descriptors and memory indefinitely. It returns when the
+// gateway's context ends.
 func (l *ClientListener) ReapIdle() error {
 	ticker := time.NewTicker(reapInterval)
 	defer ticker.Stop()
@@ -28,49 +29,48 @@
 	}
 }
 
-// makeRoom closes the connection that has said nothing for longest since it was accepted, else the one that has been idle
-// longest between requests; false: there is none, or it was not idle any more. Silent connections go first, as by the hundred
-// they would take the places of clients that do ask.
-func (l *ClientListener) makeRoom() bool {
+// evictIdle closes an idle connection: among those without any input the oldest, otherwise the one that has been idle longest
+// between requests. It returns false if there is none or the chosen one is no longer idle. Connections without input are closed
+// first, because hundreds of them could displace clients that do send requests.
+func (l *ClientListener) evictIdle() bool {
 	var victim *clientConn
 	var victimSince time.Time
-	victimSilent, now := false, time.Now()
+	victimUnused, now := false, time.Now()
 	l.mu.Lock()
 	for conn := range l.conns {
 		conn.mu.Lock()
 		state := &conn.state
-		silent := state.use == useNone
-		better := victim == nil || silent && !victimSilent || silent == victimSilent && state.waitingSince.Before(victimSince)
+		unused := state.use == useNone
+		better := victim == nil || unused && !victimUnused || unused == victimUnused && state.waitingSince.Before(victimSince)
 		if better && state.isIdle(now) {
-			victim, victimSince, victimSilent = conn, state.waitingSince, silent
+			victim, victimSince, victimUnused = conn, state.waitingSince, unused
 		}
 		conn.mu.Unlock()
 	}
 	l.mu.Unlock()
-	return victim != nil && victim.closeIdle(now, 0) // room is wanted now, so without lingering
+	return victim != nil && victim.closeIdle(now, 0) // without lingering, as the slot is needed at once
 }
 
-// closeIdle shuts the sending side of an idle connection, unless something stands unread on it: a request that has come by now
-// is served, one that comes later is not taken, and its client knows by the end that it may send it anew.
+// closeIdle closes the write side of an idle connection, unless it has unread input. A request that has arrived by now is served. A
+// request that arrives later is not processed, and its client can tell from the EOF that resending is safe.
 func (c *clientConn) closeIdle(now time.Time, linger time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.state.isIdle(now) || !nothingUnread(c.tcp) {
+	if !c.state.isIdle(now) || !receiveBufferEmpty(c.tcp) {
 		return false
 	}
 	c.halfClose(linger)
 	return true
 }
 
-// closeOverdue shuts the sending side of a connection that has been idle for too long, or whose request does not come to its
-// end.
+// closeOverdue closes the write side of a connection that has been idle for too long, or whose request is not complete in time.
 func (c *clientConn) closeOverdue(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.state.overdue(now, c.listener.requestTimeout) {
 		return
 	}
-	if c.state.input != inputEmpty || nothingUnread(c.tcp) {
+	if c.state.input != inputEmpty || receiveBufferEmpty(c.tcp) {
 		c.halfClose(lingerTimeout)
 	}
 }
--- a/gateway/server/clientidle_test.go
+++ b/gateway/server/clientidle_test.go
@@ -14,7 +14,7 @@
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	for i := range 3 * w.clients.maxConns {
 		if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
-			t.Fatalf("connection %d: %d", i, status)
+			t.Fatalf("connection %d: status %d", i, status)
 		}
 	}
 	if n := w.connections(); n > w.clients.maxConns {
@@ -22,7 +22,7 @@
 	}
 }
 
-// At the limit with every other connection busy, the one just taken was closed with its first request on the way.
+// A new connection must not be evicted at the limit while its first request is in transit, even if all others are busy.
 func TestNewConnectionIsNotClosedToMakeRoom(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -40,17 +40,17 @@
 	w.wait(func() bool { return len(w.loop.invocations) == len(all) })
 	late := w.dial()
 	w.wait(func() bool { return w.connections() == w.clients.maxConns })
-	time.Sleep(20 * time.Millisecond) // as long as the first request may be on its way
+	time.Sleep(20 * time.Millisecond) // the time that the first request may spend in transit
 	sendText(late, invoke("pay", 900, "x"))
 	close(release)
 	for _, tcp := range append(all, late) {
 		if status, _ := exchange(tcp, ""); status == 0 {
-			t.Fatal("a connection was ended without an answer")
+			t.Fatal("a connection was closed without a response")
 		}
 	}
 }
 
-// exhaustedListener is a listener that has no descriptor left for its first calls.
+// exhaustedListener is a listener whose first calls to Accept fail for lack of file descriptors.
 type exhaustedListener struct {
 	net.Listener
 	fails int
@@ -76,12 +76,12 @@
 	cs.listener = &exhaustedListener{cs.listener, 2}
 	go func() { _ = cs.Accept() }()
 	t.Cleanup(cs.Close)
-	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 || !w.log.has("accept pauses") {
+	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 || !w.log.has("accept failed; retrying") {
 		t.Fatalf("got %d", status)
 	}
 }
 
-// Connections at rest held a large room each, and stayed for good.
+// Idle connections must not keep a large buffer each, and must time out. They did neither.
 func TestIdleConnectionsHoldLittleAndEnd(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
 	w := start(t, plentyOfQuota, h)
@@ -96,16 +96,17 @@
 	w.clients.mu.Lock()
 	for c := range w.clients.conns {
 		c.mu.Lock()
-		c.state.waitingSince = time.Now().Add(-idleConnTimeout) // as if it had rested for so long
+		c.state.waitingSince = time.Now().Add(-idleConnTimeout) // as if it had been idle this long
 		c.mu.Unlock()
 	}
 	w.clients.mu.Unlock()
 	if !closed(tcp) || !closed(silent) {
-		t.Fatal("they stay")
+		t.Fatal("the idle connections were not closed")
 	}
 }
 
-// At the limit the connections of usual clients were closed for silent ones that had come later.
+// At the limit, connections without input must be closed first. Active clients were evicted in favor of unused connections that had
+// been opened later.
 func TestSilentConnectionsMakeRoomFirst(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	usual, silent := w.dial(), w.dial()
@@ -114,16 +115,16 @@
 	}
 	w.wait(func() bool { return w.connections() == 2 })
 	time.Sleep(newConnGrace + 20*time.Millisecond)
-	if !w.clients.makeRoom() || !closed(silent) {
-		t.Fatal("the silent one stays")
+	if !w.clients.evictIdle() || !closed(silent) {
+		t.Fatal("the unused connection was not closed")
 	}
 	if status, _ := exchange(usual, invoke("look", 900, "")); status != 200 {
-		t.Fatalf("the usual one: %d", status)
+		t.Fatalf("the active connection: status %d", status)
 	}
 }
 
-// Clients that asked once and stayed held all the connections that clients may have: usual ones had none for their next
-// request, long before this side's own limit.
+// Clients that sent one request and stayed connected used up the connections that clients may have, before the gateway reached its
+// own limit. Other clients then had none for their next request. Idle connections are therefore evicted above half the limit.
 func TestFewConnectionsAreLeftIdle(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	for range w.clients.maxConns - 5 {
--- a/gateway/server/clientlistener.go
+++ b/gateway/server/clientlistener.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	acceptRetryPause = 20 * time.Millisecond // after an accept that failed
-	fullPollInterval = 5 * time.Millisecond  // how often a full listener looks whether a connection has gone
+	acceptRetryPause = 20 * time.Millisecond // after a failed accept
+	fullPollInterval = 5 * time.Millisecond  // how often a listener at its limit checks whether a connection has closed
 )
 
-// OperationLimit says whether the settings know what a request says of its invocation, and the most seconds for which one of
-// its operation is waited for; 0: no limit of their own.
+// OperationLimit reports whether a request's operation, method, plan, units and gateway set are valid under the settings. limit is
+// the longest time, in seconds, for which an invocation of the operation is waited for; 0: the settings set no limit.
 type OperationLimit func(operation, method, plan string, units float64, gatewayCount, firstGateway int) (limit float64, ok bool)
 
-// ClientOptions are what a ClientListener is made from.
+// ClientOptions configure a ClientListener.
 type ClientOptions struct {
-	Address        string         // where it listens, "host:port"
-	OperationLimit OperationLimit // what the settings know of operations
-	MaxConns       int            // connections open at once
-	Ready          func() bool    // whether the gateway may be sent work, for the health check
+	Address        string         // listen address, "host:port"
+	OperationLimit OperationLimit // validates requests against the settings
+	MaxConns       int            // maximum number of open connections
+	Ready          func() bool    // reports whether the gateway may receive traffic, for the health check
 }
 
-// ClientListener accepts the connections of clients and owns them until they are closed.
+// ClientListener accepts client connections and owns them until they are closed.
 type ClientListener struct {
 	ctx            context.Context
 	group          *errgroup.Group
@@ -47,16 +47,16 @@
 	maxConns       int
 	requestTimeout time.Duration
 
-	shuttingDown    atomic.Bool
-	everyAnswerLast atomic.Bool   // every answer is its connection's last, whatever has come behind its request
-	acceptDone      chan struct{} // closed when no connection is accepted any more
-	halfClosed      atomic.Int32  // of conns, those whose sending side is shut
+	shuttingDown       atomic.Bool
+	closeAfterResponse atomic.Bool   // every response closes its connection, even if further requests are buffered
+	acceptDone         chan struct{} // closed when Accept has returned
+	halfClosed         atomic.Int32  // number of conns whose write side is closed
 
-	mu    sync.Mutex // after it only a clientConn.mu is taken
+	mu    sync.Mutex // while it is held, only a clientConn.mu may be locked
 	conns map[*clientConn]bool
 }
 
-// NewClientListener opens the listener; Accept takes the connections.
+// NewClientListener opens the listener. Accept accepts the connections.
 func NewClientListener(ctx context.Context, group *errgroup.Group, loop *EventLoop, log zerolog.Logger, buffers *BufferPool,
 	options ClientOptions,
 ) (*ClientListener, error) {
@@ -89,8 +89,8 @@
 	}, nil
 }
 
-// Accept takes connections until the listener is closed. Out of descriptors, or at its limit, it makes room by closing the
-// connection that has been idle longest, and goes on.
+// Accept accepts connections until the listener is closed. When file descriptors run out, or at the connection limit, it evicts an idle
+// connection and continues.
 func (l *ClientListener) Accept() error {
 	defer close(l.acceptDone)
 	for {
@@ -99,14 +99,14 @@
 			return nil
 		}
 		if err != nil {
-			l.log.Warn().Err(err).Msg("accept pauses")
-			l.makeRoom()
+			l.log.Warn().Err(err).Msg("accept failed; retrying")
+			l.evictIdle()
 			time.Sleep(acceptRetryPause)
 			continue
 		}
 		open, halfClosed := l.serve(tcp)
-		if open-halfClosed > l.maxConns/2 { // before clients have no connection left for their next request
-			l.makeRoom()
+		if open-halfClosed > l.maxConns/2 { // early enough that clients still have a connection for their next request
+			l.evictIdle()
 		}
 		l.waitBelowLimit(open, halfClosed)
 	}
@@ -115,19 +115,19 @@
 // waitBelowLimit returns once another connection may be accepted.
 func (l *ClientListener) waitBelowLimit(open, halfClosed int) {
 	for open >= l.maxConns && l.ctx.Err() == nil {
-		roomOnItsWay := open-halfClosed < l.maxConns
-		if roomOnItsWay || !l.makeRoom() {
+		slotPending := open-halfClosed < l.maxConns
+		if slotPending || !l.evictIdle() {
 			time.Sleep(fullPollInterval)
 		}
 		open, halfClosed = l.counts()
 	}
 }
 
-// serve begins to serve a connection. It says how many are open, and how many of them have their sending side shut.
+// serve starts to serve a connection. It returns the number of open connections, and how many of them have their write side closed.
 func (l *ClientListener) serve(tcp net.Conn) (open, halfClosed int) {
 	raw, err := rawConnOf(tcp)
 	if err != nil {
-		l.log.Error().Err(err).Msg("connection not served")
+		l.log.Error().Err(err).Msg("cannot serve client connection")
 		tcp.Close()
 		return l.counts()
 	}
@@ -158,7 +158,7 @@
 	return slices.Collect(maps.Keys(l.conns))
 }
 
-// remove forgets a connection that is closed.
+// remove deletes a closed connection from the set.
 func (l *ClientListener) remove(conn *clientConn) {
 	l.mu.Lock()
 	delete(l.conns, conn)
@@ -166,7 +166,7 @@
 	l.halfClosed.Add(-1)
 }
 
-// Close ends the listener and every connection.
+// Close closes the listener and interrupts every connection.
 func (l *ClientListener) Close() {
 	l.listener.Close()
 	for _, conn := range l.connections() {
--- a/gateway/server/clientrequest.go
+++ b/gateway/server/clientrequest.go
@@ -6,7 +6,7 @@
 	"otterseam/gateway/http1"
 )
 
-// classify says what a request asks for: the details of an invocation, or a status to answer at once.
+// classify validates a request. It returns the details of an invocation, or a status with which to respond at once.
 func (c *clientConn) classify(request *Buffer, malformed error) (status int, details http1.Invocation) {
 	if malformed != nil {
 		status = malformedStatus(malformed)
@@ -18,13 +18,14 @@
 	}
 	details, ok := http1.ParseInvocation(&request.Message)
 	if !ok || string(request.Method) == "GET" && len(request.Body) > 0 {
-		c.logRejected(400, "a field is missing, malformed or given twice, or a body where none may be")
+		c.logRejected(400, "missing, malformed or duplicate field, or a body that is not allowed")
 		return 400, details
 	}
-	// What the settings do not know is malformed too: counted or sent, it would be load on one customer's name.
+	// Values that are not in the settings count as malformed: if they were counted or sent on, they would become
+	// load of one customer.
 	limit, ok := c.listener.operationLimit(details.Operation, string(request.Method), details.Plan, details.Units, details.GatewayCount, details.FirstGateway)
 	if !ok {
-		c.logRejected(400, "an operation, method, plan, units or set that the settings do not know")
+		c.logRejected(400, "operation, method, plan, units or gateway set not allowed by the settings")
 		return 400, details
 	}
 	if limit > 0 {
@@ -53,5 +54,5 @@
 }
 
 func (c *clientConn) logRejected(status int, reason string) {
-	c.listener.loop.peerErrors.Warn().Stringer("client", c.tcp.RemoteAddr()).Int("status", status).Str("why", reason).Msg("request refused")
+	c.listener.loop.protocolErrorLog.Warn().Stringer("client", c.tcp.RemoteAddr()).Int("status", status).Str("why", reason).Msg("request refused")
 }
--- a/gateway/server/clientshutdown.go
+++ b/gateway/server/clientshutdown.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	lateAcceptPeriod     = 400 * time.Millisecond // after the call to end, new connections still come for this long
+	lateAcceptPeriod     = 400 * time.Millisecond // how long new connections may still arrive after shutdown begins
 	shutdownPollInterval = 20 * time.Millisecond
-	quietPollsToClose    = 3 // looks in a row without a connection, after which the listener closes
+	quietPollsToClose    = 3 // consecutive polls without an open connection after which the listener closes
 )
 
-// Shutdown answers all that has been taken and closes every connection between requests. New connections are still accepted for
-// a while, as the front sends them, each for one request. The listener closes once none has come for some time; what it had
-// accepted till then is served like the rest. After the limit it returns whatever is left.
+// Shutdown completes the requests in progress and closes each connection once it is idle. For a while it still accepts new
+// connections, as the front end still routes clients to this gateway, and serves one request on each. The listener closes after
+// several polls in a row without an open connection. Connections accepted before that are served like the rest. When limit is over,
+// Shutdown returns even if connections are left.
 func (l *ClientListener) Shutdown(limit time.Duration) {
 	l.shuttingDown.Store(true)
 	if mutation.SIGTERMCutsClients {
-		l.cutAll()
+		l.closeImmediately()
 		return
 	}
-	if !l.pause(lateAcceptPeriod) {
+	if !l.sleep(lateAcceptPeriod) {
 		return
 	}
 	begun := time.Now()
 	quietPolls := 0
 	for time.Since(begun) < limit {
-		if time.Since(begun) > limit/4 { // those who ask again and again behind an answer would never end
-			l.everyAnswerLast.Store(true)
+		if time.Since(begun) > limit/4 { // clients that keep pipelining requests would otherwise prolong it indefinitely
+			l.closeAfterResponse.Store(true)
 		}
 		quietPolls++
 		if l.closeAllIdle() > 0 {
@@ -41,14 +42,14 @@
 				return
 			}
 		}
-		if !l.pause(shutdownPollInterval) {
+		if !l.sleep(shutdownPollInterval) {
 			return
 		}
 	}
 	l.listener.Close()
 }
 
-// closeAllIdle closes each idle connection, and says how many there were in all.
+// closeAllIdle closes the idle connections, and returns the number of all connections that were open.
 func (l *ClientListener) closeAllIdle() (open int) {
 	connections := l.connections()
 	for _, conn := range connections {
@@ -57,8 +58,8 @@
 	return len(connections)
 }
 
-// pause waits; false: the gateway has ended meanwhile.
-func (l *ClientListener) pause(d time.Duration) bool {
+// sleep waits for d. It returns false if the gateway's context ended meanwhile.
+func (l *ClientListener) sleep(d time.Duration) bool {
 	select {
 	case <-l.ctx.Done():
 		return false
@@ -67,8 +68,8 @@
 	}
 }
 
-// cutAll is the defect of mutation.SIGTERMCutsClients.
-func (l *ClientListener) cutAll() {
+// closeImmediately implements the defect mutation.SIGTERMCutsClients.
+func (l *ClientListener) closeImmediately() {
 	l.Close()
 	for _, conn := range l.connections() {
 		conn.tcp.Close()
--- a/gateway/server/clientshutdown_test.go
+++ b/gateway/server/clientshutdown_test.go
@@ -9,7 +9,8 @@
 	"otterseam/gateway/http1"
 )
 
-// The call to end finds a request in hand and a further one behind it: both are answered, the last one says so.
+// Shutdown begins while one request is in progress and another is pipelined behind it. Both receive a response, and only the last
+// one announces the close.
 func TestWhatHasComeByTheCallToEndIsServed(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -38,12 +39,12 @@
 	<-done
 }
 
-// A client that always has a further request on its way does not hold up the end.
+// A client that always has another request pipelined does not delay the shutdown.
 func TestAClientThatNeverStopsAskingDoesNotHoldUpTheEnd(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
-	for range 30 { // always more than the api gateway has answered
+	for range 30 { // always more than the gateway has responded to
 		sendText(tcp, invoke("look", 900, ""))
 	}
 	begun, done := time.Now(), make(chan bool)
@@ -53,12 +54,12 @@
 		return !m.Close
 	})
 	if took := time.Since(begun); took > lateAcceptPeriod+1500*time.Millisecond {
-		t.Errorf("the last answer came after %v", took)
+		t.Errorf("the last response arrived after %v", took)
 	}
 	<-done
 }
 
-// A connection that the system has given, but the program does not know of yet, as the listener is closed.
+// A connection that the kernel accepted, but that Accept has not returned when the listener is closed, is still served.
 func TestAConnectionAcceptedAsTheListenerClosesIsServed(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -79,7 +80,7 @@
 	h.nextRequest(t)
 	select {
 	case <-done:
-		t.Error("the end has come with an answer owed")
+		t.Error("shutdown returned with a response pending")
 	default:
 	}
 	close(release)
@@ -90,7 +91,7 @@
 	<-done
 }
 
-// One that has been accepted and has said nothing yet when the end is called for.
+// A connection that was accepted but has not sent its request when the shutdown begins is still served.
 func TestAConnectionJustAcceptedMaySpeakAfterTheCallToEnd(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	w := start(t, plentyOfQuota, h)
@@ -106,7 +107,8 @@
 	<-done
 }
 
-// The end: what is in hand is answered, connections between requests are closed, new ones still get one answer.
+// On shutdown, requests in progress receive their response, idle connections are closed, and a new connection still gets one
+// response.
 func TestNothingTakenIsLostAtTheEnd(t *testing.T) {
 	go1 := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -123,15 +125,15 @@
 	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
 	w.wait(func() bool { return w.clients.shuttingDown.Load() })
 	if !closed(idle) {
-		t.Fatal("an idle connection stays")
+		t.Fatal("the idle connection was not closed")
 	}
 	late := w.dial()
 	close(go1)
 	if status, _ := exchange(late, invoke("pay", 900, "y")); status != 200 || !closed(late) {
-		t.Fatalf("a late one: %d", status)
+		t.Fatalf("the late connection: status %d", status)
 	}
 	if status, _ := exchange(busy, ""); status != 200 || !closed(busy) {
-		t.Fatalf("the one in hand: %d", status)
+		t.Fatalf("the request in progress: status %d", status)
 	}
 	<-done
 }
--- a/gateway/server/clientstate.go
+++ b/gateway/server/clientstate.go
@@ -2,101 +2,101 @@
 
 import "time"
 
-// connPhase is how far the end of a client connection has come. It only goes forward.
+// connPhase is the phase of a client connection's lifetime. It only advances.
 type connPhase uint8
 
 const (
-	phaseOpen       connPhase = iota // requests are taken
-	phaseFinishing                   // no further request is taken; an answer may still be owed, or be on its way out
-	phaseHalfClosed                  // the sending side is shut, what the client still sends is read and dropped
+	phaseOpen       connPhase = iota // requests are accepted
+	phaseFinishing                   // no further request is accepted; a response may be pending or being written
+	phaseHalfClosed                  // the write side is closed; further input is read and discarded
 )
 
-// inputState is what has come on a client connection and was not taken yet.
+// inputState describes the input that was received on a client connection and not yet taken.
 type inputState uint8
 
 const (
 	inputEmpty     inputState = iota // nothing
-	inputPartial                     // the beginning of a request
-	inputComplete                    // a whole request, perhaps with more behind it
-	inputMalformed                   // what can't be a request
+	inputPartial                     // part of a request
+	inputComplete                    // a complete request, possibly followed by more input
+	inputMalformed                   // not a valid request
 )
 
-// connUse is what a client has used its connection for so far.
+// connUse is how a client has used its connection so far.
 type connUse uint8
 
 const (
-	useNone         connUse = iota // no byte has come
-	useFirstRequest                // bytes have come, no request has been taken
-	useRequests                    // a request has been taken
+	useNone         connUse = iota // no byte was received
+	useFirstRequest                // bytes were received, but no complete request yet
+	useRequests                    // at least one request was taken
 )
 
-// clientState is the state machine of a client connection, without its buffers and its socket: what may be done with the
-// connection, and when it has waited for too long. It is guarded by clientConn.mu.
+// clientState is the state machine of a client connection, without its buffers and socket. It determines which operations are
+// allowed on the connection and when it has timed out. It is guarded by clientConn.mu.
 type clientState struct {
-	phase      connPhase
-	input      inputState
-	use        connUse
-	answerOwed bool // a request is taken and its answer is not written yet
-	overflowed bool // more came than there are buffers for: complete requests are served, what came behind them is dropped
+	phase           connPhase
+	input           inputState
+	use             connUse
+	responsePending bool // a request was taken and its response is not yet written
+	overflowed      bool // more input than the buffers can hold: complete requests are served, the input after them is discarded
 
 	acceptedAt   time.Time
-	waitingSince time.Time // when it came to rest, or the bytes of a request began to come: what its time-outs count from
+	waitingSince time.Time // when it became idle, or when the current request's first bytes were received; timeouts count from here
 }
 
 func newClientState(now time.Time) clientState {
 	return clientState{acceptedAt: now, waitingSince: now}
 }
 
-// acceptsInput says whether what comes is kept; else it is read and dropped.
+// acceptsInput reports whether received bytes are kept. Otherwise they are read and discarded.
 func (s *clientState) acceptsInput() bool { return s.phase == phaseOpen && !s.overflowed }
 
-// hasRequest says whether what has come begins with a request to be answered, well formed or not.
+// hasRequest reports whether the input begins with a request that needs a response, valid or not.
 func (s *clientState) hasRequest() bool { return s.input >= inputComplete }
 
-// bytesCame notes that bytes were read; first: nothing stood before them.
-func (s *clientState) bytesCame(now time.Time, first bool) {
+// bytesReceived records that bytes were read. first reports whether the input was empty before.
+func (s *clientState) bytesReceived(now time.Time, first bool) {
 	if s.use == useNone {
 		s.use = useFirstRequest
 	}
-	if first && !s.answerOwed {
+	if first && !s.responsePending {
 		s.waitingSince = now
 	}
 }
 
-// requestTaken notes that the request that had come is being answered.
+// requestTaken records that the buffered request is being processed.
 func (s *clientState) requestTaken() {
 	s.input = inputEmpty
 	s.use = useRequests
-	s.answerOwed = true
+	s.responsePending = true
 }
 
-// answerWritten notes that no answer is owed any more.
-func (s *clientState) answerWritten(now time.Time) {
-	s.answerOwed = false
+// responseWritten records that no response is pending any more.
+func (s *clientState) responseWritten(now time.Time) {
+	s.responsePending = false
 	s.waitingSince = now
 }
 
-// finish lets no further request be taken.
+// finish stops the connection from accepting further requests.
 func (s *clientState) finish() { s.phase = max(s.phase, phaseFinishing) }
 
-// isIdle says whether the connection may be closed between requests. One that was just accepted may not: its first request may
-// be on its way.
+// isIdle reports whether the connection is between requests and may be closed. A connection that was just accepted is not idle,
+// because its first request may be in transit.
 func (s *clientState) isIdle(now time.Time) bool {
-	if s.phase != phaseOpen || s.answerOwed || s.input != inputEmpty {
+	if s.phase != phaseOpen || s.responsePending || s.input != inputEmpty {
 		return false
 	}
 	return s.use != useNone || now.Sub(s.acceptedAt) >= newConnGrace
 }
 
-// overdue says whether the connection has been idle for too long, or its request does not come to its end in time.
+// overdue reports whether the connection has been idle for too long, or its request is not complete in time.
 func (s *clientState) overdue(now time.Time, requestTimeout time.Duration) bool {
-	if s.phase != phaseOpen || s.answerOwed || s.hasRequest() {
+	if s.phase != phaseOpen || s.responsePending || s.hasRequest() {
 		return false
 	}
 	return now.Sub(s.waitingSince) > s.timeout(now, requestTimeout)
 }
 
-// timeout is for how long the connection may wait in its present state.
+// timeout returns how long the connection may wait in its current state.
 func (s *clientState) timeout(now time.Time, requestTimeout time.Duration) time.Duration {
 	switch {
 	case s.input == inputPartial && s.use == useFirstRequest && now.Sub(s.acceptedAt) > firstRequestTimeout:
@@ -104,7 +104,7 @@
 	case s.input == inputPartial:
 		return requestTimeout
 	case s.use == useNone:
-		return silentConnTimeout
+		return firstByteTimeout
 	}
 	return idleConnTimeout
 }
--- a/gateway/server/clientstate_test.go
+++ b/gateway/server/clientstate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A client connection's state decides alone when the connection is idle and when it has waited for too long.
+// The state of a client connection alone determines whether the connection is idle and whether it has timed out.
 func TestClientStateTellsIdleAndOverdueConnections(t *testing.T) {
 	const requestTimeout = time.Second
 	start := time.Unix(1000, 0)
@@ -20,38 +20,38 @@
 		"just accepted": {func(*clientState) {}, after(newConnGrace - 1), false, false},
 		"silent":        {func(*clientState) {}, after(newConnGrace), true, false},
 		"silent for long": {
-			func(*clientState) {}, after(silentConnTimeout + 1), true, true,
+			func(*clientState) {}, after(firstByteTimeout + 1), true, true,
 		},
 		"request begun": {
-			func(s *clientState) { s.bytesCame(after(0), true); s.input = inputPartial }, after(requestTimeout), false, false,
+			func(s *clientState) { s.bytesReceived(after(0), true); s.input = inputPartial }, after(requestTimeout), false, false,
 		},
 		"request begun long ago": {
-			func(s *clientState) { s.bytesCame(after(0), true); s.input = inputPartial }, after(requestTimeout + 1), false, true,
+			func(s *clientState) { s.bytesReceived(after(0), true); s.input = inputPartial }, after(requestTimeout + 1), false, true,
 		},
 		"first request begun late": {
-			func(s *clientState) { s.bytesCame(after(firstRequestTimeout), true); s.input = inputPartial },
+			func(s *clientState) { s.bytesReceived(after(firstRequestTimeout), true); s.input = inputPartial },
 			after(firstRequestTimeout + 1), false, true,
 		},
 		"later request begun late": {
 			func(s *clientState) {
 				s.requestTaken()
-				s.answerWritten(after(firstRequestTimeout))
-				s.bytesCame(after(firstRequestTimeout), true)
+				s.responseWritten(after(firstRequestTimeout))
+				s.bytesReceived(after(firstRequestTimeout), true)
 				s.input = inputPartial
 			}, after(firstRequestTimeout + 1), false, false,
 		},
 		"request complete": {
-			func(s *clientState) { s.bytesCame(after(0), true); s.input = inputComplete }, after(late), false, false,
+			func(s *clientState) { s.bytesReceived(after(0), true); s.input = inputComplete }, after(late), false, false,
 		},
 		"request malformed": {
-			func(s *clientState) { s.bytesCame(after(0), true); s.input = inputMalformed }, after(late), false, false,
+			func(s *clientState) { s.bytesReceived(after(0), true); s.input = inputMalformed }, after(late), false, false,
 		},
 		"answer owed": {func(s *clientState) { s.requestTaken() }, after(late), false, false},
 		"between requests": {
-			func(s *clientState) { s.requestTaken(); s.answerWritten(after(time.Second)) }, after(time.Second + idleConnTimeout), true, false,
+			func(s *clientState) { s.requestTaken(); s.responseWritten(after(time.Second)) }, after(time.Second + idleConnTimeout), true, false,
 		},
 		"between requests for long": {
-			func(s *clientState) { s.requestTaken(); s.answerWritten(after(time.Second)) }, after(time.Second + idleConnTimeout + 1), true, true,
+			func(s *clientState) { s.requestTaken(); s.responseWritten(after(time.Second)) }, after(time.Second + idleConnTimeout + 1), true, true,
 		},
 		"finishing":   {func(s *clientState) { s.finish() }, after(late), false, false},
 		"half closed": {func(s *clientState) { s.phase = phaseHalfClosed }, after(late), false, false},
@@ -66,7 +66,7 @@
 	}
 }
 
-// The phase of a connection only goes forward.
+// The phase of a connection never goes back.
 func TestClientStateDoesNotReopen(t *testing.T) {
 	s := newClientState(time.Now())
 	s.phase = phaseHalfClosed
@@ -76,11 +76,11 @@
 	}
 	s.overflowed = true
 	if s.acceptsInput() {
-		t.Error("input is accepted after the end")
+		t.Error("input is accepted after the half-close")
 	}
 }
 
-// A connection whose input overflowed takes no more, but what was complete before is still a request.
+// A connection whose input overflowed accepts no more input, but a request that was complete before is still served.
 func TestClientStateKeepsCompleteRequestsOfAnOverflow(t *testing.T) {
 	s := newClientState(time.Now())
 	s.input = inputComplete
--- a/gateway/server/conn.go
+++ b/gateway/server/conn.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// expired is a deadline in the past: it ends whatever waits on a connection.
-var expired = time.Unix(1, 0)
+// pastDeadline is a deadline in the past. Set on a connection, it makes all pending reads and writes return.
+var pastDeadline = time.Unix(1, 0)
 
-var errNoDescriptor = errors.New("the connection has no descriptor")
+var errNoDescriptor = errors.New("connection has no file descriptor")
 
-// The errors that setting a deadline and shutting a side give are dropped throughout: they tell that the connection has ended,
-// which its reader finds as well.
+// Errors from setting a deadline or closing the write side are ignored in this package: they mean that the connection has ended,
+// which its reader detects as well.
 
-// interrupt has every read and write on a connection return at once. Its reader then closes it.
-func interrupt(conn net.Conn) { _ = conn.SetDeadline(expired) }
+// interrupt makes all reads and writes on a connection return at once. Its reader then closes it.
+func interrupt(conn net.Conn) { _ = conn.SetDeadline(pastDeadline) }
 
 func setReadTimeout(conn net.Conn, timeout time.Duration) {
 	_ = conn.SetReadDeadline(time.Now().Add(timeout))
@@ -27,25 +27,25 @@
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// closeWrite shuts the sending side of a connection, so that the other side reads its end.
+// closeWrite closes the write side of a connection, so that the remote end reads EOF.
 func closeWrite(conn net.Conn) {
 	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
 	}
 }
 
-// rawConnOf gives access to a connection's descriptor.
+// rawConnOf returns access to a connection's file descriptor.
 func rawConnOf(conn net.Conn) (syscall.RawConn, error) {
-	withDescriptor, ok := conn.(syscall.Conn)
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, errNoDescriptor
 	}
-	return withDescriptor.SyscallConn()
+	return syscallConn.SyscallConn()
 }
 
-// readOnce reads once from a descriptor that does not block; wouldBlock: nothing is there yet. It is called within RawConn.Read
-// and under the lock of the connection's state, so that no bytes have left the system that the state does not know of while the
-// connection is being shut or the next request is being written on it.
+// readOnce reads once from a non-blocking file descriptor. wouldBlock reports that no data is available yet. It is called within
+// RawConn.Read and under the lock of the connection's state. The state therefore accounts for all bytes that have left the kernel's
+// receive buffer while the connection is being closed or the next request is being written.
 func readOnce(fd uintptr, buffer []byte) (n int, wouldBlock bool, err error) {
 	for {
 		n, err = syscall.Read(int(fd), buffer)
@@ -63,8 +63,8 @@
 	}
 }
 
-// nothingUnread says that nothing stands unread on a connection, neither bytes nor its end.
-func nothingUnread(conn net.Conn) bool {
+// receiveBufferEmpty reports whether a connection has neither unread bytes nor an unread EOF or error.
+func receiveBufferEmpty(conn net.Conn) bool {
 	raw, err := rawConnOf(conn)
 	if err != nil {
 		return false
--- a/gateway/server/countercall.go
+++ b/gateway/server/countercall.go
@@ -7,30 +7,30 @@
 	"otterseam/gateway/policy"
 )
 
-// counterCall is one addition to a count, from the time it is made until no list holds it. It belongs to the event loop, but for
-// what counterConn says.
+// counterCall is one addition to a count, from when it is made until no list holds it. It belongs to the event loop, except for
+// what counterConn documents.
 type counterCall struct {
-	client   *CounterClient
-	onAnswer func() // answered, made once
+	client *CounterClient
+	onEnd  func() // ended, created once per counterCall
 
 	name       uint64
 	amount     float64
 	madeAt     float64 // clock time
-	reported   bool    // the policy knows how it ended
-	references int     // lists that hold it; it is used again when there are none
-
-	// Of a call that the quota store was told of:
-	storeRequest uint64  // the number of the request; 0: the store could not be told
-	slotsHeld    float64 // what of the amount stands for concurrency slots
-
-	// Of a call on a connection, set under counterConn.mu or by its reader before onAnswer is posted:
-	endOffset int64 // where it ends in what is written to its connection
-	unusable  bool  // its answer made no sense: the amount was added, but the total is not known
-	outcome   policy.Outcome
-	total     float64
+	reported   bool    // the outcome was reported to the policy
+	references int     // number of lists that hold it; it is reused when there are none
+
+	// For a call that is reported to the quota store:
+	storeRequest uint64  // ID of the request; 0: it could not be sent
+	slotsHeld    float64 // part of the amount that stands for concurrency slots
+
+	// For a call on a connection. Set under counterConn.mu, or by the connection's reader before onEnd is posted:
+	endOffset    int64 // offset of its end in the bytes written to the connection
+	replyInvalid bool  // the reply was invalid: the amount was added, but the total is not known
+	outcome      policy.Outcome
+	total        float64
 }
 
-// add makes a call. One that finds no connection, or no room, was not made.
+// add makes a call. If there is no connection, or the connection has too many calls, the call is not made.
 func (c *CounterClient) add(name uint64, amount, life float64) {
 	call := c.newCall()
 	call.name, call.madeAt, call.amount = name, c.loop.now, amount
@@ -53,7 +53,7 @@
 		c.refusedCalls = append(c.refusedCalls, call)
 		return
 	}
-	call.references = 2 // pending, and the connection's unanswered calls
+	call.references = 2 // in pending and in the connection's unanswered calls
 	c.pending = append(c.pending, call)
 }
 
@@ -61,15 +61,15 @@
 	if n := len(c.freeCalls); n > 0 {
 		call := c.freeCalls[n-1]
 		c.freeCalls = c.freeCalls[:n-1]
-		call.reported, call.unusable, call.references = false, false, 0
+		call.reported, call.replyInvalid, call.references = false, false, 0
 		return call
 	}
 	call := &counterCall{client: c}
-	call.onAnswer = call.answered
+	call.onEnd = call.ended
 	return call
 }
 
-// release takes a call out of one list.
+// release records that a list no longer holds a call, and recycles the call after the last one.
 func (c *CounterClient) release(call *counterCall) {
 	call.references--
 	if call.references <= 0 {
@@ -77,7 +77,7 @@
 	}
 }
 
-// nextTimeout is the clock time at which the oldest pending call times out.
+// nextTimeout returns the clock time at which the oldest pending call times out.
 func (c *CounterClient) nextTimeout() float64 {
 	for len(c.pending) > 0 && c.pending[0].reported {
 		call := c.pending[0]
@@ -97,7 +97,7 @@
 	}
 }
 
-// reportRefused reports the calls that could not be made, after the policy's call that asked for them.
+// reportRefused reports the calls that could not be made. It runs after the call to the policy that requested them has returned.
 func (c *CounterClient) reportRefused() {
 	for len(c.refusedCalls) > 0 {
 		call := c.refusedCalls[0]
@@ -107,19 +107,20 @@
 	}
 }
 
-// report tells the policy how a call ended.
+// report reports the outcome of a call to the policy.
 func (c *CounterClient) report(call *counterCall, outcome policy.Outcome, total float64) {
 	call.reported = true
 	if c.store != nil {
 		c.store.retract(call, outcome)
 	} else {
-		c.leaveRoute(call.name)
+		c.releaseRoute(call.name)
 	}
 	c.loop.policy.CounterReplied(c.loop.now, call.name, outcome, total, c.loop.now-call.madeAt)
 }
 
-// leaveRoute lets a name choose its connection anew once no call on it is pending.
-func (c *CounterClient) leaveRoute(name uint64) {
+// releaseRoute removes a call from the route of its name. Without pending calls the route is deleted, so that the next call picks a
+// new connection.
+func (c *CounterClient) releaseRoute(name uint64) {
 	route := c.routes[name]
 	if route.pending == 1 {
 		delete(c.routes, name)
@@ -128,8 +129,8 @@
 	route.pending--
 }
 
-// answered runs on the event loop, once for each call that was made on a connection, timed out or not.
-func (c *counterCall) answered() {
+// ended runs on the event loop, once for each call that was made on a connection, even if the call has timed out.
+func (c *counterCall) ended() {
 	if c.outcome == policy.Succeeded {
 		c.client.newestAnswered = max(c.client.newestAnswered, c.madeAt)
 	}
@@ -142,8 +143,9 @@
 	c.client.release(c)
 }
 
-// read takes over what the counter answered; false: it made no sense, but the amount was added.
-func (c *counterCall) read(message *http1.Message) bool {
+// parseReply sets the outcome and the total from the counter's reply. It returns false if the reply is invalid, in which case the
+// amount was added nevertheless.
+func (c *counterCall) parseReply(message *http1.Message) bool {
 	switch message.Status {
 	case 200:
 		total, ok := http1.ParseNumber(message.Body)
--- a/gateway/server/counterclient.go
+++ b/gateway/server/counterclient.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	counterConnCount    = 8    // few calls on each: one that breaks takes all behind it with it
-	maxCallsPerConn     = 64   // unanswered on one connection
-	counterFirstBackoff = 0.01 // seconds before a failed connection is dialed again, the first time
-	overtakenTimeouts   = 3    // call time-outs after which a connection that others overtook is closed
+	counterConnCount    = 8    // keeps the calls per connection few, as a broken connection fails all calls queued on it
+	maxCallsPerConn     = 64   // maximum number of unanswered calls on a connection
+	counterFirstBackoff = 0.01 // seconds before the first redial of a failed connection
+	laggingTimeouts     = 3    // age of the oldest call, in call timeouts, from which a connection may count as lagging
 )
 
-// CounterOptions are what a CounterClient is made from.
+// CounterOptions configure a CounterClient.
 type CounterOptions struct {
 	CallTimeout float64            // seconds after which a call is reported as timed out
-	Backoffs    *overload.Backoffs // of its connections; nil: as of one gateway alone
+	Backoffs    *overload.Backoffs // redial backoffs of its connections; nil: those of a single gateway
 }
 
-// CounterClient owns the connections to the counter service and the calls on them. It belongs to the event loop, which alone may
-// call it, Attempted apart. Answers come in the order of the calls of a connection; a call that timed out is reported as such and
-// keeps only its place in that order. No call is made twice, and calls on one name are answered in their order.
+// CounterClient owns the connections to the counter service and the calls on them. Only the event loop may call it, except for
+// Attempted. Replies arrive in the order of the calls on a connection. A call that timed out is reported as such, but keeps its
+// place in that order. No call is sent twice, and calls on the same name receive their replies in order.
 type CounterClient struct {
 	ctx         context.Context
 	group       *errgroup.Group
 	loop        *EventLoop
 	callTimeout float64 // seconds
 	backoffs    *overload.Backoffs
-	store       *StoreStream // the quota store holds the counts; nil: a counter service does
+	store       *StoreStream // non-nil if the quota store holds the counts instead of a counter service
 
 	addr           string
 	conns          []*counterConn
-	retired        []*counterConn // to an address that is no longer used: they finish the calls on them
-	connsAttempted atomic.Int32   // connections whose first attempt is over
+	retired        []*counterConn // connections to a former address, which finish their calls
+	connsAttempted atomic.Int32   // connections whose first dial has finished
 
 	routes         map[uint64]*nameRoute // by name
-	pending        []*counterCall        // as they were made; those reported leave from the front
-	refusedCalls   []*counterCall        // could not be made; reported after the present call of the policy
-	freeCalls      []*counterCall        // to be used again
-	newestAnswered float64               // clock time at which the newest call that has its answer was made
+	pending        []*counterCall        // in the order in which they were made; reported calls are removed from the front
+	refusedCalls   []*counterCall        // could not be made; reported after the current call to the policy returns
+	freeCalls      []*counterCall        // for reuse
+	newestAnswered float64               // clock time at which the most recent answered call was made
 }
 
-// nameRoute keeps the calls on one name on one connection, so that their answers keep their order.
+// nameRoute assigns the calls on one name to one connection, so that their replies stay in order.
 type nameRoute struct {
 	conn    *counterConn
-	pending int // calls
+	pending int // number of pending calls
 }
 
-// NewCounterClient makes a client without an address: no call can be made.
+// NewCounterClient returns a client without an address. Calls fail until UseAddress is called.
 func NewCounterClient(ctx context.Context, group *errgroup.Group, loop *EventLoop, options CounterOptions) *CounterClient {
 	return &CounterClient{
 		ctx:         ctx,
@@ -65,7 +65,7 @@
 	}
 }
 
-// Attempted says whether each connection has come up or failed once. It may be called from any goroutine.
+// Attempted reports whether each connection was established or has failed once. It may be called from any goroutine.
 func (c *CounterClient) Attempted() bool {
 	if c.store != nil {
 		return c.store.attempted.Load()
@@ -73,8 +73,8 @@
 	return int(c.connsAttempted.Load()) >= counterConnCount
 }
 
-// UseAddress has the counter at an address from now on; without one there is no counter. Connections to the address before take
-// calls until one to the new address stands, and end when no call is left on them.
+// UseAddress switches to the counter at a new address; an empty address means that there is no counter. Connections to the former
+// address accept calls until one to the new address is established, and close when they have no calls left.
 func (c *CounterClient) UseAddress(addr string) {
 	if addr == c.addr {
 		return
@@ -91,7 +91,8 @@
 	}
 }
 
-// closeRetired ends the connections to an address that is no longer used once they have no call and others stand.
+// closeRetired closes the connections to a former address once they have no calls and connections to the new address are
+// established.
 func (c *CounterClient) closeRetired() {
 	if len(c.retired) == 0 {
 		return
@@ -100,16 +101,16 @@
 	c.retired = slices.DeleteFunc(c.retired, func(conn *counterConn) bool { return conn.stopRetired(replaced) })
 }
 
-// closeOvertaken ends connections that fell silent: their oldest call has been unanswered for three time-outs, and one made well
-// after it was answered on another. A name whose calls all go to such a connection would stay there until the connection is given
-// up for its age alone, as a busy name never has a moment without a call.
-func (c *CounterClient) closeOvertaken() {
+// closeLagging closes connections that no longer reply: the oldest call has been unanswered for three timeouts, and a call made
+// well after it was answered on another connection. A busy name always has a pending call, so its calls would otherwise stay on
+// such a connection until the connection counts as stalled.
+func (c *CounterClient) closeLagging() {
 	for _, conn := range c.conns {
-		conn.closeIfOvertaken(c.loop.now, c.newestAnswered, c.callTimeout)
+		conn.closeIfLagging(c.loop.now, c.newestAnswered, c.callTimeout)
 	}
 }
 
-// pickConn is the connection for a name that has no call on any; nil: none stands.
+// pickConn returns the connection for a name without pending calls, or nil if none is established.
 func (c *CounterClient) pickConn() *counterConn {
 	best, ok := leastLoaded(c.conns)
 	if !ok {
@@ -118,7 +119,8 @@
 	return best
 }
 
-// leastLoaded is the connection with the fewest unanswered calls, those timed out counted; false: none stands.
+// leastLoaded returns the established connection with the fewest unanswered calls, including those that timed out. It returns false
+// if none is established.
 func leastLoaded(conns []*counterConn) (best *counterConn, ok bool) {
 	fewestCalls := math.MaxInt
 	for _, conn := range conns {
--- a/gateway/server/counterclient_test.go
+++ b/gateway/server/counterclient_test.go
@@ -10,7 +10,8 @@
 	"otterseam/gateway/policy"
 )
 
-// A counter that answers nonsense, refuses, is silent or absent: the invocation is decided by share, in time.
+// If the counter sends invalid replies, refuses calls, does not reply or is absent, the invocation is decided in time by the local
+// share of the quota.
 func TestUnusableAnswersOfTheCounterLeaveTheDecisionToTheShare(t *testing.T) {
 	for name, counter := range map[string]func(m *http1.Message, n int) string{
 		"no number": func(m *http1.Message, n int) string { return ok("many") },
@@ -27,8 +28,8 @@
 			t.Errorf("%s: %d", name, status)
 		}
 		w.wait(func() bool { return len(w.loop.counter.routes) == 0 })
-		if name != "absent" && name != "silent" && name != "ended" && name != "turned" && !w.log.has("answer not used") {
-			t.Errorf("%s: the log does not say", name)
+		if name != "absent" && name != "silent" && name != "ended" && name != "turned" && !w.log.has("invalid counter reply") {
+			t.Errorf("%s: nothing was logged", name)
 		}
 	}
 }
@@ -49,24 +50,25 @@
 		return false
 	})
 	if status != 429 || retry == "" {
-		t.Fatalf("%d, to come back after %q", status, retry)
+		t.Fatalf("status %d, Retry-After %q", status, retry)
 	}
 	h.noRequest(t)
 }
 
-// A late call keeps its place in the order of its connection: its answer must not be taken for the next call's.
+// A call that timed out keeps its place in the order of its connection, so that its late reply is not taken for that of the next
+// call.
 func TestLateAnswerOfTheCounterChangesNothing(t *testing.T) {
 	held := make(chan bool)
 	w := start(t, func(m *http1.Message, n int) string {
 		if n == 1 {
 			<-held
-			return ok("1e6") // over any quota, but nobody waits for it any more
+			return ok("1e6") // over any quota, but the call has timed out
 		}
 		return ok("1")
 	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	tcp := w.dial()
 	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
-		t.Fatalf("decided by share: %d", status)
+		t.Fatalf("decided by local share: status %d", status)
 	}
 	close(held)
 	w.wait(func() bool {
@@ -81,12 +83,12 @@
 		return true
 	})
 	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
-		t.Fatalf("the next one: %d", status)
+		t.Fatalf("the next invocation: status %d", status)
 	}
 }
 
-// Half an answer that no call was made for: what completes it would be the answer to the next call, and that one's to the
-// one behind it.
+// Half a reply arrives on a connection without a call. If the connection stayed in use, the rest would complete the reply to the
+// next call, and that call's reply would go to the call after it.
 func TestBytesThatNoCallWasMadeForAreNoTotal(t *testing.T) {
 	l := newManualHost(t)
 	w := start(t, nil)
@@ -95,13 +97,13 @@
 		c := l.next(t)
 		sendText(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1e")
 		if closed(c) {
-			c.Close() // as it should
+			c.Close() // expected
 			continue
 		}
-		t.Error("a connection with half an answer on it stands")
+		t.Error("a connection with half a reply on it was not closed")
 	}
 	var madeAnew atomic.Int32
-	go func() { // it is made anew, and answers with a word in between
+	go func() { // accepts the new connections, and replies after an interim response
 		for {
 			select {
 			case <-w.clients.ctx.Done():
@@ -115,14 +117,14 @@
 			}
 		}
 	}()
-	// The socket of a connection is closed a moment before it stops taking calls; a call put on it in between is told as not made.
-	// Once each has been dialed again, the call finds one that stands.
+	// The socket of a connection is closed slightly before the connection stops accepting calls, and a call made in between fails.
+	// After each connection was dialed again, the call finds an established one.
 	w.wait(func() bool { return madeAnew.Load() == counterConnCount })
 	w.wait(func() bool { return w.counter.pickConn() != nil })
 	w.wait(func() bool { w.counter.add(5, 1, 1); return true })
 	w.wait(func() bool { return w.counter.newestAnswered > 0 })
-	if !w.log.has("no call was made for") {
-		t.Error("the log does not say")
+	if !w.log.has("unsolicited bytes from counter") {
+		t.Error("nothing was logged")
 	}
 }
 
@@ -147,8 +149,8 @@
 	})
 }
 
-// Each answer of the counter that can't be read added its amount: it is not added again, and other calls go on. What
-// was let in without a call rides with a later one, so only the sum tells.
+// An invalid reply means that the amount was added. It is not added again, and other calls continue. Amounts that were admitted
+// without a call are added to a later call, so only the sum can be checked.
 func TestUnusableAnswersOfTheCounterAreAddedOnce(t *testing.T) {
 	adds, spoilt := make(chan string, 100), 6
 	w := start(t, func(m *http1.Message, n int) string {
@@ -171,7 +173,7 @@
 				t.Fatalf("%s: %v", got, err)
 			}
 			if sum += by; sum > i {
-				t.Fatalf("%d added for %d invocations", sum, i)
+				t.Fatalf("added %d for %d invocations", sum, i)
 			}
 		}
 		if i > 20 && sum == i {
@@ -179,15 +181,15 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%d added for 200 invocations", sum)
+	t.Fatalf("added %d for 200 invocations", sum)
 }
 
-// A connection to the counter that falls silent took all calls on a busy name with it for most of a second; calls made
-// later and answered elsewhere show it. A busy machine may answer those too late once, never each time.
+// A counter connection that stopped replying delayed all calls on a busy name for most of a second. Such a connection is detected
+// by later calls that are answered on other connections. On a busy machine those replies may be late sometimes, but not each time.
 func TestASilentCounterConnectionIsEndedWhenOvertaken(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	silent := newFakeServer(t, func(m *http1.Message, n int) string { return "" }).Addr().String()
-	overtaken := func() (mute bool) {
+	lagging := func() (mute bool) {
 		lost := make(chan bool, 1)
 		w.loop.post(t.Context(), func() {
 			c := w.counter
@@ -196,10 +198,10 @@
 			c.conns = append(c.conns, k)
 			c.group.Go(k.run)
 			x := &counterCall{client: c, reported: true, references: 9}
-			x.onAnswer = func() {
+			x.onEnd = func() {
 				k.mu.Lock()
 				defer k.mu.Unlock()
-				lost <- k.overtaken && x.outcome == policy.Reset
+				lost <- k.lagging && x.outcome == policy.Reset
 				k.retired = true
 			}
 			go func() {
@@ -218,9 +220,9 @@
 		}
 	}
 	for range 5 {
-		if overtaken() {
+		if lagging() {
 			return
 		}
 	}
-	t.Fatal("a silent connection stands until its age alone ends it")
+	t.Fatal("the lagging connection was not closed before it counted as stalled")
 }
--- a/gateway/server/counterconn.go
+++ b/gateway/server/counterconn.go
@@ -16,29 +16,30 @@
 
 const (
 	counterDialTimeout  = 500 * time.Millisecond
-	counterReadInterval = time.Second // how often a reader without bytes looks whether its connection is stalled
-	stalledAfter        = 0.5         // seconds an unanswered call waits at most before its connection is given up
+	counterReadInterval = time.Second // how often a reader without input checks whether its connection is stalled
+	stalledAfter        = 0.5         // seconds without a reply to the oldest call after which the connection is closed
 )
 
-// counterConn is one connection to the counter after another, to one address. Calls are pipelined: enqueue, on the event loop, adds
-// them to what is to be written; one goroutine writes; one (run) dials and reads the answers, each for the oldest call.
+// counterConn keeps up one connection to the counter at a time, to a single address. Calls are pipelined: enqueue, on the event
+// loop, appends them to the output buffer, one goroutine writes, and one (run) dials and reads the replies. Each reply belongs to
+// the oldest unanswered call.
 type counterConn struct {
 	client  *CounterClient
 	addr    string
-	ctx     context.Context // ends with the client's, or by stop
+	ctx     context.Context // ends with the client's context or when stop is called
 	stop    context.CancelFunc
-	backoff *overload.Backoff // before it dials again
-	wake    chan struct{}     // something is to be written; always room for one
+	backoff *overload.Backoff // before redialing
+	wake    chan struct{}     // signals that pending has bytes; has room for one signal
 
 	mu           sync.Mutex
 	connected    bool
-	retired      bool     // not to be dialed again
-	tcp          net.Conn // while it is connected
-	overtaken    bool     // calls made well after its oldest one were answered elsewhere
-	pending      []byte   // calls to be written
-	bytesAdded   int64    // bytes of calls on this connection so far
-	bytesHanded  int64    // of them, handed to the system
-	bytesWritten int64    // of them, taken by it
+	retired      bool     // do not redial
+	tcp          net.Conn // valid while connected
+	lagging      bool     // calls made well after its oldest one were answered on other connections
+	pending      []byte   // encoded calls to be written
+	bytesAdded   int64    // bytes of calls enqueued on this connection
+	bytesHanded  int64    // of these, passed to Write
+	bytesWritten int64    // of these, written successfully
 	unanswered   []*counterCall
 }
 
@@ -48,7 +49,8 @@
 	return c
 }
 
-// enqueue adds a call to what is written; false: it is not connected, or has as many calls as it may.
+// enqueue appends a call to the output buffer. It returns false if the connection is not established or has too many unanswered
+// calls.
 func (c *counterConn) enqueue(call *counterCall, amount, life float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +69,7 @@
 	return true
 }
 
-// retire has it not be dialed again; one that stands goes on until stopRetired ends it.
+// retire stops redialing. An established connection continues until stopRetired ends it.
 func (c *counterConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +79,7 @@
 	}
 }
 
-// stopRetired ends a retired connection unless it is still of use: it has calls, or nothing replaces it yet.
+// stopRetired ends a retired connection, unless it still has calls or no replacement is established.
 func (c *counterConn) stopRetired(replaced bool) (stopped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,22 +91,22 @@
 	return true
 }
 
-// closeIfOvertaken ends a connection whose oldest call has been unanswered for several time-outs, if newestAnswered, at which a call
-// was made that has its answer, is more than one time-out after it.
-func (c *counterConn) closeIfOvertaken(now, newestAnswered, callTimeout float64) {
+// closeIfLagging closes a connection whose oldest call has been unanswered for several timeouts, if newestAnswered is more than one
+// timeout after that call was made. newestAnswered is when the most recent answered call was made.
+func (c *counterConn) closeIfLagging(now, newestAnswered, callTimeout float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.connected || len(c.unanswered) == 0 {
 		return
 	}
 	oldest := c.unanswered[0].madeAt
-	if now-oldest > overtakenTimeouts*callTimeout && newestAnswered > oldest+callTimeout {
-		c.overtaken = true
-		_ = c.tcp.SetReadDeadline(expired)
+	if now-oldest > laggingTimeouts*callTimeout && newestAnswered > oldest+callTimeout {
+		c.lagging = true
+		_ = c.tcp.SetReadDeadline(pastDeadline)
 	}
 }
 
-// run has one connection after another, with a pause that grows while they fail.
+// run dials and serves one connection after another, with a backoff that grows while they fail.
 func (c *counterConn) run() error {
 	dialer := net.Dialer{Timeout: counterDialTimeout, KeepAlive: -1}
 	first := true
@@ -132,7 +134,7 @@
 	return c.retired
 }
 
-// serveConn uses one connection until it ends, and closes it; it says whether any call was answered.
+// serveConn uses one connection until it ends, and closes it. It reports whether any call was answered.
 func (c *counterConn) serveConn(tcp net.Conn) (answered bool) {
 	c.begin(tcp)
 	done := make(chan struct{})
@@ -144,7 +146,7 @@
 	writer.Wait()
 	tcp.Close()
 	if mutation.CounterResetPanics && len(c.unanswered) > 0 {
-		panic("a counter connection has ended")
+		panic("counter connection ended with unanswered calls")
 	}
 	c.failUnanswered()
 	return answered
@@ -153,13 +155,13 @@
 func (c *counterConn) begin(tcp net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.connected, c.tcp, c.overtaken = true, tcp, false
+	c.connected, c.tcp, c.lagging = true, tcp, false
 	c.pending, c.unanswered = c.pending[:0], c.unanswered[:0]
 	c.bytesAdded, c.bytesHanded, c.bytesWritten = 0, 0, 0
 }
 
-// failUnanswered ends the calls that a connection leaves unanswered: one whose last byte was taken by the system may have been
-// added, any other was not.
+// failUnanswered ends the calls that are unanswered when a connection ends. If the last byte of a call was written, its amount may
+// have been added; otherwise it was not.
 func (c *counterConn) failUnanswered() {
 	c.mu.Lock()
 	lost := append([]*counterCall(nil), c.unanswered...)
@@ -168,18 +170,18 @@
 	c.mu.Unlock()
 	for _, call := range lost {
 		switch {
-		case call.unusable:
+		case call.replyInvalid:
 			call.outcome = policy.Failed
 		case call.endOffset <= written:
 			call.outcome = policy.Reset
 		default:
 			call.outcome = policy.NoConnection
 		}
-		c.client.loop.post(c.client.ctx, call.onAnswer)
+		c.client.loop.post(c.client.ctx, call.onEnd)
 	}
 }
 
-// writeLoop writes what is enqueued, until done or the connection breaks.
+// writeLoop writes the enqueued calls until done is closed or the connection breaks.
 func (c *counterConn) writeLoop(tcp net.Conn, done chan struct{}) {
 	var batch []byte
 	for {
@@ -209,14 +211,14 @@
 	}
 }
 
-// counterRead is what one read brought.
+// counterRead is the result of one read.
 type counterRead struct {
 	n           int
-	unrequested bool // bytes that belong to no call
+	unrequested bool // the bytes belong to no call
 	err         error
 }
 
-// readLoop reads answers until the connection ends or an answer makes no sense.
+// readLoop reads replies until the connection ends or a reply is invalid.
 func (c *counterConn) readLoop(tcp net.Conn) (answered bool) {
 	raw, err := rawConnOf(tcp)
 	if err != nil {
@@ -226,18 +228,18 @@
 	message.Reset(make([]byte, http1.SmallBufferBytes), true)
 	for {
 		setReadTimeout(tcp, counterReadInterval)
-		if len(message.Space()) == 0 { // no total is that long
-			c.markUnusable(message.Status, http1.ErrBodyTooLong)
+		if len(message.Space()) == 0 { // too long to be a valid reply
+			c.markReplyInvalid(message.Status, http1.ErrBodyTooLong)
 			return true
 		}
 		read := c.read(raw, message.Space())
-		// What follows unrequested bytes would be taken for the answer to the next call, and each later answer for that of the
-		// call behind its own.
+		// The bytes that follow would be taken for the reply to the next call, and every later reply would be assigned to the call
+		// after its own.
 		if read.unrequested {
-			c.client.loop.peerErrors.Warn().Str("counter", c.addr).Msg("bytes that no call was made for")
+			c.client.loop.protocolErrorLog.Warn().Str("counter", c.addr).Msg("unsolicited bytes from counter")
 			return answered
 		}
-		some, usable := c.takeAnswers(&message, read.n)
+		some, usable := c.takeReplies(&message, read.n)
 		answered = answered || some
 		if !usable {
 			return answered
@@ -251,7 +253,7 @@
 	}
 }
 
-// read reads once, and judges under the lock whether a call was written that the bytes can answer.
+// read reads once. Under the same lock it checks whether a call was written to which the bytes can be the reply.
 func (c *counterConn) read(raw syscall.RawConn, space []byte) (read counterRead) {
 	err := raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
@@ -267,9 +269,9 @@
 	return read
 }
 
-// takeAnswers hands the calls the answers that are whole. It says whether there were any, and whether the connection is of use
-// still.
-func (c *counterConn) takeAnswers(message *http1.Message, count int) (answered, usable bool) {
+// takeReplies assigns the complete replies to their calls. It reports whether there were any, and whether the connection can still
+// be used.
+func (c *counterConn) takeReplies(message *http1.Message, count int) (answered, usable bool) {
 	for {
 		complete, malformed := message.Advance(count)
 		if !complete && malformed == nil {
@@ -283,15 +285,15 @@
 		if call == nil {
 			return answered, false
 		}
-		if malformed != nil || !call.read(message) {
-			c.markUnusable(message.Status, malformed)
+		if malformed != nil || !call.parseReply(message) {
+			c.markReplyInvalid(message.Status, malformed)
 			return true, false
 		}
 		c.mu.Lock()
 		c.unanswered = c.unanswered[1:]
 		c.mu.Unlock()
 		answered = true
-		c.client.loop.post(c.ctx, call.onAnswer)
+		c.client.loop.post(c.ctx, call.onEnd)
 		last := message.Close
 		count = message.Next()
 		if last {
@@ -300,12 +302,12 @@
 	}
 }
 
-// markUnusable notes that the oldest call has an answer that makes no sense, so that its amount was added.
-func (c *counterConn) markUnusable(status int, reason error) {
+// markReplyInvalid records that the oldest call received an invalid reply, which means that its amount was added.
+func (c *counterConn) markReplyInvalid(status int, reason error) {
 	if call := c.oldest(); call != nil {
-		call.unusable = true
+		call.replyInvalid = true
 	}
-	c.client.loop.peerErrors.Warn().Str("counter", c.addr).Int("status", status).AnErr("why", reason).Msg("answer not used, the call counts as added")
+	c.client.loop.protocolErrorLog.Warn().Str("counter", c.addr).Int("status", status).AnErr("why", reason).Msg("invalid counter reply; counting the call as added")
 }
 
 func (c *counterConn) oldest() *counterCall {
@@ -317,12 +319,12 @@
 	return c.unanswered[0]
 }
 
-// isStalled says that the oldest call has waited far too long: nothing may come on this connection any more, and a new one would
-// be noticed to work once the counter is back.
+// isStalled reports whether the oldest call has waited so long that no reply may arrive on this connection any more. A new
+// connection would show when the counter is back.
 func (c *counterConn) isStalled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.overtaken || len(c.unanswered) > 0 && c.client.loop.clock()-c.unanswered[0].madeAt > stalledAfter
+	return c.lagging || len(c.unanswered) > 0 && c.client.loop.clock()-c.unanswered[0].madeAt > stalledAfter
 }
 
 func isTimeout(err error) bool {
--- a/gateway/server/discoveryclient.go
+++ b/gateway/server/discoveryclient.go
@@ -11,25 +11,26 @@
 	"otterseam/gateway/overload"
 )
 
-// What discovery had to say counts as known to the gateway 6 s after it fell silent. These leave room for one attempt that fails in
-// each way: 2.4 s, 0.7 to connect, 0.7 without a word, a pause of 0.25, and once more.
+// The gateway is expected to know the updates of discovery 6 s after discovery fell silent. Within that time, these timeouts leave
+// room for one attempt that fails in the slowest way: 2.4 s of silence, 0.7 s to connect, 0.7 s without data, a pause of 0.25 s, and
+// a second attempt.
 const (
-	defaultSilenceTimeout   = 2400 * time.Millisecond // without a message or an empty line, which comes every 2 s, another stream is opened
+	defaultSilenceTimeout   = 2400 * time.Millisecond // without a message or an empty line, which is sent every 2 s, another stream is opened
 	discoveryDialTimeout    = 700 * time.Millisecond
-	defaultFirstWordTimeout = 700 * time.Millisecond // a new stream is waited for so long before the next is opened
+	defaultFirstDataTimeout = 700 * time.Millisecond // how long to wait for data on a new stream before the next is opened
 	discoveryFirstBackoff   = 0.05                   // seconds
-	steadyStreamAge         = time.Second            // after a stream that spoke and held for so long, the pause begins anew
+	stableStreamAge         = time.Second            // a stream that received data and lasted this long resets the backoff
 )
 
-// DiscoveryOptions are what a DiscoveryClient is made from.
+// DiscoveryOptions configure a DiscoveryClient.
 type DiscoveryOptions struct {
-	Backoffs *overload.Backoffs // between its streams; nil: as of one gateway alone
+	Backoffs *overload.Backoffs // between its streams; nil: those of a single gateway
 }
 
-// DiscoveryClient watches the list of hosts: it owns the streams, their move to another address, and how far the list is known. One
-// goroutine for each address keeps a stream standing, one for each stream reads it. Lists reach the event loop in their order, as
-// they are posted under mu. A message that can't be read is never followed by another of its stream: the list is asked for anew. A
-// silent discovery is not taken for an empty list, and two streams are not heard at once.
+// DiscoveryClient watches the host list. It owns the streams, the switch to another address, and the version up to which the list
+// is known. One goroutine per address maintains a stream, one per stream reads it. Lists reach the event loop in order, because
+// they are posted under mu. After an invalid message no further message of its stream is used; the complete list is requested
+// instead. A silent discovery is not treated as an empty list, and only one stream per address is active at a time.
 type DiscoveryClient struct {
 	ctx      context.Context
 	group    *errgroup.Group
@@ -37,31 +38,31 @@
 	log      zerolog.Logger
 	backoffs *overload.Backoffs
 
-	silenceTimeout   time.Duration // the defaults, but in tests
-	firstWordTimeout time.Duration
+	silenceTimeout   time.Duration // defaultSilenceTimeout, except in tests
+	firstDataTimeout time.Duration
 
 	mu           sync.Mutex
-	current      *discoverySource           // the one that is heard
-	candidate    *discoverySource           // from a newer configuration; it takes over with its first list
-	savedVersion int64                      // of the saved list, for the first source
+	current      *discoverySource           // the source whose lists are used
+	candidate    *discoverySource           // from a newer configuration; becomes current with its first list
+	savedVersion int64                      // version of the saved list, for the first source
 	incarnations map[string]hostIncarnation // by host id
 }
 
-// discoverySource is discovery at one address. What may change is guarded by DiscoveryClient.mu.
+// discoverySource is discovery at one address. Its mutable fields are guarded by DiscoveryClient.mu.
 type discoverySource struct {
 	addr    string
 	ctx     context.Context
 	stop    context.CancelFunc
-	backoff *overload.Backoff // between streams; of the goroutine that opens them
+	backoff *overload.Backoff // between streams; used only by the goroutine that opens them
 
-	acceptedVersion   int64        // of the list accepted last; 0: none was
-	watchFrom         int64        // changes after this version are asked for; 0: the complete list
-	incompleteVersion int64        // of a list of which entries were dropped: it was asked for once more
-	stream            *watchStream // the one that is heard; nil: none
-	lastHeard         time.Time
+	acceptedVersion   int64        // version of the last accepted list; 0: none
+	watchFrom         int64        // changes after this version are requested; 0: the complete list
+	incompleteVersion int64        // version of a list with dropped entries, which was requested once more
+	activeStream      *watchStream // nil: none
+	lastReceived      time.Time
 }
 
-// NewDiscoveryClient makes a client that watches nothing yet.
+// NewDiscoveryClient returns a client that watches no address yet.
 func NewDiscoveryClient(ctx context.Context, group *errgroup.Group, loop *EventLoop, log zerolog.Logger, options DiscoveryOptions) *DiscoveryClient {
 	return &DiscoveryClient{
 		ctx:              ctx,
@@ -70,12 +71,12 @@
 		log:              log,
 		backoffs:         options.Backoffs,
 		silenceTimeout:   defaultSilenceTimeout,
-		firstWordTimeout: defaultFirstWordTimeout,
+		firstDataTimeout: defaultFirstDataTimeout,
 		incarnations:     map[string]hostIncarnation{},
 	}
 }
 
-// UseSaved takes over the list as it was known at the gateway's last end, before anything is watched.
+// UseSaved applies the list that was saved when the gateway last ended. It must be called before Watch.
 func (d *DiscoveryClient) UseSaved(ctx context.Context, list Roster) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,8 +85,9 @@
 	}
 }
 
-// Watch watches at an address until the gateway's end or the next address. A new address is watched at once, from the complete list
-// on, as its versions are its own; the old one is heard until the new one has sent a list.
+// Watch watches the discovery at an address until the gateway ends or the address changes. A new address is watched at once,
+// starting with the complete list because versions are specific to an address. The old one stays in use until the new one has sent
+// a list.
 func (d *DiscoveryClient) Watch(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,7 +102,7 @@
 		d.candidate.stop()
 		d.candidate = nil
 	}
-	if d.current != nil && d.current.addr == addr { // back to the one that is still heard
+	if d.current != nil && d.current.addr == addr { // back to the address that is still in use
 		return
 	}
 	src := &discoverySource{addr: addr, backoff: d.backoffs.New(discoveryFirstBackoff)}
@@ -114,41 +116,41 @@
 	d.group.Go(func() error { return d.run(src) })
 }
 
-// run keeps a stream standing at one address: another is opened when the one there has ended or has been silent for long. The silent
-// one is heard on until another has spoken, and one that has not spoken is kept until the next one stands: a discovery that comes
-// back is heard at once, on whichever it speaks.
+// run maintains a stream to one address: it opens another when the active one has ended or gone silent. A silent stream stays
+// active until another has received data, and a new stream without data is kept until the next one is connected. When discovery
+// recovers, its data is therefore used at once, whichever stream it arrives on.
 func (d *DiscoveryClient) run(src *discoverySource) error {
-	var last *watchStream // the one opened last; nil: that failed
+	var last *watchStream // the stream opened last; nil: opening it failed
 	var opened time.Time
 	for {
 		d.waitForSilence(src)
 		if !opened.IsZero() {
-			src.pause(last, opened)
+			src.backOff(last, opened)
 		}
 		if src.ctx.Err() != nil {
 			return nil
 		}
 		opened = time.Now()
 		stream, err := d.open(src)
-		if last != nil && !d.isHeard(last) {
+		if last != nil && !d.isActive(last) {
 			last.stop()
 		}
 		last = stream
 		if err != nil {
-			d.log.Debug().Err(err).Str("discovery", src.addr).Msg("watch not opened")
+			d.log.Debug().Err(err).Str("discovery", src.addr).Msg("cannot open discovery watch")
 			continue
 		}
 		select {
-		case <-stream.firstWord:
+		case <-stream.firstData:
 		case <-stream.ended:
-		case <-time.After(d.firstWordTimeout):
+		case <-time.After(d.firstDataTimeout):
 		}
 	}
 }
 
-// pause waits before another stream is opened, for longer each time unless the last one held.
-func (s *discoverySource) pause(last *watchStream, opened time.Time) {
-	if last != nil && last.hasSpoken() && time.Since(opened) > steadyStreamAge {
+// backOff waits before another stream is opened. The delay grows each time unless the last stream was stable.
+func (s *discoverySource) backOff(last *watchStream, opened time.Time) {
+	if last != nil && last.hasReceived() && time.Since(opened) > stableStreamAge {
 		s.backoff.Reset()
 	}
 	select {
@@ -157,11 +159,11 @@
 	}
 }
 
-// waitForSilence returns when no stream is heard or the one that is has been silent for long.
+// waitForSilence returns when there is no active stream or it has been silent for silenceTimeout.
 func (d *DiscoveryClient) waitForSilence(src *discoverySource) {
 	for {
 		d.mu.Lock()
-		stream, since := src.stream, src.lastHeard
+		stream, since := src.activeStream, src.lastReceived
 		d.mu.Unlock()
 		remaining := d.silenceTimeout - time.Since(since)
 		if stream == nil || remaining <= 0 {
@@ -176,9 +178,9 @@
 	}
 }
 
-// isHeard says whether a stream is the one that is heard at its address.
-func (d *DiscoveryClient) isHeard(stream *watchStream) bool {
+// isActive reports whether a stream is the active one of its address.
+func (d *DiscoveryClient) isActive(stream *watchStream) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return stream.source.stream == stream
+	return stream.source.activeStream == stream
 }
--- a/gateway/server/discoveryclient_test.go
+++ b/gateway/server/discoveryclient_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// watched is a world whose discovery the test speaks for, with its first watch.
+// startWithWatch starts a gateway whose watches the test serves, and returns it with its first watch.
 func watched(t *testing.T) (*testGateway, *fakeWatch) {
 	w := gatewaySetup{manualDiscovery: true}.start(t)
 	return w, w.discoveryServer.next(t)
 }
 
-// roster is a list as discovery writes it.
+// roster returns a list as sent by discovery.
 func roster(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// waitHosts waits until the hosts that take new work are those, by id.
+// waitHosts waits until the active hosts are those with the given IDs.
 func (w *testGateway) waitHosts(ids ...string) {
 	w.t.Helper()
 	var got []string
@@ -41,21 +41,22 @@
 
 func leaving(id string) string { return entry(id, "127.0.0.1:9", "Terminating") }
 
-// restarted is the host "a" in an incarnation that started then.
+// restarted returns an entry of host "a" with an incarnation that started at ms.
 func restarted(ms int) string {
 	return strings.Replace(ready("a"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, ms), 1)
 }
 
-// An indented list was a row of lines that could not be read, each dropped; cut at each byte it is a list too.
+// Lists are parsed independent of their layout and of how they are divided into chunks. An indented list was treated as several
+// lines, each of which was dropped as invalid.
 func TestListsAreUsedHoweverTheyAreLaidOut(t *testing.T) {
 	w, f := watched(t)
 	f.sendHead()
-	odd := `b]}\"{` // quoted, none of this is structure
+	odd := `b]}\"{` // in a JSON string, none of this is structure
 	list := strings.ReplaceAll(roster(7, true, ready("a"), strings.Replace(ready("b"), `"b"`, `"`+odd+`"`, 1)), ",", ",\r\n\t")
 	f.send(strings.Replace(list, "{", "{\n  ", 1) + "\n\n")
 	w.waitHosts("a", `b]}"{`)
 	for _, b := range []byte(roster(8, false, ready("c"))) {
-		f.send(string(b)) // a chunk each
+		f.send(string(b)) // one chunk per byte
 	}
 	f.send("\n")
 	w.waitHosts("a", `b]}"{`, "c")
@@ -77,14 +78,14 @@
 	w.wait(func() bool { return len(w.pool.inOrder) == 1000 })
 }
 
-// What can't be read is asked for again, as a whole, and what follows it on that stream is not used: it would lift the
-// version over what was missed.
+// After an invalid message the complete list is requested, and later messages of that stream are not used, because they would
+// advance the version past the missing change.
 func TestAListThatCantBeReadIsAskedForAgain(t *testing.T) {
 	for _, bad := range []string{
 		"no json\n", `{"version":6,"full":false,"servers":[{]}` + "\n", `{"version":"six","servers":[]}`,
 		`{"version":6,"full":true}`, `{}`, `{"version":-6,"full":true,"servers":[]}`, "}", `[]`,
 		roster(4, false, ready("x")),
-	} { // a change to before what is known
+	} { // a change to a version before the current one
 		w, f := watched(t)
 		f.sendHead()
 		f.send(roster(5, true, ready("a")) + "\n")
@@ -92,20 +93,20 @@
 		f.send(bad + roster(8, false, ready("b")))
 		g := w.discoveryServer.next(t)
 		if g.from != 0 {
-			t.Errorf("%.20q: asked for what came after %d", bad, g.from)
+			t.Errorf("%.20q: requested the changes after version %d", bad, g.from)
 		}
 		f.waitClosed(t)
 		w.waitHosts("a")
 		g.sendHead()
 		g.send(roster(8, true, ready("b")) + "\n")
 		w.waitHosts("b")
-		if !w.log.has("asked for again") {
-			t.Errorf("%.20q: the log does not say", bad)
+		if !w.log.has("requesting the complete list") {
+			t.Errorf("%.20q: nothing was logged", bad)
 		}
 	}
 }
 
-// Entries that make no sense are dropped and named, the rest is used; the list is asked for once more, and not again.
+// Invalid entries are dropped and logged, and the rest is used. The list is requested once more, but only once.
 func TestEntriesThatMakeNoSenseAreDropped(t *testing.T) {
 	w, f := watched(t)
 	f.sendHead()
@@ -116,18 +117,18 @@
 	g := w.discoveryServer.next(t)
 	w.waitHosts("c")
 	if g.from != 0 {
-		t.Fatalf("asked for what came after %d", g.from)
+		t.Fatalf("requested the changes after version %d", g.from)
 	}
 	g.sendHead()
 	g.send(bad + "\n")
 	g.send(roster(7, false, ready("d")) + "\n")
 	w.waitHosts("c", "d")
 	if len(w.discoveryServer.opened) > 0 || !w.log.has("nowhere") || !w.log.has("Confused") {
-		t.Fatal("asked for once more, or not named")
+		t.Fatal("requested again, or not logged")
 	}
 }
 
-// A stream that answers in no way a watch does, or ends before or after its head.
+// Streams whose response is not a watch, or that end before or after the head.
 func TestResponsesThatAreNoWatchAreAskedForAgain(t *testing.T) {
 	w, f := watched(t)
 	for _, text := range []string{
@@ -148,7 +149,7 @@
 	w.waitHosts("a")
 }
 
-// timeUntilTold is how long after now a list is known that another stream brings.
+// timeUntilUpdate returns how long it takes until a list from another stream is applied.
 func timeUntilTold(t *testing.T, w *testGateway) time.Duration {
 	t.Helper()
 	begun := time.Now()
@@ -161,13 +162,14 @@
 			return time.Since(begun)
 		case <-time.After(50 * time.Millisecond):
 			if time.Since(begun) > 6*time.Second {
-				t.Fatal("nothing was told in 6 s")
+				t.Fatal("no stream was opened in 6 s")
 			}
 		}
 	}
 }
 
-// A stream that falls silent, and one on which half a message trickles, byte by byte, which counted as speech.
+// A silent stream is replaced. So is one on which an incomplete message trickles in byte by byte, which used to count as a sign of
+// life.
 func TestASilentStreamIsReplaced(t *testing.T) {
 	for _, trickle := range []bool{false, true} {
 		t.Run(fmt.Sprint("trickle ", trickle), func(t *testing.T) {
@@ -197,8 +199,8 @@
 	}
 }
 
-// Discovery is down for a while: it accepts and says nothing. When it speaks again, on the old stream or on one it took
-// meanwhile, that is heard at once.
+// Discovery is down for a while: it accepts connections and sends nothing. When it recovers, its data is used at once, whether it
+// arrives on the old stream or on one that was opened meanwhile.
 func TestADiscoveryThatComesBackIsHeardAtOnce(t *testing.T) {
 	for _, on := range []string{"the old stream", "a later one"} {
 		t.Run(on, func(t *testing.T) {
@@ -207,12 +209,12 @@
 			f.sendHead()
 			f.send(roster(5, true, ready("a")) + "\n")
 			w.waitHosts("a")
-			g := w.discoveryServer.next(t) // it has been silent, another is tried
+			g := w.discoveryServer.next(t) // the old stream was silent, so another is opened
 			var open []*fakeWatch
 			for len(open) < 3 {
 				open = append(open, w.discoveryServer.next(t))
 			}
-			g.waitClosed(t) // no more are kept than the old one, the last, and the next
+			g.waitClosed(t) // only the old, the last and the next stream are kept
 			back := f
 			if on != "the old stream" {
 				back = open[len(open)-1]
@@ -224,13 +226,13 @@
 			if took := time.Since(begun); took > 200*time.Millisecond {
 				t.Errorf("told after %v", took)
 			}
-			if on == "the old stream" { // the others are of no use any more
+			if on == "the old stream" { // the other streams are not used any more
 				stays := w.discoveryServer
 				open[len(open)-1].sendHead()
 				open[len(open)-1].send(roster(6, true, ready("c")) + "\n")
 				open[len(open)-1].waitClosed(t)
 				if len(stays.opened) > 1 {
-					t.Error("more are opened")
+					t.Error("further streams were opened")
 				}
 				w.waitHosts("b")
 			}
@@ -238,8 +240,8 @@
 	}
 }
 
-// A new address is heard from its first list on; one that accepts and says nothing, or only that it is there, changes
-// nothing, and what the old one tells counts.
+// A new address takes over with its first list. While it only accepts connections or sends empty lines, the lists of the old
+// address stay in use.
 func TestANewAddressTakesOverWithItsFirstList(t *testing.T) {
 	w, f := watched(t)
 	f.sendHead()
@@ -249,7 +251,7 @@
 	w.discovery.Watch(second.Addr().String())
 	g := second.next(t)
 	if g.from != 0 {
-		t.Fatalf("asked for what came after %d, a number of another's", g.from)
+		t.Fatalf("requested the changes after version %d of another address", g.from)
 	}
 	f.send(roster(6, false, ready("b")) + "\n")
 	w.waitHosts("a", "b")
@@ -258,18 +260,18 @@
 	w.wait(func() bool {
 		w.discovery.mu.Lock()
 		defer w.discovery.mu.Unlock()
-		return w.discovery.candidate == nil || w.discovery.candidate.stream != nil
+		return w.discovery.candidate == nil || w.discovery.candidate.activeStream != nil
 	})
 	f.send(roster(7, false, leaving("a")) + "\n")
 	w.waitHosts("b")
 	g.send(roster(2, true, ready("b"), ready("c")) + "\n")
 	w.waitHosts("b", "c")
 	f.waitClosed(t)
-	g.send(roster(3, false, ready("d")) + "\n") // numbers of its own
+	g.send(roster(3, false, ready("d")) + "\n") // versions of its own
 	w.waitHosts("b", "c", "d")
 }
 
-// Several in a row, and back to the first.
+// Several address changes in a row, and back to the first address.
 func TestTheLastOfSeveralAddressesCounts(t *testing.T) {
 	w, f := watched(t)
 	f.sendHead()
@@ -283,7 +285,7 @@
 	g.waitClosed(t)
 	w.discovery.Watch(w.discoveryServer.Addr().String())
 	h.waitClosed(t)
-	f.send(roster(6, false, ready("b")) + "\n") // it has been heard all along
+	f.send(roster(6, false, ready("b")) + "\n") // it was in use all along
 	w.waitHosts("a", "b")
 	w.discovery.Watch(third.Addr().String())
 	h = third.next(t)
@@ -293,7 +295,8 @@
 	f.waitClosed(t)
 }
 
-// Another discovery is behind: the host that was told to leave stays out, in its life; in its next one it is back.
+// Another discovery is outdated. A host that was reported as leaving stays inactive in its incarnation, and becomes active again in
+// its next one.
 func TestADiscoveryThatIsBehindBringsNobodyBack(t *testing.T) {
 	w, f := watched(t)
 	f.sendHead()
@@ -309,14 +312,14 @@
 	w.waitHosts("b", "c")
 	g.send(roster(5, false, restarted(20)) + "\n")
 	w.waitHosts("b", "c", "a")
-	// the same where one discovery begins anew with lower numbers
+	// The same if one discovery restarts with lower versions.
 	g.send(roster(9, false, leaving("c")) + "\n")
 	w.waitHosts("b", "a")
 	g.send(roster(1, true, ready("b"), ready("c")) + "\n")
 	w.waitHosts("b")
 }
 
-// A stream that ends as soon as it has spoken is not asked for again without a pause.
+// A stream that ends right after its first data is not reopened without a backoff.
 func TestStreamsThatEndAtOnceAreNotAskedForWithoutPause(t *testing.T) {
 	w, f := watched(t)
 	begun := time.Now()
@@ -328,11 +331,11 @@
 		f = w.discoveryServer.next(t)
 	}
 	if n > 8 {
-		t.Fatalf("%d in a second", n)
+		t.Fatalf("%d streams in a second", n)
 	}
 }
 
-// What stood unread on a stream that another has taken over from changes nothing, also once that one has ended.
+// Unread data of a superseded stream changes nothing, even after the stream that replaced it has ended.
 func TestAStreamThatWasTakenOverFromIsNotHeardAgain(t *testing.T) {
 	w := gatewaySetup{manualDiscovery: true, shortTimeouts: true}.start(t)
 	f := w.discoveryServer.next(t)
@@ -340,7 +343,7 @@
 	f.send(roster(5, true, ready("a")) + "\n")
 	w.waitHosts("a")
 	w.discovery.mu.Lock()
-	old := w.discovery.current.stream
+	old := w.discovery.current.activeStream
 	w.discovery.mu.Unlock()
 	g := w.discoveryServer.next(t)
 	g.sendHead()
@@ -350,10 +353,10 @@
 	w.wait(func() bool {
 		w.discovery.mu.Lock()
 		defer w.discovery.mu.Unlock()
-		return w.discovery.current.stream == nil
+		return w.discovery.current.activeStream == nil
 	})
 	if err := w.discovery.accept(old, &Roster{Version: 5, Full: true, Servers: []RosterEntry{}}); err == nil {
-		t.Error("it is heard")
+		t.Error("the superseded stream was used")
 	}
 	w.waitHosts("b")
 }
--- a/gateway/server/eventloop.go
+++ b/gateway/server/eventloop.go
@@ -13,61 +13,61 @@
 )
 
 const (
-	eventQueueLength    = 1024
-	timerSlack          = 0.01 // seconds by which the timer may be early without being set anew
-	counterIdlePoll     = 5 * time.Millisecond
-	peerErrorsPerSecond = 5 // log lines on what others sent that makes no sense: a flood of it must not become one of lines
+	eventQueueLength           = 1024
+	timerSlack                 = 0.01 // seconds by which the timer may fire early without being reset
+	counterIdlePoll            = 5 * time.Millisecond
+	protocolErrorLogsPerSecond = 5 // log lines about invalid input from remote ends, limited so that a flood of input does not flood the log
 )
 
-// EventLoop owns the policy, the invocations in progress and the gateway's one timer, all on the goroutine of Run. Everybody else
-// reaches them by functions posted to its queue. It never waits for a socket and decides nothing itself.
+// EventLoop owns the policy, the invocations in progress and the gateway's only timer. All of them are used only on the goroutine
+// of Run; other goroutines post functions to its queue. It never blocks on a socket and makes no decisions itself.
 type EventLoop struct {
-	queue      chan func()
-	log        zerolog.Logger
-	peerErrors zerolog.Logger // what others sent that makes no sense, a few lines a second
-	startedAt  time.Time
-	startClock float64 // clock time at startedAt
+	queue            chan func()
+	log              zerolog.Logger
+	protocolErrorLog zerolog.Logger // for invalid input from remote ends; rate-limited
+	startedAt        time.Time
+	startClock       float64 // clock time at startedAt
 
-	// Of Run's goroutine:
+	// Used only by Run's goroutine:
 	policy          *policy.Gateway
 	hosts           *HostPool
 	counter         *CounterClient
 	peers           *PeerSocket
-	store           *StoreStream // what the quota store holds for this gateway; nil: nothing
+	store           *StoreStream // nil if no quota store is configured
 	invocations     map[*policy.Invocation]*invocation
 	recentRefs      recentRefs
-	timeouts        deliveryQueue // deliveries in progress, by the time at which they are given up
-	endedDeliveries []*delivery   // ended within a call of the policy, to be reported after it
-	now             float64       // clock time of the event at hand
+	timeouts        deliveryQueue // deliveries in progress, ordered by deadline
+	endedDeliveries []*delivery   // ended during a call to the policy; reported after the call returns
+	now             float64       // clock time of the current event
 	policyTimer     policydriver.Timer
 	membershipTimer policydriver.Timer
 }
 
-// NewEventLoop makes a loop that takes events at once; Run works on them.
+// NewEventLoop returns a loop whose queue accepts events at once. Run processes them.
 func NewEventLoop(log zerolog.Logger) *EventLoop {
 	now := time.Now()
 	return &EventLoop{
-		queue:       make(chan func(), eventQueueLength),
-		log:         log,
-		peerErrors:  log.Sample(&zerolog.BurstSampler{Burst: peerErrorsPerSecond, Period: time.Second}),
-		startedAt:   now,
-		startClock:  float64(now.UnixNano()) / 1e9,
-		invocations: map[*policy.Invocation]*invocation{},
-		recentRefs:  newRecentRefs(),
+		queue:            make(chan func(), eventQueueLength),
+		log:              log,
+		protocolErrorLog: log.Sample(&zerolog.BurstSampler{Burst: protocolErrorLogsPerSecond, Period: time.Second}),
+		startedAt:        now,
+		startClock:       float64(now.UnixNano()) / 1e9,
+		invocations:      map[*policy.Invocation]*invocation{},
+		recentRefs:       newRecentRefs(),
 	}
 }
 
-// clock is the clock time now: seconds of the wall clock at start plus those of the monotonic one since.
+// clock returns the current clock time: the wall clock at start plus the monotonic time since then, in seconds.
 func (l *EventLoop) clock() float64 { return l.clockAt(time.Now()) }
 
 func (l *EventLoop) clockAt(t time.Time) float64 { return l.startClock + t.Sub(l.startedAt).Seconds() }
 
-// post puts an event on the queue; it waits for room unless the gateway is ending.
+// post appends an event to the queue. It blocks while the queue is full, unless the gateway is shutting down.
 func (l *EventLoop) post(ctx context.Context, event func()) {
 	select {
 	case l.queue <- event:
 		return
-	default: // full: the slower way
+	default: // full: also wait for ctx
 	}
 	select {
 	case l.queue <- event:
@@ -75,8 +75,8 @@
 	}
 }
 
-// Run turns what the queue brings into calls of the policy, and its decisions into work for the sockets. It returns when ctx
-// ends. A panic is logged and goes on: a gateway that decides wrongly must not.
+// Run processes events from the queue: it calls the policy and passes its decisions to the sockets. It returns when ctx ends. A
+// panic is logged and raised again, because a gateway whose decisions are wrong must not go on.
 func (l *EventLoop) Run(ctx context.Context, gateway *policy.Gateway, hosts *HostPool, counter *CounterClient, peers *PeerSocket) error {
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -86,14 +86,14 @@
 	}()
 	l.policy, l.hosts, l.counter, l.peers = gateway, hosts, counter, peers
 	timer := time.NewTimer(time.Hour)
-	armedFor := 0.0 // clock time; 0: it has run out
+	armedFor := 0.0 // clock time; 0: the timer has fired
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case event := <-l.queue:
-			l.handle(event)
-			l.handleQueued()
+			l.runEvent(event)
+			l.runQueued()
 		case <-timer.C:
 			l.now, armedFor = l.clock(), 0
 		}
@@ -106,20 +106,20 @@
 	}
 }
 
-// handle runs an event at its own time: what is due between two events is judged by the later one's.
-func (l *EventLoop) handle(event func()) {
+// runEvent sets the current time and runs an event. Whatever falls due between two events is judged at the time of the later one.
+func (l *EventLoop) runEvent(event func()) {
 	l.now = l.clock()
 	event()
 }
 
-// handleQueued runs what stands in the queue now; what comes meanwhile waits for the next round.
-func (l *EventLoop) handleQueued() {
+// runQueued runs the events that are in the queue now. Events posted meanwhile wait for the next round.
+func (l *EventLoop) runQueued() {
 	for queued := len(l.queue); queued > 0; queued-- {
-		l.handle(<-l.queue)
+		l.runEvent(<-l.queue)
 	}
 }
 
-// step does what follows each batch of events: time-outs, the policy's tick, its decisions, the store, the membership.
+// step runs after each batch of events: timeouts, the policy's tick and decisions, the quota store, the membership.
 func (l *EventLoop) step() {
 	l.expire()
 	if l.policyTimer.Due(l.now) {
@@ -127,18 +127,18 @@
 		l.policyTimer.Clear()
 		l.hosts.closeIdle()
 		l.counter.closeRetired()
-		l.counter.closeOvertaken()
+		l.counter.closeLagging()
 		l.rotateRefs()
 	}
 	l.decide()
-	l.store.turn()
+	l.store.tick()
 	if l.membershipTimer.Due(l.now) {
 		l.policy.RefreshMembership(l.now)
 		l.membershipTimer.Clear()
 	}
 }
 
-// nextWake is the clock time at which the loop has something to do although no event comes.
+// nextWake returns the clock time at which the loop must run again even if no event arrives.
 func (l *EventLoop) nextWake() float64 {
 	next, _ := l.policyTimer.Schedule(l.policy.TickDelay(l.now), l.now)
 	if at, _ := l.membershipTimer.Schedule(l.policy.MembershipDelay(l.now), l.now); at > 0 {
@@ -150,38 +150,39 @@
 	return min(next, l.counter.nextTimeout(), l.store.nextWake())
 }
 
-// expire ends what has waited for long enough: deliveries, and calls to the counter.
+// expire ends the deliveries and the counter calls that have timed out.
 func (l *EventLoop) expire() {
 	for len(l.timeouts) > 0 && l.timeouts[0].due <= l.now {
-		l.hosts.withdraw(l.timeouts[0], policy.TimedOut)
+		l.hosts.cancel(l.timeouts[0], policy.TimedOut)
 	}
 	l.counter.expire()
 	l.reportEnded()
 }
 
-// decide carries out the policy's decisions until there are none.
+// decide asks the policy for decisions and executes them until there are none left.
 func (l *EventLoop) decide() {
-	l.reportWithinPolicy() // what the tick and the events led to
+	l.reportDeferred() // outcomes caused by the tick and the events
 	policydriver.DecideAll(l.policy, l.now, func(decided *policy.Invocation, decision policy.Decision) {
-		l.carryOut(l.invocations[decided], decision)
-		l.reportWithinPolicy()
+		l.execute(l.invocations[decided], decision)
+		l.reportDeferred()
 	})
 }
 
-// reportWithinPolicy tells the policy of what ended within its own calls.
-func (l *EventLoop) reportWithinPolicy() {
+// reportDeferred reports to the policy what ended during its own calls.
+func (l *EventLoop) reportDeferred() {
 	l.counter.reportRefused()
 	l.reportEnded()
 }
 
-// UseAddresses takes up other addresses of discovery and of the counter, while all goes on. It may be called from any goroutine.
+// UseAddresses switches to new addresses of discovery and of the counter without interrupting service. It may be called from any
+// goroutine.
 func (l *EventLoop) UseAddresses(ctx context.Context, discovery *DiscoveryClient, discoveryAddr, counterAddr string) {
 	discovery.Watch(discoveryAddr)
 	l.post(ctx, func() { l.counter.UseAddress(counterAddr) })
 }
 
-// WaitCounterIdle waits until no call to the counter is pending, so that what the policy gives back gets there, at most for
-// limit. It may be called from any goroutine.
+// WaitCounterIdle waits until no call to the counter is pending, so that the amounts that the policy returns to the counter arrive
+// there. It waits for limit at most. It may be called from any goroutine.
 func (l *EventLoop) WaitCounterIdle(ctx context.Context, limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for pending := true; pending && time.Now().Before(deadline); {
--- a/gateway/server/eventloop_test.go
+++ b/gateway/server/eventloop_test.go
@@ -9,7 +9,8 @@
 	"otterseam/gateway/http1"
 )
 
-// A request that waited behind another counts its time from when it came: later, its client has given up.
+// The deadline of a pipelined request counts from its arrival, not from when it is taken, because its client gives up at that
+// deadline.
 func TestTimeCountsWhileARequestWaitsForTheOneBefore(t *testing.T) {
 	const first = 400
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -34,11 +35,11 @@
 		return len(told) < 2
 	})
 	if len(told) < 2 || told[0] < 800 || told[1] > 900-first {
-		t.Fatalf("told %v", told)
+		t.Fatalf("forwarded deadlines %v", told)
 	}
 }
 
-// What lies behind another in the queue is judged by its own time.
+// Each queued event is processed at its own time, not at the time of the batch.
 func TestTimeGoesOnWithinABatchOfTheQueue(t *testing.T) {
 	w := start(t, plentyOfQuota)
 	var a, b float64
@@ -50,7 +51,7 @@
 	})
 	<-done
 	if b-a < 0.05 {
-		t.Fatalf("%.3f s passed", b-a)
+		t.Fatalf("only %.3f s passed", b-a)
 	}
 }
 
@@ -69,12 +70,12 @@
 		}
 	}
 	if status, _ := exchange(tcp, "GET /_health HTTP/1.1\r\n\r\n"); status != 200 {
-		t.Fatalf("health: %d", status)
+		t.Fatalf("health check: status %d", status)
 	}
 }
 
-// New addresses of discovery and the counter: the old ones are heard until the new ones stand, and a call that is out
-// there is answered there.
+// After a change of addresses, discovery and the counter stay in use at their old addresses until the new ones are connected. A
+// pending call is answered on the old connection.
 func TestNewAddressesTakeOverWithoutAGap(t *testing.T) {
 	held := make(chan bool)
 	w := start(t, func(m *http1.Message, n int) string {
@@ -97,7 +98,7 @@
 	if got := after.nextRequest(t); !strings.Contains(got, "/counters/8?") {
 		t.Fatalf("the new counter got %s", got)
 	}
-	w.wait(func() bool { w.counter.closeRetired(); return len(w.counter.retired) == 1 }) // where the call is out
+	w.wait(func() bool { w.counter.closeRetired(); return len(w.counter.retired) == 1 }) // the one with the pending call
 	close(held)
 	w.wait(func() bool {
 		w.counter.closeRetired()
@@ -106,7 +107,8 @@
 	after.noRequest(t)
 }
 
-// Another client's id: sent on, it would be a second copy at a host; the invocation in hand is untouched.
+// A request with the ID of an invocation in progress is rejected, because a host would execute a second copy. The invocation in
+// progress is unaffected.
 func TestAReferenceInUseIsNotAcceptedAgain(t *testing.T) {
 	held := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
@@ -118,17 +120,17 @@
 	sendText(tcp, text)
 	h.nextRequest(t)
 	if status, _ := exchange(w.dial(), text); status != 409 {
-		t.Fatalf("the same id while it is out: %d", status)
+		t.Fatalf("the same ID while in progress: status %d", status)
 	}
 	close(held)
 	if status, _ := exchange(tcp, ""); status != 200 {
-		t.Fatalf("the one in hand: %d", status)
+		t.Fatalf("the invocation in progress: status %d", status)
 	}
 	if status, _ := exchange(w.dial(), text); status != 409 {
-		t.Fatalf("the same id just after: %d", status)
+		t.Fatalf("the same ID just after: status %d", status)
 	}
 	h.noRequest(t)
-	w.wait(func() bool { // ids are kept for a few seconds only
+	w.wait(func() bool { // IDs are kept for a few seconds only
 		for range 2 {
 			w.loop.recentRefs.rotatedAt = 0
 			w.loop.rotateRefs()
@@ -137,7 +139,8 @@
 	})
 }
 
-// An unanswered invocation hears so before its client gives up. A busy machine may be late once, never each time.
+// An invocation without a response from its host fails before its client's deadline. On a busy machine the response may be late
+// sometimes, but not each time.
 func TestAnUnansweredInvocationEndsBeforeItsClientGivesUp(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return "" }))
 	var took time.Duration
@@ -148,5 +151,5 @@
 			return
 		}
 	}
-	t.Fatalf("heard after %v of 300 ms", took)
+	t.Fatalf("response after %v of 300 ms", took)
 }
--- a/gateway/server/hook_test.go
+++ b/gateway/server/hook_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// connHook stops connections at points of their life, for tests that force two things to cross. The points: "read" before the
-// system is asked for bytes, "look" before it is asked whether any stand there, "write", "shut" and "close" before those.
+// connHook runs functions when a connection reaches certain points, for tests that force two operations to interleave. The points
+// are: "read" before bytes are read from the socket, "look" before it is checked for unread bytes, and "write", "shut" and "close"
+// before the operation of that name, where "shut" closes the write side.
 type connHook struct {
 	mu sync.Mutex
 	at map[string]func()
 }
 
-// on has what run once, when a connection next comes to a point.
+// on registers what to run once, when a connection next reaches a point.
 func (h *connHook) on(point string, what func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,7 +36,8 @@
 	}
 }
 
-// hookedConn is such a connection. half: the next write breaks off in the middle, as by a reset.
+// hookedConn is a connection that reports to a connHook. If "half" is registered, the next write ends with a reset after half of
+// its bytes.
 type hookedConn struct {
 	*net.TCPConn
 	hook *connHook
@@ -90,7 +92,8 @@
 	return r.RawConn.Control(f)
 }
 
-// listener gives hooked connections; "accepted" is passed when the system has given one, before the program has it.
+// listener wraps l so that it returns hooked connections. "accepted" is reached when the kernel has accepted a connection but
+// Accept has not yet returned it.
 func (h *connHook) listener(l net.Listener) net.Listener { return &hookedListener{l, h} }
 
 type hookedListener struct {
@@ -112,7 +115,7 @@
 	return l.Listener.Close()
 }
 
-// connect gives hooked connections to hosts; "dial" is passed before one is begun, "up" when it stands.
+// connect dials hooked connections to hosts. "dial" is reached before a dial, "up" when the connection is established.
 func (h *connHook) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	h.pass("dial")
 	d := net.Dialer{Timeout: time.Second, KeepAlive: -1}
--- a/gateway/server/hostconn.go
+++ b/gateway/server/hostconn.go
@@ -15,64 +15,65 @@
 	"otterseam/internal/mutation"
 )
 
-var errUnrequestedBytes = errors.New("bytes that no request was written for")
+var errUnsolicitedBytes = errors.New("unsolicited bytes from host")
 
-// hostConn is a connection to a host. One goroutine (writeLoop) writes requests; one (readLoop) reads answers and closes it. Both
-// judge what they see under mu, in one step with the reading or writing.
+// hostConn is a connection to a host. One goroutine (writeLoop) writes requests, the other (readLoop) reads responses and closes
+// the connection. Both do their I/O and update the state in one step under mu.
 type hostConn struct {
 	pool     *HostPool
 	host     *host
 	addr     string
 	tcp      net.Conn
 	raw      syscall.RawConn
-	requests chan *Buffer // to be written, nil: the end; always room for one and the end
-	onEnded  func()       // deliveryEnded, made once
+	requests chan *Buffer // requests to write; nil ends writeLoop. It has room for one request and the nil.
+	onEnded  func()       // deliveryEnded, created once per connection
 
-	// The event loop's:
-	delivery  *delivery // the one handed over; nil: none, or it was given up
+	// Used only by the event loop:
+	delivery  *delivery // the delivery in progress; nil: none, or it was cancelled
 	abandoned bool
 	idleSince float64 // clock time
 
-	mu             sync.Mutex
-	writeBegun     bool // bytes of the request handed over last may have been written
-	awaitingAnswer bool // a request has been written whole and not been answered yet
-	unusable       bool // nothing more is to be written
-
-	// readLoop's:
-	answer  *Buffer // the one on its way in; nil: nothing has come
-	problem error   // what is wrong with it
-
-	// How a delivery ended: set by readLoop before it posts onEnded, read by the event loop then. The next outcome is set only
-	// once the next request is written, which the loop hands over after it has read these.
-	outcome     policy.Outcome
-	endedAnswer *Buffer
-	reuse       bool // the connection can take another delivery
+	mu               sync.Mutex
+	writeBegun       bool // bytes of the current request may have been written
+	awaitingResponse bool // a request was written completely and has no response yet
+	unusable         bool // no further request may be written
+
+	// Used only by readLoop:
+	response    *Buffer // the response being read; nil: no bytes were received
+	responseErr error   // why the response is invalid
+
+	// The outcome of a delivery. readLoop sets these fields before it posts onEnded, which reads them on the event loop. They are
+	// not overwritten before that, because the next outcome requires another request, which the loop dispatches only after it has
+	// read them.
+	outcome       policy.Outcome
+	endedResponse *Buffer
+	reuse         bool // the connection can carry another delivery
 }
 
-// deliveryEnded runs on the event loop: a delivery was answered, or its connection broke.
+// deliveryEnded runs on the event loop when a delivery has received its response or its connection broke.
 func (c *hostConn) deliveryEnded() {
-	pool, d, answer := c.pool, c.delivery, c.endedAnswer
-	c.delivery, c.endedAnswer = nil, nil
-	if d == nil || c.outcome != policy.Succeeded { // without d it was given up meanwhile, and what still comes changes nothing
-		pool.buffers.Put(answer)
-		answer = nil
+	pool, d, response := c.pool, c.delivery, c.endedResponse
+	c.delivery, c.endedResponse = nil, nil
+	if d == nil || c.outcome != policy.Succeeded { // a nil d was cancelled meanwhile, so its response is discarded
+		pool.buffers.Put(response)
+		response = nil
 	}
 	if mutation.ResetCountsAsNeverRan && c.outcome == policy.Reset {
 		c.outcome = policy.NoConnection
 	}
 	if d != nil {
 		heap.Remove(&pool.loop.timeouts, d.index)
-		pool.loop.deliveryEnded(d, c.outcome, answer)
+		pool.loop.deliveryEnded(d, c.outcome, response)
 	}
-	// Last of all: with its next delivery the connection may at once be given that one's outcome, which must not be taken for
-	// this one's.
+	// This must come last: the connection may get the outcome of its next delivery at once, which must not be taken for that of the
+	// delivery handled here.
 	if c.reuse && !c.abandoned {
 		pool.nextDelivery(c)
 	}
 }
 
-// closed runs on the event loop when the connection is no more.
-func (c *hostConn) closed() {
+// onClosed runs on the event loop after the connection was closed.
+func (c *hostConn) onClosed() {
 	c.pool.open--
 	c.host.idle = slices.DeleteFunc(c.host.idle, func(other *hostConn) bool { return other == c })
 	c.mu.Lock()
@@ -81,161 +82,161 @@
 	d := c.delivery
 	switch {
 	case d == nil:
-	case !begun && c.host.active: // the host is not to blame, nor is this another attempt
+	case !begun && c.host.active: // nothing was written: neither a failure of the host nor another attempt
 		c.delivery, d.conn = nil, nil
-		c.pool.place(d)
-	default: // handed over just as it broke: its last byte was not written
+		c.pool.assign(d)
+	default: // the connection broke just after the dispatch: the request's last byte was not written
 		c.outcome, c.reuse = policy.NoConnection, false
 		c.deliveryEnded()
 	}
 	c.pool.dialForWaiting(c.host)
 }
 
-// abandon runs on the event loop: it ends the sending at once; readLoop then closes the connection.
+// abandon runs on the event loop. It closes the write side and interrupts the connection, which readLoop then closes.
 func (c *hostConn) abandon() {
 	c.abandoned = true
-	if tcp, ok := c.tcp.(*net.TCPConn); ok { // a connection of a test keeps its sending side until readLoop closes it
+	if tcp, ok := c.tcp.(*net.TCPConn); ok { // test connections keep their write side open until readLoop closes them
 		_ = tcp.CloseWrite()
 	}
 	interrupt(c.tcp)
 }
 
-// writeLoop writes requests until the end is handed over or the connection is unusable.
+// writeLoop writes requests until it receives nil or the connection becomes unusable.
 func (c *hostConn) writeLoop() {
 	for request := <-c.requests; request != nil; request = <-c.requests {
 		usable := c.writeRequest(request)
 		c.pool.buffers.Put(request)
 		if !usable {
 			interrupt(c.tcp)
-			return // closed tells the loop that the delivery never left
+			return // onClosed then finds that nothing was written
 		}
 	}
 }
 
-// writeRequest writes a request, unless the connection is unusable by now. A second copy or noise behind the answer before, come
-// but not yet read, would be taken for this request's answer: nothing is written over it. What has been read already made the
-// connection unusable.
+// writeRequest writes a request unless the connection is unusable. If unread bytes follow the previous response (a duplicate or
+// garbage), nothing is written, because they would be taken for the response to this request. Bytes that were already read have
+// made the connection unusable.
 func (c *hostConn) writeRequest(request *Buffer) (usable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unusable || !nothingUnread(c.tcp) {
+	if c.unusable || !receiveBufferEmpty(c.tcp) {
 		c.unusable = true
 		return false
 	}
 	c.writeBegun = true
 	_, err := c.tcp.Write(request.Bytes)
-	c.awaitingAnswer = err == nil
+	c.awaitingResponse = err == nil
 	c.unusable = err != nil
 	return err == nil
 }
 
-// readLoop reads answers until the connection ends, and closes it: the one place where that is done.
+// readLoop reads responses until the connection ends, and then closes it. It is the only place that closes it.
 func (c *hostConn) readLoop() {
 	stop := context.AfterFunc(c.pool.ctx, func() { interrupt(c.tcp) })
 	defer stop()
 	for reuse := true; reuse; {
 		var outcome policy.Outcome
 		err := c.raw.Read(func(fd uintptr) (done bool) {
-			outcome, reuse, done = c.readable(fd)
+			outcome, reuse, done = c.readAvailable(fd)
 			return done
 		})
 		if err != nil {
 			outcome, reuse = c.connBroken(), false
 		}
-		if c.problem != nil {
-			c.pool.loop.peerErrors.Warn().Str("host", c.host.id).Err(c.problem).Msg("answer not used")
+		if c.responseErr != nil {
+			c.pool.loop.protocolErrorLog.Warn().Str("host", c.host.id).Err(c.responseErr).Msg("host response discarded")
 		}
 		if outcome != 0 {
-			c.outcome, c.endedAnswer, c.reuse = outcome, c.answer, reuse
-			c.answer = nil
+			c.outcome, c.endedResponse, c.reuse = outcome, c.response, reuse
+			c.response = nil
 			c.pool.loop.post(c.pool.ctx, c.onEnded)
 		}
 	}
-	c.pool.buffers.Put(c.answer)
+	c.pool.buffers.Put(c.response)
 	c.requests <- nil
 	c.tcp.Close()
-	c.pool.loop.post(c.pool.ctx, c.closed)
+	c.pool.loop.post(c.pool.ctx, c.onClosed)
 }
 
-// connBroken ends the connection for both sides. A request that was written whole has been reset.
+// connBroken marks the connection as broken for both goroutines. A request that was written completely counts as reset.
 func (c *hostConn) connBroken() (outcome policy.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.endExchange(policy.Reset, false)
 }
 
-// readable reads what stands in the system, in one step with what it means: how a delivery ended (0: it has not) and whether the
-// connection can be used on.
-func (c *hostConn) readable(fd uintptr) (outcome policy.Outcome, reuse, done bool) {
+// readAvailable reads the available bytes and updates the state under the same lock. It returns the outcome of the delivery (0: it
+// has not ended), and whether the connection can be reused.
+func (c *hostConn) readAvailable(fd uintptr) (outcome policy.Outcome, reuse, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answer == nil {
-		c.answer = c.pool.buffers.Get(true)
+	if c.response == nil {
+		c.response = c.pool.buffers.Get(true)
 	}
-	if len(c.answer.Space()) == 0 && !c.pool.buffers.Grow(c.answer, c.pool.buffers.maxLarge) {
-		c.problem = errNoBuffer
+	if len(c.response.Space()) == 0 && !c.pool.buffers.Grow(c.response, c.pool.buffers.maxLarge) {
+		c.responseErr = errNoBuffer
 		return c.endExchange(policy.Failed, false), false, true
 	}
-	n, wouldBlock, err := readOnce(fd, c.answer.Space())
+	n, wouldBlock, err := readOnce(fd, c.response.Space())
 	switch {
 	case wouldBlock:
-		if c.answer.Empty() {
-			c.pool.buffers.Put(c.answer)
-			c.answer = nil
+		if c.response.Empty() {
+			c.pool.buffers.Put(c.response)
+			c.response = nil
 		}
 		return 0, true, false
-	case errors.Is(err, io.EOF) && c.answer.EndOfInput(): // without the first it may be cut short
-		return c.endExchange(answerOutcome(c.answer), false), false, true
+	case errors.Is(err, io.EOF) && c.response.EndOfInput(): // other read errors mean that the response may be truncated
+		return c.endExchange(responseOutcome(c.response), false), false, true
 	case err != nil:
 		return c.endExchange(policy.Reset, false), false, true
-	case !c.awaitingAnswer:
-		c.problem = errUnrequestedBytes
+	case !c.awaitingResponse:
+		c.responseErr = errUnsolicitedBytes
 		return c.endExchange(0, false), false, true
 	}
-	outcome, reuse = c.advanceAnswer(n)
+	outcome, reuse = c.advanceResponse(n)
 	return outcome, reuse, true
 }
 
-// advanceAnswer takes in bytes that have been read into the space of the answer.
-func (c *hostConn) advanceAnswer(count int) (outcome policy.Outcome, reuse bool) {
-	complete, malformed := c.answer.Advance(count)
-	for complete && c.answer.Status < 200 { // an interim response
-		count = c.answer.Next()
+// advanceResponse parses count bytes that were read into the free space of the response buffer.
+func (c *hostConn) advanceResponse(count int) (outcome policy.Outcome, reuse bool) {
+	complete, malformed := c.response.Advance(count)
+	for complete && c.response.Status < 200 { // an interim response
+		count = c.response.Next()
 		if count == 0 {
 			return 0, true
 		}
-		complete, malformed = c.answer.Advance(count)
+		complete, malformed = c.response.Advance(count)
 	}
-	c.problem = malformed
+	c.responseErr = malformed
 	if malformed != nil {
 		return c.endExchange(policy.Failed, false), false
 	}
 	if !complete {
 		return 0, true
 	}
-	reuse = !c.answer.Close && len(c.answer.Rest()) == 0
-	return c.endExchange(answerOutcome(c.answer), reuse), reuse
+	reuse = !c.response.Close && len(c.response.Rest()) == 0
+	return c.endExchange(responseOutcome(c.response), reuse), reuse
 }
 
-// endExchange says how the delivery on the connection ended; 0: none was written, the bytes or the end belong to no request. It is
-// called under mu.
+// endExchange returns the outcome of the delivery on the connection. It returns 0 if no request is outstanding, so that the bytes
+// or the EOF belong to none. It is called under mu.
 func (c *hostConn) endExchange(outcome policy.Outcome, reuse bool) policy.Outcome {
-	if !reuse || !c.awaitingAnswer {
+	if !reuse || !c.awaitingResponse {
 		c.unusable = true
 	}
-	if !c.awaitingAnswer {
+	if !c.awaitingResponse {
 		return 0
 	}
-	c.awaitingAnswer = false
+	c.awaitingResponse = false
 	return outcome
 }
 
-// answerOutcome says what a whole answer means.
-func answerOutcome(answer *Buffer) policy.Outcome {
+// responseOutcome returns the outcome that a complete response stands for.
+func responseOutcome(response *Buffer) policy.Outcome {
 	switch {
-	case answer.Status == 200:
+	case response.Status == 200:
 		return policy.Succeeded
-	case http1.Declined(&answer.Message):
+	case http1.Declined(&response.Message):
 		return policy.Rejected
 	}
 	return policy.Failed
--- a/gateway/server/hostconn_test.go
+++ b/gateway/server/hostconn_test.go
@@ -14,7 +14,7 @@
 	"otterseam/harness/leakcheck"
 )
 
-// manualHost is a host whose connections the test speaks on itself.
+// manualHost is a host whose connections are served by the test itself.
 type manualHost struct {
 	net.Listener
 	conns chan net.Conn
@@ -39,7 +39,7 @@
 				return
 			}
 			all.Go(func() {
-				<-t.Context().Done() // just before what is cleaned up
+				<-t.Context().Done() // canceled just before the cleanup functions run
 				tcp.Close()
 			})
 			h.conns <- tcp
@@ -50,7 +50,7 @@
 
 func (h *manualHost) entry() string { return entry("h0", h.Addr().String(), "Ready") }
 
-// next is the next connection that a delivery is made on.
+// next returns the next connection that the gateway opens.
 func (h *manualHost) next(t *testing.T) net.Conn {
 	t.Helper()
 	select {
@@ -58,12 +58,12 @@
 		_ = tcp.SetDeadline(time.Now().Add(5 * time.Second))
 		return tcp
 	case <-time.After(3 * time.Second):
-		t.Fatal("no connection came")
+		t.Fatal("no connection was opened")
 		return nil
 	}
 }
 
-// request reads one request; "": the connection has ended.
+// readRequest reads one request and returns its method and body, or "" if the connection has ended.
 func request(tcp net.Conn) (text string) {
 	messages(tcp, false, func(m *http1.Message) bool {
 		text = string(m.Method) + " " + string(m.Body)
@@ -72,7 +72,7 @@
 	return text
 }
 
-// sendList has discovery tell of hosts.
+// sendList sends a complete list of hosts from discovery, and waits until it is applied.
 func (w *testGateway) sendList(version int, entries ...string) {
 	w.discoveryLines <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 	w.wait(func() bool {
@@ -80,10 +80,10 @@
 		defer w.discovery.mu.Unlock()
 		return w.discovery.current.acceptedVersion == int64(version)
 	})
-	w.wait(func() bool { return true }) // the loop has it too
+	w.wait(func() bool { return true }) // the event loop has applied it too
 }
 
-// idleConns is how many connections to h0 are idle.
+// idleConns returns the number of idle connections to h0.
 func (w *testGateway) idleConns() int {
 	if h := w.pool.byID["h0"]; h != nil {
 		return len(h.idle)
@@ -91,7 +91,8 @@
 	return 0
 }
 
-// Half an answer that nobody asked for had been read when the next request was written: the rest of it was that one's.
+// Unsolicited bytes that were read before a request is written must not become part of its response. The rest of such a response
+// was taken for that of the next request.
 func TestBytesReadBeforeARequestAreNotItsAnswer(t *testing.T) {
 	h := newManualHost(t)
 	w := start(t, plentyOfQuota)
@@ -105,9 +106,9 @@
 		t.Fatalf("got %q", body)
 	}
 	w.wait(func() bool { return w.idleConns() == 1 })
-	sendText(first, "HTTP/1.1 200 OK\r\nContent-Len") // nobody asked
+	sendText(first, "HTTP/1.1 200 OK\r\nContent-Len") // unsolicited
 	go func() {
-		if request(first) != "" { // as it should not
+		if request(first) != "" { // not expected
 			sendText(first, "gth: 5\r\n\r\nstray")
 		}
 	}()
@@ -121,8 +122,8 @@
 	}
 }
 
-// The host closes a resting connection just as a request is handed over on it: nothing was written, so it goes out on
-// another, though it may not be sent again, and the host is not blamed.
+// The host closes an idle connection just as a request is dispatched on it. Nothing was written, so the request is sent on another
+// connection, even though it must not be retried, and the host's health is not affected.
 func TestARequestGoesElsewhereIfItsConnectionEndsAsItIsHandedOver(t *testing.T) {
 	h := newManualHost(t)
 	k := &connHook{}
@@ -133,10 +134,10 @@
 	for i := range 3 {
 		var last net.Conn
 		if i > 0 {
-			last = <-h.conns // stands, and rests
+			last = <-h.conns // open and idle
 			k.on("look", func() {
 				last.Close()
-				for nothingUnread(resting) {
+				for receiveBufferEmpty(resting) {
 				}
 			})
 		}
@@ -161,27 +162,27 @@
 		})
 	}
 	if w.log.has("set aside") {
-		t.Fatal("the host is blamed")
+		t.Fatal("the host was set aside")
 	}
 }
 
-// The same where the reader sees the end before the writer has begun: it was told as a delivery that found no connection.
+// The same if the reader detects the close before the writer starts. This was reported as a delivery without a connection.
 func TestARequestGoesElsewhereIfItsConnectionEndedBeforeItWasBegun(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	w := start(t, plentyOfQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
-	var dead []*hostConn // as many as an invocation may have deliveries
+	var dead []*hostConn // as many as the maximum number of attempts
 	for range 3 {
 		tcp, _ := net.Dial("tcp", l.Addr().String())
 		other, _ := l.Accept()
 		other.Close()
-		for nothingUnread(tcp) {
+		for receiveBufferEmpty(tcp) {
 		}
 		raw, _ := rawConnOf(tcp)
 		dead = append(dead, &hostConn{pool: w.pool, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)})
 	}
-	w.wait(func() bool { // at rest, neither of their goroutines has come to run
+	w.wait(func() bool { // idle, and neither of their goroutines has run yet
 		x := w.pool.byID["h0"]
 		for _, c := range dead {
 			c.host, c.addr = x, x.addr
@@ -192,7 +193,7 @@
 	})
 	client := w.dial()
 	sendText(client, invoke("pay", 900, "x"))
-	for i := len(dead) - 1; i >= 0; i-- { // the last used is taken first
+	for i := len(dead) - 1; i >= 0; i-- { // the most recently used is taken first
 		w.wait(func() bool { return dead[i].delivery != nil })
 		dead[i].readLoop()
 	}
@@ -201,13 +202,13 @@
 	}
 	w.wait(func() bool { return w.pool.open == 1 })
 	for _, c := range dead {
-		c.writeLoop() // comes too late to write anything
+		c.writeLoop() // too late to write anything
 	}
 }
 
-// A client leaves while its request waits for a connection: it is not written once the connection stands.
+// A client leaves while its request waits for a connection. The request is not written once the connection is established.
 func TestARequestWhoseClientLeftIsNotWritten(t *testing.T) {
-	for _, point := range []string{"up", "look"} { // before the connection stands, and after it was handed over
+	for _, point := range []string{"up", "look"} { // before the connection is established, and after the dispatch
 		h := newManualHost(t)
 		k := &connHook{}
 		w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
@@ -222,18 +223,18 @@
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
 		w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
-		<-clientLeft // else the gateway may end while the hook still waits for its loop
+		<-clientLeft // otherwise the gateway may end while the hook still waits for its event loop
 		if point == "up" {
 			w.wait(func() bool { return w.idleConns() == 1 })
 			w.wait(func() bool { w.pool.UpdateHost("h0", "", false); return true })
 		}
 		if got := request(c); got != "" {
-			t.Errorf("%s: the host got %q", point, got)
+			t.Errorf("%s: the host received %q", point, got)
 		}
 	}
 }
 
-// What allowed a delivery may be over when its connection stands.
+// The conditions for a delivery may have changed when its connection is established.
 func TestADeliveryThatWaitedIsJudgedOnceMore(t *testing.T) {
 	for name, change := range map[string]func(w *testGateway, h *manualHost){
 		"drains": func(w *testGateway, h *manualHost) {
@@ -244,9 +245,9 @@
 			w.sendList(3, strings.Replace(h.entry(), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
 		},
 		"late": func(w *testGateway, h *manualHost) { time.Sleep(350 * time.Millisecond) },
-		"late by what lies before it in the queue": func(w *testGateway, h *manualHost) {
+		"late because of an event queued before it": func(w *testGateway, h *manualHost) {
 			w.loop.post(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
-			w.hook.on("read", func() { // it is in the queue; what follows it there gives the writer time
+			w.hook.on("read", func() { // it is queued; the event after it gives the writer time
 				w.loop.post(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
 			})
 		},
@@ -269,7 +270,7 @@
 					case c := <-h.conns:
 						go func() {
 							if got := request(c); got != "" {
-								t.Errorf("the host got %q", got)
+								t.Errorf("the host received %q", got)
 							}
 						}()
 					}
@@ -285,7 +286,7 @@
 	}
 }
 
-// The time that a host is told is what is left when the request is written.
+// The deadline that a host receives is the time left when the request is written.
 func TestTheTimeToldIsWhatIsLeftAtWriting(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		for _, f := range m.Fields {
@@ -301,11 +302,11 @@
 	_, body := exchange(w.dial(), invoke("pay", 900, "x"))
 	var ms int
 	if _, err := fmt.Sscan(body, &ms); err != nil || ms <= 0 || ms > 700 {
-		t.Fatalf("told %q", body)
+		t.Fatalf("forwarded deadline %q", body)
 	}
 }
 
-// A write breaks off in the middle: the host can't have run what it has not got whole, so it goes out again.
+// A write that fails in the middle is retried: the host can't have executed an incomplete request.
 func TestAWriteThatBreaksOffNeverRan(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
 	k := &connHook{}
@@ -319,7 +320,8 @@
 	h.noRequest(t)
 }
 
-// A reset after the last byte was written may have run, with a part of an answer or without.
+// A request may have been executed if the connection is reset after its last byte was written, whether or not part of the response
+// was received. It is not retried.
 func TestAResetAfterTheWholeRequestMayHaveRun(t *testing.T) {
 	for _, text := range []string{
 		"", "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
@@ -334,12 +336,12 @@
 		request(c)
 		sendText(c, text)
 		if text != "" {
-			w.wait(func() bool { // it has been read
+			w.wait(func() bool { // the bytes were read
 				for _, inv := range w.loop.invocations {
 					if k := inv.delivery.conn; k != nil {
 						k.mu.Lock()
 						defer k.mu.Unlock()
-						return k.answer != nil && !k.answer.Empty()
+						return k.response != nil && !k.response.Empty()
 					}
 				}
 				return false
@@ -358,7 +360,7 @@
 	}
 }
 
-// An answer comes byte by byte; one that never comes to its end is given up with the client's time.
+// A response that arrives byte by byte is forwarded. One that never completes is given up at the client's deadline.
 func TestAnswersInPiecesArePassedOn(t *testing.T) {
 	h := newManualHost(t)
 	w := start(t, plentyOfQuota)
@@ -404,7 +406,7 @@
 	<-ended
 }
 
-// Answers that never end, in length and in number, stop at their bounds.
+// Responses that never end are limited in length, and so are interim responses in number.
 func TestAnswersWithoutEndStopAtTheirBounds(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nA: ", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
@@ -436,16 +438,17 @@
 	}
 }
 
-// A host's odd answers may have run: a non-idempotent invocation is errored, not throttled, and not sent again.
+// After an invalid response the request may have been executed: a non-idempotent invocation then fails. It is neither throttled nor
+// retried.
 func TestAnswersOfHostsDecideTheStatus(t *testing.T) {
 	for text, want := range map[string]int{
 		"garbage garbage\r\n\r\n!":                           502,
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 9000): 502,
 		"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n":   502,
-		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab!":    502, // cut short
+		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab!":    502, // truncated
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":       502,
-		"HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n":       502, // without the sign that it never ran
-		"!":                                     502, // ended unanswered
+		"HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n":       502, // without the field that proves that it never ran
+		"!":                                     502, // closed without a response
 		"":                                      504,
 		"HTTP/1.1 100 Go on\r\n\r\n" + ok("x"):  200,
 		"HTTP/1.1 200 OK\r\n\r\nuntil the end!": 200,
@@ -458,7 +461,7 @@
 		}
 		h.nextRequest(t)
 		if h.noRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
-			<-h.Disconnects // a connection that held nonsense is not used again
+			<-h.Disconnects // a connection with an invalid response is not reused
 		}
 	}
 }
@@ -478,8 +481,8 @@
 	}
 }
 
-// A host closes an idle connection, or sends bytes that nobody asked for: neither may meet the next delivery, which
-// could not be sent again.
+// A host closes an idle connection or sends unsolicited bytes on it. The next delivery must not use that connection, as it could
+// not be retried.
 func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	for _, after := range []string{"!", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n?"} {
 		h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") + after })
@@ -487,7 +490,7 @@
 		tcp := w.dial()
 		for i := range 3 {
 			if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
-				t.Fatalf("invocation %d after %.9q: %d", i, after, status)
+				t.Fatalf("invocation %d after %.9q: status %d", i, after, status)
 			}
 			<-h.Disconnects
 			w.wait(func() bool { return len(w.pool.byID["h0"].idle) == 0 })
@@ -520,12 +523,12 @@
 		return good
 	})
 	if status, _ := exchange(w.dial(), invoke("look", 300, "")); status != 429 {
-		t.Fatalf("no host is active, got %d", status)
+		t.Fatalf("status %d without an active host", status)
 	}
 	h.noRequest(t)
 }
 
-// An answer may be on the queue when its delivery is given up: the connection, already ended, was used again.
+// A delivery may be cancelled while its response is in the queue. The connection, already closed by the cancellation, was reused.
 func TestConnectionGivenUpIsNotUsedAgain(t *testing.T) {
 	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
@@ -538,10 +541,10 @@
 		}
 		c := h.idle[0]
 		h.idle = nil
-		c.abandon() // as withdraw does, before the loop hears of the answer
+		c.abandon() // as cancel does, before the event loop processes the response
 		c.deliveryEnded()
 		if len(h.idle) > 0 {
-			t.Error("it idles again")
+			t.Error("the connection is idle again")
 		}
 		return true
 	})
@@ -557,8 +560,8 @@
 	w.wait(func() bool { return w.pool.byID["h50"] != nil && len(w.pool.byID) == 1 && len(w.pool.inOrder) == 1 })
 }
 
-// Bytes behind an answer may have come and not yet been read when the next request is handed over: they are not its
-// answer, and it goes out on another connection.
+// Bytes after a response may have arrived without being read when the next request is dispatched. They are not its response, and
+// the request is sent on another connection.
 func TestBytesBehindAnAnswerAreNotTheNextOne(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
 	w := start(t, plentyOfQuota, h)
@@ -568,9 +571,9 @@
 	behind, _ := l.Accept()
 	defer behind.Close()
 	sendText(behind, ok("a second copy"))
-	for nothingUnread(tcp) { // until it has come
+	for receiveBufferEmpty(tcp) { // until the bytes have arrived
 	}
-	w.wait(func() bool { // at rest, and its reader, late, has not seen the bytes
+	w.wait(func() bool { // idle, and its reader has not seen the bytes yet
 		x := w.pool.byID["h0"]
 		raw, _ := rawConnOf(tcp)
 		c := &hostConn{pool: w.pool, host: x, addr: x.addr, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)}
@@ -587,23 +590,23 @@
 	}
 }
 
-// A body without a length ends with its connection, but not with a reset.
+// A body without a length ends with the close of its connection, but not with a reset.
 func TestABodyCutShortIsNoAnswer(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "HTTP/1.1 200 OK\r\n\r\nhalf of" })
 	w := start(t, plentyOfQuota, h)
 	tcp := w.dial()
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
-	w.wait(func() bool { // as a reset does, the reading ends with an error
+	w.wait(func() bool { // the read fails with an error, as after a reset
 		for in := range w.loop.invocations {
 			if c := w.loop.invocations[in].delivery.conn; c != nil {
-				_ = c.tcp.(*net.TCPConn).SetReadDeadline(expired)
+				_ = c.tcp.(*net.TCPConn).SetReadDeadline(pastDeadline)
 				return true
 			}
 		}
 		return false
 	})
 	if status, body := exchange(tcp, ""); status == 200 {
-		t.Fatalf("half an answer was passed on: %q", body)
+		t.Fatalf("a truncated response was forwarded: %q", body)
 	}
 }
--- a/gateway/server/hostdelivery.go
+++ b/gateway/server/hostdelivery.go
@@ -9,28 +9,28 @@
 	"otterseam/internal/mutation"
 )
 
-// send hands a delivery to a connection of the host with that id, or lets it wait for one.
+// send dispatches a delivery on a connection to the host with that ID, or queues it until there is one.
 func (p *HostPool) send(d *delivery, id string) {
 	d.host = p.byID[id]
 	if d.host == nil || !d.host.active {
-		p.endUndelivered(d, policy.NoConnection)
+		p.endWithoutResponse(d, policy.NoConnection)
 		return
 	}
-	p.place(d)
+	p.assign(d)
 }
 
-// place gives a delivery of which nothing has been written a connection of its host, or lets it wait for one.
-func (p *HostPool) place(d *delivery) {
+// assign dispatches a delivery of which nothing was written on a connection to its host, or queues it until there is one.
+func (p *HostPool) assign(d *delivery) {
 	h := d.host
 	if n := len(h.idle); n > 0 {
-		if p.handOver(h.idle[n-1], d) {
+		if p.dispatch(h.idle[n-1], d) {
 			h.idle = h.idle[:n-1]
 		}
 		return
 	}
 	if h.dialing <= len(h.waiting) {
 		if p.open >= p.maxConns && !p.closeLongestIdle() {
-			p.endUndelivered(d, policy.NoConnection)
+			p.endWithoutResponse(d, policy.NoConnection)
 			return
 		}
 		p.dial(h)
@@ -38,17 +38,17 @@
 	h.waiting = append(h.waiting, d)
 }
 
-// handOver lets a delivery go on a connection: the one place where that is done. The delivery may have waited for the connection,
-// so all that allowed it when its host was chosen is checked once more, as of now: its time here, and by the policy its host's
-// state and incarnation and what a host in slow start may be sent. A client that has left has withdrawn it. false: the delivery
-// has ended, the connection is free.
-func (p *HostPool) handOver(c *hostConn, d *delivery) bool {
+// dispatch starts a delivery on a connection, and is the only place that does. The delivery may have waited for the connection. The
+// conditions under which its host was chosen are therefore checked again: its deadline here, and in the policy the state and
+// incarnation of its host and the rate limit of a host in slow start. A delivery whose client has left was already cancelled.
+// dispatch returns false if the delivery has ended and the connection is still free.
+func (p *HostPool) dispatch(c *hostConn, d *delivery) bool {
 	if d.due <= p.loop.now {
-		p.endUndelivered(d, policy.NoConnection)
+		p.endWithoutResponse(d, policy.NoConnection)
 		return false
 	}
 	if !p.loop.policy.ConfirmSend(p.loop.now, d.attempt) {
-		p.endUndelivered(d, policy.NotSent)
+		p.endWithoutResponse(d, policy.NotSent)
 		return false
 	}
 	c.delivery, d.conn = d, c
@@ -64,7 +64,7 @@
 	return true
 }
 
-// nextDelivery gives a free connection its host's next delivery, or lets it be idle.
+// nextDelivery dispatches the host's next waiting delivery on a free connection, or adds the connection to the idle ones.
 func (p *HostPool) nextDelivery(c *hostConn) {
 	h := c.host
 	if !h.active || c.addr != h.addr {
@@ -74,7 +74,7 @@
 	for len(h.waiting) > 0 {
 		d := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		if p.handOver(c, d) {
+		if p.dispatch(c, d) {
 			return
 		}
 	}
@@ -82,11 +82,12 @@
 	h.idle = append(h.idle, c)
 }
 
-// withdraw gives a delivery up. One still waiting for its connection never ran; else the connection is ended.
-func (p *HostPool) withdraw(d *delivery, outcome policy.Outcome) {
+// cancel ends a delivery before its outcome is known. If it still waits for a connection, it never ran. Otherwise its connection is
+// closed.
+func (p *HostPool) cancel(d *delivery, outcome policy.Outcome) {
 	if d.conn == nil {
 		d.host.waiting = slices.DeleteFunc(d.host.waiting, func(other *delivery) bool { return other == d })
-		p.endUndelivered(d, policy.NoConnection)
+		p.endWithoutResponse(d, policy.NoConnection)
 		return
 	}
 	d.conn.delivery = nil
@@ -96,12 +97,13 @@
 	case !mutation.CancelledAttemptLeftInFlight:
 		d.conn.abandon()
 	}
-	p.endUndelivered(d, outcome)
+	p.endWithoutResponse(d, outcome)
 }
 
-// endUndelivered ends a delivery that no connection answers for. The loop reports it after the present call of the policy.
-func (p *HostPool) endUndelivered(d *delivery, outcome policy.Outcome) {
-	if d.index < 0 { // it has ended before
+// endWithoutResponse ends a delivery whose outcome does not come from its connection. The event loop reports it after the current
+// call to the policy returns.
+func (p *HostPool) endWithoutResponse(d *delivery, outcome policy.Outcome) {
+	if d.index < 0 { // already ended
 		return
 	}
 	heap.Remove(&p.loop.timeouts, d.index)
--- a/gateway/server/hostlist.go
+++ b/gateway/server/hostlist.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	maxLoggedDrops = 5    // dropped entries of one list that the log names
-	leftHostsKept  = 60.0 // seconds for which hosts that left are known
+	maxLoggedDrops = 5    // maximum number of dropped entries that are logged per list
+	leftHostsKept  = 60.0 // seconds for which hosts that left are remembered
 )
 
-// Roster is the list of hosts, or a change of it, as discovery writes it.
+// Roster is the list of hosts, or a change to it, as sent by discovery.
 type Roster struct {
 	Version int64         `json:"version"`
-	Full    bool          `json:"full"` // the complete list; else only its changes
+	Full    bool          `json:"full"` // complete list; otherwise changes only
 	Servers []RosterEntry `json:"servers"`
 }
 
-// RosterEntry is one host of a Roster.
+// RosterEntry is one host in a Roster.
 type RosterEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"` // "ip:port"
@@ -28,32 +28,33 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"` // a key of hostStates
 	Weight  float64 `json:"weight"`
-	Started float64 `json:"started_ms"` // when its incarnation started, milliseconds since 1970
+	Started float64 `json:"started_ms"` // start time of its incarnation, in milliseconds since 1970
 }
 
-// The states of policy.HostEntry.
+// Host states used by policy.HostEntry.
 const (
 	hostActive  = "active"
 	hostLeaving = "leaving"
 	hostLeft    = "left"
 )
 
-// hostStates are the states that discovery writes.
+// hostStates maps the states sent by discovery to those of the policy.
 var hostStates = map[string]string{"Ready": hostActive, "Terminating": hostLeaving, "Gone": hostLeft}
 
-// hostIncarnation is what is known of a host since its last start. A list whose versions can't be compared with those held, as
-// another discovery's, and that is behind would bring back a host that leaves; by this it does not.
+// hostIncarnation records the last known incarnation of a host and whether it has left. A list from another discovery instance has
+// versions that can't be compared with the current one and may be outdated. This record keeps such a list from bringing back a host
+// that is leaving.
 type hostIncarnation struct {
-	startedMS float64 // as RosterEntry.Started
-	leftAt    float64 // clock time at which it was known to leave; 0: it was not
+	startedMS float64 // see RosterEntry.Started
+	leftAt    float64 // clock time of the report that it leaves; 0: not leaving
 }
 
-// apply posts a list to the event loop, entries that make no sense left out; it says how many those are. incomparable: the list's
-// versions can't be compared with those of what was accepted before. It is called under mu.
+// apply posts a list to the event loop without its invalid entries, and returns their number. incomparable reports that the list's
+// versions can't be compared with those of previously accepted lists. It is called under mu.
 func (d *DiscoveryClient) apply(ctx context.Context, list Roster, incomparable bool) (dropped int) {
 	var entries []policy.HostEntry
 	var addrs []string
-	named, now := map[string]bool{}, d.loop.clock()
+	listedIDs, now := map[string]bool{}, d.loop.clock()
 	for _, listed := range list.Servers {
 		if mutation.StartIgnored {
 			listed.Started = 0
@@ -62,12 +63,12 @@
 		if !ok {
 			dropped++
 			if dropped <= maxLoggedDrops {
-				d.log.Warn().Str("host", listed.ID).Str("addr", listed.Addr).Str("state", listed.State).Msg("entry dropped")
+				d.log.Warn().Str("host", listed.ID).Str("addr", listed.Addr).Str("state", listed.State).Msg("invalid host entry dropped")
 			}
 			continue
 		}
-		state = d.noteIncarnation(listed, state, incomparable, now)
-		named[listed.ID] = true
+		state = d.updateIncarnation(listed, state, incomparable, now)
+		listedIDs[listed.ID] = true
 		entries = append(entries, policy.HostEntry{
 			Addr:      listed.ID,
 			Zone:      listed.Zone,
@@ -78,12 +79,12 @@
 		})
 		addrs = append(addrs, listed.Addr)
 	}
-	d.forgetLeft(list.Full, named, now)
+	d.forgetLeft(list.Full, listedIDs, now)
 	d.loop.post(ctx, func() { d.loop.updateHosts(entries, addrs, list.Full) })
 	return dropped
 }
 
-// entryState is the state of an entry; false: the entry makes no sense.
+// entryState returns the state of an entry, and false if the entry is invalid.
 func entryState(listed RosterEntry) (state string, ok bool) {
 	state = hostStates[listed.State]
 	if mutation.DrainIgnored && state != "" {
@@ -93,9 +94,9 @@
 	return state, listed.ID != "" && state != "" && (err == nil || state == hostLeft)
 }
 
-// noteIncarnation takes over what an entry says of its host. A host that was known to leave goes on leaving in its incarnation where
-// the list can't be compared.
-func (d *DiscoveryClient) noteIncarnation(listed RosterEntry, state string, incomparable bool, now float64) string {
+// updateIncarnation records the incarnation in an entry, and returns the host's state. In an incomparable list, a host that was
+// leaving stays so until a later incarnation is listed.
+func (d *DiscoveryClient) updateIncarnation(listed RosterEntry, state string, incomparable bool, now float64) string {
 	known := d.incarnations[listed.ID]
 	if incomparable && known.leftAt > 0 && listed.Started <= known.startedMS {
 		state = hostLeaving
@@ -108,10 +109,10 @@
 	return state
 }
 
-// forgetLeft notes that hosts which a complete list does not name have left, and forgets those that left long ago.
-func (d *DiscoveryClient) forgetLeft(complete bool, named map[string]bool, now float64) {
+// forgetLeft records that hosts missing from a complete list have left, and deletes those that left long ago.
+func (d *DiscoveryClient) forgetLeft(complete bool, listedIDs map[string]bool, now float64) {
 	for id, incarnation := range d.incarnations {
-		if complete && !named[id] && incarnation.leftAt == 0 {
+		if complete && !listedIDs[id] && incarnation.leftAt == 0 {
 			incarnation.leftAt = now
 			d.incarnations[id] = incarnation
 		}
@@ -121,7 +122,7 @@
 	}
 }
 
-// updateHosts tells the pool and the policy of the hosts; the policy goes on knowing a host that has left.
+// updateHosts passes the hosts to the pool and to the policy. The policy keeps its record of a host that has left.
 func (l *EventLoop) updateHosts(entries []policy.HostEntry, addrs []string, complete bool) {
 	listed := map[string]bool{}
 	for i, entry := range entries {
--- a/gateway/server/hostpool.go
+++ b/gateway/server/hostpool.go
@@ -14,21 +14,21 @@
 const (
 	defaultConnectTimeout  = 1.0  // seconds
 	defaultHostIdleTimeout = 10.0 // seconds
-	maxIdleShare           = 0.6  // of a host's idle time-out: an idle connection is closed well before its host would
+	maxIdleShare           = 0.6  // of a host's idle timeout, so that an idle connection is closed well before the host closes it
 	idleSweepInterval      = 0.5  // seconds
-	hostRequestQueue       = 2    // one request and the end
+	hostRequestQueue       = 2    // one request and the final nil
 )
 
-// HostPoolOptions are what a HostPool is made from.
+// HostPoolOptions configure a HostPool.
 type HostPoolOptions struct {
-	MaxConns       int     // connections to all hosts, those being dialed counted
-	ConnectTimeout float64 // seconds; not above 0: defaultConnectTimeout
-	IdleTimeout    float64 // seconds after which hosts close an idle connection; not above 0: defaultHostIdleTimeout
+	MaxConns       int     // maximum number of connections to all hosts, including those being dialed
+	ConnectTimeout float64 // seconds; defaultConnectTimeout if not positive
+	IdleTimeout    float64 // seconds after which hosts close an idle connection; defaultHostIdleTimeout if not positive
 }
 
-// HostPool owns the connections to hosts, one delivery on each at a time, and the deliveries that wait for one. It belongs to the
-// event loop, which alone may call it; a connection's own goroutines touch only what hostConn says. It chooses no host and sends
-// no delivery twice.
+// HostPool owns the connections to hosts, with one delivery on each at a time, and the deliveries that wait for a connection. Only
+// the event loop may call it. The goroutines of a connection use only the fields that hostConn documents for them. The pool does
+// not choose hosts, and sends no delivery twice.
 type HostPool struct {
 	ctx       context.Context
 	group     *errgroup.Group
@@ -37,22 +37,22 @@
 	connect   func(ctx context.Context, network, addr string) (net.Conn, error)
 	maxIdle   float64 // seconds
 	maxConns  int
-	open      int // connections, those being dialed counted
+	open      int // number of connections, including those being dialed
 	byID      map[string]*host
-	inOrder   []*host // as they were first listed
+	inOrder   []*host // in the order in which they were first listed
 	nextSweep float64 // clock time
 }
 
-// host is one that may be sent deliveries, with its connections that have none.
+// host is a host that may receive deliveries, with its idle connections.
 type host struct {
 	id, addr string
-	active   bool        // it takes new deliveries
-	idle     []*hostConn // the one used last comes last
-	waiting  []*delivery // for a connection
-	dialing  int         // connections on their way
+	active   bool        // it accepts new deliveries
+	idle     []*hostConn // most recently used last
+	waiting  []*delivery // deliveries that wait for a connection
+	dialing  int         // number of connections being dialed
 }
 
-// NewHostPool makes a pool without hosts.
+// NewHostPool returns a pool without hosts.
 func NewHostPool(ctx context.Context, group *errgroup.Group, loop *EventLoop, buffers *BufferPool, options HostPoolOptions) *HostPool {
 	if options.ConnectTimeout <= 0 {
 		options.ConnectTimeout = defaultConnectTimeout
@@ -73,8 +73,8 @@
 	}
 }
 
-// UpdateHost takes over what discovery says of a host: where it is, and whether it takes new work. Its connections know their
-// host and their address themselves, so that one listed under another id at the same address is another host.
+// UpdateHost applies what discovery reports about a host: its address, and whether it accepts new work. A connection stores its own
+// host and address, so that a host listed under another ID at the same address counts as a different host.
 func (p *HostPool) UpdateHost(id, addr string, active bool) {
 	h := p.byID[id]
 	if h == nil {
@@ -94,16 +94,16 @@
 		c.abandon()
 	}
 	h.idle = nil
-	for len(h.waiting) > 0 { // nothing new goes to a host that leaves
-		p.withdraw(h.waiting[0], policy.TimedOut)
+	for len(h.waiting) > 0 { // no new work is sent to a leaving host
+		p.cancel(h.waiting[0], policy.TimedOut)
 	}
-	if !active { // forgotten, else the list would grow with every host that ever was
+	if !active { // deleted, as the list would otherwise grow with every host that ever existed
 		delete(p.byID, id)
 		p.inOrder = slices.DeleteFunc(p.inOrder, func(other *host) bool { return other == h })
 	}
 }
 
-// KeepOnly lets only the hosts of a complete list stay active.
+// KeepOnly deactivates all hosts that are not in a complete list.
 func (p *HostPool) KeepOnly(listed map[string]bool) {
 	for _, h := range slices.Clone(p.inOrder) {
 		if !listed[h.id] {
@@ -112,7 +112,7 @@
 	}
 }
 
-// dial begins a connection to a host. The goroutine that dials then reads on it until it is closed.
+// dial starts to connect to a host. The goroutine that dials becomes the connection's reader.
 func (p *HostPool) dial(h *host) {
 	h.dialing++
 	p.open++
@@ -145,7 +145,7 @@
 	h.dialing--
 	p.open--
 	if len(h.waiting) > h.dialing {
-		p.withdraw(h.waiting[0], policy.NoConnection)
+		p.cancel(h.waiting[0], policy.NoConnection)
 	}
 }
 
@@ -154,14 +154,15 @@
 	p.nextDelivery(c)
 }
 
-// dialForWaiting dials for deliveries that wait while fewer connections are on their way.
+// dialForWaiting dials until there are as many pending dials as waiting deliveries.
 func (p *HostPool) dialForWaiting(h *host) {
 	for h.active && h.dialing < len(h.waiting) && p.open < p.maxConns {
 		p.dial(h)
 	}
 }
 
-// closeLongestIdle makes room for a new connection; false: no connection is idle.
+// closeLongestIdle closes the connection that has been idle longest, to make room for a new one. It returns false if no connection
+// is idle.
 func (p *HostPool) closeLongestIdle() bool {
 	var longest *host
 	for _, h := range p.inOrder {
@@ -177,7 +178,7 @@
 	return true
 }
 
-// closeIdle closes connections that have been idle for long.
+// closeIdle closes connections that have been idle for longer than maxIdle.
 func (p *HostPool) closeIdle() {
 	now := p.loop.now
 	if now < p.nextSweep {
--- a/gateway/server/invocation.go
+++ b/gateway/server/invocation.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	clientMargin    = 0.008 // seconds before its client gives up at which the last delivery is ended, so that the answer still comes
-	refsRotateEvery = 2.0   // seconds; a reference is known for one to two of them after its answer
+	responseMargin      = 0.008 // seconds by which the last delivery ends before the client's deadline, so that the response still arrives in time
+	refRotationInterval = 2.0   // seconds; a reference is kept for one to two intervals after its response
 )
 
-// invocation is one taken from a client, until its final answer is handed to the client's connection. It belongs to the event
-// loop once it is posted.
+// invocation is a client's request from when it is taken until its final response is passed to the client connection. Once posted,
+// it belongs to the event loop.
 type invocation struct {
 	http1.Invocation
 	client        *clientConn
 	request       *Buffer
-	readAt        time.Time          // when its last byte came
-	decided       *policy.Invocation // what the policy knows it by; nil before admit
-	deadline      float64            // clock time at which its client gives up
-	delivery      *delivery          // the one in progress
-	timedOut      bool               // the last delivery ended without an answer in time
-	delivered     bool               // a delivery has begun
-	markerRequest uint64             // number of the request for its marker to the quota store; 0: there was none
+	readAt        time.Time          // when its last byte was received
+	policyInv     *policy.Invocation // the policy's record of it; nil before admit
+	deadline      float64            // clock time at which the client gives up
+	delivery      *delivery          // the delivery in progress
+	timedOut      bool               // the last delivery timed out
+	delivered     bool               // a delivery was started
+	markerRequest uint64             // ID of the request for its marker to the quota store; 0: none was sent
 	markerHeld    bool               // the quota store holds its marker
 }
 
-// accept brings in an invocation whose last byte has been read. A reference in use or just answered is refused: sent to a host,
-// it would be a second copy of the one in progress, which goes on untouched.
+// accept processes an invocation whose last byte has been read. It rejects a reference that is in use or was used just before: sent
+// to a host, the request would duplicate the one in progress, which continues unaffected.
 func (l *EventLoop) accept(inv *invocation) {
 	if l.recentRefs.contains(inv.Ref) {
 		inv.client.responses <- response{request: inv.request, status: 409}
 		return
 	}
 	l.recentRefs.add(inv.Ref)
-	inv.deadline = l.clockAt(inv.readAt) + inv.Timeout // from its last byte: it may have waited for the answer before it
+	inv.deadline = l.clockAt(inv.readAt) + inv.Timeout // counted from its last byte, as the request may have waited for the previous response on its connection
 	if l.store.awaitMarker(inv) {
 		return
 	}
 	l.admit(inv)
 }
 
-// admit hands the policy an invocation that may be delivered as far as the quota store knows.
+// admit passes an invocation to the policy, once the quota store allows its delivery or need not be asked.
 func (l *EventLoop) admit(inv *invocation) {
-	inv.decided = l.policy.Accept(l.now, policy.Request{
+	inv.policyInv = l.policy.Accept(l.now, policy.Request{
 		Ref:          inv.Ref,
 		Operation:    inv.Operation,
 		Customer:     inv.Customer,
@@ -58,11 +58,11 @@
 		GatewayCount: inv.GatewayCount,
 		ClientRetry:  inv.Retry,
 	})
-	l.invocations[inv.decided] = inv
+	l.invocations[inv.policyInv] = inv
 }
 
-// carryOut does what the policy decided on an invocation.
-func (l *EventLoop) carryOut(inv *invocation, decision policy.Decision) {
+// execute executes the policy's decision on an invocation.
+func (l *EventLoop) execute(inv *invocation, decision policy.Decision) {
 	switch decision.Action {
 	case policy.Send:
 		l.deliver(inv, decision)
@@ -80,40 +80,40 @@
 	}
 }
 
-// deliver begins the attempt that the policy added last.
+// deliver starts the attempt that the policy added last.
 func (l *EventLoop) deliver(inv *invocation, decision policy.Decision) {
-	timeout := inv.deadline - l.now - clientMargin
+	timeout := inv.deadline - l.now - responseMargin
 	if mutation.AttemptOutlivesClient {
 		timeout += 0.3
 	}
 	if decision.Timeout > 0 {
 		timeout = min(timeout, decision.Timeout)
 	}
-	attempts := inv.decided.Attempts
+	attempts := inv.policyInv.Attempts
 	d := &delivery{invocation: inv, attempt: attempts[len(attempts)-1], sentAt: l.now, due: l.now + timeout}
 	inv.delivery, inv.timedOut, inv.delivered = d, false, true
 	heap.Push(&l.timeouts, d)
 	l.hosts.send(d, decision.Host.Addr)
 }
 
-// deliveryEnded tells the policy how a delivery ended, and carries out what it decides. A success ends the invocation with the
-// host's answer.
-func (l *EventLoop) deliveryEnded(d *delivery, outcome policy.Outcome, answer *Buffer) {
+// deliveryEnded reports the outcome of a delivery to the policy, and executes its decision. A success completes the invocation with
+// the host's response.
+func (l *EventLoop) deliveryEnded(d *delivery, outcome policy.Outcome, hostResponse *Buffer) {
 	inv := d.invocation
 	if inv.delivery == d {
 		inv.delivery = nil
 	}
 	inv.timedOut = outcome == policy.TimedOut
-	final := outcome == policy.Succeeded || l.invocations[inv.decided] != inv
+	final := outcome == policy.Succeeded || l.invocations[inv.policyInv] != inv
 	decision := l.policy.AttemptEnded(l.now, d.attempt, policy.AttemptResult{Outcome: outcome, Final: final, Duration: l.now - d.sentAt})
 	if outcome == policy.Succeeded {
-		l.finish(inv, 200, 0, answer)
+		l.finish(inv, 200, 0, hostResponse)
 		return
 	}
-	l.carryOut(inv, decision)
+	l.execute(inv, decision)
 }
 
-// reportEnded reports deliveries that ended within a call of the policy, or by an event.
+// reportEnded reports the deliveries that ended during a call to the policy or through an event.
 func (l *EventLoop) reportEnded() {
 	for len(l.endedDeliveries) > 0 {
 		d := l.endedDeliveries[0]
@@ -122,32 +122,32 @@
 	}
 }
 
-// clientGone ends an invocation whose client has closed its connection: nothing is owed to it any more.
+// clientGone ends an invocation whose client has closed its connection and needs no response any more.
 func (l *EventLoop) clientGone(inv *invocation) {
-	if l.store.clientGone(inv) || l.invocations[inv.decided] != inv {
+	if l.store.clientGone(inv) || l.invocations[inv.policyInv] != inv {
 		return
 	}
-	l.policy.Abandon(l.now, inv.decided)
+	l.policy.Abandon(l.now, inv.policyInv)
 	if inv.delivery != nil {
-		l.hosts.withdraw(inv.delivery, policy.Cancelled)
+		l.hosts.cancel(inv.delivery, policy.Cancelled)
 	}
 	l.finish(inv, 0, 0, nil)
 }
 
-// finish hands the one final answer to the client's connection, which always has room for it.
-func (l *EventLoop) finish(inv *invocation, status int, retryAfter float64, answer *Buffer) {
-	if l.invocations[inv.decided] != inv {
-		l.hosts.buffers.Put(answer)
+// finish passes the only final response to the client connection, whose channel always has room for it.
+func (l *EventLoop) finish(inv *invocation, status int, retryAfter float64, hostResponse *Buffer) {
+	if l.invocations[inv.policyInv] != inv {
+		l.hosts.buffers.Put(hostResponse)
 		return
 	}
-	delete(l.invocations, inv.decided)
+	delete(l.invocations, inv.policyInv)
 	l.store.invocationEnded(inv, status)
-	inv.client.responses <- response{request: inv.request, upstream: answer, status: status, retryAfter: retryAfter}
+	inv.client.responses <- response{request: inv.request, upstream: hostResponse, status: status, retryAfter: retryAfter}
 }
 
-// recentRefs are the references of invocations in progress or just answered.
+// recentRefs holds the references of invocations that are in progress or were completed a short time ago.
 type recentRefs struct {
-	current, previous map[string]bool // since the last rotation, and in the period before it
+	current, previous map[string]bool // added since the last rotation, and in the interval before it
 	rotatedAt         float64
 }
 
@@ -159,10 +159,10 @@
 
 func (r *recentRefs) add(ref string) { r.current[ref] = true }
 
-// rotateRefs lets go of references whose clients have given up since. Those in progress stay.
+// rotateRefs drops references that are old enough that their clients have given up. Those of invocations in progress stay.
 func (l *EventLoop) rotateRefs() {
 	refs := &l.recentRefs
-	if l.now-refs.rotatedAt < refsRotateEvery {
+	if l.now-refs.rotatedAt < refRotationInterval {
 		return
 	}
 	refs.rotatedAt = l.now
