--- a/gateway/server/peers.go
+++ b/gateway/server/peers.go
@@ -14,43 +14,43 @@
 	maxDatagramBytes     = 256
 	maxQueuedDatagrams   = 32
 	datagramWriteTimeout = 100 * time.Millisecond
-	datagramReadPause    = time.Millisecond // after a read that failed, as an earlier datagram came back as undeliverable
+	datagramReadPause    = time.Millisecond // after a failed read, for example when an earlier datagram was undeliverable
 )
 
-// PeerOptions say where the gateways of the fleet are.
+// PeerOptions are the addresses of the gateways in the fleet.
 type PeerOptions struct {
-	Listen    string   // where this one listens, "ip:port"; empty: there are no peers
-	Addrs     []string // of each gateway by its number, this one's own too
+	Listen    string   // listen address, "ip:port"; empty: no peers
+	Addrs     []string // address of each gateway, by gateway number, including this one
 	Self      int      // this gateway's number
-	Broadcast string   // an address that reaches all others; empty: they are sent to one by one
+	Broadcast string   // an address that reaches all others; empty: broadcasts are sent to each peer individually
 }
 
-// PeerSocket is the datagram socket between gateways: one goroutine writes (Write), one reads (Read). A datagram that is too long or
-// comes from an unknown address is dropped, and none makes the event loop wait.
+// PeerSocket is the UDP socket between gateways. One goroutine writes (Write), one reads (Read). Datagrams that are too long or
+// come from an unknown address are dropped. Peer messages never block the event loop.
 type PeerSocket struct {
-	loop     *EventLoop
-	udp      *net.UDPConn           // nil: there are no peers
-	others   []netip.AddrPort       // what reaches all others
-	peers    []netip.AddrPort       // each by its number
-	numbers  map[netip.AddrPort]int // of the others by their addresses
-	outgoing chan peerMessage
-	received func(from int, text string)
+	loop           *EventLoop
+	udp            *net.UDPConn           // nil: no peers
+	broadcastAddrs []netip.AddrPort       // where broadcasts are sent
+	addrs          []netip.AddrPort       // by gateway number
+	numberByAddr   map[netip.AddrPort]int // gateway numbers of the other gateways, by address
+	outgoing       chan peerMessage
+	onReceive      func(from int, text string)
 }
 
-// peerMessage is for the gateway of that number, or for every other one: membership.Broadcast.
+// peerMessage is a message to the gateway with number to, or to all others if to is membership.Broadcast.
 type peerMessage struct {
 	to   int
 	text string
 }
 
-// NewPeerSocket opens the socket. The errors are those of addresses that make no sense and of listening.
+// NewPeerSocket opens the socket. It returns an error if an address is invalid or listening fails.
 func NewPeerSocket(loop *EventLoop, options PeerOptions) (*PeerSocket, error) {
-	p := &PeerSocket{loop: loop, numbers: map[netip.AddrPort]int{}, outgoing: make(chan peerMessage, maxQueuedDatagrams)}
-	p.received = p.postToLoop
+	p := &PeerSocket{loop: loop, numberByAddr: map[netip.AddrPort]int{}, outgoing: make(chan peerMessage, maxQueuedDatagrams)}
+	p.onReceive = p.postToLoop
 	if options.Listen == "" {
 		return p, nil
 	}
-	if err := p.parse(options); err != nil {
+	if err := p.parseAddrs(options); err != nil {
 		return nil, err
 	}
 	listen, err := net.ResolveUDPAddr("udp", options.Listen)
@@ -64,19 +64,19 @@
 	return p, err
 }
 
-func (p *PeerSocket) parse(options PeerOptions) error {
+func (p *PeerSocket) parseAddrs(options PeerOptions) error {
 	for number, text := range options.Addrs {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return err
 		}
-		p.peers = append(p.peers, addr)
+		p.addrs = append(p.addrs, addr)
 		if number == options.Self {
 			continue
 		}
-		p.numbers[addr] = number
+		p.numberByAddr[addr] = number
 		if options.Broadcast == "" {
-			p.others = append(p.others, addr)
+			p.broadcastAddrs = append(p.broadcastAddrs, addr)
 		}
 	}
 	if options.Broadcast == "" {
@@ -86,11 +86,11 @@
 	if err != nil {
 		return err
 	}
-	p.others = []netip.AddrPort{addr}
+	p.broadcastAddrs = []netip.AddrPort{addr}
 	return nil
 }
 
-// send hands a message to the writer. Where too many wait it is dropped, as the network would.
+// send queues a message for Write. If the queue is full the message is dropped, like a datagram lost in the network.
 func (p *PeerSocket) send(to int, text string) {
 	if p.udp == nil || len(text) > maxDatagramBytes {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// Write sends what is handed over, and closes the socket when ctx ends.
+// Write sends the queued messages, and closes the socket when ctx ends.
 func (p *PeerSocket) Write(ctx context.Context) error {
 	if p.udp == nil {
 		return nil
@@ -112,8 +112,8 @@
 		case <-ctx.Done():
 			return nil
 		case message := <-p.outgoing:
-			for _, addr := range p.targets(message.to) {
-				// One that can't be sent is lost, as it may be on its way.
+			for _, addr := range p.destinations(message.to) {
+				// A failed send is ignored, like a datagram lost in the network.
 				_ = p.udp.SetWriteDeadline(time.Now().Add(datagramWriteTimeout))
 				_, _ = p.udp.WriteToUDPAddrPort([]byte(message.text), addr)
 			}
@@ -121,23 +121,23 @@
 	}
 }
 
-// targets are the addresses to which a message is sent; none: there is no gateway of that number.
-func (p *PeerSocket) targets(to int) []netip.AddrPort {
+// destinations returns the addresses to which a message is sent, or none if no gateway has that number.
+func (p *PeerSocket) destinations(to int) []netip.AddrPort {
 	switch {
 	case to == membership.Broadcast:
-		return p.others
-	case to >= 0 && to < len(p.peers):
-		return p.peers[to : to+1]
+		return p.broadcastAddrs
+	case to >= 0 && to < len(p.addrs):
+		return p.addrs[to : to+1]
 	}
 	return nil
 }
 
-// Read passes on what known peers send, until ctx ends.
+// Read passes on the datagrams of known peers until ctx ends.
 func (p *PeerSocket) Read(ctx context.Context) error {
 	if p.udp == nil {
 		return nil
 	}
-	buffer := make([]byte, maxDatagramBytes+1) // one byte more shows that a datagram is too long
+	buffer := make([]byte, maxDatagramBytes+1) // one extra byte, to detect datagrams that are too long
 	for {
 		n, from, err := p.udp.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
@@ -147,15 +147,16 @@
 			time.Sleep(datagramReadPause)
 			continue
 		}
-		number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		number, known := p.numberByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if n == 0 || n > maxDatagramBytes || !known {
 			continue
 		}
-		p.received(number, string(buffer[:n]))
+		p.onReceive(number, string(buffer[:n]))
 	}
 }
 
-// postToLoop passes a message on unless the event loop is behind: a crowd of them must not hold up what matters more.
+// postToLoop posts a message to the event loop, and drops it if the queue is full: a burst of peer messages must not delay more
+// important events.
 func (p *PeerSocket) postToLoop(from int, text string) {
 	select {
 	case p.loop.queue <- func() { p.loop.policy.PeerMessage(p.loop.now, from, text) }:
--- a/gateway/server/peers_test.go
+++ b/gateway/server/peers_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	heard := make(chan string, 10)
-	p.received = func(from int, text string) { heard <- fmt.Sprint(from, text) }
+	p.onReceive = func(from int, text string) { heard <- fmt.Sprint(from, text) }
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = p.Write(ctx) }()
@@ -32,7 +32,7 @@
 	_, _ = friend.WriteTo([]byte("\x00\xff nonsense"), at)
 	_, _ = friend.WriteTo([]byte("+h0"), at)
 	if a, b := <-heard, <-heard; a != "1\x00\xff nonsense" || b != "1+h0" {
-		t.Fatalf("heard %q, %q", a, b)
+		t.Fatalf("received %q, %q", a, b)
 	}
 	p.send(7, "to nobody")
 	p.send(1, "to one")
--- a/gateway/server/recorded_test.go
+++ b/gateway/server/recorded_test.go
@@ -23,7 +23,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedBytes reads a file of testdata/recorded, whose bytes are as the code of commit 1895881 sent them.
+// recordedBytes returns the contents of a file of testdata/recorded. The bytes were recorded from the code of commit 1895881.
 func recordedBytes(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata/recorded", name))
@@ -33,7 +33,7 @@
 	return text
 }
 
-// recordedCalls makes calls on one connection to the counter, and gives what it is to send.
+// recordedCalls makes the recorded calls on one counter connection, and returns the bytes to be sent and the calls.
 func recordedCalls(t *testing.T) (text []byte, calls []*counterCall) {
 	t.Helper()
 	k := &counterConn{connected: true, wake: make(chan struct{}, 1)}
@@ -43,10 +43,10 @@
 	}{{1<<64 - 1, 0.1, 60}, {9041552, -3.25, 0.0001}, {0, 1e9, 1.5}} {
 		x := &counterCall{name: c.name, amount: c.amount}
 		if !k.enqueue(x, c.amount, c.life) {
-			t.Fatal("a call was not taken")
+			t.Fatal("a call was not enqueued")
 		}
 		if x.endOffset != int64(len(k.pending)) {
-			t.Errorf("a call ends at byte %d, %d are to be sent", x.endOffset, len(k.pending))
+			t.Errorf("a call ends at byte %d, but %d bytes are pending", x.endOffset, len(k.pending))
 		}
 		calls = append(calls, x)
 	}
@@ -56,7 +56,7 @@
 func TestCounterCallsAreTheRecordedBytes(t *testing.T) {
 	text, calls := recordedCalls(t)
 	if want := recordedBytes(t, "counter-calls.bin"); !bytes.Equal(text, want) {
-		t.Errorf("sent is\n%s\nrecorded is\n%s", text, want)
+		t.Errorf("sent bytes\n%s\nwant\n%s", text, want)
 	}
 	answers := recordedBytes(t, "counter-answers.bin")
 	var m http1.Message
@@ -70,17 +70,17 @@
 		if !whole || err != nil {
 			t.Fatal(i, whole, err)
 		}
-		if x := calls[i]; !x.read(&m) || x.outcome != want.how || x.total != want.sum {
-			t.Errorf("answer %d is read as %v, %v", i, x.outcome, x.total)
+		if x := calls[i]; !x.parseReply(&m) || x.outcome != want.how || x.total != want.sum {
+			t.Errorf("reply %d was parsed as %v, %v", i, x.outcome, x.total)
 		}
 		n = m.Next()
 	}
 	if n != 0 {
-		t.Errorf("%d bytes stand behind the answers", n)
+		t.Errorf("%d bytes left after the replies", n)
 	}
 }
 
-// A gateway says to its peers what its membership and its module hand over, with nothing round it.
+// A gateway sends the messages of its membership and its module to its peers without adding anything.
 func TestDatagramsAreTheRecordedBytes(t *testing.T) {
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	heard := make(chan string, 10)
-	p.received = func(from int, text string) { heard <- strconv.Itoa(from) + text }
+	p.onReceive = func(from int, text string) { heard <- strconv.Itoa(from) + text }
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = p.Write(ctx) }()
@@ -103,7 +103,7 @@
 		_ = peer.SetReadDeadline(time.Now().Add(3 * time.Second))
 		n, _, err := peer.ReadFrom(room)
 		if err != nil || !bytes.Equal(room[:n], text) {
-			t.Errorf("the peer got %q (%v), recorded is %q", room[:n], err, text)
+			t.Errorf("the peer received %q (%v), want %q", room[:n], err, text)
 		}
 		if _, err := peer.WriteTo(text, p.udp.LocalAddr()); err != nil {
 			t.Fatal(err)
@@ -111,15 +111,16 @@
 		select {
 		case got := <-heard:
 			if got != "1"+string(text) {
-				t.Errorf("heard is %q, recorded is %q", got, text)
+				t.Errorf("received %q, want %q", got, text)
 			}
 		case <-time.After(3 * time.Second):
-			t.Errorf("%q was not heard", text)
+			t.Errorf("%q was not received", text)
 		}
 	}
 }
 
-// storeStream has a gateway's stream to a store ask for a turn's worth, with a mark and use, and gives its other end.
+// storeStream connects a stream to a fake store and sends a marker request and metered usage. It returns the stream, its event loop
+// and the store's end of the connection.
 func storeStream(t *testing.T) (c *StoreStream, loop *EventLoop, other net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -143,7 +144,7 @@
 	_ = other.SetDeadline(time.Now().Add(10 * time.Second))
 	for until := time.Now().Add(10 * time.Second); !c.isConnected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the stream does not stand")
+			t.Fatal("the stream is not connected")
 		}
 	}
 	c.client.AcquireMarker("fc64a7745d3a91c4", "pool-a", 0.5)
@@ -158,9 +159,9 @@
 	want := recordedBytes(t, "store-asks.bin")
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(other, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("asked is\n%x (%v)\nrecorded is\n%x", got, err, want)
+		t.Errorf("sent\n%x (%v)\nwant\n%x", got, err, want)
 	}
-	// The recorded answer says that the stores have given this gateway up.
+	// The recorded response reports that the store has let this gateway's lease expire.
 	if _, err := other.Write(recordedBytes(t, "store-replies.bin")); err != nil {
 		t.Fatal(err)
 	}
@@ -168,14 +169,14 @@
 	case told := <-loop.queue:
 		told()
 	case <-time.After(10 * time.Second):
-		t.Fatal("the recorded answer was not heard")
+		t.Fatal("the recorded response was not received")
 	}
 	if c.client.LeaseLosses() != 1 || c.client.Holder() != "edge-3.7f00ba12.1" {
-		t.Errorf("after the recorded answer it was given up %d times, and is %s", c.client.LeaseLosses(), c.client.Holder())
+		t.Errorf("after the recorded response: %d lost leases, holder %s", c.client.LeaseLosses(), c.client.Holder())
 	}
 }
 
-// recordedReplies is the answer that the recording holds.
+// recordedReplies returns the response frame that the recording holds.
 func recordedReplies() *protocol.Frame {
 	return protocol.ResponsesFrame([]protocol.Response{{Group: -1, RequestID: 2, Reply: statemachine.Reply{Code: statemachine.LeaseExpired, Clock: math.Pi}}})
 }
@@ -183,6 +184,6 @@
 func TestStoreRepliesAreTheRecordedBytes(t *testing.T) {
 	got, err := recordedReplies().AppendTo(nil)
 	if want := recordedBytes(t, "store-replies.bin"); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("written is\n%x (%v)\nrecorded is\n%x", got, err, want)
+		t.Errorf("encoded\n%x (%v)\nwant\n%x", got, err, want)
 	}
 }
--- a/gateway/server/storeconn.go
+++ b/gateway/server/storeconn.go
@@ -11,13 +11,13 @@
 
 const (
 	storeDialTimeout   = 300 * time.Millisecond
-	storeRoundPause    = 100 * time.Millisecond  // once every server was tried
-	storeReadTimeout   = 2500 * time.Millisecond // a server answers the lease's renewal each second: in silence it has gone
+	storeRoundPause    = 100 * time.Millisecond  // after each server was tried once
+	storeReadTimeout   = 2500 * time.Millisecond // the server replies to a lease renewal every second, so after this silence it counts as lost
 	storeReadBuffer    = 8 << 10
-	maxStoreFrameBytes = 1 << 20 // of one frame of responses
+	maxStoreFrameBytes = 1 << 20 // limit for one frame of responses
 )
 
-// run has one connection after another, to the next server each time, with a pause once all were tried.
+// run dials and serves one connection after another, moving to the next server each time, with a pause after all were tried.
 func (s *StoreStream) run(first int) {
 	next, failed := first, 0
 	for s.ctx.Err() == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// serveConn uses one connection until it ends, and closes it; it says whether anything was answered.
+// serveConn uses one connection until it ends, and closes it. It reports whether the server sent anything.
 func (s *StoreStream) serveConn(tcp net.Conn) (answered bool) {
 	hello, err := protocol.ClientHello().AppendTo(nil)
 	if err != nil {
@@ -70,7 +70,7 @@
 	s.pending = append(s.pending[:0], hello...)
 }
 
-// readResponses posts what the server answers, until the connection ends.
+// readResponses posts the server's responses to the event loop until the connection ends.
 func (s *StoreStream) readResponses(tcp net.Conn) (answered bool) {
 	reader := bufio.NewReaderSize(tcp, storeReadBuffer)
 	for {
@@ -94,7 +94,7 @@
 	}
 }
 
-// writeLoop writes what is pending, until done or the connection breaks.
+// writeLoop writes the pending frames until done is closed or the connection breaks.
 func (s *StoreStream) writeLoop(tcp net.Conn, done chan struct{}) {
 	var batch []byte
 	for {
--- a/gateway/server/storemarkers.go
+++ b/gateway/server/storemarkers.go
@@ -3,11 +3,12 @@
 import quotaclient "otterseam/quotastore/client"
 
 const (
-	markerWaitFraction = 0.4 // part of an invocation's time for which its marker is waited for
-	markerRetryAfter   = 1   // seconds after which a client may come back whose marker could not be had
+	markerWaitFraction = 0.4 // fraction of an invocation's timeout for which its marker is waited for
+	markerRetryAfter   = 1   // seconds after which a client may retry when its marker could not be acquired
 )
 
-// awaitMarker has an invocation wait until its marker is held; false: it need not.
+// awaitMarker requests the marker of an invocation, which then waits for it. It returns false if the invocation needs no marker.
+// Without a connection to the store it rejects the invocation and returns true.
 func (s *StoreStream) awaitMarker(inv *invocation) bool {
 	if s == nil || !s.holdsMarkers {
 		return false
@@ -27,9 +28,9 @@
 	return true
 }
 
-// markerAnswered lets an invocation go on if the store holds its marker now. A marker held before was acquired for another
-// delivery, or for a client that sent its request twice.
-func (s *StoreStream) markerAnswered(outcome quotaclient.Outcome) {
+// markerReplied admits an invocation if the store now holds its marker. A marker that was already held belongs to another delivery,
+// or the client sent its request twice.
+func (s *StoreStream) markerReplied(outcome quotaclient.Outcome) {
 	inv := s.awaitingMarker[outcome.RequestID]
 	if inv == nil {
 		return
@@ -47,7 +48,8 @@
 	s.loop.admit(inv)
 }
 
-// expireMarkers rejects invocations whose marker was waited for too long. Each is judged by itself, so their order does not show.
+// expireMarkers rejects invocations whose marker was not acquired in time. They are independent of each other, so the order of the
+// map iteration does not matter.
 func (s *StoreStream) expireMarkers(now float64) {
 	for _, inv := range s.awaitingMarker {
 		if now > inv.deadline-(1-markerWaitFraction)*inv.Timeout {
@@ -56,15 +58,16 @@
 	}
 }
 
-// rejectUnmarked ends an invocation of which it is not known whether a delivery may begin, so none does: nothing was sent, and trying
-// again is harmless.
+// rejectUnmarked rejects an invocation for which it is not known whether a delivery may begin. Nothing was sent, so the client may
+// safely retry.
 func (s *StoreStream) rejectUnmarked(inv *invocation) {
 	delete(s.awaitingMarker, inv.markerRequest)
 	s.client.ReleaseMarker(inv.Ref)
 	inv.client.responses <- response{request: inv.request, status: 503, retryAfter: markerRetryAfter}
 }
 
-// clientGone ends an invocation whose client has left while its marker was waited for; false: it isn't waited for.
+// clientGone ends an invocation whose client has left while the marker was waited for. It returns false if the invocation does not
+// wait for a marker.
 func (s *StoreStream) clientGone(inv *invocation) bool {
 	if s == nil || s.awaitingMarker[inv.markerRequest] != inv {
 		return false
--- a/gateway/server/storestream.go
+++ b/gateway/server/storestream.go
@@ -15,50 +15,51 @@
 )
 
 const (
-	storeTurnInterval    = 0.05    // seconds between looks at what is to be reported
-	maxPendingStoreBytes = 1 << 20 // that wait to be sent
+	storeTickInterval    = 0.05    // seconds between checks for usage to report
+	maxPendingStoreBytes = 1 << 20 // limit for frames that wait to be sent
 )
 
-// StoreOptions say how the quota store is reached and what it holds for this gateway.
+// StoreOptions configure a StoreStream: how the quota store is reached and what it holds for this gateway.
 type StoreOptions struct {
-	Servers     []string // addresses, tried one after another
-	FirstServer int      // which of them is tried first
-	Name        string   // of this process alone
-	Counts      bool     // it holds the counts, in place of a counter service
-	Markers     bool     // it holds markers of deliveries that must not run twice
-	Metering    bool     // it is told of usage
+	Servers     []string // addresses, tried in order
+	FirstServer int      // index of the server that is tried first
+	Name        string   // unique to this process
+	Counts      bool     // the store holds the counts, in place of a counter service
+	Markers     bool     // the store holds markers of deliveries that must not run twice
+	Metering    bool     // usage is reported to the store for metering
 }
 
-// StoreStream is the stream to one server of the quota store at a time, by which what this gateway holds for others is held
-// elsewhere too. What is asked and what an answer means is quotastore/client's. No delivery begins whose marker is not known to be
-// held, and no final answer waits for the store.
+// StoreStream is the stream to one server of the quota store at a time. It replicates to the store what this gateway holds on
+// behalf of others. Package quotastore/client determines the requests and interprets the responses. A delivery that needs a marker
+// never begins before the store is known to hold the marker. A final response never waits for the store.
 //
-// It belongs to the event loop; a goroutine of its own (run) keeps the stream, another writes on it. Methods may be called on nil,
-// which holds nothing.
+// It belongs to the event loop. One goroutine (run) maintains the stream and reads, another writes. A nil StoreStream stands for no
+// store. nextWake, tick, awaitMarker, clientGone and invocationEnded accept it.
 type StoreStream struct {
 	ctx       context.Context
 	loop      *EventLoop
 	servers   []string
-	wake      chan struct{} // something is to be written; always room for one
-	attempted atomic.Bool   // the first attempt to reach a server is over
+	wake      chan struct{} // signals that pending has bytes; has room for one signal
+	attempted atomic.Bool   // the first dial has finished
 
-	// The event loop's:
+	// Used only by the event loop:
 	client         *quotaclient.Client
 	holdsCounts    bool
 	holdsMarkers   bool
 	metersUsage    bool
-	reports        map[uint64]*counterCall // unanswered, by the number of their request
-	awaitingMarker map[uint64]*invocation  // by the number of their request
-	nextTurn       float64                 // clock time
-	requestDropped bool                    // requests were taken from client and could not be sent
+	reports        map[uint64]*counterCall // unanswered calls, by request ID
+	awaitingMarker map[uint64]*invocation  // by request ID
+	nextTick       float64                 // clock time
+	requestDropped bool                    // requests were taken from client but could not be sent
 
 	mu        sync.Mutex
 	connected bool
-	tcp       net.Conn // while it is connected
-	pending   []byte   // frames to be written
+	tcp       net.Conn // valid while connected
+	pending   []byte   // encoded frames to be written
 }
 
-// NewStoreStream begins to reach the store, for a loop that does not run yet and its counter client.
+// NewStoreStream starts to connect to the store. It must be called before the loop runs. It registers itself with the loop, and
+// with counter if the store holds the counts.
 func NewStoreStream(ctx context.Context, group *errgroup.Group, loop *EventLoop, counter *CounterClient, options StoreOptions) *StoreStream {
 	s := &StoreStream{
 		ctx:            ctx,
@@ -84,17 +85,17 @@
 	return s
 }
 
-// nextWake is the clock time at which turn is to be called.
+// nextWake returns the clock time at which tick must be called.
 func (s *StoreStream) nextWake() float64 {
 	if s == nil {
 		return math.Inf(1)
 	}
-	return s.nextTurn
+	return s.nextTick
 }
 
-// turn reports what is to be reported, and lets go of markers that were waited for too long.
-func (s *StoreStream) turn() {
-	if s == nil || s.loop.now < s.nextTurn && len(s.awaitingMarker) == 0 && !s.requestDropped {
+// tick sends due reports, and rejects invocations whose marker was not acquired in time.
+func (s *StoreStream) tick() {
+	if s == nil || s.loop.now < s.nextTick && len(s.awaitingMarker) == 0 && !s.requestDropped {
 		return
 	}
 	now := s.loop.now
@@ -102,9 +103,9 @@
 		s.requestDropped = false
 		s.streamLost()
 	}
-	if now >= s.nextTurn {
-		s.nextTurn = now + storeTurnInterval
-		s.noteUnreported(now)
+	if now >= s.nextTick {
+		s.nextTick = now + storeTickInterval
+		s.updateUnreported(now)
 		s.expireMarkers(now)
 		for line := s.client.NextLogLine(); line != ""; line = s.client.NextLogLine() {
 			s.loop.Log(line)
@@ -113,12 +114,12 @@
 	s.send(s.client.TakeRequests(now))
 }
 
-// handleResponse runs on the event loop.
+// handleResponse processes a response of the store on the event loop.
 func (s *StoreStream) handleResponse(response *protocol.Response) {
 	s.handleOutcome(s.client.HandleResponse(s.loop.now, response))
 }
 
-// streamLost runs on the event loop when the stream has ended.
+// streamLost runs on the event loop after the stream has ended.
 func (s *StoreStream) streamLost() {
 	for _, outcome := range s.client.StreamLost() {
 		s.handleOutcome(outcome)
@@ -130,7 +131,7 @@
 	case quotaclient.UsageReported:
 		s.usageReported(outcome)
 	case quotaclient.MarkerAcquired, quotaclient.MarkerHeld, quotaclient.MarkerUnknown:
-		s.markerAnswered(outcome)
+		s.markerReplied(outcome)
 	}
 }
 
@@ -140,7 +141,7 @@
 	return s.connected
 }
 
-// send hands requests to the writer. Those that find no stream are given up with the next turn.
+// send queues requests for the writer. If the stream is not connected, they are treated as lost at the next tick.
 func (s *StoreStream) send(requests []protocol.Request) {
 	if len(requests) == 0 {
 		return
@@ -156,7 +157,7 @@
 		s.requestDropped = true
 		return
 	}
-	if len(s.pending) > maxPendingStoreBytes { // the server reads nothing
+	if len(s.pending) > maxPendingStoreBytes { // the server does not read
 		interrupt(s.tcp)
 		return
 	}
@@ -164,5 +165,5 @@
 	s.wakeWriter()
 }
 
-// quotaName is the store's key of a count.
-func quotaName(name uint64) string { return strconv.FormatUint(name, 10) }
+// quotaKey returns the store's key for a count.
+func quotaKey(name uint64) string { return strconv.FormatUint(name, 10) }
--- a/gateway/server/storeusage.go
+++ b/gateway/server/storeusage.go
@@ -5,12 +5,12 @@
 	quotaclient "otterseam/quotastore/client"
 )
 
-// report tells the store of a call to the counter; false: it can't be told now.
+// report reports a counter call to the store. It returns false if the store can't be reached now.
 func (s *StoreStream) report(call *counterCall, life float64) (ok bool) {
 	if !s.isConnected() {
 		return false
 	}
-	call.storeRequest, call.slotsHeld, ok = s.client.ReportUsage(s.loop.now, quotaName(call.name), call.amount, s.loop.policy.CountedSlots(call.name), life)
+	call.storeRequest, call.slotsHeld, ok = s.client.ReportUsage(s.loop.now, quotaKey(call.name), call.amount, s.loop.policy.CountedSlots(call.name), life)
 	if !ok {
 		call.storeRequest = 0
 		return false
@@ -20,17 +20,18 @@
 	return true
 }
 
-// retract takes back a reported call that got no total, as the policy will count it again. The slots of one that timed out stay, as
-// the policy takes them for added.
+// retract withdraws a reported call that received no total, as the policy will count its amount again. If the call timed out, its
+// slots stay reported, because the policy assumes that they were added.
 func (s *StoreStream) retract(call *counterCall, outcome policy.Outcome) {
 	if call.storeRequest == 0 || outcome == policy.Succeeded {
 		return
 	}
 	delete(s.reports, call.storeRequest)
-	s.client.RetractUsage(quotaName(call.name), call.amount, call.slotsHeld, outcome == policy.TimedOut)
+	s.client.RetractUsage(quotaKey(call.name), call.amount, call.slotsHeld, outcome == policy.TimedOut)
 }
 
-// usageReported hands a call its total. The policy takes the answers for a name in their order, so older calls on it time out.
+// usageReported passes the total to a call. The policy expects the replies for a name in order, so older pending calls on that name
+// are reported as timed out first.
 func (s *StoreStream) usageReported(outcome quotaclient.Outcome) {
 	call := s.reports[outcome.RequestID]
 	if call == nil || call.reported {
@@ -56,18 +57,18 @@
 	}
 }
 
-// noteUnreported tells the store's client what was admitted and is in no count yet.
-func (s *StoreStream) noteUnreported(now float64) {
+// updateUnreported passes the amounts that were admitted but are in no count yet to the store's client.
+func (s *StoreStream) updateUnreported(now float64) {
 	if !s.holdsCounts {
 		return
 	}
 	s.client.ClearUnreported()
 	s.loop.policy.UnreportedUnits(func(name uint64, units, life float64) {
-		s.client.SetUnreported(now, quotaName(name), units, life)
+		s.client.SetUnreported(now, quotaKey(name), units, life)
 	})
 }
 
-// invocationEnded notes that an invocation has its final answer.
+// invocationEnded records that an invocation has received its final response.
 func (s *StoreStream) invocationEnded(inv *invocation, status int) {
 	if s == nil {
 		return
--- a/gateway/server/streamtext.go
+++ b/gateway/server/streamtext.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	maxMessageBytes   = 4 << 20 // of one message of discovery
+	maxMessageBytes   = 4 << 20 // maximum length of one discovery message
 	streamBufferBytes = 2 * http1.MaxHeadBytes
 )
 
-// streamText reads the text of a watch, however it is cut into chunks: messages, and empty lines between them. It belongs to the
-// goroutine that reads the stream.
+// streamText reads the text of a watch, independent of its division into chunks: messages, separated by empty lines. It belongs to
+// the goroutine that reads the stream.
 type streamText struct {
 	tcp         net.Conn
-	onBlankLine func() error // told of an empty line between messages
+	onBlankLine func() error // called for an empty line between messages
 
-	buffer   []byte // as it came
-	buffered int    // bytes in buffer
+	buffer   []byte // raw bytes as received
+	buffered int    // number of bytes in buffer
 	headRead bool
 	chunks   http1.ChunkedStream
 
-	textBuffer   []byte // for unread
-	unread       []byte // text that Read has not given yet
-	messageBytes int    // of the message that has begun and was not taken; 0: none has begun
-	err          error  // what ended the text
+	textBuffer   []byte // memory for unread
+	unread       []byte // text that Read has not returned yet
+	messageBytes int    // length of the current message so far; 0: none has begun
+	err          error  // the error that ended the text
 }
 
 func newStreamText(tcp net.Conn, onBlankLine func() error) *streamText {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Read gives text as it comes (io.Reader).
+// Read implements io.Reader. It returns text as it arrives.
 func (s *streamText) Read(p []byte) (n int, err error) {
 	for len(s.unread) == 0 && s.err == nil {
 		s.err = s.fill()
@@ -52,7 +52,8 @@
 	return n, s.err
 }
 
-// scan looks for an empty line, which counts between messages only: half a message that trickles is not speech.
+// scan tracks the length of the current message and looks for empty lines. They count between messages only: an incomplete message
+// that trickles in is no sign of life.
 func (s *streamText) scan(text []byte) {
 	hasNewline := bytes.IndexByte(text, '\n') >= 0
 	text = bytes.TrimLeft(text, " \t\r\n")
@@ -61,20 +62,20 @@
 	switch {
 	case s.err != nil:
 	case !betweenMessages && s.messageBytes > maxMessageBytes:
-		s.err = &messageError{errEndlessText}
+		s.err = &messageError{errMessageTooLong}
 	case betweenMessages && hasNewline:
 		s.err = s.onBlankLine()
 	}
 }
 
-// messageTaken begins the next message; rest is what has been read of it.
-func (s *streamText) messageTaken(rest io.Reader) {
+// messageDecoded starts the next message. rest is the part of it that was already read.
+func (s *streamText) messageDecoded(rest io.Reader) {
 	s.messageBytes = 0
-	text, _ := io.ReadAll(rest) // from memory
+	text, _ := io.ReadAll(rest) // reads from memory
 	s.scan(text)
 }
 
-// fill brings what comes next into unread.
+// fill reads the next bytes and decodes them into unread.
 func (s *streamText) fill() error {
 	n, err := s.tcp.Read(s.buffer[s.buffered:])
 	s.buffered += n
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// readHead reads the head of the response; false: it has not come whole.
+// readHead parses the head of the response. It returns false if the head is not yet complete.
 func (s *streamText) readHead() (complete bool, err error) {
 	status, chunked, size, err := http1.ParseStreamHead(s.buffer[:s.buffered])
 	if err != nil || size > 0 && (status != 200 || !chunked) {
--- a/gateway/server/testgateway_test.go
+++ b/gateway/server/testgateway_test.go
@@ -22,14 +22,14 @@
 	"otterseam/harness/sockets"
 )
 
-// settings are a start with one operation of each kind that can be told apart on sockets.
+// settings are gateway settings with one idempotent and one non-idempotent operation, which differ on the wire.
 const settings = `{"balancers":1,"locality":"z","caps":{"try_limit":3,"cancel":true,"dial_timeout":0.25,"idle_close":10},
 "classes":[{"name":"look","goal_time":0.5,"deadline":1,"gain":1,"effect":"idempotent"},
 {"name":"pay","goal_time":0.5,"deadline":1,"gain":1,"late_worth":0.5,"effect":"at_most_once"}],
 "contract":{"start_capacity":0.2,"warm_up":5,"overload_factor":3},"plans":[{"name":"team","rate":50,"burst":1000}],
 "extra":{"counter":true,"count_limit":0.3,"most_units":8}}`
 
-// fakeServer is a host or the counter, by a script of harness/sockets.
+// fakeServer is a scripted host or counter service, based on harness/sockets.
 type fakeServer struct{ *sockets.ScriptedServer }
 
 func newFakeServer(t *testing.T, say func(m *http1.Message, n int) string) *fakeServer {
@@ -53,7 +53,7 @@
 	case x := <-s.Requests:
 		return x
 	case <-time.After(3 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no request arrived")
 		return ""
 	}
 }
@@ -62,7 +62,7 @@
 	t.Helper()
 	select {
 	case x := <-s.Requests:
-		t.Fatalf("got %q", x)
+		t.Fatalf("unexpected request %q", x)
 	default:
 	}
 }
@@ -71,10 +71,10 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// plentyOfQuota is a counter that never gets anywhere near a quota.
+// belowQuota is the script of a counter whose totals are always below any quota.
 func plentyOfQuota(m *http1.Message, n int) string { return ok("1") }
 
-// testGateway is a gateway with fakes round it.
+// testGateway is a gateway connected to fake servers.
 type testGateway struct {
 	t               *testing.T
 	addr            string
@@ -85,7 +85,7 @@
 	discovery       *DiscoveryClient
 	discoveryServer *fakeDiscovery
 	hook            *connHook
-	discoveryLines  chan string // lines that discovery says
+	discoveryLines  chan string // lines that the fake discovery sends
 	log             *logBuffer
 }
 
@@ -116,15 +116,15 @@
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","state":%q,"weight":1,"started_ms":0}`, id, addr, state)
 }
 
-// gatewaySetup is what a testGateway may have beside the usual.
+// gatewaySetup describes the parts of a testGateway that differ from the defaults.
 type gatewaySetup struct {
 	counter         func(m *http1.Message, n int) string
 	hosts           []*fakeServer
 	settings        string
-	shortTimeouts   bool                                                              // discovery's silences are short
-	manualDiscovery bool                                                              // discovery says what the test says itself
-	listener        func(l net.Listener) net.Listener                                 // in place of the usual one
-	connect         func(ctx context.Context, network, addr string) (net.Conn, error) // to hosts
+	shortTimeouts   bool                                                              // short silence timeouts for discovery
+	manualDiscovery bool                                                              // the test itself writes to the watches
+	listener        func(l net.Listener) net.Listener                                 // wraps the default listener
+	connect         func(ctx context.Context, network, addr string) (net.Conn, error) // replaces the dialer for hosts
 }
 
 func start(t *testing.T, counter func(m *http1.Message, n int) string, hosts ...*fakeServer) *testGateway {
@@ -132,7 +132,7 @@
 	return gatewaySetup{counter: counter, hosts: hosts}.start(t)
 }
 
-// start has a gateway serve, with the hosts known from the start. It ends with the test.
+// start starts a gateway that knows the hosts from the beginning. It stops when the test ends.
 func (setup gatewaySetup) start(t *testing.T) *testGateway {
 	t.Helper()
 	leakcheck.Check(t)
@@ -180,7 +180,7 @@
 	return w
 }
 
-// makeParts makes what stands between the loop and the sockets.
+// makeParts creates the parts between the event loop and the sockets.
 func (setup gatewaySetup) makeParts(ctx context.Context, group *errgroup.Group, w *testGateway, s *simprotocol.Settings) {
 	w.t.Helper()
 	log := zerolog.New(w.log)
@@ -206,11 +206,11 @@
 	}
 	w.discovery = NewDiscoveryClient(ctx, group, w.loop, log, DiscoveryOptions{})
 	if setup.shortTimeouts {
-		w.discovery.silenceTimeout, w.discovery.firstWordTimeout = 300*time.Millisecond, 100*time.Millisecond
+		w.discovery.silenceTimeout, w.discovery.firstDataTimeout = 300*time.Millisecond, 100*time.Millisecond
 	}
 }
 
-// startDiscovery has the gateway know its hosts and watch a discovery.
+// startDiscovery applies the initial list of hosts and starts to watch a fake discovery.
 func (setup gatewaySetup) startDiscovery(ctx context.Context, group *errgroup.Group, w *testGateway) {
 	first := Roster{Full: true}
 	for i, h := range setup.hosts {
@@ -220,7 +220,7 @@
 		})
 	}
 	w.discovery.UseSaved(ctx, first)
-	w.loop.post(ctx, func() {}) // the list stands before the watch begins
+	w.loop.post(ctx, func() {}) // the list is applied before the watch begins
 	w.discoveryServer = newFakeDiscovery(w.t)
 	if !setup.manualDiscovery {
 		lines := w.discoveryLines
@@ -232,17 +232,17 @@
 	w.discovery.Watch(w.discoveryServer.Addr().String())
 }
 
-// fakeDiscovery stands in for discovery: a listener whose watches the test speaks on itself.
+// fakeDiscovery is a fake discovery service: a listener that hands its watches to the test.
 type fakeDiscovery struct {
 	net.Listener
 	opened chan *fakeWatch
 }
 
-// fakeWatch is one watch that the api gateway has opened.
+// fakeWatch is one watch opened by the gateway.
 type fakeWatch struct {
 	net.Conn
 	from  int64
-	ended chan struct{} // closed when the api gateway has closed it
+	ended chan struct{} // closed when the gateway has closed the connection
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -286,7 +286,7 @@
 	return a
 }
 
-// next is the next watch that is opened.
+// next returns the next watch that is opened.
 func (a *fakeDiscovery) next(t *testing.T) *fakeWatch {
 	t.Helper()
 	select {
@@ -298,24 +298,24 @@
 	}
 }
 
-// waitClosed waits until the api gateway has closed it.
+// waitClosed waits until the gateway has closed the watch.
 func (f *fakeWatch) waitClosed(t *testing.T) {
 	t.Helper()
 	select {
 	case <-f.ended:
 	case <-time.After(4 * time.Second):
-		t.Fatal("a watch stays open")
+		t.Fatal("the watch was not closed")
 	}
 }
 
-// sendHead begins the stream; send brings text as one chunk of it.
+// sendHead sends the response head that starts the stream. send sends text as one chunk.
 func (f *fakeWatch) sendHead() {
 	sendText(f, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
 func (f *fakeWatch) send(text string) { fmt.Fprintf(f, "%x\r\n%s\r\n", len(text), text) }
 
-// speak has an agent say an empty line often on every watch, and each line of the test on the newest.
+// serveWatches sends an empty line to every watch at short intervals, and each of the test's lines to the newest watch.
 func (a *fakeDiscovery) speak(ctx context.Context, lines chan string) {
 	var all []*fakeWatch
 	beat := time.NewTicker(500 * time.Millisecond)
@@ -346,7 +346,7 @@
 	}
 }
 
-// allConnected says that every connection stands.
+// allConnected reports whether every connection is established.
 func (c *CounterClient) allConnected() bool {
 	for _, k := range c.conns {
 		k.mu.Lock()
@@ -359,7 +359,7 @@
 	return true
 }
 
-// connections is how many clients are connected.
+// connections returns the number of client connections.
 func (w *testGateway) connections() int {
 	n, _ := w.clients.counts()
 	return n
@@ -376,7 +376,8 @@
 	return tcp
 }
 
-// exchange sends text on a connection and gives the answer's status and body; status 0: the connection ended without.
+// exchange sends text on a connection and returns the status and body of the response. status is 0 if the connection ended without
+// a response.
 func exchange(conn net.Conn, text string) (status int, body string) {
 	sendText(conn, text)
 	messages(conn, true, func(m *http1.Message) bool {
@@ -386,7 +387,7 @@
 	return status, body
 }
 
-// closed says that the api gateway has ended the connection.
+// closed reports whether the gateway has closed the connection.
 func closed(conn net.Conn) bool {
 	n, err := conn.Read(make([]byte, 1))
 	return n == 0 && err != nil && !isTimeout(err)
@@ -394,8 +395,7 @@
 
 var requestCount atomic.Uint64
 
-// invoke is a client's request for an operation, waited for so long.
-// Each has an id of its own.
+// invoke returns a client's request for an operation, with a unique ID and a deadline in milliseconds.
 func invoke(operation string, ms int, body string) string {
 	method := map[string]string{"look": "GET", "pay": "POST"}[operation]
 	text := fmt.Sprintf("%s /%s/1?x=2 HTTP/1.1\r\nHost: app\r\nReq-Id: %016x\r\nReq-Kind: %s\r\nX-Tier: team\r\n"+
@@ -407,10 +407,10 @@
 	return text + "\r\n" + body
 }
 
-// sendText sends text on a connection. An error shows by what is read there next.
+// sendText sends text on a connection. A write error is ignored, as it shows in what is read next.
 func sendText(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
 
-// wait until something is so on the loop.
+// wait waits until a condition holds, which it evaluates on the event loop.
 func (w *testGateway) wait(so func() bool) {
 	w.t.Helper()
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -420,5 +420,5 @@
 			return
 		}
 	}
-	w.t.Fatal("it never came to be so")
+	w.t.Fatal("the condition was not met in time")
 }
--- a/gateway/server/watchstream.go
+++ b/gateway/server/watchstream.go
@@ -12,61 +12,61 @@
 )
 
 var (
-	errNotAWatch   = errors.New("not a watch")
-	errSuperseded  = errors.New("another is heard")
-	errNoList      = errors.New("a list without hosts or version") // which is not an empty list
-	errEndlessText = errors.New("a message without end")
+	errNotAWatch      = errors.New("response is not a watch")
+	errSuperseded     = errors.New("superseded by another stream")
+	errInvalidList    = errors.New("list without hosts or with an invalid version") // not the same as an empty list
+	errMessageTooLong = errors.New("message too long")
 )
 
-// messageError says that a message of discovery can't be used: its stream is left, and the complete list is asked for.
+// messageError reports that a discovery message is invalid. Its stream is closed, and the complete list is requested.
 type messageError struct{ reason error }
 
 func (e *messageError) Error() string { return e.reason.Error() }
 func (e *messageError) Unwrap() error { return e.reason }
 
-// staleChangeError is a change to a version before the one that is held.
+// staleChangeError reports a change to a version before the current one.
 type staleChangeError struct{ version, held int64 }
 
 func (e *staleChangeError) Error() string {
-	return fmt.Sprintf("a change to version %d after version %d", e.version, e.held)
+	return fmt.Sprintf("change to version %d after version %d", e.version, e.held)
 }
 
-// droppedEntriesError is a list of which only a part makes sense.
+// droppedEntriesError reports a list with invalid entries.
 type droppedEntriesError struct {
 	version int64
-	dropped int // entries
+	dropped int // number of invalid entries
 }
 
 func (e *droppedEntriesError) Error() string {
-	return fmt.Sprintf("version %d: %d entries were dropped", e.version, e.dropped)
+	return fmt.Sprintf("version %d: %d entries dropped", e.version, e.dropped)
 }
 
-// watchStream is one watch on one connection.
+// watchStream is one watch on a connection of its own.
 type watchStream struct {
 	source    *discoverySource
 	tcp       net.Conn
 	opened    time.Time
-	firstWord chan struct{} // closed with its first message or empty line
-	ended     chan struct{} // closed when it is no more
+	firstData chan struct{} // closed on its first message or empty line
+	ended     chan struct{} // closed when the stream has ended
 
 	// Guarded by DiscoveryClient.mu:
-	spoke      bool // firstWord is closed
-	superseded bool // another is heard
+	receivedAny bool // firstData is closed
+	superseded  bool // another stream is active
 }
 
-func (w *watchStream) hasSpoken() bool {
+func (w *watchStream) hasReceived() bool {
 	select {
-	case <-w.firstWord:
+	case <-w.firstData:
 		return true
 	default:
 		return false
 	}
 }
 
-// stop has the reading end, which closes the connection.
+// stop interrupts the reader, which then closes the connection.
 func (w *watchStream) stop() { interrupt(w.tcp) }
 
-// open asks for the changes since what is known, on a connection of its own.
+// open opens a connection and requests the changes since the last known version.
 func (d *DiscoveryClient) open(src *discoverySource) (*watchStream, error) {
 	dialer := net.Dialer{Timeout: discoveryDialTimeout, KeepAlive: -1}
 	tcp, err := dialer.DialContext(src.ctx, "tcp", src.addr)
@@ -76,8 +76,8 @@
 	d.mu.Lock()
 	from := src.watchFrom
 	d.mu.Unlock()
-	stream := &watchStream{source: src, tcp: tcp, opened: time.Now(), firstWord: make(chan struct{}), ended: make(chan struct{})}
-	_ = tcp.SetWriteDeadline(stream.opened.Add(defaultFirstWordTimeout))
+	stream := &watchStream{source: src, tcp: tcp, opened: time.Now(), firstData: make(chan struct{}), ended: make(chan struct{})}
+	_ = tcp.SetWriteDeadline(stream.opened.Add(defaultFirstDataTimeout))
 	if _, err = tcp.Write(http1.AppendDiscoveryWatch(nil, from)); err != nil {
 		tcp.Close()
 		return nil, err
@@ -89,7 +89,7 @@
 	return stream, nil
 }
 
-// serveStream reads a stream until it ends, and closes its connection: the one place where that is done.
+// serveStream reads a stream until it ends, and closes its connection. It is the only place that closes it.
 func (d *DiscoveryClient) serveStream(stream *watchStream) {
 	stop := context.AfterFunc(stream.source.ctx, stream.stop)
 	err := d.read(stream)
@@ -97,32 +97,31 @@
 	stream.tcp.Close()
 	var unusable *messageError
 	malformed := errors.As(err, &unusable)
-	d.leave(stream, malformed)
+	d.deactivate(stream, malformed)
 	close(stream.ended)
 	if stream.source.ctx.Err() != nil {
 		return
 	}
 	if malformed {
-		d.log.Warn().Err(err).Str("discovery", stream.source.addr).Msg("list not used as it came, asked for again")
+		d.log.Warn().Err(err).Str("discovery", stream.source.addr).Msg("host list has errors; requesting the complete list")
 	} else {
-		d.log.Debug().Err(err).Str("discovery", stream.source.addr).Msg("watch has ended")
+		d.log.Debug().Err(err).Str("discovery", stream.source.addr).Msg("discovery watch ended")
 	}
 }
 
-// leave notes that a stream is heard no more; after a malformed message the list is asked for from a version that is known to be
-// complete.
-func (d *DiscoveryClient) leave(stream *watchStream, malformed bool) {
+// deactivate records that a stream has ended. After an invalid message the complete list is requested next.
+func (d *DiscoveryClient) deactivate(stream *watchStream, malformed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if stream.source.stream == stream {
-		stream.source.stream = nil
+	if stream.source.activeStream == stream {
+		stream.source.activeStream = nil
 	}
 	if malformed && !stream.superseded {
 		stream.source.watchFrom = 0
 	}
 }
 
-// read takes what a stream brings, message by message, until it ends or can't be followed.
+// read decodes a stream message by message until it ends or can't be used any more.
 func (d *DiscoveryClient) read(stream *watchStream) error {
 	text := newStreamText(stream.tcp, func() error { return d.accept(stream, nil) })
 	decoder := json.NewDecoder(text)
@@ -133,7 +132,7 @@
 			return text.err
 		}
 		if err == nil && (list.Servers == nil || list.Version < 0) {
-			err = errNoList
+			err = errInvalidList
 		}
 		if err != nil {
 			return &messageError{err}
@@ -141,51 +140,53 @@
 		if err := d.accept(stream, &list); err != nil {
 			return err
 		}
-		text.messageTaken(decoder.Buffered())
+		text.messageDecoded(decoder.Buffered())
 	}
 }
 
-// accept takes a message, or an empty line (nil), from a stream. A stream is heard from its first word on if the one heard before has
-// said nothing since this one was opened; a new address, if that word is a list. After an error the stream is of no use any more.
+// accept processes a message from a stream, or an empty line if list is nil. A new stream becomes the active one of its address
+// with its first data, provided that the previous one has sent nothing since the new one was opened. A new address takes over only
+// with its first list. After an error the stream can't be used any more.
 func (d *DiscoveryClient) accept(stream *watchStream, list *Roster) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.mayHear(stream) {
+	if !d.mayActivate(stream) {
 		return errSuperseded
 	}
-	stream.hear()
+	stream.activate()
 	if list == nil {
 		return nil
 	}
 	return d.acceptList(stream.source, list)
 }
 
-// mayHear says whether a stream's word counts. It is called under mu.
-func (d *DiscoveryClient) mayHear(stream *watchStream) bool {
+// mayActivate reports whether data of a stream may be used. It is called under mu.
+func (d *DiscoveryClient) mayActivate(stream *watchStream) bool {
 	src := stream.source
 	if stream.superseded || src != d.current && src != d.candidate {
 		return false
 	}
-	heard := src.stream
-	return heard == nil || heard == stream || !src.lastHeard.After(stream.opened)
+	active := src.activeStream
+	return active == nil || active == stream || !src.lastReceived.After(stream.opened)
 }
 
-// hear makes a stream the one that is heard at its address. It is called under DiscoveryClient.mu.
-func (w *watchStream) hear() {
-	previous := w.source.stream
-	w.source.stream = w
+// activate makes a stream the active one of its address. It is called under DiscoveryClient.mu.
+func (w *watchStream) activate() {
+	previous := w.source.activeStream
+	w.source.activeStream = w
 	if previous != nil && previous != w {
 		previous.superseded = true
 		previous.stop()
 	}
-	w.source.lastHeard = time.Now()
-	if !w.spoke {
-		w.spoke = true
-		close(w.firstWord)
+	w.source.lastReceived = time.Now()
+	if !w.receivedAny {
+		w.receivedAny = true
+		close(w.firstData)
 	}
 }
 
-// acceptList takes over a list of the source that is heard, or of the candidate, which takes over with it. It is called under mu.
+// acceptList applies a list from the current source, or from the candidate, which thereby becomes the current source. It is called
+// under mu.
 func (d *DiscoveryClient) acceptList(src *discoverySource, list *Roster) error {
 	if !list.Full && list.Version < src.acceptedVersion {
 		return &messageError{&staleChangeError{version: list.Version, held: src.acceptedVersion}}
