--- a/gateway/server/bufferpool_test.go
+++ b/gateway/server/bufferpool_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestBufferGivenBackTwiceIsNoticed(t *testing.T) {
+func TestPutPanicsOnDoubleReturn(t *testing.T) {
 	p := NewBufferPool(1, 1)
 	b := p.Get(false)
 	p.Put(b)
--- a/gateway/server/clientconn_test.go
+++ b/gateway/server/clientconn_test.go
@@ -12,24 +12,24 @@
 )
 
 // onlyConnection returns the client connection, and waits until there is exactly one.
-func (w *testGateway) onlyConnection() *clientConn {
-	w.t.Helper()
+func (gw *testGateway) onlyConnection() *clientConn {
+	gw.t.Helper()
 	var c *clientConn
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		all := w.clients.connections()
+		all := gw.clients.connections()
 		if len(all) == 1 {
 			return all[0]
 		}
 		c = nil
 	}
-	w.t.Fatal("want exactly one client connection")
+	gw.t.Fatal("want exactly one client connection")
 	return c
 }
 
 // waitIdle waits until a connection is idle after a response.
-func (w *testGateway) waitIdle(c *clientConn) {
-	w.t.Helper()
-	w.wait(func() bool {
+func (gw *testGateway) waitIdle(c *clientConn) {
+	gw.t.Helper()
+	gw.waitFor(func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.state.isIdle(time.Now())
@@ -51,10 +51,10 @@
 
 // A client pipelines a second request and disconnects. The disconnect was not detected because nothing was reading, so both
 // requests were sent to hosts.
-func TestAClientThatPipelinesAndLeavesIsSeenToLeave(t *testing.T) {
+func TestDisconnectOfPipeliningClientIsDetected(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "a")+invoke("pay", 900, "b"))
 	h.nextRequest(t)
 	tcp.Close()
@@ -63,13 +63,13 @@
 	if took := time.Since(begun); took > 300*time.Millisecond {
 		t.Errorf("its delivery continued for %v", took)
 	}
-	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
-	h.noRequest(t)
+	gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 && len(gw.loop.timeouts) == 0 })
+	h.expectNoRequest(t)
 }
 
 // The same with more pipelined input than is kept. The complete requests in the kept input are served in order, the rest is
 // discarded. The client reads EOF and thereby knows that it must resend the rest. Its disconnect is still detected.
-func TestMoreBehindARequestThanIsKeptIsDropped(t *testing.T) {
+func TestExcessPipelinedInputIsDiscarded(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
@@ -77,27 +77,27 @@
 		}
 		return ok(fmt.Sprint(n))
 	})
-	w := start(t, plentyOfQuota, h)
-	crowd := func() (text string, n int) {
+	gw := start(t, belowQuota, h)
+	pipelined := func() (text string, n int) {
 		for ; len(text) < 3*http1.MaxMessageBytes; n++ {
 			text += invoke("pay", 5000, strings.Repeat("x", 20<<10))
 		}
 		return text, n
 	}
 	t.Run("stays", func(t *testing.T) {
-		tcp := w.dial()
-		text, n := crowd()
+		tcp := gw.dial()
+		text, n := pipelined()
 		go sendText(tcp, text)
 		h.nextRequest(t)
-		c := w.onlyConnection()
-		w.wait(func() bool {
+		c := gw.onlyConnection()
+		gw.waitFor(func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.state.overflowed && c.drainedBytes > http1.MaxMessageBytes
 		})
 		close(release)
 		answers, last := 0, false
-		messages(tcp, true, func(m *http1.Message) bool {
+		readMessages(tcp, true, func(m *http1.Message) bool {
 			answers++
 			last = m.Close
 			return !m.Close
@@ -118,29 +118,29 @@
 	})
 	t.Run("leaves", func(t *testing.T) {
 		silent := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
-		w := start(t, plentyOfQuota, silent)
-		tcp := w.dial()
-		text, _ := crowd()
+		gw := start(t, belowQuota, silent)
+		tcp := gw.dial()
+		text, _ := pipelined()
 		sendText(tcp, text)
 		silent.nextRequest(t)
 		tcp.Close()
-		w.wait(func() bool { return len(w.loop.invocations) == 0 })
-		silent.noRequest(t)
+		gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 })
+		silent.expectNoRequest(t)
 	})
 }
 
 // A request that is unread when its idle connection is about to be closed is served.
-func TestARequestThatCameBeforeTheCloseIsServed(t *testing.T) {
+func TestRequestBeforeIdleCloseIsServed(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
-	tcp := w.dial()
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, listener: hook.listener}.start(t)
+	tcp := gw.dial()
 	if status, _ := exchange(tcp, invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	c, late := w.onlyConnection(), make(chan bool)
-	w.waitIdle(c)
-	k.on("read", func() { // the reader was woken by the bytes but has not read them
+	c, late := gw.onlyConnection(), make(chan bool)
+	gw.waitIdle(c)
+	hook.on("read", func() { // the reader was woken by the bytes but has not read them
 		if c.closeIdle(time.Now().Add(newConnGrace), lingerTimeout) {
 			t.Error("closed with an unread request")
 		}
@@ -154,18 +154,18 @@
 }
 
 // A request that arrives after the last check is not processed. Its client reads a clean EOF and may resend it.
-func TestARequestThatComesAfterTheCloseIsNotTaken(t *testing.T) {
+func TestRequestAfterIdleCloseIsNotProcessed(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
-	tcp := w.dial()
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, listener: hook.listener}.start(t)
+	tcp := gw.dial()
 	if status, _ := exchange(tcp, invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
 	h.nextRequest(t)
-	c := w.onlyConnection()
-	w.waitIdle(c)
-	k.on("shut", func() { // decided but not yet done
+	c := gw.onlyConnection()
+	gw.waitIdle(c)
+	hook.on("shut", func() { // decided but not yet done
 		sendText(tcp, invoke("pay", 900, "x"))
 		for !hasUnread(c) {
 		}
@@ -177,33 +177,33 @@
 		t.Fatalf("response after the close: %q", rest)
 	}
 	tcp.Close()
-	w.wait(func() bool { return w.connections() == 0 && len(w.loop.invocations) == 0 })
-	h.noRequest(t)
+	gw.waitFor(func() bool { return gw.connections() == 0 && len(gw.loop.invocations) == 0 })
+	h.expectNoRequest(t)
 }
 
 // Closing a connection with unread bytes resets it, and the last response can be lost. Here the client sends more input after the
 // request, and reads only after the connection is closed.
-func TestTheLastAnswerIsReadWhateverStandsBehindIt(t *testing.T) {
+func TestLastResponseSurvivesTrailingInput(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(strings.Repeat("x", 60<<10)) })
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
-	tcp, sent := w.dial(), make(chan bool)
-	c, more := w.onlyConnection(), strings.Repeat("nobody takes this\r\n", 100)
-	k.on("shut", func() {
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, listener: hook.listener}.start(t)
+	tcp, sent := gw.dial(), make(chan bool)
+	c, more := gw.onlyConnection(), strings.Repeat("nobody takes this\r\n", 100)
+	hook.on("shut", func() {
 		go func() {
 			time.Sleep(lingerTimeout / 4)
 			sendText(tcp, more)
 			close(sent)
 		}()
 	})
-	k.on("close", func() {
+	hook.on("close", func() {
 		if c.mu.Lock(); c.drainedBytes < len(more) {
 			t.Errorf("closed with %d of %d bytes read", c.drainedBytes, len(more))
 		}
 		c.mu.Unlock()
 	})
 	sendText(tcp, strings.Replace(invoke("look", 900, ""), "Host: app", "Connection: close", 1))
-	w.wait(func() bool { return w.connections() == 0 })
+	gw.waitFor(func() bool { return gw.connections() == 0 })
 	<-sent
 	status, body := exchange(tcp, "")
 	if status != 200 || len(body) != 60<<10 {
@@ -211,15 +211,15 @@
 	}
 	readToEnd(t, tcp)
 	h.nextRequest(t)
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
 // The client reads EOF at once, before the time in which it may still send is over.
-func TestTheEndIsToldBeforeTheConnectionIsClosed(t *testing.T) {
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, listener: k.listener}.start(t)
-	tcp, read := w.dial(), make(chan bool)
-	k.on("close", func() {
+func TestWriteSideClosesBeforeConnection(t *testing.T) {
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, listener: hook.listener}.start(t)
+	tcp, read := gw.dial(), make(chan bool)
+	hook.on("close", func() {
 		select {
 		case <-read:
 		case <-time.After(2 * time.Second):
@@ -235,11 +235,11 @@
 }
 
 // Requests that arrive in pieces are served, wherever they are cut.
-func TestRequestsInPiecesAreServed(t *testing.T) {
+func TestFragmentedRequestsAreServed(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
-	w := start(t, plentyOfQuota, h)
-	w.clients.requestTimeout = 2 * time.Second
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	gw.clients.requestTimeout = 2 * time.Second
+	tcp := gw.dial()
 	for _, b := range []byte(invoke("pay", 900, "in pieces")) {
 		_, _ = tcp.Write([]byte{b})
 	}
@@ -260,10 +260,10 @@
 	}
 }
 
-func TestATricklingRequestIsCutOff(t *testing.T) {
+func TestSlowRequestTimesOut(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	stop := make(chan bool)
 	defer close(stop)
 	go func() {
@@ -280,17 +280,17 @@
 	}()
 	begun := time.Now()
 	readToEnd(t, tcp)
-	if took := time.Since(begun); took > w.clients.requestTimeout+4*reapInterval {
+	if took := time.Since(begun); took > gw.clients.requestTimeout+4*reapInterval {
 		t.Fatalf("closed after %v", took)
 	}
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
 // Floods of invalid requests, health checks and valid requests, sent without waiting for responses, end at the limits.
-func TestAFloodEndsAtItsBound(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+func TestRequestFloodIsLimited(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	for _, text := range []string{"nonsense\r\n\r\n", "GET /_health HTTP/1.1\r\n\r\n", invoke("look", 900, "")} {
-		tcp := w.dial()
+		tcp := gw.dial()
 		go func() {
 			for {
 				if _, err := io.WriteString(tcp, text); err != nil {
@@ -299,19 +299,19 @@
 			}
 		}()
 		go func() { _, _ = io.Copy(io.Discard, tcp) }()
-		c := w.onlyConnection()
-		w.wait(func() bool { return w.connections() == 0 })
+		c := gw.onlyConnection()
+		gw.waitFor(func() bool { return gw.connections() == 0 })
 		if c.drainedBytes > maxLingerBytes+http1.MaxMessageBytes {
 			t.Errorf("%d bytes were read and discarded", c.drainedBytes)
 		}
 		tcp.Close()
 	}
-	w.wait(func() bool { return len(w.loop.invocations) == 0 && w.clients.buffers.largeInUse.Load() == 0 })
+	gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 && gw.clients.buffers.largeInUse.Load() == 0 })
 }
 
-func TestBadRequestsAreAnsweredAndNothingIsSent(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	good := invoke("pay", 900, "x")
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
@@ -334,32 +334,32 @@
 		strings.Replace(good, "Host: app", "X-Call-Terms: units=2,spread=1,first=0", 1):                  400,
 		strings.Replace(good, "POST /pay", "POST pay", 1):                                                400,
 	} {
-		tcp := w.dial()
+		tcp := gw.dial()
 		if status, _ := exchange(tcp, text); status != want || !closed(tcp) {
 			t.Errorf("%.60q: %d, want %d and the connection closed", text, status, want)
 		}
 	}
-	h.noRequest(t)
-	if n := w.log.count("request refused"); n < 1 || n > 2*protocolErrorLogsPerSecond { // only some of them, as a flood of requests must not flood the log
+	h.expectNoRequest(t)
+	if n := gw.log.count("request refused"); n < 1 || n > 2*protocolErrorLogsPerSecond { // only some of them, as a flood of requests must not flood the log
 		t.Errorf("%d log lines about refused requests", n)
 	}
 }
 
-func TestHalfARequestIsNotWaitedForWithoutEnd(t *testing.T) {
-	w := start(t, plentyOfQuota)
-	tcp := w.dial()
+func TestIncompleteRequestTimesOut(t *testing.T) {
+	gw := start(t, belowQuota)
+	tcp := gw.dial()
 	if status, _ := exchange(tcp, "POST /pay HTTP/1.1\r\nReq-"); status != 0 {
 		t.Fatalf("status %d", status)
 	}
 }
 
-func TestSecondRequestWaitsForTheFirst(t *testing.T) {
+func TestPipelinedRequestsAreSerialized(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(fmt.Sprint(n)) })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	var got []string
 	sendText(tcp, invoke("pay", 900, "a")+invoke("pay", 900, "b"))
-	messages(tcp, true, func(m *http1.Message) bool {
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		got = append(got, string(m.Body))
 		return len(got) < 2
 	})
--- a/gateway/server/clientshutdown_test.go
+++ b/gateway/server/clientshutdown_test.go
@@ -11,7 +11,7 @@
 
 // Shutdown begins while one request is in progress and another is pipelined behind it. Both receive a response, and only the last
 // one announces the close.
-func TestWhatHasComeByTheCallToEndIsServed(t *testing.T) {
+func TestShutdownServesPipelinedRequests(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
@@ -19,16 +19,16 @@
 		}
 		return ok(fmt.Sprint(n))
 	})
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 3000, "a")+invoke("pay", 3000, "b"))
 	h.nextRequest(t)
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.shuttingDown.Load() })
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
+	gw.waitFor(func() bool { return gw.clients.shuttingDown.Load() })
 	close(release)
 	var got []string
-	messages(tcp, true, func(m *http1.Message) bool {
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		got = append(got, fmt.Sprint(string(m.Body), m.Close))
 		return len(got) < 2
 	})
@@ -40,16 +40,16 @@
 }
 
 // A client that always has another request pipelined does not delay the shutdown.
-func TestAClientThatNeverStopsAskingDoesNotHoldUpTheEnd(t *testing.T) {
+func TestShutdownEndsDespiteContinuousPipelining(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	for range 30 { // always more than the gateway has responded to
 		sendText(tcp, invoke("look", 900, ""))
 	}
 	begun, done := time.Now(), make(chan bool)
-	go func() { w.clients.Shutdown(2 * time.Second); close(done) }()
-	messages(tcp, true, func(m *http1.Message) bool {
+	go func() { gw.clients.Shutdown(2 * time.Second); close(done) }()
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		sendText(tcp, invoke("look", 900, ""))
 		return !m.Close
 	})
@@ -60,21 +60,21 @@
 }
 
 // A connection that the kernel accepted, but that Accept has not returned when the listener is closed, is still served.
-func TestAConnectionAcceptedAsTheListenerClosesIsServed(t *testing.T) {
+func TestShutdownServesConnectionAcceptedWhileListenerCloses(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		<-release
 		return ok("x")
 	})
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, listener: hook.listener}.start(t)
 	closing, accepted := make(chan bool), make(chan bool)
-	k.on("accepted", func() { close(accepted); <-closing })
-	k.on("unlisten", func() { close(closing) })
-	tcp := w.dial()
+	hook.on("accepted", func() { close(accepted); <-closing })
+	hook.on("unlisten", func() { close(closing) })
+	tcp := gw.dial()
 	<-accepted
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
 	<-closing
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
@@ -92,14 +92,14 @@
 }
 
 // A connection that was accepted but has not sent its request when the shutdown begins is still served.
-func TestAConnectionJustAcceptedMaySpeakAfterTheCallToEnd(t *testing.T) {
+func TestShutdownServesFirstRequestOfNewConnection(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.shuttingDown.Load() })
-	tcp := w.dial()
-	w.onlyConnection()
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
+	gw.waitFor(func() bool { return gw.clients.shuttingDown.Load() })
+	tcp := gw.dial()
+	gw.onlyConnection()
 	time.Sleep(newConnGrace / 2)
 	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 		t.Fatalf("got %d", status)
@@ -109,26 +109,26 @@
 
 // On shutdown, requests in progress receive their response, idle connections are closed, and a new connection still gets one
 // response.
-func TestNothingTakenIsLostAtTheEnd(t *testing.T) {
-	go1 := make(chan bool)
+func TestShutdownCompletesRequestsInProgress(t *testing.T) {
+	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
-			<-go1
+			<-release
 		}
 		return ok("x")
 	})
-	w := start(t, plentyOfQuota, h)
-	busy, idle := w.dial(), w.dial()
+	gw := start(t, belowQuota, h)
+	busy, idle := gw.dial(), gw.dial()
 	sendText(busy, invoke("pay", 3000, "x"))
 	h.nextRequest(t)
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.shuttingDown.Load() })
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
+	gw.waitFor(func() bool { return gw.clients.shuttingDown.Load() })
 	if !closed(idle) {
 		t.Fatal("the idle connection was not closed")
 	}
-	late := w.dial()
-	close(go1)
+	late := gw.dial()
+	close(release)
 	if status, _ := exchange(late, invoke("pay", 900, "y")); status != 200 || !closed(late) {
 		t.Fatalf("the late connection: status %d", status)
 	}
--- a/gateway/server/clientstate_test.go
+++ b/gateway/server/clientstate_test.go
@@ -6,7 +6,7 @@
 )
 
 // The state of a client connection alone determines whether the connection is idle and whether it has timed out.
-func TestClientStateTellsIdleAndOverdueConnections(t *testing.T) {
+func TestClientStateIdleAndOverdue(t *testing.T) {
 	const requestTimeout = time.Second
 	start := time.Unix(1000, 0)
 	after := start.Add
@@ -81,7 +81,7 @@
 }
 
 // A connection whose input overflowed accepts no more input, but a request that was complete before is still served.
-func TestClientStateKeepsCompleteRequestsOfAnOverflow(t *testing.T) {
+func TestClientStateKeepsCompleteRequestsOnOverflow(t *testing.T) {
 	s := newClientState(time.Now())
 	s.input = inputComplete
 	s.overflowed = true
--- a/gateway/server/counterclient_test.go
+++ b/gateway/server/counterclient_test.go
@@ -12,7 +12,7 @@
 
 // If the counter sends invalid replies, refuses calls, does not reply or is absent, the invocation is decided in time by the local
 // share of the quota.
-func TestUnusableAnswersOfTheCounterLeaveTheDecisionToTheShare(t *testing.T) {
+func TestInvalidCounterRepliesFallBackToLocalShare(t *testing.T) {
 	for name, counter := range map[string]func(m *http1.Message, n int) string{
 		"no number": func(m *http1.Message, n int) string { return ok("many") },
 		"infinite":  func(m *http1.Message, n int) string { return ok("Inf") },
@@ -23,24 +23,24 @@
 		"silent":    func(m *http1.Message, n int) string { return "" },
 		"absent":    nil,
 	} {
-		w := start(t, counter, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-		if status, _ := exchange(w.dial(), invoke("pay", 400, "x")); status != 200 {
+		gw := start(t, counter, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+		if status, _ := exchange(gw.dial(), invoke("pay", 400, "x")); status != 200 {
 			t.Errorf("%s: %d", name, status)
 		}
-		w.wait(func() bool { return len(w.loop.counter.routes) == 0 })
-		if name != "absent" && name != "silent" && name != "ended" && name != "turned" && !w.log.has("invalid counter reply") {
+		gw.waitFor(func() bool { return len(gw.loop.counter.routes) == 0 })
+		if name != "absent" && name != "silent" && name != "ended" && name != "turned" && !gw.log.has("invalid counter reply") {
 			t.Errorf("%s: nothing was logged", name)
 		}
 	}
 }
 
-func TestOverTheQuotaIsThrottled(t *testing.T) {
+func TestOverQuotaIsThrottled(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, func(m *http1.Message, n int) string { return ok("1e6") }, h)
-	tcp := w.dial()
+	gw := start(t, func(m *http1.Message, n int) string { return ok("1e6") }, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "x"))
 	status, retry := 0, ""
-	messages(tcp, true, func(m *http1.Message) bool {
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		for _, f := range m.Fields {
 			if string(f.Name) == "Retry-After" {
 				retry = string(f.Value)
@@ -52,30 +52,30 @@
 	if status != 429 || retry == "" {
 		t.Fatalf("status %d, Retry-After %q", status, retry)
 	}
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
 // A call that timed out keeps its place in the order of its connection, so that its late reply is not taken for that of the next
 // call.
-func TestLateAnswerOfTheCounterChangesNothing(t *testing.T) {
+func TestLateCounterReplyIsIgnored(t *testing.T) {
 	held := make(chan bool)
-	w := start(t, func(m *http1.Message, n int) string {
+	gw := start(t, func(m *http1.Message, n int) string {
 		if n == 1 {
 			<-held
 			return ok("1e6") // over any quota, but the call has timed out
 		}
 		return ok("1")
 	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	tcp := w.dial()
+	tcp := gw.dial()
 	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 		t.Fatalf("decided by local share: status %d", status)
 	}
 	close(held)
-	w.wait(func() bool {
-		for _, k := range w.loop.counter.conns {
-			k.mu.Lock()
-			n := len(k.unanswered)
-			k.mu.Unlock()
+	gw.waitFor(func() bool {
+		for _, conn := range gw.loop.counter.conns {
+			conn.mu.Lock()
+			n := len(conn.unanswered)
+			conn.mu.Unlock()
 			if n > 0 {
 				return false
 			}
@@ -89,10 +89,10 @@
 
 // Half a reply arrives on a connection without a call. If the connection stayed in use, the rest would complete the reply to the
 // next call, and that call's reply would go to the call after it.
-func TestBytesThatNoCallWasMadeForAreNoTotal(t *testing.T) {
+func TestUnsolicitedCounterBytesAreNoReply(t *testing.T) {
 	l := newManualHost(t)
-	w := start(t, nil)
-	w.wait(func() bool { w.counter.UseAddress(l.Addr().String()); return true })
+	gw := start(t, nil)
+	gw.waitFor(func() bool { gw.counter.UseAddress(l.Addr().String()); return true })
 	for range counterConnCount {
 		c := l.next(t)
 		sendText(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1e")
@@ -102,15 +102,15 @@
 		}
 		t.Error("a connection with half a reply on it was not closed")
 	}
-	var madeAnew atomic.Int32
+	var redialed atomic.Int32
 	go func() { // accepts the new connections, and replies after an interim response
 		for {
 			select {
-			case <-w.clients.ctx.Done():
+			case <-gw.clients.ctx.Done():
 				return
 			case c := <-l.conns:
-				madeAnew.Add(1)
-				go messages(c, false, func(m *http1.Message) bool {
+				redialed.Add(1)
+				go readMessages(c, false, func(m *http1.Message) bool {
 					sendText(c, "HTTP/1.1 102 Wait\r\n\r\n"+ok("7"))
 					return true
 				})
@@ -119,56 +119,56 @@
 	}()
 	// The socket of a connection is closed slightly before the connection stops accepting calls, and a call made in between fails.
 	// After each connection was dialed again, the call finds an established one.
-	w.wait(func() bool { return madeAnew.Load() == counterConnCount })
-	w.wait(func() bool { return w.counter.pickConn() != nil })
-	w.wait(func() bool { w.counter.add(5, 1, 1); return true })
-	w.wait(func() bool { return w.counter.newestAnswered > 0 })
-	if !w.log.has("unsolicited bytes from counter") {
+	gw.waitFor(func() bool { return redialed.Load() == counterConnCount })
+	gw.waitFor(func() bool { return gw.counter.pickConn() != nil })
+	gw.waitFor(func() bool { gw.counter.add(5, 1, 1); return true })
+	gw.waitFor(func() bool { return gw.counter.newestAnswered > 0 })
+	if !gw.log.has("unsolicited bytes from counter") {
 		t.Error("nothing was logged")
 	}
 }
 
 func TestCallsOnOneNameStayOnOneConnection(t *testing.T) {
-	w := start(t, func(m *http1.Message, n int) string { return "" })
-	w.wait(func() bool {
-		c := w.loop.counter
+	gw := start(t, func(m *http1.Message, n int) string { return "" })
+	gw.waitFor(func() bool {
+		c := gw.loop.counter
 		for i := range 9 {
 			c.add(uint64(i%3), 1, 1)
 		}
-		orders := map[uint64]int{}
-		for at, k := range c.conns {
-			for _, x := range k.unanswered {
-				orders[x.name] |= 1 << at
+		connsByName := map[uint64]int{}
+		for index, conn := range c.conns {
+			for _, call := range conn.unanswered {
+				connsByName[call.name] |= 1 << index
 			}
 		}
-		good := len(c.pending) == 9 && orders[0] != 0
-		for _, on := range orders {
-			good = good && on&(on-1) == 0
+		onOneConn := len(c.pending) == 9 && connsByName[0] != 0
+		for _, on := range connsByName {
+			onOneConn = onOneConn && on&(on-1) == 0
 		}
-		return good
+		return onOneConn
 	})
 }
 
 // An invalid reply means that the amount was added. It is not added again, and other calls continue. Amounts that were admitted
 // without a call are added to a later call, so only the sum can be checked.
-func TestUnusableAnswersOfTheCounterAreAddedOnce(t *testing.T) {
-	adds, spoilt := make(chan string, 100), 6
-	w := start(t, func(m *http1.Message, n int) string {
-		adds <- string(m.Target)
-		if spoilt--; spoilt < 0 {
+func TestInvalidCounterRepliesAreCountedOnce(t *testing.T) {
+	targets, invalidLeft := make(chan string, 100), 6
+	gw := start(t, func(m *http1.Message, n int) string {
+		targets <- string(m.Target)
+		if invalidLeft--; invalidLeft < 0 {
 			return ok("1")
 		}
 		return []string{"junk\r\n\r\n", ok("many")}[n%2]
 	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	sum := 0
 	for i := 1; i <= 200; i++ {
-		if status, _ := exchange(w.dial(), invoke("pay", 900, "x")); status != 200 {
+		if status, _ := exchange(gw.dial(), invoke("pay", 900, "x")); status != 200 {
 			t.Fatalf("invocation %d: %d", i, status)
 		}
-		w.wait(func() bool { return len(w.counter.routes) == 0 })
-		for len(adds) > 0 {
+		gw.waitFor(func() bool { return len(gw.counter.routes) == 0 })
+		for len(targets) > 0 {
 			var name, by int
-			got := <-adds
+			got := <-targets
 			if _, err := fmt.Sscanf(got, "/counters/%d?by=%d&", &name, &by); err != nil {
 				t.Fatalf("%s: %v", got, err)
 			}
@@ -186,35 +186,35 @@
 
 // A counter connection that stopped replying delayed all calls on a busy name for most of a second. Such a connection is detected
 // by later calls that are answered on other connections. On a busy machine those replies may be late sometimes, but not each time.
-func TestASilentCounterConnectionIsEndedWhenOvertaken(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+func TestLaggingCounterConnectionIsClosed(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
 	silent := newFakeServer(t, func(m *http1.Message, n int) string { return "" }).Addr().String()
-	lagging := func() (mute bool) {
+	lagging := func() (detected bool) {
 		lost := make(chan bool, 1)
-		w.loop.post(t.Context(), func() {
-			c := w.counter
+		gw.loop.post(t.Context(), func() {
+			c := gw.counter
 			c.callTimeout = 0.01
-			k := newCounterConn(c, silent)
-			c.conns = append(c.conns, k)
-			c.group.Go(k.run)
-			x := &counterCall{client: c, reported: true, references: 9}
-			x.onEnd = func() {
-				k.mu.Lock()
-				defer k.mu.Unlock()
-				lost <- k.lagging && x.outcome == policy.Reset
-				k.retired = true
+			conn := newCounterConn(c, silent)
+			c.conns = append(c.conns, conn)
+			c.group.Go(conn.run)
+			call := &counterCall{client: c, reported: true, references: 9}
+			call.onEnd = func() {
+				conn.mu.Lock()
+				defer conn.mu.Unlock()
+				lost <- conn.lagging && call.outcome == policy.Reset
+				conn.retired = true
 			}
 			go func() {
-				for x.madeAt = c.loop.clock(); !k.enqueue(x, 1, 1); x.madeAt = c.loop.clock() {
+				for call.madeAt = c.loop.clock(); !conn.enqueue(call, 1, 1); call.madeAt = c.loop.clock() {
 					time.Sleep(time.Millisecond)
 				}
 			}()
 		})
 		for {
-			exchange(w.dial(), invoke("look", 900, ""))
+			exchange(gw.dial(), invoke("look", 900, ""))
 			select {
-			case mute = <-lost:
-				return mute
+			case detected = <-lost:
+				return detected
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
--- a/gateway/server/counterconn.go
+++ b/gateway/server/counterconn.go
@@ -214,7 +214,7 @@
 // counterRead is the result of one read.
 type counterRead struct {
 	n           int
-	unrequested bool // the bytes belong to no call
+	unsolicited bool // the bytes belong to no call
 	err         error
 }
 
@@ -235,7 +235,7 @@
 		read := c.read(raw, message.Space())
 		// The bytes that follow would be taken for the reply to the next call, and every later reply would be assigned to the call
 		// after its own.
-		if read.unrequested {
+		if read.unsolicited {
 			c.client.loop.protocolErrorLog.Warn().Str("counter", c.addr).Msg("unsolicited bytes from counter")
 			return answered
 		}
@@ -260,7 +260,7 @@
 		defer c.mu.Unlock()
 		var wouldBlock bool
 		read.n, wouldBlock, read.err = readOnce(fd, space)
-		read.unrequested = read.n > 0 && (len(c.unanswered) == 0 || c.unanswered[0].endOffset > c.bytesHanded)
+		read.unsolicited = read.n > 0 && (len(c.unanswered) == 0 || c.unanswered[0].endOffset > c.bytesHanded)
 		return !wouldBlock
 	})
 	if read.err == nil {
--- a/gateway/server/eventloop_test.go
+++ b/gateway/server/eventloop_test.go
@@ -11,7 +11,7 @@
 
 // The deadline of a pipelined request counts from its arrival, not from when it is taken, because its client gives up at that
 // deadline.
-func TestTimeCountsWhileARequestWaitsForTheOneBefore(t *testing.T) {
+func TestDeadlineOfPipelinedRequestCountsFromArrival(t *testing.T) {
 	const first = 400
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
@@ -24,29 +24,29 @@
 		}
 		return ok("none")
 	})
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "")+invoke("pay", 900, ""))
-	var told []int
-	messages(tcp, true, func(m *http1.Message) bool {
+	var deadlines []int
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		var ms int
 		_, _ = fmt.Sscan(string(m.Body), &ms)
-		told = append(told, ms)
-		return len(told) < 2
+		deadlines = append(deadlines, ms)
+		return len(deadlines) < 2
 	})
-	if len(told) < 2 || told[0] < 800 || told[1] > 900-first {
-		t.Fatalf("forwarded deadlines %v", told)
+	if len(deadlines) < 2 || deadlines[0] < 800 || deadlines[1] > 900-first {
+		t.Fatalf("forwarded deadlines %v", deadlines)
 	}
 }
 
 // Each queued event is processed at its own time, not at the time of the batch.
-func TestTimeGoesOnWithinABatchOfTheQueue(t *testing.T) {
-	w := start(t, plentyOfQuota)
+func TestQueuedEventsSeeTheirOwnTime(t *testing.T) {
+	gw := start(t, belowQuota)
 	var a, b float64
 	done := make(chan bool)
-	w.loop.post(t.Context(), func() {
-		w.loop.queue <- func() { b = w.loop.now; close(done) }
-		a = w.loop.now
+	gw.loop.post(t.Context(), func() {
+		gw.loop.queue <- func() { b = gw.loop.now; close(done) }
+		a = gw.loop.now
 		time.Sleep(50 * time.Millisecond)
 	})
 	<-done
@@ -55,10 +55,10 @@
 	}
 }
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
+func TestResponseIsForwardedUnchanged(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("body of " + string(m.Method)) })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	for _, x := range []struct{ operation, body, seen, answer string }{
 		{"look", "", "GET /look/1?x=2 ", "body of GET"}, {"pay", "amount", "POST /pay/1?x=2 amount", "body of POST"},
 	} {
@@ -76,76 +76,76 @@
 
 // After a change of addresses, discovery and the counter stay in use at their old addresses until the new ones are connected. A
 // pending call is answered on the old connection.
-func TestNewAddressesTakeOverWithoutAGap(t *testing.T) {
+func TestUseAddressesDoesNotInterruptService(t *testing.T) {
 	held := make(chan bool)
-	w := start(t, func(m *http1.Message, n int) string {
+	gw := start(t, func(m *http1.Message, n int) string {
 		<-held
 		return ok("1")
 	}, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	first := w.discoveryLines
-	w.wait(func() bool { w.counter.add(7, 1, 1); return true })
-	after := newFakeServer(t, plentyOfQuota)
-	w.discoveryLines = make(chan string, 10)
+	first := gw.discoveryLines
+	gw.waitFor(func() bool { gw.counter.add(7, 1, 1); return true })
+	after := newFakeServer(t, belowQuota)
+	gw.discoveryLines = make(chan string, 10)
 	second := newFakeDiscovery(t)
-	go second.speak(w.clients.ctx, w.discoveryLines)
-	w.loop.UseAddresses(w.clients.ctx, w.discovery, second.Addr().String(), after.Addr().String())
+	go second.serveWatches(gw.clients.ctx, gw.discoveryLines)
+	gw.loop.UseAddresses(gw.clients.ctx, gw.discovery, second.Addr().String(), after.Addr().String())
 	first <- `{"version":2,"servers":[` + entry("late", "127.0.0.1:9", "Ready") + `]}`
-	w.wait(func() bool { return w.pool.byID["late"] != nil })
-	w.discoveryLines <- `{"version":3,"servers":[` + entry("new", "127.0.0.1:9", "Ready") + `]}`
-	w.wait(func() bool { return w.pool.byID["new"] != nil })
-	w.wait(func() bool { return w.counter.allConnected() })
-	w.wait(func() bool { w.counter.add(8, 1, 1); return true })
+	gw.waitFor(func() bool { return gw.pool.byID["late"] != nil })
+	gw.discoveryLines <- `{"version":3,"servers":[` + entry("new", "127.0.0.1:9", "Ready") + `]}`
+	gw.waitFor(func() bool { return gw.pool.byID["new"] != nil })
+	gw.waitFor(func() bool { return gw.counter.allConnected() })
+	gw.waitFor(func() bool { gw.counter.add(8, 1, 1); return true })
 	if got := after.nextRequest(t); !strings.Contains(got, "/counters/8?") {
 		t.Fatalf("the new counter got %s", got)
 	}
-	w.wait(func() bool { w.counter.closeRetired(); return len(w.counter.retired) == 1 }) // the one with the pending call
+	gw.waitFor(func() bool { gw.counter.closeRetired(); return len(gw.counter.retired) == 1 }) // the one with the pending call
 	close(held)
-	w.wait(func() bool {
-		w.counter.closeRetired()
-		return len(w.counter.retired) == 0 && len(w.counter.routes) == 0
+	gw.waitFor(func() bool {
+		gw.counter.closeRetired()
+		return len(gw.counter.retired) == 0 && len(gw.counter.routes) == 0
 	})
-	after.noRequest(t)
+	after.expectNoRequest(t)
 }
 
 // A request with the ID of an invocation in progress is rejected, because a host would execute a second copy. The invocation in
 // progress is unaffected.
-func TestAReferenceInUseIsNotAcceptedAgain(t *testing.T) {
+func TestReferenceInUseIsRejected(t *testing.T) {
 	held := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		<-held
 		return ok("x")
 	})
-	w := start(t, plentyOfQuota, h)
-	tcp, text := w.dial(), invoke("pay", 900, "x")
+	gw := start(t, belowQuota, h)
+	tcp, text := gw.dial(), invoke("pay", 900, "x")
 	sendText(tcp, text)
 	h.nextRequest(t)
-	if status, _ := exchange(w.dial(), text); status != 409 {
+	if status, _ := exchange(gw.dial(), text); status != 409 {
 		t.Fatalf("the same ID while in progress: status %d", status)
 	}
 	close(held)
 	if status, _ := exchange(tcp, ""); status != 200 {
 		t.Fatalf("the invocation in progress: status %d", status)
 	}
-	if status, _ := exchange(w.dial(), text); status != 409 {
+	if status, _ := exchange(gw.dial(), text); status != 409 {
 		t.Fatalf("the same ID just after: status %d", status)
 	}
-	h.noRequest(t)
-	w.wait(func() bool { // IDs are kept for a few seconds only
+	h.expectNoRequest(t)
+	gw.waitFor(func() bool { // IDs are kept for a few seconds only
 		for range 2 {
-			w.loop.recentRefs.rotatedAt = 0
-			w.loop.rotateRefs()
+			gw.loop.recentRefs.rotatedAt = 0
+			gw.loop.rotateRefs()
 		}
-		return len(w.loop.recentRefs.current)+len(w.loop.recentRefs.previous) == 0
+		return len(gw.loop.recentRefs.current)+len(gw.loop.recentRefs.previous) == 0
 	})
 }
 
 // An invocation without a response from its host fails before its client's deadline. On a busy machine the response may be late
 // sometimes, but not each time.
-func TestAnUnansweredInvocationEndsBeforeItsClientGivesUp(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return "" }))
+func TestTimeoutResponseArrivesBeforeClientDeadline(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return "" }))
 	var took time.Duration
 	for range 5 {
-		tcp, begun := w.dial(), time.Now()
+		tcp, begun := gw.dial(), time.Now()
 		status, _ := exchange(tcp, invoke("pay", 300, "x"))
 		if took = time.Since(begun); status == 504 && took < 300*time.Millisecond {
 			return
--- a/gateway/server/hook_test.go
+++ b/gateway/server/hook_test.go
@@ -12,27 +12,27 @@
 // are: "read" before bytes are read from the socket, "look" before it is checked for unread bytes, and "write", "shut" and "close"
 // before the operation of that name, where "shut" closes the write side.
 type connHook struct {
-	mu sync.Mutex
-	at map[string]func()
+	mu      sync.Mutex
+	actions map[string]func()
 }
 
 // on registers what to run once, when a connection next reaches a point.
-func (h *connHook) on(point string, what func()) {
+func (h *connHook) on(point string, action func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.at == nil {
-		h.at = map[string]func(){}
+	if h.actions == nil {
+		h.actions = map[string]func(){}
 	}
-	h.at[point] = what
+	h.actions[point] = action
 }
 
-func (h *connHook) pass(point string) {
+func (h *connHook) reach(point string) {
 	h.mu.Lock()
-	what := h.at[point]
-	delete(h.at, point)
+	action := h.actions[point]
+	delete(h.actions, point)
 	h.mu.Unlock()
-	if what != nil {
-		what()
+	if action != nil {
+		action()
 	}
 }
 
@@ -49,11 +49,11 @@
 }
 
 func (c *hookedConn) Write(b []byte) (int, error) {
-	c.hook.pass("write")
+	c.hook.reach("write")
 	half := false
 	c.hook.mu.Lock()
-	if c.hook.at["half"] != nil {
-		delete(c.hook.at, "half")
+	if c.hook.actions["half"] != nil {
+		delete(c.hook.actions, "half")
 		half = true
 	}
 	c.hook.mu.Unlock()
@@ -66,12 +66,12 @@
 }
 
 func (c *hookedConn) CloseWrite() error {
-	c.hook.pass("shut")
+	c.hook.reach("shut")
 	return c.TCPConn.CloseWrite()
 }
 
 func (c *hookedConn) Close() error {
-	c.hook.pass("close")
+	c.hook.reach("close")
 	return c.TCPConn.Close()
 }
 
@@ -82,13 +82,13 @@
 
 func (r hookedRaw) Read(f func(fd uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
-		r.hook.pass("read")
+		r.hook.reach("read")
 		return f(fd)
 	})
 }
 
 func (r hookedRaw) Control(f func(fd uintptr)) error {
-	r.hook.pass("look")
+	r.hook.reach("look")
 	return r.RawConn.Control(f)
 }
 
@@ -106,23 +106,23 @@
 	if err != nil {
 		return nil, err
 	}
-	l.hook.pass("accepted")
+	l.hook.reach("accepted")
 	return &hookedConn{tcp.(*net.TCPConn), l.hook}, nil
 }
 
 func (l *hookedListener) Close() error {
-	l.hook.pass("unlisten")
+	l.hook.reach("unlisten")
 	return l.Listener.Close()
 }
 
 // connect dials hooked connections to hosts. "dial" is reached before a dial, "up" when the connection is established.
 func (h *connHook) connect(ctx context.Context, network, addr string) (net.Conn, error) {
-	h.pass("dial")
+	h.reach("dial")
 	d := net.Dialer{Timeout: time.Second, KeepAlive: -1}
 	tcp, err := d.DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	h.pass("up")
+	h.reach("up")
 	return &hookedConn{tcp.(*net.TCPConn), h}, nil
 }
--- a/gateway/server/hostconn_test.go
+++ b/gateway/server/hostconn_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// readRequest reads one request and returns its method and body, or "" if the connection has ended.
-func request(tcp net.Conn) (text string) {
-	messages(tcp, false, func(m *http1.Message) bool {
+// readRequest reads one readRequest and returns its method and body, or "" if the connection has ended.
+func readRequest(tcp net.Conn) (text string) {
+	readMessages(tcp, false, func(m *http1.Message) bool {
 		text = string(m.Method) + " " + string(m.Body)
 		return false
 	})
@@ -73,19 +73,19 @@
 }
 
 // sendList sends a complete list of hosts from discovery, and waits until it is applied.
-func (w *testGateway) sendList(version int, entries ...string) {
-	w.discoveryLines <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
-	w.wait(func() bool {
-		w.discovery.mu.Lock()
-		defer w.discovery.mu.Unlock()
-		return w.discovery.current.acceptedVersion == int64(version)
+func (gw *testGateway) sendList(version int, entries ...string) {
+	gw.discoveryLines <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
+	gw.waitFor(func() bool {
+		gw.discovery.mu.Lock()
+		defer gw.discovery.mu.Unlock()
+		return gw.discovery.current.acceptedVersion == int64(version)
 	})
-	w.wait(func() bool { return true }) // the event loop has applied it too
+	gw.waitFor(func() bool { return true }) // the event loop has applied it too
 }
 
 // idleConns returns the number of idle connections to h0.
-func (w *testGateway) idleConns() int {
-	if h := w.pool.byID["h0"]; h != nil {
+func (gw *testGateway) idleConns() int {
+	if h := gw.pool.byID["h0"]; h != nil {
 		return len(h.idle)
 	}
 	return 0
@@ -93,29 +93,29 @@
 
 // Unsolicited bytes that were read before a request is written must not become part of its response. The rest of such a response
 // was taken for that of the next request.
-func TestBytesReadBeforeARequestAreNotItsAnswer(t *testing.T) {
+func TestUnsolicitedBytesAreNotTheNextResponse(t *testing.T) {
 	h := newManualHost(t)
-	w := start(t, plentyOfQuota)
-	w.sendList(2, h.entry())
-	tcp := w.dial()
+	gw := start(t, belowQuota)
+	gw.sendList(2, h.entry())
+	tcp := gw.dial()
 	go sendText(tcp, invoke("look", 2000, ""))
 	first := h.next(t)
-	request(first)
+	readRequest(first)
 	sendText(first, ok("one"))
 	if _, body := exchange(tcp, ""); body != "one" {
 		t.Fatalf("got %q", body)
 	}
-	w.wait(func() bool { return w.idleConns() == 1 })
+	gw.waitFor(func() bool { return gw.idleConns() == 1 })
 	sendText(first, "HTTP/1.1 200 OK\r\nContent-Len") // unsolicited
 	go func() {
-		if request(first) != "" { // not expected
+		if readRequest(first) != "" { // not expected
 			sendText(first, "gth: 5\r\n\r\nstray")
 		}
 	}()
-	w.wait(func() bool { return w.idleConns() == 0 })
+	gw.waitFor(func() bool { return gw.idleConns() == 0 })
 	sendText(tcp, invoke("look", 2000, ""))
 	second := h.next(t)
-	request(second)
+	readRequest(second)
 	sendText(second, ok("two"))
 	if _, body := exchange(tcp, ""); body != "two" {
 		t.Fatalf("got %q", body)
@@ -124,20 +124,20 @@
 
 // The host closes an idle connection just as a request is dispatched on it. Nothing was written, so the request is sent on another
 // connection, even though it must not be retried, and the host's health is not affected.
-func TestARequestGoesElsewhereIfItsConnectionEndsAsItIsHandedOver(t *testing.T) {
+func TestRequestIsReroutedIfConnectionClosesDuringDispatch(t *testing.T) {
 	h := newManualHost(t)
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
-	w.sendList(2, h.entry())
-	tcp := w.dial()
-	var resting net.Conn
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, connect: hook.connect}.start(t)
+	gw.sendList(2, h.entry())
+	tcp := gw.dial()
+	var idleConn net.Conn
 	for i := range 3 {
 		var last net.Conn
 		if i > 0 {
 			last = <-h.conns // open and idle
-			k.on("look", func() {
+			hook.on("look", func() {
 				last.Close()
-				for receiveBufferEmpty(resting) {
+				for receiveBufferEmpty(idleConn) {
 				}
 			})
 		}
@@ -145,7 +145,7 @@
 		go func() {
 			defer close(done)
 			c := h.next(t)
-			request(c)
+			readRequest(c)
 			sendText(c, ok("x"))
 			h.conns <- c
 		}()
@@ -153,26 +153,26 @@
 			t.Fatalf("invocation %d: %d", i, status)
 		}
 		<-done
-		w.wait(func() bool {
-			if w.idleConns() != 1 {
+		gw.waitFor(func() bool {
+			if gw.idleConns() != 1 {
 				return false
 			}
-			resting = w.pool.byID["h0"].idle[0].tcp.(*hookedConn).TCPConn
+			idleConn = gw.pool.byID["h0"].idle[0].tcp.(*hookedConn).TCPConn
 			return true
 		})
 	}
-	if w.log.has("set aside") {
+	if gw.log.has("set aside") {
 		t.Fatal("the host was set aside")
 	}
 }
 
 // The same if the reader detects the close before the writer starts. This was reported as a delivery without a connection.
-func TestARequestGoesElsewhereIfItsConnectionEndedBeforeItWasBegun(t *testing.T) {
+func TestRequestIsReroutedIfConnectionClosedBeforeWrite(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
-	var dead []*hostConn // as many as the maximum number of attempts
+	var closedConns []*hostConn // as many as the maximum number of attempts
 	for range 3 {
 		tcp, _ := net.Dial("tcp", l.Addr().String())
 		other, _ := l.Accept()
@@ -180,87 +180,87 @@
 		for receiveBufferEmpty(tcp) {
 		}
 		raw, _ := rawConnOf(tcp)
-		dead = append(dead, &hostConn{pool: w.pool, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)})
+		closedConns = append(closedConns, &hostConn{pool: gw.pool, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)})
 	}
-	w.wait(func() bool { // idle, and neither of their goroutines has run yet
-		x := w.pool.byID["h0"]
-		for _, c := range dead {
+	gw.waitFor(func() bool { // idle, and neither of their goroutines has run yet
+		x := gw.pool.byID["h0"]
+		for _, c := range closedConns {
 			c.host, c.addr = x, x.addr
 		}
-		w.pool.open += len(dead)
-		x.idle = append(x.idle, dead...)
+		gw.pool.open += len(closedConns)
+		x.idle = append(x.idle, closedConns...)
 		return true
 	})
-	client := w.dial()
+	client := gw.dial()
 	sendText(client, invoke("pay", 900, "x"))
-	for i := len(dead) - 1; i >= 0; i-- { // the most recently used is taken first
-		w.wait(func() bool { return dead[i].delivery != nil })
-		dead[i].readLoop()
+	for i := len(closedConns) - 1; i >= 0; i-- { // the most recently used is taken first
+		gw.waitFor(func() bool { return closedConns[i].delivery != nil })
+		closedConns[i].readLoop()
 	}
 	if status, _ := exchange(client, ""); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	w.wait(func() bool { return w.pool.open == 1 })
-	for _, c := range dead {
+	gw.waitFor(func() bool { return gw.pool.open == 1 })
+	for _, c := range closedConns {
 		c.writeLoop() // too late to write anything
 	}
 }
 
 // A client leaves while its request waits for a connection. The request is not written once the connection is established.
-func TestARequestWhoseClientLeftIsNotWritten(t *testing.T) {
+func TestRequestOfDisconnectedClientIsNotWritten(t *testing.T) {
 	for _, point := range []string{"up", "look"} { // before the connection is established, and after the dispatch
 		h := newManualHost(t)
-		k := &connHook{}
-		w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
-		w.sendList(2, h.entry())
-		tcp := w.dial()
+		hook := &connHook{}
+		gw := gatewaySetup{counter: belowQuota, connect: hook.connect}.start(t)
+		gw.sendList(2, h.entry())
+		tcp := gw.dial()
 		clientLeft := make(chan struct{})
-		k.on(point, func() {
+		hook.on(point, func() {
 			defer close(clientLeft)
 			tcp.Close()
-			w.wait(func() bool { return len(w.loop.invocations) == 0 })
+			gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 })
 		})
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
+		gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 && len(gw.loop.timeouts) == 0 })
 		<-clientLeft // otherwise the gateway may end while the hook still waits for its event loop
 		if point == "up" {
-			w.wait(func() bool { return w.idleConns() == 1 })
-			w.wait(func() bool { w.pool.UpdateHost("h0", "", false); return true })
+			gw.waitFor(func() bool { return gw.idleConns() == 1 })
+			gw.waitFor(func() bool { gw.pool.UpdateHost("h0", "", false); return true })
 		}
-		if got := request(c); got != "" {
+		if got := readRequest(c); got != "" {
 			t.Errorf("%s: the host received %q", point, got)
 		}
 	}
 }
 
 // The conditions for a delivery may have changed when its connection is established.
-func TestADeliveryThatWaitedIsJudgedOnceMore(t *testing.T) {
-	for name, change := range map[string]func(w *testGateway, h *manualHost){
-		"drains": func(w *testGateway, h *manualHost) {
-			w.sendList(3, strings.Replace(h.entry(), "Ready", "Terminating", 1))
+func TestWaitingDeliveryIsRecheckedAtDispatch(t *testing.T) {
+	for name, change := range map[string]func(gw *testGateway, h *manualHost){
+		"drains": func(gw *testGateway, h *manualHost) {
+			gw.sendList(3, strings.Replace(h.entry(), "Ready", "Terminating", 1))
 		},
-		"gone": func(w *testGateway, h *manualHost) { w.sendList(3) },
-		"anew": func(w *testGateway, h *manualHost) {
-			w.sendList(3, strings.Replace(h.entry(), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
+		"gone": func(gw *testGateway, h *manualHost) { gw.sendList(3) },
+		"anew": func(gw *testGateway, h *manualHost) {
+			gw.sendList(3, strings.Replace(h.entry(), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
 		},
-		"late": func(w *testGateway, h *manualHost) { time.Sleep(350 * time.Millisecond) },
-		"late because of an event queued before it": func(w *testGateway, h *manualHost) {
-			w.loop.post(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
-			w.hook.on("read", func() { // it is queued; the event after it gives the writer time
-				w.loop.post(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
+		"late": func(gw *testGateway, h *manualHost) { time.Sleep(350 * time.Millisecond) },
+		"late because of an event queued before it": func(gw *testGateway, h *manualHost) {
+			gw.loop.post(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
+			gw.hook.on("read", func() { // it is queued; the event after it gives the writer time
+				gw.loop.post(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newManualHost(t)
-			k := &connHook{}
-			w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
-			w.hook = k
-			w.sendList(2, h.entry())
+			hook := &connHook{}
+			gw := gatewaySetup{counter: belowQuota, connect: hook.connect}.start(t)
+			gw.hook = hook
+			gw.sendList(2, h.entry())
 			changed := make(chan bool)
-			k.on("up", func() { change(w, h); close(changed) })
-			tcp := w.dial()
+			hook.on("up", func() { change(gw, h); close(changed) })
+			tcp := gw.dial()
 			go func() {
 				<-changed
 				for {
@@ -269,7 +269,7 @@
 						return
 					case c := <-h.conns:
 						go func() {
-							if got := request(c); got != "" {
+							if got := readRequest(c); got != "" {
 								t.Errorf("the host received %q", got)
 							}
 						}()
@@ -280,14 +280,14 @@
 				t.Error("served")
 			}
 			<-changed
-			w.wait(func() bool { return len(w.loop.invocations) == 0 })
+			gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 })
 			h.Close()
 		})
 	}
 }
 
 // The deadline that a host receives is the time left when the request is written.
-func TestTheTimeToldIsWhatIsLeftAtWriting(t *testing.T) {
+func TestForwardedDeadlineIsTimeLeftAtWrite(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		for _, f := range m.Fields {
 			if string(f.Name) == "Req-Deadline-Ms" {
@@ -296,10 +296,10 @@
 		}
 		return ok("none")
 	})
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, connect: k.connect}.start(t)
-	k.on("up", func() { time.Sleep(200 * time.Millisecond) })
-	_, body := exchange(w.dial(), invoke("pay", 900, "x"))
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, connect: hook.connect}.start(t)
+	hook.on("up", func() { time.Sleep(200 * time.Millisecond) })
+	_, body := exchange(gw.dial(), invoke("pay", 900, "x"))
 	var ms int
 	if _, err := fmt.Sscan(body, &ms); err != nil || ms <= 0 || ms > 700 {
 		t.Fatalf("forwarded deadline %q", body)
@@ -307,41 +307,41 @@
 }
 
 // A write that fails in the middle is retried: the host can't have executed an incomplete request.
-func TestAWriteThatBreaksOffNeverRan(t *testing.T) {
+func TestPartialWriteIsRetried(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, connect: k.connect}.start(t)
-	k.on("half", func() {})
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, connect: hook.connect}.start(t)
+	hook.on("half", func() {})
 	long := strings.Repeat("y", 50<<10)
-	if status, body := exchange(w.dial(), invoke("pay", 2000, long)); status != 200 || body != long {
+	if status, body := exchange(gw.dial(), invoke("pay", 2000, long)); status != 200 || body != long {
 		t.Fatalf("%d with %d bytes", status, len(body))
 	}
 	h.nextRequest(t)
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
 // A request may have been executed if the connection is reset after its last byte was written, whether or not part of the response
 // was received. It is not retried.
-func TestAResetAfterTheWholeRequestMayHaveRun(t *testing.T) {
+func TestResetAfterCompleteRequestIsNotRetried(t *testing.T) {
 	for _, text := range []string{
 		"", "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		h := newManualHost(t)
-		w := start(t, plentyOfQuota)
-		w.sendList(2, h.entry())
-		tcp := w.dial()
+		gw := start(t, belowQuota)
+		gw.sendList(2, h.entry())
+		tcp := gw.dial()
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		request(c)
+		readRequest(c)
 		sendText(c, text)
 		if text != "" {
-			w.wait(func() bool { // the bytes were read
-				for _, inv := range w.loop.invocations {
-					if k := inv.delivery.conn; k != nil {
-						k.mu.Lock()
-						defer k.mu.Unlock()
-						return k.response != nil && !k.response.Empty()
+			gw.waitFor(func() bool { // the bytes were read
+				for _, inv := range gw.loop.invocations {
+					if conn := inv.delivery.conn; conn != nil {
+						conn.mu.Lock()
+						defer conn.mu.Unlock()
+						return conn.response != nil && !conn.response.Empty()
 					}
 				}
 				return false
@@ -361,19 +361,19 @@
 }
 
 // A response that arrives byte by byte is forwarded. One that never completes is given up at the client's deadline.
-func TestAnswersInPiecesArePassedOn(t *testing.T) {
+func TestFragmentedResponsesAreForwarded(t *testing.T) {
 	h := newManualHost(t)
-	w := start(t, plentyOfQuota)
-	w.sendList(2, h.entry())
+	gw := start(t, belowQuota)
+	gw.sendList(2, h.entry())
 	for _, text := range []string{
 		ok("in pieces"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("in pieces"),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nin\r\n7\r\n pieces\r\n0\r\nA: b\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\nin pieces",
 	} {
-		tcp := w.dial()
+		tcp := gw.dial()
 		sendText(tcp, invoke("pay", 3000, "x"))
 		c := h.next(t)
-		request(c)
+		readRequest(c)
 		for _, b := range []byte(text) {
 			_, _ = c.Write([]byte{b})
 		}
@@ -384,12 +384,12 @@
 			t.Errorf("%.40q: %d %q", text, status, body)
 		}
 		c.Close()
-		w.wait(func() bool { return w.idleConns() == 0 })
+		gw.waitFor(func() bool { return gw.idleConns() == 0 })
 	}
-	tcp := w.dial()
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 300, "x"))
 	c := h.next(t)
-	request(c)
+	readRequest(c)
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
@@ -407,18 +407,18 @@
 }
 
 // Responses that never end are limited in length, and so are interim responses in number.
-func TestAnswersWithoutEndStopAtTheirBounds(t *testing.T) {
+func TestEndlessResponsesAreLimited(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nA: ", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 	} {
 		h := newManualHost(t)
-		w := start(t, plentyOfQuota)
-		w.sendList(2, h.entry())
-		tcp := w.dial()
+		gw := start(t, belowQuota)
+		gw.sendList(2, h.entry())
+		tcp := gw.dial()
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		request(c)
+		readRequest(c)
 		go func() {
 			sendText(c, text)
 			more := strings.Repeat("x", 4096)
@@ -434,13 +434,13 @@
 		if status, _ := exchange(tcp, ""); status != 502 {
 			t.Errorf("%.60q: %d", text, status)
 		}
-		w.wait(func() bool { return w.pool.open == 0 && w.pool.buffers.largeInUse.Load() == 0 })
+		gw.waitFor(func() bool { return gw.pool.open == 0 && gw.pool.buffers.largeInUse.Load() == 0 })
 	}
 }
 
 // After an invalid response the request may have been executed: a non-idempotent invocation then fails. It is neither throttled nor
 // retried.
-func TestAnswersOfHostsDecideTheStatus(t *testing.T) {
+func TestHostResponsesDetermineStatus(t *testing.T) {
 	for text, want := range map[string]int{
 		"garbage garbage\r\n\r\n!":                           502,
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 9000): 502,
@@ -455,27 +455,27 @@
 		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe end!": 200,
 	} {
 		h := newFakeServer(t, func(m *http1.Message, n int) string { return text })
-		w := start(t, plentyOfQuota, h)
-		if status, _ := exchange(w.dial(), invoke("pay", 400, "x")); status != want {
+		gw := start(t, belowQuota, h)
+		if status, _ := exchange(gw.dial(), invoke("pay", 400, "x")); status != want {
 			t.Errorf("%.50q: %d, want %d", text, status, want)
 		}
 		h.nextRequest(t)
-		if h.noRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
+		if h.expectNoRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
 			<-h.Disconnects // a connection with an invalid response is not reused
 		}
 	}
 }
 
-func TestWhatNeverRanIsSentElsewhere(t *testing.T) {
+func TestAttemptsThatNeverRanAreRetried(t *testing.T) {
 	declined := newFakeServer(t, func(m *http1.Message, n int) string {
 		return "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 	})
 	refusing := newFakeServer(t, nil)
 	refusing.Close()
 	good := newFakeServer(t, func(m *http1.Message, n int) string { return ok("served") })
-	w := start(t, plentyOfQuota, refusing, declined, good)
+	gw := start(t, belowQuota, refusing, declined, good)
 	for i := range 6 {
-		if status, body := exchange(w.dial(), invoke("pay", 900, "x")); status != 200 || body != "served" {
+		if status, body := exchange(gw.dial(), invoke("pay", 900, "x")); status != 200 || body != "served" {
 			t.Fatalf("invocation %d: %d %q", i, status, body)
 		}
 	}
@@ -483,59 +483,59 @@
 
 // A host closes an idle connection or sends unsolicited bytes on it. The next delivery must not use that connection, as it could
 // not be retried.
-func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	for _, after := range []string{"!", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n?"} {
 		h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") + after })
-		w := start(t, plentyOfQuota, h)
-		tcp := w.dial()
+		gw := start(t, belowQuota, h)
+		tcp := gw.dial()
 		for i := range 3 {
 			if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 				t.Fatalf("invocation %d after %.9q: status %d", i, after, status)
 			}
 			<-h.Disconnects
-			w.wait(func() bool { return len(w.pool.byID["h0"].idle) == 0 })
+			gw.waitFor(func() bool { return len(gw.pool.byID["h0"].idle) == 0 })
 		}
 	}
 }
 
-func TestClientGoneEndsItsDelivery(t *testing.T) {
+func TestClientDisconnectEndsItsDelivery(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
 	tcp.Close()
 	<-h.Disconnects
-	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
+	gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 && len(gw.loop.timeouts) == 0 })
 }
 
-func TestDeliveryWaitingForAConnectionIsWithdrawnFromADrainingHost(t *testing.T) {
+func TestWaitingDeliveryIsCancelledWhenHostDrains(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
-	w.wait(func() bool {
-		x := w.pool.byID["h0"]
+	gw := start(t, belowQuota, h)
+	gw.waitFor(func() bool {
+		x := gw.pool.byID["h0"]
 		in := &invocation{}
 		d := &delivery{invocation: in, host: x, index: 0}
-		w.loop.timeouts, x.waiting = deliveryQueue{d}, []*delivery{d}
-		w.pool.UpdateHost("h0", x.addr, false)
-		good := len(x.waiting) == 0 && len(w.loop.endedDeliveries) == 1 && d.outcome == 'C'
-		w.loop.endedDeliveries, w.loop.timeouts = nil, nil
+		gw.loop.timeouts, x.waiting = deliveryQueue{d}, []*delivery{d}
+		gw.pool.UpdateHost("h0", x.addr, false)
+		good := len(x.waiting) == 0 && len(gw.loop.endedDeliveries) == 1 && d.outcome == 'C'
+		gw.loop.endedDeliveries, gw.loop.timeouts = nil, nil
 		return good
 	})
-	if status, _ := exchange(w.dial(), invoke("look", 300, "")); status != 429 {
+	if status, _ := exchange(gw.dial(), invoke("look", 300, "")); status != 429 {
 		t.Fatalf("status %d without an active host", status)
 	}
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
 // A delivery may be cancelled while its response is in the queue. The connection, already closed by the cancellation, was reused.
-func TestConnectionGivenUpIsNotUsedAgain(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
+func TestAbandonedConnectionIsNotReused(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	if status, _ := exchange(gw.dial(), invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	w.wait(func() bool {
-		h := w.pool.byID["h0"]
+	gw.waitFor(func() bool {
+		h := gw.pool.byID["h0"]
 		if len(h.idle) != 1 {
 			return false
 		}
@@ -550,21 +550,21 @@
 	})
 }
 
-func TestHostsThatLeftAreForgotten(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	exchange(w.dial(), invoke("look", 900, ""))
+func TestHostsThatLeftAreDeleted(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	exchange(gw.dial(), invoke("look", 900, ""))
 	for i := range 50 {
-		w.discoveryLines <- fmt.Sprintf(`{"version":%d,"servers":[%s,%s]}`, i, entry(fmt.Sprint("h", i), "127.0.0.1:9", "Gone"),
+		gw.discoveryLines <- fmt.Sprintf(`{"version":%d,"servers":[%s,%s]}`, i, entry(fmt.Sprint("h", i), "127.0.0.1:9", "Gone"),
 			entry(fmt.Sprint("h", i+1), "127.0.0.1:9", "Ready"))
 	}
-	w.wait(func() bool { return w.pool.byID["h50"] != nil && len(w.pool.byID) == 1 && len(w.pool.inOrder) == 1 })
+	gw.waitFor(func() bool { return gw.pool.byID["h50"] != nil && len(gw.pool.byID) == 1 && len(gw.pool.inOrder) == 1 })
 }
 
 // Bytes after a response may have arrived without being read when the next request is dispatched. They are not its response, and
 // the request is sent on another connection.
-func TestBytesBehindAnAnswerAreNotTheNextOne(t *testing.T) {
+func TestUnreadBytesAreNotTheNextResponse(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	tcp, _ := net.Dial("tcp", l.Addr().String())
@@ -573,11 +573,11 @@
 	sendText(behind, ok("a second copy"))
 	for receiveBufferEmpty(tcp) { // until the bytes have arrived
 	}
-	w.wait(func() bool { // idle, and its reader has not seen the bytes yet
-		x := w.pool.byID["h0"]
+	gw.waitFor(func() bool { // idle, and its reader has not seen the bytes yet
+		x := gw.pool.byID["h0"]
 		raw, _ := rawConnOf(tcp)
-		c := &hostConn{pool: w.pool, host: x, addr: x.addr, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)}
-		w.pool.open++
+		c := &hostConn{pool: gw.pool, host: x, addr: x.addr, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)}
+		gw.pool.open++
 		x.idle = append(x.idle, c)
 		go func() {
 			c.writeLoop()
@@ -585,21 +585,21 @@
 		}()
 		return true
 	})
-	if status, body := exchange(w.dial(), invoke("pay", 900, "y")); status != 200 || body != "x" {
+	if status, body := exchange(gw.dial(), invoke("pay", 900, "y")); status != 200 || body != "x" {
 		t.Fatalf("%d %q", status, body)
 	}
 }
 
 // A body without a length ends with the close of its connection, but not with a reset.
-func TestABodyCutShortIsNoAnswer(t *testing.T) {
+func TestTruncatedBodyIsNotForwarded(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "HTTP/1.1 200 OK\r\n\r\nhalf of" })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
-	w.wait(func() bool { // the read fails with an error, as after a reset
-		for in := range w.loop.invocations {
-			if c := w.loop.invocations[in].delivery.conn; c != nil {
+	gw.waitFor(func() bool { // the read fails with an error, as after a reset
+		for in := range gw.loop.invocations {
+			if c := gw.loop.invocations[in].delivery.conn; c != nil {
 				_ = c.tcp.(*net.TCPConn).SetReadDeadline(pastDeadline)
 				return true
 			}
--- a/gateway/server/testgateway_test.go
+++ b/gateway/server/testgateway_test.go
@@ -32,10 +32,10 @@
 // fakeServer is a scripted host or counter service, based on harness/sockets.
 type fakeServer struct{ *sockets.ScriptedServer }
 
-func newFakeServer(t *testing.T, say func(m *http1.Message, n int) string) *fakeServer {
+func newFakeServer(t *testing.T, respond func(m *http1.Message, n int) string) *fakeServer {
 	t.Helper()
 	leakcheck.Check(t)
-	s, err := sockets.NewScriptedServer(say)
+	s, err := sockets.NewScriptedServer(respond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	return &fakeServer{s}
 }
 
-func messages(tcp net.Conn, response bool, each func(m *http1.Message) bool) {
+func readMessages(tcp net.Conn, response bool, each func(m *http1.Message) bool) {
 	_ = sockets.ReadMessages(tcp, response, each)
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s *fakeServer) noRequest(t *testing.T) {
+func (s *fakeServer) expectNoRequest(t *testing.T) {
 	t.Helper()
 	select {
 	case x := <-s.Requests:
@@ -72,7 +72,7 @@
 }
 
 // belowQuota is the script of a counter whose totals are always below any quota.
-func plentyOfQuota(m *http1.Message, n int) string { return ok("1") }
+func belowQuota(m *http1.Message, n int) string { return ok("1") }
 
 // testGateway is a gateway connected to fake servers.
 type testGateway struct {
@@ -100,16 +100,16 @@
 	return l.b.Write(p)
 }
 
-func (l *logBuffer) has(part string) bool {
+func (l *logBuffer) has(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Contains(l.b.String(), part)
+	return strings.Contains(l.b.String(), text)
 }
 
-func (l *logBuffer) count(part string) int {
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.b.String(), part)
+	return strings.Count(l.b.String(), text)
 }
 
 func entry(id, addr, state string) string {
@@ -139,79 +139,79 @@
 	if setup.settings == "" {
 		setup.settings = settings
 	}
-	var s simprotocol.Settings
-	if err := json.Unmarshal([]byte(setup.settings), &s); err != nil {
+	var policySettings simprotocol.Settings
+	if err := json.Unmarshal([]byte(setup.settings), &policySettings); err != nil {
 		t.Fatal(err)
 	}
 	root, stop := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(root)
-	w := &testGateway{t: t, discoveryLines: make(chan string, 10), log: &logBuffer{}}
-	w.loop = NewEventLoop(zerolog.New(w.log))
-	decider, err := s.NewPolicy(1, w.loop)
+	gw := &testGateway{t: t, discoveryLines: make(chan string, 10), log: &logBuffer{}}
+	gw.loop = NewEventLoop(zerolog.New(gw.log))
+	gatewayPolicy, err := policySettings.NewPolicy(1, gw.loop)
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers, err := NewPeerSocket(w.loop, PeerOptions{Listen: "127.0.0.1:0"})
+	peers, err := NewPeerSocket(gw.loop, PeerOptions{Listen: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	setup.makeParts(ctx, group, w, &s)
+	setup.makeParts(ctx, group, gw, &policySettings)
 	if setup.counter != nil {
-		w.counter.UseAddress(newFakeServer(t, setup.counter).Addr().String())
+		gw.counter.UseAddress(newFakeServer(t, setup.counter).Addr().String())
 	}
-	group.Go(func() error { return w.loop.Run(ctx, decider, w.pool, w.counter, peers) })
+	group.Go(func() error { return gw.loop.Run(ctx, gatewayPolicy, gw.pool, gw.counter, peers) })
 	group.Go(func() error { return peers.Read(ctx) })
 	group.Go(func() error { return peers.Write(ctx) })
-	setup.startDiscovery(ctx, group, w)
+	setup.startDiscovery(ctx, group, gw)
 	if setup.counter != nil {
-		for until := time.Now().Add(3 * time.Second); !w.counter.allConnected() && time.Now().Before(until); {
+		for until := time.Now().Add(3 * time.Second); !gw.counter.allConnected() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	group.Go(w.clients.Accept)
-	group.Go(w.clients.ReapIdle)
+	group.Go(gw.clients.Accept)
+	group.Go(gw.clients.ReapIdle)
 	t.Cleanup(func() {
 		stop()
-		w.clients.Close()
+		gw.clients.Close()
 		if err := group.Wait(); err != nil {
 			t.Error(err)
 		}
 	})
-	return w
+	return gw
 }
 
 // makeParts creates the parts between the event loop and the sockets.
-func (setup gatewaySetup) makeParts(ctx context.Context, group *errgroup.Group, w *testGateway, s *simprotocol.Settings) {
-	w.t.Helper()
-	log := zerolog.New(w.log)
+func (setup gatewaySetup) makeParts(ctx context.Context, group *errgroup.Group, gw *testGateway, s *simprotocol.Settings) {
+	gw.t.Helper()
+	log := zerolog.New(gw.log)
 	buffers := NewBufferPool(8, 100)
-	w.pool = NewHostPool(ctx, group, w.loop, buffers, HostPoolOptions{
+	gw.pool = NewHostPool(ctx, group, gw.loop, buffers, HostPoolOptions{
 		MaxConns: 50, ConnectTimeout: s.Caps.DialTimeout, IdleTimeout: s.Caps.IdleTimeout,
 	})
 	if setup.connect != nil {
-		w.pool.connect = setup.connect
+		gw.pool.connect = setup.connect
 	}
-	w.counter = NewCounterClient(ctx, group, w.loop, CounterOptions{CallTimeout: s.Shared.CounterTimeout})
+	gw.counter = NewCounterClient(ctx, group, gw.loop, CounterOptions{CallTimeout: s.Shared.CounterTimeout})
 	var err error
-	w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, ClientOptions{
+	gw.clients, err = NewClientListener(ctx, group, gw.loop, log, buffers, ClientOptions{
 		Address: "127.0.0.1:0", OperationLimit: s.Accepts, MaxConns: 50, Ready: func() bool { return true },
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		gw.t.Fatal(err)
 	}
-	w.clients.requestTimeout = 200 * time.Millisecond
-	w.addr = w.clients.listener.Addr().String()
+	gw.clients.requestTimeout = 200 * time.Millisecond
+	gw.addr = gw.clients.listener.Addr().String()
 	if setup.listener != nil {
-		w.clients.listener = setup.listener(w.clients.listener)
+		gw.clients.listener = setup.listener(gw.clients.listener)
 	}
-	w.discovery = NewDiscoveryClient(ctx, group, w.loop, log, DiscoveryOptions{})
+	gw.discovery = NewDiscoveryClient(ctx, group, gw.loop, log, DiscoveryOptions{})
 	if setup.shortTimeouts {
-		w.discovery.silenceTimeout, w.discovery.firstDataTimeout = 300*time.Millisecond, 100*time.Millisecond
+		gw.discovery.silenceTimeout, gw.discovery.firstDataTimeout = 300*time.Millisecond, 100*time.Millisecond
 	}
 }
 
 // startDiscovery applies the initial list of hosts and starts to watch a fake discovery.
-func (setup gatewaySetup) startDiscovery(ctx context.Context, group *errgroup.Group, w *testGateway) {
+func (setup gatewaySetup) startDiscovery(ctx context.Context, group *errgroup.Group, gw *testGateway) {
 	first := Roster{Full: true}
 	for i, h := range setup.hosts {
 		first.Servers = append(first.Servers, RosterEntry{
@@ -219,17 +219,17 @@
 			State: "Ready", Weight: 1,
 		})
 	}
-	w.discovery.UseSaved(ctx, first)
-	w.loop.post(ctx, func() {}) // the list is applied before the watch begins
-	w.discoveryServer = newFakeDiscovery(w.t)
+	gw.discovery.UseSaved(ctx, first)
+	gw.loop.post(ctx, func() {}) // the list is applied before the watch begins
+	gw.discoveryServer = newFakeDiscovery(gw.t)
 	if !setup.manualDiscovery {
-		lines := w.discoveryLines
+		lines := gw.discoveryLines
 		group.Go(func() error {
-			w.discoveryServer.speak(ctx, lines)
+			gw.discoveryServer.serveWatches(ctx, lines)
 			return nil
 		})
 	}
-	w.discovery.Watch(w.discoveryServer.Addr().String())
+	gw.discovery.Watch(gw.discoveryServer.Addr().String())
 }
 
 // fakeDiscovery is a fake discovery service: a listener that hands its watches to the test.
@@ -273,7 +273,7 @@
 			mu.Unlock()
 			go func() {
 				f := &fakeWatch{Conn: tcp, from: -1, ended: make(chan struct{})}
-				messages(tcp, false, func(m *http1.Message) bool {
+				readMessages(tcp, false, func(m *http1.Message) bool {
 					_, _ = fmt.Sscanf(string(m.Target), "/catalog/members?watch=1&from=%d", &f.from)
 					a.opened <- f
 					return true
@@ -316,10 +316,10 @@
 func (f *fakeWatch) send(text string) { fmt.Fprintf(f, "%x\r\n%s\r\n", len(text), text) }
 
 // serveWatches sends an empty line to every watch at short intervals, and each of the test's lines to the newest watch.
-func (a *fakeDiscovery) speak(ctx context.Context, lines chan string) {
+func (a *fakeDiscovery) serveWatches(ctx context.Context, lines chan string) {
 	var all []*fakeWatch
-	beat := time.NewTicker(500 * time.Millisecond)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(500 * time.Millisecond)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -327,7 +327,7 @@
 		case f := <-a.opened:
 			f.sendHead()
 			all = append(all, f)
-		case <-beat.C:
+		case <-heartbeat.C:
 			for _, f := range all {
 				f.send("\n")
 			}
@@ -348,11 +348,11 @@
 
 // allConnected reports whether every connection is established.
 func (c *CounterClient) allConnected() bool {
-	for _, k := range c.conns {
-		k.mu.Lock()
-		up := k.connected
-		k.mu.Unlock()
-		if !up {
+	for _, conn := range c.conns {
+		conn.mu.Lock()
+		established := conn.connected
+		conn.mu.Unlock()
+		if !established {
 			return false
 		}
 	}
@@ -360,18 +360,18 @@
 }
 
 // connections returns the number of client connections.
-func (w *testGateway) connections() int {
-	n, _ := w.clients.counts()
+func (gw *testGateway) connections() int {
+	n, _ := gw.clients.counts()
 	return n
 }
 
-func (w *testGateway) dial() net.Conn {
-	w.t.Helper()
-	tcp, err := net.Dial("tcp", w.addr)
+func (gw *testGateway) dial() net.Conn {
+	gw.t.Helper()
+	tcp, err := net.Dial("tcp", gw.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		gw.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { tcp.Close() })
+	gw.t.Cleanup(func() { tcp.Close() })
 	_ = tcp.SetDeadline(time.Now().Add(5 * time.Second))
 	return tcp
 }
@@ -380,7 +380,7 @@
 // a response.
 func exchange(conn net.Conn, text string) (status int, body string) {
 	sendText(conn, text)
-	messages(conn, true, func(m *http1.Message) bool {
+	readMessages(conn, true, func(m *http1.Message) bool {
 		status, body = m.Status, string(m.Body)
 		return false
 	})
@@ -410,15 +410,15 @@
 // sendText sends text on a connection. A write error is ignored, as it shows in what is read next.
 func sendText(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
 
-// wait waits until a condition holds, which it evaluates on the event loop.
-func (w *testGateway) wait(so func() bool) {
-	w.t.Helper()
+// waitFor waits until a condition holds, which it evaluates on the event loop.
+func (gw *testGateway) waitFor(condition func() bool) {
+	gw.t.Helper()
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		got := make(chan bool)
-		w.loop.queue <- func() { got <- so() }
+		gw.loop.queue <- func() { got <- condition() }
 		if <-got {
 			return
 		}
 	}
-	w.t.Fatal("the condition was not met in time")
+	gw.t.Fatal("the condition was not met in time")
 }
