--- a/gateway/server/clientshutdown_test.go
+++ b/gateway/server/clientshutdown_test.go
@@ -9,8 +9,9 @@
 	"otterseam/gateway/http1"
 )
 
-// The call to end finds a request in hand and a further one behind it: both are answered, the last one says so.
-func TestWhatHasComeByTheCallToEndIsServed(t *testing.T) {
+// Shutdown begins while one request is in progress and another is pipelined behind it. Both receive a response, and only the last
+// one announces the close.
+func TestShutdownServesPipelinedRequests(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
@@ -18,16 +19,16 @@
 		}
 		return ok(fmt.Sprint(n))
 	})
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 3000, "a")+invoke("pay", 3000, "b"))
 	h.nextRequest(t)
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.shuttingDown.Load() })
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
+	gw.waitFor(func() bool { return gw.clients.shuttingDown.Load() })
 	close(release)
 	var got []string
-	messages(tcp, true, func(m *http1.Message) bool {
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		got = append(got, fmt.Sprint(string(m.Body), m.Close))
 		return len(got) < 2
 	})
@@ -38,48 +39,48 @@
 	<-done
 }
 
-// A client that always has a further request on its way does not hold up the end.
-func TestAClientThatNeverStopsAskingDoesNotHoldUpTheEnd(t *testing.T) {
+// A client that always has another request pipelined does not delay the shutdown.
+func TestShutdownEndsDespiteContinuousPipelining(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
-	for range 30 { // always more than the api gateway has answered
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
+	for range 30 { // always more than the gateway has responded to
 		sendText(tcp, invoke("look", 900, ""))
 	}
 	begun, done := time.Now(), make(chan bool)
-	go func() { w.clients.Shutdown(2 * time.Second); close(done) }()
-	messages(tcp, true, func(m *http1.Message) bool {
+	go func() { gw.clients.Shutdown(2 * time.Second); close(done) }()
+	readMessages(tcp, true, func(m *http1.Message) bool {
 		sendText(tcp, invoke("look", 900, ""))
 		return !m.Close
 	})
 	if took := time.Since(begun); took > lateAcceptPeriod+1500*time.Millisecond {
-		t.Errorf("the last answer came after %v", took)
+		t.Errorf("the last response arrived after %v", took)
 	}
 	<-done
 }
 
-// A connection that the system has given, but the program does not know of yet, as the listener is closed.
-func TestAConnectionAcceptedAsTheListenerClosesIsServed(t *testing.T) {
+// A connection that the kernel accepted, but that Accept has not returned when the listener is closed, is still served.
+func TestShutdownServesConnectionAcceptedWhileListenerCloses(t *testing.T) {
 	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		<-release
 		return ok("x")
 	})
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, listener: k.listener}.start(t)
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, listener: hook.listener}.start(t)
 	closing, accepted := make(chan bool), make(chan bool)
-	k.on("accepted", func() { close(accepted); <-closing })
-	k.on("unlisten", func() { close(closing) })
-	tcp := w.dial()
+	hook.on("accepted", func() { close(accepted); <-closing })
+	hook.on("unlisten", func() { close(closing) })
+	tcp := gw.dial()
 	<-accepted
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
 	<-closing
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
 	select {
 	case <-done:
-		t.Error("the end has come with an answer owed")
+		t.Error("shutdown returned with a response pending")
 	default:
 	}
 	close(release)
@@ -90,15 +91,15 @@
 	<-done
 }
 
-// One that has been accepted and has said nothing yet when the end is called for.
-func TestAConnectionJustAcceptedMaySpeakAfterTheCallToEnd(t *testing.T) {
+// A connection that was accepted but has not sent its request when the shutdown begins is still served.
+func TestShutdownServesFirstRequestOfNewConnection(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.shuttingDown.Load() })
-	tcp := w.dial()
-	w.onlyConnection()
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
+	gw.waitFor(func() bool { return gw.clients.shuttingDown.Load() })
+	tcp := gw.dial()
+	gw.onlyConnection()
 	time.Sleep(newConnGrace / 2)
 	if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
 		t.Fatalf("got %d", status)
@@ -106,32 +107,33 @@
 	<-done
 }
 
-// The end: what is in hand is answered, connections between requests are closed, new ones still get one answer.
-func TestNothingTakenIsLostAtTheEnd(t *testing.T) {
-	go1 := make(chan bool)
+// On shutdown, requests in progress receive their response, idle connections are closed, and a new connection still gets one
+// response.
+func TestShutdownCompletesRequestsInProgress(t *testing.T) {
+	release := make(chan bool)
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		if n == 1 {
-			<-go1
+			<-release
 		}
 		return ok("x")
 	})
-	w := start(t, plentyOfQuota, h)
-	busy, idle := w.dial(), w.dial()
+	gw := start(t, belowQuota, h)
+	busy, idle := gw.dial(), gw.dial()
 	sendText(busy, invoke("pay", 3000, "x"))
 	h.nextRequest(t)
 	done := make(chan bool)
-	go func() { w.clients.Shutdown(3 * time.Second); close(done) }()
-	w.wait(func() bool { return w.clients.shuttingDown.Load() })
+	go func() { gw.clients.Shutdown(3 * time.Second); close(done) }()
+	gw.waitFor(func() bool { return gw.clients.shuttingDown.Load() })
 	if !closed(idle) {
-		t.Fatal("an idle connection stays")
+		t.Fatal("the idle connection was not closed")
 	}
-	late := w.dial()
-	close(go1)
+	late := gw.dial()
+	close(release)
 	if status, _ := exchange(late, invoke("pay", 900, "y")); status != 200 || !closed(late) {
-		t.Fatalf("a late one: %d", status)
+		t.Fatalf("the late connection: status %d", status)
 	}
 	if status, _ := exchange(busy, ""); status != 200 || !closed(busy) {
-		t.Fatalf("the one in hand: %d", status)
+		t.Fatalf("the request in progress: status %d", status)
 	}
 	<-done
 }
--- a/gateway/server/hook_test.go
+++ b/gateway/server/hook_test.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// connHook stops connections at points of their life, for tests that force two things to cross. The points: "read" before the
-// system is asked for bytes, "look" before it is asked whether any stand there, "write", "shut" and "close" before those.
+// connHook runs functions when a connection reaches certain points, for tests that force two operations to interleave. The points
+// are: "read" before bytes are read from the socket, "look" before it is checked for unread bytes, and "write", "shut" and "close"
+// before the operation of that name, where "shut" closes the write side.
 type connHook struct {
-	mu sync.Mutex
-	at map[string]func()
+	mu      sync.Mutex
+	actions map[string]func()
 }
 
-// on has what run once, when a connection next comes to a point.
-func (h *connHook) on(point string, what func()) {
+// on registers what to run once, when a connection next reaches a point.
+func (h *connHook) on(point string, action func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.at == nil {
-		h.at = map[string]func(){}
+	if h.actions == nil {
+		h.actions = map[string]func(){}
 	}
-	h.at[point] = what
+	h.actions[point] = action
 }
 
-func (h *connHook) pass(point string) {
+func (h *connHook) reach(point string) {
 	h.mu.Lock()
-	what := h.at[point]
-	delete(h.at, point)
+	action := h.actions[point]
+	delete(h.actions, point)
 	h.mu.Unlock()
-	if what != nil {
-		what()
+	if action != nil {
+		action()
 	}
 }
 
-// hookedConn is such a connection. half: the next write breaks off in the middle, as by a reset.
+// hookedConn is a connection that reports to a connHook. If "half" is registered, the next write ends with a reset after half of
+// its bytes.
 type hookedConn struct {
 	*net.TCPConn
 	hook *connHook
@@ -47,11 +49,11 @@
 }
 
 func (c *hookedConn) Write(b []byte) (int, error) {
-	c.hook.pass("write")
+	c.hook.reach("write")
 	half := false
 	c.hook.mu.Lock()
-	if c.hook.at["half"] != nil {
-		delete(c.hook.at, "half")
+	if c.hook.actions["half"] != nil {
+		delete(c.hook.actions, "half")
 		half = true
 	}
 	c.hook.mu.Unlock()
@@ -64,12 +66,12 @@
 }
 
 func (c *hookedConn) CloseWrite() error {
-	c.hook.pass("shut")
+	c.hook.reach("shut")
 	return c.TCPConn.CloseWrite()
 }
 
 func (c *hookedConn) Close() error {
-	c.hook.pass("close")
+	c.hook.reach("close")
 	return c.TCPConn.Close()
 }
 
@@ -80,17 +82,18 @@
 
 func (r hookedRaw) Read(f func(fd uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
-		r.hook.pass("read")
+		r.hook.reach("read")
 		return f(fd)
 	})
 }
 
 func (r hookedRaw) Control(f func(fd uintptr)) error {
-	r.hook.pass("look")
+	r.hook.reach("look")
 	return r.RawConn.Control(f)
 }
 
-// listener gives hooked connections; "accepted" is passed when the system has given one, before the program has it.
+// listener wraps l so that it returns hooked connections. "accepted" is reached when the kernel has accepted a connection but
+// Accept has not yet returned it.
 func (h *connHook) listener(l net.Listener) net.Listener { return &hookedListener{l, h} }
 
 type hookedListener struct {
@@ -103,23 +106,23 @@
 	if err != nil {
 		return nil, err
 	}
-	l.hook.pass("accepted")
+	l.hook.reach("accepted")
 	return &hookedConn{tcp.(*net.TCPConn), l.hook}, nil
 }
 
 func (l *hookedListener) Close() error {
-	l.hook.pass("unlisten")
+	l.hook.reach("unlisten")
 	return l.Listener.Close()
 }
 
-// connect gives hooked connections to hosts; "dial" is passed before one is begun, "up" when it stands.
+// connect dials hooked connections to hosts. "dial" is reached before a dial, "up" when the connection is established.
 func (h *connHook) connect(ctx context.Context, network, addr string) (net.Conn, error) {
-	h.pass("dial")
+	h.reach("dial")
 	d := net.Dialer{Timeout: time.Second, KeepAlive: -1}
 	tcp, err := d.DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	h.pass("up")
+	h.reach("up")
 	return &hookedConn{tcp.(*net.TCPConn), h}, nil
 }
--- a/gateway/server/hostconn_test.go
+++ b/gateway/server/hostconn_test.go
@@ -14,7 +14,7 @@
 	"otterseam/harness/leakcheck"
 )
 
-// manualHost is a host whose connections the test speaks on itself.
+// manualHost is a host whose connections are served by the test itself.
 type manualHost struct {
 	net.Listener
 	conns chan net.Conn
@@ -39,7 +39,7 @@
 				return
 			}
 			all.Go(func() {
-				<-t.Context().Done() // just before what is cleaned up
+				<-t.Context().Done() // canceled just before the cleanup functions run
 				tcp.Close()
 			})
 			h.conns <- tcp
@@ -50,7 +50,7 @@
 
 func (h *manualHost) entry() string { return entry("h0", h.Addr().String(), "Ready") }
 
-// next is the next connection that a delivery is made on.
+// next returns the next connection that the gateway opens.
 func (h *manualHost) next(t *testing.T) net.Conn {
 	t.Helper()
 	select {
@@ -58,85 +58,86 @@
 		_ = tcp.SetDeadline(time.Now().Add(5 * time.Second))
 		return tcp
 	case <-time.After(3 * time.Second):
-		t.Fatal("no connection came")
+		t.Fatal("no connection was opened")
 		return nil
 	}
 }
 
-// request reads one request; "": the connection has ended.
-func request(tcp net.Conn) (text string) {
-	messages(tcp, false, func(m *http1.Message) bool {
+// readRequest reads one readRequest and returns its method and body, or "" if the connection has ended.
+func readRequest(tcp net.Conn) (text string) {
+	readMessages(tcp, false, func(m *http1.Message) bool {
 		text = string(m.Method) + " " + string(m.Body)
 		return false
 	})
 	return text
 }
 
-// sendList has discovery tell of hosts.
-func (w *testGateway) sendList(version int, entries ...string) {
-	w.discoveryLines <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
-	w.wait(func() bool {
-		w.discovery.mu.Lock()
-		defer w.discovery.mu.Unlock()
-		return w.discovery.current.acceptedVersion == int64(version)
+// sendList sends a complete list of hosts from discovery, and waits until it is applied.
+func (gw *testGateway) sendList(version int, entries ...string) {
+	gw.discoveryLines <- fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
+	gw.waitFor(func() bool {
+		gw.discovery.mu.Lock()
+		defer gw.discovery.mu.Unlock()
+		return gw.discovery.current.acceptedVersion == int64(version)
 	})
-	w.wait(func() bool { return true }) // the loop has it too
+	gw.waitFor(func() bool { return true }) // the event loop has applied it too
 }
 
-// idleConns is how many connections to h0 are idle.
-func (w *testGateway) idleConns() int {
-	if h := w.pool.byID["h0"]; h != nil {
+// idleConns returns the number of idle connections to h0.
+func (gw *testGateway) idleConns() int {
+	if h := gw.pool.byID["h0"]; h != nil {
 		return len(h.idle)
 	}
 	return 0
 }
 
-// Half an answer that nobody asked for had been read when the next request was written: the rest of it was that one's.
-func TestBytesReadBeforeARequestAreNotItsAnswer(t *testing.T) {
+// Unsolicited bytes that were read before a request is written must not become part of its response. The rest of such a response
+// was taken for that of the next request.
+func TestUnsolicitedBytesAreNotTheNextResponse(t *testing.T) {
 	h := newManualHost(t)
-	w := start(t, plentyOfQuota)
-	w.sendList(2, h.entry())
-	tcp := w.dial()
+	gw := start(t, belowQuota)
+	gw.sendList(2, h.entry())
+	tcp := gw.dial()
 	go sendText(tcp, invoke("look", 2000, ""))
 	first := h.next(t)
-	request(first)
+	readRequest(first)
 	sendText(first, ok("one"))
 	if _, body := exchange(tcp, ""); body != "one" {
 		t.Fatalf("got %q", body)
 	}
-	w.wait(func() bool { return w.idleConns() == 1 })
-	sendText(first, "HTTP/1.1 200 OK\r\nContent-Len") // nobody asked
+	gw.waitFor(func() bool { return gw.idleConns() == 1 })
+	sendText(first, "HTTP/1.1 200 OK\r\nContent-Len") // unsolicited
 	go func() {
-		if request(first) != "" { // as it should not
+		if readRequest(first) != "" { // not expected
 			sendText(first, "gth: 5\r\n\r\nstray")
 		}
 	}()
-	w.wait(func() bool { return w.idleConns() == 0 })
+	gw.waitFor(func() bool { return gw.idleConns() == 0 })
 	sendText(tcp, invoke("look", 2000, ""))
 	second := h.next(t)
-	request(second)
+	readRequest(second)
 	sendText(second, ok("two"))
 	if _, body := exchange(tcp, ""); body != "two" {
 		t.Fatalf("got %q", body)
 	}
 }
 
-// The host closes a resting connection just as a request is handed over on it: nothing was written, so it goes out on
-// another, though it may not be sent again, and the host is not blamed.
-func TestARequestGoesElsewhereIfItsConnectionEndsAsItIsHandedOver(t *testing.T) {
+// The host closes an idle connection just as a request is dispatched on it. Nothing was written, so the request is sent on another
+// connection, even though it must not be retried, and the host's health is not affected.
+func TestRequestIsReroutedIfConnectionClosesDuringDispatch(t *testing.T) {
 	h := newManualHost(t)
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
-	w.sendList(2, h.entry())
-	tcp := w.dial()
-	var resting net.Conn
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, connect: hook.connect}.start(t)
+	gw.sendList(2, h.entry())
+	tcp := gw.dial()
+	var idleConn net.Conn
 	for i := range 3 {
 		var last net.Conn
 		if i > 0 {
-			last = <-h.conns // stands, and rests
-			k.on("look", func() {
+			last = <-h.conns // open and idle
+			hook.on("look", func() {
 				last.Close()
-				for nothingUnread(resting) {
+				for receiveBufferEmpty(idleConn) {
 				}
 			})
 		}
@@ -144,7 +145,7 @@
 		go func() {
 			defer close(done)
 			c := h.next(t)
-			request(c)
+			readRequest(c)
 			sendText(c, ok("x"))
 			h.conns <- c
 		}()
@@ -152,114 +153,114 @@
 			t.Fatalf("invocation %d: %d", i, status)
 		}
 		<-done
-		w.wait(func() bool {
-			if w.idleConns() != 1 {
+		gw.waitFor(func() bool {
+			if gw.idleConns() != 1 {
 				return false
 			}
-			resting = w.pool.byID["h0"].idle[0].tcp.(*hookedConn).TCPConn
+			idleConn = gw.pool.byID["h0"].idle[0].tcp.(*hookedConn).TCPConn
 			return true
 		})
 	}
-	if w.log.has("ejected") {
-		t.Fatal("the host is blamed")
+	if gw.log.has("ejected") {
+		t.Fatal("the host was ejected")
 	}
 }
 
-// The same where the reader sees the end before the writer has begun: it was told as a delivery that found no connection.
-func TestARequestGoesElsewhereIfItsConnectionEndedBeforeItWasBegun(t *testing.T) {
+// The same if the reader detects the close before the writer starts. This was reported as a delivery without a connection.
+func TestRequestIsReroutedIfConnectionClosedBeforeWrite(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
-	var dead []*hostConn // as many as an invocation may have deliveries
+	var closedConns []*hostConn // as many as the maximum number of attempts
 	for range 3 {
 		tcp, _ := net.Dial("tcp", l.Addr().String())
 		other, _ := l.Accept()
 		other.Close()
-		for nothingUnread(tcp) {
+		for receiveBufferEmpty(tcp) {
 		}
 		raw, _ := rawConnOf(tcp)
-		dead = append(dead, &hostConn{pool: w.pool, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)})
+		closedConns = append(closedConns, &hostConn{pool: gw.pool, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)})
 	}
-	w.wait(func() bool { // at rest, neither of their goroutines has come to run
-		x := w.pool.byID["h0"]
-		for _, c := range dead {
+	gw.waitFor(func() bool { // idle, and neither of their goroutines has run yet
+		x := gw.pool.byID["h0"]
+		for _, c := range closedConns {
 			c.host, c.addr = x, x.addr
 		}
-		w.pool.open += len(dead)
-		x.idle = append(x.idle, dead...)
+		gw.pool.open += len(closedConns)
+		x.idle = append(x.idle, closedConns...)
 		return true
 	})
-	client := w.dial()
+	client := gw.dial()
 	sendText(client, invoke("pay", 900, "x"))
-	for i := len(dead) - 1; i >= 0; i-- { // the last used is taken first
-		w.wait(func() bool { return dead[i].delivery != nil })
-		dead[i].readLoop()
+	for i := len(closedConns) - 1; i >= 0; i-- { // the most recently used is taken first
+		gw.waitFor(func() bool { return closedConns[i].delivery != nil })
+		closedConns[i].readLoop()
 	}
 	if status, _ := exchange(client, ""); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	w.wait(func() bool { return w.pool.open == 1 })
-	for _, c := range dead {
-		c.writeLoop() // comes too late to write anything
+	gw.waitFor(func() bool { return gw.pool.open == 1 })
+	for _, c := range closedConns {
+		c.writeLoop() // too late to write anything
 	}
 }
 
-// A client leaves while its request waits for a connection: it is not written once the connection stands.
-func TestARequestWhoseClientLeftIsNotWritten(t *testing.T) {
-	for _, point := range []string{"up", "look"} { // before the connection stands, and after it was handed over
+// A client leaves while its request waits for a connection. The request is not written once the connection is established.
+func TestRequestOfDisconnectedClientIsNotWritten(t *testing.T) {
+	for _, point := range []string{"up", "look"} { // before the connection is established, and after the dispatch
 		h := newManualHost(t)
-		k := &connHook{}
-		w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
-		w.sendList(2, h.entry())
-		tcp := w.dial()
+		hook := &connHook{}
+		gw := gatewaySetup{counter: belowQuota, connect: hook.connect}.start(t)
+		gw.sendList(2, h.entry())
+		tcp := gw.dial()
 		clientLeft := make(chan struct{})
-		k.on(point, func() {
+		hook.on(point, func() {
 			defer close(clientLeft)
 			tcp.Close()
-			w.wait(func() bool { return len(w.loop.invocations) == 0 })
+			gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 })
 		})
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
-		<-clientLeft // else the gateway may end while the hook still waits for its loop
+		gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 && len(gw.loop.timeouts) == 0 })
+		<-clientLeft // otherwise the gateway may end while the hook still waits for its event loop
 		if point == "up" {
-			w.wait(func() bool { return w.idleConns() == 1 })
-			w.wait(func() bool { w.pool.UpdateHost("h0", "", false); return true })
+			gw.waitFor(func() bool { return gw.idleConns() == 1 })
+			gw.waitFor(func() bool { gw.pool.UpdateHost("h0", "", false); return true })
 		}
-		if got := request(c); got != "" {
-			t.Errorf("%s: the host got %q", point, got)
+		if got := readRequest(c); got != "" {
+			t.Errorf("%s: the host received %q", point, got)
 		}
 	}
 }
 
-// What allowed a delivery may be over when its connection stands.
-func TestADeliveryThatWaitedIsJudgedOnceMore(t *testing.T) {
-	for name, change := range map[string]func(w *testGateway, h *manualHost){
-		"drains": func(w *testGateway, h *manualHost) {
-			w.sendList(3, strings.Replace(h.entry(), "Ready", "Terminating", 1))
+// The conditions for a delivery may have changed when its connection is established.
+func TestWaitingDeliveryIsRecheckedAtDispatch(t *testing.T) {
+	for name, change := range map[string]func(gw *testGateway, h *manualHost){
+		"drains": func(gw *testGateway, h *manualHost) {
+			gw.sendList(3, strings.Replace(h.entry(), "Ready", "Terminating", 1))
 		},
-		"gone": func(w *testGateway, h *manualHost) { w.sendList(3) },
-		"anew": func(w *testGateway, h *manualHost) {
-			w.sendList(3, strings.Replace(h.entry(), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
+		"gone": func(gw *testGateway, h *manualHost) { gw.sendList(3) },
+		"anew": func(gw *testGateway, h *manualHost) {
+			gw.sendList(3, strings.Replace(h.entry(), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()+60000), 1))
 		},
-		"late": func(w *testGateway, h *manualHost) { time.Sleep(350 * time.Millisecond) },
-		"late by what lies before it in the queue": func(w *testGateway, h *manualHost) {
-			w.loop.post(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
-			w.hook.on("read", func() { // it is in the queue; what follows it there gives the writer time
-				w.loop.post(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
+		"late": func(gw *testGateway, h *manualHost) { time.Sleep(350 * time.Millisecond) },
+		"late because of an event queued before it": func(gw *testGateway, h *manualHost) {
+			gw.loop.post(context.Background(), func() { time.Sleep(350 * time.Millisecond) })
+			gw.hook.on("read", func() { // it is queued; the event after it gives the writer time
+				gw.loop.post(context.Background(), func() { time.Sleep(50 * time.Millisecond) })
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newManualHost(t)
-			k := &connHook{}
-			w := gatewaySetup{counter: plentyOfQuota, connect: k.connect}.start(t)
-			w.hook = k
-			w.sendList(2, h.entry())
+			hook := &connHook{}
+			gw := gatewaySetup{counter: belowQuota, connect: hook.connect}.start(t)
+			gw.hook = hook
+			gw.sendList(2, h.entry())
 			changed := make(chan bool)
-			k.on("up", func() { change(w, h); close(changed) })
-			tcp := w.dial()
+			hook.on("up", func() { change(gw, h); close(changed) })
+			tcp := gw.dial()
 			go func() {
 				<-changed
 				for {
@@ -268,8 +269,8 @@
 						return
 					case c := <-h.conns:
 						go func() {
-							if got := request(c); got != "" {
-								t.Errorf("the host got %q", got)
+							if got := readRequest(c); got != "" {
+								t.Errorf("the host received %q", got)
 							}
 						}()
 					}
@@ -279,14 +280,14 @@
 				t.Error("served")
 			}
 			<-changed
-			w.wait(func() bool { return len(w.loop.invocations) == 0 })
+			gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 })
 			h.Close()
 		})
 	}
 }
 
-// The time that a host is told is what is left when the request is written.
-func TestTheTimeToldIsWhatIsLeftAtWriting(t *testing.T) {
+// The deadline that a host receives is the time left when the request is written.
+func TestForwardedDeadlineIsTimeLeftAtWrite(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string {
 		for _, f := range m.Fields {
 			if string(f.Name) == "Req-Deadline-Ms" {
@@ -295,51 +296,52 @@
 		}
 		return ok("none")
 	})
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, connect: k.connect}.start(t)
-	k.on("up", func() { time.Sleep(200 * time.Millisecond) })
-	_, body := exchange(w.dial(), invoke("pay", 900, "x"))
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, connect: hook.connect}.start(t)
+	hook.on("up", func() { time.Sleep(200 * time.Millisecond) })
+	_, body := exchange(gw.dial(), invoke("pay", 900, "x"))
 	var ms int
 	if _, err := fmt.Sscan(body, &ms); err != nil || ms <= 0 || ms > 700 {
-		t.Fatalf("told %q", body)
+		t.Fatalf("forwarded deadline %q", body)
 	}
 }
 
-// A write breaks off in the middle: the host can't have run what it has not got whole, so it goes out again.
-func TestAWriteThatBreaksOffNeverRan(t *testing.T) {
+// A write that fails in the middle is retried: the host can't have executed an incomplete request.
+func TestPartialWriteIsRetried(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok(string(m.Body)) })
-	k := &connHook{}
-	w := gatewaySetup{counter: plentyOfQuota, hosts: []*fakeServer{h}, connect: k.connect}.start(t)
-	k.on("half", func() {})
+	hook := &connHook{}
+	gw := gatewaySetup{counter: belowQuota, hosts: []*fakeServer{h}, connect: hook.connect}.start(t)
+	hook.on("half", func() {})
 	long := strings.Repeat("y", 50<<10)
-	if status, body := exchange(w.dial(), invoke("pay", 2000, long)); status != 200 || body != long {
+	if status, body := exchange(gw.dial(), invoke("pay", 2000, long)); status != 200 || body != long {
 		t.Fatalf("%d with %d bytes", status, len(body))
 	}
 	h.nextRequest(t)
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
-// A reset after the last byte was written may have run, with a part of an answer or without.
-func TestAResetAfterTheWholeRequestMayHaveRun(t *testing.T) {
+// A request may have been executed if the connection is reset after its last byte was written, whether or not part of the response
+// was received. It is not retried.
+func TestResetAfterCompleteRequestIsNotRetried(t *testing.T) {
 	for _, text := range []string{
 		"", "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		h := newManualHost(t)
-		w := start(t, plentyOfQuota)
-		w.sendList(2, h.entry())
-		tcp := w.dial()
+		gw := start(t, belowQuota)
+		gw.sendList(2, h.entry())
+		tcp := gw.dial()
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		request(c)
+		readRequest(c)
 		sendText(c, text)
 		if text != "" {
-			w.wait(func() bool { // it has been read
-				for _, inv := range w.loop.invocations {
-					if k := inv.delivery.conn; k != nil {
-						k.mu.Lock()
-						defer k.mu.Unlock()
-						return k.answer != nil && !k.answer.Empty()
+			gw.waitFor(func() bool { // the bytes were read
+				for _, inv := range gw.loop.invocations {
+					if conn := inv.delivery.conn; conn != nil {
+						conn.mu.Lock()
+						defer conn.mu.Unlock()
+						return conn.response != nil && !conn.response.Empty()
 					}
 				}
 				return false
@@ -358,20 +360,20 @@
 	}
 }
 
-// An answer comes byte by byte; one that never comes to its end is given up with the client's time.
-func TestAnswersInPiecesArePassedOn(t *testing.T) {
+// A response that arrives byte by byte is forwarded. One that never completes is given up at the client's deadline.
+func TestFragmentedResponsesAreForwarded(t *testing.T) {
 	h := newManualHost(t)
-	w := start(t, plentyOfQuota)
-	w.sendList(2, h.entry())
+	gw := start(t, belowQuota)
+	gw.sendList(2, h.entry())
 	for _, text := range []string{
 		ok("in pieces"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("in pieces"),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nin\r\n7\r\n pieces\r\n0\r\nA: b\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\nin pieces",
 	} {
-		tcp := w.dial()
+		tcp := gw.dial()
 		sendText(tcp, invoke("pay", 3000, "x"))
 		c := h.next(t)
-		request(c)
+		readRequest(c)
 		for _, b := range []byte(text) {
 			_, _ = c.Write([]byte{b})
 		}
@@ -382,12 +384,12 @@
 			t.Errorf("%.40q: %d %q", text, status, body)
 		}
 		c.Close()
-		w.wait(func() bool { return w.idleConns() == 0 })
+		gw.waitFor(func() bool { return gw.idleConns() == 0 })
 	}
-	tcp := w.dial()
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 300, "x"))
 	c := h.next(t)
-	request(c)
+	readRequest(c)
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
@@ -404,19 +406,19 @@
 	<-ended
 }
 
-// Answers that never end, in length and in number, stop at their bounds.
-func TestAnswersWithoutEndStopAtTheirBounds(t *testing.T) {
+// Responses that never end are limited in length, and so are interim responses in number.
+func TestEndlessResponsesAreLimited(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nA: ", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 	} {
 		h := newManualHost(t)
-		w := start(t, plentyOfQuota)
-		w.sendList(2, h.entry())
-		tcp := w.dial()
+		gw := start(t, belowQuota)
+		gw.sendList(2, h.entry())
+		tcp := gw.dial()
 		sendText(tcp, invoke("pay", 900, "x"))
 		c := h.next(t)
-		request(c)
+		readRequest(c)
 		go func() {
 			sendText(c, text)
 			more := strings.Repeat("x", 4096)
@@ -432,149 +434,150 @@
 		if status, _ := exchange(tcp, ""); status != 502 {
 			t.Errorf("%.60q: %d", text, status)
 		}
-		w.wait(func() bool { return w.pool.open == 0 && w.pool.buffers.largeInUse.Load() == 0 })
+		gw.waitFor(func() bool { return gw.pool.open == 0 && gw.pool.buffers.largeInUse.Load() == 0 })
 	}
 }
 
-// A host's odd answers may have run: a non-idempotent invocation is errored, not throttled, and not sent again.
-func TestAnswersOfHostsDecideTheStatus(t *testing.T) {
+// After an invalid response the request may have been executed: a non-idempotent invocation then fails. It is neither throttled nor
+// retried.
+func TestHostResponsesDetermineStatus(t *testing.T) {
 	for text, want := range map[string]int{
 		"garbage garbage\r\n\r\n!":                           502,
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 9000): 502,
 		"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n":   502,
-		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab!":    502, // cut short
+		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab!":    502, // truncated
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":       502,
-		"HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n":       502, // without the sign that it never ran
-		"!":                                     502, // ended unanswered
+		"HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n":       502, // without the field that proves that it never ran
+		"!":                                     502, // closed without a response
 		"":                                      504,
 		"HTTP/1.1 100 Go on\r\n\r\n" + ok("x"):  200,
 		"HTTP/1.1 200 OK\r\n\r\nuntil the end!": 200,
 		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe end!": 200,
 	} {
 		h := newFakeServer(t, func(m *http1.Message, n int) string { return text })
-		w := start(t, plentyOfQuota, h)
-		if status, _ := exchange(w.dial(), invoke("pay", 400, "x")); status != want {
+		gw := start(t, belowQuota, h)
+		if status, _ := exchange(gw.dial(), invoke("pay", 400, "x")); status != want {
 			t.Errorf("%.50q: %d, want %d", text, status, want)
 		}
 		h.nextRequest(t)
-		if h.noRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
-			<-h.Disconnects // a connection that held nonsense is not used again
+		if h.expectNoRequest(t); text != ok("x") && !strings.Contains(text, "Length: 0") && !strings.Contains(text, "100 Go") {
+			<-h.Disconnects // a connection with an invalid response is not reused
 		}
 	}
 }
 
-func TestWhatNeverRanIsSentElsewhere(t *testing.T) {
+func TestAttemptsThatNeverRanAreRetried(t *testing.T) {
 	declined := newFakeServer(t, func(m *http1.Message, n int) string {
 		return "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 	})
 	refusing := newFakeServer(t, nil)
 	refusing.Close()
 	good := newFakeServer(t, func(m *http1.Message, n int) string { return ok("served") })
-	w := start(t, plentyOfQuota, refusing, declined, good)
+	gw := start(t, belowQuota, refusing, declined, good)
 	for i := range 6 {
-		if status, body := exchange(w.dial(), invoke("pay", 900, "x")); status != 200 || body != "served" {
+		if status, body := exchange(gw.dial(), invoke("pay", 900, "x")); status != 200 || body != "served" {
 			t.Fatalf("invocation %d: %d %q", i, status, body)
 		}
 	}
 }
 
-// A host closes an idle connection, or sends bytes that nobody asked for: neither may meet the next delivery, which
-// could not be sent again.
-func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
+// A host closes an idle connection or sends unsolicited bytes on it. The next delivery must not use that connection, as it could
+// not be retried.
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	for _, after := range []string{"!", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n?"} {
 		h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") + after })
-		w := start(t, plentyOfQuota, h)
-		tcp := w.dial()
+		gw := start(t, belowQuota, h)
+		tcp := gw.dial()
 		for i := range 3 {
 			if status, _ := exchange(tcp, invoke("pay", 900, "x")); status != 200 {
-				t.Fatalf("invocation %d after %.9q: %d", i, after, status)
+				t.Fatalf("invocation %d after %.9q: status %d", i, after, status)
 			}
 			<-h.Disconnects
-			w.wait(func() bool { return len(w.pool.byID["h0"].idle) == 0 })
+			gw.waitFor(func() bool { return len(gw.pool.byID["h0"].idle) == 0 })
 		}
 	}
 }
 
-func TestClientGoneEndsItsDelivery(t *testing.T) {
+func TestClientDisconnectEndsItsDelivery(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "" })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
 	tcp.Close()
 	<-h.Disconnects
-	w.wait(func() bool { return len(w.loop.invocations) == 0 && len(w.loop.timeouts) == 0 })
+	gw.waitFor(func() bool { return len(gw.loop.invocations) == 0 && len(gw.loop.timeouts) == 0 })
 }
 
-func TestDeliveryWaitingForAConnectionIsWithdrawnFromADrainingHost(t *testing.T) {
+func TestWaitingDeliveryIsCancelledWhenHostDrains(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
-	w.wait(func() bool {
-		x := w.pool.byID["h0"]
+	gw := start(t, belowQuota, h)
+	gw.waitFor(func() bool {
+		x := gw.pool.byID["h0"]
 		in := &invocation{}
 		d := &delivery{invocation: in, host: x, index: 0}
-		w.loop.timeouts, x.waiting = deliveryQueue{d}, []*delivery{d}
-		w.pool.UpdateHost("h0", x.addr, false)
-		good := len(x.waiting) == 0 && len(w.loop.endedDeliveries) == 1 && d.outcome == 'C'
-		w.loop.endedDeliveries, w.loop.timeouts = nil, nil
+		gw.loop.timeouts, x.waiting = deliveryQueue{d}, []*delivery{d}
+		gw.pool.UpdateHost("h0", x.addr, false)
+		good := len(x.waiting) == 0 && len(gw.loop.endedDeliveries) == 1 && d.outcome == 'C'
+		gw.loop.endedDeliveries, gw.loop.timeouts = nil, nil
 		return good
 	})
-	if status, _ := exchange(w.dial(), invoke("look", 300, "")); status != 429 {
-		t.Fatalf("no host is active, got %d", status)
+	if status, _ := exchange(gw.dial(), invoke("look", 300, "")); status != 429 {
+		t.Fatalf("status %d without an active host", status)
 	}
-	h.noRequest(t)
+	h.expectNoRequest(t)
 }
 
-// An answer may be on the queue when its delivery is given up: the connection, already ended, was used again.
-func TestConnectionGivenUpIsNotUsedAgain(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	if status, _ := exchange(w.dial(), invoke("look", 900, "")); status != 200 {
+// A delivery may be cancelled while its response is in the queue. The connection, already closed by the cancellation, was reused.
+func TestAbandonedConnectionIsNotReused(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	if status, _ := exchange(gw.dial(), invoke("look", 900, "")); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	w.wait(func() bool {
-		h := w.pool.byID["h0"]
+	gw.waitFor(func() bool {
+		h := gw.pool.byID["h0"]
 		if len(h.idle) != 1 {
 			return false
 		}
 		c := h.idle[0]
 		h.idle = nil
-		c.abandon() // as withdraw does, before the loop hears of the answer
+		c.abandon() // as cancel does, before the event loop processes the response
 		c.deliveryEnded()
 		if len(h.idle) > 0 {
-			t.Error("it idles again")
+			t.Error("the connection is idle again")
 		}
 		return true
 	})
 }
 
-func TestHostsThatLeftAreForgotten(t *testing.T) {
-	w := start(t, plentyOfQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
-	exchange(w.dial(), invoke("look", 900, ""))
+func TestHostsThatLeftAreDeleted(t *testing.T) {
+	gw := start(t, belowQuota, newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") }))
+	exchange(gw.dial(), invoke("look", 900, ""))
 	for i := range 50 {
-		w.discoveryLines <- fmt.Sprintf(`{"version":%d,"servers":[%s,%s]}`, i, entry(fmt.Sprint("h", i), "127.0.0.1:9", "Gone"),
+		gw.discoveryLines <- fmt.Sprintf(`{"version":%d,"servers":[%s,%s]}`, i, entry(fmt.Sprint("h", i), "127.0.0.1:9", "Gone"),
 			entry(fmt.Sprint("h", i+1), "127.0.0.1:9", "Ready"))
 	}
-	w.wait(func() bool { return w.pool.byID["h50"] != nil && len(w.pool.byID) == 1 && len(w.pool.inOrder) == 1 })
+	gw.waitFor(func() bool { return gw.pool.byID["h50"] != nil && len(gw.pool.byID) == 1 && len(gw.pool.inOrder) == 1 })
 }
 
-// Bytes behind an answer may have come and not yet been read when the next request is handed over: they are not its
-// answer, and it goes out on another connection.
-func TestBytesBehindAnAnswerAreNotTheNextOne(t *testing.T) {
+// Bytes after a response may have arrived without being read when the next request is dispatched. They are not its response, and
+// the request is sent on another connection.
+func TestUnreadBytesAreNotTheNextResponse(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return ok("x") })
-	w := start(t, plentyOfQuota, h)
+	gw := start(t, belowQuota, h)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	tcp, _ := net.Dial("tcp", l.Addr().String())
 	behind, _ := l.Accept()
 	defer behind.Close()
 	sendText(behind, ok("a second copy"))
-	for nothingUnread(tcp) { // until it has come
+	for receiveBufferEmpty(tcp) { // until the bytes have arrived
 	}
-	w.wait(func() bool { // at rest, and its reader, late, has not seen the bytes
-		x := w.pool.byID["h0"]
+	gw.waitFor(func() bool { // idle, and its reader has not seen the bytes yet
+		x := gw.pool.byID["h0"]
 		raw, _ := rawConnOf(tcp)
-		c := &hostConn{pool: w.pool, host: x, addr: x.addr, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)}
-		w.pool.open++
+		c := &hostConn{pool: gw.pool, host: x, addr: x.addr, tcp: tcp, raw: raw, requests: make(chan *Buffer, 2)}
+		gw.pool.open++
 		x.idle = append(x.idle, c)
 		go func() {
 			c.writeLoop()
@@ -582,28 +585,28 @@
 		}()
 		return true
 	})
-	if status, body := exchange(w.dial(), invoke("pay", 900, "y")); status != 200 || body != "x" {
+	if status, body := exchange(gw.dial(), invoke("pay", 900, "y")); status != 200 || body != "x" {
 		t.Fatalf("%d %q", status, body)
 	}
 }
 
-// A body without a length ends with its connection, but not with a reset.
-func TestABodyCutShortIsNoAnswer(t *testing.T) {
+// A body without a length ends with the close of its connection, but not with a reset.
+func TestTruncatedBodyIsNotForwarded(t *testing.T) {
 	h := newFakeServer(t, func(m *http1.Message, n int) string { return "HTTP/1.1 200 OK\r\n\r\nhalf of" })
-	w := start(t, plentyOfQuota, h)
-	tcp := w.dial()
+	gw := start(t, belowQuota, h)
+	tcp := gw.dial()
 	sendText(tcp, invoke("pay", 900, "x"))
 	h.nextRequest(t)
-	w.wait(func() bool { // as a reset does, the reading ends with an error
-		for in := range w.loop.invocations {
-			if c := w.loop.invocations[in].delivery.conn; c != nil {
-				_ = c.tcp.(*net.TCPConn).SetReadDeadline(expired)
+	gw.waitFor(func() bool { // the read fails with an error, as after a reset
+		for in := range gw.loop.invocations {
+			if c := gw.loop.invocations[in].delivery.conn; c != nil {
+				_ = c.tcp.(*net.TCPConn).SetReadDeadline(pastDeadline)
 				return true
 			}
 		}
 		return false
 	})
 	if status, body := exchange(tcp, ""); status == 200 {
-		t.Fatalf("half an answer was passed on: %q", body)
+		t.Fatalf("a truncated response was forwarded: %q", body)
 	}
 }
--- a/gateway/server/testgateway_test.go
+++ b/gateway/server/testgateway_test.go
@@ -22,20 +22,20 @@
 	"otterseam/harness/sockets"
 )
 
-// settings are a start with one operation of each kind that can be told apart on sockets.
+// settings are gateway settings with one idempotent and one non-idempotent operation, which differ on the wire.
 const settings = `{"balancers":1,"locality":"z","caps":{"try_limit":3,"cancel":true,"dial_timeout":0.25,"idle_close":10},
 "classes":[{"name":"look","goal_time":0.5,"deadline":1,"gain":1,"effect":"idempotent"},
 {"name":"pay","goal_time":0.5,"deadline":1,"gain":1,"late_worth":0.5,"effect":"at_most_once"}],
 "contract":{"start_capacity":0.2,"warm_up":5,"overload_factor":3},"plans":[{"name":"team","rate":50,"burst":1000}],
 "extra":{"counter":true,"count_limit":0.3,"most_units":8}}`
 
-// fakeServer is a host or the counter, by a script of harness/sockets.
+// fakeServer is a scripted host or counter service, based on harness/sockets.
 type fakeServer struct{ *sockets.ScriptedServer }
 
-func newFakeServer(t *testing.T, say func(m *http1.Message, n int) string) *fakeServer {
+func newFakeServer(t *testing.T, respond func(m *http1.Message, n int) string) *fakeServer {
 	t.Helper()
 	leakcheck.Check(t)
-	s, err := sockets.NewScriptedServer(say)
+	s, err := sockets.NewScriptedServer(respond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	return &fakeServer{s}
 }
 
-func messages(tcp net.Conn, response bool, each func(m *http1.Message) bool) {
+func readMessages(tcp net.Conn, response bool, each func(m *http1.Message) bool) {
 	_ = sockets.ReadMessages(tcp, response, each)
 }
 
@@ -53,16 +53,16 @@
 	case x := <-s.Requests:
 		return x
 	case <-time.After(3 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no request arrived")
 		return ""
 	}
 }
 
-func (s *fakeServer) noRequest(t *testing.T) {
+func (s *fakeServer) expectNoRequest(t *testing.T) {
 	t.Helper()
 	select {
 	case x := <-s.Requests:
-		t.Fatalf("got %q", x)
+		t.Fatalf("unexpected request %q", x)
 	default:
 	}
 }
@@ -71,10 +71,10 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// plentyOfQuota is a counter that never gets anywhere near a quota.
-func plentyOfQuota(m *http1.Message, n int) string { return ok("1") }
+// belowQuota is the script of a counter whose totals are always below any quota.
+func belowQuota(m *http1.Message, n int) string { return ok("1") }
 
-// testGateway is a gateway with fakes round it.
+// testGateway is a gateway connected to fake servers.
 type testGateway struct {
 	t               *testing.T
 	addr            string
@@ -85,7 +85,7 @@
 	discovery       *DiscoveryClient
 	discoveryServer *fakeDiscovery
 	hook            *connHook
-	discoveryLines  chan string // lines that discovery says
+	discoveryLines  chan string // lines that the fake discovery sends
 	log             *logBuffer
 }
 
@@ -100,31 +100,31 @@
 	return l.b.Write(p)
 }
 
-func (l *logBuffer) has(part string) bool {
+func (l *logBuffer) has(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Contains(l.b.String(), part)
+	return strings.Contains(l.b.String(), text)
 }
 
-func (l *logBuffer) count(part string) int {
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.b.String(), part)
+	return strings.Count(l.b.String(), text)
 }
 
 func entry(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","state":%q,"weight":1,"started_ms":0}`, id, addr, state)
 }
 
-// gatewaySetup is what a testGateway may have beside the usual.
+// gatewaySetup describes the parts of a testGateway that differ from the defaults.
 type gatewaySetup struct {
 	counter         func(m *http1.Message, n int) string
 	hosts           []*fakeServer
 	settings        string
-	shortTimeouts   bool                                                              // discovery's silences are short
-	manualDiscovery bool                                                              // discovery says what the test says itself
-	listener        func(l net.Listener) net.Listener                                 // in place of the usual one
-	connect         func(ctx context.Context, network, addr string) (net.Conn, error) // to hosts
+	shortTimeouts   bool                                                              // short silence timeouts for discovery
+	manualDiscovery bool                                                              // the test itself writes to the watches
+	listener        func(l net.Listener) net.Listener                                 // wraps the default listener
+	connect         func(ctx context.Context, network, addr string) (net.Conn, error) // replaces the dialer for hosts
 }
 
 func start(t *testing.T, counter func(m *http1.Message, n int) string, hosts ...*fakeServer) *testGateway {
@@ -132,86 +132,86 @@
 	return gatewaySetup{counter: counter, hosts: hosts}.start(t)
 }
 
-// start has a gateway serve, with the hosts known from the start. It ends with the test.
+// start starts a gateway that knows the hosts from the beginning. It stops when the test ends.
 func (setup gatewaySetup) start(t *testing.T) *testGateway {
 	t.Helper()
 	leakcheck.Check(t)
 	if setup.settings == "" {
 		setup.settings = settings
 	}
-	var s simprotocol.Settings
-	if err := json.Unmarshal([]byte(setup.settings), &s); err != nil {
+	var policySettings simprotocol.Settings
+	if err := json.Unmarshal([]byte(setup.settings), &policySettings); err != nil {
 		t.Fatal(err)
 	}
 	root, stop := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(root)
-	w := &testGateway{t: t, discoveryLines: make(chan string, 10), log: &logBuffer{}}
-	w.loop = NewEventLoop(zerolog.New(w.log))
-	decider, err := s.NewPolicy(1, w.loop)
+	gw := &testGateway{t: t, discoveryLines: make(chan string, 10), log: &logBuffer{}}
+	gw.loop = NewEventLoop(zerolog.New(gw.log))
+	gatewayPolicy, err := policySettings.NewPolicy(1, gw.loop)
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers, err := NewPeerSocket(w.loop, PeerOptions{Listen: "127.0.0.1:0"})
+	peers, err := NewPeerSocket(gw.loop, PeerOptions{Listen: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	setup.makeParts(ctx, group, w, &s)
+	setup.makeParts(ctx, group, gw, &policySettings)
 	if setup.counter != nil {
-		w.counter.UseAddress(newFakeServer(t, setup.counter).Addr().String())
+		gw.counter.UseAddress(newFakeServer(t, setup.counter).Addr().String())
 	}
-	group.Go(func() error { return w.loop.Run(ctx, decider, w.pool, w.counter, peers) })
+	group.Go(func() error { return gw.loop.Run(ctx, gatewayPolicy, gw.pool, gw.counter, peers) })
 	group.Go(func() error { return peers.Read(ctx) })
 	group.Go(func() error { return peers.Write(ctx) })
-	setup.startDiscovery(ctx, group, w)
+	setup.startDiscovery(ctx, group, gw)
 	if setup.counter != nil {
-		for until := time.Now().Add(3 * time.Second); !w.counter.allConnected() && time.Now().Before(until); {
+		for until := time.Now().Add(3 * time.Second); !gw.counter.allConnected() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	group.Go(w.clients.Accept)
-	group.Go(w.clients.ReapIdle)
+	group.Go(gw.clients.Accept)
+	group.Go(gw.clients.ReapIdle)
 	t.Cleanup(func() {
 		stop()
-		w.clients.Close()
+		gw.clients.Close()
 		if err := group.Wait(); err != nil {
 			t.Error(err)
 		}
 	})
-	return w
+	return gw
 }
 
-// makeParts makes what stands between the loop and the sockets.
-func (setup gatewaySetup) makeParts(ctx context.Context, group *errgroup.Group, w *testGateway, s *simprotocol.Settings) {
-	w.t.Helper()
-	log := zerolog.New(w.log)
+// makeParts creates the parts between the event loop and the sockets.
+func (setup gatewaySetup) makeParts(ctx context.Context, group *errgroup.Group, gw *testGateway, s *simprotocol.Settings) {
+	gw.t.Helper()
+	log := zerolog.New(gw.log)
 	buffers := NewBufferPool(8, 100)
-	w.pool = NewHostPool(ctx, group, w.loop, buffers, HostPoolOptions{
+	gw.pool = NewHostPool(ctx, group, gw.loop, buffers, HostPoolOptions{
 		MaxConns: 50, ConnectTimeout: s.Caps.DialTimeout, IdleTimeout: s.Caps.IdleTimeout,
 	})
 	if setup.connect != nil {
-		w.pool.connect = setup.connect
+		gw.pool.connect = setup.connect
 	}
-	w.counter = NewCounterClient(ctx, group, w.loop, CounterOptions{CallTimeout: s.Shared.CounterTimeout})
+	gw.counter = NewCounterClient(ctx, group, gw.loop, CounterOptions{CallTimeout: s.Shared.CounterTimeout})
 	var err error
-	w.clients, err = NewClientListener(ctx, group, w.loop, log, buffers, ClientOptions{
+	gw.clients, err = NewClientListener(ctx, group, gw.loop, log, buffers, ClientOptions{
 		Address: "127.0.0.1:0", OperationLimit: s.Accepts, MaxConns: 50, Ready: func() bool { return true },
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		gw.t.Fatal(err)
 	}
-	w.clients.requestTimeout = 200 * time.Millisecond
-	w.addr = w.clients.listener.Addr().String()
+	gw.clients.requestTimeout = 200 * time.Millisecond
+	gw.addr = gw.clients.listener.Addr().String()
 	if setup.listener != nil {
-		w.clients.listener = setup.listener(w.clients.listener)
+		gw.clients.listener = setup.listener(gw.clients.listener)
 	}
-	w.discovery = NewDiscoveryClient(ctx, group, w.loop, log, DiscoveryOptions{})
+	gw.discovery = NewDiscoveryClient(ctx, group, gw.loop, log, DiscoveryOptions{})
 	if setup.shortTimeouts {
-		w.discovery.silenceTimeout, w.discovery.firstWordTimeout = 300*time.Millisecond, 100*time.Millisecond
+		gw.discovery.silenceTimeout, gw.discovery.firstDataTimeout = 300*time.Millisecond, 100*time.Millisecond
 	}
 }
 
-// startDiscovery has the gateway know its hosts and watch a discovery.
-func (setup gatewaySetup) startDiscovery(ctx context.Context, group *errgroup.Group, w *testGateway) {
+// startDiscovery applies the initial list of hosts and starts to watch a fake discovery.
+func (setup gatewaySetup) startDiscovery(ctx context.Context, group *errgroup.Group, gw *testGateway) {
 	first := Roster{Full: true}
 	for i, h := range setup.hosts {
 		first.Servers = append(first.Servers, RosterEntry{
@@ -219,30 +219,30 @@
 			State: "Ready", Weight: 1,
 		})
 	}
-	w.discovery.UseSaved(ctx, first)
-	w.loop.post(ctx, func() {}) // the list stands before the watch begins
-	w.discoveryServer = newFakeDiscovery(w.t)
+	gw.discovery.UseSaved(ctx, first)
+	gw.loop.post(ctx, func() {}) // the list is applied before the watch begins
+	gw.discoveryServer = newFakeDiscovery(gw.t)
 	if !setup.manualDiscovery {
-		lines := w.discoveryLines
+		lines := gw.discoveryLines
 		group.Go(func() error {
-			w.discoveryServer.speak(ctx, lines)
+			gw.discoveryServer.serveWatches(ctx, lines)
 			return nil
 		})
 	}
-	w.discovery.Watch(w.discoveryServer.Addr().String())
+	gw.discovery.Watch(gw.discoveryServer.Addr().String())
 }
 
-// fakeDiscovery stands in for discovery: a listener whose watches the test speaks on itself.
+// fakeDiscovery is a fake discovery service: a listener that hands its watches to the test.
 type fakeDiscovery struct {
 	net.Listener
 	opened chan *fakeWatch
 }
 
-// fakeWatch is one watch that the api gateway has opened.
+// fakeWatch is one watch opened by the gateway.
 type fakeWatch struct {
 	net.Conn
 	from  int64
-	ended chan struct{} // closed when the api gateway has closed it
+	ended chan struct{} // closed when the gateway has closed the connection
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -273,7 +273,7 @@
 			mu.Unlock()
 			go func() {
 				f := &fakeWatch{Conn: tcp, from: -1, ended: make(chan struct{})}
-				messages(tcp, false, func(m *http1.Message) bool {
+				readMessages(tcp, false, func(m *http1.Message) bool {
 					_, _ = fmt.Sscanf(string(m.Target), "/catalog/members?watch=1&from=%d", &f.from)
 					a.opened <- f
 					return true
@@ -286,7 +286,7 @@
 	return a
 }
 
-// next is the next watch that is opened.
+// next returns the next watch that is opened.
 func (a *fakeDiscovery) next(t *testing.T) *fakeWatch {
 	t.Helper()
 	select {
@@ -298,28 +298,28 @@
 	}
 }
 
-// waitClosed waits until the api gateway has closed it.
+// waitClosed waits until the gateway has closed the watch.
 func (f *fakeWatch) waitClosed(t *testing.T) {
 	t.Helper()
 	select {
 	case <-f.ended:
 	case <-time.After(4 * time.Second):
-		t.Fatal("a watch stays open")
+		t.Fatal("the watch was not closed")
 	}
 }
 
-// sendHead begins the stream; send brings text as one chunk of it.
+// sendHead sends the response head that starts the stream. send sends text as one chunk.
 func (f *fakeWatch) sendHead() {
 	sendText(f, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
 func (f *fakeWatch) send(text string) { fmt.Fprintf(f, "%x\r\n%s\r\n", len(text), text) }
 
-// speak has an agent say an empty line often on every watch, and each line of the test on the newest.
-func (a *fakeDiscovery) speak(ctx context.Context, lines chan string) {
+// serveWatches sends an empty line to every watch at short intervals, and each of the test's lines to the newest watch.
+func (a *fakeDiscovery) serveWatches(ctx context.Context, lines chan string) {
 	var all []*fakeWatch
-	beat := time.NewTicker(500 * time.Millisecond)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(500 * time.Millisecond)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -327,7 +327,7 @@
 		case f := <-a.opened:
 			f.sendHead()
 			all = append(all, f)
-		case <-beat.C:
+		case <-heartbeat.C:
 			for _, f := range all {
 				f.send("\n")
 			}
@@ -346,47 +346,48 @@
 	}
 }
 
-// allConnected says that every connection stands.
+// allConnected reports whether every connection is established.
 func (c *CounterClient) allConnected() bool {
-	for _, k := range c.conns {
-		k.mu.Lock()
-		up := k.connected
-		k.mu.Unlock()
-		if !up {
+	for _, conn := range c.conns {
+		conn.mu.Lock()
+		established := conn.connected
+		conn.mu.Unlock()
+		if !established {
 			return false
 		}
 	}
 	return true
 }
 
-// connections is how many clients are connected.
-func (w *testGateway) connections() int {
-	n, _ := w.clients.counts()
+// connections returns the number of client connections.
+func (gw *testGateway) connections() int {
+	n, _ := gw.clients.counts()
 	return n
 }
 
-func (w *testGateway) dial() net.Conn {
-	w.t.Helper()
-	tcp, err := net.Dial("tcp", w.addr)
+func (gw *testGateway) dial() net.Conn {
+	gw.t.Helper()
+	tcp, err := net.Dial("tcp", gw.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		gw.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { tcp.Close() })
+	gw.t.Cleanup(func() { tcp.Close() })
 	_ = tcp.SetDeadline(time.Now().Add(5 * time.Second))
 	return tcp
 }
 
-// exchange sends text on a connection and gives the answer's status and body; status 0: the connection ended without.
+// exchange sends text on a connection and returns the status and body of the response. status is 0 if the connection ended without
+// a response.
 func exchange(conn net.Conn, text string) (status int, body string) {
 	sendText(conn, text)
-	messages(conn, true, func(m *http1.Message) bool {
+	readMessages(conn, true, func(m *http1.Message) bool {
 		status, body = m.Status, string(m.Body)
 		return false
 	})
 	return status, body
 }
 
-// closed says that the api gateway has ended the connection.
+// closed reports whether the gateway has closed the connection.
 func closed(conn net.Conn) bool {
 	n, err := conn.Read(make([]byte, 1))
 	return n == 0 && err != nil && !isTimeout(err)
@@ -394,8 +395,7 @@
 
 var requestCount atomic.Uint64
 
-// invoke is a client's request for an operation, waited for so long.
-// Each has an id of its own.
+// invoke returns a client's request for an operation, with a unique ID and a deadline in milliseconds.
 func invoke(operation string, ms int, body string) string {
 	method := map[string]string{"look": "GET", "pay": "POST"}[operation]
 	text := fmt.Sprintf("%s /%s/1?x=2 HTTP/1.1\r\nHost: app\r\nReq-Id: %016x\r\nReq-Kind: %s\r\nX-Tier: team\r\n"+
@@ -407,18 +407,18 @@
 	return text + "\r\n" + body
 }
 
-// sendText sends text on a connection. An error shows by what is read there next.
+// sendText sends text on a connection. A write error is ignored, as it shows in what is read next.
 func sendText(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
 
-// wait until something is so on the loop.
-func (w *testGateway) wait(so func() bool) {
-	w.t.Helper()
+// waitFor waits until a condition holds, which it evaluates on the event loop.
+func (gw *testGateway) waitFor(condition func() bool) {
+	gw.t.Helper()
 	for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		got := make(chan bool)
-		w.loop.queue <- func() { got <- so() }
+		gw.loop.queue <- func() { got <- condition() }
 		if <-got {
 			return
 		}
 	}
-	w.t.Fatal("it never came to be so")
+	gw.t.Fatal("the condition was not met in time")
 }
