--- a/tier/control/election/acceptor.go
+++ b/tier/control/election/acceptor.go
@@ -28,9 +28,9 @@
 		message.Answer(codes.PrimaryAlive, nil)
 		return
 	}
-	e.voting.Lock()
-	defer e.voting.Unlock()
-	granted := e.vote(func(w *consensus.Acceptor) bool { return w.Prepare(request.Number) })
+	e.voteMu.Lock()
+	defer e.voteMu.Unlock()
+	granted := e.vote(func(a *consensus.Acceptor) bool { return a.Prepare(request.Number) })
 	message.Answer(codes.OK, e.response(granted))
 }
 
@@ -49,10 +49,10 @@
 		message.Answer(codes.DiskForeign, nil)
 		return
 	}
-	e.voting.Lock()
-	granted := e.vote(func(w *consensus.Acceptor) bool { return w.Accept(request.Number, request.Record) })
+	e.voteMu.Lock()
+	granted := e.vote(func(a *consensus.Acceptor) bool { return a.Accept(request.Number, request.Record) })
 	answer := e.response(granted)
-	e.voting.Unlock()
+	e.voteMu.Unlock()
 	if granted {
 		e.Learn(request.Record)
 	}
--- a/tier/control/election/bootstrap.go
+++ b/tier/control/election/bootstrap.go
@@ -25,8 +25,8 @@
 	input := membership.BootstrapInput{
 		Self: f.elector.config.Self, Seeds: seeds, Candidates: f.candidates.all(), WaitElapsed: f.elector.config.Now()-f.elector.startedAt > bootstrapWait,
 	}
-	members, may := input.Members()
-	if !may {
+	members, allowed := input.Members()
+	if !allowed {
 		return
 	}
 	if err := f.elector.bootstrap(ctx, members, len(seeds)); err != nil {
@@ -45,11 +45,11 @@
 		next.ClusterID = clusterID
 		return next, true
 	}}
-	record, err := e.decide(ctx, func(call context.Context) (consensus.Record, error) {
+	record, err := e.runProposal(ctx, func(call context.Context) (consensus.Record, error) {
 		return e.proposer(PrepareBySelf).Bootstrap(call, members, seeds, attempt.Apply)
 	})
 	if err == nil && attempt.Applied() {
-		e.lead(record)
+		e.assumePrimary(record)
 	}
 	return err
 }
@@ -62,14 +62,14 @@
 
 func newCandidates() *candidates { return &candidates{byAddress: map[string]consensus.Member{}} }
 
-// note notes whether the process that answered at an address was started to bootstrap the cluster.
-func (c *candidates) note(there consensus.Member, bootstraps bool) {
+// set notes whether the process that answered at an address was started to bootstrap the cluster.
+func (c *candidates) set(member consensus.Member, bootstraps bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bootstraps {
-		c.byAddress[there.Address] = there
+		c.byAddress[member.Address] = member
 	} else {
-		delete(c.byAddress, there.Address)
+		delete(c.byAddress, member.Address)
 	}
 }
 
--- a/tier/control/election/cluster_test.go
+++ b/tier/control/election/cluster_test.go
@@ -13,16 +13,16 @@
 )
 
 // A record of another cluster is not learnt, however high its epoch, and is named with a code.
-func TestARecordOfAnotherClusterIsNotLearnt(t *testing.T) {
+func TestRecordOfAnotherClusterIsIgnored(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	log := logrus.NewEntry(logger)
 	clients := rpc.NewClients(nil)
-	host, err := multigroup.Open(t.TempDir(), clients, log, true)
+	node, err := multigroup.Open(t.TempDir(), clients, log, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector := &Elector{config: Config{Node: host, Clients: clients, Log: log, Now: multigroup.Now}}
-	host.BindCluster(7)
+	elector := &Elector{config: Config{Node: node, Clients: clients, Log: log, Now: multigroup.Now}}
+	node.BindCluster(7)
 	own := consensus.Record{Epoch: 3, Primary: 1, ClusterID: 7}
 	elector.Learn(own)
 	elector.Learn(consensus.Record{Epoch: 90, Primary: 2, ClusterID: 8})
@@ -35,19 +35,19 @@
 }
 
 // A record counts as known since its epoch was seen first, not since the last one of that epoch.
-func TestARecordIsKnownSinceItsEpochWasSeen(t *testing.T) {
+func TestKnownSinceIsTheFirstSightOfAnEpoch(t *testing.T) {
 	clients := rpc.NewClients(nil)
-	host, err := multigroup.Open(t.TempDir(), clients, logrus.NewEntry(logrus.New()), true)
+	node, err := multigroup.Open(t.TempDir(), clients, logrus.NewEntry(logrus.New()), true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector := &Elector{config: Config{Node: host, Clients: clients, Now: multigroup.Now}}
+	elector := &Elector{config: Config{Node: node, Clients: clients, Now: multigroup.Now}}
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 1})
 	_, first := elector.KnownSince()
 	if first == 0 {
 		t.Fatal("nothing says since when the record is known")
 	}
-	elector.learned = first - 10
+	elector.epochSeenAt = first - 10
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 1, MinInSync: 2})
 	if _, since := elector.KnownSince(); since != first-10 {
 		t.Fatalf("another record of the same epoch counts as new: %d, not %d", since, first-10)
--- a/tier/control/election/elector.go
+++ b/tier/control/election/elector.go
@@ -55,13 +55,13 @@
 	rounds     *consensus.RoundAllocator
 	startedAt  int64 // of this process
 
-	voting   sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
-	mu       sync.Mutex // guards what follows; nothing is called under it
-	acceptor consensus.Acceptor
-	known    consensus.Record // the newest record seen: accepted here, told, or decided here
-	decided  bool             // whether known was decided by a proposal of this process
-	learned  int64            // when an epoch as new as that of known was seen first
-	led      bool             // whether this process has become primary in its present incarnation
+	voteMu      sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
+	mu          sync.Mutex // guards what follows; nothing is called under it
+	acceptor    consensus.Acceptor
+	known       consensus.Record // the newest record seen: accepted here, told, or decided here
+	decided     bool             // whether known was decided by a proposal of this process
+	epochSeenAt int64            // when an epoch as new as that of known was seen first
+	led         bool             // whether this process has become primary in its present incarnation
 }
 
 // New opens the acceptor of a control process.
@@ -104,7 +104,7 @@
 func (e *Elector) KnownSince() (record consensus.Record, since int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.known, e.learned
+	return e.known, e.epochSeenAt
 }
 
 // Leads tells whether this process is the primary of control, also while it waits for a replica and can commit nothing.
@@ -132,22 +132,22 @@
 func (e *Elector) DiskLost(id uint64) bool { return e.identities.diskLost(id, e.Known()) }
 
 // ObserveAnswer notes who answered at an address, and since when its answer counts.
-func (e *Elector) ObserveAnswer(there consensus.Member, since int64) {
-	e.identities.observeAnswer(there, since, e.Known())
+func (e *Elector) ObserveAnswer(member consensus.Member, since int64) {
+	e.identities.observeAnswer(member, since, e.Known())
 }
 
 // Learn takes a record that was accepted here or told by another process. It need not have been decided: what is known says
 // whom to ask and which epoch to suspect, and every decision is taken anew on the record that a quorum returns.
-func (e *Elector) Learn(record consensus.Record) { e.note(record, false) }
+func (e *Elector) Learn(record consensus.Record) { e.observe(record, false) }
 
-func (e *Elector) note(record consensus.Record, decided bool) {
+func (e *Elector) observe(record consensus.Record, decided bool) {
 	if e.config.Node.IsForeignCluster(record.ClusterID) {
 		return
 	}
 	e.mu.Lock()
 	if Supersedes(record, decided, e.known, e.decided) {
 		if record.Epoch > e.known.Epoch {
-			e.learned = e.config.Now()
+			e.epochSeenAt = e.config.Now()
 		}
 		e.known = record
 		e.decided = decided
@@ -171,7 +171,7 @@
 
 // propose changes the register. Proposals may run side by side: each has proposal numbers of its own.
 func (e *Elector) propose(ctx context.Context, mode PrepareMode, start consensus.Record, change consensus.Change) (consensus.Record, error) {
-	return e.decide(ctx, func(attempt context.Context) (consensus.Record, error) {
+	return e.runProposal(ctx, func(attempt context.Context) (consensus.Record, error) {
 		return e.proposer(mode).Propose(attempt, start, change)
 	})
 }
@@ -181,8 +181,8 @@
 	return consensus.Proposer{ID: e.config.Node.Identity, Rounds: e.rounds, Transport: acceptorTransport{e, mode}}
 }
 
-// decide runs a proposal and notes what it decided.
-func (e *Elector) decide(ctx context.Context, proposal func(context.Context) (consensus.Record, error)) (consensus.Record, error) {
+// runProposal runs a proposal and notes what it decided.
+func (e *Elector) runProposal(ctx context.Context, proposal func(context.Context) (consensus.Record, error)) (consensus.Record, error) {
 	e.mu.Lock()
 	promised := e.acceptor.Promised.Round
 	e.mu.Unlock()
@@ -191,7 +191,7 @@
 	defer cancel()
 	record, err := proposal(attempt)
 	if err == nil {
-		e.note(record, true)
+		e.observe(record, true)
 	}
 	return record, err
 }
@@ -212,7 +212,7 @@
 	if !attempt.Applied() {
 		return ErrSuperseded
 	}
-	e.lead(record)
+	e.assumePrimary(record)
 	return nil
 }
 
@@ -241,13 +241,13 @@
 		return err
 	}
 	if attempt.Applied() {
-		e.lead(record)
+		e.assumePrimary(record)
 	}
 	return nil
 }
 
-// lead has the replica act on a record that this process has decided.
-func (e *Elector) lead(record consensus.Record) {
+// assumePrimary has the replica act on a record that this process has decided.
+func (e *Elector) assumePrimary(record consensus.Record) {
 	if !e.config.Node.BindCluster(record.ClusterID) {
 		return
 	}
--- a/tier/control/election/elector_test.go
+++ b/tier/control/election/elector_test.go
@@ -13,56 +13,56 @@
 // localAcceptors are acceptors that answer at once, but that the first accepts reach the first witness alone, and that the third
 // one is cut off from then on.
 type localAcceptors struct {
-	acceptors map[uint64]*consensus.Acceptor
-	cut       int // accepts that are still to be lost
+	acceptors     map[uint64]*consensus.Acceptor
+	acceptsToDrop int // accepts that are still to be lost
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
 func (l *localAcceptors) Prepare(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
-	if l.cut == 0 && to.ID == 3 {
-		return consensus.Response{}, errCut
+	if l.acceptsToDrop == 0 && to.ID == 3 {
+		return consensus.Response{}, errUnreachable
 	}
-	w := l.acceptors[to.ID]
-	given := w.Prepare(ballot)
-	return consensus.Response{Granted: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
+	acceptor := l.acceptors[to.ID]
+	granted := acceptor.Prepare(ballot)
+	return consensus.Response{Granted: granted, Promised: acceptor.Promised, Accepted: acceptor.Accepted, Value: acceptor.Value}, nil
 }
 
 func (l *localAcceptors) Accept(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
-	if l.cut > 0 && to.ID != 1 {
-		l.cut--
-		return consensus.Response{}, errCut
+	if l.acceptsToDrop > 0 && to.ID != 1 {
+		l.acceptsToDrop--
+		return consensus.Response{}, errUnreachable
 	}
-	w := l.acceptors[to.ID]
-	given := w.Accept(ballot, value)
-	return consensus.Response{Granted: given, Promised: w.Promised, Accepted: w.Accepted, Value: w.Value}, nil
+	acceptor := l.acceptors[to.ID]
+	granted := acceptor.Accept(ballot, value)
+	return consensus.Response{Granted: granted, Promised: acceptor.Promised, Accepted: acceptor.Accepted, Value: acceptor.Value}, nil
 }
 
 // serialTransport hands calls on one at a time.
 type serialTransport struct {
-	turn  chan struct{}
-	inner consensus.Transport
+	semaphore chan struct{}
+	inner     consensus.Transport
 }
 
 func (s serialTransport) Prepare(ctx context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
-	s.turn <- struct{}{}
-	defer func() { <-s.turn }()
+	s.semaphore <- struct{}{}
+	defer func() { <-s.semaphore }()
 	return s.inner.Prepare(ctx, to, ballot)
 }
 
 func (s serialTransport) Accept(ctx context.Context, to consensus.Member, ballot consensus.ProposalNumber, value consensus.Record) (consensus.Response, error) {
-	s.turn <- struct{}{}
-	defer func() { <-s.turn }()
+	s.semaphore <- struct{}{}
+	defer func() { <-s.semaphore }()
 	return s.inner.Accept(ctx, to, ballot, value)
 }
 
 // A takeover whose first attempt reached one witness only meets its own value at the second attempt. It has been taken, once.
-func TestAProposalThatMeetsItsOwnValueHasWon(t *testing.T) {
+func TestProposalThatFindsItsOwnValueSucceeds(t *testing.T) {
 	members := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}
-	local := &localAcceptors{acceptors: map[uint64]*consensus.Acceptor{}, cut: 2}
+	stub := &localAcceptors{acceptors: map[uint64]*consensus.Acceptor{}, acceptsToDrop: 2}
 	start := consensus.Record{Epoch: 5, Primary: 2, InSync: []uint64{1, 2, 3}, Members: members}
 	for _, member := range members {
-		local.acceptors[member.ID] = &consensus.Acceptor{Accepted: consensus.ProposalNumber{Round: 1, Proposer: 2}, Value: start}
+		stub.acceptors[member.ID] = &consensus.Acceptor{Accepted: consensus.ProposalNumber{Round: 1, Proposer: 2}, Value: start}
 	}
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Epoch > start.Epoch {
@@ -71,7 +71,7 @@
 		return membership.Policy{Tolerate: 1}.Successor(current, 1, func(uint64) bool { return false }), true
 	}}
 	rounds := consensus.NewRoundAllocator(1, func(uint64) error { return nil })
-	transport := serialTransport{make(chan struct{}, 1), local}
+	transport := serialTransport{make(chan struct{}, 1), stub}
 	record, err := consensus.Proposer{ID: 1, Rounds: rounds, Transport: transport}.Propose(context.Background(), start, attempt.Apply)
 	if err != nil || record.Epoch != 6 || record.Primary != 1 || !attempt.Applied() {
 		t.Fatalf("%+v, %v, took %v", record, err, attempt.Applied())
@@ -79,7 +79,7 @@
 }
 
 // A record that was accepted somewhere and never decided must not stay in place of the decided one of the same epoch.
-func TestADecidedRecordReplacesAnUndecidedOneOfItsEpoch(t *testing.T) {
+func TestDecidedRecordReplacesUndecidedRecordOfItsEpoch(t *testing.T) {
 	undecided := consensus.Record{Epoch: 6, Primary: 1}
 	decided := consensus.Record{Epoch: 6, Primary: 2}
 	for _, test := range []struct {
@@ -106,10 +106,10 @@
 }
 
 // The rounds of a process are durable before it proposes, so that its next life never uses one of them again.
-func TestRoundsOutliveAProcess(t *testing.T) {
+func TestRoundsAreNotReusedAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	last := uint64(0)
-	for life := range 3 {
+	for incarnation := range 3 {
 		values, err := storage.OpenValues(dir)
 		if err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 		for range 5 {
 			round, err := rounds.Next()
 			if err != nil || round <= last {
-				t.Fatalf("life %d used round %d after %d, %v", life, round, last, err)
+				t.Fatalf("life %d used round %d after %d, %v", incarnation, round, last, err)
 			}
 			last = round
 		}
--- a/tier/control/election/errors_test.go
+++ b/tier/control/election/errors_test.go
@@ -27,7 +27,7 @@
 }
 
 // A message that is cut short anywhere is refused.
-func TestMessagesThatAreCutShortAreRefused(t *testing.T) {
+func TestTruncatedMessagesAreRejected(t *testing.T) {
 	for name, test := range map[string]struct {
 		encoded []byte
 		decode  func([]byte) error
--- a/tier/control/election/failover.go
+++ b/tier/control/election/failover.go
@@ -75,16 +75,16 @@
 
 // Rank is a replica's place among those that may follow the primary, from 0 on.
 func Rank(record consensus.Record, id uint64) int {
-	place := 0
-	for _, each := range record.InSync {
-		if each == id {
-			return place
+	rank := 0
+	for _, inSyncID := range record.InSync {
+		if inSyncID == id {
+			return rank
 		}
-		if each != record.Primary {
-			place++
+		if inSyncID != record.Primary {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 // takeOver asks the others first whether they would follow, and only then for their promises, so that a process that could not
--- a/tier/control/election/identities.go
+++ b/tier/control/election/identities.go
@@ -21,11 +21,11 @@
 }
 
 // observeAnswer notes who answered at an address, and since when its answer counts.
-func (i *identities) observeAnswer(there consensus.Member, since int64, known consensus.Record) {
+func (i *identities) observeAnswer(member consensus.Member, since int64, known consensus.Record) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.observeListed(known)
-	i.tracker.ObserveAnswer(there, since)
+	i.tracker.ObserveAnswer(member, since)
 }
 
 // observeListed notes the members that a record names; the lock is held.
@@ -43,7 +43,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.observeListed(known)
-	if member, named := known.Member(id); named && member.Address == i.self.Address && member.Node == i.self.Node {
+	if member, listed := known.Member(id); listed && member.Address == i.self.Address && member.Node == i.self.Node {
 		return true // this process is the one that came up on the empty disk
 	}
 	return i.tracker.DiskLost(id)
--- a/tier/control/election/learn_test.go
+++ b/tier/control/election/learn_test.go
@@ -12,14 +12,14 @@
 )
 
 // A newer record is dated when it is learned: who follows a primary that never came has to know since when it waits.
-func TestANewerRecordIsDatedWhenItIsLearned(t *testing.T) {
+func TestLearnSetsTheTimeOfANewerRecord(t *testing.T) {
 	log := logrus.NewEntry(logrus.New())
 	clients := rpc.NewClients(nil)
-	host, err := multigroup.Open(t.TempDir(), clients, log, true)
+	node, err := multigroup.Open(t.TempDir(), clients, log, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector, err := New(Config{Node: host, Clients: clients, Policy: membership.Policy{Tolerate: 1}, Log: log, Now: multigroup.Now})
+	elector, err := New(Config{Node: node, Clients: clients, Policy: membership.Policy{Tolerate: 1}, Log: log, Now: multigroup.Now})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tier/control/election/locate.go
+++ b/tier/control/election/locate.go
@@ -26,15 +26,15 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			f.locateAt(call, address)
+			f.locateAddress(call, address)
 		}()
 	}
 	wait.Wait()
 }
 
-// locateAt asks who is at an address.
-func (f *Failover) locateAt(ctx context.Context, address string) {
-	asked := f.elector.config.Now()
+// locateAddress asks who is at an address.
+func (f *Failover) locateAddress(ctx context.Context, address string) {
+	sentAt := f.elector.config.Now()
 	answer, err := f.elector.config.Clients.To(address).Call(ctx, controlclient.KindLocate, nil)
 	if err != nil {
 		return
@@ -43,10 +43,10 @@
 	if err != nil {
 		return
 	}
-	there := consensus.Member{ID: response.ID, Address: address, Node: response.Node}
+	member := consensus.Member{ID: response.ID, Address: address, Node: response.Node}
 	f.elector.Learn(response.Record)
-	f.elector.ObserveAnswer(there, asked)
-	f.candidates.note(there, response.Bootstraps)
+	f.elector.ObserveAnswer(member, sentAt)
+	f.candidates.set(member, response.Bootstraps)
 }
 
 // locateUnlessRecent asks unless it has asked a moment ago.
--- a/tier/control/election/prevote.go
+++ b/tier/control/election/prevote.go
@@ -27,8 +27,8 @@
 	return voter
 }
 
-// supports tells whether this process would help a candidate.
-func (e *Elector) supports(candidate, epoch uint64, mode PrepareMode) bool {
+// grantsPreVote tells whether this process would help a candidate.
+func (e *Elector) grantsPreVote(candidate, epoch uint64, mode PrepareMode) bool {
 	return e.voter().Grants(lease.VoteRequest{Candidate: candidate, Epoch: epoch, LeadershipTransfer: mode == PrepareOnTransfer})
 }
 
@@ -49,7 +49,7 @@
 		message.Answer(codes.WrongIdentity, nil)
 		return
 	}
-	supported := e.supports(request.Candidate, request.Epoch, request.Mode)
+	supported := e.grantsPreVote(request.Candidate, request.Epoch, request.Mode)
 	message.Answer(codes.OK, preVoteResponse{Supported: supported, Record: e.Known()}.encode())
 }
 
@@ -66,7 +66,7 @@
 	supporters, possible, lost := map[uint64]bool{}, map[uint64]bool{}, map[uint64]bool{}
 	for _, voter := range voters {
 		possible[voter.ID] = true
-		go func() { replies <- reply{voter.ID, e.askVoter(ctx, voter, mode, epoch)} }()
+		go func() { replies <- reply{voter.ID, e.requestPreVote(ctx, voter, mode, epoch)} }()
 	}
 	for consensus.QuorumWithLostDisks(known, possible, lost) {
 		got := <-replies
@@ -80,9 +80,9 @@
 	return false
 }
 
-func (e *Elector) askVoter(ctx context.Context, voter consensus.Member, mode PrepareMode, epoch uint64) bool {
+func (e *Elector) requestPreVote(ctx context.Context, voter consensus.Member, mode PrepareMode, epoch uint64) bool {
 	if voter.ID == e.config.Node.Identity {
-		return e.supports(voter.ID, epoch, mode)
+		return e.grantsPreVote(voter.ID, epoch, mode)
 	}
 	request := preVoteRequest{To: voter.ID, Candidate: e.config.Node.Identity, Epoch: epoch, Mode: mode}
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
--- a/tier/control/election/recorded_test.go
+++ b/tier/control/election/recorded_test.go
@@ -23,8 +23,8 @@
 	"otterseam/tier/rpc"
 )
 
-// recordedFailover is the election's part of a control process on a data folder.
-func recordedFailover(t *testing.T, dir string) *Failover {
+// openFailover is the election's part of a control process on a data folder.
+func openFailover(t *testing.T, dir string) *Failover {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
 	entry := logrus.NewEntry(logger)
@@ -43,8 +43,8 @@
 	return NewFailover(elector, func() bool { return false })
 }
 
-// handler has the election take messages as the server of control does.
-func handler(f *Failover) rpc.Handler {
+// electionHandler has the election take messages as the server of control does.
+func electionHandler(f *Failover) rpc.Handler {
 	return func(m rpc.Message) {
 		switch m.Kind {
 		case controlclient.KindLocate:
@@ -59,8 +59,8 @@
 	}
 }
 
-// listenRecorded has a handler take what arrives at the address returned.
-func listenRecorded(t *testing.T, handler rpc.Handler) string {
+// serve has a handler take what arrives at the address returned.
+func serve(t *testing.T, handler rpc.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,26 +71,26 @@
 	return listener.Addr().String()
 }
 
-// answering is a process that holds the calls of a kind to one recording and answers with another one.
-func answering(t *testing.T, kind rpc.Kind, question, answer string) string {
+// serveRecorded is a process that holds the calls of a kind to one recording and answers with another one.
+func serveRecorded(t *testing.T, kind rpc.Kind, request, answer string) string {
 	t.Helper()
-	return listenRecorded(t, func(m rpc.Message) {
+	return serve(t, func(m rpc.Message) {
 		if m.Kind != kind {
 			t.Errorf("kind %d, not %d", m.Kind, kind)
 		}
-		recorded.Check(t, question, m.Payload)
+		recorded.Check(t, request, m.Payload)
 		m.Answer(codes.OK, recorded.Read(t, answer))
 	})
 }
 
-// asked calls a process with a recording, or with nothing, and returns its answer.
-func asked(t *testing.T, s *Failover, kind rpc.Kind, question string) []byte {
+// callRecorded calls a process with a recording, or with nothing, and returns its answer.
+func callRecorded(t *testing.T, f *Failover, kind rpc.Kind, request string) []byte {
 	t.Helper()
-	client := rpc.NewClient(listenRecorded(t, handler(s)), nil)
+	client := rpc.NewClient(serve(t, electionHandler(f)), nil)
 	t.Cleanup(client.Close)
 	var payload []byte
-	if question != "" {
-		payload = recorded.Read(t, question)
+	if request != "" {
+		payload = recorded.Read(t, request)
 	}
 	answer, err := client.Call(recordedContext(t), kind, payload)
 	if err != nil {
@@ -111,7 +111,7 @@
 	files := map[string]string{"witness-0000000000000001": "stored-witness", "rounds-0000000000000001": "stored-rounds"}
 	witness := fixture.Witness()
 	dir := fixture.Disk(t, fixture.Voter, &witness)
-	recordedFailover(t, dir)
+	openFailover(t, dir)
 	restored := fixture.Disk(t, fixture.Voter, nil)
 	for file, name := range files {
 		content, err := os.ReadFile(filepath.Join(dir, "values", file))
@@ -123,7 +123,7 @@
 			t.Fatal(err)
 		}
 	}
-	elector := recordedFailover(t, restored).elector
+	elector := openFailover(t, restored).elector
 	if !reflect.DeepEqual(elector.acceptor, witness) || !reflect.DeepEqual(elector.Known(), witness.Value) {
 		t.Errorf("witness %+v, known %+v", elector.acceptor, elector.Known())
 	}
@@ -138,31 +138,31 @@
 func TestRecordedVotes(t *testing.T) {
 	witness := fixture.Witness()
 	dir := fixture.Disk(t, fixture.Voter, &witness)
-	s := recordedFailover(t, dir)
-	recorded.Check(t, "prepare-answer", asked(t, s, controlclient.KindPrepare, "prepare"))
-	recorded.Check(t, "accept-answer", asked(t, s, controlclient.KindAccept, "accept"))
+	failover := openFailover(t, dir)
+	recorded.Check(t, "prepare-answer", callRecorded(t, failover, controlclient.KindPrepare, "prepare"))
+	recorded.Check(t, "accept-answer", callRecorded(t, failover, controlclient.KindAccept, "accept"))
 	content, err := os.ReadFile(filepath.Join(dir, "values", "witness-0000000000000003"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	recorded.Check(t, "stored-witness-after", content)
-	if !reflect.DeepEqual(s.elector.Known(), fixture.Next()) {
-		t.Errorf("known %+v", s.elector.Known())
+	if !reflect.DeepEqual(failover.elector.Known(), fixture.Next()) {
+		t.Errorf("known %+v", failover.elector.Known())
 	}
 }
 
 // A proposer asks for votes as recorded, and reads the recorded answers.
-func TestRecordedCallsForVotes(t *testing.T) {
-	elector := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
+func TestRecordedAcceptorRequests(t *testing.T) {
+	elector := openFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
 	transport := acceptorTransport{elector, PrepareOnTransfer}
 	witness := fixture.Witness()
-	to := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindPrepare, "prepare", "prepare-answer")}
+	to := consensus.Member{ID: fixture.Voter, Address: serveRecorded(t, controlclient.KindPrepare, "prepare", "prepare-answer")}
 	got, err := transport.Prepare(recordedContext(t), to, fixture.Ballot())
 	want := consensus.Response{Granted: true, Promised: fixture.Ballot(), Accepted: witness.Accepted, Value: witness.Value}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("promise %+v, %v", got, err)
 	}
-	to.Address = answering(t, controlclient.KindAccept, "accept", "accept-answer")
+	to.Address = serveRecorded(t, controlclient.KindAccept, "accept", "accept-answer")
 	got, err = transport.Accept(recordedContext(t), to, fixture.Ballot(), fixture.Next())
 	want = consensus.Response{Granted: true, Promised: fixture.Ballot(), Accepted: fixture.Ballot(), Value: fixture.Next()}
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -171,50 +171,50 @@
 }
 
 // A candidate asks for support as recorded and learns from the recorded answer; a voter takes the question and gives that answer.
-func TestRecordedSupport(t *testing.T) {
-	elector := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
-	voter := consensus.Member{ID: fixture.Voter, Address: answering(t, controlclient.KindPreVote, "support", "support-answer")}
-	if !elector.askVoter(recordedContext(t), voter, PrepareOnTransfer, fixture.Record().Epoch) {
+func TestRecordedPreVote(t *testing.T) {
+	elector := openFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
+	voter := consensus.Member{ID: fixture.Voter, Address: serveRecorded(t, controlclient.KindPreVote, "support", "support-answer")}
+	if !elector.requestPreVote(recordedContext(t), voter, PrepareOnTransfer, fixture.Record().Epoch) {
 		t.Error("no support")
 	}
 	if !reflect.DeepEqual(elector.Known(), fixture.Record()) {
 		t.Errorf("learnt %+v", elector.Known())
 	}
 	witness := fixture.Witness()
-	s := recordedFailover(t, fixture.Disk(t, fixture.Voter, &witness))
-	recorded.Check(t, "support-answer", asked(t, s, controlclient.KindPreVote, "support"))
+	failover := openFailover(t, fixture.Disk(t, fixture.Voter, &witness))
+	recorded.Check(t, "support-answer", callRecorded(t, failover, controlclient.KindPreVote, "support"))
 }
 
 // A process says who it is as recorded, and reads the recorded answer of another one.
 func TestRecordedLocate(t *testing.T) {
 	witness := fixture.Witness()
-	there := recordedFailover(t, fixture.Disk(t, fixture.Voter, &witness))
-	recorded.Check(t, "locate-answer", asked(t, there, controlclient.KindLocate, ""))
+	voter := openFailover(t, fixture.Disk(t, fixture.Voter, &witness))
+	recorded.Check(t, "locate-answer", callRecorded(t, voter, controlclient.KindLocate, ""))
 
-	s := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil))
-	address := listenRecorded(t, func(m rpc.Message) {
+	failover := openFailover(t, fixture.Disk(t, fixture.Asker, nil))
+	address := serve(t, func(m rpc.Message) {
 		if m.Kind != controlclient.KindLocate || len(m.Payload) > 0 {
 			t.Errorf("kind %d, %q", m.Kind, m.Payload)
 		}
 		m.Answer(codes.OK, recorded.Read(t, "locate-answer"))
 	})
-	s.elector.Learn(consensus.Record{Epoch: 1, Members: []consensus.Member{{ID: fixture.Voter, Address: address}}})
-	s.locate(recordedContext(t))
-	if !reflect.DeepEqual(s.elector.Known(), fixture.Record()) {
-		t.Errorf("learnt %+v", s.elector.Known())
+	failover.elector.Learn(consensus.Record{Epoch: 1, Members: []consensus.Member{{ID: fixture.Voter, Address: address}}})
+	failover.locate(recordedContext(t))
+	if !reflect.DeepEqual(failover.elector.Known(), fixture.Record()) {
+		t.Errorf("learnt %+v", failover.elector.Known())
 	}
-	if want := (consensus.Member{ID: fixture.Voter, Address: address, Node: "ctl-b"}); s.candidates.all()[address] != want {
-		t.Errorf("founders: %+v", s.candidates.all())
+	if want := (consensus.Member{ID: fixture.Voter, Address: address, Node: "ctl-b"}); failover.candidates.all()[address] != want {
+		t.Errorf("founders: %+v", failover.candidates.all())
 	}
 }
 
 func TestRecordedTakeOver(t *testing.T) {
 	recorded.CheckBoth(t, "take-over", 0x0102030405060708, encodeTakeOver, decodeTakeOver)
 	recorded.Check(t, "record", encodeRecord(fixture.Record()))
-	s := recordedFailover(t, fixture.Disk(t, fixture.Asker, nil))
-	s.elector.learnEncoded(recorded.Read(t, "record"))
-	if !reflect.DeepEqual(s.elector.Known(), fixture.Record()) {
-		t.Errorf("learnt %+v", s.elector.Known())
+	failover := openFailover(t, fixture.Disk(t, fixture.Asker, nil))
+	failover.elector.learnEncoded(recorded.Read(t, "record"))
+	if !reflect.DeepEqual(failover.elector.Known(), fixture.Record()) {
+		t.Errorf("learnt %+v", failover.elector.Known())
 	}
 	if KindTakeOver != 30 {
 		t.Errorf("kind %d", KindTakeOver)
--- a/tier/control/election/rounds.go
+++ b/tier/control/election/rounds.go
@@ -12,12 +12,12 @@
 const roundsValue = "rounds"
 
 // openRounds reads the rounds that earlier lives of this process may have used. The rounds of this life lie above them.
-func openRounds(values *storage.Values, witness consensus.Acceptor) (*consensus.RoundAllocator, error) {
+func openRounds(values *storage.Values, acceptor consensus.Acceptor) (*consensus.RoundAllocator, error) {
 	content, err := values.Read(roundsValue)
 	if err != nil {
 		return nil, err
 	}
-	used := consensus.AssumedRoundLimit(witness)
+	used := consensus.AssumedRoundLimit(acceptor)
 	if content != nil {
 		if len(content) != 8 {
 			return nil, codes.DiskDamaged
--- a/tier/control/election/status.go
+++ b/tier/control/election/status.go
@@ -16,8 +16,8 @@
 type LeaseStatus struct {
 	elector *Elector
 
-	mu           sync.Mutex // guards reachedSince
-	reachedSince int64      // start of the newest probe that the primary answered
+	mu        sync.Mutex // guards reachedSince
+	reachedAt int64      // start of the newest probe that the primary answered
 }
 
 // NewLeaseStatus makes the lease status of a process.
@@ -26,7 +26,7 @@
 // Status is what this process can prove now.
 func (s *LeaseStatus) Status() lease.Status {
 	if !consensus.HasMember(s.elector.Known().Members, s.elector.config.Self.ID) {
-		return lease.Status{Role: lease.Outsider, ConfirmedSince: s.reached()}
+		return lease.Status{Role: lease.Outsider, ConfirmedSince: s.lastReachedAt()}
 	}
 	status := lease.Status{Role: lease.Backup}
 	s.elector.config.Node.WithGroup(state.Group, func(g *replica.Group) {
@@ -49,16 +49,16 @@
 	if errors.Is(err, codes.NotPrimary) {
 		return &NotLeaderError{Leader: s.PrimaryAddress()}
 	}
-	return orLeaseExpired(err)
+	return asLeaseExpired(err)
 }
 
 // MayForward returns ErrLeaseExpired unless this process can expect the primary in force to answer what it forwards now.
 func (s *LeaseStatus) MayForward() error {
-	return orLeaseExpired(s.Status().MayForward(s.elector.config.Now()))
+	return asLeaseExpired(s.Status().MayForward(s.elector.config.Now()))
 }
 
-// orLeaseExpired names the one reason that package lease has besides another primary.
-func orLeaseExpired(err error) error {
+// asLeaseExpired names the one reason that package lease has besides another primary.
+func asLeaseExpired(err error) error {
 	if err != nil {
 		return ErrLeaseExpired
 	}
@@ -69,13 +69,13 @@
 func (s *LeaseStatus) ObserveReached(since int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reachedSince = max(s.reachedSince, since)
+	s.reachedAt = max(s.reachedAt, since)
 }
 
-func (s *LeaseStatus) reached() int64 {
+func (s *LeaseStatus) lastReachedAt() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reachedSince
+	return s.reachedAt
 }
 
 // Leads tells whether this process is the primary of control, also while it waits for a replica and can commit nothing.
@@ -83,7 +83,7 @@
 
 // MayAdjust tells whether this process may change members and the in-sync set: it is the primary of control, and a majority has
 // answered it lately or can't.
-func (s *LeaseStatus) MayAdjust() bool { return s.leadsWithLease() || s.leadsWithoutVotes() }
+func (s *LeaseStatus) MayAdjust() bool { return s.leadsWithLease() || s.leadsWithLostVoter() }
 
 // leadsWithLease tells whether this process is the primary of control and a majority has answered it lately.
 func (s *LeaseStatus) leadsWithLease() bool {
@@ -91,9 +91,9 @@
 	return status.Role == lease.Primary && status.HasLease(s.elector.config.Now())
 }
 
-// leadsWithoutVotes tells whether this process is the primary of control while the disk of a voter is provably lost: it may have no
+// leadsWithLostVoter tells whether this process is the primary of control while the disk of a voter is provably lost: it may have no
 // majority until another has that vote, and looks for one that can have it.
-func (s *LeaseStatus) leadsWithoutVotes() bool {
+func (s *LeaseStatus) leadsWithLostVoter() bool {
 	if !s.Leads() {
 		return false
 	}
--- a/tier/control/election/transfer.go
+++ b/tier/control/election/transfer.go
@@ -39,8 +39,8 @@
 		return
 	}
 	f.steppedAsideAt = f.elector.config.Now()
-	taken := f.HandOver(ctx, skip)
-	f.elector.config.Log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": taken}).Warn("the disk does not do its work: another member is asked to lead")
+	transferred := f.HandOver(ctx, skip)
+	f.elector.config.Log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": transferred}).Warn("the disk does not do its work: another member is asked to lead")
 }
 
 // HandleTakeOver becomes primary if it can, and answers with the record that says so. A process that is itself about to stop
--- a/tier/control/election/transfer_test.go
+++ b/tier/control/election/transfer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestARequestToTakeOverNamesItsEpoch(t *testing.T) {
+func TestTakeOverRequestCarriesItsEpoch(t *testing.T) {
 	if epoch, err := decodeTakeOver(encodeTakeOver(7)); err != nil || epoch != 7 {
 		t.Fatalf("read %d, %v", epoch, err)
 	}
--- a/tier/control/simulation/callers_test.go
+++ b/tier/control/simulation/callers_test.go
@@ -12,17 +12,17 @@
 
 // host sends heartbeats, to the next member where one is not acknowledged.
 type host struct {
-	s             *network
-	place         place
+	s             *sim
+	process       process
 	host          directory.Host
-	target        place
+	target        process
 	ackedAt       int64
 	unlistedSince int64
 	calling       bool
 }
 
-func (s *network) addHost(p place) {
-	h := &host{s: s, place: p, target: s.randomMember()}
+func (s *sim) addHost(p process) {
+	h := &host{s: s, process: p, target: s.randomMember()}
 	h.host = directory.Host{ID: fmt.Sprint("h", p), Service: "s", Address: fmt.Sprint("a", p), Slots: 1}
 	s.hosts = append(s.hosts, h)
 	s.every(heartbeatInterval, func() {
@@ -38,7 +38,7 @@
 		return
 	}
 	to := h.target
-	call(h.s, h.place, to, lease.HostAttemptTimeout, func(answer func(bool)) { h.s.members[to].heartbeat(h.host, answer) }, func(ok, reached bool) {
+	call(h.s, h.process, to, lease.HostAttemptTimeout, func(answer func(bool)) { h.s.members[to].receiveHeartbeat(h.host, answer) }, func(ok, reached bool) {
 		if ok && reached {
 			h.calling = false
 			h.ackedAt = h.s.now
@@ -51,14 +51,14 @@
 
 // store keeps its session with the primary.
 type store struct {
-	s       *network
-	place   place
-	target  place
+	s       *sim
+	process process
+	target  process
 	calling bool
 }
 
-func (s *network) addStore(p place) {
-	store := &store{s: s, place: p, target: s.randomMember()}
+func (s *sim) addStore(p process) {
+	store := &store{s: s, process: p, target: s.randomMember()}
 	s.stores = append(s.stores, store)
 	s.every(lease.StoreHeartbeatInterval, store.sendHeartbeat)
 }
@@ -69,15 +69,15 @@
 	}
 	t.calling = true
 	to := t.target
-	call(t.s, t.place, to, lease.PrimaryAttemptTimeout, func(answer func(place)) {
+	call(t.s, t.process, to, lease.PrimaryAttemptTimeout, func(answer func(process)) {
 		m := t.s.members[to]
-		if m.standing().MayDecide(m.clock()) != nil {
-			answer(m.hint())
+		if m.status().MayDecide(m.clock()) != nil {
+			answer(m.primaryHint())
 			return
 		}
-		m.stores.Renew(uint64(t.place-firstStore), 1, false, m.clock())
+		m.stores.Renew(uint64(t.process-firstStore), 1, false, m.clock())
 		answer(to)
-	}, func(leader place, ok bool) {
+	}, func(leader process, ok bool) {
 		t.calling = false
 		switch {
 		case ok && leader == to:
@@ -91,32 +91,32 @@
 
 // subscriber is a subscriber.
 type subscriber struct {
-	s        *network
-	place    place
-	target   place
-	version  uint64
-	heardAt  int64
-	session  int // number of the subscription
-	followed bool
+	s          *sim
+	process    process
+	target     process
+	version    uint64
+	receivedAt int64
+	session    int // number of the subscription
+	subscribed bool
 }
 
-func (s *network) addSubscriber(p place) {
-	f := &subscriber{s: s, place: p, target: s.randomMember()}
+func (s *sim) addSubscriber(p process) {
+	f := &subscriber{s: s, process: p, target: s.randomMember()}
 	s.subscribers = append(s.subscribers, f)
 	s.every(60, f.watch)
 }
 
 func (f *subscriber) watch() {
-	const patience = 900
-	if f.followed && f.s.now-f.heardAt < patience {
+	const timeout = 900
+	if f.subscribed && f.s.now-f.receivedAt < timeout {
 		return
 	}
-	f.followed = true
-	f.heardAt = f.s.now
+	f.subscribed = true
+	f.receivedAt = f.s.now
 	f.session++
 	f.target = f.s.nextMember(f.target)
 	member, session := f.s.members[f.target], f.session
-	f.s.send(f.place, f.target, func() { f.serve(member, session) })
+	f.s.send(f.process, f.target, func() { f.serve(member, session) })
 }
 
 // serve is the publisher's part of a subscription.
@@ -126,42 +126,42 @@
 	}
 	version := m.machine.version()
 	if !m.mayServe() {
-		f.s.send(m.place, f.place, func() {
+		f.s.send(m.process, f.process, func() {
 			if f.session == session {
-				f.followed = false
+				f.subscribed = false
 			}
 		})
 		return
 	}
-	f.s.checkHandedOut(m, version)
-	f.s.send(m.place, f.place, func() {
+	f.s.checkServedConfig(m, version)
+	f.s.send(m.process, f.process, func() {
 		if f.session == session {
 			f.version = max(f.version, version)
-			f.heardAt = f.s.now
+			f.receivedAt = f.s.now
 		}
 	})
-	f.s.at(100, func() { f.s.run(m.place, func() { f.serve(m, session) }) })
+	f.s.after(100, func() { f.s.run(m.process, func() { f.serve(m, session) }) })
 }
 
 // operator changes the configuration, now and then twice at once.
 type operator struct {
-	s       *network
-	base    uint64
-	next    uint64
-	acked   map[uint64]int64 // when each version was confirmed
-	highest uint64           // confirmed
-	lastAck int64
+	s                *sim
+	base             uint64
+	next             uint64
+	confirmed        map[uint64]int64 // when each version was confirmed
+	highestConfirmed uint64           // confirmed
+	lastConfirmedAt  int64
 }
 
-func newOperator(s *network) *operator {
-	o := &operator{s: s, acked: map[uint64]int64{}}
+func newOperator(s *sim) *operator {
+	o := &operator{s: s, confirmed: map[uint64]int64{}}
 	s.every(350, func() {
-		if s.now < firstOrderAt {
+		if s.now < firstChangeAt {
 			return
 		}
-		o.order(s.randomMember())
+		o.change(s.randomMember())
 		if s.random.Intn(4) == 0 {
-			o.order(s.randomMember())
+			o.change(s.randomMember())
 		}
 		if s.random.Intn(3) == 0 {
 			o.read(s.randomMember())
@@ -170,40 +170,40 @@
 	return o
 }
 
-func (o *operator) order(to place) {
+func (o *operator) change(to process) {
 	o.next++
-	o.send(to, o.base, o.next, len(o.s.members))
+	o.sendChange(to, o.base, o.next, len(o.s.members))
 }
 
-// send orders a version, at the next member where one does not take orders.
-func (o *operator) send(to place, base, version uint64, attempts int) {
+// sendChange orders a version, at the next member where one does not take orders.
+func (o *operator) sendChange(to process, base, version uint64, attempts int) {
 	if attempts == 0 {
 		return
 	}
 	command := state.ReplaceConfig{Base: base, Version: version, Body: []byte(strconv.FormatUint(version, 10))}
-	call(o.s, operatorPlace, to, 1000, func(answer func(codes.Code)) { o.s.members[to].serveCommand(command, answer) }, func(code codes.Code, ok bool) {
+	call(o.s, operatorProcess, to, 1000, func(answer func(codes.Code)) { o.s.members[to].serveCommand(command, answer) }, func(code codes.Code, ok bool) {
 		switch {
 		case ok && code == codes.OK:
-			o.acked[version] = o.s.now
-			o.lastAck = o.s.now
+			o.confirmed[version] = o.s.now
+			o.lastConfirmedAt = o.s.now
 			o.base = max(o.base, version)
-			o.highest = max(o.highest, version)
+			o.highestConfirmed = max(o.highestConfirmed, version)
 		case ok && (code == codes.ConfigBase || code == codes.ConfigInvalid):
 			o.read(to)
 		default:
-			o.send(o.s.nextMember(to), base, version, attempts-1)
+			o.sendChange(o.s.nextMember(to), base, version, attempts-1)
 		}
 	})
 }
 
-func (o *operator) read(to place) {
-	before := o.highest
-	call(o.s, operatorPlace, to, 1000, func(answer func(uint64)) { o.s.members[to].serveRead(answer) }, func(version uint64, ok bool) {
+func (o *operator) read(to process) {
+	before := o.highestConfirmed
+	call(o.s, operatorProcess, to, 1000, func(answer func(uint64)) { o.s.members[to].serveRead(answer) }, func(version uint64, ok bool) {
 		if !ok || version == 0 {
 			return
 		}
 		if version < before {
-			o.s.fail(oldRead, "%d after %d by member %d", version, before, to)
+			o.s.fail(staleRead, "%d after %d by member %d", version, before, to)
 		}
 		o.base = version
 	})
--- a/tier/control/simulation/orders_adversary_test.go
+++ b/tier/control/simulation/linearizability_adversary_test.go
@@ -1,9 +1,9 @@
 package simulation
 
-// planOrderFaults cuts members off, has them stand still and restarts them.
-func (s *network) planOrderFaults(fault linearFault) {
-	for at := int64(1200); at < linearStops; at += 900 + s.random.Int63n(1800) {
-		s.at(at, func() {
+// planHistoryFaults cuts members off, has them stand still and restarts them.
+func (s *sim) planHistoryFaults(fault protocolFault) {
+	for at := int64(1200); at < lastCallAt; at += 900 + s.random.Int63n(1800) {
+		s.after(at, func() {
 			victim := s.randomMember()
 			if s.random.Intn(2) == 0 {
 				victim = s.primaryOr(victim)
@@ -11,21 +11,21 @@
 			switch s.random.Intn(4) {
 			case 0:
 				s.cutOff(victim)
-				s.at(500+s.random.Int63n(2500), s.heal)
+				s.after(500+s.random.Int63n(2500), s.heal)
 			case 1:
 				s.freeze(s.members[victim], 200+s.random.Int63n(3000))
 			case 2:
 				s.restartUnlessFrozen(victim, fault)
 			default:
 				for _, m := range s.members {
-					s.restartUnlessFrozen(m.place, fault)
+					s.restartUnlessFrozen(m.process, fault)
 				}
 			}
 		})
 	}
 }
 
-func (s *network) restartUnlessFrozen(p place, fault linearFault) {
+func (s *sim) restartUnlessFrozen(p process, fault protocolFault) {
 	m := s.members[p]
 	if m.frozen {
 		return
@@ -36,15 +36,15 @@
 	m.restart()
 }
 
-// linearFault is something wrong that the histories must show.
-type linearFault int
+// protocolFault is something wrong that the histories must show.
+type protocolFault int
 
 const (
-	noLinearFault linearFault = iota
+	noFault protocolFault = iota
 	readsWithoutCommit
 	answersBeforeCommit
-	refusesWhatIsUnclear
+	rejectsUncertainChanges
 	forgetsAnswers
 	losesWrites
-	takesAnyBase
+	ignoresBase
 )
--- a/tier/control/simulation/machine_test.go
+++ b/tier/control/simulation/machine_test.go
@@ -18,8 +18,8 @@
 func (m *machine) Apply(index uint64, data []byte) any {
 	result := m.State.Apply(index, data).(state.Result)
 	if c, err := state.DecodeCommand(data); err == nil && result.Code == codes.OK {
-		if order, is := c.(state.ReplaceConfig); is {
-			m.versions = append(m.versions, order.Version)
+		if replace, is := c.(state.ReplaceConfig); is {
+			m.versions = append(m.versions, replace.Version)
 		}
 	}
 	return result
@@ -34,9 +34,9 @@
 
 func (m *machine) Restore(snapshot []byte) error {
 	d := codec.NewDecoder(snapshot)
-	held := d.Blob()
+	stateSnapshot := d.Blob()
 	m.versions = d.Uint64s()
-	return m.State.Restore(held)
+	return m.State.Restore(stateSnapshot)
 }
 
 // readConfig reads the configuration without a commit, as no member may.
@@ -58,11 +58,11 @@
 	for range d.Uint32() {
 		_, _, _, _ = d.String(), d.Uint64(), d.Bool(), d.Uint64()
 	}
-	answered := configlog.Decode(d)
-	var kept, none codec.Encoder
-	answered.Encode(&kept)
-	(&configlog.Log{}).Encode(&none)
-	if err := m.State.Restore(append(snapshot[:len(snapshot)-len(kept.Bytes)], none.Bytes...)); err != nil {
+	log := configlog.Decode(d)
+	var encodedLog, emptyLog codec.Encoder
+	log.Encode(&encodedLog)
+	(&configlog.Log{}).Encode(&emptyLog)
+	if err := m.State.Restore(append(snapshot[:len(snapshot)-len(encodedLog.Bytes)], emptyLog.Bytes...)); err != nil {
 		panic(err)
 	}
 }
--- a/tier/control/simulation/member_call_test.go
+++ b/tier/control/simulation/member_call_test.go
@@ -6,42 +6,42 @@
 	"otterseam/tier/lease"
 )
 
-// onPrimary has the primary do something, once.
-func onPrimary[A any](m *member, work func(primary *member, answer func(A)), done func(A, bool)) {
-	to := m.guess
+// callPrimary has the primary do something, once.
+func callPrimary[A any](m *member, work func(primary *member, answer func(A)), done func(A, bool)) {
+	to := m.presumedPrimary
 	type reply struct {
-		answer A
-		leads  bool
-		hint   place
+		answer      A
+		leads       bool
+		primaryHint process
 	}
-	if to == m.place {
-		m.guess = place((int(to) + 1) % len(m.s.members))
-		to = m.guess
+	if to == m.process {
+		m.presumedPrimary = process((int(to) + 1) % len(m.s.members))
+		to = m.presumedPrimary
 	}
-	call(m.s, m.place, to, lease.PrimaryAttemptTimeout, func(answer func(reply)) {
+	call(m.s, m.process, to, lease.PrimaryAttemptTimeout, func(answer func(reply)) {
 		p := m.s.members[to]
-		if p.standing().MayDecide(p.clock()) != nil {
-			answer(reply{hint: p.hint()})
+		if p.status().MayDecide(p.clock()) != nil {
+			answer(reply{primaryHint: p.primaryHint()})
 			return
 		}
 		work(p, func(a A) { answer(reply{answer: a, leads: true}) })
 	}, func(got reply, ok bool) {
 		if !ok || !got.leads {
-			m.guess = place((int(to) + 1) % len(m.s.members))
-			if ok && got.hint >= 0 && got.hint != to {
-				m.guess = got.hint
+			m.presumedPrimary = process((int(to) + 1) % len(m.s.members))
+			if ok && got.primaryHint >= 0 && got.primaryHint != to {
+				m.presumedPrimary = got.primaryHint
 			}
 		}
 		done(got.answer, ok && got.leads)
 	})
 }
 
-// hint is where the primary in force is, -1 if this member doesn't know.
-func (m *member) hint() place {
-	if m.group.IsPrimary() || !m.standing().HasLease(m.clock()) {
+// primaryHint is where the primary in force is, -1 if this member doesn't know.
+func (m *member) primaryHint() process {
+	if m.group.IsPrimary() || !m.status().HasLease(m.clock()) {
 		return -1
 	}
-	return place(m.group.View().Primary) - 1
+	return process(m.group.View().Primary) - 1
 }
 
 // serveCommand carries a command out, here or at the primary.
@@ -55,17 +55,17 @@
 			}
 		})
 	}
-	m.servePrimary(submit, answer)
+	m.serveAtPrimary(submit, answer)
 }
 
-func (m *member) servePrimary(work func(*member, func(codes.Code)), answer func(codes.Code)) {
+func (m *member) serveAtPrimary(work func(*member, func(codes.Code)), answer func(codes.Code)) {
 	switch {
-	case m.standing().MayForward(m.clock()) != nil:
+	case m.status().MayForward(m.clock()) != nil:
 		answer(codes.Unavailable)
 	case m.group.IsReady():
 		work(m, answer)
 	default:
-		onPrimary(m, work, func(code codes.Code, ok bool) {
+		callPrimary(m, work, func(code codes.Code, ok bool) {
 			if !ok {
 				code = codes.Unavailable
 			}
@@ -77,7 +77,7 @@
 // serveRead answers the version in place, 0 if it can't.
 func (m *member) serveRead(answer func(uint64)) {
 	version := uint64(0)
-	m.servePrimary(func(p *member, done func(codes.Code)) {
+	m.serveAtPrimary(func(p *member, done func(codes.Code)) {
 		p.submit(state.ReadConfig{}, func(_ state.Result, err error) {
 			if err != nil {
 				done(codes.Unavailable)
--- a/tier/control/simulation/member_disk_test.go
+++ b/tier/control/simulation/member_disk_test.go
@@ -21,8 +21,8 @@
 	}
 	for _, entry := range w.Entries {
 		if entry.Index > d.base.Index {
-			kept := entry.Index - d.base.Index - 1
-			d.entries = append(d.entries[:kept:kept], entry)
+			offset := entry.Index - d.base.Index - 1
+			d.entries = append(d.entries[:offset:offset], entry)
 		}
 	}
 }
@@ -30,8 +30,8 @@
 // open makes a member's process from its disk.
 func (m *member) open() {
 	m.machine = &machine{State: state.New()}
-	m.rounds = consensus.NewRoundAllocator(m.limit, func(limit uint64) error {
-		m.limit = limit
+	m.rounds = consensus.NewRoundAllocator(m.roundLimit, func(roundLimit uint64) error {
+		m.roundLimit = roundLimit
 		return nil
 	})
 	options := replica.Options{EagerCommit: true, Incarnation: m.s.random.Uint64() | 1, StepDownAfter: lease.StepDownAfter}
@@ -45,25 +45,25 @@
 
 // restart ends a member's process and starts it again. What was on its way to the disk is lost, and so are its callers' answers.
 func (m *member) restart() {
-	m.life++
-	waiting := m.waiting
-	m.waiting = map[uint64]func(state.Result, error){}
-	for _, index := range sortedKeys(waiting) {
-		waiting[index](state.Result{}, codes.Timeout)
+	m.incarnation++
+	pending := m.pending
+	m.pending = map[uint64]func(state.Result, error){}
+	for _, index := range sortedKeys(pending) {
+		pending[index](state.Result{}, codes.Timeout)
 	}
 	m.open()
-	m.busy = false
+	m.proposing = false
 	m.backoff = lease.ElectionBackoff{}
 	m.hasLed = false
-	m.leading = 0
-	m.ticked = 0
-	m.known = m.witness.Value
+	m.sessionsEpochStart = 0
+	m.lastTick = 0
+	m.known = m.acceptor.Value
 	m.decided = false
-	m.learned = m.clock()
+	m.epochSeenAt = m.clock()
 	m.startedAt = m.clock()
 	m.hosts = lease.NewHostSessions()
 	m.stores = lease.NewStoreSessions()
-	m.heard = map[string]int64{}
-	m.wellSince = 0
-	m.s.noteChange()
+	m.unreported = map[string]int64{}
+	m.healthySince = 0
+	m.s.recordChange()
 }
--- a/tier/control/simulation/member_election_test.go
+++ b/tier/control/simulation/member_election_test.go
@@ -10,12 +10,12 @@
 )
 
 func (m *member) watchPrimary() {
-	situation := lease.FailoverInput{
-		Now: m.clock(), StartedAt: m.origin, RecordLearnedAt: m.learned, PrimaryConfirmedAt: m.group.PrimaryConfirmedAt(),
+	input := lease.FailoverInput{
+		Now: m.clock(), StartedAt: m.clockOffset, RecordLearnedAt: m.epochSeenAt, PrimaryConfirmedAt: m.group.PrimaryConfirmedAt(),
 		InSync: m.known.IsInSync(m.id), Leads: m.group.IsPrimary(), NamedPrimary: m.known.Primary == m.id, HasLed: m.hasLed,
 		Rank: election.Rank(m.known, m.id), Jitter: m.s.random.Int63n(lease.ElectionStagger),
 	}
-	action := situation.Next()
+	action := input.Next()
 	if !m.backoff.MayPropose(m.known.Epoch, m.clock()) {
 		action = lease.ActionLocatePrimary
 	}
@@ -30,13 +30,13 @@
 }
 
 func (m *member) locate() {
-	if m.clock()-m.located < election.LocateInterval {
+	if m.clock()-m.lastLocate < election.LocateInterval {
 		return
 	}
-	m.located = m.clock()
+	m.lastLocate = m.clock()
 	for _, peer := range m.s.members {
 		if peer != m {
-			call(m.s, m.place, peer.place, election.CallTimeout.Milliseconds(), func(answer func(consensus.Record)) { answer(peer.known) },
+			call(m.s, m.process, peer.process, election.CallTimeout.Milliseconds(), func(answer func(consensus.Record)) { answer(peer.known) },
 				func(record consensus.Record, ok bool) {
 					if ok {
 						m.learn(record)
@@ -53,16 +53,16 @@
 	if view := m.group.View(); view.Epoch > m.known.Epoch {
 		voter.KnownEpoch, voter.KnownPrimary = view.Epoch, view.Primary
 	}
-	voter.Leads = m.group.IsPrimary() && m.standing().HasLease(m.clock())
+	voter.Leads = m.group.IsPrimary() && m.status().HasLease(m.clock())
 	return voter
 }
 
 // takeOver asks for support and then for the lead.
 func (m *member) takeOver(mode election.PrepareMode) {
-	if m.busy {
+	if m.proposing {
 		return
 	}
-	m.busy = true
+	m.proposing = true
 	suspected := m.known.Epoch
 	supporters, possible := map[uint64]bool{}, map[uint64]bool{}
 	for _, peer := range m.s.members {
@@ -70,7 +70,7 @@
 	}
 	decided := false
 	for _, peer := range m.s.members {
-		call(m.s, m.place, peer.place, election.CallTimeout.Milliseconds(), func(answer func(bool)) {
+		call(m.s, m.process, peer.process, election.CallTimeout.Milliseconds(), func(answer func(bool)) {
 			answer(peer.voter().Grants(lease.VoteRequest{Candidate: m.id, Epoch: suspected}))
 		}, func(supported, ok bool) {
 			supporters[peer.id] = supported && ok
@@ -79,10 +79,10 @@
 			case decided:
 			case consensus.Quorum(m.known, supporters):
 				decided = true
-				m.elect(mode, suspected)
+				m.proposeTakeover(mode, suspected)
 			case !consensus.Quorum(m.known, possible):
 				decided = true
-				m.busy = false
+				m.proposing = false
 				m.locate()
 			}
 		})
@@ -90,26 +90,26 @@
 }
 
 // policy has the group bear the loss of all members but a majority.
-func (s *network) policy() membership.Policy {
+func (s *sim) policy() membership.Policy {
 	return membership.Policy{Tolerate: (len(s.members) - 1) / 2}
 }
 
-func (m *member) elect(mode election.PrepareMode, suspected uint64) {
-	took := false
+func (m *member) proposeTakeover(mode election.PrepareMode, suspected uint64) {
+	applied := false
 	var replaced consensus.Record
 	m.propose(mode, func(current consensus.Record) (consensus.Record, bool) {
 		if !election.MayReplace(current, suspected, m.id) {
 			return current, false
 		}
-		took = true
+		applied = true
 		replaced = current
 		return m.s.policy().Successor(current, m.id, func(uint64) bool { return false }), true
 	}, func(record consensus.Record, ok bool) {
-		if ok && took {
+		if ok && applied {
 			m.s.checkElection(m, replaced)
 			m.hasLed = true
 			m.group.SetView(membership.View(record), m.clock())
-			m.carryOut()
+			m.processOutput()
 			return
 		}
 		m.backoff.Fail(suspected, m.clock(), m.s.random.Int63n)
@@ -118,7 +118,7 @@
 
 // adjustInSync drops a silent replica, or takes one in that has caught up.
 func (m *member) adjustInSync() {
-	if m.busy {
+	if m.proposing {
 		return
 	}
 	caughtUp := m.group.CaughtUp(m.clock())
@@ -130,7 +130,7 @@
 	for _, id := range caughtUp {
 		m.group.Admit(id)
 	}
-	m.busy = true
+	m.proposing = true
 	adjusted := false
 	m.propose(election.PrepareBySelf, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != m.id {
@@ -142,7 +142,7 @@
 	}, func(record consensus.Record, ok bool) {
 		if ok && adjusted {
 			m.group.SetView(membership.View(record), m.clock())
-			m.carryOut()
+			m.processOutput()
 		}
 	})
 }
@@ -164,7 +164,7 @@
 
 // propose reads the register and changes it, in one attempt.
 func (m *member) propose(mode election.PrepareMode, change func(consensus.Record) (consensus.Record, bool), done func(consensus.Record, bool)) {
-	m.rounds.Observe(m.witness.Promised.Round)
+	m.rounds.Observe(m.acceptor.Promised.Round)
 	round, err := m.rounds.Next()
 	if err != nil {
 		m.s.t.Fatal(err)
@@ -173,31 +173,31 @@
 	proposal := consensus.NewProposal(ballot, m.known, consensus.Record{}, func(current consensus.Record, _ map[uint64]bool) (consensus.Record, bool) {
 		return change(current)
 	})
-	finished, life := false, m.life
+	finished, incarnation := false, m.incarnation
 	finish := func(record consensus.Record, ok bool) {
-		if finished || life != m.life {
+		if finished || incarnation != m.incarnation {
 			return
 		}
 		finished = true
-		m.busy = false
+		m.proposing = false
 		m.rounds.Observe(proposal.HighestRound())
 		if ok {
-			m.note(record, true)
+			m.observeRecord(record, true)
 		}
 		done(record, ok)
 	}
-	m.s.at(election.ProposeTimeout.Milliseconds(), func() { m.s.run(m.place, func() { finish(consensus.Record{}, false) }) })
+	m.s.after(election.ProposeTimeout.Milliseconds(), func() { m.s.run(m.process, func() { finish(consensus.Record{}, false) }) })
 	var send func([]consensus.Request)
 	send = func(requests []consensus.Request) {
 		for _, request := range requests {
 			peer := m.s.members[request.To.ID-1]
-			call(m.s, m.place, peer.place, election.CallTimeout.Milliseconds(), func(answer func(consensus.Response)) { answer(peer.vote(mode, request)) },
-				func(promise consensus.Response, reached bool) {
-					if finished || life != m.life {
+			call(m.s, m.process, peer.process, election.CallTimeout.Milliseconds(), func(answer func(consensus.Response)) { answer(peer.vote(mode, request)) },
+				func(response consensus.Response, reached bool) {
+					if finished || incarnation != m.incarnation {
 						return
 					}
 					if reached {
-						send(proposal.Answer(request.Kind, request.To.ID, promise))
+						send(proposal.Answer(request.Kind, request.To.ID, response))
 					} else {
 						send(proposal.Fail(request.Kind, request.To.ID))
 					}
@@ -218,8 +218,8 @@
 	if request.Kind == consensus.RequestPrepare {
 		return m.prepare(mode, request.Number)
 	}
-	given := m.accept(request.Number, request.Value)
-	return consensus.Response{Granted: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
+	granted := m.accept(request.Number, request.Value)
+	return consensus.Response{Granted: granted, Promised: m.acceptor.Promised, Accepted: m.acceptor.Accepted, Value: m.acceptor.Value}
 }
 
 func (m *member) prepare(mode election.PrepareMode, ballot consensus.ProposalNumber) consensus.Response {
@@ -227,14 +227,14 @@
 	if mode == election.PrepareOnSilence && !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch}) {
 		return consensus.Response{}
 	}
-	given := m.witness.Prepare(ballot)
-	return consensus.Response{Granted: given, Promised: m.witness.Promised, Accepted: m.witness.Accepted, Value: m.witness.Value}
+	granted := m.acceptor.Prepare(ballot)
+	return consensus.Response{Granted: granted, Promised: m.acceptor.Promised, Accepted: m.acceptor.Accepted, Value: m.acceptor.Value}
 }
 
 func (m *member) accept(ballot consensus.ProposalNumber, record consensus.Record) bool {
-	given := m.witness.Accept(ballot, record)
-	if given {
+	granted := m.acceptor.Accept(ballot, record)
+	if granted {
 		m.learn(record)
 	}
-	return given
+	return granted
 }
--- a/tier/control/simulation/member_heartbeat_test.go
+++ b/tier/control/simulation/member_heartbeat_test.go
@@ -8,13 +8,13 @@
 
 // handleHostHeartbeat is the primary's part in a heartbeat that is not kept by a backup.
 func (m *member) handleHostHeartbeat(host directory.Host, answer func(bool)) {
-	if m.standing().MayDecide(m.clock()) != nil {
+	if m.status().MayDecide(m.clock()) != nil {
 		answer(false)
 		return
 	}
 	removing := m.hosts.Renew(host.ID, m.id, m.clock())
-	if held, known := m.machine.Host(host.ID); known && held == host && !removing {
-		answer(m.standing().MayDecide(m.clock()) == nil)
+	if registered, known := m.machine.Host(host.ID); known && registered == host && !removing {
+		answer(m.status().MayDecide(m.clock()) == nil)
 		return
 	}
 	m.submit(state.PutHost{Host: host, Seq: uint64(m.s.now)}, func(_ state.Result, err error) {
@@ -25,12 +25,12 @@
 	})
 }
 
-// heartbeat takes a host's heartbeat.
-func (m *member) heartbeat(host directory.Host, answer func(bool)) {
-	held, known := m.machine.Host(host.ID)
-	if known && held == host && m.mayServe() {
+// receiveHeartbeat takes a host's receiveHeartbeat.
+func (m *member) receiveHeartbeat(host directory.Host, answer func(bool)) {
+	registered, known := m.machine.Host(host.ID)
+	if known && registered == host && m.mayServe() {
 		if !m.group.IsPrimary() {
-			m.heard[host.ID] = m.clock()
+			m.unreported[host.ID] = m.clock()
 			answer(true)
 			return
 		}
@@ -39,8 +39,8 @@
 			return
 		}
 	}
-	if m.standing().MayForward(m.clock()) != nil {
-		m.refusals++
+	if m.status().MayForward(m.clock()) != nil {
+		m.rejectedHeartbeats++
 		answer(false)
 		return
 	}
@@ -48,38 +48,38 @@
 		m.handleHostHeartbeat(host, answer)
 		return
 	}
-	onPrimary(m, func(p *member, reply func(bool)) { p.handleHostHeartbeat(host, reply) }, func(ok, reached bool) { answer(ok && reached) })
+	callPrimary(m, func(p *member, reply func(bool)) { p.handleHostHeartbeat(host, reply) }, func(ok, reached bool) { answer(ok && reached) })
 }
 
 // report tells the primary which hosts were heard.
 func (m *member) report() {
-	heard := m.heard
-	m.heard = map[string]int64{}
-	if len(heard) == 0 {
+	unreported := m.unreported
+	m.unreported = map[string]int64{}
+	if len(unreported) == 0 {
 		return
 	}
-	sent, question := m.clock(), m.group.LastProbe()
-	keep := func(p *member, written int64) bool {
-		for id, at := range heard {
+	sentAt, probe := m.clock(), m.group.LastProbe()
+	renew := func(p *member, reportTime int64) bool {
+		for id, at := range unreported {
 			if _, listed := p.machine.Host(id); listed {
-				p.hosts.Renew(id, m.id, written-(sent-at))
+				p.hosts.Renew(id, m.id, reportTime-(sentAt-at))
 			}
 		}
-		return p.standing().MayDecide(p.clock()) == nil
+		return p.status().MayDecide(p.clock()) == nil
 	}
 	if m.group.IsReady() {
-		keep(m, sent)
+		renew(m, sentAt)
 		return
 	}
-	onPrimary(m, func(p *member, answer func(bool)) {
-		asked, own := p.group.ProbeSentAt(question, p.clock())
-		answer(own && keep(p, asked))
-	}, func(told, reached bool) {
-		if told && reached {
+	callPrimary(m, func(p *member, answer func(bool)) {
+		probeSentAt, ownProbe := p.group.ProbeSentAt(probe, p.clock())
+		answer(ownProbe && renew(p, probeSentAt))
+	}, func(accepted, reached bool) {
+		if accepted && reached {
 			return
 		}
-		for id, at := range heard {
-			m.heard[id] = max(m.heard[id], at)
+		for id, at := range unreported {
+			m.unreported[id] = max(m.unreported[id], at)
 		}
 	})
 }
@@ -89,10 +89,10 @@
 	if m.group.IsReady() {
 		return
 	}
-	refusals, question := m.refusals, m.group.LastProbe()
-	onPrimary(m, func(p *member, answer func(consensus.Record)) {
-		if asked, own := p.group.ProbeSentAt(question, p.clock()); own {
-			p.hosts.RenewHolder(m.id, refusals, asked, p.clock())
+	rejectedHeartbeats, probe := m.rejectedHeartbeats, m.group.LastProbe()
+	callPrimary(m, func(p *member, answer func(consensus.Record)) {
+		if probeSentAt, ownProbe := p.group.ProbeSentAt(probe, p.clock()); ownProbe {
+			p.hosts.RenewHolder(m.id, rejectedHeartbeats, probeSentAt, p.clock())
 		}
 		answer(p.known)
 	}, func(record consensus.Record, ok bool) {
--- a/tier/control/simulation/network_test.go
+++ b/tier/control/simulation/network_test.go
@@ -9,37 +9,37 @@
 	"otterseam/tier/membership"
 )
 
-// place is a process of the simulation. Members have the numbers from 0 on.
-type place int
+// process is a process of the simulation. Members have the numbers from 0 on.
+type process int
 
 const (
-	firstHost       place = 100
-	firstStore      place = 200
-	firstSubscriber place = 300
-	operatorPlace   place = 400
+	firstHost       process = 100
+	firstStore      process = 200
+	firstSubscriber process = 300
+	operatorProcess process = 400
 )
 
-func zoneOf(p place) int { return int(p) % 100 % 3 }
-
-type link struct{ from, to place }
-
-// network is the network with all that is on it.
-type network struct {
-	t           testing.TB
-	random      *rand.Rand
-	now         int64
-	queue       eventQueue
-	order       int
-	cut         map[link]bool
-	arrives     map[link]int64 // when the last message of a link arrives
-	held        []heldMessage  // messages that wait for the end of a cut
-	changed     int64          // when the network last changed
-	members     []*member
-	hosts       []*host
-	stores      []*store
-	subscribers []*subscriber
-	operator    *operator
-	digest      eventDigest
+func zoneOf(p process) int { return int(p) % 100 % 3 }
+
+type link struct{ from, to process }
+
+// sim is the sim with all that is on it.
+type sim struct {
+	t            testing.TB
+	random       *rand.Rand
+	now          int64
+	queue        eventQueue
+	lastSequence int
+	cut          map[link]bool
+	lastArrival  map[link]int64 // when the last message of a link arrives
+	heldMessages []heldMessage  // messages that wait for the end of a cut
+	changedAt    int64          // when the network last changed
+	members      []*member
+	hosts        []*host
+	stores       []*store
+	subscribers  []*subscriber
+	operator     *operator
+	digest       eventDigest
 }
 
 type heldMessage struct {
@@ -48,11 +48,11 @@
 }
 
 // send has a message read at its destination, in the order of its link. A cut loses it, or holds it until the cut ends.
-func (s *network) send(from, to place, read func()) {
-	way := link{from, to}
-	if s.cut[way] {
+func (s *sim) send(from, to process, deliver func()) {
+	path := link{from, to}
+	if s.cut[path] {
 		if s.random.Intn(2) == 0 {
-			s.held = append(s.held, heldMessage{way, read})
+			s.heldMessages = append(s.heldMessages, heldMessage{path, deliver})
 		}
 		return
 	}
@@ -60,13 +60,13 @@
 	if s.random.Intn(6) == 0 { // a busy moment
 		delay += s.random.Int63n(60)
 	}
-	arrival := max(s.arrives[way], s.now+delay)
-	s.arrives[way] = arrival
-	s.at(arrival-s.now, func() { s.run(to, read) })
+	arrival := max(s.lastArrival[path], s.now+delay)
+	s.lastArrival[path] = arrival
+	s.after(arrival-s.now, func() { s.run(to, deliver) })
 }
 
 // run has a process do something, or later if it stands still.
-func (s *network) run(p place, work func()) {
+func (s *sim) run(p process, work func()) {
 	if int(p) < len(s.members) {
 		m := s.members[p]
 		if m.frozen {
@@ -78,7 +78,7 @@
 }
 
 // call sends a question and waits for its answer; answered is called once, with ok false after the timeout.
-func call[A any](s *network, from, to place, timeout int64, ask func(answer func(A)), answered func(got A, ok bool)) {
+func call[A any](s *sim, from, to process, timeout int64, ask func(answer func(A)), answered func(got A, ok bool)) {
 	done := false
 	finish := func(got A, ok bool) {
 		if !done {
@@ -89,7 +89,7 @@
 	s.send(from, to, func() {
 		ask(func(got A) { s.send(to, from, func() { finish(got, true) }) })
 	})
-	s.at(timeout, func() {
+	s.after(timeout, func() {
 		s.run(from, func() {
 			var none A
 			finish(none, false)
@@ -98,120 +98,120 @@
 }
 
 // cutLink cuts a direction.
-func (s *network) cutLink(from, to place) {
+func (s *sim) cutLink(from, to process) {
 	s.cut[link{from, to}] = true
-	s.noteChange()
+	s.recordChange()
 }
 
-// noteChange notes since when each member runs and has a majority around it.
-func (s *network) noteChange() {
-	s.changed = s.now
+// recordChange notes since when each member runs and has a majority around it.
+func (s *sim) recordChange() {
+	s.changedAt = s.now
 	for _, m := range s.members {
-		around := 0
+		reachable := 0
 		for _, other := range s.members {
-			if !m.frozen && !other.frozen && s.connected(m.place, other.place) {
-				around++
+			if !m.frozen && !other.frozen && s.connected(m.process, other.process) {
+				reachable++
 			}
 		}
 		switch {
-		case around <= len(s.members)/2:
-			m.wellSince = 0
-		case m.wellSince == 0:
-			m.wellSince = s.now
+		case reachable <= len(s.members)/2:
+			m.healthySince = 0
+		case m.healthySince == 0:
+			m.healthySince = s.now
 		}
 	}
 }
 
 // heal ends all cuts; what was held arrives.
-func (s *network) heal() {
+func (s *sim) heal() {
 	clear(s.cut)
-	s.noteChange()
-	held := s.held
-	s.held = nil
-	for _, each := range held {
-		s.send(each.link.from, each.link.to, each.run)
+	s.recordChange()
+	heldMessages := s.heldMessages
+	s.heldMessages = nil
+	for _, message := range heldMessages {
+		s.send(message.link.from, message.link.to, message.run)
 	}
 }
 
-func (s *network) freeze(m *member, span int64) {
+func (s *sim) freeze(m *member, duration int64) {
 	if m.frozen {
 		return
 	}
 	m.frozen = true
-	s.noteChange()
-	s.at(span, func() {
+	s.recordChange()
+	s.after(duration, func() {
 		m.frozen = false
-		s.noteChange()
+		s.recordChange()
 		backlog := m.backlog
 		m.backlog = nil
 		if s.random.Intn(2) == 0 {
 			m.tick()
 		}
 		for _, work := range backlog {
-			s.run(m.place, work)
+			s.run(m.process, work)
 		}
 	})
 }
 
-func newNetwork(t testing.TB, seed int64) *network {
-	s := newMembers(t, seed)
+func newNetwork(t testing.TB, seed int64) *sim {
+	s := newMembersOnly(t, seed)
 	for i := range hostCount {
-		s.addHost(firstHost + place(i))
+		s.addHost(firstHost + process(i))
 	}
 	for i := range storeCount {
-		s.addStore(firstStore + place(i))
+		s.addStore(firstStore + process(i))
 	}
 	for i := range subscriberCount {
-		s.addSubscriber(firstSubscriber + place(i))
+		s.addSubscriber(firstSubscriber + process(i))
 	}
 	s.operator = newOperator(s)
 	return s
 }
 
-// newMembers makes a network of three or five members that nobody calls.
-func newMembers(t testing.TB, seed int64) *network {
-	s := &network{t: t, random: rand.New(rand.NewSource(seed)), now: 1, cut: map[link]bool{}, arrives: map[link]int64{}}
+// newMembersOnly makes a network of three or five members that nobody calls.
+func newMembersOnly(t testing.TB, seed int64) *sim {
+	s := &sim{t: t, random: rand.New(rand.NewSource(seed)), now: 1, cut: map[link]bool{}, lastArrival: map[link]int64{}}
 	count := 3
 	if s.random.Intn(4) == 0 {
 		count = 5
 	}
-	first := consensus.Record{Epoch: 1, Primary: 1}
+	initial := consensus.Record{Epoch: 1, Primary: 1}
 	for i := range count {
-		first.Members = append(first.Members, consensus.Member{ID: uint64(i + 1), Address: fmt.Sprint("m", i)})
-		first.InSync = append(first.InSync, uint64(i+1))
+		initial.Members = append(initial.Members, consensus.Member{ID: uint64(i + 1), Address: fmt.Sprint("m", i)})
+		initial.InSync = append(initial.InSync, uint64(i+1))
 	}
-	first = membership.Policy{Tolerate: (count - 1) / 2}.WithMinInSync(first)
+	initial = membership.Policy{Tolerate: (count - 1) / 2}.WithMinInSync(initial)
 	for i := range count {
-		s.addMember(place(i), first)
+		s.addMember(process(i), initial)
 	}
-	s.noteChange()
+	s.recordChange()
 	return s
 }
 
-func (s *network) randomMember() place { return place(s.random.Intn(len(s.members))) }
+func (s *sim) randomMember() process { return process(s.random.Intn(len(s.members))) }
 
-func (s *network) nextMember(p place) place { return place((int(p) + 1) % len(s.members)) }
+func (s *sim) nextMember(p process) process { return process((int(p) + 1) % len(s.members)) }
 
-func (s *network) connected(a, b place) bool { return !s.cut[link{a, b}] && !s.cut[link{b, a}] }
+func (s *sim) connected(a, b process) bool { return !s.cut[link{a, b}] && !s.cut[link{b, a}] }
 
-func (s *network) callers() []place {
-	all := []place{operatorPlace}
+func (s *sim) callers() []process {
+	all := []process{operatorProcess}
 	for _, h := range s.hosts {
-		all = append(all, h.place)
+		all = append(all, h.process)
 	}
 	for _, t := range s.stores {
-		all = append(all, t.place)
+		all = append(all, t.process)
 	}
 	for _, f := range s.subscribers {
-		all = append(all, f.place)
+		all = append(all, f.process)
 	}
 	return all
 }
 
-func (s *network) primaryOr(other place) place {
+func (s *sim) primaryOr(other process) process {
 	for _, m := range s.members {
 		if m.group.IsReady() && m.mayServe() {
-			return m.place
+			return m.process
 		}
 	}
 	return other
--- a/tier/control/simulation/schedule_test.go
+++ b/tier/control/simulation/schedule_test.go
@@ -11,17 +11,17 @@
 	hostCount         = 4
 	storeCount        = 2
 	subscriberCount   = 6
-	firstOrderAt      = 600
-	repairTime        = 1200 // within which a host that is acknowledged has to be on the list
-	stableTime        = 4000 // of an unchanged network, after which orders must be taken
-	orderPatience     = 2500 // within which a connected majority has to take an order
+	firstChangeAt     = 600
+	relistTimeout     = 1200 // within which a host that is acknowledged has to be on the list
+	settleTime        = 4000 // of an unchanged network, after which orders must be taken
+	changeTimeout     = 2500 // within which a connected majority has to take an order
 )
 
 // event is something that happens at a time.
 type event struct {
-	at    int64
-	order int
-	run   func()
+	at       int64
+	sequence int
+	run      func()
 }
 
 type eventQueue []event
@@ -29,7 +29,7 @@
 func (q eventQueue) Len() int { return len(q) }
 
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].sequence < q[j].sequence)
 }
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
@@ -43,27 +43,27 @@
 	return last
 }
 
-func (s *network) at(delay int64, run func()) {
-	s.order++
-	heap.Push(&s.queue, event{s.now + delay, s.order, run})
+func (s *sim) after(delay int64, run func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, event{s.now + delay, s.lastSequence, run})
 }
 
-func (s *network) every(interval int64, run func()) {
-	s.at(s.random.Int63n(interval)+1, func() {
+func (s *sim) every(interval int64, run func()) {
+	s.after(s.random.Int63n(interval)+1, func() {
 		run()
 		s.repeat(interval, run)
 	})
 }
 
-func (s *network) repeat(interval int64, run func()) {
-	s.at(interval, func() {
+func (s *sim) repeat(interval int64, run func()) {
+	s.after(interval, func() {
 		run()
 		s.repeat(interval, run)
 	})
 }
 
 // play runs the events up to a time.
-func (s *network) play(until int64) {
+func (s *sim) play(until int64) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		event := heap.Pop(&s.queue).(event)
 		s.now = event.at
--- a/tier/control/simulation/seeds_race_test.go
+++ b/tier/control/simulation/seeds_race_test.go
@@ -2,6 +2,6 @@
 
 package simulation
 
-// standardSeeds is lower with the race detector, which slows the simulation down and has little to find in it: a seed runs in one
+// defaultSeeds is lower with the race detector, which slows the simulation down and has little to find in it: a seed runs in one
 // goroutine.
-const standardSeeds = 20
+const defaultSeeds = 20
--- a/tier/control/simulation/seeds_test.go
+++ b/tier/control/simulation/seeds_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// standardSeeds is how many seeds of the simulation are played unless the variable says otherwise.
-const standardSeeds = 200
+// defaultSeeds is how many seeds of the simulation are played unless the variable says otherwise.
+const defaultSeeds = 200
--- a/tier/controlclient/client.go
+++ b/tier/controlclient/client.go
@@ -64,7 +64,7 @@
 	if err == nil || !isRetryable(err) {
 		c.rememberPrimary(address)
 	} else {
-		c.leave(address, err)
+		c.switchTarget(address, err)
 	}
 	return result, err
 }
@@ -89,8 +89,8 @@
 	c.primary = address
 }
 
-// leave turns to where the answer points, or else to the next address.
-func (c *Client) leave(address string, err error) {
+// switchTarget turns to where the answer points, or else to the next address.
+func (c *Client) switchTarget(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var notPrimary *NotPrimaryError
--- a/tier/controlclient/client_test.go
+++ b/tier/controlclient/client_test.go
@@ -11,8 +11,8 @@
 	"otterseam/tier/rpc"
 )
 
-// member is a stand-in for a control process that answers every call in one way, and counts them.
-func member(t *testing.T, code codes.Code, hint string) (address string, calls *atomic.Int32) {
+// serveAnswer is a stand-in for a control process that answers every call in one way, and counts them.
+func serveAnswer(t *testing.T, code codes.Code, hint string) (address string, calls *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,31 +29,31 @@
 
 // A call that is made once puts no load on control while there is no primary, and finds the primary by hints over the next calls.
 func TestCallOnceAsksOneProcess(t *testing.T) {
-	primary, atPrimary := member(t, codes.OK, "")
-	backup, atBackup := member(t, codes.NotPrimary, primary)
-	alone, atAlone := member(t, codes.Unavailable, "")
-	addresses := []string{alone, backup}
+	primary, primaryCalls := serveAnswer(t, codes.OK, "")
+	backup, backupCalls := serveAnswer(t, codes.NotPrimary, primary)
+	unavailable, unavailableCalls := serveAnswer(t, codes.Unavailable, "")
+	addresses := []string{unavailable, backup}
 	client := New(rpc.NewClients(nil), func() []string { return addresses })
 	for i, want := range []struct {
-		err                    error
-		alone, backup, primary int32
+		err                          error
+		unavailable, backup, primary int32
 	}{
 		{codes.Unavailable, 1, 0, 0}, {codes.NotPrimary, 1, 1, 0}, {nil, 1, 1, 1}, {nil, 1, 1, 2},
 	} {
 		if _, err := client.CallOnce(t.Context(), KindHostObservations, nil); !errors.Is(err, want.err) {
 			t.Errorf("call %d: %v, not %v", i, err, want.err)
 		}
-		if atAlone.Load() != want.alone || atBackup.Load() != want.backup || atPrimary.Load() != want.primary {
-			t.Errorf("call %d: asked %d, %d and %d times", i, atAlone.Load(), atBackup.Load(), atPrimary.Load())
+		if unavailableCalls.Load() != want.unavailable || backupCalls.Load() != want.backup || primaryCalls.Load() != want.primary {
+			t.Errorf("call %d: asked %d, %d and %d times", i, unavailableCalls.Load(), backupCalls.Load(), primaryCalls.Load())
 		}
 	}
 }
 
 func TestCallRetriesUntilThePrimaryAnswers(t *testing.T) {
-	primary, _ := member(t, codes.OK, "done")
-	backup, _ := member(t, codes.NotPrimary, primary)
-	alone, _ := member(t, codes.Unavailable, "")
-	client := New(rpc.NewClients(nil), func() []string { return []string{alone, backup} })
+	primary, _ := serveAnswer(t, codes.OK, "done")
+	backup, _ := serveAnswer(t, codes.NotPrimary, primary)
+	unavailable, _ := serveAnswer(t, codes.Unavailable, "")
+	client := New(rpc.NewClients(nil), func() []string { return []string{unavailable, backup} })
 	if got, err := client.Call(t.Context(), KindHostObservations, nil); err != nil || string(got) != "done" {
 		t.Fatalf("%q, %v", got, err)
 	}
@@ -63,7 +63,7 @@
 func TestNotPrimaryErrorNamesThePrimary(t *testing.T) {
 	for name, hint := range map[string]string{"known": "10.0.0.1:7401", "not known": ""} {
 		t.Run(name, func(t *testing.T) {
-			backup, _ := member(t, codes.NotPrimary, hint)
+			backup, _ := serveAnswer(t, codes.NotPrimary, hint)
 			client := New(rpc.NewClients(nil), func() []string { return []string{backup} })
 			_, err := client.CallOnce(t.Context(), KindHostObservations, nil)
 			var notPrimary *NotPrimaryError
@@ -76,7 +76,7 @@
 
 // What the primary rejects is answered with its body and not asked again elsewhere.
 func TestCallReturnsTheBodyOfARejection(t *testing.T) {
-	primary, calls := member(t, codes.ConfigBase, "9")
+	primary, calls := serveAnswer(t, codes.ConfigBase, "9")
 	client := New(rpc.NewClients(nil), func() []string { return []string{primary} })
 	body, err := client.Call(t.Context(), KindSubmit, nil)
 	if !errors.Is(err, codes.ConfigBase) || string(body) != "9" || calls.Load() != 1 {
@@ -85,8 +85,8 @@
 }
 
 func TestCallEndsWithItsContext(t *testing.T) {
-	alone, _ := member(t, codes.Unavailable, "")
-	for name, addresses := range map[string][]string{"no address": nil, "no primary": {alone}} {
+	unavailable, _ := serveAnswer(t, codes.Unavailable, "")
+	for name, addresses := range map[string][]string{"no address": nil, "no primary": {unavailable}} {
 		t.Run(name, func(t *testing.T) {
 			client := New(rpc.NewClients(nil), func() []string { return addresses })
 			ctx, cancel := context.WithTimeout(t.Context(), 2*retryInterval)
--- a/tier/controlclient/recorded_test.go
+++ b/tier/controlclient/recorded_test.go
@@ -26,13 +26,13 @@
 		},
 		Seq: 0x3132333435363738,
 	}, HostHeartbeat.Encode, DecodeHostHeartbeat)
-	question := replica.Timestamp{Incarnation: 0x4142434445464748, At: 1_048_700}
+	probe := replica.Timestamp{Incarnation: 0x4142434445464748, At: 1_048_700}
 	recorded.CheckBoth(t, "control-beat", MemberHeartbeat{
 		Member: consensus.Member{ID: 0x5152535455565758, Address: "10.0.0.1:7401", Node: "ctl-a"}, Leaving: true, RejectedHeartbeats: 17,
-		Echoed: question,
+		Echoed: probe,
 	}, MemberHeartbeat.Encode, DecodeMemberHeartbeat)
 	recorded.CheckBoth(t, "hosts-heard", HeartbeatReport{
-		From: 0x5152535455565758, Echoed: question, Hosts: []ReportedHost{{ID: "host-1", AgeMS: 0x01020304}, {ID: "host-22", AgeMS: 40}},
+		From: 0x5152535455565758, Echoed: probe, Hosts: []ReportedHost{{ID: "host-1", AgeMS: 0x01020304}, {ID: "host-22", AgeMS: 40}},
 	}, HeartbeatReport.Encode, DecodeHeartbeatReport)
 	recorded.CheckBoth(t, "missing", HeartbeatReportResponse{Unregistered: []string{"host-1", "host-22"}},
 		HeartbeatReportResponse.Encode, DecodeHeartbeatReportResponse)
--- a/tier/membership/bootstrap.go
+++ b/tier/membership/bootstrap.go
@@ -28,10 +28,10 @@
 		return nil, false
 	}
 	complete := len(members) == len(b.Seeds)
-	return members, b.WaitElapsed || (complete && b.isFirstSeed())
+	return members, b.WaitElapsed || (complete && b.hasLowestAddress())
 }
 
-// isFirstSeed tells whether this process bootstraps before the others do: its address is the lowest of the seeds.
-func (b BootstrapInput) isFirstSeed() bool {
+// hasLowestAddress tells whether this process bootstraps before the others do: its address is the lowest of the seeds.
+func (b BootstrapInput) hasLowestAddress() bool {
 	return len(b.Seeds) > 0 && slices.Min(b.Seeds) == b.Self.Address
 }
--- a/tier/membership/identity.go
+++ b/tier/membership/identity.go
@@ -7,19 +7,19 @@
 // empty disk. An address that another machine has taken proves nothing, nor does silence, nor an answer from before the member
 // came.
 type IdentityTracker struct {
-	members   map[uint64]sighting
-	addresses map[string]occupant
+	members   map[uint64]memberObservation
+	addresses map[string]addressObservation
 }
 
-// sighting is where and when an identity was seen last.
-type sighting struct {
+// memberObservation is where and when an identity was seen last.
+type memberObservation struct {
 	address string
 	node    string
 	at      int64
 }
 
-// occupant is who answered last at an address.
-type occupant struct {
+// addressObservation is who answered last at an address.
+type addressObservation struct {
 	identity uint64
 	node     string
 	at       int64
@@ -27,23 +27,23 @@
 
 // NewIdentityTracker makes a tracker that has seen nobody.
 func NewIdentityTracker() *IdentityTracker {
-	return &IdentityTracker{members: map[uint64]sighting{}, addresses: map[string]occupant{}}
+	return &IdentityTracker{members: map[uint64]memberObservation{}, addresses: map[string]addressObservation{}}
 }
 
 // ObserveListed notes that a record names a member. Only the first time counts as a sign of it.
 func (t *IdentityTracker) ObserveListed(member consensus.Member, now int64) {
 	if _, known := t.members[member.ID]; !known {
-		t.members[member.ID] = sighting{address: member.Address, node: member.Node, at: now}
+		t.members[member.ID] = memberObservation{address: member.Address, node: member.Node, at: now}
 	}
 }
 
 // ObserveAnswer notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
 func (t *IdentityTracker) ObserveAnswer(member consensus.Member, since int64) {
 	if previous := t.members[member.ID]; previous.at <= since {
-		t.members[member.ID] = sighting{address: member.Address, node: member.Node, at: since}
+		t.members[member.ID] = memberObservation{address: member.Address, node: member.Node, at: since}
 	}
 	if previous := t.addresses[member.Address]; previous.at <= since {
-		t.addresses[member.Address] = occupant{identity: member.ID, node: member.Node, at: since}
+		t.addresses[member.Address] = addressObservation{identity: member.ID, node: member.Node, at: since}
 	}
 }
 
@@ -53,6 +53,6 @@
 	if !known {
 		return false
 	}
-	there, answered := t.addresses[seen.address]
-	return answered && there.identity != id && there.node == seen.node && there.at > seen.at
+	latest, answered := t.addresses[seen.address]
+	return answered && latest.identity != id && latest.node == seen.node && latest.at > seen.at
 }
--- a/tier/membership/steps.go
+++ b/tier/membership/steps.go
@@ -48,47 +48,47 @@
 		if member.ID == record.Primary || !o.DiskLost(member.ID) {
 			continue
 		}
-		if successor, found := p.successorFor(record, member, o); found {
-			next := withoutLearner(replaced(record, member.ID, successor), successor.ID)
+		if replacement, found := p.replacementFor(record, member, o); found {
+			next := withoutLearner(withVoterReplaced(record, member.ID, replacement), replacement.ID)
 			return Step{Record: next}, true
 		}
 	}
 	return Step{}, false
 }
 
-// successorFor picks who follows a lost member: a spare that holds the state, else the process at the same address, else any.
-func (p Policy) successorFor(record consensus.Record, lost consensus.Member, o Observation) (consensus.Member, bool) {
+// replacementFor picks who follows a lost member: a spare that holds the state, else the process at the same address, else any.
+func (p Policy) replacementFor(record consensus.Record, lost consensus.Member, o Observation) (consensus.Member, bool) {
 	var best consensus.Member
-	bestScore := noSuccessor
+	bestScore := noReplacement
 	for _, candidate := range o.Alive {
 		if consensus.HasMember(record.Members, candidate.ID) || o.Draining(candidate.ID) {
 			continue
 		}
-		score := successorScore(candidate, lost, o)
+		score := replacementScore(candidate, lost, o)
 		if score > bestScore || (score == bestScore && candidate.ID < best.ID) {
 			best = candidate
 			bestScore = score
 		}
 	}
-	return best, bestScore > noSuccessor
+	return best, bestScore > noReplacement
 }
 
 // How fit a process is to follow a lost member, the fittest last.
 const (
-	noSuccessor = iota
-	anySuccessor
+	noReplacement = iota
+	anyProcess
 	sameAddress
 	holdsState
 )
 
-func successorScore(candidate, lost consensus.Member, o Observation) int {
+func replacementScore(candidate, lost consensus.Member, o Observation) int {
 	switch {
 	case o.HasState[candidate.ID]:
 		return holdsState
 	case candidate.Address == lost.Address:
 		return sameAddress
 	default:
-		return anySuccessor
+		return anyProcess
 	}
 }
 
@@ -103,7 +103,7 @@
 		if len(record.Members) < p.Voters() {
 			next.Members = append(append([]consensus.Member(nil), record.Members...), learner)
 		} else if member, found := p.replaceableVoter(record, o); found {
-			next = replaced(next, member, learner)
+			next = withVoterReplaced(next, member, learner)
 		} else {
 			continue
 		}
@@ -137,8 +137,8 @@
 		}
 	}
 	members := len(record.Members)
-	leavesMajorityAsItWas := members%2 == 1 && len(departed) < 2 // four bear no more losses than five with one departed
-	if members <= smallestGroup || len(departed) == 0 || leavesMajorityAsItWas || p.hasSpare(record, o) {
+	toleranceUnchanged := members%2 == 1 && len(departed) < 2 // four bear no more losses than five with one departed
+	if members <= smallestGroup || len(departed) == 0 || toleranceUnchanged || p.spareAvailable(record, o) {
 		return Step{}, false
 	}
 	next := record
@@ -150,8 +150,8 @@
 // smallestGroup is the least number of members that bears the loss of one.
 const smallestGroup = 3
 
-// hasSpare tells whether a process could follow a member.
-func (p Policy) hasSpare(record consensus.Record, o Observation) bool {
+// spareAvailable tells whether a process could follow a member.
+func (p Policy) spareAvailable(record consensus.Record, o Observation) bool {
 	for _, candidate := range o.Alive {
 		if !consensus.HasMember(record.Members, candidate.ID) && !o.Draining(candidate.ID) {
 			return true
@@ -187,7 +187,7 @@
 	return Step{}, false
 }
 
-func replaced(record consensus.Record, remove uint64, add consensus.Member) consensus.Record {
+func withVoterReplaced(record consensus.Record, remove uint64, add consensus.Member) consensus.Record {
 	next := record
 	next.Members = append(withoutMember(record.Members, remove), add)
 	next.InSync = consensus.Without(record.InSync, remove)
--- a/tier/membership/steps_test.go
+++ b/tier/membership/steps_test.go
@@ -23,20 +23,20 @@
 	return func(id uint64) bool { return slices.Contains(ids, id) }
 }
 
-// observed is a quiet group.
-func observed(alive ...uint64) Observation {
+// healthyObservation is a quiet group.
+func healthyObservation(alive ...uint64) Observation {
 	return Observation{Alive: members(alive...), HasState: map[uint64]bool{}, DiskLost: set(), Silent: set(), Departed: set(), Draining: set()}
 }
 
 func ids(list []consensus.Member) []uint64 {
 	var all []uint64
-	for _, each := range list {
-		all = append(all, each.ID)
+	for _, member := range list {
+		all = append(all, member.ID)
 	}
 	return all
 }
 
-func same(a, b []uint64) bool {
+func sameIDs(a, b []uint64) bool {
 	for _, id := range a {
 		if !slices.Contains(b, id) {
 			return false
@@ -45,7 +45,7 @@
 	return len(a) == len(b)
 }
 
-func TestMinInSyncRisesWithTheMembersAndNeverFalls(t *testing.T) {
+func TestMinInSyncGrowsWithTheGroupAndNeverShrinks(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	if alone := p.InitialRecord(1, members(1)); alone.MinInSync != 1 {
 		t.Fatalf("a group of one demands %d copies", alone.MinInSync)
@@ -74,53 +74,53 @@
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2))
 	next := p.Successor(record, 2, set())
-	if !same(next.InSync, []uint64{1, 2}) || next.Epoch != 2 || next.Primary != 2 {
+	if !sameIDs(next.InSync, []uint64{1, 2}) || next.Epoch != 2 || next.Primary != 2 {
 		t.Fatalf("%+v", next)
 	}
-	if next = p.Successor(record, 2, set(1)); !same(next.InSync, []uint64{2}) || next.MinInSync != 2 {
+	if next = p.Successor(record, 2, set(1)); !sameIDs(next.InSync, []uint64{2}) || next.MinInSync != 2 {
 		t.Fatalf("a lost disk: %+v", next)
 	}
 	three := p.InitialRecord(1, members(1, 2, 3))
-	if next = p.Successor(three, 2, set()); !same(next.InSync, []uint64{2, 3}) {
+	if next = p.Successor(three, 2, set()); !sameIDs(next.InSync, []uint64{2, 3}) {
 		t.Fatalf("%+v", next)
 	}
 }
 
 // The vote of a lost disk goes to another at once; it is not in sync before it holds the state.
-func TestALostVoteIsGivenToAnotherAtOnce(t *testing.T) {
+func TestVoterWithLostDiskIsReplacedAtOnce(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
 	record.InSync = []uint64{1, 2}
-	o := observed(1, 2, 7)
+	o := healthyObservation(1, 2, 7)
 	o.DiskLost = set(3)
 	step, wanted := p.Next(record, o)
-	if !wanted || !same(ids(step.Record.Members), []uint64{1, 2, 7}) || step.Record.IsInSync(7) || step.Admit != 0 {
+	if !wanted || !sameIDs(ids(step.Record.Members), []uint64{1, 2, 7}) || step.Record.IsInSync(7) || step.Admit != 0 {
 		t.Fatalf("%v %+v", wanted, step)
 	}
 }
 
 // A spare that holds the state goes before the empty process on the lost machine.
-func TestASpareWithTheStateTakesALostVote(t *testing.T) {
+func TestSpareWithTheStateReplacesLostVoterFirst(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
 	record.InSync = []uint64{1, 2}
 	record.Learners = members(9)
-	o := observed(1, 2, 7, 9)
+	o := healthyObservation(1, 2, 7, 9)
 	o.DiskLost = set(3)
 	o.HasState[9] = true
 	step, _ := p.Next(record, o)
-	if !same(ids(step.Record.Members), []uint64{1, 2, 9}) || len(step.Record.Learners) != 0 {
+	if !sameIDs(ids(step.Record.Members), []uint64{1, 2, 9}) || len(step.Record.Learners) != 0 {
 		t.Fatalf("%+v", step)
 	}
 }
 
 // A spare is given a replica before it is needed, and a vote only when it holds the state.
-func TestANewMemberVotesWhenItHoldsTheState(t *testing.T) {
+func TestLearnerIsPromotedOnceItHoldsTheState(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2))
-	o := observed(1, 2, 3)
+	o := healthyObservation(1, 2, 3)
 	step, wanted := p.Next(record, o)
-	if !wanted || len(step.Record.Members) != 2 || !same(ids(step.Record.Learners), []uint64{3}) {
+	if !wanted || len(step.Record.Members) != 2 || !sameIDs(ids(step.Record.Learners), []uint64{3}) {
 		t.Fatalf("%+v", step)
 	}
 	if _, wanted = p.Next(step.Record, o); wanted {
@@ -134,18 +134,18 @@
 }
 
 // A spare that holds the state takes the place of a member that drains before that one has stopped, and of one that is silent.
-func TestASpareTakesThePlaceOfOneThatLeaves(t *testing.T) {
+func TestLearnerReplacesDrainingOrSilentVoter(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
 	record.Learners = members(4)
-	o := observed(1, 2, 3, 4)
+	o := healthyObservation(1, 2, 3, 4)
 	o.HasState[4] = true
 	if _, wanted := p.Next(record, o); wanted {
 		t.Fatal("a whole group changed its members")
 	}
 	o.Draining = set(2)
 	step, wanted := p.Next(record, o)
-	if !wanted || !same(ids(step.Record.Members), []uint64{1, 3, 4}) || !same(step.Record.InSync, []uint64{1, 3, 4}) || step.Admit != 4 {
+	if !wanted || !sameIDs(ids(step.Record.Members), []uint64{1, 3, 4}) || !sameIDs(step.Record.InSync, []uint64{1, 3, 4}) || step.Admit != 4 {
 		t.Fatalf("%+v", step)
 	}
 	o.Draining = set()
@@ -153,18 +153,18 @@
 	for _, inSync := range [][]uint64{{1, 2, 3}, {1, 3}} { // a group at rest does not notice by its acknowledgements that one is silent
 		record.InSync = inSync
 		step, wanted = p.Next(record, o)
-		if !wanted || !same(ids(step.Record.Members), []uint64{1, 3, 4}) || !same(step.Record.InSync, []uint64{1, 3, 4}) {
+		if !wanted || !sameIDs(ids(step.Record.Members), []uint64{1, 3, 4}) || !sameIDs(step.Record.InSync, []uint64{1, 3, 4}) {
 			t.Fatalf("%+v", step)
 		}
 	}
 }
 
 // The primary's own place is given away by another primary only, and draining processes are no spares.
-func TestThePrimaryReplacesOthersOnly(t *testing.T) {
+func TestPrimaryIsNotReplacedByItself(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
 	record.Learners = members(4)
-	o := observed(1, 2, 3, 4)
+	o := healthyObservation(1, 2, 3, 4)
 	o.HasState[4] = true
 	o.Draining = set(1)
 	if _, wanted := p.Next(record, o); wanted {
@@ -177,16 +177,16 @@
 }
 
 // Of five members two leave for good: three are left, which bear the loss of one.
-func TestMembersThatAreGoneAreTakenOutInPairs(t *testing.T) {
+func TestDepartedVotersAreRemovedInPairs(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
 	record.InSync = []uint64{1, 2, 3}
-	o := observed(1, 2, 3, 4)
+	o := healthyObservation(1, 2, 3, 4)
 	o.Departed = set(5)
 	if _, wanted := p.Next(record, o); wanted {
 		t.Fatal("one of five was taken out: four bear no more losses than five with one gone")
 	}
-	o = observed(1, 2, 3)
+	o = healthyObservation(1, 2, 3)
 	o.Departed = set(4, 5)
 	for range 2 {
 		step, wanted := p.Next(record, o)
@@ -195,7 +195,7 @@
 		}
 		record = step.Record
 	}
-	if !same(ids(record.Members), []uint64{1, 2, 3}) || record.MinInSync != 3 {
+	if !sameIDs(ids(record.Members), []uint64{1, 2, 3}) || record.MinInSync != 3 {
 		t.Fatalf("%+v", record)
 	}
 	if _, wanted := p.Next(record, o); wanted {
@@ -205,10 +205,10 @@
 
 // In a group at rest nobody is missed by acknowledgements: members that have departed leave the in-sync set as they are taken out, down
 // to the replicas that are needed.
-func TestMembersThatAreGoneLeaveTheInSyncSet(t *testing.T) {
+func TestRemovedVotersLeaveTheInSyncSet(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
-	o := observed(1, 2, 3)
+	o := healthyObservation(1, 2, 3)
 	o.Departed = set(4, 5)
 	for range 2 {
 		step, wanted := p.Next(record, o)
@@ -217,7 +217,7 @@
 		}
 		record = step.Record
 	}
-	if !same(ids(record.Members), []uint64{1, 2, 3}) || !same(record.InSync, []uint64{1, 2, 3}) {
+	if !sameIDs(ids(record.Members), []uint64{1, 2, 3}) || !sameIDs(record.InSync, []uint64{1, 2, 3}) {
 		t.Fatalf("%+v", record)
 	}
 	o.Departed = set(2, 3)
@@ -229,11 +229,11 @@
 }
 
 // A member that has departed is not taken out while another process can follow it.
-func TestNoneIsTakenOutWhileASpareIsThere(t *testing.T) {
+func TestDepartedVoterIsKeptWhileASpareIsAvailable(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
 	record.InSync = []uint64{1, 2, 3}
-	o := observed(1, 2, 3, 6)
+	o := healthyObservation(1, 2, 3, 6)
 	o.Departed = set(4, 5)
 	o.Silent = set(4, 5)
 	if step, _ := p.Next(record, o); len(step.Record.Members) != 5 || len(step.Record.Learners) != 1 {
@@ -241,11 +241,11 @@
 	}
 }
 
-func TestASilentSpareIsForgotten(t *testing.T) {
+func TestSilentLearnerIsRemoved(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
 	record.Learners = members(4)
-	o := observed(1, 2, 3)
+	o := healthyObservation(1, 2, 3)
 	o.Silent = set(4)
 	step, wanted := p.Next(record, o)
 	if !wanted || len(step.Record.Learners) != 0 || len(step.Record.Members) != 3 {
