--- a/tier/control/election/acceptor.go
+++ b/tier/control/election/acceptor.go
@@ -10,10 +10,10 @@
 	"otterseam/tier/rpc"
 )
 
-// acceptorValue is the stored value that holds the acceptor.
+// acceptorValue is the name of the stored value that holds the acceptor's state. Operators know the acceptor as a witness.
 const acceptorValue = "witness"
 
-// HandlePrepare answers a prepare for this process's acceptor.
+// HandlePrepare answers a prepare request to this process's acceptor.
 func (e *Elector) HandlePrepare(message rpc.Message) {
 	request, err := decodePrepareRequest(message.Payload)
 	if err != nil {
@@ -34,7 +34,7 @@
 	message.Answer(codes.OK, e.response(granted))
 }
 
-// HandleAccept answers an accept for this process's acceptor.
+// HandleAccept answers an accept request to this process's acceptor.
 func (e *Elector) HandleAccept(message rpc.Message) {
 	request, err := decodeAcceptRequest(message.Payload)
 	if err != nil {
@@ -59,7 +59,8 @@
 	message.Answer(codes.OK, answer)
 }
 
-// vote changes the acceptor and makes the change durable before it counts; the lock on voting is held.
+// vote applies a change to the acceptor and stores the result before it takes effect. It reports whether the vote was granted. The
+// caller holds voteMu.
 func (e *Elector) vote(change func(*consensus.Acceptor) bool) bool {
 	e.mu.Lock()
 	next := e.acceptor
@@ -68,7 +69,7 @@
 		return false
 	}
 	if err := e.config.Node.Values.Write(acceptorValue, next.Encode()); err != nil {
-		e.config.Log.WithError(err).Error("witness could not be written; no vote is given")
+		e.config.Log.WithError(err).Error("the acceptor's state (witness) could not be written; refusing the vote")
 		return false
 	}
 	e.mu.Lock()
@@ -77,7 +78,7 @@
 	return true
 }
 
-// response is the encoded answer of the acceptor as it stands.
+// response returns the encoded response of the acceptor in its current state.
 func (e *Elector) response(granted bool) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,7 +87,7 @@
 	})
 }
 
-// acceptorTransport reaches the acceptors of other processes, and this one's, over rpc.
+// acceptorTransport calls the acceptors of all processes, including this one, over rpc.
 type acceptorTransport struct {
 	elector *Elector
 	mode    PrepareMode
--- a/tier/control/election/bootstrap.go
+++ b/tier/control/election/bootstrap.go
@@ -11,11 +11,11 @@
 	"otterseam/tier/membership"
 )
 
-// bootstrapWait is how long a process that bootstraps waits for all seeds, in milliseconds. It is twice CallTimeout, so that a seed
-// that is up was asked at least once.
+// bootstrapWait is how long, in milliseconds after its start, a bootstrapping process waits for all seeds. It is twice CallTimeout, so
+// that each running seed was called at least once.
 const bootstrapWait = 700
 
-// FindOrBootstrap looks for a cluster, or bootstraps it where the settings say that there is none.
+// FindOrBootstrap locates the cluster. If none is found and the settings allow this process to bootstrap one, it does so.
 func (f *Failover) FindOrBootstrap(ctx context.Context) {
 	f.locate(ctx)
 	seeds := f.elector.config.BootstrapSeeds()
@@ -30,11 +30,11 @@
 		return
 	}
 	if err := f.elector.bootstrap(ctx, members, len(seeds)); err != nil {
-		f.elector.config.Log.WithError(err).Warn("bootstrap did not succeed; trying again")
+		f.elector.config.Log.WithError(err).Warn("bootstrap failed; retrying")
 	}
 }
 
-// bootstrap decides the first record, with the members that were found among a number of seeds.
+// bootstrap decides the first record. members are the processes found among the given number of seeds.
 func (e *Elector) bootstrap(ctx context.Context, members []consensus.Member, seeds int) error {
 	clusterID := rand.Uint64() | 1
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
@@ -54,7 +54,7 @@
 	return err
 }
 
-// candidates are the processes that answered and were started to bootstrap the cluster.
+// candidates is the set of processes that answered and were started to bootstrap the cluster.
 type candidates struct {
 	mu        sync.Mutex // guards byAddress
 	byAddress map[string]consensus.Member
@@ -62,7 +62,7 @@
 
 func newCandidates() *candidates { return &candidates{byAddress: map[string]consensus.Member{}} }
 
-// set notes whether the process that answered at an address was started to bootstrap the cluster.
+// set adds a process that answered to the candidates if it was started to bootstrap the cluster, and removes it otherwise.
 func (c *candidates) set(member consensus.Member, bootstraps bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// all returns the candidates by their address.
+// all returns a copy of the candidates by address.
 func (c *candidates) all() map[string]consensus.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/tier/control/election/cluster_test.go
+++ b/tier/control/election/cluster_test.go
@@ -12,7 +12,7 @@
 	"otterseam/tier/rpc"
 )
 
-// A record of another cluster is not learnt, however high its epoch, and is named with a code.
+// A record of another cluster is not learned, however high its epoch, and is logged with codes.DiskForeign.
 func TestRecordOfAnotherClusterIsIgnored(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	log := logrus.NewEntry(logger)
@@ -30,11 +30,11 @@
 		t.Fatalf("known: %+v", known)
 	}
 	if entry := hook.LastEntry(); entry == nil || entry.Data["code"] != uint16(codes.DiskForeign) {
-		t.Fatalf("named: %+v", entry)
+		t.Fatalf("last log entry: %+v", entry)
 	}
 }
 
-// A record counts as known since its epoch was seen first, not since the last one of that epoch.
+// KnownSince returns the time at which the epoch was first seen, not the time of the newest record of that epoch.
 func TestKnownSinceIsTheFirstSightOfAnEpoch(t *testing.T) {
 	clients := rpc.NewClients(nil)
 	node, err := multigroup.Open(t.TempDir(), clients, logrus.NewEntry(logrus.New()), true)
@@ -45,15 +45,15 @@
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 1})
 	_, first := elector.KnownSince()
 	if first == 0 {
-		t.Fatal("nothing says since when the record is known")
+		t.Fatal("KnownSince returned no time")
 	}
 	elector.epochSeenAt = first - 10
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 1, MinInSync: 2})
 	if _, since := elector.KnownSince(); since != first-10 {
-		t.Fatalf("another record of the same epoch counts as new: %d, not %d", since, first-10)
+		t.Fatalf("another record of the same epoch changed the time to %d, want %d", since, first-10)
 	}
 	elector.Learn(consensus.Record{Epoch: 4, Primary: 2})
 	if _, since := elector.KnownSince(); since < first {
-		t.Fatal("a newer epoch does not count as new")
+		t.Fatal("a newer epoch did not change the time")
 	}
 }
--- a/tier/control/election/elector.go
+++ b/tier/control/election/elector.go
@@ -21,15 +21,15 @@
 const (
 	// CallTimeout bounds one call to another control process.
 	CallTimeout = 350 * time.Millisecond
-	// ProposeTimeout bounds a proposal with its repetitions. It is above three times CallTimeout: a prepare, an accept, and one of
-	// them again.
+	// ProposeTimeout bounds a proposal including its retries. It exceeds three times CallTimeout, which leaves time for a prepare, an
+	// accept and one retry of either.
 	ProposeTimeout = 1200 * time.Millisecond
 )
 
-// ErrSuperseded says that another record has been decided in place of the one that was proposed.
-var ErrSuperseded = errors.New("another record has been decided meanwhile")
+// ErrSuperseded is returned when another record was decided instead of the proposed one.
+var ErrSuperseded = errors.New("another membership record was decided in the meantime")
 
-// Config is what an Elector is made of.
+// Config is the configuration of an Elector.
 type Config struct {
 	Node     *multigroup.Node
 	Clients  *rpc.Clients
@@ -37,34 +37,34 @@
 	Policy   membership.Policy
 	Timeline *timeline.Timeline
 	Log      *logrus.Entry
-	// Now is the process's steady clock in milliseconds, the one that Node uses.
+	// Now returns the time in milliseconds of the monotonic clock that Node uses.
 	Now func() int64
-	// Seeds lists the addresses at which control processes may be, as the settings say now.
+	// Seeds returns the addresses of possible control processes according to the current settings.
 	Seeds func() []string
-	// Bootstrap says that this process may bootstrap the cluster, with the processes at BootstrapSeeds.
+	// Bootstrap is true if this process may bootstrap the cluster together with the processes at BootstrapSeeds.
 	Bootstrap      bool
 	BootstrapSeeds func() []string
 }
 
-// Elector is a control process's part in the register: its acceptor, and what it knows of the group. Its methods may be called from
-// any goroutine.
+// Elector is a control process's part in the register: its acceptor, its proposals and the newest record that it knows. Its methods
+// are safe for concurrent use.
 type Elector struct {
 	config Config
 
 	identities *identities
 	rounds     *consensus.RoundAllocator
-	startedAt  int64 // of this process
+	startedAt  int64 // start of this process
 
-	voteMu      sync.Mutex // held while a vote is written, however long the disk takes; taken before mu
-	mu          sync.Mutex // guards what follows; nothing is called under it
+	voteMu      sync.Mutex // held while a vote is written, however long the disk takes; locked before mu
+	mu          sync.Mutex // guards the fields below; no other lock is acquired while it is held
 	acceptor    consensus.Acceptor
-	known       consensus.Record // the newest record seen: accepted here, told, or decided here
+	known       consensus.Record // the newest record: accepted here, received from another process, or decided by a proposal of this process
 	decided     bool             // whether known was decided by a proposal of this process
-	epochSeenAt int64            // when an epoch as new as that of known was seen first
-	led         bool             // whether this process has become primary in its present incarnation
+	epochSeenAt int64            // when the epoch of known, or a newer one, was first seen
+	led         bool             // whether this process has become primary since it started
 }
 
-// New opens the acceptor of a control process.
+// New returns the Elector of a control process and restores its acceptor from disk.
 func New(config Config) (*Elector, error) {
 	e := &Elector{config: config, identities: newIdentities(config.Self, config.Now), startedAt: config.Now()}
 	content, err := e.config.Node.Values.Read(acceptorValue)
@@ -81,40 +81,40 @@
 		return nil, err
 	}
 	if err := e.rounds.Reserve(); err != nil {
-		e.config.Log.WithError(err).Warn("rounds could not be reserved; the first proposal tries again")
+		e.config.Log.WithError(err).Warn("proposal rounds could not be reserved; retrying at the first proposal")
 	}
 	return e, nil
 }
 
-// hasLed tells whether this process has become primary in its present incarnation.
+// hasLed reports whether this process has become primary since it started.
 func (e *Elector) hasLed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.led
 }
 
-// Known is the newest record seen.
+// Known returns the newest record that this process knows, decided or not.
 func (e *Elector) Known() consensus.Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.known
 }
 
-// KnownSince is the newest record seen, and when its epoch was seen first.
+// KnownSince returns the newest record that this process knows and the time at which its epoch was first seen.
 func (e *Elector) KnownSince() (record consensus.Record, since int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.known, e.epochSeenAt
 }
 
-// Leads tells whether this process is the primary of control, also while it waits for a replica and can commit nothing.
+// Leads reports whether this process is the primary of control, including the time in which it waits for a replica and can't commit.
 func (e *Elector) Leads() bool {
 	leads := false
 	e.config.Node.WithGroup(state.Group, func(g *replica.Group) { leads = g.IsPrimary() })
 	return leads
 }
 
-// Addresses lists where other control processes may be: the members known, then the seeds.
+// Addresses returns the addresses of possible control processes: the known members, then the seeds.
 func (e *Elector) Addresses() []string {
 	var addresses []string
 	for _, member := range e.Known().Members {
@@ -128,18 +128,20 @@
 	return addresses
 }
 
-// DiskLost tells whether a control process's disk is provably lost.
+// DiskLost reports whether the disk of a control process is provably lost.
 func (e *Elector) DiskLost(id uint64) bool { return e.identities.diskLost(id, e.Known()) }
 
-// ObserveAnswer notes who answered at an address, and since when its answer counts.
+// ObserveAnswer records which process answered at an address. The answer counts as of since, the time at which the call was made.
 func (e *Elector) ObserveAnswer(member consensus.Member, since int64) {
 	e.identities.observeAnswer(member, since, e.Known())
 }
 
-// Learn takes a record that was accepted here or told by another process. It need not have been decided: what is known says
-// whom to ask and which epoch to suspect, and every decision is taken anew on the record that a quorum returns.
+// Learn updates the known record with one that was accepted here or received from another process. The record need not have been
+// decided: the known record only determines which processes are called and which epoch is suspected, and each change is applied to the
+// record that a quorum returns.
 func (e *Elector) Learn(record consensus.Record) { e.observe(record, false) }
 
+// observe updates the known record, the replica's view of the newest vote, and the addresses of the members.
 func (e *Elector) observe(record consensus.Record, decided bool) {
 	if e.config.Node.IsForeignCluster(record.ClusterID) {
 		return
@@ -160,8 +162,8 @@
 	}
 }
 
-// Supersedes tells whether a record is to replace the one known. Two records of one epoch may be seen, of which one at most was
-// decided.
+// Supersedes reports whether a record replaces the known one. A process may see two records of the same epoch, of which at most one
+// was decided.
 func Supersedes(record consensus.Record, decided bool, known consensus.Record, knownDecided bool) bool {
 	if record.Epoch != known.Epoch {
 		return record.Epoch > known.Epoch
@@ -169,19 +171,19 @@
 	return record.IsBootstrapped() && (decided || !knownDecided)
 }
 
-// propose changes the register. Proposals may run side by side: each has proposal numbers of its own.
+// propose changes the register. Proposals may run concurrently: each uses its own proposal numbers.
 func (e *Elector) propose(ctx context.Context, mode PrepareMode, start consensus.Record, change consensus.Change) (consensus.Record, error) {
 	return e.runProposal(ctx, func(attempt context.Context) (consensus.Record, error) {
 		return e.proposer(mode).Propose(attempt, start, change)
 	})
 }
 
-// proposer proposes in the name of this process.
+// proposer returns a proposer with the identity of this process.
 func (e *Elector) proposer(mode PrepareMode) consensus.Proposer {
 	return consensus.Proposer{ID: e.config.Node.Identity, Rounds: e.rounds, Transport: acceptorTransport{e, mode}}
 }
 
-// runProposal runs a proposal and notes what it decided.
+// runProposal runs a proposal within ProposeTimeout and observes the record that it decided.
 func (e *Elector) runProposal(ctx context.Context, proposal func(context.Context) (consensus.Record, error)) (consensus.Record, error) {
 	e.mu.Lock()
 	promised := e.acceptor.Promised.Round
@@ -196,8 +198,8 @@
 	return record, err
 }
 
-// TakeOver makes this process primary in place of the one of the suspected epoch. It returns ErrSuperseded if another record has
-// been decided meanwhile.
+// TakeOver makes this process primary in place of the primary of the suspected epoch. It returns ErrSuperseded if another record was
+// decided in the meantime.
 func (e *Elector) TakeOver(ctx context.Context, mode PrepareMode, suspected uint64) error {
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if !MayReplace(current, suspected, e.config.Node.Identity) {
@@ -216,13 +218,13 @@
 	return nil
 }
 
-// MayReplace tells whether a process may replace the primary of the current record by itself, where it suspects the primary of an epoch.
-// A suspected epoch above the current one was proposed and never decided.
+// MayReplace reports whether a process that suspects the primary of an epoch may replace the primary of the current record. A suspected
+// epoch above the current one was proposed but never decided.
 func MayReplace(current consensus.Record, suspected, self uint64) bool {
 	return current.Epoch <= suspected && current.IsInSync(self)
 }
 
-// Adjust changes the record while this process is its primary: members, or the in-sync set.
+// Adjust changes the members or the in-sync set of the record if this process is its primary.
 func (e *Elector) Adjust(ctx context.Context, change func(consensus.Record) (consensus.Record, bool)) error {
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != e.config.Node.Identity {
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// assumePrimary has the replica act on a record that this process has decided.
+// assumePrimary passes a record that this process decided, and that names it as primary, to the replica.
 func (e *Elector) assumePrimary(record consensus.Record) {
 	if !e.config.Node.BindCluster(record.ClusterID) {
 		return
@@ -255,6 +257,6 @@
 	e.led = true
 	e.mu.Unlock()
 	e.config.Timeline.Reach(timeline.PrimaryDecided)
-	e.config.Log.WithFields(logrus.Fields{"epoch": record.Epoch, "in_sync": len(record.InSync), "members": len(record.Members)}).Info("primary of control")
+	e.config.Log.WithFields(logrus.Fields{"epoch": record.Epoch, "in_sync": len(record.InSync), "members": len(record.Members)}).Info("this process is the primary of control")
 	e.config.Node.SetView(state.Group, membership.View(record))
 }
--- a/tier/control/election/elector_test.go
+++ b/tier/control/election/elector_test.go
@@ -10,14 +10,14 @@
 	"otterseam/tier/storage"
 )
 
-// localAcceptors are acceptors that answer at once, but that the first accepts reach the first witness alone, and that the third
-// one is cut off from then on.
+// localAcceptors is a transport to acceptors in memory, which answer at once. The first accepts reach only acceptor 1, and once they have
+// been dropped, prepares don't reach acceptor 3 any more.
 type localAcceptors struct {
 	acceptors     map[uint64]*consensus.Acceptor
-	acceptsToDrop int // accepts that are still to be lost
+	acceptsToDrop int // accepts still to be dropped
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("acceptor is unreachable")
 
 func (l *localAcceptors) Prepare(_ context.Context, to consensus.Member, ballot consensus.ProposalNumber) (consensus.Response, error) {
 	if l.acceptsToDrop == 0 && to.ID == 3 {
@@ -38,7 +38,7 @@
 	return consensus.Response{Granted: granted, Promised: acceptor.Promised, Accepted: acceptor.Accepted, Value: acceptor.Value}, nil
 }
 
-// serialTransport hands calls on one at a time.
+// serialTransport passes calls on one at a time.
 type serialTransport struct {
 	semaphore chan struct{}
 	inner     consensus.Transport
@@ -56,7 +56,8 @@
 	return s.inner.Accept(ctx, to, ballot, value)
 }
 
-// A takeover whose first attempt reached one witness only meets its own value at the second attempt. It has been taken, once.
+// The first attempt of a takeover reaches only one acceptor, so the second attempt finds the takeover's own value there. The change counts
+// as applied, and is applied once.
 func TestProposalThatFindsItsOwnValueSucceeds(t *testing.T) {
 	members := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}
 	stub := &localAcceptors{acceptors: map[uint64]*consensus.Acceptor{}, acceptsToDrop: 2}
@@ -74,11 +75,11 @@
 	transport := serialTransport{make(chan struct{}, 1), stub}
 	record, err := consensus.Proposer{ID: 1, Rounds: rounds, Transport: transport}.Propose(context.Background(), start, attempt.Apply)
 	if err != nil || record.Epoch != 6 || record.Primary != 1 || !attempt.Applied() {
-		t.Fatalf("%+v, %v, took %v", record, err, attempt.Applied())
+		t.Fatalf("%+v, %v, applied %v", record, err, attempt.Applied())
 	}
 }
 
-// A record that was accepted somewhere and never decided must not stay in place of the decided one of the same epoch.
+// A record that was accepted somewhere but never decided must not prevail over the decided record of the same epoch.
 func TestDecidedRecordReplacesUndecidedRecordOfItsEpoch(t *testing.T) {
 	undecided := consensus.Record{Epoch: 6, Primary: 1}
 	decided := consensus.Record{Epoch: 6, Primary: 2}
@@ -89,8 +90,8 @@
 		want                  bool
 	}{
 		{"decided after undecided", decided, true, false, true},
-		{"told after undecided", decided, false, false, true},
-		{"told after decided", undecided, false, true, false},
+		{"received after undecided", decided, false, false, true},
+		{"received after decided", undecided, false, true, false},
 		{"newer", consensus.Record{Epoch: 7}, false, true, true},
 		{"older", consensus.Record{Epoch: 5}, true, false, false},
 		{"none", consensus.Record{}, false, false, false},
@@ -105,7 +106,7 @@
 	}
 }
 
-// The rounds of a process are durable before it proposes, so that its next life never uses one of them again.
+// The rounds of a process are reserved on disk before it proposes, so that it doesn't reuse one of them after a restart.
 func TestRoundsAreNotReusedAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	last := uint64(0)
@@ -121,7 +122,7 @@
 		for range 5 {
 			round, err := rounds.Next()
 			if err != nil || round <= last {
-				t.Fatalf("life %d used round %d after %d, %v", incarnation, round, last, err)
+				t.Fatalf("incarnation %d used round %d after %d, %v", incarnation, round, last, err)
 			}
 			last = round
 		}
--- a/tier/control/election/errors.go
+++ b/tier/control/election/errors.go
@@ -2,15 +2,15 @@
 
 import "otterseam/tier/codes"
 
-// NotLeaderError says that this process isn't the primary in force. It has the code and the text of codes.NotPrimary.
+// NotLeaderError is the error of a process that is not the current primary. It has the code and the text of codes.NotPrimary.
 type NotLeaderError struct {
-	Leader string // address of the primary, "" if it isn't known
+	Leader string // address of the primary; empty if it is not known
 }
 
-// Error is the text of codes.NotPrimary.
+// Error returns the text of codes.NotPrimary.
 func (e *NotLeaderError) Error() string { return codes.NotPrimary.Error() }
 
-// Unwrap is codes.NotPrimary.
+// Unwrap returns codes.NotPrimary.
 func (e *NotLeaderError) Unwrap() error { return codes.NotPrimary }
 
 // leaseExpiredError is the type of ErrLeaseExpired.
@@ -19,6 +19,6 @@
 func (leaseExpiredError) Error() string { return codes.Unavailable.Error() }
 func (leaseExpiredError) Unwrap() error { return codes.Unavailable }
 
-// ErrLeaseExpired says that this process has no contact with a majority, or with the primary in force, recent enough to stand behind
-// an answer. It has the code and the text of codes.Unavailable.
+// ErrLeaseExpired is the error of a process whose last confirmed contact with a majority (on the primary) or with the current primary
+// (elsewhere) is too old to answer on behalf of the group. It has the code and the text of codes.Unavailable.
 var ErrLeaseExpired error = leaseExpiredError{}
--- a/tier/control/election/failover.go
+++ b/tier/control/election/failover.go
@@ -10,24 +10,24 @@
 	"otterseam/tier/replica"
 )
 
-// Failover decides when this process tries to become primary. Watch, FindOrBootstrap and StepAside are of one goroutine, the
-// supervisor's; the handlers may be called from any.
+// Failover decides when this process tries to become primary. Watch, FindOrBootstrap and StepAside are called only by the supervisor's
+// goroutine; the handlers may be called from any goroutine.
 type Failover struct {
 	elector    *Elector
 	candidates *candidates
 	draining   func() bool // whether this process is about to stop
 
-	locatedAt      int64                 // of the supervisor
-	steppedAsideAt int64                 // of the supervisor
-	backoff        lease.ElectionBackoff // of the supervisor
+	locatedAt      int64                 // when locate last started; used by the supervisor only
+	steppedAsideAt int64                 // when StepAside last asked other members; used by the supervisor only
+	backoff        lease.ElectionBackoff // used by the supervisor only
 }
 
-// NewFailover makes the failover of a process. draining tells whether the process is about to stop.
+// NewFailover returns the failover of a process. draining reports whether the process is about to stop.
 func NewFailover(elector *Elector, draining func() bool) *Failover {
 	return &Failover{elector: elector, candidates: newCandidates(), draining: draining}
 }
 
-// input is what this process knows of its primary.
+// input returns what this process knows about the primary.
 func (f *Failover) input() lease.FailoverInput {
 	e := f.elector
 	known, learned := e.KnownSince()
@@ -49,7 +49,7 @@
 	return input
 }
 
-// Watch takes over when the primary has been silent, or without a majority, for too long.
+// Watch takes over when the primary has been silent, or without a confirming majority, for too long.
 func (f *Failover) Watch(ctx context.Context) {
 	epoch := f.elector.Known().Epoch
 	action := f.input().Next()
@@ -66,14 +66,14 @@
 	}
 }
 
-// tryTakeOver takes over, and waits longer and longer where that fails again and again.
+// tryTakeOver tries to take over. Each failed proposal increases the backoff before the next one.
 func (f *Failover) tryTakeOver(ctx context.Context, mode PrepareMode, epoch uint64) {
 	if proposed, err := f.takeOver(ctx, mode, epoch); proposed && err != nil {
 		f.backoff.Fail(epoch, f.elector.config.Now(), rand.Int64N)
 	}
 }
 
-// Rank is a replica's place among those that may follow the primary, from 0 on.
+// Rank returns the position, counted from 0, of a replica among the in-sync replicas that may succeed the primary.
 func Rank(record consensus.Record, id uint64) int {
 	rank := 0
 	for _, inSyncID := range record.InSync {
@@ -87,9 +87,9 @@
 	return rank
 }
 
-// takeOver asks the others first whether they would follow, and only then for their promises, so that a process that could not
-// win disturbs nobody. One without support looks around: whom it knows may have been replaced, or it may have the disk of another
-// cluster. It tells whether a proposal was made, and the error of one that failed.
+// takeOver asks the voters for pre-votes and makes a proposal only if it wins them, so that a process that can't win doesn't disturb the
+// primary. If it loses, it locates the other control processes: the members that it knows may have been replaced, or its disk may be that
+// of another cluster. It reports whether a proposal was made, and the error of a failed one.
 func (f *Failover) takeOver(ctx context.Context, mode PrepareMode, epoch uint64) (proposed bool, err error) {
 	if !f.elector.winsPreVote(ctx, mode, epoch) {
 		if mode != PrepareOnTransfer {
@@ -98,13 +98,13 @@
 		return false, nil
 	}
 	if mode != PrepareOnTransfer {
-		f.locate(ctx) // whose disks are lost
+		f.locate(ctx) // to find out which disks are lost
 	}
 	if f.elector.Known().Epoch != epoch {
 		return false, nil
 	}
 	if err = f.elector.TakeOver(ctx, mode, epoch); err != nil {
-		f.elector.config.Log.WithField("epoch", epoch).WithError(err).Info("takeover did not succeed")
+		f.elector.config.Log.WithField("epoch", epoch).WithError(err).Info("takeover failed")
 	}
 	return true, err
 }
--- a/tier/control/election/identities.go
+++ b/tier/control/election/identities.go
@@ -7,12 +7,12 @@
 	"otterseam/tier/membership"
 )
 
-// identities is who was seen at which address, from which follows whose disk is lost: where a member was, another identity answers.
+// identities records which identity answered at which address. The disk of a member is lost if another identity answers in its place.
 type identities struct {
 	self consensus.Member
 	now  func() int64
 
-	mu      sync.Mutex // guards tracker; nothing is called under it but the tracker
+	mu      sync.Mutex // guards tracker; only the tracker and now are called while it is held
 	tracker *membership.IdentityTracker
 }
 
@@ -20,7 +20,7 @@
 	return &identities{self: self, now: now, tracker: membership.NewIdentityTracker()}
 }
 
-// observeAnswer notes who answered at an address, and since when its answer counts.
+// observeAnswer records which process answered at an address. The answer counts as of since.
 func (i *identities) observeAnswer(member consensus.Member, since int64, known consensus.Record) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -28,14 +28,14 @@
 	i.tracker.ObserveAnswer(member, since)
 }
 
-// observeListed notes the members that a record names; the lock is held.
+// observeListed records the members that a record lists. The caller holds mu.
 func (i *identities) observeListed(record consensus.Record) {
 	for _, member := range append(record.Voters(), record.Learners...) {
 		i.tracker.ObserveListed(member, i.now())
 	}
 }
 
-// diskLost tells whether a control process's disk is provably lost.
+// diskLost reports whether the disk of a control process is provably lost.
 func (i *identities) diskLost(id uint64, known consensus.Record) bool {
 	if id == i.self.ID {
 		return false
@@ -44,7 +44,7 @@
 	defer i.mu.Unlock()
 	i.observeListed(known)
 	if member, listed := known.Member(id); listed && member.Address == i.self.Address && member.Node == i.self.Node {
-		return true // this process is the one that came up on the empty disk
+		return true // this process itself started on the empty disk
 	}
 	return i.tracker.DiskLost(id)
 }
--- a/tier/control/election/learn_test.go
+++ b/tier/control/election/learn_test.go
@@ -11,7 +11,8 @@
 	"otterseam/tier/rpc"
 )
 
-// A newer record is dated when it is learned: who follows a primary that never came has to know since when it waits.
+// Learn records the time at which it received a newer record. A backup counts from that time how long a
+// primary that never started has been silent.
 func TestLearnSetsTheTimeOfANewerRecord(t *testing.T) {
 	log := logrus.NewEntry(logrus.New())
 	clients := rpc.NewClients(nil)
@@ -26,6 +27,6 @@
 	before := multigroup.Now()
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 7})
 	if known, since := elector.KnownSince(); known.Epoch != 3 || since < before {
-		t.Fatalf("epoch %d is known since %d, before %d", known.Epoch, since, before)
+		t.Fatalf("epoch %d is known since %d, which is before %d", known.Epoch, since, before)
 	}
 }
--- a/tier/control/election/locate.go
+++ b/tier/control/election/locate.go
@@ -10,10 +10,10 @@
 	"otterseam/tier/rpc"
 )
 
-// LocateInterval is how often a process that has no primary looks around, in milliseconds.
+// LocateInterval is the interval, in milliseconds, at which a process without a primary locates the other control processes.
 const LocateInterval = 200
 
-// locate asks all control processes known who they are and what they know.
+// locate asks all known addresses of control processes for their identity and the record that they know.
 func (f *Failover) locate(ctx context.Context) {
 	f.locatedAt = f.elector.config.Now()
 	call, cancel := context.WithTimeout(ctx, CallTimeout)
@@ -32,7 +32,7 @@
 	wait.Wait()
 }
 
-// locateAddress asks who is at an address.
+// locateAddress asks the process at an address for its identity and its record.
 func (f *Failover) locateAddress(ctx context.Context, address string) {
 	sentAt := f.elector.config.Now()
 	answer, err := f.elector.config.Clients.To(address).Call(ctx, controlclient.KindLocate, nil)
@@ -49,14 +49,14 @@
 	f.candidates.set(member, response.Bootstraps)
 }
 
-// locateUnlessRecent asks unless it has asked a moment ago.
+// locateUnlessRecent calls locate if the last call was longer than LocateInterval ago.
 func (f *Failover) locateUnlessRecent(ctx context.Context) {
 	if f.elector.config.Now()-f.locatedAt > LocateInterval {
 		f.locate(ctx)
 	}
 }
 
-// HandleLocate tells who this process is and what it knows, and takes what the asker may have told.
+// HandleLocate answers with the identity of this process and the record that it knows. It learns the record in the request, if any.
 func (e *Elector) HandleLocate(message rpc.Message) {
 	if len(message.Payload) > 0 {
 		e.learnEncoded(message.Payload)
@@ -65,7 +65,8 @@
 	message.Answer(codes.OK, response.Encode())
 }
 
-// Announce tells the seeds that are no members where the group is: a process that comes up on an empty disk may know them alone.
+// Announce sends the known record to the seeds that are not members. A process that starts on an empty disk may know only the seeds, so
+// it can find the group through them.
 func (e *Elector) Announce(ctx context.Context) {
 	known := e.Known()
 	members := map[string]bool{}
@@ -76,7 +77,7 @@
 	defer cancel()
 	for _, seed := range e.config.Seeds() {
 		if !members[seed] {
-			_, _ = e.config.Clients.To(seed).Call(call, controlclient.KindLocate, encodeRecord(known)) // the next announcement repeats it
+			_, _ = e.config.Clients.To(seed).Call(call, controlclient.KindLocate, encodeRecord(known)) // a failed call is repeated by the next announcement
 		}
 	}
 }
--- a/tier/control/election/messages.go
+++ b/tier/control/election/messages.go
@@ -6,18 +6,18 @@
 	"otterseam/tier/rpc"
 )
 
-// KindTakeOver asks a backup to become primary, since the primary is about to stop. The answer comes when it has become primary,
-// or tells that it has not.
+// KindTakeOver asks a backup to become primary because the primary is about to stop or has a degraded disk. The backup answers once it
+// has become primary or has failed to.
 const KindTakeOver rpc.Kind = 30
 
-// PrepareMode tells an acceptor why it is asked.
+// PrepareMode is the reason for a prepare or pre-vote request.
 type PrepareMode uint8
 
-// The reasons to ask an acceptor.
+// The reasons for a prepare or pre-vote request.
 const (
-	PrepareBySelf     PrepareMode = iota // the primary itself, or a process that bootstraps
-	PrepareOnSilence                     // the primary is not heard
-	PrepareOnTransfer                    // the primary asked for it
+	PrepareBySelf     PrepareMode = iota // the sender is the primary, or bootstraps the cluster
+	PrepareOnSilence                     // the primary is silent
+	PrepareOnTransfer                    // the primary asked the sender to take over
 )
 
 // prepareRequest asks an acceptor to promise a proposal number. A proposer sends it with controlclient.KindPrepare.
@@ -62,7 +62,7 @@
 	return r, d.Err()
 }
 
-// encodeResponse is an acceptor's answer to both.
+// encodeResponse encodes an acceptor's response to a prepareRequest or an acceptRequest.
 func encodeResponse(r consensus.Response) []byte {
 	var e codec.Encoder
 	e.Bool(r.Granted)
@@ -84,7 +84,7 @@
 type preVoteRequest struct {
 	To        uint64 // identity of the voter
 	Candidate uint64
-	Epoch     uint64 // whose primary is to be replaced
+	Epoch     uint64 // the epoch whose primary is to be replaced
 	Mode      PrepareMode
 }
 
@@ -103,10 +103,10 @@
 	return r, d.Err()
 }
 
-// preVoteResponse is a voter's answer, with the record that it knows.
+// preVoteResponse is a voter's response to a preVoteRequest.
 type preVoteResponse struct {
 	Supported bool
-	Record    consensus.Record
+	Record    consensus.Record // the newest record that the voter knows
 }
 
 func (r preVoteResponse) encode() []byte {
@@ -122,7 +122,8 @@
 	return r, d.Err()
 }
 
-// encodeTakeOver names the epoch that is handed over, so that a request which is read late replaces no later primary.
+// encodeTakeOver encodes a request to take over the given epoch. The epoch prevents a request that is read late from replacing a later
+// primary.
 func encodeTakeOver(epoch uint64) []byte {
 	var e codec.Encoder
 	e.Uint64(epoch)
@@ -135,14 +136,14 @@
 	return epoch, d.Err()
 }
 
-// encodeRecord is the record as processes tell each other.
+// encodeRecord encodes a record as control processes send it to each other.
 func encodeRecord(record consensus.Record) []byte {
 	var e codec.Encoder
 	consensus.EncodeRecord(&e, record)
 	return e.Bytes
 }
 
-// learnEncoded takes a record that another process sent.
+// learnEncoded decodes a record that another process sent and learns it. Malformed records are ignored.
 func (e *Elector) learnEncoded(data []byte) {
 	d := codec.NewDecoder(data)
 	record := consensus.DecodeRecord(d)
--- a/tier/control/election/prevote.go
+++ b/tier/control/election/prevote.go
@@ -12,7 +12,7 @@
 	"otterseam/tier/rpc"
 )
 
-// voter is what this process knows when it is asked to help to replace a primary.
+// voter returns what this process knows when it is asked for its vote to replace a primary.
 func (e *Elector) voter() lease.Voter {
 	known := e.Known()
 	voter := lease.Voter{Now: e.config.Now(), StartedAt: e.startedAt, KnownEpoch: known.Epoch, KnownPrimary: known.Primary}
@@ -27,18 +27,18 @@
 	return voter
 }
 
-// grantsPreVote tells whether this process would help a candidate.
+// grantsPreVote reports whether this process would vote for a candidate.
 func (e *Elector) grantsPreVote(candidate, epoch uint64, mode PrepareMode) bool {
 	return e.voter().Grants(lease.VoteRequest{Candidate: candidate, Epoch: epoch, LeadershipTransfer: mode == PrepareOnTransfer})
 }
 
-// protectsPrimary tells whether a majority stood behind a primary so lately that this process helps nobody to replace it.
+// protectsPrimary reports whether a majority confirmed the primary so recently that this process doesn't vote for any other candidate.
 func (e *Elector) protectsPrimary() bool {
 	voter := e.voter()
 	return !voter.Grants(lease.VoteRequest{Epoch: voter.KnownEpoch})
 }
 
-// HandlePreVote answers a candidate that asks whether it would be followed. Nothing is promised.
+// HandlePreVote answers a candidate's pre-vote request. A granted pre-vote is no promise.
 func (e *Elector) HandlePreVote(message rpc.Message) {
 	request, err := decodePreVoteRequest(message.Payload)
 	if err != nil {
@@ -53,8 +53,8 @@
 	message.Answer(codes.OK, preVoteResponse{Supported: supported, Record: e.Known()}.encode())
 }
 
-// winsPreVote asks all voters whether they would help this process to replace the primary of an epoch. It returns once enough
-// would, or enough would not.
+// winsPreVote asks all voters for a pre-vote to replace the primary of an epoch. It returns as soon as a quorum has granted its pre-vote
+// or no quorum can any more.
 func (e *Elector) winsPreVote(ctx context.Context, mode PrepareMode, epoch uint64) bool {
 	known := e.Known()
 	voters := known.Voters()
@@ -80,6 +80,7 @@
 	return false
 }
 
+// requestPreVote asks a voter, which may be this process itself, for its pre-vote and learns the record in the response.
 func (e *Elector) requestPreVote(ctx context.Context, voter consensus.Member, mode PrepareMode, epoch uint64) bool {
 	if voter.ID == e.config.Node.Identity {
 		return e.grantsPreVote(voter.ID, epoch, mode)
--- a/tier/control/election/recorded_test.go
+++ b/tier/control/election/recorded_test.go
@@ -23,7 +23,7 @@
 	"otterseam/tier/rpc"
 )
 
-// openFailover is the election's part of a control process on a data folder.
+// openFailover opens the election part of a control process on a data directory.
 func openFailover(t *testing.T, dir string) *Failover {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
@@ -43,7 +43,7 @@
 	return NewFailover(elector, func() bool { return false })
 }
 
-// electionHandler has the election take messages as the server of control does.
+// electionHandler dispatches messages to the election like the server of control.
 func electionHandler(f *Failover) rpc.Handler {
 	return func(m rpc.Message) {
 		switch m.Kind {
@@ -59,7 +59,7 @@
 	}
 }
 
-// serve has a handler take what arrives at the address returned.
+// serve starts a server with a handler and returns its address.
 func serve(t *testing.T, handler rpc.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,19 +71,19 @@
 	return listener.Addr().String()
 }
 
-// serveRecorded is a process that holds the calls of a kind to one recording and answers with another one.
+// serveRecorded starts a server that compares calls of a kind with one recording and answers with another. It returns the address.
 func serveRecorded(t *testing.T, kind rpc.Kind, request, answer string) string {
 	t.Helper()
 	return serve(t, func(m rpc.Message) {
 		if m.Kind != kind {
-			t.Errorf("kind %d, not %d", m.Kind, kind)
+			t.Errorf("call of kind %d, not %d", m.Kind, kind)
 		}
 		recorded.Check(t, request, m.Payload)
 		m.Answer(codes.OK, recorded.Read(t, answer))
 	})
 }
 
-// callRecorded calls a process with a recording, or with nothing, and returns its answer.
+// callRecorded calls a process with a recorded payload, or with none if request is empty, and returns its answer.
 func callRecorded(t *testing.T, f *Failover, kind rpc.Kind, request string) []byte {
 	t.Helper()
 	client := rpc.NewClient(serve(t, electionHandler(f)), nil)
@@ -106,7 +106,7 @@
 	return ctx
 }
 
-// The files of the witness and of the rounds are those recorded, and a process that is started on them goes on from them.
+// The files of the acceptor and the rounds match the recordings, and a process that starts on the recorded files restores their state.
 func TestRecordedStoredVotes(t *testing.T) {
 	files := map[string]string{"witness-0000000000000001": "stored-witness", "rounds-0000000000000001": "stored-rounds"}
 	witness := fixture.Witness()
@@ -125,16 +125,16 @@
 	}
 	elector := openFailover(t, restored).elector
 	if !reflect.DeepEqual(elector.acceptor, witness) || !reflect.DeepEqual(elector.Known(), witness.Value) {
-		t.Errorf("witness %+v, known %+v", elector.acceptor, elector.Known())
+		t.Errorf("acceptor %+v, known record %+v", elector.acceptor, elector.Known())
 	}
 	stored := recorded.Read(t, "stored-rounds")
 	limit := binary.BigEndian.Uint64(stored[len(stored)-8:])
 	if round, err := elector.rounds.Next(); err != nil || round != limit+1 {
-		t.Errorf("round %x behind the limit %x, %v", round, limit, err)
+		t.Errorf("first round %x after the limit %x, %v", round, limit, err)
 	}
 }
 
-// A witness takes the recorded prepare and accept, answers as recorded, and stores its votes as recorded.
+// An acceptor accepts the recorded prepare and accept requests, and its responses and stored votes match the recordings.
 func TestRecordedVotes(t *testing.T) {
 	witness := fixture.Witness()
 	dir := fixture.Disk(t, fixture.Voter, &witness)
@@ -147,11 +147,11 @@
 	}
 	recorded.Check(t, "stored-witness-after", content)
 	if !reflect.DeepEqual(failover.elector.Known(), fixture.Next()) {
-		t.Errorf("known %+v", failover.elector.Known())
+		t.Errorf("known record %+v", failover.elector.Known())
 	}
 }
 
-// A proposer asks for votes as recorded, and reads the recorded answers.
+// A proposer's requests match the recordings, and it decodes the recorded responses.
 func TestRecordedAcceptorRequests(t *testing.T) {
 	elector := openFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
 	transport := acceptorTransport{elector, PrepareOnTransfer}
@@ -160,32 +160,33 @@
 	got, err := transport.Prepare(recordedContext(t), to, fixture.Ballot())
 	want := consensus.Response{Granted: true, Promised: fixture.Ballot(), Accepted: witness.Accepted, Value: witness.Value}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("promise %+v, %v", got, err)
+		t.Errorf("prepare response %+v, %v", got, err)
 	}
 	to.Address = serveRecorded(t, controlclient.KindAccept, "accept", "accept-answer")
 	got, err = transport.Accept(recordedContext(t), to, fixture.Ballot(), fixture.Next())
 	want = consensus.Response{Granted: true, Promised: fixture.Ballot(), Accepted: fixture.Ballot(), Value: fixture.Next()}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("acceptance %+v, %v", got, err)
+		t.Errorf("accept response %+v, %v", got, err)
 	}
 }
 
-// A candidate asks for support as recorded and learns from the recorded answer; a voter takes the question and gives that answer.
+// A candidate's pre-vote request matches the recording, and the candidate learns the record in the recorded response. A voter answers the
+// recorded request with that response.
 func TestRecordedPreVote(t *testing.T) {
 	elector := openFailover(t, fixture.Disk(t, fixture.Asker, nil)).elector
 	voter := consensus.Member{ID: fixture.Voter, Address: serveRecorded(t, controlclient.KindPreVote, "support", "support-answer")}
 	if !elector.requestPreVote(recordedContext(t), voter, PrepareOnTransfer, fixture.Record().Epoch) {
-		t.Error("no support")
+		t.Error("the pre-vote was not granted")
 	}
 	if !reflect.DeepEqual(elector.Known(), fixture.Record()) {
-		t.Errorf("learnt %+v", elector.Known())
+		t.Errorf("learned %+v", elector.Known())
 	}
 	witness := fixture.Witness()
 	failover := openFailover(t, fixture.Disk(t, fixture.Voter, &witness))
 	recorded.Check(t, "support-answer", callRecorded(t, failover, controlclient.KindPreVote, "support"))
 }
 
-// A process says who it is as recorded, and reads the recorded answer of another one.
+// A process answers a locate request as recorded, and decodes the recorded answer of another process.
 func TestRecordedLocate(t *testing.T) {
 	witness := fixture.Witness()
 	voter := openFailover(t, fixture.Disk(t, fixture.Voter, &witness))
@@ -194,17 +195,17 @@
 	failover := openFailover(t, fixture.Disk(t, fixture.Asker, nil))
 	address := serve(t, func(m rpc.Message) {
 		if m.Kind != controlclient.KindLocate || len(m.Payload) > 0 {
-			t.Errorf("kind %d, %q", m.Kind, m.Payload)
+			t.Errorf("call of kind %d with payload %q", m.Kind, m.Payload)
 		}
 		m.Answer(codes.OK, recorded.Read(t, "locate-answer"))
 	})
 	failover.elector.Learn(consensus.Record{Epoch: 1, Members: []consensus.Member{{ID: fixture.Voter, Address: address}}})
 	failover.locate(recordedContext(t))
 	if !reflect.DeepEqual(failover.elector.Known(), fixture.Record()) {
-		t.Errorf("learnt %+v", failover.elector.Known())
+		t.Errorf("learned %+v", failover.elector.Known())
 	}
 	if want := (consensus.Member{ID: fixture.Voter, Address: address, Node: "ctl-b"}); failover.candidates.all()[address] != want {
-		t.Errorf("founders: %+v", failover.candidates.all())
+		t.Errorf("bootstrap candidates: %+v", failover.candidates.all())
 	}
 }
 
@@ -214,9 +215,9 @@
 	failover := openFailover(t, fixture.Disk(t, fixture.Asker, nil))
 	failover.elector.learnEncoded(recorded.Read(t, "record"))
 	if !reflect.DeepEqual(failover.elector.Known(), fixture.Record()) {
-		t.Errorf("learnt %+v", failover.elector.Known())
+		t.Errorf("learned %+v", failover.elector.Known())
 	}
 	if KindTakeOver != 30 {
-		t.Errorf("kind %d", KindTakeOver)
+		t.Errorf("KindTakeOver is %d", KindTakeOver)
 	}
 }
--- a/tier/control/election/rounds.go
+++ b/tier/control/election/rounds.go
@@ -8,10 +8,11 @@
 	"otterseam/tier/storage"
 )
 
-// roundsValue is the stored limit of the rounds that this process may have used.
+// roundsValue is the name of the stored limit of the rounds that this process may have used.
 const roundsValue = "rounds"
 
-// openRounds reads the rounds that earlier lives of this process may have used. The rounds of this life lie above them.
+// openRounds reads the stored limit of the rounds that earlier incarnations of this process may have used, and returns an allocator for
+// the rounds above it.
 func openRounds(values *storage.Values, acceptor consensus.Acceptor) (*consensus.RoundAllocator, error) {
 	content, err := values.Read(roundsValue)
 	if err != nil {
--- a/tier/control/election/status.go
+++ b/tier/control/election/status.go
@@ -11,19 +11,19 @@
 	"otterseam/tier/replica"
 )
 
-// LeaseStatus is what this process can prove of itself at a moment. All answers of control are given by it. Its methods may be called
-// from any goroutine.
+// LeaseStatus tells what this process may answer at a given time. All answers of control depend on it. Its methods are safe for
+// concurrent use.
 type LeaseStatus struct {
 	elector *Elector
 
-	mu        sync.Mutex // guards reachedSince
-	reachedAt int64      // start of the newest probe that the primary answered
+	mu        sync.Mutex // guards reachedAt
+	reachedAt int64      // when the newest probe that the primary answered was sent
 }
 
-// NewLeaseStatus makes the lease status of a process.
+// NewLeaseStatus returns the lease status of the process that elector belongs to.
 func NewLeaseStatus(elector *Elector) *LeaseStatus { return &LeaseStatus{elector: elector} }
 
-// Status is what this process can prove now.
+// Status returns the current lease status of this process.
 func (s *LeaseStatus) Status() lease.Status {
 	if !consensus.HasMember(s.elector.Known().Members, s.elector.config.Self.ID) {
 		return lease.Status{Role: lease.Outsider, ConfirmedSince: s.lastReachedAt()}
@@ -39,11 +39,10 @@
 	return status
 }
 
-// MayServe tells whether this process may serve its copy of the state now.
+// MayServe reports whether this process may serve its replica of the state now.
 func (s *LeaseStatus) MayServe() bool { return s.Status().MayServe(s.elector.config.Now()) }
 
-// MayDecide returns an error unless this process may give an answer of its own as the primary now: a *NotLeaderError or
-// ErrLeaseExpired.
+// MayDecide returns nil if this process may answer as the primary now. Otherwise the error is a *NotLeaderError or ErrLeaseExpired.
 func (s *LeaseStatus) MayDecide() error {
 	err := s.Status().MayDecide(s.elector.config.Now())
 	if errors.Is(err, codes.NotPrimary) {
@@ -52,12 +51,14 @@
 	return asLeaseExpired(err)
 }
 
-// MayForward returns ErrLeaseExpired unless this process can expect the primary in force to answer what it forwards now.
+// MayForward returns nil if this process can expect the current primary to answer the calls that it forwards now, and ErrLeaseExpired
+// otherwise.
 func (s *LeaseStatus) MayForward() error {
 	return asLeaseExpired(s.Status().MayForward(s.elector.config.Now()))
 }
 
-// asLeaseExpired names the one reason that package lease has besides another primary.
+// asLeaseExpired returns ErrLeaseExpired for any error of package lease other than codes.NotPrimary: an expired lease is the only other
+// cause.
 func asLeaseExpired(err error) error {
 	if err != nil {
 		return ErrLeaseExpired
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// ObserveReached notes that the primary in force answered a probe of this process that began at a time.
+// ObserveReached records that the current primary answered a probe that this process sent at the time since.
 func (s *LeaseStatus) ObserveReached(since int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,21 +79,21 @@
 	return s.reachedAt
 }
 
-// Leads tells whether this process is the primary of control, also while it waits for a replica and can commit nothing.
+// Leads reports whether this process is the primary of control, including the time in which it waits for a replica and can't commit.
 func (s *LeaseStatus) Leads() bool { return s.elector.Leads() }
 
-// MayAdjust tells whether this process may change members and the in-sync set: it is the primary of control, and a majority has
-// answered it lately or can't.
+// MayAdjust reports whether this process may change the members and the in-sync set: it is the primary of control and either has a lease
+// or can't have one because a voter's disk is lost.
 func (s *LeaseStatus) MayAdjust() bool { return s.leadsWithLease() || s.leadsWithLostVoter() }
 
-// leadsWithLease tells whether this process is the primary of control and a majority has answered it lately.
+// leadsWithLease reports whether this process is the primary of control and a majority answered it recently.
 func (s *LeaseStatus) leadsWithLease() bool {
 	status := s.Status()
 	return status.Role == lease.Primary && status.HasLease(s.elector.config.Now())
 }
 
-// leadsWithLostVoter tells whether this process is the primary of control while the disk of a voter is provably lost: it may have no
-// majority until another has that vote, and looks for one that can have it.
+// leadsWithLostVoter reports whether this process is the primary of control while the disk of a voter is provably lost. It may have no
+// majority until another process has that vote, and it has to be able to give the vote to one.
 func (s *LeaseStatus) leadsWithLostVoter() bool {
 	if !s.Leads() {
 		return false
@@ -105,12 +106,12 @@
 	return false
 }
 
-// PrimaryAddress is where the primary is believed to be, as a hint for callers; "" if this process can't tell.
+// PrimaryAddress returns the presumed address of the primary as a hint for callers. It is empty if this process doesn't know it.
 func (s *LeaseStatus) PrimaryAddress() string {
 	primary := uint64(0)
 	s.elector.config.Node.WithGroup(state.Group, func(g *replica.Group) { primary = g.View().Primary })
 	if primary == s.elector.config.Self.ID || !s.Status().HasLease(s.elector.config.Now()) {
-		return "" // it leads no more, or may have been replaced
+		return "" // this process is no longer the primary, or the primary it knows may have been replaced
 	}
 	if member, known := s.elector.Known().Member(primary); known {
 		return member.Address
--- a/tier/control/election/transfer.go
+++ b/tier/control/election/transfer.go
@@ -9,11 +9,12 @@
 	"otterseam/tier/rpc"
 )
 
-// stepAsideInterval is how often a primary with a degraded disk asks others to lead, in milliseconds. It is below ProposeTimeout: an
-// attempt may still run when the next would be due, and the supervisor, which makes both, waits for it.
+// stepAsideInterval is the interval, in milliseconds, at which a primary with a degraded disk asks other members to take over. It is
+// below ProposeTimeout, so an attempt may outlast the interval. The supervisor, which makes all attempts, then waits for it to end.
 const stepAsideInterval = 1000
 
-// HandOver asks the in-sync members one after the other to take the lead, until one has it. Those that skip names are not asked.
+// HandOver asks the in-sync members one after the other to take over, until one of them has. Members for which skip returns true are
+// left out. It reports whether a member took over.
 func (f *Failover) HandOver(ctx context.Context, skip func(id uint64) bool) bool {
 	known := f.elector.Known()
 	for _, id := range known.InSync {
@@ -32,18 +33,18 @@
 	return false
 }
 
-// StepAside asks a member whose disk works to take the lead, while this process leads and its own disk is degraded. Where none does,
-// this process goes on leading: a slow disk everywhere must not leave the group without a primary.
+// StepAside asks other members to take over if this process is the primary; the caller calls it while the disk of this process is
+// degraded. If no member takes over, this process remains primary: slow disks on all members must not leave the group without one.
 func (f *Failover) StepAside(ctx context.Context, skip func(id uint64) bool) {
 	if !f.elector.Leads() || f.elector.config.Now()-f.steppedAsideAt < stepAsideInterval {
 		return
 	}
 	f.steppedAsideAt = f.elector.config.Now()
 	transferred := f.HandOver(ctx, skip)
-	f.elector.config.Log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": transferred}).Warn("the disk does not do its work: another member is asked to lead")
+	f.elector.config.Log.WithFields(logrus.Fields{"code": uint16(codes.DiskStalled), "taken": transferred}).Warn("disk stalled: asked the other in-sync members to take over as primary")
 }
 
-// HandleTakeOver becomes primary if it can, and answers with the record that says so. A process that is itself about to stop
+// HandleTakeOver tries to become primary and answers with the resulting record. A process that is about to stop or whose disk is degraded
 // refuses.
 func (f *Failover) HandleTakeOver(message rpc.Message) {
 	epoch, err := decodeTakeOver(message.Payload)
@@ -57,7 +58,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ProposeTimeout)
 	defer cancel()
-	_, _ = f.takeOver(ctx, PrepareOnTransfer, epoch) // the record that is known then tells what became of it
+	_, _ = f.takeOver(ctx, PrepareOnTransfer, epoch) // the outcome is read from the known record
 	known := f.elector.Known()
 	if known.Primary != f.elector.config.Self.ID {
 		message.Answer(codes.Unavailable, nil)
--- a/tier/controlclient/client.go
+++ b/tier/controlclient/client.go
@@ -16,24 +16,24 @@
 	retryInterval  = lease.PrimaryRetryInterval * time.Millisecond
 )
 
-// Client calls the primary of control, wherever it is. It may be used from several goroutines.
+// Client calls the primary of control and finds it if necessary. It is safe for concurrent use.
 type Client struct {
 	clients   *rpc.Clients
 	addresses func() []string
 
 	mu       sync.Mutex // guards primary and position
-	primary  string     // address that last answered as the primary, or was named as such; empty if none is known
-	position int        // which of the addresses is asked while no primary is known
+	primary  string     // address that last answered as the primary or was returned as its address; empty if unknown
+	position int        // index, modulo their number, of the address to call while the primary is unknown
 }
 
-// New makes a client; addresses returns where control processes may be.
+// New returns a client. addresses returns the addresses of possible control processes.
 func New(clients *rpc.Clients, addresses func() []string) *Client {
 	return &Client{clients: clients, addresses: addresses}
 }
 
-// Call asks the primary and goes on to other control processes until one answers for it or the context ends, which gives
-// codes.Timeout. A call that got no clear answer is made again, so it has to be idempotent. With a code of the primary's as the
-// error comes the body of its answer.
+// Call calls the primary. It retries at other control processes until the primary answers, or returns codes.Timeout when the context
+// ends. A call without a definite answer is repeated, so it has to be idempotent. If the primary answers with a code, Call returns the
+// code as the error together with the body of the answer.
 func (c *Client) Call(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
 	for {
 		result, err := c.CallOnce(ctx, kind, payload)
@@ -48,8 +48,8 @@
 	}
 }
 
-// CallOnce asks one control process: the primary, if it is known. A call that got no clear answer is not made again; the next one
-// goes elsewhere. The error of a process that is not the primary is a NotPrimaryError.
+// CallOnce calls one control process, which is the primary if it is known. A call without a definite answer is not repeated, but the next
+// call goes to another process. If the process is not the primary, the error is a *NotPrimaryError.
 func (c *Client) CallOnce(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error) {
 	address := c.target()
 	if address == "" {
@@ -69,7 +69,7 @@
 	return result, err
 }
 
-// target is whom to ask next; empty if no address is known.
+// target returns the address to call next. It is empty if no address is known.
 func (c *Client) target() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,7 @@
 	c.primary = address
 }
 
-// switchTarget turns to where the answer points, or else to the next address.
+// switchTarget makes the next call go to the primary that the answer names or, if it names none, to the next address.
 func (c *Client) switchTarget(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/tier/controlclient/client_test.go
+++ b/tier/controlclient/client_test.go
@@ -11,7 +11,7 @@
 	"otterseam/tier/rpc"
 )
 
-// serveAnswer is a stand-in for a control process that answers every call in one way, and counts them.
+// serveAnswer starts a fake control process that gives the same answer to every call and counts the calls.
 func serveAnswer(t *testing.T, code codes.Code, hint string) (address string, calls *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,8 @@
 	return listener.Addr().String(), calls
 }
 
-// A call that is made once puts no load on control while there is no primary, and finds the primary by hints over the next calls.
+// CallOnce makes a single attempt, so it puts little load on control while there is no primary. Successive calls find the primary by the
+// addresses in the answers.
 func TestCallOnceAsksOneProcess(t *testing.T) {
 	primary, primaryCalls := serveAnswer(t, codes.OK, "")
 	backup, backupCalls := serveAnswer(t, codes.NotPrimary, primary)
@@ -44,7 +45,7 @@
 			t.Errorf("call %d: %v, not %v", i, err, want.err)
 		}
 		if unavailableCalls.Load() != want.unavailable || backupCalls.Load() != want.backup || primaryCalls.Load() != want.primary {
-			t.Errorf("call %d: asked %d, %d and %d times", i, unavailableCalls.Load(), backupCalls.Load(), primaryCalls.Load())
+			t.Errorf("call %d: the processes were called %d, %d and %d times", i, unavailableCalls.Load(), backupCalls.Load(), primaryCalls.Load())
 		}
 	}
 }
@@ -59,7 +60,7 @@
 	}
 }
 
-// The address that a backup names is part of the error; a backup that knows none names none.
+// The error contains the address of the primary that a backup returns, and is empty if the backup knows none.
 func TestNotPrimaryErrorNamesThePrimary(t *testing.T) {
 	for name, hint := range map[string]string{"known": "10.0.0.1:7401", "not known": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// What the primary rejects is answered with its body and not asked again elsewhere.
+// A rejection by the primary is returned with its body and not retried at another process.
 func TestCallReturnsTheBodyOfARejection(t *testing.T) {
 	primary, calls := serveAnswer(t, codes.ConfigBase, "9")
 	client := New(rpc.NewClients(nil), func() []string { return []string{primary} })
--- a/tier/controlclient/doc.go
+++ b/tier/controlclient/doc.go
@@ -1,19 +1,19 @@
-// Package controlclient is how other processes of the tier speak with control: the kinds of calls, their messages with one encode
-// and one decode each, and a client that finds the primary.
+// Package controlclient is the client side of the control service: the kinds of calls, the encoding and decoding of their messages, and
+// a client that finds the primary.
 //
-// # The life of one call
+// # Sequence of a call
 //
-// Client.Call asks the process that it last found to be the primary, or else one of the addresses in turn. A backup answers
-// codes.NotPrimary with the address of the primary if it knows one, and the client goes there; a process that does not answer, or
-// cannot decide now, sends it on to the next address. So a call ends with the answer of a primary or with its context.
+// Client.Call calls the last known primary or, if none is known, the addresses in turn. A backup answers codes.NotPrimary with the
+// address of the primary if it knows it, and the client calls that address next. If a process doesn't answer, or can't decide now, the
+// client calls the next address. A call therefore ends with the answer of a primary or with its context.
 //
 // # Invariants
 //
-//   - A call that got no clear answer is made again by Client.Call. It has to be idempotent; Client.CallOnce is for those that are
-//     not worth a second attempt.
-//   - The encoded forms are held to recorded bytes: processes of two builds speak with each other during an upgrade.
+//   - Client.Call retries a call without a definite answer, so the call has to be idempotent. Client.CallOnce is for calls that aren't
+//     worth a retry.
+//   - Tests compare the encodings with recorded bytes, because processes of two builds call each other during an upgrade.
 //
-// # What it must not do
+// # Limits
 //
-// It knows nothing of elections and leases. Whether a process may answer as the primary is decided there, by package lease.
+// The package doesn't depend on elections or leases. Package lease decides at the server whether a process may answer as the primary.
 package controlclient
--- a/tier/controlclient/errors.go
+++ b/tier/controlclient/errors.go
@@ -6,21 +6,21 @@
 	"otterseam/tier/codes"
 )
 
-// NotPrimaryError is the answer of a control process that is not the primary. errors.Is finds codes.NotPrimary in it.
+// NotPrimaryError is the error of a call to a control process that is not the primary. errors.Is matches it with codes.NotPrimary.
 type NotPrimaryError struct {
-	Primary string // address of the primary, as the process believes; empty if it knows none
+	Primary string // presumed address of the primary; empty if the process doesn't know it
 }
 
-// Error gives the code alone, as in the answer.
+// Error returns the text of codes.NotPrimary, without the address.
 func (*NotPrimaryError) Error() string { return codes.NotPrimary.Error() }
 
-// Unwrap gives the code.
+// Unwrap returns codes.NotPrimary.
 func (*NotPrimaryError) Unwrap() error { return codes.NotPrimary }
 
-// retryableCodes are those after which another control process may give the answer.
+// retryableCodes are the codes after which another control process may answer the call.
 var retryableCodes = []codes.Code{codes.NotPrimary, codes.Timeout, codes.LinkBroken, codes.Unavailable}
 
-// isRetryable tells whether a call may be answered by another control process.
+// isRetryable reports whether another control process may answer a call that failed with err.
 func isRetryable(err error) bool {
 	for _, code := range retryableCodes {
 		if errors.Is(err, code) {
--- a/tier/controlclient/heartbeat_report.go
+++ b/tier/controlclient/heartbeat_report.go
@@ -5,23 +5,23 @@
 	"otterseam/tier/replica"
 )
 
-// HeartbeatReport tells the primary which hosts a backup has heard from.
+// HeartbeatReport lists the hosts from which a backup received heartbeats. The backup sends it to the primary.
 type HeartbeatReport struct {
-	From   uint64            // the backup
-	Echoed replica.Timestamp // the newest probe of the primary that the backup had read; ages count from there
+	From   uint64            // identity of the backup
+	Echoed replica.Timestamp // the newest probe of the primary that the backup had received; ages are relative to it
 	Hosts  []ReportedHost
 }
 
 // ReportedHost is a host whose heartbeat a backup acknowledged.
 type ReportedHost struct {
 	ID    string
-	AgeMS uint32 // of the heartbeat when the report was written, in milliseconds
+	AgeMS uint32 // age of the heartbeat when the report was written, in milliseconds
 }
 
 // minReportedHostBytes is the encoded size of a ReportedHost with an empty ID.
 const minReportedHostBytes = 4 + 4
 
-// Encode is the message's form on the wire.
+// Encode returns the encoded message.
 func (r HeartbeatReport) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(r.From)
@@ -34,7 +34,7 @@
 	return e.Bytes
 }
 
-// DecodeHeartbeatReport reads the message.
+// DecodeHeartbeatReport decodes the message.
 func DecodeHeartbeatReport(data []byte) (HeartbeatReport, error) {
 	d := codec.NewDecoder(data)
 	r := HeartbeatReport{From: d.Uint64(), Echoed: replica.DecodeTimestamp(d)}
@@ -47,15 +47,16 @@
 // minStringBytes is the encoded size of an empty string.
 const minStringBytes = 4
 
-// HeartbeatReportResponse is the primary's answer to a HeartbeatReport.
+// HeartbeatReportResponse is the primary's response to a HeartbeatReport.
 type HeartbeatReportResponse struct {
-	Unregistered []string // hosts of the report that are not on the list
-	// MoveHosts is how many hosts the backup is to ask to send their heartbeats to the control process at MoveTo.
+	Unregistered []string // hosts in the report that are not registered
+	// MoveHosts is the number of hosts that the backup has to redirect, so that they send their heartbeats to the control process at
+	// MoveTo.
 	MoveHosts uint32
 	MoveTo    string
 }
 
-// Encode is the message's form on the wire. Without hosts to move it ends behind the list, as in versions that moved none.
+// Encode returns the encoded message. If MoveHosts is 0, the encoding ends after the list, as in versions without these fields.
 func (r HeartbeatReportResponse) Encode() []byte {
 	var e codec.Encoder
 	e.Uint32(uint32(len(r.Unregistered)))
@@ -69,7 +70,7 @@
 	return e.Bytes
 }
 
-// DecodeHeartbeatReportResponse reads the message.
+// DecodeHeartbeatReportResponse decodes the message.
 func DecodeHeartbeatReportResponse(data []byte) (HeartbeatReportResponse, error) {
 	d := codec.NewDecoder(data)
 	var r HeartbeatReportResponse
--- a/tier/controlclient/host_heartbeat.go
+++ b/tier/controlclient/host_heartbeat.go
@@ -5,13 +5,13 @@
 	"otterseam/tier/directory"
 )
 
-// HostHeartbeat is a host's heartbeat as one control process hands it to the primary.
+// HostHeartbeat is a host's heartbeat as a backup forwards it to the primary.
 type HostHeartbeat struct {
 	Host directory.Host
-	Seq  uint64 // counted by the host; an older one than already taken is rejected
+	Seq  uint64 // sequence number of the host; a heartbeat with a lower number than one already accepted is rejected
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the encoded message.
 func (h HostHeartbeat) Encode() []byte {
 	var e codec.Encoder
 	e.Blob(h.Host.Encode())
@@ -19,7 +19,7 @@
 	return e.Bytes
 }
 
-// DecodeHostHeartbeat reads the message.
+// DecodeHostHeartbeat decodes the message.
 func DecodeHostHeartbeat(data []byte) (HostHeartbeat, error) {
 	d := codec.NewDecoder(data)
 	host, err := directory.DecodeHost(d.Blob())
--- a/tier/controlclient/in_sync_change.go
+++ b/tier/controlclient/in_sync_change.go
@@ -2,15 +2,15 @@
 
 import "otterseam/tier/codec"
 
-// InSyncChange asks to take a replica into a shard's in-sync set or out of it.
+// InSyncChange asks to add a replica to a shard's in-sync set or to remove one from it.
 type InSyncChange struct {
 	Shard   uint32
-	Epoch   uint64 // of the view that the change builds on
+	Epoch   uint64 // epoch of the view that the change is based on
 	Replica uint64
-	Admit   bool // into the set; otherwise out of it
+	Admit   bool // add the replica; otherwise remove it
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the encoded message.
 func (c InSyncChange) Encode() []byte {
 	var e codec.Encoder
 	e.Uint32(c.Shard)
@@ -20,7 +20,7 @@
 	return e.Bytes
 }
 
-// DecodeInSyncChange reads the message.
+// DecodeInSyncChange decodes the message.
 func DecodeInSyncChange(data []byte) (InSyncChange, error) {
 	d := codec.NewDecoder(data)
 	c := InSyncChange{Shard: d.Uint32(), Epoch: d.Uint64(), Replica: d.Uint64(), Admit: d.Bool()}
--- a/tier/controlclient/locate.go
+++ b/tier/controlclient/locate.go
@@ -5,15 +5,15 @@
 	"otterseam/tier/consensus"
 )
 
-// LocateResponse answers KindLocate: who is at an address, and what it knows of the group.
+// LocateResponse is the answer to KindLocate: the identity of the process at an address and the record that it knows.
 type LocateResponse struct {
 	ID         uint64
-	Node       string // the machine's name
-	Bootstraps bool   // the process was started to bootstrap the cluster
+	Node       string // name of the machine
+	Bootstraps bool   // whether the process was started to bootstrap the cluster
 	Record     consensus.Record
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the encoded message.
 func (r LocateResponse) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(r.ID)
@@ -23,7 +23,7 @@
 	return e.Bytes
 }
 
-// DecodeLocateResponse reads the message.
+// DecodeLocateResponse decodes the message.
 func DecodeLocateResponse(data []byte) (LocateResponse, error) {
 	d := codec.NewDecoder(data)
 	r := LocateResponse{ID: d.Uint64(), Node: d.String(), Bootstraps: d.Bool(), Record: consensus.DecodeRecord(d)}
--- a/tier/controlclient/member_heartbeat.go
+++ b/tier/controlclient/member_heartbeat.go
@@ -6,15 +6,15 @@
 	"otterseam/tier/replica"
 )
 
-// MemberHeartbeat keeps a control process's session with the primary.
+// MemberHeartbeat renews a control process's session with the primary.
 type MemberHeartbeat struct {
 	Member             consensus.Member
-	Leaving            bool              // it is shutting down
-	RejectedHeartbeats uint64            // heartbeats of hosts that it has rejected for want of a lease
-	Echoed             replica.Timestamp // the newest probe of the primary that it has read
+	Leaving            bool              // whether the process is shutting down
+	RejectedHeartbeats uint64            // number of host heartbeats that it rejected because it had no lease
+	Echoed             replica.Timestamp // the newest probe of the primary that it has received
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the encoded message.
 func (h MemberHeartbeat) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(h.Member.ID)
@@ -26,7 +26,7 @@
 	return e.Bytes
 }
 
-// DecodeMemberHeartbeat reads the message.
+// DecodeMemberHeartbeat decodes the message.
 func DecodeMemberHeartbeat(data []byte) (MemberHeartbeat, error) {
 	d := codec.NewDecoder(data)
 	h := MemberHeartbeat{
--- a/tier/controlclient/recorded_test.go
+++ b/tier/controlclient/recorded_test.go
@@ -40,7 +40,7 @@
 		HeartbeatReportResponse.Encode, DecodeHeartbeatReportResponse)
 }
 
-// The numbers of the calls are those recorded.
+// The numbers of the kinds match the recording.
 func TestRecordedKinds(t *testing.T) {
 	var numbers []byte
 	for _, kind := range []rpc.Kind{
--- a/tier/controlclient/store_heartbeat.go
+++ b/tier/controlclient/store_heartbeat.go
@@ -5,13 +5,13 @@
 	"otterseam/tier/directory"
 )
 
-// StoreHeartbeat keeps a store's session, and registers a store that is new or was started again.
+// StoreHeartbeat renews a store's session and registers a store that is new or has restarted.
 type StoreHeartbeat struct {
 	Store   directory.Store
-	Leaving bool // it is shutting down
+	Leaving bool // whether the store is shutting down
 }
 
-// Encode is the message's form on the wire.
+// Encode returns the encoded message.
 func (h StoreHeartbeat) Encode() []byte {
 	var e codec.Encoder
 	e.Blob(h.Store.Encode())
@@ -19,7 +19,7 @@
 	return e.Bytes
 }
 
-// DecodeStoreHeartbeat reads the message.
+// DecodeStoreHeartbeat decodes the message.
 func DecodeStoreHeartbeat(data []byte) (StoreHeartbeat, error) {
 	d := codec.NewDecoder(data)
 	store, err := directory.DecodeStore(d.Blob())
--- a/tier/membership/bootstrap.go
+++ b/tier/membership/bootstrap.go
@@ -6,17 +6,17 @@
 	"otterseam/tier/consensus"
 )
 
-// BootstrapInput is what a process knows when it might bootstrap the group.
+// BootstrapInput is what a process knows when it decides whether to bootstrap the group.
 type BootstrapInput struct {
 	Self        consensus.Member
-	Seeds       []string                    // addresses that the settings of all processes that may bootstrap name
-	Candidates  map[string]consensus.Member // who answered at a seed's address and was started to bootstrap, too
-	WaitElapsed bool                        // the other candidates had time to answer
+	Seeds       []string                    // addresses in the settings of all processes that may bootstrap the group
+	Candidates  map[string]consensus.Member // by address: processes that answered at a seed and were also started to bootstrap
+	WaitElapsed bool                        // whether the other candidates had enough time to answer
 }
 
-// Members are the members to bootstrap the group with. It reports false while this process must not do so: until it has heard
-// more than half of the seeds, another part of them may bootstrap another group; and only processes that were started to bootstrap
-// count, since one with an empty disk may have lost that of a group that exists.
+// Members returns the members to bootstrap the group with, or false while this process must not bootstrap it. More than half of the
+// seeds must be members, because otherwise the other seeds could bootstrap a second group. Only processes that were started to bootstrap
+// count, because the empty disk of any other process may replace a lost disk of an existing group.
 func (b BootstrapInput) Members() ([]consensus.Member, bool) {
 	members := []consensus.Member{b.Self}
 	for _, seed := range b.Seeds {
@@ -31,7 +31,7 @@
 	return members, b.WaitElapsed || (complete && b.hasLowestAddress())
 }
 
-// hasLowestAddress tells whether this process bootstraps before the others do: its address is the lowest of the seeds.
+// hasLowestAddress reports whether this process has the lowest address of the seeds. That process may bootstrap without waiting.
 func (b BootstrapInput) hasLowestAddress() bool {
 	return len(b.Seeds) > 0 && slices.Min(b.Seeds) == b.Self.Address
 }
--- a/tier/membership/bootstrap_test.go
+++ b/tier/membership/bootstrap_test.go
@@ -17,7 +17,8 @@
 	return b
 }
 
-// The first of the seeds bootstraps with all of them at once; others, and fewer, only after a wait; half of them never.
+// The seed with the lowest address bootstraps at once if all seeds answered. Other seeds, or a part of them, bootstrap only after a wait,
+// and half of the seeds or fewer never do.
 func TestBootstrapMembers(t *testing.T) {
 	waited := func(b BootstrapInput) BootstrapInput {
 		b.WaitElapsed = true
@@ -27,11 +28,11 @@
 		input   BootstrapInput
 		members int // 0 if it must not bootstrap
 	}{
-		"the first with all":                {newBootstrapInput(1, 2, 3), 3},
-		"the second leaves it to the first": {newBootstrapInput(2, 1, 3), 0},
-		"the first waits for the third":     {newBootstrapInput(1, 2), 0},
-		"two of three after the wait":       {waited(newBootstrapInput(2, 1)), 2},
-		"one of three after the wait":       {waited(newBootstrapInput(1)), 0},
+		"lowest address, all seeds":          {newBootstrapInput(1, 2, 3), 3},
+		"second address, all seeds":          {newBootstrapInput(2, 1, 3), 0},
+		"lowest address, two of three seeds": {newBootstrapInput(1, 2), 0},
+		"two of three seeds after the wait":  {waited(newBootstrapInput(2, 1)), 2},
+		"one of three seeds after the wait":  {waited(newBootstrapInput(1)), 0},
 	} {
 		members, allowed := test.input.Members()
 		if allowed != (test.members > 0) || allowed && len(members) != test.members {
--- a/tier/membership/example_test.go
+++ b/tier/membership/example_test.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/membership"
 )
 
-// A spare becomes a learner, and a voter once it holds the state.
+// A spare process becomes a learner, and a voter once it holds the state.
 func ExamplePolicy_Next() {
 	no := func(uint64) bool { return false }
 	alive := []consensus.Member{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}}
@@ -27,7 +27,7 @@
 	// voters 3 learners 0 admit 3
 }
 
-// A machine that answers at its own address under another identity has lost its disk; silence proves nothing.
+// A machine that answers at the same address with another identity has lost its disk. Silence proves nothing.
 func ExampleIdentityTracker() {
 	tracker := membership.NewIdentityTracker()
 	tracker.ObserveListed(consensus.Member{ID: 5, Address: "10.0.0.1:7401", Node: "ctl-a"}, 1000)
--- a/tier/membership/identity.go
+++ b/tier/membership/identity.go
@@ -2,42 +2,43 @@
 
 import "otterseam/tier/consensus"
 
-// IdentityTracker is where each identity was last seen, from which follows whose disk is lost. The proof is the member's own
-// machine, at its own address, answering with another identity after the last sign of the member: an identity is drawn only on an
-// empty disk. An address that another machine has taken proves nothing, nor does silence, nor an answer from before the member
-// came.
+// IdentityTracker records where each identity was last observed, and derives from it which disks are lost. A member's disk is provably
+// lost if the member's machine answers at the member's address with another identity, later than the member was last observed, because
+// a process draws an identity only on an empty disk. Neither silence, nor an answer of another machine at that address, nor an answer
+// from before the member was observed proves a loss.
 type IdentityTracker struct {
 	members   map[uint64]memberObservation
 	addresses map[string]addressObservation
 }
 
-// memberObservation is where and when an identity was seen last.
+// memberObservation is where and when an identity was last observed.
 type memberObservation struct {
 	address string
 	node    string
 	at      int64
 }
 
-// addressObservation is who answered last at an address.
+// addressObservation is the process that last answered at an address, and when.
 type addressObservation struct {
 	identity uint64
 	node     string
 	at       int64
 }
 
-// NewIdentityTracker makes a tracker that has seen nobody.
+// NewIdentityTracker returns a tracker without observations.
 func NewIdentityTracker() *IdentityTracker {
 	return &IdentityTracker{members: map[uint64]memberObservation{}, addresses: map[string]addressObservation{}}
 }
 
-// ObserveListed notes that a record names a member. Only the first time counts as a sign of it.
+// ObserveListed records that a record lists a member. It has no effect if the member has been observed before.
 func (t *IdentityTracker) ObserveListed(member consensus.Member, now int64) {
 	if _, known := t.members[member.ID]; !known {
 		t.members[member.ID] = memberObservation{address: member.Address, node: member.Node, at: now}
 	}
 }
 
-// ObserveAnswer notes who answered at an address; since is when it was asked, or when its message came if it was not asked.
+// ObserveAnswer records which process answered at an address. since is when the call was made, or when the message arrived if there was no
+// call.
 func (t *IdentityTracker) ObserveAnswer(member consensus.Member, since int64) {
 	if previous := t.members[member.ID]; previous.at <= since {
 		t.members[member.ID] = memberObservation{address: member.Address, node: member.Node, at: since}
@@ -47,7 +48,7 @@
 	}
 }
 
-// DiskLost tells whether a member's disk is provably lost.
+// DiskLost reports whether a member's disk is provably lost.
 func (t *IdentityTracker) DiskLost(id uint64) bool {
 	seen, known := t.members[id]
 	if !known {
--- a/tier/membership/policy.go
+++ b/tier/membership/policy.go
@@ -5,24 +5,25 @@
 	"otterseam/tier/replica"
 )
 
-// Policy is what the group has to bear.
+// Policy is the fault tolerance that the group has to provide.
 type Policy struct {
-	Tolerate int // members whose loss at once has to be borne
+	Tolerate int // number of members whose simultaneous loss has to be tolerated
 }
 
-// Voters is how many members the group has where there are enough processes: more than half are left after the tolerated losses.
+// Voters returns the number of members that the group has if there are enough processes. More than half of them remain after the
+// tolerated losses.
 func (p Policy) Voters() int { return 2*p.Tolerate + 1 }
 
-// maxLearners is how many spares hold a replica without a vote.
+// maxLearners returns the maximum number of processes that hold a replica without a vote.
 func (p Policy) maxLearners() int { return max(1, p.Tolerate) }
 
-// InSyncFloor is how many members stay in the in-sync set although they are silent.
+// InSyncFloor returns the size below which the in-sync set isn't reduced because of silent members.
 func (p Policy) InSyncFloor(record consensus.Record) int {
 	return max(1, record.MinInSync, min(p.Voters(), len(record.Members))-p.Tolerate)
 }
 
-// WithMinInSync raises the replicas that an acknowledgement needs to what the members allow, once so many are in sync. They are
-// never lowered: what was promised of an acknowledgement holds on when members leave.
+// WithMinInSync returns the record with MinInSync raised to the value for its number of members, provided that as many replicas are in
+// sync. MinInSync is never lowered, so that the durability of an acknowledgement doesn't decrease when members leave.
 func (p Policy) WithMinInSync(record consensus.Record) consensus.Record {
 	wanted := replica.MinInSync(p.Tolerate, len(record.Members))
 	if wanted > record.MinInSync && len(record.InSync) >= wanted {
@@ -31,7 +32,7 @@
 	return record
 }
 
-// InitialRecord is the first record of a group.
+// InitialRecord returns the first record of a group. All members are in sync.
 func (p Policy) InitialRecord(primary uint64, members []consensus.Member) consensus.Record {
 	record := consensus.Record{Epoch: 1, Primary: primary, Members: members}
 	for _, member := range members {
@@ -40,8 +41,8 @@
 	return p.WithMinInSync(record)
 }
 
-// Successor is the record of the next epoch under another primary. Replicas whose disk is lost leave the in-sync set in any case;
-// the former primary leaves it unless too few would remain.
+// Successor returns the record of the next epoch with the given primary. Replicas whose disk is lost always leave the in-sync set. The
+// former primary leaves it unless fewer than InSyncFloor would remain.
 func (p Policy) Successor(current consensus.Record, primary uint64, lost func(uint64) bool) consensus.Record {
 	next := current
 	next.Epoch++
@@ -58,7 +59,7 @@
 	return next
 }
 
-// View is how the replicas see a record.
+// View returns the replicas' view of a record.
 func View(record consensus.Record) replica.View {
 	view := replica.View{Epoch: record.Epoch, Primary: record.Primary, InSync: record.InSync, MinInSync: record.MinInSync}
 	for _, member := range record.Replicas() {
--- a/tier/membership/steps.go
+++ b/tier/membership/steps.go
@@ -2,30 +2,31 @@
 
 import "otterseam/tier/consensus"
 
-// Observation is what the primary knows of the processes.
+// Observation is what the primary knows about the processes.
 type Observation struct {
-	Alive    []consensus.Member // processes heard lately, members and others
-	HasState map[uint64]bool    // replicas outside the in-sync set that hold all that was committed
-	DiskLost func(uint64) bool  // the disk is provably lost
-	Silent   func(uint64) bool  // for so long that another may take the place
-	Departed func(uint64) bool  // for so long that it may be taken out with none in its place
-	Draining func(uint64) bool  // it has said that it will end
+	Alive    []consensus.Member // processes that sent a heartbeat recently, members and others
+	HasState map[uint64]bool    // replicas outside the in-sync set that hold all committed entries
+	DiskLost func(uint64) bool  // whether the disk is provably lost
+	Silent   func(uint64) bool  // whether it has been silent for so long that it may be replaced
+	Departed func(uint64) bool  // whether it has been silent for so long that it may be removed without replacement
+	Draining func(uint64) bool  // whether it has announced its shutdown
 }
 
-// isAlive tells whether a process was heard lately.
+// isAlive reports whether a process sent a heartbeat recently.
 func (o Observation) isAlive(id uint64) bool { return consensus.HasMember(o.Alive, id) }
 
 // Step is one change of a record.
 type Step struct {
 	Record consensus.Record
-	// Admit is a replica that the step takes into the in-sync set; commands have to wait for it before the step is proposed.
+	// Admit is the replica, if any, that the step adds to the in-sync set. From before the step is proposed, commands must not be
+	// committed without this replica.
 	Admit uint64
 }
 
-// Next is the next step towards a group that bears the tolerated losses, if one is wanted.
+// Next returns the next step towards a group that provides the fault tolerance of the policy, or false if none is needed.
 func (p Policy) Next(record consensus.Record, o Observation) (Step, bool) {
 	steps := []func(consensus.Record, Observation) (Step, bool){
-		p.replaceLostVoter, // first: the next loss may leave no majority
+		p.replaceLostVoter, // first, because the next loss may leave no majority
 		p.promoteLearner,
 		p.removeDeparted,
 		p.addLearner,
@@ -40,9 +41,9 @@
 	return Step{}, false
 }
 
-// replaceLostVoter gives the vote of a member whose disk is lost to another process at once, whether or not that one holds the
-// state: the vote can never be given again by the one before, and until it is given by another the next loss leaves no majority.
-// The newcomer is not in sync before it holds the state.
+// replaceLostVoter gives the vote of a member whose disk is lost to another process at once, whether or not that process holds the
+// state. The member can never vote again, and until another process has its vote the next loss may leave no majority. The new voter
+// isn't in sync until it holds the state.
 func (p Policy) replaceLostVoter(record consensus.Record, o Observation) (Step, bool) {
 	for _, member := range record.Members {
 		if member.ID == record.Primary || !o.DiskLost(member.ID) {
@@ -56,7 +57,8 @@
 	return Step{}, false
 }
 
-// replacementFor picks who follows a lost member: a spare that holds the state, else the process at the same address, else any.
+// replacementFor returns the process that replaces a lost member: preferably one that holds the state, then one at the same address, then
+// any other.
 func (p Policy) replacementFor(record consensus.Record, lost consensus.Member, o Observation) (consensus.Member, bool) {
 	var best consensus.Member
 	bestScore := noReplacement
@@ -73,7 +75,7 @@
 	return best, bestScore > noReplacement
 }
 
-// How fit a process is to follow a lost member, the fittest last.
+// The scores of processes that may replace a lost member, in ascending order of preference.
 const (
 	noReplacement = iota
 	anyProcess
@@ -92,8 +94,8 @@
 	}
 }
 
-// promoteLearner gives a learner that holds the state a vote: a further one while there are too few, else that of a member that
-// is silent or draining.
+// promoteLearner gives a vote to a learner that holds the state: an additional vote while the group has too few voters, otherwise the vote
+// of a member that is silent or draining.
 func (p Policy) promoteLearner(record consensus.Record, o Observation) (Step, bool) {
 	for _, learner := range record.Learners {
 		if !o.HasState[learner.ID] || !o.isAlive(learner.ID) || o.Draining(learner.ID) {
@@ -113,7 +115,7 @@
 	return Step{}, false
 }
 
-// replaceableVoter finds a member whose vote a learner should have.
+// replaceableVoter returns a member other than the primary that is draining or silent, if there is one.
 func (p Policy) replaceableVoter(record consensus.Record, o Observation) (uint64, bool) {
 	for _, member := range record.Members {
 		if member.ID == record.Primary {
@@ -126,8 +128,8 @@
 	return 0, false
 }
 
-// removeDeparted takes out a member that has departed while none can follow it, if the group then bears more losses. An even
-// number is passed through: with two departed of five, four and then three are left.
+// removeDeparted removes a departed member for which no replacement is available, if the group then tolerates more losses. It removes one
+// member at a time, so a group may have an even size in between: five members of which two have departed become four and then three.
 func (p Policy) removeDeparted(record consensus.Record, o Observation) (Step, bool) {
 	var departed []uint64
 	for _, member := range record.Members {
@@ -137,7 +139,7 @@
 		}
 	}
 	members := len(record.Members)
-	toleranceUnchanged := members%2 == 1 && len(departed) < 2 // four bear no more losses than five with one departed
+	toleranceUnchanged := members%2 == 1 && len(departed) < 2 // four members tolerate no more losses than five with one departed
 	if members <= smallestGroup || len(departed) == 0 || toleranceUnchanged || p.spareAvailable(record, o) {
 		return Step{}, false
 	}
@@ -147,10 +149,10 @@
 	return Step{Record: next}, true
 }
 
-// smallestGroup is the least number of members that bears the loss of one.
+// smallestGroup is the smallest number of members that tolerates the loss of one.
 const smallestGroup = 3
 
-// spareAvailable tells whether a process could follow a member.
+// spareAvailable reports whether a process is available to replace a member.
 func (p Policy) spareAvailable(record consensus.Record, o Observation) bool {
 	for _, candidate := range o.Alive {
 		if !consensus.HasMember(record.Members, candidate.ID) && !o.Draining(candidate.ID) {
@@ -160,7 +162,7 @@
 	return false
 }
 
-// addLearner has a spare hold a replica before it is needed.
+// addLearner makes a spare process a learner, so that it holds a replica before it is needed.
 func (p Policy) addLearner(record consensus.Record, o Observation) (Step, bool) {
 	if len(record.Learners) >= p.maxLearners() {
 		return Step{}, false
@@ -177,7 +179,7 @@
 	return Step{}, false
 }
 
-// removeLearner forgets a learner that is lost, silent or draining.
+// removeLearner removes a learner that has lost its disk, is silent or is draining.
 func (p Policy) removeLearner(record consensus.Record, o Observation) (Step, bool) {
 	for _, learner := range record.Learners {
 		if o.Draining(learner.ID) || o.DiskLost(learner.ID) || o.Silent(learner.ID) {
--- a/tier/membership/steps_test.go
+++ b/tier/membership/steps_test.go
@@ -23,7 +23,7 @@
 	return func(id uint64) bool { return slices.Contains(ids, id) }
 }
 
-// healthyObservation is a quiet group.
+// healthyObservation returns an observation without failures.
 func healthyObservation(alive ...uint64) Observation {
 	return Observation{Alive: members(alive...), HasState: map[uint64]bool{}, DiskLost: set(), Silent: set(), Departed: set(), Draining: set()}
 }
@@ -48,28 +48,28 @@
 func TestMinInSyncGrowsWithTheGroupAndNeverShrinks(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	if alone := p.InitialRecord(1, members(1)); alone.MinInSync != 1 {
-		t.Fatalf("a group of one demands %d copies", alone.MinInSync)
+		t.Fatalf("a group of one member needs %d replicas in sync", alone.MinInSync)
 	}
 	record := p.InitialRecord(1, members(1, 2, 3))
 	if record.MinInSync != 2 || p.InSyncFloor(record) != 2 {
-		t.Fatalf("copies %d, floor %d", record.MinInSync, p.InSyncFloor(record))
+		t.Fatalf("MinInSync %d, floor %d", record.MinInSync, p.InSyncFloor(record))
 	}
 	record.Members = members(1)
 	record.InSync = []uint64{1}
 	if p.WithMinInSync(record).MinInSync != 2 {
-		t.Fatal("the copies fell with the members")
+		t.Fatal("MinInSync fell with the number of members")
 	}
 	grown := consensus.Record{Members: members(1, 2), InSync: []uint64{1}, MinInSync: 1}
 	if p.WithMinInSync(grown).MinInSync != 1 {
-		t.Fatal("the copies rose before so many were in sync")
+		t.Fatal("MinInSync rose before enough replicas were in sync")
 	}
 	if grown.InSync = []uint64{1, 2}; p.WithMinInSync(grown).MinInSync != 2 {
-		t.Fatal("the copies did not rise")
+		t.Fatal("MinInSync did not rise")
 	}
 }
 
-// With two members in sync and two replicas demanded, a silent one stays: nothing could be acknowledged without it anyway, and it
-// may be the one that is left to lead.
+// With two members in sync and MinInSync 2, a silent member stays in the in-sync set: nothing could be acknowledged without it anyway, and
+// it may be the only remaining candidate for primary.
 func TestTheInSyncSetStaysAtMinInSync(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2))
@@ -78,7 +78,7 @@
 		t.Fatalf("%+v", next)
 	}
 	if next = p.Successor(record, 2, set(1)); !sameIDs(next.InSync, []uint64{2}) || next.MinInSync != 2 {
-		t.Fatalf("a lost disk: %+v", next)
+		t.Fatalf("after the loss of a disk: %+v", next)
 	}
 	three := p.InitialRecord(1, members(1, 2, 3))
 	if next = p.Successor(three, 2, set()); !sameIDs(next.InSync, []uint64{2, 3}) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// The vote of a lost disk goes to another at once; it is not in sync before it holds the state.
+// The vote of a member whose disk is lost goes to another process at once. That process isn't in sync until it holds the state.
 func TestVoterWithLostDiskIsReplacedAtOnce(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
@@ -99,7 +99,7 @@
 	}
 }
 
-// A spare that holds the state goes before the empty process on the lost machine.
+// A learner that holds the state is preferred to a process without state.
 func TestSpareWithTheStateReplacesLostVoterFirst(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
@@ -114,7 +114,7 @@
 	}
 }
 
-// A spare is given a replica before it is needed, and a vote only when it holds the state.
+// A spare process becomes a learner before it is needed, and gets a vote only when it holds the state.
 func TestLearnerIsPromotedOnceItHoldsTheState(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2))
@@ -124,7 +124,7 @@
 		t.Fatalf("%+v", step)
 	}
 	if _, wanted = p.Next(step.Record, o); wanted {
-		t.Fatal("it was given a vote before it held the state")
+		t.Fatal("the learner got a vote before it held the state")
 	}
 	o.HasState[3] = true
 	step, wanted = p.Next(step.Record, o)
@@ -133,7 +133,7 @@
 	}
 }
 
-// A spare that holds the state takes the place of a member that drains before that one has stopped, and of one that is silent.
+// A learner that holds the state replaces a draining member before that member stops, and a silent member.
 func TestLearnerReplacesDrainingOrSilentVoter(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
@@ -141,7 +141,7 @@
 	o := healthyObservation(1, 2, 3, 4)
 	o.HasState[4] = true
 	if _, wanted := p.Next(record, o); wanted {
-		t.Fatal("a whole group changed its members")
+		t.Fatal("a healthy group changed its members")
 	}
 	o.Draining = set(2)
 	step, wanted := p.Next(record, o)
@@ -150,7 +150,7 @@
 	}
 	o.Draining = set()
 	o.Silent = set(2)
-	for _, inSync := range [][]uint64{{1, 2, 3}, {1, 3}} { // a group at rest does not notice by its acknowledgements that one is silent
+	for _, inSync := range [][]uint64{{1, 2, 3}, {1, 3}} { // an idle group needs no acknowledgements, so a silent member may still be in sync
 		record.InSync = inSync
 		step, wanted = p.Next(record, o)
 		if !wanted || !sameIDs(ids(step.Record.Members), []uint64{1, 3, 4}) || !sameIDs(step.Record.InSync, []uint64{1, 3, 4}) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// The primary's own place is given away by another primary only, and draining processes are no spares.
+// Only another primary replaces a primary that drains, and a draining process never replaces a member.
 func TestPrimaryIsNotReplacedByItself(t *testing.T) {
 	p := Policy{Tolerate: 1}
 	record := p.InitialRecord(1, members(1, 2, 3))
@@ -168,15 +168,15 @@
 	o.HasState[4] = true
 	o.Draining = set(1)
 	if _, wanted := p.Next(record, o); wanted {
-		t.Fatal("the primary gave its own place away")
+		t.Fatal("the primary replaced itself")
 	}
 	o.Draining = set(2, 4)
 	if step, _ := p.Next(record, o); consensus.HasMember(step.Record.Members, 4) {
-		t.Fatalf("a leaving spare became a member: %+v", step)
+		t.Fatalf("a draining learner became a member: %+v", step)
 	}
 }
 
-// Of five members two leave for good: three are left, which bear the loss of one.
+// When two of five members have departed, both are removed. The remaining three tolerate the loss of one.
 func TestDepartedVotersAreRemovedInPairs(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
@@ -184,14 +184,14 @@
 	o := healthyObservation(1, 2, 3, 4)
 	o.Departed = set(5)
 	if _, wanted := p.Next(record, o); wanted {
-		t.Fatal("one of five was taken out: four bear no more losses than five with one gone")
+		t.Fatal("one of five was removed: four tolerate no more losses than five with one departed")
 	}
 	o = healthyObservation(1, 2, 3)
 	o.Departed = set(4, 5)
 	for range 2 {
 		step, wanted := p.Next(record, o)
 		if !wanted {
-			t.Fatalf("rests with %v", ids(record.Members))
+			t.Fatalf("no further step with members %v", ids(record.Members))
 		}
 		record = step.Record
 	}
@@ -199,12 +199,12 @@
 		t.Fatalf("%+v", record)
 	}
 	if _, wanted := p.Next(record, o); wanted {
-		t.Fatal("it goes on shrinking")
+		t.Fatal("a member was removed from the smallest group")
 	}
 }
 
-// In a group at rest nobody is missed by acknowledgements: members that have departed leave the in-sync set as they are taken out, down
-// to the replicas that are needed.
+// In an idle group, missing acknowledgements don't reveal departed members. They leave the in-sync set when they are removed, as long as
+// enough replicas remain in sync.
 func TestRemovedVotersLeaveTheInSyncSet(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
@@ -213,7 +213,7 @@
 	for range 2 {
 		step, wanted := p.Next(record, o)
 		if !wanted {
-			t.Fatalf("rests with %v", ids(record.Members))
+			t.Fatalf("no further step with members %v", ids(record.Members))
 		}
 		record = step.Record
 	}
@@ -224,11 +224,11 @@
 	record = p.InitialRecord(1, members(1, 2, 3, 4))
 	record.InSync = []uint64{1, 2, 3}
 	if step, wanted := p.Next(record, o); wanted {
-		t.Fatalf("the in-sync set fell below the copies: %+v", step.Record)
+		t.Fatalf("the in-sync set fell below MinInSync: %+v", step.Record)
 	}
 }
 
-// A member that has departed is not taken out while another process can follow it.
+// A departed member is not removed while another process can replace it.
 func TestDepartedVoterIsKeptWhileASpareIsAvailable(t *testing.T) {
 	p := Policy{Tolerate: 2}
 	record := p.InitialRecord(1, members(1, 2, 3, 4, 5))
