--- a/tier/control/simulation/adversary_test.go
+++ b/tier/control/simulation/adversary_test.go
@@ -1,6 +1,6 @@
 package simulation
 
-// cutOff cuts a member off in one of the ways.
+// cutOff cuts links of a member, in a mode that is chosen at random.
 func (s *sim) cutOff(victim process) {
 	mode := s.random.Intn(5)
 	var others []process
@@ -10,9 +10,9 @@
 		}
 	}
 	switch {
-	case mode == 4: // from one other member alone
+	case mode == 4: // cut off from one other member only
 		others = others[:1]
-	case len(others) == 4 && s.random.Intn(2) == 0: // with a companion
+	case len(others) == 4 && s.random.Intn(2) == 0: // cut off together with another member
 		s.cutOffPair(victim, others[0], others[1:])
 		return
 	}
@@ -24,7 +24,7 @@
 			s.cutLink(other, victim)
 		}
 	}
-	if mode == 3 { // near: from all other zones too
+	if mode == 3 { // also cut off from the callers in all other zones
 		for _, p := range s.callers() {
 			if zoneOf(p) != zoneOf(victim) {
 				s.cutLink(victim, p)
@@ -34,7 +34,7 @@
 	}
 }
 
-// cutOffPair cuts two members off that stay connected with each other.
+// cutOffPair cuts two members off from the others. The two stay connected with each other.
 func (s *sim) cutOffPair(first, second process, others []process) {
 	for _, other := range others {
 		for _, p := range []process{first, second} {
@@ -44,7 +44,7 @@
 	}
 }
 
-// planFaults draws what happens to the network: a cut of up to 22 s, freezes before, in and after it.
+// planFaults schedules random faults: a cut of up to 22 s, and freezes before, during and after it.
 func (s *sim) planFaults() {
 	begin := 4000 + s.random.Int63n(2000)
 	duration := 6000 + s.random.Int63n(16_000)
@@ -54,7 +54,7 @@
 			victim = s.primaryOr(victim)
 		}
 	}
-	frozenBefore := s.random.Intn(4) == 0 // so that it reads late what came before the cut
+	frozenBefore := s.random.Intn(4) == 0 // it then processes messages from before the cut late
 	if frozenBefore {
 		s.after(begin-s.random.Int63n(400), func() {
 			chooseVictim()
@@ -67,7 +67,7 @@
 		}
 		s.cutOff(victim)
 	})
-	if s.random.Intn(3) == 0 { // another one stands still while the successor opens its epoch
+	if s.random.Intn(3) == 0 { // freeze another member while the successor opens its epoch
 		s.after(begin+s.random.Int63n(700), func() { s.freeze(s.members[s.nextMember(victim)], 500+s.random.Int63n(2500)) })
 	}
 	s.after(begin+duration, s.heal)
--- a/tier/control/simulation/callers_test.go
+++ b/tier/control/simulation/callers_test.go
@@ -10,7 +10,7 @@
 	"otterseam/tier/lease"
 )
 
-// host sends heartbeats, to the next member where one is not acknowledged.
+// host sends heartbeats. If a heartbeat is not acknowledged, it goes on to the next member.
 type host struct {
 	s             *sim
 	process       process
@@ -49,7 +49,7 @@
 	})
 }
 
-// store keeps its session with the primary.
+// store renews its session with the primary.
 type store struct {
 	s       *sim
 	process process
@@ -89,7 +89,7 @@
 	})
 }
 
-// subscriber is a subscriber.
+// subscriber receives configuration versions from a member. It subscribes at the next member after a rejection or timeout.
 type subscriber struct {
 	s          *sim
 	process    process
@@ -119,7 +119,7 @@
 	f.s.send(f.process, f.target, func() { f.serve(member, session) })
 }
 
-// serve is the publisher's part of a subscription.
+// serve is the member's side of a subscription: it sends the current version periodically, or a rejection without a lease.
 func (f *subscriber) serve(m *member, session int) {
 	if f.session != session {
 		return
@@ -143,13 +143,13 @@
 	f.s.after(100, func() { f.s.run(m.process, func() { f.serve(m, session) }) })
 }
 
-// operator changes the configuration, now and then twice at once.
+// operator changes the configuration periodically, sometimes with two concurrent changes.
 type operator struct {
 	s                *sim
 	base             uint64
 	next             uint64
-	confirmed        map[uint64]int64 // when each version was confirmed
-	highestConfirmed uint64           // confirmed
+	confirmed        map[uint64]int64 // when each version was confirmed, by version
+	highestConfirmed uint64           // the highest confirmed version
 	lastConfirmedAt  int64
 }
 
@@ -175,7 +175,7 @@
 	o.sendChange(to, o.base, o.next, len(o.s.members))
 }
 
-// sendChange orders a version, at the next member where one does not take orders.
+// sendChange asks a member to replace the configuration. If it gets no definite answer, it retries at the next member.
 func (o *operator) sendChange(to process, base, version uint64, attempts int) {
 	if attempts == 0 {
 		return
--- a/tier/control/simulation/digest_test.go
+++ b/tier/control/simulation/digest_test.go
@@ -10,8 +10,8 @@
 	"otterseam/internal/digesttest"
 )
 
-// eventDigest sums up the events of a simulation: their times and the order in which they were planned. A decision that differs
-// anywhere plans other events or draws other random numbers.
+// eventDigest is a hash of the times and sequence numbers of all events of a simulation. Any different decision schedules other events or
+// draws other random numbers, and therefore changes the digest.
 type eventDigest struct{ sum uint64 }
 
 func (d *eventDigest) add(event event) {
@@ -22,10 +22,10 @@
 	d.sum = hash.Sum64()
 }
 
-// digestSeeds is how many seeds of each simulation are held to their recorded digest.
+// digestSeeds is the number of seeds of each simulation that are compared with their recorded digest.
 const digestSeeds = 10
 
-// The digests were taken from the code of commit f810951, before the package was split.
+// The digests were recorded with the code of commit f810951, before the package was split.
 var (
 	faultDigests = [digestSeeds]uint64{
 		0xafd9dd509888d692, 0x370071d45aa755ea, 0xd8bbc16cd5bb6966, 0x6b92b3ee63e4d2a1, 0x25710a0a0c1d9056,
@@ -50,19 +50,19 @@
 		l.planHistoryFaults(noFault)
 		l.play(historyRunLength)
 		if l.digest.sum != historyDigests[seed] {
-			t.Errorf("orders, seed %d: digest %#016x, not %#016x", seed, l.digest.sum, historyDigests[seed])
+			t.Errorf("linearizability, seed %d: digest %#016x, not %#016x", seed, l.digest.sum, historyDigests[seed])
 		}
 	}
 }
 
-// digestMember adds where a member stands.
+// digestMember adds the state of a member.
 func digestMember(d *digesttest.Digest, m *member) {
 	view := m.group.View()
 	d.Bool(m.frozen, m.proposing, m.group.IsPrimary(), m.group.IsReady())
 	d.Uint(view.Epoch, view.Primary, m.known.Epoch, m.group.AppliedIndex(), m.group.LastIndex(), m.machine.version(), m.rejectedHeartbeats)
 }
 
-// The events of the simulation, where each member stands after each of them, and what the callers hold in the end.
+// The digests cover the events, the state of each member after each event, and the final state of members and callers.
 func TestMemberStateDigests(t *testing.T) {
 	digesttest.Check(t, "control", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		s := newNetwork(t, seed)
--- a/tier/control/simulation/doc.go
+++ b/tier/control/simulation/doc.go
@@ -1,17 +1,19 @@
-// Package simulation plays control in virtual time, under faults. It holds tests alone.
+// Package simulation tests control under faults in a deterministic simulation with virtual time. It contains only tests.
 //
-// Members, hosts, stores, subscribers and operators run on links that can be cut in each direction, with members that stand still and
-// read late what came meanwhile. Decisions are those of the packages lease, replica, consensus, membership and state; the adapters
-// around them are played here (member*_test.go). Everything that happens is an event of one schedule (schedule_test.go), and all that
-// is random is drawn from one seed, so that a seed plays the same events for ever (digest_test.go).
+// Members, hosts, stores, subscribers and operators communicate over links that can be cut in each direction. A frozen member executes
+// nothing and processes the messages that arrived in the meantime when it resumes. Decisions are made by the packages lease, replica,
+// consensus, membership and state; the code around them is replaced by simulated adapters (member*_test.go). Everything that happens is
+// an event of one schedule (schedule_test.go), and all random values are drawn from one seed, so that a seed always produces the same
+// events (digest_test.go).
 //
 // There are two simulations:
 //
-//   - faults_test.go: an adversary (adversary_test.go) cuts links and has members stand still, and an oracle (oracle_test.go) fails the
-//     seed when an old configuration is handed out past its lease, a confirmed change is lost or missed by a read, a live host or store
-//     is given up, or a connected majority takes no changes.
-//   - orders_test.go: several operators change and read the configuration through any member (orders_operators_test.go) while an
-//     adversary of its own (orders_adversary_test.go) cuts off, freezes and restarts members, and most answers are lost. Each repeats
-//     its order until it gets a clear answer. What they saw has to be the history of one compare-and-set that knows the orders it
-//     answered (orders_model_test.go), as porcupine judges (Herlihy and Wing, "Linearizability", 1990).
+//   - faults_test.go: an adversary (adversary_test.go) cuts links and freezes members, and an oracle (oracle_test.go) fails the seed if
+//     an old configuration is served after its lease has expired, a confirmed change is lost or missed by a read, a live host or store
+//     is considered failed, a connected majority accepts no changes, or the primary of an undisturbed majority is replaced.
+//   - linearizability_test.go: several operators change and read the configuration through any member
+//     (linearizability_operators_test.go) while a separate adversary (linearizability_adversary_test.go) cuts off, freezes and restarts
+//     members, and on some seeds up to 90 % of the answers are lost. Each operator repeats its call until it gets a definite answer. The
+//     porcupine checker verifies that the answers are linearizable (Herlihy and Wing, "Linearizability", 1990) with respect to a
+//     compare-and-set register that remembers the results of changes (linearizability_model_test.go).
 package simulation
--- a/tier/control/simulation/faults_test.go
+++ b/tier/control/simulation/faults_test.go
@@ -15,24 +15,24 @@
 	return defaultSeeds
 }
 
-// While members are cut off in any direction and stand still, none hands out an old configuration past its lease, no confirmed
-// order is lost or missed by a read, no live host or store is given up, and a connected majority goes on taking orders and keeps
-// its primary. TIER_CONTROL_SEEDS sets how many seeds are played.
+// While links are cut in any direction and members are frozen, no member serves an old configuration after its lease has expired, no
+// confirmed change is lost or missed by a read, no live host or store is considered failed, and a connected majority keeps accepting
+// changes and keeps its primary. TIER_CONTROL_SEEDS sets the number of seeds.
 func TestControlKeepsItsGuaranteesUnderFaults(t *testing.T) {
 	for seed := range faultSeeds() {
 		playFaults(t, seed)
 	}
 }
 
-// Seeds that were condemned once, in larger hunts: two candidates that preempted each other for ever; a record that a minority had
-// accepted, which was never decided and which every later candidate wanted to replace.
+// Seeds that failed in longer runs. In one, two candidates preempted each other forever. In the other, a minority had accepted a record that
+// was never decided, and every later candidate tried to replace it.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []int64{26223, 22636} {
 		playFaults(t, seed)
 	}
 }
 
-// playFaults plays a seed as a parallel subtest.
+// playFaults simulates a seed in a parallel subtest.
 func playFaults(t *testing.T, seed int64) {
 	t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
 		t.Parallel()
--- a/tier/control/simulation/linearizability_adversary_test.go
+++ b/tier/control/simulation/linearizability_adversary_test.go
@@ -1,6 +1,6 @@
 package simulation
 
-// planHistoryFaults cuts members off, has them stand still and restarts them.
+// planHistoryFaults schedules random cuts, freezes and restarts of members.
 func (s *sim) planHistoryFaults(fault protocolFault) {
 	for at := int64(1200); at < lastCallAt; at += 900 + s.random.Int63n(1800) {
 		s.after(at, func() {
@@ -36,7 +36,7 @@
 	m.restart()
 }
 
-// protocolFault is something wrong that the histories must show.
+// protocolFault is a defect that a test injects to show that the linearizability check finds it.
 type protocolFault int
 
 const (
--- a/tier/control/simulation/linearizability_member_test.go
+++ b/tier/control/simulation/linearizability_member_test.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/control/state"
 )
 
-// serveConfigCall answers a call as the operator's API does.
+// serveConfigCall answers an operator's call as the API does, apart from the injected fault.
 func (m *member) serveConfigCall(in configCall, fault protocolFault, answer func(configResult)) {
 	command := m.commandOf(in, fault)
 	if fault == readsWithoutCommit && in.kind == readCall {
@@ -41,7 +41,7 @@
 	}, func(code codes.Code) { answer(resultOf(in, state.Result{Code: code, Body: body})) })
 }
 
-// commandOf is the command of a call.
+// commandOf returns the command for a call.
 func (m *member) commandOf(in configCall, fault protocolFault) state.Command {
 	if in.kind == readCall {
 		return state.ReadConfig{}
--- a/tier/control/simulation/linearizability_model_test.go
+++ b/tier/control/simulation/linearizability_model_test.go
@@ -15,7 +15,7 @@
 	readCall
 )
 
-// configCall is a call of an operator.
+// configCall is an operator's call that replaces or reads the configuration.
 type configCall struct {
 	kind    callKind
 	base    uint64
@@ -23,19 +23,19 @@
 	body    string
 }
 
-// configResult is what the operator saw.
+// configResult is the answer that the operator received.
 type configResult struct {
-	definite bool // there was a clear answer
+	definite bool // whether the answer was definite; the other fields are meaningless otherwise
 	applied  bool
-	version  uint64 // that was read
+	version  uint64 // the version that was read
 	body     string
 }
 
-// registerState is the sequential register: what is in place, and the orders that were answered.
+// registerState is the state of the sequential register: the current configuration and the results of all changes.
 type registerState struct {
 	version uint64
 	body    string
-	results string // "+version/body" of taken orders, "-base/version/body" of refused ones, in a fixed order
+	results string // "+version/body" of each applied change and "-base/version/body" of each rejected one, sorted
 }
 
 func (s registerState) has(result string) bool { return strings.Contains(s.results, result+" ") }
@@ -54,7 +54,7 @@
 
 func (i configCall) rejectedKey() string { return fmt.Sprintf("-%d/%d/%s", i.base, i.version, i.body) }
 
-// apply is the specification of an order.
+// apply is the sequential specification of a change. It reports whether the change is applied.
 func (s registerState) apply(in configCall) (registerState, bool) {
 	switch {
 	case in.base < in.version && s.has(in.appliedKey()):
--- a/tier/control/simulation/linearizability_operators_test.go
+++ b/tier/control/simulation/linearizability_operators_test.go
@@ -9,15 +9,15 @@
 
 const (
 	operatorCount       = 4
-	responseTimeout     = 250 // milliseconds until an order is sent again
+	responseTimeout     = 250 // milliseconds until a call without answer is sent again
 	historyRunLength    = 12_000
-	lastCallAt          = 9_000 // after which no new calls begin
-	duplicateOneIn      = 6     // one in so many sendings arrives once more, late
-	maxDuplicateDelay   = 5_000 // at most
+	lastCallAt          = 9_000 // no new calls begin after this time
+	duplicateOneIn      = 6     // one in this number of requests is delivered a second time, with a delay
+	maxDuplicateDelay   = 5_000 // longest delay of a duplicate
 	firstConfigOperator = operatorProcess + 1
 )
 
-// configOperator makes one call after another.
+// configOperator is an operator that makes one call after another.
 type configOperator struct {
 	s              *sim
 	history        *callHistory
@@ -25,18 +25,18 @@
 	index          int
 	base           uint64
 	calls          int
-	earlierChanges []configCall // orders that it may send again
-	lossPercent    int          // answers lost in a hundred
+	earlierChanges []configCall // changes that may be sent again as new calls
+	lossPercent    int          // percentage of answers that are lost
 }
 
-// callHistory is what all operators saw.
+// callHistory is the history of the calls of all operators.
 type callHistory struct {
 	operations []porcupine.Operation
 	fault      protocolFault
 }
 
 func (h *callHistory) begin(operator int, in configCall, now int64) int {
-	// a call without an answer may take effect at any later time
+	// A call without an answer may take effect at any later time.
 	h.operations = append(h.operations, porcupine.Operation{ClientId: operator, Input: in, Call: now, Output: configResult{}, Return: math.MaxInt64})
 	return len(h.operations) - 1
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// startCall begins another call.
+// startCall begins the operator's next call.
 func (o *configOperator) startCall() {
 	if o.s.now > lastCallAt {
 		return
@@ -72,18 +72,18 @@
 		return o.earlierChanges[o.s.random.Intn(len(o.earlierChanges))]
 	}
 	in := configCall{
-		base: o.base, version: o.base + 1 + uint64(o.s.random.Intn(2)), // operators pick the same numbers
+		base: o.base, version: o.base + 1 + uint64(o.s.random.Intn(2)), // different operators choose the same versions
 		body: fmt.Sprintf("o%dc%d", o.index, o.calls),
 	}
 	if o.s.random.Intn(8) == 0 {
-		in.base++ // on a version that is yet to come
+		in.base++ // based on a version that doesn't exist yet
 		in.version++
 	}
 	o.earlierChanges = append(o.earlierChanges, in)
 	return in
 }
 
-// send makes a call, and again at the next member until the answer is clear.
+// send sends a call to a member, and again to the next member until the answer is definite.
 func (o *configOperator) send(in configCall, operation int, to process) {
 	if o.s.now > historyRunLength {
 		return
--- a/tier/control/simulation/linearizability_test.go
+++ b/tier/control/simulation/linearizability_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// playHistory plays a seed and returns what the operators saw.
+// playHistory simulates a seed and returns the history of the operators' calls.
 func playHistory(t testing.TB, seed int64, fault protocolFault) *callHistory {
 	s := newMembersOnly(t, seed)
 	history := &callHistory{fault: fault}
@@ -33,8 +33,8 @@
 	return defaultHistorySeeds
 }
 
-// What several operators see through any member is the history of one register that knows the orders it answered. TIER_ORDER_SEEDS
-// sets how many seeds are played.
+// The calls of several operators through any member are linearizable with respect to a register that remembers the results of changes.
+// TIER_ORDER_SEEDS sets the number of seeds.
 func TestConfigCallsAreLinearizable(t *testing.T) {
 	var definiteResults atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
@@ -43,28 +43,28 @@
 				t.Parallel()
 				history := playHistory(t, seed, noFault)
 				if got := history.check(); got != porcupine.Ok {
-					t.Fatalf("%s, %d calls", got, len(history.operations))
+					t.Fatalf("check result %s for %d calls", got, len(history.operations))
 				}
 				definiteResults.Add(history.definiteResults())
 			})
 		}
 	})
 	if minResults := 2 * historySeeds() * operatorCount; definiteResults.Load() < minResults {
-		t.Fatalf("only %d calls got a clear answer", definiteResults.Load())
+		t.Fatalf("only %d calls got a definite answer", definiteResults.Load())
 	}
-	t.Logf("%d seeds, %d calls with a clear answer", historySeeds(), definiteResults.Load())
+	t.Logf("%d seeds, %d calls with a definite answer", historySeeds(), definiteResults.Load())
 }
 
 const maxFaultSeeds = 60
 
 func TestLinearizabilityCheckFindsFaults(t *testing.T) {
 	for name, fault := range map[string]protocolFault{
-		"a member reads its own state":             readsWithoutCommit,
-		"an order is answered when it is proposed": answersBeforeCommit,
-		"an unclear order is refused":              rejectsUncertainChanges,
-		"the answers are forgotten":                forgetsAnswers,
-		"a restart loses the last writes":          losesWrites,
-		"an order is taken on any base":            ignoresBase,
+		"reads are answered without a commit":            readsWithoutCommit,
+		"changes are answered before they are committed": answersBeforeCommit,
+		"uncertain changes are rejected":                 rejectsUncertainChanges,
+		"results of changes are forgotten":               forgetsAnswers,
+		"a restart loses the last writes to disk":        losesWrites,
+		"changes are applied to any base":                ignoresBase,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/tier/control/simulation/machine_test.go
+++ b/tier/control/simulation/machine_test.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/feed"
 )
 
-// machine is the control state with the versions that it took.
+// machine is the control state together with the configuration versions that were applied.
 type machine struct {
 	*state.State
 	versions []uint64
@@ -39,7 +39,7 @@
 	return m.State.Restore(stateSnapshot)
 }
 
-// readConfig reads the configuration without a commit, as no member may.
+// readConfig reads the configuration without a commit. It is used to inject a fault.
 func (m *machine) readConfig() state.Result {
 	data, found := m.View.Get(feed.SectionConfig, directory.CurrentKey)
 	if !found {
@@ -49,8 +49,8 @@
 	return state.Result{Body: body}
 }
 
-// forgetAnswers has the state forget which orders it answered, as no member may: it is restored from a snapshot that ends without
-// them.
+// forgetAnswers makes the state forget the results of changes, by restoring it from a snapshot with an empty log of results. It is used
+// to inject a fault.
 func (m *machine) forgetAnswers() {
 	snapshot := m.State.Snapshot()
 	d := codec.NewDecoder(snapshot)
@@ -67,5 +67,5 @@
 	}
 }
 
-// version is the configuration in place.
+// version returns the version of the current configuration.
 func (m *machine) version() uint64 { return m.ConfigVersion() }
--- a/tier/control/simulation/member_call_test.go
+++ b/tier/control/simulation/member_call_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/lease"
 )
 
-// callPrimary has the primary do something, once.
+// callPrimary makes a single attempt to call the presumed primary, which executes work there.
 func callPrimary[A any](m *member, work func(primary *member, answer func(A)), done func(A, bool)) {
 	to := m.presumedPrimary
 	type reply struct {
@@ -36,7 +36,7 @@
 	})
 }
 
-// primaryHint is where the primary in force is, -1 if this member doesn't know.
+// primaryHint returns the current primary as far as this member knows, or -1.
 func (m *member) primaryHint() process {
 	if m.group.IsPrimary() || !m.status().HasLease(m.clock()) {
 		return -1
@@ -44,7 +44,7 @@
 	return process(m.group.View().Primary) - 1
 }
 
-// serveCommand carries a command out, here or at the primary.
+// serveCommand submits a command at this member if it is the primary, and otherwise at the primary.
 func (m *member) serveCommand(command state.Command, answer func(codes.Code)) {
 	submit := func(p *member, done func(codes.Code)) {
 		p.submit(command, func(result state.Result, err error) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// serveRead answers the version in place, 0 if it can't.
+// serveRead answers with the version of the current configuration, or 0 on failure.
 func (m *member) serveRead(answer func(uint64)) {
 	version := uint64(0)
 	m.serveAtPrimary(func(p *member, done func(codes.Code)) {
--- a/tier/control/simulation/member_disk_test.go
+++ b/tier/control/simulation/member_disk_test.go
@@ -8,7 +8,7 @@
 	"otterseam/tier/replica"
 )
 
-// disk is what a restart leaves of a member's replica.
+// disk is the part of a member's replica that survives a restart.
 type disk struct {
 	base    replica.Snapshot
 	entries []replica.Entry
@@ -27,7 +27,7 @@
 	}
 }
 
-// open makes a member's process from its disk.
+// open starts a member's process from its disk.
 func (m *member) open() {
 	m.machine = &machine{State: state.New()}
 	m.rounds = consensus.NewRoundAllocator(m.roundLimit, func(roundLimit uint64) error {
@@ -43,7 +43,7 @@
 	m.group = group
 }
 
-// restart ends a member's process and starts it again. What was on its way to the disk is lost, and so are its callers' answers.
+// restart ends a member's process and starts it again. Writes that haven't reached the disk and answers to callers are lost.
 func (m *member) restart() {
 	m.incarnation++
 	pending := m.pending
--- a/tier/control/simulation/member_election_test.go
+++ b/tier/control/simulation/member_election_test.go
@@ -57,7 +57,7 @@
 	return voter
 }
 
-// takeOver asks for support and then for the lead.
+// takeOver asks all members for pre-votes and, if a quorum grants them, proposes this member as primary.
 func (m *member) takeOver(mode election.PrepareMode) {
 	if m.proposing {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// policy has the group bear the loss of all members but a majority.
+// policy returns the policy that tolerates the loss of any minority of the members.
 func (s *sim) policy() membership.Policy {
 	return membership.Policy{Tolerate: (len(s.members) - 1) / 2}
 }
@@ -116,7 +116,7 @@
 	})
 }
 
-// adjustInSync drops a silent replica, or takes one in that has caught up.
+// adjustInSync adds replicas that have caught up to the in-sync set or, if there are none, removes silent ones.
 func (m *member) adjustInSync() {
 	if m.proposing {
 		return
@@ -147,7 +147,7 @@
 	})
 }
 
-// nextInSync is the record after the current one, with those that have caught up, or else without those that are silent.
+// nextInSync returns the next record, with the replicas that have caught up or, if there are none, without those that are silent.
 func (m *member) nextInSync(current consensus.Record, caughtUp, silent []uint64) consensus.Record {
 	next := current
 	next.Epoch++
@@ -162,7 +162,7 @@
 	return next
 }
 
-// propose reads the register and changes it, in one attempt.
+// propose changes the register in a single attempt.
 func (m *member) propose(mode election.PrepareMode, change func(consensus.Record) (consensus.Record, bool), done func(consensus.Record, bool)) {
 	m.rounds.Observe(m.acceptor.Promised.Round)
 	round, err := m.rounds.Next()
@@ -213,7 +213,7 @@
 	send(proposal.Begin())
 }
 
-// vote is a witness's answer to a request.
+// vote returns the acceptor's response to a request.
 func (m *member) vote(mode election.PrepareMode, request consensus.Request) consensus.Response {
 	if request.Kind == consensus.RequestPrepare {
 		return m.prepare(mode, request.Number)
--- a/tier/control/simulation/member_heartbeat_test.go
+++ b/tier/control/simulation/member_heartbeat_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/directory"
 )
 
-// handleHostHeartbeat is the primary's part in a heartbeat that is not kept by a backup.
+// handleHostHeartbeat handles, at the primary, a heartbeat that a backup can't acknowledge itself.
 func (m *member) handleHostHeartbeat(host directory.Host, answer func(bool)) {
 	if m.status().MayDecide(m.clock()) != nil {
 		answer(false)
@@ -25,7 +25,7 @@
 	})
 }
 
-// receiveHeartbeat takes a host's receiveHeartbeat.
+// receiveHeartbeat handles a heartbeat that a host sent to this member.
 func (m *member) receiveHeartbeat(host directory.Host, answer func(bool)) {
 	registered, known := m.machine.Host(host.ID)
 	if known && registered == host && m.mayServe() {
@@ -51,7 +51,7 @@
 	callPrimary(m, func(p *member, reply func(bool)) { p.handleHostHeartbeat(host, reply) }, func(ok, reached bool) { answer(ok && reached) })
 }
 
-// report tells the primary which hosts were heard.
+// report reports the hosts whose heartbeats this member acknowledged to the primary.
 func (m *member) report() {
 	unreported := m.unreported
 	m.unreported = map[string]int64{}
@@ -84,7 +84,7 @@
 	})
 }
 
-// sendHeartbeat keeps the session with the primary.
+// sendHeartbeat renews this member's session with the primary.
 func (m *member) sendHeartbeat() {
 	if m.group.IsReady() {
 		return
--- a/tier/control/simulation/member_test.go
+++ b/tier/control/simulation/member_test.go
@@ -19,34 +19,34 @@
 	s                  *sim
 	process            process
 	id                 uint64
-	clockOffset        int64 // of its steady clock
+	clockOffset        int64 // offset of its monotonic clock from the simulation's time
 	frozen             bool
 	backlog            []func()
 	group              *replica.Group
 	machine            *machine
 	acceptor           consensus.Acceptor
 	known              consensus.Record
-	decided            bool // known was decided by a proposal of this member
+	decided            bool // whether known was decided by a proposal of this member
 	epochSeenAt        int64
 	hasLed             bool
 	rounds             *consensus.RoundAllocator
-	roundLimit         uint64 // of the rounds, on disk
+	roundLimit         uint64 // stored limit of the rounds that may have been used
 	disk               disk
-	syncedAt           int64 // when the last write reaches the disk
-	incarnation        int   // restarts so far
-	startedAt          int64 // of its process
-	healthySince       int64 // since when it runs and has a majority around it, 0 if it has not
-	proposing          bool  // a proposal runs
+	syncedAt           int64 // when the last write issued so far reaches the disk
+	incarnation        int   // number of restarts
+	startedAt          int64 // start of its process or, if later, when the epoch of known was first seen
+	healthySince       int64 // since when it has been running and connected with a majority; 0 if it isn't
+	proposing          bool  // whether a proposal is in progress
 	backoff            lease.ElectionBackoff
 	hosts              *lease.HostSessions
 	stores             *lease.StoreSessions
 	sessionsEpochStart uint64
 	lastTick           int64
 	lastLocate         int64
-	unreported         map[string]int64 // when the hosts were heard that the primary was not told of
+	unreported         map[string]int64 // time of the last heartbeat by host, for hosts not yet reported to the primary
 	rejectedHeartbeats uint64
 	pending            map[uint64]func(state.Result, error)
-	presumedPrimary    process // where the primary may be
+	presumedPrimary    process // the process to call as the primary
 }
 
 func (m *member) clock() int64 { return m.s.now + m.clockOffset }
@@ -73,7 +73,7 @@
 	}
 	for _, write := range output.Writes {
 		incarnation := m.incarnation
-		m.syncedAt = max(m.syncedAt, m.s.now+1+m.s.random.Int63n(3)) // a disk keeps the order of writes
+		m.syncedAt = max(m.syncedAt, m.s.now+1+m.s.random.Int63n(3)) // writes reach the disk in order
 		m.s.after(m.syncedAt-m.s.now, func() {
 			m.s.run(m.process, func() {
 				if incarnation == m.incarnation {
@@ -119,7 +119,8 @@
 	m.processOutput()
 }
 
-// submit proposes a command here.
+// submit proposes a command at this member. done is called with the result, or with an error if this member may not decide, loses the
+// primary role or times out.
 func (m *member) submit(command state.Command, done func(state.Result, error)) {
 	if err := m.status().MayDecide(m.clock()); err != nil {
 		done(state.Result{}, err)
@@ -138,7 +139,7 @@
 	m.processOutput()
 }
 
-// learn takes a record that need not have been decided.
+// learn updates the known record with one that need not have been decided.
 func (m *member) learn(record consensus.Record) { m.observeRecord(record, false) }
 
 func (m *member) observeRecord(record consensus.Record, decided bool) {
@@ -153,7 +154,7 @@
 	m.group.RecordVote(record.Epoch, record.Primary)
 }
 
-// tick is the work that a member does all the time.
+// tick is the periodic work of a member.
 func (m *member) tick() {
 	now := m.clock()
 	if m.lastTick > 0 && now-m.lastTick > lease.StallThreshold {
@@ -233,7 +234,7 @@
 	s.every(heartbeat.MemberInterval.Milliseconds(), func() { s.run(p, m.sendHeartbeat) })
 }
 
-// tickUnlessFrozen drops ticks that piled up while the member stood still.
+// tickUnlessFrozen drops ticks that accumulated while the member was frozen.
 func (m *member) tickUnlessFrozen() {
 	if m.clock()-m.lastTick >= tickInterval/2 {
 		m.tick()
--- a/tier/control/simulation/network_test.go
+++ b/tier/control/simulation/network_test.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/membership"
 )
 
-// process is a process of the simulation. Members have the numbers from 0 on.
+// process identifies a process of the simulation. Members are numbered from 0.
 type process int
 
 const (
@@ -23,7 +23,7 @@
 
 type link struct{ from, to process }
 
-// sim is the sim with all that is on it.
+// sim is a simulation: the network, all processes on it and the schedule of events.
 type sim struct {
 	t            testing.TB
 	random       *rand.Rand
@@ -31,9 +31,9 @@
 	queue        eventQueue
 	lastSequence int
 	cut          map[link]bool
-	lastArrival  map[link]int64 // when the last message of a link arrives
-	heldMessages []heldMessage  // messages that wait for the end of a cut
-	changedAt    int64          // when the network last changed
+	lastArrival  map[link]int64 // arrival time of the last message on each link
+	heldMessages []heldMessage  // messages that are delivered when the cut ends
+	changedAt    int64          // time of the last cut, freeze, restart or end of one
 	members      []*member
 	hosts        []*host
 	stores       []*store
@@ -47,7 +47,8 @@
 	run  func()
 }
 
-// send has a message read at its destination, in the order of its link. A cut loses it, or holds it until the cut ends.
+// send delivers a message to its destination. Messages on a link arrive in order. On a cut link a message is lost or held until the cut
+// ends.
 func (s *sim) send(from, to process, deliver func()) {
 	path := link{from, to}
 	if s.cut[path] {
@@ -57,7 +58,7 @@
 		return
 	}
 	delay := 1 + s.random.Int63n(12)
-	if s.random.Intn(6) == 0 { // a busy moment
+	if s.random.Intn(6) == 0 { // occasional additional delay
 		delay += s.random.Int63n(60)
 	}
 	arrival := max(s.lastArrival[path], s.now+delay)
@@ -65,7 +66,7 @@
 	s.after(arrival-s.now, func() { s.run(to, deliver) })
 }
 
-// run has a process do something, or later if it stands still.
+// run executes work at a process. If the process is a frozen member, the work is executed when it resumes.
 func (s *sim) run(p process, work func()) {
 	if int(p) < len(s.members) {
 		m := s.members[p]
@@ -77,7 +78,7 @@
 	work()
 }
 
-// call sends a question and waits for its answer; answered is called once, with ok false after the timeout.
+// call sends a request and waits for the answer. answered is called once, with ok false if the timeout expires first.
 func call[A any](s *sim, from, to process, timeout int64, ask func(answer func(A)), answered func(got A, ok bool)) {
 	done := false
 	finish := func(got A, ok bool) {
@@ -97,13 +98,13 @@
 	})
 }
 
-// cutLink cuts a direction.
+// cutLink cuts a link in one direction.
 func (s *sim) cutLink(from, to process) {
 	s.cut[link{from, to}] = true
 	s.recordChange()
 }
 
-// recordChange notes since when each member runs and has a majority around it.
+// recordChange records the time of a change to the network or a member and updates healthySince of all members.
 func (s *sim) recordChange() {
 	s.changedAt = s.now
 	for _, m := range s.members {
@@ -122,7 +123,7 @@
 	}
 }
 
-// heal ends all cuts; what was held arrives.
+// heal ends all cuts and sends the held messages.
 func (s *sim) heal() {
 	clear(s.cut)
 	s.recordChange()
@@ -168,7 +169,7 @@
 	return s
 }
 
-// newMembersOnly makes a network of three or five members that nobody calls.
+// newMembersOnly returns a simulation of three or five members without callers.
 func newMembersOnly(t testing.TB, seed int64) *sim {
 	s := &sim{t: t, random: rand.New(rand.NewSource(seed)), now: 1, cut: map[link]bool{}, lastArrival: map[link]int64{}}
 	count := 3
--- a/tier/control/simulation/schedule_test.go
+++ b/tier/control/simulation/schedule_test.go
@@ -12,15 +12,15 @@
 	storeCount        = 2
 	subscriberCount   = 6
 	firstChangeAt     = 600
-	relistTimeout     = 1200 // within which a host that is acknowledged has to be on the list
-	settleTime        = 4000 // of an unchanged network, after which orders must be taken
-	changeTimeout     = 2500 // within which a connected majority has to take an order
+	relistTimeout     = 1200 // within which an acknowledged host has to be registered
+	settleTime        = 4000 // without a change to the network, after which changes to the configuration must be accepted
+	changeTimeout     = 2500 // within which a connected majority has to accept a change to the configuration
 )
 
-// event is something that happens at a time.
+// event is work that is scheduled for a time.
 type event struct {
 	at       int64
-	sequence int
+	sequence int // orders events of the same time
 	run      func()
 }
 
@@ -62,7 +62,7 @@
 	})
 }
 
-// play runs the events up to a time.
+// play runs the events up to and including the time until.
 func (s *sim) play(until int64) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		event := heap.Pop(&s.queue).(event)
--- a/tier/control/simulation/seeds_race_test.go
+++ b/tier/control/simulation/seeds_race_test.go
@@ -2,6 +2,6 @@
 
 package simulation
 
-// defaultSeeds is lower with the race detector, which slows the simulation down and has little to find in it: a seed runs in one
+// defaultSeeds is lower with the race detector, which slows the simulation down and can find little in it, because a seed runs in one
 // goroutine.
 const defaultSeeds = 20
--- a/tier/control/simulation/seeds_test.go
+++ b/tier/control/simulation/seeds_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// defaultSeeds is how many seeds of the simulation are played unless the variable says otherwise.
+// defaultSeeds is the number of seeds that are simulated if TIER_CONTROL_SEEDS isn't set.
 const defaultSeeds = 200
