--- a/tier/control/simulation/callers_test.go
+++ b/tier/control/simulation/callers_test.go
@@ -12,13 +12,13 @@
 
 // host sends heartbeats. If a heartbeat is not acknowledged, it goes on to the next member.
 type host struct {
-	s             *sim
-	process       process
-	host          directory.Host
-	target        process
-	ackedAt       int64
-	unlistedSince int64
-	calling       bool
+	s                 *sim
+	process           process
+	host              directory.Host
+	target            process
+	ackedAt           int64
+	unregisteredSince int64
+	calling           bool
 }
 
 func (s *sim) addHost(p process) {
--- a/tier/control/simulation/digest_test.go
+++ b/tier/control/simulation/digest_test.go
@@ -68,7 +68,7 @@
 		s := newNetwork(t, seed)
 		s.planFaults()
 		s.every(200, func() {
-			s.checkHostLists()
+			s.checkHostRegistrations()
 			s.checkProgress()
 		})
 		for len(s.queue) > 0 && s.queue[0].at <= runLength {
--- a/tier/control/simulation/faults_test.go
+++ b/tier/control/simulation/faults_test.go
@@ -39,7 +39,7 @@
 		s := newNetwork(t, seed)
 		s.planFaults()
 		s.every(200, func() {
-			s.checkHostLists()
+			s.checkHostRegistrations()
 			s.checkProgress()
 		})
 		s.play(runLength)
--- a/tier/control/simulation/oracle_test.go
+++ b/tier/control/simulation/oracle_test.go
@@ -15,7 +15,7 @@
 	changeLost         violation = "a confirmed change was lost"
 	staleRead          violation = "a read missed a confirmed change"
 	hostRemoved        violation = "a live host was removed"
-	hostUnlisted       violation = "an acknowledged host is not registered"
+	hostUnregistered   violation = "an acknowledged host is not registered"
 	storeRemoved       violation = "a live store counts as away"
 	noProgress         violation = "a connected majority accepts no changes"
 	needlessTakeover   violation = "the primary of an undisturbed majority was replaced"
@@ -52,9 +52,9 @@
 	}
 }
 
-// checkHostLists fails the seed if a host has been acknowledged without being registered at the current primary for longer than
-// relistTimeout.
-func (s *sim) checkHostLists() {
+// checkHostRegistrations fails the seed if a host has been acknowledged without being registered at the current primary for longer than
+// registrationTimeout.
+func (s *sim) checkHostRegistrations() {
 	for _, m := range s.members {
 		if m.frozen || !m.group.IsReady() || !m.mayServe() {
 			continue
@@ -63,11 +63,11 @@
 			_, listed := m.machine.Host(h.host.ID)
 			switch {
 			case listed:
-				h.unlistedSince = 0
-			case h.unlistedSince == 0:
-				h.unlistedSince = s.now
-			case h.ackedAt > h.unlistedSince+relistTimeout:
-				s.fail(hostUnlisted, "host %s at member %d", h.host.ID, m.process)
+				h.unregisteredSince = 0
+			case h.unregisteredSince == 0:
+				h.unregisteredSince = s.now
+			case h.ackedAt > h.unregisteredSince+registrationTimeout:
+				s.fail(hostUnregistered, "host %s at member %d", h.host.ID, m.process)
 			}
 		}
 	}
--- a/tier/control/simulation/schedule_test.go
+++ b/tier/control/simulation/schedule_test.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	runLength         = 34_000 // milliseconds
-	tickInterval      = 40
-	heartbeatInterval = 300
-	hostCount         = 4
-	storeCount        = 2
-	subscriberCount   = 6
-	firstChangeAt     = 600
-	relistTimeout     = 1200 // within which an acknowledged host has to be registered
-	settleTime        = 4000 // without a change to the network, after which changes to the configuration must be accepted
-	changeTimeout     = 2500 // within which a connected majority has to accept a change to the configuration
+	runLength           = 34_000 // milliseconds
+	tickInterval        = 40
+	heartbeatInterval   = 300
+	hostCount           = 4
+	storeCount          = 2
+	subscriberCount     = 6
+	firstChangeAt       = 600
+	registrationTimeout = 1200 // within which an acknowledged host has to be registered
+	settleTime          = 4000 // without a change to the network, after which changes to the configuration must be accepted
+	changeTimeout       = 2500 // within which a connected majority has to accept a change to the configuration
 )
 
 // event is work that is scheduled for a time.
