--- a/tier/control/election/bootstrap.go
+++ b/tier/control/election/bootstrap.go
@@ -11,11 +11,11 @@
 	"otterseam/tier/membership"
 )
 
-// bootstrapWait is how long a process that bootstraps waits for all seeds, in milliseconds. It is twice CallTimeout, so that a seed
-// that is up was asked at least once.
+// bootstrapWait is how long, in milliseconds after its start, a bootstrapping process waits for all seeds. It is twice CallTimeout, so
+// that each running seed was called at least once.
 const bootstrapWait = 700
 
-// FindOrBootstrap looks for a cluster, or bootstraps it where the settings say that there is none.
+// FindOrBootstrap locates the cluster. If none is found and the settings allow this process to bootstrap one, it does so.
 func (f *Failover) FindOrBootstrap(ctx context.Context) {
 	f.locate(ctx)
 	seeds := f.elector.config.BootstrapSeeds()
@@ -25,16 +25,16 @@
 	input := membership.BootstrapInput{
 		Self: f.elector.config.Self, Seeds: seeds, Candidates: f.candidates.all(), WaitElapsed: f.elector.config.Now()-f.elector.startedAt > bootstrapWait,
 	}
-	members, may := input.Members()
-	if !may {
+	members, allowed := input.Members()
+	if !allowed {
 		return
 	}
 	if err := f.elector.bootstrap(ctx, members, len(seeds)); err != nil {
-		f.elector.config.Log.WithError(err).Warn("bootstrap did not succeed; trying again")
+		f.elector.config.Log.WithError(err).Warn("bootstrap failed; retrying")
 	}
 }
 
-// bootstrap decides the first record, with the members that were found among a number of seeds.
+// bootstrap decides the first record. members are the processes found among the given number of seeds.
 func (e *Elector) bootstrap(ctx context.Context, members []consensus.Member, seeds int) error {
 	clusterID := rand.Uint64() | 1
 	attempt := &consensus.IdempotentChange{Change: func(current consensus.Record) (consensus.Record, bool) {
@@ -45,16 +45,16 @@
 		next.ClusterID = clusterID
 		return next, true
 	}}
-	record, err := e.decide(ctx, func(call context.Context) (consensus.Record, error) {
+	record, err := e.runProposal(ctx, func(call context.Context) (consensus.Record, error) {
 		return e.proposer(PrepareBySelf).Bootstrap(call, members, seeds, attempt.Apply)
 	})
 	if err == nil && attempt.Applied() {
-		e.lead(record)
+		e.assumePrimary(record)
 	}
 	return err
 }
 
-// candidates are the processes that answered and were started to bootstrap the cluster.
+// candidates is the set of processes that answered and were started to bootstrap the cluster.
 type candidates struct {
 	mu        sync.Mutex // guards byAddress
 	byAddress map[string]consensus.Member
@@ -62,18 +62,18 @@
 
 func newCandidates() *candidates { return &candidates{byAddress: map[string]consensus.Member{}} }
 
-// note notes whether the process that answered at an address was started to bootstrap the cluster.
-func (c *candidates) note(there consensus.Member, bootstraps bool) {
+// set adds a process that answered to the candidates if it was started to bootstrap the cluster, and removes it otherwise.
+func (c *candidates) set(member consensus.Member, bootstraps bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bootstraps {
-		c.byAddress[there.Address] = there
+		c.byAddress[member.Address] = member
 	} else {
-		delete(c.byAddress, there.Address)
+		delete(c.byAddress, member.Address)
 	}
 }
 
-// all returns the candidates by their address.
+// all returns a copy of the candidates by address.
 func (c *candidates) all() map[string]consensus.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/tier/control/election/learn_test.go
+++ b/tier/control/election/learn_test.go
@@ -11,21 +11,22 @@
 	"otterseam/tier/rpc"
 )
 
-// A newer record is dated when it is learned: who follows a primary that never came has to know since when it waits.
-func TestANewerRecordIsDatedWhenItIsLearned(t *testing.T) {
+// Learn records the time at which it received a newer record. A backup counts from that time how long a
+// primary that never started has been silent.
+func TestLearnSetsTheTimeOfANewerRecord(t *testing.T) {
 	log := logrus.NewEntry(logrus.New())
 	clients := rpc.NewClients(nil)
-	host, err := multigroup.Open(t.TempDir(), clients, log, true)
+	node, err := multigroup.Open(t.TempDir(), clients, log, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	elector, err := New(Config{Node: host, Clients: clients, Policy: membership.Policy{Tolerate: 1}, Log: log, Now: multigroup.Now})
+	elector, err := New(Config{Node: node, Clients: clients, Policy: membership.Policy{Tolerate: 1}, Log: log, Now: multigroup.Now})
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := multigroup.Now()
 	elector.Learn(consensus.Record{Epoch: 3, Primary: 7})
 	if known, since := elector.KnownSince(); known.Epoch != 3 || since < before {
-		t.Fatalf("epoch %d is known since %d, before %d", known.Epoch, since, before)
+		t.Fatalf("epoch %d is known since %d, which is before %d", known.Epoch, since, before)
 	}
 }
--- a/tier/control/simulation/machine_test.go
+++ b/tier/control/simulation/machine_test.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/feed"
 )
 
-// machine is the control state with the versions that it took.
+// machine is the control state together with the configuration versions that were applied.
 type machine struct {
 	*state.State
 	versions []uint64
@@ -18,8 +18,8 @@
 func (m *machine) Apply(index uint64, data []byte) any {
 	result := m.State.Apply(index, data).(state.Result)
 	if c, err := state.DecodeCommand(data); err == nil && result.Code == codes.OK {
-		if order, is := c.(state.ReplaceConfig); is {
-			m.versions = append(m.versions, order.Version)
+		if replace, is := c.(state.ReplaceConfig); is {
+			m.versions = append(m.versions, replace.Version)
 		}
 	}
 	return result
@@ -34,12 +34,12 @@
 
 func (m *machine) Restore(snapshot []byte) error {
 	d := codec.NewDecoder(snapshot)
-	held := d.Blob()
+	stateSnapshot := d.Blob()
 	m.versions = d.Uint64s()
-	return m.State.Restore(held)
+	return m.State.Restore(stateSnapshot)
 }
 
-// readConfig reads the configuration without a commit, as no member may.
+// readConfig reads the configuration without a commit. It is used to inject a fault.
 func (m *machine) readConfig() state.Result {
 	data, found := m.View.Get(feed.SectionConfig, directory.CurrentKey)
 	if !found {
@@ -49,8 +49,8 @@
 	return state.Result{Body: body}
 }
 
-// forgetAnswers has the state forget which orders it answered, as no member may: it is restored from a snapshot that ends without
-// them.
+// forgetAnswers makes the state forget the results of changes, by restoring it from a snapshot with an empty log of results. It is used
+// to inject a fault.
 func (m *machine) forgetAnswers() {
 	snapshot := m.State.Snapshot()
 	d := codec.NewDecoder(snapshot)
@@ -58,14 +58,14 @@
 	for range d.Uint32() {
 		_, _, _, _ = d.String(), d.Uint64(), d.Bool(), d.Uint64()
 	}
-	answered := configlog.Decode(d)
-	var kept, none codec.Encoder
-	answered.Encode(&kept)
-	(&configlog.Log{}).Encode(&none)
-	if err := m.State.Restore(append(snapshot[:len(snapshot)-len(kept.Bytes)], none.Bytes...)); err != nil {
+	log := configlog.Decode(d)
+	var encodedLog, emptyLog codec.Encoder
+	log.Encode(&encodedLog)
+	(&configlog.Log{}).Encode(&emptyLog)
+	if err := m.State.Restore(append(snapshot[:len(snapshot)-len(encodedLog.Bytes)], emptyLog.Bytes...)); err != nil {
 		panic(err)
 	}
 }
 
-// version is the configuration in place.
+// version returns the version of the current configuration.
 func (m *machine) version() uint64 { return m.ConfigVersion() }
