--- a/tier/agent/agent.go
+++ b/tier/agent/agent.go
@@ -19,11 +19,12 @@
 	"otterseam/tier/timeline"
 )
 
-// rotateAfter is how long the agent stays with one control process on average. Agents whose process ended are spread again over all
-// within about twice that; a move costs a connection and what changed meanwhile.
+// rotateAfter is the average time for which the agent stays subscribed to one control process. After a control process has failed and
+// restarted, its agents are evenly distributed again within about twice this time. A move costs a new connection and the changes
+// made in the meantime.
 const rotateAfter = 10 * time.Second
 
-// maxQueuedReports bounds the reports that wait for control; more are dropped, as they tell of the same hosts.
+// maxQueuedReports limits the reports waiting to be sent to control. Further reports are dropped, as they describe the same hosts.
 const maxQueuedReports = 4
 
 // Agent is the agent process.
@@ -35,10 +36,10 @@
 	view      *feed.View
 	publisher *feed.Publisher
 	control   *controlclient.Client
-	reports   chan []byte // what the proxy observed, on its way to control
+	reports   chan []byte // the proxy's observations of hosts, waiting to be sent to control
 }
 
-// New makes an agent. The settings have to name seeds.
+// New returns an agent. It fails if the settings contain no seeds.
 func New(s *settings.Settings, log *logrus.Entry) (*Agent, error) {
 	if err := settings.Require(map[string]string{"seeds": strings.Join(s.Seeds, ",")}); err != nil {
 		return nil, err
@@ -57,7 +58,7 @@
 	return a, nil
 }
 
-// Run serves until the context ends, and then waits for its goroutines.
+// Run serves until the context ends and then waits for the agent's goroutines. It fails if it cannot listen.
 func (a *Agent) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", a.settings.AgentAddress())
 	if err != nil {
@@ -67,18 +68,18 @@
 	return nil
 }
 
-// serve serves on a listener, which it closes in the end.
+// serve serves on the listener until the context ends, and then closes the listener.
 func (a *Agent) serve(ctx context.Context, listener net.Listener) {
 	var running sync.WaitGroup
 	running.Go(func() { rpc.Serve(listener, a.handle) })
 	running.Go(func() { a.sendReports(ctx) })
-	subscriber := &feed.Subscriber{View: a.view, Addresses: a.controlAddresses, OnChange: a.noteView, RotateAfter: rotateAfter}
+	subscriber := &feed.Subscriber{View: a.view, Addresses: a.controlAddresses, OnChange: a.recordView, RotateAfter: rotateAfter}
 	subscriber.Run(ctx)
-	_ = listener.Close() // it only ends Serve
+	_ = listener.Close() // its only purpose is to end rpc.Serve
 	running.Wait()
 }
 
-// handle takes a message of the proxy, or of an operator's status command.
+// handle handles a message from the proxy or from an operator's status command.
 func (a *Agent) handle(message rpc.Message) {
 	switch message.Kind {
 	case feed.KindSubscribe:
@@ -92,10 +93,10 @@
 	}
 }
 
-// noteView notes the first view.
-func (a *Agent) noteView([]feed.Item) { a.timeline.Reach(timeline.ViewReceived) }
+// recordView records the first view in the timeline.
+func (a *Agent) recordView([]feed.Item) { a.timeline.Reach(timeline.ViewReceived) }
 
-// queueReport queues a report of the proxy for control, if there is room.
+// queueReport queues a report from the proxy, or drops it if the queue is full.
 func (a *Agent) queueReport(report []byte) {
 	select {
 	case a.reports <- report:
@@ -103,8 +104,8 @@
 	}
 }
 
-// sendReports hands reports to the primary of control until the context ends. Each is tried once: while control has no primary,
-// reports must put no load on it.
+// sendReports sends queued reports to the primary of control until the context ends. It tries each report once, so that reports put
+// no load on control while control has no primary.
 func (a *Agent) sendReports(ctx context.Context) {
 	for {
 		select {
@@ -112,13 +113,13 @@
 			return
 		case report := <-a.reports:
 			if _, err := a.control.CallOnce(ctx, controlclient.KindHostObservations, report); err != nil {
-				a.log.WithError(err).Debug("a report of hosts was not taken")
+				a.log.WithError(err).Debug("failed to send a report of host observations to control")
 			}
 		}
 	}
 }
 
-// controlAddresses lists where control may be: the members that the view names and the seeds.
+// controlAddresses returns the addresses at which control may be reached: those of the members in the view, then the seeds.
 func (a *Agent) controlAddresses() []string {
 	return append(directory.ControlAddresses(a.view), a.seeds.Addresses()...)
 }
--- a/tier/agent/agent_test.go
+++ b/tier/agent/agent_test.go
@@ -18,15 +18,15 @@
 	"otterseam/tier/timeline"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-func discard() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logrus.NewEntry(logger)
 }
 
-// controlStub stands in for a control process: it publishes a view and keeps the observations that it is sent.
+// controlStub is a stub of a control process. It publishes a view and keeps the observations that it receives.
 type controlStub struct {
 	port         int
 	view         *feed.View
@@ -54,10 +54,11 @@
 	return c
 }
 
-// startAgent runs an agent whose seed is the stand-in, and returns a connection to it. The test ends when the agent has ended.
+// startAgent starts an agent whose only seed is the stub, and returns a connection to the agent. The cleanup of the test stops the
+// agent and waits for it.
 func startAgent(t *testing.T, control *controlStub, handler rpc.Handler) *rpc.Conn {
 	t.Helper()
-	a, err := New(&settings.Settings{FirstPort: control.port, Seeds: []string{"127.0.0.1"}}, discard())
+	a, err := New(&settings.Settings{FirstPort: control.port, Seeds: []string{"127.0.0.1"}}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,8 +76,8 @@
 		cancel()
 		select {
 		case <-ended:
-		case <-time.After(patience):
-			t.Error("the agent runs on after its context")
+		case <-time.After(testTimeout):
+			t.Error("the agent is still running after its context has ended")
 		}
 	})
 	conn, err := rpc.Dial(t.Context(), listener.Addr().String(), handler)
@@ -88,18 +89,18 @@
 }
 
 func TestNewRequiresSeeds(t *testing.T) {
-	if _, err := New(&settings.Settings{}, discard()); err == nil {
-		t.Fatal("an agent without seeds was made")
+	if _, err := New(&settings.Settings{}, discardLogger()); err == nil {
+		t.Fatal("New accepted settings without seeds")
 	}
 }
 
-func TestRunFailsWhereItCannotListen(t *testing.T) {
-	a, err := New(&settings.Settings{FirstPort: 1 << 16, Seeds: []string{"127.0.0.1"}}, discard())
+func TestRunFailsIfItCannotListen(t *testing.T) {
+	a, err := New(&settings.Settings{FirstPort: 1 << 16, Seeds: []string{"127.0.0.1"}}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Run(t.Context()); err == nil {
-		t.Fatal("it listens on a port that does not exist")
+		t.Fatal("Run succeeded with an invalid port")
 	}
 }
 
@@ -115,7 +116,7 @@
 	if _, err := conn.Call(t.Context(), feed.KindSubscribe, feed.SubscribeRequest{}.Encode()); err != nil {
 		t.Fatal(err)
 	}
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case update := <-received:
@@ -123,7 +124,7 @@
 				return
 			}
 		case <-timeout:
-			t.Fatal("the host did not come")
+			t.Fatal("the proxy did not receive the host")
 		}
 	}
 }
@@ -135,10 +136,10 @@
 	select {
 	case got := <-control.observations:
 		if string(got) != "a window" {
-			t.Fatalf("%q", got)
+			t.Fatalf("control received %q", got)
 		}
-	case <-time.After(patience):
-		t.Fatal("no observation came")
+	case <-time.After(testTimeout):
+		t.Fatal("control received no observations")
 	}
 }
 
@@ -153,15 +154,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := conn.Call(t.Context(), test.kind, nil); !errors.Is(err, test.want) {
-				t.Fatalf("answered %v", err)
+				t.Fatalf("error %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// Reports that find the queue full are dropped; who sends them never waits.
+// Reports that arrive while the queue is full are dropped, and the sender is not blocked.
 func TestReportsAreDroppedWhenTheQueueIsFull(t *testing.T) {
-	a, err := New(&settings.Settings{Seeds: []string{"127.0.0.1"}}, discard())
+	a, err := New(&settings.Settings{Seeds: []string{"127.0.0.1"}}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,6 +170,6 @@
 		a.queueReport(nil)
 	}
 	if len(a.reports) != maxQueuedReports {
-		t.Fatalf("%d reports wait", len(a.reports))
+		t.Fatalf("%d reports are queued", len(a.reports))
 	}
 }
--- a/tier/agent/doc.go
+++ b/tier/agent/doc.go
@@ -1,18 +1,20 @@
-// Package agent is the process beside each proxy that keeps the link to control. It follows what control distributes and feeds it
-// to the proxy over loopback, so that a proxy that starts finds a view at once and control serves one subscriber a machine.
+// Package agent implements the process that connects the proxy on its machine to control. It subscribes to the view that control
+// distributes and publishes it to the proxy over loopback, so that a starting proxy receives a view at once and control serves one
+// subscriber per machine.
 //
-// # The life of a change and of an observation
+// # Data flow
 //
-// A change comes from a publisher of control into the agent's view (feed.Subscriber) and goes on to the proxy (feed.Publisher). An
-// observation of hosts comes the other way: the proxy sends it with controlclient.KindHostObservations, it waits in a bounded
-// queue, and one call hands it to the primary of control.
+// The agent receives a change from a publisher of control, applies it to its own view (feed.Subscriber) and publishes it to the proxy
+// (feed.Publisher). Observations of hosts take the opposite direction: the proxy sends a report with
+// controlclient.KindHostObservations, the agent holds it in a bounded queue and sends it in one call to the primary of control.
 //
 // # Invariants
 //
-//   - The agent distributes whatever view it has, also while it cannot reach control: an old view is better for the proxy than none.
-//   - It never makes a report of observations twice. Reports that find the queue full are dropped.
+//   - The agent publishes its current view even while it cannot reach control, because an old view is better for the proxy than none.
+//   - It sends each report of observations at most once, and drops reports that arrive while the queue is full.
 //
-// # What it must not do
+// # Constraints
 //
-// It decides nothing and stores nothing; its loss costs a proxy only the news.
+// The agent makes no decisions and stores nothing on disk. While it is down, the proxy continues with its last view and receives no
+// changes.
 package agent
--- a/tier/status/doc.go
+++ b/tier/status/doc.go
@@ -1,17 +1,17 @@
 // Package status reads the state of a running tier from its control processes, for operators (otterctl status) and tests.
 //
-// # The life of one reading
+// # Steps of Read
 //
-// Read subscribes to a publisher of control until the first update has come, asks all control processes for the newest record of
-// their group (controlclient.KindLocate), works out how many losses each group tolerates, and asks control and the stores for their
-// timelines (timeline.KindTimeline).
+// Read subscribes to a publisher of control until it has received the first update, requests the newest group record from all control
+// processes (controlclient.KindLocate), computes how many losses each group tolerates, and requests the timelines of the control
+// processes and the stores (timeline.KindTimeline).
 //
 // # Invariants
 //
-//   - The JSON form, its keys and the texts of Protection.LimitedBy are read by operators; they are held to a recording.
-//   - A process that does not answer is left out of the recovery; only a missing view is an error, codes.Unavailable.
+//   - Operators read the JSON format, its keys and the texts of Protection.LimitedBy. Tests compare them with recorded output.
+//   - A process that does not answer is omitted from Status.Recovery. Only a missing view is an error, codes.Unavailable.
 //
-// # What it must not do
+// # Constraints
 //
-// It changes nothing, and asks no more than any other subscriber may.
+// The package only reads, and sends no request that an ordinary subscriber may not send.
 package status
--- a/tier/status/names.go
+++ b/tier/status/names.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// NameFunc tells how operators call a replica.
+// NameFunc returns the display name of a replica.
 type NameFunc func(id uint64) string
 
-// ReplicaNames tells how operators call the replicas of a status: by the machine's name, or else by the identity.
+// ReplicaNames returns the display names of the replicas of a status: the name of the machine, or else the address of a member of
+// control, or else the replica's identity in hexadecimal.
 func (s Status) ReplicaNames() NameFunc {
 	known := map[uint64]string{}
 	for _, store := range s.Stores {
--- a/tier/status/protection.go
+++ b/tier/status/protection.go
@@ -5,18 +5,19 @@
 	"otterseam/tier/replica"
 )
 
-// Protection is how many losses a group tolerates now, and what keeps it from tolerating more.
+// Protection contains the number of losses that a group tolerates at present, and the reason why it does not tolerate more.
 type Protection struct {
-	// ToleratedLosses is how many disks may be lost, one right after the other and without a repair between, with everything
-	// acknowledged still there and the group able to go on once copies are made again.
+	// ToleratedLosses is the number of disks that may be lost in succession, with no repair in between, without losing acknowledged
+	// data and so that the group can continue once the lost copies are restored.
 	ToleratedLosses int `json:"bears"`
-	// CanAcknowledge tells whether the group has the copies without which it acknowledges nothing.
+	// CanAcknowledge reports whether the group has the minimum number of copies that an acknowledgement requires.
 	CanAcknowledge bool `json:"acknowledges"`
-	// LimitedBy tells operators what keeps the group from tolerating more.
+	// LimitedBy is the reason, as a text for operators, why the group does not tolerate more losses.
 	LimitedBy string `json:"why_not_more"`
 }
 
-// ProtectionOfControl is the protection of the control state. Members that are not in sync count as lost: they may be.
+// ProtectionOfControl returns the protection of the control state. It counts members that are not in sync as lost, since they may
+// be.
 func ProtectionOfControl(record consensus.Record, name NameFunc) Protection {
 	if !record.IsBootstrapped() {
 		return Protection{LimitedBy: textNoRecord}
@@ -42,7 +43,7 @@
 	return p
 }
 
-// spareVotes is how many of the members in sync may go before there is no majority of them.
+// spareVotes returns how many in-sync members may be lost before the rest is no longer a majority of the members.
 func spareVotes(record consensus.Record, members []consensus.Member) int {
 	inSync := 0
 	for _, member := range members {
@@ -53,7 +54,7 @@
 	return max(0, inSync-len(members)/2-1)
 }
 
-// ProtectionOfShard is the protection of a shard of programs.
+// ProtectionOfShard returns the protection of a shard of programs.
 func ProtectionOfShard(view replica.View, name NameFunc) Protection {
 	lagging := notInSync(view.Replicas, view.IsInSync)
 	p := Protection{ToleratedLosses: view.ToleratedLosses(), CanAcknowledge: view.HasMinInSync()}
@@ -68,7 +69,7 @@
 	return p
 }
 
-// notInSync lists those of some replicas that are not in sync.
+// notInSync returns the replicas that are not in sync.
 func notInSync(replicas []uint64, isInSync func(id uint64) bool) []uint64 {
 	var lagging []uint64
 	for _, id := range replicas {
--- a/tier/status/protection_text.go
+++ b/tier/status/protection_text.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// The texts of Protection.LimitedBy, which operators read.
+// The texts of Protection.LimitedBy, which are for operators.
 
-const textNoRecord = "control is not founded, or nobody answers"
+const textNoRecord = "control is not bootstrapped, or no control process answers"
 
-// textMissingCopies is for a group that acknowledges nothing.
+// textMissingCopies is the text for a group that has too few copies to acknowledge anything.
 func textMissingCopies(inSync, wanted int, lagging []uint64, name NameFunc) string {
 	text := fmt.Sprintf("%d of the %d copies that an acknowledgement needs: nothing is acknowledged", inSync, wanted)
 	if len(lagging) == 0 {
@@ -18,7 +18,7 @@
 	return text + " until " + names(lagging, name) + " caught up"
 }
 
-// textNotInSync is for a group that would tolerate more if some replicas caught up.
+// textNotInSync is the text for a group that would tolerate more losses if its lagging replicas caught up.
 func textNotInSync(lagging []uint64, name NameFunc) string {
 	verb := "is"
 	if len(lagging) > 1 {
@@ -27,12 +27,12 @@
 	return names(lagging, name) + " " + verb + " not in sync"
 }
 
-// textAllInSync is for a group whose replicas are all in sync.
+// textAllInSync is the text for a group whose replicas are all in sync.
 func textAllInSync(copies int) string {
-	return "all of " + plural(copies, "copy") + " in sync; more need more machines"
+	return "all of " + plural(copies, "copy") + " in sync; tolerating more losses needs more machines"
 }
 
-// textMajorityNeeded is for a group whose votes run out before its copies do.
+// textMajorityNeeded is the text for a group that would lose its majority of votes before its last copy.
 func textMajorityNeeded(members int) string {
 	return fmt.Sprintf("more than half of %s have to be left", plural(members, "member"))
 }
--- a/tier/status/record.go
+++ b/tier/status/record.go
@@ -9,14 +9,15 @@
 	"otterseam/tier/rpc"
 )
 
-// NewestRecord asks all control processes for the newest record of who leads and who is in sync; it is empty if none answers.
+// NewestRecord requests the group record, which names the primary and the members in sync, from all control processes and returns
+// the one with the highest epoch. The record is empty if no process answers.
 func NewestRecord(ctx context.Context, addresses []string) consensus.Record {
 	records := make([]consensus.Record, len(addresses))
-	var asking sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, address := range addresses {
-		asking.Go(func() { records[i] = locate(ctx, address) })
+		calls.Go(func() { records[i] = locate(ctx, address) })
 	}
-	asking.Wait()
+	calls.Wait()
 	var newest consensus.Record
 	for _, record := range records {
 		if record.Epoch > newest.Epoch {
@@ -26,7 +27,7 @@
 	return newest
 }
 
-// locate asks one control process for the record that it knows; it is empty if there is no answer.
+// locate returns the newest record that one control process knows. The record is empty if the process does not answer.
 func locate(ctx context.Context, address string) consensus.Record {
 	client := rpc.NewClient(address, nil)
 	defer client.Close()
--- a/tier/status/recorded_json_test.go
+++ b/tier/status/recorded_json_test.go
@@ -11,7 +11,7 @@
 	"otterseam/tier/replica"
 )
 
-// recordedStatus sets every field that operators may read.
+// recordedStatus returns a status in which every field of the JSON output is set.
 func recordedStatus() Status {
 	members := []consensus.Member{{ID: 1, Address: "10.0.0.1:7401", Node: "ctl-a"}, {ID: 2, Address: "10.0.0.2:7402", Node: "ctl-b"}}
 	s := Status{
@@ -36,7 +36,7 @@
 	return s
 }
 
-// What operators read as JSON, all its keys included, is as recorded; whoever renames a field gives it its key by a tag.
+// Guards the JSON output for operators against changes, in particular of its keys. A renamed field needs a tag that keeps its key.
 func TestStatusIsWrittenAsTheRecordedJSON(t *testing.T) {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
--- a/tier/status/recorded_test.go
+++ b/tier/status/recorded_test.go
@@ -15,8 +15,8 @@
 	"otterseam/tier/timeline"
 )
 
-// answerRecorded is a process that answers calls of a kind with a recording.
-func answerRecorded(t *testing.T, kind rpc.Kind, name string) string {
+// serveRecorded starts a server that answers calls of one kind with recorded bytes, and returns its address.
+func serveRecorded(t *testing.T, kind rpc.Kind, name string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,14 +26,14 @@
 	content := recorded.Read(t, name)
 	go rpc.Serve(listener, func(m rpc.Message) {
 		if m.Kind != kind || len(m.Payload) > 0 {
-			t.Errorf("kind %d, %q", m.Kind, m.Payload)
+			t.Errorf("received a call of kind %d with payload %q", m.Kind, m.Payload)
 		}
 		m.Answer(codes.OK, content)
 	})
 	return listener.Addr().String()
 }
 
-// The recorded answer of a control process is read; control's own test gives the same answer.
+// Decodes the recorded answer of a control process. A test of package control checks that control sends the same bytes.
 func TestRecordedLocate(t *testing.T) {
 	want := consensus.Record{
 		Epoch: 0x0102030405060708, Primary: 0x1111111111111111, InSync: []uint64{0x1111111111111111, 0x2222222222222222},
@@ -48,15 +48,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	address := answerRecorded(t, controlclient.KindLocate, "locate-answer")
+	address := serveRecorded(t, controlclient.KindLocate, "locate-answer")
 	if got := NewestRecord(ctx, []string{address}); !reflect.DeepEqual(got, want) {
 		t.Fatalf("read %+v", got)
 	}
 }
 
-// The recorded timeline of a process is read; the timeline's own test gives the same one.
+// Decodes the recorded timeline of a process. A test of package timeline checks that a process sends the same bytes.
 func TestRecordedTimeline(t *testing.T) {
-	address := answerRecorded(t, timeline.KindTimeline, "timeline")
+	address := serveRecorded(t, timeline.KindTimeline, "timeline")
 	got := readRecovery(context.Background(), []string{address})
 	want := []Recovery{{address, map[string]int64{
 		"process-up": 0, "disk-read": 74, "majority-contacted": 185, "primary-decided": 333, "primary-ready": 518, "view-received": 740,
--- a/tier/status/recovery.go
+++ b/tier/status/recovery.go
@@ -9,23 +9,23 @@
 	"otterseam/tier/timeline"
 )
 
-// Recovery is when a process reached each step after its start, in milliseconds.
+// Recovery contains the milliseconds from the start of a process to each recovery step that it has reached, by the name of the step.
 type Recovery struct {
 	Address string           `json:"address"`
 	AfterMS map[string]int64 `json:"after_ms"`
 }
 
-// recoveryTimeout is how long a process may take to tell its timeline; one that hangs must not delay the others.
+// recoveryTimeout is the time limit for reading the timelines, so that a process that hangs does not delay the status.
 const recoveryTimeout = 300 * time.Millisecond
 
-// readRecovery asks processes for their timelines, in the order of their addresses. Those that don't answer are left out.
+// readRecovery returns the timelines of processes, in the order of their addresses. Processes that don't answer are omitted.
 func readRecovery(ctx context.Context, addresses []string) []Recovery {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	answers := make([]map[string]int64, len(addresses))
-	var asking sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, address := range addresses {
-		asking.Go(func() {
+		calls.Go(func() {
 			client := rpc.NewClient(address, nil)
 			defer client.Close()
 			if answer, err := client.Call(ctx, timeline.KindTimeline, nil); err == nil {
@@ -33,7 +33,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 	var all []Recovery
 	for i, steps := range answers {
 		if steps != nil {
--- a/tier/status/status.go
+++ b/tier/status/status.go
@@ -11,23 +11,24 @@
 	"otterseam/tier/feed"
 )
 
-// Status is what the control processes tell. Times are in milliseconds.
+// Status is the state of a tier. Times are in milliseconds.
 type Status struct {
 	Control       consensus.Record  `json:"control"`
-	ConfigVersion uint64            `json:"config_version"` // 0 if none was accepted yet
+	ConfigVersion uint64            `json:"config_version"` // 0 if no configuration has been accepted
 	Revision      uint64            `json:"revision"`
-	Stores        []directory.Store `json:"stores"`          // by the machine's name
-	Shards        []directory.Shard `json:"shards"`          // by ID
-	Hosts         []directory.Host  `json:"hosts"`           // by ID
-	Ejected       map[string]int64  `json:"hosts_set_aside"` // for how long, by the host's ID
+	Stores        []directory.Store `json:"stores"`          // sorted by the machine's name
+	Shards        []directory.Shard `json:"shards"`          // sorted by ID
+	Hosts         []directory.Host  `json:"hosts"`           // sorted by ID
+	Ejected       map[string]int64  `json:"hosts_set_aside"` // ejection duration, by the host's ID
 
-	Recovery []Recovery `json:"recovery"` // of the processes of control and of the stores
+	Recovery []Recovery `json:"recovery"` // of control processes and stores
 
 	ControlProtection Protection            `json:"control_bears"`
 	ShardProtection   map[uint32]Protection `json:"shards_bear"` // by the shard's ID
 }
 
-// Read asks the control processes at the addresses, which are those of the internal ports.
+// Read reads the status from the control processes. The addresses are those of their internal ports. It returns codes.Unavailable
+// if it receives no view.
 func Read(ctx context.Context, addresses []string) (Status, error) {
 	view, err := readView(ctx, addresses)
 	if err != nil {
@@ -40,7 +41,7 @@
 	return s, nil
 }
 
-// fromView is what a view of control says.
+// fromView returns the part of the status that the view contains.
 func fromView(view *feed.View) Status {
 	s := Status{
 		Revision: view.Revision(),
@@ -61,7 +62,7 @@
 	return s
 }
 
-// fillProtection works out how many losses the groups tolerate.
+// fillProtection computes the protection of control and of the shards from the rest of the status.
 func (s *Status) fillProtection() {
 	name := s.ReplicaNames()
 	s.ControlProtection = ProtectionOfControl(s.Control, name)
--- a/tier/status/view.go
+++ b/tier/status/view.go
@@ -7,13 +7,13 @@
 	"otterseam/tier/feed"
 )
 
-// readView subscribes until the first update has come.
+// readView returns the first view that a publisher at one of the addresses sends.
 func readView(ctx context.Context, addresses []string) (*feed.View, error) {
 	view := feed.NewView()
-	reading, cancel := context.WithCancel(ctx)
+	subscribed, cancel := context.WithCancel(ctx)
 	defer cancel()
 	subscriber := &feed.Subscriber{View: view, Addresses: func() []string { return addresses }, OnChange: func([]feed.Item) { cancel() }}
-	subscriber.Run(reading)
+	subscriber.Run(subscribed)
 	if view.Revision() == 0 {
 		return nil, codes.Unavailable
 	}
--- a/tier/timeline/doc.go
+++ b/tier/timeline/doc.go
@@ -1,13 +1,14 @@
-// Package timeline notes when a process reaches each step of its recovery, counted from its start, once in its incarnation. It logs
-// each step and keeps it as a figure that operators can ask for, so that after an outage it can be told where the time went.
+// Package timeline records the time from the start of a process to each step of its recovery. It logs each step and returns the
+// times to operators on request, so that they can see after an outage which step took how long.
 //
 // # Invariants
 //
-//   - A step counts the first time it is reached only, and is logged once.
-//   - Numbers of steps, on the wire, and their names, in logs and on the pages, are never used again for another step; a reader
-//     leaves out the steps that it doesn't know.
+//   - A step is recorded and logged only the first time that a process reaches it.
+//   - The numbers of steps on the wire and their names in logs and documentation are never reused for another step. Decode skips
+//     the steps that it doesn't know.
 //
 // # Limits
 //
-// A timeline measures and decides nothing. Times are durations of the process's own clock, on the wire in milliseconds.
+// A timeline only measures; nothing depends on it. Times are durations on the process's own clock. On the wire they are in
+// milliseconds.
 package timeline
--- a/tier/timeline/encoding.go
+++ b/tier/timeline/encoding.go
@@ -5,11 +5,11 @@
 	"otterseam/tier/rpc"
 )
 
-// KindTimeline is the call by which the status command of operators asks a process for its timeline. The request is empty; control
-// processes, stores and agents answer with [Timeline.Encode].
+// KindTimeline is the kind of the call that requests the timeline of a process, as the operators' status command does. The request
+// is empty. Control processes, stores and agents answer with [Timeline.Encode].
 const KindTimeline rpc.Kind = 90
 
-// Encode is the timeline's form on the wire: steps and milliseconds.
+// Encode returns the wire format of the timeline: the reached steps, each followed by its time in milliseconds.
 func (t *Timeline) Encode() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -23,18 +23,19 @@
 	return e.Bytes
 }
 
-// Decode reads the steps of a timeline with their milliseconds. Steps that this version doesn't know are left out.
+// Decode returns the times of an encoded timeline in milliseconds, by the names of the steps. It skips steps that this version
+// doesn't know.
 func Decode(data []byte) map[string]int64 {
 	d := codec.NewDecoder(data)
 	steps := map[string]int64{}
 	for {
 		step := Step(d.Uint8())
-		after := d.Int64()
+		afterMS := d.Int64()
 		if d.Err() != nil {
 			return steps
 		}
 		if step.isKnown() {
-			steps[step.String()] = after
+			steps[step.String()] = afterMS
 		}
 	}
 }
--- a/tier/timeline/example_test.go
+++ b/tier/timeline/example_test.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/timeline"
 )
 
-// A process notes the steps that it reaches; whoever asks reads them by name.
+// A process records the steps that it reaches, and a reader finds them by name.
 func ExampleTimeline() {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/tier/timeline/recorded_test.go
+++ b/tier/timeline/recorded_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// The number of the call and the names of the steps, which operators read, are those recorded.
+// Guards against a changed call number, and against changed step names, which operators read.
 func TestRecordedNames(t *testing.T) {
 	listed := []byte{byte(KindTimeline)}
 	for step := Step(0); step <= lastStep+1; step++ {
--- a/tier/timeline/steps.go
+++ b/tier/timeline/steps.go
@@ -1,24 +1,24 @@
 package timeline
 
-// Step is a step of recovery.
+// Step is a step in the recovery of a process.
 type Step uint8
 
-// The steps, in the order in which a tier that starts reaches them. Not every role has every step.
+// The steps, in the order in which a starting tier reaches them. Each role has only some of them.
 const (
-	ProcessUp           Step = iota + 1 // the process runs
-	DiskRead                            // what its disk holds has been read
+	ProcessUp           Step = iota + 1 // the process has started
+	DiskRead                            // the process has read the data on its disk
 	MajorityContacted                   // a majority of the control processes answered
-	PrimaryDecided                      // this process was decided to be the primary of control
-	PrimaryReady                        // and has committed the entry that opens its epoch
-	ViewReceived                        // the first view from a publisher
-	ShardLed                            // the first shard that this store leads takes commands
+	PrimaryDecided                      // this process was elected primary of control
+	PrimaryReady                        // the primary has committed the first entry of its epoch
+	ViewReceived                        // the first view has been received from a publisher
+	ShardLed                            // the first shard that this store leads accepts commands
 	FirstBeginCommitted                 // the first begin of a turn was answered
 	FirstRequestSent                    // the first request was sent to a host
 
 	lastStep = FirstRequestSent
 )
 
-// names are those of logs and of the operators' pages.
+// names are the names of the steps in logs and in the operators' documentation.
 var names = [lastStep + 1]string{
 	ProcessUp:           "process-up",
 	DiskRead:            "disk-read",
@@ -31,10 +31,10 @@
 	FirstRequestSent:    "first-request-sent",
 }
 
-// isKnown tells whether this version knows the step.
+// isKnown reports whether this version knows the step.
 func (s Step) isKnown() bool { return s >= ProcessUp && s <= lastStep }
 
-// String is the step's name in logs and on the pages.
+// String returns the name of the step in logs and documentation.
 func (s Step) String() string {
 	if !s.isKnown() {
 		return "unknown"
--- a/tier/timeline/timeline_test.go
+++ b/tier/timeline/timeline_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-func TestEachStepIsNotedOnce(t *testing.T) {
+func TestEachStepIsRecordedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&lines)
@@ -24,7 +24,7 @@
 		t.Fatalf("%v, %v", got, reached)
 	}
 	if _, reached := line.Reached(ShardLed); reached {
-		t.Fatal("a step that was never reached is told as reached")
+		t.Fatal("a step that was never reached is reported as reached")
 	}
 	if got := strings.Count(lines.String(), "view-received"); got != 1 {
 		t.Fatalf("logged %d times", got)
@@ -38,7 +38,7 @@
 func TestEveryStepHasAName(t *testing.T) {
 	for step := ProcessUp; step <= lastStep; step++ {
 		if step.String() == "" || step.String() == "unknown" {
-			t.Errorf("step %d", step)
+			t.Errorf("step %d has no name", step)
 		}
 	}
 }
