--- a/tier/proxy/fleetload.go
+++ b/tier/proxy/fleetload.go
@@ -17,59 +17,60 @@
 
 const (
 	loadReportInterval = fleetload.ReportInterval * time.Millisecond
-	// loadReportTimeout is how long the home of the zone may take to answer a report.
+	// loadReportTimeout is the timeout of a report to the home of the zone.
 	loadReportTimeout = 300 * time.Millisecond
-	// placeTimeout is how long a request waits for the home to place it.
+	// placeTimeout is the maximum time for which a request waits for the home to choose its host.
 	placeTimeout = 40 * time.Millisecond
-	// avoidErrorRate is the share of failures from which on a host is not wanted for what this proxy has seen.
+	// avoidErrorRate is the error rate, as observed by this proxy, above which the home is asked to avoid a host.
 	avoidErrorRate = 0.1
-	// homeAvoidTime is how long a home that did not answer is passed over.
+	// homeAvoidTime is the time for which a home that did not answer is not used.
 	homeAvoidTime = 3 * time.Second
-	// beginRateGain is the weight of the newest interval in the rate of requests.
-	beginRateGain = 0.15
-	// totalsTrust is how long the sums of a home are used.
-	totalsTrust = fleetload.TotalsTrust * time.Millisecond
+	// rateSmoothingFactor is the weight of the newest interval in the smoothed request rate.
+	rateSmoothingFactor = 0.15
+	// totalsMaxAge is the maximum age of the fleet's totals. Older ones are not used.
+	totalsMaxAge = fleetload.TotalsTrust * time.Millisecond
 )
 
-// fleetKnowledge is what a proxy knows of the requests of all. The lock of hostTable guards it.
-type fleetKnowledge struct {
-	begins   int     // requests sent to hosts since the last report
-	rate     float64 // of own requests, a second
-	total    float64 // of all gateways' requests, a second
-	knownAt  time.Time
-	reportAt time.Time
+// fleetRates contains the request rates of this proxy and of the fleet. The lock of hostTable guards it.
+type fleetRates struct {
+	sent          int     // requests sent to hosts since intervalStart
+	ownRate       float64 // requests of this proxy per second
+	totalRate     float64 // requests of all gateways per second
+	totalRateAt   time.Time
+	intervalStart time.Time // time of the last report
 }
 
-// beginsPerSecond is how many requests all gateways send in a second, 0 if what they have in flight is not known.
-func (f *fleetKnowledge) beginsPerSecond(now time.Time) float64 {
-	if now.Sub(f.knownAt) > totalsTrust {
+// requestsPerSecond returns the number of requests that all gateways send per second, or 0 if the totals are too old.
+func (f *fleetRates) requestsPerSecond(now time.Time) float64 {
+	if now.Sub(f.totalRateAt) > totalsMaxAge {
 		return 0
 	}
-	return max(f.total, f.rate, 1)
+	return max(f.totalRate, f.ownRate, 1)
 }
 
-// report ends an interval and returns the rate of own requests.
-func (f *fleetKnowledge) report(now time.Time) uint32 {
-	if elapsed := now.Sub(f.reportAt).Seconds(); !f.reportAt.IsZero() && elapsed > 0 {
-		f.rate += beginRateGain * (float64(f.begins)/elapsed - f.rate)
+// endInterval ends a report interval and returns the request rate of this proxy.
+func (f *fleetRates) endInterval(now time.Time) uint32 {
+	if elapsed := now.Sub(f.intervalStart).Seconds(); !f.intervalStart.IsZero() && elapsed > 0 {
+		f.ownRate += rateSmoothingFactor * (float64(f.sent)/elapsed - f.ownRate)
 	}
-	f.begins = 0
-	f.reportAt = now
-	return uint32(f.rate + 0.5)
+	f.sent = 0
+	f.intervalStart = now
+	return uint32(f.ownRate + 0.5)
 }
 
-// loadExchange reports what this proxy has in flight to the home of its zone, and learns what all have.
+// loadExchange reports this proxy's requests in flight to the home of its zone, the store machine that aggregates the reports, and
+// receives the totals of the fleet. It also has the home choose hosts for requests.
 type loadExchange struct {
 	zone      string
 	hosts     *hostTable
 	clients   *rpc.Clients
-	estimator *fleetload.Estimator // owned by run
+	estimator *fleetload.Estimator // used only by run, except for its gateway ID
 
-	mu          sync.Mutex           // guards what follows
-	homes       []string             // the preferred one first
-	avoidUntil  map[string]time.Time // homes that did not answer
+	mu          sync.Mutex           // guards the fields below
+	homes       []string             // in order of preference
+	avoidUntil  map[string]time.Time // by home that did not answer
 	placements  uint64
-	outstanding map[uint64]bool // placements that are not counted in flight here yet
+	outstanding map[uint64]bool // placements whose request is not yet counted as in flight here
 }
 
 func newLoadExchange(zone string, hosts *hostTable, clients *rpc.Clients) *loadExchange {
@@ -79,7 +80,7 @@
 	}
 }
 
-// update follows the store machines in the view.
+// update applies changes of the store machines in the view.
 func (x *loadExchange) update(view *feed.View, items []feed.Item) {
 	for _, item := range items {
 		if item.Section == feed.SectionStore {
@@ -92,14 +93,14 @@
 	}
 }
 
-// run exchanges load until the context ends.
+// run exchanges loads at each report interval until the context ends.
 func (x *loadExchange) run(ctx context.Context) {
 	periodic.Run(ctx, loadReportInterval, func() { x.exchange(ctx) })
 }
 
-// exchange sends one report and takes the answer.
+// exchange sends one report and applies the totals in the answer.
 func (x *loadExchange) exchange(ctx context.Context) {
-	placed := x.placed()
+	placedUpTo := x.placedUpTo()
 	inflight, rate := x.hosts.reportLoad(time.Now())
 	home := x.home(time.Now())
 	if home == "" {
@@ -107,10 +108,10 @@
 	}
 	call, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
-	report := x.estimator.NextReport(inflight, rate, placed)
+	report := x.estimator.NextReport(inflight, rate, placedUpTo)
 	answer, err := x.clients.To(home).Call(call, fleetload.KindReport, report.Encode())
 	if err != nil {
-		x.avoid(home)
+		x.avoidHome(home)
 		return
 	}
 	totals, err := fleetload.DecodeTotals(answer)
@@ -122,25 +123,25 @@
 	}
 }
 
-// avoid passes a home over for a while.
-func (x *loadExchange) avoid(home string) {
+// avoidHome excludes a home for homeAvoidTime.
+func (x *loadExchange) avoidHome(home string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.avoidUntil[home] = time.Now().Add(homeAvoidTime)
 }
 
-// placed is the number up to which all placements are in flight here, or have ended.
-func (x *loadExchange) placed() uint64 {
+// placedUpTo returns the highest number up to which every placement is counted as in flight here or has ended.
+func (x *loadExchange) placedUpTo() uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	placed := x.placements
+	placedUpTo := x.placements
 	for number := range x.outstanding {
-		placed = min(placed, number-1)
+		placedUpTo = min(placedUpTo, number-1)
 	}
-	return placed
+	return placedUpTo
 }
 
-// beginPlacement numbers a placement.
+// beginPlacement registers a placement and returns its number.
 func (x *loadExchange) beginPlacement() uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -149,24 +150,24 @@
 	return x.placements
 }
 
-// endPlacement notes that a request is in flight, or will not be.
+// endPlacement ends a placement: its request is counted as in flight, or no host was chosen.
 func (x *loadExchange) endPlacement(number uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.outstanding, number)
 }
 
-// place has the home choose the host of a request and counts the request there. It returns nil if the home can't tell, or tells what
-// this proxy does not want.
+// place asks the home to choose the host of a request and counts the request there. It returns nil if the home cannot choose, or if
+// this proxy cannot use the chosen host.
 func (x *loadExchange) place(ctx context.Context, service, preferred string, tried map[string]bool) *upstreamHost {
 	home := x.home(time.Now())
-	if home == "" || !x.hosts.knowsFleet(time.Now()) {
+	if home == "" || !x.hosts.hasFleetTotals(time.Now()) {
 		return nil
 	}
 	number := x.beginPlacement()
 	defer x.endPlacement(number)
 	request := fleetload.PlaceRequest{
-		Gateway: x.estimator.Gateway(), Placement: number, Service: service, Avoid: x.hosts.unwanted(service, tried, time.Now()),
+		Gateway: x.estimator.Gateway(), Placement: number, Service: service, Avoid: x.hosts.hostsToAvoid(service, tried, time.Now()),
 	}
 	if preferred != "" {
 		request.Preferred = fleetload.KeyOf(preferred)
@@ -176,7 +177,7 @@
 	answer, err := x.clients.To(home).Call(call, fleetload.KindPlace, request.Encode())
 	if err != nil {
 		if !errors.Is(err, codes.NoHost) && ctx.Err() == nil {
-			x.avoid(home)
+			x.avoidHome(home)
 		}
 		return nil
 	}
@@ -184,10 +185,10 @@
 	if err != nil {
 		return nil
 	}
-	return x.hosts.take(service, response.Host, tried)
+	return x.hosts.chooseByKey(service, response.Host, tried)
 }
 
-// home is the preferred home of those that answer; "" if there is none.
+// home returns the first home that is not excluded, or an empty string if there is none.
 func (x *loadExchange) home(now time.Time) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -199,15 +200,16 @@
 	return ""
 }
 
-// knowsFleet tells whether the home has told lately what all gateways have in flight.
-func (t *hostTable) knowsFleet(now time.Time) bool {
+// hasFleetTotals reports whether the totals of the fleet are recent enough to be used.
+func (t *hostTable) hasFleetTotals(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fleet.beginsPerSecond(now) > 0
+	return t.fleet.requestsPerSecond(now) > 0
 }
 
-// unwanted lists hosts that a request is not to be sent to: it was there already, or this proxy has seen them fail.
-func (t *hostTable) unwanted(service string, tried map[string]bool, now time.Time) []fleetload.HostKey {
+// hostsToAvoid returns the hosts to which a request should not be sent: those that it has tried, and those that fail according to
+// this proxy's observations.
+func (t *hostTable) hostsToAvoid(service string, tried map[string]bool, now time.Time) []fleetload.HostKey {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var keys []fleetload.HostKey
@@ -219,23 +221,23 @@
 	return keys
 }
 
-// take counts a request at a host that was chosen elsewhere; it returns nil if this proxy can't use the host.
-func (t *hostTable) take(service string, key fleetload.HostKey, tried map[string]bool) *upstreamHost {
+// chooseByKey counts a request at the host that the home has chosen. It returns nil if this proxy cannot use the host.
+func (t *hostTable) chooseByKey(service string, key fleetload.HostKey, tried map[string]bool) *upstreamHost {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, known := range t.byService[service] {
 		host := t.byID[known.ID]
 		if host.key == key && !host.Draining && !tried[host.ID] {
 			host.Begin()
-			t.fleet.begins++
+			t.fleet.sent++
 			return host
 		}
 	}
 	return nil
 }
 
-// chooseHost takes a host for a request and counts the request there: by the home of the zone, which knows what all gateways have in
-// flight, or without one by what this proxy knows. It returns nil if there is none.
+// chooseHost chooses a host for a request and counts the request there. The home of the zone chooses, because it knows the requests in
+// flight of all gateways. If it does not, this proxy chooses by its own observations. It returns nil if there is no host.
 func (p *Proxy) chooseHost(ctx context.Context, service, preferred string, tried map[string]bool) *upstreamHost {
 	if host := p.loads.place(ctx, service, preferred, tried); host != nil {
 		return host
@@ -243,7 +245,7 @@
 	return p.hosts.choose(service, preferred, tried)
 }
 
-// reportLoad returns what is in flight at each host, and how many requests are sent in a second.
+// reportLoad returns this proxy's requests in flight at each host, and its request rate per second.
 func (t *hostTable) reportLoad(now time.Time) (fleetload.Loads, uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -253,16 +255,16 @@
 			loads[host.key] += uint16(min(inflight, 1<<15))
 		}
 	}
-	return loads, t.fleet.report(now)
+	return loads, t.fleet.endInterval(now)
 }
 
-// updateOthers takes what the other gateways have in flight at each host.
-func (t *hostTable) updateOthers(others fleetload.Loads, beginsPerSecond uint32, now time.Time) {
+// updateOthers sets the other gateways' requests in flight at each host, and the request rate of the fleet.
+func (t *hostTable) updateOthers(others fleetload.Loads, requestsPerSecond uint32, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, host := range t.byID {
 		host.UpdateOthers(int(others[host.key]), now)
 	}
-	t.fleet.total = float64(beginsPerSecond)
-	t.fleet.knownAt = now
+	t.fleet.totalRate = float64(requestsPerSecond)
+	t.fleet.totalRateAt = now
 }
--- a/tier/proxy/hosts.go
+++ b/tier/proxy/hosts.go
@@ -15,7 +15,7 @@
 	"otterseam/tier/upstream"
 )
 
-// upstreamHost is a host with its connections.
+// upstreamHost is a host and its connection pool.
 type upstreamHost struct {
 	balance.Host
 	address string
@@ -24,16 +24,16 @@
 	pool    *upstream.Pool
 }
 
-// hostTable holds the hosts by service, and what this proxy observes of them.
+// hostTable contains the hosts by service and this proxy's observations of them.
 type hostTable struct {
 	zone           string
-	onFirstFailure func() // called at the first failure of a window; the lock is held
+	onFirstFailure func() // called at the first failure of a window while the lock is held
 
 	mu           sync.Mutex // guards the fields below and the hosts
 	byID         map[string]*upstreamHost
 	byService    map[string][]*balance.Host
 	observations *outlier.Collector // for the fleet's outlier detection
-	fleet        fleetKnowledge
+	fleet        fleetRates
 }
 
 func newHostTable(zone string, onFirstFailure func()) *hostTable {
@@ -46,7 +46,7 @@
 	}
 }
 
-// update follows the hosts and ejections that changed in the view.
+// update applies changes of the hosts and ejections in the view.
 func (t *hostTable) update(items []feed.Item) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// eject follows the ejection of a host; the lock is held. One that is revoked has expired here by itself.
+// eject applies the ejection of a host. A deletion is ignored, because the ejection expires here by itself. The caller holds the lock.
 func (t *hostTable) eject(item feed.Item) {
 	host := t.byID[item.Key]
 	if host == nil || item.Deleted {
@@ -81,7 +81,7 @@
 	}
 }
 
-// remove forgets a host; the lock is held.
+// remove removes a host. The caller holds the lock.
 func (t *hostTable) remove(id string) {
 	if host := t.byID[id]; host != nil {
 		host.pool.Close()
@@ -89,7 +89,7 @@
 	}
 }
 
-// put adds or changes a host; the lock is held. One at another address is another host.
+// put adds or updates a host. An entry with another address replaces the host. The caller holds the lock.
 func (t *hostTable) put(entry directory.Host) {
 	host := t.byID[entry.ID]
 	if host == nil || host.address != entry.Address {
@@ -105,7 +105,7 @@
 	host.Draining = entry.Draining
 }
 
-// groupByService rebuilds byService; the lock is held.
+// groupByService rebuilds byService. The caller holds the lock.
 func (t *hostTable) groupByService() {
 	t.byService = map[string][]*balance.Host{}
 	for _, host := range t.byID {
@@ -113,36 +113,36 @@
 	}
 }
 
-// choose takes a host for a request and counts the request there; it returns nil if there is none.
+// choose chooses a host for a request by this proxy's own observations and counts the request there. It returns nil if there is none.
 func (t *hostTable) choose(service, preferred string, tried map[string]bool) *upstreamHost {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	request := balance.Request{
-		Zone: t.zone, Preferred: preferred, Tried: tried, Random: rand.Float64, FleetRequestRate: t.fleet.beginsPerSecond(now),
+		Zone: t.zone, Preferred: preferred, Tried: tried, Random: rand.Float64, FleetRequestRate: t.fleet.requestsPerSecond(now),
 	}
 	chosen := balance.Choose(t.byService[service], request, now)
 	if chosen == nil {
 		return nil
 	}
 	chosen.Begin()
-	t.fleet.begins++
+	t.fleet.sent++
 	return t.byID[chosen.ID]
 }
 
-// hostOutcome is what a request at a host says of the host.
+// hostOutcome is the outcome of a request as an observation of its host.
 type hostOutcome uint8
 
 const (
-	hostSucceeded   hostOutcome = iota
-	hostErred                   // it says that it failed, or was silent until the deadline
-	hostFull                    // it rejected the request
-	hostBrokeOff                // its response broke off
-	hostUnreachable             // there was no connection
-	hostUnjudged                // the request was cancelled
+	hostSucceeded      hostOutcome = iota
+	hostServerError                // the host responded with a server error, or not at all before the deadline
+	hostRejected                   // the host rejected the request for lack of slots
+	hostResponseBroken             // the connection broke before the response was complete
+	hostUnreachable                // no connection could be opened
+	hostInconclusive               // the outcome is not evidence about the host, for example after a cancellation
 )
 
-// finish counts a request off, with what it says of its host.
+// finish stops counting a request as in flight at its host and records the outcome.
 func (t *hostTable) finish(host *upstreamHost, outcome hostOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,44 +151,44 @@
 	switch outcome {
 	case hostSucceeded:
 		host.RecordSuccess(time.Now())
-	case hostErred:
+	case hostServerError:
 		host.RecordServerError(time.Now())
-	case hostFull:
+	case hostRejected:
 		host.RecordRejection(time.Now())
-	case hostBrokeOff, hostUnreachable:
+	case hostResponseBroken, hostUnreachable:
 		host.RecordConnectionFailure(time.Now())
 	}
 }
 
-// observe counts an outcome for the fleet's outlier detection; the lock is held.
+// observe records an outcome for the fleet's outlier detection. The caller holds the lock.
 func (t *hostTable) observe(host *upstreamHost, outcome hostOutcome) {
 	t.observations.RecordRequest(host.ID)
 	switch outcome {
-	case hostErred:
+	case hostServerError:
 		t.observeFailure(host, outlier.ServerError)
-	case hostBrokeOff:
+	case hostResponseBroken:
 		t.observeFailure(host, outlier.ConnectionBroken)
 	case hostUnreachable:
 		t.observeFailure(host, outlier.ConnectFailed)
 	}
 }
 
-// observeFailure counts a failure for the fleet's outlier detection; the lock is held.
+// observeFailure records a failure for the fleet's outlier detection. The caller holds the lock.
 func (t *hostTable) observeFailure(host *upstreamHost, failure outlier.Failure) {
 	if t.observations.RecordFailure(host.ID, failure) && t.onFirstFailure != nil {
 		t.onFirstFailure()
 	}
 }
 
-// flushObservations ends a window of observations.
+// flushObservations ends the current window of observations and returns it.
 func (t *hostTable) flushObservations() outlier.Window {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.observations.Flush()
 }
 
-// updateLoad takes a host's load header: requests running, requests queued, and more that does not matter here. One that cannot be
-// read is ignored.
+// updateLoad parses a host's load header and records the load. The header contains the number of running requests, that of queued
+// requests, and further values that are not used. A malformed header is ignored.
 func (t *hostTable) updateLoad(host *upstreamHost, header string) {
 	parts := strings.Split(header, ",")
 	if len(parts) < 2 {
@@ -204,8 +204,8 @@
 	host.UpdateLoad(running, queued, time.Now())
 }
 
-// watchStall records a stall of the host if a request there waits for longer than a threshold, until the function that it returns
-// is called.
+// watchStall records a stall of the host when a request has waited for longer than the threshold. The returned function ends the watch
+// and clears the stall.
 func (t *hostTable) watchStall(host *upstreamHost, threshold time.Duration) (end func()) {
 	const (
 		waiting = iota
@@ -233,7 +233,7 @@
 	}
 }
 
-// closeExpired closes connections that have been idle for too long.
+// closeExpired closes the connections that have been idle for too long.
 func (t *hostTable) closeExpired() {
 	t.mu.Lock()
 	pools := make([]*upstream.Pool, 0, len(t.byID))
--- a/tier/proxy/latency.go
+++ b/tier/proxy/latency.go
@@ -8,10 +8,10 @@
 	"otterseam/tier/opconfig"
 )
 
-// defaultStallThreshold is after how long a request counts as stalled while it is not known what is usual on its route.
+// defaultStallThreshold is the waiting time after which a request counts as stalled while its route has too few observed latencies.
 const defaultStallThreshold = time.Second
 
-// routeLatencies knows, by route, how long responses usually take to begin.
+// routeLatencies estimates, for each route, the usual time until the first byte of a response.
 type routeLatencies struct {
 	mu         sync.Mutex
 	estimators map[string]*hangdetect.Estimator
@@ -21,7 +21,7 @@
 	return &routeLatencies{estimators: map[string]*hangdetect.Estimator{}}
 }
 
-// retainRoutes forgets the routes that a configuration no longer has.
+// retainRoutes removes the estimators of routes that the configuration does not contain.
 func (l *routeLatencies) retainRoutes(config *opconfig.Config) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	l.estimators = retained
 }
 
-// estimator returns that of a route; the lock is held.
+// estimator returns the estimator of a route and creates it if necessary. The caller holds the lock.
 func (l *routeLatencies) estimator(route string) *hangdetect.Estimator {
 	estimator := l.estimators[route]
 	if estimator == nil {
@@ -44,21 +44,21 @@
 	return estimator
 }
 
-// observeResponse takes how long a request waited for the first byte of its response.
+// observeResponse records how long a request waited for the first byte of its response.
 func (l *routeLatencies) observeResponse(route string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.estimator(route).ObserveResponse(latency)
 }
 
-// observeTimeout takes how long a request waited that then was given up as hung.
+// observeTimeout records how long a request waited before it was considered hung.
 func (l *routeLatencies) observeTimeout(route string, waited time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.estimator(route).ObserveTimeout(waited)
 }
 
-// stallThreshold is how long a request may wait for its response to begin before its host is penalised for it.
+// stallThreshold returns how long a request may wait for the first byte of its response before this counts against the host.
 func (l *routeLatencies) stallThreshold(r *request) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,8 @@
 	return max(threshold, milliseconds(r.route.TargetMS))
 }
 
-// responseDeadline is until when the response of an idempotent or resumable request has to begin, or zero for no such time.
+// responseDeadline returns the deadline for the first byte of the response to an idempotent or resumable request, or zero if there is
+// none.
 func (l *routeLatencies) responseDeadline(r *request) time.Time {
 	target := milliseconds(r.route.TargetMS)
 	remaining := r.remaining()
--- a/tier/proxy/programs.go
+++ b/tier/proxy/programs.go
@@ -21,7 +21,7 @@
 	storeRetryInterval = 30 * time.Millisecond
 )
 
-// ticketSource numbers the turns that this process begins.
+// ticketSource issues the tickets of the turns that this process begins.
 type ticketSource struct {
 	gateway uint64 // identifies the process
 	last    atomic.Uint64
@@ -29,51 +29,51 @@
 
 func newTicketSource() *ticketSource { return &ticketSource{gateway: rand.Uint64() | 1} }
 
-// next is the ticket of another turn.
+// next returns a new ticket.
 func (s *ticketSource) next() programs.Ticket {
 	return programs.Ticket{Gateway: s.gateway, Number: s.last.Add(1)}
 }
 
-// programClient calls the stores that lead the shards of programs.
+// programClient sends commands to the primaries of the shards of programs.
 type programClient struct {
 	clients *rpc.Clients
 	view    *feed.View
 	tickets *ticketSource
 	outages *outageTracker
 
-	mu         sync.Mutex // guards the shard map below
-	shards     map[uint32]directory.Shard
-	stores     map[uint64]directory.Store
-	mapChanged chan struct{} // closed when the shard map changes
+	mu              sync.Mutex // guards the shard map below
+	shards          map[uint32]directory.Shard
+	stores          map[uint64]directory.Store
+	shardMapChanged chan struct{} // closed and replaced when the shard map changes
 }
 
 func newProgramClient(view *feed.View, outages *outageTracker) *programClient {
 	return &programClient{
-		clients: rpc.NewClients(nil), view: view, tickets: newTicketSource(), outages: outages, mapChanged: make(chan struct{}),
+		clients: rpc.NewClients(nil), view: view, tickets: newTicketSource(), outages: outages, shardMapChanged: make(chan struct{}),
 	}
 }
 
-// update follows the shard map in the view.
+// update applies changes of the shard map in the view.
 func (c *programClient) update(items []feed.Item) {
 	for _, item := range items {
 		if item.Section == feed.SectionShard || item.Section == feed.SectionStore {
-			c.setMap(directory.Shards(c.view), directory.Stores(c.view))
+			c.setShardMap(directory.Shards(c.view), directory.Stores(c.view))
 			return
 		}
 	}
 }
 
-// setMap takes a shard map.
-func (c *programClient) setMap(shards map[uint32]directory.Shard, stores map[uint64]directory.Store) {
+// setShardMap replaces the shard map.
+func (c *programClient) setShardMap(shards map[uint32]directory.Shard, stores map[uint64]directory.Store) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shards = shards
 	c.stores = stores
-	close(c.mapChanged)
-	c.mapChanged = make(chan struct{})
+	close(c.shardMapChanged)
+	c.shardMapChanged = make(chan struct{})
 }
 
-// shardOf returns the shard of a program, or false while it is not known.
+// shardOf returns the shard of a program, or false while it is unknown.
 func (c *programClient) shardOf(program string) (uint32, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,14 +81,14 @@
 	return shard.ID, found
 }
 
-// primaryOf returns the address of a shard's primary, or nothing while it is not known.
-func (c *programClient) primaryOf(shard uint32) string {
+// primaryAddress returns the address of a shard's primary, or an empty string while it is unknown.
+func (c *programClient) primaryAddress(shard uint32) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stores[c.shards[shard].View.Primary].Address
 }
 
-// expectedOutage is how long the shard of a program is expected to be out.
+// expectedOutage returns how much longer the shard of a program is expected to be unavailable.
 func (c *programClient) expectedOutage(program string) time.Duration {
 	shard, found := c.shardOf(program)
 	if !found {
@@ -97,7 +97,7 @@
 	return c.outages.remaining(shardDependency(shard))
 }
 
-// allShards lists the shards, and whether all of them are known.
+// allShards returns the known shards, and whether these are all shards.
 func (c *programClient) allShards() ([]uint32, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,8 +110,7 @@
 	return ids, len(ids) > 0 && uint32(len(ids)) == total
 }
 
-// call has a command carried out by the shard of a program. It retries until the context ends, so the command has to be
-// idempotent.
+// call executes a command on the shard of a program. It retries until the context ends, so the command has to be idempotent.
 func (c *programClient) call(ctx context.Context, program string, command []byte) (programs.Result, error) {
 	for {
 		if shard, found := c.shardOf(program); found {
@@ -123,7 +122,7 @@
 	}
 }
 
-// callShard has a command carried out by a shard. It retries until the context ends.
+// callShard executes a command on a shard. It retries until the context ends.
 func (c *programClient) callShard(ctx context.Context, shard uint32, command []byte) (programs.Result, error) {
 	for {
 		result, err := c.callPrimary(ctx, shard, command)
@@ -131,7 +130,7 @@
 			c.outages.recordSuccess(shardDependency(shard))
 			return result, err
 		}
-		if !errors.Is(ctx.Err(), context.Canceled) { // a client's disconnect says nothing of the shard
+		if !errors.Is(ctx.Err(), context.Canceled) { // a disconnect of the client is not a failure of the shard
 			c.outages.recordFailure(shardDependency(shard))
 		}
 		if !awaitRetry(ctx) {
@@ -140,15 +139,15 @@
 	}
 }
 
-// callPrimary has the store that leads a shard carry out a command, once.
+// callPrimary sends a command once to the primary of a shard.
 func (c *programClient) callPrimary(ctx context.Context, shard uint32, command []byte) (programs.Result, error) {
-	address := c.primaryOf(shard)
+	address := c.primaryAddress(shard)
 	if address == "" {
 		return programs.Result{}, codes.StoreUnreachable
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	go c.cancelWhenMoved(ctx, cancel, shard, address)
+	go c.cancelOnPrimaryChange(ctx, cancel, shard, address)
 	request := store.ProgramRequest{Shard: shard, Command: command}
 	answer, err := c.clients.To(address).Call(ctx, store.KindProgram, request.Encode())
 	if err != nil {
@@ -157,12 +156,12 @@
 	return programs.DecodeResult(answer)
 }
 
-// cancelWhenMoved cancels a call once another store leads the shard: the one that was called may be silent for good. It ends with
-// the call.
-func (c *programClient) cancelWhenMoved(call context.Context, cancel context.CancelFunc, shard uint32, address string) {
+// cancelOnPrimaryChange cancels a call when the shard gets another primary, because the called store may never answer. It returns when
+// the call ends.
+func (c *programClient) cancelOnPrimaryChange(call context.Context, cancel context.CancelFunc, shard uint32, address string) {
 	for {
 		c.mu.Lock()
-		mapChanged := c.mapChanged
+		shardMapChanged := c.shardMapChanged
 		primary := c.stores[c.shards[shard].View.Primary].Address
 		c.mu.Unlock()
 		if primary != address {
@@ -172,12 +171,12 @@
 		select {
 		case <-call.Done():
 			return
-		case <-mapChanged:
+		case <-shardMapChanged:
 		}
 	}
 }
 
-// awaitRetry waits before a further call; it reports false when the context has ended.
+// awaitRetry waits for the interval between calls. It returns false if the context has ended.
 func awaitRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -187,7 +186,7 @@
 	}
 }
 
-// isDecision tells whether an error is the shard's answer, rather than that it could not be reached.
+// isDecision reports whether an error is the result of the command, and not a failure to reach the shard.
 func isDecision(err error) bool {
 	for _, code := range []codes.Code{codes.BudgetSpent, codes.TurnUnknown, codes.TurnSettled, codes.Malformed} {
 		if errors.Is(err, code) {
@@ -197,8 +196,8 @@
 	return false
 }
 
-// findTurn looks for a turn in all shards at once, for a program that goes on from a turn of another one. TurnUnknown is returned
-// only when every shard has said so.
+// findTurn searches all shards concurrently for a turn, so that a turn can continue one of another program. It returns TurnUnknown
+// only if every shard has returned it.
 func (c *programClient) findTurn(ctx context.Context, request string) (programs.Result, error) {
 	shards, complete := c.allShards()
 	if !complete {
@@ -215,15 +214,15 @@
 			answers <- answer{result, err}
 		}()
 	}
-	verdict := error(codes.TurnUnknown)
+	failure := error(codes.TurnUnknown)
 	for range shards {
 		got := <-answers
 		if got.err == nil {
 			return got.result, nil
 		}
 		if !errors.Is(got.err, codes.TurnUnknown) {
-			verdict = codes.StoreUnreachable
+			failure = codes.StoreUnreachable
 		}
 	}
-	return programs.Result{}, verdict
+	return programs.Result{}, failure
 }
--- a/tier/proxy/proxy.go
+++ b/tier/proxy/proxy.go
@@ -25,9 +25,10 @@
 )
 
 const (
-	// expiryInterval is how often idle connections to hosts are looked through.
+	// expiryInterval is the interval between checks for idle connections to hosts that have expired.
 	expiryInterval = time.Second
-	// observationWindow is how long after the first failure of a window the fleet's outlier detection is told of it.
+	// observationWindow is the delay between the first failure of a window and the report of the window to the fleet's outlier
+	// detection.
 	observationWindow = 150 * time.Millisecond
 )
 
@@ -40,26 +41,27 @@
 
 	view        *feed.View
 	routes      atomic.Pointer[opconfig.Table] // nil before the first configuration
-	routesReady chan struct{}                  // closed once there are routes
+	routesReady chan struct{}                  // closed when the first routes are set
 
 	hosts     *hostTable
 	loads     *loadExchange
 	programs  *programClient
 	latencies *routeLatencies
 	outages   *outageTracker
-	agent     *rpc.Client // takes the observations of hosts
+	agent     *rpc.Client // receives the observations of hosts
 
-	draining  atomic.Bool // no longer ready: the platform is to send no more connections
+	draining  atomic.Bool // not ready, so that the platform sends no more connections
 	rejecting atomic.Bool // new requests are rejected
-	// requestBase is the parent of the requests' contexts; cancelRequests ends those in flight.
-	requestBase    context.Context
+	// requestContext is the parent of all request contexts. cancelRequests cancels it, and with it the requests in flight.
+	requestContext context.Context
 	cancelRequests context.CancelCauseFunc
-	// settlementBase is the parent of the settlements that no client waits for; it outlives the requests.
-	settlementBase context.Context
-	settlements    sync.WaitGroup
+	// settlementContext is the parent of the contexts of background settlements, for which no client waits. It outlives the
+	// requests.
+	settlementContext context.Context
+	settlements       sync.WaitGroup
 }
 
-// New makes a proxy.
+// New returns a proxy. It fails if a required setting is missing.
 func New(s *settings.Settings, log *logrus.Entry) (*Proxy, error) {
 	required := map[string]string{"listen.front": s.ListenFront, "listen.readiness": s.ListenReadiness}
 	if err := settings.Require(required); err != nil {
@@ -67,27 +69,27 @@
 	}
 	view := feed.NewView()
 	outages := newOutageTracker()
-	outages.recordFailure(dependencyView) // until the first one has come
+	outages.recordFailure(dependencyView) // an outage until the first view is received
 	p := &Proxy{
-		settings:       s,
-		log:            log,
-		timeline:       timeline.New(log),
-		view:           view,
-		routesReady:    make(chan struct{}),
-		programs:       newProgramClient(view, outages),
-		latencies:      newRouteLatencies(),
-		outages:        outages,
-		agent:          rpc.NewClient(s.AgentAddress(), nil),
-		settlementBase: context.Background(),
+		settings:          s,
+		log:               log,
+		timeline:          timeline.New(log),
+		view:              view,
+		routesReady:       make(chan struct{}),
+		programs:          newProgramClient(view, outages),
+		latencies:         newRouteLatencies(),
+		outages:           outages,
+		agent:             rpc.NewClient(s.AgentAddress(), nil),
+		settlementContext: context.Background(),
 	}
 	p.hosts = newHostTable(s.Zone, func() { time.AfterFunc(observationWindow, p.reportObservations) })
 	p.loads = newLoadExchange(s.Zone, p.hosts, p.programs.clients)
-	p.requestBase, p.cancelRequests = context.WithCancelCause(context.Background())
+	p.requestContext, p.cancelRequests = context.WithCancelCause(context.Background())
 	return p, nil
 }
 
-// Run serves until the context ends or a listener fails, and then shuts down in order. The error is that of the listener or of the
-// shutdown.
+// Run serves until the context ends or a listener fails, and then shuts down gracefully. It returns the errors of the listener and of
+// the shutdown.
 func (p *Proxy) Run(ctx context.Context) error {
 	front, err := net.Listen("tcp", p.settings.ListenFront)
 	if err != nil {
@@ -97,15 +99,15 @@
 	if err != nil {
 		return errors.Join(oops.Wrapf(err, "listen.readiness"), front.Close())
 	}
-	return p.runOn(ctx, front, readiness)
+	return p.runWithListeners(ctx, front, readiness)
 }
 
-// runOn serves clients and probes on two listeners, which it closes.
-func (p *Proxy) runOn(ctx context.Context, front, readiness net.Listener) error {
-	// what serves the requests goes on during the shutdown
+// runWithListeners serves clients on front and readiness probes on readiness, as Run does, and closes both listeners.
+func (p *Proxy) runWithListeners(ctx context.Context, front, readiness net.Listener) error {
+	// the background tasks continue during the shutdown, since requests in flight need them
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
-	p.followView(background, &running)
+	p.startBackgroundTasks(background, &running)
 
 	clients := p.newServer(http.HandlerFunc(p.serve))
 	probes := &http.Server{Handler: p.readinessRoutes()}
@@ -132,8 +134,9 @@
 	return err
 }
 
-// followView has the view and the idle connections kept up to date until the context ends.
-func (p *Proxy) followView(ctx context.Context, running *sync.WaitGroup) {
+// startBackgroundTasks starts the goroutines that follow the view, exchange loads and close expired connections until the context
+// ends.
+func (p *Proxy) startBackgroundTasks(ctx context.Context, running *sync.WaitGroup) {
 	agentAddress := []string{p.settings.AgentAddress()}
 	subscriber := &feed.Subscriber{View: p.view, Addresses: func() []string { return agentAddress }, OnChange: p.update}
 	running.Go(func() { p.loads.run(ctx) })
@@ -148,7 +151,7 @@
 	}()
 }
 
-// ignoreServerClosed drops the error of a server that was shut down.
+// ignoreServerClosed returns nil for the error of a server that was shut down, and any other error unchanged.
 func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -156,7 +159,7 @@
 	return err
 }
 
-// update follows the view. Routes come last: requests that waited for the first ones find hosts and shards.
+// update applies changes of the view. It applies routes last, so that requests waiting for the first routes find hosts and shards.
 func (p *Proxy) update(items []feed.Item) {
 	p.hosts.update(items)
 	p.programs.update(items)
@@ -168,12 +171,12 @@
 	}
 }
 
-// applyConfig takes an encoded configuration. One that cannot be read leaves the one before in force.
+// applyConfig applies an encoded configuration. If it is invalid, the previous configuration stays in effect.
 func (p *Proxy) applyConfig(data []byte) {
 	version, body := state.SplitConfig(data)
 	config, err := opconfig.Parse(body)
 	if err != nil {
-		p.log.WithField("code", uint16(codes.ConfigInvalid)).WithError(err).Error("a distributed configuration cannot be read; the one before stays")
+		p.log.WithField("code", uint16(codes.ConfigInvalid)).WithError(err).Error("distributed configuration is invalid; the previous one stays in effect")
 		return
 	}
 	p.timeline.Reach(timeline.ViewReceived)
@@ -183,10 +186,10 @@
 	}
 	p.latencies.retainRoutes(config)
 	p.guard.SetHeadTimeout(milliseconds(config.Limits.HeaderTimeoutMS))
-	p.log.WithField("version", version).Info("configuration in force")
+	p.log.WithField("version", version).Info("configuration applied")
 }
 
-// reportObservations sends the fleet's outlier detection what this proxy saw of hosts.
+// reportObservations sends this proxy's observations of hosts to the agent, which forwards them to the fleet's outlier detection.
 func (p *Proxy) reportObservations() {
 	p.agent.Send(controlclient.KindHostObservations, p.hosts.flushObservations().Encode())
 }
--- a/tier/proxy/relay.go
+++ b/tier/proxy/relay.go
@@ -16,23 +16,23 @@
 
 const (
 	streamReadBytes = 4 << 10
-	// maxEventBytes is the longest event; a host that sends more without an end of one has failed.
+	// maxEventBytes is the maximum size of an event. A host that sends more bytes without completing an event has failed.
 	maxEventBytes = 4 << 20
 )
 
-// clientStream is the response of a turn as far as its client has it, over all attempts.
+// clientStream is the state of a turn's response to its client, across all attempts.
 type clientStream struct {
 	attempts     attempt.Attempts
-	started      bool // the head is written
+	started      bool // the head has been written
 	disconnected bool
 	events       uint64
-	lastEventID  int64  // sse.NoID for none
-	output       []byte // data of the events, of a turn that is to be kept
-	hostID       string // of the last host that streamed
+	lastEventID  int64  // sse.NoID if there is none
+	output       []byte // event data, for a retained turn
+	hostID       string // last host that streamed the response
 }
 
-// relay sends a turn to hosts until one has streamed its response to the end, and forwards the events as they come. On a resumable
-// route a stream that broke off resumes at another host within the same response.
+// relay sends a turn to hosts until one of them has streamed its response to the end, and forwards the events as they arrive. On a
+// resumable route, another host resumes an interrupted stream within the same client response.
 func (p *Proxy) relay(ctx context.Context, w http.ResponseWriter, t *turn) {
 	stream := &clientStream{lastEventID: sse.NoID, attempts: attempt.NewAttempts(repeatabilityOf(t.route), t.route.MaxAttempts)}
 	if id, err := strconv.ParseInt(t.header.Get(headerLastEventID), 10, 64); err == nil {
@@ -55,7 +55,7 @@
 	p.failTurn(ctx, w, t, stream, failure)
 }
 
-// failTurn ends a turn that no host has completed. Failure is why the last attempt failed.
+// failTurn ends a turn that no host has completed. failure is the reason why the last attempt failed.
 func (p *Proxy) failTurn(ctx context.Context, w http.ResponseWriter, t *turn, stream *clientStream, failure codes.Code) {
 	p.settleInBackground(t, t.abortCommand(stream.events*t.tokensPerEvent, stream.hostID))
 	step := stream.attempts.FinalStep()
@@ -71,18 +71,18 @@
 	}
 }
 
-// attemptTurn serves the turn from one host. The outcome is Answered if the client's response is complete.
+// attemptTurn sends the turn to one host and forwards its response. The outcome is Answered if the client's response is complete.
 func (p *Proxy) attemptTurn(ctx context.Context, w http.ResponseWriter, t *turn, host *upstreamHost, stream *clientStream) attempt.Outcome {
 	deadline := p.firstEventDeadline(t, stream)
-	response, outcome := p.send(ctx, t.request, host, content{stream.resumePoint(t), t.prompt}, deadline)
+	response, outcome := p.send(ctx, t.request, host, attemptInput{stream.resumePoint(t), t.prompt}, deadline)
 	if response == nil {
-		p.hosts.finish(host, outcomeOfSilent(ctx, outcome))
+		p.hosts.finish(host, outcomeWithoutResponse(ctx, outcome))
 		return outcome
 	}
 	switch {
 	case response.isRefused():
 		response.discard()
-		p.hosts.finish(host, hostFull)
+		p.hosts.finish(host, hostRejected)
 		return attempt.Refused
 	case response.StatusCode != http.StatusOK || !mayBeEventStream(response.Header):
 		return p.forwardBody(ctx, w, t, response, stream)
@@ -91,7 +91,8 @@
 	}
 }
 
-// resumePoint is the Last-Event-Id for the next host: that of the client's last event, or the client's own.
+// resumePoint returns the Last-Event-Id for the next host: the ID of the last event sent to the client, or else the Last-Event-Id of
+// the client's request.
 func (s *clientStream) resumePoint(t *turn) string {
 	if s.started && s.lastEventID >= 0 {
 		return strconv.FormatInt(s.lastEventID, 10)
@@ -99,8 +100,8 @@
 	return t.header.Get(headerLastEventID)
 }
 
-// firstEventDeadline is until when the first event of a stream has to come, or zero if there is no such time. Only a stream that may
-// resume at another host, and has given its client nothing yet, is given up for its silence.
+// firstEventDeadline returns the deadline for the first event of a stream, or zero if there is none. Only a stream that another host
+// may resume, and of which the client has received nothing, has a deadline.
 func (p *Proxy) firstEventDeadline(t *turn, stream *clientStream) time.Time {
 	if repeatabilityOf(t.route) != attempt.Resumable || stream.started {
 		return time.Time{}
@@ -108,21 +109,21 @@
 	return p.latencies.responseDeadline(t.request)
 }
 
-// mayBeEventStream tells whether the body of a response is a stream of events, as far as its head says.
+// mayBeEventStream reports whether the Content-Type of a response is that of an event stream or missing.
 func mayBeEventStream(header http.Header) bool {
 	mediaType, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	mediaType = strings.TrimSpace(mediaType)
 	return mediaType == "" || strings.EqualFold(mediaType, "text/event-stream")
 }
 
-// forwardBody forwards a response that is no stream: a failure that the host itself gave, or the body of a host that generates
-// nothing. What a program may spend or keep has to be counted in events, so that such a success is no response to its turn.
+// forwardBody forwards a response that is not an event stream: an error response of the host, or the body of a host that generates no
+// tokens. The tokens of an accounted turn are counted by events, so a successful response without events is not valid for it.
 func (p *Proxy) forwardBody(ctx context.Context, w http.ResponseWriter, t *turn, response *hostResponse, stream *clientStream) attempt.Outcome {
 	head := response.head()
 	body, err := response.readAll()
 	uncounted := t.isAccounted() && response.StatusCode < http.StatusMultipleChoices
 	if err != nil || stream.started || uncounted {
-		p.hosts.finish(response.host, outcomeOfBroken(ctx))
+		p.hosts.finish(response.host, outcomeOfBrokenResponse(ctx))
 		return attempt.Uncertain
 	}
 	p.finishComplete(t.request, response.host, head)
@@ -131,28 +132,28 @@
 	return attempt.Answered
 }
 
-// forwardEvents forwards events, each as soon as it is complete.
+// forwardEvents forwards each event as soon as it is complete.
 func (p *Proxy) forwardEvents(
 	ctx context.Context, w http.ResponseWriter, t *turn, response *hostResponse, stream *clientStream, firstEventDeadline time.Time,
 ) attempt.Outcome {
 	var splitter sse.Splitter
-	firstEventCame := false
+	firstEventReceived := false
 	buffer := make([]byte, streamReadBytes)
 	stream.hostID = response.host.ID
 	for {
 		n, err := response.Body.Read(buffer)
 		for _, event := range splitter.Add(buffer[:n]) {
-			if !firstEventCame {
-				firstEventCame = true
+			if !firstEventReceived {
+				firstEventReceived = true
 				response.lease.ClearDeadline()
 				p.latencies.observeResponse(t.route.Name, time.Since(response.sentAt))
 			}
 			if event.ID >= 0 && event.ID <= stream.lastEventID {
-				continue // the client has it from an earlier host
+				continue // the client has received it from an earlier host
 			}
 			if !stream.forward(w, t, response, event) {
 				response.lease.Close()
-				p.hosts.finish(response.host, hostUnjudged)
+				p.hosts.finish(response.host, hostInconclusive)
 				return attempt.Uncertain
 			}
 		}
@@ -166,15 +167,15 @@
 			return attempt.Answered
 		}
 		response.lease.Close()
-		if !firstEventCame {
+		if !firstEventReceived {
 			p.observeTimeout(t.request, response.sentAt, firstEventDeadline)
 		}
-		p.hosts.finish(response.host, outcomeOfBroken(ctx))
+		p.hosts.finish(response.host, outcomeOfBrokenResponse(ctx))
 		return attempt.Uncertain
 	}
 }
 
-// forward writes one event to the client. It reports false if the client has disconnected.
+// forward writes one event to the client. It returns false if the client has disconnected.
 func (s *clientStream) forward(w http.ResponseWriter, t *turn, response *hostResponse, event sse.Event) bool {
 	s.start(w, response)
 	s.events++
@@ -196,7 +197,7 @@
 	return true
 }
 
-// start writes the head of the response, which stays that of the first host.
+// start writes the head of the response, which is that of the first host, unless it has been written.
 func (s *clientStream) start(w http.ResponseWriter, response *hostResponse) {
 	if s.started {
 		return
@@ -206,7 +207,8 @@
 	w.WriteHeader(response.StatusCode)
 }
 
-// finishTurn ends a complete response. A turn that is to be kept is durable before the client can see that its response has ended.
+// finishTurn ends a complete response and settles the turn. A retained turn is durable before the client can detect the end of its
+// response.
 func (p *Proxy) finishTurn(ctx context.Context, w http.ResponseWriter, t *turn, response *hostResponse, stream *clientStream) {
 	stream.start(w, response)
 	if !t.isAccounted() {
@@ -218,9 +220,9 @@
 		p.settleInBackground(t, end)
 		return
 	}
-	if err := p.settle(ctx, t, end, min(endTimeout, max(t.remaining(), 0))); err != nil {
+	if err := p.settle(ctx, t, end, min(retainTimeout, max(t.remaining(), 0))); err != nil {
 		p.log.WithField("code", uint16(codes.AnswerNotKept)).WithField("request", t.id).WithError(err).
-			Warn("a turn could not be made durable; its answer is broken off")
+			Warn("failed to make a turn durable; its response is aborted")
 		p.settleInBackground(t, t.abortCommand(received, stream.hostID))
 		panic(http.ErrAbortHandler)
 	}
--- a/tier/proxy/request.go
+++ b/tier/proxy/request.go
@@ -10,7 +10,7 @@
 	"otterseam/tier/opconfig"
 )
 
-// Headers of the operators' protocol.
+// Headers of the protocol between clients, proxies and hosts.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerDeadline    = "X-Deadline-Ms"
@@ -25,7 +25,7 @@
 	headerTokenCount  = "X-Token-Count"
 )
 
-// request is what a client asked for, read whole.
+// request is a completely read client request.
 type request struct {
 	id       string
 	method   string
@@ -38,19 +38,20 @@
 	deadline time.Time
 }
 
-// remaining is how much of the request's time is left.
+// remaining returns the time until the request's deadline.
 func (r *request) remaining() time.Duration { return time.Until(r.deadline) }
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders are not forwarded because they apply to a single connection (RFC 9110, section 7.6.1) or because the proxy sets
+// them itself.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
 }
 
-// proxyHeaders are set by the proxy itself; the client's own are not forwarded.
+// proxyHeaders are set by the proxy itself. Those of the client are not forwarded.
 var proxyHeaders = map[string]bool{headerDeadline: true, headerInstance: true, headerPriority: true, headerLastEventID: true}
 
-// connectionTokens are the headers that a Connection header names.
+// connectionTokens returns the names of the headers that the Connection headers list.
 func connectionTokens(header http.Header) map[string]bool {
 	values := header.Values("Connection")
 	if len(values) == 0 {
@@ -65,14 +66,14 @@
 	return tokens
 }
 
-// encodedHeadBytes is room for the head of most requests.
-const encodedHeadBytes = 512
+// typicalHeadBytes is the initial buffer capacity for the head of a request, sufficient for most requests.
+const typicalHeadBytes = 512
 
-// encode is the request as it goes to a host. LastEventID is behind which event a stream resumes; empty for none. It is called when
-// the connection is open, as it tells the host the time that remains.
+// encode returns the request in the format that is sent to a host. lastEventID is the ID of the event after which the host resumes a
+// stream, or empty. Call it only when the connection is open, because the request contains the remaining time.
 func (r *request) encode(hostID, lastEventID string, body []byte) []byte {
 	var b bytes.Buffer
-	b.Grow(encodedHeadBytes + len(body))
+	b.Grow(typicalHeadBytes + len(body))
 	b.WriteString(r.method + " " + r.uri + " HTTP/1.1\r\nHost: " + r.host + "\r\n")
 	connectionHeaders := connectionTokens(r.header)
 	for name, values := range r.header {
@@ -99,14 +100,14 @@
 	return b.Bytes()
 }
 
-// The urgency of a route's rank, in the engine's scale, where lower is more urgent.
+// The range of urgency values in the priority scale of the engines, where a lower value is more urgent.
 const (
 	urgencyFirst = 3
 	urgencyStep  = 2
 	urgencyLast  = 9
 )
 
-// urgency is the engine's priority for a route's rank.
+// urgency returns the engine's priority for the rank of a route.
 func urgency(rank int) int { return min(urgencyFirst+urgencyStep*max(rank, 0), urgencyLast) }
 
 func writeHeader(b *bytes.Buffer, name, value string) {
@@ -116,7 +117,7 @@
 	b.WriteString("\r\n")
 }
 
-// copyHeader forwards the headers of a host's response, without those of its connection.
+// copyHeader copies the headers of a host's response, except hop-by-hop headers.
 func copyHeader(to, from http.Header) {
 	connectionHeaders := connectionTokens(from)
 	for name, values := range from {
@@ -126,7 +127,7 @@
 	}
 }
 
-// parseMilliseconds reads a header in milliseconds.
+// parseMilliseconds parses the value of a header in milliseconds. It returns false if the value is malformed or negative.
 func parseMilliseconds(text string) (time.Duration, bool) {
 	value, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || value < 0 {
@@ -135,7 +136,7 @@
 	return milliseconds(value), true
 }
 
-// milliseconds is a time that a configuration or a header gives in milliseconds.
+// milliseconds converts a number of milliseconds from a configuration or a header to a duration.
 func milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
--- a/tier/proxy/respond.go
+++ b/tier/proxy/respond.go
@@ -13,13 +13,13 @@
 	"otterseam/tier/retryafter"
 )
 
-// problem is the body of a response of the proxy's own.
+// problem is the body of an error response that the proxy generates.
 type problem struct {
 	Code  uint16 `json:"code"`
 	Error string `json:"error"`
 }
 
-// failText answers with a status and a problem of the given text.
+// failText writes an error response with the given status, code and text.
 func (p *Proxy) failText(w http.ResponseWriter, status int, code codes.Code, text string) {
 	body, _ := json.Marshal(problem{Code: uint16(code), Error: text})
 	w.Header().Set("Content-Type", "application/json")
@@ -28,21 +28,21 @@
 	_, _ = w.Write(body)
 }
 
-// fail answers with a status and the problem of a code.
+// fail writes an error response with the given status and code, and the text of the code.
 func (p *Proxy) fail(w http.ResponseWriter, status int, code codes.Code) {
 	p.failText(w, status, code, code.Error())
 }
 
-// reject promises that the request has not run and never will, and says when to retry: when what it needs is expected to be there.
-// Left is what remains of the client's time.
-func (p *Proxy) reject(w http.ResponseWriter, code codes.Code, left, expected time.Duration) {
-	delay := retryafter.Delay(left, expected, rand.Float64())
+// reject writes a 503 response, which promises that the request has not run and never will. Its Retry-After header is computed from
+// remaining, the time until the client's deadline, and expected, the time until the failed dependency is expected to work again.
+func (p *Proxy) reject(w http.ResponseWriter, code codes.Code, remaining, expected time.Duration) {
+	delay := retryafter.Delay(remaining, expected, rand.Float64())
 	w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
 	p.fail(w, http.StatusServiceUnavailable, code)
 }
 
-// failCancelled ends a request whose deadline has passed, that the shutdown cancelled, or whose client has disconnected, while a
-// host may still be at work on it.
+// failCancelled ends a request that a host may still be running, after its deadline has passed, the shutdown has cancelled it or its
+// client has disconnected.
 func (p *Proxy) failCancelled(ctx context.Context, w http.ResponseWriter) {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/tier/proxy/send.go
+++ b/tier/proxy/send.go
@@ -14,13 +14,13 @@
 	"otterseam/tier/upstream"
 )
 
-// maxResponseBytes bounds the body of a response that is read whole.
+// maxResponseBytes is the maximum size of a response body that is read completely before it is forwarded.
 const maxResponseBytes = 64 << 20
 
-// errResponseTooLong says that the body of a response passed maxResponseBytes.
-var errResponseTooLong = errors.New("the response is too long")
+// errResponseTooLarge indicates a response body larger than maxResponseBytes.
+var errResponseTooLarge = errors.New("response body is too large")
 
-// hostResponse is a host's response whose head was read. Its lease has to be released or closed.
+// hostResponse is a host's response of which the head was read. Its lease has to be released or closed.
 type hostResponse struct {
 	*http.Response
 	host   *upstreamHost
@@ -28,15 +28,15 @@
 	sentAt time.Time
 }
 
-// content is what of a request differs from host to host.
-type content struct {
-	lastEventID string // behind which a stream resumes; empty for none
+// attemptInput is the part of a request that may differ between attempts.
+type attemptInput struct {
+	lastEventID string // ID of the event after which a stream resumes, or empty
 	body        []byte
 }
 
-// send sends a request to a host and reads the head of the response. Without a response the outcome says how far it came. Besides
-// the context, a deadline that is not zero ends the attempt.
-func (p *Proxy) send(ctx context.Context, r *request, host *upstreamHost, content content, deadline time.Time) (*hostResponse, attempt.Outcome) {
+// send sends a request to a host and reads the head of the response. If it returns no response, the outcome states whether the host
+// may have run the request. The attempt ends with the context or at the deadline, unless the deadline is zero.
+func (p *Proxy) send(ctx context.Context, r *request, host *upstreamHost, input attemptInput, deadline time.Time) (*hostResponse, attempt.Outcome) {
 	lease, err := host.pool.Acquire(ctx, r.id)
 	if err != nil {
 		return nil, attempt.Unsent
@@ -47,7 +47,7 @@
 	response, err := lease.RoundTrip(upstream.Request{
 		ID:       r.id,
 		Method:   r.method,
-		Bytes:    r.encode(host.ID, content.lastEventID, content.body),
+		Bytes:    r.encode(host.ID, input.lastEventID, input.body),
 		Deadline: deadline,
 	})
 	if err != nil {
@@ -61,30 +61,30 @@
 	return &hostResponse{response, host, lease, sentAt}, attempt.Uncertain
 }
 
-// observeTimeout notes an attempt that failed if its deadline has passed.
+// observeTimeout records the waiting time of a failed attempt if the attempt's deadline has passed.
 func (p *Proxy) observeTimeout(r *request, sentAt, deadline time.Time) {
 	if now := time.Now(); !deadline.IsZero() && !now.Before(deadline) {
 		p.latencies.observeTimeout(r.route.Name, now.Sub(sentAt))
 	}
 }
 
-// isRefused tells whether the host has proved that it did not run the request.
+// isRefused reports whether the host has proved that it did not run the request.
 func (h *hostResponse) isRefused() bool {
 	exchange := h.lease.Exchange()
 	return exchange.IsRefused()
 }
 
-// head is what matters of the response's head.
+// head returns the parts of the response's head that are relevant for retries.
 func (h *hostResponse) head() attempt.Head {
 	exchange := h.lease.Exchange()
 	return exchange.Head()
 }
 
-// readAll reads the whole body and ends the lease. An error says that the response is incomplete.
+// readAll reads the whole body and ends the lease. It returns an error if the response is incomplete or too large.
 func (h *hostResponse) readAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(h.Body, maxResponseBytes+1))
 	if err == nil && len(body) > maxResponseBytes {
-		err = errResponseTooLong
+		err = errResponseTooLarge
 	}
 	if err != nil {
 		h.lease.Close()
@@ -94,10 +94,10 @@
 	return body, nil
 }
 
-// discard ends the lease of a response whose body nobody needs, so that its connection can be reused.
+// discard reads and drops the body and ends the lease, so that the connection can be reused.
 func (h *hostResponse) discard() { _, _ = h.readAll() }
 
-// repeatabilityOf tells how often a request of a route may run.
+// repeatabilityOf returns whether the requests of a route may run more than once.
 func repeatabilityOf(route *opconfig.Route) attempt.Repeatability {
 	switch {
 	case route.RouteType == opconfig.RouteSafe:
@@ -109,7 +109,7 @@
 	}
 }
 
-// failureCode tells operators why an attempt failed.
+// failureCode returns the code, for clients and operators, of the reason why an attempt failed.
 func failureCode(outcome attempt.Outcome) codes.Code {
 	switch outcome {
 	case attempt.Refused:
@@ -121,45 +121,45 @@
 	}
 }
 
-// finishComplete notes a host's complete response.
+// finishComplete records a host's complete response.
 func (p *Proxy) finishComplete(r *request, host *upstreamHost, head attempt.Head) {
-	outcome := outcomeOfComplete(head)
+	outcome := outcomeOfCompleteResponse(head)
 	p.hosts.finish(host, outcome)
-	if outcome != hostFull {
-		p.outages.recordService(r.service)
+	if outcome != hostRejected {
+		p.outages.recordServiceSuccess(r.service)
 	}
 }
 
-// outcomeOfComplete is that of a complete response.
-func outcomeOfComplete(head attempt.Head) hostOutcome {
+// outcomeOfCompleteResponse returns the outcome for the host of a complete response.
+func outcomeOfCompleteResponse(head attempt.Head) hostOutcome {
 	switch {
 	case head.IsRefusal():
-		return hostFull
+		return hostRejected
 	case head.Status >= http.StatusInternalServerError:
-		return hostErred
+		return hostServerError
 	default:
 		return hostSucceeded
 	}
 }
 
-// outcomeOfSilent is that of a request that got no response at all. A deadline that passed without a sign of life counts against the
-// host, which doesn't back off for it: under load deadlines pass at all hosts.
-func outcomeOfSilent(ctx context.Context, outcome attempt.Outcome) hostOutcome {
+// outcomeWithoutResponse returns the outcome for the host of a request that received no response. If the request's deadline has
+// passed, this counts as an error of the host but starts no backoff, because under load deadlines pass at all hosts.
+func outcomeWithoutResponse(ctx context.Context, outcome attempt.Outcome) hostOutcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return hostErred
+		return hostServerError
 	case outcome == attempt.Unsent && ctx.Err() == nil:
 		return hostUnreachable
 	default:
-		return outcomeOfBroken(ctx)
+		return outcomeOfBrokenResponse(ctx)
 	}
 }
 
-// outcomeOfBroken is that of a request whose response broke off. A client that has disconnected says nothing of the host, nor does
-// a deadline that passed while the response came.
-func outcomeOfBroken(ctx context.Context) hostOutcome {
+// outcomeOfBrokenResponse returns the outcome for the host of a request whose response was interrupted. It is inconclusive if the
+// client has disconnected or the deadline has passed during the response, since the host did not cause that.
+func outcomeOfBrokenResponse(ctx context.Context) hostOutcome {
 	if ctx.Err() != nil {
-		return hostUnjudged
+		return hostInconclusive
 	}
-	return hostBrokeOff
+	return hostResponseBroken
 }
--- a/tier/proxy/server.go
+++ b/tier/proxy/server.go
@@ -18,46 +18,47 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 256 << 10
-	// keepAlive is how long clients are told that a connection may stay idle; it is closed a little later, after idleTimeout, so
-	// that none is closed under a request.
+	// keepAlive is the Keep-Alive header that tells clients how long a connection may stay idle. The proxy closes it later, after
+	// idleTimeout, so that no connection is closed while a client sends a request on it.
 	keepAlive   = "timeout=3"
 	idleTimeout = 5 * time.Second
-	// unroutedTimeout is how long the body of a request may take for which there is no route.
+	// unroutedTimeout is the default timeout of a request that has no route, or whose route is not known yet.
 	unroutedTimeout = 10 * time.Second
-	// writeMargin is how long after its deadline a response may still be written to a client that reads slowly.
+	// writeMargin is the time after a request's deadline during which its response may still be written to a slow client.
 	writeMargin = 300 * time.Millisecond
-	// defaultMaxBodyBytes bounds the body of a request where the operator sets no limit.
+	// defaultMaxBodyBytes is the size limit of a request body if the operator sets none.
 	defaultMaxBodyBytes = 64 << 20
-	// headerFieldOverhead is what a header field takes besides its name and value: a colon, a space and a line break.
+	// headerFieldOverhead is the size of a header field without its name and value: a colon, a space and a line break.
 	headerFieldOverhead = 4
 )
 
-// The texts of requests that cannot be served as they are.
+// The error texts for malformed requests.
 const (
-	textBadDeadline     = "X-Deadline-Ms is no number of milliseconds"
-	textNoRequestID     = "header X-Request-Id is missing: the answer could not be told from others"
-	textAmbiguousLength = "the body's length is told twice, or beside chunks"
+	textBadDeadline     = "X-Deadline-Ms is not a number of milliseconds"
+	textNoRequestID     = "header X-Request-Id is missing; without it the response cannot be matched to the request"
+	textAmbiguousLength = "the body has more than one Content-Length or Transfer-Encoding header"
 )
 
-// newServer makes the server for clients. Its requests end with requestBase, and its connections have to come from the guard.
+// newServer returns the HTTP server for clients. The contexts of its requests are derived from requestContext. Its listener has to be
+// wrapped by the guard.
 func (p *Proxy) newServer(handler http.Handler) *http.Server {
 	server := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		BaseContext:       func(net.Listener) context.Context { return p.requestBase },
+		BaseContext:       func(net.Listener) context.Context { return p.requestContext },
 	}
 	p.guard.Install(server)
 	return server
 }
 
-// serve takes one request: it finds the route, reads the request whole and sends it to hosts.
+// serve handles one request: it finds the route, reads the whole request and sends it to hosts.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	p.setConnectionHeaders(w, r)
 	if p.rejecting.Load() {
-		p.reject(w, codes.Stopping, clientTimeout(r.Header), 0) // other gateways are there now
+		p.reject(w, codes.Stopping, clientTimeout(r.Header), 0) // other gateways are available at once
 		return
 	}
 	routes := p.awaitRoutes(r.Context(), clientTimeout(r.Header))
@@ -91,7 +92,7 @@
 	})
 }
 
-// setConnectionHeaders sets the headers that every response of the proxy has.
+// setConnectionHeaders sets the headers that every response of the proxy contains.
 func (p *Proxy) setConnectionHeaders(w http.ResponseWriter, r *http.Request) {
 	if p.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -103,11 +104,11 @@
 	}
 }
 
-// serveRouted serves a request that was read whole, until its deadline.
+// serveRouted serves a completely read request until its deadline.
 func (p *Proxy) serveRouted(ctx context.Context, w http.ResponseWriter, routes *opconfig.Table, r *request) {
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
-	// a client that does not read must not hold a host for longer than one that does
+	// a client that does not read must not occupy a host for longer than one that does
 	_ = http.NewResponseController(w).SetWriteDeadline(r.deadline.Add(writeMargin))
 	if r.route.RouteType == opconfig.RouteStreaming {
 		p.serveTurn(ctx, w, r, routes.Service(r.service))
@@ -116,7 +117,7 @@
 	}
 }
 
-// clientTimeout is the time that a client gives its request, before its route is known.
+// clientTimeout returns the timeout that the client sets for its request, or unroutedTimeout. It is used while the route is unknown.
 func clientTimeout(header http.Header) time.Duration {
 	if timeout, ok := parseMilliseconds(header.Get(headerDeadline)); ok {
 		return timeout
@@ -124,8 +125,8 @@
 	return unroutedTimeout
 }
 
-// timeoutFor is how long a request may take: the route's timeout, or the client's if that is shorter. It reports false if the
-// client's cannot be read.
+// timeoutFor returns the timeout of a request: that of the route, or that of the client if it is shorter. It returns false if the
+// client's timeout is malformed.
 func timeoutFor(route *opconfig.Route, header http.Header) (time.Duration, bool) {
 	timeout := unroutedTimeout
 	if route != nil {
@@ -139,8 +140,8 @@
 	return min(timeout, requested), ok
 }
 
-// readBody reads the whole request within the operator's limits and the request's own time. It reports false if it has answered
-// the request instead.
+// readBody reads the body of a request within the operator's limits and the request's deadline. If that fails, it writes an error
+// response and returns false.
 func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, limits opconfig.Limits, deadline time.Time) ([]byte, bool) {
 	if httpguard.HasAmbiguousLength(r) {
 		w.Header().Set("Connection", "close")
@@ -169,7 +170,7 @@
 	return body, true
 }
 
-// failBody answers a request whose body could not be read.
+// failBody writes the response to a request whose body could not be read.
 func (p *Proxy) failBody(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -184,7 +185,7 @@
 	}
 }
 
-// headerBytes is the length of a request's head, without the spaces and the version of its first line.
+// headerBytes returns the size of a request's head, without the spaces and the HTTP version of the request line.
 func headerBytes(r *http.Request) int {
 	total := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/tier/proxy/settle.go
+++ b/tier/proxy/settle.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// endTimeout is how long the end of a stream waits at most until its turn is durable.
-	endTimeout = 3 * time.Second
-	// backgroundEndTimeout is the same where no client waits.
-	backgroundEndTimeout = 20 * time.Second
-	// millisecondsPerSecond converts the operator's retention times.
+	// retainTimeout is the maximum time for which the end of a stream waits until its turn is durable.
+	retainTimeout = 3 * time.Second
+	// backgroundSettleTimeout is the time limit for settling a turn for which no client waits.
+	backgroundSettleTimeout = 20 * time.Second
+	// millisecondsPerSecond converts the retention times of the configuration.
 	millisecondsPerSecond = 1000
 )
 
-// completeCommand settles a turn whose client received it complete, and keeps it on a route that retains its turns. The stores need
-// the texts of a turn only to keep them: without them a command is a few numbers on its way to every replica.
+// completeCommand returns the command that settles a turn whose client received the complete response. On a route that retains its
+// turns, the command also contains the texts of the turn. Otherwise it omits them, because each command is sent to every replica.
 func (t *turn) completeCommand(received uint64, output []byte, host string) programs.End {
 	end := t.abortCommand(received, host)
 	if t.route.Retained {
@@ -31,14 +31,15 @@
 	return end
 }
 
-// abortCommand settles a turn whose client received no more than a part of it: some tokens, from a host.
+// abortCommand returns the command that settles an incomplete turn, of which the client received the given number of tokens. host is
+// the last host that streamed the response, or empty.
 func (t *turn) abortCommand(received uint64, host string) programs.End {
 	return programs.End{
 		Request: t.id, Program: t.program, Session: t.session, Actual: received, Host: host, Ticket: t.ticket,
 	}
 }
 
-// settle has the stores take the end of a turn within a time.
+// settle sends the end command of a turn to the stores and waits for the result, at most for the timeout.
 func (p *Proxy) settle(ctx context.Context, t *turn, end programs.End, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -46,7 +47,7 @@
 	return err
 }
 
-// settleInBackground settles a turn that no client waits for, also after the request has ended. The shutdown waits for it.
+// settleInBackground settles a turn for which no client waits, even after the request has ended. The shutdown waits for it.
 func (p *Proxy) settleInBackground(t *turn, end programs.End) {
 	if !t.isAccounted() {
 		return
@@ -54,9 +55,9 @@
 	p.settlements.Add(1)
 	go func() {
 		defer p.settlements.Done()
-		if err := p.settle(p.settlementBase, t, end, backgroundEndTimeout); err != nil {
+		if err := p.settle(p.settlementContext, t, end, backgroundSettleTimeout); err != nil {
 			p.log.WithField("code", uint16(codes.StoreUnreachable)).WithField("program", t.program).
-				Warn("a turn could not be settled; its estimate stays charged")
+				Warn("failed to settle a turn; its estimate stays charged")
 		}
 	}()
 }
--- a/tier/proxy/shutdown.go
+++ b/tier/proxy/shutdown.go
@@ -11,27 +11,27 @@
 	"otterseam/tier/feed"
 )
 
-// A shutdown takes the time that the platform grants before it kills the process (the grace): the proxy is not ready any more at
-// once, rejects new requests after acceptShare of drainTime, closes its listener after drainTime, and answers what is still in flight
-// before the grace ends.
+// A shutdown uses the grace period, the time that the platform grants before it kills the process. The proxy becomes not ready at once,
+// rejects new requests after acceptShare of drainTime, closes its listener after drainTime, and answers the requests still in flight
+// before the grace period ends.
 const (
-	// drainTime is how long a proxy that shuts down keeps taking connections: the platform probes once a second and takes a
-	// gateway out after two misses.
+	// drainTime is the time for which a proxy that shuts down still accepts connections. The platform probes once per second and
+	// removes a gateway after two failed probes.
 	drainTime = 3500 * time.Millisecond
-	// acceptShare is the part of drainTime in which requests are still taken on connections that are open; clients give up one
-	// that has been idle for as long as they were told. Work that is taken later could last beyond the end.
+	// acceptShare is the share of drainTime during which requests are still accepted. It covers the time after which clients close
+	// an idle connection (keepAlive). A request accepted later could outlast the process.
 	acceptShare = 6.0 / 7
-	// finalResponseTime is how long before the end requests in flight are cancelled and answered.
+	// finalResponseTime is the time before the end of the shutdown at which requests in flight are cancelled and answered.
 	finalResponseTime = 300 * time.Millisecond
-	// graceMargin is how long before the platform kills the process its last responses are given up.
+	// graceMargin is the time between the end of the shutdown and the end of the grace period.
 	graceMargin = 400 * time.Millisecond
 )
 
-// errStopping is why requests are cancelled at the end of the process.
-var errStopping = errors.New("the proxy is about to end")
+// errStopping is the cause with which requests are cancelled at the end of the shutdown.
+var errStopping = errors.New("the proxy is shutting down")
 
-// shutdown drains the proxy and returns when the last response and the last settlement are out, or the grace has ended. The error
-// says that requests were still in flight then.
+// shutdown drains the proxy and returns when the last response and the last settlement have been sent, or when the grace period minus
+// graceMargin has passed. It returns an error if requests were still in flight at that time.
 func (p *Proxy) shutdown(ctx context.Context, clients *http.Server) error {
 	p.draining.Store(true)
 	grace := p.settings.Bounds.Grace - graceMargin
@@ -49,7 +49,7 @@
 	return err
 }
 
-// awaitSettlements waits for the settlements in the background until the context ends.
+// awaitSettlements waits for the background settlements, at most until the context ends.
 func (p *Proxy) awaitSettlements(ctx context.Context) {
 	settled := make(chan struct{})
 	go func() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// readinessRoutes answer the probes of the platform.
+// readinessRoutes returns the handler for the platform's readiness probes.
 func (p *Proxy) readinessRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/v1/readiness", func(w http.ResponseWriter, _ *http.Request) {
@@ -75,7 +75,7 @@
 	return router
 }
 
-// isReady tells whether the proxy can serve: it has routes and hosts and is not draining.
+// isReady reports whether the proxy can serve: it has routes and hosts and is not draining.
 func (p *Proxy) isReady() bool {
 	return !p.draining.Load() && p.routes.Load() != nil && len(p.view.All(feed.SectionHost)) > 0
 }
--- a/tier/proxy/turn.go
+++ b/tier/proxy/turn.go
@@ -14,35 +14,35 @@
 	"otterseam/tier/timeline"
 )
 
-// beginTimeout is how long a turn waits at most for the stores to charge it.
+// beginTimeout is the maximum time for which a turn waits until the stores have charged it.
 const beginTimeout = 1800 * time.Millisecond
 
-// turn is a request on a streaming route and what the stores know of it.
+// turn is a request on a streaming route, with the data that the stores charge, keep and return for it.
 type turn struct {
 	*request
-	program string // empty for a request outside of programs
+	program string // empty for a request that belongs to no program
 	session string
 
 	hasBudget bool
 	budget    uint64 // tokens that the program may spend
 	maxTokens uint64 // tokens that the turn may generate
 
-	previous       string          // request id of the turn that it goes on from
-	prompt         []byte          // what the host gets: the chain of earlier turns and the new input
-	preferredHost  string          // that of the turn before, which has its prefix cached
-	tokensPerEvent uint64          // in the stream of the service's engine
-	ticket         programs.Ticket // tells the copies of the turn's commands from those of others
+	previous       string          // request ID of the turn that it continues
+	prompt         []byte          // the input for the host: the chain of earlier turns and the new input
+	preferredHost  string          // host of the previous turn, which has the prefix in its cache
+	tokensPerEvent uint64          // number of tokens in an event of the service's engine
+	ticket         programs.Ticket // identifies the turn's commands, so that the stores recognize repeats
 }
 
 var (
-	errBudgetHeader     = errors.New("header Budget is no whole number")
+	errBudgetHeader     = errors.New("header Budget is not a whole number")
 	errTokenCountHeader = errors.New("header X-Token-Count is not two whole numbers separated by a comma")
 )
 
-// isAccounted tells whether the stores charge or keep the turn.
+// isAccounted reports whether the stores charge or keep the turn.
 func (t *turn) isAccounted() bool { return t.program != "" && (t.hasBudget || t.route.Retained) }
 
-// parseTurn reads the headers of a turn.
+// parseTurn parses the headers of a turn.
 func parseTurn(r *request, service *opconfig.Service) (*turn, error) {
 	t := &turn{
 		request:        r,
@@ -63,7 +63,7 @@
 		t.hasBudget = true
 		t.budget = budget
 	}
-	t.maxTokens = t.budget // unless the client says less, nothing below the whole budget covers the turn
+	t.maxTokens = t.budget // without a token count, only the whole budget is certain to cover the turn
 	if text := r.header.Get(headerTokenCount); text != "" {
 		promptTokens, maxTokens, found := strings.Cut(text, ",")
 		_, promptErr := parseTokens(promptTokens)
@@ -76,12 +76,12 @@
 	return t, nil
 }
 
-// parseTokens reads a number of tokens.
+// parseTokens parses a number of tokens.
 func parseTokens(text string) (uint64, error) {
 	return strconv.ParseUint(strings.TrimSpace(text), 10, 63)
 }
 
-// serveTurn serves a request on a streaming route: it is charged, streamed and settled.
+// serveTurn serves a request on a streaming route: it charges the turn, streams the response and settles the turn.
 func (p *Proxy) serveTurn(ctx context.Context, w http.ResponseWriter, r *request, service *opconfig.Service) {
 	t, err := parseTurn(r, service)
 	if err != nil {
@@ -98,7 +98,8 @@
 	p.relay(ctx, w, t)
 }
 
-// begin charges the turn's estimate and fetches its chain. The turn may be sent only if the error is nil.
+// begin charges the turn's estimate at the stores and fetches the chain of earlier turns. The turn may be sent to a host only if the
+// error is nil.
 func (p *Proxy) begin(ctx context.Context, t *turn) error {
 	ctx, cancel := context.WithTimeout(ctx, min(beginTimeout, t.remaining()/2))
 	defer cancel()
@@ -114,26 +115,26 @@
 		return err
 	}
 	t.preferredHost = result.Host
-	t.prompt = appendChain(result.Chain, t.body)
+	t.prompt = buildPrompt(result.Chain, t.body)
 	return nil
 }
 
-// beginFromOtherProgram begins a turn that goes on from a turn of another program. The chain becomes part of the input that is
-// kept, so that the turn stands for itself in its own program's shard.
+// beginFromOtherProgram begins a turn that continues a turn of another program. The chain becomes part of the retained input, so that
+// the shard of the turn's own program contains the complete turn.
 func (p *Proxy) beginFromOtherProgram(ctx context.Context, t *turn) error {
 	found, err := p.programs.findTurn(ctx, t.previous)
 	if err != nil {
 		return err
 	}
 	t.previous = ""
-	t.prompt = appendChain(found.Chain, t.body)
+	t.prompt = buildPrompt(found.Chain, t.body)
 	t.body = t.prompt
 	t.preferredHost = found.Host
 	_, err = p.programs.call(ctx, t.program, t.beginCommand().Encode())
 	return err
 }
 
-// beginCommand charges the turn.
+// beginCommand returns the command that charges the turn.
 func (t *turn) beginCommand() programs.Begin {
 	return programs.Begin{
 		Request: t.id, Program: t.program, Session: t.session, Limited: t.hasBudget, Budget: t.budget, Estimate: t.maxTokens,
@@ -141,8 +142,8 @@
 	}
 }
 
-// appendChain is a chain of texts followed by the new input.
-func appendChain(chain [][]byte, input []byte) []byte {
+// buildPrompt returns the texts of a chain followed by the new input.
+func buildPrompt(chain [][]byte, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
 	}
@@ -153,17 +154,17 @@
 	return append(prompt, input...)
 }
 
-// rejectTurn answers a turn that was not begun.
+// rejectTurn writes the error response to a turn that could not begin, and settles the turn if its estimate may have been charged.
 func (p *Proxy) rejectTurn(w http.ResponseWriter, t *turn, err error) {
 	switch {
 	case errors.Is(err, codes.BudgetSpent):
 		p.fail(w, http.StatusPaymentRequired, codes.BudgetSpent)
 	case errors.Is(err, codes.TurnUnknown):
-		// a copy of the begin may still be in flight: once the turn is settled, it is charged nothing
+		// a duplicate of the begin command may still be in flight; it charges nothing once the turn is settled
 		p.settleInBackground(t, t.abortCommand(0, ""))
 		p.fail(w, http.StatusNotFound, codes.TurnUnknown)
 	default:
-		// whether the estimate was charged is not known
+		// it is unknown whether the estimate was charged
 		p.settleInBackground(t, t.abortCommand(0, ""))
 		p.reject(w, codes.StoreUnreachable, t.remaining(), p.programs.expectedOutage(t.program))
 	}
