--- a/sim/ablation/ablate.sh
+++ b/sim/ablation/ablate.sh
@@ -26,12 +26,12 @@
 reported-load|tier/balance/host.go|s/reportedLoadTTL = 400 \* time.Millisecond/reportedLoadTTL = 0/
 hung-given-up|tier/hangdetect/estimator.go|s/budgetPerResponse = 0.1/budgetPerResponse = 0.0/
 fleet-verdicts|tier/outlier/detector.go|s/minExcessFailures = 2.5/minExcessFailures = 1e9/
-retry-after|tier/proxy/respond.go|s/delay := retryafter.Delay(left, expected, rand.Float64())/delay := retryafter.Delay(left, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
+retry-after|tier/proxy/respond.go|s/delay := retryafter.Delay(remaining, expected, rand.Float64())/delay := retryafter.Delay(remaining, 200*time.Millisecond, 0*rand.Float64()*float64(expected))/
 first-view-wait|tier/proxy/outages.go|s/maxRoutesWait     = 800 \* time.Millisecond/maxRoutesWait     = 0/
 hedged-dials|tier/rpc/dial.go|s/hedgeDelay = 80 \* time.Millisecond/hedgeDelay = time.Hour/
 held-messages|tier/rpc/pending.go|s/maxPendingMessages = 256/maxPendingMessages = 0/
 silent-connections|tier/rpc/call.go|s/unresponsiveTimeout = 400 \* time.Millisecond/unresponsiveTimeout = time.Hour/
-follow-shard|tier/proxy/programs.go|s/^\tgo c.cancelWhenMoved(.*$//
+follow-shard|tier/proxy/programs.go|s/^\tgo c.cancelOnPrimaryChange(.*$//
 lost-disk-early|tier/placement/cluster.go|s/return m.Alive \&\& !m.Unconfirmed/return m.Alive/
 lean-end|tier/proxy/settle.go|s/Host: host, Ticket: t.ticket,/Host: host, Ticket: t.ticket, Input: t.body,/
 connection-pool|tier/upstream/pool.go|s/defaultIdleTimeout = 4 \* time.Second/defaultIdleTimeout = 0/
