--- a/tier/proxy/server.go
+++ b/tier/proxy/server.go
@@ -34,9 +34,9 @@
 
 // The error texts for malformed requests.
 const (
-	textBadDeadline     = "X-Deadline-Ms is not a number of milliseconds"
-	textNoRequestID     = "header X-Request-Id is missing; without it the response cannot be matched to the request"
-	textAmbiguousLength = "the body has more than one Content-Length or Transfer-Encoding header"
+	textBadDeadline     = "X-Deadline-Ms is no number of milliseconds"
+	textNoRequestID     = "header X-Request-Id is missing: the answer could not be told from others"
+	textAmbiguousLength = "the body's length is told twice, or beside chunks"
 )
 
 // newServer returns the HTTP server for clients. The contexts of its requests are derived from requestContext. Its listener has to be
--- a/tier/proxy/turn.go
+++ b/tier/proxy/turn.go
@@ -35,7 +35,7 @@
 }
 
 var (
-	errBudgetHeader     = errors.New("header Budget is not a whole number")
+	errBudgetHeader     = errors.New("header Budget is no whole number")
 	errTokenCountHeader = errors.New("header X-Token-Count is not two whole numbers separated by a comma")
 )
 
--- a/tier/status/protection_test.go
+++ b/tier/status/protection_test.go
@@ -42,7 +42,7 @@
 		{"four", record([]uint64{1, 2, 3, 4}, 3, 1, 2, 3, 4), 1, true, "more than half of 4 members"},
 		{"one machine", record([]uint64{1}, 1, 1), 0, true, "more than half of 1 member "},
 		{"a fourth member is being added while the first is lost", withPrevious(record([]uint64{2, 3, 4}, 2, 1, 2, 3, 4), 1, 2, 3), 0, true, "a is not in sync"},
-		{"unknown", consensus.Record{}, 0, false, "no control process answers"},
+		{"unknown", consensus.Record{}, 0, false, "nobody answers"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/tier/status/protection_text.go
+++ b/tier/status/protection_text.go
@@ -7,7 +7,7 @@
 
 // The texts of Protection.LimitedBy, which are for operators.
 
-const textNoRecord = "control is not bootstrapped, or no control process answers"
+const textNoRecord = "control is not founded, or nobody answers"
 
 // textMissingCopies is the text for a group that has too few copies to acknowledge anything.
 func textMissingCopies(inSync, wanted int, lagging []uint64, name NameFunc) string {
@@ -29,7 +29,7 @@
 
 // textAllInSync is the text for a group whose replicas are all in sync.
 func textAllInSync(copies int) string {
-	return "all of " + plural(copies, "copy") + " in sync; tolerating more losses needs more machines"
+	return "all of " + plural(copies, "copy") + " in sync; more need more machines"
 }
 
 // textMajorityNeeded is the text for a group that would lose its majority of votes before its last copy.
