--- a/tier/httpguard/conn.go
+++ b/tier/httpguard/conn.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// maxHeadBytes is how much of a head is kept; net/http refuses a longer one.
+	// maxHeadBytes is how much of a head is kept. net/http rejects a longer one.
 	maxHeadBytes = 256 << 10
-	// backgroundReadBytes is the length of the server's reads while a handler runs, by which they are told from others.
+	// backgroundReadBytes is the size of the reads that the server makes in the background while a handler runs. It distinguishes
+	// them from other reads.
 	backgroundReadBytes = 1
-	// responseWriteTimeout bounds the writing of headTimeoutResponse.
+	// responseWriteTimeout is the timeout for writing headTimeoutResponse.
 	responseWriteTimeout = time.Second
 	endOfHead            = "\r\n\r\n"
-	// headTimeoutResponse answers a head that did not come in time.
+	// headTimeoutResponse is sent when a head is not complete in time.
 	headTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// guardedConn is a connection whose heads are seen as they are read.
+// guardedConn is a connection that records each request's head as the server reads it.
 type guardedConn struct {
 	net.Conn
 	guard          *Guard
-	cancelRequests context.CancelFunc // ends the context of the connection, and so its requests; nil before ConnContext
+	cancelRequests context.CancelFunc // cancels the context of the connection and of its requests; nil before ConnContext
 
 	mu           sync.Mutex    // guards the fields below
-	stopWatch    chan struct{} // ends the watch for the client's close; nil if none runs
-	readingHead  bool          // a head is due or under way
-	head         []byte        // of the request under way, or what of the next one has been read
-	headDeadline time.Time     // of the head under way; zero for none
+	stopWatch    chan struct{} // closed to stop the watch for the client's close; nil if none runs
+	readingHead  bool          // the connection waits for a head or is reading one
+	head         []byte        // head of the current request, or the part of the next head that has been read
+	headDeadline time.Time     // deadline of the head that is being read; zero for none
 }
 
-// expectHead waits for the head of the next request.
+// expectHead prepares for the head of the next request.
 func (c *guardedConn) expectHead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +46,7 @@
 	c.headDeadline = time.Time{}
 }
 
-// Read reads from the connection. A head that is not complete in time ends it with 408.
+// Read reads from the connection. If a head is not complete in time, it sends a 408 response and returns the timeout error.
 func (c *guardedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
@@ -67,8 +68,8 @@
 	return n, err
 }
 
-// startCloseWatch has the client watched while a request is under way; the lock is held. During a request the server reads single
-// bytes in the background to see that the client closes, and stops with the first byte of the next request.
+// startCloseWatch starts to watch for the client's close while a request is being handled. The caller holds the lock. During a request
+// the server detects that close by reading single bytes in the background, but it stops at the first byte of the next request.
 func (c *guardedConn) startCloseWatch() {
 	if c.stopWatch != nil || c.cancelRequests == nil {
 		return
@@ -77,7 +78,7 @@
 	go watchPeerClose(c.Conn, c.cancelRequests, c.stopWatch)
 }
 
-// stopCloseWatch ends the watch; the lock is held.
+// stopCloseWatch stops the watch. The caller holds the lock.
 func (c *guardedConn) stopCloseWatch() {
 	if c.stopWatch != nil {
 		close(c.stopWatch)
@@ -85,7 +86,7 @@
 	}
 }
 
-// Close ends the connection and its context, which would otherwise be kept as long as the server's.
+// Close closes the connection and cancels its context, which would otherwise stay registered with the server's context.
 func (c *guardedConn) Close() error {
 	c.mu.Lock()
 	c.stopCloseWatch()
@@ -96,7 +97,7 @@
 	return c.Conn.Close()
 }
 
-// consumeHead takes bytes of a head; the lock is held.
+// consumeHead adds bytes to the current head. The caller holds the lock.
 func (c *guardedConn) consumeHead(data []byte) {
 	if len(c.head) == 0 {
 		if timeout := time.Duration(c.guard.headTimeout.Load()); timeout > 0 {
@@ -115,8 +116,8 @@
 	}
 }
 
-// discardReadAhead is called when the head of the request under way was read together with the request before it (pipelining); the
-// lock is held. What has been read since is the beginning of the next head, which is not due while this request is under way.
+// discardReadAhead is called when the head of the current request was read together with the previous request (pipelining). The caller
+// holds the lock. Bytes read since then are the start of the next head, which has no deadline while the current request is handled.
 func (c *guardedConn) discardReadAhead() {
 	c.readingHead = false
 	if len(c.head) == 0 {
@@ -128,7 +129,7 @@
 	c.startCloseWatch()
 }
 
-// SetReadDeadline sets when reading ends, but no later than a head under way is due.
+// SetReadDeadline sets the read deadline. While a head is being read, a deadline after that of the head has no effect.
 func (c *guardedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,16 +139,17 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends the sending side, as the server does before it closes a connection whose bytes it has not all read.
+// CloseWrite closes the sending side. The server does so before it closes a connection with unread data.
 func (c *guardedConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if writeCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return writeCloser.CloseWrite()
 	}
 	return nil
 }
 
-// countLengthHeaders counts the Content-Length and Transfer-Encoding headers of the request under way.
-func (c *guardedConn) countLengthHeaders() (lengths, chunks int) {
+// countLengthHeaders returns the numbers of Content-Length and Transfer-Encoding headers of the current request. It returns zeros if
+// the head was read together with the previous request.
+func (c *guardedConn) countLengthHeaders() (lengths, encodings int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readingHead {
@@ -160,8 +162,8 @@
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			lengths++
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			chunks++
+			encodings++
 		}
 	}
-	return lengths, chunks
+	return lengths, encodings
 }
--- a/tier/httpguard/doc.go
+++ b/tier/httpguard/doc.go
@@ -1,7 +1,7 @@
-// Package httpguard watches the connections of an HTTP server for what net/http settles by itself and a gateway has to handle:
-// requests whose body has two lengths or a length beside chunks, heads that take too long, and clients that leave behind the first
-// bytes of a further request.
+// Package httpguard watches the connections of an HTTP server for cases that net/http does not report to handlers and that a gateway
+// must handle: requests with more than one Content-Length header or with both Content-Length and Transfer-Encoding, heads that take
+// too long, and clients that close the connection after they have sent the first bytes of another request.
 //
-// A Guard wraps the listener of a server (Listen) and follows the states of its connections (Install). Each connection is read by
-// the server's goroutine alone; its mutex orders that with the handlers of its requests.
+// A Guard wraps the listener of a server (Listen) and tracks the states of its connections (Install). Only the server's goroutine
+// reads a connection. The connection's mutex synchronizes these reads with the handlers of its requests.
 package httpguard
--- a/tier/httpguard/guard.go
+++ b/tier/httpguard/guard.go
@@ -13,10 +13,11 @@
 	headTimeout atomic.Int64
 }
 
-// SetHeadTimeout bounds how long the head of a request may take from its first byte; 0 means no bound.
+// SetHeadTimeout sets how long the head of a request may take, counted from its first byte; 0 means no limit.
 func (g *Guard) SetHeadTimeout(d time.Duration) { g.headTimeout.Store(int64(d)) }
 
-// Install has a server's connections watched; they have to come from Listen.
+// Install sets the ConnState and ConnContext hooks of a server. The server must accept its connections from a listener that Listen
+// returned.
 func (g *Guard) Install(server *http.Server) {
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
 		if watched, ok := conn.(*guardedConn); ok && (state == http.StateNew || state == http.StateIdle) {
@@ -31,18 +32,18 @@
 	}
 }
 
-// Listen wraps a listener.
+// Listen wraps a listener so that the guard watches its connections.
 func (g *Guard) Listen(inner net.Listener) net.Listener { return &guardedListener{inner, g} }
 
-// HasAmbiguousLength tells whether the head of a request names its body's length twice, or a length beside chunks. A handler calls it
-// once, before it does anything else.
+// HasAmbiguousLength reports whether the head of a request has several Content-Length or Transfer-Encoding headers, or both kinds. A
+// handler must call it once, before it does anything else.
 func HasAmbiguousLength(r *http.Request) bool {
 	conn, ok := r.Context().Value(connKey{}).(*guardedConn)
 	if !ok {
 		return false
 	}
-	lengths, chunks := conn.countLengthHeaders()
-	return lengths > 1 || (lengths == 1 && chunks > 0) || chunks > 1
+	lengths, encodings := conn.countLengthHeaders()
+	return lengths > 1 || (lengths == 1 && encodings > 0) || encodings > 1
 }
 
 type connKey struct{}
@@ -52,7 +53,7 @@
 	guard *Guard
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection, wrapped in a guardedConn.
 func (l *guardedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/tier/httpguard/guard_test.go
+++ b/tier/httpguard/guard_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// serve runs a guarded server that answers 400 where the length is ambiguous, and otherwise the body's length.
+// serve runs a guarded server that responds with 400 if the length is ambiguous, and with the request's body otherwise.
 func serve(t *testing.T, headTimeout time.Duration) string {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-func ask(t *testing.T, conn net.Conn, reader *bufio.Reader, text string) (int, string) {
+func roundTrip(t *testing.T, conn net.Conn, reader *bufio.Reader, text string) (int, string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 
 const head = "POST / HTTP/1.1\r\nHost: h\r\n"
 
-func TestAmbiguousLengthsAreSeen(t *testing.T) {
+func TestAmbiguousLengthsAreDetected(t *testing.T) {
 	address := serve(t, 0)
 	for name, test := range map[string]struct {
 		text string
@@ -78,39 +78,39 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, reader := dial(t, address)
-			if got, _ := ask(t, conn, reader, test.text); got != test.want {
-				t.Errorf("%d, not %d", got, test.want)
+			if got, _ := roundTrip(t, conn, reader, test.text); got != test.want {
+				t.Errorf("status %d, not %d", got, test.want)
 			}
 		})
 	}
 }
 
-// A body that looks like a head, and requests one after the other, are told apart.
-func TestHeadsAreToldFromBodies(t *testing.T) {
+// A body that looks like a head must not be counted as one, also on a connection that carries several requests.
+func TestBodyIsNotParsedAsHead(t *testing.T) {
 	conn, reader := dial(t, serve(t, 0))
 	body := "Content-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n"
 	text := head + "Content-Length: 49\r\n\r\n" + body
 	for range 3 {
-		if got, echoed := ask(t, conn, reader, text); got != http.StatusOK || echoed != body {
+		if got, echoed := roundTrip(t, conn, reader, text); got != http.StatusOK || echoed != body {
 			t.Fatalf("%d %q", got, echoed)
 		}
 	}
-	if got, _ := ask(t, conn, reader, head+"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"); got != http.StatusBadRequest {
-		t.Fatalf("behind others: %d", got)
+	if got, _ := roundTrip(t, conn, reader, head+"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"); got != http.StatusBadRequest {
+		t.Fatalf("after other requests: %d", got)
 	}
 }
 
-func TestASlowHeadGets408(t *testing.T) {
+func TestSlowHeadGets408(t *testing.T) {
 	conn, reader := dial(t, serve(t, 30*time.Millisecond))
-	if got, _ := ask(t, conn, reader, "POST / HTTP/1.1\r\nHost: "); got != http.StatusRequestTimeout {
+	if got, _ := roundTrip(t, conn, reader, "POST / HTTP/1.1\r\nHost: "); got != http.StatusRequestTimeout {
 		t.Fatalf("%d", got)
 	}
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Fatalf("the connection goes on: %v", err)
+		t.Fatalf("the connection is still open: %v", err)
 	}
 }
 
-// recordingConn gives out bytes and notes the deadlines that reach it.
+// recordingConn returns given bytes from Read and records the read deadline set on it.
 type recordingConn struct {
 	net.Conn
 	bytes    []byte
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// The bound is for heads: neither a body nor a rest between requests is cut by it.
-func TestTheBoundIsForHeadsOnly(t *testing.T) {
+// The head timeout limits only heads. It must not limit a body or the idle time between requests.
+func TestHeadTimeoutAppliesToHeadsOnly(t *testing.T) {
 	guard := &Guard{}
 	guard.SetHeadTimeout(time.Second)
 	inner := &recordingConn{}
@@ -141,46 +141,47 @@
 			t.Fatal(err)
 		}
 	}
-	set := func() time.Time {
+	setDeadline := func() time.Time {
 		if err := conn.SetReadDeadline(later); err != nil {
 			t.Fatal(err)
 		}
 		return inner.deadline
 	}
 	for range 2 {
-		if got := set(); !got.Equal(later) {
-			t.Fatalf("while the connection rests: %v", got)
+		if got := setDeadline(); !got.Equal(later) {
+			t.Fatalf("while the connection is idle: %v", got)
 		}
 		read("POST / HTTP/1.1\r\n")
-		if got := set(); !got.Before(later) {
-			t.Fatal("a head under way has no bound")
+		if got := setDeadline(); !got.Before(later) {
+			t.Fatal("a head that is being read has no deadline")
 		}
 		read("Content-Length: 2\r\n\r\no")
-		if got := set(); !got.Equal(later) {
+		if got := setDeadline(); !got.Equal(later) {
 			t.Fatalf("in the body: %v", got)
 		}
 		conn.expectHead()
 	}
 }
 
-// A client that leaves behind the first byte of a further request is seen; one that stays is not taken for it.
-func TestAClientThatLeavesBehindAFurtherRequestIsSeen(t *testing.T) {
+// The close of a client that has sent the first byte of another request is detected. The context of a client that stays is not
+// canceled.
+func TestCloseAfterStartOfNextRequestIsDetected(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	guard := &Guard{}
-	begun := make(chan struct{}, 2)
-	ended := make(chan error, 2)
-	goOn := make(chan struct{})
+	started := make(chan struct{}, 2)
+	handlerDone := make(chan error, 2)
+	proceed := make(chan struct{})
 	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		HasAmbiguousLength(r)
-		begun <- struct{}{}
+		started <- struct{}{}
 		select {
 		case <-r.Context().Done():
-		case <-goOn:
+		case <-proceed:
 		}
-		ended <- r.Context().Err()
+		handlerDone <- r.Context().Err()
 	})}
 	guard.Install(server)
 	go func() { _ = server.Serve(guard.Listen(inner)) }()
@@ -190,26 +191,26 @@
 	if _, err := io.WriteString(conn, pipelined+pipelined); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
-	goOn <- struct{}{}
-	if err := <-ended; err != nil {
-		t.Fatalf("a client that stays was taken to have left: %v", err)
+	<-started
+	proceed <- struct{}{}
+	if err := <-handlerDone; err != nil {
+		t.Fatalf("the request of a connected client was canceled: %v", err)
 	}
 	if _, err := http.ReadResponse(reader, nil); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
+	<-started
 	if _, err := io.WriteString(conn, "G"); err != nil {
 		t.Fatal(err)
 	}
 	_ = conn.Close()
-	if err := <-ended; err == nil {
-		t.Fatal("the client has left")
+	if err := <-handlerDone; err == nil {
+		t.Fatal("the close of the client was not detected")
 	}
 }
 
-// The context of a connection ends with it, so that the server's does not grow with each.
-func TestTheContextOfAConnectionEndsWithIt(t *testing.T) {
+// The context of a connection is canceled when the connection closes, so that the server's context does not accumulate children.
+func TestConnectionContextEndsWithTheConnection(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +232,7 @@
 	conn, _ := dial(t, inner.Addr().String())
 	ctx := <-contexts
 	if (<-conns).cancelRequests == nil || ctx.Err() != nil {
-		t.Fatal("the context has ended before its connection")
+		t.Fatal("the context was canceled before the connection closed")
 	}
 	_ = conn.Close()
 	<-ctx.Done()
--- a/tier/httpguard/peerclose.go
+++ b/tier/httpguard/peerclose.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// peerCloseCheckInterval is how often a connection is polled for its client's close, while bytes of the next request keep the server
-// from seeing it.
+// peerCloseCheckInterval is how often a connection is polled for its client's close while bytes of the next request prevent the server
+// from detecting it.
 const peerCloseCheckInterval = 100 * time.Millisecond
 
-// watchPeerClose cancels the connection's requests once its client has closed it, until stop is closed. The server itself sees that
-// only by reading, and reads no further than the first byte of the next request.
+// watchPeerClose cancels the connection's requests once the client has closed it. It returns when stop is closed. The server itself
+// detects the close only by reading, and it reads no further than the first byte of the next request.
 func watchPeerClose(conn net.Conn, cancelRequests context.CancelFunc, stop <-chan struct{}) {
 	ticker := time.NewTicker(peerCloseCheckInterval)
 	defer ticker.Stop()
@@ -28,7 +28,7 @@
 	cancelRequests()
 }
 
-// peerClosed tells whether the other end has ended its side of a connection, however many bytes are unread.
+// peerClosed reports whether the peer has closed its side of a connection, even if there is unread data.
 func peerClosed(conn net.Conn) bool {
 	source, ok := conn.(syscall.Conn)
 	if !ok {
