--- a/tier/feed/cluster_test.go
+++ b/tier/feed/cluster_test.go
@@ -9,7 +9,7 @@
 	return v
 }
 
-// Revisions are ordered within a cluster; what another one says is rejected, however new it looks.
+// Revisions are comparable only within a cluster. Updates of another cluster are rejected, even with a higher revision.
 func TestViewRejectsUpdatesOfAnotherCluster(t *testing.T) {
 	own := viewOfCluster(7, 10, "own")
 	other := viewOfCluster(8, 900, "other")
@@ -20,14 +20,14 @@
 	}
 	for _, revision := range []uint64{0, 10} {
 		if changed := subscriber.Merge(other.Since(revision)); len(changed) != 0 {
-			t.Fatalf("taken from another cluster: %v", changed)
+			t.Fatalf("merged from another cluster: %v", changed)
 		}
 	}
 	if data, _ := subscriber.Get(SectionConfig, "config"); string(data) != "own" || subscriber.Revision() != 10 {
-		t.Fatalf("holds %q at revision %d", data, subscriber.Revision())
+		t.Fatalf("got %q at revision %d", data, subscriber.Revision())
 	}
 	if !subscriber.RejectsCluster(8) || subscriber.RejectsCluster(7) || subscriber.RejectsCluster(0) {
-		t.Fatal("rejects the wrong clusters")
+		t.Fatal("RejectsCluster is wrong for cluster 7, 8 or 0")
 	}
 }
 
--- a/tier/feed/example_test.go
+++ b/tier/feed/example_test.go
@@ -6,16 +6,16 @@
 	"otterseam/tier/feed"
 )
 
-// A copy gets everything once and then only what changed; deletions reach it too.
+// A replica receives all items once and then only the changes, including deletions.
 func Example() {
-	source, copied := feed.NewView(), feed.NewView()
+	source, replica := feed.NewView(), feed.NewView()
 	source.Put(feed.SectionHost, "h1", 1, []byte("ready"))
 	source.Put(feed.SectionHost, "h2", 2, []byte("ready"))
-	fmt.Println(len(copied.Merge(source.Since(copied.Revision()))), "items at first")
+	fmt.Println(len(replica.Merge(source.Since(replica.Revision()))), "items at first")
 
 	source.Put(feed.SectionHost, "h2", 3, []byte("draining"))
 	source.Delete(feed.SectionHost, "h1", 4)
-	for _, item := range copied.Merge(source.Since(copied.Revision())) {
+	for _, item := range replica.Merge(source.Since(replica.Revision())) {
 		fmt.Println(item.Key, "deleted:", item.Deleted, string(item.Data))
 	}
 	// Output:
--- a/tier/feed/history.go
+++ b/tier/feed/history.go
@@ -3,32 +3,33 @@
 import "sort"
 
 const (
-	// maxTombstones bounds how many deleted items are remembered for subscribers that lag.
+	// maxTombstones is how many tombstones are kept for subscribers that lag behind.
 	maxTombstones = 512
-	// tombstonesAfterCompaction is how many of them, the newest, are left when there were too many.
+	// tombstonesAfterCompaction is how many of the newest tombstones a compaction keeps.
 	tombstonesAfterCompaction = maxTombstones / 2
-	// changeLogSlack is how many superseded changes are kept beside one for each item.
+	// changeLogSlack is how many superseded changes the list may contain in addition to one change for each item. The list is cut at
+	// twice this sum.
 	changeLogSlack = 1024
 )
 
-// history is what a view remembers of its past. The view's lock guards it.
+// history is the record of a view's past changes. The view's lock guards it.
 type history struct {
-	tombstones int // items that are remembered as deleted
-	// compacted is the newest revision whose deletion is no longer remembered: subscribers that lag behind it get a snapshot.
+	tombstones int // number of tombstones in the view
+	// compacted is the newest revision whose tombstone was dropped. Subscribers at an older revision get a snapshot.
 	compacted uint64
-	// changes lists changes by their revisions, so that what a subscriber lacks is found without a look at every item. Changes
-	// before changesFrom are no longer in it.
+	// changes is ordered by revision, so that the items that a subscriber lacks are found without a scan of all items. Changes before
+	// changesFrom are no longer in it.
 	changes     []change
 	changesFrom uint64
 }
 
-// change notes that an item changed at a revision.
+// change records that an item changed at a revision.
 type change struct {
 	key      itemKey
 	revision uint64
 }
 
-// add appends a change. It drops the older half of the list once that has grown beyond what the items of the view justify.
+// add appends a change. It drops the older half of the list once the list is too long for the number of items in the view.
 func (h *history) add(c change, itemCount int) {
 	h.changes = append(h.changes, c)
 	if len(h.changes) > 2*itemCount+2*changeLogSlack {
@@ -37,20 +38,21 @@
 	}
 }
 
-// restartAt forgets all changes up to a revision, and with them what was deleted before it.
-func (h *history) restartAt(revision uint64) {
+// resetTo drops all changes up to a revision. Subscribers at an older revision get a snapshot, as earlier deletions are no longer known.
+func (h *history) resetTo(revision uint64) {
 	h.changes = nil
 	h.changesFrom = revision
 	h.compacted = revision
 }
 
-// after lists the changes after a revision that the list still holds.
+// after returns the recorded changes after a revision.
 func (h *history) after(revision uint64) []change {
 	start := sort.Search(len(h.changes), func(i int) bool { return h.changes[i].revision > revision })
 	return h.changes[start:]
 }
 
-// compactTombstonesLocked drops the oldest tombstones when there are too many; subscribers that lag further get a snapshot.
+// compactTombstonesLocked drops the oldest tombstones if there are more than maxTombstones. Subscribers at an older revision than a
+// dropped tombstone get a snapshot.
 func (v *View) compactTombstonesLocked() {
 	if v.history.tombstones <= maxTombstones {
 		return
--- a/tier/feed/item.go
+++ b/tier/feed/item.go
@@ -13,33 +13,33 @@
 	SectionStore
 	// SectionShard holds the shards of programs and their replicas.
 	SectionShard
-	// SectionControl holds the members of control.
+	// SectionControl holds the control processes that are members.
 	SectionControl
 	sectionPublicEnd
-	// SectionRetirement holds the store machines that are to be emptied; it is not distributed.
+	// SectionRetirement holds the store machines that are being retired. It is not distributed.
 	SectionRetirement
-	// SectionEjection holds the hosts that are ejected for a time.
+	// SectionEjection holds the hosts that are ejected temporarily.
 	SectionEjection
 )
 
-// isPublic tells whether a section is distributed.
+// isPublic reports whether a section is distributed.
 func (s Section) isPublic() bool { return s < sectionPublicEnd || s == SectionEjection }
 
-// isAny includes every section, the private ones too.
-func (Section) isAny() bool { return true }
+// isExported reports whether Export includes a section. It includes all of them, also the private ones.
+func (Section) isExported() bool { return true }
 
-// Item is one piece of what was decided.
+// Item is one entry of a view.
 type Item struct {
 	Section  Section
 	Key      string
-	Revision uint64 // that changed the item last
+	Revision uint64 // revision that last changed the item
 	Deleted  bool   // the item is a tombstone
 	Data     []byte
 }
 
 func (i Item) key() itemKey { return itemKey{i.Section, i.Key} }
 
-// isBefore orders items by revision and, within one, by section and key, so that the same view always has the same bytes.
+// isBefore orders items by revision, then by section and key, so that a view is always encoded to the same bytes.
 func (i Item) isBefore(other Item) bool {
 	if i.Revision != other.Revision {
 		return i.Revision < other.Revision
--- a/tier/feed/merge.go
+++ b/tier/feed/merge.go
@@ -1,6 +1,7 @@
 package feed
 
-// Merge takes an update and returns the items that changed. Updates older than the view, or of another cluster, change nothing.
+// Merge applies an update and returns the items that changed. An update that is older than the view or belongs to another cluster has
+// no effect.
 func (v *View) Merge(update Update) []Item {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -15,7 +16,7 @@
 		changed = v.deleteAllButLocked(update)
 	}
 	for _, item := range update.Items {
-		if held, found := v.sections[item.Section][item.Key]; found && held.Revision >= item.Revision {
+		if existing, found := v.sections[item.Section][item.Key]; found && existing.Revision >= item.Revision {
 			continue
 		}
 		v.storeLocked(item)
@@ -25,8 +26,8 @@
 	advanced := update.Revision > v.revision
 	v.revision = update.Revision
 	if update.Snapshot {
-		// Items of a snapshot may be older than changes known here, and what was deleted before it is not known here.
-		v.history.restartAt(v.revision)
+		// Items of a snapshot may be older than changes in the list, and deletions before the snapshot are unknown.
+		v.history.resetTo(v.revision)
 	}
 	if advanced || len(changed) > 0 {
 		v.notifyLocked()
@@ -34,7 +35,7 @@
 	return changed
 }
 
-// deleteAllButLocked deletes what a snapshot lacks, and returns it.
+// deleteAllButLocked deletes the items that a snapshot lacks, and returns their tombstones.
 func (v *View) deleteAllButLocked(snapshot Update) []Item {
 	present := make(map[itemKey]bool, len(snapshot.Items))
 	for _, item := range snapshot.Items {
@@ -57,7 +58,7 @@
 	return deleted
 }
 
-// Restore replaces the whole view by a snapshot, also by an older one.
+// Restore replaces the whole view by a snapshot, even if the snapshot is older.
 func (v *View) Restore(snapshot Update) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -68,6 +69,6 @@
 	}
 	v.clusterID = snapshot.ClusterID
 	v.revision = snapshot.Revision
-	v.history.restartAt(snapshot.Revision)
+	v.history.resetTo(snapshot.Revision)
 	v.notifyLocked()
 }
--- a/tier/feed/messages.go
+++ b/tier/feed/messages.go
@@ -5,23 +5,23 @@
 	"otterseam/tier/rpc"
 )
 
-// The kinds of messages of a subscription.
+// Message kinds of a subscription.
 const (
-	// KindSubscribe is a call of a Subscriber with a SubscribeRequest. The Publisher answers it with codes.OK and no body when it
-	// accepts the subscription, with codes.SubscriptionStale when it is not fresh, and with codes.DiskForeign when the subscriber
-	// belongs to another cluster.
+	// KindSubscribe is a call from a Subscriber with a SubscribeRequest. The Publisher answers with codes.OK and no body if it accepts
+	// the subscription, with codes.SubscriptionStale if its view is not fresh, with codes.DiskForeign if the subscriber belongs to
+	// another cluster, and with codes.Malformed if the request can't be decoded.
 	KindSubscribe rpc.Kind = 60
-	// KindUpdate is a one-way message of a Publisher with an Update, to each of its subscribers.
+	// KindUpdate is a one-way message with an Update from a Publisher to one of its subscribers.
 	KindUpdate rpc.Kind = 61
 )
 
-// SubscribeRequest tells a publisher where a subscriber stands.
+// SubscribeRequest states the revision and the cluster of a subscriber's view.
 type SubscribeRequest struct {
-	Revision  uint64 // that the subscriber has; 0 asks for a snapshot
-	ClusterID uint64 // that the subscriber belongs to; 0 as long as it knows none
+	Revision  uint64 // revision of the subscriber's view; 0 requests a snapshot
+	ClusterID uint64 // cluster of the subscriber; 0 if not known yet
 }
 
-// Encode is the request's form on the wire.
+// Encode returns the request's encoded form.
 func (r SubscribeRequest) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(r.Revision)
@@ -29,7 +29,7 @@
 	return e.Bytes
 }
 
-// DecodeSubscribeRequest reads a request.
+// DecodeSubscribeRequest decodes a request.
 func DecodeSubscribeRequest(message []byte) (SubscribeRequest, error) {
 	d := codec.NewDecoder(message)
 	r := SubscribeRequest{Revision: d.Uint64(), ClusterID: d.Uint64()}
--- a/tier/feed/publisher.go
+++ b/tier/feed/publisher.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// keepAliveInterval is how long a publisher without changes waits before it sends an empty update. Several of them fit into
-	// subscriptionTimeout, so that one that comes late ends no subscription.
+	// keepAliveInterval is how long a publisher without changes waits before it sends an empty update. It is a fraction of
+	// subscriptionTimeout, so that one late update does not end a subscription.
 	keepAliveInterval = 250 * time.Millisecond
-	// batchDelay is how long changes are collected into one update.
+	// batchDelay is how long a publisher waits after a change to batch further changes into one update.
 	batchDelay = 4 * time.Millisecond
 )
 
-// Publisher serves a view to subscribers. Each subscription has a goroutine, which ends with its connection.
+// Publisher serves a view to subscribers. Each subscription has a goroutine that ends with its connection.
 type Publisher struct {
 	View *View
-	// IsFresh tells whether the view may be served; nil means always.
+	// IsFresh reports whether the view may be served; nil means always.
 	IsFresh func() bool
 
 	mu      sync.Mutex    // guards expired
-	expired chan struct{} // closed when the subscriptions are to end; nil until one begins
+	expired chan struct{} // closed to end the current subscriptions; nil if there are none
 }
 
-// Expire ends all subscriptions at once, so that their subscribers go on to other publishers.
+// Expire ends all subscriptions immediately, so that the subscribers move to other publishers.
 func (p *Publisher) Expire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// expiry is closed when the subscriptions that run now are to end.
+// expiry returns a channel that Expire closes to end the current subscriptions.
 func (p *Publisher) expiry() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +46,8 @@
 	return p.expired
 }
 
-// Handle takes a subscription and serves it until the connection ends or the view is no longer fresh.
+// Handle handles a SubscribeRequest. It serves the subscription in the background until the connection ends, the view is no longer fresh
+// or Expire is called.
 func (p *Publisher) Handle(message rpc.Message) {
 	request, err := DecodeSubscribeRequest(message.Payload)
 	if err != nil {
@@ -67,7 +68,7 @@
 
 func (p *Publisher) isStale() bool { return p.IsFresh != nil && !p.IsFresh() }
 
-// stream sends a subscriber what it lacks, at each change and at least once in each keep-alive interval.
+// stream sends updates to a subscriber after each change, and at least once per keepAliveInterval.
 func (p *Publisher) stream(conn *rpc.Conn, revision uint64) {
 	expired := p.expiry()
 	keepAlive := time.NewTimer(keepAliveInterval)
--- a/tier/feed/recorded_test.go
+++ b/tier/feed/recorded_test.go
@@ -34,7 +34,7 @@
 	recorded.CheckBoth(t, "update", recordedUpdate(), Update.Encode, DecodeUpdate)
 }
 
-// recordedView holds public and other items, one of them deleted.
+// recordedView returns a view with public and private items and a tombstone.
 func recordedView() *View {
 	view := NewView()
 	view.SetClusterID(recordedClusterID)
@@ -46,7 +46,8 @@
 	return view
 }
 
-// What a view gives a new subscriber, one that lags, and a snapshot is as recorded; views made of it give the same again.
+// The updates for a new subscriber and for one that lags, and the exported snapshot, equal the recordings. Views restored or merged from
+// the recordings are encoded to the same bytes again.
 func TestRecordedView(t *testing.T) {
 	view := recordedView()
 	all, _ := view.SinceEncoded(0)
@@ -71,11 +72,11 @@
 			t.Error(err)
 		}
 	}
-	again, _ := merged.SinceEncoded(0)
-	recorded.Check(t, "since-0", again)
+	reencoded, _ := merged.SinceEncoded(0)
+	recorded.Check(t, "since-0", reencoded)
 }
 
-// recordedServer calls a handler for what arrives.
+// recordedServer starts a server that calls handler for each message. It returns its address.
 func recordedServer(t *testing.T, handler rpc.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,12 +88,12 @@
 	return listener.Addr().String()
 }
 
-// A subscriber asks for what it lacks as recorded, and takes the recorded update.
+// A subscriber sends the recorded request and merges the recorded update.
 func TestRecordedSubscription(t *testing.T) {
-	asked := make(chan []byte, 16)
+	requests := make(chan []byte, 16)
 	address := recordedServer(t, func(m rpc.Message) {
 		if m.Kind == KindSubscribe {
-			asked <- m.Payload
+			requests <- m.Payload
 			m.Answer(codes.OK, nil)
 			m.Conn.Send(KindUpdate, recorded.Read(t, "since-4"))
 		}
@@ -101,24 +102,24 @@
 	if err := (&Subscriber{View: view}).apply(recorded.Read(t, "since-0")); err != nil {
 		t.Error(err)
 	}
-	view.revision = 4 // as if it had missed what came behind
+	view.revision = 4 // as if the later updates had not been received
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	changed := view.Changed()
 	subscriber := &Subscriber{View: view, Addresses: func() []string { return []string{address} }}
 	go subscriber.Run(ctx)
-	recorded.Check(t, "subscribe", <-asked)
+	recorded.Check(t, "subscribe", <-requests)
 	select {
 	case <-changed:
 	case <-ctx.Done():
-		t.Fatal("the recorded update was not taken")
+		t.Fatal("the recorded update was not merged")
 	}
 	if view.Revision() != 11 {
 		t.Fatalf("revision %d", view.Revision())
 	}
 }
 
-// A publisher takes the recorded subscription and sends the recorded update.
+// A publisher accepts the recorded request and sends the recorded update.
 func TestRecordedPublication(t *testing.T) {
 	publisher := &Publisher{View: recordedView()}
 	address := recordedServer(t, publisher.Handle)
@@ -136,15 +137,15 @@
 	select {
 	case m := <-updates:
 		if m.Kind != KindUpdate || m.IsCall() {
-			t.Errorf("pushed: %+v", m)
+			t.Errorf("not a one-way update: %+v", m)
 		}
 		recorded.Check(t, "since-4", m.Payload)
 	case <-ctx.Done():
-		t.Fatal("no update came")
+		t.Fatal("no update was received")
 	}
 }
 
-// The numbers of the messages and of the sections are those recorded.
+// The numbers of the message kinds and of the sections equal the recorded ones.
 func TestRecordedKinds(t *testing.T) {
 	var numbers []byte
 	for _, kind := range []rpc.Kind{KindSubscribe, KindUpdate} {
--- a/tier/feed/since.go
+++ b/tier/feed/since.go
@@ -2,18 +2,18 @@
 
 import "sort"
 
-// Since returns what a subscriber at a revision lacks of the public sections.
+// Since returns the update that a subscriber at the given revision needs. It contains public sections only.
 func (v *View) Since(revision uint64) Update {
 	return v.since(revision, Section.isPublic)
 }
 
-// Export returns everything, the private sections too, for a snapshot on disk.
+// Export returns a snapshot of all sections, including the private ones, for storage on disk.
 func (v *View) Export() Update {
-	return v.since(0, Section.isAny)
+	return v.since(0, Section.isExported)
 }
 
-// SinceEncoded is Since in the form for the wire. Subscribers that stand at the same revision share the bytes, which must not be
-// changed.
+// SinceEncoded returns the encoded result of Since and the view's revision. Subscribers at the same revision share the bytes, which
+// must not be modified.
 func (v *View) SinceEncoded(revision uint64) (encoded []byte, upTo uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -47,7 +47,7 @@
 	return update
 }
 
-// selectLocked looks at every item and returns those wanted, in order.
+// selectLocked scans all items and returns the wanted ones of the included sections in the order of isBefore.
 func (v *View) selectLocked(include func(Section) bool, wanted func(Item) bool) []Item {
 	var selected []Item
 	for section, items := range v.sections {
@@ -64,16 +64,16 @@
 	return selected
 }
 
-// changedItemsLocked collects the newest state of the items that changed after a revision, each once, from the list of changes.
+// changedItemsLocked returns the current state of each item that changed after a revision, based on the list of changes.
 func (v *View) changedItemsLocked(revision uint64, include func(Section) bool) []Item {
 	var items []Item
-	taken := map[itemKey]bool{}
+	added := map[itemKey]bool{}
 	for _, c := range v.history.after(revision) {
-		item, held := v.sections[c.key.section][c.key.key]
-		if !held || item.Revision != c.revision || taken[c.key] || !include(item.Section) {
+		item, found := v.sections[c.key.section][c.key.key]
+		if !found || item.Revision != c.revision || added[c.key] || !include(item.Section) {
 			continue
 		}
-		taken[c.key] = true
+		added[c.key] = true
 		items = append(items, item)
 	}
 	return items
--- a/tier/feed/subscriber.go
+++ b/tier/feed/subscriber.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// subscriptionTimeout is how long a subscription may bring no update before its publisher is given up: more than three times
+	// subscriptionTimeout is how long a subscription may receive no update before it is closed. It is more than three times
 	// keepAliveInterval.
 	subscriptionTimeout = 900 * time.Millisecond
 	// subscribeTimeout is how long a publisher may take to answer a SubscribeRequest.
 	subscribeTimeout = 700 * time.Millisecond
-	// resubscribeDelay is the pause between two publishers.
+	// resubscribeDelay is the delay before the subscriber tries the next publisher.
 	resubscribeDelay = 60 * time.Millisecond
-	// maxFirstPosition spreads subscribers over the publishers: each begins at a random one.
+	// maxFirstPosition is the upper bound of a subscriber's random first position in the list of publishers. Random positions spread the
+	// subscribers over the publishers.
 	maxFirstPosition = 1 << 16
 )
 
-// Subscriber keeps a view up to date from one publisher after another.
+// Subscriber keeps a view up to date by subscribing to one publisher at a time.
 type Subscriber struct {
 	View *View
-	// Addresses returns where publishers are.
+	// Addresses returns the addresses of the publishers.
 	Addresses func() []string
-	// OnChange is called with the items that an update changed, one call at a time, by the reader of a connection; nil if not
-	// wanted.
+	// OnChange is called with the items that an update changed. Calls don't overlap. They run on the goroutine that reads the
+	// connection. It may be nil.
 	OnChange func(items []Item)
-	// RotateAfter is how long a subscription lasts on average before the subscriber moves to another publisher, so that the
-	// subscribers of one that ended don't stay with the others for ever once it is back. 0: it stays.
+	// RotateAfter is how long a subscription lasts on average before the subscriber moves to another publisher. Without these moves, the
+	// subscribers of a publisher that failed would stay with the other publishers forever, even after it is back. 0 disables the moves.
 	RotateAfter time.Duration
 
-	merging sync.Mutex // held while an update is merged: for a moment there are two subscriptions when the subscriber moves
+	mergeMutex sync.Mutex // held while an update is merged, as two subscriptions are open during a move
 
 	loggedForeign   bool            // owned by the goroutine of Run
 	loggedMalformed map[string]bool // by publisher; owned by the goroutine of Run
 }
 
-// Run subscribes until the context ends.
+// Run keeps the view subscribed until the context ends.
 func (s *Subscriber) Run(ctx context.Context) {
 	position := rand.IntN(maxFirstPosition)
 	for ctx.Err() == nil {
@@ -61,8 +62,8 @@
 	}
 }
 
-// follow serves subscriptions, from the one at an address on, until one ends or times out. A subscription that has lasted for long is
-// kept until the next one stands.
+// follow subscribes to the publisher at an address and moves to another publisher whenever a rotation is due. It returns when a
+// subscription fails, ends or times out. A move keeps the current subscription until the next one is established.
 func (s *Subscriber) follow(ctx context.Context, address string) {
 	current := s.open(ctx, address)
 	if current == nil {
@@ -70,11 +71,11 @@
 	}
 	defer func() { current.conn.Close() }()
 	for {
-		isDue, err := current.awaitEnd(ctx, s.rotationDelay())
+		rotationDue, err := current.awaitEnd(ctx, s.rotationDelay())
 		if err != nil {
 			s.logMalformedUpdate(current.address, err)
 		}
-		if !isDue {
+		if !rotationDue {
 			return
 		}
 		if next := s.open(ctx, s.otherAddress(current.address)); next != nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// rotationDelay spreads the moves of many subscribers, also of those that subscribed in one instant.
+// rotationDelay returns a random delay, so that subscribers that subscribed at the same time don't move at the same time.
 func (s *Subscriber) rotationDelay() time.Duration {
 	if s.RotateAfter == 0 {
 		return math.MaxInt64
@@ -92,7 +93,7 @@
 	return s.RotateAfter/2 + rand.N(s.RotateAfter)
 }
 
-// otherAddress is that of a random publisher besides the present one; "" if there is none.
+// otherAddress returns the address of a random publisher other than the current one, or "" if there is none.
 func (s *Subscriber) otherAddress(current string) string {
 	var others []string
 	for _, address := range s.Addresses() {
@@ -106,7 +107,7 @@
 	return others[rand.IntN(len(others))]
 }
 
-// open subscribes at a publisher; nil if it doesn't accept.
+// open subscribes to the publisher at an address. It returns nil if that fails.
 func (s *Subscriber) open(ctx context.Context, address string) *subscription {
 	if address == "" {
 		return nil
@@ -127,19 +128,19 @@
 	return opened
 }
 
-// subscription is one at a publisher.
+// subscription is an open subscription to one publisher.
 type subscription struct {
 	subscriber *Subscriber
 	address    string
 	conn       *rpc.Conn
-	received   chan struct{} // tells that an update came
-	malformed  chan error    // has the error of an update that can't be decoded
+	received   chan struct{} // signals that an update was merged
+	malformed  chan error    // receives the error of an update that can't be decoded
 
-	hasFailed bool // owned by the reader of the connection
+	hasFailed bool // an update could not be decoded; owned by the goroutine that reads the connection
 }
 
-// handle merges an update. Behind one that can't be decoded nothing is merged: a later update would raise the view's revision, and
-// what the lost one carried would not be asked for again.
+// handle merges an update. After an update that can't be decoded it merges no further ones: a later update would raise the view's
+// revision, and the items of the lost update would not be requested again.
 func (sub *subscription) handle(message rpc.Message) {
 	if message.Kind != KindUpdate || sub.hasFailed {
 		return
@@ -155,7 +156,7 @@
 	}
 }
 
-// subscribe asks a publisher for what the view lacks.
+// subscribe requests the updates after the view's revision from a publisher.
 func (s *Subscriber) subscribe(ctx context.Context, conn *rpc.Conn) error {
 	request := SubscribeRequest{Revision: s.View.Revision(), ClusterID: s.View.ClusterID()}
 	ctx, cancel := context.WithTimeout(ctx, subscribeTimeout)
@@ -164,9 +165,9 @@
 	return err
 }
 
-// awaitEnd waits until the subscription ends, brings nothing for too long, or has lasted for the time after which it is due to move.
-// An error is that of an update that can't be decoded.
-func (sub *subscription) awaitEnd(ctx context.Context, rotateAfter time.Duration) (isDue bool, err error) {
+// awaitEnd waits until the subscription ends, receives no update for subscriptionTimeout, or has lasted for rotateAfter, in which case
+// it returns true. The error is that of an update that can't be decoded.
+func (sub *subscription) awaitEnd(ctx context.Context, rotateAfter time.Duration) (rotationDue bool, err error) {
 	rotation := time.NewTimer(rotateAfter)
 	defer rotation.Stop()
 	timeout := time.NewTimer(subscriptionTimeout)
@@ -189,14 +190,14 @@
 	}
 }
 
-// apply merges an encoded update and tells OnChange what it changed. One that can't be decoded changes nothing.
+// apply merges an encoded update and calls OnChange with the changed items. An update that can't be decoded has no effect.
 func (s *Subscriber) apply(payload []byte) error {
 	update, err := DecodeUpdate(payload)
 	if err != nil {
 		return err
 	}
-	s.merging.Lock()
-	defer s.merging.Unlock()
+	s.mergeMutex.Lock()
+	defer s.mergeMutex.Unlock()
 	changed := s.View.Merge(update)
 	if len(changed) > 0 && s.OnChange != nil {
 		s.OnChange(changed)
@@ -204,8 +205,8 @@
 	return nil
 }
 
-// logMalformedUpdate writes into the log, once for each publisher, that it sent an update that can't be decoded. The next
-// subscription asks for what it carried.
+// logMalformedUpdate logs, once per publisher, that the publisher sent an update that can't be decoded. The next subscription requests
+// the items of that update again.
 func (s *Subscriber) logMalformedUpdate(address string, err error) {
 	if s.loggedMalformed[address] {
 		return
@@ -215,15 +216,15 @@
 	}
 	s.loggedMalformed[address] = true
 	logrus.WithError(err).WithFields(logrus.Fields{"code": uint16(codes.Malformed), "publisher": address}).
-		Error("a publisher sent an update that can't be decoded; the subscription begins anew")
+		Error("publisher sent an update that can't be decoded; resubscribing")
 }
 
-// logForeignPublisher writes into the log, once, that a publisher serves another cluster.
+// logForeignPublisher logs, once, that a publisher belongs to another cluster.
 func (s *Subscriber) logForeignPublisher(address string) {
 	if s.loggedForeign {
 		return
 	}
 	s.loggedForeign = true
 	logrus.WithFields(logrus.Fields{"code": uint16(codes.DiskForeign), "publisher": address, "own_cluster_id": s.View.ClusterID()}).
-		Error("a publisher serves another cluster; its views are rejected")
+		Error("publisher belongs to another cluster; it rejected the subscription")
 }
--- a/tier/feed/subscriber_test.go
+++ b/tier/feed/subscriber_test.go
@@ -24,7 +24,7 @@
 	return listener.Addr().String()
 }
 
-// awaitHost waits until a view holds a host with some data.
+// awaitHost waits until a view contains a host with the given data.
 func awaitHost(t *testing.T, v *View, key, want string) {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
@@ -45,10 +45,10 @@
 	stale, fresh := NewView(), NewView()
 	stale.Put(SectionHost, "h", 1, []byte("one"))
 	fresh.Put(SectionHost, "h", 1, []byte("one"))
-	isStale := make(chan struct{})
+	staleNow := make(chan struct{})
 	first := &Publisher{View: stale, IsFresh: func() bool {
 		select {
-		case <-isStale:
+		case <-staleNow:
 			return false
 		default:
 			return true
@@ -58,11 +58,11 @@
 	firstAddress, secondAddress := listen(t, first.Handle), listen(t, second.Handle)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	copied := NewView()
+	replica := NewView()
 	addresses := make(chan []string, 1)
 	addresses <- []string{firstAddress}
 	current := []string{firstAddress}
-	s := &Subscriber{View: copied, Addresses: func() []string {
+	s := &Subscriber{View: replica, Addresses: func() []string {
 		select {
 		case current = <-addresses:
 		default:
@@ -70,15 +70,16 @@
 		return current
 	}}
 	go s.Run(ctx)
-	awaitHost(t, copied, "h", "one")
+	awaitHost(t, replica, "h", "one")
 	addresses <- []string{firstAddress, secondAddress}
-	close(isStale)
+	close(staleNow)
 	fresh.Put(SectionHost, "h", 2, []byte("two"))
-	awaitHost(t, copied, "h", "two")
+	awaitHost(t, replica, "h", "two")
 }
 
-// An update that can't be decoded ends its subscription, and the next one brings what it carried; nothing behind it is merged before.
-func TestAnUpdateThatCannotBeDecodedIsAskedForAgain(t *testing.T) {
+// An update that can't be decoded ends its subscription, and no later update of that subscription is merged. The next subscription
+// requests the lost items again.
+func TestMalformedUpdateIsRequestedAgain(t *testing.T) {
 	lost := Update{Revision: 2, Items: []Item{{Section: SectionHost, Key: "lost", Revision: 2, Data: []byte("two")}}}
 	later := Update{Revision: 3, Items: []Item{{Section: SectionHost, Key: "later", Revision: 3, Data: []byte("three")}}}
 	var subscriptions atomic.Int32
@@ -95,7 +96,7 @@
 			return
 		}
 		if request.Revision >= lost.Revision {
-			t.Errorf("subscribed from revision %d on", request.Revision)
+			t.Errorf("subscribed from revision %d, after the lost update", request.Revision)
 		}
 		message.Conn.Send(KindUpdate, lost.Encode())
 		message.Conn.Send(KindUpdate, later.Encode())
@@ -110,8 +111,8 @@
 	running.Wait()
 }
 
-// A publisher that may serve no longer ends its subscriptions at once, though nothing changes and no update is due.
-func TestExpireEndsSubscriptionsAtOnce(t *testing.T) {
+// Expire ends the subscriptions immediately, without waiting for a change or a keep-alive.
+func TestExpireEndsSubscriptionsImmediately(t *testing.T) {
 	view := NewView()
 	view.Put(SectionHost, "h", 1, []byte("one"))
 	publisher := &Publisher{View: view}
@@ -136,7 +137,7 @@
 	select {
 	case <-conn.Done():
 	case <-time.After(10 * time.Second):
-		t.Fatal("the subscription goes on")
+		t.Fatal("the subscription is still open")
 	}
 }
 
@@ -165,9 +166,9 @@
 	}
 }
 
-// A subscriber moves to another publisher while the one it has is up, and misses nothing: it has the next subscription before it ends
-// the last. One that can move nowhere stays.
-func TestASubscriberMovesOn(t *testing.T) {
+// A subscriber moves to another publisher while its current one is up. It misses no update, as it opens the next subscription before it
+// closes the current one. It stays if no other publisher accepts a subscription.
+func TestSubscriberRotatesPublishers(t *testing.T) {
 	first, second := NewView(), NewView()
 	firstAddress := listen(t, (&Publisher{View: first}).Handle)
 	var subscribed sync.Once
@@ -183,23 +184,23 @@
 
 	var addresses atomic.Pointer[[]string]
 	addresses.Store(&[]string{firstAddress, firstAddress, refusing})
-	copied := NewView()
+	replica := NewView()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	s := &Subscriber{View: copied, Addresses: func() []string { return *addresses.Load() }, RotateAfter: 20 * time.Millisecond}
+	s := &Subscriber{View: replica, Addresses: func() []string { return *addresses.Load() }, RotateAfter: 20 * time.Millisecond}
 	running.Go(func() { s.Run(ctx) })
-	awaitHost(t, copied, "h", "one")
+	awaitHost(t, replica, "h", "one")
 	first.Put(SectionHost, "h", 2, []byte("two"))
-	awaitHost(t, copied, "h", "two")
+	awaitHost(t, replica, "h", "two")
 	second.Put(SectionHost, "h", 3, []byte("three"))
 	addresses.Store(&[]string{firstAddress, secondAddress})
 	<-atSecond
-	awaitHost(t, copied, "h", "three")
+	awaitHost(t, replica, "h", "three")
 	cancel()
 	running.Wait()
 }
 
-func TestMovesOfSubscribersAreSpread(t *testing.T) {
+func TestRotationDelaysAreSpread(t *testing.T) {
 	s := &Subscriber{RotateAfter: 10 * time.Second}
 	shortest, longest := time.Hour, time.Duration(0)
 	for range 1000 {
@@ -210,6 +211,6 @@
 		t.Fatalf("from %v to %v", shortest, longest)
 	}
 	if delay := (&Subscriber{}).rotationDelay(); delay < 24*time.Hour {
-		t.Fatalf("one that is to stay moves after %v", delay)
+		t.Fatalf("a subscriber without RotateAfter moves after %v", delay)
 	}
 }
--- a/tier/feed/update.go
+++ b/tier/feed/update.go
@@ -2,18 +2,18 @@
 
 import "otterseam/tier/codec"
 
-// Update carries items that changed, up to Revision.
+// Update contains items that changed, up to Revision.
 type Update struct {
-	ClusterID uint64 // whose revisions these are; 0 if it is not known yet
+	ClusterID uint64 // cluster that the revisions belong to; 0 if not known yet
 	Revision  uint64
-	Snapshot  bool // the items are all there are: what the receiver holds beside them is deleted
+	Snapshot  bool // Items is complete: the receiver deletes its other items
 	Items     []Item
 }
 
 // minItemBytes is the encoded size of an item with an empty key and no data.
 const minItemBytes = 1 + 4 + 8 + 1 + 4
 
-// Encode is the update's form on the wire and on disk.
+// Encode returns the update's encoded form, which is the same on the wire and on disk.
 func (u Update) Encode() []byte {
 	var e codec.Encoder
 	e.Uint64(u.ClusterID)
@@ -30,7 +30,7 @@
 	return e.Bytes
 }
 
-// DecodeUpdate reads an update.
+// DecodeUpdate decodes an update.
 func DecodeUpdate(message []byte) (Update, error) {
 	d := codec.NewDecoder(message)
 	u := Update{ClusterID: d.Uint64(), Revision: d.Uint64(), Snapshot: d.Bool()}
--- a/tier/feed/view.go
+++ b/tier/feed/view.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// View is a set of items with a revision. It may be used from several goroutines; one lock guards all its fields.
+// View is a set of items with a revision. It is safe for concurrent use: one lock guards all its fields.
 type View struct {
 	mu        sync.Mutex
-	clusterID uint64 // whose revisions these are; 0 as long as it is not known
+	clusterID uint64 // cluster that the revisions belong to; 0 if not known yet
 	revision  uint64
 	sections  map[Section]map[string]Item // tombstones included
 	history   history
 	changed   chan struct{}     // closed at the next change
-	encoded   map[uint64][]byte // updates up to the present revision, by the revision they start from
+	encoded   map[uint64][]byte // encoded updates to the current revision, by the subscriber's revision
 }
 
-// NewView makes an empty view.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{sections: map[Section]map[string]Item{}, changed: make(chan struct{})}
 }
 
-// Revision is the newest revision.
+// Revision returns the view's current revision.
 func (v *View) Revision() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -35,7 +35,7 @@
 	return v.changed
 }
 
-// notifyLocked wakes all that wait for a change.
+// notifyLocked wakes all goroutines that wait for a change, and discards the encoded updates.
 func (v *View) notifyLocked() {
 	v.encoded = nil
 	close(v.changed)
@@ -47,7 +47,7 @@
 	v.set(Item{Section: section, Key: key, Revision: revision, Data: data})
 }
 
-// PutAll sets several items at one revision; their own revisions are overwritten.
+// PutAll sets several items at one revision, which replaces their own revisions.
 func (v *View) PutAll(revision uint64, items ...Item) {
 	for i := range items {
 		items[i].Revision = revision
@@ -55,12 +55,12 @@
 	v.set(items...)
 }
 
-// Delete removes an item at a revision. Its tombstone stays until there are too many.
+// Delete deletes an item at a revision. Its tombstone is kept until a compaction drops it.
 func (v *View) Delete(section Section, key string, revision uint64) {
 	v.set(Item{Section: section, Key: key, Revision: revision, Deleted: true})
 }
 
-// set changes items at once: a subscriber that stands at a revision has all that changed at it.
+// set changes items atomically: a subscriber at a revision has all changes of that revision.
 func (v *View) set(items ...Item) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,7 +94,7 @@
 	return items
 }
 
-// storeLocked puts an item in place and notes the change.
+// storeLocked stores an item and records the change.
 func (v *View) storeLocked(item Item) {
 	items := v.sections[item.Section]
 	if items == nil {
@@ -111,7 +111,7 @@
 	v.history.add(change{item.key(), item.Revision}, v.itemCountLocked())
 }
 
-// itemCountLocked counts the items, tombstones included.
+// itemCountLocked returns the number of items, including tombstones.
 func (v *View) itemCountLocked() int {
 	count := 0
 	for _, items := range v.sections {
--- a/tier/feed/view_test.go
+++ b/tier/feed/view_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestSnapshotDeletesWhatItLacks(t *testing.T) {
+func TestSnapshotDeletesMissingItems(t *testing.T) {
 	v := NewView()
 	v.Put(SectionHost, "gone", 1, []byte("x"))
 	changed := v.Merge(Update{Revision: 9, Snapshot: true, Items: []Item{{Section: SectionHost, Key: "here", Revision: 7, Data: []byte("y")}}})
@@ -25,7 +25,8 @@
 	}
 }
 
-// A view that was filled by a snapshot does not know what was deleted before: who lags behind that gets a snapshot too.
+// A relay that was filled from a snapshot does not know of earlier deletions. Subscribers that are behind the snapshot must get a
+// snapshot too.
 func TestDeletionsReachSubscribersThroughARestartedRelay(t *testing.T) {
 	source, proxy := NewView(), NewView()
 	source.Put(SectionHost, "leaves", 1, []byte("x"))
@@ -33,15 +34,15 @@
 	proxy.Merge(source.Since(0))
 	source.Delete(SectionHost, "leaves", 3)
 	source.Put(SectionHost, "comes", 4, []byte("z"))
-	agent := NewView() // the process between them was started again
+	agent := NewView() // the relay has restarted with an empty view
 	agent.Merge(source.Since(0))
 	proxy.Merge(agent.Since(proxy.Revision()))
-	if _, held := proxy.Get(SectionHost, "leaves"); held || len(proxy.All(SectionHost)) != 2 {
+	if _, found := proxy.Get(SectionHost, "leaves"); found || len(proxy.All(SectionHost)) != 2 {
 		t.Fatalf("%+v", proxy.All(SectionHost))
 	}
 }
 
-// All that changed at a revision is seen at it, or nothing of it.
+// All changes of one revision become visible together.
 func TestChangesOfOneRevisionBecomeVisibleTogether(t *testing.T) {
 	v := NewView()
 	const revisions = 2000
@@ -70,14 +71,14 @@
 		t.Fatalf("%+v", update.Items)
 	}
 	if len(v.Export().Items) != 2 {
-		t.Fatal("a snapshot lacks the private section")
+		t.Fatal("the exported snapshot lacks the private section")
 	}
 }
 
-// Whatever changes and however seldom a subscriber asks, it ends with the same items as the source.
+// For any sequence of changes and any gaps between the subscriber's requests, the subscriber ends with the same items as the source.
 func TestSubscriberEndsWithTheItemsOfItsSource(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		source, copied := NewView(), NewView()
+		source, replica := NewView(), NewView()
 		for revision := range uint64(rapid.IntRange(1, 1500).Draw(rt, "changes")) {
 			key := fmt.Sprint(rapid.IntRange(0, 700).Draw(rt, "key"))
 			if rapid.IntRange(0, 2).Draw(rt, "delete") == 0 {
@@ -86,11 +87,11 @@
 				source.Put(SectionHost, key, revision+1, []byte(fmt.Sprint(revision)))
 			}
 			if rapid.IntRange(0, 40).Draw(rt, "ask") == 0 {
-				catchUp(rt, source, copied)
+				catchUp(rt, source, replica)
 			}
 		}
-		catchUp(rt, source, copied)
-		want, got := source.All(SectionHost), copied.All(SectionHost)
+		catchUp(rt, source, replica)
+		want, got := source.All(SectionHost), replica.All(SectionHost)
 		if len(want) != len(got) {
 			rt.Fatalf("%d items, not %d", len(got), len(want))
 		}
@@ -102,12 +103,12 @@
 	})
 }
 
-// catchUp brings a copy up to date over the encoded form.
-func catchUp(rt *rapid.T, source, copied *View) {
+// catchUp merges the changes of the source into a replica, through the encoded form.
+func catchUp(rt *rapid.T, source, replica *View) {
 	rt.Helper()
-	update, err := DecodeUpdate(source.Since(copied.Revision()).Encode())
+	update, err := DecodeUpdate(source.Since(replica.Revision()).Encode())
 	if err != nil {
 		rt.Fatal(err)
 	}
-	copied.Merge(update)
+	replica.Merge(update)
 }
