--- a/tier/feed/subscriber_test.go
+++ b/tier/feed/subscriber_test.go
@@ -149,9 +149,9 @@
 		request   []byte
 		want      codes.Code
 	}{
-		"request cut short":         {&Publisher{View: view}, make([]byte, 15), codes.Malformed},
-		"publisher not fresh":       {&Publisher{View: view, IsFresh: never}, SubscribeRequest{}.Encode(), codes.SubscriptionStale},
-		"subscriber of another one": {&Publisher{View: view}, SubscribeRequest{ClusterID: 8}.Encode(), codes.DiskForeign},
+		"request cut short":             {&Publisher{View: view}, make([]byte, 15), codes.Malformed},
+		"publisher not fresh":           {&Publisher{View: view, IsFresh: never}, SubscribeRequest{}.Encode(), codes.SubscriptionStale},
+		"subscriber of another cluster": {&Publisher{View: view}, SubscribeRequest{ClusterID: 8}.Encode(), codes.DiskForeign},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := rpc.Dial(t.Context(), listen(t, test.publisher.Handle), nil)
--- a/tier/feed/view.go
+++ b/tier/feed/view.go
@@ -10,7 +10,7 @@
 	mu        sync.Mutex
 	clusterID uint64 // cluster that the revisions belong to; 0 if not known yet
 	revision  uint64
-	sections  map[Section]map[string]Item // tombstones included
+	sections  map[Section]map[string]Item // includes tombstones
 	history   history
 	changed   chan struct{}     // closed at the next change
 	encoded   map[uint64][]byte // encoded updates to the current revision, by the subscriber's revision
@@ -80,7 +80,7 @@
 	return item.Data, found && !item.Deleted
 }
 
-// All returns the live items of a section in the order of their keys.
+// All returns the items of a section that are not deleted, ordered by key.
 func (v *View) All(section Section) []Item {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/tier/rpc/call.go
+++ b/tier/rpc/call.go
@@ -7,12 +7,12 @@
 	"otterseam/tier/codes"
 )
 
-// unresponsiveTimeout is how long a connection on which an answer is due may bring nothing at all before it is given up. A machine
-// that lost power says nothing, and what is sent to it meanwhile is sent again ever more rarely, so that the connection would be
-// useless for a while also after the machine is back.
+// unresponsiveTimeout is how long a connection with a pending call may receive nothing before it is closed. The peer machine may have
+// lost power, in which case it sends no reset. TCP retransmits unacknowledged data at growing intervals, so the connection would stay
+// unusable for a while after the machine is back.
 const unresponsiveTimeout = 400 * time.Millisecond
 
-// answer is what came back for a call.
+// answer is the result of a call.
 type answer struct {
 	code    codes.Code
 	payload []byte
@@ -21,7 +21,7 @@
 // Call sends a call and waits for its answer. A code other than OK is returned as the error.
 func (c *Conn) Call(ctx context.Context, kind Kind, payload []byte) ([]byte, error) {
 	if ctx.Err() != nil {
-		return nil, codes.Timeout // nothing is sent for a caller that has gone
+		return nil, codes.Timeout // the caller no longer waits, so nothing is sent
 	}
 	channel := make(chan answer, 1)
 	c.mu.Lock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// isUnresponsive tells whether a connection has brought nothing since a call was sent that has waited for long. Times count from the
-// opening of the connection.
+// isUnresponsive reports whether a call has been pending for at least unresponsiveTimeout and the connection has received nothing since
+// it was sent. Times are relative to the opening of the connection.
 func isUnresponsive(sentAt, now, lastReadAt time.Duration) bool {
 	return lastReadAt < sentAt && now-sentAt >= unresponsiveTimeout
 }
--- a/tier/rpc/client.go
+++ b/tier/rpc/client.go
@@ -11,26 +11,26 @@
 // redialDelay is how long a client waits after a failed dial before the next one.
 const redialDelay = 50 * time.Millisecond
 
-// Client keeps one connection to one address and opens it again when needed.
+// Client maintains one connection to one address and reopens it when needed.
 type Client struct {
 	address string
 	handler Handler
 
-	mu            sync.Mutex      // guards all below
-	conn          *Conn           // nil until the first dial has succeeded; may have ended since
-	dialing       chan struct{}   // closed when the dial under way has ended; nil if there is none
-	pending       pendingMessages // what was sent during that dial
-	failedAt      time.Time       // when a dial failed last
-	redialPending bool            // a dial is due once the pause after a failed one has passed
+	mu            sync.Mutex      // guards the fields below
+	conn          *Conn           // nil until the first dial succeeds; may have ended
+	dialing       chan struct{}   // closed when the current dial has ended; nil if there is none
+	pending       pendingMessages // one-way messages that wait for a dial
+	failedAt      time.Time       // time of the last failed dial
+	redialPending bool            // a dial is scheduled after redialDelay
 	closed        bool
 }
 
-// NewClient makes a client; it dials when first used. The handler takes what the other end sends unasked.
+// NewClient returns a client that dials when first used. The handler receives the calls and one-way messages of the peer.
 func NewClient(address string, handler Handler) *Client {
 	return &Client{address: address, handler: handler}
 }
 
-// Address is where the client connects to.
+// Address returns the address that the client connects to.
 func (c *Client) Address() string { return c.address }
 
 // Call sends a call over the connection and waits for the answer.
@@ -42,8 +42,8 @@
 	return conn.Call(ctx, kind, payload)
 }
 
-// Send sends a one-way message. Without a connection it begins to open one, after a pause if a dial failed a moment ago, and holds
-// the message until then if there is room. What is held when the dial fails is dropped.
+// Send sends a one-way message. Without a connection it starts a dial, after redialDelay if the last dial has just failed, and keeps the
+// message until then if there is room. Messages that are kept when the dial fails are dropped.
 func (c *Client) Send(kind Kind, payload []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// dialAfterDelayLocked begins to open the connection once the pause after a failed dial has passed.
+// dialAfterDelayLocked schedules a dial for the time when redialDelay has passed since the last failed one.
 func (c *Client) dialAfterDelayLocked() {
 	if c.redialPending {
 		return
@@ -76,7 +76,7 @@
 	})
 }
 
-// Close ends the connection, also one that is being opened. The client opens none afterwards.
+// Close closes the connection, also one that is being opened. The client opens no further connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// connect returns the open connection, or waits for one.
+// connect returns the open connection, or dials and waits for a new one.
 func (c *Client) connect(ctx context.Context) (*Conn, error) {
 	c.mu.Lock()
 	if c.conn != nil && c.conn.isOpen() {
@@ -111,10 +111,11 @@
 	return nil, codes.LinkBroken
 }
 
-// startDialLocked begins to open the connection unless a dial is under way or one failed a moment ago. It returns what to
-// wait for, or nil. The dial outlives the call that began it, as other calls wait for it too.
+// startDialLocked starts a dial unless one is in progress, one failed less than redialDelay ago, or the client is closed. It returns a
+// channel that is closed when the dial in progress ends, or nil if there is none. The dial does not end with the call that started it,
+// as other calls wait for it too.
 //
-//nolint:contextcheck,nolintlint // no caller's context is to end the dial; contextcheck reads this itself, which nolintlint cannot see
+//nolint:contextcheck,nolintlint // a caller's context must not end the dial; contextcheck reads this directive itself, which nolintlint cannot detect
 func (c *Client) startDialLocked() chan struct{} {
 	if c.closed {
 		return nil
--- a/tier/rpc/clients.go
+++ b/tier/rpc/clients.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Clients holds a client for each address. It may be used from several goroutines.
+// Clients holds one client per address. It is safe for concurrent use.
 type Clients struct {
 	handler Handler
 
@@ -10,12 +10,12 @@
 	clients map[string]*Client // by address
 }
 
-// NewClients makes an empty set; the handler is given to each client.
+// NewClients returns an empty set. Each client uses the handler.
 func NewClients(handler Handler) *Clients {
 	return &Clients{handler: handler, clients: map[string]*Client{}}
 }
 
-// To returns the client of an address.
+// To returns the client for an address and creates it if needed.
 func (c *Clients) To(address string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/tier/rpc/conn.go
+++ b/tier/rpc/conn.go
@@ -9,12 +9,12 @@
 	"otterseam/tier/codes"
 )
 
-// maxQueuedBytes bounds what waits for a peer that does not read.
+// maxQueuedBytes is the limit of the queue of a connection whose peer does not read. The connection ends when the queue would exceed it.
 const maxQueuedBytes = 96 << 20
 
-// Conn is one connection. Both ends may call, answer and send. Each end numbers its calls on a connection from 1 on and uses no
-// number twice, so that an answer belongs to one call, of one connection: one that comes after its call has ended, or on another
-// connection than its call, reaches nobody.
+// Conn is a connection. Both ends may send calls, answers and one-way messages. Each end numbers its calls on a connection from 1 and
+// never reuses a number, so that an answer belongs to exactly one call on one connection. An answer that arrives after its call has
+// ended, or on another connection, is dropped.
 type Conn struct {
 	socket   net.Conn
 	handler  Handler
@@ -22,18 +22,18 @@
 	openedAt time.Time
 	loops    sync.WaitGroup // readLoop and writeLoop
 
-	lastReadAt atomic.Int64 // when a frame was read last, in nanoseconds since openedAt
+	lastReadAt atomic.Int64 // time of the last received frame, in nanoseconds since openedAt
 
-	mu      sync.Mutex             // guards all below
-	pending map[uint64]chan answer // calls that wait for their answers, by ID
+	mu      sync.Mutex             // guards the fields up to ended
+	pending map[uint64]chan answer // channels of the calls that wait for answers, by ID
 	lastID  uint64
-	queue   []byte // frames that writeLoop is to write
+	queue   []byte // encoded frames for writeLoop
 	ended   bool
 
-	wake chan struct{} // tells writeLoop that the queue has grown; holds one
+	wake chan struct{} // signals writeLoop that the queue is not empty; has capacity 1
 }
 
-// newConn wraps a socket and starts to write. Who has the connection then starts to read.
+// newConn wraps a socket and starts writeLoop. The caller starts readLoop.
 func newConn(socket net.Conn, handler Handler) *Conn {
 	setSocketOptions(socket)
 	c := &Conn{
@@ -48,17 +48,17 @@
 	return c
 }
 
-// openConn wraps a socket, and starts to write and to read.
+// openConn wraps a socket, and starts writeLoop and readLoop.
 func openConn(socket net.Conn, handler Handler) *Conn {
 	c := newConn(socket, handler)
 	c.loops.Go(c.readLoop)
 	return c
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.closed }
 
-// isOpen tells whether the connection has not ended yet.
+// isOpen reports whether the connection has not ended yet.
 func (c *Conn) isOpen() bool {
 	select {
 	case <-c.closed:
@@ -74,7 +74,7 @@
 	c.loops.Wait()
 }
 
-// Close ends the connection; calls that wait get codes.LinkBroken.
+// Close ends the connection. Pending calls fail with codes.LinkBroken.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	if c.ended {
@@ -92,12 +92,12 @@
 	}
 }
 
-// Send queues a one-way message. It never waits; a peer that does not read loses the connection.
+// Send queues a one-way message. It never blocks. If the queue is full because the peer does not read, the connection ends.
 func (c *Conn) Send(kind Kind, payload []byte) {
 	c.send(header{Kind: kind}, payload)
 }
 
-// send queues a frame.
+// send queues a frame. It ends the connection if the queue would exceed maxQueuedBytes.
 func (c *Conn) send(h header, payload []byte) {
 	c.mu.Lock()
 	if c.ended {
--- a/tier/rpc/dial.go
+++ b/tier/rpc/dial.go
@@ -8,10 +8,10 @@
 	"otterseam/tier/codes"
 )
 
-// dialTimeout is how long a connection may take to open, several attempts included.
+// dialTimeout is the timeout for opening a connection, including all hedged attempts.
 const dialTimeout = 400 * time.Millisecond
 
-// Dial opens a connection; the error is codes.LinkBroken. The handler takes what the other end sends unasked, and may be nil.
+// Dial opens a connection. The error is codes.LinkBroken. The handler receives the calls and one-way messages of the peer; it may be nil.
 func Dial(ctx context.Context, address string, handler Handler) (*Conn, error) {
 	call, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -27,12 +27,12 @@
 	return openConn(socket, handler), nil
 }
 
-// hedgeDelay is how long a dial waits before it makes one more attempt beside. The opening packet to a machine that is just starting is
-// lost, and it is sent again only after a second, when the machine may have been up for long.
+// hedgeDelay is how long a dial waits before it starts another attempt in parallel. The SYN packet to a machine that is still starting
+// is lost, and TCP retransmits it only after one second, although the machine may be up much earlier.
 const hedgeDelay = 80 * time.Millisecond
 
-// dialHedged opens a connection by hedged attempts: they begin one after the other until one succeeds, one is refused, or the context
-// ends.
+// dialHedged opens a connection with hedged attempts. It starts a new attempt every hedgeDelay until one attempt succeeds or fails, or
+// the context ends.
 func dialHedged(ctx context.Context, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	type result struct {
 		socket net.Conn
--- a/tier/rpc/dial_test.go
+++ b/tier/rpc/dial_test.go
@@ -12,14 +12,14 @@
 	"otterseam/tier/codes"
 )
 
-// The opening packet to a machine that is not up yet is lost: a further attempt connects as soon as it is.
-func TestHedgedDialOutlivesALostOpeningPacket(t *testing.T) {
+// The SYN packet to a machine that is not up yet is lost. A later attempt connects as soon as the machine is up.
+func TestHedgedDialSurvivesALostSYN(t *testing.T) {
 	var attempts atomic.Int32
 	here, there := net.Pipe()
 	defer there.Close()
 	socket, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 		if attempts.Add(1) == 1 {
-			<-ctx.Done() // lost
+			<-ctx.Done() // the SYN packet is lost
 			return nil, ctx.Err()
 		}
 		return here, nil
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestRefusedDialEndsAtOnce(t *testing.T) {
+func TestRefusedDialEndsImmediately(t *testing.T) {
 	refused := errors.New("refused")
 	var attempts atomic.Int32
 	_, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) {
@@ -41,7 +41,8 @@
 	}
 }
 
-// What is sent while a connection is being opened arrives, in order; the first message is what others wait for after a restart.
+// One-way messages that are sent while a connection is being opened arrive in order. After a restart, other processes wait for the first
+// one.
 func TestMessagesSentDuringADialArriveInOrder(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,28 +64,28 @@
 	}
 	for number := range uint64(5) {
 		if got := <-arrived; got != number {
-			t.Fatalf("message %d came as number %d", got, number)
+			t.Fatalf("received message %d, expected message %d", got, number)
 		}
 	}
 }
 
 func TestPendingMessagesAreBounded(t *testing.T) {
-	var held pendingMessages
+	var pending pendingMessages
 	for range 3 * maxPendingMessages {
-		held.add(7, []byte("x"))
+		pending.add(7, []byte("x"))
 	}
-	held.add(7, make([]byte, maxPendingBytes))
-	if len(held.messages) != maxPendingMessages || held.bytes != maxPendingMessages {
-		t.Fatalf("%d messages of %d bytes", len(held.messages), held.bytes)
+	pending.add(7, make([]byte, maxPendingBytes))
+	if len(pending.messages) != maxPendingMessages || pending.bytes != maxPendingMessages {
+		t.Fatalf("%d messages of %d bytes", len(pending.messages), pending.bytes)
 	}
-	held.clear()
-	held.add(7, make([]byte, maxPendingBytes+1))
-	if len(held.messages) != 0 {
-		t.Fatal("a message longer than the bound is held")
+	pending.clear()
+	pending.add(7, make([]byte, maxPendingBytes+1))
+	if len(pending.messages) != 0 {
+		t.Fatal("a message longer than the limit was kept")
 	}
 }
 
-// A process that comes up a moment after it was dialled gets what was sent to it meanwhile.
+// A process that starts shortly after a failed dial receives the messages that were sent to it since that dial.
 func TestMessageSentAfterAFailedDialArrives(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,18 +98,18 @@
 	if _, err := client.Call(t.Context(), 7, nil); !errors.Is(err, codes.LinkBroken) {
 		t.Fatal(err)
 	}
-	again, err := net.Listen("tcp", address)
+	reopened, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
+	defer reopened.Close()
 	arrived := make(chan struct{}, 1)
-	go Serve(again, func(Message) { arrived <- struct{}{} })
+	go Serve(reopened, func(Message) { arrived <- struct{}{} })
 	client.Send(7, nil)
 	<-arrived
 }
 
-// A connection is unresponsive only when nothing has come since the call was sent, and the call has waited for long.
+// A connection is unresponsive only if it has received nothing since the call was sent and the call has been pending for the timeout.
 func TestUnresponsiveConnection(t *testing.T) {
 	const sentAt = time.Second
 	for name, test := range map[string]struct {
@@ -125,7 +126,7 @@
 	}
 }
 
-// A connection on which nothing comes while an answer is due is closed.
+// A connection that receives nothing while a call is pending is closed.
 func TestUnresponsiveConnectionIsClosed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/tier/rpc/doc.go
+++ b/tier/rpc/doc.go
@@ -1,31 +1,32 @@
-// Package rpc carries calls, answers and one-way messages between processes of the serving tier, many at once on one TCP
-// connection. It knows nothing of what the messages mean: each package that speaks over it numbers its own kinds.
+// Package rpc carries calls, answers and one-way messages between processes of the serving tier, multiplexed on one TCP connection. It
+// does not interpret the messages: each package that uses it defines its own kinds.
 //
-// # The format
+// # Frame format
 //
-// A frame is a header of 16 bytes, big-endian: length of the payload (4), kind (2), code of an answer (2), ID of a call (8); then
-// the payload. Kind 0 is an answer. ID 0 marks a one-way message. A payload longer than MaxFrame ends the connection.
+// A frame is a big-endian header of 16 bytes, followed by the payload. The header contains the length of the payload (4 bytes), the kind
+// (2), the code of an answer (2) and the ID of a call (8). Kind 0 is an answer. ID 0 marks a one-way message. A payload longer than
+// MaxFrame ends the connection.
 //
-// # The life of one call
+// # The path of one call
 //
-// Client.Call opens the connection if there is none, or waits for the dial that is under way. Conn.Call numbers the call, queues its
-// frame for writeLoop and waits. At the other end readLoop reads the frame and calls the Handler, which answers with
-// Message.Answer, now or later from another goroutine. readLoop of the caller finds the waiting call by its ID and hands over the
-// answer.
+// Client.Call opens the connection if there is none, or waits for the dial in progress. Conn.Call assigns an ID to the call, queues its
+// frame for writeLoop and waits. The peer's readLoop reads the frame and calls the Handler, which answers with Message.Answer, either
+// immediately or later from another goroutine. The caller's readLoop finds the pending call by its ID and delivers the answer.
 //
 // # Goroutines
 //
-// A connection has two, readLoop and writeLoop, which end with it; Conn.Wait waits for them. A dial has some, which end with it
-// within dialTimeout. Serve runs on its caller's goroutine; connections that it accepted live on after it.
+// A connection has two goroutines, readLoop and writeLoop, which end with it. Conn.Wait waits for them. Each attempt of a dial has a
+// goroutine, and so has the dial of a Client. These end with the dial, within dialTimeout. Serve runs on its caller's goroutine. The
+// connections that it accepted stay open after it returns.
 //
 // # Invariants
 //
-//   - An answer reaches the call it belongs to, on the connection of the call, or nobody.
-//   - Nobody who sends waits for a peer that does not read: the queue is bounded, and beyond the bound the connection ends.
-//   - A call whose caller has gone before it was sent is not sent.
+//   - An answer is delivered only to the call that it belongs to, on the connection of that call, and is dropped otherwise.
+//   - A sender never blocks on a peer that does not read: the queue is bounded, and the connection ends when the queue is full.
+//   - A call whose context ends before it is sent is not sent.
 //
-// # What it must not do
+// # Out of scope
 //
-// It makes no call again: whether a call may be repeated is known to the caller alone. Errors are codes: codes.LinkBroken where the
-// connection ended, codes.Timeout where the context did, and otherwise the code of the answer.
+// The package never repeats a call, as only the caller knows whether that is safe. Errors are codes: codes.LinkBroken if the connection
+// ended, codes.Timeout if the context ended, and otherwise the code of the answer.
 package rpc
--- a/tier/rpc/errors.go
+++ b/tier/rpc/errors.go
@@ -6,16 +6,16 @@
 	"otterseam/tier/codes"
 )
 
-// FrameTooLargeError is the error of a frame whose header names a payload beyond MaxFrame: the stream is damaged, or the peer speaks
-// another protocol. errors.Is finds codes.Malformed in it.
+// FrameTooLargeError is the error for a frame whose header states a payload longer than MaxFrame: the stream is corrupt, or the peer
+// uses another protocol. It wraps codes.Malformed.
 type FrameTooLargeError struct {
-	Length uint32 // in bytes, as the header says
+	Length uint32 // length of the payload in bytes, according to the header
 }
 
-// Error names the length and the code.
+// Error returns the length and the text of the code.
 func (e *FrameTooLargeError) Error() string {
 	return fmt.Sprintf("frame of %d bytes: %s", e.Length, codes.Malformed.Error())
 }
 
-// Unwrap gives the code.
+// Unwrap returns codes.Malformed.
 func (*FrameTooLargeError) Unwrap() error { return codes.Malformed }
--- a/tier/rpc/frame.go
+++ b/tier/rpc/frame.go
@@ -5,26 +5,26 @@
 	"io"
 )
 
-// Kind tells what a frame's payload is. Each package that speaks over rpc numbers its own kinds; 0 is reserved for answers.
+// Kind identifies the type of a frame's payload. Each package that uses rpc defines its own kinds. 0 is reserved for answers.
 type Kind uint16
 
-// kindAnswer marks the answer to a call, the ID of which it carries.
+// kindAnswer marks the answer to a call. The frame carries the ID of that call.
 const kindAnswer Kind = 0
 
-// MaxFrame is the largest payload, in bytes.
+// MaxFrame is the largest allowed payload, in bytes.
 const MaxFrame = 64 << 20
 
-// header stands before each payload on the connection.
+// header precedes each payload on the connection.
 type header struct {
-	Length uint32 // of the payload
+	Length uint32 // length of the payload in bytes
 	Kind   Kind
-	Code   uint16 // of an answer
-	ID     uint64 // of a call, given back by its answer; 0 for one-way messages
+	Code   uint16 // code of an answer
+	ID     uint64 // ID of a call and of its answer; 0 for one-way messages
 }
 
-const headerBytes = 4 + 2 + 2 + 8 // in the order of header's fields
+const headerBytes = 4 + 2 + 2 + 8 // Length, Kind, Code and ID
 
-// appendFrame encodes a frame behind buffer.
+// appendFrame appends an encoded frame to buffer.
 func appendFrame(buffer []byte, h header, payload []byte) []byte {
 	h.Length = uint32(len(payload))
 	buffer = binary.BigEndian.AppendUint32(buffer, h.Length)
@@ -34,7 +34,7 @@
 	return append(buffer, payload...)
 }
 
-// readFrame reads the next frame. Memory is taken as bytes arrive, so a damaged length alone costs nothing.
+// readFrame reads the next frame. It allocates memory as data arrives, so that a corrupt length alone does not cause a large allocation.
 func readFrame(r io.Reader) (header, []byte, error) {
 	var raw [headerBytes]byte
 	if _, err := io.ReadFull(r, raw[:]); err != nil {
@@ -53,10 +53,10 @@
 	return h, payload, err
 }
 
-// payloadStep is how much memory is taken at once for a payload that arrives, in bytes.
+// payloadStep is how many bytes are allocated at a time for a payload that is being received.
 const payloadStep = 1 << 20
 
-// readPayload reads a payload step by step.
+// readPayload reads a payload in steps of payloadStep bytes.
 func readPayload(r io.Reader, length int) ([]byte, error) {
 	payload := make([]byte, min(length, payloadStep))
 	if _, err := io.ReadFull(r, payload); err != nil {
--- a/tier/rpc/loops.go
+++ b/tier/rpc/loops.go
@@ -9,7 +9,8 @@
 
 const readBufferBytes = 16 << 10
 
-// writeLoop writes what is queued until the connection ends. Two buffers take turns, so that frames are queued while it writes.
+// writeLoop writes the queued frames until the connection ends. It alternates between two buffers, so that frames can be queued during a
+// write.
 func (c *Conn) writeLoop() {
 	var spare []byte
 	for {
@@ -31,13 +32,13 @@
 			return
 		}
 		if cap(batch) > payloadStep {
-			batch = nil // a large frame does not keep its memory
+			batch = nil // release the memory of large frames
 		}
 		spare = batch
 	}
 }
 
-// readLoop takes frames until the connection ends.
+// readLoop reads and handles frames until the connection ends.
 func (c *Conn) readLoop() {
 	defer c.Close()
 	reader := bufio.NewReaderSize(c.socket, readBufferBytes)
@@ -55,7 +56,7 @@
 	}
 }
 
-// deliver hands an answer to the call that waits for it, if one does.
+// deliver passes an answer to its pending call. It drops the answer if there is none.
 func (c *Conn) deliver(h header, payload []byte) {
 	c.mu.Lock()
 	channel := c.pending[h.ID]
--- a/tier/rpc/matching_test.go
+++ b/tier/rpc/matching_test.go
@@ -14,13 +14,13 @@
 	"otterseam/tier/codes"
 )
 
-// peer is the other end of a connection, frame by frame.
+// peer is the remote end of a connection. It reads and writes single frames.
 type peer struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// listen accepts connections as peers.
+// listen listens on an address and accepts connections as peers.
 func listen(t *testing.T, address string) (string, <-chan *peer) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -45,7 +45,7 @@
 	return peers
 }
 
-// next reads a call.
+// next reads the next frame and returns its header.
 func (p *peer) next(t testing.TB) header {
 	t.Helper()
 	h, _, err := readFrame(p.reader)
@@ -55,54 +55,54 @@
 	return h
 }
 
-// answer answers the call of such an id, asked for or not.
+// answer sends an answer with the given ID, whether or not such a call is pending.
 func (p *peer) answer(id uint64, text string) {
 	_, _ = p.Write(appendFrame(nil, header{Kind: kindAnswer, ID: id}, []byte(text)))
 }
 
-// called is what a call got.
-type called struct {
+// callResult is the result of a call.
+type callResult struct {
 	text string
 	err  error
 }
 
-func call(ctx context.Context, client *Client) <-chan called {
-	got := make(chan called, 1)
+func call(ctx context.Context, client *Client) <-chan callResult {
+	got := make(chan callResult, 1)
 	go func() {
 		answer, err := client.Call(ctx, kindEcho, nil)
-		got <- called{string(answer), err}
+		got <- callResult{string(answer), err}
 	}()
 	return got
 }
 
-// The answer to a call that nobody waits for any more reaches no later call.
-func TestLateAnswerReachesNoLaterCall(t *testing.T) {
+// The answer to a call that has been canceled must not be delivered to a later call.
+func TestLateAnswerIsDropped(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	defer client.Close()
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	first := call(ctx, client)
-	host := <-peers
-	late := host.next(t)
-	leave()
+	server := <-peers
+	canceledCall := server.next(t)
+	cancel()
 	if got := <-first; !errors.Is(got.err, codes.Timeout) {
 		t.Fatal(got.err)
 	}
-	second := call(limited(t, 10*time.Second), client)
-	asked := host.next(t)
-	if asked.ID == late.ID {
-		t.Fatalf("two calls have the id %d", asked.ID)
+	second := call(contextWithTimeout(t, 10*time.Second), client)
+	received := server.next(t)
+	if received.ID == canceledCall.ID {
+		t.Fatalf("two calls have the ID %d", received.ID)
 	}
-	host.answer(late.ID, "late")
-	host.answer(asked.ID, "its own")
-	host.answer(asked.ID, "twice")
+	server.answer(canceledCall.ID, "late")
+	server.answer(received.ID, "its own")
+	server.answer(received.ID, "twice")
 	if got := <-second; got.err != nil || got.text != "its own" {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
-	third := call(limited(t, 10*time.Second), client)
-	asked = host.next(t)
-	host.answer(late.ID, "late again")
-	host.answer(asked.ID, "third")
+	third := call(contextWithTimeout(t, 10*time.Second), client)
+	received = server.next(t)
+	server.answer(canceledCall.ID, "late again")
+	server.answer(received.ID, "third")
 	if got := <-third; got.text != "third" {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
@@ -113,36 +113,37 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if len(conn.pending) != 0 {
-		t.Fatalf("%d calls that have ended are still known", len(conn.pending))
+		t.Fatalf("%d calls that have ended are still pending", len(conn.pending))
 	}
 }
 
-// An answer to no call is dropped, and the connection goes on.
-func TestAnswerToNoCallIsDropped(t *testing.T) {
+// An answer without a pending call is dropped, and the connection stays open.
+func TestUnexpectedAnswerIsDropped(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	defer client.Close()
-	got := call(limited(t, 10*time.Second), client)
-	host := <-peers
-	asked := host.next(t)
-	for _, id := range []uint64{0, asked.ID + 1, asked.ID - 1, 1 << 63} {
-		host.answer(id, "unasked")
+	got := call(contextWithTimeout(t, 10*time.Second), client)
+	server := <-peers
+	received := server.next(t)
+	for _, id := range []uint64{0, received.ID + 1, received.ID - 1, 1 << 63} {
+		server.answer(id, "unasked")
 	}
-	host.answer(asked.ID, "asked")
+	server.answer(received.ID, "asked")
 	if got := <-got; got.err != nil || got.text != "asked" {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
-	// the id that was answered before its call existed
-	again := call(limited(t, 10*time.Second), client)
-	asked = host.next(t)
-	host.answer(asked.ID, "again")
+	// this call has the ID of an answer that was sent before the call
+	again := call(contextWithTimeout(t, 10*time.Second), client)
+	received = server.next(t)
+	server.answer(received.ID, "again")
 	if got := <-again; got.text != "again" {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
 }
 
-// A process that takes the place of another one at its address answers its own calls; the former one's answers reach nobody.
-func TestAnswerOfAnEarlierProcessReachesNoCall(t *testing.T) {
+// When a new process has taken over the address of another one, answers of the earlier process are not delivered to calls to the new
+// one.
+func TestAnswerOfAnEarlierProcessIsDropped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -150,111 +151,111 @@
 	address := listener.Addr().String()
 	client := NewClient(address, nil)
 	defer client.Close()
-	former := accept(listener)
-	before := call(limited(t, 10*time.Second), client)
-	host := <-former
-	lost := host.next(t)
+	formerPeers := accept(listener)
+	beforeRestart := call(contextWithTimeout(t, 10*time.Second), client)
+	server := <-formerPeers
+	answered := server.next(t)
 	_ = listener.Close()
-	host.answer(lost.ID, "in time")
-	if got := <-before; got.text != "in time" {
+	server.answer(answered.ID, "in time")
+	if got := <-beforeRestart; got.text != "in time" {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
 	conn, err := client.connect(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	during := call(limited(t, 10*time.Second), client)
-	unanswered := host.next(t)
-	_ = host.CloseWrite()
-	if got := <-during; !errors.Is(got.err, codes.LinkBroken) {
+	duringRestart := call(contextWithTimeout(t, 10*time.Second), client)
+	unanswered := server.next(t)
+	_ = server.CloseWrite()
+	if got := <-duringRestart; !errors.Is(got.err, codes.LinkBroken) {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
 	<-conn.Done()
-	_, later := listen(t, address)
-	after := call(limited(t, 10*time.Second), client)
-	successor := <-later
-	asked := successor.next(t)
-	host.answer(asked.ID, "of the former process")
-	host.answer(unanswered.ID, "of the former process")
-	successor.answer(asked.ID, "of its successor")
-	if got := <-after; got.err != nil || got.text != "of its successor" {
+	_, newPeers := listen(t, address)
+	afterRestart := call(contextWithTimeout(t, 10*time.Second), client)
+	successor := <-newPeers
+	received := successor.next(t)
+	server.answer(received.ID, "of the former process")
+	server.answer(unanswered.ID, "of the former process")
+	successor.answer(received.ID, "of its successor")
+	if got := <-afterRestart; got.err != nil || got.text != "of its successor" {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
 }
 
-// CloseWrite ends the sending side.
+// CloseWrite closes the sending side.
 func (p *peer) CloseWrite() error { return p.Conn.(*net.TCPConn).CloseWrite() }
 
-// A call whose caller has gone is not sent.
-func TestCallWhoseCallerHasGoneIsNotSent(t *testing.T) {
+// A call whose context has ended is not sent.
+func TestCanceledCallIsNotSent(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	defer client.Close()
-	conn, err := client.connect(limited(t, 10*time.Second))
+	conn, err := client.connect(contextWithTimeout(t, 10*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	leave()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	if _, err := conn.Call(ctx, kindRefuse, nil); !errors.Is(err, codes.Timeout) {
 		t.Fatal(err)
 	}
-	got := call(limited(t, 10*time.Second), client)
-	host := <-peers
-	asked := host.next(t)
-	if asked.Kind != kindEcho {
-		t.Fatalf("a call of kind %d was sent for nobody", asked.Kind)
+	got := call(contextWithTimeout(t, 10*time.Second), client)
+	server := <-peers
+	received := server.next(t)
+	if received.Kind != kindEcho {
+		t.Fatalf("a call of kind %d was sent after its context had ended", received.Kind)
 	}
-	host.answer(asked.ID, "")
+	server.answer(received.ID, "")
 	<-got
 }
 
-// A client that is closed while it connects leaves no connection behind.
-func TestClosedClientConnectsNoMore(t *testing.T) {
+// A client that is closed during a dial closes the new connection.
+func TestClientClosedDuringDialClosesTheConnection(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	client := NewClient(address, nil)
 	client.mu.Lock()
-	dialled := client.startDialLocked()
+	dialDone := client.startDialLocked()
 	client.mu.Unlock()
 	client.Close()
-	<-dialled
-	host := <-peers
-	if _, _, err := readFrame(host.reader); err == nil {
-		t.Fatal("a frame came from a closed client")
+	<-dialDone
+	server := <-peers
+	if _, _, err := readFrame(server.reader); err == nil {
+		t.Fatal("received a frame from a closed client")
 	}
-	if _, err := client.Call(limited(t, 10*time.Second), kindEcho, nil); !errors.Is(err, codes.LinkBroken) {
+	if _, err := client.Call(contextWithTimeout(t, 10*time.Second), kindEcho, nil); !errors.Is(err, codes.LinkBroken) {
 		t.Fatal(err)
 	}
 }
 
-// matching is a random life of a client: calls, answers in any order, doubled and unasked ones, callers that go, connections
-// that end.
-type matching struct {
-	client  *Client
-	peers   <-chan *peer
-	host    *peer
-	asked   map[uint64]string // calls that the host has, by id
-	waiting map[string]*pending
-	nextID  int
-	old     []uint64 // ids that were answered or given up on the connection
+// clientModel drives a client through random steps: calls, answers in any order, duplicate and unexpected answers, canceled calls and
+// closed connections.
+type clientModel struct {
+	client      *Client
+	peers       <-chan *peer
+	server      *peer
+	received    map[uint64]string // names of the calls that the server has received on the connection, by ID
+	waiting     map[string]*pendingCall
+	nextID      int
+	finishedIDs []uint64 // IDs of calls on the connection that were answered or canceled
 }
 
-type pending struct {
-	got   <-chan called
-	leave context.CancelFunc
-	id    uint64
+type pendingCall struct {
+	got    <-chan callResult
+	cancel context.CancelFunc
+	id     uint64
 }
 
-func TestEachCallGetsItsOwnAnswerOrNone(t *testing.T) {
+func TestEachCallGetsOnlyItsOwnAnswer(t *testing.T) {
 	address, peers := listen(t, "127.0.0.1:0")
 	rapid.Check(t, func(rt *rapid.T) {
 		client := NewClient(address, nil)
-		m := &matching{client: client, peers: peers, asked: map[uint64]string{}, waiting: map[string]*pending{}}
+		m := &clientModel{client: client, peers: peers, received: map[uint64]string{}, waiting: map[string]*pendingCall{}}
 		defer func() {
 			client.Close()
 			for _, call := range m.waiting {
 				<-call.got
-				call.leave()
+				call.cancel()
 			}
 		}()
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
@@ -264,9 +265,9 @@
 			case 2:
 				m.answer(rt)
 			case 3:
-				m.surplus()
+				m.answerUnexpected()
 			case 4:
-				m.leave(rt)
+				m.cancel(rt)
 			case 5:
 				m.reconnect(rt)
 			}
@@ -274,31 +275,31 @@
 	})
 }
 
-func (m *matching) call(rt *rapid.T) {
+func (m *clientModel) call(rt *rapid.T) {
 	m.nextID++
 	name := fmt.Sprint("call ", m.nextID)
-	ctx, leave := context.WithTimeout(context.Background(), 10*time.Second)
-	got := make(chan called, 1)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	got := make(chan callResult, 1)
 	go func() {
 		answer, err := m.client.Call(ctx, kindEcho, []byte(name))
-		got <- called{string(answer), err}
+		got <- callResult{string(answer), err}
 	}()
-	if m.host == nil {
-		m.host = <-m.peers
+	if m.server == nil {
+		m.server = <-m.peers
 	}
-	h, payload, err := readFrame(m.host.reader)
+	h, payload, err := readFrame(m.server.reader)
 	if err != nil || string(payload) != name {
-		rt.Fatalf("the host got %q, %v", payload, err)
+		rt.Fatalf("the server received %q, %v", payload, err)
 	}
-	if _, used := m.asked[h.ID]; used || h.ID == 0 {
-		rt.Fatalf("the id %d is used twice", h.ID)
+	if _, used := m.received[h.ID]; used || h.ID == 0 {
+		rt.Fatalf("the ID %d is used twice", h.ID)
 	}
-	m.asked[h.ID] = name
-	m.waiting[name] = &pending{got, leave, h.ID}
+	m.received[h.ID] = name
+	m.waiting[name] = &pendingCall{got, cancel, h.ID}
 }
 
-// some draws one of the calls that wait.
-func (m *matching) some(rt *rapid.T) (string, *pending) {
+// drawCall draws one of the pending calls.
+func (m *clientModel) drawCall(rt *rapid.T) (string, *pendingCall) {
 	for id := 1; id <= m.nextID; id++ {
 		name := fmt.Sprint("call ", id)
 		if call := m.waiting[name]; call != nil && (rapid.Bool().Draw(rt, "this one") || len(m.waiting) == 1) {
@@ -308,63 +309,63 @@
 	return "", nil
 }
 
-func (m *matching) answer(rt *rapid.T) {
-	name, call := m.some(rt)
+func (m *clientModel) answer(rt *rapid.T) {
+	name, call := m.drawCall(rt)
 	if call == nil {
 		return
 	}
-	m.host.answer(call.id, name)
+	m.server.answer(call.id, name)
 	if got := <-call.got; got.err != nil || got.text != name {
 		rt.Fatalf("%s got %q, %v", name, got.text, got.err)
 	}
-	m.over(name, call)
+	m.finish(name, call)
 }
 
-func (m *matching) over(name string, call *pending) {
-	call.leave()
+func (m *clientModel) finish(name string, call *pendingCall) {
+	call.cancel()
 	delete(m.waiting, name)
-	m.old = append(m.old, call.id)
+	m.finishedIDs = append(m.finishedIDs, call.id)
 }
 
-func (m *matching) surplus() {
-	if m.host == nil {
+func (m *clientModel) answerUnexpected() {
+	if m.server == nil {
 		return
 	}
-	for _, id := range append(m.old, 1<<40) {
-		m.host.answer(id, "surplus")
+	for _, id := range append(m.finishedIDs, 1<<40) {
+		m.server.answer(id, "surplus")
 	}
 }
 
-func (m *matching) leave(rt *rapid.T) {
-	name, call := m.some(rt)
+func (m *clientModel) cancel(rt *rapid.T) {
+	name, call := m.drawCall(rt)
 	if call == nil {
 		return
 	}
-	call.leave()
+	call.cancel()
 	if got := <-call.got; !errors.Is(got.err, codes.Timeout) {
 		rt.Fatalf("%s got %q, %v", name, got.text, got.err)
 	}
-	m.over(name, call)
+	m.finish(name, call)
 }
 
-func (m *matching) reconnect(rt *rapid.T) {
-	if m.host == nil {
+func (m *clientModel) reconnect(rt *rapid.T) {
+	if m.server == nil {
 		return
 	}
 	conn, err := m.client.connect(context.Background())
 	if err != nil {
 		rt.Fatal(err)
 	}
-	_ = m.host.Close()
+	_ = m.server.Close()
 	<-conn.Done()
 	for name, call := range m.waiting {
 		if got := <-call.got; !errors.Is(got.err, codes.LinkBroken) {
 			rt.Fatalf("%s got %q, %v", name, got.text, got.err)
 		}
-		call.leave()
+		call.cancel()
 		delete(m.waiting, name)
 	}
-	m.host = nil
-	m.old = nil
-	m.asked = map[uint64]string{}
+	m.server = nil
+	m.finishedIDs = nil
+	m.received = map[uint64]string{}
 }
--- a/tier/rpc/message.go
+++ b/tier/rpc/message.go
@@ -2,24 +2,24 @@
 
 import "otterseam/tier/codes"
 
-// Message is a call or a one-way message that arrived.
+// Message is a received call or one-way message.
 type Message struct {
 	Kind    Kind
-	Payload []byte // of the receiver's own
+	Payload []byte // owned by the receiver
 	Conn    *Conn
-	id      uint64 // of the call; 0 for a one-way message
+	id      uint64 // ID of the call; 0 for a one-way message
 }
 
-// IsCall tells whether the sender waits for an answer.
+// IsCall reports whether the message is a call, whose sender waits for an answer.
 func (m Message) IsCall() bool { return m.id != 0 }
 
-// Answer sends the result of a call, at most once. On a one-way message it does nothing.
+// Answer sends the answer to a call. It must be called at most once per call. For a one-way message it does nothing.
 func (m Message) Answer(code codes.Code, payload []byte) {
 	if m.id != 0 {
 		m.Conn.send(header{Kind: kindAnswer, Code: uint16(code), ID: m.id}, payload)
 	}
 }
 
-// Handler takes a message. It is called by the connection's reader, one message after the other; work that waits belongs
-// into a goroutine of its own.
+// Handler handles a message. The goroutine that reads the connection calls it for one message at a time, so a handler that blocks must
+// do so in a goroutine of its own.
 type Handler func(Message)
--- a/tier/rpc/pending.go
+++ b/tier/rpc/pending.go
@@ -1,7 +1,7 @@
 package rpc
 
 const (
-	// maxPendingMessages and maxPendingBytes bound what waits for a connection that is being opened.
+	// maxPendingMessages and maxPendingBytes limit the messages that wait for a connection that is being opened.
 	maxPendingMessages = 256
 	maxPendingBytes    = 1 << 20
 )
@@ -11,13 +11,13 @@
 	payload []byte
 }
 
-// pendingMessages are one-way messages that wait for a connection, in order. They wait for one dial at most.
+// pendingMessages are one-way messages that wait for a connection, in order. They are kept until the next dial ends.
 type pendingMessages struct {
 	messages []pendingMessage
 	bytes    int
 }
 
-// add holds a message if there is room.
+// add keeps a message. It drops the message if a limit would be exceeded.
 func (p *pendingMessages) add(kind Kind, payload []byte) {
 	if len(p.messages) >= maxPendingMessages || p.bytes+len(payload) > maxPendingBytes {
 		return
@@ -26,12 +26,12 @@
 	p.bytes += len(payload)
 }
 
-// sendOver sends all that is held.
+// sendOver sends all messages over a connection.
 func (p *pendingMessages) sendOver(conn *Conn) {
 	for _, message := range p.messages {
 		conn.Send(message.kind, message.payload)
 	}
 }
 
-// clear forgets what is held.
+// clear removes all messages.
 func (p *pendingMessages) clear() { *p = pendingMessages{} }
--- a/tier/rpc/recorded_test.go
+++ b/tier/rpc/recorded_test.go
@@ -13,7 +13,7 @@
 	"otterseam/tier/internal/recorded"
 )
 
-// recordedFrame is a frame taken apart.
+// recordedFrame is a decoded frame.
 type recordedFrame struct {
 	head    header
 	payload []byte
@@ -38,7 +38,7 @@
 	}
 }
 
-// expect reads what a connection writes and holds it to a recording.
+// expect reads from a connection and compares the data with a recording.
 func expect(t *testing.T, from net.Conn, name string) {
 	t.Helper()
 	got := make([]byte, len(recorded.Read(t, name)))
@@ -56,17 +56,17 @@
 	}
 }
 
-// A connection writes its calls, answers and one-way messages as recorded, and takes the recorded ones.
+// The calls, answers and one-way messages that a connection writes equal the recordings, and it accepts the recorded ones.
 func TestRecordedConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	if err := far.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	taken := make(chan Message, 1)
+	received := make(chan Message, 1)
 	conn := newConn(near, func(m Message) {
 		m.Answer(codes.NotPrimary, []byte("elsewhere"))
-		taken <- m
+		received <- m
 	})
 	defer conn.Close()
 	go conn.readLoop()
@@ -84,7 +84,7 @@
 		{"call-2", "answer-2", result{[]byte("10.0.0.1:7401"), codes.NotPrimary}},
 	} {
 		go func() {
-			answer, err := conn.Call(limited(t, 10*time.Second), 23, []byte("a call"))
+			answer, err := conn.Call(contextWithTimeout(t, 10*time.Second), 23, []byte("a call"))
 			results <- result{answer, err}
 		}()
 		expect(t, far, each.call)
@@ -96,12 +96,12 @@
 	conn.Send(10, []byte("a one-way message"))
 	expect(t, far, "one-way")
 	send(t, far, "call-1")
-	if m := <-taken; m.Kind != 23 || !m.IsCall() || !reflect.DeepEqual(m.Payload, []byte("a call")) {
-		t.Fatalf("taken: %+v", m)
+	if m := <-received; m.Kind != 23 || !m.IsCall() || !reflect.DeepEqual(m.Payload, []byte("a call")) {
+		t.Fatalf("received message: %+v", m)
 	}
 	expect(t, far, "refusal")
 	send(t, far, "one-way")
-	if m := <-taken; m.Kind != 10 || m.IsCall() || string(m.Payload) != "a one-way message" {
-		t.Fatalf("taken: %+v", m)
+	if m := <-received; m.Kind != 10 || m.IsCall() || string(m.Payload) != "a one-way message" {
+		t.Fatalf("received message: %+v", m)
 	}
 }
--- a/tier/rpc/rpc_test.go
+++ b/tier/rpc/rpc_test.go
@@ -40,7 +40,7 @@
 	return listener.Addr().String()
 }
 
-func limited(t *testing.T, d time.Duration) context.Context {
+func contextWithTimeout(t *testing.T, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
@@ -56,7 +56,7 @@
 		go func() {
 			defer wait.Done()
 			text := fmt.Sprint(i)
-			got, err := client.Call(limited(t, 10*time.Second), kindEcho, []byte(text))
+			got, err := client.Call(contextWithTimeout(t, 10*time.Second), kindEcho, []byte(text))
 			if err != nil || string(got) != text {
 				t.Errorf("call %s got %q, %v", text, got, err)
 			}
@@ -65,10 +65,10 @@
 	wait.Wait()
 }
 
-func TestCallReturnsTheCodeAsTheError(t *testing.T) {
+func TestCallReturnsTheAnswerCodeAsError(t *testing.T) {
 	client := NewClient(serve(t), nil)
 	defer client.Close()
-	got, err := client.Call(limited(t, 10*time.Second), kindRefuse, nil)
+	got, err := client.Call(contextWithTimeout(t, 10*time.Second), kindRefuse, nil)
 	if !errors.Is(err, codes.NotPrimary) || string(got) != "elsewhere" {
 		t.Fatalf("%q, %v", got, err)
 	}
@@ -77,22 +77,22 @@
 func TestCallWithoutAnAnswerEndsWithItsContext(t *testing.T) {
 	client := NewClient(serve(t), nil)
 	defer client.Close()
-	if _, err := client.Call(limited(t, 20*time.Millisecond), kindHang, nil); !errors.Is(err, codes.Timeout) {
+	if _, err := client.Call(contextWithTimeout(t, 20*time.Millisecond), kindHang, nil); !errors.Is(err, codes.Timeout) {
 		t.Fatal(err)
 	}
-	if _, err := client.Call(limited(t, 10*time.Second), kindEcho, nil); err != nil {
-		t.Fatalf("the connection is of no use: %v", err)
+	if _, err := client.Call(contextWithTimeout(t, 10*time.Second), kindEcho, nil); err != nil {
+		t.Fatalf("a call after one that timed out failed: %v", err)
 	}
 }
 
 func TestPendingCallsEndWithTheConnection(t *testing.T) {
-	conn, err := Dial(limited(t, 10*time.Second), serve(t), nil)
+	conn, err := Dial(contextWithTimeout(t, 10*time.Second), serve(t), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, err := conn.Call(limited(t, 10*time.Second), kindHang, nil)
+		_, err := conn.Call(contextWithTimeout(t, 10*time.Second), kindHang, nil)
 		ended <- err
 	}()
 	go conn.Close()
@@ -101,25 +101,25 @@
 	}
 }
 
-func TestCallToADeadAddressFailsAtOnce(t *testing.T) {
+func TestCallToClosedAddressFailsImmediately(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	if _, err := NewClient(address, nil).Call(limited(t, 10*time.Second), kindEcho, nil); !errors.Is(err, codes.LinkBroken) {
+	if _, err := NewClient(address, nil).Call(contextWithTimeout(t, 10*time.Second), kindEcho, nil); !errors.Is(err, codes.LinkBroken) {
 		t.Fatal(err)
 	}
 }
 
-// A damaged length is told by its type, before any memory is taken for it.
-func TestFrameBeyondTheLimitIsAFrameTooLargeError(t *testing.T) {
+// A length above the limit returns a FrameTooLargeError before memory is allocated for the payload.
+func TestOversizedFrameIsAFrameTooLargeError(t *testing.T) {
 	for name, test := range map[string]struct {
 		length   uint32
 		tooLarge bool
 	}{
-		"largest":          {MaxFrame, false}, // cut short instead
+		"largest":          {MaxFrame, false}, // fails with io.EOF, as the payload is missing
 		"one beyond":       {MaxFrame + 1, true},
 		"largest possible": {math.MaxUint32, true},
 	} {
@@ -141,11 +141,11 @@
 	}
 }
 
-// Once a connection has ended at either end, its goroutines return at both.
+// When one end closes a connection, the goroutines of both ends return.
 func TestWaitReturnsWhenTheConnectionHasEnded(t *testing.T) {
 	for name, end := range map[string]func(near, far *Conn){
-		"closed here":  func(near, _ *Conn) { near.Close() },
-		"closed there": func(_, far *Conn) { far.Close() },
+		"closed by the near end": func(near, _ *Conn) { near.Close() },
+		"closed by the far end":  func(_, far *Conn) { far.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			here, there := net.Pipe()
@@ -161,30 +161,31 @@
 			select {
 			case <-ended:
 			case <-time.After(10 * time.Second):
-				t.Fatal("a goroutine of the connection runs on")
+				t.Fatal("a goroutine of the connection is still running")
 			}
 		})
 	}
 }
 
-// A peer that does not read loses the connection; the sender never waits.
-func TestPeerThatDoesNotReadLosesTheConnection(t *testing.T) {
+// If the peer does not read, the connection ends when the queue is full. The sender never blocks.
+func TestConnectionEndsWhenThePeerDoesNotRead(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
 	conn := newConn(here, func(Message) {})
 	payload := make([]byte, MaxFrame)
-	for range 3 { // one may be with the writer, one in the queue
+	for range 3 { // one may be in writeLoop and one in the queue
 		conn.Send(kindEcho, payload)
 	}
 	select {
 	case <-conn.Done():
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection goes on")
+		t.Fatal("the connection is still open")
 	}
 	conn.Wait()
 }
 
-// A frame with a damaged length ends the connection and takes no memory for it.
+// For any data, including a corrupt length that must not cause a large allocation, readFrame returns an error or a payload with the
+// length that the header states.
 func FuzzFrame(f *testing.F) {
 	f.Add(appendFrame(nil, header{Kind: kindEcho, ID: 1}, []byte("payload")))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1})
--- a/tier/rpc/serve.go
+++ b/tier/rpc/serve.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// Serve accepts connections until the listener ends. The handler takes the messages of all of them. Connections live on after
+// Serve accepts connections until the listener is closed. The handler receives the messages of all connections, which stay open after
 // Serve has returned.
 func Serve(listener net.Listener, handler Handler) {
 	for {
--- a/tier/rpc/socket.go
+++ b/tier/rpc/socket.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// unacknowledgedTimeoutMS ends a connection whose bytes the peer's machine has not acknowledged for so long, in milliseconds.
-	unacknowledgedTimeoutMS = 1500
-	// keepAliveInterval and keepAliveProbes end a connection on which nothing is due and whose peer's machine is gone.
+	// tcpUserTimeoutMS is how long sent bytes may stay unacknowledged before the kernel closes a connection (TCP_USER_TIMEOUT).
+	tcpUserTimeoutMS = 1500
+	// keepAliveInterval and keepAliveProbes detect that the peer's machine is gone while the connection is idle.
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
 )
 
-// setSocketOptions has a connection end soon after its peer's machine is gone. It does what it can: a connection without the
-// options works, and only ends later.
+// setSocketOptions sets the timeouts that close a connection soon after the peer's machine is gone. It ignores errors, as a connection
+// without these options works and is only closed later.
 func setSocketOptions(socket net.Conn) {
 	tcp, isTCP := socket.(*net.TCPConn)
 	if !isTCP {
@@ -31,6 +31,6 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unacknowledgedTimeoutMS)
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMS)
 	})
 }
--- a/tier/upstream/conn.go
+++ b/tier/upstream/conn.go
@@ -26,7 +26,7 @@
 // sentRequest is a request that a connection has carried.
 type sentRequest struct {
 	idHash uint64
-	isHead bool // its response has no body
+	isHead bool // the method is HEAD, so the response has no body
 }
 
 var idSeed = maphash.MakeSeed()
