--- a/tier/feed/view_test.go
+++ b/tier/feed/view_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A relay that was filled from a snapshot does not know of earlier deletions. Subscribers that are behind the snapshot must get a
+// A relay that was filled from a snapshot has no tombstones of earlier deletions. Subscribers that are behind the snapshot must get a
 // snapshot too.
 func TestDeletionsReachSubscribersThroughARestartedRelay(t *testing.T) {
 	source, proxy := NewView(), NewView()
--- a/tier/httpguard/conn.go
+++ b/tier/httpguard/conn.go
@@ -129,7 +129,7 @@
 	c.startCloseWatch()
 }
 
-// SetReadDeadline sets the read deadline. While a head is being read, a deadline after that of the head has no effect.
+// SetReadDeadline sets the read deadline. While a head is being read, the deadline is never later than that of the head.
 func (c *guardedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
