--- a/tier/consensus/acceptor.go
+++ b/tier/consensus/acceptor.go
@@ -1,12 +1,12 @@
 package consensus
 
-// ProposalNumber orders the proposals that change the register. Paxos calls it ballot or proposal number, Raft term.
+// ProposalNumber orders the proposals that change the register. Paxos calls it a ballot or proposal number, Raft a term.
 type ProposalNumber struct {
 	Round    uint64
-	Proposer uint64 // the identity of the process that proposes
+	Proposer uint64 // identity of the proposing process
 }
 
-// Less tells whether n is the lower number.
+// Less reports whether n is the lower number.
 func (n ProposalNumber) Less(other ProposalNumber) bool {
 	if n.Round != other.Round {
 		return n.Round < other.Round
@@ -14,15 +14,15 @@
 	return n.Proposer < other.Proposer
 }
 
-// Acceptor is what one voter keeps, durably, before it answers. Operators know it as a witness.
+// Acceptor is the state of one voter, which must be durable before the voter responds. Operators know it as a witness.
 type Acceptor struct {
 	Promised ProposalNumber
 	Accepted ProposalNumber
 	Value    Record
 }
 
-// Prepare promises not to accept lower numbers. It reports whether the promise was given; the acceptor's state must be
-// durable before anyone is told of it.
+// Prepare promises not to accept lower numbers. It reports whether the promise was granted. The acceptor's state must be
+// durable before the response is sent.
 func (a *Acceptor) Prepare(number ProposalNumber) bool {
 	if number.Less(a.Promised) {
 		return false
@@ -31,8 +31,8 @@
 	return true
 }
 
-// Accept takes a value unless a higher number has been promised. Under one number it takes one value only: a second one would
-// come from two proposals that used the number, and might replace what is decided.
+// Accept accepts a value unless a higher number has been promised, and reports whether it did. It accepts only one value per
+// number: a second value would mean that two proposals used the same number, and it might replace a decided value.
 func (a *Acceptor) Accept(number ProposalNumber, value Record) bool {
 	if number.Less(a.Promised) {
 		return false
@@ -48,8 +48,8 @@
 
 // Response is an acceptor's response to a prepare or an accept.
 type Response struct {
-	Granted  bool // the promise or the accept was granted
-	DiskLost bool // the acceptor's disk is provably lost: it votes never again, and what it promised is lost with it
+	Granted  bool // whether the prepare or the accept was granted
+	DiskLost bool // the acceptor's disk is provably lost: it never votes again, and its promises are lost too
 	Promised ProposalNumber
 	Accepted ProposalNumber
 	Value    Record
--- a/tier/consensus/acceptor_test.go
+++ b/tier/consensus/acceptor_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAcceptorRefusesLowerProposalNumbers(t *testing.T) {
+func TestAcceptorRejectsLowerProposalNumbers(t *testing.T) {
 	var a Acceptor
 	if !a.Prepare(ProposalNumber{Round: 5, Proposer: 1}) || a.Prepare(ProposalNumber{Round: 4, Proposer: 9}) {
 		t.Fatal("a lower number was promised")
@@ -18,13 +18,13 @@
 	}
 }
 
-func TestAnAcceptorTakesOneValueUnderANumber(t *testing.T) {
+func TestAcceptorAcceptsOneValuePerNumber(t *testing.T) {
 	var a Acceptor
 	number := ProposalNumber{Round: 5, Proposer: 1}
 	first := Record{Epoch: 1, Primary: 1, Members: []Member{{ID: 1}}}
 	for range 2 {
 		if !a.Accept(number, first) {
-			t.Fatal("an accept was refused, or the same one again")
+			t.Fatal("an accept, or its repetition, was rejected")
 		}
 	}
 	if a.Accept(number, Record{Epoch: 1, Primary: 2, Members: []Member{{ID: 1}}}) || !a.Value.Equal(first) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAcceptorSurvivesItsEncoding(t *testing.T) {
+func TestAcceptorEncodingRoundTrip(t *testing.T) {
 	a := Acceptor{
 		Promised: ProposalNumber{9, 2}, Accepted: ProposalNumber{8, 1},
 		Value: Record{
@@ -42,11 +42,11 @@
 	}
 	decoded, err := DecodeAcceptor(a.Encode())
 	if err != nil || !reflect.DeepEqual(decoded, a) {
-		t.Fatalf("read %+v, %v", decoded, err)
+		t.Fatalf("decoded %+v, %v", decoded, err)
 	}
 	for cut := range a.Encode() {
 		if _, err := DecodeAcceptor(a.Encode()[:cut]); err == nil {
-			t.Fatalf("%d bytes were taken for an acceptor", cut)
+			t.Fatalf("the first %d bytes were decoded as an acceptor", cut)
 		}
 	}
 }
--- a/tier/consensus/digest_test.go
+++ b/tier/consensus/digest_test.go
@@ -7,9 +7,9 @@
 	"otterseam/internal/digesttest"
 )
 
-// Walks drawn by a seed through the states that the exploration plays, with each state's hash: it is taken over the encoded
-// records, ballots and witnesses. (The simulation with a network that breaks asks witnesses in parallel and isn't the same play
-// for the same seed.)
+// Records the state hashes along seeded random walks through the states of the exploration. A hash covers the encoded records,
+// proposal numbers and acceptors. (The tests with an unreliable network call acceptors in parallel, so the same seed doesn't give
+// the same run.)
 func TestWalkDigests(t *testing.T) {
 	const (
 		walks = 60
@@ -18,10 +18,10 @@
 	digesttest.Check(t, "walk", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		random := rand.New(rand.NewSource(seed))
 		for walk := range walks {
-			x := newExplorer(faults{rules: standardRules}, wholeWorld(walk%2 == 0))
-			state := x.first()
+			x := newExplorer(faults{rules: standardRules}, unrestrictedScenario(walk%2 == 0))
+			state := x.initialState()
 			for range steps {
-				next := x.steps(state)
+				next := x.successors(state)
 				d.Int(int64(len(next)))
 				if len(next) == 0 {
 					break
@@ -41,11 +41,11 @@
 	})
 }
 
-// How many states there are, level by level.
+// Records how many states the exploration visits, level by level.
 func TestExplorationDigests(t *testing.T) {
 	digesttest.Check(t, "exploration", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		depth := 1 + int(seed)/2
-		found := newExplorer(faults{rules: standardRules}, wholeWorld(seed%2 == 0)).run(depth, mostStates)
+		found := newExplorer(faults{rules: standardRules}, unrestrictedScenario(seed%2 == 0)).run(depth, explorationMaxStates)
 		if found.violation != "" {
 			t.Fatal(found.violation)
 		}
--- a/tier/consensus/encoding.go
+++ b/tier/consensus/encoding.go
@@ -5,7 +5,7 @@
 	"otterseam/tier/codes"
 )
 
-// EncodeRecord appends a record to a message.
+// EncodeRecord appends the encoding of a record.
 func EncodeRecord(e *codec.Encoder, r Record) {
 	e.Uint64(r.Epoch)
 	e.Uint64(r.Primary)
@@ -17,7 +17,7 @@
 	e.Uint64(r.ClusterID)
 }
 
-// DecodeRecord reads a record from a message; the decoder keeps the error.
+// DecodeRecord reads a record. A failure is reported by the decoder's Err.
 func DecodeRecord(d *codec.Decoder) Record {
 	return Record{
 		Epoch:     d.Uint64(),
@@ -40,7 +40,7 @@
 	}
 }
 
-// minMemberBytes is the shortest encoding of a member: its identity and the lengths of two empty strings.
+// minMemberBytes is the size of the shortest encoding of a member: its identity and the lengths of two empty strings.
 const minMemberBytes = 8 + 4 + 4
 
 func decodeMembers(d *codec.Decoder) []Member {
@@ -51,18 +51,18 @@
 	return members
 }
 
-// EncodeProposalNumber appends a proposal number to a message.
+// EncodeProposalNumber appends the encoding of a proposal number.
 func EncodeProposalNumber(e *codec.Encoder, n ProposalNumber) {
 	e.Uint64(n.Round)
 	e.Uint64(n.Proposer)
 }
 
-// DecodeProposalNumber reads a proposal number from a message; the decoder keeps the error.
+// DecodeProposalNumber reads a proposal number. A failure is reported by the decoder's Err.
 func DecodeProposalNumber(d *codec.Decoder) ProposalNumber {
 	return ProposalNumber{Round: d.Uint64(), Proposer: d.Uint64()}
 }
 
-// Encode is the acceptor's durable form.
+// Encode returns the encoding in which the acceptor is stored.
 func (a *Acceptor) Encode() []byte {
 	var e codec.Encoder
 	EncodeProposalNumber(&e, a.Promised)
@@ -71,7 +71,7 @@
 	return e.Bytes
 }
 
-// DecodeAcceptor reads an acceptor's durable form. Its error is codes.Malformed.
+// DecodeAcceptor decodes a stored acceptor. It returns codes.Malformed if the content is invalid.
 func DecodeAcceptor(content []byte) (Acceptor, error) {
 	d := codec.NewDecoder(content)
 	a := Acceptor{Promised: DecodeProposalNumber(d), Accepted: DecodeProposalNumber(d), Value: DecodeRecord(d)}
--- a/tier/consensus/example_test.go
+++ b/tier/consensus/example_test.go
@@ -7,15 +7,15 @@
 	"otterseam/tier/consensus"
 )
 
-// memory reaches acceptors in the same process; the third does not answer.
+// memory is a transport to acceptors in the same process. An acceptor that is not in the map doesn't respond.
 type memory map[uint64]*consensus.Acceptor
 
-func (m memory) call(id uint64, act func(*consensus.Acceptor) bool) (consensus.Response, error) {
+func (m memory) call(id uint64, vote func(*consensus.Acceptor) bool) (consensus.Response, error) {
 	acceptor, reachable := m[id]
 	if !reachable {
 		return consensus.Response{}, context.DeadlineExceeded
 	}
-	granted := act(acceptor)
+	granted := vote(acceptor)
 	return consensus.Response{
 		Granted: granted, Promised: acceptor.Promised, Accepted: acceptor.Accepted, Value: acceptor.Value,
 	}, nil
@@ -31,7 +31,7 @@
 	return m.call(to.ID, func(a *consensus.Acceptor) bool { return a.Accept(number, value) })
 }
 
-// Two of three members decide a first record, and then another primary.
+// Two of three members decide a first record, and then a record with another primary.
 func ExampleProposer() {
 	members := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}
 	proposer := consensus.Proposer{
@@ -39,7 +39,7 @@
 		Rounds:    consensus.NewRoundAllocator(0, func(uint64) error { return nil }),
 		Transport: memory{1: {}, 2: {}},
 	}
-	leadBy := func(primary uint64) consensus.Change {
+	setPrimary := func(primary uint64) consensus.Change {
 		return func(current consensus.Record, _ map[uint64]bool) (consensus.Record, bool) {
 			next := current
 			next.Epoch++
@@ -48,16 +48,16 @@
 			return next, true
 		}
 	}
-	first, err := proposer.Bootstrap(context.Background(), members, len(members), leadBy(1))
+	first, err := proposer.Bootstrap(context.Background(), members, len(members), setPrimary(1))
 	fmt.Println(first.Epoch, first.Primary, err)
-	second, err := proposer.Propose(context.Background(), first, leadBy(2))
+	second, err := proposer.Propose(context.Background(), first, setPrimary(2))
 	fmt.Println(second.Epoch, second.Primary, err)
 	// Output:
 	// 1 1 <nil>
 	// 2 2 <nil>
 }
 
-// An acceptor that has promised a number refuses lower ones.
+// An acceptor that has promised a number rejects lower ones.
 func ExampleAcceptor() {
 	var acceptor consensus.Acceptor
 	fmt.Println(acceptor.Prepare(consensus.ProposalNumber{Round: 2, Proposer: 1}))
@@ -69,7 +69,7 @@
 	// true
 }
 
-// During a change of members both the old and the new ones have to vote by majority.
+// During a change of members, a quorum needs a majority of the old members and one of the new members.
 func ExampleQuorum() {
 	changing := consensus.Record{
 		Members:  []consensus.Member{{ID: 1}, {ID: 2}, {ID: 4}},
--- a/tier/consensus/explore_test.go
+++ b/tier/consensus/explore_test.go
@@ -12,64 +12,65 @@
 	"otterseam/tier/codec"
 )
 
-// The exploration plays every interleaving of two proposers and their acceptors, up to a number of steps. Each proposer runs in
-// a process that also holds an acceptor and may restart once; one of them replaces a member. Requests are never used up: each may
-// arrive again, and late, after its proposer has given up or restarted. An answer arrives with the request or not at all: one
-// that comes later could only be taken while its proposer waits in the same phase, which is the same as having come at once.
+// The exploration is a bounded model check: it visits every interleaving of two proposers and their acceptors, up to a number of
+// steps. Each proposer runs in a process that also holds an acceptor and may restart once. One of the proposers replaces a member.
+// A request stays in the network for ever: it may be delivered again, and late, after its proposer has given up or restarted. A
+// response is delivered in the same step as its request or is lost. Delayed responses need no steps of their own: a proposer uses
+// a response only while it waits for it in the same phase, which is equivalent to an immediate delivery.
 
-// faults are wrong decisions that the exploration must find.
+// faults are the protocol violations that the exploration must detect.
 type faults struct {
 	rules             rules
-	roundFromAcceptor bool // a new incarnation takes its round from its own acceptor
-	unsynced          bool // an acceptor answers before its state is durable
-	secondValue       bool // an acceptor takes a second value under a number
-	acceptsBelow      bool // an acceptor accepts below its promise
-	hidesValue        bool // an acceptor doesn't tell what it accepted
+	roundFromAcceptor bool // a new incarnation derives its round from its own acceptor
+	unsynced          bool // an acceptor responds before its state is durable
+	secondValue       bool // an acceptor accepts a second value under the same number
+	acceptsBelow      bool // an acceptor accepts a number below its promise
+	hidesValue        bool // an acceptor doesn't report the value that it accepted
 }
 
 const (
-	exploredMembers  = 3
-	exploredAcceptor = 4 // the fourth is the new member
+	exploredMembers   = 3
+	exploredAcceptors = 4 // the fourth is the new member
 )
 
-// sentRequest is a request that is on its way for ever.
+// sentRequest is a request in the network. It is never removed.
 type sentRequest struct {
 	proposer int
-	attempt  int // of the proposer, over all its incarnations
+	attempt  int // number of the proposer's attempt, counted over all its incarnations
 	request  Request
 	hash     uint64
 }
 
-// world says what may happen.
-type world struct {
-	changeMembers bool    // the second proposer's first incarnation replaces member 3 by 4
-	attempts      [2]int  // proposals of each proposer in one incarnation
-	restarts      [2]bool // whether each proposer's process may restart
-	reach         reach   // which requests may arrive at all
-	narrow        bool    // answers are lost only late, and the second proposer gives up only when it writes
+// scenario restricts the steps that are explored.
+type scenario struct {
+	changeMembers bool      // the second proposer's first incarnation replaces member 3 by 4
+	attempts      [2]int    // maximum number of proposals of each proposer per incarnation
+	restarts      [2]bool   // whether each proposer's process may restart
+	reach         reachFunc // which requests may be delivered
+	reduced       bool      // an awaited response is never lost, and the second proposer gives up only in the accept phase
 }
 
-type reach func(proposer, attempt int, kind RequestKind, to uint64) bool
+type reachFunc func(proposer, attempt int, kind RequestKind, to uint64) bool
 
-func everyone(int, int, RequestKind, uint64) bool { return true }
+func reachAll(int, int, RequestKind, uint64) bool { return true }
 
-func wholeWorld(changeMembers bool) world {
-	return world{changeMembers: changeMembers, attempts: [2]int{2, 2}, restarts: [2]bool{true, true}, reach: everyone}
+func unrestrictedScenario(changeMembers bool) scenario {
+	return scenario{changeMembers: changeMembers, attempts: [2]int{2, 2}, restarts: [2]bool{true, true}, reach: reachAll}
 }
 
-// exploredProposer is a proposer's process without its acceptor. It is not changed once it belongs to a state.
+// exploredProposer is a proposer's process without its acceptor. It is immutable once it is part of a state.
 type exploredProposer struct {
-	incarnation int
-	attempts    int // begun in this incarnation
-	before      int // begun in the incarnation before
-	last        uint64
-	limit       uint64
-	disk        uint64
-	known       Record
-	confirmed   Record
-	floor       []uint64 // the longest history decided when the proposal began
-	proposal    *Proposal
-	hash        uint64
+	incarnation    int
+	attempts       int // attempts begun in this incarnation
+	attemptsBefore int // attempts begun in the previous incarnation
+	lastRound      uint64
+	roundLimit     uint64
+	durableLimit   uint64
+	known          Record
+	confirmed      Record
+	decidedBefore  []uint64 // the longest decided history when the proposal began
+	proposal       *Proposal
+	hash           uint64
 }
 
 // exploredAcceptorState is an acceptor in memory and on disk.
@@ -78,13 +79,13 @@
 	hash         uint64
 }
 
-// exploredState is a state of all processes and of the network. Its parts are shared with other states and never changed.
+// exploredState is the state of all processes and of the network. Its parts are shared with other states and are immutable.
 type exploredState struct {
-	acceptors [exploredAcceptor]*exploredAcceptorState
+	acceptors [exploredAcceptors]*exploredAcceptorState
 	proposers [2]*exploredProposer
 	sent      []sentRequest
 	sentHash  uint64
-	decided   []uint64 // the longest history decided
+	decided   []uint64 // the longest decided history
 	violation string
 }
 
@@ -95,7 +96,7 @@
 }
 
 func encodePromises(e *codec.Encoder, promises map[uint64]Response) {
-	for id := uint64(1); id <= exploredAcceptor; id++ {
+	for id := uint64(1); id <= exploredAcceptors; id++ {
 		promise, found := promises[id]
 		e.Bool(found)
 		if found {
@@ -106,12 +107,12 @@
 	}
 }
 
-func (p *exploredProposer) sealed() *exploredProposer {
+func (p *exploredProposer) withHash() *exploredProposer {
 	p.hash = hashOf(func(e *codec.Encoder) {
-		e.Uint64s([]uint64{uint64(p.incarnation), uint64(p.attempts), uint64(p.before), p.last, p.limit, p.disk})
+		e.Uint64s([]uint64{uint64(p.incarnation), uint64(p.attempts), uint64(p.attemptsBefore), p.lastRound, p.roundLimit, p.durableLimit})
 		EncodeRecord(e, p.known)
 		EncodeRecord(e, p.confirmed)
-		e.Uint64s(p.floor)
+		e.Uint64s(p.decidedBefore)
 		if p.proposal == nil {
 			return
 		}
@@ -123,19 +124,19 @@
 		EncodeRecord(e, p.proposal.next)
 		EncodeRecord(e, p.proposal.current)
 		encodePromises(e, p.proposal.responses)
-		for id := uint64(1); id <= exploredAcceptor; id++ {
+		for id := uint64(1); id <= exploredAcceptors; id++ {
 			e.Bool(p.proposal.asked[id])
 		}
 	})
 	return p
 }
 
-func (w *exploredAcceptorState) sealed() *exploredAcceptorState {
-	w.hash = hashOf(func(e *codec.Encoder) {
-		e.Bytes = append(e.Bytes, w.memory.Encode()...)
-		e.Bytes = append(e.Bytes, w.disk.Encode()...)
+func (a *exploredAcceptorState) withHash() *exploredAcceptorState {
+	a.hash = hashOf(func(e *codec.Encoder) {
+		e.Bytes = append(e.Bytes, a.memory.Encode()...)
+		e.Bytes = append(e.Bytes, a.disk.Encode()...)
 	})
-	return w
+	return a
 }
 
 func (s *exploredState) hash() uint64 {
@@ -153,60 +154,61 @@
 	return xxhash.Sum64(bytes)
 }
 
-// explorer plays the steps of states.
+// explorer computes successor states. It caches votes and the handling of responses.
 type explorer struct {
 	faults    faults
-	world     world
-	votes     map[voteKey]voted
-	reactions map[answerKey]reaction
+	scenario  scenario
+	votes     map[voteKey]voteResult
+	responses map[responseKey]responseResult
 }
 
-func newExplorer(faults faults, world world) *explorer {
-	return &explorer{faults: faults, world: world, votes: map[voteKey]voted{}, reactions: map[answerKey]reaction{}}
+func newExplorer(faults faults, scenario scenario) *explorer {
+	return &explorer{faults: faults, scenario: scenario, votes: map[voteKey]voteResult{}, responses: map[responseKey]responseResult{}}
 }
 
-func (x *explorer) first() *exploredState {
+func (x *explorer) initialState() *exploredState {
 	s := &exploredState{}
 	start := Record{Epoch: 1}
 	for id := uint64(1); id <= exploredMembers; id++ {
 		start.Members = append(start.Members, Member{ID: id})
 	}
 	for i := range s.acceptors {
-		w := &exploredAcceptorState{}
+		a := &exploredAcceptorState{}
 		if i < exploredMembers {
-			w.memory = Acceptor{Promised: ProposalNumber{1, 9}, Accepted: ProposalNumber{1, 9}, Value: start}
-			w.disk = w.memory
+			a.memory = Acceptor{Promised: ProposalNumber{1, 9}, Accepted: ProposalNumber{1, 9}, Value: start}
+			a.disk = a.memory
 		}
-		s.acceptors[i] = w.sealed()
+		s.acceptors[i] = a.withHash()
 	}
 	for i := range s.proposers {
-		s.proposers[i] = (&exploredProposer{known: start, last: 1, limit: 1, disk: 1}).sealed()
+		s.proposers[i] = (&exploredProposer{known: start, lastRound: 1, roundLimit: 1, durableLimit: 1}).withHash()
 	}
 	return s
 }
 
-// change is what a proposer wants in an incarnation. The second proposer's first incarnation replaces member 3 by 4.
+// change returns the change that a proposer makes in an incarnation. If the scenario changes members, the second proposer's first
+// incarnation replaces member 3 by 4.
 func (x *explorer) change(proposer, incarnation int) Change {
 	mark := uint64(1 + proposer + 2*incarnation)
-	if x.world.changeMembers && proposer == 1 && incarnation == 0 {
-		return addMark(mark, 3, 4)
+	if x.scenario.changeMembers && proposer == 1 && incarnation == 0 {
+		return appendMark(mark, 3, 4)
 	}
-	return addMark(mark, 0, 0)
+	return appendMark(mark, 0, 0)
 }
 
-// steps lists the states that may follow.
-func (x *explorer) steps(s *exploredState) []*exploredState {
-	next := x.proposerSteps(s)
+// successors returns the states that one step leads to.
+func (x *explorer) successors(s *exploredState) []*exploredState {
+	next := x.proposerSuccessors(s)
 	for _, sent := range s.sent {
-		if !x.world.reach(sent.proposer, sent.attempt, sent.request.Kind, sent.request.To.ID) {
+		if !x.scenario.reach(sent.proposer, sent.attempt, sent.request.Kind, sent.request.To.ID) {
 			continue
 		}
-		lost, answered := x.deliver(s, sent)
+		lost, responded := x.deliver(s, sent)
 		if lost != nil {
 			next = append(next, lost)
 		}
-		if answered != nil {
-			next = append(next, answered)
+		if responded != nil {
+			next = append(next, responded)
 		}
 	}
 	if x.faults.unsynced {
@@ -217,17 +219,17 @@
 	return next
 }
 
-// proposerSteps lists the states that follow when a proposer begins, gives up or restarts.
-func (x *explorer) proposerSteps(s *exploredState) []*exploredState {
+// proposerSuccessors returns the states after a proposer begins, gives up or restarts.
+func (x *explorer) proposerSuccessors(s *exploredState) []*exploredState {
 	var next []*exploredState
 	for i, p := range s.proposers {
-		if p.proposal == nil && p.attempts < x.world.attempts[i] {
+		if p.proposal == nil && p.attempts < x.scenario.attempts[i] {
 			next = append(next, x.begin(s, i))
 		}
-		if p.proposal != nil && (!x.world.narrow || i == 0 || p.proposal.phase == PhaseAccept) {
+		if p.proposal != nil && (!x.scenario.reduced || i == 0 || p.proposal.phase == PhaseAccept) {
 			next = append(next, x.giveUp(s, i))
 		}
-		if p.incarnation == 0 && x.world.restarts[i] {
+		if p.incarnation == 0 && x.scenario.restarts[i] {
 			next = append(next, x.restart(s, i))
 		}
 	}
@@ -237,26 +239,26 @@
 func (x *explorer) begin(s *exploredState, i int) *exploredState {
 	after := *s
 	p := *s.proposers[i]
-	rounds := &RoundAllocator{last: p.last, limit: p.limit, reserve: func(limit uint64) error {
-		p.disk = limit
+	rounds := &RoundAllocator{last: p.lastRound, limit: p.roundLimit, reserve: func(limit uint64) error {
+		p.durableLimit = limit
 		return nil
 	}}
 	if x.faults.roundFromAcceptor {
-		rounds.last = max(p.last, s.acceptors[i].memory.Promised.Round)
+		rounds.last = max(p.lastRound, s.acceptors[i].memory.Promised.Round)
 		rounds.limit = ^uint64(0)
 	}
 	round, _ := rounds.Next()
-	p.last, p.limit = rounds.last, rounds.limit
+	p.lastRound, p.roundLimit = rounds.last, rounds.limit
 	p.attempts++
-	p.floor = s.decided
+	p.decidedBefore = s.decided
 	start := p.known
 	if accepted := s.acceptors[i].memory.Value; accepted.Epoch > start.Epoch {
 		start = accepted
 	}
 	p.proposal = NewProposal(ProposalNumber{round, uint64(i + 1)}, start, p.confirmed, x.change(i, p.incarnation))
 	p.proposal.rules = x.faults.rules
-	after.send(i, p.before+p.attempts-1, p.proposal.Begin())
-	after.proposers[i] = p.sealed()
+	after.send(i, p.attemptsBefore+p.attempts-1, p.proposal.Begin())
+	after.proposers[i] = p.withHash()
 	return &after
 }
 
@@ -280,33 +282,34 @@
 func (x *explorer) giveUp(s *exploredState, i int) *exploredState {
 	after := *s
 	p := *s.proposers[i]
-	p.last = max(p.last, p.proposal.HighestRound())
+	p.lastRound = max(p.lastRound, p.proposal.HighestRound())
 	p.known = p.proposal.Newest()
 	p.proposal = nil
-	after.proposers[i] = p.sealed()
+	after.proposers[i] = p.withHash()
 	return &after
 }
 
 func (x *explorer) restart(s *exploredState, i int) *exploredState {
 	after := *s
-	w := exploredAcceptorState{memory: s.acceptors[i].disk, disk: s.acceptors[i].disk}
-	after.acceptors[i] = w.sealed()
-	p := exploredProposer{incarnation: 1, before: s.proposers[i].attempts, last: s.proposers[i].disk, limit: s.proposers[i].disk, disk: s.proposers[i].disk, known: w.disk.Value}
+	a := exploredAcceptorState{memory: s.acceptors[i].disk, disk: s.acceptors[i].disk}
+	after.acceptors[i] = a.withHash()
+	p := exploredProposer{incarnation: 1, attemptsBefore: s.proposers[i].attempts, lastRound: s.proposers[i].durableLimit, roundLimit: s.proposers[i].durableLimit, durableLimit: s.proposers[i].durableLimit, known: a.disk.Value}
 	if x.faults.roundFromAcceptor {
-		p.last = 0
+		p.lastRound = 0
 	}
-	after.proposers[i] = p.sealed()
+	after.proposers[i] = p.withHash()
 	return &after
 }
 
 func (x *explorer) sync(s *exploredState, i int) *exploredState {
 	after := *s
-	after.acceptors[i] = (&exploredAcceptorState{memory: s.acceptors[i].memory, disk: s.acceptors[i].memory}).sealed()
+	after.acceptors[i] = (&exploredAcceptorState{memory: s.acceptors[i].memory, disk: s.acceptors[i].memory}).withHash()
 	return &after
 }
 
-// deliver has a request reach its acceptor: without an answer, and with one where the proposer still waits for it.
-func (x *explorer) deliver(s *exploredState, sent sentRequest) (lost, answered *exploredState) {
+// deliver delivers a request to its acceptor. It returns the state in which the response is lost, nil if that changes nothing, and
+// the state in which the proposer receives it, nil if the proposer doesn't wait for it any more.
+func (x *explorer) deliver(s *exploredState, sent sentRequest) (lost, responded *exploredState) {
 	position := int(sent.request.To.ID) - 1
 	before := s.acceptors[position]
 	vote := x.vote(before, sent)
@@ -319,91 +322,91 @@
 	if p.proposal == nil || p.proposal.number != sent.request.Number || !p.proposal.isAwaiting(sent.request.Kind, sent.request.To.ID) {
 		return lost, nil
 	}
-	if x.world.narrow {
+	if x.scenario.reduced {
 		lost = nil
 	}
-	return lost, x.answer(&after, sent, vote)
+	return lost, x.respond(&after, sent, vote)
 }
 
-// voteKey names what a vote depends on.
+// voteKey identifies the acceptor state and the request that determine a vote.
 type voteKey struct{ acceptor, request uint64 }
 
-// voted is an acceptor after a request, with its answer.
-type voted struct {
+// voteResult is an acceptor after a request, and its response.
+type voteResult struct {
 	acceptor *exploredAcceptorState
-	promise  Response
+	response Response
 }
 
-func (x *explorer) vote(before *exploredAcceptorState, sent sentRequest) voted {
+func (x *explorer) vote(before *exploredAcceptorState, sent sentRequest) voteResult {
 	key := voteKey{before.hash, sent.hash}
 	if known, found := x.votes[key]; found {
 		return known
 	}
-	w := *before
-	given := x.voteOnce(&w.memory, sent.request)
+	a := *before
+	grantedVote := x.voteOnce(&a.memory, sent.request)
 	if !x.faults.unsynced {
-		w.disk = w.memory
+		a.disk = a.memory
 	}
-	promise := Response{Granted: given, Promised: w.memory.Promised, Accepted: w.memory.Accepted, Value: w.memory.Value}
+	response := Response{Granted: grantedVote, Promised: a.memory.Promised, Accepted: a.memory.Accepted, Value: a.memory.Value}
 	if x.faults.hidesValue {
-		promise.Accepted, promise.Value = ProposalNumber{}, Record{}
+		response.Accepted, response.Value = ProposalNumber{}, Record{}
 	}
-	result := voted{w.sealed(), promise}
+	result := voteResult{a.withHash(), response}
 	x.votes[key] = result
 	return result
 }
 
-func (x *explorer) voteOnce(w *Acceptor, request Request) bool {
+func (x *explorer) voteOnce(a *Acceptor, request Request) bool {
 	if request.Kind == RequestPrepare {
-		return w.Prepare(request.Number)
+		return a.Prepare(request.Number)
 	}
 	if x.faults.acceptsBelow {
-		w.Promised = ProposalNumber{}
+		a.Promised = ProposalNumber{}
 	}
-	if x.faults.secondValue && w.Accepted == request.Number {
-		w.Accepted = ProposalNumber{}
+	if x.faults.secondValue && a.Accepted == request.Number {
+		a.Accepted = ProposalNumber{}
 	}
-	return w.Accept(request.Number, request.Value)
+	return a.Accept(request.Number, request.Value)
 }
 
-// answerKey names what a proposer's reaction to an answer depends on.
-type answerKey struct {
+// responseKey identifies the inputs that determine the result of a response.
+type responseKey struct {
 	proposer, request, acceptor uint64
-	given                       bool
+	granted                     bool
 }
 
-// reaction is a proposer after an answer.
-type reaction struct {
+// responseResult is a proposer after a response, with the requests that it sends and the record that it decided, if any.
+type responseResult struct {
 	proposer *exploredProposer
 	requests []Request
 	decided  bool
 	record   Record
 }
 
-func (x *explorer) answer(s *exploredState, sent sentRequest, vote voted) *exploredState {
+func (x *explorer) respond(s *exploredState, sent sentRequest, vote voteResult) *exploredState {
 	p := s.proposers[sent.proposer]
-	key := answerKey{p.hash, sent.hash, vote.acceptor.hash, vote.promise.Granted}
-	result, found := x.reactions[key]
+	key := responseKey{p.hash, sent.hash, vote.acceptor.hash, vote.response.Granted}
+	result, found := x.responses[key]
 	if !found {
-		result = react(p, sent, vote.promise)
-		x.reactions[key] = result
+		result = handleResponse(p, sent, vote.response)
+		x.responses[key] = result
 	}
 	after := *s
 	after.proposers[sent.proposer] = result.proposer
 	after.send(sent.proposer, sent.attempt, result.requests)
 	if result.decided {
-		after.check(result.record, p.floor)
+		after.check(result.record, p.decidedBefore)
 	}
 	return &after
 }
 
-func react(before *exploredProposer, sent sentRequest, promise Response) reaction {
+func handleResponse(before *exploredProposer, sent sentRequest, response Response) responseResult {
 	p := *before
 	proposal := *p.proposal
 	proposal.asked = maps.Clone(proposal.asked)
 	proposal.responses = maps.Clone(proposal.responses)
 	p.proposal = &proposal
-	result := reaction{requests: proposal.Answer(sent.request.Kind, sent.request.To.ID, promise)}
+	result := responseResult{requests: proposal.Answer(sent.request.Kind, sent.request.To.ID, response)}
 	switch proposal.Phase() {
 	case PhaseDecided:
 		result.decided = true
@@ -415,44 +418,44 @@
 		}
 		p.proposal = nil
 	case PhaseFailed:
-		p.last = max(p.last, proposal.HighestRound())
+		p.lastRound = max(p.lastRound, proposal.HighestRound())
 		p.known = proposal.Newest()
 		p.proposal = nil
 	}
-	result.proposer = p.sealed()
+	result.proposer = p.withHash()
 	return result
 }
 
-// check compares a decided record: it is on one history with all decided so far, and goes on from what was decided before its
-// proposal began.
-func (s *exploredState) check(record Record, floor []uint64) {
+// check sets violation unless a decided record extends the history decided before its proposal began and is on one history with
+// all records decided so far.
+func (s *exploredState) check(record Record, decidedBefore []uint64) {
 	switch {
-	case !isPrefix(floor, record.InSync):
-		s.violation = "decided without what was decided before it began"
+	case !isPrefix(decidedBefore, record.InSync):
+		s.violation = "a decided history lacks what was decided before its proposal began"
 	case isPrefix(s.decided, record.InSync):
 		s.decided = record.InSync
 	case !isPrefix(record.InSync, s.decided):
-		s.violation = "two histories were decided"
+		s.violation = "two diverging histories were decided"
 	}
 }
 
-// explored is what an exploration found.
-type explored struct {
+// explorationResult is the result of an exploration.
+type explorationResult struct {
 	states    int
-	depth     int // the last level played in full
+	depth     int // the number of levels explored in full
 	violation string
 }
 
-// run plays all states level by level, up to a depth and a number of states.
-func (x *explorer) run(depth, most int) explored {
-	start := x.first()
+// run explores the states breadth-first, up to a depth and a number of states. It stops at the first violation.
+func (x *explorer) run(depth, maxStates int) explorationResult {
+	start := x.initialState()
 	seen := map[uint64]struct{}{start.hash(): {}}
 	level := []*exploredState{start}
-	found := explored{states: 1}
+	found := explorationResult{states: 1}
 	for ; found.depth < depth && len(level) > 0; found.depth++ {
-		var following []*exploredState
+		var nextLevel []*exploredState
 		for _, state := range level {
-			for _, next := range x.steps(state) {
+			for _, next := range x.successors(state) {
 				if next.violation != "" {
 					found.violation = next.violation
 					return found
@@ -462,49 +465,49 @@
 					continue
 				}
 				seen[hash] = struct{}{}
-				following = append(following, next)
-				if found.states++; found.states >= most {
+				nextLevel = append(nextLevel, next)
+				if found.states++; found.states >= maxStates {
 					return found
 				}
 			}
 		}
-		level = following
+		level = nextLevel
 	}
 	return found
 }
 
 const (
-	depthVariable  = "TIER_EXPLORE_DEPTH"
-	standardDepth  = 8
-	mostStates     = 60_000_000
-	faultDepth     = 26
-	mostFaultState = 400_000
+	depthVariable        = "TIER_EXPLORE_DEPTH"
+	defaultDepth         = 8
+	explorationMaxStates = 60_000_000
+	faultDepth           = 26
+	faultMaxStates       = 400_000
 )
 
 func explorationDepth() int {
 	if depth, err := strconv.Atoi(os.Getenv(depthVariable)); err == nil {
 		return depth
 	}
-	return standardDepth
+	return defaultDepth
 }
 
-// No interleaving up to the depth decides two histories. TIER_EXPLORE_DEPTH sets how many steps.
+// No interleaving decides two diverging histories. TIER_EXPLORE_DEPTH sets the number of steps.
 func TestNoInterleavingDecidesTwoHistories(t *testing.T) {
-	x := newExplorer(faults{rules: standardRules}, wholeWorld(true))
-	found := x.run(explorationDepth(), mostStates)
+	x := newExplorer(faults{rules: standardRules}, unrestrictedScenario(true))
+	found := x.run(explorationDepth(), explorationMaxStates)
 	t.Logf("%d states, %d steps", found.states, found.depth)
 	if found.violation != "" {
 		t.Fatalf("after %d steps: %s", found.depth+1, found.violation)
 	}
 }
 
-// Each wrong decision is found: as a second history, within the states named.
-func TestTheExplorationFindsWrongDecisions(t *testing.T) {
-	half := func(record Record, voted map[uint64]bool) bool {
+// The exploration detects each fault within faultDepth steps and faultMaxStates states, and finds no violation without the fault.
+func TestExplorationDetectsFaults(t *testing.T) {
+	halfQuorum := func(record Record, voted map[uint64]bool) bool {
 		return halfOf(record.Members, voted) && halfOf(record.Previous, voted)
 	}
-	lowest := func(promises map[uint64]Response, standard Record) Record {
-		best, value := ProposalNumber{Round: ^uint64(0)}, standard
+	lowestAccepted := func(promises map[uint64]Response, fallback Record) Record {
+		best, value := ProposalNumber{Round: ^uint64(0)}, fallback
 		for _, promise := range promises {
 			if promise.Granted && promise.Value.IsBootstrapped() && promise.Accepted.Less(best) {
 				best, value = promise.Accepted, promise.Value
@@ -513,46 +516,47 @@
 		return value
 	}
 	for _, test := range []struct {
-		name  string
-		wrong func(*faults)
-		world world
+		name     string
+		inject    func(*faults)
+		scenario scenario
 	}{
-		{"a number is used by two incarnations", func(f *faults) { f.roundFromAcceptor, f.secondValue = true, true }, restartWorld},
-		{"an acceptor answers before its state is durable", func(f *faults) { f.unsynced = true }, unsyncedWorld},
-		{"an acceptor accepts below its promise", func(f *faults) { f.acceptsBelow = true }, onceEach},
-		{"an acceptor hides what it accepted", func(f *faults) { f.hidesValue = true }, onceEach},
-		{"half of the members are a quorum", func(f *faults) { f.rules.quorum = half }, wholeWorld(false)},
-		{"the lowest number's value is taken", func(f *faults) { f.rules.highestAccepted = lowest }, onceEach},
+		{"two incarnations use the same number", func(f *faults) { f.roundFromAcceptor, f.secondValue = true, true }, restartScenario},
+		{"an acceptor responds before its state is durable", func(f *faults) { f.unsynced = true }, unsyncedScenario},
+		{"an acceptor accepts below its promise", func(f *faults) { f.acceptsBelow = true }, oneAttemptEach},
+		{"an acceptor hides what it accepted", func(f *faults) { f.hidesValue = true }, oneAttemptEach},
+		{"half of the members are a quorum", func(f *faults) { f.rules.quorum = halfQuorum }, unrestrictedScenario(false)},
+		{"the value with the lowest number is chosen", func(f *faults) { f.rules.highestAccepted = lowestAccepted }, oneAttemptEach},
 		{"a pending change of members is forgotten", func(f *faults) {
 			f.rules.previousMembers = func(Record, Record) []Member { return nil }
-		}, memberWorld},
-		{"an undecided change of members is followed", func(f *faults) {
+		}, memberScenario},
+		{"an undecided change of members is replaced", func(f *faults) {
 			f.rules.mayBeFollowed = func(Record, Record) bool { return true }
-		}, memberWorld},
+		}, memberScenario},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			wrong := faults{rules: standardRules}
-			test.wrong(&wrong)
-			found := newExplorer(wrong, test.world).run(faultDepth, mostFaultState)
+			faulty := faults{rules: standardRules}
+			test.inject(&faulty)
+			found := newExplorer(faulty, test.scenario).run(faultDepth, faultMaxStates)
 			if found.violation == "" {
-				t.Fatalf("not found in %d states, %d steps", found.states, found.depth)
+				t.Fatalf("not detected in %d states, %d steps", found.states, found.depth)
 			}
 			t.Logf("%d states, %d steps: %s", found.states, found.depth+1, found.violation)
-			right := newExplorer(faults{rules: standardRules}, test.world).run(found.depth+1, found.states)
-			if right.violation != "" {
-				t.Fatalf("the right decisions fail in the same world: %s", right.violation)
+			correct := newExplorer(faults{rules: standardRules}, test.scenario).run(found.depth+1, found.states)
+			if correct.violation != "" {
+				t.Fatalf("violation without the fault in the same scenario: %s", correct.violation)
 			}
 		})
 	}
 }
 
 var (
-	// onceEach has each proposer try once.
-	onceEach = world{attempts: [2]int{1, 1}, reach: everyone}
+	// oneAttemptEach allows each proposer one attempt.
+	oneAttemptEach = scenario{attempts: [2]int{1, 1}, reach: reachAll}
 
-	// restartWorld has the first proposer reach 2 and 3, restart and reach 1 and 2; the other one reaches 2 and 3.
-	restartWorld = world{
-		attempts: [2]int{1, 1}, restarts: [2]bool{true, false}, narrow: true,
+	// restartScenario lets the first proposer reach acceptors 2 and 3 before its restart and 1 and 2 after it. The second proposer
+	// reaches 2 and 3.
+	restartScenario = scenario{
+		attempts: [2]int{1, 1}, restarts: [2]bool{true, false}, reduced: true,
 		reach: func(proposer, attempt int, _ RequestKind, to uint64) bool {
 			if proposer == 0 && attempt == 1 {
 				return to != 3
@@ -561,17 +565,17 @@
 		},
 	}
 
-	// unsyncedWorld has the first proposer reach 1 and 3, the other one 1 and 2.
-	unsyncedWorld = world{
-		attempts: [2]int{1, 1}, restarts: [2]bool{true, false}, narrow: true,
+	// unsyncedScenario lets the first proposer reach acceptors 1 and 3, and the second one 1 and 2.
+	unsyncedScenario = scenario{
+		attempts: [2]int{1, 1}, restarts: [2]bool{true, false}, reduced: true,
 		reach: func(proposer, _ int, _ RequestKind, to uint64) bool {
 			return to == 1 || (proposer == 0) == (to == 3)
 		},
 	}
 
-	// memberWorld has the change of members accepted by 2 and 4 alone, while the first proposer reaches 1 and 3.
-	memberWorld = world{
-		changeMembers: true, attempts: [2]int{2, 3}, narrow: true,
+	// memberScenario lets only acceptors 2 and 4 accept the change of members, while the first proposer reaches 1 and 3.
+	memberScenario = scenario{
+		changeMembers: true, attempts: [2]int{2, 3}, reduced: true,
 		reach: func(proposer, attempt int, kind RequestKind, to uint64) bool {
 			switch {
 			case proposer == 0 && attempt == 0:
--- a/tier/consensus/idempotent_change.go
+++ b/tier/consensus/idempotent_change.go
@@ -1,17 +1,17 @@
 package consensus
 
-// IdempotentChange is a change of the register that one process wants, over all proposals that it takes. A proposal may meet the
-// value of an earlier one, which has reached some acceptors; it is then decided as it stands, and the change is applied once all
-// the same. Its method Apply is the [Change] to propose.
+// IdempotentChange is a change that is applied at most once over all proposals made for it. A proposal may read the value of an
+// earlier proposal of the same change that reached only some acceptors. It then proposes that value unmodified instead of applying
+// the change a second time. The Apply method is the [Change] to propose.
 type IdempotentChange struct {
-	// Change returns the record that is wanted in place of the current one, or false if none is.
+	// Change returns the record to replace the current one, or false to leave the current one.
 	Change func(current Record) (Record, bool)
 
-	proposed []Record // by earlier proposals
+	proposed []Record // values of earlier proposals
 	applied  bool
 }
 
-// Apply is the change as a proposal asks for it.
+// Apply implements [Change].
 func (c *IdempotentChange) Apply(current Record, _ map[uint64]bool) (Record, bool) {
 	for _, earlier := range c.proposed {
 		if earlier.withoutPrevious().Equal(current.withoutPrevious()) {
@@ -27,5 +27,5 @@
 	return next, wanted
 }
 
-// Applied tells whether the value of the newest proposal is that of this change.
+// Applied reports whether the value of the newest proposal includes this change.
 func (c *IdempotentChange) Applied() bool { return c.applied }
--- a/tier/consensus/proposal.go
+++ b/tier/consensus/proposal.go
@@ -1,12 +1,12 @@
 package consensus
 
-// RequestKind tells what a proposal asks of an acceptor.
+// RequestKind is the kind of a request to an acceptor.
 type RequestKind uint8
 
 // The kinds of requests.
 const (
-	RequestPrepare RequestKind = iota + 1 // to promise not to accept lower numbers, and to name what was accepted
-	RequestAccept                         // to accept a value
+	RequestPrepare RequestKind = iota + 1 // asks for a promise not to accept lower numbers, and for the accepted value
+	RequestAccept                         // asks to accept a value
 )
 
 // Request is a message of a proposal to one acceptor.
@@ -14,10 +14,10 @@
 	Kind   RequestKind
 	To     Member
 	Number ProposalNumber
-	Value  Record // of an accept
+	Value  Record // set for RequestAccept only
 }
 
-// Phase is how far a proposal has come.
+// Phase is the phase of a proposal.
 type Phase uint8
 
 // The phases of a proposal.
@@ -25,13 +25,14 @@
 	PhasePrepare Phase = iota // collecting promises
 	PhaseAccept               // collecting accepts
 	PhaseDecided              // a quorum accepted the value
-	PhaseFailed               // no quorum can be reached; the value may or may not be decided later
+	PhaseFailed               // no quorum can be reached; the value may still be decided later
 )
 
-// rules are the decisions of a proposal that tests replace by wrong ones, to see that wrong ones are found.
+// rules holds the decision functions of a proposal. Tests replace them by faulty ones to check that the exploration detects
+// the fault.
 type rules struct {
 	quorum          func(record Record, voted map[uint64]bool) bool
-	highestAccepted func(promises map[uint64]Response, standard Record) Record
+	highestAccepted func(promises map[uint64]Response, fallback Record) Record
 	previousMembers func(current, next Record) []Member
 	mayBeFollowed   func(current, confirmed Record) bool
 }
@@ -43,8 +44,8 @@
 	mayBeFollowed:   mayBeFollowed,
 }
 
-// previousMembers are the members that a next proposer has to ask besides, because a majority of them may not know the new ones
-// yet.
+// previousMembers returns the old members if next changes the members, and nil otherwise. The next proposer must ask them as
+// well, because a majority of them may not know the new members yet.
 func previousMembers(current, next Record) []Member {
 	if sameMembers(current.Members, next.Members) {
 		return nil
@@ -52,33 +53,34 @@
 	return current.Members
 }
 
-// mayBeFollowed tells whether a record may be followed by another. One that changed the members has to be decided before: a
-// majority of the old members must know the new ones, or a reader that begins at a follower would pass the old ones by.
+// mayBeFollowed reports whether the current record may be replaced by another. A record that changed the members must be
+// decided first: a majority of the old members must know the new ones. Otherwise a proposer that starts from the replacing record
+// would not ask the old members and could miss what they decide.
 func mayBeFollowed(current, confirmed Record) bool {
 	return len(current.Previous) == 0 || current.Equal(confirmed)
 }
 
-// Proposal is one attempt to change the register under one number. It is pure: it returns the requests to send and takes the
-// responses, in any order. A number is used by one proposal only.
+// Proposal is one attempt to change the register under one number. It does no I/O: it returns the requests to send and is given
+// the responses, in any order. A number must be used by one proposal only.
 type Proposal struct {
 	number    ProposalNumber
 	start     Record
 	confirmed Record // a record known to be decided
 	change    Change
 	rules     rules
-	minVotes  int // votes without which nothing is decided, whatever the record says
+	minVotes  int // minimum number of votes for a decision, in addition to the quorum of the record
 
 	phase        Phase
-	asked        map[uint64]bool     // in the present phase
-	responses    map[uint64]Response // of the present phase
-	failed       map[uint64]bool     // members of the present phase from which no response will come
-	current      Record              // what was read
-	next         Record              // what is written
-	onlyConfirms bool                // next is the current record, so that it is decided before it is followed
-	highestRound uint64              // the highest round that a response named
+	asked        map[uint64]bool     // members asked in the current phase
+	responses    map[uint64]Response // responses of the current phase
+	failed       map[uint64]bool     // members from which no response will come in the current phase
+	current      Record              // the record read
+	next         Record              // the record to write
+	onlyConfirms bool                // next is the current record, so that it is decided before it is replaced
+	highestRound uint64              // the highest round promised in any response
 }
 
-// NewProposal makes a proposal. start is the newest record known, which names the acceptors to begin with. confirmed is the
+// NewProposal returns a proposal. start is the newest record known; its voters are the acceptors asked first. confirmed is the
 // record that an earlier proposal of the same change confirmed, if any.
 func NewProposal(number ProposalNumber, start, confirmed Record, change Change) *Proposal {
 	return &Proposal{
@@ -94,25 +96,26 @@
 	}
 }
 
-// Phase is how far the proposal has come.
+// Phase returns the current phase.
 func (p *Proposal) Phase() Phase { return p.phase }
 
-// IsOver tells whether the proposal has been decided or has failed.
+// IsOver reports whether the proposal has been decided or has failed.
 func (p *Proposal) IsOver() bool { return p.phase == PhaseDecided || p.phase == PhaseFailed }
 
-// Decided is the value that a quorum accepted, in PhaseDecided.
+// Decided returns the value that a quorum accepted. It is valid in PhaseDecided only.
 func (p *Proposal) Decided() Record { return p.next }
 
-// OnlyConfirmed tells, in PhaseDecided, that the current record was decided as it stood and that the change has yet to be made.
+// OnlyConfirmed reports, in PhaseDecided, whether the current record was decided unmodified, so that the change has yet to be
+// made.
 func (p *Proposal) OnlyConfirmed() bool { return p.onlyConfirms }
 
-// Newest is the newest record that the proposal has read so far.
+// Newest returns the newest record that the proposal has read so far.
 func (p *Proposal) Newest() Record { return p.current }
 
-// HighestRound is the highest round that an acceptor named.
+// HighestRound returns the highest round that any acceptor reported as promised.
 func (p *Proposal) HighestRound() uint64 { return p.highestRound }
 
-// Begin returns the first requests. A start that names no acceptor can decide nothing.
+// Begin returns the first requests. The proposal fails at once if the start record has no members.
 func (p *Proposal) Begin() []Request {
 	if len(p.start.Members) == 0 {
 		p.phase = PhaseFailed
@@ -121,8 +124,8 @@
 	return p.requestsFor(RequestPrepare, p.start.Voters(), Record{})
 }
 
-// Answer takes an acceptor's response to a request of the kind and returns further requests. Responses of an earlier phase
-// change nothing.
+// Answer handles an acceptor's response to a request of the given kind and returns further requests. Of a response from an
+// earlier phase, only the promised round is used.
 func (p *Proposal) Answer(kind RequestKind, from uint64, response Response) []Request {
 	p.highestRound = max(p.highestRound, response.Promised.Round)
 	if !p.isAwaiting(kind, from) {
@@ -132,7 +135,7 @@
 	return p.advance()
 }
 
-// Fail notes that no response to a request will come, and returns further requests.
+// Fail records that no response to a request will come and returns further requests.
 func (p *Proposal) Fail(kind RequestKind, from uint64) []Request {
 	if !p.isAwaiting(kind, from) {
 		return nil
@@ -141,7 +144,7 @@
 	return p.advance()
 }
 
-// isAwaiting tells whether a response of the kind from a member would count in the present phase.
+// isAwaiting reports whether a response of the given kind from a member would count in the current phase.
 func (p *Proposal) isAwaiting(kind RequestKind, from uint64) bool {
 	expected := (p.phase == PhasePrepare && kind == RequestPrepare) || (p.phase == PhaseAccept && kind == RequestAccept)
 	_, responded := p.responses[from]
@@ -156,8 +159,8 @@
 	return nil
 }
 
-// evaluatePromises looks whether the promises are a quorum of the start and of the newest record among them. Members that a
-// newer record names are asked besides.
+// evaluatePromises begins the accept phase once the promises form a quorum of both the start record and the newest record
+// among them. Voters that appear only in a newer record are asked as well.
 func (p *Proposal) evaluatePromises() []Request {
 	p.current = p.rules.highestAccepted(p.responses, p.start)
 	voted := granted(p.responses)
@@ -172,7 +175,7 @@
 	return more
 }
 
-// beginAccept decides the next value and has it accepted by a quorum of the record that it replaces and by one of its own.
+// beginAccept chooses the next value and returns the requests to accept it, for the voters of the current record and of the next.
 func (p *Proposal) beginAccept(voted map[uint64]bool) []Request {
 	p.next = p.nextValue(voted)
 	p.phase = PhaseAccept
@@ -183,7 +186,7 @@
 	return p.requestsFor(RequestAccept, both.Voters(), p.next)
 }
 
-// nextValue is the value to write after the current one.
+// nextValue returns the value to write after the current one.
 func (p *Proposal) nextValue(voted map[uint64]bool) Record {
 	p.onlyConfirms = !p.rules.mayBeFollowed(p.current, p.confirmed)
 	if p.onlyConfirms {
@@ -197,7 +200,7 @@
 	return next
 }
 
-// evaluateAccepts looks whether the accepts are a quorum of the record replaced and of its follower, or can't become one.
+// evaluateAccepts ends the proposal once the accepts form a quorum of both the current and the next record, or no longer can.
 func (p *Proposal) evaluateAccepts() {
 	voted := granted(p.responses)
 	possible := p.possibleVotes()
@@ -209,17 +212,17 @@
 	}
 }
 
-// decides tells whether the votes decide for a record.
+// decides reports whether the votes form a quorum of a record.
 func (p *Proposal) decides(record Record, voted map[uint64]bool) bool {
 	return len(voted) >= p.minVotes && (p.rules.quorum(record, voted) || QuorumWithLostDisks(record, voted, p.lostDisks()))
 }
 
-// mayDecide tells whether the members that have voted or still may could decide for a record.
+// mayDecide reports whether the members that have voted or still may vote could form a quorum of a record.
 func (p *Proposal) mayDecide(record Record, possible map[uint64]bool) bool {
 	return len(possible) >= p.minVotes && QuorumWithLostDisks(record, possible, p.lostDisks())
 }
 
-// lostDisks are the members whose disk is provably lost, by the responses of the present phase.
+// lostDisks returns the members whose disk is provably lost, according to the responses of the current phase.
 func (p *Proposal) lostDisks() map[uint64]bool {
 	lost := map[uint64]bool{}
 	for id, response := range p.responses {
@@ -230,7 +233,7 @@
 	return lost
 }
 
-// possibleVotes are the members that have voted or still may.
+// possibleVotes returns the members that have voted or still may vote.
 func (p *Proposal) possibleVotes() map[uint64]bool {
 	possible := granted(p.responses)
 	for id := range p.asked {
@@ -241,7 +244,7 @@
 	return possible
 }
 
-// requestsFor makes requests for the members that have not been asked in this phase.
+// requestsFor returns requests to the members that have not been asked in this phase, and marks them as asked.
 func (p *Proposal) requestsFor(kind RequestKind, members []Member, value Record) []Request {
 	var requests []Request
 	for _, member := range members {
--- a/tier/consensus/propose.go
+++ b/tier/consensus/propose.go
@@ -6,42 +6,41 @@
 	"otterseam/tier/codes"
 )
 
-// Transport reaches the acceptors. An acceptor of another identity at the address grants nothing.
+// Transport sends requests to acceptors. If a process of another identity is now at the address, the request is not granted.
 type Transport interface {
 	Prepare(ctx context.Context, to Member, number ProposalNumber) (Response, error)
 	Accept(ctx context.Context, to Member, number ProposalNumber, value Record) (Response, error)
 }
 
-// Change is the compare-and-set of a proposal: it returns the value that is to follow the current one, or false to leave it.
-// reached are the members that granted the prepare. It may be called several times for one proposal, and the current value may
-// then be one that it returned before.
+// Change is the compare-and-set function of a proposal: it returns the value to replace the current one, or false to keep the
+// current one. reached holds the members that granted the prepare. It may be called several times in one [Proposer.Propose], and
+// the current value may then be one that it returned before.
 type Change func(current Record, reached map[uint64]bool) (next Record, wanted bool)
 
-// maxAttempts bounds the proposals of one change: failed ones, and those that only confirm a change of members.
+// maxAttempts bounds the proposals of one change, including failed ones and those that only confirm a change of members.
 const maxAttempts = 5
 
 // Proposer changes the register over a transport.
 type Proposer struct {
-	ID        uint64 // the identity of the process, part of its proposal numbers
+	ID        uint64 // identity of the process, part of its proposal numbers
 	Rounds    *RoundAllocator
 	Transport Transport
 }
 
-// Propose reads the register and changes it. start is the newest record known, which names the acceptors to begin with. The
-// record returned is the one decided or, with an error, the newest one read; the change may then take effect later or not.
+// Propose reads the register and changes it. start is the newest record known; its voters are the acceptors asked first. It
+// returns the decided record or, with an error, the newest record read. After an error, the change may still take effect later.
 func (p Proposer) Propose(ctx context.Context, start Record, change Change) (Record, error) {
 	return p.propose(ctx, start, 0, change)
 }
 
-// Bootstrap decides the first record, for members that are more than half of the seeds. Several processes may bootstrap at once
-// with other members of the seeds: a majority of the members of one list and a majority of another's need not meet, so that more
-// than half of all seeds have to vote. Any two such votes meet in one seed, and the later proposer reads there what the earlier
-// one decided.
+// Bootstrap decides the first record, whose members must be more than half of the seeds. Several processes may bootstrap
+// concurrently with different subsets of the seeds. The majorities of two such subsets need not overlap, so more than half of all
+// seeds must vote. Any two such votes have a seed in common, where the later proposer reads what the earlier one decided.
 func (p Proposer) Bootstrap(ctx context.Context, members []Member, seeds int, change Change) (Record, error) {
 	return p.propose(ctx, Record{Members: members}, seeds/2+1, change)
 }
 
-// propose is Propose where at least minVotes members have to vote.
+// propose is [Proposer.Propose] with a minimum number of votes.
 func (p Proposer) propose(ctx context.Context, start Record, minVotes int, change Change) (Record, error) {
 	var confirmed Record
 	for range maxAttempts {
@@ -68,15 +67,15 @@
 	return start, codes.Unavailable
 }
 
-// reply is what became of a request: the response, or the transport's error.
+// reply is the outcome of a request: the response or the transport's error.
 type reply struct {
 	request  Request
 	response Response
 	err      error
 }
 
-// run sends a proposal's requests and hands it the replies until it is decided or has failed. Requests may still be in flight
-// when it returns; they carry the proposal's own number and value and so change nothing that is decided.
+// run sends a proposal's requests and passes it the replies until it is decided or has failed. Requests may still be in flight
+// when it returns. They carry the proposal's own number and value and therefore can't change a decided value.
 func run(ctx context.Context, transport Transport, proposal *Proposal) {
 	ended := make(chan struct{})
 	defer close(ended)
--- a/tier/consensus/propose_test.go
+++ b/tier/consensus/propose_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost on the way, wherever proposers die and however members change, each decided value goes on from the one
-// decided before.
+// Each decided value extends the one decided before it, whatever messages are lost, wherever proposers crash and however members
+// change.
 func TestDecisionsFormOneHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c, start := newCluster(rapid.Int64().Draw(rt, "seed"), rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(rt, "members"))
 		decided := start
 		known := start
 		nextID := uint64(100)
-		rounds := proposers{}
+		rounds := roundsByProposer{}
 		for mark := range uint64(rapid.IntRange(1, 30).Draw(rt, "proposals")) {
 			c.setFaults(rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss"), rapid.IntRange(-1, 12).Draw(rt, "calls before death"))
 			remove, add := uint64(0), uint64(0)
@@ -31,7 +31,7 @@
 			if rapid.Bool().Draw(rt, "knows the newest") {
 				from = decided
 			}
-			record, err := c.proposer(proposer, rounds.of(proposer)).Propose(context.Background(), from, addMark(mark+1, remove, add))
+			record, err := c.proposer(proposer, rounds.of(proposer)).Propose(context.Background(), from, appendMark(mark+1, remove, add))
 			if err != nil {
 				continue
 			}
@@ -44,13 +44,13 @@
 	})
 }
 
-// The same over many seeds with members that change often, proposers that die and knowledge that is old.
+// The same property over 1,500 seeds with frequent changes of members, proposer crashes and outdated start records.
 func TestDecisionsFormOneHistoryWhileMembersChange(t *testing.T) {
 	for seed := range int64(1500) {
 		c, start := newCluster(seed, 3)
 		random := rand.New(rand.NewSource(seed))
 		records := []Record{start}
-		rounds := proposers{}
+		rounds := roundsByProposer{}
 		for mark := range uint64(14) {
 			c.setFaults([]float64{0, 0.05, 0.2}[random.Intn(3)], random.Intn(18)-2)
 			newest := records[len(records)-1]
@@ -62,7 +62,7 @@
 			}
 			proposer := uint64(1 + random.Intn(3))
 			from := records[max(0, len(records)-1-random.Intn(3))]
-			record, err := c.proposer(proposer, rounds.of(proposer)).Propose(context.Background(), from, addMark(mark+1, remove, add))
+			record, err := c.proposer(proposer, rounds.of(proposer)).Propose(context.Background(), from, appendMark(mark+1, remove, add))
 			if err != nil {
 				continue
 			}
@@ -74,31 +74,31 @@
 	}
 }
 
-func TestAMinorityDecidesNothing(t *testing.T) {
+func TestMinorityDecidesNothing(t *testing.T) {
 	c, start := newCluster(1, 3)
 	c.set(2, nil)
 	c.set(3, nil)
-	if _, err := c.proposer(1, firstIncarnation()).Propose(context.Background(), start, addMark(1, 0, 0)); err == nil {
+	if _, err := c.proposer(1, firstIncarnationRounds()).Propose(context.Background(), start, appendMark(1, 0, 0)); err == nil {
 		t.Fatal("one of three acceptors decided")
 	}
 }
 
-// An acceptor that lost its disk comes back under another identity, which no record names: it must not count.
-func TestAnEmptyAcceptorDoesNotCountForTheOneBefore(t *testing.T) {
+// An acceptor that lost its disk comes back with another identity, which is in no record. It must not count as a vote.
+func TestEmptyAcceptorDoesNotCountForTheLostOne(t *testing.T) {
 	c, start := newCluster(1, 3)
-	rounds := firstIncarnation()
-	first, err := c.proposer(1, rounds).Propose(context.Background(), start, addMark(1, 0, 0))
+	rounds := firstIncarnationRounds()
+	first, err := c.proposer(1, rounds).Propose(context.Background(), start, appendMark(1, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.set(3, nil)
 	c.set(4, &Acceptor{})
 	c.set(2, nil)
-	if _, err := c.proposer(1, rounds).Propose(context.Background(), first, addMark(2, 0, 0)); err == nil {
+	if _, err := c.proposer(1, rounds).Propose(context.Background(), first, appendMark(2, 0, 0)); err == nil {
 		t.Fatal("decided with one acceptor and an empty one")
 	}
 	c.set(2, &Acceptor{Promised: c.get(1).Promised, Accepted: c.get(1).Accepted, Value: first})
-	replaced, err := c.proposer(1, rounds).Propose(context.Background(), first, addMark(2, 3, 4))
+	replaced, err := c.proposer(1, rounds).Propose(context.Background(), first, appendMark(2, 3, 4))
 	if err != nil || !HasMember(replaced.Members, 4) || HasMember(replaced.Members, 3) {
 		t.Fatalf("replacing the lost member gave %+v, %v", replaced, err)
 	}
@@ -107,9 +107,9 @@
 	}
 }
 
-func TestAProposalWithoutAcceptorsDecidesNothing(t *testing.T) {
+func TestProposalWithoutAcceptorsDecidesNothing(t *testing.T) {
 	c, _ := newCluster(1, 3)
-	if record, err := c.proposer(1, firstIncarnation()).Propose(context.Background(), Record{}, addMark(1, 0, 0)); err == nil {
+	if record, err := c.proposer(1, firstIncarnationRounds()).Propose(context.Background(), Record{}, appendMark(1, 0, 0)); err == nil {
 		t.Fatalf("decided %+v without an acceptor", record)
 	}
 }
--- a/tier/consensus/quorum.go
+++ b/tier/consensus/quorum.go
@@ -1,6 +1,6 @@
 package consensus
 
-// Majority tells whether more than half of the members have voted. Of no members it is always a majority.
+// Majority reports whether more than half of the members have voted. It returns true if there are no members.
 func Majority(members []Member, voted map[uint64]bool) bool {
 	if len(members) == 0 {
 		return true
@@ -14,14 +14,15 @@
 	return count > len(members)/2
 }
 
-// Quorum tells whether the votes decide for a record: a majority of its members and, during a change, of those before.
+// Quorum reports whether the votes form a quorum of a record: a majority of its members and, during a change of members, a
+// majority of the previous ones.
 func Quorum(record Record, voted map[uint64]bool) bool {
 	return Majority(record.Members, voted) && Majority(record.Previous, voted)
 }
 
-// QuorumWithLostDisks tells whether the votes decide for a record where the disks of some members are provably lost. Half of an
-// even number may be lost if all others vote: every majority that decided something before holds one of these others, and all of
-// them are asked. Where more are lost, a decision may be lost with them.
+// QuorumWithLostDisks reports whether the votes form a quorum of a record if the disks of some members are provably lost. Of an
+// even number of members, half may be lost if all others vote: every majority that decided something before includes one of these
+// others, and all of them are asked. If more are lost, a decision may be lost with them.
 func QuorumWithLostDisks(record Record, voted, lost map[uint64]bool) bool {
 	return majorityWithLostDisks(record.Members, voted, lost) && majorityWithLostDisks(record.Previous, voted, lost)
 }
@@ -37,13 +38,13 @@
 		case lost[member.ID]:
 			lostMembers++
 		default:
-			return false // it may have voted for something else
+			return false // this member may have accepted another value
 		}
 	}
 	return 2*lostMembers == len(members)
 }
 
-// HighestAccepted picks the value with the highest accepted number among the promises, or fallback if none was accepted.
+// HighestAccepted returns the value with the highest accepted number among the promises, or fallback if none was accepted.
 func HighestAccepted(promises map[uint64]Response, fallback Record) Record {
 	highest := ProposalNumber{}
 	value := fallback
@@ -56,7 +57,7 @@
 	return value
 }
 
-// granted are the acceptors that granted what they were asked.
+// granted returns the acceptors that granted the request.
 func granted(responses map[uint64]Response) map[uint64]bool {
 	voted := map[uint64]bool{}
 	for id, response := range responses {
--- a/tier/consensus/quorum_test.go
+++ b/tier/consensus/quorum_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func marked(ids ...uint64) map[uint64]bool {
+func idSet(ids ...uint64) map[uint64]bool {
 	set := map[uint64]bool{}
 	for _, id := range ids {
 		set[id] = true
@@ -10,9 +10,10 @@
 	return set
 }
 
-// One of two members whose disk is lost does not stop the other; anything less than all survivors, or more lost than half, does.
-func TestHalfOfAnEvenNumberMayBeLost(t *testing.T) {
-	group := func(ids ...uint64) []Member {
+// Half of an even number of members may have lost their disks if all other members vote. Fewer votes, or more lost disks, form no
+// quorum.
+func TestHalfOfAnEvenNumberOfDisksMayBeLost(t *testing.T) {
+	newMembers := func(ids ...uint64) []Member {
 		var members []Member
 		for _, id := range ids {
 			members = append(members, Member{ID: id})
@@ -25,15 +26,15 @@
 		voted, lost   map[uint64]bool
 		want          bool
 	}{
-		{"one of two lost", group(1, 2), nil, marked(1), marked(2), true},
-		{"one of two silent", group(1, 2), nil, marked(1), nil, false},
-		{"two of four lost, all others vote", group(1, 2, 3, 4), nil, marked(1, 2), marked(3, 4), true},
-		{"two of four lost, one silent", group(1, 2, 3, 4), nil, marked(1), marked(3, 4), false},
-		{"three of four lost", group(1, 2, 3, 4), nil, marked(1), marked(2, 3, 4), false},
-		{"two of three lost", group(1, 2, 3), nil, marked(1), marked(2, 3), false},
-		{"a majority", group(1, 2, 3), nil, marked(1, 2), nil, true},
-		{"during a change of the lost member", group(1, 7), group(1, 2), marked(1, 7), marked(2), true},
-		{"during a change, the old ones silent", group(1, 7), group(1, 2), marked(1, 7), nil, false},
+		{"one of two lost", newMembers(1, 2), nil, idSet(1), idSet(2), true},
+		{"one of two doesn't vote", newMembers(1, 2), nil, idSet(1), nil, false},
+		{"two of four lost, all others vote", newMembers(1, 2, 3, 4), nil, idSet(1, 2), idSet(3, 4), true},
+		{"two of four lost, one doesn't vote", newMembers(1, 2, 3, 4), nil, idSet(1), idSet(3, 4), false},
+		{"three of four lost", newMembers(1, 2, 3, 4), nil, idSet(1), idSet(2, 3, 4), false},
+		{"two of three lost", newMembers(1, 2, 3), nil, idSet(1), idSet(2, 3), false},
+		{"a majority", newMembers(1, 2, 3), nil, idSet(1, 2), nil, true},
+		{"during a change of the lost member", newMembers(1, 7), newMembers(1, 2), idSet(1, 7), idSet(2), true},
+		{"during a change, a previous member doesn't vote", newMembers(1, 7), newMembers(1, 2), idSet(1, 7), nil, false},
 	}
 	for _, c := range cases {
 		if got := QuorumWithLostDisks(Record{Members: c.members, Previous: c.prev}, c.voted, c.lost); got != c.want {
@@ -49,7 +50,7 @@
 	return next, true
 }
 
-// Of two members one lost its disk: the other decides alone, on what both had decided before.
+// If one of two members lost its disk, the other decides alone, based on the record that both decided before.
 func TestOneOfTwoDecidesWhenTheOtherDiskIsLost(t *testing.T) {
 	both := Record{Epoch: 4, Members: []Member{{ID: 1}, {ID: 2}}}
 	previous := Response{Granted: true, Accepted: ProposalNumber{Round: 3, Proposer: 2}, Value: both}
@@ -70,8 +71,8 @@
 	}
 }
 
-// A member that is merely not reached may have voted for something else: nothing is decided without it.
-func TestOneOfTwoDecidesNothingWhileTheOtherIsSilent(t *testing.T) {
+// A member that is only unreachable may have accepted another value, so nothing is decided without it.
+func TestOneOfTwoDecidesNothingWhileTheOtherIsUnreachable(t *testing.T) {
 	both := Record{Epoch: 4, Members: []Member{{ID: 1}, {ID: 2}}}
 	p := NewProposal(ProposalNumber{Round: 9, Proposer: 1}, both, Record{}, raiseEpoch)
 	p.Begin()
@@ -82,7 +83,7 @@
 	}
 }
 
-// Two of three lost may have decided without the third.
+// Two members whose disks are lost may have decided a record without the third, so the third can't decide alone.
 func TestOneOfThreeDecidesNothingThoughTheOthersAreLost(t *testing.T) {
 	three := Record{Epoch: 4, Members: []Member{{ID: 1}, {ID: 2}, {ID: 3}}}
 	p := NewProposal(ProposalNumber{Round: 9, Proposer: 1}, three, Record{}, raiseEpoch)
--- a/tier/consensus/record.go
+++ b/tier/consensus/record.go
@@ -7,12 +7,12 @@
 	"otterseam/tier/codec"
 )
 
-// Member is a process that votes and may hold a replica. The identity is drawn when its disk is first used, so that a
-// machine that lost its disk comes back as another member.
+// Member is a process that votes and may hold a replica. Its identity is generated when its disk is first used, so a machine
+// that lost its disk comes back as another member.
 type Member struct {
 	ID      uint64
 	Address string
-	Node    string // the machine's name
+	Node    string // name of the machine
 }
 
 // Record is the value of the register.
@@ -21,17 +21,17 @@
 	Primary   uint64
 	InSync    []uint64
 	Members   []Member
-	Previous  []Member // the members before a change that is not yet known by a majority of both
-	MinInSync int      `json:"MinCopies"` // in-sync replicas without which nothing is committed
-	Learners  []Member // spares that hold a replica, or are getting one, and have no vote
-	// ClusterID is drawn at bootstrap and never changes.
+	Previous  []Member // the members before a change that is not yet known to a majority of both old and new members
+	MinInSync int      `json:"MinCopies"` // minimum number of in-sync replicas for a commit
+	Learners  []Member // non-voting spares that hold a replica or are receiving one
+	// ClusterID is generated at bootstrap and never changes.
 	ClusterID uint64 `json:"Installation"`
 }
 
-// IsBootstrapped tells whether the register has ever been written.
+// IsBootstrapped reports whether the record is that of a register that has been written.
 func (r Record) IsBootstrapped() bool { return r.Epoch > 0 }
 
-// Voters are all whose votes may be needed.
+// Voters returns the members whose votes may be needed: the current ones and, during a change, the previous ones.
 func (r Record) Voters() []Member {
 	voters := append([]Member(nil), r.Members...)
 	for _, member := range r.Previous {
@@ -42,7 +42,7 @@
 	return voters
 }
 
-// Replicas are all that are to hold a replica, with a vote or without.
+// Replicas returns the members that should hold a replica, voting or not.
 func (r Record) Replicas() []Member {
 	replicas := append([]Member(nil), r.Members...)
 	for _, learner := range r.Learners {
@@ -63,10 +63,10 @@
 	return Member{}, false
 }
 
-// IsInSync tells whether a replica holds all that was acknowledged.
+// IsInSync reports whether a replica is in the in-sync set, and so holds every acknowledged command.
 func (r Record) IsInSync(id uint64) bool { return slices.Contains(r.InSync, id) }
 
-// Equal tells whether two records are the same.
+// Equal reports whether two records are the same.
 func (r Record) Equal(other Record) bool {
 	var a, b codec.Encoder
 	EncodeRecord(&a, r)
@@ -74,18 +74,18 @@
 	return bytes.Equal(a.Bytes, b.Bytes)
 }
 
-// withoutPrevious is a record without the note that its members were changed, which each writing of it may set anew.
+// withoutPrevious returns the record without its previous members, which each write of the record may set differently.
 func (r Record) withoutPrevious() Record {
 	r.Previous = nil
 	return r
 }
 
-// HasMember tells whether a list holds a member of that identity.
+// HasMember reports whether a list contains a member with an identity.
 func HasMember(members []Member, id uint64) bool {
 	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == id })
 }
 
-// Without returns a copy of the list without one identity, nil if none remains.
+// Without returns a copy of the list without one identity, or nil if none remains.
 func Without(ids []uint64, id uint64) []uint64 {
 	var rest []uint64
 	for _, each := range ids {
@@ -96,7 +96,7 @@
 	return rest
 }
 
-// sameMembers tells whether two lists name the same identities, in any order.
+// sameMembers reports whether two lists contain the same identities, in any order.
 func sameMembers(a, b []Member) bool {
 	if len(a) != len(b) {
 		return false
--- a/tier/consensus/recorded_test.go
+++ b/tier/consensus/recorded_test.go
@@ -57,7 +57,7 @@
 	recorded.CheckBoth(t, "witness", acceptor, func(w Acceptor) []byte { return w.Encode() }, DecodeAcceptor)
 }
 
-// What a proposer makes durable before its first round, and the round that its next incarnation begins with, are those recorded.
+// The round limit that a proposer stores before its first round, and the first round of its next incarnation, match the recording.
 func TestRecordedRounds(t *testing.T) {
 	var stored []byte
 	first := NewRoundAllocator(41, func(limit uint64) error {
--- a/tier/consensus/round_allocator_test.go
+++ b/tier/consensus/round_allocator_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// limitDisk keeps the limit of a proposer's rounds.
-type limitDisk struct {
+// limitStore stores the limit of a proposer's rounds.
+type limitStore struct {
 	limit  uint64
 	writes int
 	fails  bool
@@ -18,7 +18,7 @@
 
 var errDisk = errors.New("disk failed")
 
-func (d *limitDisk) reserve(limit uint64) error {
+func (d *limitStore) reserve(limit uint64) error {
 	if d.fails {
 		return errDisk
 	}
@@ -27,10 +27,11 @@
 	return nil
 }
 
-// Whatever an incarnation used or saw, and however often it restarts, no round comes twice and each is above all seen before.
-func TestNoRoundIsHandedOutTwice(t *testing.T) {
+// No round is allocated twice, over any number of restarts, and each is above all rounds that its incarnation allocated or
+// observed before.
+func TestNoRoundIsAllocatedTwice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		disk := &limitDisk{}
+		disk := &limitStore{}
 		rounds := NewRoundAllocator(0, disk.reserve)
 		used := map[uint64]bool{}
 		highest := uint64(0)
@@ -40,7 +41,7 @@
 				disk.fails = rapid.Bool().Draw(rt, "disk fails")
 			case 1:
 				rounds = NewRoundAllocator(disk.limit, disk.reserve)
-				highest = 0 // what was only seen is forgotten
+				highest = 0 // observed rounds are not durable
 			case 2:
 				seen := rapid.Uint64Range(0, 4*roundsReserved).Draw(rt, "seen")
 				rounds.Observe(seen)
@@ -51,10 +52,10 @@
 					continue
 				}
 				if used[round] || round <= highest {
-					rt.Fatalf("round %d again, or not above %d", round, highest)
+					rt.Fatalf("round %d was allocated before or is not above %d", round, highest)
 				}
 				if round > disk.limit {
-					rt.Fatalf("round %d left while %d was durable", round, disk.limit)
+					rt.Fatalf("round %d was allocated while the durable limit was %d", round, disk.limit)
 				}
 				used[round] = true
 				highest = round
@@ -63,8 +64,8 @@
 	})
 }
 
-func TestAnIncarnationReservesItsRoundsOnce(t *testing.T) {
-	disk := &limitDisk{}
+func TestIncarnationReservesItsRoundsOnce(t *testing.T) {
+	disk := &limitStore{}
 	rounds := NewRoundAllocator(0, disk.reserve)
 	if err := rounds.Reserve(); err != nil {
 		t.Fatal(err)
@@ -79,8 +80,8 @@
 	}
 }
 
-func TestProposalsSideBySideUseDifferentRounds(t *testing.T) {
-	rounds := firstIncarnation()
+func TestConcurrentProposalsUseDifferentRounds(t *testing.T) {
+	rounds := firstIncarnationRounds()
 	const each, proposals = 200, 4
 	allocated := make(chan uint64, each*proposals)
 	var wait sync.WaitGroup
@@ -99,14 +100,14 @@
 	seen := map[uint64]bool{}
 	for round := range allocated {
 		if seen[round] {
-			t.Fatalf("round %d was handed out twice", round)
+			t.Fatalf("round %d was allocated twice", round)
 		}
 		seen[round] = true
 	}
 }
 
-// A disk of an older version holds no limit. The first incarnation of this version starts far above what its acceptor promised.
-func TestADiskWithoutALimitStartsAboveWhatItMayHaveUsed(t *testing.T) {
+// A disk written by an older version holds no limit. The first incarnation of this version starts far above its acceptor's promise.
+func TestDiskWithoutLimitStartsAboveRoundsItMayHaveUsed(t *testing.T) {
 	if got := AssumedRoundLimit(Acceptor{}); got != 0 {
 		t.Fatalf("a first incarnation starts above %d", got)
 	}
@@ -115,31 +116,31 @@
 	}
 }
 
-// A proposer whose own acceptor never wrote its number restarts and proposes another value. The former incarnation's accept, which
-// comes last, must not replace the decided value.
-func TestALateAcceptOfAFormerIncarnationReplacesNothing(t *testing.T) {
+// A proposer whose own acceptor never stored its number restarts and proposes another value. A late accept of the previous
+// incarnation must not replace the decided value.
+func TestLateAcceptOfPreviousIncarnationReplacesNothing(t *testing.T) {
 	c, start := newCluster(1, 3)
-	disk := &limitDisk{}
+	disk := &limitStore{}
 	first := NewRoundAllocator(disk.limit, disk.reserve)
 	round, err := first.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	former := ProposalNumber{Round: round, Proposer: 1}
-	// the former incarnation's own acceptor, number 1, has written nothing; 2 and 3 promised
+	previous := ProposalNumber{Round: round, Proposer: 1}
+	// Acceptors 2 and 3 have promised; the proposer's own acceptor 1 has stored nothing.
 	for _, id := range []uint64{2, 3} {
-		if promise, err := c.Prepare(context.Background(), Member{ID: id}, former); err != nil || !promise.Granted {
+		if promise, err := c.Prepare(context.Background(), Member{ID: id}, previous); err != nil || !promise.Granted {
 			t.Fatalf("%+v, %v", promise, err)
 		}
 	}
-	decided, err := c.proposer(1, NewRoundAllocator(disk.limit, disk.reserve)).Propose(context.Background(), start, addMark(2, 0, 0))
+	decided, err := c.proposer(1, NewRoundAllocator(disk.limit, disk.reserve)).Propose(context.Background(), start, appendMark(2, 0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []uint64{1, 2, 3} {
-		_, _ = c.Accept(context.Background(), Member{ID: id}, former, Record{Epoch: 1, InSync: []uint64{1}, Members: start.Members})
+		_, _ = c.Accept(context.Background(), Member{ID: id}, previous, Record{Epoch: 1, InSync: []uint64{1}, Members: start.Members})
 	}
-	read, err := c.proposer(2, firstIncarnation()).Propose(context.Background(), start, func(r Record, _ map[uint64]bool) (Record, bool) { return r, false })
+	read, err := c.proposer(2, firstIncarnationRounds()).Propose(context.Background(), start, func(r Record, _ map[uint64]bool) (Record, bool) { return r, false })
 	if err != nil || !read.Equal(decided) {
 		t.Fatalf("decided %+v, then read %+v, %v", decided, read, err)
 	}
