--- a/tier/consensus/explore_test.go
+++ b/tier/consensus/explore_test.go
@@ -517,7 +517,7 @@
 	}
 	for _, test := range []struct {
 		name     string
-		inject    func(*faults)
+		inject   func(*faults)
 		scenario scenario
 	}{
 		{"two incarnations use the same number", func(f *faults) { f.roundFromAcceptor, f.secondValue = true, true }, restartScenario},
