--- a/tier/replica/backup.go
+++ b/tier/replica/backup.go
@@ -1,14 +1,14 @@
 package replica
 
-// maxUnwrittenBytes is how many bytes of entries a backup takes that are not on its disk yet.
+// maxUnwrittenBytes is the size of entries waiting to be written above which a backup accepts no more.
 const maxUnwrittenBytes = 4 << 20
 
-// backupState is what a replica knows of the primary that it follows.
+// backupState is the state of a replica in its role as a backup.
 type backupState struct {
-	lastHeartbeat int64             // when a message of the primary last came
-	matched       uint64            // up to where the log is known to be the primary's, in this epoch
-	incoming      *incomingSnapshot // nil while none is received
-	unrestorable  *incomingSnapshot // the last one that the state machine could not restore, without its bytes; nil: none
+	lastHeartbeat int64             // when the last message of the primary was received
+	matched       uint64            // index up to which the log is known to match the primary's, in this epoch
+	incoming      *incomingSnapshot // the snapshot being received, nil if there is none
+	unrestorable  *incomingSnapshot // the last snapshot that couldn't be restored, without its bytes; nil if there is none
 	contact       backupContact
 }
 
@@ -20,7 +20,7 @@
 		g.view = View{Epoch: message.Epoch, Primary: from}
 		g.backup.matched = 0
 		g.stepDown()
-		g.backup.contact.primaryConfirmedAt = now // a majority has just decided for it
+		g.backup.contact.primaryConfirmedAt = now // a majority has just decided on this primary
 	}
 	g.backup.lastHeartbeat = now
 	switch message.Kind {
@@ -36,7 +36,7 @@
 func (g *Group) handleAppend(from uint64, message Message) {
 	prevEpoch, known := g.log.epochAt(message.Index)
 	if message.Index < g.log.base.index {
-		// what stands before the base is committed and therefore the same
+		// The entries up to the base are committed and therefore match.
 		g.skipBelowBase(&message)
 		prevEpoch = message.PrevEpoch
 		known = true
@@ -45,19 +45,19 @@
 		g.send(from, Message{Kind: MessageLogMismatch, Epoch: g.view.Epoch, Index: min(g.log.lastIndex(), message.Index)})
 		return
 	}
-	entries := g.log.firstMissing(message.Entries)
+	entries := g.log.fromFirstMissing(message.Entries)
 	if len(entries) > 0 && g.log.unwrittenBytes > maxUnwrittenBytes {
-		return // the disk is behind; they come again
+		return // the disk is too slow; the primary sends the entries again
 	}
 	if len(entries) > 0 {
 		g.log.truncateFrom(entries[0].Index)
 		g.log.append(entries...)
 		g.write(entries)
 	}
-	g.follow(message.Commit, message.Index+uint64(len(message.Entries)))
+	g.commitAndAcknowledge(message.Commit, message.Index+uint64(len(message.Entries)))
 }
 
-// skipBelowBase drops entries below the base from a message and moves its index there.
+// skipBelowBase removes the entries up to the base from a message and sets its index to the base.
 func (g *Group) skipBelowBase(message *Message) {
 	skip := g.log.base.index - message.Index
 	if skip > uint64(len(message.Entries)) {
@@ -68,23 +68,23 @@
 	message.Entries = message.Entries[skip:]
 }
 
-// follow applies what the primary has committed, as far as the logs are known to match, and acknowledges.
-func (g *Group) follow(committed, matched uint64) {
+// commitAndAcknowledge applies what the primary has committed, as far as the logs are known to match, and acknowledges.
+func (g *Group) commitAndAcknowledge(committed, matched uint64) {
 	g.backup.matched = max(g.backup.matched, matched)
 	if g.backup.incoming != nil && matched >= g.backup.incoming.position.index {
-		g.backup.incoming = nil // the log goes on without it
+		g.backup.incoming = nil // the log no longer needs the snapshot
 	}
 	if commit := min(committed, matched); commit > g.commit.committed {
 		g.commit.committed = commit
 		g.applyCommitted()
 	}
-	// a message whose entries are all durable already is answered at once, heartbeats among them
+	// A message whose entries are all durable already, such as a heartbeat, is acknowledged at once.
 	if g.log.durable >= matched && matched > 0 {
 		g.sendAck(matched)
 	}
 }
 
-// acknowledgeDurable reports to the primary what is durable here and known to match its log.
+// acknowledgeDurable acknowledges the entries that are durable and known to match the primary's log.
 func (g *Group) acknowledgeDurable() {
 	index := min(g.log.durable, g.backup.matched)
 	if g.view.Primary == 0 || g.view.Primary == g.self || index == 0 {
--- a/tier/replica/bench_test.go
+++ b/tier/replica/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// liveBytes is what the heap holds after a collection.
+// liveBytes returns the size of the heap after a garbage collection.
 func liveBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -13,8 +13,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkPrimaryWithASilentReplica takes 100,000 changes of 10 KB while a replica that acknowledged once says nothing, and reports
-// what the heap holds after a tenth of them and after all.
+// BenchmarkPrimaryWithASilentReplica proposes 100,000 commands of 10 KB while a replica that acknowledged once is silent. It
+// reports the heap growth after a tenth of the commands and after all of them.
 func BenchmarkPrimaryWithASilentReplica(b *testing.B) {
 	const (
 		changes     = 100_000
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkCommit carries commands of 1 KB from a primary to two backups until they are committed: messages, writes and
-// acknowledgements, without a network and without a disk.
+// BenchmarkCommit measures the commit of commands of 1 KB on a primary with two backups: messages, writes and acknowledgements,
+// without a network or a disk.
 func BenchmarkCommit(b *testing.B) {
 	view := View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}
 	groups := map[uint64]*Group{}
--- a/tier/replica/catchup_sim_test.go
+++ b/tier/replica/catchup_sim_test.go
@@ -14,43 +14,43 @@
 	"otterseam/tier/consensus"
 )
 
-// This simulation plays hundreds to thousands of changes against a group of which replicas are down, wiped, cut off or started
-// again and again while they catch up. Time is virtual. Links have a bandwidth and a delay and keep the order of messages; disks
-// have a delay and a bandwidth; what was not synced is lost with the power.
+// This simulation proposes hundreds to thousands of changes to a group whose replicas are stopped, wiped, disconnected or restarted
+// repeatedly while they catch up. Time is virtual. Links have a bandwidth and a delay and keep the order of messages. Disks have a
+// sync delay, and unsynced writes may be lost with the power.
 
 const (
 	catchupSeedsVariable = "TIER_CATCHUP_SEEDS"
 	defaultCatchupSeeds  = 200
 
-	millisecond  = int64(1000) // virtual time is counted in microseconds
-	catchupNodes = 3
-	minimumSync  = 2 // replicas that stay in the in-sync set
-	tickPeriod   = 40 * millisecond
-	primaryLost  = 600 * millisecond
-	watchPeriod  = 50 * millisecond
-	// memoryCheckEvery is how many events pass between looks at the entries that a node holds, for the test's own speed.
+	millisecond      = int64(1000) // virtual time is in microseconds
+	catchupNodes     = 3
+	catchupMinInSync = 2 // minimum size of the in-sync set
+	tickPeriod       = 40 * millisecond
+	primaryLostAfter = 600 * millisecond
+	controlPeriod    = 50 * millisecond
+	// memoryCheckEvery is the number of events per check of the applied entries in memory. Checking at each event is too slow.
 	memoryCheckEvery = 5
 )
 
-// countedMachine keeps the numbers of the changes applied, and bytes that stand for the rest of a state.
-type countedMachine struct {
-	applied []uint32
-	held    map[uint32]bool
-	padding []byte
+// numberMachine is a state machine that keeps the numbers of the applied changes, and padding that stands for the rest of a state.
+type numberMachine struct {
+	applied    []uint32
+	appliedSet map[uint32]bool
+	padding    []byte
 }
 
-func newCountedMachine(padding int) *countedMachine {
-	return &countedMachine{held: map[uint32]bool{}, padding: make([]byte, padding)}
+func newNumberMachine(padding int) *numberMachine {
+	return &numberMachine{appliedSet: map[uint32]bool{}, padding: make([]byte, padding)}
 }
 
-func (m *countedMachine) Apply(_ uint64, command []byte) any {
+func (m *numberMachine) Apply(_ uint64, command []byte) any {
 	number := binary.BigEndian.Uint32(command)
 	m.applied = append(m.applied, number)
-	m.held[number] = true
+	m.appliedSet[number] = true
 	return nil
 }
 
-func (m *countedMachine) Snapshot() []byte {
+func (m *numberMachine) Snapshot() []byte {
 	var e codec.Encoder
 	e.Blob(m.padding)
 	e.Uint32(uint32(len(m.applied)))
@@ -60,38 +60,38 @@
 	return e.Bytes
 }
 
-func (m *countedMachine) Restore(snapshot []byte) error {
+func (m *numberMachine) Restore(snapshot []byte) error {
 	d := codec.NewDecoder(snapshot)
 	m.padding = d.Blob()
 	m.applied = nil
-	m.held = map[uint32]bool{}
+	m.appliedSet = map[uint32]bool{}
 	for range d.Count(4) {
 		number := d.Uint32()
 		m.applied = append(m.applied, number)
-		m.held[number] = true
+		m.appliedSet[number] = true
 	}
 	return d.Err()
 }
 
-// catchupPlan is what one seed plays.
+// catchupPlan holds the parameters of one simulation run.
 type catchupPlan struct {
 	changes       int
 	changeBytes   int
-	interval      int64 // between changes
-	padding       int   // of the state
+	interval      int64 // time between changes
+	padding       int   // size of the padding of the state
 	retainedBytes int
 	chunkBytes    int
-	slowLink      int64 // bytes a second of the replica that is faulty
-	link          int64 // bytes a second of the others
+	slowLink      int64 // bytes per second on the links of the faulty replica
+	fastLink      int64 // bytes per second on the other links
 	delay         int64
-	sync          int64 // of a disk
+	syncDelay     int64 // duration of a disk sync
 	fault         string
-	upFor         int64 // between restarts
+	uptime        int64 // time between restarts
 }
 
-var catchupFaults = []string{"down", "down for all", "wiped", "wiped twice", "restarted often", "cut off often", "primary lost", "power lost", "primary lost in a transfer"}
+var catchupFaults = []string{"down", "down for most changes", "wiped", "wiped twice", "restarted often", "disconnected often", "primary lost", "power lost", "primary lost in a transfer"}
 
-func drawPlan(random *rand.Rand) catchupPlan {
+func randomPlan(random *rand.Rand) catchupPlan {
 	p := catchupPlan{
 		changes:       500 + random.Intn(700),
 		changeBytes:   200 + random.Intn(2000),
@@ -100,19 +100,19 @@
 		retainedBytes: (8 + random.Intn(120)) << 10,
 		chunkBytes:    (1 + random.Intn(16)) << 10,
 		delay:         (100 + random.Int63n(5000)),
-		sync:          (1 + random.Int63n(8)) * millisecond,
+		syncDelay:     (1 + random.Int63n(8)) * millisecond,
 		fault:         catchupFaults[random.Intn(len(catchupFaults))],
-		upFor:         (50 + random.Int63n(1500)) * millisecond,
+		uptime:        (50 + random.Int63n(1500)) * millisecond,
 	}
 	if random.Intn(20) == 0 {
 		p.changes = 5000
 		p.changeBytes = 200
 		p.interval = (5 + random.Int63n(5)) * millisecond
 	}
-	// a link that carries the changes at least twice as fast as they come
+	// A link has at least twice the bandwidth that the changes need.
 	rate := int64(p.changeBytes+200) * 1_000_000 / p.interval
 	p.slowLink = 2*rate + 20_000 + random.Int63n(4*rate+200_000)
-	p.link = 4*p.slowLink + 1_000_000
+	p.fastLink = 4*p.slowLink + 1_000_000
 	return p
 }
 
@@ -123,21 +123,21 @@
 	incarnation uint64
 	up          bool
 	group       *Group
-	machine     *countedMachine
+	machine     *numberMachine
 	slots       *TransferSlots
 	disk        simDisk
 	queued      []Write
 	syncing     []Write
 	viewEpoch   uint64
 	ready       bool
-	lostAt      int64
+	stoppedAt   int64
 }
 
 type catchupLink struct {
 	freeAt           int64
 	cut              bool
-	connection       int   // of the connection
-	queuedChunkBytes int64 // bytes of snapshots that wait
+	connectionID     int   // number of the current connection
+	queuedChunkBytes int64 // queued bytes of snapshot chunks
 }
 
 type event struct {
@@ -173,26 +173,26 @@
 	view                View
 	primaryIncarnation  uint64
 	nextID              uint64
-	waiting             map[uint64]map[uint64]uint32 // by incarnation of the primary and index
+	pending             map[uint64]map[uint64]uint32 // proposed changes, by incarnation of the primary and index
 	acknowledged        map[uint32]bool
 	lastChange          uint32
 	faultEndedAt        int64 // when the last fault ended
-	inSyncAt            int64 // when all were in sync for good
+	inSyncAt            int64 // when all replicas were first in sync after the last fault
 	faultEnded          bool
 	maxLogBytes         int
 	maxQueuedBytes      int64 // longest queue of a link, in bytes
-	maxQueuedChunkBytes int64 // most bytes of snapshots that waited on a link
+	maxQueuedChunkBytes int64 // largest amount of queued snapshot chunks of a link, in bytes
 }
 
 func newCatchupSim(t testing.TB, seed int64) *catchupSim {
 	random := rand.New(rand.NewSource(seed))
-	return newPlannedSim(t, random, drawPlan(random))
+	return newPlannedSim(t, random, randomPlan(random))
 }
 
 func newPlannedSim(t testing.TB, random *rand.Rand, plan catchupPlan) *catchupSim {
 	s := &catchupSim{
 		t: t, random: random, plan: plan, now: 1000 * millisecond, nextID: 1,
-		waiting: map[uint64]map[uint64]uint32{}, acknowledged: map[uint32]bool{},
+		pending: map[uint64]map[uint64]uint32{}, acknowledged: map[uint32]bool{},
 	}
 	for position := range catchupNodes {
 		node := &catchupNode{position: position}
@@ -213,7 +213,7 @@
 	heap.Push(&s.events, event{s.now + after, s.order, run})
 }
 
-func (s *catchupSim) ms() int64 { return s.now / millisecond }
+func (s *catchupSim) nowMillis() int64 { return s.now / millisecond }
 
 func (s *catchupSim) find(id uint64) *catchupNode {
 	for _, node := range s.nodes {
@@ -237,7 +237,7 @@
 	node.ready = false
 	node.viewEpoch = 0
 	node.queued, node.syncing = nil, nil
-	node.machine = newCountedMachine(s.plan.padding)
+	node.machine = newNumberMachine(s.plan.padding)
 	node.slots = NewTransferSlots(1)
 	group, err := NewGroup(node.id, node.machine, node.disk.base, append([]Entry(nil), node.disk.entries...), Options{
 		EagerCommit: true, RetainedEntries: 16, RetainedBytes: s.plan.retainedBytes, SnapshotChunkBytes: s.plan.chunkBytes, TransferSlots: node.slots,
@@ -252,20 +252,20 @@
 		if node.starts != starts || !node.up {
 			return
 		}
-		node.group.Tick(s.ms(), true)
-		s.carryOut(node)
+		node.group.Tick(s.nowMillis(), true)
+		s.handleOutput(node)
 		s.schedule(tickPeriod, tick)
 	}
 	s.schedule(s.random.Int63n(tickPeriod), tick)
 }
 
-// stop loses the power: some prefix of the writes that are not synced may be on the disk.
+// stop simulates a power loss of a node. A random prefix of its unsynced writes reaches the disk.
 func (s *catchupSim) stop(node *catchupNode) {
 	if !node.up {
 		return
 	}
 	node.up = false
-	node.lostAt = s.now
+	node.stoppedAt = s.now
 	pending := slices.Concat(node.syncing, node.queued)
 	for _, write := range pending[:s.random.Intn(len(pending)+1)] {
 		node.disk.write(write)
@@ -276,9 +276,9 @@
 	}
 }
 
-// disconnect ends the connection; what waited on it is lost.
+// disconnect ends the connection of a link. Messages queued on it are lost.
 func (l *catchupLink) disconnect(now int64) {
-	l.connection++
+	l.connectionID++
 	l.freeAt = now
 	l.queuedChunkBytes = 0
 }
@@ -287,7 +287,7 @@
 	if from == catchupNodes-1 || to == catchupNodes-1 {
 		return s.plan.slowLink
 	}
-	return s.plan.link
+	return s.plan.fastLink
 }
 
 func (s *catchupSim) send(from *catchupNode, out Outgoing) {
@@ -309,27 +309,27 @@
 	chunk := int64(len(out.Message.Chunk))
 	link.queuedChunkBytes += chunk
 	s.maxQueuedChunkBytes = max(s.maxQueuedChunkBytes, link.queuedChunkBytes)
-	connection := link.connection
+	connection := link.connectionID
 	s.schedule(link.freeAt-s.now, func() {
-		if link.connection == connection {
+		if link.connectionID == connection {
 			link.queuedChunkBytes -= chunk
 		}
 	})
 	message := out.Message
 	sender := from.id
 	s.schedule(link.freeAt-s.now+s.plan.delay, func() {
-		if link.connection != connection || !to.up || to.id != out.To {
+		if link.connectionID != connection || !to.up || to.id != out.To {
 			return
 		}
-		to.group.Step(sender, message, s.ms())
-		s.carryOut(to)
+		to.group.Step(sender, message, s.nowMillis())
+		s.handleOutput(to)
 	})
 }
 
-func (s *catchupSim) carryOut(node *catchupNode) {
+func (s *catchupSim) handleOutput(node *catchupNode) {
 	output := node.group.TakeOutput()
 	if output.SteppedDown {
-		delete(s.waiting, node.incarnation)
+		delete(s.pending, node.incarnation)
 	}
 	node.queued = append(node.queued, output.Writes...)
 	s.sync(node)
@@ -337,9 +337,9 @@
 		s.send(node, out)
 	}
 	for _, applied := range output.Applied {
-		if number, waits := s.waiting[node.incarnation][applied.Index]; waits {
+		if number, isPending := s.pending[node.incarnation][applied.Index]; isPending {
 			s.acknowledged[number] = true
-			delete(s.waiting[node.incarnation], applied.Index)
+			delete(s.pending[node.incarnation], applied.Index)
 		}
 	}
 	node.group.Trim()
@@ -347,12 +347,13 @@
 	s.checkLeadership(node)
 }
 
-// checkMemory holds the log in memory against its bound: what is kept, what is not committed, and what stays behind a snapshot.
+// checkMemory checks the size of the applied entries in memory against its bound: the retained entries and, on a primary, those
+// kept after the snapshot of a transfer.
 func (s *catchupSim) checkMemory(node *catchupNode) {
 	state := s.plan.padding + 8 + 4*len(node.machine.applied)
 	bound := s.plan.retainedBytes*5/4 + 2*(s.plan.changeBytes+entryOverhead)
 	if node.group.IsPrimary() {
-		bound += s.plan.retainedBytes + 2*state // behind a snapshot that is under way
+		bound += s.plan.retainedBytes + 2*state // after the snapshot of a transfer
 	}
 	s.maxLogBytes = max(s.maxLogBytes, node.group.log.bytes)
 	if s.order%memoryCheckEvery != 0 {
@@ -363,27 +364,27 @@
 	}
 }
 
-// checkLeadership checks that a primary begins with all that was acknowledged.
+// checkLeadership checks that a primary that becomes ready has all acknowledged changes.
 func (s *catchupSim) checkLeadership(node *catchupNode) {
 	ready := node.group.IsReady()
 	if ready && !node.ready {
 		for number := range s.acknowledged {
-			if !node.machine.held[number] {
-				s.t.Fatalf("primary of epoch %d leads without change %d: %+v", node.group.View().Epoch, number, s.plan)
+			if !node.machine.appliedSet[number] {
+				s.t.Fatalf("the primary of epoch %d lacks change %d: %+v", node.group.View().Epoch, number, s.plan)
 			}
 		}
 	}
 	node.ready = ready
 }
 
-// sync makes queued writes durable after the disk's delay, one group commit after the other.
+// sync makes the queued writes durable after the disk's sync delay. Writes queued meanwhile wait for the next sync.
 func (s *catchupSim) sync(node *catchupNode) {
 	if len(node.syncing) > 0 || len(node.queued) == 0 {
 		return
 	}
 	node.syncing, node.queued = node.queued, nil
 	starts := node.starts
-	s.schedule(s.plan.sync, func() {
+	s.schedule(s.plan.syncDelay, func() {
 		if node.starts != starts || !node.up {
 			return
 		}
@@ -395,20 +396,20 @@
 		for _, write := range writes {
 			node.group.WriteCompleted(write)
 			if write.Snapshot != nil {
-				node.group.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, s.ms())
+				node.group.MarkDurable(write.Snapshot.Index, write.Snapshot.Epoch, s.nowMillis())
 			}
 			if n := len(write.Entries); n > 0 {
-				node.group.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.ms())
+				node.group.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.nowMillis())
 			}
 		}
 		if s.random.Intn(50) == 0 {
 			s.compact(node)
 		}
-		s.carryOut(node)
+		s.handleOutput(node)
 	})
 }
 
-// compact writes the disk's state anew.
+// compact rewrites the disk with a snapshot and the entries after it.
 func (s *catchupSim) compact(node *catchupNode) {
 	if len(node.queued) > 0 {
 		return
@@ -429,26 +430,26 @@
 		s.lastChange++
 		command := make([]byte, s.plan.changeBytes)
 		binary.BigEndian.PutUint32(command, s.lastChange)
-		if s.waiting[node.incarnation] == nil {
-			s.waiting[node.incarnation] = map[uint64]uint32{}
+		if s.pending[node.incarnation] == nil {
+			s.pending[node.incarnation] = map[uint64]uint32{}
 		}
-		s.waiting[node.incarnation][node.group.Propose(command, s.ms())] = s.lastChange
-		s.carryOut(node)
+		s.pending[node.incarnation][node.group.Propose(command, s.nowMillis())] = s.lastChange
+		s.handleOutput(node)
 		return
 	}
 }
 
-// watch is the authority that control is for a group.
-func (s *catchupSim) watch() {
-	s.schedule(watchPeriod, s.watch)
+// runControl periodically updates the view and delivers it, as the control processes do for a group.
+func (s *catchupSim) runControl() {
+	s.schedule(controlPeriod, s.runControl)
 	s.adjustView()
 	for _, node := range s.nodes {
 		if !node.up || node.viewEpoch == s.view.Epoch || (s.view.Primary == node.id && s.primaryIncarnation != node.incarnation) {
 			continue
 		}
 		node.viewEpoch = s.view.Epoch
-		node.group.SetView(s.view, s.ms())
-		s.carryOut(node)
+		node.group.SetView(s.view, s.nowMillis())
+		s.handleOutput(node)
 	}
 	if s.faultEnded && s.inSyncAt == 0 && s.allInSync() {
 		s.inSyncAt = s.now
@@ -457,7 +458,7 @@
 
 func (s *catchupSim) alive(id uint64) bool {
 	node := s.find(id)
-	return node != nil && (node.up || s.now-node.lostAt < primaryLost)
+	return node != nil && (node.up || s.now-node.stoppedAt < primaryLostAfter)
 }
 
 func (s *catchupSim) adjustView() {
@@ -503,15 +504,15 @@
 	if !primary.up || primary.group.View().Epoch != s.view.Epoch {
 		return
 	}
-	if caughtUp := primary.group.CaughtUp(s.ms()); len(caughtUp) > 0 {
+	if caughtUp := primary.group.CaughtUp(s.nowMillis()); len(caughtUp) > 0 {
 		primary.group.Admit(caughtUp[0])
 		next := s.view
 		next.InSync = append(append([]uint64(nil), s.view.InSync...), caughtUp[0])
 		s.setView(next)
 		return
 	}
-	for _, id := range primary.group.Unresponsive(s.ms()) {
-		if len(s.view.InSync) > minimumSync || !s.view.IsInSync(id) {
+	for _, id := range primary.group.Unresponsive(s.nowMillis()) {
+		if len(s.view.InSync) > catchupMinInSync || !s.view.IsInSync(id) {
 			next := s.view
 			next.InSync = consensus.Without(s.view.InSync, id)
 			s.setView(next)
@@ -529,19 +530,19 @@
 	return true
 }
 
-// runUntil runs events until a moment.
+// runUntil runs all events up to a time.
 func (s *catchupSim) runUntil(until int64) {
 	for len(s.events) > 0 && s.events[0].at <= until {
-		each := heap.Pop(&s.events).(event)
-		s.now = each.at
-		each.run()
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
+		next.run()
 	}
 	s.now = max(s.now, until)
 }
 
 func (s *catchupSim) backup() *catchupNode { return s.nodes[catchupNodes-1] }
 
-// safeToLose tells whether the in-sync set can do without a node's disk.
+// safeToLose reports whether enough other replicas are up and in sync for a node's disk to be lost.
 func (s *catchupSim) safeToLose(node *catchupNode) bool {
 	up := 0
 	for _, id := range s.view.InSync {
@@ -549,17 +550,17 @@
 			up++
 		}
 	}
-	return up >= minimumSync
+	return up >= catchupMinInSync
 }
 
-// injectFault plays what the plan has for the last node, for a part of the changes or all, and returns when it is over.
+// injectFault runs the fault of the plan, mostly on the last node, and returns after it has ended.
 func (s *catchupSim) injectFault() {
 	node := s.backup()
 	length := s.plan.interval * int64(s.plan.changes) / 4
 	switch s.plan.fault {
 	case "down":
 		s.stopFor(node, length)
-	case "down for all":
+	case "down for most changes":
 		s.stopFor(node, length*7/2)
 	case "wiped":
 		s.loseDisk(node, length)
@@ -569,14 +570,14 @@
 		s.loseDisk(node, length/8)
 	case "restarted often":
 		s.restartOften(node, length)
-	case "cut off often":
-		s.cutOffOften(node, length)
+	case "disconnected often":
+		s.disconnectOften(node, length)
 	case "primary lost":
 		s.loseDisk(node, length)
 		s.stopFor(s.find(s.view.Primary), length/2)
 	case "primary lost in a transfer":
 		s.loseDisk(node, length)
-		s.runUntil(s.now + s.plan.upFor/4)
+		s.runUntil(s.now + s.plan.uptime/4)
 		s.stopFor(s.find(s.view.Primary), 2000*millisecond)
 	case "power lost":
 		s.stop(node)
@@ -585,31 +586,31 @@
 	}
 }
 
-// stopFor stops a node for a while.
-func (s *catchupSim) stopFor(node *catchupNode, away int64) {
+// stopFor stops a node for a time and starts it again.
+func (s *catchupSim) stopFor(node *catchupNode, downtime int64) {
 	s.stop(node)
-	s.runUntil(s.now + away)
+	s.runUntil(s.now + downtime)
 	s.start(node)
 }
 
-// restartOften stops a node for a while and then starts it again and again.
-func (s *catchupSim) restartOften(node *catchupNode, away int64) {
+// restartOften stops a node for a time and then restarts it repeatedly.
+func (s *catchupSim) restartOften(node *catchupNode, downtime int64) {
 	s.stop(node)
-	s.runUntil(s.now + away)
+	s.runUntil(s.now + downtime)
 	for range 8 {
 		s.start(node)
-		s.runUntil(s.now + s.plan.upFor)
+		s.runUntil(s.now + s.plan.uptime)
 		s.stop(node)
 		s.runUntil(s.now + 100*millisecond)
 	}
 	s.start(node)
 }
 
-// cutOffOften loses a node's disk and cuts its links again and again while it catches up.
-func (s *catchupSim) cutOffOften(node *catchupNode, away int64) {
-	s.loseDisk(node, away)
+// disconnectOften loses a node's disk and cuts its links repeatedly while it catches up.
+func (s *catchupSim) disconnectOften(node *catchupNode, downtime int64) {
+	s.loseDisk(node, downtime)
 	for range 8 {
-		s.runUntil(s.now + s.plan.upFor)
+		s.runUntil(s.now + s.plan.uptime)
 		s.setCut(node, true)
 		s.runUntil(s.now + 700*millisecond)
 		s.setCut(node, false)
@@ -626,13 +627,13 @@
 	}
 }
 
-func (s *catchupSim) loseDisk(node *catchupNode, away int64) {
+func (s *catchupSim) loseDisk(node *catchupNode, downtime int64) {
 	if !s.safeToLose(node) {
 		return
 	}
 	s.stop(node)
 	s.wipe(node)
-	s.runUntil(s.now + away)
+	s.runUntil(s.now + downtime)
 	s.start(node)
 }
 
@@ -645,20 +646,21 @@
 	}
 }
 
-// bound is how long a replica may need to be in sync again: the time to be heard, replaced as primary or admitted, waits of
-// transfers (a chunk asked for again, a pause after the log outgrew one), and the bytes of the state and of the log over what the
-// changes leave of the link. A link carries at least twice the changes.
+// bound returns the maximum time that a replica may need to be in sync again. It is the sum of the time for its heartbeats, for a
+// failover and for its admission, the delays of transfers (resent chunks, and the backoff after the log outgrew a transfer), and
+// the time to send the state and the log over the bandwidth that the changes leave. A link has at least twice the bandwidth that
+// the changes need.
 func (s *catchupSim) bound() int64 {
 	state := int64(s.plan.padding + 16 + 4*s.plan.changes)
 	log := int64(2*s.plan.retainedBytes) + 2*state + uncommittedSlack/8
-	rest := s.plan.slowLink / 2
-	waits := int64(primaryLost/millisecond+2*chunkResendAfter+2*transferBackoffFirst+1000) * millisecond
-	return waits + 20*s.plan.sync + (2*state+log)*1_000_000/rest
+	spareBandwidth := s.plan.slowLink / 2
+	waits := int64(primaryLostAfter/millisecond+2*chunkResendAfter+2*transferBackoffFirst+1000) * millisecond
+	return waits + 20*s.plan.syncDelay + (2*state+log)*1_000_000/spareBandwidth
 }
 
-// run plays the plan and returns how long the last replica needed after the fault.
+// run runs the plan. It returns the time from the end of the fault until all replicas were in sync, and its bound.
 func (s *catchupSim) run() (took, bound int64) {
-	s.schedule(0, s.watch)
+	s.schedule(0, s.runControl)
 	s.runUntil(s.now + 500*millisecond)
 	s.propose()
 	s.runUntil(s.now + s.plan.interval*int64(s.plan.changes)/10)
@@ -676,22 +678,22 @@
 	if s.inSyncAt == 0 {
 		s.t.Fatalf("not all replicas are in sync %d ms after the last fault: %+v", s.bound()/millisecond, s.plan)
 	}
-	queue := int64(maxInFlight+2*maxAppendBytes) + int64(2*windowChunks*s.plan.chunkBytes+s.plan.changeBytes) + 200_000
-	if s.maxQueuedBytes > queue {
-		s.t.Fatalf("up to %d bytes waited on a link, %d are allowed: %+v", s.maxQueuedBytes, queue, s.plan)
+	maxQueue := int64(maxInFlight+2*maxAppendBytes) + int64(2*windowChunks*s.plan.chunkBytes+s.plan.changeBytes) + 200_000
+	if s.maxQueuedBytes > maxQueue {
+		s.t.Fatalf("up to %d bytes were queued on a link, %d are allowed: %+v", s.maxQueuedBytes, maxQueue, s.plan)
 	}
-	// a window, and what was asked for again while chunks were late
-	if window := int64((windowChunks + 3) * s.plan.chunkBytes); s.maxQueuedChunkBytes > window {
-		s.t.Fatalf("up to %d bytes of a snapshot waited on a link, %d are allowed: %+v", s.maxQueuedChunkBytes, window, s.plan)
+	// A window of chunks, and the chunks resent while others were late.
+	if maxChunks := int64((windowChunks + 3) * s.plan.chunkBytes); s.maxQueuedChunkBytes > maxChunks {
+		s.t.Fatalf("up to %d bytes of a snapshot were queued on a link, %d are allowed: %+v", s.maxQueuedChunkBytes, maxChunks, s.plan)
 	}
-	for int(s.lastChange) < s.plan.changes { // the changes that are left
+	for int(s.lastChange) < s.plan.changes { // the remaining changes
 		s.runUntil(s.now + 1000*millisecond)
 	}
 	s.runUntil(s.now + s.bound())
 	primary := s.find(s.view.Primary)
 	for number := range s.acknowledged {
-		if !primary.machine.held[number] {
-			s.t.Fatalf("change %d was acknowledged and is lost: %+v", number, s.plan)
+		if !primary.machine.appliedSet[number] {
+			s.t.Fatalf("change %d was acknowledged but is lost: %+v", number, s.plan)
 		}
 	}
 	if len(s.acknowledged) < s.plan.changes*9/10-50 {
@@ -711,8 +713,8 @@
 	return defaultCatchupSeeds
 }
 
-// Every replica is in sync within the bound after the last fault, nothing acknowledged is lost, no primary begins with an old
-// state, and memory and queues stay bounded. TIER_CATCHUP_SEEDS sets how many seeds.
+// Every replica is in sync within the bound after the last fault, no acknowledged change is lost, no primary becomes ready with an
+// old state, and memory and queues stay bounded. TIER_CATCHUP_SEEDS sets the number of seeds.
 func TestReplicasCatchUpAfterHundredsOfChanges(t *testing.T) {
 	for seed := range int64(catchupSeeds()) {
 		t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
@@ -727,13 +729,12 @@
 	}
 }
 
-// Under 20 configurations of 100 KB a second, a replica that was away for 15 s, or is empty, is in sync again while the changes go on:
-// after the waits, and the state and the log over what the changes leave of the link. A window of chunks a round trip bounds the
-// transfer besides.
-func TestAReplicaCatchesUpUnderTwentyConfigurationsASecond(t *testing.T) {
+// Under 20 changes of 100 KB per second, a replica that was down for 15 s, or that is empty, is in sync again within the bound while
+// the changes continue. One window of chunks per round trip also limits the speed of the transfer.
+func TestReplicaCatchesUpUnderTwentyChangesPerSecond(t *testing.T) {
 	for _, test := range []struct {
 		fault string
-		link  int64 // bytes a second
+		link  int64 // bytes per second
 		delay int64 // one way
 		state int
 	}{
@@ -743,14 +744,14 @@
 		{"wiped", 5_000_000, millisecond / 2, 8 << 20},
 		{"wiped", 12_500_000, 10 * millisecond, 8 << 20},
 		{"restarted often", 12_500_000, millisecond / 2, 8 << 20},
-		{"cut off often", 12_500_000, millisecond / 2, 8 << 20},
+		{"disconnected often", 12_500_000, millisecond / 2, 8 << 20},
 	} {
 		t.Run(fmt.Sprintf("%s,%dMB/s,%dus,%dMB", test.fault, test.link/1_000_000, test.delay, test.state>>20), func(t *testing.T) {
 			t.Parallel()
 			s := newPlannedSim(t, rand.New(rand.NewSource(1)), catchupPlan{
 				changes: 1200, changeBytes: 100_000, interval: 50 * millisecond, padding: test.state, retainedBytes: 8 << 20,
-				chunkBytes: DefaultSnapshotChunkBytes, slowLink: test.link, link: 4 * test.link, delay: test.delay, sync: 5 * millisecond,
-				fault: test.fault, upFor: 700 * millisecond,
+				chunkBytes: DefaultSnapshotChunkBytes, slowLink: test.link, fastLink: 4 * test.link, delay: test.delay, syncDelay: 5 * millisecond,
+				fault: test.fault, uptime: 700 * millisecond,
 			})
 			took, bound := s.run()
 			t.Logf("in sync after %d ms, bound %d ms, log in memory up to %.1f MB", took/millisecond, bound/millisecond, float64(s.maxLogBytes)/(1<<20))
--- a/tier/replica/commit.go
+++ b/tier/replica/commit.go
@@ -1,16 +1,16 @@
 package replica
 
-// commitState is how far the log is committed and applied.
+// commitState tracks how far the log is committed and applied.
 type commitState struct {
 	committed    uint64 // index of the last entry known to be committed
-	applied      uint64 // index of the last entry that the state machine has seen
+	applied      uint64 // index of the last entry applied to the state machine
 	appliedBytes int    // size of the applied entries in memory
 }
 
-// WriteCompleted reports that a write that was asked for has been carried out, whatever became of its entries since.
+// WriteCompleted records that a requested write has been performed, even if its entries have been overwritten since.
 func (g *Group) WriteCompleted(write Write) { g.log.unwrittenBytes -= sizeOf(write.Entries) }
 
-// MarkDurable reports that all writes up to an entry have reached the disk. Entries overwritten since don't count.
+// MarkDurable records that all writes up to an entry are durable. It is ignored if the entry has been overwritten since.
 func (g *Group) MarkDurable(index, epoch uint64, now int64) {
 	logged, known := g.log.epochAt(index)
 	if !known || logged != epoch || index <= g.log.durable {
@@ -24,9 +24,9 @@
 	g.acknowledgeDurable()
 }
 
-// advanceCommit commits what every replica that counts has on disk, if the in-sync set has as many replicas as the view demands.
-// A replica that is being admitted counts only as one more to wait for until a view has it in sync: before, it may not lead, so
-// it is no replica to rely upon.
+// advanceCommit commits the entries that are durable at all replicas for which commits must wait, if the in-sync set has its
+// minimum size. Commits wait for a replica that is being admitted, but it counts toward the minimum only once a view has it in
+// sync: before that it can't become primary, so its copy doesn't protect the entry.
 func (g *Group) advanceCommit() {
 	if !g.view.HasMinInSync() {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// lowestMatch is up to where all replicas hold the log on disk for which a commit has to wait.
+// lowestMatch returns the index up to which the log is durable at all replicas for which commits must wait.
 func (g *Group) lowestMatch() uint64 {
 	lowest := g.log.durable
 	for _, id := range g.view.InSync {
@@ -54,14 +54,14 @@
 		lowest = min(lowest, g.matchOf(id))
 	}
 	for _, peer := range g.primary.peers {
-		if peer.catchUp.holdsCommits {
+		if peer.catchUp.delaysCommits {
 			lowest = min(lowest, peer.match)
 		}
 	}
 	return lowest
 }
 
-// sendCommitIndex sends a heartbeat with the new commit index to backups that are sent everything already.
+// sendCommitIndex sends a heartbeat with the new commit index to the backups that were already sent all entries.
 func (g *Group) sendCommitIndex() {
 	for _, id := range g.view.Replicas {
 		peer := g.peer(id)
@@ -86,9 +86,9 @@
 	}
 }
 
-// CompactionState returns the state for a durable snapshot and the entries behind it.
+// CompactionState returns a snapshot of the applied state and the entries after it, from which the log on disk can be rewritten.
 func (g *Group) CompactionState() (Snapshot, []Entry) {
 	epoch, _ := g.log.epochAt(g.commit.applied)
 	snapshot := Snapshot{Index: g.commit.applied, Epoch: epoch, State: g.machine.Snapshot()}
-	return snapshot, g.log.behind(g.commit.applied)
+	return snapshot, g.log.entriesAfter(g.commit.applied)
 }
--- a/tier/replica/contact_test.go
+++ b/tier/replica/contact_test.go
@@ -6,11 +6,11 @@
 	"otterseam/tier/codec"
 )
 
-const testStepDown = 1000
+const testStepDownAfter = 1000
 
 func newContactGroup(t *testing.T, self uint64) *Group {
 	t.Helper()
-	g, err := NewGroup(self, &journalMachine{}, Snapshot{}, nil, Options{Incarnation: 100 + self, StepDownAfter: testStepDown})
+	g, err := NewGroup(self, &historyMachine{}, Snapshot{}, nil, Options{Incarnation: 100 + self, StepDownAfter: testStepDownAfter})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 
 var threeReplicas = View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}}
 
-// probesTo are the probes that a group has sent to a replica since the last look.
+// probesTo takes a group's output and returns the probes and probe responses to a replica.
 func probesTo(g *Group, to uint64) []Message {
 	var probes []Message
 	for _, out := range g.TakeOutput().Messages {
@@ -39,22 +39,22 @@
 	return probes[0]
 }
 
-// An answer proves contact as of the probe, however late it is read.
-func TestContactCountsFromTheProbe(t *testing.T) {
+// A response proves contact as of the time when the probe was sent, however late the response is read.
+func TestContactCountsFromProbeSendTime(t *testing.T) {
 	primary, backup := newContactGroup(t, 1), newContactGroup(t, 2)
 	primary.SetView(threeReplicas, 1000)
 	backup.Step(1, onlyProbe(t, primary, 2), 1005)
 	answer := onlyProbe(t, backup, 1)
 	if since := primary.ConfirmedSince(1006); since != 0 {
-		t.Fatalf("confirmed since %d before any answer", since)
+		t.Fatalf("confirmed since %d before any response", since)
 	}
-	primary.Step(2, answer, 6000) // out of the socket buffer, after a freeze
+	primary.Step(2, answer, 6000) // read from the socket buffer after the process was suspended
 	if since := primary.ConfirmedSince(6000); since != 1000 {
 		t.Fatalf("confirmed since %d, but the probe was sent at 1000", since)
 	}
 }
 
-// One answer of four is no majority of five.
+// The primary and one response are two of five and no majority; with a second response they are.
 func TestContactNeedsAMajority(t *testing.T) {
 	primary := newContactGroup(t, 1)
 	view := View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3, 4, 5}}
@@ -70,48 +70,49 @@
 	}
 }
 
-// Answers to a former incarnation of the process, or to what it has not sent yet, prove nothing.
+// Responses to a probe of another incarnation of the process, or of a time in the future, prove nothing.
 func TestContactIgnoresResponsesToAnotherIncarnation(t *testing.T) {
 	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	for _, echoed := range []Timestamp{{999, 1000}, {101, 2000}} {
 		primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: echoed}}, 1010)
 		if since := primary.ConfirmedSince(1010); since != 0 {
-			t.Fatalf("confirmed since %d by an answer to %+v", since, echoed)
+			t.Fatalf("confirmed since %d by a response to %+v", since, echoed)
 		}
 	}
 }
 
-// A primary that no majority answers gives up within the bound, though the others still read what it sends.
-func TestAPrimaryThatNobodyAnswersStepsDown(t *testing.T) {
+// A primary to which no majority responds steps down within the bound, and sends nothing afterwards.
+func TestPrimaryWithoutResponsesStepsDown(t *testing.T) {
 	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	now := int64(1000)
 	for ; primary.IsPrimary(); now += 40 {
-		if now > 1000+testStepDown+80 {
-			t.Fatal("it leads on")
+		if now > 1000+testStepDownAfter+80 {
+			t.Fatal("it did not step down")
 		}
 		primary.Tick(now, true)
 	}
-	if now < 1000+testStepDown {
-		t.Fatalf("it stepped down after %d ms already", now-1000)
+	if now < 1000+testStepDownAfter {
+		t.Fatalf("it stepped down too early, after %d ms", now-1000)
 	}
 	primary.TakeOutput()
 	primary.Tick(now+200, true)
 	if output := primary.TakeOutput(); len(output.Messages) != 0 {
-		t.Fatalf("it still sends: %+v", output.Messages)
+		t.Fatalf("it still sends messages: %+v", output.Messages)
 	}
 }
 
-// A primary that stood still asks before it gives up; until it is answered it proves nothing.
-func TestAPrimaryThatStoodStillProbesFirst(t *testing.T) {
+// A primary that was suspended sends probes before it steps down. Until a response arrives, its contact counts only from before
+// the suspension.
+func TestSuspendedPrimaryProbesBeforeItStepsDown(t *testing.T) {
 	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: Timestamp{101, 1000}}}, 1010)
 	primary.TakeOutput()
 	primary.Tick(9000, true)
 	if !primary.IsPrimary() {
-		t.Fatal("it stepped down though it has not asked since")
+		t.Fatal("it stepped down although it has sent no probe since")
 	}
 	if since := primary.ConfirmedSince(9000); since != 1000 {
 		t.Fatalf("confirmed since %d", since)
@@ -119,7 +120,7 @@
 	onlyProbe(t, primary, 2)
 	primary.Step(2, Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Echoed: Timestamp{101, 9000}}}, 9004)
 	if since := primary.ConfirmedSince(9004); since != 9000 {
-		t.Fatalf("confirmed since %d after the answer", since)
+		t.Fatalf("confirmed since %d after the response", since)
 	}
 }
 
@@ -127,18 +128,19 @@
 	return Message{Kind: MessageProbe, Epoch: epoch, Probe: Probe{Sent: Timestamp{101, 1}, Echoed: echoed, QuorumAge: age}}
 }
 
-// A backup counts from its own probe less the age of the primary's contact, and only what the primary has read.
-func TestABackupIsConfirmedForWhatThePrimaryRead(t *testing.T) {
+// A backup is confirmed as of its own probe less the age of the primary's contact with a majority, and only for a probe that the
+// primary has read.
+func TestBackupIsConfirmedForProbesThatThePrimaryRead(t *testing.T) {
 	own := uint64(102)
 	for name, step := range map[string]struct {
 		message Message
 		since   int64
 	}{
-		"never read":              {probeFrom(1, Timestamp{}, 10), 0},
-		"without a majority":      {probeFrom(1, Timestamp{own, 900}, noQuorum), 0},
-		"of a former incarnation": {probeFrom(1, Timestamp{77, 900}, 10), 0},
-		"of the future":           {probeFrom(1, Timestamp{own, 5000}, 10), 0},
-		"read, with a majority":   {probeFrom(1, Timestamp{own, 900}, 70), 830},
+		"not read":               {probeFrom(1, Timestamp{}, 10), 0},
+		"without a majority":     {probeFrom(1, Timestamp{own, 900}, noQuorum), 0},
+		"of another incarnation": {probeFrom(1, Timestamp{77, 900}, 10), 0},
+		"from the future":        {probeFrom(1, Timestamp{own, 5000}, 10), 0},
+		"read, with a majority":  {probeFrom(1, Timestamp{own, 900}, 70), 830},
 	} {
 		backup := newContactGroup(t, 2)
 		backup.Step(1, step.message, 1000)
@@ -148,14 +150,14 @@
 	}
 }
 
-// A backup that lacks what was committed when it sent its probe may not serve reads.
-func TestABackupThatLagsIsNotConfirmed(t *testing.T) {
+// A backup that lacks entries committed when the primary sent its probe must not serve reads and is not confirmed.
+func TestLaggingBackupIsNotConfirmed(t *testing.T) {
 	backup := newContactGroup(t, 2)
 	message := probeFrom(1, Timestamp{102, 900}, 70)
 	message.Commit = 1
 	backup.Step(1, message, 1000)
 	if since := backup.ConfirmedSince(1000); since != 0 {
-		t.Fatalf("confirmed since %d though an entry is missing", since)
+		t.Fatalf("confirmed since %d although an entry is missing", since)
 	}
 	backup.Step(1, appendFrom(1, 0, 0, 1, Entry{1, 1, []byte("a")}), 1001)
 	backup.Step(1, message, 1002)
@@ -164,18 +166,19 @@
 	}
 }
 
-// A new primary does not know what its predecessor committed until the entry that opens its epoch is committed.
-func TestANewPrimaryConfirmsNoBackupBeforeItIsReady(t *testing.T) {
+// A new primary doesn't know what its predecessor committed until the entry that opens its epoch is committed. Its probes must
+// demand at least that entry.
+func TestNewPrimaryConfirmsNoBackupBeforeItIsReady(t *testing.T) {
 	primary := newContactGroup(t, 1)
 	primary.SetView(threeReplicas, 1000)
 	message := onlyProbe(t, primary, 2)
 	if primary.IsReady() || message.Commit < primary.EpochStartIndex() {
-		t.Fatalf("the probe asks for entry %d, the epoch opens with %d", message.Commit, primary.EpochStartIndex())
+		t.Fatalf("the probe demands entry %d, the epoch opens with %d", message.Commit, primary.EpochStartIndex())
 	}
 }
 
-// What a backup reads late confirms it no later than when it sent its probe.
-func TestABackupCountsFromItsProbe(t *testing.T) {
+// A confirmation that a backup reads late counts from when the backup sent its probe.
+func TestBackupCountsFromItsProbeSendTime(t *testing.T) {
 	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
 	backup.Step(1, probeFrom(1, Timestamp{102, 980}, 20), 8000)
@@ -184,8 +187,8 @@
 	}
 }
 
-// Whoever has voted for a successor confirms nothing to the one before, and relies on nothing that it sends.
-func TestAVoteForASuccessorEndsTheConfirmation(t *testing.T) {
+// A backup whose process has voted for a successor no longer confirms the previous primary and ignores its confirmations.
+func TestVoteForSuccessorEndsConfirmation(t *testing.T) {
 	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
 	backup.TakeOutput()
@@ -195,7 +198,7 @@
 	}
 	backup.Step(1, probeFrom(1, Timestamp{102, 990}, 20), 1010)
 	if probes := probesTo(backup, 1); len(probes) != 0 {
-		t.Fatalf("it confirms the primary that it helped to replace: %+v", probes)
+		t.Fatalf("it confirms the primary that it voted to replace: %+v", probes)
 	}
 	backup.Step(3, probeFrom(2, Timestamp{102, 1005}, 5), 1015)
 	if since := backup.ConfirmedSince(1015); since != 1000 {
@@ -203,8 +206,8 @@
 	}
 }
 
-// A change by the primary itself leaves its confirmation alone.
-func TestAVoteForTheSamePrimaryChangesNothing(t *testing.T) {
+// A vote for a record with the same primary keeps the confirmation.
+func TestVoteForSamePrimaryKeepsConfirmation(t *testing.T) {
 	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{102, 900}, 20), 1000)
 	backup.RecordVote(2, 1)
@@ -213,8 +216,8 @@
 	}
 }
 
-// A primary without a majority does not count as well, however often it is heard.
-func TestAPrimaryWithoutAMajorityIsNotConfirmed(t *testing.T) {
+// Probes of a primary without a majority don't advance the time at which it was confirmed, however many arrive.
+func TestPrimaryWithoutMajorityIsNotConfirmed(t *testing.T) {
 	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{}, 30), 1000)
 	proven := backup.PrimaryConfirmedAt()
@@ -222,11 +225,11 @@
 		backup.Step(1, probeFrom(1, Timestamp{}, noQuorum), now)
 	}
 	if backup.PrimaryConfirmedAt() != proven {
-		t.Fatalf("proven at %d, before at %d", backup.PrimaryConfirmedAt(), proven)
+		t.Fatalf("confirmed at %d, before at %d", backup.PrimaryConfirmedAt(), proven)
 	}
 }
 
-func TestAProbeKeepsItsFormOnTheWire(t *testing.T) {
+func TestProbeEncodingRoundTrip(t *testing.T) {
 	sent := Message{Kind: MessageProbe, Epoch: 3, Probe: Probe{Sent: Timestamp{1, 2}, Echoed: Timestamp{3, 4}, QuorumAge: noQuorum}}
 	var e codec.Encoder
 	sent.Encode(&e)
--- a/tier/replica/digest_test.go
+++ b/tier/replica/digest_test.go
@@ -19,7 +19,7 @@
 	d.Uint(group.AppliedIndex(), group.LastIndex())
 }
 
-// Each step of the simulation of a group, and the commands that its replicas applied.
+// Records each step of the group simulation and the commands that its replicas applied.
 func TestGroupDigests(t *testing.T) {
 	digesttest.Check(t, "group", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		s := newSim(t, seed)
@@ -30,7 +30,7 @@
 			for _, node := range s.nodes {
 				d.Bool(node.up)
 				d.Uint(node.id, node.incarnation, node.viewEpoch)
-				d.Int(int64(node.frozen), int64(len(node.writes)), int64(len(node.waiting)))
+				d.Int(int64(node.frozen), int64(len(node.writes)), int64(len(node.pending)))
 				digestGroup(d, node.group)
 			}
 		}
@@ -43,14 +43,14 @@
 	})
 }
 
-// The simulation of replicas that catch up, looked at again and again, and the changes that they applied.
+// Records periodic samples of the catch-up simulation and the changes that its replicas applied.
 func TestCatchUpDigests(t *testing.T) {
-	const lookEvery = 5 * millisecond
+	const sampleInterval = 5 * millisecond
 	digesttest.Check(t, "catchup", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		s := newCatchupSim(t, seed)
-		var look func()
-		look = func() {
-			s.schedule(lookEvery, look)
+		var sample func()
+		sample = func() {
+			s.schedule(sampleInterval, sample)
 			d.Int(s.now, int64(s.lastChange), int64(len(s.acknowledged)), s.maxQueuedBytes, s.maxQueuedChunkBytes, int64(s.maxLogBytes))
 			digestView(d, s.view)
 			for _, node := range s.nodes {
@@ -62,11 +62,11 @@
 			for from := range s.links {
 				for to := range s.links[from] {
 					link := &s.links[from][to]
-					d.Int(link.freeAt, int64(link.connection), link.queuedChunkBytes)
+					d.Int(link.freeAt, int64(link.connectionID), link.queuedChunkBytes)
 				}
 			}
 		}
-		s.schedule(0, look)
+		s.schedule(0, sample)
 		took, bound := s.run()
 		d.Int(took, bound)
 		for _, node := range s.nodes {
--- a/tier/replica/errors.go
+++ b/tier/replica/errors.go
@@ -6,18 +6,18 @@
 	"otterseam/tier/codes"
 )
 
-// RestoreError says that a snapshot arrived whole and that the state machine could not restore it, as one of a newer format. It matches
-// codes.Malformed and the error of the state machine.
+// RestoreError reports that a snapshot was received in full but the state machine could not restore it, for example because its
+// format is newer. It matches codes.Malformed and the state machine's error.
 type RestoreError struct {
-	Index uint64 // of the last entry that the snapshot covers
-	Bytes int    // of the snapshot
-	Err   error  // of the state machine
+	Index uint64 // index of the last entry that the snapshot covers
+	Bytes int    // size of the snapshot
+	Err   error  // the state machine's error
 }
 
-// Error names the snapshot and the error of the state machine.
+// Error describes the snapshot and the state machine's error.
 func (e *RestoreError) Error() string {
 	return fmt.Sprintf("snapshot of %d bytes at index %d can't be restored: %v", e.Bytes, e.Index, e.Err)
 }
 
-// Unwrap gives the code and the error of the state machine.
+// Unwrap returns codes.Malformed and the state machine's error.
 func (e *RestoreError) Unwrap() []error { return []error{codes.Malformed, e.Err} }
--- a/tier/replica/example_test.go
+++ b/tier/replica/example_test.go
@@ -6,41 +6,42 @@
 	"otterseam/tier/replica"
 )
 
-// words is a state machine that keeps the words it was given.
-type words struct{ all []string }
+// wordList is a state machine that collects words.
+type wordList struct{ all []string }
 
-func (w *words) Apply(_ uint64, command []byte) any {
+func (w *wordList) Apply(_ uint64, command []byte) any {
 	w.all = append(w.all, string(command))
 	return len(w.all)
 }
-func (w *words) Snapshot() []byte              { return nil }
-func (w *words) Restore(snapshot []byte) error { return nil }
+func (w *wordList) Snapshot() []byte              { return nil }
+func (w *wordList) Restore(snapshot []byte) error { return nil }
 
-// A primary commits a command when it and every in-sync backup have it on disk. The caller carries messages and writes.
+// A primary commits a command once it and every in-sync backup have it on disk. The caller delivers the messages and performs the
+// writes.
 func Example() {
-	primary, _ := replica.NewGroup(1, &words{}, replica.Snapshot{}, nil, replica.Options{})
-	backup, _ := replica.NewGroup(2, &words{}, replica.Snapshot{}, nil, replica.Options{})
+	primary, _ := replica.NewGroup(1, &wordList{}, replica.Snapshot{}, nil, replica.Options{})
+	backup, _ := replica.NewGroup(2, &wordList{}, replica.Snapshot{}, nil, replica.Options{})
 	now := int64(1000)
 	primary.SetView(replica.View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, now)
-	carry := func(from *replica.Group, id uint64, to *replica.Group) []replica.Applied {
+	deliver := func(from *replica.Group, id uint64, to *replica.Group) []replica.Applied {
 		output := from.TakeOutput()
 		for _, out := range output.Messages {
 			to.Step(id, out.Message, now)
 		}
 		return output.Applied
 	}
-	// the entry that opens the epoch reaches both disks
+	// The entry that opens the epoch becomes durable on both disks.
 	primary.MarkDurable(1, 1, now)
-	carry(primary, 1, backup)
+	deliver(primary, 1, backup)
 	backup.MarkDurable(1, 1, now)
-	carry(backup, 2, primary)
+	deliver(backup, 2, primary)
 
 	index := primary.Propose([]byte("hello"), now)
 	primary.MarkDurable(index, 1, now)
-	fmt.Println("on the primary's disk only:", len(carry(primary, 1, backup)), "committed")
+	fmt.Println("on the primary's disk only:", len(deliver(primary, 1, backup)), "committed")
 	backup.MarkDurable(index, 1, now)
-	carry(backup, 2, primary)
-	for _, applied := range carry(primary, 1, backup) {
+	deliver(backup, 2, primary)
+	for _, applied := range deliver(primary, 1, backup) {
 		fmt.Printf("on both disks: %s committed, result %v\n", applied.Command, applied.Result)
 	}
 	// Output:
--- a/tier/replica/group.go
+++ b/tier/replica/group.go
@@ -1,22 +1,22 @@
 package replica
 
-// StateMachine is what the commands act on. Apply has to be deterministic.
+// StateMachine is the replicated state machine. Apply must be deterministic.
 type StateMachine interface {
-	// Apply carries out a command and returns its result, which is handed to whoever proposed it.
+	// Apply executes a command and returns its result, which is passed to the proposer.
 	Apply(index uint64, command []byte) (result any)
-	// Snapshot returns the state after all commands applied.
+	// Snapshot returns the state after all applied commands.
 	Snapshot() []byte
 	// Restore replaces the state by that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// Write is what has to be made durable, in order.
+// Write is a write to make durable. Writes must be performed in order.
 type Write struct {
-	Snapshot *Snapshot // replaces everything before
-	Entries  []Entry   // replace entries at or above the first one's index
+	Snapshot *Snapshot // if set, replaces everything written before
+	Entries  []Entry   // replace the entries at or above the first one's index
 }
 
-// Outgoing is a message for another replica.
+// Outgoing is a message to send to another replica.
 type Outgoing struct {
 	To      uint64
 	Message Message
@@ -30,17 +30,17 @@
 	Result  any
 }
 
-// Output is what has to be done after an event.
+// Output is the work for the owner after an event.
 type Output struct {
 	Writes   []Write
 	Messages []Outgoing
 	Applied  []Applied
-	// SteppedDown says that this replica is no longer primary: whether commands that it took will be committed is not known.
+	// SteppedDown reports that this replica is no longer primary. It is unknown whether its pending commands will be committed.
 	SteppedDown bool
-	// Regressed lists replicas whose log ends before what they acknowledged in this epoch, as after an older copy of a disk was
-	// put back.
+	// Regressed lists replicas whose log ends before an entry that they acknowledged in this epoch, for example because an older
+	// copy of their disk was restored.
 	Regressed []uint64
-	// Unrestorable lists snapshots that arrived whole and that the state machine could not restore.
+	// Unrestorable lists snapshots that were received in full but that the state machine could not restore.
 	Unrestorable []*RestoreError
 }
 
@@ -50,7 +50,7 @@
 	options Options // with defaults filled in
 	machine StateMachine
 	view    View
-	clock   int64 // of the newest event, in milliseconds
+	clock   int64 // time of the newest event, in milliseconds
 
 	log        entryLog
 	commit     commitState
@@ -58,12 +58,12 @@
 	primary    *primaryState // nil while this replica is a backup
 	backup     backupState
 	vote       acceptedVote
-	epochStart uint64 // index of the entry that opened the newest epoch led here
+	epochStart uint64 // index of the entry that opened the newest epoch in which this replica was primary
 	output     Output
 }
 
-// NewGroup makes a replica from what was found on disk: a snapshot and the entries behind it. An error is that of the state
-// machine, which could not restore the snapshot.
+// NewGroup returns a replica with the state found on disk: a snapshot and the entries after it. It returns the state machine's
+// error if the snapshot can't be restored.
 func NewGroup(self uint64, machine StateMachine, base Snapshot, entries []Entry, options Options) (*Group, error) {
 	if base.Index > 0 {
 		if err := machine.Restore(base.State); err != nil {
@@ -82,34 +82,35 @@
 	return g, nil
 }
 
-// View is the newest view known.
+// View returns the newest view known.
 func (g *Group) View() View { return g.view }
 
-// IsPrimary tells whether this replica takes commands.
+// IsPrimary reports whether this replica is the primary of its view.
 func (g *Group) IsPrimary() bool { return g.primary != nil }
 
-// IsReady tells whether this primary has committed the entry that opened its epoch, so that its state is complete.
+// IsReady reports whether this primary has committed the entry that opened its epoch, so that its state is complete.
 func (g *Group) IsReady() bool { return g.primary != nil && g.commit.applied >= g.epochStart }
 
-// EpochStartIndex is the entry that opened the newest epoch led here, and so names that leadership.
+// EpochStartIndex returns the index of the entry that opened the newest epoch in which this replica was primary. It identifies
+// that leadership.
 func (g *Group) EpochStartIndex() uint64 { return g.epochStart }
 
-// AppliedIndex is the last entry that the state machine has seen.
+// AppliedIndex returns the index of the last entry applied to the state machine.
 func (g *Group) AppliedIndex() uint64 { return g.commit.applied }
 
-// LastIndex is the last entry of the log.
+// LastIndex returns the index of the last entry of the log.
 func (g *Group) LastIndex() uint64 { return g.log.lastIndex() }
 
-// LastHeartbeat is when a message of the primary last came, by the clock given to Step.
+// LastHeartbeat returns when the last message of the primary was received, by the clock given to Step.
 func (g *Group) LastHeartbeat() int64 { return g.backup.lastHeartbeat }
 
-// SetView takes a view. Older ones are ignored.
+// SetView installs a view. Older views are ignored.
 func (g *Group) SetView(view View, now int64) {
 	if view.Epoch < g.view.Epoch || (view.Epoch == g.view.Epoch && g.view.Primary != 0) {
 		return
 	}
 	if view.Primary == g.self && g.primary == nil && view.Epoch <= g.log.lastEpoch() {
-		// this replica led the epoch before a restart and may have sent entries that it no longer knows
+		// This replica led the epoch before a restart and may have sent entries that it no longer has.
 		return
 	}
 	g.view = view
@@ -126,7 +127,7 @@
 	}
 }
 
-// Step takes a message from another replica.
+// Step handles a message from another replica.
 func (g *Group) Step(from uint64, message Message, now int64) {
 	g.clock = max(g.clock, now)
 	if message.Epoch < g.view.Epoch {
@@ -150,8 +151,8 @@
 	}
 }
 
-// Tick sends again what was not acknowledged, and heartbeats: to all where wanted, and always to replicas that are not in sync,
-// which could be admitted when they answer. Call it every 50 ms or so.
+// Tick sends unacknowledged messages again, and heartbeats. Heartbeats go to all replicas if heartbeats is set, and always to
+// replicas that are not in sync, which can be admitted once they respond. Call it about every 50 ms.
 func (g *Group) Tick(now int64, heartbeats bool) {
 	g.clock = max(g.clock, now)
 	g.tickContact(now)
@@ -166,14 +167,14 @@
 	}
 }
 
-// TakeOutput returns what has to be done and forgets it.
+// TakeOutput returns the pending output and clears it.
 func (g *Group) TakeOutput() Output {
 	output := g.output
 	g.output = Output{}
 	return output
 }
 
-// Close gives back what the group holds of things shared with other groups.
+// Close releases the transfer slots that the group holds.
 func (g *Group) Close() {
 	if g.primary == nil {
 		return
@@ -187,7 +188,7 @@
 	g.output.Messages = append(g.output.Messages, Outgoing{To: to, Message: message})
 }
 
-// write asks for entries to be made durable. Those that continue the write asked for last become a part of it.
+// write requests that entries be made durable. Entries that continue the last requested write are added to it.
 func (g *Group) write(entries []Entry) {
 	g.log.unwrittenBytes += sizeOf(entries)
 	writes := &g.output.Writes
--- a/tier/replica/group_test.go
+++ b/tier/replica/group_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func newBackup(t *testing.T) (*Group, *journalMachine) {
+func newBackup(t *testing.T) (*Group, *historyMachine) {
 	t.Helper()
-	machine := &journalMachine{}
+	machine := &historyMachine{}
 	g, err := NewGroup(2, machine, Snapshot{}, nil, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -19,7 +19,7 @@
 	return Message{Kind: MessageAppend, Epoch: epoch, Index: index, PrevEpoch: prevEpoch, Commit: commit, Entries: entries}
 }
 
-// singleChunkSnapshot is a snapshot that fits into one chunk.
+// singleChunkSnapshot returns the message for a snapshot that fits into one chunk.
 func singleChunkSnapshot(epoch, index, entryEpoch uint64, state []byte) Message {
 	return Message{
 		Kind: MessageSnapshotChunk, Epoch: epoch, Index: index, PrevEpoch: entryEpoch, Commit: index,
@@ -27,7 +27,7 @@
 	}
 }
 
-// acks are the positions that a group has acknowledged since the last look.
+// acks takes a group's output and returns the indexes that it acknowledged.
 func acks(g *Group) []uint64 {
 	var positions []uint64
 	for _, out := range g.TakeOutput().Messages {
@@ -38,8 +38,8 @@
 	return positions
 }
 
-// A backup may hold entries that the primary lacks behind those that the message speaks of: they are not committed by it.
-func TestABackupCommitsOnlyWhatIsKnownToMatch(t *testing.T) {
+// A message commits no entries after those that it covers: the backup may have later entries that the primary lacks.
+func TestBackupCommitsOnlyMatchingEntries(t *testing.T) {
 	g, machine := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}, Entry{3, 1, []byte("c")}), 10)
 	g.MarkDurable(3, 1, 11)
@@ -49,8 +49,8 @@
 	}
 }
 
-// What becomes durable after the epoch has changed is acknowledged only once the new primary's log is known to match.
-func TestABackupAcknowledgesOnlyWhatIsKnownToMatch(t *testing.T) {
+// Entries that become durable after a change of the epoch are acknowledged only once they are known to match the new primary's log.
+func TestBackupAcknowledgesOnlyMatchingEntries(t *testing.T) {
 	g, _ := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}), 10)
 	acks(g)
@@ -66,10 +66,10 @@
 	}
 }
 
-// A snapshot counts once it is on disk.
-func TestASnapshotIsAcknowledgedWhenItIsDurable(t *testing.T) {
+// The entries that a snapshot covers are acknowledged once the snapshot is on disk.
+func TestSnapshotIsAcknowledgedWhenDurable(t *testing.T) {
 	g, _ := newBackup(t)
-	state := (&journalMachine{applied: []string{"a", "b"}}).Snapshot()
+	state := (&historyMachine{applied: []string{"a", "b"}}).Snapshot()
 	g.Step(1, singleChunkSnapshot(1, 2, 1, state), 10)
 	g.Step(1, appendFrom(1, 2, 1, 2), 11)
 	if got := acks(g); len(got) != 0 {
@@ -81,20 +81,20 @@
 	}
 }
 
-// A snapshot that comes late takes nothing away that was acknowledged.
-func TestALateSnapshotKeepsTheEntriesBehindIt(t *testing.T) {
+// A snapshot that arrives late doesn't remove acknowledged entries.
+func TestLateSnapshotKeepsEntriesAfterIt(t *testing.T) {
 	g, machine := newBackup(t)
 	g.Step(1, appendFrom(1, 0, 0, 0, Entry{1, 1, []byte("a")}, Entry{2, 1, []byte("b")}, Entry{3, 1, []byte("c")}), 10)
 	g.MarkDurable(3, 1, 11)
 	acks(g)
-	state := (&journalMachine{applied: []string{"a", "b"}}).Snapshot()
-	for range 2 { // the second one comes when the entries it covers have been applied
+	state := (&historyMachine{applied: []string{"a", "b"}}).Snapshot()
+	for range 2 { // the second one arrives after the entries that it covers were applied
 		g.Step(1, singleChunkSnapshot(1, 2, 1, state), 12)
 		if g.LastIndex() != 3 || len(machine.applied) != 2 {
 			t.Fatalf("last entry %d, applied %v", g.LastIndex(), machine.applied)
 		}
 		if output := g.TakeOutput(); len(output.Writes) != 0 {
-			t.Fatalf("the disk was replaced: %+v", output.Writes)
+			t.Fatalf("the snapshot was written: %+v", output.Writes)
 		}
 	}
 	g.Step(1, appendFrom(1, 3, 1, 3), 13)
@@ -103,9 +103,10 @@
 	}
 }
 
-// The process that led an epoch before its restart may have sent entries that it no longer knows.
-func TestARestartedPrimaryDoesNotLeadItsFormerEpoch(t *testing.T) {
-	g, err := NewGroup(1, &journalMachine{}, Snapshot{}, []Entry{{1, 4, nil}}, Options{})
+// A process that restarts doesn't become primary of the epoch that it led before, because it may have sent entries that it no
+// longer has.
+func TestRestartedPrimaryDoesNotLeadItsPreviousEpoch(t *testing.T) {
+	g, err := NewGroup(1, &historyMachine{}, Snapshot{}, []Entry{{1, 4, nil}}, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,9 +120,9 @@
 	}
 }
 
-// A primary that waits for a replica which will not come back can still take another one in.
-func TestAReplicaCanBeAdmittedWhileThePrimaryWaits(t *testing.T) {
-	machine := &journalMachine{}
+// A primary that waits for a replica that will not come back can still admit another one.
+func TestReplicaCanBeAdmittedWhilePrimaryWaits(t *testing.T) {
+	machine := &historyMachine{}
 	g, err := NewGroup(1, machine, Snapshot{}, []Entry{{1, 1, []byte("a")}}, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +131,7 @@
 	g.MarkDurable(2, 2, 11)
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 12)
 	if got := g.CaughtUp(13); len(got) != 0 {
-		t.Fatalf("%v lacks the entry that opened the epoch", got)
+		t.Fatalf("caught up without the entry that opened the epoch: %v", got)
 	}
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 2}, 13)
 	if got := g.CaughtUp(13); len(got) != 1 || got[0] != 2 {
@@ -143,9 +144,9 @@
 	}
 }
 
-// A replica that held everything when it was dropped is not admitted again while it is silent.
-func TestASilentReplicaIsNotCaughtUp(t *testing.T) {
-	g, err := NewGroup(1, &journalMachine{}, Snapshot{}, nil, Options{})
+// A replica that had all entries when it was removed from the in-sync set is not admitted again while it is silent.
+func TestSilentReplicaIsNotCaughtUp(t *testing.T) {
+	g, err := NewGroup(1, &historyMachine{}, Snapshot{}, nil, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,22 +155,22 @@
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: 1}, 12)
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}}, 900)
 	if got := g.CaughtUp(900); len(got) != 0 {
-		t.Fatalf("admitted though silent: %v", got)
+		t.Fatalf("caught up although silent: %v", got)
 	}
 	g.TakeOutput()
 	g.Tick(1100, false)
 	if output := g.TakeOutput(); len(output.Messages) != 1 {
-		t.Fatalf("nobody asks whether it is back: %+v", output.Messages)
+		t.Fatalf("the silent replica is not sent exactly one heartbeat: %+v", output.Messages)
 	}
 	g.Step(2, Message{Kind: MessageAck, Epoch: 2, Index: 1}, 1101)
 	if got := g.CaughtUp(1102); len(got) != 1 {
-		t.Fatalf("not admitted though it answers: %v", got)
+		t.Fatalf("not caught up although it responds: %v", got)
 	}
 }
 
-// An admitted replica counts from the moment it is admitted, and until the next epoch says otherwise.
-func TestAnAdmittedReplicaCountsAtOnce(t *testing.T) {
-	machine := &journalMachine{}
+// Commits wait for a replica from the moment it is admitted.
+func TestCommitsWaitForAdmittedReplica(t *testing.T) {
+	machine := &historyMachine{}
 	g, err := NewGroup(1, machine, Snapshot{}, nil, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -184,10 +185,10 @@
 	index := g.Propose([]byte("a"), 13)
 	g.MarkDurable(index, 1, 14)
 	if len(machine.applied) != 0 {
-		t.Fatal("committed without the replica that is being taken in")
+		t.Fatal("committed without the replica that is being admitted")
 	}
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: index}, 15)
 	if len(machine.applied) != 1 {
-		t.Fatal("not committed though all have it")
+		t.Fatal("not committed although all replicas have it")
 	}
 }
--- a/tier/replica/incoming.go
+++ b/tier/replica/incoming.go
@@ -2,21 +2,21 @@
 
 import "hash/crc32"
 
-// incomingSnapshot is a state that arrives in chunks. It is put aside until it is complete and its checksum is right.
+// incomingSnapshot is a snapshot being received in chunks. It is installed once it is complete and its checksum matches.
 type incomingSnapshot struct {
 	position    position
 	checksum    uint32
 	total       uint32
-	senderEpoch uint64 // of the primary that began it
+	senderEpoch uint64 // epoch of the primary that started the transfer
 	state       []byte
 }
 
-// isOf tells whether a chunk belongs to the snapshot; none belongs to nil.
-func (s *incomingSnapshot) isOf(chunk Message) bool {
+// includes reports whether a chunk belongs to the snapshot. It returns false for a nil snapshot.
+func (s *incomingSnapshot) includes(chunk Message) bool {
 	return s != nil && s.position == snapshotPosition(chunk) && s.checksum == chunk.Checksum && s.total == chunk.Total
 }
 
-// isValid tells whether all bytes are there and are those that were sent.
+// isValid reports whether the snapshot is complete and its checksum matches.
 func (s *incomingSnapshot) isValid() bool {
 	return len(s.state) == int(s.total) && crc32.Checksum(s.state, checksumTable) == s.checksum
 }
@@ -25,14 +25,14 @@
 	return position{index: chunk.Index, epoch: chunk.PrevEpoch}
 }
 
-// receiveChunk puts a chunk of a snapshot aside and installs the snapshot once it is complete.
+// receiveChunk stores a chunk of a snapshot and installs the snapshot once it is complete.
 func (g *Group) receiveChunk(chunk Message) {
 	if g.covers(snapshotPosition(chunk)) {
 		g.backup.incoming = nil
-		g.follow(chunk.Index, chunk.Index)
+		g.commitAndAcknowledge(chunk.Index, chunk.Index)
 		return
 	}
-	if g.backup.unrestorable.isOf(chunk) || !g.expectChunksOf(chunk) {
+	if g.backup.unrestorable.includes(chunk) || !g.prepareForChunk(chunk) {
 		return
 	}
 	incoming := g.backup.incoming
@@ -53,17 +53,17 @@
 	}
 }
 
-// covers tells whether the log reaches as far as a snapshot already, and matches it there.
+// covers reports whether the log already contains the last entry that a snapshot covers.
 func (g *Group) covers(snapshot position) bool {
 	epoch, known := g.log.epochAt(snapshot.index)
 	return snapshot.index <= g.commit.applied || (known && epoch == snapshot.epoch)
 }
 
-// expectChunksOf makes ready for the snapshot that a chunk belongs to. A late chunk of an older snapshot of the same primary is
-// not wanted.
-func (g *Group) expectChunksOf(chunk Message) bool {
+// prepareForChunk starts to receive the snapshot that a chunk belongs to, unless that has already started. It returns false for a
+// late chunk of an older snapshot of the same primary.
+func (g *Group) prepareForChunk(chunk Message) bool {
 	incoming := g.backup.incoming
-	if incoming.isOf(chunk) {
+	if incoming.includes(chunk) {
 		return true
 	}
 	if incoming != nil && chunk.Epoch == incoming.senderEpoch && chunk.Index < incoming.position.index {
@@ -82,8 +82,8 @@
 	})
 }
 
-// install replaces the state and the log by a complete snapshot. One that the state machine can't restore is not acknowledged: its
-// chunks are ignored from now on, and the primary gives the transfer up.
+// install replaces the state and the log by a complete snapshot. A snapshot that the state machine can't restore is not
+// acknowledged: its chunks are ignored from then on, and the primary cancels the transfer.
 func (g *Group) install(incoming *incomingSnapshot) bool {
 	if err := g.machine.Restore(incoming.state); err != nil {
 		g.output.Unrestorable = append(g.output.Unrestorable, &RestoreError{Index: incoming.position.index, Bytes: len(incoming.state), Err: err})
@@ -92,7 +92,7 @@
 		return false
 	}
 	index := incoming.position.index
-	g.log.restartAt(incoming.position)
+	g.log.resetTo(incoming.position)
 	g.commit = commitState{committed: index, applied: index}
 	g.backup.matched = index
 	snapshot := Snapshot{Index: index, Epoch: incoming.position.epoch, State: incoming.state}
--- a/tier/replica/log.go
+++ b/tier/replica/log.go
@@ -1,16 +1,16 @@
 package replica
 
-// entryOverhead is what an entry takes in memory beside its data, in bytes.
+// entryOverhead is the estimated memory use of an entry in addition to its data, in bytes.
 const entryOverhead = 64
 
 // Entry is one replicated command.
 type Entry struct {
 	Index uint64
-	Epoch uint64 // of the primary that took it
+	Epoch uint64 // epoch of the primary that proposed it
 	Data  []byte // empty for the entry that opens an epoch
 }
 
-// size is what the entry takes in memory.
+// size returns the estimated memory use of the entry.
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
 func sizeOf(entries []Entry) int {
@@ -21,26 +21,26 @@
 	return total
 }
 
-// Snapshot is the state after an entry.
+// Snapshot is the state after applying the entry at Index.
 type Snapshot struct {
 	Index uint64
 	Epoch uint64
 	State []byte
 }
 
-// position names an entry. Two logs that hold an entry of the same position hold the same entries up to it.
+// position identifies an entry. Two logs that contain an entry with the same position contain the same entries up to it.
 type position struct {
 	index uint64
 	epoch uint64
 }
 
-// entryLog is the part of a replica's log that is in memory, and how far the log is on disk.
+// entryLog is the part of a replica's log that is in memory. It tracks how far the log is on disk.
 type entryLog struct {
-	base    position // of the entry before the first one in memory
+	base    position // position of the entry before the first one in memory
 	entries []Entry
 	bytes   int    // size of the entries in memory
 	durable uint64 // entries up to this index are on disk
-	// unwrittenBytes is the size of the entries in writes that were asked for and not reported as completed.
+	// unwrittenBytes is the size of the entries in writes that were requested but not reported as completed.
 	unwrittenBytes int
 }
 
@@ -64,7 +64,7 @@
 	return l.base.epoch
 }
 
-// epochAt returns the epoch of an entry, and whether it is known here.
+// epochAt returns the epoch of an entry, and whether it is known.
 func (l *entryLog) epochAt(index uint64) (epoch uint64, known bool) {
 	if index == l.base.index {
 		return l.base.epoch, true
@@ -75,19 +75,19 @@
 	return l.at(index).Epoch, true
 }
 
-// at is an entry in memory.
+// at returns an entry in memory.
 func (l *entryLog) at(index uint64) Entry { return l.entries[index-l.base.index-1] }
 
-// behind are the entries after an index that is not below the base.
-func (l *entryLog) behind(index uint64) []Entry { return l.entries[index-l.base.index:] }
+// entriesAfter returns the entries after an index, which must not be below the base.
+func (l *entryLog) entriesAfter(index uint64) []Entry { return l.entries[index-l.base.index:] }
 
-// append takes entries behind the last one.
+// append adds entries after the last one.
 func (l *entryLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 	l.bytes += sizeOf(entries)
 }
 
-// bytesBetween is the size of the entries behind one index up to another, as far as they are in memory.
+// bytesBetween returns the size of the entries after one index up to and including another, as far as they are in memory.
 func (l *entryLog) bytesBetween(after, upTo uint64) int {
 	after = max(after, l.base.index)
 	upTo = min(upTo, l.lastIndex())
@@ -97,9 +97,9 @@
 	return sizeOf(l.entries[after-l.base.index : upTo-l.base.index])
 }
 
-// batchFrom collects entries from an index on for one message, and their size.
+// batchFrom returns entries for one message, starting at an index, and their size.
 func (l *entryLog) batchFrom(index uint64) (entries []Entry, size int) {
-	for _, entry := range l.behind(index - 1) {
+	for _, entry := range l.entriesAfter(index - 1) {
 		if size > maxAppendBytes {
 			break
 		}
@@ -109,8 +109,8 @@
 	return entries, size
 }
 
-// firstMissing returns the given entries from the first one on that the log lacks.
-func (l *entryLog) firstMissing(entries []Entry) []Entry {
+// fromFirstMissing returns the given entries starting with the first one that is not in the log, or nil if all are.
+func (l *entryLog) fromFirstMissing(entries []Entry) []Entry {
 	for i, entry := range entries {
 		if epoch, known := l.epochAt(entry.Index); !known || epoch != entry.Epoch {
 			return entries[i:]
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// truncateFrom drops an entry and all behind it.
+// truncateFrom removes an entry and all entries after it.
 func (l *entryLog) truncateFrom(index uint64) {
 	if index > l.lastIndex() {
 		return
@@ -129,16 +129,16 @@
 	l.durable = min(l.durable, index-1)
 }
 
-// forgetUpTo drops the entries up to an index from memory.
-func (l *entryLog) forgetUpTo(index uint64) {
+// discardUpTo discards the entries up to and including an index from memory.
+func (l *entryLog) discardUpTo(index uint64) {
 	epoch, _ := l.epochAt(index)
-	l.entries = append([]Entry(nil), l.behind(index)...)
+	l.entries = append([]Entry(nil), l.entriesAfter(index)...)
 	l.bytes = sizeOf(l.entries)
 	l.base = position{index: index, epoch: epoch}
 }
 
-// restartAt replaces the log by an empty one behind a snapshot that is not on disk yet.
-func (l *entryLog) restartAt(base position) {
+// resetTo replaces the log by an empty one after a snapshot that is not on disk yet.
+func (l *entryLog) resetTo(base position) {
 	l.base = base
 	l.entries = nil
 	l.bytes = 0
--- a/tier/replica/message.go
+++ b/tier/replica/message.go
@@ -2,22 +2,22 @@
 
 import "otterseam/tier/codec"
 
-// MessageKind tells what a message between replicas says.
+// MessageKind is the kind of a message between replicas.
 type MessageKind uint8
 
 // The kinds of messages between replicas.
 const (
-	// MessageAppend carries entries behind one that both are to hold. Without entries it is a heartbeat.
+	// MessageAppend carries entries that follow an entry which the receiver must have. Without entries it is a heartbeat.
 	MessageAppend MessageKind = iota + 1
 	// MessageSnapshotChunk carries a chunk of a snapshot, for a replica whose log can't be continued.
 	MessageSnapshotChunk
-	// MessageAck says what is durable at a replica.
+	// MessageAck acknowledges the entries that are durable at a replica.
 	MessageAck
-	// MessageLogMismatch says that the entry before the appended ones isn't held.
+	// MessageLogMismatch reports that the replica lacks the entry before the appended ones.
 	MessageLogMismatch
-	// MessageStaleEpoch says that the receiver's epoch has passed.
+	// MessageStaleEpoch reports that a newer epoch than the receiver's has begun.
 	MessageStaleEpoch
-	// MessageChunkAck says how many bytes of a snapshot a replica holds.
+	// MessageChunkAck reports how many bytes of a snapshot a replica has received.
 	MessageChunkAck
 	// MessageProbe asks a backup to confirm the primary, and confirms the backup.
 	MessageProbe
@@ -25,45 +25,44 @@
 	MessageProbeResponse
 )
 
-// Message is what replicas of a group send each other.
+// Message is a message between replicas of a group.
 type Message struct {
 	Kind      MessageKind
 	Epoch     uint64
-	Index     uint64 // before the entries, of the snapshot, or durable
+	Index     uint64 // index of the entry before Entries, of the snapshot, or of the last durable entry
 	PrevEpoch uint64 // epoch of the entry at Index
 	Commit    uint64
 	Entries   []Entry
-	Offset    uint32 // of a chunk in the snapshot, or bytes held of it
-	Total     uint32 // bytes of the snapshot
+	Offset    uint32 // offset of Chunk in the snapshot, or the number of bytes received
+	Total     uint32 // size of the snapshot
 	Checksum  uint32 // CRC-32C of the snapshot
-	Chunk     []byte // of the snapshot
-	Probe     Probe  // of probes and their responses alone
+	Chunk     []byte // a part of the snapshot
+	Probe     Probe  // only in probes and probe responses
 }
 
-// Timestamp names a probe by the incarnation of the process that sent it and by its monotonic clock at that moment. Whoever
-// responds returns the timestamp, so that the sender counts from when it sent the probe and never from when it happened to read
-// the response.
+// Timestamp identifies a probe by the incarnation of the sending process and by the time of its monotonic clock. The response
+// echoes the timestamp, so that the sender measures from when it sent the probe and not from when it read the response.
 type Timestamp struct {
 	Incarnation uint64
 	At          int64 // milliseconds
 }
 
-// Probe is what a primary and a backup send each other to prove their contact.
+// Probe is the content of the messages with which a primary and a backup prove their contact.
 type Probe struct {
-	Sent   Timestamp // of this probe
-	Echoed Timestamp // of the newest probe of the receiver that the sender has read
-	// QuorumAge is, in a primary's probe, how long ago it sent the newest probe that a majority has answered, in
+	Sent   Timestamp // timestamp of this probe
+	Echoed Timestamp // timestamp of the newest probe that the sender has read from the receiver
+	// QuorumAge is set in a primary's probe: the time since it sent the newest probe that a majority has responded to, in
 	// milliseconds, or noQuorum.
 	QuorumAge int64
 }
 
-// noQuorum is the QuorumAge of a primary that no majority has answered.
+// noQuorum is the QuorumAge of a primary to which no majority has responded.
 const noQuorum = -1
 
-// smallestEntry is what an entry without data takes in a message, in bytes.
-const smallestEntry = 8 + 8 + 4
+// minEntryBytes is the encoded size of an entry without data.
+const minEntryBytes = 8 + 8 + 4
 
-// Encode appends the message's form on the wire.
+// Encode appends the encoding of the message.
 func (m Message) Encode(e *codec.Encoder) {
 	e.Uint8(uint8(m.Kind))
 	e.Uint64(m.Epoch)
@@ -89,12 +88,12 @@
 	return m.Kind == MessageProbe || m.Kind == MessageProbeResponse
 }
 
-// DecodeMessage reads a message. The decoder says whether it could be read.
+// DecodeMessage reads a message. A failure is reported by the decoder's Err.
 func DecodeMessage(d *codec.Decoder) Message {
 	m := Message{
 		Kind: MessageKind(d.Uint8()), Epoch: d.Uint64(), Index: d.Uint64(), PrevEpoch: d.Uint64(), Commit: d.Uint64(),
 	}
-	for range d.Count(smallestEntry) {
+	for range d.Count(minEntryBytes) {
 		m.Entries = append(m.Entries, Entry{Index: d.Uint64(), Epoch: d.Uint64(), Data: d.Blob()})
 	}
 	m.Offset = d.Uint32()
@@ -107,13 +106,13 @@
 	return m
 }
 
-// Encode appends a timestamp to a message.
+// Encode appends the encoding of the timestamp.
 func (t Timestamp) Encode(e *codec.Encoder) {
 	e.Uint64(t.Incarnation)
 	e.Int64(t.At)
 }
 
-// DecodeTimestamp reads a timestamp from a message.
+// DecodeTimestamp reads a timestamp.
 func DecodeTimestamp(d *codec.Decoder) Timestamp {
 	return Timestamp{Incarnation: d.Uint64(), At: d.Int64()}
 }
--- a/tier/replica/options.go
+++ b/tier/replica/options.go
@@ -1,38 +1,38 @@
 package replica
 
-// The values that stand for options which are 0.
+// The defaults of options that are 0.
 const (
-	// DefaultRetainedEntries is how many applied entries stay in memory.
+	// DefaultRetainedEntries is the number of applied entries retained in memory.
 	DefaultRetainedEntries = 128
-	// DefaultRetainedBytes is how many bytes of applied entries stay in memory.
+	// DefaultRetainedBytes is the size of the applied entries retained in memory.
 	DefaultRetainedBytes = 256 << 10
 	// DefaultSnapshotChunkBytes is the size of one chunk of a snapshot.
 	DefaultSnapshotChunkBytes = 32 << 10
 )
 
-// Options tune a group. The zero value is a group with the defaults above, without bound on transfers and without contact.
+// Options configures a group. The zero value uses the defaults above, doesn't limit snapshot transfers and sends no probes.
 type Options struct {
-	// EagerCommit has a primary send each commit index to its backups at once instead of with the next entry or heartbeat, for
-	// groups whose backups serve reads of their own.
+	// EagerCommit makes a primary send each commit index to its backups at once instead of with the next entry or heartbeat. It is
+	// meant for groups whose backups serve reads.
 	EagerCommit bool
-	// RetainedEntries is how many applied entries stay in memory for replicas that lag; those that lag further get a snapshot.
-	// 0 means DefaultRetainedEntries.
+	// RetainedEntries is the number of applied entries retained in memory for lagging replicas. Replicas that lag further are sent
+	// a snapshot. 0 means DefaultRetainedEntries.
 	RetainedEntries uint64
-	// RetainedBytes is how many bytes of applied entries stay in memory for replicas that lag. It also bounds what a primary
-	// holds that is not committed. 0 means DefaultRetainedBytes.
+	// RetainedBytes is the size of the applied entries retained in memory for lagging replicas. It also bounds the uncommitted
+	// entries of a primary. 0 means DefaultRetainedBytes.
 	RetainedBytes int
 	// SnapshotChunkBytes is the size of one chunk of a snapshot. 0 means DefaultSnapshotChunkBytes.
 	SnapshotChunkBytes int
-	// TransferSlots bounds the snapshots sent at once together with other groups; nil means no bound.
+	// TransferSlots limits the concurrent snapshot transfers of all groups that share it; nil means no limit.
 	TransferSlots *TransferSlots
-	// Incarnation is a number drawn for the present run of the process. With one, the group keeps contact: its primary can prove
-	// that a majority answers it, and its backups that such a primary does. 0 means that no contact is kept.
+	// Incarnation is a random number that identifies this run of the process. If it is set, the group sends probes: its primary
+	// can prove that a majority responds to it, and its backups that such a primary responds to them. 0 disables probes.
 	Incarnation uint64
-	// StepDownAfter is how many milliseconds a primary goes on without the answers of a majority; 0 means for ever.
+	// StepDownAfter is how many milliseconds a primary continues without responses of a majority; 0 means without limit.
 	StepDownAfter int64
 }
 
-// withDefaults fills in what is 0 and has a default.
+// withDefaults returns the options with unset ones replaced by their defaults.
 func (o Options) withDefaults() Options {
 	if o.RetainedEntries == 0 {
 		o.RetainedEntries = DefaultRetainedEntries
--- a/tier/replica/primary.go
+++ b/tier/replica/primary.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	// unresponsiveAfter is how long a replica may owe an answer before it counts as unresponsive, in milliseconds.
+	// unresponsiveAfter is how long a replica with outstanding entries may be silent before it counts as unresponsive, in
+	// milliseconds.
 	unresponsiveAfter = 450
-	// heartbeatEvery is how long nothing is sent to a replica before a heartbeat is, in milliseconds.
-	heartbeatEvery = 100
+	// heartbeatInterval is the time without other messages to a replica after which a heartbeat is sent, in milliseconds.
+	heartbeatInterval = 100
 )
 
-// primaryState is what a replica knows while it is the primary of its view.
+// primaryState is the state that a replica has only while it is the primary of its view.
 type primaryState struct {
 	peers     map[uint64]*progress // the other replicas of the view
-	admitting map[uint64]bool      // replicas asked into the in-sync set: commits wait for them already
+	admitting map[uint64]bool      // replicas that are being admitted to the in-sync set; commits already wait for them
 	contact   primaryContact
 }
 
@@ -38,7 +39,7 @@
 	g.primary = nil
 }
 
-// peer is the progress of another replica, nil for one that is not of the view or if this replica is no primary.
+// peer returns the progress of another replica. It returns nil if that replica is not in the view or this one is not primary.
 func (g *Group) peer(id uint64) *progress {
 	if g.primary == nil {
 		return nil
@@ -46,7 +47,7 @@
 	return g.primary.peers[id]
 }
 
-// updatePeers follows the replicas of the view.
+// updatePeers adds and removes peers to match the replicas of the view.
 func (g *Group) updatePeers(now int64) {
 	peers := g.primary.peers
 	for id, peer := range peers {
@@ -62,7 +63,7 @@
 	}
 }
 
-// Propose appends a command and returns its index. Only a primary may be asked.
+// Propose appends a command and returns its index. It may only be called on a primary.
 func (g *Group) Propose(command []byte, now int64) uint64 {
 	entry := Entry{Index: g.log.lastIndex() + 1, Epoch: g.view.Epoch, Data: command}
 	g.log.append(entry)
@@ -97,7 +98,7 @@
 	}
 }
 
-// handleAck takes note of what is durable at a replica and sends what follows.
+// handleAck records up to which index the log is durable at a replica and sends the entries after it.
 func (g *Group) handleAck(peer *progress, index uint64, now int64) {
 	if index > peer.match {
 		peer.inFlight = max(0, peer.inFlight-g.log.bytesBetween(peer.match, index))
@@ -107,11 +108,11 @@
 	if peer.transfer != nil && peer.match >= min(peer.transfer.snapshot.index, g.log.base.index) {
 		g.endTransfer(peer)
 		peer.transferBackoff.cancelled = 0
-		peer.continueBehindMatch()
+		peer.resumeAfterMatch()
 	}
 	if peer.probing {
 		peer.probing = false
-		peer.continueBehindMatch()
+		peer.resumeAfterMatch()
 	}
 	peer.next = max(peer.next, peer.match+1)
 	if peer.next == peer.match+1 {
@@ -123,7 +124,7 @@
 	g.advanceCommit()
 }
 
-// handleLogMismatch looks for an entry further down that both logs hold.
+// handleLogMismatch moves back in the log to find an entry that both logs contain.
 func (g *Group) handleLogMismatch(peer *progress, index uint64, now int64) {
 	if peer.transfer != nil {
 		g.restartLostTransfer(peer, now)
@@ -132,7 +133,7 @@
 	peer.probing = true
 	peer.inFlight = 0
 	if index < peer.match {
-		// its disk holds less than it acknowledged: what it was counted for has to be written there again
+		// Its disk has less than it acknowledged, so the entries counted as durable there must be written again.
 		peer.match = 0
 		g.output.Regressed = append(g.output.Regressed, peer.id)
 	}
@@ -159,12 +160,12 @@
 		if unanswered > peer.resendDelay() {
 			g.resendEntries(peer, now)
 		}
-	case (heartbeats || !g.view.IsInSync(peer.id)) && unanswered >= heartbeatEvery:
+	case (heartbeats || !g.view.IsInSync(peer.id)) && unanswered >= heartbeatInterval:
 		g.sendEntries(peer, now)
 	}
 }
 
-// Unresponsive lists replicas, in sync or being admitted, from which an answer has been due for too long.
+// Unresponsive returns the replicas, in sync or being admitted, that have not responded to outstanding entries for too long.
 func (g *Group) Unresponsive(now int64) []uint64 {
 	if g.primary == nil {
 		return nil
@@ -182,10 +183,10 @@
 	return ids
 }
 
-// CaughtUp lists replicas that could join the in-sync set: those that hold all that was there when this primary's epoch opened,
-// which may have been committed before, and all that was committed since. The primary need not be ready: it may be waiting for
-// a replica that will never come back, and another must be able to take that one's place. Replicas that have not been heard in
-// the last moment don't count, whatever they held.
+// CaughtUp returns the replicas that could join the in-sync set. They have all entries up to the one that opened this primary's
+// epoch, any of which may have been committed earlier, and all entries committed since. The primary need not be ready: it may be
+// waiting for a replica that will never come back, and another one must be able to replace that replica. Replicas that have not
+// sent a message recently are not included, whatever they had before.
 func (g *Group) CaughtUp(now int64) []uint64 {
 	if g.primary == nil {
 		return nil
@@ -203,15 +204,15 @@
 	return ids
 }
 
-// Admit has commits wait for a replica from now on, before the in-sync set is asked to take it in: once the set holds it,
-// it may become primary at any time and must lack nothing.
+// Admit makes commits wait for a replica from now on. It must be called before the replica is added to the in-sync set: an in-sync
+// replica may become primary at any time and must have all committed entries.
 func (g *Group) Admit(id uint64) {
 	if g.primary != nil && g.matchOf(id) >= g.commit.committed {
 		g.primary.admitting[id] = true
 	}
 }
 
-// matchOf is up to where a replica has acknowledged the log, 0 for one that is not of the view.
+// matchOf returns the index up to which a replica has acknowledged the log, or 0 if it is not in the view.
 func (g *Group) matchOf(id uint64) uint64 {
 	if peer := g.peer(id); peer != nil {
 		return peer.match
--- a/tier/replica/progress.go
+++ b/tier/replica/progress.go
@@ -1,58 +1,59 @@
 package replica
 
 const (
-	// maxAppendBytes is the size of entries after which a message takes no more.
+	// maxAppendBytes is the size of entries after which no more are added to a message.
 	maxAppendBytes = 256 << 10
-	// maxInFlight is how many bytes of entries are sent to a replica and not acknowledged before no more are.
+	// maxInFlight is the size of unacknowledged entries at which no more are sent to a replica.
 	maxInFlight = 2 << 20
-	// resendAfter is how long entries may stay unacknowledged before they are sent again, in milliseconds; twice as long each
-	// second time without progress, up to the limit.
+	// resendAfter is how long entries may stay unacknowledged before they are sent again, in milliseconds. It doubles after every
+	// second resend without progress, up to resendLimit.
 	resendAfter = 150
 	resendLimit = 2400
-	// maxResendDoublings bounds the growth of that time.
+	// maxResendDoublings bounds the number of doublings.
 	maxResendDoublings = 4
 )
 
-// progress is what a primary knows of one replica, and what it has sent there.
+// progress is a primary's view of one replica: what the replica has acknowledged and what has been sent to it.
 type progress struct {
 	id        uint64
-	match     uint64 // the last entry known to be durable there
-	next      uint64 // the next entry to send
-	probing   bool   // it is not known yet up to where the logs match
-	inFlight  int    // bytes of entries sent and not acknowledged
-	resends   int    // of entries, without progress
+	match     uint64 // index of the last entry known to be durable there
+	next      uint64 // index of the next entry to send
+	probing   bool   // whether it is still unknown up to where the logs match
+	inFlight  int    // size of the entries sent but not acknowledged
+	resends   int    // resends of entries without progress
 	lastHeard int64
 	lastSent  int64
 
 	catchUp         catchUpWait
-	transfer        *transfer // a snapshot on its way, nil if there is none
+	transfer        *transfer // the snapshot transfer in progress, nil if there is none
 	transferBackoff transferBackoff
-	// lastTransferHeartbeat is when the last heartbeat beside a transfer was sent.
+	// lastTransferHeartbeat is when the last heartbeat during a transfer was sent.
 	lastTransferHeartbeat int64
 }
 
-// replicates tells whether the replica is sent entries as they come.
+// replicates reports whether the replica is sent new entries as they are proposed.
 func (p *progress) replicates() bool { return !p.probing && p.transfer == nil }
 
-// continueBehindMatch has the entry behind the last acknowledged one sent next.
-func (p *progress) continueBehindMatch() {
+// resumeAfterMatch makes the entry after the last acknowledged one the next to send.
+func (p *progress) resumeAfterMatch() {
 	p.next = p.match + 1
 	p.inFlight = 0
 }
 
-// resendDelay is how long entries may stay unacknowledged, in milliseconds.
+// resendDelay returns how long entries may stay unacknowledged before they are sent again, in milliseconds.
 func (p *progress) resendDelay() int64 {
 	return min(int64(resendAfter)<<min(p.resends/2, maxResendDoublings), resendLimit)
 }
 
-// sendEntries sends what a replica lacks, or an empty append as a heartbeat. It begins a transfer if that is no longer in memory.
+// sendEntries sends the entries that a replica lacks, or an empty append as a heartbeat. It starts a snapshot transfer if these
+// entries are no longer in memory.
 func (g *Group) sendEntries(peer *progress, now int64) {
 	prevEpoch, known := g.log.epochAt(peer.next - 1)
 	if !known {
 		g.startTransfer(peer, now)
 		return
 	}
-	message := g.appendBehind(position{index: peer.next - 1, epoch: prevEpoch})
+	message := g.appendMessageAfter(position{index: peer.next - 1, epoch: prevEpoch})
 	size := 0
 	if peer.inFlight < maxInFlight {
 		message.Entries, size = g.log.batchFrom(peer.next)
@@ -65,9 +66,9 @@
 	g.send(peer.id, message)
 }
 
-// sendLogProbe asks a replica how far its log goes with an append that carries nothing.
+// sendLogProbe sends a replica an append without entries, to learn how far its log matches.
 func (g *Group) sendLogProbe(peer *progress, now int64) {
-	peer.continueBehindMatch()
+	peer.resumeAfterMatch()
 	prevEpoch, known := g.log.epochAt(peer.match)
 	if !known || peer.match == 0 {
 		peer.probing = true
@@ -75,10 +76,10 @@
 		prevEpoch = g.log.lastEpoch()
 	}
 	peer.lastSent = now
-	g.send(peer.id, g.appendBehind(position{index: peer.next - 1, epoch: prevEpoch}))
+	g.send(peer.id, g.appendMessageAfter(position{index: peer.next - 1, epoch: prevEpoch}))
 }
 
-// resendEntries starts again behind what the replica has acknowledged.
+// resendEntries resumes sending after the last entry that the replica has acknowledged.
 func (g *Group) resendEntries(peer *progress, now int64) {
 	peer.resends++
 	peer.inFlight = 0
@@ -90,7 +91,7 @@
 	g.sendEntries(peer, now)
 }
 
-// appendBehind is an append behind an entry, without entries yet.
-func (g *Group) appendBehind(previous position) Message {
+// appendMessageAfter returns an append message that follows an entry. It has no entries yet.
+func (g *Group) appendMessageAfter(previous position) Message {
 	return Message{Kind: MessageAppend, Epoch: g.view.Epoch, Index: previous.index, PrevEpoch: previous.epoch, Commit: g.commit.committed}
 }
--- a/tier/replica/recorded_test.go
+++ b/tier/replica/recorded_test.go
@@ -10,12 +10,12 @@
 
 func recordedTimestamp() Timestamp { return Timestamp{Incarnation: 0x0807060504030201, At: 1_048_700} }
 
-// recordedMessage has all fields set, whatever its kind sends of them.
+// recordedMessage returns a message of a kind with all fields set, except that only probes have Probe set.
 func recordedMessage(kind MessageKind) Message {
 	m := Message{
 		Kind: kind, Epoch: 0x0102030405060708, Index: 0x1112131415161718, PrevEpoch: 0x2122232425262728, Commit: 0x3132333435363738,
 		Entries: []Entry{
-			{Index: 0x1112131415161719, Epoch: 0x0102030405060708, Data: []byte{}}, // as it opens an epoch
+			{Index: 0x1112131415161719, Epoch: 0x0102030405060708, Data: []byte{}}, // an entry that opens an epoch
 			{Index: 0x111213141516171a, Epoch: 0x0102030405060708, Data: []byte("first command")},
 			{Index: 0x111213141516171b, Epoch: 0x0102030405060708, Data: []byte{0, 1, 254, 255}},
 		},
@@ -65,7 +65,7 @@
 	recorded.CheckBoth(t, "stamp", recordedTimestamp(), encode, decode)
 }
 
-// recordedMachine is a state machine whose state is its bytes.
+// recordedMachine is a state machine whose state is the restored snapshot.
 type recordedMachine struct{ state []byte }
 
 func (m *recordedMachine) Apply(uint64, []byte) any { return nil }
@@ -75,8 +75,7 @@
 	return nil
 }
 
-// The chunks in which a snapshot goes to a replica, their checksum included, are those recorded, and a replica takes its state
-// from them.
+// The chunks of a snapshot and its checksum match the recording, and a replica restores its state from the recorded chunks.
 func TestRecordedSnapshotChunks(t *testing.T) {
 	view := View{Epoch: 5, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2}, MinInSync: 1}
 	state := "the state of a group, in several pieces"
--- a/tier/replica/sim_test.go
+++ b/tier/replica/sim_test.go
@@ -12,24 +12,25 @@
 	"otterseam/tier/consensus"
 )
 
-// The simulation plays one group on a network and disks that lose, delay and repeat, under a view authority that behaves as
-// control does: it replaces primaries, drops silent replicas down to a floor and admits those that caught up.
+// The simulation runs one group on a network that loses, delays, reorders and duplicates messages and on disks that lose unsynced
+// writes. It changes views as the control processes do: it replaces primaries, removes silent replicas from the in-sync set down to
+// a minimum, and admits replicas that caught up.
 
 const (
-	simNodes    = 3
-	simTolerate = 1
-	simSteps    = 1500
+	simNodes           = 3
+	simToleratedLosses = 1
+	simSteps           = 1500
 )
 
-// journalMachine keeps the commands that were applied.
-type journalMachine struct{ applied []string }
+// historyMachine is a state machine whose state is the list of applied commands.
+type historyMachine struct{ applied []string }
 
-func (m *journalMachine) Apply(_ uint64, command []byte) any {
+func (m *historyMachine) Apply(_ uint64, command []byte) any {
 	m.applied = append(m.applied, string(command))
 	return len(m.applied)
 }
 
-func (m *journalMachine) Snapshot() []byte {
+func (m *historyMachine) Snapshot() []byte {
 	var e codec.Encoder
 	e.Uint32(uint32(len(m.applied)))
 	for _, command := range m.applied {
@@ -38,7 +39,7 @@
 	return e.Bytes
 }
 
-func (m *journalMachine) Restore(snapshot []byte) error {
+func (m *historyMachine) Restore(snapshot []byte) error {
 	d := codec.NewDecoder(snapshot)
 	m.applied = nil
 	for range d.Count(4) {
@@ -47,7 +48,7 @@
 	return d.Err()
 }
 
-// simDisk is what a loss of power leaves.
+// simDisk is the durable content of a disk.
 type simDisk struct {
 	base    Snapshot
 	entries []Entry
@@ -72,10 +73,10 @@
 	up          bool
 	frozen      int
 	group       *Group
-	machine     *journalMachine
+	machine     *historyMachine
 	disk        simDisk
 	writes      []Write
-	waiting     map[uint64]string // commands taken as primary, by index
+	pending     map[uint64]string // commands proposed as primary and not yet applied, by index
 	viewEpoch   uint64            // epoch of the newest view delivered
 	slots       *TransferSlots
 }
@@ -92,7 +93,7 @@
 	nodes              []*simNode
 	network            []envelope
 	view               View
-	primaryIncarnation uint64 // of the view's primary
+	primaryIncarnation uint64 // incarnation of the view's primary
 	nextID             uint64
 	lastCommand        int
 	acknowledged       map[string]bool
@@ -110,7 +111,7 @@
 	s.view.Epoch = 1
 	s.view.Primary = s.view.InSync[0]
 	s.view.Replicas = append([]uint64(nil), s.view.InSync...)
-	s.view.MinInSync = MinInSync(simTolerate, simNodes)
+	s.view.MinInSync = MinInSync(simToleratedLosses, simNodes)
 	s.primaryIncarnation = s.nodes[0].incarnation
 	return s
 }
@@ -122,9 +123,9 @@
 }
 
 func (s *sim) start(node *simNode) {
-	node.machine = &journalMachine{}
+	node.machine = &historyMachine{}
 	node.writes = nil
-	node.waiting = map[uint64]string{}
+	node.pending = map[uint64]string{}
 	node.viewEpoch = 0
 	node.incarnation = s.random.Uint64()
 	node.up = true
@@ -146,11 +147,11 @@
 	return nil
 }
 
-// carryOut takes a node's output.
-func (s *sim) carryOut(node *simNode) {
+// handleOutput processes the output of a node's group. Messages may be lost or duplicated.
+func (s *sim) handleOutput(node *simNode) {
 	output := node.group.TakeOutput()
 	if output.SteppedDown {
-		node.waiting = map[uint64]string{}
+		node.pending = map[uint64]string{}
 	}
 	node.writes = append(node.writes, output.Writes...)
 	for _, out := range output.Messages {
@@ -163,12 +164,12 @@
 		}
 	}
 	for _, applied := range output.Applied {
-		if command, waits := node.waiting[applied.Index]; waits {
+		if command, isPending := node.pending[applied.Index]; isPending {
 			if command != string(applied.Command) {
-				s.t.Fatalf("index %d was answered for %q and holds %q", applied.Index, command, applied.Command)
+				s.t.Fatalf("index %d: %q was proposed, but %q was applied", applied.Index, command, applied.Command)
 			}
 			s.acknowledged[command] = true
-			delete(node.waiting, applied.Index)
+			delete(node.pending, applied.Index)
 		}
 	}
 	node.group.Trim()
@@ -184,7 +185,7 @@
 	return count
 }
 
-// step does one thing drawn by chance.
+// step performs one random action.
 func (s *sim) step(faults bool) {
 	s.now += int64(s.random.Intn(12))
 	node := s.nodes[s.random.Intn(len(s.nodes))]
@@ -208,19 +209,19 @@
 			s.injectFault(node)
 		}
 	}
-	s.thaw()
+	s.advanceFreezes()
 }
 
-// tick lets a node's time go on, unless it is frozen.
+// tick calls Tick on a node's group unless the node is down or frozen.
 func (s *sim) tick(node *simNode) {
 	if node.up && node.frozen == 0 {
 		node.group.Tick(s.now, true)
-		s.carryOut(node)
+		s.handleOutput(node)
 	}
 }
 
-// thaw brings the end of each freeze one step nearer.
-func (s *sim) thaw() {
+// advanceFreezes counts down the remaining steps of each frozen node.
+func (s *sim) advanceFreezes() {
 	for _, node := range s.nodes {
 		if node.frozen > 0 {
 			node.frozen--
@@ -244,7 +245,7 @@
 		return
 	}
 	node.group.Step(sent.from, sent.message, s.now)
-	s.carryOut(node)
+	s.handleOutput(node)
 }
 
 // sync makes a node's queued writes durable.
@@ -266,7 +267,7 @@
 			node.group.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, s.now)
 		}
 	}
-	s.carryOut(node)
+	s.handleOutput(node)
 }
 
 func (s *sim) propose() {
@@ -276,12 +277,12 @@
 		}
 		s.lastCommand++
 		command := fmt.Sprintf("c%d", s.lastCommand)
-		node.waiting[node.group.Propose([]byte(command), s.now)] = command
-		s.carryOut(node)
+		node.pending[node.group.Propose([]byte(command), s.now)] = command
+		s.handleOutput(node)
 	}
 }
 
-// deliverView gives a node the authority's view, as the feed would, some time late.
+// deliverView delivers the current view to a node. As with the feed, that may happen long after the view was decided.
 func (s *sim) deliverView(node *simNode) {
 	if !node.up || node.frozen > 0 || node.viewEpoch == s.view.Epoch {
 		return
@@ -291,7 +292,7 @@
 	}
 	node.viewEpoch = s.view.Epoch
 	node.group.SetView(s.view, s.now)
-	s.carryOut(node)
+	s.handleOutput(node)
 }
 
 func (s *sim) alive(id uint64) bool {
@@ -299,17 +300,17 @@
 	return node != nil && node.up && node.frozen == 0
 }
 
-// changeView changes the view as control would.
+// changeView changes the view as the control processes would.
 func (s *sim) changeView() {
 	next := s.view
-	next.InSync = s.remaining()
+	next.InSync = s.remainingInSync()
 	var replicas []uint64
 	for _, node := range s.nodes {
 		replicas = append(replicas, node.id)
 	}
 	next.Replicas = replicas
 	if s.replacesPrimary(next) {
-		next.Primary = s.drawPrimary(next.InSync)
+		next.Primary = s.pickPrimary(next.InSync)
 	}
 	if next.Primary == 0 || len(next.InSync) == 0 {
 		return
@@ -321,13 +322,13 @@
 	s.admitOrDrop()
 }
 
-// replacesPrimary tells whether a view's primary may not go on, or is replaced by chance.
+// replacesPrimary reports whether a view's primary can't continue or is to be replaced at random.
 func (s *sim) replacesPrimary(next View) bool {
 	return !s.alive(next.Primary) || s.find(next.Primary).incarnation != s.primaryIncarnation || !next.IsInSync(next.Primary) || s.random.Intn(12) == 0
 }
 
-// drawPrimary draws one of the in-sync replicas that are alive, 0 if there is none.
-func (s *sim) drawPrimary(inSync []uint64) uint64 {
+// pickPrimary returns a random in-sync replica that is alive, or 0 if there is none.
+func (s *sim) pickPrimary(inSync []uint64) uint64 {
 	primary := uint64(0)
 	for _, id := range inSync {
 		if s.alive(id) && (primary == 0 || s.random.Intn(2) == 0) {
@@ -337,7 +338,7 @@
 	return primary
 }
 
-// differs tells whether a view is another one than that in force.
+// differs reports whether a view differs from the current one.
 func (s *sim) differs(next View) bool {
 	if next.Primary != s.view.Primary || s.find(next.Primary).incarnation != s.primaryIncarnation {
 		return true
@@ -351,8 +352,9 @@
 	s.primaryIncarnation = s.find(next.Primary).incarnation
 }
 
-// remaining is the in-sync set without replicas whose disk is gone and, down to the floor, without dead ones.
-func (s *sim) remaining() []uint64 {
+// remainingInSync returns the in-sync set without the replicas whose disk was lost. It also removes replicas that are not alive, down
+// to the minimum size.
+func (s *sim) remainingInSync() []uint64 {
 	var known []uint64
 	for _, id := range s.view.InSync {
 		if s.find(id) != nil {
@@ -361,14 +363,14 @@
 	}
 	rest := known
 	for _, id := range known {
-		if !s.alive(id) && len(rest) > simNodes-simTolerate {
+		if !s.alive(id) && len(rest) > simNodes-simToleratedLosses {
 			rest = consensus.Without(rest, id)
 		}
 	}
 	return rest
 }
 
-// admitOrDrop asks the primary's replica what it wants, if the primary has the newest view.
+// admitOrDrop changes the in-sync set as the primary proposes, if the primary has the newest view.
 func (s *sim) admitOrDrop() {
 	node := s.find(s.view.Primary)
 	if node == nil || node.group.View().Epoch != s.view.Epoch {
@@ -377,7 +379,7 @@
 	if caughtUp := node.group.CaughtUp(s.now); len(caughtUp) > 0 {
 		node.group.Admit(caughtUp[0])
 		if !s.alive(caughtUp[0]) {
-			return // refused: its session does not hold
+			return // rejected: its session has expired
 		}
 		next := s.view
 		next.InSync = append(append([]uint64(nil), s.view.InSync...), caughtUp[0])
@@ -385,7 +387,7 @@
 		return
 	}
 	if silent := node.group.Unresponsive(s.now); len(silent) > 0 {
-		if s.view.IsInSync(silent[0]) && len(s.view.InSync)-1 < simNodes-simTolerate {
+		if s.view.IsInSync(silent[0]) && len(s.view.InSync)-1 < simNodes-simToleratedLosses {
 			return
 		}
 		next := s.view
@@ -394,7 +396,8 @@
 	}
 }
 
-// injectFault strikes within what is tolerated: one machine at a time, and a disk only while the others hold everything.
+// injectFault injects a random fault that the group tolerates: one unavailable machine at a time, a power loss of all machines, and
+// the loss of a disk only while enough other replicas are in sync.
 func (s *sim) injectFault(node *simNode) {
 	switch s.random.Intn(4) {
 	case 0:
@@ -435,7 +438,7 @@
 	}
 }
 
-// crash ends a process; of the writes not synced some prefix may have reached the disk.
+// crash stops a process. A random prefix of its unsynced writes reaches the disk.
 func (s *sim) crash(node *simNode) {
 	if !node.up {
 		return
@@ -446,18 +449,18 @@
 	node.up = false
 }
 
-// othersInSync tells whether as many replicas as must survive a lost disk are in sync without this node.
+// othersInSync reports whether enough replicas without this node are in sync for its disk to be lost.
 func (s *sim) othersInSync(node *simNode) bool {
-	held := 0
+	others := 0
 	for _, id := range s.view.InSync {
 		if id != node.id && s.find(id) != nil {
-			held++
+			others++
 		}
 	}
-	return held >= simNodes-simTolerate
+	return others >= simNodes-simToleratedLosses
 }
 
-// healAndWait heals everything and plays until all replicas have applied all.
+// healAndWait ends all faults and runs the simulation until all replicas have applied all entries.
 func (s *sim) healAndWait() {
 	for _, node := range s.nodes {
 		if !node.up {
@@ -471,7 +474,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("the group did not settle: view %+v", s.view)
+	s.t.Fatalf("not all replicas caught up: view %+v", s.view)
 }
 
 func (s *sim) allCaughtUp() bool {
@@ -486,19 +489,19 @@
 	return true
 }
 
-// verify checks that nothing acknowledged is missing and that all replicas applied the same commands.
+// verify checks that no acknowledged command is lost and that all replicas applied the same commands.
 func (s *sim) verify() {
 	primary := s.find(s.view.Primary)
-	held := map[string]bool{}
+	appliedByPrimary := map[string]bool{}
 	for _, command := range primary.machine.applied {
-		if held[command] {
+		if appliedByPrimary[command] {
 			s.t.Fatalf("%s was applied twice", command)
 		}
-		held[command] = true
+		appliedByPrimary[command] = true
 	}
 	for command := range s.acknowledged {
-		if !held[command] {
-			s.t.Fatalf("%s was acknowledged and is lost", command)
+		if !appliedByPrimary[command] {
+			s.t.Fatalf("%s was acknowledged but is lost", command)
 		}
 	}
 	for _, node := range s.nodes {
@@ -523,10 +526,10 @@
 	return defaultSeeds
 }
 
-// Nothing acknowledged is lost and replicas never differ, over seeds of loss, delay, repetition, crashes, lost disks, freezes and
-// changes of the primary. TIER_SEEDS sets how many.
-func TestGroupKeepsWhatItAcknowledged(t *testing.T) {
-	acked := 0
+// No acknowledged command is lost and the replicas' states never diverge, under message loss, delay and duplication, crashes, lost
+// disks, frozen processes and changes of the primary. TIER_SEEDS sets the number of seeds.
+func TestGroupKeepsAcknowledgedCommands(t *testing.T) {
+	acknowledgedTotal := 0
 	for seed := range int64(seeds()) {
 		t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
 			s := newSim(t, seed)
@@ -535,13 +538,13 @@
 			}
 			s.healAndWait()
 			s.verify()
-			acked += len(s.acknowledged)
+			acknowledgedTotal += len(s.acknowledged)
 		})
 		if t.Failed() {
 			return
 		}
 	}
-	if acked < seeds() {
-		t.Fatalf("only %d commands were acknowledged over all seeds", acked)
+	if acknowledgedTotal < seeds() {
+		t.Fatalf("only %d commands were acknowledged over all seeds", acknowledgedTotal)
 	}
 }
--- a/tier/replica/transfer.go
+++ b/tier/replica/transfer.go
@@ -3,23 +3,23 @@
 import "hash/crc32"
 
 const (
-	// windowChunks is how many chunks may be on their way at once. Heartbeats and entries wait behind no more than these.
+	// windowChunks is the maximum number of unacknowledged chunks. It bounds how much data heartbeats and entries queue behind.
 	windowChunks = 4
-	// chunkResendAfter is how long a chunk may stay unanswered before it is sent again, in milliseconds; each time twice as long,
-	// up to the limit.
+	// chunkResendAfter is how long a chunk may stay unacknowledged before it is sent again, in milliseconds. It doubles with each
+	// resend, up to chunkResendLimit.
 	chunkResendAfter        = 1000
 	chunkResendLimit        = 8000
 	maxChunkResendDoublings = 3
-	// maxChunkResends is how often a chunk is sent again before the transfer is given up: the replica is heard but does not take
+	// maxChunkResends is how often a chunk is sent again before the transfer is cancelled: the replica responds but doesn't accept
 	// the snapshot.
 	maxChunkResends = 5
-	// slotReleaseAfter is how long a replica may be silent before its transfer makes way for those of others, in milliseconds.
+	// slotReleaseAfter is how long a replica may be silent before its transfer releases its slot, in milliseconds.
 	slotReleaseAfter = 1000
-	// transferAbandonAfter is how long a replica may be silent before its transfer is given up and the snapshot forgotten, in
+	// transferAbandonAfter is how long a replica may be silent before its transfer is abandoned and the snapshot discarded, in
 	// milliseconds.
 	transferAbandonAfter = 10000
-	// transferBackoffFirst is the pause after a transfer that was cancelled, in milliseconds; each time twice as long, up to
-	// the limit.
+	// transferBackoffFirst is the delay after a cancelled transfer before the next one, in milliseconds. It doubles with each
+	// cancelled transfer, up to transferBackoffLimit.
 	transferBackoffFirst        = 500
 	transferBackoffLimit        = 16000
 	maxTransferBackoffDoublings = 5
@@ -27,7 +27,7 @@
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// outgoingSnapshot is a state that is sent to one or more replicas.
+// outgoingSnapshot is a snapshot that is sent to one or more replicas.
 type outgoingSnapshot struct {
 	position
 
@@ -35,34 +35,35 @@
 	checksum uint32
 }
 
-// transfer is a snapshot on its way to one replica.
+// transfer is the transfer of a snapshot to one replica.
 type transfer struct {
 	snapshot   *outgoingSnapshot
 	sent       int  // bytes sent, acknowledged or not
-	received   int  // bytes that the replica said it holds
-	complete   bool // the replica holds all of it
-	holdsSlot  bool // it counts among the transfers that send
-	resends    int  // of the same chunk
+	received   int  // bytes that the replica has acknowledged
+	complete   bool // whether the replica has acknowledged all bytes
+	holdsSlot  bool // whether it occupies one of the TransferSlots
+	resends    int  // resends of the same chunk
 	progressAt int64
 }
 
-// transferBackoff is the pause before the next transfer to a replica.
+// transferBackoff delays the next transfer to a replica after cancelled ones.
 type transferBackoff struct {
-	cancelled int // transfers, since the replica last held a snapshot
+	cancelled int // transfers cancelled since the last one that succeeded
 	retryAt   int64
 }
 
-// cancel notes a cancelled transfer.
-func (b *transferBackoff) cancel(now int64) {
+// recordCancelled records a cancelled transfer and sets the time of the next attempt.
+func (b *transferBackoff) recordCancelled(now int64) {
 	pause := min(int64(transferBackoffFirst)<<min(b.cancelled, maxTransferBackoffDoublings), transferBackoffLimit)
 	b.cancelled++
 	b.retryAt = now + pause
 }
 
-// TransferSlots bounds how many snapshots are sent at once by all groups that share it. It has a single owner.
+// TransferSlots limits the concurrent snapshot transfers of all groups that share it. It has a single owner and is not safe for
+// concurrent use.
 type TransferSlots struct{ free int }
 
-// NewTransferSlots allows so many transfers at once.
+// NewTransferSlots returns slots for a number of concurrent transfers.
 func NewTransferSlots(limit int) *TransferSlots { return &TransferSlots{free: limit} }
 
 func (s *TransferSlots) acquire() bool {
@@ -82,14 +83,14 @@
 	}
 }
 
-// retainedDuringTransfer is how many bytes of entries stay in memory behind a snapshot that is on its way. A replica whose link
-// carries the changes as fast as they come receives the snapshot while no more than the snapshot's own size of changes arrives;
-// with twice that, a transfer which the log outgrows is one that no snapshot could have helped.
+// retainedDuringTransfer returns the size of the entries that are retained after the snapshot of a transfer. If the replica's link
+// is at least as fast as new entries arrive, entries of at most the snapshot's size arrive during the transfer. The log is allowed
+// twice that size, so a transfer that it outgrows goes over a link too slow for any snapshot.
 func (g *Group) retainedDuringTransfer(t *transfer) int {
 	return g.options.RetainedBytes + 2*len(t.snapshot.state)
 }
 
-// startTransfer begins to send a snapshot to a replica whose log cannot be continued.
+// startTransfer starts to send a snapshot to a replica whose log can't be continued, unless the backoff delay has not passed.
 func (g *Group) startTransfer(peer *progress, now int64) {
 	if now < peer.transferBackoff.retryAt {
 		peer.probing = true
@@ -100,7 +101,8 @@
 	g.sendChunks(peer, now)
 }
 
-// snapshotToSend is a snapshot that another replica is being sent and whose log goes on, or a new one.
+// snapshotToSend returns a snapshot that is already being sent to another replica, if the log after it is still in memory, and a
+// new one otherwise.
 func (g *Group) snapshotToSend() *outgoingSnapshot {
 	for _, id := range g.view.Replicas {
 		if peer := g.peer(id); peer != nil && peer.transfer != nil && peer.transfer.snapshot.index >= g.log.base.index {
@@ -114,7 +116,7 @@
 	}
 }
 
-// sendChunks sends what the window allows, if the transfer may run now.
+// sendChunks sends as many chunks as the window allows, if a transfer slot is available.
 func (g *Group) sendChunks(peer *progress, now int64) {
 	t := peer.transfer
 	if !t.holdsSlot {
@@ -142,7 +144,7 @@
 	peer.lastSent = now
 }
 
-// handleChunkAck takes note of how much of a snapshot a replica holds.
+// handleChunkAck records how much of a snapshot a replica has received.
 func (g *Group) handleChunkAck(peer *progress, message Message, now int64) {
 	t := peer.transfer
 	if t == nil || message.Index != t.snapshot.index || message.Checksum != t.snapshot.checksum {
@@ -150,7 +152,7 @@
 	}
 	received := min(int(message.Offset), len(t.snapshot.state))
 	if received < t.received {
-		t.sent = received // it was started again and holds less than before
+		t.sent = received // the replica restarted and has less than before
 		t.complete = false
 	}
 	if received != t.received {
@@ -167,8 +169,8 @@
 	g.sendChunks(peer, now)
 }
 
-// tickTransfer keeps a transfer going: it waits for a slot, sends again what was not answered, asks whether the snapshot is in
-// place, and gives up on a replica that is silent for long.
+// tickTransfer advances a transfer: it acquires a slot when one is free, resends unacknowledged chunks, sends heartbeats to learn
+// whether the snapshot is installed, and abandons the transfer if the replica is silent for too long.
 func (g *Group) tickTransfer(peer *progress, now int64) {
 	t := peer.transfer
 	silence := now - peer.lastHeard
@@ -192,19 +194,19 @@
 		t.sent = t.received
 		g.sendChunk(peer, now)
 	}
-	if now-peer.lastTransferHeartbeat >= heartbeatEvery {
+	if now-peer.lastTransferHeartbeat >= heartbeatInterval {
 		peer.lastTransferHeartbeat = now
-		g.send(peer.id, g.appendBehind(t.snapshot.position))
+		g.send(peer.id, g.appendMessageAfter(t.snapshot.position))
 	}
 }
 
-// resendDelay is how long a chunk may stay unanswered, in milliseconds.
+// resendDelay returns how long a chunk may stay unacknowledged before it is sent again, in milliseconds.
 func (t *transfer) resendDelay() int64 {
 	return min(int64(chunkResendAfter)<<min(t.resends, maxChunkResendDoublings), chunkResendLimit)
 }
 
-// restartLostTransfer begins to send the same snapshot again when the replica says that it does not hold it although it had it
-// all: it was started again before the snapshot was on its disk.
+// restartLostTransfer sends the same snapshot again from its beginning if the replica had acknowledged all of it but reports that
+// it lacks it. This happens if the replica restarts before the snapshot is durable.
 func (g *Group) restartLostTransfer(peer *progress, now int64) {
 	t := peer.transfer
 	if !t.complete {
@@ -217,9 +219,9 @@
 	g.sendChunks(peer, now)
 }
 
-// cancelTransfer ends a transfer that the log has outgrown or that the replica does not take; the next one waits longer.
+// cancelTransfer ends a transfer that the log has outgrown or whose snapshot the replica doesn't accept, and increases the backoff.
 func (g *Group) cancelTransfer(peer *progress) {
-	peer.transferBackoff.cancel(g.clock)
+	peer.transferBackoff.recordCancelled(g.clock)
 	g.endTransfer(peer)
 	peer.probing = true
 	peer.next = g.log.lastIndex() + 1
--- a/tier/replica/transfer_test.go
+++ b/tier/replica/transfer_test.go
@@ -9,7 +9,8 @@
 	"otterseam/tier/codes"
 )
 
-// transferPair is a primary with a state of several chunks and an empty backup, which the primary's log cannot reach.
+// transferPair is a primary with a state of several chunks and an empty backup that can't be brought up to date from the
+// primary's log.
 type transferPair struct {
 	t       *testing.T
 	now     int64
@@ -24,7 +25,7 @@
 	t.Helper()
 	options := Options{RetainedEntries: 1, RetainedBytes: 4000, SnapshotChunkBytes: testChunkBytes}
 	p := &transferPair{t: t, now: 1000, primary: newPrimaryOfTwo(t, options), state: bytes.Repeat([]byte("abcdefg"), 200)}
-	p.now = 2000 // replica 2 has been silent since
+	p.now = 2000 // replica 2 has been silent since its first acknowledgement
 	p.propose(bytes.Repeat([]byte("x"), 3000))
 	p.propose(bytes.Repeat([]byte("x"), 3000))
 	p.propose(p.state)
@@ -47,7 +48,7 @@
 	p.primary.MarkDurable(index, 1, p.now)
 }
 
-// queuedChunkBytes are the positions of the snapshot's chunks among messages.
+// chunkOffsets returns the offsets of the snapshot chunks among messages.
 func chunkOffsets(messages []Outgoing) []int {
 	var offsets []int
 	for _, out := range messages {
@@ -58,14 +59,14 @@
 	return offsets
 }
 
-// begin has the backup say that it is empty and returns what the primary sends.
-func (p *transferPair) begin() []Outgoing {
+// beginTransfer makes the backup report that its log is empty and returns what the primary sends.
+func (p *transferPair) beginTransfer() []Outgoing {
 	p.primary.TakeOutput()
 	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now)
 	return p.primary.TakeOutput().Messages
 }
 
-// exchange carries messages both ways until nobody says anything more, and makes writes durable.
+// exchange delivers messages in both directions until neither group sends any more, and makes writes durable.
 func (p *transferPair) exchange(toBackup []Outgoing) {
 	for len(toBackup) > 0 {
 		for _, out := range toBackup {
@@ -90,10 +91,10 @@
 
 func (p *transferPair) caughtUp() bool { return len(p.primary.CaughtUp(p.now)) == 1 }
 
-// A snapshot goes in chunks, no more of them at once than the window, and the next one on an answer.
-func TestASnapshotIsSentInChunksWithinAWindow(t *testing.T) {
+// A snapshot is sent in chunks, at most a window of them at once, and the next one after an acknowledgement.
+func TestSnapshotIsSentInChunksWithinWindow(t *testing.T) {
 	p := newTransferPair(t)
-	sent := p.begin()
+	sent := p.beginTransfer()
 	if got := chunkOffsets(sent); len(got) != windowChunks || got[0] != 0 || got[1] != testChunkBytes {
 		t.Fatalf("sent %v", got)
 	}
@@ -101,7 +102,7 @@
 	answer := p.backup.TakeOutput().Messages
 	p.primary.Step(2, answer[0].Message, p.now)
 	if got := chunkOffsets(p.primary.TakeOutput().Messages); len(got) != 1 || got[0] != windowChunks*testChunkBytes {
-		t.Fatalf("after one answer: %v", got)
+		t.Fatalf("after one acknowledgement: %v", got)
 	}
 	p.exchange(sent[1:])
 	for range 30 {
@@ -114,10 +115,10 @@
 	}
 }
 
-// After a break the transfer goes on with the chunk that was lost, although the state has changed meanwhile.
-func TestATransferResumesAfterABreak(t *testing.T) {
+// After a connection loss the transfer resumes with the lost chunk of the same snapshot, although the state has changed meanwhile.
+func TestTransferResumesAfterConnectionLoss(t *testing.T) {
 	p := newTransferPair(t)
-	sent := p.begin()
+	sent := p.beginTransfer()
 	index := sent[0].Message.Index
 	for _, out := range sent[:2] {
 		p.backup.Step(1, out.Message, p.now)
@@ -125,18 +126,18 @@
 	for _, out := range p.backup.TakeOutput().Messages {
 		p.primary.Step(2, out.Message, p.now)
 	}
-	p.primary.TakeOutput() // lost with the connection, as are two of the first four
+	p.primary.TakeOutput() // lost with the connection, like two of the first four chunks
 	p.propose([]byte("newer"))
 	p.now += 1200
-	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now) // the answer to a heartbeat
+	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now) // the response to a heartbeat
 	p.primary.Tick(p.now, true)
 	again := p.primary.TakeOutput().Messages
 	if got := chunkOffsets(again); len(got) != 1 || got[0] != 2*testChunkBytes {
-		t.Fatalf("after the break: %v", got)
+		t.Fatalf("after the connection loss: %v", got)
 	}
 	for _, out := range again {
 		if out.Message.Kind == MessageSnapshotChunk && out.Message.Index != index {
-			t.Fatal("a newer snapshot was begun")
+			t.Fatal("the transfer of a newer snapshot was started")
 		}
 	}
 	p.exchange(again)
@@ -150,10 +151,10 @@
 	}
 }
 
-// A backup that starts again in the middle gets the same snapshot from its beginning.
-func TestARestartedBackupGetsTheSameSnapshot(t *testing.T) {
+// A backup that restarts during a transfer is sent the same snapshot from its beginning.
+func TestRestartedBackupGetsSameSnapshot(t *testing.T) {
 	p := newTransferPair(t)
-	sent := p.begin()
+	sent := p.beginTransfer()
 	for _, out := range sent {
 		p.backup.Step(1, out.Message, p.now)
 	}
@@ -172,20 +173,20 @@
 	}
 }
 
-// pickyMachine can't restore any snapshot.
-type pickyMachine struct{ blobMachine }
+// unrestorableMachine is a state machine that can't restore any snapshot.
+type unrestorableMachine struct{ blobMachine }
 
-var errPicky = errors.New("of a newer format")
+var errUnsupportedFormat = errors.New("of a newer format")
 
-func (*pickyMachine) Restore([]byte) error { return errPicky }
+func (*unrestorableMachine) Restore([]byte) error { return errUnsupportedFormat }
 
-// A snapshot that the backup can't restore is reported once, and is not sent over and over.
-func TestASnapshotThatCannotBeRestoredIsReportedOnce(t *testing.T) {
+// A snapshot that the backup can't restore is reported once and is not sent repeatedly.
+func TestUnrestorableSnapshotIsReportedOnce(t *testing.T) {
 	p := newTransferPair(t)
-	p.backup.machine = &pickyMachine{}
+	p.backup.machine = &unrestorableMachine{}
 	var reported []*RestoreError
 	sentBytes := 0
-	toBackup := p.begin()
+	toBackup := p.beginTransfer()
 	for range 600 { // a minute
 		p.now += 100
 		for _, out := range toBackup {
@@ -200,7 +201,7 @@
 		p.primary.Tick(p.now, true)
 		toBackup = p.primary.TakeOutput().Messages
 	}
-	if len(reported) != 1 || !errors.Is(reported[0], errPicky) || !errors.Is(reported[0], codes.Malformed) {
+	if len(reported) != 1 || !errors.Is(reported[0], errUnsupportedFormat) || !errors.Is(reported[0], codes.Malformed) {
 		t.Fatalf("reported %v", reported)
 	}
 	if most := 4 * len(p.state); sentBytes > most {
@@ -208,8 +209,8 @@
 	}
 }
 
-// An altered chunk is found by the checksum; nothing is installed.
-func TestAnAlteredSnapshotIsNotInstalled(t *testing.T) {
+// A corrupt chunk is detected by the checksum, and nothing is installed.
+func TestCorruptSnapshotIsNotInstalled(t *testing.T) {
 	p := newTransferPair(t)
 	p.now = 2001
 	state := append([]byte(nil), p.state...)
@@ -217,44 +218,45 @@
 	state[5] ^= 1
 	p.backup.Step(1, message, p.now)
 	if p.backup.AppliedIndex() != 0 || len(p.backup.TakeOutput().Writes) != 0 {
-		t.Fatal("an altered snapshot was installed")
+		t.Fatal("a corrupt snapshot was installed")
 	}
 }
 
-// Two groups that share one slot send their snapshots one after the other, and a silent replica gives the slot back.
+// Two groups that share one slot send their snapshots one after the other. The transfer to a silent replica releases the slot.
 func TestTransfersShareSlots(t *testing.T) {
 	slots := NewTransferSlots(1)
 	first, second := newTransferPair(t), newTransferPair(t)
 	first.primary.options.TransferSlots = slots
 	second.primary.options.TransferSlots = slots
-	if got := chunkOffsets(first.begin()); len(got) != windowChunks {
-		t.Fatalf("the first sent %v", got)
+	if got := chunkOffsets(first.beginTransfer()); len(got) != windowChunks {
+		t.Fatalf("the first group sent %v", got)
 	}
-	if got := chunkOffsets(second.begin()); len(got) != 0 {
-		t.Fatalf("the second sent %v without a slot", got)
+	if got := chunkOffsets(second.beginTransfer()); len(got) != 0 {
+		t.Fatalf("the second group sent %v without a slot", got)
 	}
 	first.primary.Tick(first.now+slotReleaseAfter+1, true)
 	second.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, second.now)
 	second.primary.Tick(second.now+1, true)
 	if got := chunkOffsets(second.primary.TakeOutput().Messages); len(got) == 0 {
-		t.Fatal("a silent replica keeps the slot")
+		t.Fatal("the transfer to a silent replica keeps the slot")
 	}
 }
 
-// A silent replica's snapshot is forgotten after a while, and the entries behind it.
-func TestTheSnapshotOfASilentReplicaIsForgotten(t *testing.T) {
+// The transfer to a replica that is silent for transferAbandonAfter is abandoned, so that its snapshot and the entries after it
+// are not kept.
+func TestTransferToSilentReplicaIsAbandoned(t *testing.T) {
 	p := newTransferPair(t)
-	p.begin()
+	p.beginTransfer()
 	p.primary.Tick(p.now+transferAbandonAfter+1, true)
 	if p.primary.peer(2).transfer != nil {
 		t.Fatal("the snapshot is still kept")
 	}
 }
 
-// A transfer that the log outgrows is cancelled, so that memory stays bounded, and the next one waits.
-func TestATransferThatTheLogOutgrowsIsCancelled(t *testing.T) {
+// A transfer that the log outgrows is cancelled, so that memory stays bounded, and the next one is delayed.
+func TestTransferThatTheLogOutgrowsIsCancelled(t *testing.T) {
 	p := newTransferPair(t)
-	p.begin()
+	p.beginTransfer()
 	for range 10 {
 		p.propose(bytes.Repeat([]byte("y"), 3000))
 		p.primary.Trim()
@@ -262,17 +264,17 @@
 	if p.primary.peer(2).transfer != nil || retainedBytes(p.primary) > 2*4000 {
 		t.Fatalf("%d bytes are kept", retainedBytes(p.primary))
 	}
-	if got := chunkOffsets(p.begin()); len(got) != 0 {
+	if got := chunkOffsets(p.beginTransfer()); len(got) != 0 {
 		t.Fatalf("sent again at once: %v", got)
 	}
 	p.now += 2 * transferBackoffFirst
-	if got := chunkOffsets(p.begin()); len(got) != windowChunks {
+	if got := chunkOffsets(p.beginTransfer()); len(got) != windowChunks {
 		t.Fatalf("not sent again later: %v", got)
 	}
 }
 
-// A replica whose log ends before what it acknowledged is named, and counts no longer for what it lost.
-func TestAReplicaThatLostAcknowledgedEntriesIsReported(t *testing.T) {
+// A replica whose log ends before an entry that it acknowledged is reported, and no longer counts as having the lost entries.
+func TestReplicaThatLostAcknowledgedEntriesIsReported(t *testing.T) {
 	g := newPrimaryOfTwo(t, Options{})
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 11)
 	index := g.Propose([]byte("a"), 12)
@@ -281,26 +283,26 @@
 	g.Step(2, Message{Kind: MessageLogMismatch, Epoch: 2, Index: 1}, 14)
 	output := g.TakeOutput()
 	if len(output.Regressed) != 1 || output.Regressed[0] != 2 {
-		t.Fatalf("named: %v", output.Regressed)
+		t.Fatalf("reported: %v", output.Regressed)
 	}
 	g.MarkDurable(index, 1, 15)
 	if g.AppliedIndex() >= index {
-		t.Fatal("committed by the word of a disk that no longer holds it")
+		t.Fatal("committed based on the acknowledgement of a replica that lost the entry")
 	}
 }
 
-// A chunk of a primary whose epoch has passed is rejected, and the sender is notified.
-func TestASnapshotOfAnOlderEpochIsRejected(t *testing.T) {
+// A chunk from the primary of an older epoch is rejected, and the sender is notified.
+func TestSnapshotOfOlderEpochIsRejected(t *testing.T) {
 	g, machine := newBackup(t)
 	g.SetView(View{Epoch: 5, Primary: 3, InSync: []uint64{3}, Replicas: []uint64{2, 3}}, 10)
 	g.TakeOutput()
-	state := (&journalMachine{applied: []string{"old"}}).Snapshot()
+	state := (&historyMachine{applied: []string{"old"}}).Snapshot()
 	g.Step(1, singleChunkSnapshot(4, 7, 4, state), 11)
 	output := g.TakeOutput()
 	if len(machine.applied) != 0 || g.AppliedIndex() != 0 || len(output.Writes) != 0 {
 		t.Fatalf("installed: %v", machine.applied)
 	}
 	if len(output.Messages) != 1 || output.Messages[0].Message.Kind != MessageStaleEpoch || output.Messages[0].Message.Epoch != 5 {
-		t.Fatalf("the sender is told %+v", output.Messages)
+		t.Fatalf("the sender is sent %+v", output.Messages)
 	}
 }
--- a/tier/replica/truncation.go
+++ b/tier/replica/truncation.go
@@ -1,35 +1,37 @@
 package replica
 
-// uncommittedSlack is how many bytes beyond RetainedBytes a primary may hold that are not committed before it takes no more.
+// uncommittedSlack is how many bytes of uncommitted entries a primary may hold in addition to RetainedBytes before it accepts no
+// more commands.
 const uncommittedSlack = 4 << 20
 
-// truncationTrigger is when the log is next looked through for entries to forget: when that many applied entries, or so many
-// bytes of them, are in memory.
+// truncationTrigger is the threshold for the next truncation of the log in memory: a number of applied entries or their size.
 type truncationTrigger struct {
 	entries uint64
 	bytes   int
 }
 
-// HasCapacity tells whether a primary may take a command: what is not committed yet is bounded, whoever keeps it from being so.
+// HasCapacity reports whether a primary may accept a command. The size of the uncommitted entries is bounded, whatever delays
+// their commit.
 func (g *Group) HasCapacity() bool {
 	return g.log.bytes-g.commit.appliedBytes < g.options.RetainedBytes+uncommittedSlack
 }
 
-// Trim forgets applied entries beyond the bounds. Replicas that lag further get a snapshot. The log is looked through only
-// when it has grown by a part of its bounds since the last time.
+// Trim discards applied entries beyond the bounds from memory. Replicas that lag further are sent a snapshot. The log is only
+// examined if it has grown by a part of its bounds since the last time.
 func (g *Group) Trim() {
 	if g.commit.applied-g.log.base.index < g.truncation.entries && g.commit.appliedBytes < g.truncation.bytes {
 		return
 	}
 	if index := g.truncationIndex(); index > g.log.base.index {
-		g.log.forgetUpTo(index)
+		g.log.discardUpTo(index)
 		g.commit.appliedBytes = g.log.bytesBetween(index, g.commit.applied)
 	}
 	g.truncation.entries = g.commit.applied - g.log.base.index + g.options.RetainedEntries
 	g.truncation.bytes = g.commit.appliedBytes + g.options.RetainedBytes/4
 }
 
-// truncationIndex is the index behind which entries stay in memory. A transfer that the log has outgrown is cancelled.
+// truncationIndex returns the index up to which entries are discarded. It cancels a transfer if the entries after its snapshot
+// exceed their bound.
 func (g *Group) truncationIndex() uint64 {
 	base := g.log.base.index
 	index := base
@@ -37,14 +39,14 @@
 		index = g.commit.applied - g.options.RetainedEntries
 	}
 	if g.primary == nil {
-		return max(g.oldestWithin(index, g.options.RetainedBytes), base)
+		return max(g.oldestIndexWithin(index, g.options.RetainedBytes), base)
 	}
 	for _, peer := range g.primary.peers {
 		if peer.match > 0 {
 			index = min(index, max(peer.match, base))
 		}
 	}
-	index = g.oldestWithin(index, g.options.RetainedBytes)
+	index = g.oldestIndexWithin(index, g.options.RetainedBytes)
 	for _, peer := range g.primary.peers {
 		if peer.transfer == nil {
 			continue
@@ -59,8 +61,9 @@
 	return max(index, base)
 }
 
-// oldestWithin is the lowest index, from a given one on, behind which the applied entries take no more than so many bytes.
-func (g *Group) oldestWithin(from uint64, bytes int) uint64 {
+// oldestIndexWithin returns the lowest index, but not below from, after which the applied entries take at most the given number of
+// bytes.
+func (g *Group) oldestIndexWithin(from uint64, bytes int) uint64 {
 	index := g.commit.applied
 	for index > from {
 		bytes -= g.log.at(index).size()
--- a/tier/replica/truncation_test.go
+++ b/tier/replica/truncation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// blobMachine keeps the bytes of the last command and a count, so that its state has the size of a configuration.
+// blobMachine is a state machine whose state is the last command. It also counts the commands.
 type blobMachine struct {
 	count uint64
 	last  []byte
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// retainedBytes is what the entries in memory hold.
+// retainedBytes returns the size of the data of the entries in memory.
 func retainedBytes(g *Group) int {
 	total := 0
 	for _, entry := range g.log.entries {
@@ -33,7 +33,8 @@
 	return total
 }
 
-// newPrimaryOfTwo leads a group whose only in-sync replica is itself; replica 2 has acknowledged the opening entry.
+// newPrimaryOfTwo returns the primary of a group in which it is the only in-sync replica. Replica 2 has acknowledged the entry that
+// opened the epoch.
 func newPrimaryOfTwo(t testing.TB, options Options) *Group {
 	t.Helper()
 	g, err := NewGroup(1, &blobMachine{}, Snapshot{}, nil, options)
@@ -47,8 +48,8 @@
 	return g
 }
 
-// A replica that acknowledged once and then fell silent does not keep the primary's entries in memory for ever.
-func TestASilentReplicaDoesNotFillThePrimarysMemory(t *testing.T) {
+// The primary doesn't retain entries without limit for a replica that acknowledged once and then became silent.
+func TestSilentReplicaDoesNotGrowPrimaryMemory(t *testing.T) {
 	const kept = 1 << 20
 	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
 	command := bytes.Repeat([]byte{1}, 10<<10)
@@ -66,8 +67,8 @@
 	}
 }
 
-// What has not been committed is bounded too: beyond the bound the primary takes no more commands.
-func TestAPrimaryBoundsUncommittedCommands(t *testing.T) {
+// Uncommitted entries are bounded too: at the bound the primary accepts no more commands.
+func TestPrimaryBoundsUncommittedCommands(t *testing.T) {
 	const kept = 1 << 20
 	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
 	command := bytes.Repeat([]byte{1}, 10<<10)
@@ -77,16 +78,16 @@
 		taken++
 	}
 	if held := retainedBytes(g); held < kept || held > kept+2*uncommittedSlack {
-		t.Fatalf("%d bytes are held that are not committed", held)
+		t.Fatalf("%d uncommitted bytes are held", held)
 	}
 	g.MarkDurable(g.LastIndex(), 1, 12)
 	if !g.HasCapacity() {
-		t.Fatal("no room though all is committed")
+		t.Fatal("no capacity although all commands are committed")
 	}
 }
 
 // A backup's memory is bounded as well.
-func TestABackupsMemoryIsBounded(t *testing.T) {
+func TestBackupMemoryIsBounded(t *testing.T) {
 	const kept = 1 << 20
 	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: kept})
 	if err != nil {
@@ -106,15 +107,15 @@
 	}
 }
 
-// A replica whose acknowledgements always come just behind the commit is caught up all the same, because commands wait for it for
-// a moment; one that doesn't answer meanwhile holds nobody up for long.
-func TestAReplicaThatFollowsCloselyCatchesUpUnderASteadyStream(t *testing.T) {
+// A replica whose acknowledgements always arrive just after the commit still catches up, because commits wait for it briefly. If
+// it stops responding during such a wait, it delays commits only for that time.
+func TestReplicaThatFollowsCloselyCatchesUpUnderLoad(t *testing.T) {
 	g := newPrimaryOfTwo(t, Options{})
 	now := int64(1000)
 	step := func() {
 		index := g.Propose([]byte("a"), now)
 		g.MarkDurable(index, 1, now)
-		g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: index - 1}, now) // one behind
+		g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: index - 1}, now) // one entry behind
 		g.Tick(now, true)
 		now += 5
 	}
@@ -124,21 +125,21 @@
 		caughtUp = caughtUp || len(g.CaughtUp(now)) == 1
 	}
 	if !caughtUp {
-		t.Fatal("never caught up though it follows closely")
+		t.Fatal("never caught up although it follows closely")
 	}
 	before := g.commit.committed
-	for range catchUpWaitLimit { // it stops answering
+	for range catchUpWaitLimit { // the replica stops responding
 		index := g.Propose([]byte("a"), now)
 		g.MarkDurable(index, 1, now)
 		g.Tick(now, true)
 		now += 5
 	}
 	if g.commit.committed < before+100 {
-		t.Fatalf("a silent replica holds the group up: %d commands committed", g.commit.committed-before)
+		t.Fatalf("a silent replica delays commits: %d commands committed", g.commit.committed-before)
 	}
 }
 
-// What is on its way to a replica is bounded, and what was sent is not sent again every moment while acknowledgements are late.
+// The unacknowledged entries sent to a replica are bounded, and are not resent too often while acknowledgements are late.
 func TestEntriesInFlightAreBounded(t *testing.T) {
 	g := newPrimaryOfTwo(t, Options{RetainedBytes: 64 << 20})
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}}, 1000)
@@ -156,21 +157,21 @@
 		count()
 	}
 	if sent > maxInFlight+maxAppendBytes {
-		t.Fatalf("%d bytes are on their way", sent)
+		t.Fatalf("%d bytes are in flight", sent)
 	}
 	sent = 0
 	for now := int64(1000); now < 4000; now += 40 {
-		g.Step(2, Message{Kind: MessageChunkAck, Epoch: 2}, now) // it is heard, but acknowledges nothing
+		g.Step(2, Message{Kind: MessageChunkAck, Epoch: 2}, now) // the replica responds but acknowledges no entries
 		g.Tick(now, true)
 		count()
 	}
 	if sent > 8*maxAppendBytes {
-		t.Fatalf("%d bytes were sent again in 3 s", sent)
+		t.Fatalf("%d bytes were resent in 3 s", sent)
 	}
 }
 
-// A backup whose disk is stalled takes no more than it may hold unwritten, and goes on when the disk works again.
-func TestABackupWithAStalledDiskBoundsUnwrittenEntries(t *testing.T) {
+// A backup with a stalled disk accepts a bounded amount of unwritten entries, and continues when the disk works again.
+func TestBackupWithStalledDiskBoundsUnwrittenEntries(t *testing.T) {
 	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
@@ -199,6 +200,6 @@
 	g.MarkDurable(held, 1, 2000)
 	take(held + 1)
 	if g.LastIndex() != held+1 {
-		t.Fatal("nothing is taken though the disk works again")
+		t.Fatal("no entries are accepted although the disk works again")
 	}
 }
--- a/tier/replica/view_test.go
+++ b/tier/replica/view_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// newPrimary makes a primary that has opened its epoch on its own disk.
-func newPrimary(t *testing.T, view View) (*Group, *journalMachine) {
+// newPrimary returns a primary whose entry that opens the epoch is durable on its own disk.
+func newPrimary(t *testing.T, view View) (*Group, *historyMachine) {
 	t.Helper()
-	machine := &journalMachine{}
+	machine := &historyMachine{}
 	g, err := NewGroup(view.Primary, machine, Snapshot{}, nil, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -15,7 +15,7 @@
 	return g, machine
 }
 
-// With one tolerated loss, a primary that is in sync alone acknowledges nothing.
+// With MinInSync 2, a primary that is the only in-sync replica commits nothing.
 func TestNothingIsCommittedBelowMinInSync(t *testing.T) {
 	g, machine := newPrimary(t, View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3}, MinInSync: 2})
 	g.MarkDurable(g.Propose([]byte("a"), 12), 1, 13)
@@ -24,8 +24,9 @@
 	}
 }
 
-// An in-sync set that is too small takes in a replica although nothing commits, and commits once the next view holds it.
-func TestAGroupBelowMinInSyncAdmitsAnotherReplica(t *testing.T) {
+// An in-sync set below the minimum can admit a replica although nothing is committed. Commits resume once a view has that replica
+// in sync.
+func TestGroupBelowMinInSyncAdmitsAnotherReplica(t *testing.T) {
 	g, machine := newPrimary(t, View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3}, MinInSync: 2})
 	index := g.Propose([]byte("a"), 12)
 	g.MarkDurable(index, 1, 13)
@@ -35,7 +36,7 @@
 	}
 	g.Admit(3)
 	if len(machine.applied) != 0 {
-		t.Fatal("committed while the in-sync set in force has one replica: its loss would leave none that may lead")
+		t.Fatal("committed while the in-sync set has one replica: its loss would leave none that may become primary")
 	}
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1, 3}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, 16)
 	if !g.IsReady() || len(machine.applied) != 1 {
@@ -43,17 +44,17 @@
 	}
 }
 
-// A primary whose in-sync set falls below its copies in the same reign holds what comes then.
-func TestAShrunkenInSyncSetHoldsCommands(t *testing.T) {
+// A primary whose in-sync set falls below the minimum while it stays primary doesn't commit further commands.
+func TestShrunkenInSyncSetStopsCommits(t *testing.T) {
 	g, machine := newPrimary(t, View{Epoch: 1, Primary: 1, InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}, MinInSync: 2})
 	g.Step(2, Message{Kind: MessageAck, Epoch: 1, Index: 1}, 12)
 	if !g.IsReady() {
-		t.Fatal("not ready with two copies")
+		t.Fatal("not ready with two in-sync replicas")
 	}
 	g.SetView(View{Epoch: 2, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 3}, MinInSync: 2}, 13)
 	g.MarkDurable(g.Propose([]byte("a"), 14), 2, 15)
 	if len(machine.applied) != 0 {
-		t.Fatalf("applied %v on one copy", machine.applied)
+		t.Fatalf("applied %v with one in-sync replica", machine.applied)
 	}
 }
 
@@ -61,21 +62,21 @@
 	cases := []struct{ tolerate, replicas, want int }{{0, 3, 1}, {1, 1, 1}, {1, 2, 2}, {1, 3, 2}, {2, 5, 3}, {2, 2, 2}, {1, 0, 1}}
 	for _, c := range cases {
 		if got := MinInSync(c.tolerate, c.replicas); got != c.want {
-			t.Errorf("tolerate %d with %d replicas: %d copies, not %d", c.tolerate, c.replicas, got, c.want)
+			t.Errorf("tolerate %d with %d replicas: minimum %d, not %d", c.tolerate, c.replicas, got, c.want)
 		}
 	}
 }
 
-// A replica that ends is waited for only where another one is on its way in.
-func TestALeavingReplicaWaitsForOneThatCatchesUp(t *testing.T) {
+// A replica that shuts down must wait only if another replica is catching up to replace it.
+func TestLeavingReplicaWaitsForReplicaThatCatchesUp(t *testing.T) {
 	cases := []struct {
 		name string
 		view View
 		want bool
 	}{
 		{"enough others", View{InSync: []uint64{1, 2, 3}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, false},
-		{"one is being filled", View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, true},
-		{"nobody could be filled", View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}, MinInSync: 2}, false},
+		{"one is catching up", View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2, 3}, MinInSync: 2}, true},
+		{"none could catch up", View{InSync: []uint64{1, 2}, Replicas: []uint64{1, 2}, MinInSync: 2}, false},
 		{"it is not in sync", View{InSync: []uint64{2}, Replicas: []uint64{1, 2}, MinInSync: 2}, false},
 	}
 	for _, c := range cases {
