--- a/tier/consensus/acceptor.go
+++ b/tier/consensus/acceptor.go
@@ -6,7 +6,7 @@
 	Proposer uint64 // identity of the proposing process
 }
 
-// Less reports whether n is the lower number.
+// Less reports whether n is lower than other.
 func (n ProposalNumber) Less(other ProposalNumber) bool {
 	if n.Round != other.Round {
 		return n.Round < other.Round
--- a/tier/consensus/doc.go
+++ b/tier/consensus/doc.go
@@ -33,7 +33,7 @@
 // quorum was reached. Test for both with errors.Is. After either error, the change may still take effect later. An error from
 // storing the round limit is returned unchanged.
 //
-// # Limits
+// # Concurrency
 //
 // The package reads no clock and does no I/O of its own. Only [Proposer.Propose] and [Proposer.Bootstrap], which run a proposal
 // over a [Transport], start goroutines. A [Proposal] and an [Acceptor] have a single owner and are not safe for concurrent use.
--- a/tier/consensus/proposal_test.go
+++ b/tier/consensus/proposal_test.go
@@ -15,17 +15,17 @@
 			if request.To.ID != id {
 				continue
 			}
-			var answer Response
+			var response Response
 			var err error
 			if kind == RequestPrepare {
-				answer, err = c.Prepare(t.Context(), request.To, request.Number)
+				response, err = c.Prepare(t.Context(), request.To, request.Number)
 			} else {
-				answer, err = c.Accept(t.Context(), request.To, request.Number, request.Value)
+				response, err = c.Accept(t.Context(), request.To, request.Number, request.Value)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			further = append(further, p.Answer(kind, id, answer)...)
+			further = append(further, p.Answer(kind, id, response)...)
 		}
 	}
 	if len(further) > 0 {
--- a/tier/consensus/quorum_test.go
+++ b/tier/consensus/quorum_test.go
@@ -62,7 +62,7 @@
 	}
 	p.Answer(RequestPrepare, 2, Response{DiskLost: true})
 	if p.Phase() != PhaseAccept {
-		t.Fatalf("phase %d though the other disk is lost", p.Phase())
+		t.Fatalf("phase %d although the other disk is lost", p.Phase())
 	}
 	p.Answer(RequestAccept, 1, Response{Granted: true})
 	p.Answer(RequestAccept, 2, Response{DiskLost: true})
--- a/tier/consensus/record.go
+++ b/tier/consensus/record.go
@@ -28,7 +28,7 @@
 	ClusterID uint64 `json:"Installation"`
 }
 
-// IsBootstrapped reports whether the record is that of a register that has been written.
+// IsBootstrapped reports whether the register has been bootstrapped. It returns false for the zero record.
 func (r Record) IsBootstrapped() bool { return r.Epoch > 0 }
 
 // Voters returns the members whose votes may be needed: the current ones and, during a change, the previous ones.
@@ -53,7 +53,7 @@
 	return replicas
 }
 
-// Member finds a voter or a learner by its identity.
+// Member returns the voter or learner with an identity, and whether there is one.
 func (r Record) Member(id uint64) (Member, bool) {
 	for _, member := range append(r.Voters(), r.Learners...) {
 		if member.ID == id {
--- a/tier/replica/catchup_sim_test.go
+++ b/tier/replica/catchup_sim_test.go
@@ -28,7 +28,7 @@
 	tickPeriod       = 40 * millisecond
 	primaryLostAfter = 600 * millisecond
 	controlPeriod    = 50 * millisecond
-	// memoryCheckEvery is the number of events per check of the applied entries in memory. Checking at each event is too slow.
+	// memoryCheckEvery is the number of scheduled events per check of the applied entries in memory, to keep the test fast.
 	memoryCheckEvery = 5
 )
 
--- a/tier/replica/contact_test.go
+++ b/tier/replica/contact_test.go
@@ -44,11 +44,11 @@
 	primary, backup := newContactGroup(t, 1), newContactGroup(t, 2)
 	primary.SetView(threeReplicas, 1000)
 	backup.Step(1, onlyProbe(t, primary, 2), 1005)
-	answer := onlyProbe(t, backup, 1)
+	response := onlyProbe(t, backup, 1)
 	if since := primary.ConfirmedSince(1006); since != 0 {
 		t.Fatalf("confirmed since %d before any response", since)
 	}
-	primary.Step(2, answer, 6000) // read from the socket buffer after the process was suspended
+	primary.Step(2, response, 6000) // read from the socket buffer after the process was suspended
 	if since := primary.ConfirmedSince(6000); since != 1000 {
 		t.Fatalf("confirmed since %d, but the probe was sent at 1000", since)
 	}
@@ -59,12 +59,12 @@
 	primary := newContactGroup(t, 1)
 	view := View{Epoch: 1, Primary: 1, InSync: []uint64{1}, Replicas: []uint64{1, 2, 3, 4, 5}}
 	primary.SetView(view, 1000)
-	answer := Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Sent: Timestamp{102, 7}, Echoed: Timestamp{101, 1000}}}
-	primary.Step(2, answer, 1010)
+	response := Message{Kind: MessageProbeResponse, Epoch: 1, Probe: Probe{Sent: Timestamp{102, 7}, Echoed: Timestamp{101, 1000}}}
+	primary.Step(2, response, 1010)
 	if since := primary.ConfirmedSince(1010); since != 0 {
 		t.Fatalf("confirmed since %d by two of five", since)
 	}
-	primary.Step(3, answer, 1011)
+	primary.Step(3, response, 1011)
 	if since := primary.ConfirmedSince(1011); since != 1000 {
 		t.Fatalf("confirmed since %d by three of five", since)
 	}
@@ -132,7 +132,7 @@
 // primary has read.
 func TestBackupIsConfirmedForProbesThatThePrimaryRead(t *testing.T) {
 	own := uint64(102)
-	for name, step := range map[string]struct {
+	for name, test := range map[string]struct {
 		message Message
 		since   int64
 	}{
@@ -143,9 +143,9 @@
 		"read, with a majority":  {probeFrom(1, Timestamp{own, 900}, 70), 830},
 	} {
 		backup := newContactGroup(t, 2)
-		backup.Step(1, step.message, 1000)
-		if since := backup.ConfirmedSince(1000); since != step.since {
-			t.Errorf("%s: confirmed since %d, not %d", name, since, step.since)
+		backup.Step(1, test.message, 1000)
+		if since := backup.ConfirmedSince(1000); since != test.since {
+			t.Errorf("%s: confirmed since %d, not %d", name, since, test.since)
 		}
 	}
 }
@@ -220,12 +220,12 @@
 func TestPrimaryWithoutMajorityIsNotConfirmed(t *testing.T) {
 	backup := newContactGroup(t, 2)
 	backup.Step(1, probeFrom(1, Timestamp{}, 30), 1000)
-	proven := backup.PrimaryConfirmedAt()
+	confirmedAt := backup.PrimaryConfirmedAt()
 	for now := int64(1080); now < 3000; now += 80 {
 		backup.Step(1, probeFrom(1, Timestamp{}, noQuorum), now)
 	}
-	if backup.PrimaryConfirmedAt() != proven {
-		t.Fatalf("confirmed at %d, before at %d", backup.PrimaryConfirmedAt(), proven)
+	if backup.PrimaryConfirmedAt() != confirmedAt {
+		t.Fatalf("confirmed at %d, before at %d", backup.PrimaryConfirmedAt(), confirmedAt)
 	}
 }
 
--- a/tier/replica/doc.go
+++ b/tier/replica/doc.go
@@ -1,10 +1,10 @@
 // Package replica replicates the commands of a state machine from a primary to its backups, after PacificA (Lin, Yang, Zhang and
 // Zhou, "PacificA: Replication in Log-Based Distributed Storage Systems", Microsoft Research, 2008).
 //
-// A command is committed when every replica of the in-sync set has it on disk. A majority is not sufficient. The caller decides
-// failover: it chooses the primary and the in-sync replicas and passes them to the group as a View with an epoch. Two things
-// differ from the paper: instead of leases, the primary uses probes to prove its contact with a majority of the voters (see
-// ConfirmedSince), and a replica whose log can't be continued is sent a snapshot in chunks.
+// A command is committed when every replica of the in-sync set has it on disk. A majority is not sufficient. The primary and the
+// in-sync replicas are chosen outside the package, by whatever decides failover for the group, and are passed in as a View with
+// an epoch. Two things differ from the paper: instead of leases, the primary uses probes to prove its contact with a majority of
+// the voters (see ConfirmedSince), and a replica whose log can't be continued is sent a snapshot in chunks.
 //
 // The package reads no clock, starts no goroutine and does no I/O. The caller passes in the time, messages and completed writes,
 // and receives messages, writes and committed commands as an Output. A Group has one owner and is not safe for concurrent use.
--- a/tier/replica/message.go
+++ b/tier/replica/message.go
@@ -15,7 +15,7 @@
 	MessageAck
 	// MessageLogMismatch reports that the replica lacks the entry before the appended ones.
 	MessageLogMismatch
-	// MessageStaleEpoch reports that a newer epoch than the receiver's has begun.
+	// MessageStaleEpoch reports that the receiver's epoch has been superseded by a newer one.
 	MessageStaleEpoch
 	// MessageChunkAck reports how many bytes of a snapshot a replica has received.
 	MessageChunkAck
--- a/tier/replica/transfer.go
+++ b/tier/replica/transfer.go
@@ -84,8 +84,8 @@
 }
 
 // retainedDuringTransfer returns the size of the entries that are retained after the snapshot of a transfer. If the replica's link
-// is at least as fast as new entries arrive, entries of at most the snapshot's size arrive during the transfer. The log is allowed
-// twice that size, so a transfer that it outgrows goes over a link too slow for any snapshot.
+// is at least as fast as new entries arrive, entries of at most the snapshot's size arrive during the transfer. Entries of twice
+// that size are retained, so the log outgrows a transfer only if the link is too slow for any snapshot.
 func (g *Group) retainedDuringTransfer(t *transfer) int {
 	return g.options.RetainedBytes + 2*len(t.snapshot.state)
 }
--- a/tier/replica/transfer_test.go
+++ b/tier/replica/transfer_test.go
@@ -81,8 +81,8 @@
 				p.backup.MarkDurable(write.Entries[n-1].Index, write.Entries[n-1].Epoch, p.now)
 			}
 		}
-		answers := slices.Concat(output.Messages, p.backup.TakeOutput().Messages)
-		for _, out := range answers {
+		responses := slices.Concat(output.Messages, p.backup.TakeOutput().Messages)
+		for _, out := range responses {
 			p.primary.Step(2, out.Message, p.now)
 		}
 		toBackup = p.primary.TakeOutput().Messages
@@ -131,16 +131,16 @@
 	p.now += 1200
 	p.primary.Step(2, Message{Kind: MessageLogMismatch, Epoch: 1, Index: 0}, p.now) // the response to a heartbeat
 	p.primary.Tick(p.now, true)
-	again := p.primary.TakeOutput().Messages
-	if got := chunkOffsets(again); len(got) != 1 || got[0] != 2*testChunkBytes {
+	resent := p.primary.TakeOutput().Messages
+	if got := chunkOffsets(resent); len(got) != 1 || got[0] != 2*testChunkBytes {
 		t.Fatalf("after the connection loss: %v", got)
 	}
-	for _, out := range again {
+	for _, out := range resent {
 		if out.Message.Kind == MessageSnapshotChunk && out.Message.Index != index {
 			t.Fatal("the transfer of a newer snapshot was started")
 		}
 	}
-	p.exchange(again)
+	p.exchange(resent)
 	for range 4 {
 		p.now += 100
 		p.primary.Tick(p.now, true)
@@ -204,7 +204,7 @@
 	if len(reported) != 1 || !errors.Is(reported[0], errUnsupportedFormat) || !errors.Is(reported[0], codes.Malformed) {
 		t.Fatalf("reported %v", reported)
 	}
-	if most := 4 * len(p.state); sentBytes > most {
+	if limit := 4 * len(p.state); sentBytes > limit {
 		t.Fatalf("%d bytes were sent for a snapshot of %d", sentBytes, len(p.state))
 	}
 }
--- a/tier/replica/truncation_test.go
+++ b/tier/replica/truncation_test.go
@@ -50,34 +50,34 @@
 
 // The primary doesn't retain entries without limit for a replica that acknowledged once and then became silent.
 func TestSilentReplicaDoesNotGrowPrimaryMemory(t *testing.T) {
-	const kept = 1 << 20
-	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
+	const retainedLimit = 1 << 20
+	g := newPrimaryOfTwo(t, Options{RetainedBytes: retainedLimit})
 	command := bytes.Repeat([]byte{1}, 10<<10)
-	most := 0
+	maxRetained := 0
 	for now := int64(11); now < 5011; now++ {
 		index := g.Propose(command, now)
 		g.MarkDurable(index, 1, now)
 		g.Tick(now, true)
 		g.TakeOutput()
 		g.Trim()
-		most = max(most, retainedBytes(g))
+		maxRetained = max(maxRetained, retainedBytes(g))
 	}
-	if most > 2*kept {
-		t.Fatalf("up to %d bytes of entries were kept, %d are allowed", most, kept)
+	if maxRetained > 2*retainedLimit {
+		t.Fatalf("up to %d bytes of entries were kept, %d are allowed", maxRetained, retainedLimit)
 	}
 }
 
 // Uncommitted entries are bounded too: at the bound the primary accepts no more commands.
 func TestPrimaryBoundsUncommittedCommands(t *testing.T) {
-	const kept = 1 << 20
-	g := newPrimaryOfTwo(t, Options{RetainedBytes: kept})
+	const retainedLimit = 1 << 20
+	g := newPrimaryOfTwo(t, Options{RetainedBytes: retainedLimit})
 	command := bytes.Repeat([]byte{1}, 10<<10)
-	taken := 0
-	for g.HasCapacity() && taken < 10_000 {
+	proposed := 0
+	for g.HasCapacity() && proposed < 10_000 {
 		g.Propose(command, 11)
-		taken++
+		proposed++
 	}
-	if held := retainedBytes(g); held < kept || held > kept+2*uncommittedSlack {
+	if held := retainedBytes(g); held < retainedLimit || held > retainedLimit+2*uncommittedSlack {
 		t.Fatalf("%d uncommitted bytes are held", held)
 	}
 	g.MarkDurable(g.LastIndex(), 1, 12)
@@ -88,22 +88,22 @@
 
 // A backup's memory is bounded as well.
 func TestBackupMemoryIsBounded(t *testing.T) {
-	const kept = 1 << 20
-	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: kept})
+	const retainedLimit = 1 << 20
+	g, err := NewGroup(2, &blobMachine{}, Snapshot{}, nil, Options{RetainedBytes: retainedLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
 	command := bytes.Repeat([]byte{1}, 100<<10)
-	most := 0
+	maxRetained := 0
 	for index := uint64(1); index <= 1000; index++ {
 		g.Step(1, appendFrom(1, index-1, min(index-1, 1), index, Entry{index, 1, command}), int64(index))
 		g.MarkDurable(index, 1, int64(index))
 		g.TakeOutput()
 		g.Trim()
-		most = max(most, retainedBytes(g))
+		maxRetained = max(maxRetained, retainedBytes(g))
 	}
-	if most > 2*kept {
-		t.Fatalf("up to %d bytes of entries were kept, %d are allowed", most, kept)
+	if maxRetained > 2*retainedLimit {
+		t.Fatalf("up to %d bytes of entries were kept, %d are allowed", maxRetained, retainedLimit)
 	}
 }
 
