--- a/tier/multigroup/bench_test.go
+++ b/tier/multigroup/bench_test.go
@@ -15,7 +15,7 @@
 	"otterseam/tier/rpc"
 )
 
-// bulkMachine has a state of a given size and counts commands.
+// bulkMachine is a state machine with a state of a given size. It counts commands.
 type bulkMachine struct {
 	state   []byte
 	applied atomic.Int64
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// benchNode is a process with one group, over real sockets and files.
+// benchNode is a node with one group that uses real sockets and files.
 type benchNode struct {
 	node    *Node
 	machine *bulkMachine
@@ -58,8 +58,8 @@
 	return &benchNode{node: node, machine: machine, address: listener.Addr().String()}
 }
 
-// lead makes a node the primary of itself and of backups that are not in sync yet.
-func lead(primary *benchNode, backups ...*benchNode) {
+// makePrimary makes a node the primary of a group whose backups are not in sync yet.
+func makePrimary(primary *benchNode, backups ...*benchNode) {
 	view := replica.View{Epoch: 1, Primary: primary.node.Identity, InSync: []uint64{primary.node.Identity}, Replicas: []uint64{primary.node.Identity}}
 	for _, backup := range backups {
 		view.Replicas = append(view.Replicas, backup.node.Identity)
@@ -69,13 +69,13 @@
 	primary.node.SetView(testGroup, view)
 }
 
-func caughtUp(primary *benchNode) bool {
+func hasCaughtUpBackup(primary *benchNode) bool {
 	found := false
 	primary.node.WithGroup(testGroup, func(g *replica.Group) { found = len(g.CaughtUp(Now())) > 0 })
 	return found
 }
 
-// submitUntil submits changes one after the other until a condition holds, and returns how many.
+// submitUntil submits commands one after the other until a condition holds, and returns how many it submitted.
 func submitUntil(b *testing.B, ctx context.Context, primary *benchNode, command []byte, done func() bool) int {
 	b.Helper()
 	count := 0
@@ -88,19 +88,19 @@
 	return count
 }
 
-// trimLog has the primary forget its first entries, so that an empty backup needs a snapshot.
+// trimLog submits commands until the primary has trimmed its first log entries, so that an empty backup needs a snapshot.
 func trimLog(b *testing.B, ctx context.Context, primary *benchNode) {
 	b.Helper()
 	ready := func() bool { return primary.node.IsPrimary(testGroup) }
 	for !ready() {
 		if ctx.Err() != nil {
-			b.Fatal("never ready")
+			b.Fatal("the primary did not become ready")
 		}
 	}
 	submitUntil(b, ctx, primary, make([]byte, 64<<10), func() bool { return primary.machine.applied.Load() > 300 })
 }
 
-// BenchmarkCatchingUpBySize measures how long an empty backup takes until it is caught up, on real sockets and files.
+// BenchmarkCatchingUpBySize measures how long an empty backup takes to catch up, by the size of the state, on real sockets and files.
 func BenchmarkCatchingUpBySize(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
 		b.Run(fmt.Sprint(megabytes, "MB"), func(b *testing.B) {
@@ -108,7 +108,7 @@
 				b.StopTimer()
 				ctx, cancel := context.WithCancel(context.Background())
 				primary := startBenchNode(b, ctx, megabytes<<20)
-				lead(primary)
+				makePrimary(primary)
 				trimLog(b, ctx, primary)
 				backup := startBenchNode(b, ctx, 0)
 				b.StartTimer()
@@ -119,7 +119,7 @@
 				primary.node.SetAddress(backup.node.Identity, backup.address)
 				backup.node.SetAddress(primary.node.Identity, primary.address)
 				primary.node.SetView(testGroup, view)
-				submitUntil(b, ctx, primary, []byte("a"), func() bool { return caughtUp(primary) })
+				submitUntil(b, ctx, primary, []byte("a"), func() bool { return hasCaughtUpBackup(primary) })
 				b.StopTimer()
 				cancel()
 				b.StartTimer()
@@ -128,15 +128,15 @@
 	}
 }
 
-// BenchmarkChangesDuringATransfer counts changes of 1 KB a second, one after the other, with no backup to be caught up and while
-// 50 MB are sent to one.
+// BenchmarkChangesDuringATransfer measures the rate of sequential 1 KB commands, without a backup and while a backup is sent a
+// snapshot of 50 MB.
 func BenchmarkChangesDuringATransfer(b *testing.B) {
 	for _, transfers := range []bool{false, true} {
 		b.Run(fmt.Sprint("transfer=", transfers), func(b *testing.B) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			primary := startBenchNode(b, ctx, 50<<20)
-			lead(primary)
+			makePrimary(primary)
 			trimLog(b, ctx, primary)
 			changes, spent := 0, time.Duration(0)
 			epoch := uint64(2)
@@ -152,7 +152,7 @@
 						Replicas: []uint64{primary.node.Identity, backup.node.Identity},
 					})
 					epoch++
-					done = func() bool { return caughtUp(primary) }
+					done = func() bool { return hasCaughtUpBackup(primary) }
 				}
 				start := time.Now()
 				changes += submitUntil(b, ctx, primary, make([]byte, 1<<10), done)
--- a/tier/multigroup/diskmonitor.go
+++ b/tier/multigroup/diskmonitor.go
@@ -1,29 +1,31 @@
 package multigroup
 
 const (
-	// diskStalledAfter is how long a write may take, or be tried again, before the disk counts as stalled, in milliseconds. Other
-	// replicas drop one that does not acknowledge at about the same time.
-	diskStalledAfter = 500
-	// diskTrustedAfter is how long a disk that was stalled has to do its work before it is trusted again, in milliseconds.
-	diskTrustedAfter = 3000
+	// diskStallThreshold is how long a write may take, retries included, before the disk counts as stalled, in milliseconds. Other
+	// replicas remove a replica that does not acknowledge from the in-sync set after about the same time.
+	diskStallThreshold = 500
+	// diskRecoveryPeriod is how long a disk that was stalled has to complete its writes in time before it counts as healthy again, in
+	// milliseconds.
+	diskRecoveryPeriod = 3000
 )
 
-// DiskMonitor judges a disk by how long its writes take. A process whose disk is full, stalled or very slow should not lead:
-// whoever waits for it waits in vain. It is pure: the time goes in by the monotonic clock, in milliseconds.
+// DiskMonitor detects a degraded disk by the duration of its writes. A process whose disk is full, stalled or very slow should not
+// be a primary, since its clients would wait until they time out. DiskMonitor reads no clock: its methods take the time of the
+// monotonic clock, in milliseconds.
 type DiskMonitor struct {
-	writeStartedAt int64 // of the write under way, 0 for none
+	writeStartedAt int64 // start of the current write, 0 if there is none
 	degraded       bool
-	healthySince   int64 // since when the disk has done its work again
+	healthySince   int64 // when the disk was last found stalled
 }
 
-// BeginWrite notes that a write begins. A write that is tried again goes on.
+// BeginWrite records the start of a write. A retry belongs to the same write and does not change its start.
 func (d *DiskMonitor) BeginWrite(now int64) {
 	if d.writeStartedAt == 0 {
 		d.writeStartedAt = now
 	}
 }
 
-// EndWrite notes that the write under way has reached the disk.
+// EndWrite records that the current write is durable.
 func (d *DiskMonitor) EndWrite(now int64) {
 	if d.isLate(now) {
 		d.degraded = true
@@ -33,16 +35,16 @@
 }
 
 func (d *DiskMonitor) isLate(now int64) bool {
-	return d.writeStartedAt > 0 && now-d.writeStartedAt > diskStalledAfter
+	return d.writeStartedAt > 0 && now-d.writeStartedAt > diskStallThreshold
 }
 
-// Degraded tells whether the process should leave leadership to others.
+// Degraded reports whether the disk is stalled or was stalled recently, so that other processes should be primary instead.
 func (d *DiskMonitor) Degraded(now int64) bool {
 	if d.isLate(now) {
 		d.degraded = true
 		d.healthySince = now
 	}
-	if d.degraded && d.writeStartedAt == 0 && now-d.healthySince > diskTrustedAfter {
+	if d.degraded && d.writeStartedAt == 0 && now-d.healthySince > diskRecoveryPeriod {
 		d.degraded = false
 	}
 	return d.degraded
--- a/tier/multigroup/errors.go
+++ b/tier/multigroup/errors.go
@@ -2,15 +2,15 @@
 
 import "otterseam/tier/codes"
 
-// NotPrimaryError says that this node does not lead a group, or does not do so yet. It has the code and the text of
-// codes.NotPrimary.
+// NotPrimaryError is returned if this node is not the primary of a group, or is not ready as primary yet. Its code and text are
+// those of codes.NotPrimary.
 type NotPrimaryError struct {
 	Group   uint32
-	Primary uint64 // identity of the node that leads the group as far as is known here, 0 if none is
+	Primary uint64 // identity of the group's primary in the view of this node, 0 if unknown
 }
 
-// Error is the text of codes.NotPrimary.
+// Error returns the text of codes.NotPrimary.
 func (*NotPrimaryError) Error() string { return codes.NotPrimary.Error() }
 
-// Unwrap is codes.NotPrimary.
+// Unwrap returns codes.NotPrimary.
 func (*NotPrimaryError) Unwrap() error { return codes.NotPrimary }
--- a/tier/multigroup/identity.go
+++ b/tier/multigroup/identity.go
@@ -16,29 +16,28 @@
 	"otterseam/tier/storage"
 )
 
-// The names of values on disk.
+// Names of the values on disk.
 const (
 	identityValue  = "identity"
-	clusterIDValue = "installation" // older than the term
+	clusterIDValue = "installation" // stored under this name before the term cluster ID was introduced
 	startsValue    = "starts"
-	// knownStartsValue holds the starts of other nodes, so that an older copy of a disk is found out also by a node that was
-	// started again since it heard of the later start.
+	// knownStartsValue holds the start counts of other nodes. They are stored so that a node still detects an older copy of a disk
+	// after its own restart.
 	knownStartsValue = "known-starts"
 )
 
-// saveKnownStartsEvery is how often the starts of other nodes are written if they have changed. It is long, so that after a restart of
-// all the disk is free for what others wait for.
-const saveKnownStartsEvery = 5 * time.Second
+// saveKnownStartsInterval is how often the start counts of other nodes are written if they have changed. It is long so that, after a
+// restart of all nodes, these writes do not delay writes that callers wait for.
+const saveKnownStartsInterval = 5 * time.Second
 
-// numberBytes is the size of a number on disk.
+// numberBytes is the size of a stored number, in bytes.
 const numberBytes = 8
 
-// maxReported is how many foreign clusters and older disks are named in the log before no more are.
+// maxReported is the maximum number of foreign clusters and restored older disks that are logged.
 const maxReported = 32
 
-// diskIdentity is what this process's disk says of itself: to which cluster it belongs and how often a process has been started
-// on it. Both are durable. Messages carry them, so that a disk of another cluster, and an older copy of a disk put back, are
-// found out.
+// diskIdentity holds the cluster ID of this process's disk and its start count, the number of times a process was started on it.
+// Both are durable. Messages contain them so that receivers detect a disk of another cluster and a restored older copy of a disk.
 type diskIdentity struct {
 	values    *storage.Values
 	log       *logrus.Entry
@@ -46,9 +45,9 @@
 	clusterID atomic.Uint64
 
 	mu          sync.Mutex
-	knownStarts map[uint64]uint64 // by node: the highest number of starts that came from it
+	knownStarts map[uint64]uint64 // the highest start count received from each node, by node
 	unsaved     bool              // knownStarts has changed since it was written
-	reported    map[uint64]bool   // what was named in the log already: clusters, and nodes with an older disk
+	reported    map[uint64]bool   // cluster IDs, and nodes with an older disk, that were logged already
 }
 
 func openDiskIdentity(values *storage.Values, log *logrus.Entry) (*diskIdentity, error) {
@@ -67,15 +66,15 @@
 	}
 	d.starts = starts + 1
 	if err := writeNumber(values, startsValue, d.starts); err != nil {
-		// the next start then has the same number, which is not taken for an older copy of the disk
+		// The next start then has the same number. Equal start counts are accepted.
 		log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("the number of starts could not be written")
 	}
 	return d, nil
 }
 
-// nodeIdentity reads the number that names this node, or draws one: a process on an empty disk is a new node, whatever its
-// address.
-func nodeIdentity(values *storage.Values) (uint64, error) {
+// loadOrCreateIdentity returns the identity stored on the disk. If there is none, it generates and stores one: a process on an empty
+// disk is a new node, regardless of its address.
+func loadOrCreateIdentity(values *storage.Values) (uint64, error) {
 	content, err := values.Read(identityValue)
 	if err != nil {
 		return 0, err
@@ -83,11 +82,11 @@
 	if len(content) == numberBytes {
 		return binary.BigEndian.Uint64(content), nil
 	}
-	drawn := rand.Uint64() | 1
-	return drawn, writeNumber(values, identityValue, drawn)
+	generated := rand.Uint64() | 1
+	return generated, writeNumber(values, identityValue, generated)
 }
 
-// readNumber reads a number, 0 if there is none.
+// readNumber returns a stored number, or 0 if there is none.
 func readNumber(values *storage.Values, name string) (uint64, error) {
 	content, err := values.Read(name)
 	if err != nil || len(content) != numberBytes {
@@ -100,14 +99,14 @@
 	return values.Write(name, binary.BigEndian.AppendUint64(nil, number))
 }
 
-// ClusterID is the cluster to which this disk belongs, 0 as long as it belongs to none.
+// ClusterID returns the ID of the cluster to which this disk is bound, or 0 if it is not bound yet.
 func (n *Node) ClusterID() uint64 { return n.disk.clusterID.Load() }
 
-// BindCluster binds the disk to a cluster for good. It reports false for a cluster other than the one it is bound to;
-// 0 stands for one that is not known yet and binds nothing.
+// BindCluster binds the disk to a cluster permanently. It returns false if the disk is bound to another cluster. A clusterID of 0
+// means that the cluster is not known yet: nothing is bound, and the result is true.
 func (n *Node) BindCluster(clusterID uint64) bool { return n.disk.bind(clusterID) }
 
-// IsForeignCluster tells whether a cluster is another one than that of this disk, and names it in the log.
+// IsForeignCluster reports whether clusterID differs from the cluster ID of this disk, and logs it if so.
 func (n *Node) IsForeignCluster(clusterID uint64) bool {
 	own := n.ClusterID()
 	return own != 0 && clusterID != 0 && !n.disk.bind(clusterID)
@@ -121,8 +120,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if bound = d.clusterID.Load(); bound != 0 {
-		d.report(clusterID, codes.DiskForeign, logrus.Fields{"cluster_id": clusterID, "own_cluster_id": bound},
-			"another cluster was met; nothing of it is accepted")
+		d.reportOnce(clusterID, codes.DiskForeign, logrus.Fields{"cluster_id": clusterID, "own_cluster_id": bound},
+			"received a different cluster ID; messages and views of the other cluster are rejected")
 		return clusterID == bound
 	}
 	if err := writeNumber(d.values, clusterIDValue, clusterID); err != nil {
@@ -133,8 +132,8 @@
 	return true
 }
 
-// report writes something into the log once; the lock is held.
-func (d *diskIdentity) report(key uint64, code codes.Code, fields logrus.Fields, text string) {
+// reportOnce logs an error unless one with the same key was logged before. The caller holds d.mu.
+func (d *diskIdentity) reportOnce(key uint64, code codes.Code, fields logrus.Fields, text string) {
 	if d.reported[key] || len(d.reported) >= maxReported {
 		return
 	}
@@ -142,8 +141,8 @@
 	d.log.WithFields(fields).WithField("code", uint16(code)).Error(text)
 }
 
-// accepts tells whether a message of a node may be taken: it has to be of the same cluster, and of the node's newest start that
-// was heard of. An older one comes late, or from an older copy of the node's disk.
+// accepts reports whether a message is from the same cluster and not from an earlier start of its sender than the newest known one.
+// A message from an earlier start was delayed, or its sender runs on an older copy of the disk.
 func (d *diskIdentity) accepts(from sender) bool {
 	if !d.bind(from.clusterID) {
 		return false
@@ -152,8 +151,8 @@
 	defer d.mu.Unlock()
 	known := d.knownStarts[from.node]
 	if from.starts < known {
-		d.report(from.node, codes.DiskRegressed, logrus.Fields{"member": from.node, "starts": from.starts, "starts_heard": known},
-			"a member's disk tells of fewer starts than the member had: an older copy of it was put back; empty the disk")
+		d.reportOnce(from.node, codes.DiskRegressed, logrus.Fields{"member": from.node, "starts": from.starts, "starts_heard": known},
+			"a member's start count has decreased: an older copy of its disk was restored; empty the disk")
 		return false
 	}
 	if from.starts > known {
@@ -163,7 +162,7 @@
 	return true
 }
 
-// readKnownStarts reads the starts of other nodes. A value that can't be decoded is an error, as it is for other values.
+// readKnownStarts reads the start counts of other nodes. A value that cannot be decoded is an error.
 func (d *diskIdentity) readKnownStarts() error {
 	content, err := d.values.Read(knownStartsValue)
 	if err != nil || content == nil {
@@ -177,7 +176,7 @@
 	return decoder.Err()
 }
 
-// saveKnownStarts writes the starts of other nodes if they have changed.
+// saveKnownStarts writes the start counts of other nodes if they have changed.
 func (d *diskIdentity) saveKnownStarts() {
 	d.mu.Lock()
 	if !d.unsaved {
@@ -188,7 +187,7 @@
 	content := encodeKnownStarts(d.knownStarts)
 	d.mu.Unlock()
 	if err := d.values.Write(knownStartsValue, content); err != nil {
-		d.log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("the starts of other nodes could not be written")
+		d.log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("the start counts of other nodes could not be written")
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.unsaved = true
--- a/tier/multigroup/identity_test.go
+++ b/tier/multigroup/identity_test.go
@@ -16,11 +16,11 @@
 
 const testGroup = 3
 
-type silentMachine struct{}
+type noopMachine struct{}
 
-func (silentMachine) Apply(uint64, []byte) any { return nil }
-func (silentMachine) Snapshot() []byte         { return nil }
-func (silentMachine) Restore([]byte) error     { return nil }
+func (noopMachine) Apply(uint64, []byte) any { return nil }
+func (noopMachine) Snapshot() []byte         { return nil }
+func (noopMachine) Restore([]byte) error     { return nil }
 
 func openTestNode(t *testing.T, dir string) (*Node, *test.Hook) {
 	t.Helper()
@@ -30,14 +30,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { node.Close() })
-	if err := node.OpenGroup(testGroup, silentMachine{}, replica.Options{}); err != nil {
+	if err := node.OpenGroup(testGroup, noopMachine{}, replica.Options{}); err != nil {
 		t.Fatal(err)
 	}
 	return node, hook
 }
 
-// appendTo is a message from a primary that puts one entry into the log of another node's replica.
-func appendTo(from, to *Node, index uint64) []byte {
+// encodeAppend encodes a message from a primary that appends one entry to the log of another node's replica.
+func encodeAppend(from, to *Node, index uint64) []byte {
 	message := replica.Message{
 		Kind: replica.MessageAppend, Epoch: 1, Index: index - 1, PrevEpoch: min(index-1, 1),
 		Entries: []replica.Entry{{Index: index, Epoch: 1, Data: []byte("a")}},
@@ -50,7 +50,7 @@
 	return last
 }
 
-func namedCodes(hook *test.Hook) (found []codes.Code) {
+func loggedCodes(hook *test.Hook) (found []codes.Code) {
 	for _, entry := range hook.AllEntries() {
 		if code, is := entry.Data["code"].(uint16); is {
 			found = append(found, codes.Code(code))
@@ -59,7 +59,7 @@
 	return found
 }
 
-// A member takes nothing from a process of another cluster, names it with a code, and remembers its own over a restart.
+// A member drops messages of another cluster and logs them once with a code. It still has its own cluster ID after a restart.
 func TestMessagesOfAnotherClusterAreDropped(t *testing.T) {
 	dir := t.TempDir()
 	member, _ := openTestNode(t, dir)
@@ -67,26 +67,26 @@
 	other, _ := openTestNode(t, t.TempDir())
 	own.BindCluster(7)
 	other.BindCluster(8)
-	member.HandleMessage(appendTo(own, member, 1), nil)
+	member.HandleMessage(encodeAppend(own, member, 1), nil)
 	if lastIndex(member) != 1 || member.ClusterID() != 7 {
 		t.Fatalf("last entry %d, cluster %d", lastIndex(member), member.ClusterID())
 	}
-	again, hook := openTestNode(t, dir)
-	again.HandleMessage(appendTo(other, again, 2), nil)
-	again.HandleMessage(appendTo(other, again, 2), nil)
-	if lastIndex(again) != 0 || again.ClusterID() != 7 {
-		t.Fatalf("last entry %d, cluster %d", lastIndex(again), again.ClusterID())
+	restarted, hook := openTestNode(t, dir)
+	restarted.HandleMessage(encodeAppend(other, restarted, 2), nil)
+	restarted.HandleMessage(encodeAppend(other, restarted, 2), nil)
+	if lastIndex(restarted) != 0 || restarted.ClusterID() != 7 {
+		t.Fatalf("last entry %d, cluster %d", lastIndex(restarted), restarted.ClusterID())
 	}
-	if got := namedCodes(hook); len(got) != 1 || got[0] != codes.DiskForeign {
+	if got := loggedCodes(hook); len(got) != 1 || got[0] != codes.DiskForeign {
 		t.Fatalf("named: %v", got)
 	}
-	if again.BindCluster(8) || !again.BindCluster(7) {
+	if restarted.BindCluster(8) || !restarted.BindCluster(7) {
 		t.Fatal("bound to a second cluster")
 	}
 }
 
-// A member whose disk was replaced by an older copy of it is detected by those that heard of its later starts.
-func TestAnOlderCopyOfADiskIsDetected(t *testing.T) {
+// A node whose disk was replaced by an older copy is detected by members that received messages of its later starts.
+func TestRestoredOldDiskIsDetected(t *testing.T) {
 	member, hook := openTestNode(t, t.TempDir())
 	dir, saved := t.TempDir(), t.TempDir()
 	openTestNode(t, dir)
@@ -95,25 +95,26 @@
 	}
 	openTestNode(t, dir)
 	primary, _ := openTestNode(t, dir)
-	member.HandleMessage(appendTo(primary, member, 1), nil)
+	member.HandleMessage(encodeAppend(primary, member, 1), nil)
 	if lastIndex(member) != 1 {
-		t.Fatal("a message was not taken")
+		t.Fatal("a message of the newest start was not accepted")
 	}
 	older, _ := openTestNode(t, filepath.Join(saved, "copy"))
 	if older.Identity != primary.Identity {
 		t.Fatal("the copy has another identity")
 	}
-	member.HandleMessage(appendTo(older, member, 2), nil)
+	member.HandleMessage(encodeAppend(older, member, 2), nil)
 	if lastIndex(member) != 1 {
 		t.Fatal("an older copy of the disk was heeded")
 	}
-	if got := namedCodes(hook); len(got) != 1 || got[0] != codes.DiskRegressed {
+	if got := loggedCodes(hook); len(got) != 1 || got[0] != codes.DiskRegressed {
 		t.Fatalf("named: %v", got)
 	}
 }
 
-// A member that was itself started again still knows of the later start; what it keeps has the recorded bytes.
-func TestAnOlderCopyOfADiskIsDetectedAfterARestart(t *testing.T) {
+// A member detects an older copy of a disk also after its own restart, from the start counts that it stored. Their encoding is as
+// recorded.
+func TestRestoredOldDiskIsDetectedAfterRestart(t *testing.T) {
 	memberDir, dir, saved := t.TempDir(), t.TempDir(), t.TempDir()
 	member, _ := openTestNode(t, memberDir)
 	openTestNode(t, dir)
@@ -122,17 +123,17 @@
 	}
 	openTestNode(t, dir)
 	primary, _ := openTestNode(t, dir)
-	member.HandleMessage(appendTo(primary, member, 1), nil)
+	member.HandleMessage(encodeAppend(primary, member, 1), nil)
 	member.disk.saveKnownStarts()
 	recorded.Check(t, "known-starts", encodeKnownStarts(map[uint64]uint64{9: 3, 5: 1}))
 
-	again, hook := openTestNode(t, memberDir)
+	restarted, hook := openTestNode(t, memberDir)
 	older, _ := openTestNode(t, filepath.Join(saved, "copy"))
-	again.HandleMessage(appendTo(older, again, 1), nil)
-	if lastIndex(again) != 0 {
+	restarted.HandleMessage(encodeAppend(older, restarted, 1), nil)
+	if lastIndex(restarted) != 0 {
 		t.Fatal("an older copy of the disk was heeded")
 	}
-	if got := namedCodes(hook); len(got) != 1 || got[0] != codes.DiskRegressed {
+	if got := loggedCodes(hook); len(got) != 1 || got[0] != codes.DiskRegressed {
 		t.Fatalf("named: %v", got)
 	}
 }
--- a/tier/multigroup/node.go
+++ b/tier/multigroup/node.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	tickEvery = 40 * time.Millisecond
-	// maxTransfers is how many snapshots a process sends at once, whatever the number of its groups.
+	tickInterval = 40 * time.Millisecond
+	// maxTransfers is how many snapshots a process sends at once, regardless of the number of its groups.
 	maxTransfers = 2
 )
 
-// The folders in the data folder.
+// Names of the folders in the data folder.
 const (
 	valuesFolder  = "values"
 	journalFolder = "journal"
 )
 
-// Node holds the replicas of a process. It may be used from several goroutines.
+// Node runs the replicas of a process. It is safe for concurrent use.
 type Node struct {
-	// Identity is the number of this node, drawn when its disk was empty. It is not to be changed.
+	// Identity is the ID of this node, generated when its disk was empty. It must not be changed.
 	Identity uint64
-	// Values are the single values on the node's disk. Callers may keep values of their own there.
+	// Values are the named values on the node's disk. Callers may store their own values there.
 	Values *storage.Values
 
 	log        *logrus.Entry
@@ -41,22 +41,23 @@
 	writer     *writer
 	slots      *replica.TransferSlots
 
-	// mu guards what follows, and the queue of the writer.
+	// mu guards the fields below and the queue of the writer.
 	mu        sync.Mutex
 	groups    map[uint32]*openGroup
-	unopened  map[uint32]*storage.GroupLog // groups found on disk and not open yet
+	unopened  map[uint32]*storage.GroupLog // groups found on disk that are not open yet
 	transport transport
 }
 
-// openGroup is this node's replica of a group and those who wait for its commands. Node.mu guards it.
+// openGroup is this node's replica of a group, with its pending proposals. Node.mu guards it.
 type openGroup struct {
 	id        uint32
 	replica   *replica.Group
 	proposals pendingProposals
 }
 
-// Open reads the data folder. A process whose folder holds no identity draws one: it is a new node, whatever its address. With
-// heartbeats, primaries send their backups something all the time, so that backups notice when they end.
+// Open reads the data folder and returns a node with its state. If the folder holds no identity, a new one is generated: the process
+// is then a new node, regardless of its address. With heartbeats, primaries send messages to their backups even when idle, so that
+// backups detect the failure of a primary.
 func Open(dir string, clients *rpc.Clients, log *logrus.Entry, heartbeats bool) (*Node, error) {
 	values, err := storage.OpenValues(filepath.Join(dir, valuesFolder))
 	if err != nil {
@@ -76,7 +77,7 @@
 		transport:  transport{clients: clients, addresses: map[uint64]string{}},
 	}
 	n.writer = &writer{journal: journal, log: log, wake: make(chan struct{}, 1), mu: &n.mu}
-	if n.Identity, err = nodeIdentity(values); err != nil {
+	if n.Identity, err = loadOrCreateIdentity(values); err != nil {
 		return nil, err
 	}
 	if n.disk, err = openDiskIdentity(values, log); err != nil {
@@ -85,13 +86,13 @@
 	return n, nil
 }
 
-// Run writes and ticks until the context ends, and returns when both have stopped.
+// Run runs the writer and ticks the groups until the context is cancelled. It returns when both have stopped.
 func (n *Node) Run(ctx context.Context) {
 	var writing sync.WaitGroup
 	writing.Go(func() { n.writeLoop(ctx) })
-	writing.Go(func() { periodic.Run(ctx, saveKnownStartsEvery, n.disk.saveKnownStarts) })
+	writing.Go(func() { periodic.Run(ctx, saveKnownStartsInterval, n.disk.saveKnownStarts) })
 	defer writing.Wait()
-	periodic.Run(ctx, tickEvery, n.tick)
+	periodic.Run(ctx, tickInterval, n.tick)
 }
 
 func (n *Node) tick() {
@@ -100,14 +101,14 @@
 	now := Now()
 	for _, group := range n.groups {
 		group.replica.Tick(now, n.heartbeats)
-		n.carryOut(group)
+		n.processOutput(group)
 	}
 }
 
-// Close closes the journal of a node that does not run, or no longer. What was written stays.
+// Close closes the journal. Run must not be running. The files stay.
 func (n *Node) Close() error { return n.writer.journal.Close() }
 
-// UnopenedGroups lists the groups whose state is on disk and not yet open.
+// UnopenedGroups returns the IDs of the groups found on disk that are not open yet.
 func (n *Node) UnopenedGroups() []uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +119,7 @@
 	return ids
 }
 
-// OpenGroup makes the replica of a group from what is on disk. A group that is open stays as it is.
+// OpenGroup opens the replica of a group with its state on disk, if there is any. It does nothing if the group is open already.
 func (n *Node) OpenGroup(id uint32, machine replica.StateMachine, options replica.Options) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// takeUnopened returns what was found on disk of a group, and forgets it.
+// takeUnopened removes the state of a group from unopened and returns it.
 func (n *Node) takeUnopened(id uint32) (replica.Snapshot, []replica.Entry) {
 	log := n.unopened[id]
 	if log == nil {
@@ -149,7 +150,7 @@
 	return replica.Snapshot{Index: log.SnapshotIndex, Epoch: log.SnapshotEpoch, State: log.Snapshot}, entries
 }
 
-// DropGroup forgets a group's replica and its state on disk.
+// DropGroup closes a group's replica, fails its pending proposals and removes its state from disk.
 func (n *Node) DropGroup(id uint32) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -164,15 +165,14 @@
 	n.writer.wakeUp()
 }
 
-// HasGroup tells whether a replica of the group is open.
+// HasGroup reports whether a replica of the group is open.
 func (n *Node) HasGroup(id uint32) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.groups[id] != nil
 }
 
-// WithGroup runs a function on a group under the lock and carries out what follows. It reports false for a group that is not
-// open.
+// WithGroup calls a function on a group under the lock and processes the group's output. It returns false if the group is not open.
 func (n *Node) WithGroup(id uint32, use func(*replica.Group)) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,16 +181,16 @@
 		return false
 	}
 	use(group.replica)
-	n.carryOut(group)
+	n.processOutput(group)
 	return true
 }
 
-// SetView gives a group its view.
+// SetView sets the view of a group.
 func (n *Node) SetView(id uint32, view replica.View) {
 	n.WithGroup(id, func(g *replica.Group) { g.SetView(view, Now()) })
 }
 
-// IsPrimary tells whether commands for the group are taken here.
+// IsPrimary reports whether this node is the primary of the group and ready for commands.
 func (n *Node) IsPrimary(id uint32) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,8 +198,9 @@
 	return group != nil && group.replica.IsReady()
 }
 
-// Submit proposes a command and waits until it is committed. A NotPrimaryError says that it was not proposed; codes.Timeout that it
-// may or may not be committed; codes.Unavailable that too much waits to be committed and nothing was proposed.
+// Submit proposes a command, waits until it is committed and returns its result. On a NotPrimaryError the command was not proposed.
+// On codes.Unavailable it was not proposed because too many commands wait to be committed. On codes.Timeout it may or may not be
+// committed.
 func (n *Node) Submit(ctx context.Context, id uint32, command []byte) (any, error) {
 	n.mu.Lock()
 	group := n.groups[id]
@@ -214,7 +215,7 @@
 	}
 	index := group.replica.Propose(command, Now())
 	result := group.proposals.add(index)
-	n.carryOut(group)
+	n.processOutput(group)
 	n.mu.Unlock()
 	select {
 	case got, open := <-result:
@@ -230,7 +231,7 @@
 	}
 }
 
-// notPrimary is the error for a group that this node does not lead; the lock is held.
+// notPrimary returns the error for a group of which this node is not the primary. The caller holds Node.mu.
 func notPrimary(id uint32, group *openGroup) error {
 	err := &NotPrimaryError{Group: id}
 	if group != nil {
@@ -239,8 +240,9 @@
 	return err
 }
 
-// carryOut does what a group's events ask for; the lock is held.
-func (n *Node) carryOut(group *openGroup) {
+// processOutput takes the output of a group's replica: it queues the writes, sends the messages and resolves the proposals. The caller
+// holds n.mu.
+func (n *Node) processOutput(group *openGroup) {
 	output := group.replica.TakeOutput()
 	if output.SteppedDown {
 		group.proposals.failAll()
@@ -253,7 +255,7 @@
 	}
 	for _, id := range output.Regressed {
 		n.log.WithFields(logrus.Fields{"code": uint16(codes.DiskRegressed), "group": group.id, "member": id}).Error(
-			"a member's log ends before what it acknowledged: an older copy of its disk was put back")
+			"a member's log ends before entries that it acknowledged: an older copy of its disk was restored")
 	}
 	for _, err := range output.Unrestorable {
 		n.log.WithError(err).WithFields(logrus.Fields{"code": uint16(codes.Malformed), "group": group.id, "index": err.Index}).Error(
--- a/tier/multigroup/node_test.go
+++ b/tier/multigroup/node_test.go
@@ -11,13 +11,13 @@
 	"otterseam/tier/replica"
 )
 
-// alone is the view of a group that has one replica.
-func alone(n *Node) replica.View {
+// singleReplicaView returns the view of a group with n as its only replica.
+func singleReplicaView(n *Node) replica.View {
 	only := []uint64{n.Identity}
 	return replica.View{Epoch: 1, Primary: n.Identity, InSync: only, Replicas: only, MinInSync: 1}
 }
 
-// runNode runs a node and returns what ends it and waits for it.
+// runNode runs a node and returns a function that stops it and waits until it has ended.
 func runNode(n *Node) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -35,18 +35,18 @@
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !n.IsPrimary(testGroup); {
 		if time.Now().After(deadline) {
-			t.Fatal("never ready")
+			t.Fatal("the node did not become ready as primary")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Run returns when the writer has ended too; what was committed is found at the next start.
+// Run returns only after the writer has ended. Committed entries are found at the next start.
 func TestRunWaitsForTheWriter(t *testing.T) {
 	leakcheck.Check(t)
 	dir := t.TempDir()
 	n, _ := openTestNode(t, dir)
-	n.SetView(testGroup, alone(n))
+	n.SetView(testGroup, singleReplicaView(n))
 	stop := runNode(n)
 	waitReady(t, n)
 	if _, err := n.Submit(context.Background(), testGroup, []byte("a")); err != nil {
@@ -57,15 +57,15 @@
 	if err := n.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again, _ := openTestNode(t, dir)
-	if got := lastIndex(again); got != last {
+	reopened, _ := openTestNode(t, dir)
+	if got := lastIndex(reopened); got != last {
 		t.Errorf("the last entry is %d after a restart, was %d", got, last)
 	}
 }
 
-// What a caller of Submit is told of a command that is not committed.
-func TestSubmitTellsWhyNothingIsCommitted(t *testing.T) {
-	closed, cancel := context.WithCancel(context.Background())
+// Submit returns the documented error for a command that is not committed.
+func TestSubmitErrors(t *testing.T) {
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	cases := []struct {
 		name    string
@@ -75,29 +75,29 @@
 	}{
 		{"a group that is not open", func(*testing.T, *Node) {}, testGroup + 1, codes.NotPrimary},
 		{"a backup", func(*testing.T, *Node) {}, testGroup, codes.NotPrimary},
-		{"too much is not committed", func(_ *testing.T, n *Node) { leadAlone(n); fill(n) }, testGroup, codes.Unavailable},
-		{"the caller waits no longer", func(_ *testing.T, n *Node) { leadAlone(n) }, testGroup, codes.Timeout},
+		{"too many uncommitted commands", func(_ *testing.T, n *Node) { becomePrimary(n); fillPendingLog(n) }, testGroup, codes.Unavailable},
+		{"the caller's context is cancelled", func(_ *testing.T, n *Node) { becomePrimary(n) }, testGroup, codes.Timeout},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			n, _ := openTestNode(t, t.TempDir())
 			c.prepare(t, n)
-			if _, err := n.Submit(closed, c.group, []byte("a")); !errors.Is(err, c.want) {
+			if _, err := n.Submit(cancelled, c.group, []byte("a")); !errors.Is(err, c.want) {
 				t.Errorf("error %v, not %v", err, c.want)
 			}
 		})
 	}
 }
 
-// A node that does not lead a group says who does.
+// The error of a node that is not the primary of a group names the primary.
 func TestNotPrimaryErrorNamesThePrimary(t *testing.T) {
 	const other = uint64(77)
 	n, _ := openTestNode(t, t.TempDir())
 	n.SetView(testGroup, replica.View{Epoch: 3, Primary: other, InSync: []uint64{other}, Replicas: []uint64{other, n.Identity}})
 	for group, primary := range map[uint32]uint64{testGroup: other, testGroup + 1: 0} {
 		_, err := n.Submit(context.Background(), group, []byte("a"))
-		var refused *NotPrimaryError
-		if !errors.As(err, &refused) || refused.Group != group || refused.Primary != primary {
+		var notPrimaryErr *NotPrimaryError
+		if !errors.As(err, &notPrimaryErr) || notPrimaryErr.Group != group || notPrimaryErr.Primary != primary {
 			t.Errorf("group %d: error %+v", group, err)
 		}
 		var code codes.Code
@@ -107,14 +107,14 @@
 	}
 }
 
-// leadAlone makes a node the primary of its own group, with the entry that opens the epoch committed.
-func leadAlone(n *Node) {
-	n.SetView(testGroup, alone(n))
+// becomePrimary makes a node the primary of a group without backups and commits the first entry of the epoch.
+func becomePrimary(n *Node) {
+	n.SetView(testGroup, singleReplicaView(n))
 	n.writeOnce(context.Background())
 }
 
-// fill proposes commands until no more are taken.
-func fill(n *Node) {
+// fillPendingLog proposes commands until the group has no capacity left.
+func fillPendingLog(n *Node) {
 	n.WithGroup(testGroup, func(g *replica.Group) {
 		for g.HasCapacity() {
 			g.Propose(make([]byte, 1<<20), Now())
@@ -122,11 +122,11 @@
 	})
 }
 
-// A group that is dropped fails those who wait, and is not found on disk any more.
-func TestADroppedGroupFailsItsProposals(t *testing.T) {
+// DropGroup fails pending proposals and removes the group from disk.
+func TestDropGroupFailsPendingProposals(t *testing.T) {
 	dir := t.TempDir()
 	n, _ := openTestNode(t, dir)
-	leadAlone(n)
+	becomePrimary(n)
 	failed := make(chan error)
 	go func() {
 		_, err := n.Submit(context.Background(), testGroup, []byte("a"))
@@ -140,8 +140,8 @@
 		t.Errorf("error %v", err)
 	}
 	n.writeOnce(context.Background())
-	again, _ := openTestNode(t, dir)
-	if got := lastIndex(again); got != 0 {
+	reopened, _ := openTestNode(t, dir)
+	if got := lastIndex(reopened); got != 0 {
 		t.Errorf("the last entry of a dropped group is %d", got)
 	}
 }
--- a/tier/multigroup/recorded_test.go
+++ b/tier/multigroup/recorded_test.go
@@ -24,7 +24,7 @@
 	recordedGroup     = uint32(0x01020304)
 )
 
-// recordedValues are the files that a bound node keeps beside its journal, after its second start.
+// recordedValues maps the value files of a bound node after its second start to their recordings.
 var recordedValues = map[string]string{
 	"identity-0000000000000001":     "identity",
 	"installation-0000000000000001": "installation",
@@ -42,7 +42,7 @@
 	return node
 }
 
-// restoreFiles writes recordings into a folder.
+// restoreFiles writes recordings into a folder, by file name.
 func restoreFiles(t *testing.T, dir string, files map[string]string) {
 	t.Helper()
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -64,7 +64,7 @@
 	recorded.Check(t, name, content)
 }
 
-// newBoundNode is a node with a fixed identity and cluster, at its second start.
+// newBoundNode returns a node with a fixed identity and cluster ID, at its second start.
 func newBoundNode(t *testing.T, dir string) *Node {
 	t.Helper()
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if first := openRecorded(t, dir); !first.BindCluster(recordedClusterID) {
-		t.Fatal("not bound")
+		t.Fatal("an empty disk was not bound to the cluster")
 	}
 	return openRecorded(t, dir)
 }
@@ -99,8 +99,8 @@
 	}
 }
 
-// An identity that is drawn is stored in the form of the recorded one.
-func TestRecordedFormOfADrawnIdentity(t *testing.T) {
+// A generated identity is stored in the same format as the recorded one.
+func TestRecordedFormatOfNewIdentity(t *testing.T) {
 	dir := t.TempDir()
 	node := openRecorded(t, dir)
 	values, err := storage.OpenValues(filepath.Join(dir, "values"))
@@ -113,24 +113,24 @@
 	}
 }
 
-func recordedOutgoing() replica.Outgoing {
+func recordedAppend() replica.Outgoing {
 	return replica.Outgoing{To: recordedReceiver, Message: replica.Message{
 		Kind: replica.MessageAppend, Epoch: 1, Commit: 1,
 		Entries: []replica.Entry{{Index: 1, Epoch: 1, Data: []byte("one")}, {Index: 2, Epoch: 1, Data: []byte("two")}},
 	}}
 }
 
-// A message between replicas goes behind the recorded header, and is taken from behind it.
+// A message between replicas is encoded with its header as recorded, and the recording is decoded.
 func TestRecordedMessage(t *testing.T) {
 	node := newBoundNode(t, t.TempDir())
-	recorded.Check(t, "message", node.encodeMessage(recordedGroup, recordedOutgoing()))
+	recorded.Check(t, "message", node.encodeMessage(recordedGroup, recordedAppend()))
 
 	receiver := openRecorded(t, t.TempDir())
 	receiver.Identity = recordedReceiver
-	if err := receiver.OpenGroup(recordedGroup, silentMachine{}, replica.Options{}); err != nil {
+	if err := receiver.OpenGroup(recordedGroup, noopMachine{}, replica.Options{}); err != nil {
 		t.Fatal(err)
 	}
-	receiver.HandleMessage(recorded.Read(t, "message"), func(group uint32) { t.Errorf("group %x is not known", group) })
+	receiver.HandleMessage(recorded.Read(t, "message"), func(group uint32) { t.Errorf("group %x is unknown", group) })
 	view, last := replica.View{}, uint64(0)
 	receiver.WithGroup(recordedGroup, func(g *replica.Group) { view, last = g.View(), g.LastIndex() })
 	if view.Primary != recordedIdentity || view.Epoch != 1 || last != 2 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// What a node writes into its journal for its groups is as recorded, and its groups are found there.
+// The records that a node writes into its journal are as recorded, and its groups are read back from the recording.
 func TestRecordedJournal(t *testing.T) {
 	const segment = "segment-0000000000000001"
 	dir := t.TempDir()
@@ -157,7 +157,7 @@
 		}},
 		{group: &openGroup{id: 4}, dropped: true},
 	}
-	if err := node.writer.journal.Append(recordsOf(queue)); err != nil {
+	if err := node.writer.journal.Append(journalRecords(queue)); err != nil {
 		t.Fatal(err)
 	}
 	checkFile(t, "journal", filepath.Join(dir, "journal", segment))
@@ -177,8 +177,8 @@
 	}
 }
 
-// A group's replica that is opened from the recorded journal writes the journal anew as recorded.
-func TestRecordedRewrite(t *testing.T) {
+// A group that is opened from the recorded journal is compacted into a journal as recorded.
+func TestRecordedCompaction(t *testing.T) {
 	dir := t.TempDir()
 	restoreFiles(t, filepath.Join(dir, "journal"), map[string]string{"segment-0000000000000001": "journal"})
 	node := openRecorded(t, dir)
@@ -193,12 +193,12 @@
 	}
 }
 
-// What the writer puts on the disk for a message that was taken is as recorded.
-func TestRecordedWriteOfATakenMessage(t *testing.T) {
+// The journal that the writer writes for a received message is as recorded.
+func TestRecordedWriteOfReceivedMessage(t *testing.T) {
 	dir := t.TempDir()
 	receiver := openRecorded(t, dir)
 	receiver.Identity = recordedReceiver
-	if err := receiver.OpenGroup(recordedGroup, silentMachine{}, replica.Options{}); err != nil {
+	if err := receiver.OpenGroup(recordedGroup, noopMachine{}, replica.Options{}); err != nil {
 		t.Fatal(err)
 	}
 	receiver.HandleMessage(recorded.Read(t, "message"), nil)
@@ -208,7 +208,7 @@
 	checkFile(t, "journal-of-message", filepath.Join(dir, "journal", "segment-0000000000000001"))
 }
 
-// recordedMachine keeps the state that it was given.
+// recordedMachine stores the state that it was restored from.
 type recordedMachine struct{ state []byte }
 
 func (m *recordedMachine) Apply(uint64, []byte) any { return nil }
--- a/tier/multigroup/transport.go
+++ b/tier/multigroup/transport.go
@@ -6,23 +6,23 @@
 	"otterseam/tier/rpc"
 )
 
-// KindReplica is a message between replicas.
+// KindReplica is the kind of messages between replicas.
 const KindReplica rpc.Kind = 10
 
 // transport sends messages to other nodes. Node.mu guards it.
 type transport struct {
 	clients   *rpc.Clients
-	addresses map[uint64]string // by identity of the node
+	addresses map[uint64]string // by node identity
 }
 
-// SetAddress tells where the node of a replica is reached.
+// SetAddress sets the address of the node with an identity.
 func (n *Node) SetAddress(identity uint64, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.transport.addresses[identity] = address
 }
 
-// sendMessage sends a replica's message, or drops it if it is not known where to; the lock is held.
+// sendMessage sends a message of a replica. It drops the message if the receiver's address is unknown. The caller holds n.mu.
 func (n *Node) sendMessage(group uint32, out replica.Outgoing) {
 	address := n.transport.addresses[out.To]
 	if address == "" {
@@ -31,15 +31,14 @@
 	n.transport.clients.To(address).Send(KindReplica, n.encodeMessage(group, out))
 }
 
-// sender is what a message says of the node that sent it.
+// sender holds the fields of a message header that describe the sending node.
 type sender struct {
 	clusterID uint64
 	node      uint64
 	starts    uint64
 }
 
-// encodeMessage puts the header before a replica's message: its group, cluster, sender, the sender's number of starts, and
-// receiver.
+// encodeMessage encodes a message of a replica after a header of group, cluster ID, sender, the sender's start count and receiver.
 func (n *Node) encodeMessage(group uint32, out replica.Outgoing) []byte {
 	var e codec.Encoder
 	e.Uint32(group)
@@ -51,9 +50,9 @@
 	return e.Bytes
 }
 
-// HandleMessage takes a message between replicas. Those for another identity, of another cluster, of an earlier start of
-// the sender, or for a group that is not open, are dropped. unknownGroup is called for a group that is not open and may open it;
-// nil does nothing.
+// HandleMessage passes a message to the replica of its group. It drops messages for another identity, from another cluster, from an
+// earlier start of the sender, and for a group that is not open. If the group is not open and unknownGroup is not nil, unknownGroup
+// is called first and may open the group.
 func (n *Node) HandleMessage(payload []byte, unknownGroup func(group uint32)) {
 	d := codec.NewDecoder(payload)
 	group := d.Uint32()
--- a/tier/multigroup/writer.go
+++ b/tier/multigroup/writer.go
@@ -14,32 +14,32 @@
 	"otterseam/tier/storage"
 )
 
-// writeRetryPause is the pause before a write that failed is tried again.
+// writeRetryPause is the pause before a failed write is retried.
 const writeRetryPause = 100 * time.Millisecond
 
-// pendingWrite is a write of a group, or the note that the group is no longer held.
+// pendingWrite is a queued write of a group, or the record that the group was dropped.
 type pendingWrite struct {
 	group   *openGroup
 	write   replica.Write
 	dropped bool
 }
 
-// writer makes durable what groups have queued. Its goroutine, Node.writeLoop, alone touches the journal.
+// writer makes queued writes durable. While it runs, only its goroutine, Node.writeLoop, uses the journal.
 type writer struct {
 	journal *storage.Journal
 	log     *logrus.Entry
 	wake    chan struct{}
 
-	// mu is the node's, which guards what follows: all that groups ask for while it is held goes into one commit.
+	// mu is Node.mu. It guards the fields below. All writes that are queued while it is held go into the same commit.
 	mu      *sync.Mutex
 	queue   []pendingWrite
 	monitor DiskMonitor
 }
 
-// enqueue queues a write; the lock is held.
+// enqueue adds a write to the queue. The caller holds mu.
 func (w *writer) enqueue(pending pendingWrite) { w.queue = append(w.queue, pending) }
 
-// wakeUp has the goroutine look at the queue.
+// wakeUp wakes the writer's goroutine to process the queue.
 func (w *writer) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
@@ -47,7 +47,7 @@
 	}
 }
 
-// begin takes all that is queued.
+// begin removes all writes from the queue and returns them.
 func (w *writer) begin() []pendingWrite {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,7 +65,7 @@
 	return w.monitor.Degraded(Now())
 }
 
-// append makes records durable, however often it has to be tried. It reports false when the context has ended before.
+// append makes records durable, with retries after errors. It returns false if the context is cancelled first.
 func (w *writer) append(ctx context.Context, records []storage.Record) bool {
 	for {
 		err := w.journal.Append(records)
@@ -81,7 +81,8 @@
 	}
 }
 
-// DiskDegraded tells whether this process's disk holds up what it leads, so that others should.
+// DiskDegraded reports whether this process's disk is too slow for the groups of which it is primary, so that others should lead
+// them.
 func (n *Node) DiskDegraded() bool { return n.writer.isDegraded() }
 
 func (n *Node) writeLoop(ctx context.Context) {
@@ -96,13 +97,13 @@
 	}
 }
 
-// writeOnce makes all that is queued durable in one commit. It reports whether there was anything.
+// writeOnce makes all queued writes durable in one commit. It returns false if the queue was empty or the context was cancelled.
 func (n *Node) writeOnce(ctx context.Context) bool {
 	queue := n.writer.begin()
 	if len(queue) == 0 {
 		return false
 	}
-	if !n.writer.append(ctx, recordsOf(queue)) {
+	if !n.writer.append(ctx, journalRecords(queue)) {
 		return false
 	}
 	n.reportDurable(queue)
@@ -112,7 +113,7 @@
 	return true
 }
 
-// reportDurable reports writes that have reached the disk to their groups, and carries out what follows.
+// reportDurable reports durable writes to their groups and processes the groups' output.
 func (n *Node) reportDurable(queue []pendingWrite) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,31 +133,31 @@
 		touched[pending.group] = true
 	}
 	for group := range touched {
-		n.carryOut(group)
+		n.processOutput(group)
 	}
 }
 
-// compactJournal replaces the journal by the present state of all groups. The lock is taken for one group at a time: what a group
-// takes in meanwhile is queued and written behind.
+// compactJournal replaces the journal by the current state of all groups. It locks the node for one group at a time. Writes of a
+// group that arrive in the meantime are queued and written after the checkpoint.
 func (n *Node) compactJournal() {
 	var records []storage.Record
-	for _, id := range n.heldGroups() {
+	for _, id := range n.allGroups() {
 		records = append(records, n.stateRecords(id)...)
 	}
 	if err := n.writer.journal.Compact(records); err != nil {
-		n.log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("journal could not be written anew; the old one stays")
+		n.log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("journal compaction failed; the old segments are kept")
 	}
 }
 
-// heldGroups lists the groups that are open or on disk.
-func (n *Node) heldGroups() []uint32 {
+// allGroups returns the IDs of all groups that are open or found on disk.
+func (n *Node) allGroups() []uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ids := slices.Collect(maps.Keys(n.groups))
 	return append(ids, slices.Collect(maps.Keys(n.unopened))...)
 }
 
-// stateRecords is the present state of a group; nothing if it was dropped.
+// stateRecords returns the current state of a group as records, or nil if the group was dropped.
 func (n *Node) stateRecords(id uint32) []storage.Record {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -177,7 +178,7 @@
 	return nil
 }
 
-func recordsOf(queue []pendingWrite) []storage.Record {
+func journalRecords(queue []pendingWrite) []storage.Record {
 	var records []storage.Record
 	for _, pending := range queue {
 		if pending.dropped {
