--- a/tier/storage/bench_test.go
+++ b/tier/storage/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchRecords are what a group commit holds: entries of several groups.
+// benchRecords returns the records of a group commit: entries of several groups.
 func benchRecords(count int) []Record {
 	var records []Record
 	for i := range count {
@@ -14,7 +14,7 @@
 	return records
 }
 
-// BenchmarkCommitCoding encodes and reads group commits.
+// BenchmarkCommitCoding measures encoding and decoding a group commit.
 func BenchmarkCommitCoding(b *testing.B) {
 	for _, count := range []int{1, 16} {
 		b.Run(fmt.Sprint(count, "-records"), func(b *testing.B) {
@@ -23,14 +23,14 @@
 			for b.Loop() {
 				encoded := encodeCommit(commit{sequence: 7, records: records})
 				if _, _, ok := decodeCommit(encoded); !ok {
-					b.Fatal("not read")
+					b.Fatal("the commit was not decoded")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkOpenJournal reads a journal of 4,000 commits on the machine's disk.
+// BenchmarkOpenJournal measures opening a journal of 4,000 commits on the machine's disk.
 func BenchmarkOpenJournal(b *testing.B) {
 	dir := b.TempDir()
 	j, _ := openJournal(b, dir)
--- a/tier/storage/commit.go
+++ b/tier/storage/commit.go
@@ -9,16 +9,16 @@
 	"otterseam/tier/codec"
 )
 
-// RecordKind tells what a journal record says.
+// RecordKind is the kind of a journal record.
 type RecordKind uint8
 
-// The kinds of journal records.
+// Kinds of journal records.
 const (
-	// RecordEntry is a log entry of a group. Entries of the same group at or above its index are replaced by it.
+	// RecordEntry is a log entry of a group. It replaces earlier entries of the group with the same or a higher index.
 	RecordEntry RecordKind = iota + 1
-	// RecordSnapshot replaces all that was written of the group before.
+	// RecordSnapshot is a snapshot of a group's state. It replaces all earlier records of the group.
 	RecordSnapshot
-	// RecordDrop says that the group is no longer held here.
+	// RecordDrop removes the group from this process.
 	RecordDrop
 )
 
@@ -26,7 +26,7 @@
 type Record struct {
 	Kind  RecordKind
 	Group uint32
-	Index uint64 // of the entry, or of the last entry that the snapshot covers
+	Index uint64 // of the entry, or of the last entry in the snapshot
 	Epoch uint64
 	Data  []byte
 }
@@ -34,13 +34,13 @@
 const (
 	commitMagic       = uint32(0x4f434d54) // "OCMT"
 	commitHeaderBytes = 4 + 4 + 4 + 8      // magic, length, checksum, sequence number
-	minRecordBytes    = 1 + 4 + 8 + 8 + 4  // of a record without data
+	minRecordBytes    = 1 + 4 + 8 + 8 + 4  // size of a record without data
 )
 
-// commit is what is made durable at once.
+// commit is a group of records that is written and synced at once.
 type commit struct {
 	sequence   uint64
-	checkpoint bool // it holds the state of all groups; what stands before it is of no use
+	checkpoint bool // the records hold the state of all groups, so that earlier commits are no longer needed
 	records    []Record
 }
 
@@ -67,7 +67,8 @@
 	return checksum(fmt.Sprintf("commit-%d", sequence), content)
 }
 
-// decodeCommit reads the commit at the start of the data, if there is a complete one, and its length.
+// decodeCommit decodes the commit at the start of the data and returns its length. ok is false if there is no complete and valid
+// commit.
 func decodeCommit(data []byte) (c commit, length int, ok bool) {
 	content, ok := commitContent(data)
 	if !ok {
@@ -81,13 +82,14 @@
 			Kind: RecordKind(d.Uint8()), Group: d.Uint32(), Index: d.Uint64(), Epoch: d.Uint64(), Data: d.Blob(),
 		})
 	}
-	isKnown := d.Err() == nil && len(d.Rest()) == 0 && !slices.ContainsFunc(c.records, hasUnknownKind)
-	return c, commitHeaderBytes + len(content), isKnown
+	isValid := d.Err() == nil && len(d.Rest()) == 0 && !slices.ContainsFunc(c.records, hasUnknownKind)
+	return c, commitHeaderBytes + len(content), isValid
 }
 
 func hasUnknownKind(r Record) bool { return r.Kind < RecordEntry || r.Kind > RecordDrop }
 
-// commitContent returns the content of the commit at the start of the data, if all of it is there and its checksum is right.
+// commitContent returns the content of the commit at the start of the data. ok is false if the commit is incomplete or its checksum
+// is wrong.
 func commitContent(data []byte) (content []byte, ok bool) {
 	if len(data) < commitHeaderBytes || binary.BigEndian.Uint32(data) != commitMagic {
 		return nil, false
@@ -101,9 +103,9 @@
 	return content, binary.BigEndian.Uint32(data[8:]) == commitChecksum(sequence, content)
 }
 
-// isOfUnknownFormat tells whether the data, which does not start with a commit that can be decoded, can't be the torn end of one
-// either. What a loss of power tears holds bytes of the commit and zeros; a commit whose checksum is right is not torn.
-func isOfUnknownFormat(data []byte) bool {
+// hasUnknownFormat reports whether data that does not start with a valid commit cannot be a torn commit either. After a power loss,
+// a torn commit consists of bytes of the commit and zeros. A commit with the right checksum is not torn.
+func hasUnknownFormat(data []byte) bool {
 	if _, isComplete := commitContent(data); isComplete {
 		return true
 	}
@@ -116,7 +118,7 @@
 	return false
 }
 
-// containsCommit tells whether a complete commit starts anywhere in the data.
+// containsCommit reports whether a complete commit starts anywhere in the data.
 func containsCommit(data []byte) bool {
 	magic := binary.BigEndian.AppendUint32(nil, commitMagic)
 	for {
--- a/tier/storage/crash_test.go
+++ b/tier/storage/crash_test.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	crashFolder   = "/journal"
-	partsADisk    = 4 // draws of what a loss of power leaves in part
+	testDir       = "/journal"
+	drawsPerStep  = 4 // random draws per step of the unsynced data that a power loss keeps
 	snapshotBytes = 700
 )
 
-// journalStep is one call of the journal: a group commit, a compaction into the present state, or another start of the process,
-// which begins another segment.
+// journalStep is one call of the journal: a group commit, a compaction to the current state, or a restart of the process, which
+// starts a new segment.
 type journalStep struct {
 	records []Record
 	compact bool
 	restart bool
 }
 
-// crashWorkload is what a node does that writes entries, compacts, is sent a snapshot while it lags, compacts again and goes on.
+// crashWorkload returns the steps of a node that writes entries, compacts, receives a snapshot because it lags, compacts twice and
+// writes more entries.
 func crashWorkload() []journalStep {
 	var steps []journalStep
 	commit := func(records ...Record) { steps = append(steps, journalStep{records: records}) }
@@ -34,7 +35,7 @@
 	compact()
 	commit(entry(1, 5, 1, "first-5"), entry(1, 6, 1, "first-6"))
 	commit(entry(1, 6, 2, "first-6 of another epoch"))
-	// the snapshot of a transfer that is complete, with entries that came right behind it
+	// the snapshot of a complete transfer, with the entries that follow it
 	state := make([]byte, snapshotBytes)
 	commit(Record{Kind: RecordSnapshot, Group: 1, Index: 40, Epoch: 3, Data: state}, entry(1, 41, 3, "first-41"))
 	commit(entry(1, 42, 3, "first-42"))
@@ -45,7 +46,7 @@
 	return steps
 }
 
-// checkpointRecords is the state of all groups as records, as a compaction writes it.
+// checkpointRecords returns the state of all groups as the records of a checkpoint.
 func checkpointRecords(records []Record) []Record {
 	var checkpoint []Record
 	logs := FoldRecords(records)
@@ -61,20 +62,21 @@
 	return checkpoint
 }
 
-// foldToTheSame compares what was read with what was written; an empty snapshot is as good as none.
-func foldToTheSame(read, written []Record) bool {
+// haveSameState reports whether two lists of records result in the same state. An empty snapshot equals none.
+func haveSameState(read, written []Record) bool {
 	return reflect.DeepEqual(checkpointRecords(read), checkpointRecords(written))
 }
 
-// runUntilPowerIsLost carries the workload out and returns the records of the calls that returned, and those of the one under way.
-func runUntilPowerIsLost(fs fileSystem, steps []journalStep) (done, underWay []Record) {
-	j, _, err := openJournalFS(fs, crashFolder)
+// runUntilPowerLoss runs the workload until the power loss. It returns the records of the calls that returned, and the same records
+// with those of the call in progress.
+func runUntilPowerLoss(fs fileSystem, steps []journalStep) (done, inProgress []Record) {
+	j, _, err := openJournalFS(fs, testDir)
 	if err != nil {
 		return nil, nil
 	}
 	for _, step := range steps {
 		if step.restart {
-			if j, _, err = openJournalFS(fs, crashFolder); err != nil {
+			if j, _, err = openJournalFS(fs, testDir); err != nil {
 				return done, done
 			}
 			continue
@@ -94,61 +96,62 @@
 	return done, done
 }
 
-// Power is lost at every write, sync, creation and removal of the workload, with everything that may then be left on the disk. What
-// was acknowledged is read at the next start, and nothing that was never written; and the journal can go on from there.
-func TestNoStepOfAJournalLosesWhatWasAcknowledged(t *testing.T) {
+// A power loss is simulated at every write, sync, creation and removal of the workload, with each way in which unsynced data may be
+// kept or lost. The next start must read all acknowledged records and none that were never written, and the journal must accept new
+// records.
+func TestJournalKeepsAcknowledgedRecordsAfterPowerLoss(t *testing.T) {
 	steps := crashWorkload()
-	unharmed := newCrashFileSystem(0)
-	runUntilPowerIsLost(unharmed, steps)
+	reference := newCrashFileSystem(0)
+	runUntilPowerLoss(reference, steps)
 	losses := 0
-	for lossStep := 1; lossStep <= unharmed.steps; lossStep++ {
-		for left := range remainsEnd {
+	for lossStep := 1; lossStep <= reference.steps; lossStep++ {
+		for kept := range keptDataEnd {
 			draws := 1
-			if left == partRemains {
-				draws = partsADisk
+			if kept == partKept {
+				draws = drawsPerStep
 			}
 			for draw := range draws {
-				random := rand.New(rand.NewSource(int64(lossStep*partsADisk + draw)))
+				random := rand.New(rand.NewSource(int64(lossStep*drawsPerStep + draw)))
 				d := newCrashFileSystem(lossStep)
-				done, underWay := runUntilPowerIsLost(d, steps)
-				after := d.afterPowerLoss(left, random)
-				checkAfterPowerLoss(t, fmt.Sprintf("power lost at step %d of %d, %s of what was not synced is left", lossStep, unharmed.steps, left),
-					after, done, underWay)
+				done, inProgress := runUntilPowerLoss(d, steps)
+				after := d.afterPowerLoss(kept, random)
+				checkAfterPowerLoss(t, fmt.Sprintf("power lost at step %d of %d, %s of what was not synced is left", lossStep, reference.steps, kept),
+					after, done, inProgress)
 				losses++
 			}
 		}
 	}
-	t.Logf("%d steps, %d losses of power", unharmed.steps, losses)
+	t.Logf("%d steps, %d losses of power", reference.steps, losses)
 }
 
-func checkAfterPowerLoss(t *testing.T, where string, fs *crashFileSystem, done, underWay []Record) {
+func checkAfterPowerLoss(t *testing.T, where string, fs *crashFileSystem, done, inProgress []Record) {
 	t.Helper()
-	j, read, err := openJournalFS(fs, crashFolder)
+	j, read, err := openJournalFS(fs, testDir)
 	if err != nil {
 		t.Fatalf("%s: %v\n%s", where, err, fs)
 	}
-	if !foldToTheSame(read, done) && !foldToTheSame(read, underWay) {
+	if !haveSameState(read, done) && !haveSameState(read, inProgress) {
 		t.Fatalf("%s: read %+v, acknowledged %+v", where, FoldRecords(read), FoldRecords(done))
 	}
-	more := entry(3, 1, 9, "behind the loss of power")
+	more := entry(3, 1, 9, "after the power loss")
 	if err := j.Append([]Record{more}); err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
-	// all that was acknowledged since has been synced: a second loss of power leaves it
-	_, again, err := openJournalFS(fs.afterPowerLoss(nothingRemains, nil), crashFolder)
+	// a second power loss must keep all records, since they were synced before they were acknowledged
+	_, again, err := openJournalFS(fs.afterPowerLoss(nothingKept, nil), testDir)
 	if err != nil {
-		t.Fatalf("%s, and once more: %v", where, err)
+		t.Fatalf("%s, after a second power loss: %v", where, err)
 	}
-	if !foldToTheSame(again, read) || FoldRecords(again)[3] == nil {
-		t.Fatalf("%s, and once more: read %+v, %+v before", where, FoldRecords(again), FoldRecords(read))
+	if !haveSameState(again, read) || FoldRecords(again)[3] == nil {
+		t.Fatalf("%s, after a second power loss: read %+v, %+v before", where, FoldRecords(again), FoldRecords(read))
 	}
 }
 
-// A value is the one acknowledged last, or the one that was being written.
-func TestNoStepOfAValueLosesWhatWasAcknowledged(t *testing.T) {
+// After a power loss at any step, a value is the last acknowledged version or the one that was being written.
+func TestValuesKeepAcknowledgedVersionAfterPowerLoss(t *testing.T) {
 	const writes = 5
 	run := func(fs *crashFileSystem) (done int) {
-		values, err := openValuesFS(fs, crashFolder)
+		values, err := openValuesFS(fs, testDir)
 		if err != nil {
 			return 0
 		}
@@ -159,27 +162,27 @@
 		}
 		return writes
 	}
-	unharmed := newCrashFileSystem(0)
-	run(unharmed)
-	for lossStep := 1; lossStep <= unharmed.steps; lossStep++ {
-		for left := range remainsEnd {
+	reference := newCrashFileSystem(0)
+	run(reference)
+	for lossStep := 1; lossStep <= reference.steps; lossStep++ {
+		for kept := range keptDataEnd {
 			random := rand.New(rand.NewSource(int64(lossStep)))
 			d := newCrashFileSystem(lossStep)
 			done := run(d)
-			values, err := openValuesFS(d.afterPowerLoss(left, random), crashFolder)
+			values, err := openValuesFS(d.afterPowerLoss(kept, random), testDir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			content, err := values.Read("witness")
 			if err != nil {
-				t.Fatalf("power lost at step %d, %s left: %v", lossStep, left, err)
+				t.Fatalf("power lost at step %d, %s left: %v", lossStep, kept, err)
 			}
 			got := 0
 			if content != nil {
 				_, _ = fmt.Sscan(string(content), &got)
 			}
 			if got != done && got != done+1 {
-				t.Fatalf("power lost at step %d, %s left: read %d, acknowledged %d", lossStep, left, got, done)
+				t.Fatalf("power lost at step %d, %s left: read %d, acknowledged %d", lossStep, kept, got, done)
 			}
 		}
 	}
--- a/tier/storage/crashfs_test.go
+++ b/tier/storage/crashfs_test.go
@@ -9,19 +9,19 @@
 	"sort"
 )
 
-var errPowerLost = errors.New("power is lost")
+var errPowerLost = errors.New("power lost")
 
-// crashFileSystem loses power at a chosen step. What was not synced may then be there, in part or not at all: bytes of a
-// file until the file is synced; names of files until their folder is.
+// crashFileSystem simulates a power loss at a chosen step. Data that was not synced may then be kept, lost, or kept in part: the
+// bytes of a file until the file is synced, and the names of files until their folder is synced.
 type crashFileSystem struct {
-	files      map[string]*crashFile // by path, as the running process sees them
-	durable    map[string]*crashFile // by path, as the synced folder holds them
+	files      map[string]*crashFile // by path, as the running process reads them
+	durable    map[string]*crashFile // by path, as of the last sync of the folder
 	steps      int
-	loseAtStep int // the step that loses power; 0 for none
+	loseAtStep int // the step at which power is lost; 0 for none
 	powerLost  bool
 }
 
-// crashFile is a file's bytes, as written and as synced.
+// crashFile holds a file's bytes, as written and as of its last sync.
 type crashFile struct {
 	written []byte
 	synced  []byte
@@ -31,8 +31,8 @@
 	return &crashFileSystem{files: map[string]*crashFile{}, durable: map[string]*crashFile{}, loseAtStep: loseAtStep}
 }
 
-// step counts something that changes the disk, and tells whether it is the one at which power is lost.
-func (fs *crashFileSystem) step() (dies bool, err error) {
+// step counts an operation that changes the disk. losesPower reports whether power is lost during this operation.
+func (fs *crashFileSystem) step() (losesPower bool, err error) {
 	if fs.powerLost {
 		return false, errPowerLost
 	}
@@ -66,8 +66,8 @@
 }
 
 func (fs *crashFileSystem) Create(path string) (file, error) {
-	dies, err := fs.step()
-	if err != nil && !dies {
+	losesPower, err := fs.step()
+	if err != nil && !losesPower {
 		return nil, err
 	}
 	file := fs.files[path]
@@ -91,8 +91,8 @@
 }
 
 func (fs *crashFileSystem) Rename(from, to string) error {
-	dies, err := fs.step()
-	if err == nil || dies {
+	losesPower, err := fs.step()
+	if err == nil || losesPower {
 		fs.files[to] = fs.files[from]
 		delete(fs.files, from)
 	}
@@ -100,8 +100,8 @@
 }
 
 func (fs *crashFileSystem) Remove(path string) error {
-	dies, err := fs.step()
-	if err == nil || dies {
+	losesPower, err := fs.step()
+	if err == nil || losesPower {
 		delete(fs.files, path)
 	}
 	return err
@@ -130,8 +130,8 @@
 }
 
 func (f *openCrashFile) WriteAt(data []byte, at int64) (int, error) {
-	dies, err := f.disk.step()
-	if err != nil && !dies {
+	losesPower, err := f.disk.step()
+	if err != nil && !losesPower {
 		return 0, err
 	}
 	if end := int(at) + len(data); end > len(f.file.written) {
@@ -142,8 +142,8 @@
 }
 
 func (f *openCrashFile) Truncate(size int64) error {
-	dies, err := f.disk.step()
-	if err == nil || dies {
+	losesPower, err := f.disk.step()
+	if err == nil || losesPower {
 		f.file.written = append([]byte(nil), f.file.written[:size]...)
 	}
 	return err
@@ -159,27 +159,27 @@
 
 func (f *openCrashFile) Close() error { return nil }
 
-// remains says what a loss of power left of what was not synced.
-type remains int
+// keptData is the part of the unsynced data that a power loss keeps.
+type keptData int
 
 const (
-	nothingRemains remains = iota
-	allRemains
-	bytesRemain // bytes, but no names
-	namesRemain // names, but no bytes
-	partRemains // drawn by chance: some names, bytes up to anywhere
-	remainsEnd
+	nothingKept keptData = iota
+	allKept
+	bytesKept // bytes of files, but no names
+	namesKept // names of files, but no bytes
+	partKept  // random: some names, and a prefix of the bytes
+	keptDataEnd
 )
 
-func (r remains) String() string {
+func (r keptData) String() string {
 	return [...]string{"nothing", "all", "bytes only", "names only", "part"}[r]
 }
 
-// afterPowerLoss is the file system as the next start finds it.
-func (fs *crashFileSystem) afterPowerLoss(left remains, random *rand.Rand) *crashFileSystem {
+// afterPowerLoss returns the file system at the next start.
+func (fs *crashFileSystem) afterPowerLoss(kept keptData, random *rand.Rand) *crashFileSystem {
 	next := newCrashFileSystem(0)
 	keepsNames := func() bool {
-		return left == allRemains || left == namesRemain || (left == partRemains && random.Intn(2) == 0)
+		return kept == allKept || kept == namesKept || (kept == partKept && random.Intn(2) == 0)
 	}
 	paths := map[string]bool{}
 	for path := range fs.files {
@@ -201,7 +201,7 @@
 		if file == nil {
 			continue
 		}
-		content := file.remaining(left, random)
+		content := file.contentAfterPowerLoss(kept, random)
 		copied := &crashFile{written: content, synced: append([]byte(nil), content...)}
 		next.files[path] = copied
 		next.durable[path] = copied
@@ -209,13 +209,13 @@
 	return next
 }
 
-// remaining is a file's bytes after a loss of power.
-func (f *crashFile) remaining(left remains, random *rand.Rand) []byte {
-	switch left {
-	case allRemains, bytesRemain:
+// contentAfterPowerLoss returns a file's bytes after a power loss.
+func (f *crashFile) contentAfterPowerLoss(kept keptData, random *rand.Rand) []byte {
+	switch kept {
+	case allKept, bytesKept:
 		return append([]byte(nil), f.written...)
-	case partRemains:
-		// some of the bytes behind those that are synced alike were written
+	case partKept:
+		// if bytes were appended to the synced ones, keep a random prefix of the appended bytes
 		same := 0
 		for same < len(f.synced) && same < len(f.written) && f.synced[same] == f.written[same] {
 			same++
--- a/tier/storage/errors_test.go
+++ b/tier/storage/errors_test.go
@@ -12,7 +12,7 @@
 	"otterseam/tier/codes"
 )
 
-// readFolder is what the files of a folder hold, by their names.
+// readFolder returns the contents of the files in a folder, by their names.
 func readFolder(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -30,7 +30,7 @@
 	return files
 }
 
-// rewriteFile replaces a file's content by what is made of it.
+// rewriteFile replaces a file's content by the result of change.
 func rewriteFile(t *testing.T, path string, change func([]byte) []byte) {
 	t.Helper()
 	content, err := os.ReadFile(path)
@@ -49,11 +49,11 @@
 	}
 }
 
-func cutTo(size int) func([]byte) []byte {
+func truncateTo(size int) func([]byte) []byte {
 	return func(content []byte) []byte { return content[:size] }
 }
 
-// checkCorrupt checks that an error says what is corrupt, and that nothing in the folder has changed.
+// checkCorrupt checks that an error is the wanted CorruptRecordError, and that nothing in the folder has changed.
 func checkCorrupt(t *testing.T, err error, want CorruptRecordError, dir string, before map[string]string) {
 	t.Helper()
 	var corrupt *CorruptRecordError
@@ -69,8 +69,8 @@
 	}
 }
 
-// A journal that is cut, torn, altered or of a newer format before its end is refused and stays as it is.
-func TestACorruptJournalIsReportedAndStaysAsItIs(t *testing.T) {
+// A journal that is truncated, torn, altered or of a newer format before its end is rejected and not changed.
+func TestCorruptJournalIsReportedAndNotChanged(t *testing.T) {
 	const (
 		first  = "segment-0000000000000001"
 		second = "segment-0000000000000002"
@@ -84,9 +84,9 @@
 		want   CorruptRecordError
 	}{
 		{"a bit of the first commit of two", first, flipBit(length - 1), CorruptRecordError{File: first, Reason: "damaged commit: complete commits follow"}},
-		{"a cut end before other segments", first, cutTo(2*length - 1), CorruptRecordError{File: first, Offset: int64(length), Reason: "damaged commit: later segments follow"}},
+		{"a cut end before other segments", first, truncateTo(2*length - 1), CorruptRecordError{File: first, Offset: int64(length), Reason: "damaged commit: later segments follow"}},
 		{"a newer format before other segments", second, flipBit(0), CorruptRecordError{File: second, Reason: "damaged commit: later segments follow"}},
-		{"an empty segment before others", second, cutTo(0), CorruptRecordError{File: third, Reason: "commit 3 is missing before commit 4"}},
+		{"an empty segment before others", second, truncateTo(0), CorruptRecordError{File: third, Reason: "commit 3 is missing before commit 4"}},
 		{"a missing commit before a torn one", third, func(content []byte) []byte {
 			later := encodeCommit(commit{sequence: 6, records: []Record{entry(1, 6, 1, "f")}})
 			return append(append(content, later...), "torn"...)
@@ -109,8 +109,8 @@
 	}
 }
 
-// A last segment that a newer version of the program wrote is refused and stays as it is; it is not taken for a torn one.
-func TestALastSegmentOfANewerFormatStaysAsItIs(t *testing.T) {
+// A last segment written by a newer version of the program is rejected and not changed. It must not be truncated as a torn one.
+func TestLastSegmentOfNewerFormatIsNotChanged(t *testing.T) {
 	const last = "segment-0000000000000002"
 	newerRecord := entry(1, 3, 1, "c")
 	newerRecord.Kind = RecordDrop + 1
@@ -121,9 +121,9 @@
 	header = binary.BigEndian.AppendUint32(header, commitChecksum(3, content))
 	header = binary.BigEndian.AppendUint64(header, 3)
 	for name, written := range map[string][]byte{
-		"another magic":           []byte("OCM2 all else may differ"),
-		"another kind of record":  encodeCommit(commit{sequence: 3, records: []Record{newerRecord}}),
-		"a field behind the last": append(header, content...),
+		"another magic number":   []byte("OCM2 all else may differ"),
+		"another kind of record": encodeCommit(commit{sequence: 3, records: []Record{newerRecord}}),
+		"a field after the last": append(header, content...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -139,8 +139,8 @@
 	}
 }
 
-// What a loss of power may leave of a commit is cut off: any prefix of it, with zeros in place of what was not written.
-func TestATornCommitWithZerosIsCutOff(t *testing.T) {
+// A commit of which a power loss left any prefix, with or without zeros in place of the rest, is truncated.
+func TestTornCommitWithZerosIsTruncated(t *testing.T) {
 	torn := encodeCommit(commit{sequence: 2, records: []Record{entry(1, 2, 1, "b")}})
 	for written := range torn {
 		for _, end := range []int{written, len(torn)} {
@@ -159,18 +159,18 @@
 	}
 }
 
-// A value that is cut, altered, misplaced or of a newer format is refused, and no older version is taken in its place.
-func TestACorruptValueIsReportedAndStaysAsItIs(t *testing.T) {
+// A value that is truncated, altered, misplaced or of a newer format is an error, and no older version is returned instead.
+func TestCorruptValueIsReportedAndNotChanged(t *testing.T) {
 	const newest = "identity-0000000000000002"
 	cases := []struct {
 		name   string
 		change func([]byte) []byte
 		reason string
 	}{
-		{"empty", cutTo(0), "no valid header"},
-		{"cut in the header", cutTo(versionHeaderBytes - 1), "no valid header"},
+		{"empty", truncateTo(0), "no valid header"},
+		{"cut in the header", truncateTo(versionHeaderBytes - 1), "no valid header"},
 		{"a newer format", flipBit(3), "no valid header"},
-		{"cut in the content", cutTo(versionHeaderBytes + 3), "cut short or too long"},
+		{"cut in the content", truncateTo(versionHeaderBytes + 3), "cut short or too long"},
 		{"longer", func(content []byte) []byte { return append(content, 0) }, "cut short or too long"},
 		{"a bit of the content", flipBit(versionHeaderBytes), "wrong checksum"},
 		{"the content of another file", func([]byte) []byte { return encodeVersion("starts-0000000000000002", []byte("12345678")) }, "wrong checksum"},
@@ -195,21 +195,21 @@
 	}
 }
 
-// An error of the file system is a WriteError that keeps it, at each step of each write.
-func TestAFailedWriteKeepsTheErrorOfTheFileSystem(t *testing.T) {
+// An error of the file system at any step of a write is returned as a WriteError that wraps it.
+func TestWriteErrorWrapsFileSystemError(t *testing.T) {
 	cases := []struct {
 		name  string
 		write func(fs fileSystem) error
 	}{
 		{"a value", func(fs fileSystem) error {
-			values, err := openValuesFS(fs, crashFolder)
+			values, err := openValuesFS(fs, testDir)
 			if err != nil {
 				return err
 			}
 			return values.Write("identity", []byte("x"))
 		}},
 		{"a journal", func(fs fileSystem) error {
-			j, _, err := openJournalFS(fs, crashFolder)
+			j, _, err := openJournalFS(fs, testDir)
 			if err != nil {
 				return err
 			}
@@ -218,15 +218,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			unharmed := newCrashFileSystem(0)
-			if err := c.write(unharmed); err != nil {
+			reference := newCrashFileSystem(0)
+			if err := c.write(reference); err != nil {
 				t.Fatal(err)
 			}
-			for step := 1; step <= unharmed.steps; step++ {
+			for step := 1; step <= reference.steps; step++ {
 				err := c.write(newCrashFileSystem(step))
 				var failed *WriteError
 				if !errors.As(err, &failed) || !errors.Is(err, codes.DiskWrite) || !errors.Is(err, errPowerLost) {
-					t.Errorf("step %d of %d: error %v", step, unharmed.steps, err)
+					t.Errorf("step %d of %d: error %v", step, reference.steps, err)
 				}
 			}
 		})
--- a/tier/storage/filesystem.go
+++ b/tier/storage/filesystem.go
@@ -5,19 +5,19 @@
 	"path/filepath"
 )
 
-// fileSystem is what this package needs of a file system. Tests put one in its place that loses power.
+// fileSystem contains the file system operations that this package needs. Tests replace it to simulate a power loss.
 type fileSystem interface {
 	MkdirAll(path string) error
-	// List gives the names of the files in a folder.
+	// List returns the names of the files in a folder.
 	List(path string) ([]string, error)
 	ReadFile(path string) ([]byte, error)
-	// Create makes an empty file, also in place of one that is there.
+	// Create creates an empty file or truncates an existing one.
 	Create(path string) (file, error)
-	// Open opens a file that is there for writing.
+	// Open opens an existing file for writing.
 	Open(path string) (file, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir makes durable which files a folder holds.
+	// SyncDir makes the names of the files in a folder durable.
 	SyncDir(path string) error
 }
 
@@ -29,7 +29,7 @@
 	Close() error
 }
 
-// osFileSystem is the file system of the machine.
+// osFileSystem is the file system of the operating system.
 type osFileSystem struct{}
 
 const (
@@ -62,7 +62,7 @@
 func openFile(path string, flags int) (file, error) {
 	f, err := os.OpenFile(path, flags, fileMode)
 	if err != nil {
-		return nil, err // and not a file that is nil within an interface
+		return nil, err // not f, which would be a non-nil interface that holds a nil *os.File
 	}
 	return f, nil
 }
@@ -80,11 +80,11 @@
 	return folder.Sync()
 }
 
-// temporarySuffix marks a file that is being written. One that a crash left is written over by the next write of its name.
+// temporarySuffix marks a file that is being written. A file left by a crash is overwritten by the next write of the same name.
 const temporarySuffix = ".aside"
 
-// writeAtomically puts a file in place so that a crash leaves either none or all of it: it is written under a temporary name,
-// synced and renamed, and the folder is synced.
+// writeAtomically writes a file so that, after a crash, it exists either completely or not at all: it writes the file under a
+// temporary name, syncs and renames it, and syncs the folder.
 func writeAtomically(fs fileSystem, dir, name string, data []byte) error {
 	temporary := filepath.Join(dir, name+temporarySuffix)
 	if err := writeAndSync(fs, temporary, data); err != nil {
--- a/tier/storage/grouplog.go
+++ b/tier/storage/grouplog.go
@@ -2,15 +2,15 @@
 
 import "sort"
 
-// GroupLog is the durable state of one group, folded from journal records.
+// GroupLog is the durable state of one group, computed from its journal records.
 type GroupLog struct {
 	Snapshot      []byte
 	SnapshotIndex uint64
 	SnapshotEpoch uint64
-	Entries       []Record // from SnapshotIndex+1 on, without gaps
+	Entries       []Record // from index SnapshotIndex+1 on, without gaps
 }
 
-// FoldRecords builds the state of each group from records in their order.
+// FoldRecords returns the state of each group after the records were applied in order.
 func FoldRecords(records []Record) map[uint32]*GroupLog {
 	logs := map[uint32]*GroupLog{}
 	for _, record := range records {
--- a/tier/storage/journal.go
+++ b/tier/storage/journal.go
@@ -2,17 +2,17 @@
 
 import "path/filepath"
 
-// compactionSlackBytes is how much the journal may hold beyond twice its live state before it should be compacted.
+// compactionSlackBytes is how much larger than twice its live state the journal may be before it should be compacted.
 const compactionSlackBytes = 24 << 20
 
-// Journal keeps records in the order in which they were appended, in segments of about a mebibyte. Each group commit is one
-// write and one sync; it carries a checksum and a number, so that one that was torn by a loss of power is found out. It has a
-// single owner.
+// Journal stores records in the order in which they were appended, in segments of about 1 MiB. Each group commit is one write and
+// one sync. It contains a checksum and a sequence number, so that a commit that was torn by a power loss is detected. Journal is not
+// safe for concurrent use.
 type Journal struct {
 	fs             fileSystem
 	dir            string
-	firstSegment   uint64 // the oldest one
-	currentSegment uint64 // the one that is written
+	firstSegment   uint64 // number of the oldest segment
+	currentSegment uint64 // number of the segment that is written
 	file           file   // of the current segment
 	segmentSize    int64  // of the current segment, in bytes
 	nextSequence   uint64 // of the next commit
@@ -20,8 +20,8 @@
 	liveBytes      int64 // of the last checkpoint
 }
 
-// OpenJournal opens or creates the folder and returns the records found there. A torn commit at the very end was never
-// acknowledged and is cut off; damage elsewhere is a CorruptRecordError.
+// OpenJournal opens or creates the folder and returns the records found there. A torn commit at the end was never acknowledged and
+// is truncated. Damage anywhere else is a CorruptRecordError.
 func OpenJournal(dir string) (*Journal, []Record, error) { return openJournalFS(osFileSystem{}, dir) }
 
 func openJournalFS(fs fileSystem, dir string) (*Journal, []Record, error) {
@@ -47,7 +47,7 @@
 	return filepath.Join(j.dir, versionName(segmentPrefix, number))
 }
 
-// replay reads the segments and returns the records of all. Nothing is changed on disk before all of them are found to be valid.
+// replay reads the segments and returns their records. It changes nothing on disk before all segments were found to be valid.
 func (j *Journal) replay(numbers []uint64) ([]Record, error) {
 	segments, err := j.readSegments(numbers)
 	if err != nil || len(segments) == 0 {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	last := &segments[len(segments)-1]
-	if err := last.cutTornEnd(j.fs); err != nil {
+	if err := last.truncateTornEnd(j.fs); err != nil {
 		return nil, err
 	}
 	j.firstSegment = segments[0].number
@@ -82,7 +82,7 @@
 			return nil, err
 		}
 		if s.startsWithCheckpoint() {
-			// older segments are leftovers whose removal a loss of power may have undone
+			// a power loss may have undone the removal of older segments
 			start = len(segments)
 		}
 		segments = append(segments, s)
@@ -90,8 +90,8 @@
 	return segments[start:], nil
 }
 
-// startSegment begins a new segment; nothing is ever written behind what was found at the start. The segment's name is durable
-// before anything is written into it.
+// startSegment starts a new segment. Segments found at the start of the process are never appended to. The segment's name is durable
+// before anything is written into the segment.
 func (j *Journal) startSegment() error {
 	next := j.currentSegment + 1
 	f, err := j.fs.Create(j.path(next))
@@ -103,7 +103,7 @@
 		return err
 	}
 	if j.file != nil {
-		_ = j.file.Close() // all in it has been synced
+		_ = j.file.Close() // all its data was synced
 	}
 	if j.firstSegment == 0 {
 		j.firstSegment = next
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Append makes records durable in one commit and returns when they are. An error is a WriteError; the records may then be
-// appended again.
+// Append writes records in one commit and returns when they are durable. An error is a WriteError. The records may then be appended
+// again.
 func (j *Journal) Append(records []Record) error {
 	if j.segmentSize > maxSegmentBytes {
 		if err := j.startSegment(); err != nil {
@@ -128,7 +128,7 @@
 	return j.write(commit{sequence: j.nextSequence, records: records})
 }
 
-// write writes a commit at the end of the segment. After an error the same place is written again.
+// write writes a commit at the end of the segment and syncs it. After an error the next call writes at the same offset.
 func (j *Journal) write(c commit) error {
 	encoded := encodeCommit(c)
 	if _, err := j.file.WriteAt(encoded, j.segmentSize); err != nil {
@@ -143,10 +143,10 @@
 	return nil
 }
 
-// NeedsCompaction tells whether the journal has grown so far that it should be compacted.
+// NeedsCompaction reports whether the journal has grown so much that it should be compacted.
 func (j *Journal) NeedsCompaction() bool { return j.totalBytes > 2*j.liveBytes+compactionSlackBytes }
 
-// Compact replaces the journal by a checkpoint of records that hold the whole state, and removes the old segments.
+// Compact replaces the journal by a checkpoint and removes the old segments. The records must contain the state of all groups.
 func (j *Journal) Compact(records []Record) error {
 	if err := j.startSegment(); err != nil {
 		return err
@@ -156,7 +156,7 @@
 		return err
 	}
 	for number := j.firstSegment; number < j.currentSegment; number++ {
-		_ = j.fs.Remove(j.path(number)) // one that stays is passed over at the next start
+		_ = j.fs.Remove(j.path(number)) // if this fails, the next start ignores the segment
 	}
 	j.firstSegment = j.currentSegment
 	j.liveBytes = j.totalBytes - before
@@ -164,5 +164,5 @@
 	return nil
 }
 
-// Close ends the journal; what was appended stays.
+// Close closes the current segment. All records stay on disk.
 func (j *Journal) Close() error { return j.file.Close() }
--- a/tier/storage/recorded_test.go
+++ b/tier/storage/recorded_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// decodeAll reads bytes that are one commit and nothing else.
-func decodeAll(t *testing.T) func([]byte) (commit, error) {
+// decodeSingleCommit returns a function that decodes data of exactly one commit.
+func decodeSingleCommit(t *testing.T) func([]byte) (commit, error) {
 	return func(data []byte) (commit, error) {
 		c, length, ok := decodeCommit(data)
 		if !ok || length != len(data) {
@@ -31,13 +31,13 @@
 
 func TestRecordedCommits(t *testing.T) {
 	plain := commit{sequence: 0x0102030405060708, records: recordedRecords()}
-	recorded.CheckBoth(t, "commit", plain, encodeCommit, decodeAll(t))
+	recorded.CheckBoth(t, "commit", plain, encodeCommit, decodeSingleCommit(t))
 	checkpoint := commit{sequence: 3, checkpoint: true, records: recordedRecords()[:2]}
-	recorded.CheckBoth(t, "commit-whole", checkpoint, encodeCommit, decodeAll(t))
+	recorded.CheckBoth(t, "commit-whole", checkpoint, encodeCommit, decodeSingleCommit(t))
 }
 
-// checkFolder holds the files of a folder, by their names, to recordings. Files without content are left out.
-func checkFolder(t *testing.T, dir string, names map[string]string) {
+// checkFiles compares the files of a folder with recordings, by file name. It ignores empty files.
+func checkFiles(t *testing.T, dir string, names map[string]string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -54,19 +54,19 @@
 		}
 		name, expected := names[file.Name()]
 		if !expected {
-			t.Errorf("file %s was not expected", file.Name())
+			t.Errorf("unexpected file %s", file.Name())
 			continue
 		}
 		found++
 		recorded.Check(t, name, content)
 	}
 	if found != len(names) {
-		t.Errorf("%d of %d files are there", found, len(names))
+		t.Errorf("found %d of %d files", found, len(names))
 	}
 }
 
-// recordedFolder makes a folder of recordings.
-func recordedFolder(t *testing.T, names map[string]string) string {
+// newFolderFromRecordings returns a new folder with recordings as files.
+func newFolderFromRecordings(t *testing.T, names map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for file, name := range names {
@@ -77,11 +77,11 @@
 	return dir
 }
 
-// The journal's segments and their names are those recorded, and a journal is read from them.
+// A journal writes segments with the recorded names and contents, and is read back from the recordings.
 func TestRecordedJournal(t *testing.T) {
 	first := map[string]string{"segment-0000000000000001": "segment-1"}
 	second := map[string]string{"segment-0000000000000001": "segment-1", "segment-0000000000000002": "segment-2"}
-	rewritten := map[string]string{"segment-0000000000000003": "segment-3"}
+	compacted := map[string]string{"segment-0000000000000003": "segment-3"}
 	all := recordedRecords()
 
 	dir := t.TempDir()
@@ -91,18 +91,18 @@
 			t.Fatal(err)
 		}
 	}
-	checkFolder(t, dir, first)
+	checkFiles(t, dir, first)
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	j, _ = openJournal(t, dir)
 	appendAll(t, j, all[1])
-	checkFolder(t, dir, second)
+	checkFiles(t, dir, second)
 	if err := j.Compact(all[:3]); err != nil {
 		t.Fatal(err)
 	}
 	appendAll(t, j, all[3])
-	checkFolder(t, dir, rewritten)
+	checkFiles(t, dir, compacted)
 
 	for _, each := range []struct {
 		files map[string]string
@@ -110,15 +110,15 @@
 	}{
 		{first, all},
 		{second, append(append([]Record(nil), all...), all[1])},
-		{rewritten, all},
+		{compacted, all},
 	} {
-		if _, records := openJournal(t, recordedFolder(t, each.files)); !reflect.DeepEqual(records, each.want) {
+		if _, records := openJournal(t, newFolderFromRecordings(t, each.files)); !reflect.DeepEqual(records, each.want) {
 			t.Errorf("%v: read %+v", each.files, records)
 		}
 	}
 }
 
-// The files of a value and their names are those recorded, and the newest version is read from them.
+// A value is written to files with the recorded names and contents, and its newest version is read back from the recordings.
 func TestRecordedValues(t *testing.T) {
 	files := map[string]string{"witness-0000000000000002": "value-2", "witness-0000000000000003": "value-3"}
 	dir := t.TempDir()
@@ -131,8 +131,8 @@
 			t.Fatal(err)
 		}
 	}
-	checkFolder(t, dir, files)
-	if values, err = OpenValues(recordedFolder(t, files)); err != nil {
+	checkFiles(t, dir, files)
+	if values, err = OpenValues(newFolderFromRecordings(t, files)); err != nil {
 		t.Fatal(err)
 	}
 	if content, err := values.Read("witness"); err != nil || string(content) != "the third" {
--- a/tier/storage/segment.go
+++ b/tier/storage/segment.go
@@ -4,7 +4,7 @@
 
 const (
 	segmentPrefix = "segment"
-	// maxSegmentBytes is the size behind which the next commit begins a new segment.
+	// maxSegmentBytes is the size of a segment above which the next commit starts a new one.
 	maxSegmentBytes = 1 << 20
 )
 
@@ -13,14 +13,14 @@
 	path       string
 	number     uint64
 	commits    []commit
-	validBytes int64 // of complete commits from the start
+	validBytes int64 // size of the complete commits at the start
 	fileBytes  int64
-	// hasUnknownEnd says that what stands behind the complete commits is no torn commit of this format.
-	hasUnknownEnd bool
+	// endsInUnknownFormat is true if the data after the complete commits cannot be a torn commit of this format.
+	endsInUnknownFormat bool
 }
 
-// readSegment takes complete commits from the start of a segment. Complete commits behind a damaged one say that it was not torn
-// by a loss of power, and are an error.
+// readSegment reads the complete commits at the start of a segment. A complete commit after a damaged one is an error, since the
+// damaged one was then not torn by a power loss.
 func readSegment(fs fileSystem, path string, number uint64) (segment, error) {
 	content, err := fs.ReadFile(path)
 	if err != nil {
@@ -38,19 +38,19 @@
 		rest = rest[length:]
 	}
 	if len(rest) > 0 && containsCommit(rest[1:]) {
-		return segment{}, s.damaged("complete commits follow")
+		return segment{}, s.damageError("complete commits follow")
 	}
-	s.hasUnknownEnd = isOfUnknownFormat(rest)
+	s.endsInUnknownFormat = hasUnknownFormat(rest)
 	return s, nil
 }
 
-// startsWithCheckpoint tells whether older segments are of no use.
+// startsWithCheckpoint reports whether the segment starts with a checkpoint, so that older segments are no longer needed.
 func (s *segment) startsWithCheckpoint() bool { return len(s.commits) > 0 && s.commits[0].checkpoint }
 
-// isTorn tells whether something stands behind the complete commits.
+// isTorn reports whether there is data after the complete commits.
 func (s *segment) isTorn() bool { return s.validBytes < s.fileBytes }
 
-// offsetOf is where a commit starts, by its position in the segment. It is needed for an error alone, and so not kept.
+// offsetOf returns the offset of the commit at a position in the segment. It is computed again because only errors need it.
 func (s *segment) offsetOf(position int) int64 {
 	offset := int64(0)
 	for _, c := range s.commits[:position] {
@@ -59,18 +59,18 @@
 	return offset
 }
 
-// damaged is the error for what stands behind the complete commits.
-func (s *segment) damaged(reason string) error {
+// damageError returns the error for the data after the complete commits.
+func (s *segment) damageError(reason string) error {
 	return &CorruptRecordError{File: s.path, Offset: s.validBytes, Reason: "damaged commit: " + reason}
 }
 
-// checkSequence checks that no segment but the last is torn and that no commit is missing, and returns the sequence number that
-// comes next, 0 if there is no commit.
+// checkSequence checks that only the last segment may be torn and that no commit is missing. It returns the next sequence number, or
+// 0 if there is no commit.
 func checkSequence(segments []segment) (next uint64, err error) {
 	for i := range segments {
 		s := &segments[i]
 		if s.isTorn() && i < len(segments)-1 {
-			return 0, s.damaged("later segments follow")
+			return 0, s.damageError("later segments follow")
 		}
 		for position, c := range s.commits {
 			if next != 0 && c.sequence != next {
@@ -79,16 +79,16 @@
 			}
 			next = c.sequence + 1
 		}
-		if s.hasUnknownEnd {
-			return 0, s.damaged("of a newer format, or not a journal")
+		if s.endsInUnknownFormat {
+			return 0, s.damageError("of a newer format, or not a journal")
 		}
 	}
 	return next, nil
 }
 
-// cutTornEnd removes a torn commit from the end of the last segment and syncs what stays: a process that was killed may have left
-// a complete commit that was not synced, and what is read now will be relied upon.
-func (s *segment) cutTornEnd(fs fileSystem) error {
+// truncateTornEnd truncates a torn commit at the end of the last segment and syncs the rest. The sync is needed because a process
+// that was killed may have left a complete commit that was not synced, and this process relies on what it reads.
+func (s *segment) truncateTornEnd(fs fileSystem) error {
 	f, err := fs.Open(s.path)
 	if err != nil {
 		return &WriteError{Err: err}
--- a/tier/storage/storage_test.go
+++ b/tier/storage/storage_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// lastSegment is the newest segment that holds anything.
+// lastSegment returns the path of the newest segment that is not empty.
 func lastSegment(t testing.TB, dir string) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"-*"))
@@ -45,11 +45,11 @@
 			return names[i]
 		}
 	}
-	t.Fatal("no segment holds anything")
+	t.Fatal("all segments are empty")
 	return ""
 }
 
-func TestJournalGivesBackWhatWasAppended(t *testing.T) {
+func TestJournalReturnsAppendedRecords(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, dir)
 	appendAll(t, j, entry(1, 1, 1, "a"), entry(1, 2, 1, "b"), entry(2, 1, 1, "c"))
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestJournalCutsOffATornCommitAtItsEnd(t *testing.T) {
+func TestJournalTruncatesTornLastCommit(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, dir)
 	appendAll(t, j, entry(1, 1, 1, "kept"), entry(1, 2, 1, "torn"))
@@ -120,11 +120,11 @@
 		t.Fatalf("a missing segment gave %v", err)
 	}
 	if _, err := os.Stat(first); err != nil {
-		t.Fatal("the segment before the missing one was touched")
+		t.Fatal("the segment before the missing one was removed")
 	}
 }
 
-func TestJournalCompactionOutlivesSegmentsThatComeBack(t *testing.T) {
+func TestJournalIgnoresOldSegmentsAfterCompaction(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, dir)
 	appendAll(t, j, entry(1, 1, 1, "old"), entry(1, 2, 1, "older"))
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	appendAll(t, j, entry(1, 3, 1, "new"))
-	// a loss of power may undo the removal of the old segment
+	// a power loss may undo the removal of the old segment
 	if err := os.WriteFile(name, old, 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestFoldRecordsReplacesEntriesAtOrAboveARewrittenOne(t *testing.T) {
+func TestFoldRecordsReplacesEntriesFromRewrittenIndex(t *testing.T) {
 	logs := FoldRecords([]Record{
 		entry(1, 1, 1, "a"), entry(1, 2, 1, "b"), entry(1, 3, 1, "c"), entry(1, 2, 2, "B"),
 		entry(2, 1, 1, "gone"),
@@ -159,12 +159,12 @@
 		t.Fatalf("folded %+v", log)
 	}
 	if logs[2] != nil {
-		t.Fatal("a dropped group is still there")
+		t.Fatal("a dropped group was not removed")
 	}
 }
 
-// Whatever is cut off the end of a journal, what is read is a prefix of what was appended.
-func TestJournalReadsAPrefixAfterAnyCut(t *testing.T) {
+// A journal that was truncated anywhere yields a prefix of the appended records.
+func TestTruncatedJournalYieldsPrefix(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "journal")
 		if err != nil {
@@ -200,7 +200,7 @@
 			}
 		}
 		if keep == len(content) && len(records) != count {
-			rt.Fatalf("nothing was cut, and %d of %d records were read", len(records), count)
+			rt.Fatalf("read %d of %d records from a journal that was not truncated", len(records), count)
 		}
 	})
 }
@@ -232,8 +232,8 @@
 	}
 }
 
-// A value that is written without having been read gets the version behind those on disk.
-func TestAWriteWithoutAReadIsTheNewestVersion(t *testing.T) {
+// A value that is written without being read first gets the version after those on disk.
+func TestWriteWithoutReadCreatesNewestVersion(t *testing.T) {
 	dir := t.TempDir()
 	for _, content := range []string{"one", "two", "three"} {
 		values, err := OpenValues(dir)
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestAFileUnderAnotherNameIsRejected(t *testing.T) {
+func TestRenamedFileIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	values, err := OpenValues(dir)
 	if err != nil {
--- a/tier/storage/values.go
+++ b/tier/storage/values.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// retainedVersions is how many versions of a value stay on disk.
+// retainedVersions is how many versions of a value are kept on disk.
 const retainedVersions = 2
 
-// Values keeps named values, one file for each version. It may be used from several goroutines.
+// Values stores named values, with one file for each version. It is safe for concurrent use.
 type Values struct {
 	fs  fileSystem
 	dir string
 
 	mu       sync.Mutex
-	versions map[string]uint64 // by name: the newest version read or written
+	versions map[string]uint64 // the newest version that was read or written, by name
 }
 
-// OpenValues opens or creates the folder. A process that was killed may have renamed a file without having synced the folder;
-// since the new name will be read and relied upon, the folder is synced first.
+// OpenValues opens or creates the folder and syncs it. The sync is needed because a process that was killed may have renamed a file
+// without syncing the folder, and this process relies on the names that it reads.
 func OpenValues(dir string) (*Values, error) { return openValuesFS(osFileSystem{}, dir) }
 
 func openValuesFS(fs fileSystem, dir string) (*Values, error) {
@@ -31,8 +31,8 @@
 	return &Values{fs: fs, dir: dir, versions: map[string]uint64{}}, nil
 }
 
-// Read returns the newest version, or nil if there is none. A newest version that is damaged is a CorruptRecordError, and no older
-// one is taken in its place: it may have been acknowledged.
+// Read returns the newest version, or nil if there is none. If the newest version is damaged, Read returns a CorruptRecordError and
+// not an older version, because the newest one may have been acknowledged.
 func (v *Values) Read(name string) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -43,7 +43,7 @@
 	return readVersion(v.fs, v.dir, versionName(name, newest))
 }
 
-// newestVersion finds the newest version on disk, 0 if there is none. The caller holds the lock.
+// newestVersion returns the newest version on disk, or 0 if there is none. The caller holds v.mu.
 func (v *Values) newestVersion(name string) (uint64, error) {
 	versions, err := listVersions(v.fs, v.dir, name)
 	if err != nil || len(versions) == 0 {
@@ -54,12 +54,12 @@
 	return newest, nil
 }
 
-// Write makes a new version durable and removes old ones. An error is a WriteError.
+// Write stores a new version of a value, makes it durable and removes old versions. An error is a WriteError.
 func (v *Values) Write(name string, content []byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	newest, known := v.versions[name]
-	if !known { // a value that was never read may be on disk all the same
+	if !known { // a value that was not read yet may still be on disk
 		var err error
 		if newest, err = v.newestVersion(name); err != nil {
 			return &WriteError{Err: err}
@@ -72,7 +72,7 @@
 	}
 	v.versions[name] = version
 	if version > retainedVersions {
-		_ = v.fs.Remove(filepath.Join(v.dir, versionName(name, version-retainedVersions))) // one that stays does no harm
+		_ = v.fs.Remove(filepath.Join(v.dir, versionName(name, version-retainedVersions))) // an old version that stays is ignored
 	}
 	return nil
 }
--- a/tier/storage/version.go
+++ b/tier/storage/version.go
@@ -12,13 +12,13 @@
 const (
 	versionMagic       = uint32(0x4f545431) // "OTT1"
 	versionHeaderBytes = 4 + 4 + 4          // magic, length, checksum
-	// versionDigits is the number of hexadecimal digits in a file's name.
+	// versionDigits is the number of hexadecimal digits of the version in a file's name.
 	versionDigits = 16
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum is over name and content, so that content under another name is found out.
+// checksum returns the CRC-32C of name and content. It includes the name so that content under another name is detected.
 func checksum(name string, content []byte) uint32 {
 	sum := crc32.Update(0, checksumTable, []byte(name))
 	return crc32.Update(sum, checksumTable, content)
@@ -28,15 +28,15 @@
 	return fmt.Sprintf("%s-%0*x", name, versionDigits, version)
 }
 
-// listVersions lists the versions under a name in a folder, in ascending order.
+// listVersions returns the versions of a name in a folder, in ascending order.
 func listVersions(fs fileSystem, dir, name string) ([]uint64, error) {
 	files, err := fs.List(dir)
 	if err != nil {
 		return nil, err
 	}
 	var versions []uint64
-	for _, each := range files {
-		digits, found := strings.CutPrefix(each, name+"-")
+	for _, file := range files {
+		digits, found := strings.CutPrefix(file, name+"-")
 		if !found || len(digits) != versionDigits {
 			continue
 		}
@@ -49,7 +49,7 @@
 	return versions, nil
 }
 
-// encodeVersion puts the header before the content.
+// encodeVersion returns the content with its header.
 func encodeVersion(name string, content []byte) []byte {
 	data := make([]byte, 0, versionHeaderBytes+len(content))
 	data = binary.BigEndian.AppendUint32(data, versionMagic)
@@ -72,7 +72,7 @@
 	return content, nil
 }
 
-// decodeVersion returns a file's content, or the reason why it isn't valid.
+// decodeVersion returns a file's content, or the reason why it is not valid.
 func decodeVersion(name string, data []byte) (content []byte, reason string) {
 	if len(data) < versionHeaderBytes || binary.BigEndian.Uint32(data) != versionMagic {
 		return nil, "no valid header"
