--- a/tier/store/doc.go
+++ b/tier/store/doc.go
@@ -1,26 +1,28 @@
-// Package store is the process that holds shards of agent programs on a storage machine. It leads the shards that control
-// gives it and backs up others.
+// Package store implements the store process, which runs replicas of the shards of agent programs on a storage machine. It is the
+// primary of the shards that control assigns to it, and a backup of others.
 //
-// # The life of one command
+// # Processing of a command
 //
-// A gateway calls KindProgram with a ProgramRequest. The server stamps the command with its time of day and submits it to the group
-// of the shard (package multigroup), which replicates it and has programs.State carry it out. The answer goes back with the code of
-// the result; a process that does not lead the shard answers codes.NotPrimary.
+// A gateway calls KindProgram with a ProgramRequest. The server sets the command's timestamp to its own time of day and submits the
+// command to the group of the shard (package multigroup), which replicates it and applies it to programs.State. The answer contains
+// the code of the result. A process that is not the primary of the shard answers codes.NotPrimary.
 //
-// # Which shards it holds
+// # Shard assignment
 //
-// The shard map comes from control (package feed). A shard whose replicas name this store is opened and given the view of the map; one
-// that has moved away is dropped once the map is as new as the group. Replicas that lag or do not answer are reported to control,
-// which decides on the in-sync set (controlclient.InSyncChange).
+// The store receives the shard map from control (package feed). It opens each shard whose replicas include this store and sets the
+// view of its group from the map. It drops a shard that has moved away once the map is at least as new as the group's view. The
+// primary of a shard asks control to remove replicas that do not respond from the in-sync set and to add replicas that have caught
+// up. Control decides (controlclient.InSyncChange).
 //
 // # Invariants
 //
-//   - The store leads a shard only in the incarnation that the map names: after a restart control has to name it anew.
-//   - It acts on no map of another cluster than the one its disk belongs to, and sends no heartbeat before it has a map of that
-//     cluster.
-//   - While its disk does not work it tells control that it is draining, so that others lead its shards.
+//   - The store is the primary of a shard only in the incarnation that the map contains. After a restart, control has to make it the
+//     primary again.
+//   - It does not act on the map of a cluster other than the one to which its disk is bound, and a store with a bound disk sends no
+//     heartbeats before it has a map of that cluster.
+//   - While its disk is degraded, it reports to control that it is leaving, so that other stores become primaries of its shards.
 //
-// # What it must not do
+// # Non-goals
 //
-// It decides nothing about who holds or leads a shard; package placement in control does.
+// The package does not decide which stores are replicas or primary of a shard. Package placement in control does.
 package store
--- a/tier/store/drain.go
+++ b/tier/store/drain.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// drainMargin is how long before the platform would kill it the process ends by itself.
+	// drainMargin is how long before the end of the grace period, when the platform kills the process, the wait in Drain ends.
 	drainMargin = 1200 * time.Millisecond
-	// minDrainTime bounds the wait from below, where the platform gives no time worth speaking of.
+	// minDrainTime is the minimum limit of the wait in Drain. It applies if the grace period is very short.
 	minDrainTime = 500 * time.Millisecond
 )
 
-// Drain has control give the shards led here to others, and returns when shards can do without this process or time is up.
+// Drain reports to control that this process is leaving, so that control assigns its shards to other stores. It returns when no
+// shard needs this process any more, or after the grace period less drainMargin.
 func (s *Server) Drain(ctx context.Context) {
 	s.mu.Lock()
 	s.draining = true
@@ -27,8 +28,7 @@
 	periodic.While(limit, watchInterval, s.isNeeded)
 }
 
-// isNeeded tells whether shards can't do without this process yet: by the map as far as it is known here, or because a replica here
-// still leads.
+// isNeeded reports whether a shard still needs this process: by the known shard map, or because a replica here is still primary.
 func (s *Server) isNeeded() bool {
 	shards := directory.Shards(s.view)
 	if placement.IsNeeded(shards, s.self.Identity) {
--- a/tier/store/heartbeat.go
+++ b/tier/store/heartbeat.go
@@ -10,11 +10,11 @@
 
 const (
 	heartbeatInterval = lease.StoreHeartbeatInterval * time.Millisecond
-	// controlTimeout is how long a call to control may take, further attempts included.
+	// controlTimeout is the limit for a call to control, retries included.
 	controlTimeout = 500 * time.Millisecond
 )
 
-// sendHeartbeats keeps the session with control until the context ends.
+// sendHeartbeats sends heartbeats, which keep the store's session with control, until the context is cancelled.
 func (s *Server) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := s.sendHeartbeat(ctx); err != nil {
@@ -27,9 +27,9 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat, if there is a control process to send it to.
+// sendHeartbeat sends one heartbeat, unless mayHeartbeat forbids it.
 func (s *Server) sendHeartbeat(ctx context.Context) error {
-	if !s.knowsCluster() {
+	if !s.mayHeartbeat() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
@@ -38,14 +38,14 @@
 	return err
 }
 
-// knowsCluster tells whether the control processes reached are of the cluster of this disk: a disk that belongs to a cluster sends
-// heartbeats only once it was given a view of it.
-func (s *Server) knowsCluster() bool {
+// mayHeartbeat reports whether heartbeats may be sent. A store whose disk is bound to a cluster sends them only once it has received a
+// view of that cluster, since the control processes that it reaches may belong to another one.
+func (s *Server) mayHeartbeat() bool {
 	return s.node.ClusterID() == 0 || s.view.Revision() > 0
 }
 
 func (s *Server) heartbeat() controlclient.StoreHeartbeat {
-	degraded := s.node.DiskDegraded() // others lead its shards until its disk works again
+	degraded := s.node.DiskDegraded() // other stores are primaries of its shards while its disk is degraded
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return controlclient.StoreHeartbeat{Store: s.self, Leaving: s.draining || degraded}
--- a/tier/store/insync.go
+++ b/tier/store/insync.go
@@ -14,10 +14,12 @@
 	"otterseam/tier/replica"
 )
 
-// watchInterval is how often shards led here are looked at, and how long after a request the next one for the same shard waits.
+// watchInterval is the interval between checks of the in-sync sets, and the minimum pause after a request for a shard before the
+// next one for the same shard.
 const watchInterval = 60 * time.Millisecond
 
-// watchInSync asks control to change the in-sync sets of shards led here: unresponsive replicas out, those that caught up in.
+// watchInSync periodically asks control to change the in-sync sets of the shards of which this store is primary: to remove
+// unresponsive replicas and to add replicas that have caught up.
 func (s *Server) watchInSync(ctx context.Context) {
 	periodic.Run(ctx, watchInterval, func() {
 		for _, shard := range placement.LeastProtectedFirst(directory.Shards(s.view)) {
@@ -26,7 +28,7 @@
 	})
 }
 
-// watchShard asks for the change that a shard needs, unless one is under way.
+// watchShard requests the change that a shard's in-sync set needs, unless a request for the shard is in progress.
 func (s *Server) watchShard(ctx context.Context, id uint32) {
 	s.mu.Lock()
 	busy := s.changing[id]
@@ -34,7 +36,7 @@
 	if busy {
 		return
 	}
-	change, needed := s.neededChange(id)
+	change, needed := s.nextInSyncChange(id)
 	if !needed {
 		return
 	}
@@ -44,12 +46,12 @@
 	go s.requestChange(ctx, change)
 }
 
-// neededChange tells which change of a shard's in-sync set its primary wants. A replica to be taken in counts from this moment
-// on, in the same step in which it was found to have caught up.
-func (s *Server) neededChange(id uint32) (change controlclient.InSyncChange, needed bool) {
+// nextInSyncChange returns the change that a shard's in-sync set needs, if any. It admits a replica to be added in the same call in
+// which the replica was found to have caught up, so that from then on commits wait for it.
+func (s *Server) nextInSyncChange(id uint32) (change controlclient.InSyncChange, needed bool) {
 	s.node.WithGroup(id, func(g *replica.Group) {
 		change = controlclient.InSyncChange{Shard: id, Epoch: g.View().Epoch}
-		// One that caught up comes first: the set may be too small to let an unresponsive one go without it
+		// Additions come first: without the added replica the set may be too small to remove an unresponsive one.
 		if caughtUp := g.CaughtUp(multigroup.Now()); len(caughtUp) > 0 {
 			g.Admit(caughtUp[0])
 			change.Replica = caughtUp[0]
@@ -65,13 +67,13 @@
 	return change, needed
 }
 
-// requestChange asks control for a change. Whether it was made comes with the shard map.
+// requestChange asks control for a change. The shard map shows whether control made it.
 func (s *Server) requestChange(ctx context.Context, change controlclient.InSyncChange) {
 	call, cancel := context.WithTimeout(ctx, controlTimeout)
 	_, err := s.control.Call(call, controlclient.KindInSyncChange, change.Encode())
 	cancel()
 	if err != nil {
-		s.log.WithFields(logrus.Fields{"shard": change.Shard, "admit": change.Admit}).WithError(err).Debug("change of in-sync set refused")
+		s.log.WithFields(logrus.Fields{"shard": change.Shard, "admit": change.Admit}).WithError(err).Debug("request to change the in-sync set failed")
 	}
 	time.Sleep(watchInterval)
 	s.mu.Lock()
--- a/tier/store/loadhome.go
+++ b/tier/store/loadhome.go
@@ -17,8 +17,8 @@
 
 const zoneLoadInterval = fleetload.ReportInterval * time.Millisecond
 
-// loadHome sums up what gateways have in flight, for those that chose this store machine as the home of their zone. It holds nothing
-// that outlives the process.
+// loadHome aggregates the requests in flight of the gateways that chose this store machine as the home of their zone (package
+// fleetload). Its state is not durable.
 type loadHome struct {
 	self    directory.Store
 	view    *feed.View
@@ -35,14 +35,14 @@
 	}
 }
 
-// update follows the view.
+// update applies changes of the view.
 func (h *loadHome) update(items []feed.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.placer.update(items, time.Now())
 }
 
-// handlePlace chooses the host of a request of a gateway that reports here, and counts the request there.
+// handlePlace chooses a host for a request of a gateway that reports to this home, and counts the request as in flight at the host.
 func (h *loadHome) handlePlace(message rpc.Message) {
 	request, err := fleetload.DecodePlaceRequest(message.Payload)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return host, found
 }
 
-// handleReport takes what a gateway has in flight and answers what all have.
+// handleReport adds a gateway's report of its requests in flight and answers with the totals of all gateways.
 func (h *loadHome) handleReport(message rpc.Message) {
 	report, err := fleetload.DecodeReport(message.Payload)
 	if err != nil {
@@ -83,7 +83,7 @@
 	message.Answer(codes.OK, totals.Encode())
 }
 
-// handleZoneLoad takes what another home said.
+// handleZoneLoad adds the zone total of another home.
 func (h *loadHome) handleZoneLoad(message rpc.Message) {
 	load, err := fleetload.DecodeZoneLoad(message.Payload)
 	if err != nil {
@@ -94,13 +94,14 @@
 	h.aggregator.TakeZoneLoad(load, multigroup.Now())
 }
 
-// run tells the other homes what the gateways here have in flight, until the context ends.
+// run periodically sends the zone total of this home to the other homes until the context is cancelled.
 func (h *loadHome) run(ctx context.Context) {
-	periodic.Run(ctx, zoneLoadInterval, h.tellOthers)
+	periodic.Run(ctx, zoneLoadInterval, h.sendZoneLoad)
 }
 
-// tellOthers tells the preferred homes of all zones and those that were heard, which may have taken the place of a preferred one.
-func (h *loadHome) tellOthers() {
+// sendZoneLoad sends the zone total to the preferred homes of all zones and to the homes from which a total was received recently, since
+// such a home may have replaced a preferred one.
+func (h *loadHome) sendZoneLoad() {
 	now := multigroup.Now()
 	h.mu.Lock()
 	load, active := h.aggregator.ZoneLoad(h.self.Incarnation, h.self.Address, now)
--- a/tier/store/loadhome_test.go
+++ b/tier/store/loadhome_test.go
@@ -15,13 +15,13 @@
 	"otterseam/tier/rpc"
 )
 
-// hostItem is a host of a service in a view.
+// hostItem returns the view item of a host of the service chat.
 func hostItem(id, zone string, draining bool) feed.Item {
 	host := directory.Host{ID: id, Service: "chat", Address: "10.0.1.1:8000", Zone: zone, Slots: 4, Draining: draining}
 	return feed.Item{Section: feed.SectionHost, Key: id, Revision: 1, Data: host.Encode()}
 }
 
-// startHome serves a home whose gateway 1 has reported for long enough, and returns a connection to it.
+// startHome starts a home that has received enough reports of gateway 1 to place its requests, and returns a connection to the home.
 func startHome(t *testing.T, items ...feed.Item) (*loadHome, *rpc.Conn) {
 	t.Helper()
 	home := newLoadHome(directory.Store{Zone: "a", Incarnation: 9}, feed.NewView(), rpc.NewClients(nil))
@@ -60,8 +60,8 @@
 	return response.Host, nil
 }
 
-// A home spreads the requests of a zone evenly over its hosts, by itself, before any report tells of them.
-func TestAHomeSpreadsTheRequestsOfItsZone(t *testing.T) {
+// A home spreads the requests of a zone evenly over its hosts, also before reports include these requests.
+func TestHomeSpreadsRequestsEvenly(t *testing.T) {
 	var items []feed.Item
 	for i := range 5 {
 		items = append(items, hostItem(fmt.Sprint("h", i), "a", false))
@@ -82,12 +82,12 @@
 	}
 }
 
-func TestAHomePlacesNothingThatItCannotTell(t *testing.T) {
+func TestHandleRejectsPlaceRequests(t *testing.T) {
 	_, conn := startHome(t, hostItem("h", "a", false), hostItem("leaving", "a", true))
 	for name, request := range map[string]fleetload.PlaceRequest{
 		"a gateway that does not report here": {Gateway: 2, Placement: 1, Service: "chat"},
 		"a service without hosts":             {Gateway: 1, Placement: 1, Service: "other"},
-		"no host that is wanted":              {Gateway: 1, Placement: 1, Service: "chat", Avoid: []fleetload.HostKey{fleetload.KeyOf("h")}},
+		"all hosts avoided or draining":       {Gateway: 1, Placement: 1, Service: "chat", Avoid: []fleetload.HostKey{fleetload.KeyOf("h")}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if host, err := place(t, conn, request); err != codes.NoHost { //nolint:errorlint // a code comes as it is
@@ -97,12 +97,12 @@
 	}
 	for _, kind := range []rpc.Kind{fleetload.KindPlace, fleetload.KindReport} {
 		if _, err := conn.Call(t.Context(), kind, []byte{1}); err != codes.Malformed { //nolint:errorlint // a code comes as it is
-			t.Errorf("kind %d, cut short: %v", kind, err)
+			t.Errorf("kind %d, truncated: %v", kind, err)
 		}
 	}
 }
 
-func TestTheHostOfTheTurnBeforeComesFirst(t *testing.T) {
+func TestPreferredHostIsChosen(t *testing.T) {
 	var items []feed.Item
 	for i := range 6 {
 		items = append(items, hostItem(fmt.Sprint("h", i), "a", false))
@@ -114,31 +114,31 @@
 	}
 }
 
-// Hosts leave, come back, are ejected and drain as the view says.
-func TestAHomeFollowsTheView(t *testing.T) {
+// Hosts that the view adds, removes or ejects are considered accordingly.
+func TestHomeAppliesViewChanges(t *testing.T) {
 	home, conn := startHome(t, hostItem("h0", "a", false), hostItem("h1", "a", false))
-	ask := func() fleetload.HostKey {
+	chooseHost := func() fleetload.HostKey {
 		host, err := place(t, conn, fleetload.PlaceRequest{Gateway: 1, Placement: 1, Service: "chat", Preferred: fleetload.KeyOf("h0")})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return host
 	}
-	if ask() != fleetload.KeyOf("h0") {
-		t.Fatal("the preferred host was not taken")
+	if chooseHost() != fleetload.KeyOf("h0") {
+		t.Fatal("the preferred host was not chosen")
 	}
 	home.update([]feed.Item{{Section: feed.SectionEjection, Key: "h0", Revision: 2, Data: directory.EncodeEjectionDuration(60_000)}})
-	if ask() != fleetload.KeyOf("h1") {
-		t.Fatal("an ejected host was taken")
+	if chooseHost() != fleetload.KeyOf("h1") {
+		t.Fatal("an ejected host was chosen")
 	}
 	home.update([]feed.Item{{Section: feed.SectionHost, Key: "h1", Revision: 3, Deleted: true}, hostItem("h2", "a", false)})
-	if ask() != fleetload.KeyOf("h2") {
-		t.Fatal("a host that is gone was taken")
+	if chooseHost() != fleetload.KeyOf("h2") {
+		t.Fatal("a removed host was chosen")
 	}
 }
 
-// Two homes add up what each has heard; a home without gateways tells nobody.
-func TestHomesTellEachOther(t *testing.T) {
+// A home adds the zone total of another home to its own. A home without gateways sends no total.
+func TestHomesExchangeZoneLoads(t *testing.T) {
 	first, _ := startHome(t)
 	second, conn := startHome(t)
 	now := multigroup.Now()
@@ -148,7 +148,7 @@
 		t.Fatal("a home with a gateway is not active")
 	}
 	conn.Send(fleetload.KindZoneLoad, load.Encode())
-	conn.Send(fleetload.KindZoneLoad, []byte{1}) // cut short: it changes nothing
+	conn.Send(fleetload.KindZoneLoad, []byte{1}) // truncated, must be ignored
 	answer, err := conn.Call(t.Context(), fleetload.KindReport, fleetload.Report{Gateway: 1, Number: 60}.Encode())
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 		t.Fatalf("heard %v", heard)
 	}
 	idle := newLoadHome(directory.Store{}, feed.NewView(), rpc.NewClients(nil))
-	idle.tellOthers() // would dial nobody
+	idle.sendZoneLoad() // sends nothing
 	if _, active := idle.aggregator.ZoneLoad(1, "", now); active {
 		t.Fatal("a home without gateways is active")
 	}
--- a/tier/store/messages.go
+++ b/tier/store/messages.go
@@ -5,17 +5,17 @@
 	"otterseam/tier/rpc"
 )
 
-// KindProgram is a call with a ProgramRequest. Sent by gateways; answered by the store that leads the shard with the code of the
+// KindProgram is a call with a ProgramRequest. Gateways send it. The store that is primary of the shard answers with the code of the
 // command's result and an encoded programs.Result.
 const KindProgram rpc.Kind = 40
 
-// ProgramRequest has a shard carry out a command of package programs.
+// ProgramRequest requests the execution of a command of package programs on a shard.
 type ProgramRequest struct {
 	Shard   uint32
-	Command []byte // encoded
+	Command []byte // encoded command
 }
 
-// Encode is the request's form on the wire.
+// Encode returns the wire format of the request.
 func (r ProgramRequest) Encode() []byte {
 	var e codec.Encoder
 	e.Uint32(r.Shard)
@@ -23,7 +23,7 @@
 	return e.Bytes
 }
 
-// DecodeProgramRequest reads a request. The command shares the message's memory.
+// DecodeProgramRequest decodes a request. The command shares the message's memory.
 func DecodeProgramRequest(message []byte) (ProgramRequest, error) {
 	d := codec.NewDecoder(message)
 	r := ProgramRequest{Shard: d.Uint32()}
--- a/tier/store/placer.go
+++ b/tier/store/placer.go
@@ -12,14 +12,14 @@
 	"otterseam/tier/fleetload"
 )
 
-// placedHost is a host and its key.
+// placedHost is a host with its key and service.
 type placedHost struct {
 	balance.Host
 	key     fleetload.HostKey
 	service string
 }
 
-// placer chooses hosts for the gateways of a zone. It has a single owner.
+// placer chooses hosts for the gateways of a zone. It is not safe for concurrent use.
 type placer struct {
 	zone      string
 	byID      map[string]*placedHost
@@ -30,16 +30,16 @@
 	return &placer{zone: zone, byID: map[string]*placedHost{}, byService: map[string][]*placedHost{}}
 }
 
-// update follows the hosts and ejections of the view.
+// update applies changes of the view's hosts and ejections.
 func (p *placer) update(items []feed.Item, now time.Time) {
 	changed := false
 	for _, item := range items {
 		switch item.Section {
 		case feed.SectionHost:
 			changed = true
-			p.put(item)
+			p.updateHost(item)
 		case feed.SectionEjection:
-			defer p.eject(item, now) // after the hosts of the same update
+			defer p.ejectHost(item, now) // after the hosts of the same update
 		}
 	}
 	if !changed {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (p *placer) put(item feed.Item) {
+func (p *placer) updateHost(item feed.Item) {
 	entry, err := directory.DecodeHost(item.Data)
 	if item.Deleted || err != nil {
 		delete(p.byID, item.Key)
@@ -72,7 +72,7 @@
 	host.Draining = entry.Draining
 }
 
-func (p *placer) eject(item feed.Item, now time.Time) {
+func (p *placer) ejectHost(item feed.Item, now time.Time) {
 	host := p.byID[item.Key]
 	if host == nil || item.Deleted {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// place chooses the host of a request by what is in flight; it reports false if there is none.
+// place chooses a host for a request by the number of requests in flight. It returns false if there is no host.
 func (p *placer) place(request fleetload.PlaceRequest, loads *fleetload.Aggregator, now time.Time) (fleetload.HostKey, bool) {
 	known := p.byService[request.Service]
 	hosts := make([]*balance.Host, 0, len(known))
--- a/tier/store/program.go
+++ b/tier/store/program.go
@@ -11,10 +11,10 @@
 	"otterseam/tier/timeline"
 )
 
-// submitTimeout is how long a command may take to be committed.
+// submitTimeout is the limit for committing a command.
 const submitTimeout = 1500 * time.Millisecond
 
-// handleProgram carries out a command on the shard that it names, if this process leads it.
+// handleProgram executes a command on the shard that the request names, if this process is primary of the shard.
 func (s *Server) handleProgram(message rpc.Message) {
 	request, err := DecodeProgramRequest(message.Payload)
 	if err != nil || !programs.IsCommand(request.Command) {
--- a/tier/store/recorded_test.go
+++ b/tier/store/recorded_test.go
@@ -21,8 +21,8 @@
 
 const recordedShard = 37
 
-// leadingStore is a store process that leads one shard, in which a turn is kept.
-func leadingStore(ctx context.Context, t *testing.T) *Server {
+// newPrimaryStore returns a store that is primary of one shard, which retains the result of one turn.
+func newPrimaryStore(ctx context.Context, t *testing.T) *Server {
 	t.Helper()
 	dir := t.TempDir()
 	state := programs.NewState()
@@ -54,14 +54,14 @@
 	host.SetView(recordedShard, replica.View{Epoch: 2, Primary: host.Identity, InSync: only, Replicas: only, MinInSync: 1})
 	for !host.IsPrimary(recordedShard) {
 		if ctx.Err() != nil {
-			t.Fatal("the shard has no primary")
+			t.Fatal("the shard did not become ready")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return s
 }
 
-// A store takes the recorded call of a gateway and answers as recorded.
+// A store decodes the recorded call of a gateway and answers as recorded.
 func TestRecordedProgramCall(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	go rpc.Serve(listener, leadingStore(ctx, t).handle)
+	go rpc.Serve(listener, newPrimaryStore(ctx, t).handle)
 	client := rpc.NewClient(listener.Addr().String(), nil)
 	defer client.Close()
 	answer, err := client.Call(ctx, KindProgram, recorded.Read(t, "program-call"))
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -35,11 +35,11 @@
 	loads    *loadHome
 
 	mu       sync.Mutex      // guards draining and changing
-	draining bool            // the process is about to end
-	changing map[uint32]bool // shards with a change of their in-sync set under way
+	draining bool            // Drain was called
+	changing map[uint32]bool // shards with a request to change their in-sync set in progress
 }
 
-// New opens the state of a store process.
+// New opens the state on disk and returns a store process that does not run yet.
 func New(s *settings.Settings, log *logrus.Entry) (*Server, error) {
 	if err := settings.Require(map[string]string{"data_dir": s.DataDir, "seeds": strings.Join(s.Seeds, ",")}); err != nil {
 		return nil, err
@@ -73,13 +73,13 @@
 	return server, nil
 }
 
-// controlAddresses lists the control processes: those that the view names, and the seeds.
+// controlAddresses returns the addresses of the control processes in the view, and those of the seeds.
 func (s *Server) controlAddresses() []string {
 	return append(directory.ControlAddresses(s.view), s.seeds.Addresses()...)
 }
 
-// Run serves until the context ends, and then waits for its loops. It does not wait for the node, as a disk that stalls must not
-// keep the process from ending, nor for calls under way, which end by their own time-outs.
+// Run serves until the context is cancelled and then waits for its loops. It does not wait for the node, because a stalled disk must
+// not prevent the process from ending, nor for calls in progress, which end by their own timeouts.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.self.Address)
 	if err != nil {
@@ -91,20 +91,20 @@
 	loops.Go(func() { s.sendHeartbeats(ctx) })
 	loops.Go(func() { s.watchInSync(ctx) })
 	loops.Go(func() { s.loads.run(ctx) })
-	subscriber := &feed.Subscriber{View: s.view, Addresses: s.controlAddresses, OnChange: s.follow}
+	subscriber := &feed.Subscriber{View: s.view, Addresses: s.controlAddresses, OnChange: s.onViewChange}
 	subscriber.Run(ctx)
 	_ = listener.Close() // it only ends Serve
 	loops.Wait()
 	return nil
 }
 
-// follow acts on a change of the view.
-func (s *Server) follow(items []feed.Item) {
-	s.followMap()
+// onViewChange applies a change of the view.
+func (s *Server) onViewChange(items []feed.Item) {
+	s.applyShardMap()
 	s.loads.update(items)
 }
 
-// handle takes messages of gateways, of other stores, and of operators' status commands.
+// handle handles messages of gateways, of other stores, and of operators' status commands.
 func (s *Server) handle(message rpc.Message) {
 	switch message.Kind {
 	case multigroup.KindReplica:
--- a/tier/store/shards.go
+++ b/tier/store/shards.go
@@ -9,8 +9,8 @@
 	"otterseam/tier/timeline"
 )
 
-// followMap acts on the shard map: it opens and drops shards and tells the groups their views.
-func (s *Server) followMap() {
+// applyShardMap applies the shard map: it opens and drops shards and sets the views of their groups.
+func (s *Server) applyShardMap() {
 	s.timeline.Reach(timeline.ViewReceived)
 	if !s.node.BindCluster(s.view.ClusterID()) {
 		return
@@ -21,26 +21,26 @@
 	for id, shard := range directory.Shards(s.view) {
 		switch {
 		case slices.Contains(shard.View.Replicas, s.self.Identity):
-			s.holdShard(id, shard)
+			s.updateShard(id, shard)
 		case s.node.HasGroup(id):
-			s.releaseShard(id, shard)
+			s.dropMovedShard(id, shard)
 		}
 	}
 }
 
-// holdShard opens a shard that the map gives to this store, and tells its group the view.
-func (s *Server) holdShard(id uint32, shard directory.Shard) {
+// updateShard opens a shard that the map assigns to this store, and sets the view of its group.
+func (s *Server) updateShard(id uint32, shard directory.Shard) {
 	if !s.node.HasGroup(id) {
 		s.openShard(id)
 	}
 	if shard.View.Primary == s.self.Identity && shard.PrimaryIncarnation != s.self.Incarnation {
-		return // it names an earlier incarnation of this process
+		return // the map names an earlier incarnation of this process
 	}
 	s.node.SetView(id, shard.View)
 }
 
-// releaseShard drops a shard that has moved away, unless its group knows of a newer view than the map's.
-func (s *Server) releaseShard(id uint32, shard directory.Shard) {
+// dropMovedShard drops a shard that the map no longer assigns to this store, unless its group has a newer view than the map.
+func (s *Server) dropMovedShard(id uint32, shard directory.Shard) {
 	movedAway := false
 	s.node.WithGroup(id, func(g *replica.Group) { movedAway = shard.View.Epoch >= g.View().Epoch })
 	if movedAway {
@@ -48,7 +48,7 @@
 	}
 }
 
-// openShard opens the replica of a shard, from disk if there is something of it.
+// openShard opens the replica of a shard with its state on disk, if there is any.
 func (s *Server) openShard(id uint32) {
 	if err := s.node.OpenGroup(id, programs.NewState(), replica.Options{}); err != nil {
 		s.log.WithField("shard", id).WithError(err).Error("shard cannot be opened")
--- a/tier/store/store_test.go
+++ b/tier/store/store_test.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	patience    = 10 * time.Second
+	testTimeout = 10 * time.Second
 	testCluster = 7
 	testShard   = 3
 )
 
-func discard() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	logger, _ := test.NewNullLogger()
 	return logrus.NewEntry(logger)
 }
 
-// newServer opens a store process on an empty disk. It does not run.
+// newServer returns a store process on an empty disk that does not run.
 func newServer(t *testing.T) *Server {
 	t.Helper()
-	s, err := New(&settings.Settings{DataDir: t.TempDir(), IP: "127.0.0.1", FirstPort: 1, Seeds: []string{"127.0.0.1"}, Node: "store-a"}, discard())
+	s, err := New(&settings.Settings{DataDir: t.TempDir(), IP: "127.0.0.1", FirstPort: 1, Seeds: []string{"127.0.0.1"}, Node: "store-a"}, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// give puts a shard with a view into the map of a store, and has the store act on it.
-func give(s *Server, revision, epoch uint64, primaryIncarnation uint64, replicas ...uint64) {
+// setShard puts a shard with a view into the shard map of a store and applies the map.
+func setShard(s *Server, revision, epoch uint64, primaryIncarnation uint64, replicas ...uint64) {
 	view := replica.View{Epoch: epoch, Primary: replicas[0], InSync: replicas, Replicas: replicas, MinInSync: 1}
 	shard := directory.Shard{ID: testShard, Total: 64, View: view, PrimaryIncarnation: primaryIncarnation}
 	s.view.SetClusterID(testCluster)
 	s.view.Put(feed.SectionShard, directory.ShardKey(testShard), revision, shard.Encode())
-	s.followMap()
+	s.applyShardMap()
 }
 
-func (s *Server) viewOfShard() (view replica.View) {
+func (s *Server) shardView() (view replica.View) {
 	s.node.WithGroup(testShard, func(g *replica.Group) { view = g.View() })
 	return view
 }
@@ -62,47 +62,47 @@
 		"seeds":    {DataDir: t.TempDir()},
 	} {
 		var missing *settings.FieldError
-		if _, err := New(s, discard()); !errors.As(err, &missing) || missing.Key != name {
+		if _, err := New(s, discardLog()); !errors.As(err, &missing) || missing.Key != name {
 			t.Errorf("without %s: %v", name, err)
 		}
 	}
 }
 
-func TestShardsFollowTheMap(t *testing.T) {
+func TestShardMapIsApplied(t *testing.T) {
 	const other = 1
 	for name, test := range map[string]struct {
-		// change gives the store a later map than the first, in which it leads the shard at epoch 2.
+		// change sets a later map. In the first one the store is primary of the shard at epoch 2.
 		change    func(s *Server)
 		holds     bool
 		wantEpoch uint64
 	}{
 		"led here":                      {func(*Server) {}, true, 2},
-		"led elsewhere":                 {func(s *Server) { give(s, 2, 3, 9, other, s.self.Identity) }, true, 3},
-		"moved away":                    {func(s *Server) { give(s, 2, 3, 9, other) }, false, 0},
-		"moved away long ago":           {func(s *Server) { give(s, 2, 1, 9, other) }, true, 2},
-		"led by an earlier incarnation": {func(s *Server) { give(s, 2, 3, s.self.Incarnation+1, s.self.Identity) }, true, 2},
+		"led elsewhere":                 {func(s *Server) { setShard(s, 2, 3, 9, other, s.self.Identity) }, true, 3},
+		"moved away":                    {func(s *Server) { setShard(s, 2, 3, 9, other) }, false, 0},
+		"older map, moved away":         {func(s *Server) { setShard(s, 2, 1, 9, other) }, true, 2},
+		"led by an earlier incarnation": {func(s *Server) { setShard(s, 2, 3, s.self.Incarnation+1, s.self.Identity) }, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t)
-			give(s, 1, 2, s.self.Incarnation, s.self.Identity)
+			setShard(s, 1, 2, s.self.Incarnation, s.self.Identity)
 			test.change(s)
 			if holds := s.node.HasGroup(testShard); holds != test.holds {
 				t.Fatalf("holds the shard: %v", holds)
 			}
-			if got := s.viewOfShard().Epoch; got != test.wantEpoch {
+			if got := s.shardView().Epoch; got != test.wantEpoch {
 				t.Fatalf("at epoch %d, not %d", got, test.wantEpoch)
 			}
 		})
 	}
 }
 
-// The map of another cluster than that of the disk opens no shard.
-func TestMapOfAnotherClusterIsNotFollowed(t *testing.T) {
+// The shard map of a cluster other than the disk's opens no shard.
+func TestMapOfOtherClusterIsIgnored(t *testing.T) {
 	s := newServer(t)
 	if !s.node.BindCluster(testCluster + 1) {
 		t.Fatal("an empty disk cannot be bound")
 	}
-	give(s, 1, 2, s.self.Incarnation, s.self.Identity)
+	setShard(s, 1, 2, s.self.Incarnation, s.self.Identity)
 	if s.node.HasGroup(testShard) {
 		t.Fatal("the shard was opened")
 	}
@@ -110,7 +110,7 @@
 
 func TestHandleRejectsCalls(t *testing.T) {
 	s := newServer(t)
-	give(s, 1, 2, 9, 1, s.self.Identity) // another store leads the shard
+	setShard(s, 1, 2, 9, 1, s.self.Identity) // another store leads the shard
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	go rpc.Serve(listener, s.handle)
 	client := rpc.NewClient(listener.Addr().String(), nil)
 	t.Cleanup(client.Close)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	fetch := programs.Fetch{Request: "turn"}.Encode()
 	for name, test := range map[string]struct {
@@ -142,41 +142,41 @@
 	}
 }
 
-// A disk that belongs to a cluster sends no heartbeat to control before it has a view of that cluster.
-func TestHeartbeatsWaitForTheOwnCluster(t *testing.T) {
+// A store whose disk is bound to a cluster sends no heartbeats before it has a view of that cluster.
+func TestHeartbeatsRequireViewOfOwnCluster(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(s *Server)
 		want    bool
 	}{
 		"empty disk":             {func(*Server) {}, true},
 		"disk without a view":    {func(s *Server) { s.node.BindCluster(testCluster) }, false},
-		"disk with its own view": {func(s *Server) { give(s, 1, 2, 9, 1) }, true},
+		"disk with its own view": {func(s *Server) { setShard(s, 1, 2, 9, 1) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t)
 			test.prepare(s)
-			if got := s.knowsCluster(); got != test.want {
+			if got := s.mayHeartbeat(); got != test.want {
 				t.Fatalf("sends heartbeats: %v", got)
 			}
 		})
 	}
 }
 
-// A store that drains says so in its heartbeats, and waits while a shard needs it.
+// A store that drains reports that it is leaving in its heartbeats, and waits while a shard needs it.
 func TestDrain(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(s *Server)
 		waits   bool
 	}{
 		"without shards":          {func(*Server) {}, false},
-		"only replica of a shard": {func(s *Server) { give(s, 1, 2, s.self.Incarnation, s.self.Identity) }, true},
-		"shard moved away":        {func(s *Server) { give(s, 1, 2, 9, 1) }, false},
+		"only replica of a shard": {func(s *Server) { setShard(s, 1, 2, s.self.Incarnation, s.self.Identity) }, true},
+		"shard moved away":        {func(s *Server) { setShard(s, 1, 2, 9, 1) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t)
 			test.prepare(s)
 			if s.heartbeat().Leaving {
-				t.Fatal("the heartbeat says that it drains before it does")
+				t.Fatal("the heartbeat reports leaving before the store drains")
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 2*watchInterval)
 			defer cancel()
@@ -185,13 +185,13 @@
 				t.Fatalf("waited until its context ended: %v", waited)
 			}
 			if !s.heartbeat().Leaving {
-				t.Fatal("the heartbeat does not say that it drains")
+				t.Fatal("the heartbeat does not report leaving although the store drains")
 			}
 		})
 	}
 }
 
-// A request for a change of the in-sync set keeps a second one for the shard from being made beside it.
+// A request to change the in-sync set marks its shard, so that no second request is made until it has ended.
 func TestOneInSyncChangeAtATime(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,7 +203,7 @@
 	s := newServer(t)
 	s.control = controlclient.New(s.clients, func() []string { return []string{listener.Addr().String()} })
 	s.changing[testShard] = true
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	go s.requestChange(ctx, controlclient.InSyncChange{Shard: testShard, Epoch: 2, Replica: 9, Admit: true})
 	select {
@@ -214,7 +214,7 @@
 		}
 		m.Answer(codes.OK, nil)
 	case <-ctx.Done():
-		t.Fatal("no request came")
+		t.Fatal("no request was received")
 	}
 	for {
 		s.mu.Lock()
@@ -224,7 +224,7 @@
 			return
 		}
 		if ctx.Err() != nil {
-			t.Fatal("the shard stays closed to changes")
+			t.Fatal("the shard is still marked after the request has ended")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -243,7 +243,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("it runs on")
+	case <-time.After(testTimeout):
+		t.Fatal("Run did not return after its context was cancelled")
 	}
 }
