--- a/tier/opconfig/config.go
+++ b/tier/opconfig/config.go
@@ -2,20 +2,20 @@
 
 //go:generate go tool easyjson -all config.go
 
-// RouteType tells how requests of a route may be repeated.
+// RouteType specifies whether requests of a route may be sent more than once.
 type RouteType string
 
-// The route types.
+// Route types.
 const (
 	// RouteSafe marks requests that may be sent more than once.
 	RouteSafe RouteType = "safe"
 	// RouteUnsafe marks requests that are not sent again once a host may have run them.
 	RouteUnsafe RouteType = "unsafe"
-	// RouteStreaming marks requests that are answered with a stream of tokens. Unless the route is resumable they run once.
+	// RouteStreaming marks requests that are answered with a stream of tokens. Unless the route is resumable, they run at most once.
 	RouteStreaming RouteType = "streaming"
 )
 
-// Config is a whole configuration.
+// Config is an operator's configuration.
 type Config struct {
 	Version  uint64    `json:"version"` // 1 or more
 	Routes   []Route   `json:"routes"`
@@ -23,7 +23,7 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route says where requests of a host and path prefix go, and what their answers are worth.
+// Route specifies which service handles the requests for a host and path prefix, and with which limits, targets and guarantees.
 type Route struct {
 	Name        string    `json:"name"`
 	Host        string    `json:"host"` // any case
@@ -31,13 +31,13 @@
 	RouteType   RouteType `json:"route_type"`
 	TimeoutMS   float64   `json:"timeout_ms"`   // milliseconds, more than 0
 	TargetMS    float64   `json:"target_ms"`    // latency target, in milliseconds
-	Priority    int       `json:"priority"`     // rank, 0 the most urgent; handed to the engine as the urgency of a stream
-	Service     string    `json:"service"`      // where requests go if there is no split
+	Priority    int       `json:"priority"`     // 0 is the most urgent; passed to the engine as the urgency of a stream
+	Service     string    `json:"service"`      // service of the requests if there is no split
 	Split       []Split   `json:"split"`        // shares of several services
 	MaxAttempts int       `json:"max_attempts"` // the first attempt included
-	Retained    bool      `json:"retained"`     // answers are kept for who asks again
-	RetentionS  float64   `json:"keep_s"`       // for how long, in seconds
-	Sticky      bool      `json:"sticky"`       // requests of a session keep their host
+	Retained    bool      `json:"retained"`     // responses are stored and returned to repeated requests
+	RetentionS  float64   `json:"keep_s"`       // how long responses are stored, in seconds
+	Sticky      bool      `json:"sticky"`       // requests of a session are sent to the same host
 	Resumable   bool      `json:"resumable"`    // a broken stream may be resumed
 	GapTargetMS float64   `json:"gap_aim_ms"`   // target for the time between two tokens, in milliseconds
 }
@@ -48,7 +48,7 @@
 	Weight  float64 `json:"weight"` // relative to the other shares, 0 or more
 }
 
-// Service describes the hosts of one name.
+// Service describes the hosts that provide one service.
 type Service struct {
 	Name       string  `json:"name"`
 	HealthPath string  `json:"health_path"`
@@ -60,15 +60,15 @@
 
 // Engine describes hosts that generate tokens.
 type Engine struct {
-	Slots    int `json:"slots"`     // sequences decoded at once
+	Slots    int `json:"slots"`     // sequences decoded concurrently
 	KVTokens int `json:"kv_tokens"` // capacity of the KV cache, in tokens
 	Stride   int `json:"stride"`    // tokens in each event of a stream; 0 means 1
 }
 
-// Limits bound what clients may send.
+// Limits are the bounds on requests of clients.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"max_header_bytes"`
 	MaxBodyBytes    int64   `json:"max_body_bytes"`
-	HeaderTimeoutMS float64 `json:"header_timeout_ms"` // milliseconds
-	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`   // milliseconds
+	HeaderTimeoutMS float64 `json:"header_timeout_ms"` // in milliseconds
+	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`   // in milliseconds
 }
--- a/tier/opconfig/doc.go
+++ b/tier/opconfig/doc.go
@@ -1,19 +1,19 @@
-// Package opconfig reads and checks what operators and hosts send as JSON: the operator's configuration and a host's heartbeat.
-// It finds the route and the service of a request in a configuration that was checked.
+// Package opconfig decodes and validates the JSON documents of operators and hosts: the operator's configuration and the heartbeats
+// of hosts. In a valid configuration it finds the route and the service of a request.
 //
-// # The life of one configuration
+// # Processing of a configuration
 //
-// Control's HTTP API hands a body to Parse, which decodes it (config.go, with generated code) and validates it (validate.go). A
-// configuration that was accepted there is committed and distributed as it came; each proxy parses it again and makes a Table of
-// it, which is never changed afterwards and may be read from several goroutines.
+// Control's HTTP API passes a request body to Parse, which decodes it (config.go, with generated code) and validates it
+// (validate.go). An accepted configuration is committed and distributed unchanged. Each proxy parses it again and makes a Table of
+// it, which is immutable and safe for concurrent use.
 //
 // # Invariants
 //
-//   - The JSON keys are those of the operator's pages. Unknown keys are skipped, so that an older build reads a newer file.
-//   - A body that was cut short anywhere is never accepted.
-//   - Every error of Parse is a ValidationError with the path of the field, and errors.Is finds codes.ConfigInvalid in it.
+//   - The JSON keys are those of the operator documentation. Unknown keys are ignored, so that an older build can read a newer file.
+//   - A body that was truncated anywhere is never accepted.
+//   - Every error of Parse is a ValidationError with the path of the field, and it matches codes.ConfigInvalid.
 //
-// # What it must not do
+// # Non-goals
 //
-// It decides nothing about when a configuration is accepted or which of two is newer; package configlog does.
+// The package does not decide when a configuration is accepted or which of two is newer. Package configlog does.
 package opconfig
--- a/tier/opconfig/errors.go
+++ b/tier/opconfig/errors.go
@@ -2,17 +2,17 @@
 
 import "otterseam/tier/codes"
 
-// ValidationError tells what is wrong with a configuration and where. errors.Is finds codes.ConfigInvalid in it.
+// ValidationError describes a problem in a configuration and the field that has it. It matches codes.ConfigInvalid.
 type ValidationError struct {
-	Path    string // of the field, as in "routes[2].split[0].weight"; empty if the body as a whole is wrong
-	Problem string // for operators: the route by its name, and what is wrong
-	Cause   error  // of the JSON reader; nil for a body that could be read
+	Path    string // path of the field, such as "routes[2].split[0].weight"; empty if the whole body is invalid
+	Problem string // description for operators, with the name of the route
+	Cause   error  // error of the JSON decoder; nil if the body could be decoded
 }
 
-// Error is the problem and the code.
+// Error returns the problem and the text of the code.
 func (e *ValidationError) Error() string { return e.Problem + ": " + codes.ConfigInvalid.Error() }
 
-// Unwrap gives the code and the cause.
+// Unwrap returns the code and the cause.
 func (e *ValidationError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{codes.ConfigInvalid}
--- a/tier/opconfig/parse.go
+++ b/tier/opconfig/parse.go
@@ -9,7 +9,7 @@
 
 var _ easyjson.Unmarshaler = (*Config)(nil)
 
-// Parse reads and validates a configuration. The error is a ValidationError.
+// Parse decodes and validates a configuration. The error is a ValidationError.
 func Parse(body []byte) (*Config, error) {
 	if trimmed := bytes.TrimSpace(body); len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, &ValidationError{Problem: "the body is no JSON object"}
--- a/tier/opconfig/parse_test.go
+++ b/tier/opconfig/parse_test.go
@@ -27,17 +27,17 @@
 
 func TestParseNamesTheProblemAndItsField(t *testing.T) {
 	for name, test := range map[string]struct{ from, to, problem, path string }{
-		"unknown service":          {`"service":"s1","max`, `"service":"s9","max`, "r-a: service s9 is unknown", "routes[0].service"},
-		"unknown service in split": {`{"service":"s2","weight":10}`, `{"service":"s8","weight":10}`, "r-b: service s8 in split is unknown", "routes[1].split[1].service"},
-		"same place":               {`/one/two/`, `/one/`, "r-a and r-b share host and path_prefix", "routes[1].path_prefix"},
-		"same place, other case":   {`"host":"a.example","path_prefix":"/one/two/"`, `"host":"A.Example","path_prefix":"/one/"`, "share host", "routes[1].path_prefix"},
-		"weights of 0":             {`"weight":90},{"service":"s2","weight":10}`, `"weight":0},{"service":"s2","weight":0}`, "r-b: the weights add up to 0", "routes[1].split"},
-		"weight below 0":           {`"weight":10`, `"weight":-10`, "r-b: a weight is below 0", "routes[1].split[1].weight"},
-		"timeout of 0":             {`"timeout_ms":1000`, `"timeout_ms":0`, "r-b: timeout_ms", "routes[1].timeout_ms"},
-		"no version":               {`"version":7,`, ``, "version is missing", "version"},
-		"no JSON":                  {validConfig, `version=7`, "no JSON object", ""},
-		"text behind":              {`"idle_timeout_ms":15000}}`, `"idle_timeout_ms":15000}} x`, "cannot be read whole", ""},
-		"text for a number":        {`"version":7`, `"version":"seven"`, "cannot be read whole", ""},
+		"unknown service":           {`"service":"s1","max`, `"service":"s9","max`, "r-a: service s9 is unknown", "routes[0].service"},
+		"unknown service in split":  {`{"service":"s2","weight":10}`, `{"service":"s8","weight":10}`, "r-b: service s8 in split is unknown", "routes[1].split[1].service"},
+		"same location":             {`/one/two/`, `/one/`, "r-a and r-b share host and path_prefix", "routes[1].path_prefix"},
+		"same location, other case": {`"host":"a.example","path_prefix":"/one/two/"`, `"host":"A.Example","path_prefix":"/one/"`, "share host", "routes[1].path_prefix"},
+		"weights of 0":              {`"weight":90},{"service":"s2","weight":10}`, `"weight":0},{"service":"s2","weight":0}`, "r-b: the weights add up to 0", "routes[1].split"},
+		"weight below 0":            {`"weight":10`, `"weight":-10`, "r-b: a weight is below 0", "routes[1].split[1].weight"},
+		"timeout of 0":              {`"timeout_ms":1000`, `"timeout_ms":0`, "r-b: timeout_ms", "routes[1].timeout_ms"},
+		"no version":                {`"version":7,`, ``, "version is missing", "version"},
+		"no JSON":                   {validConfig, `version=7`, "no JSON object", ""},
+		"trailing text":             {`"idle_timeout_ms":15000}}`, `"idle_timeout_ms":15000}} x`, "cannot be read whole", ""},
+		"text for a number":         {`"version":7`, `"version":"seven"`, "cannot be read whole", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			body := strings.Replace(validConfig, test.from, test.to, 1)
--- a/tier/opconfig/recorded_test.go
+++ b/tier/opconfig/recorded_test.go
@@ -8,8 +8,8 @@
 	"otterseam/tier/internal/recorded"
 )
 
-// write makes the JSON form of a value.
-func write[T easyjson.Marshaler](t *testing.T) func(T) []byte {
+// marshal returns a function that encodes a value as JSON.
+func marshal[T easyjson.Marshaler](t *testing.T) func(T) []byte {
 	return func(value T) []byte {
 		data, err := easyjson.Marshal(value)
 		if err != nil {
@@ -20,7 +20,7 @@
 }
 
 func TestRecordedHeartbeat(t *testing.T) {
-	beat := Heartbeat{
+	heartbeat := Heartbeat{
 		Service: "chat", Address: "10.0.1.1:8000", Zone: "zone-a", Version: "v3.2.1", Slots: 16, State: StateDraining, Stage: "canary",
 		Models: easyjson.RawMessage(`["m1","m2"]`), SeqNo: 0x0102030405060708,
 	}
@@ -29,7 +29,7 @@
 		err := easyjson.Unmarshal(data, &h)
 		return h, err
 	}
-	recorded.CheckBoth(t, "heartbeat", beat, write[Heartbeat](t), read)
+	recorded.CheckBoth(t, "heartbeat", heartbeat, marshal[Heartbeat](t), read)
 }
 
 func TestRecordedConfig(t *testing.T) {
@@ -62,5 +62,5 @@
 		}
 		return *c, nil
 	}
-	recorded.CheckBoth(t, "config", config, write[Config](t), read)
+	recorded.CheckBoth(t, "config", config, marshal[Config](t), read)
 }
--- a/tier/opconfig/split.go
+++ b/tier/opconfig/split.go
@@ -1,6 +1,6 @@
 package opconfig
 
-// PickService chooses the service of a request by the route's weights. The draw is uniform in [0, 1).
+// PickService chooses the service of a request by the route's weights. draw is a random number, uniform in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	if len(r.Split) == 0 {
 		return r.Service
@@ -9,13 +9,13 @@
 	for _, split := range r.Split {
 		total += split.Weight
 	}
-	left := draw * total
+	remaining := draw * total
 	for _, split := range r.Split {
-		if left -= split.Weight; left < 0 {
+		if remaining -= split.Weight; remaining < 0 {
 			return split.Service
 		}
 	}
-	// rounding left a remainder behind the last share
+	// rounding errors left a remainder after the last share
 	for _, split := range r.Split {
 		if split.Weight > 0 {
 			return split.Service
--- a/tier/opconfig/split_test.go
+++ b/tier/opconfig/split_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Each service gets its share of the draws, and one of weight 0 gets none.
+// Each service is chosen in proportion to its weight, and a service of weight 0 is never chosen.
 func TestPickServiceFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 50), 1, 5).Draw(rt, "weights")
--- a/tier/opconfig/table.go
+++ b/tier/opconfig/table.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Table finds the route and the service of requests for one configuration. It is never changed.
+// Table finds the route and the service of requests in one configuration. It is immutable.
 type Table struct {
 	Config   *Config
-	byHost   map[string][]*Route // longest prefix first
+	byHost   map[string][]*Route // routes by host in lower case, longest path prefix first
 	services map[string]*Service
 }
 
-// NewTable prepares a checked configuration.
+// NewTable returns the table of a valid configuration.
 func NewTable(config *Config) *Table {
 	t := &Table{Config: config, byHost: map[string][]*Route{}, services: map[string]*Service{}}
 	for i := range config.Routes {
@@ -29,11 +29,11 @@
 	return t
 }
 
-// Route returns the route with the longest prefix of the path among those of the host, or nil.
+// Route returns the route of the host whose path prefix is the longest that matches the path, or nil if none matches.
 func (t *Table) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
-		host = host[:colon] // without the port
+		host = host[:colon] // remove the port
 	}
 	for _, route := range t.byHost[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -43,5 +43,5 @@
 	return nil
 }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with a name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/tier/opconfig/table_test.go
+++ b/tier/opconfig/table_test.go
@@ -22,7 +22,7 @@
 			got = route.Name
 		}
 		if got != test.want {
-			t.Errorf("%s%s goes to %q, not to %q", test.host, test.path, got, test.want)
+			t.Errorf("%s%s has route %q, want %q", test.host, test.path, got, test.want)
 		}
 	}
 }
--- a/tier/opconfig/validate.go
+++ b/tier/opconfig/validate.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// validate returns the first problem, in the order of the file, as a ValidationError.
+// validate returns the first problem in the order of the file as a ValidationError.
 func (c *Config) validate() error {
 	if c.Version == 0 {
 		return &ValidationError{Path: "version", Problem: "version is missing or 0"}
@@ -14,7 +14,7 @@
 	for _, service := range c.Services {
 		services[service.Name] = true
 	}
-	routeAt := make(map[string]string, len(c.Routes)) // name of the route by host and path prefix
+	routeNames := make(map[string]string, len(c.Routes)) // name of the route, by host and path prefix
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		path := fmt.Sprintf("routes[%d]", i)
@@ -22,15 +22,15 @@
 			return err
 		}
 		location := strings.ToLower(route.Host) + " " + route.PathPrefix
-		if other, taken := routeAt[location]; taken {
+		if other, taken := routeNames[location]; taken {
 			return &ValidationError{Path: path + ".path_prefix", Problem: "routes " + other + " and " + route.Name + " share host and path_prefix"}
 		}
-		routeAt[location] = route.Name
+		routeNames[location] = route.Name
 	}
 	return nil
 }
 
-// validate checks the route at a path against the names of the services.
+// validate checks the route, whose path in the configuration is path. services contains the names of the known services.
 func (r *Route) validate(path string, services map[string]bool) error {
 	if r.TimeoutMS <= 0 {
 		return r.invalid(path+".timeout_ms", "timeout_ms is 0 or less")
