--- a/tier/settings/addresses.go
+++ b/tier/settings/addresses.go
@@ -5,27 +5,28 @@
 	"strconv"
 )
 
-// Offsets of the ports of the roles within the internal port range; they are alike on all machines.
+// Offsets of the ports of the roles within the internal port range. They are the same on all machines.
 const (
 	controlOffset = iota
 	storeOffset
 	agentOffset
 )
 
-// loopback is where the agent serves the proxy of its machine.
+// loopback is the address on which the agent serves the proxy of its machine.
 const loopback = "127.0.0.1"
 
-// ControlPort is the port on which control processes speak with others of the tier.
+// ControlPort returns the port on which control processes serve the other processes of the tier.
 func (s *Settings) ControlPort() int { return s.FirstPort + controlOffset }
 
-// ControlAddress is this machine's address for that port.
+// ControlAddress returns this machine's address with that port.
 func (s *Settings) ControlAddress() string { return joinHostPort(s.IP, s.ControlPort()) }
 
-// StoreAddress is this machine's address for the store process.
+// StoreAddress returns the address of this machine's store process.
 func (s *Settings) StoreAddress() string { return joinHostPort(s.IP, s.FirstPort+storeOffset) }
 
-// AgentAddress is the loopback address on which the agent feeds the proxy of its machine. A machine whose own address is a loopback
-// one, as those of a tier that is tried on one computer, uses that, so that its agent and those of the others don't meet.
+// AgentAddress returns the loopback address on which the agent serves the proxy of its machine. If the machine's own address is a
+// loopback address, as in a tier that runs on one computer, it is used instead, so that the agents of several machines do not bind
+// the same address.
 func (s *Settings) AgentAddress() string {
 	if ip := net.ParseIP(s.IP); ip != nil && ip.IsLoopback() {
 		return joinHostPort(s.IP, s.FirstPort+agentOffset)
@@ -33,8 +34,8 @@
 	return joinHostPort(loopback, s.FirstPort+agentOffset)
 }
 
-// SeedAddresses are the internal addresses of the control processes on the seed machines. The ports that the seeds name are those
-// for operators; the internal ones are alike on all machines.
+// SeedAddresses returns the internal addresses of the control processes on the seed machines. The ports in the seeds setting are
+// those for operators. The internal ports are the same on all machines.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
--- a/tier/settings/doc.go
+++ b/tier/settings/doc.go
@@ -1,14 +1,16 @@
-// Package settings reads and checks the settings file of a process of the serving tier: a Java properties file whose path stands in
-// the environment variable OTTERSEAM_NODE_FILE.
+// Package settings reads and checks the settings file of a process of the serving tier: a Java properties file whose path is the
+// value of the environment variable OTTERSEAM_NODE_FILE.
 //
 // # Invariants
 //
-//   - The keys are those of the operator's pages. Unknown keys are skipped, so that an older build reads a newer file.
-//   - A missing or wrong field is a FieldError with its key. Of several the first in the order of Parse is named.
-//   - The ports for traffic between processes are laid out alike on all machines, from the first of internal_ports on: control,
-//     store, agent.
+//   - The keys are those of the operator documentation. Unknown keys are ignored, so that an older build can read a newer file.
+//   - A missing or invalid field is a FieldError with its key. If there are several, the error is that of the first one in the order
+//     of Parse.
+//   - The ports for traffic between processes are the same on all machines. From the first port of internal_ports on they are, in
+//     this order, those of control, store and agent.
 //
-// # What it must not do
+// # Non-goals
 //
-// It opens no port and fills in nothing that depends on the role: a process checks with Require what its role needs.
+// The package opens no port and sets no defaults that depend on the role. A process checks with Require that the fields that its
+// role needs are set.
 package settings
--- a/tier/settings/errors.go
+++ b/tier/settings/errors.go
@@ -4,14 +4,14 @@
 	"errors"
 )
 
-// ErrNoFile is returned where the environment does not name a settings file.
-var ErrNoFile = errors.New(FileVariable + " is not set; it has to hold the path of the settings file")
+// ErrNoFile is returned if the environment variable FileVariable is not set.
+var ErrNoFile = errors.New(FileVariable + " is not set; it must contain the path of the settings file")
 
-// FieldError tells which field of a settings file is missing or wrong.
+// FieldError is returned if a field of a settings file is missing or invalid.
 type FieldError struct {
-	Key     string // as in the file
-	Problem string // what is wrong with it, to be read behind the key
+	Key     string // key of the field in the file
+	Problem string // description of the problem; the error text has it after the key
 }
 
-// Error names the field and the problem.
+// Error returns the key of the field and the problem.
 func (e *FieldError) Error() string { return "settings: " + e.Key + " " + e.Problem }
--- a/tier/settings/fields.go
+++ b/tier/settings/fields.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// minPorts is how many ports internal_ports has to hold.
+	// minPorts is the minimum number of ports in internal_ports.
 	minPorts = 4
 	maxPort  = 1<<16 - 1
 )
 
-// fields takes typed values from a file and keeps the first error.
+// fields parses typed values from a file and records the first error.
 type fields struct {
 	file *properties.Properties
 	err  *FieldError
 }
 
-// firstError is the error of the first field that was wrong.
+// firstError returns the error of the first invalid field, or nil.
 func (f *fields) firstError() error {
 	if f.err == nil {
 		return nil
@@ -34,10 +34,10 @@
 	}
 }
 
-// optional returns a text, empty if it is missing.
+// optional returns a text, or an empty one if the key is missing.
 func (f *fields) optional(key string) string { return f.file.GetString(key, "") }
 
-// required returns a text that must not be missing.
+// required returns a text. It records an error if the key is missing or the text is blank.
 func (f *fields) required(key string) string {
 	value := strings.TrimSpace(f.optional(key))
 	if value == "" {
@@ -46,7 +46,7 @@
 	return value
 }
 
-// withPrefix returns the texts of all keys with a prefix, by the rest of their keys.
+// withPrefix returns the texts of all keys with a prefix, by the part of the key after the prefix.
 func (f *fields) withPrefix(prefix string) map[string]string {
 	values := map[string]string{}
 	for _, key := range f.file.Keys() {
@@ -82,7 +82,7 @@
 	return parsed
 }
 
-// integer drops what stands behind a decimal point.
+// integer returns a number without its fractional part.
 func (f *fields) integer(key string, fallback int) int {
 	return int(f.float(key, float64(fallback)))
 }
@@ -99,12 +99,12 @@
 func (f *fields) portRange(key string) (first, last int) {
 	first, last, ok := parsePortRange(f.required(key))
 	if !ok {
-		f.fail(key, "has to name the first and the last of "+strconv.Itoa(minPorts)+" ports or more")
+		f.fail(key, "must contain the first and the last of "+strconv.Itoa(minPorts)+" ports or more")
 	}
 	return first, last
 }
 
-// parsePortRange returns zeros for a text that is no range of enough ports.
+// parsePortRange returns zeros and false if the text is not a range of at least minPorts ports.
 func parsePortRange(text string) (first, last int, ok bool) {
 	parts := splitList(text)
 	if len(parts) != 2 {
--- a/tier/settings/parse.go
+++ b/tier/settings/parse.go
@@ -8,13 +8,13 @@
 	"github.com/samber/oops"
 )
 
-// FileVariable is the environment variable that holds the path of the settings file.
+// FileVariable is the name of the environment variable with the path of the settings file.
 const FileVariable = "OTTERSEAM_NODE_FILE"
 
-// zonePrefix stands before the name of a zone in the keys that give its region.
+// zonePrefix is the prefix of the keys that map the name of a zone to its region.
 const zonePrefix = "zones."
 
-// Load reads the file that the environment variable names. Without one the error is ErrNoFile.
+// Load reads the file whose path is in the environment variable FileVariable. If the variable is not set, the error is ErrNoFile.
 func Load() (*Settings, error) {
 	path := os.Getenv(FileVariable)
 	if path == "" {
@@ -27,7 +27,8 @@
 	return Parse(string(text))
 }
 
-// Parse reads the text of a settings file. Unknown fields are skipped; a needed field that is missing or wrong is a FieldError.
+// Parse parses the text of a settings file. It ignores unknown fields. If a required field is missing or a field is invalid, it
+// returns a FieldError.
 func Parse(text string) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadBytes([]byte(text))
@@ -62,7 +63,7 @@
 	return s, f.firstError()
 }
 
-// splitList takes the parts of a text between commas, without the empty ones.
+// splitList returns the non-empty parts of a comma-separated text, without surrounding spaces.
 func splitList(text string) []string {
 	var parts []string
 	for _, part := range strings.Split(text, ",") {
--- a/tier/settings/seeds.go
+++ b/tier/settings/seeds.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// seedsReloadInterval is how long addresses of seeds are used before the file is read again.
+// seedsReloadInterval is how long seed addresses are used before the settings file is read again.
 const seedsReloadInterval = time.Second
 
-// Seeds are the internal addresses of the seed machines. The settings file may change while a process runs, so that they are
-// read again from time to time; a file that can't be read leaves them as they were. It may be used from several goroutines.
+// Seeds provides the internal addresses of the seed machines. Since the settings file may change while a process runs, the addresses
+// are reloaded after seedsReloadInterval. If the file cannot be read, the previous addresses are kept. Seeds is safe for concurrent
+// use.
 type Seeds struct {
 	now func() time.Time
 
@@ -19,15 +20,15 @@
 	loadedAt  time.Time
 }
 
-// NewSeeds starts from the settings read at the start.
-func NewSeeds(s *Settings) *Seeds { return newSeedsAt(s, time.Now) }
+// NewSeeds returns the seeds of settings that were just loaded.
+func NewSeeds(s *Settings) *Seeds { return newSeedsWithClock(s, time.Now) }
 
-// newSeedsAt makes seeds with a clock of their own.
-func newSeedsAt(s *Settings, now func() time.Time) *Seeds {
+// newSeedsWithClock is NewSeeds with a clock for tests.
+func newSeedsWithClock(s *Settings, now func() time.Time) *Seeds {
 	return &Seeds{now: now, addresses: s.SeedAddresses(), loadedAt: now()}
 }
 
-// Addresses returns the seeds.
+// Addresses returns the current seed addresses. It reloads them first if they are too old.
 func (s *Seeds) Addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tier/settings/settings.go
+++ b/tier/settings/settings.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Settings is what one process knows from its settings file. Fields that the file may leave out are empty.
+// Settings holds the settings of one process. Optional fields that are missing in the file have their default or are empty.
 type Settings struct {
-	Node             string // the machine's name
+	Node             string // name of the machine
 	Role             string
 	MachineClass     string
 	IP               string
 	Zone             string
-	Zones            map[string]string // zone to region
-	ListenFront      string            // for clients, of a proxy
-	ListenReadiness  string            // for readiness probes, of a proxy
-	ListenControl    string            // for operators and hosts, of control
-	FirstPort        int               // the first of the ports for traffic between processes
+	Zones            map[string]string // region of each zone, by zone
+	ListenFront      string            // address of a proxy for clients
+	ListenReadiness  string            // address of a proxy for readiness probes
+	ListenControl    string            // address of control for operators and hosts
+	FirstPort        int               // first of the ports for traffic between processes
 	LastPort         int
 	Seeds            []string // control addresses of some machines
-	Bootstrap        bool     // the process may bootstrap the cluster
+	Bootstrap        bool     // whether the process may bootstrap the cluster
 	DataDir          string
-	MemoryMB         int // 0 means no limit is named
-	MaxFDs           int // 0 means no limit is named
+	MemoryMB         int // 0 means that no limit is set
+	MaxFDs           int // 0 means that no limit is set
 	Heartbeat        time.Duration
-	TolerateMachines int // how many machines may be lost at once
+	TolerateMachines int // number of machines that may be lost at once
 	Bounds           Bounds
 }
 
-// Bounds holds those time bounds of the rules that a process acts upon.
+// Bounds holds the time limits that the platform sets for a process.
 type Bounds struct {
 	Drain time.Duration
-	Grace time.Duration // from the signal to end until the process is killed
+	Grace time.Duration // time between the termination signal and the kill of the process
 	Ack   time.Duration
 }
 
-// Defaults of fields that the file may leave out.
+// Defaults of optional fields.
 const (
 	defaultHeartbeat = 1200 * time.Millisecond
 	defaultDrain     = 2 * time.Second
@@ -43,8 +43,8 @@
 	defaultAck       = 4 * time.Second
 )
 
-// Require checks that fields that a role cannot work without are there. It takes the value of each field by its key, and returns
-// a FieldError for the first of them, by key, that is empty.
+// Require checks that the fields that a role needs are set. It takes the value of each field by its key and returns a FieldError for
+// the empty field whose key is the first in alphabetical order.
 func Require(fields map[string]string) error {
 	keys := make([]string, 0, len(fields))
 	for key := range fields {
@@ -53,7 +53,7 @@
 	sort.Strings(keys)
 	for _, key := range keys {
 		if fields[key] == "" {
-			return &FieldError{key, "is missing, which this role needs"}
+			return &FieldError{key, "is missing; this role requires it"}
 		}
 	}
 	return nil
--- a/tier/settings/settings_test.go
+++ b/tier/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const file = `node=front-a-1
+const exampleFile = `node=front-a-1
 role=my-front
 machine_class=front
 ip=10.1.0.38
@@ -31,7 +31,7 @@
 `
 
 func TestParseReadsEveryKindOfField(t *testing.T) {
-	s, err := Parse(file)
+	s, err := Parse(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,9 +49,9 @@
 	}
 }
 
-// Several machines may be tried on one computer, each with a loopback address of its own: their agents don't meet.
-func TestAgentsOfLoopbackMachinesHaveAddressesOfTheirOwn(t *testing.T) {
-	s, err := Parse(strings.Replace(file, "ip=10.1.0.38", "ip=127.0.3.7", 1))
+// Several machines can run on one computer, each with its own loopback address, without address conflicts between their agents.
+func TestLoopbackMachinesHaveDistinctAgentAddresses(t *testing.T) {
+	s, err := Parse(strings.Replace(exampleFile, "ip=10.1.0.38", "ip=127.0.3.7", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,19 +64,19 @@
 	for _, test := range []struct{ from, to, key, problem string }{
 		{"node=front-a-1\n", "", "node", "is missing"},
 		{"ip=10.1.0.38\n", "", "ip", "is missing"},
-		{"internal_ports=7380,7395", "internal_ports=7380", "internal_ports", "has to name"},
-		{"internal_ports=7380,7395", "internal_ports=7395,7380", "internal_ports", "has to name"},
+		{"internal_ports=7380,7395", "internal_ports=7380", "internal_ports", "must contain"},
+		{"internal_ports=7380,7395", "internal_ports=7395,7380", "internal_ports", "must contain"},
 		{"bootstrap=true", "bootstrap=perhaps", "bootstrap", "is neither true nor false: perhaps"},
 		{"heartbeat_ms=1200", "heartbeat_ms=soon", "heartbeat_ms", "is not a number of 0 or more: soon"},
 		{"tolerate.machines=1", "tolerate.machines=-1", "tolerate.machines", "is not a number of 0 or more: -1"},
 	} {
 		t.Run(test.to, func(t *testing.T) {
-			_, err := Parse(strings.Replace(file, test.from, test.to, 1))
-			var wrong *FieldError
-			if !errors.As(err, &wrong) || wrong.Key != test.key || !strings.HasPrefix(wrong.Problem, test.problem) {
+			_, err := Parse(strings.Replace(exampleFile, test.from, test.to, 1))
+			var fieldErr *FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Key != test.key || !strings.HasPrefix(fieldErr.Problem, test.problem) {
 				t.Fatalf("%v", err)
 			}
-			if text := err.Error(); text != "settings: "+wrong.Key+" "+wrong.Problem || strings.Contains(text, "\n") {
+			if text := err.Error(); text != "settings: "+fieldErr.Key+" "+fieldErr.Problem || strings.Contains(text, "\n") {
 				t.Fatalf("%q", text)
 			}
 		})
@@ -89,8 +89,8 @@
 		want   string
 	}{
 		"none missing":        {map[string]string{"seeds": "x"}, ""},
-		"one missing":         {map[string]string{"seeds": "x", "data_dir": ""}, "settings: data_dir is missing, which this role needs"},
-		"the first of two":    {map[string]string{"seeds": "", "data_dir": ""}, "settings: data_dir is missing, which this role needs"},
+		"one missing":         {map[string]string{"seeds": "x", "data_dir": ""}, "settings: data_dir is missing; this role requires it"},
+		"the first of two":    {map[string]string{"seeds": "", "data_dir": ""}, "settings: data_dir is missing; this role requires it"},
 		"nothing is required": {nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
