--- a/cmd/localtier/greeting_test.go
+++ b/cmd/localtier/greeting_test.go
@@ -16,7 +16,7 @@
 		"curl -iN http://127.0.1.8:8149/chat/1 ",
 		"target/otterctl status --control 127.0.1.2:7380 127.0.1.3:7380\n",
 		"curl http://127.0.1.2:8144/v1/config/read\n",
-		"go to 127.0.1.2:8144\n",
+		"addresses for hosts and operator HTTP calls: 127.0.1.2:8144\n",
 		"Logs: target/try\n",
 	} {
 		if !strings.Contains(text, want) {
--- a/cmd/localtier/main.go
+++ b/cmd/localtier/main.go
@@ -1,5 +1,5 @@
-// Command localtier starts a whole serving tier on loopback with stand-in hosts and a configuration, tells how to send it a turn with
-// curl, and stops everything on SIGINT (Ctrl-C) or SIGTERM.
+// Command localtier starts a complete serving tier on loopback with simulated hosts and a configuration, prints how to send a turn
+// with curl, and stops everything on SIGINT (Ctrl-C) or SIGTERM.
 package main
 
 import (
@@ -11,16 +11,16 @@
 
 type arguments struct {
 	Program   string `arg:"--program" default:"target/otterseam-tier" help:"path of the otterseam-tier binary to run"`
-	Dir       string `arg:"--dir" default:"target/try" help:"folder for settings, data and logs; it is emptied first"`
+	Dir       string `arg:"--dir" default:"target/try" help:"folder for settings, data and logs; its contents are deleted first"`
 	Once      bool   `arg:"--once" help:"send one turn, print its status and answer, and exit"`
-	Takeovers int    `arg:"--takeovers" placeholder:"N" help:"kill the primary of control and a store N times, print how long it takes until others answer (median, 90th percentile and longest), and exit"`
+	Takeovers int    `arg:"--takeovers" placeholder:"N" help:"kill the primary of control and a store N times, print the time until others have taken over (median, 90th percentile and maximum), and exit"`
 }
 
-// Description is printed by --help.
+// Description returns the text that --help prints.
 func (arguments) Description() string {
-	return "Starts a serving tier of 3 control, 3 store and 2 front machines on loopback, with stand-in hosts, and prints how to use it.\n" +
+	return "Starts a serving tier of 3 control, 3 store and 2 front machines on loopback, with simulated hosts, and prints how to use it.\n" +
 		"It runs until SIGINT (Ctrl-C) or SIGTERM unless --once or --takeovers is given.\n" +
-		"Exit codes: 0 ended as asked, 1 something failed, 2 wrong arguments."
+		"Exit codes: 0 success or stopped by a signal, 1 failure, 2 invalid arguments."
 }
 
 const exitFailed = 1
--- a/cmd/localtier/takeover.go
+++ b/cmd/localtier/takeover.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// replicas is how many replicas control and each shard have.
+	// replicas is the number of replicas of control and of each shard.
 	replicas = 3
-	// takeoverPrograms is how many agent programs send a turn after a store was killed: all shards take part.
+	// takeoverPrograms is the number of agent programs that send a turn after a store was killed. It is large enough to reach all
+	// shards.
 	takeoverPrograms = 24
 )
 
 var errNoPrimary = errors.New("no machine has the address of the primary")
 
-// measureTakeovers kills the primary of control and a store so many times, and prints how long it took until the next configuration was
-// acknowledged, and until turns were served.
+// measureTakeovers kills the primary of control and a store, a number of times each. It prints the times until the next
+// configuration was acknowledged and until turns were served.
 func measureTakeovers(cluster *tiercluster.Cluster, times int) error {
 	var control, store []time.Duration
 	for round := range times {
@@ -42,12 +43,12 @@
 
 func waitInSync(cluster *tiercluster.Cluster) error {
 	if err := tiercluster.WaitUntil(startTimeout, func() bool { return cluster.IsInSync(replicas) }); err != nil {
-		return fmt.Errorf("copies are missing: %w", err)
+		return fmt.Errorf("not all replicas are in sync: %w", err)
 	}
 	return nil
 }
 
-// controlTakeover kills the primary of control and measures until the configuration after version is acknowledged.
+// controlTakeover kills the primary of control and returns the time until the configuration after version is acknowledged.
 func controlTakeover(cluster *tiercluster.Cluster, version uint64) (time.Duration, error) {
 	if err := waitInSync(cluster); err != nil {
 		return 0, err
@@ -83,7 +84,7 @@
 	return nil, fmt.Errorf("%w: %s", errNoPrimary, host)
 }
 
-// storeTakeover kills a store and measures until turns of takeoverPrograms programs are served.
+// storeTakeover kills a store and returns the time until turns of takeoverPrograms programs are served.
 func storeTakeover(cluster *tiercluster.Cluster, round int) (time.Duration, error) {
 	if err := waitInSync(cluster); err != nil {
 		return 0, err
@@ -102,7 +103,7 @@
 	return took, cluster.StartMachine(machine)
 }
 
-// isTurnServed sends a turn of an agent program.
+// isTurnServed sends a turn of an agent program and reports whether it succeeded.
 func isTurnServed(front, program string) bool {
 	header := map[string]string{
 		"X-Request-Id":  fmt.Sprintf("%x", time.Now().UnixNano()),
@@ -114,7 +115,7 @@
 	return response.Err == nil && response.Status == http.StatusOK
 }
 
-// printTimes prints a number of times, their median, their 90th percentile and the longest.
+// printTimes prints the number of times, their median, their 90th percentile and their maximum.
 func printTimes(what string, times []time.Duration) {
 	slices.Sort(times)
 	quantile := func(q float64) time.Duration {
--- a/cmd/localtier/tier.go
+++ b/cmd/localtier/tier.go
@@ -14,15 +14,15 @@
 
 const (
 	startTimeout = 20 * time.Second
-	// network is the third part of the tier's addresses.
+	// network is the third byte of the tier's IP addresses.
 	network = 77
-	// hostSlots is how many requests a stand-in host takes at once.
+	// hostSlots is the number of requests that a simulated host serves concurrently.
 	hostSlots = 8
 )
 
-var errNotReplaced = errors.New("the configuration was not taken")
+var errNotReplaced = errors.New("the configuration was not accepted")
 
-// run starts the tier, does what the arguments ask for, and stops it.
+// run starts the tier, runs the mode that the arguments select, and stops the tier.
 func run(args arguments) error {
 	cluster, err := startTier(args)
 	if err != nil {
@@ -44,13 +44,13 @@
 		Status:   cluster.StatusAddresses(),
 		Logs:     args.Dir,
 	}))
-	ended := make(chan os.Signal, 1)
-	signal.Notify(ended, syscall.SIGINT, syscall.SIGTERM)
-	<-ended
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+	<-signals
 	return nil
 }
 
-// startTier starts the processes of the tier in an emptied folder.
+// startTier deletes and creates the folder again, and starts the processes of the tier in it.
 func startTier(args arguments) (*tiercluster.Cluster, error) {
 	if err := os.RemoveAll(args.Dir); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	})
 }
 
-// setUp starts the stand-in hosts, sends the first configuration and waits until the fronts are ready.
+// setUp starts the simulated hosts, sends the first configuration and waits until the fronts are ready.
 func setUp(cluster *tiercluster.Cluster) error {
 	for id, service := range map[string]string{"engine-1": "engine", "engine-2": "engine", "records-1": "records"} {
 		if _, err := cluster.AddHost(id, service, hostSlots); err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// replaceConfig puts the next configuration in the place of version base.
+// replaceConfig replaces the configuration of version base by the next version.
 func replaceConfig(cluster *tiercluster.Cluster, base uint64) error {
 	response := cluster.ReplaceConfig(base, tiercluster.Config(base+1), startTimeout)
 	if response.Err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// sendOneTurn sends a turn to a front and prints what it answers.
+// sendOneTurn sends a turn to a front and prints the status and body of the response.
 func sendOneTurn(front string) error {
 	header := map[string]string{"X-Request-Id": "0001", "Program": "p1", "Session": "s1", "Budget": "60", "X-Token-Count": "10,30"}
 	response := tiercluster.Call(http.MethodPost, "http://"+front+"/chat/1", tiercluster.ExampleHost, header, "hello ")
--- a/cmd/otterctl/check.go
+++ b/cmd/otterctl/check.go
@@ -9,7 +9,7 @@
 	"otterseam/tier/settings"
 )
 
-// run reads an operator's configuration as control does.
+// run validates an operator's configuration in the same way as control.
 func (c *checkConfigCommand) run(out io.Writer) error {
 	body, err := os.ReadFile(c.File)
 	if err != nil {
@@ -19,11 +19,11 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	fmt.Fprintf(out, "%s is sound: version %d, %d routes, %d services\n", c.File, config.Version, len(config.Routes), len(config.Services))
+	fmt.Fprintf(out, "%s is valid: version %d, %d routes, %d services\n", c.File, config.Version, len(config.Routes), len(config.Services))
 	return nil
 }
 
-// run reads a settings file as a process does.
+// run validates a settings file in the same way as a process at its start.
 func (c *checkSettingsCommand) run(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -33,6 +33,6 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	fmt.Fprintf(out, "%s is sound: node %s, role %s, zone %s, %d seeds\n", c.File, s.Node, s.Role, s.Zone, len(s.Seeds))
+	fmt.Fprintf(out, "%s is valid: node %s, role %s, zone %s, %d seeds\n", c.File, s.Node, s.Role, s.Zone, len(s.Seeds))
 	return nil
 }
--- a/cmd/otterctl/explain.go
+++ b/cmd/otterctl/explain.go
@@ -8,12 +8,12 @@
 	"otterseam/tier/codes"
 )
 
-// unknownCodeError is a text that is no result code.
+// unknownCodeError is returned for a text that is not a result code.
 type unknownCodeError struct{ text string }
 
-// Error says where the codes are listed.
+// Error returns the text and where the codes are documented.
 func (e *unknownCodeError) Error() string {
-	return e.text + " is no result code; docs/codes.md lists them"
+	return e.text + " is not a result code; docs/codes.md lists them"
 }
 
 // run prints the meaning of a result code.
--- a/cmd/otterctl/main.go
+++ b/cmd/otterctl/main.go
@@ -1,4 +1,4 @@
-// Command otterctl shows operators the state of a serving tier and checks files before they are used.
+// Command otterctl shows the state of a serving tier to operators and validates configuration and settings files.
 package main
 
 import (
@@ -11,9 +11,9 @@
 )
 
 type statusCommand struct {
-	Control []string      `arg:"--control,required" placeholder:"HOST:PORT" help:"addresses of control processes, each a machine and its first internal port; several may follow, divided by spaces"`
+	Control []string      `arg:"--control,required" placeholder:"HOST:PORT" help:"addresses of control processes, each a machine and its first internal port; separate several by spaces"`
 	JSON    bool          `arg:"--json" help:"print JSON instead of tables"`
-	Timeout time.Duration `arg:"--timeout" default:"3s" help:"how long to wait for an answer, with its unit (500ms, 3s)"`
+	Timeout time.Duration `arg:"--timeout" default:"3s" help:"how long to wait for an answer, with a unit (500ms, 3s)"`
 }
 
 type checkConfigCommand struct {
@@ -21,7 +21,7 @@
 }
 
 type checkSettingsCommand struct {
-	File string `arg:"positional,required" help:"the settings file of a process, with lines key=value"`
+	File string `arg:"positional,required" help:"the settings file of a process, with lines of the form key=value"`
 }
 
 type explainCommand struct {
@@ -30,21 +30,21 @@
 
 type arguments struct {
 	Status        *statusCommand        `arg:"subcommand:status" help:"show control, stores, shards and hosts of a running tier"`
-	CheckConfig   *checkConfigCommand   `arg:"subcommand:check-config" help:"check an operator's configuration (JSON) without sending it"`
-	CheckSettings *checkSettingsCommand `arg:"subcommand:check-settings" help:"check the settings file of a process"`
-	Explain       *explainCommand       `arg:"subcommand:explain" help:"tell what a result code means"`
+	CheckConfig   *checkConfigCommand   `arg:"subcommand:check-config" help:"validate an operator's configuration (JSON) without sending it"`
+	CheckSettings *checkSettingsCommand `arg:"subcommand:check-settings" help:"validate the settings file of a process"`
+	Explain       *explainCommand       `arg:"subcommand:explain" help:"print the meaning of a result code"`
 }
 
-// Description is printed by --help.
+// Description returns the text that --help prints.
 func (arguments) Description() string {
-	return "Shows operators the state of a serving tier and checks files before they are used.\n" +
-		"Exit codes: 0 done and sound, 1 a file is wrong or nobody answers, 2 wrong arguments."
+	return "Shows the state of a serving tier and validates configuration and settings files.\n" +
+		"Exit codes: 0 success, 1 invalid file or no answer, 2 invalid arguments."
 }
 
 // Exit codes; 0 is success.
 const (
-	exitWrong = 1
-	exitUsage = 2
+	exitFailed = 1
+	exitUsage  = 2
 )
 
 func main() {
@@ -56,11 +56,11 @@
 	}
 	if err := run(args, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "otterctl: "+err.Error())
-		os.Exit(exitWrong)
+		os.Exit(exitFailed)
 	}
 }
 
-// run carries out the subcommand and prints to out.
+// run executes the subcommand and prints to out.
 func run(args arguments, out io.Writer) error {
 	switch {
 	case args.Status != nil:
--- a/cmd/otterctl/main_test.go
+++ b/cmd/otterctl/main_test.go
@@ -25,17 +25,17 @@
 
 func TestFilesAreChecked(t *testing.T) {
 	for _, test := range []struct {
-		args arguments
-		says string
-		ok   bool
+		args     arguments
+		wantText string
+		ok       bool
 	}{
-		{arguments{CheckConfig: &checkConfigCommand{writeFile(t, `{"version":3,"routes":[],"services":[]}`)}}, "is sound: version 3", true},
+		{arguments{CheckConfig: &checkConfigCommand{writeFile(t, `{"version":3,"routes":[],"services":[]}`)}}, "is valid: version 3", true},
 		{arguments{CheckConfig: &checkConfigCommand{writeFile(t, `{"version":3,"routes":[{"name":"r","service":"x","timeout_ms":1}]}`)}}, "service x is unknown", false},
-		{arguments{CheckSettings: &checkSettingsCommand{writeFile(t, "node=n\nrole=r\nip=1.2.3.4\nzone=z\ninternal_ports=1,9\n")}}, "is sound: node n", true},
+		{arguments{CheckSettings: &checkSettingsCommand{writeFile(t, "node=n\nrole=r\nip=1.2.3.4\nzone=z\ninternal_ports=1,9\n")}}, "is valid: node n", true},
 		{arguments{CheckSettings: &checkSettingsCommand{writeFile(t, "node=n\n")}}, "role is missing", false},
 		{arguments{Explain: &explainCommand{"301"}}, "budget-spent", true},
-		{arguments{Explain: &explainCommand{"7"}}, "is no result code", false},
-		{arguments{Status: &statusCommand{Control: []string{"127.0.0.1:1"}, Timeout: time.Millisecond}}, "wanted are machines with their first internal port", false},
+		{arguments{Explain: &explainCommand{"7"}}, "is not a result code", false},
+		{arguments{Status: &statusCommand{Control: []string{"127.0.0.1:1"}, Timeout: time.Millisecond}}, "give the addresses of machines with their first internal port", false},
 		{arguments{Status: &statusCommand{Control: []string{"127.0.0.1:1"}, Timeout: time.Millisecond}}, "no control process", false},
 	} {
 		var out bytes.Buffer
@@ -44,13 +44,13 @@
 		if err != nil {
 			text += err.Error()
 		}
-		if (err == nil) != test.ok || !strings.Contains(text, test.says) {
+		if (err == nil) != test.ok || !strings.Contains(text, test.wantText) {
 			t.Errorf("%+v: %q", test.args, text)
 		}
 	}
 }
 
-func TestTheTablesNameMachines(t *testing.T) {
+func TestPrintTables(t *testing.T) {
 	state := status.Status{
 		ConfigVersion: 4,
 		Control:       consensus.Record{Epoch: 2, Primary: 9, InSync: []uint64{9}, Members: []consensus.Member{{ID: 9, Address: "10.0.0.1:7380"}}},
--- a/cmd/otterctl/status.go
+++ b/cmd/otterctl/status.go
@@ -23,8 +23,8 @@
 	defer cancel()
 	state, err := status.Read(ctx, c.Control)
 	if err != nil {
-		return fmt.Errorf("no control process at %v answers with a fresh state; wanted are machines with their first internal port,"+
-			" not the port of the operator's HTTP calls: %w", c.Control, err)
+		return fmt.Errorf("no control process at %v answered with its state; give the addresses of machines with their first internal port,"+
+			" not the port of the operator's HTTP API: %w", c.Control, err)
 	}
 	if c.JSON {
 		encoder := json.NewEncoder(out)
@@ -34,7 +34,7 @@
 	return printTables(state, out)
 }
 
-// printTables prints the state as tables, one below the other.
+// printTables prints the state as a sequence of tables.
 func printTables(state status.Status, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	fmt.Fprintf(w, "configuration\tversion %d\trevision %d\n\n", state.ConfigVersion, state.Revision)
@@ -82,14 +82,14 @@
 func printHosts(w io.Writer, state status.Status) {
 	fmt.Fprintf(w, "\nHOST\tSERVICE\tZONE\tADDRESS\tSTATE\n")
 	for _, host := range state.Hosts {
-		condition := "ready"
+		hostState := "ready"
 		if host.Draining {
-			condition = opconfig.StateDraining
+			hostState = opconfig.StateDraining
 		}
 		if milliseconds, ejected := state.Ejected[host.ID]; ejected {
-			condition += fmt.Sprintf(", set aside for %d ms", milliseconds)
+			hostState += fmt.Sprintf(", set aside for %d ms", milliseconds)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", host.ID, host.Service, host.Zone, host.Address, condition)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", host.ID, host.Service, host.Zone, host.Address, hostState)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-// recoverySteps lists the steps of a recovery in the order in which they were reached.
+// recoverySteps returns the steps of a process's recovery, with their times, in the order in which they were reached.
 func recoverySteps(process status.Recovery) string {
 	names := slices.Collect(maps.Keys(process.AfterMS))
 	slices.SortFunc(names, func(a, b string) int {
--- a/cmd/otterkeep/main.go
+++ b/cmd/otterkeep/main.go
@@ -1,4 +1,4 @@
-// Command otterkeep is the former name of otterseam-quotastore; it says so and runs nothing.
+// Command otterkeep is the former name of otterseam-quotastore. It prints the new name and exits.
 package main
 
 import "otterseam/internal/renamed"
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -1,4 +1,4 @@
-// Command otterlab is the former name of otterseam-sim; it says so and runs nothing.
+// Command otterlab is the former name of otterseam-sim. It prints the new name and exits.
 package main
 
 import "otterseam/internal/renamed"
--- a/cmd/otterseam-tier/main.go
+++ b/cmd/otterseam-tier/main.go
@@ -19,18 +19,18 @@
 type roleCommand struct{}
 
 type arguments struct {
-	Proxy    *roleCommand `arg:"subcommand:proxy" help:"carry the traffic of clients, on a front machine"`
-	Agent    *roleCommand `arg:"subcommand:agent" help:"keep the link to control and feed the proxy of this machine"`
-	Control  *roleCommand `arg:"subcommand:control" help:"keep configuration, hosts and placement; serve operator and hosts"`
-	Store    *roleCommand `arg:"subcommand:store" help:"hold budgets and kept turns of agent programs, on a storage machine"`
-	LogLevel string       `arg:"--log-level,env:OTTERTIER_LOG_LEVEL" default:"info" placeholder:"LEVEL" help:"least severe level that is logged: error, warn, info or debug"`
+	Proxy    *roleCommand `arg:"subcommand:proxy" help:"serve client traffic, on a front machine"`
+	Agent    *roleCommand `arg:"subcommand:agent" help:"connect to control and provide the proxy of this machine with its data"`
+	Control  *roleCommand `arg:"subcommand:control" help:"manage configuration, hosts and placement; serve operators and hosts"`
+	Store    *roleCommand `arg:"subcommand:store" help:"store budgets and retained turns of agent programs, on a storage machine"`
+	LogLevel string       `arg:"--log-level,env:OTTERTIER_LOG_LEVEL" default:"info" placeholder:"LEVEL" help:"lowest level that is logged: error, warn, info or debug"`
 }
 
-// Description is printed by --help.
+// Description returns the text that --help prints.
 func (arguments) Description() string {
-	return "Runs one process of the otterseam serving tier. " + settings.FileVariable + " names its settings file.\n" +
+	return "Runs one process of the otterseam serving tier. " + settings.FileVariable + " contains the path of its settings file.\n" +
 		"It logs JSON lines to standard error and ends on SIGTERM or SIGINT; SIGHUP is ignored.\n" +
-		"Exit codes: 0 ended as asked, 1 could not start or failed, 2 wrong arguments."
+		"Exit codes: 0 stopped by a signal, 1 could not start or failed, 2 invalid arguments."
 }
 
 // Exit codes; 0 is success.
@@ -39,14 +39,14 @@
 	exitUsage  = 2
 )
 
-// gcPercent is lower than Go's standard, so that a process needs less memory.
+// gcPercent is the garbage collection target. It is lower than Go's default of 100, so that a process needs less memory.
 const gcPercent = 60
 
 func main() {
 	var args arguments
 	parser := arg.MustParse(&args)
 	if parser.Subcommand() == nil {
-		fmt.Fprintln(os.Stderr, "otterseam-tier: a role is needed: proxy, agent, control or store (see --help)")
+		fmt.Fprintln(os.Stderr, "otterseam-tier: a role is required: proxy, agent, control or store (see --help)")
 		os.Exit(exitUsage)
 	}
 	level, err := logrus.ParseLevel(args.LogLevel)
@@ -61,7 +61,7 @@
 	}
 }
 
-// run runs the role until it ends or a signal asks for that.
+// run runs the role until it fails or has stopped after SIGTERM or SIGINT.
 func run(args arguments, level logrus.Level) error {
 	s, err := settings.Load()
 	if err != nil {
@@ -70,7 +70,7 @@
 	log := newLogger(level).WithField("node", s.Node)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGHUP) // the settings file is read again when it is needed
+	signal.Ignore(syscall.SIGHUP) // not needed for a reload: the settings file is read again when needed
 	switch {
 	case args.Proxy != nil:
 		return runProxy(ctx, s, log)
@@ -83,7 +83,7 @@
 	}
 }
 
-// newLogger logs JSON lines to standard error.
+// newLogger returns a logger that writes JSON lines to standard error.
 func newLogger(level logrus.Level) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetLevel(level)
--- a/cmd/otterseam-tier/roles.go
+++ b/cmd/otterseam-tier/roles.go
@@ -13,10 +13,10 @@
 	"otterseam/tier/store"
 )
 
-// agentMargin is how long before the platform would kill it the agent ends.
+// agentMargin is how long before the end of the grace period, when the platform kills the process, the agent ends.
 const agentMargin = 600 * time.Millisecond
 
-// Each of these runs a role until it ends by itself, fails, or has ended after ctx was cancelled.
+// Each of the following functions runs a role until it fails or has stopped after ctx was cancelled.
 
 func runProxy(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
 	p, err := proxy.New(s, log)
@@ -26,16 +26,17 @@
 	return p.Run(ctx)
 }
 
-// runAgent keeps the agent up for as long as the proxy may need it: until shortly before the grace period is over.
+// runAgent runs the agent. After ctx is cancelled, it keeps the agent running until agentMargin before the end of the grace period,
+// because the proxy may still need it.
 func runAgent(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
 	a, err := agent.New(s, log)
 	if err != nil {
 		return err
 	}
-	outlive, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	agentCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	context.AfterFunc(ctx, func() { time.AfterFunc(s.Bounds.Grace-agentMargin, cancel) })
-	return a.Run(outlive)
+	return a.Run(agentCtx)
 }
 
 func runControl(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
@@ -46,18 +47,18 @@
 	return c.Run(ctx)
 }
 
-// runStore hands the store's shards over before it ends.
+// runStore runs the store. After ctx is cancelled, it drains the store before it stops it.
 func runStore(ctx context.Context, s *settings.Settings, log *logrus.Entry) error {
 	server, err := store.New(s, log)
 	if err != nil {
 		return err
 	}
-	serving, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go func() {
 		<-ctx.Done()
-		server.Drain(serving)
+		server.Drain(serveCtx)
 		cancel()
 	}()
-	return server.Run(serving)
+	return server.Run(serveCtx)
 }
--- a/cmd/ottertier/main.go
+++ b/cmd/ottertier/main.go
@@ -1,4 +1,4 @@
-// Command ottertier is the former name of otterseam-tier; it says so and runs nothing.
+// Command ottertier is the former name of otterseam-tier. It prints the new name and exits.
 package main
 
 import "otterseam/internal/renamed"
