--- a/cmd/localtier/takeover.go
+++ b/cmd/localtier/takeover.go
@@ -116,10 +116,10 @@
 }
 
 // printTimes prints the number of times, their median, their 90th percentile and their maximum.
-func printTimes(what string, times []time.Duration) {
+func printTimes(label string, times []time.Duration) {
 	slices.Sort(times)
 	quantile := func(q float64) time.Duration {
 		return times[int(q*float64(len(times)-1))].Round(time.Millisecond)
 	}
-	fmt.Printf("%s: n %d, p50 %v, p90 %v, longest %v\n", what, len(times), quantile(0.5), quantile(0.9), quantile(1))
+	fmt.Printf("%s: n %d, p50 %v, p90 %v, longest %v\n", label, len(times), quantile(0.5), quantile(0.9), quantile(1))
 }
--- a/cmd/otterseam-tier/main.go
+++ b/cmd/otterseam-tier/main.go
@@ -39,7 +39,7 @@
 	exitUsage  = 2
 )
 
-// gcPercent is the garbage collection target. It is lower than Go's default of 100, so that a process needs less memory.
+// gcPercent is the garbage collection percentage (GOGC). It is lower than Go's default of 100, so that a process needs less memory.
 const gcPercent = 60
 
 func main() {
@@ -70,7 +70,7 @@
 	log := newLogger(level).WithField("node", s.Node)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGHUP) // not needed for a reload: the settings file is read again when needed
+	signal.Ignore(syscall.SIGHUP) // no reload signal is needed: the settings file is read again when needed
 	switch {
 	case args.Proxy != nil:
 		return runProxy(ctx, s, log)
--- a/cmd/otterseam-tier/roles.go
+++ b/cmd/otterseam-tier/roles.go
@@ -13,7 +13,7 @@
 	"otterseam/tier/store"
 )
 
-// agentMargin is how long before the end of the grace period, when the platform kills the process, the agent ends.
+// agentMargin is the time left after the agent ends until the end of the grace period, when the platform kills the process.
 const agentMargin = 600 * time.Millisecond
 
 // Each of the following functions runs a role until it fails or has stopped after ctx was cancelled.
--- a/tier/multigroup/diskmonitor.go
+++ b/tier/multigroup/diskmonitor.go
@@ -15,7 +15,7 @@
 type DiskMonitor struct {
 	writeStartedAt int64 // start of the current write, 0 if there is none
 	degraded       bool
-	healthySince   int64 // when the disk was last found stalled
+	lastStalledAt  int64 // when the disk was last found stalled
 }
 
 // BeginWrite records the start of a write. A retry belongs to the same write and does not change its start.
@@ -29,7 +29,7 @@
 func (d *DiskMonitor) EndWrite(now int64) {
 	if d.isLate(now) {
 		d.degraded = true
-		d.healthySince = now
+		d.lastStalledAt = now
 	}
 	d.writeStartedAt = 0
 }
@@ -42,9 +42,9 @@
 func (d *DiskMonitor) Degraded(now int64) bool {
 	if d.isLate(now) {
 		d.degraded = true
-		d.healthySince = now
+		d.lastStalledAt = now
 	}
-	if d.degraded && d.writeStartedAt == 0 && now-d.healthySince > diskRecoveryPeriod {
+	if d.degraded && d.writeStartedAt == 0 && now-d.lastStalledAt > diskRecoveryPeriod {
 		d.degraded = false
 	}
 	return d.degraded
--- a/tier/multigroup/diskmonitor_test.go
+++ b/tier/multigroup/diskmonitor_test.go
@@ -50,7 +50,7 @@
 			d.EndWrite(now)
 			now += int64(rapid.IntRange(0, 50).Draw(rt, "rest"))
 			if d.Degraded(now) {
-				rt.Fatal("degraded though each write ended in time")
+				rt.Fatal("degraded although each write ended in time")
 			}
 		}
 	})
--- a/tier/multigroup/identity.go
+++ b/tier/multigroup/identity.go
@@ -67,7 +67,7 @@
 	d.starts = starts + 1
 	if err := writeNumber(values, startsValue, d.starts); err != nil {
 		// The next start then has the same number. Equal start counts are accepted.
-		log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("the number of starts could not be written")
+		log.WithField("code", uint16(codes.DiskWrite)).WithError(err).Warn("the start count could not be written")
 	}
 	return d, nil
 }
--- a/tier/multigroup/identity_test.go
+++ b/tier/multigroup/identity_test.go
@@ -78,7 +78,7 @@
 		t.Fatalf("last entry %d, cluster %d", lastIndex(restarted), restarted.ClusterID())
 	}
 	if got := loggedCodes(hook); len(got) != 1 || got[0] != codes.DiskForeign {
-		t.Fatalf("named: %v", got)
+		t.Fatalf("logged codes: %v", got)
 	}
 	if restarted.BindCluster(8) || !restarted.BindCluster(7) {
 		t.Fatal("bound to a second cluster")
@@ -105,10 +105,10 @@
 	}
 	member.HandleMessage(encodeAppend(older, member, 2), nil)
 	if lastIndex(member) != 1 {
-		t.Fatal("an older copy of the disk was heeded")
+		t.Fatal("a message of a node with an older copy of its disk was accepted")
 	}
 	if got := loggedCodes(hook); len(got) != 1 || got[0] != codes.DiskRegressed {
-		t.Fatalf("named: %v", got)
+		t.Fatalf("logged codes: %v", got)
 	}
 }
 
@@ -131,9 +131,9 @@
 	older, _ := openTestNode(t, filepath.Join(saved, "copy"))
 	restarted.HandleMessage(encodeAppend(older, restarted, 1), nil)
 	if lastIndex(restarted) != 0 {
-		t.Fatal("an older copy of the disk was heeded")
+		t.Fatal("a message of a node with an older copy of its disk was accepted")
 	}
 	if got := loggedCodes(hook); len(got) != 1 || got[0] != codes.DiskRegressed {
-		t.Fatalf("named: %v", got)
+		t.Fatalf("logged codes: %v", got)
 	}
 }
--- a/tier/multigroup/node.go
+++ b/tier/multigroup/node.go
@@ -150,7 +150,7 @@
 	return replica.Snapshot{Index: log.SnapshotIndex, Epoch: log.SnapshotEpoch, State: log.Snapshot}, entries
 }
 
-// DropGroup closes a group's replica, fails its pending proposals and removes its state from disk.
+// DropGroup closes a group's replica, fails its pending proposals and queues the removal of its state from disk.
 func (n *Node) DropGroup(id uint32) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,14 +173,14 @@
 }
 
 // WithGroup calls a function on a group under the lock and processes the group's output. It returns false if the group is not open.
-func (n *Node) WithGroup(id uint32, use func(*replica.Group)) bool {
+func (n *Node) WithGroup(id uint32, fn func(*replica.Group)) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	group := n.groups[id]
 	if group == nil {
 		return false
 	}
-	use(group.replica)
+	fn(group.replica)
 	n.processOutput(group)
 	return true
 }
@@ -240,8 +240,8 @@
 	return err
 }
 
-// processOutput takes the output of a group's replica: it queues the writes, sends the messages and resolves the proposals. The caller
-// holds n.mu.
+// processOutput takes the output of a group's replica: it queues the writes, sends the messages and resolves the proposals. The
+// caller holds n.mu.
 func (n *Node) processOutput(group *openGroup) {
 	output := group.replica.TakeOutput()
 	if output.SteppedDown {
--- a/tier/opconfig/config.go
+++ b/tier/opconfig/config.go
@@ -26,7 +26,7 @@
 // Route specifies which service handles the requests for a host and path prefix, and with which limits, targets and guarantees.
 type Route struct {
 	Name        string    `json:"name"`
-	Host        string    `json:"host"` // any case
+	Host        string    `json:"host"` // case-insensitive
 	PathPrefix  string    `json:"path_prefix"`
 	RouteType   RouteType `json:"route_type"`
 	TimeoutMS   float64   `json:"timeout_ms"`   // milliseconds, more than 0
--- a/tier/storage/crash_test.go
+++ b/tier/storage/crash_test.go
@@ -115,7 +115,7 @@
 				d := newCrashFileSystem(lossStep)
 				done, inProgress := runUntilPowerLoss(d, steps)
 				after := d.afterPowerLoss(kept, random)
-				checkAfterPowerLoss(t, fmt.Sprintf("power lost at step %d of %d, %s of what was not synced is left", lossStep, reference.steps, kept),
+				checkAfterPowerLoss(t, fmt.Sprintf("power lost at step %d of %d, %s of the unsynced data kept", lossStep, reference.steps, kept),
 					after, done, inProgress)
 				losses++
 			}
@@ -138,12 +138,12 @@
 		t.Fatalf("%s: %v", where, err)
 	}
 	// a second power loss must keep all records, since they were synced before they were acknowledged
-	_, again, err := openJournalFS(fs.afterPowerLoss(nothingKept, nil), testDir)
+	_, reread, err := openJournalFS(fs.afterPowerLoss(nothingKept, nil), testDir)
 	if err != nil {
 		t.Fatalf("%s, after a second power loss: %v", where, err)
 	}
-	if !haveSameState(again, read) || FoldRecords(again)[3] == nil {
-		t.Fatalf("%s, after a second power loss: read %+v, %+v before", where, FoldRecords(again), FoldRecords(read))
+	if !haveSameState(reread, read) || FoldRecords(reread)[3] == nil {
+		t.Fatalf("%s, after a second power loss: read %+v, %+v before", where, FoldRecords(reread), FoldRecords(read))
 	}
 }
 
@@ -175,14 +175,14 @@
 			}
 			content, err := values.Read("witness")
 			if err != nil {
-				t.Fatalf("power lost at step %d, %s left: %v", lossStep, kept, err)
+				t.Fatalf("power lost at step %d, %s of the unsynced data kept: %v", lossStep, kept, err)
 			}
 			got := 0
 			if content != nil {
 				_, _ = fmt.Sscan(string(content), &got)
 			}
 			if got != done && got != done+1 {
-				t.Fatalf("power lost at step %d, %s left: read %d, acknowledged %d", lossStep, kept, got, done)
+				t.Fatalf("power lost at step %d, %s of the unsynced data kept: read %d, acknowledged %d", lossStep, kept, got, done)
 			}
 		}
 	}
--- a/tier/storage/errors_test.go
+++ b/tier/storage/errors_test.go
@@ -148,9 +148,9 @@
 			j, _ := openJournal(t, dir)
 			appendAll(t, j, entry(1, 1, 1, "a"))
 			rewriteFile(t, filepath.Join(dir, "segment-0000000000000001"), func(content []byte) []byte {
-				left := append([]byte(nil), torn[:end]...)
-				clear(left[written:])
-				return append(content, left...)
+				tornEnd := append([]byte(nil), torn[:end]...)
+				clear(tornEnd[written:])
+				return append(content, tornEnd...)
 			})
 			if _, records := openJournal(t, dir); len(records) != 1 {
 				t.Fatalf("%d of %d bytes written: %d records", written, end, len(records))
--- a/tier/storage/journal.go
+++ b/tier/storage/journal.go
@@ -6,8 +6,8 @@
 const compactionSlackBytes = 24 << 20
 
 // Journal stores records in the order in which they were appended, in segments of about 1 MiB. Each group commit is one write and
-// one sync. It contains a checksum and a sequence number, so that a commit that was torn by a power loss is detected. Journal is not
-// safe for concurrent use.
+// one sync. A commit contains a checksum and a sequence number, so that a commit that was torn by a power loss is detected. Journal
+// is not safe for concurrent use.
 type Journal struct {
 	fs             fileSystem
 	dir            string
--- a/tier/store/drain.go
+++ b/tier/store/drain.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// drainMargin is how long before the end of the grace period, when the platform kills the process, the wait in Drain ends.
+	// drainMargin is the time left after the wait in Drain until the end of the grace period, when the platform kills the process.
 	drainMargin = 1200 * time.Millisecond
 	// minDrainTime is the minimum limit of the wait in Drain. It applies if the grace period is very short.
 	minDrainTime = 500 * time.Millisecond
--- a/tier/store/loadhome.go
+++ b/tier/store/loadhome.go
@@ -99,8 +99,8 @@
 	periodic.Run(ctx, zoneLoadInterval, h.sendZoneLoad)
 }
 
-// sendZoneLoad sends the zone total to the preferred homes of all zones and to the homes from which a total was received recently, since
-// such a home may have replaced a preferred one.
+// sendZoneLoad sends the zone total to the preferred homes of all zones, and to homes from which a total was received recently,
+// since such a home may have replaced a preferred one.
 func (h *loadHome) sendZoneLoad() {
 	now := multigroup.Now()
 	h.mu.Lock()
--- a/tier/store/loadhome_test.go
+++ b/tier/store/loadhome_test.go
@@ -90,13 +90,13 @@
 		"all hosts avoided or draining":       {Gateway: 1, Placement: 1, Service: "chat", Avoid: []fleetload.HostKey{fleetload.KeyOf("h")}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if host, err := place(t, conn, request); err != codes.NoHost { //nolint:errorlint // a code comes as it is
+			if host, err := place(t, conn, request); err != codes.NoHost { //nolint:errorlint // codes are returned unwrapped
 				t.Fatalf("%d, %v", host, err)
 			}
 		})
 	}
 	for _, kind := range []rpc.Kind{fleetload.KindPlace, fleetload.KindReport} {
-		if _, err := conn.Call(t.Context(), kind, []byte{1}); err != codes.Malformed { //nolint:errorlint // a code comes as it is
+		if _, err := conn.Call(t.Context(), kind, []byte{1}); err != codes.Malformed { //nolint:errorlint // codes are returned unwrapped
 			t.Errorf("kind %d, truncated: %v", kind, err)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// Hosts that the view adds, removes or ejects are considered accordingly.
+// A home does not choose a host that the view has ejected or removed, and chooses one that the view has added.
 func TestHomeAppliesViewChanges(t *testing.T) {
 	home, conn := startHome(t, hostItem("h0", "a", false), hostItem("h1", "a", false))
 	chooseHost := func() fleetload.HostKey {
--- a/tier/store/server.go
+++ b/tier/store/server.go
@@ -93,7 +93,7 @@
 	loops.Go(func() { s.loads.run(ctx) })
 	subscriber := &feed.Subscriber{View: s.view, Addresses: s.controlAddresses, OnChange: s.onViewChange}
 	subscriber.Run(ctx)
-	_ = listener.Close() // it only ends Serve
+	_ = listener.Close() // the error does not matter: closing only makes Serve return
 	loops.Wait()
 	return nil
 }
@@ -104,7 +104,7 @@
 	s.loads.update(items)
 }
 
-// handle handles messages of gateways, of other stores, and of operators' status commands.
+// handle dispatches a message by its kind. Messages come from gateways, other stores and operators' status commands.
 func (s *Server) handle(message rpc.Message) {
 	switch message.Kind {
 	case multigroup.KindReplica:
--- a/tier/store/store_test.go
+++ b/tier/store/store_test.go
@@ -90,7 +90,7 @@
 				t.Fatalf("holds the shard: %v", holds)
 			}
 			if got := s.shardView().Epoch; got != test.wantEpoch {
-				t.Fatalf("at epoch %d, not %d", got, test.wantEpoch)
+				t.Fatalf("the shard is at epoch %d, want %d", got, test.wantEpoch)
 			}
 		})
 	}
