--- a/tier/control/reconcile/reconciler.go
+++ b/tier/control/reconcile/reconciler.go
@@ -79,7 +79,7 @@
 	r.ledSince = r.config.Now()
 	r.config.Timeline.Reach(timeline.PrimaryReady)
 	r.config.Sessions.Begin(r.config.State)
-	r.config.Ejector.Begin(r.config.State.EjectionTerms(), r.config.Now())
+	r.config.Ejector.Begin(r.config.State.EjectionDurations(), r.config.Now())
 }
 
 // publishMembers tells subscribers where control is.
@@ -117,7 +117,7 @@
 	var commands []state.Command
 	for _, each := range eject {
 		r.config.Log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host ejected: it fails where its peers do not")
-		commands = append(commands, state.EjectHost{ID: each.Host, TermMS: each.DurationMS})
+		commands = append(commands, state.EjectHost{ID: each.Host, DurationMS: each.DurationMS})
 	}
 	for _, host := range ended {
 		commands = append(commands, state.ReinstateHost{ID: host})
--- a/tier/control/reconcile/reconciler_test.go
+++ b/tier/control/reconcile/reconciler_test.go
@@ -177,13 +177,13 @@
 		l.ejector.Observe(outlier.Window{Reporter: reporter + 1, Number: 1, Contacted: 9, Hosts: []outlier.Observation{failed}}, l.clock)
 	}
 	l.Lead(t.Context())
-	terms := l.state.EjectionTerms()
+	terms := l.state.EjectionDurations()
 	if len(terms) != 1 || terms["b"] == 0 {
 		t.Fatalf("ejected: %v", terms)
 	}
 	l.clock += terms["b"]
 	l.Lead(t.Context())
-	if terms := l.state.EjectionTerms(); len(terms) != 0 {
+	if terms := l.state.EjectionDurations(); len(terms) != 0 {
 		t.Fatalf("ejected after the term: %v", terms)
 	}
 }
--- a/tier/control/state/commands.go
+++ b/tier/control/state/commands.go
@@ -9,121 +9,121 @@
 	"otterseam/tier/directory"
 )
 
-// Kind tells what a replicated command does. It is the first byte of the command in the log.
+// Kind is the type of a replicated command, encoded as the first byte of the command in the log.
 type Kind uint8
 
-// The kinds of commands. The primary proposes all of them, and all replicas apply them; each says what has the primary do so.
+// The kinds of commands, each with the event on which the primary proposes it. All replicas apply all commands.
 const (
-	KindReplaceConfig Kind = iota + 1 // an operator's change of the configuration
-	KindPutHost                       // a host's heartbeat that says something new
-	KindRemoveHost                    // a host that deregistered, or the reconciler for a silent one
-	KindPutStore                      // a store machine's heartbeat that says something new
-	KindRemoveStore                   // the reconciler, for a lost disk
-	KindPutShard                      // the reconciler's placement, or the shard's primary for its in-sync set
-	KindRetireNode                    // an operator's retirement of a store machine
-	KindSetMembers                    // the reconciler, after a change of control's members
-	KindReadConfig                    // an operator's read of the configuration or of a retirement
-	KindEjectHost                     // the reconciler, for an outlier
-	KindReinstateHost                 // the reconciler, at the end of an ejection
+	KindReplaceConfig Kind = iota + 1 // an operator replaces the configuration
+	KindPutHost                       // a host's heartbeat differs from the host's entry
+	KindRemoveHost                    // a host deregisters, or the reconciler removes a silent one
+	KindPutStore                      // a store's heartbeat differs from the store's entry
+	KindRemoveStore                   // the reconciler removes a store with a lost disk, or a silent one without shards
+	KindPutShard                      // the reconciler places a shard, or the shard's primary changes its in-sync set
+	KindRetireNode                    // an operator retires a store machine
+	KindSetMembers                    // the reconciler publishes a change of control's members
+	KindReadConfig                    // an operator reads the configuration or the state of a retirement
+	KindEjectHost                     // the reconciler ejects an outlier
+	KindReinstateHost                 // the reconciler ends an ejection
 )
 
 // Command is one change of the control state, or a read that is committed like a change.
 type Command interface {
-	// Kind tells the command's kind.
+	// Kind returns the command's kind.
 	Kind() Kind
-	// Encode is the command's replicated form.
+	// Encode returns the command's encoding in the log.
 	Encode() []byte
 
-	// apply carries the command out at its index in the log. The state's lock is held.
+	// apply executes the command at its index in the log. The caller holds the state's lock.
 	apply(s *State, index uint64) Result
 }
 
-// ReplaceConfig puts an operator's configuration in place if it builds on the current version.
+// ReplaceConfig replaces the operator's configuration if the change is based on the current version.
 type ReplaceConfig struct {
-	Base    uint64 // version that the change builds on
+	Base    uint64 // version that the change is based on
 	Version uint64 // version of the new configuration
 	Body    []byte // the configuration as the operator sent it
 }
 
-// ReadConfig reads the configuration in place. It is committed, so that a primary that has been replaced can't answer it.
+// ReadConfig reads the current configuration. It is committed like a change, so that a primary that was replaced can't answer it.
 type ReadConfig struct{}
 
-// PutHost takes what a host's heartbeat says of the host.
+// PutHost adds or updates a host from its heartbeat.
 type PutHost struct {
 	Host directory.Host
 	Seq  uint64 // sequence number of the heartbeat
 }
 
-// RemoveHost takes a host off the list.
+// RemoveHost removes a host from the host list.
 type RemoveHost struct {
 	ID           string
-	Deregistered bool // the host said so itself and never comes back
+	Deregistered bool // the host asked for the removal and is never listed again
 }
 
-// PutStore registers a store.
+// PutStore adds or updates a store.
 type PutStore struct{ Store directory.Store }
 
-// RemoveStore forgets a store.
+// RemoveStore removes a store.
 type RemoveStore struct{ Store directory.Store }
 
-// PutShard replaces a shard's placement if it still has the epoch that the change builds on.
+// PutShard replaces a shard's placement if its epoch is still the one that the change is based on.
 type PutShard struct {
-	Epoch uint64 // epoch that the change builds on, 0 for a new shard
+	Epoch uint64 // epoch that the change is based on, 0 for a new shard
 	Shard directory.Shard
 }
 
-// RetireNode orders a store machine to be emptied.
+// RetireNode marks a store machine for retirement: all of its replicas are moved to other machines.
 type RetireNode struct {
 	Node   string
-	Needed uint32 // store machines that have to remain
+	Needed uint32 // number of store machines that must remain
 }
 
-// SetMembers tells subscribers where control is.
+// SetMembers publishes the addresses of the control processes to subscribers.
 type SetMembers struct{ Record consensus.Record }
 
-// EjectHost keeps traffic away from a host for a term.
+// EjectHost excludes a host from traffic for a time.
 type EjectHost struct {
-	ID     string
-	TermMS int64
+	ID         string
+	DurationMS int64
 }
 
-// ReinstateHost takes an ejection back.
+// ReinstateHost ends the ejection of a host.
 type ReinstateHost struct{ ID string }
 
-// Kind is KindReplaceConfig.
+// Kind returns KindReplaceConfig.
 func (ReplaceConfig) Kind() Kind { return KindReplaceConfig }
 
-// Kind is KindReadConfig.
+// Kind returns KindReadConfig.
 func (ReadConfig) Kind() Kind { return KindReadConfig }
 
-// Kind is KindPutHost.
+// Kind returns KindPutHost.
 func (PutHost) Kind() Kind { return KindPutHost }
 
-// Kind is KindRemoveHost.
+// Kind returns KindRemoveHost.
 func (RemoveHost) Kind() Kind { return KindRemoveHost }
 
-// Kind is KindPutStore.
+// Kind returns KindPutStore.
 func (PutStore) Kind() Kind { return KindPutStore }
 
-// Kind is KindRemoveStore.
+// Kind returns KindRemoveStore.
 func (RemoveStore) Kind() Kind { return KindRemoveStore }
 
-// Kind is KindPutShard.
+// Kind returns KindPutShard.
 func (PutShard) Kind() Kind { return KindPutShard }
 
-// Kind is KindRetireNode.
+// Kind returns KindRetireNode.
 func (RetireNode) Kind() Kind { return KindRetireNode }
 
-// Kind is KindSetMembers.
+// Kind returns KindSetMembers.
 func (SetMembers) Kind() Kind { return KindSetMembers }
 
-// Kind is KindEjectHost.
+// Kind returns KindEjectHost.
 func (EjectHost) Kind() Kind { return KindEjectHost }
 
-// Kind is KindReinstateHost.
+// Kind returns KindReinstateHost.
 func (ReinstateHost) Kind() Kind { return KindReinstateHost }
 
-// DecodeCommand reads a command. An unknown kind is codes.Malformed.
+// DecodeCommand decodes a command. The error for an unknown kind is codes.Malformed.
 func DecodeCommand(data []byte) (Command, error) {
 	d := codec.NewDecoder(data)
 	decode, known := decoders[Kind(d.Uint8())]
@@ -133,7 +133,7 @@
 	return decode(d)
 }
 
-// decoders reads each kind of command after its first byte.
+// decoders maps each kind of command to the decoder of the bytes after the first.
 var decoders = map[Kind]func(*codec.Decoder) (Command, error){
 	KindReplaceConfig: decoderOf(decodeReplaceConfig),
 	KindPutHost:       decoderOf(decodePutHost),
@@ -152,14 +152,14 @@
 	return func(d *codec.Decoder) (Command, error) { return decode(d) }
 }
 
-// begin starts an encoded command with its kind.
+// begin returns an encoder that holds the kind of a command.
 func begin(kind Kind) *codec.Encoder {
 	var e codec.Encoder
 	e.Uint8(uint8(kind))
 	return &e
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c ReplaceConfig) Encode() []byte {
 	e := begin(KindReplaceConfig)
 	e.Uint64(c.Base)
@@ -173,10 +173,10 @@
 	return c, d.Err()
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (ReadConfig) Encode() []byte { return begin(KindReadConfig).Bytes }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c PutHost) Encode() []byte {
 	e := begin(KindPutHost)
 	e.Blob(c.Host.Encode())
@@ -190,7 +190,7 @@
 	return c, cmp.Or(err, d.Err())
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c RemoveHost) Encode() []byte {
 	e := begin(KindRemoveHost)
 	e.String(c.ID)
@@ -203,10 +203,10 @@
 	return c, d.Err()
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c PutStore) Encode() []byte { return encodeStore(KindPutStore, c.Store) }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c RemoveStore) Encode() []byte { return encodeStore(KindRemoveStore, c.Store) }
 
 func encodeStore(kind Kind, store directory.Store) []byte {
@@ -227,7 +227,7 @@
 	return c, cmp.Or(err, d.Err())
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c PutShard) Encode() []byte {
 	e := begin(KindPutShard)
 	e.Uint64(c.Epoch)
@@ -242,7 +242,7 @@
 	return c, cmp.Or(err, d.Err())
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c RetireNode) Encode() []byte {
 	e := begin(KindRetireNode)
 	e.String(c.Node)
@@ -255,7 +255,7 @@
 	return c, d.Err()
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c SetMembers) Encode() []byte {
 	e := begin(KindSetMembers)
 	consensus.EncodeRecord(e, c.Record)
@@ -267,20 +267,20 @@
 	return c, d.Err()
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c EjectHost) Encode() []byte {
 	e := begin(KindEjectHost)
 	e.String(c.ID)
-	e.Int64(c.TermMS)
+	e.Int64(c.DurationMS)
 	return e.Bytes
 }
 
 func decodeEjectHost(d *codec.Decoder) (EjectHost, error) {
-	c := EjectHost{ID: d.String(), TermMS: d.Int64()}
+	c := EjectHost{ID: d.String(), DurationMS: d.Int64()}
 	return c, d.Err()
 }
 
-// Encode is the command's replicated form.
+// Encode returns the command's encoding in the log.
 func (c ReinstateHost) Encode() []byte {
 	e := begin(KindReinstateHost)
 	e.String(c.ID)
--- a/tier/control/state/config.go
+++ b/tier/control/state/config.go
@@ -9,15 +9,15 @@
 	"otterseam/tier/feed"
 )
 
-// versionBytes is the length of a version before the body of a stored configuration.
+// versionBytes is the size of the version that precedes the body of a stored configuration.
 const versionBytes = 8
 
-// configItem is the stored form of a configuration: its version before its body.
+// configItem returns the stored form of a configuration: its version, then its body.
 func configItem(version uint64, body []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, version), body...)
 }
 
-// SplitConfig takes a stored configuration apart.
+// SplitConfig splits a stored configuration into its version and body. The version of data that is too short is 0.
 func SplitConfig(data []byte) (version uint64, body []byte) {
 	if len(data) < versionBytes {
 		return 0, nil
@@ -25,21 +25,21 @@
 	return binary.BigEndian.Uint64(data), data[versionBytes:]
 }
 
-// ConfigVersion is the version of the configuration in place, 0 if there is none.
+// ConfigVersion returns the version of the current configuration, 0 if there is none.
 func (s *State) ConfigVersion() uint64 {
 	data, _ := s.View.Get(feed.SectionConfig, directory.CurrentKey)
 	version, _ := SplitConfig(data)
 	return version
 }
 
-// apply takes a configuration if it builds on the current one. The same order gets the same answer again.
+// apply replaces the configuration if the change is based on the current version. A repeated change gets the same result again.
 func (c ReplaceConfig) apply(s *State, index uint64) Result {
-	order := configlog.Change{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
-	answer, fresh := s.changes.Decide(order, s.ConfigVersion())
-	if fresh {
+	change := configlog.Change{Base: c.Base, Version: c.Version, Body: configlog.HashOf(c.Body)}
+	code, accepted := s.changes.Decide(change, s.ConfigVersion())
+	if accepted {
 		s.View.Put(feed.SectionConfig, directory.CurrentKey, index, configItem(c.Version, c.Body))
 	}
-	return Result{Code: answer}
+	return Result{Code: code}
 }
 
 func (ReadConfig) apply(s *State, _ uint64) Result {
--- a/tier/control/state/ejection.go
+++ b/tier/control/state/ejection.go
@@ -7,8 +7,8 @@
 )
 
 func (c EjectHost) apply(s *State, index uint64) Result {
-	if held, known := s.hosts[c.ID]; known && !held.departed {
-		s.View.Put(feed.SectionEjection, c.ID, index, directory.EncodeEjectionDuration(c.TermMS))
+	if record, known := s.hosts[c.ID]; known && !record.deregistered {
+		s.View.Put(feed.SectionEjection, c.ID, index, directory.EncodeEjectionDuration(c.DurationMS))
 	}
 	return Result{Code: codes.OK}
 }
@@ -18,20 +18,20 @@
 	return Result{Code: codes.OK}
 }
 
-// reinstate takes back that a host is ejected.
+// reinstate ends the ejection of a host, if it is ejected.
 func (s *State) reinstate(index uint64, id string) {
 	if _, ejected := s.View.Get(feed.SectionEjection, id); ejected {
 		s.View.Delete(feed.SectionEjection, id, index)
 	}
 }
 
-// EjectionTerms lists the hosts that are ejected, with their terms in milliseconds.
-func (s *State) EjectionTerms() map[string]int64 {
-	terms := map[string]int64{}
+// EjectionDurations returns the durations of all current ejections in milliseconds, by host ID.
+func (s *State) EjectionDurations() map[string]int64 {
+	durations := map[string]int64{}
 	for _, item := range s.View.All(feed.SectionEjection) {
-		if term, err := directory.DecodeEjectionDuration(item.Data); err == nil {
-			terms[item.Key] = term
+		if duration, err := directory.DecodeEjectionDuration(item.Data); err == nil {
+			durations[item.Key] = duration
 		}
 	}
-	return terms
+	return durations
 }
--- a/tier/control/state/ejection_test.go
+++ b/tier/control/state/ejection_test.go
@@ -7,8 +7,9 @@
 	"otterseam/tier/feed"
 )
 
-// A host that is set aside is distributed as such, over snapshots too, until the term ends or the host goes.
-func TestVerdictsAreDistributedUntilTheyEnd(t *testing.T) {
+// Subscribers and restored replicas receive an ejection until it ends or the host is removed. A host that is not listed can't be
+// ejected.
+func TestEjectionsArePublishedUntilTheyEnd(t *testing.T) {
 	state := New()
 	index := uint64(0)
 	apply := func(c Command) {
@@ -17,16 +18,16 @@
 	}
 	for _, id := range []string{"a", "b"} {
 		apply(PutHost{Host: directory.Host{ID: id, Service: "s"}, Seq: 1})
-		apply(EjectHost{ID: id, TermMS: 2000})
+		apply(EjectHost{ID: id, DurationMS: 2000})
 	}
-	apply(EjectHost{ID: "never heard of", TermMS: 2000})
-	again := New()
-	if err := again.Restore(state.Snapshot()); err != nil {
+	apply(EjectHost{ID: "never registered", DurationMS: 2000})
+	restored := New()
+	if err := restored.Restore(state.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	for _, each := range []*State{state, again} {
-		if got := each.EjectionTerms(); len(got) != 2 || got["a"] != 2000 {
-			t.Fatalf("%v", got)
+	for _, each := range []*State{state, restored} {
+		if got := each.EjectionDurations(); len(got) != 2 || got["a"] != 2000 {
+			t.Fatalf("ejections: %v", got)
 		}
 	}
 	distributed := 0
@@ -36,12 +37,12 @@
 		}
 	}
 	if distributed != 2 {
-		t.Fatalf("%d verdicts are distributed", distributed)
+		t.Fatalf("%d ejections are published, not 2", distributed)
 	}
 	apply(ReinstateHost{ID: "a"})
 	apply(ReinstateHost{ID: "a"})
 	apply(RemoveHost{ID: "b"})
-	if got := state.EjectionTerms(); len(got) != 0 {
-		t.Fatalf("%v", got)
+	if got := state.EjectionDurations(); len(got) != 0 {
+		t.Fatalf("ejections after their end: %v", got)
 	}
 }
--- a/tier/control/state/example_test.go
+++ b/tier/control/state/example_test.go
@@ -6,7 +6,7 @@
 	"otterseam/tier/control/state"
 )
 
-// Two operators change the configuration on the same version; the second one is refused, and the first one may ask again.
+// Two operators send changes that are based on the same version. The second change is rejected. The first one may be repeated.
 func Example() {
 	s := state.New()
 	first := state.ReplaceConfig{Base: 0, Version: 1, Body: []byte(`{"version":1}`)}
--- a/tier/control/state/growth_test.go
+++ b/tier/control/state/growth_test.go
@@ -10,13 +10,14 @@
 	"otterseam/tier/feed"
 )
 
-// Ids of hosts that deregistered are bounded; the newest are known, also by a replica that was restored in between.
-func TestIDsOfGoneHostsAreBounded(t *testing.T) {
-	const hosts = 3*departedKept + 100
-	l, copied := newLog(), New()
+// The number of retained IDs of deregistered hosts is bounded. The newest IDs are retained, and a replica that was restored in between
+// retains the same ones.
+func TestDeregisteredHostIDsAreBounded(t *testing.T) {
+	const hosts = 3*maxDeregistered + 100
+	l, replica := newLog(), New()
 	apply := func(c Command) {
 		l.apply(c)
-		copied.Apply(l.index, c.Encode())
+		replica.Apply(l.index, c.Encode())
 	}
 	for i := range hosts {
 		id := fmt.Sprint("host-", i)
@@ -24,19 +25,19 @@
 		apply(RemoveHost{ID: id, Deregistered: true})
 		if i == hosts/2 {
 			snapshot := l.state.Snapshot()
-			copied = New()
-			if err := copied.Restore(snapshot); err != nil {
+			replica = New()
+			if err := replica.Restore(snapshot); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if known := len(l.state.hosts); known > departedKept+departedSlack {
-		t.Fatalf("%d ids are known", known)
+	if retained := len(l.state.hosts); retained > maxDeregistered+deregisteredSlack {
+		t.Fatalf("%d IDs are retained", retained)
 	}
-	if !bytes.Equal(l.state.Snapshot(), copied.Snapshot()) {
-		t.Fatal("a restored replica forgot others")
+	if !bytes.Equal(l.state.Snapshot(), replica.Snapshot()) {
+		t.Fatal("a restored replica retains other IDs")
 	}
-	for i := hosts - departedKept; i < hosts; i++ {
+	for i := hosts - maxDeregistered; i < hosts; i++ {
 		if got := l.apply(heartbeat(fmt.Sprint("host-", i), false, 2)).Code; got != codes.HostStale {
 			t.Fatalf("a late heartbeat of host %d: %v", i, got)
 		}
@@ -51,34 +52,34 @@
 	l.apply(RemoveStore{Store: directory.Store{Identity: identity, Node: node}})
 }
 
-// A machine that comes under the name of one that was retired and left is not emptied; one that is still there, or comes back with
-// the disk that was retired, is.
-func TestARetiredNameMayComeAgain(t *testing.T) {
+// The retirement of a machine does not apply to a new machine that later registers under its name. It applies to the same machine
+// with another disk, and to a machine that returns with a retired disk.
+func TestRetiredNodeNameMayBeReused(t *testing.T) {
 	l := newLog()
 	l.putStore(1, "a")
 	l.putStore(2, "b")
 	l.apply(RetireNode{Node: "a", Needed: 1})
-	l.putStore(3, "a") // it lost its disk while it is being emptied
+	l.putStore(3, "a") // the machine lost its disk during the retirement
 	l.removeStore(1, "a")
 	if !l.state.IsRetiring("a") {
-		t.Fatal("a machine with an emptied disk is no longer retired")
+		t.Fatal("a machine that registered another disk is no longer retiring")
 	}
 	l.removeStore(3, "a")
 	if !l.state.IsRetiring("a") {
-		t.Fatal("whoever asks late is not answered")
+		t.Fatal("the retirement is not retained after the machine was removed")
 	}
 	l.putStore(3, "a")
 	if !l.state.IsRetiring("a") {
-		t.Fatal("the retired disk came back and is not retired")
+		t.Fatal("the machine returned with a retired disk and is not retiring")
 	}
 	l.removeStore(3, "a")
 	l.putStore(4, "a")
 	if l.state.IsRetiring("a") {
-		t.Fatal("another machine of the name is retired")
+		t.Fatal("a new machine with the same name is retiring")
 	}
 }
 
-// Retirements of machines that have left are bounded.
+// The number of retained retirements of removed machines is bounded.
 func TestRetirementsAreBounded(t *testing.T) {
 	l := newLog()
 	l.putStore(1, "stays")
@@ -90,7 +91,7 @@
 		}
 		l.removeStore(10+i, node)
 	}
-	if held := len(l.state.View.All(feed.SectionRetirement)); held != retirementsKept {
-		t.Fatalf("%d retirements are known", held)
+	if retained := len(l.state.View.All(feed.SectionRetirement)); retained != maxRetainedRetirements {
+		t.Fatalf("%d retirements are retained", retained)
 	}
 }
--- a/tier/control/state/hosts.go
+++ b/tier/control/state/hosts.go
@@ -6,60 +6,60 @@
 	"otterseam/tier/feed"
 )
 
-// hostRecord is what a host's newest accepted heartbeat said.
+// hostRecord is the content of a host's newest accepted heartbeat.
 type hostRecord struct {
-	host       directory.Host
-	seq        uint64
-	departed   bool   // it deregistered
-	departedAt uint64 // index of the command that said so
+	host           directory.Host
+	seq            uint64
+	deregistered   bool   // the host deregistered
+	deregisteredAt uint64 // log index of the deregistration
 }
 
-// apply takes what a host says of itself unless something newer has been taken. A host that drains never becomes ready again in
-// the same incarnation.
+// apply adds or updates a host unless a newer heartbeat was applied. A draining host never becomes ready again in the same
+// incarnation.
 func (c PutHost) apply(s *State, index uint64) Result {
-	held, known := s.hosts[c.Host.ID]
-	if known && (held.departed || c.Seq < held.seq || (held.host.Draining && !c.Host.Draining)) {
+	record, known := s.hosts[c.Host.ID]
+	if known && (record.deregistered || c.Seq < record.seq || (record.host.Draining && !c.Host.Draining)) {
 		return Result{Code: codes.HostStale}
 	}
 	s.hosts[c.Host.ID] = hostRecord{host: c.Host, seq: c.Seq}
-	if !known || held.host != c.Host {
+	if !known || record.host != c.Host {
 		s.View.Put(feed.SectionHost, c.Host.ID, index, c.Host.Encode())
 	}
 	return Result{Code: codes.OK}
 }
 
-// apply takes a host off the list; of one that deregistered the id stays known, so that a late heartbeat is.
+// apply removes a host from the host list. The ID of a deregistered host is retained, so that its late heartbeats are recognized.
 func (c RemoveHost) apply(s *State, index uint64) Result {
-	held, known := s.hosts[c.ID]
-	if known && !held.departed {
+	record, known := s.hosts[c.ID]
+	if known && !record.deregistered {
 		s.View.Delete(feed.SectionHost, c.ID, index)
 		s.reinstate(index, c.ID)
 	}
 	if c.Deregistered {
-		s.markDeparted(c.ID, index)
-	} else if !held.departed {
+		s.markDeregistered(c.ID, index)
+	} else if !record.deregistered {
 		delete(s.hosts, c.ID)
 	}
 	return Result{Code: codes.OK}
 }
 
-// Hosts returns the hosts on the list, by id.
+// Hosts returns the listed hosts by ID.
 func (s *State) Hosts() map[string]directory.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hosts := make(map[string]directory.Host, len(s.hosts))
-	for id, held := range s.hosts {
-		if !held.departed {
-			hosts[id] = held.host
+	for id, record := range s.hosts {
+		if !record.deregistered {
+			hosts[id] = record.host
 		}
 	}
 	return hosts
 }
 
-// Host returns one host on the list.
+// Host returns a listed host.
 func (s *State) Host(id string) (directory.Host, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.hosts[id]
-	return held.host, known && !held.departed
+	record, known := s.hosts[id]
+	return record.host, known && !record.deregistered
 }
--- a/tier/control/state/members_test.go
+++ b/tier/control/state/members_test.go
@@ -6,8 +6,8 @@
 	"otterseam/tier/consensus"
 )
 
-// The installation of the record that tells where control is becomes that of the view.
-func TestTheViewTakesTheInstallationOfTheRecord(t *testing.T) {
+// The cluster ID of the record in SetMembers becomes the cluster ID of the view, and a snapshot retains it.
+func TestSetMembersSetsClusterIDOfView(t *testing.T) {
 	state := New()
 	state.Apply(1, SetMembers{Record: consensus.Record{Epoch: 1, ClusterID: 7}}.Encode())
 	restored := New()
@@ -15,6 +15,6 @@
 		t.Fatal(err)
 	}
 	if state.View.ClusterID() != 7 || restored.View.ClusterID() != 7 {
-		t.Fatalf("installation %d, restored %d", state.View.ClusterID(), restored.View.ClusterID())
+		t.Fatalf("cluster ID %d, restored %d", state.View.ClusterID(), restored.View.ClusterID())
 	}
 }
--- a/tier/control/state/months_test.go
+++ b/tier/control/state/months_test.go
@@ -9,22 +9,22 @@
 	"otterseam/tier/codes"
 )
 
-// This file is not built with the race detector: a month of changes runs in one goroutine, where the detector has nothing to find and
-// takes minutes.
+// This file is not built with the race detector: a month of changes runs in one goroutine, where the detector can find nothing, and
+// with it the test takes minutes.
 
-// The state, what subscribers are sent and what is remembered of hosts, after a month of 4,700 changes and 1,000 restarts of hosts a day is
-// what it is after days.
-func TestTheStateDoesNotGrowForMonths(t *testing.T) {
+// A month with 4,700 configuration changes and 1,000 host restarts per day does not increase the size of the snapshot, the size of the
+// update for a new subscriber, or the number of host records beyond what they are after some days.
+func TestStateSizeIsBoundedOverMonths(t *testing.T) {
 	const (
-		days            = 30
-		changesADay     = 4700
-		restartsADay    = 1000
-		hosts           = 200
-		bytesOfAConfig  = 2000
-		restartsAChange = changesADay / restartsADay
+		days              = 30
+		changesPerDay     = 4700
+		restartsPerDay    = 1000
+		hosts             = 200
+		configBytes       = 2000
+		changesPerRestart = changesPerDay / restartsPerDay
 	)
 	l := newLog()
-	config := string(make([]byte, bytesOfAConfig))
+	config := string(make([]byte, configBytes))
 	version, restarts := uint64(0), 0
 	restart := func() {
 		l.apply(RemoveHost{ID: fmt.Sprint("host-", restarts), Deregistered: restarts%2 == 0})
@@ -34,31 +34,31 @@
 	for range hosts {
 		restart()
 	}
-	public, whole := map[int]int{}, map[int]int{}
+	updateBytes, snapshotBytes := map[int]int{}, map[int]int{}
 	for day := 1; day <= days; day++ {
-		for change := range changesADay {
+		for change := range changesPerDay {
 			if got := l.replace(version, version+1, config); got != codes.OK {
 				t.Fatal(got)
 			}
 			version++
-			if change%restartsAChange == 0 && change/restartsAChange < restartsADay {
+			if change%changesPerRestart == 0 && change/changesPerRestart < restartsPerDay {
 				restart()
 			}
 		}
-		public[day] = len(l.state.View.Since(0).Encode())
-		whole[day] = len(l.state.Snapshot())
+		updateBytes[day] = len(l.state.View.Since(0).Encode())
+		snapshotBytes[day] = len(l.state.Snapshot())
 		if day == 1 || day%10 == 0 {
-			t.Logf("day %2d: state %7d bytes; ids of gone hosts %4d; a whole view for a subscriber %6d bytes",
-				day, whole[day], l.state.departed, public[day])
+			t.Logf("day %2d: snapshot %7d bytes; IDs of deregistered hosts %4d; full update for a subscriber %6d bytes",
+				day, snapshotBytes[day], l.state.deregistered, updateBytes[day])
 		}
 	}
-	if public[days] > public[1]+hosts*10 {
-		t.Fatalf("what a subscriber is sent grew from %d to %d bytes", public[1], public[days])
+	if updateBytes[days] > updateBytes[1]+hosts*10 {
+		t.Fatalf("the full update for a subscriber grew from %d to %d bytes", updateBytes[1], updateBytes[days])
 	}
-	if whole[days] > whole[days/3]+whole[days/3]/10 {
-		t.Fatalf("the state grew from %d bytes on day %d to %d", whole[days/3], days/3, whole[days])
+	if snapshotBytes[days] > snapshotBytes[days/3]+snapshotBytes[days/3]/10 {
+		t.Fatalf("the snapshot grew from %d bytes on day %d to %d", snapshotBytes[days/3], days/3, snapshotBytes[days])
 	}
-	if known := len(l.state.hosts); known > hosts+departedKept+departedSlack {
-		t.Fatalf("%d hosts are remembered", known)
+	if retained := len(l.state.hosts); retained > hosts+maxDeregistered+deregisteredSlack {
+		t.Fatalf("%d host records are retained", retained)
 	}
 }
--- a/tier/control/state/recorded_test.go
+++ b/tier/control/state/recorded_test.go
@@ -20,7 +20,7 @@
 		"retire":         RetireNode{Node: "store-a", Needed: 0x01020304},
 		"members":        SetMembers{Record: fixture.Record()},
 		"read-config":    ReadConfig{},
-		"set-aside":      EjectHost{ID: "host-1", TermMS: 90_000},
+		"set-aside":      EjectHost{ID: "host-1", DurationMS: 90_000},
 		"end-aside":      ReinstateHost{ID: "host-1"},
 	} {
 		recorded.CheckBoth(t, "command-"+name, command, Command.Encode, DecodeCommand)
@@ -29,29 +29,29 @@
 
 func TestRecordedItems(t *testing.T) {
 	decode := func(data []byte) (retirement, error) { return decodeRetirement(data), nil }
-	recorded.CheckBoth(t, "retirement", retirement{Departed: true, Identities: []uint64{11, 0x0102030405060708}}, retirement.encode, decode)
+	recorded.CheckBoth(t, "retirement", retirement{Unregistered: true, Identities: []uint64{11, 0x0102030405060708}}, retirement.encode, decode)
 	recorded.Check(t, "config", configItem(0x0102030405060708, []byte(`{"v":1}`)))
 	if version, body := SplitConfig(recorded.Read(t, "config")); version != 0x0102030405060708 || string(body) != `{"v":1}` {
 		t.Errorf("version %x, body %q", version, body)
 	}
 }
 
-// recordedLog is a log of commands after which each part of the state holds several things.
+// recordedLog applies commands after which each part of the state has several entries.
 func recordedLog() *commandLog {
 	l := newLog()
 	for _, command := range []Command{
 		SetMembers{Record: fixture.Record()},
 		ReplaceConfig{Base: 0, Version: 5, Body: []byte(`{"v":5}`)},
 		ReplaceConfig{Base: 5, Version: 7, Body: []byte(`{"v":7}`)},
-		ReplaceConfig{Base: 4, Version: 9, Body: []byte(`{"v":9}`)}, // refused: another base
-		ReplaceConfig{Base: 7, Version: 6, Body: []byte(`{"v":6}`)}, // refused: a lower version
+		ReplaceConfig{Base: 4, Version: 9, Body: []byte(`{"v":9}`)}, // rejected: another base
+		ReplaceConfig{Base: 7, Version: 6, Body: []byte(`{"v":6}`)}, // rejected: a lower version
 		PutHost{Host: fixture.Host("host-2", true), Seq: 3},
 		PutHost{Host: fixture.Host("host-1", false), Seq: 1},
 		PutHost{Host: fixture.Host("host-1", false), Seq: 2},
 		PutHost{Host: fixture.Host("host-3", false), Seq: 4},
 		PutHost{Host: fixture.Host("host-4", false), Seq: 5},
-		EjectHost{ID: "host-1", TermMS: 90_000},
-		EjectHost{ID: "host-2", TermMS: 80_000},
+		EjectHost{ID: "host-1", DurationMS: 90_000},
+		EjectHost{ID: "host-2", DurationMS: 80_000},
 		ReinstateHost{ID: "host-2"},
 		RemoveHost{ID: "host-3", Deregistered: true},
 		RemoveHost{ID: "host-4"},
@@ -78,25 +78,25 @@
 		t.Fatal(err)
 	}
 	recorded.Check(t, "snapshot", restored.Snapshot())
-	if !reflect.DeepEqual(restored.hosts, withoutDepartedDetails(state.hosts)) || restored.departed != state.departed {
-		t.Errorf("hosts: %+v, not %+v", restored.hosts, state.hosts)
+	if !reflect.DeepEqual(restored.hosts, withoutDeregisteredHosts(state.hosts)) || restored.deregistered != state.deregistered {
+		t.Errorf("restored hosts: %+v, not %+v", restored.hosts, state.hosts)
 	}
 	if !reflect.DeepEqual(&restored.changes, &state.changes) {
-		t.Errorf("changes: %+v", &restored.changes)
+		t.Errorf("restored changes: %+v", &restored.changes)
 	}
 	if !reflect.DeepEqual(restored.View.Export(), state.View.Export()) {
-		t.Errorf("items: %+v", restored.View.Export())
+		t.Errorf("restored items: %+v", restored.View.Export())
 	}
 }
 
-// withoutDepartedDetails is a list of hosts as a snapshot holds it: of those that deregistered it tells no more than that.
-func withoutDepartedDetails(hosts map[string]hostRecord) map[string]hostRecord {
-	listed := map[string]hostRecord{}
-	for id, held := range hosts {
-		if held.departed {
-			held.host = directory.Host{}
+// withoutDeregisteredHosts returns host records as a snapshot retains them: without the host entries of deregistered hosts.
+func withoutDeregisteredHosts(hosts map[string]hostRecord) map[string]hostRecord {
+	records := map[string]hostRecord{}
+	for id, record := range hosts {
+		if record.deregistered {
+			record.host = directory.Host{}
 		}
-		listed[id] = held
+		records[id] = record
 	}
-	return listed
+	return records
 }
--- a/tier/control/state/result.go
+++ b/tier/control/state/result.go
@@ -2,14 +2,14 @@
 
 import "otterseam/tier/codes"
 
-// Result is what applying a command gave.
+// Result is the result of applying a command.
 type Result struct {
 	Code codes.Code
 	Body []byte
 }
 
-// Settled is what may be answered for a command: what its commit gave, or else that nothing is known. A caller ends a call on a
-// refusal, so that no code which a process gave without a commit may look like one.
+// Settled returns the response to a command: the result of its commit, or an error if the outcome is unknown. A caller treats a
+// rejection as final, so a code that a process returned without a commit must not look like a rejection.
 func Settled(result Result, err error) (Result, error) {
 	if err != nil {
 		return Result{}, err
@@ -20,7 +20,7 @@
 	return result, nil
 }
 
-// IsCommitted tells whether a code is one that only a committed command gives.
+// IsCommitted reports whether a code is returned only for a committed command.
 func IsCommitted(code codes.Code) bool {
 	switch code {
 	case codes.OK, codes.ConfigInvalid, codes.ConfigBase, codes.ConfigNone, codes.HostStale, codes.RetireUnknown, codes.RetireTooFew:
--- a/tier/control/state/retirement.go
+++ b/tier/control/state/retirement.go
@@ -10,26 +10,27 @@
 	"otterseam/tier/feed"
 )
 
-// retirementsKept is how many retirements stay known after their machine has left, so that whoever asks late is still answered.
-const retirementsKept = 64
+// maxRetainedRetirements is the number of retirements that are retained after their machines were removed, so that an operator can
+// still read their state.
+const maxRetainedRetirements = 64
 
-// retirement is the order to empty a store machine. It holds for the disks that the machine has had since it was given, so that a
-// machine which later comes under the same name is not emptied.
+// retirement is the retirement of a store machine. It applies to the disks that the machine has had since the retirement began, and
+// not to a new machine that later registers under the same name.
 type retirement struct {
-	Departed   bool // none of the machine's stores is on the list any more
-	Identities []uint64
+	Unregistered bool // none of the machine's stores is registered any more
+	Identities   []uint64
 }
 
 func (r retirement) encode() []byte {
 	var e codec.Encoder
-	e.Bool(r.Departed)
+	e.Bool(r.Unregistered)
 	e.Uint64s(r.Identities)
 	return e.Bytes
 }
 
 func decodeRetirement(data []byte) retirement {
 	d := codec.NewDecoder(data)
-	return retirement{Departed: d.Bool(), Identities: d.Uint64s()}
+	return retirement{Unregistered: d.Bool(), Identities: d.Uint64s()}
 }
 
 // retirementOf returns the retirement of a machine.
@@ -45,7 +46,7 @@
 	s.View.Put(feed.SectionRetirement, node, index, r.encode())
 }
 
-// beginRetirement notes that the disks which a machine has now are to be emptied.
+// beginRetirement records the retirement of the disks that a machine has now.
 func (s *State) beginRetirement(index uint64, node string) {
 	r := retirement{}
 	for _, store := range directory.Stores(s.View) {
@@ -57,14 +58,15 @@
 	s.putRetirement(index, node, r)
 }
 
-// updateRetirementOnRegister takes note of a store that registers under a retired machine's name: as long as the machine has not left,
-// it is the same machine with another disk; afterwards another machine has the name, and the retirement is over.
+// updateRetirementOnRegister updates a retirement when a store registers under the retired machine's name. While the machine still has
+// registered stores, the new store is another disk of the same machine. Otherwise it belongs to a new machine with the same name, and
+// the retirement is removed.
 func (s *State) updateRetirementOnRegister(index uint64, store directory.Store) {
 	r, found := s.retirementOf(store.Node)
 	if !found || slices.Contains(r.Identities, store.Identity) {
 		return
 	}
-	if r.Departed {
+	if r.Unregistered {
 		s.View.Delete(feed.SectionRetirement, store.Node, index)
 		return
 	}
@@ -72,11 +74,11 @@
 	s.putRetirement(index, store.Node, r)
 }
 
-// updateRetirementOnRemoval notes when the last store of a retired machine has been taken off the list, and forgets the oldest
-// retirements of machines that have left.
+// updateRetirementOnRemoval records that the last store of a retired machine was removed, and removes the oldest retirements of
+// machines without stores.
 func (s *State) updateRetirementOnRemoval(index uint64, node string) {
 	r, found := s.retirementOf(node)
-	if !found || r.Departed {
+	if !found || r.Unregistered {
 		return
 	}
 	for _, store := range directory.Stores(s.View) {
@@ -84,28 +86,28 @@
 			return
 		}
 	}
-	r.Departed = true
+	r.Unregistered = true
 	s.putRetirement(index, node, r)
-	s.forgetRetirements(index)
+	s.removeOldestRetirements(index)
 }
 
-func (s *State) forgetRetirements(index uint64) {
-	var left []feed.Item
+func (s *State) removeOldestRetirements(index uint64) {
+	var unregistered []feed.Item
 	for _, item := range s.View.All(feed.SectionRetirement) {
-		if decodeRetirement(item.Data).Departed {
-			left = append(left, item)
+		if decodeRetirement(item.Data).Unregistered {
+			unregistered = append(unregistered, item)
 		}
 	}
-	if len(left) <= retirementsKept {
+	if len(unregistered) <= maxRetainedRetirements {
 		return
 	}
-	sort.Slice(left, func(i, j int) bool { return left[i].Revision < left[j].Revision })
-	for _, item := range left[:len(left)-retirementsKept] {
+	sort.Slice(unregistered, func(i, j int) bool { return unregistered[i].Revision < unregistered[j].Revision })
+	for _, item := range unregistered[:len(unregistered)-maxRetainedRetirements] {
 		s.View.Delete(feed.SectionRetirement, item.Key, index)
 	}
 }
 
-// apply marks a store machine to be emptied.
+// apply begins the retirement of a store machine if enough other machines remain. A repeated command changes nothing.
 func (c RetireNode) apply(s *State, index uint64) Result {
 	if s.IsRetiring(c.Node) {
 		return Result{Code: codes.OK}
@@ -129,7 +131,7 @@
 	return Result{Code: codes.OK}
 }
 
-// IsRetiring tells whether a store machine was ordered to be emptied, also when it has been.
+// IsRetiring reports whether the retirement of a store machine has begun, including one that is completed.
 func (s *State) IsRetiring(node string) bool {
 	_, found := s.View.Get(feed.SectionRetirement, node)
 	return found
--- a/tier/control/state/shards.go
+++ b/tier/control/state/shards.go
@@ -22,8 +22,8 @@
 	key := directory.ShardKey(c.Shard.ID)
 	epoch := uint64(0)
 	if data, found := s.View.Get(feed.SectionShard, key); found {
-		if held, err := directory.DecodeShard(data); err == nil {
-			epoch = held.View.Epoch
+		if current, err := directory.DecodeShard(data); err == nil {
+			epoch = current.View.Epoch
 		}
 	}
 	if epoch != c.Epoch {
--- a/tier/control/state/snapshot.go
+++ b/tier/control/state/snapshot.go
@@ -10,10 +10,10 @@
 	"otterseam/tier/feed"
 )
 
-// smallestHost is the least number of bytes that a host takes in a snapshot: length of its id, sequence number, departed, index.
-const smallestHost = 4 + 8 + 1 + 8
+// minHostBytes is the minimum size of a host record in a snapshot: length of the ID, sequence number, deregistered flag, log index.
+const minHostBytes = 4 + 8 + 1 + 8
 
-// Snapshot is the state as bytes, the same for the same state.
+// Snapshot encodes the state. Equal states have equal snapshots.
 func (s *State) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,17 +21,17 @@
 	e.Blob(s.View.Export().Encode())
 	e.Uint32(uint32(len(s.hosts)))
 	for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
-		held := s.hosts[id]
+		record := s.hosts[id]
 		e.String(id)
-		e.Uint64(held.seq)
-		e.Bool(held.departed)
-		e.Uint64(held.departedAt)
+		e.Uint64(record.seq)
+		e.Bool(record.deregistered)
+		e.Uint64(record.deregisteredAt)
 	}
 	s.changes.Encode(&e)
 	return e.Bytes
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (s *State) Restore(snapshot []byte) error {
 	d := codec.NewDecoder(snapshot)
 	update, err := feed.DecodeUpdate(d.Blob())
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	departed := decodeHostRecords(d, hosts)
+	deregistered := decodeHostRecords(d, hosts)
 	changes := configlog.Decode(d)
 	if d.Err() != nil {
 		return d.Err()
@@ -51,12 +51,12 @@
 	defer s.mu.Unlock()
 	s.changes = changes
 	s.hosts = hosts
-	s.departed = departed
+	s.deregistered = deregistered
 	s.View.Restore(update)
 	return nil
 }
 
-// listedHosts reads the hosts that a view lists.
+// listedHosts returns the hosts in an update of the view.
 func listedHosts(update feed.Update) (map[string]hostRecord, error) {
 	hosts := map[string]hostRecord{}
 	for _, item := range update.Items {
@@ -72,18 +72,18 @@
 	return hosts, nil
 }
 
-// decodeHostRecords adds what a snapshot says of hosts beside the view. It returns how many have departed.
-func decodeHostRecords(d *codec.Decoder, hosts map[string]hostRecord) (departed int) {
-	for range d.Count(smallestHost) {
+// decodeHostRecords adds the fields of the host records that are not in the view. It returns the number of deregistered hosts.
+func decodeHostRecords(d *codec.Decoder, hosts map[string]hostRecord) (deregistered int) {
+	for range d.Count(minHostBytes) {
 		id := d.String()
-		held := hosts[id]
-		held.seq = d.Uint64()
-		held.departed = d.Bool()
-		held.departedAt = d.Uint64()
-		if held.departed {
-			departed++
+		record := hosts[id]
+		record.seq = d.Uint64()
+		record.deregistered = d.Bool()
+		record.deregisteredAt = d.Uint64()
+		if record.deregistered {
+			deregistered++
 		}
-		hosts[id] = held
+		hosts[id] = record
 	}
-	return departed
+	return deregistered
 }
--- a/tier/control/state/state.go
+++ b/tier/control/state/state.go
@@ -12,24 +12,24 @@
 // Group is the number of the replicated group that holds the control state.
 const Group uint32 = 0
 
-// State is the control state machine. It is folded into a view, from which it is also served, saved and restored. It may be read
-// from any goroutine; commands are applied by one.
+// State is the control state machine. Commands are applied to a view, from which the state is also served, saved and restored. State
+// may be read from any goroutine. Commands must be applied from one goroutine.
 type State struct {
-	// View is what subscribers are sent. It has a lock of its own.
+	// View is the part of the state that subscribers receive. It has its own lock.
 	View *feed.View
 
-	mu       sync.Mutex // guards what follows; the view's lock is taken under it
-	changes  configlog.Log
-	hosts    map[string]hostRecord
-	departed int // hosts that deregistered and whose ids are still known
+	mu           sync.Mutex // guards the fields below; the view's lock is acquired while mu is held
+	changes      configlog.Log
+	hosts        map[string]hostRecord
+	deregistered int // number of deregistered hosts whose IDs are retained
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{View: feed.NewView(), hosts: map[string]hostRecord{}}
 }
 
-// Apply carries out a command at its index in the log. It returns a Result.
+// Apply executes a command at its index in the log. It returns a Result.
 func (s *State) Apply(index uint64, command []byte) any {
 	d := codec.NewDecoder(command)
 	kind := Kind(d.Uint8())
@@ -49,7 +49,8 @@
 	}
 }
 
-// The following decode and apply commands by their concrete types: a Command in between would be allocated at every commit.
+// The following methods decode and apply commands by their concrete types, because a Command interface value would cause an allocation
+// at every commit.
 
 func (s *State) applyConfig(index uint64, kind Kind, d *codec.Decoder) Result {
 	switch kind {
--- a/tier/control/state/state_test.go
+++ b/tier/control/state/state_test.go
@@ -12,7 +12,7 @@
 	"otterseam/tier/feed"
 )
 
-// commandLog applies commands to a state with rising indices.
+// commandLog applies commands to a state with increasing indices.
 type commandLog struct {
 	state *State
 	index uint64
@@ -29,31 +29,31 @@
 	return l.apply(ReplaceConfig{Base: base, Version: version, Body: []byte(body)}).Code
 }
 
-// mustReplace puts a configuration in place that has to be taken.
+// mustReplace replaces the configuration and fails the test if the change is rejected.
 func (l *commandLog) mustReplace(t *testing.T, base, version uint64, body string) {
 	t.Helper()
 	if code := l.replace(base, version, body); code != codes.OK {
-		t.Fatalf("version %d on %d: %v", version, base, code)
+		t.Fatalf("version %d based on %d: %v", version, base, code)
 	}
 }
 
-func TestOneOfTwoChangesOnTheSameBaseWins(t *testing.T) {
+func TestOnlyOneChangePerBaseIsAccepted(t *testing.T) {
 	l := newLog()
 	if got := l.replace(0, 3, "three"); got != codes.OK {
 		t.Fatal(got)
 	}
 	if got := l.replace(0, 4, "four"); got != codes.ConfigBase {
-		t.Fatalf("the second change on base 0: %v", got)
+		t.Fatalf("second change based on version 0: %v", got)
 	}
 	if got := l.replace(0, 3, "another three"); got != codes.ConfigBase {
-		t.Fatalf("another change under the same number: %v", got)
+		t.Fatalf("another change with the same version: %v", got)
 	}
 	if got := l.apply(ReadConfig{}); string(got.Body) != "three" {
-		t.Fatalf("%q is in place", got.Body)
+		t.Fatalf("current configuration: %q", got.Body)
 	}
 }
 
-func TestTheSameChangeIsTakenAgainForEver(t *testing.T) {
+func TestRepeatedChangeIsAcceptedAgain(t *testing.T) {
 	l := newLog()
 	l.mustReplace(t, 0, 3, "three")
 	l.mustReplace(t, 3, 5, "five")
@@ -64,23 +64,23 @@
 	for name, state := range map[string]*State{"same": l.state, "restored": restored} {
 		l.state = state
 		if got := l.replace(0, 3, "three"); got != codes.OK {
-			t.Errorf("%s: the superseded change again: %v", name, got)
+			t.Errorf("%s state: superseded change repeated: %v", name, got)
 		}
 		if got := l.replace(3, 5, "five"); got != codes.OK {
-			t.Errorf("%s: the current change again: %v", name, got)
+			t.Errorf("%s state: current change repeated: %v", name, got)
 		}
 		if got := l.apply(ReadConfig{}); string(got.Body) != "five" {
-			t.Errorf("%s: %q is in place", name, got.Body)
+			t.Errorf("%s state: current configuration: %q", name, got.Body)
 		}
 	}
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestConfigVersionsMustIncrease(t *testing.T) {
 	l := newLog()
 	l.mustReplace(t, 0, 7, "seven")
 	for _, version := range []uint64{6, 7} {
 		if got := l.replace(7, version, "lower"); got != codes.ConfigInvalid {
-			t.Errorf("version %d on 7: %v", version, got)
+			t.Errorf("version %d based on 7: %v", version, got)
 		}
 	}
 }
@@ -89,38 +89,38 @@
 	return PutHost{Host: directory.Host{ID: id, Service: "s", Address: "a:1", Draining: draining}, Seq: seq}
 }
 
-func TestALateHeartbeatChangesNothing(t *testing.T) {
+func TestStaleHeartbeatChangesNothing(t *testing.T) {
 	l := newLog()
 	l.apply(heartbeat("h", false, 1))
 	l.apply(heartbeat("h", true, 3))
 	if got := l.apply(heartbeat("h", false, 2)); got.Code != codes.HostStale {
-		t.Fatalf("an older heartbeat: %v", got.Code)
+		t.Fatalf("heartbeat with an older sequence number: %v", got.Code)
 	}
 	if got := l.apply(heartbeat("h", false, 9)); got.Code != codes.HostStale {
 		t.Fatalf("ready after draining: %v", got.Code)
 	}
 	if host, _ := l.state.Host("h"); !host.Draining {
-		t.Fatal("the draining was forgotten")
+		t.Fatal("a stale heartbeat reset the draining flag")
 	}
 	l.apply(RemoveHost{ID: "h", Deregistered: true})
 	if got := l.apply(heartbeat("h", true, 10)); got.Code != codes.HostStale {
-		t.Fatalf("a heartbeat after the end: %v", got.Code)
+		t.Fatalf("heartbeat after deregistration: %v", got.Code)
 	}
 	if len(l.state.View.All(feed.SectionHost)) != 0 {
-		t.Fatal("a host that deregistered is on the list")
+		t.Fatal("a deregistered host is listed")
 	}
 }
 
-func TestASilentHostMayComeBack(t *testing.T) {
+func TestHostRemovedForSilenceMayRegisterAgain(t *testing.T) {
 	l := newLog()
 	l.apply(heartbeat("h", false, 1))
 	l.apply(RemoveHost{ID: "h"})
 	if got := l.apply(heartbeat("h", false, 2)); got.Code != codes.OK || len(l.state.View.All(feed.SectionHost)) != 1 {
-		t.Fatalf("%v", got.Code)
+		t.Fatalf("heartbeat after removal: %v", got.Code)
 	}
 }
 
-func TestRetireNeedsAKnownMachineAndEnoughOthers(t *testing.T) {
+func TestRetireNeedsKnownNodeAndEnoughOthers(t *testing.T) {
 	l := newLog()
 	for i := range uint64(3) {
 		l.apply(PutStore{Store: directory.Store{Identity: i + 1, Node: fmt.Sprintf("store-%d", i)}})
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestAShardChangesOnlyFromTheEpochItBuildsOn(t *testing.T) {
+func TestShardChangesOnlyFromItsBaseEpoch(t *testing.T) {
 	l := newLog()
 	put := func(base, epoch uint64) codes.Code {
 		shard := directory.Shard{ID: 4, Total: 8}
@@ -147,42 +147,43 @@
 		t.Fatal(got)
 	}
 	if got := put(0, 1); got == codes.OK {
-		t.Fatal("the shard was founded twice")
+		t.Fatal("the shard was created twice")
 	}
 	if got := put(1, 2); got != codes.OK {
 		t.Fatal(got)
 	}
 	if got := put(1, 2); got == codes.OK {
-		t.Fatal("two changes of epoch 1 were taken")
+		t.Fatal("two changes based on epoch 1 were accepted")
 	}
 }
 
-// Whatever commands come, and wherever a replica starts from a snapshot, replicas agree and versions only rise.
+// For any sequence of commands and any points at which a replica is restored from a snapshot, replicas have equal states and
+// configuration versions do not decrease.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := newLog()
-		copied := New()
+		replica := New()
 		version := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "commands") {
 			c := drawCommand(rt)
 			l.apply(c)
-			copied.Apply(l.index, c.Encode())
-			if now := l.state.ConfigVersion(); now < version {
-				rt.Fatalf("version went from %d to %d", version, now)
+			replica.Apply(l.index, c.Encode())
+			if current := l.state.ConfigVersion(); current < version {
+				rt.Fatalf("version decreased from %d to %d", version, current)
 			} else {
-				version = now
+				version = current
 			}
 			if rapid.IntRange(0, 5).Draw(rt, "restore") == 0 {
-				copied = New()
-				if err := copied.Restore(l.state.Snapshot()); err != nil {
+				replica = New()
+				if err := replica.Restore(l.state.Snapshot()); err != nil {
 					rt.Fatal(err)
 				}
 			}
 		}
-		if !bytes.Equal(l.state.View.Export().Encode(), copied.View.Export().Encode()) {
-			rt.Fatalf("the replicas' views differ:\n%+v\n%+v", l.state.View.Export(), copied.View.Export())
+		if !bytes.Equal(l.state.View.Export().Encode(), replica.View.Export().Encode()) {
+			rt.Fatalf("the replicas' views differ:\n%+v\n%+v", l.state.View.Export(), replica.View.Export())
 		}
-		if len(l.state.Hosts()) != len(copied.Hosts()) {
+		if len(l.state.Hosts()) != len(replica.Hosts()) {
 			rt.Fatal("the replicas' hosts differ")
 		}
 	})
@@ -213,8 +214,8 @@
 		if err != nil {
 			return
 		}
-		if again, err := DecodeCommand(c.Encode()); err != nil || again.Kind() != c.Kind() {
-			t.Fatalf("%+v came back as %+v, %v", c, again, err)
+		if decoded, err := DecodeCommand(c.Encode()); err != nil || decoded.Kind() != c.Kind() {
+			t.Fatalf("%+v was decoded as %+v, %v", c, decoded, err)
 		}
 		New().Apply(1, data)
 	})
