--- a/tier/control/ejection/doc.go
+++ b/tier/control/ejection/doc.go
@@ -1,24 +1,24 @@
-// Package ejection decides which hosts the fleet keeps traffic away from for a while, and when that ends.
+// Package ejection decides which hosts are temporarily excluded from traffic, and when each exclusion ends.
 //
-// # What it owns
+// # Responsibilities
 //
-// An Ejector holds the outlier detector of the primary (package outlier: which host fails where its peers don't) and the times at
-// which the terms in force end. It owns no replicated state: that a host is ejected is a command of package state.
+// An Ejector holds the primary's outlier detector (package outlier: which host fails while its peers don't) and the times at which the
+// current ejections end. It owns no replicated state: the ejection of a host is a command of package state.
 //
 // # Invariants
 //
-//   - Every ejection ends, under the primary that decided it or under a later one, which finds its term in the replicated state and
-//     counts the term from when it began to lead.
-//   - Decide names a host whose term has ended once.
+//   - Every ejection ends, under the primary that decided it or under a later one. A new primary reads the durations of the current
+//     ejections from the replicated state and measures them from the time at which it became primary.
+//   - Decide returns each ejection that has ended once.
 //
-// # What it must not do
+// # Limits
 //
-// It proposes nothing, waits for nothing and reads no clock.
+// The package proposes nothing, does not block and reads no clock.
 //
-// The method is the outlier ejection of Envoy's upstream health checking.
+// The method is the outlier detection of Envoy, which ejects hosts from load balancing.
 //
-// # The life of a report
+// # Processing of a report
 //
-// A gateway's window of observations reaches the primary, which calls Observe. At the next look of the reconciler, Decide returns the
-// ejections and the ended terms, and the reconciler proposes EjectHost and ReinstateHost for them.
+// A gateway's window of observations reaches the primary, which calls Observe. The reconciler calls Decide periodically, which returns
+// the new ejections and those that have ended. The reconciler proposes EjectHost and ReinstateHost for them.
 package ejection
--- a/tier/control/ejection/ejector.go
+++ b/tier/control/ejection/ejector.go
@@ -7,34 +7,34 @@
 	"otterseam/tier/outlier"
 )
 
-// Ejector is the primary's detector of outliers with the ejections that are in force. What it knows is its own: a new primary begins
-// anew, and what it finds decided lapses after its term at the latest. Its methods may be called from any goroutine; times are those
-// of the caller's steady clock, in milliseconds.
+// Ejector is the primary's outlier detector with the current ejections. Its state is not replicated: a new primary starts with an empty
+// detector and ends each ejection of its predecessor at the latest one full duration after it became primary. Its methods may be called
+// from any goroutine. Times are milliseconds of the caller's monotonic clock.
 type Ejector struct {
-	mu       sync.Mutex // guards what follows; nothing is called under it but the detector and the caller's fleet
+	mu       sync.Mutex // guards the fields below; only the detector and the caller's fleet are called while it is held
 	detector *outlier.Detector
-	changed  bool             // a window has come since the last decision
-	ends     map[string]int64 // when the terms of ejected hosts end, by id
+	changed  bool             // a window was added since the last decision
+	ends     map[string]int64 // end of the current ejections, by host ID
 }
 
-// New makes an ejector that has seen nothing.
+// New returns an ejector without observations or ejections.
 func New() *Ejector {
 	return &Ejector{detector: outlier.NewDetector(), ends: map[string]int64{}}
 }
 
-// Begin starts anew, with the terms in milliseconds that are in force.
-func (e *Ejector) Begin(terms map[string]int64, now int64) {
+// Begin resets the ejector to the given current ejections, whose durations in milliseconds start now.
+func (e *Ejector) Begin(durations map[string]int64, now int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.detector = outlier.NewDetector()
 	e.changed = false
 	e.ends = map[string]int64{}
-	for host, term := range terms {
-		e.ends[host] = now + term
+	for host, duration := range durations {
+		e.ends[host] = now + duration
 	}
 }
 
-// Observe adds what a gateway saw.
+// Observe adds the observations of a gateway.
 func (e *Ejector) Observe(window outlier.Window, now int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,7 +42,7 @@
 	e.changed = true
 }
 
-// Decide returns the hosts to eject, if anything has come since the last time, and those whose terms have ended.
+// Decide returns the hosts to eject, if observations were added since the last call, and the hosts whose ejections have ended.
 func (e *Ejector) Decide(fleet func() outlier.Fleet, now int64) (eject []outlier.Ejection, ended []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,7 +63,7 @@
 	return eject, ended
 }
 
-// FleetOf is what the detector has to know of the hosts on the list.
+// FleetOf returns the listed hosts as the input of the detector.
 func FleetOf(st *state.State) outlier.Fleet {
 	fleet := outlier.Fleet{}
 	for id, host := range st.Hosts() {
--- a/tier/control/ejection/ejector_test.go
+++ b/tier/control/ejection/ejector_test.go
@@ -6,8 +6,8 @@
 	"otterseam/tier/outlier"
 )
 
-// A new primary knows nothing of what was seen before, and ends the terms that it finds.
-func TestVerdictsEndUnderANewPrimary(t *testing.T) {
+// A new primary starts without observations. It ends the ejections of its predecessor and its own.
+func TestEjectionsEndUnderNewPrimary(t *testing.T) {
 	e := New()
 	fleet := func() outlier.Fleet {
 		return outlier.Fleet{"s": {{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}}
@@ -29,6 +29,6 @@
 		t.Fatal(eject)
 	}
 	if _, ended := e.Decide(fleet, 8050+eject[0].DurationMS); len(ended) != 1 {
-		t.Fatal("the term never ends")
+		t.Fatal("the ejection does not end")
 	}
 }
--- a/tier/control/heartbeat/hosts.go
+++ b/tier/control/heartbeat/hosts.go
@@ -65,7 +65,7 @@
 		}
 		return h.Lease.MayServe()
 	}
-	h.unreported.Add(session.AcknowledgedHeartbeat{Heartbeat: heartbeat, At: h.Now()})
+	h.unreported.Add(session.AcknowledgedHeartbeat{Heartbeat: heartbeat, ReceivedAt: h.Now()})
 	return h.Lease.MayServe()
 }
 
@@ -127,7 +127,7 @@
 	report := controlclient.HeartbeatReport{From: h.Node.Identity}
 	now := h.Now()
 	for id, host := range heard {
-		report.Hosts = append(report.Hosts, controlclient.ReportedHost{ID: id, AgeMS: uint32(now - host.At)})
+		report.Hosts = append(report.Hosts, controlclient.ReportedHost{ID: id, AgeMS: uint32(now - host.ReceivedAt)})
 	}
 	if h.Node.IsPrimary(state.Group) {
 		return h.renew(report, now), true
--- a/tier/control/heartbeat/recorded_test.go
+++ b/tier/control/heartbeat/recorded_test.go
@@ -114,7 +114,7 @@
 	if reachedSince < before-recordedAge || reachedSince > after-recordedAge {
 		t.Errorf("reached since %d, asked from %d to %d", reachedSince, before, after)
 	}
-	if !reflect.DeepEqual(s.Elector.Known(), fixture.Alone()) {
+	if !reflect.DeepEqual(s.Elector.Known(), fixture.SingleVoterRecord()) {
 		t.Errorf("learnt %+v", s.Elector.Known())
 	}
 }
@@ -123,12 +123,12 @@
 func leadingMembers(t *testing.T) *Members {
 	t.Helper()
 	witness := fixture.Witness()
-	witness.Value = fixture.Alone()
+	witness.Value = fixture.SingleVoterRecord()
 	s := recordedMembers(t, fixture.Disk(t, fixture.Voter, &witness))
 	if err := s.Node.OpenGroup(state.Group, state.New(), replica.Options{Incarnation: 9}); err != nil {
 		t.Fatal(err)
 	}
-	s.Node.SetView(state.Group, membership.View(fixture.Alone()))
+	s.Node.SetView(state.Group, membership.View(fixture.SingleVoterRecord()))
 	return s
 }
 
--- a/tier/control/proposal/doc.go
+++ b/tier/control/proposal/doc.go
@@ -1,20 +1,23 @@
-// Package proposal has commands carried out by the primary of control, whichever process that is.
+// Package proposal executes commands on the primary of control, whether or not it is this process.
 //
-// # What it owns
+// # Responsibilities
 //
-// Nothing but the way: a Proposer proposes to the replica of this process if it leads, and else calls the primary.
+// A Proposer submits a command to the replica of this process if it is the primary, and otherwise calls the primary. It has no state of
+// its own.
 //
 // # Invariants
 //
-//   - A caller is told a refusal only if a commit gave it (state.Settled). Everything else is an error, after which nothing is known.
-//   - A command that this process has proposed is not sent to another one. Only codes.NotPrimary says that it was not proposed.
+//   - A caller gets a rejection only if a committed command returned it (state.Settled). Any other failure is an error, after which the
+//     outcome is unknown.
+//   - A command that this process may have proposed is not sent to another one. Only codes.NotPrimary means that it was not proposed.
 //
-// # What it must not do
+// # Limits
 //
-// It does not repeat commands; callers do, since all commands may be repeated.
+// The package does not repeat commands. Callers may do so, since all commands are idempotent.
 //
-// # The life of a command
+// # Processing of a command
 //
-// Submit proposes the command here. If this process does not lead, the command goes to the primary (controlclient.KindSubmit), which
-// calls ProposeEncoded. multigroup replicates it to the in-sync set, package state applies it, and the result comes back the same way.
+// Submit proposes the command to the local replica. If this process is not the primary, Submit calls the primary
+// (controlclient.KindSubmit), which calls ProposeEncoded. Package multigroup replicates the command to the in-sync set, package state
+// applies it, and the result is returned along the same path.
 package proposal
--- a/tier/control/proposal/proposal.go
+++ b/tier/control/proposal/proposal.go
@@ -13,44 +13,44 @@
 	"otterseam/tier/rpc"
 )
 
-// Timeout bounds the wait for a commit. It is below the 950 ms that package api grants a call, so that the caller still hears that
-// nothing is known.
+// Timeout is the maximum time to wait for a commit. It is below the 950 ms that package api allows for a call, so that the API client
+// still receives the response that the outcome is unknown.
 const Timeout = 850 * time.Millisecond
 
-// Caller calls the primary, wherever it is.
+// Caller calls the primary, whichever process it is.
 type Caller interface {
 	Call(ctx context.Context, kind rpc.Kind, payload []byte) ([]byte, error)
 }
 
-// Proposer has commands carried out. Its methods may be called from any goroutine.
+// Proposer executes commands on the primary. Its methods may be called from any goroutine.
 type Proposer struct {
 	node    *multigroup.Node
 	primary Caller
 }
 
-// New makes a proposer for a process.
+// New returns a proposer that uses the replica of node and, where that is not the primary's, calls primary.
 func New(node *multigroup.Node, primary Caller) *Proposer {
 	return &Proposer{node: node, primary: primary}
 }
 
-// Propose has a command carried out by this process. The error codes.NotPrimary says that it was not proposed.
+// Propose executes a command on this process. The error codes.NotPrimary means that it was not proposed.
 func (p *Proposer) Propose(ctx context.Context, command state.Command) (state.Result, error) {
 	return p.ProposeEncoded(ctx, command.Encode())
 }
 
-// ProposeEncoded is Propose for a command that came encoded.
+// ProposeEncoded is Propose for an encoded command.
 func (p *Proposer) ProposeEncoded(ctx context.Context, encoded []byte) (state.Result, error) {
-	call, cancel := context.WithTimeout(ctx, Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
-	got, err := p.node.Submit(call, state.Group, encoded)
+	result, err := p.node.Submit(callCtx, state.Group, encoded)
 	if err != nil {
 		return state.Result{}, err
 	}
-	return got.(state.Result), nil
+	return result.(state.Result), nil
 }
 
-// ProposeAll has commands carried out side by side and waits for them. What is not committed is planned anew by the callers, which
-// look again at intervals.
+// ProposeAll executes commands concurrently and waits for them. It returns no errors: its callers run periodically and plan again what
+// was not committed.
 func (p *Proposer) ProposeAll(ctx context.Context, commands []state.Command) {
 	var wait sync.WaitGroup
 	for _, command := range commands {
@@ -63,7 +63,7 @@
 	wait.Wait()
 }
 
-// Submit has a command carried out by the primary, wherever it is.
+// Submit executes a command on the primary, whichever process it is.
 func (p *Proposer) Submit(ctx context.Context, command state.Command) (state.Result, error) {
 	encoded := command.Encode()
 	result, err := p.ProposeEncoded(ctx, encoded)
@@ -73,17 +73,17 @@
 	return p.call(ctx, controlclient.KindSubmit, encoded)
 }
 
-// OnPrimary does something here if this process leads, and else has the primary do it.
-func (p *Proposer) OnPrimary(ctx context.Context, kind rpc.Kind, payload []byte, here func() (state.Result, error)) (state.Result, error) {
+// OnPrimary calls local if this process is the primary. Otherwise it sends the primary a call of the given kind.
+func (p *Proposer) OnPrimary(ctx context.Context, kind rpc.Kind, payload []byte, local func() (state.Result, error)) (state.Result, error) {
 	if p.node.IsPrimary(state.Group) {
-		if result, err := here(); !errors.Is(err, codes.NotPrimary) {
+		if result, err := local(); !errors.Is(err, codes.NotPrimary) {
 			return state.Settled(result, err)
 		}
 	}
 	return p.call(ctx, kind, payload)
 }
 
-// call has the primary of another process answer.
+// call calls the primary in another process. Without a definite response, the error is codes.Timeout.
 func (p *Proposer) call(ctx context.Context, kind rpc.Kind, payload []byte) (state.Result, error) {
 	body, err := p.primary.Call(ctx, kind, payload)
 	code := codes.OK
--- a/tier/control/proposal/proposal_test.go
+++ b/tier/control/proposal/proposal_test.go
@@ -15,7 +15,7 @@
 	"otterseam/tier/rpc"
 )
 
-// fakePrimary is the primary in another process.
+// fakePrimary stands for the primary in another process. It records the last call.
 type fakePrimary struct {
 	body []byte
 	err  error
@@ -29,7 +29,7 @@
 	return f.body, f.err
 }
 
-// backup is a process that does not lead.
+// backup returns a proposer of a process that is not the primary.
 func backup(t *testing.T, primary Caller) *Proposer {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
@@ -40,35 +40,35 @@
 	return New(node, primary)
 }
 
-// A caller is told a refusal only if a commit gave it; all else is an error.
-func TestWhatThePrimaryAnswersIsTold(t *testing.T) {
+// A caller gets a rejection only if a committed command returned it. Any other failure is an error.
+func TestRejectionIsReturnedOnlyForCommittedCommand(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer error
-		code   codes.Code
-		err    error
+		callErr error
+		code    codes.Code
+		err     error
 	}{
-		"done":                {nil, codes.OK, nil},
-		"refused by a commit": {codes.ConfigBase, codes.ConfigBase, nil},
-		"not committed":       {codes.Unavailable, codes.OK, codes.Unavailable},
-		"no clear answer":     {codes.Timeout, codes.OK, codes.Timeout},
-		"an error of the net": {errors.New("broken"), codes.OK, codes.Timeout},
+		"done":                 {nil, codes.OK, nil},
+		"rejected by a commit": {codes.ConfigBase, codes.ConfigBase, nil},
+		"not committed":        {codes.Unavailable, codes.OK, codes.Unavailable},
+		"no definite response": {codes.Timeout, codes.OK, codes.Timeout},
+		"network error":        {errors.New("broken"), codes.OK, codes.Timeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			primary := &fakePrimary{body: []byte("body"), err: test.answer}
+			primary := &fakePrimary{body: []byte("body"), err: test.callErr}
 			proposer := backup(t, primary)
 			result, err := proposer.Submit(t.Context(), state.ReadConfig{})
 			if !errors.Is(err, test.err) || result.Code != test.code {
-				t.Errorf("submitted: %+v, %v", result, err)
+				t.Errorf("Submit: %+v, %v", result, err)
 			}
 			if primary.kind != controlclient.KindSubmit || string(primary.payload) != string(state.ReadConfig{}.Encode()) {
 				t.Errorf("called with %d, %x", primary.kind, primary.payload)
 			}
 			result, err = proposer.OnPrimary(t.Context(), controlclient.KindDeregisterHost, []byte("h"), func() (state.Result, error) {
-				t.Error("done here, where another process leads")
+				t.Error("executed locally on a process that is not the primary")
 				return state.Result{}, nil
 			})
 			if !errors.Is(err, test.err) || result.Code != test.code {
-				t.Errorf("on the primary: %+v, %v", result, err)
+				t.Errorf("OnPrimary: %+v, %v", result, err)
 			}
 		})
 	}
--- a/tier/control/reconcile/reconciler_test.go
+++ b/tier/control/reconcile/reconciler_test.go
@@ -53,7 +53,7 @@
 	log := logrus.NewEntry(logger)
 	clients := rpc.NewClients(nil)
 	acceptor := fixture.Witness()
-	acceptor.Value = fixture.Alone()
+	acceptor.Value = fixture.SingleVoterRecord()
 	node, err := multigroup.Open(fixture.Disk(t, fixture.Voter, &acceptor), clients, log, true)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	go node.Run(ctx)
-	node.SetView(state.Group, membership.View(fixture.Alone()))
+	node.SetView(state.Group, membership.View(fixture.SingleVoterRecord()))
 	for !node.IsPrimary(state.Group) {
 		if ctx.Err() != nil {
 			t.Fatal("no primary")
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -30,7 +30,7 @@
 func recordedPrimary(ctx context.Context, t *testing.T) *Server {
 	t.Helper()
 	witness := fixture.Witness()
-	witness.Value = fixture.Alone()
+	witness.Value = fixture.SingleVoterRecord()
 	logger, _ := test.NewNullLogger()
 	s, err := New(&settings.Settings{
 		DataDir: fixture.Disk(t, fixture.Voter, &witness), ListenControl: "10.0.0.1:7000", Node: "ctl-a", IP: "10.0.0.1",
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	go s.node.Run(ctx)
-	s.node.SetView(state.Group, membership.View(fixture.Alone()))
+	s.node.SetView(state.Group, membership.View(fixture.SingleVoterRecord()))
 	for !s.node.IsPrimary(state.Group) {
 		if ctx.Err() != nil {
 			t.Fatal("no primary")
--- a/tier/control/session/controls.go
+++ b/tier/control/session/controls.go
@@ -5,19 +5,20 @@
 	"otterseam/tier/lease"
 )
 
-// controlSession is when a control process was heard last, and what it said of itself.
+// controlSession is the session of a control process, with the contents of its last heartbeat.
 type controlSession struct {
-	heardAt  int64
-	member   consensus.Member
-	draining bool
+	lastSeenAt int64
+	member     consensus.Member
+	draining   bool
 }
 
-// RenewControl keeps a control process's session.
+// RenewControl renews the session of a control process. It ends the session that another identity of the process has, which it had
+// before it lost its disk.
 func (s *Sessions) RenewControl(member consensus.Member, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.controls[member.ID] = controlSession{heardAt: now, member: member, draining: draining}
+	s.controls[member.ID] = controlSession{lastSeenAt: now, member: member, draining: draining}
 	for id, session := range s.controls {
 		if id != member.ID && session.member.Address == member.Address && session.member.Node == member.Node {
 			delete(s.controls, id)
@@ -25,28 +26,28 @@
 	}
 }
 
-// LiveControls lists control processes that were heard lately.
+// LiveControls returns the control processes whose sessions have not expired.
 func (s *Sessions) LiveControls() []consensus.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	var members []consensus.Member
 	for _, session := range s.controls {
-		if now-session.heardAt <= lease.ControlTimeout {
+		if now-session.lastSeenAt <= lease.ControlTimeout {
 			members = append(members, session.member)
 		}
 	}
 	return members
 }
 
-// ControlSilentFor is for how long a control process was not heard, counted from a moment at the earliest.
+// ControlSilentFor returns how long a control process has been silent, in milliseconds, where silence before since does not count.
 func (s *Sessions) ControlSilentFor(id uint64, since int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now() - max(since, s.controls[id].heardAt)
+	return s.now() - max(since, s.controls[id].lastSeenAt)
 }
 
-// IsControlDraining tells whether a control process has said that it will end.
+// IsControlDraining reports whether a control process has announced that it is shutting down.
 func (s *Sessions) IsControlDraining(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tier/control/session/doc.go
+++ b/tier/control/session/doc.go
@@ -1,27 +1,29 @@
-// Package session keeps who was heard when: store machines, hosts of the operators' services, and control processes.
+// Package session keeps the sessions of store machines, of the hosts of operators' services, and of control processes.
 //
-// # What it owns
+// # Responsibilities
 //
-// Sessions holds the times at which the primary heard each of them, on the bounds of package lease. UnreportedHosts holds the
-// heartbeats that a backup acknowledged and has yet to report to the primary.
+// Sessions holds the times of the last heartbeats that the primary knows of. The timeouts are those of package lease. UnreportedHosts
+// holds the heartbeats of hosts that a backup acknowledged and has not yet reported to the primary.
 //
 // # Invariants
 //
-//   - Only the primary's Sessions count. One that begins to lead begins all sessions anew: nobody is taken for silent because of a
-//     time at which somebody else listened.
-//   - A process that stood still can't tell who was silent meanwhile. Tick notices, and all sessions are extended.
-//   - A host whose removal is under way is not told that its session is kept.
+//   - Only the primary's Sessions are used. A new primary starts all sessions anew, so that no session expires because of a time at
+//     which another process received the heartbeats.
+//   - A process that was stalled can't tell who was silent during the stall. Tick detects the stall and extends all sessions.
+//   - While the removal of a host may be in flight, RenewHost reports it, and the host's heartbeat is not acknowledged on the strength of
+//     its session.
 //
-// # What it must not do
+// # Limits
 //
-// It proposes nothing and removes nobody: it says who is silent, and package reconcile has the removal committed.
+// The package proposes nothing and removes nothing. It reports which sessions have expired, and package reconcile commits the removals.
 //
-// Sessions with a primary that counts from its own clock are those of Chubby (Burrows, "The Chubby lock service for loosely-coupled
-// distributed systems", 2006).
+// Sessions whose timeouts the primary measures with its own clock are those of Chubby (Burrows, "The Chubby lock service for
+// loosely-coupled distributed systems", 2006).
 //
-// # The life of a heartbeat
+// # Processing of a heartbeat
 //
-// A host's heartbeat that says what is committed already is acknowledged by whichever control process gets it. A backup notes it in
-// its UnreportedHosts and reports the ages of these heartbeats in lists; the primary calls RenewHost for each, counted from a probe of
-// its own that the backup had read when it wrote the report. ExpiredHosts lists whom nobody has heard for too long.
+// Any control process with a lease acknowledges a host's heartbeat that matches the committed entry of the host. A backup adds the
+// heartbeat to its UnreportedHosts and periodically sends the primary a report with the ages of these heartbeats. The primary calls
+// RenewHost for each. It subtracts the age from the time at which it sent the newest probe that the backup had received before it wrote
+// the report. ExpiredHosts returns the hosts that have been silent for too long.
 package session
--- a/tier/control/session/sessions.go
+++ b/tier/control/session/sessions.go
@@ -10,51 +10,51 @@
 	"otterseam/tier/lease"
 )
 
-// Sessions is who was heard when. It is kept by the primary alone; a new primary gives all the benefit of the doubt. Its methods may
-// be called from any goroutine; times are those of the clock that it was made with, in milliseconds.
+// Sessions is the primary's table of the sessions of hosts, stores and control processes. Its methods may be called from any goroutine.
+// Times are milliseconds of the clock passed to New.
 type Sessions struct {
 	self uint64
 	now  func() int64
 
-	mu       sync.Mutex // guards what follows; nothing is called under it but package lease
-	stores   *lease.StoreSessions
-	hosts    *lease.HostSessions
-	controls map[uint64]controlSession
-	movedAt  map[uint64]int64 // when a control process was last asked to move hosts
-	tickedAt int64
+	mu         sync.Mutex // guards the fields below; only package lease is called while it is held
+	stores     *lease.StoreSessions
+	hosts      *lease.HostSessions
+	controls   map[uint64]controlSession
+	lastMoveAt map[uint64]int64 // time of the last planned move, by control process
+	tickedAt   int64
 }
 
-// New makes the sessions of the control process with an identity.
+// New returns an empty table for the control process with the identity self.
 func New(self uint64, now func() int64) *Sessions {
 	return &Sessions{
-		self:     self,
-		now:      now,
-		stores:   lease.NewStoreSessions(),
-		hosts:    lease.NewHostSessions(),
-		controls: map[uint64]controlSession{},
-		movedAt:  map[uint64]int64{},
+		self:       self,
+		now:        now,
+		stores:     lease.NewStoreSessions(),
+		hosts:      lease.NewHostSessions(),
+		controls:   map[uint64]controlSession{},
+		lastMoveAt: map[uint64]int64{},
 	}
 }
 
-// Begin starts sessions anew for all that the state knows.
+// Begin replaces all sessions of hosts and stores by new ones of those in the state.
 func (s *Sessions) Begin(st *state.State) {
-	boots := map[uint64]uint64{}
+	incarnations := map[uint64]uint64{}
 	for id, store := range directory.Stores(st.View) {
-		boots[id] = store.Incarnation
+		incarnations[id] = store.Incarnation
 	}
 	hosts := slices.Collect(maps.Keys(st.Hosts()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.stores.Begin(boots, now)
+	s.stores.Begin(incarnations, now)
 	s.hosts.Begin(hosts, now)
-	clear(s.movedAt)
+	clear(s.lastMoveAt)
 	s.tickedAt = now
 }
 
-// Tick notes that this process runs; refusals is how many heartbeats it has refused for want of a lease. After a stall
-// of its own it can't tell who was silent, and all start again.
-func (s *Sessions) Tick(refusals uint64) {
+// Tick must be called regularly. rejections is the number of heartbeats that this process has rejected because it had no lease. After
+// a stall of this process, which is a long time without a Tick, it can't tell who was silent, and Tick extends all sessions.
+func (s *Sessions) Tick(rejections uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -62,10 +62,10 @@
 		s.stores.ExtendAll(stalled)
 		s.hosts.Restart(now)
 		for id, session := range s.controls {
-			session.heardAt += stalled
+			session.lastSeenAt += stalled
 			s.controls[id] = session
 		}
 	}
-	s.hosts.RenewHolder(s.self, refusals, now, now)
+	s.hosts.RenewHolder(s.self, rejections, now, now)
 	s.tickedAt = now
 }
--- a/tier/control/session/spread.go
+++ b/tier/control/session/spread.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// surplusShare is by how much more than the mean a control process may have of the hosts before some are asked to move.
-	surplusShare = 0.2
-	// movePause is how long a control process is not asked to move hosts again, in milliseconds. Hosts that move are counted at
-	// the other process with their next heartbeat.
+	// maxSurplusRatio is by how much the hosts of a control process may exceed the mean, relative to the mean, before some are moved.
+	maxSurplusRatio = 0.2
+	// movePause is the minimum time between two moves from the same control process, in milliseconds. Hosts that move are counted at
+	// the other process only with their next heartbeat.
 	movePause = 3000
 )
 
-// Move is a number of hosts that are to send their heartbeats to another control process.
+// Move is a number of hosts that are to send their heartbeats to the control process Target instead.
 type Move struct {
 	Target consensus.Member
-	Hosts  int // 0: none
+	Hosts  int // 0 if no hosts are to move
 }
 
-// PlanMove plans which hosts a control process should hand to another, so that all carry like numbers again after a failover. There is
-// nothing to move as long as some hosts have not been heard.
+// PlanMove returns how many hosts should move from a control process to which other one, so that the hosts are balanced again after a
+// failover. No hosts are moved before this primary has a heartbeat of every host.
 func (s *Sessions) PlanMove(holder uint64) Move {
 	live := s.LiveControls()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts, complete := s.hosts.CountByHolder()
 	now := s.now()
-	if last, moved := s.movedAt[holder]; !complete || (moved && now-last < movePause) {
+	if last, hasMoved := s.lastMoveAt[holder]; !complete || (hasMoved && now-last < movePause) {
 		return Move{}
 	}
 	move := planMove(counts, live, holder)
 	if move.Hosts > 0 {
-		s.movedAt[holder] = now
+		s.lastMoveAt[holder] = now
 	}
 	return move
 }
 
-// planMove hands half of what a control process has beyond the mean to the live one that has the fewest.
+// planMove moves half of a control process's surplus above the mean to the live one with the fewest hosts.
 func planMove(counts map[uint64]int, live []consensus.Member, holder uint64) Move {
 	total := 0
 	for _, count := range counts {
@@ -50,7 +50,7 @@
 	}
 	mean := float64(total) / float64(len(live))
 	surplus := float64(counts[holder]) - mean
-	if surplus <= surplusShare*mean || surplus < 1 {
+	if surplus <= maxSurplusRatio*mean || surplus < 1 {
 		return Move{}
 	}
 	target := slices.MinFunc(live, func(a, b consensus.Member) int {
--- a/tier/control/session/stores.go
+++ b/tier/control/session/stores.go
@@ -6,14 +6,14 @@
 	"otterseam/tier/placement"
 )
 
-// RenewStore keeps a store's session.
-func (s *Sessions) RenewStore(beat controlclient.StoreHeartbeat) {
+// RenewStore renews a store's session.
+func (s *Sessions) RenewStore(heartbeat controlclient.StoreHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores.Renew(beat.Store.Identity, beat.Store.Incarnation, beat.Leaving, s.now())
+	s.stores.Renew(heartbeat.Store.Identity, heartbeat.Store.Incarnation, heartbeat.Leaving, s.now())
 }
 
-// Machines describes the store machines for placement.
+// Machines returns the store machines with their session states, as the input of placement.
 func (s *Sessions) Machines(stores map[uint64]directory.Store, retiring func(node string) bool) map[uint64]placement.Machine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	return machines
 }
 
-// StoreSilentFor is for how many milliseconds a store was not heard.
+// StoreSilentFor returns how long a store has been silent, in milliseconds.
 func (s *Sessions) StoreSilentFor(id uint64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tier/control/session/unreported.go
+++ b/tier/control/session/unreported.go
@@ -8,27 +8,27 @@
 
 // AcknowledgedHeartbeat is a host's heartbeat that this process acknowledged.
 type AcknowledgedHeartbeat struct {
-	Heartbeat controlclient.HostHeartbeat
-	At        int64 // when it came, on this process's clock in milliseconds
+	Heartbeat  controlclient.HostHeartbeat
+	ReceivedAt int64 // time of receipt, in milliseconds of this process's clock
 }
 
-// AcknowledgedHeartbeats is the newest such heartbeat of each host, by id.
+// AcknowledgedHeartbeats holds the newest acknowledged heartbeat of each host, by ID.
 type AcknowledgedHeartbeats map[string]AcknowledgedHeartbeat
 
-// UnreportedHosts holds the heartbeats of hosts that the primary was not told of yet. The zero value is empty and ready to use.
+// UnreportedHosts holds the acknowledged heartbeats that have not been reported to the primary. The zero value is empty and ready to use.
 type UnreportedHosts struct {
 	mu    sync.Mutex // guards hosts
 	hosts AcknowledgedHeartbeats
 }
 
-// Add notes a heartbeat in place of an older one of the host.
+// Add adds a heartbeat and replaces an older one of the same host.
 func (u *UnreportedHosts) Add(heartbeat AcknowledgedHeartbeat) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.put(heartbeat.Heartbeat.Host.ID, heartbeat)
 }
 
-// Take returns what was noted since the last time.
+// Take removes and returns all heartbeats.
 func (u *UnreportedHosts) Take() AcknowledgedHeartbeats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -37,18 +37,18 @@
 	return taken
 }
 
-// PutBack notes heartbeats again that the primary could not be told of, unless newer ones have come.
+// PutBack adds heartbeats again after their report failed, except those of hosts with a newer heartbeat.
 func (u *UnreportedHosts) PutBack(heartbeats AcknowledgedHeartbeats) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, heartbeat := range heartbeats {
-		if _, newer := u.hosts[id]; !newer {
+		if _, hasNewer := u.hosts[id]; !hasNewer {
 			u.put(id, heartbeat)
 		}
 	}
 }
 
-// put notes a heartbeat; the lock is held.
+// put sets the heartbeat of a host. The caller holds the lock.
 func (u *UnreportedHosts) put(id string, heartbeat AcknowledgedHeartbeat) {
 	if u.hosts == nil {
 		u.hosts = AcknowledgedHeartbeats{}
