--- a/tier/control/heartbeat/doc.go
+++ b/tier/control/heartbeat/doc.go
@@ -1,23 +1,25 @@
-// Package heartbeat takes the heartbeats of hosts, store machines and control processes, and sends those of this control process.
+// Package heartbeat processes the heartbeats of hosts, store machines and control processes, and sends those of this control process.
 //
-// # What it owns
+// # Responsibilities
 //
-// Hosts, Stores and Members each know what a heartbeat of their kind changes: the sender's session (package session), and the
-// replicated state if the sender says something new of itself. Hosts also owns the reports by which a backup tells the primary whom it
-// heard.
+// Hosts, Stores and Members each process one kind of heartbeat. They renew the sender's session (package session) and propose a change
+// of the replicated state if the heartbeat differs from it. Hosts also sends the reports in which a backup lists the hosts whose
+// heartbeats it acknowledged to the primary.
 //
 // # Invariants
 //
-//   - A heartbeat is acknowledged only with a lease, checked after the work and before the answer.
-//   - What a host or store says of itself is acknowledged when it is committed. A heartbeat that says nothing new is not replicated.
-//   - A host that deregistered is removed for good; one that was silent may come back.
+//   - A heartbeat is acknowledged only with a lease, which is checked after the processing and before the response.
+//   - A change of a host's or store's entry is acknowledged only after it was committed. A heartbeat that changes nothing is not
+//     replicated.
+//   - A host that deregistered is never listed again. One that was removed for silence may register again.
 //
-// # What it must not do
+// # Limits
 //
-// It removes nobody for silence; package reconcile does.
+// The package removes no host or store for silence. Package reconcile decides that.
 //
-// # The life of a heartbeat
+// # Processing of a host's heartbeat
 //
-// Package api decodes it and asks KeepsSession: if this process has a lease and the heartbeat says what is committed, that is all.
-// Otherwise it goes to the primary, which renews the session and has the news committed by a PutHost.
+// Package api decodes the heartbeat and calls KeepsSession. If this process has a lease and the heartbeat matches the committed entry of
+// the host, no further step is needed. Otherwise the heartbeat is sent to the primary, which renews the session and commits the change
+// as a PutHost.
 package heartbeat
--- a/tier/control/heartbeat/hosts.go
+++ b/tier/control/heartbeat/hosts.go
@@ -22,15 +22,15 @@
 	reportTimeout  = lease.ReportTimeout * time.Millisecond
 )
 
-// Lease tells what this process may answer now.
+// Lease reports which responses this process may give now.
 type Lease interface {
-	// MayServe tells whether this process may serve its copy of the state.
+	// MayServe reports whether this process may serve its replica of the state.
 	MayServe() bool
-	// MayDecide returns an error unless this process may answer as the primary.
+	// MayDecide returns an error unless this process may respond as the primary.
 	MayDecide() error
 }
 
-// Hosts takes the heartbeats of hosts. Its methods may be called from any goroutine.
+// Hosts processes the heartbeats of hosts. Its methods may be called from any goroutine.
 type Hosts struct {
 	Node     *multigroup.Node
 	State    *state.State
@@ -45,18 +45,18 @@
 	rejected   atomic.Uint64
 }
 
-// Reject counts a heartbeat that was rejected for want of a lease.
+// Reject counts a heartbeat that was rejected because this process had no lease.
 func (h *Hosts) Reject() { h.rejected.Add(1) }
 
-// Rejected is how many heartbeats were rejected for want of a lease.
+// Rejected returns the number of heartbeats that were rejected because this process had no lease.
 func (h *Hosts) Rejected() uint64 { return h.rejected.Load() }
 
-// KeepsSession tells whether a heartbeat says what is committed already, and then keeps the host's session. Backups do so by
-// themselves and tell the primary in reports.
+// KeepsSession processes a heartbeat that matches the committed entry of its host, and reports whether the heartbeat may be
+// acknowledged. The primary renews the host's session. A backup records the heartbeat and reports it to the primary later.
 func (h *Hosts) KeepsSession(heartbeat controlclient.HostHeartbeat) bool {
 	id := heartbeat.Host.ID
-	held, known := h.State.Host(id)
-	if !known || held != heartbeat.Host || !h.Lease.MayServe() {
+	committed, known := h.State.Host(id)
+	if !known || committed != heartbeat.Host || !h.Lease.MayServe() {
 		return false
 	}
 	if h.Node.IsPrimary(state.Group) {
@@ -69,11 +69,11 @@
 	return h.Lease.MayServe()
 }
 
-// Handle takes a heartbeat as the primary; only what changed is replicated.
+// Handle processes a heartbeat as the primary. It proposes a command only if the heartbeat differs from the host's entry.
 func (h *Hosts) Handle(ctx context.Context, heartbeat controlclient.HostHeartbeat) (state.Result, error) {
 	removing := h.Sessions.RenewHost(heartbeat.Host.ID, h.Node.Identity, h.Now())
-	held, known := h.State.Host(heartbeat.Host.ID)
-	if known && held == heartbeat.Host && !removing {
+	committed, known := h.State.Host(heartbeat.Host.ID)
+	if known && committed == heartbeat.Host && !removing {
 		return state.Result{}, h.Lease.MayDecide()
 	}
 	result, err := h.Proposer.Propose(ctx, state.PutHost{Host: heartbeat.Host, Seq: heartbeat.Seq})
@@ -83,12 +83,12 @@
 	return result, err
 }
 
-// Deregister removes a host that said so itself, as the primary. It never comes back, whatever heartbeats of its arrive late.
+// Deregister removes a host at its own request, as the primary. The host is not listed again when late heartbeats of it arrive.
 func (h *Hosts) Deregister(ctx context.Context, id string) (state.Result, error) {
 	return h.remove(ctx, state.RemoveHost{ID: id, Deregistered: true})
 }
 
-// RemoveSilent removes a host that was not heard for too long, as the primary.
+// RemoveSilent removes a host whose session has expired, as the primary.
 func (h *Hosts) RemoveSilent(ctx context.Context, id string) (state.Result, error) {
 	if _, known := h.State.Host(id); !known {
 		h.Sessions.ForgetHost(id)
@@ -104,38 +104,38 @@
 	return result, err
 }
 
-// Report tells the primary at intervals which hosts this process heard, until the context ends.
+// Report periodically reports to the primary the hosts whose heartbeats this process acknowledged, until the context is cancelled.
 func (h *Hosts) Report(ctx context.Context) {
 	periodic.Run(ctx, reportInterval, func() {
 		if h.Node.IsPrimary(state.Group) {
 			h.moves.begin(h.Sessions.PlanMove(h.Node.Identity), h.Now())
 		}
-		heard := h.unreported.Take()
-		if len(heard) == 0 {
+		heartbeats := h.unreported.Take()
+		if len(heartbeats) == 0 {
 			return
 		}
-		if missing, told := h.sendReport(ctx, heard); told {
-			h.register(ctx, heard, missing)
+		if unregistered, ok := h.sendReport(ctx, heartbeats); ok {
+			h.register(ctx, heartbeats, unregistered)
 		} else {
-			h.unreported.PutBack(heard)
+			h.unreported.PutBack(heartbeats)
 		}
 	})
 }
 
-// sendReport tells the primary which hosts were heard. It returns those that the primary has removed meanwhile.
-func (h *Hosts) sendReport(ctx context.Context, heard session.AcknowledgedHeartbeats) (missing []string, told bool) {
+// sendReport reports hosts to the primary. It returns those that are no longer listed, and whether the primary received the report.
+func (h *Hosts) sendReport(ctx context.Context, heartbeats session.AcknowledgedHeartbeats) (unregistered []string, delivered bool) {
 	report := controlclient.HeartbeatReport{From: h.Node.Identity}
 	now := h.Now()
-	for id, host := range heard {
-		report.Hosts = append(report.Hosts, controlclient.ReportedHost{ID: id, AgeMS: uint32(now - host.ReceivedAt)})
+	for id, received := range heartbeats {
+		report.Hosts = append(report.Hosts, controlclient.ReportedHost{ID: id, AgeMS: uint32(now - received.ReceivedAt)})
 	}
 	if h.Node.IsPrimary(state.Group) {
 		return h.renew(report, now), true
 	}
 	h.Node.WithGroup(state.Group, func(g *replica.Group) { report.Echoed = g.LastProbe() })
-	call, cancel := context.WithTimeout(ctx, reportTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	answer, err := h.Primary.Call(call, controlclient.KindHeartbeatReport, report.Encode())
+	answer, err := h.Primary.Call(callCtx, controlclient.KindHeartbeatReport, report.Encode())
 	if err != nil {
 		return nil, false
 	}
@@ -147,34 +147,35 @@
 	return response.Unregistered, true
 }
 
-// register puts hosts back on the list whose heartbeats were acknowledged here while the primary removed them.
-func (h *Hosts) register(ctx context.Context, heard session.AcknowledgedHeartbeats, missing []string) {
-	for _, id := range missing {
-		heartbeat := heard[id].Heartbeat
-		call, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := h.Proposer.OnPrimary(call, controlclient.KindHostHeartbeat, heartbeat.Encode(), func() (state.Result, error) {
-			return h.Handle(call, heartbeat)
+// register lists hosts again that the primary removed while this process acknowledged their heartbeats.
+func (h *Hosts) register(ctx context.Context, heartbeats session.AcknowledgedHeartbeats, ids []string) {
+	for _, id := range ids {
+		heartbeat := heartbeats[id].Heartbeat
+		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		_, err := h.Proposer.OnPrimary(callCtx, controlclient.KindHostHeartbeat, heartbeat.Encode(), func() (state.Result, error) {
+			return h.Handle(callCtx, heartbeat)
 		})
 		cancel()
 		if err != nil {
-			h.unreported.PutBack(session.AcknowledgedHeartbeats{id: heard[id]})
+			h.unreported.PutBack(session.AcknowledgedHeartbeats{id: heartbeats[id]})
 		}
 	}
 }
 
-// HandleReport keeps the sessions of hosts that another control process heard, and answers which of them are not on the list. The
-// report counts from the probe of this process that its sender had read.
+// HandleReport renews the sessions of the hosts in a report of another control process. The response names those that are not listed.
+// The ages in the report are subtracted from the time at which this process sent the probe that the report echoes. A report that
+// echoes no probe of this process is rejected.
 func (h *Hosts) HandleReport(payload []byte) (state.Result, error) {
 	report, err := controlclient.DecodeHeartbeatReport(payload)
 	if err != nil {
 		return state.Result{}, err
 	}
-	asked, own := int64(0), false
-	h.Node.WithGroup(state.Group, func(g *replica.Group) { asked, own = g.ProbeSentAt(report.Echoed, h.Now()) })
-	if !own {
+	probeSentAt, ok := int64(0), false
+	h.Node.WithGroup(state.Group, func(g *replica.Group) { probeSentAt, ok = g.ProbeSentAt(report.Echoed, h.Now()) })
+	if !ok {
 		return state.Result{}, codes.Unavailable
 	}
-	response := controlclient.HeartbeatReportResponse{Unregistered: h.renew(report, asked)}
+	response := controlclient.HeartbeatReportResponse{Unregistered: h.renew(report, probeSentAt)}
 	if move := h.Sessions.PlanMove(report.From); move.Hosts > 0 {
 		response.MoveHosts = uint32(move.Hosts)
 		response.MoveTo = move.Target.Address
@@ -182,14 +183,14 @@
 	return state.Result{Body: response.Encode()}, h.Lease.MayDecide()
 }
 
-// renew keeps the sessions of hosts by a report written no earlier than a time. It returns those that are not on the list, or may be
-// about to leave it.
-func (h *Hosts) renew(report controlclient.HeartbeatReport, written int64) (missing []string) {
+// renew renews the sessions of the hosts in a report that was written no earlier than writtenAt. It returns the hosts that are not
+// listed and those whose removal may be in flight.
+func (h *Hosts) renew(report controlclient.HeartbeatReport, writtenAt int64) (unregistered []string) {
 	for _, host := range report.Hosts {
 		_, listed := h.State.Host(host.ID)
-		if !listed || h.Sessions.RenewHost(host.ID, report.From, written-int64(host.AgeMS)) {
-			missing = append(missing, host.ID)
+		if !listed || h.Sessions.RenewHost(host.ID, report.From, writtenAt-int64(host.AgeMS)) {
+			unregistered = append(unregistered, host.ID)
 		}
 	}
-	return missing
+	return unregistered
 }
--- a/tier/control/heartbeat/members.go
+++ b/tier/control/heartbeat/members.go
@@ -18,12 +18,12 @@
 	"otterseam/tier/rpc"
 )
 
-// MemberInterval is how often a control process keeps its session with the primary. It is well below lease.ControlTimeout, so that
-// a lost heartbeat or two end no session.
+// MemberInterval is the interval at which a control process sends heartbeats to the primary. It is well below lease.ControlTimeout, so
+// that one or two lost heartbeats do not expire the session.
 const MemberInterval = 150 * time.Millisecond
 
-// Members keeps this control process's session with the primary, and those of the others while it leads. Its methods may be called
-// from any goroutine.
+// Members sends the heartbeats of this control process to the primary, and processes those of the others while this process is the
+// primary. Its methods may be called from any goroutine.
 type Members struct {
 	Node     *multigroup.Node
 	Self     consensus.Member
@@ -31,14 +31,14 @@
 	Status   *election.LeaseStatus
 	Sessions *session.Sessions
 	Primary  proposal.Caller
-	// Draining tells whether this process is about to stop.
+	// Draining reports whether this process is shutting down.
 	Draining func() bool
-	// Rejected is how many heartbeats of hosts this process has rejected for want of a lease.
+	// Rejected returns the number of host heartbeats that this process has rejected because it had no lease.
 	Rejected func() uint64
 	Now      func() int64
 }
 
-// Run keeps this process's session with the primary until the context ends.
+// Run renews this process's session with the primary until the context is cancelled.
 func (m *Members) Run(ctx context.Context) {
 	periodic.Run(ctx, MemberInterval, func() {
 		if m.Status.Leads() {
@@ -49,27 +49,27 @@
 	})
 }
 
-// send tells the primary that this process is there. The answer says how old the primary's contact with a majority is; it counts
-// from before the heartbeat was sent.
+// send sends a heartbeat to the primary. The response contains the age of the primary's last contact with a majority. The age is
+// subtracted from the time at which the heartbeat was sent.
 func (m *Members) send(ctx context.Context) {
 	heartbeat := controlclient.MemberHeartbeat{Member: m.Self, Leaving: m.Draining(), RejectedHeartbeats: m.Rejected()}
 	m.Node.WithGroup(state.Group, func(g *replica.Group) { heartbeat.Echoed = g.LastProbe() })
-	call, cancel := context.WithTimeout(ctx, election.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, election.CallTimeout)
 	defer cancel()
-	asked := m.Now()
-	answer, err := m.Primary.Call(call, controlclient.KindMemberHeartbeat, heartbeat.Encode())
+	sentAt := m.Now()
+	answer, err := m.Primary.Call(callCtx, controlclient.KindMemberHeartbeat, heartbeat.Encode())
 	if err != nil {
-		return // the next heartbeat is due soon
+		return // the next heartbeat follows after MemberInterval
 	}
 	response, err := decodeMemberResponse(answer)
 	if err == nil {
 		m.Elector.Learn(response.record)
-		m.Status.ObserveReached(asked - response.ageMS)
+		m.Status.ObserveReached(sentAt - response.ageMS)
 	}
 }
 
-// Handle keeps a control process's session. A primary does so also while it can commit nothing: the replica that it waits for may
-// come with this very heartbeat.
+// Handle renews the session of a control process. A primary does so even while it can't commit, because the heartbeat may come from the
+// replica that it is waiting for.
 func (m *Members) Handle(message rpc.Message) {
 	heartbeat, err := controlclient.DecodeMemberHeartbeat(message.Payload)
 	if err != nil {
@@ -83,18 +83,18 @@
 	}
 	m.Sessions.RenewControl(heartbeat.Member, heartbeat.Leaving)
 	m.Node.WithGroup(state.Group, func(g *replica.Group) {
-		if asked, own := g.ProbeSentAt(heartbeat.Echoed, m.Now()); own {
-			m.Sessions.RenewHolder(heartbeat.Member.ID, heartbeat.RejectedHeartbeats, asked)
+		if probeSentAt, ok := g.ProbeSentAt(heartbeat.Echoed, m.Now()); ok {
+			m.Sessions.RenewHolder(heartbeat.Member.ID, heartbeat.RejectedHeartbeats, probeSentAt)
 		}
 	})
 	response := memberResponse{record: m.Elector.Known(), ageMS: m.Status.Status().Age(m.Now())}
 	message.Answer(codes.OK, response.encode())
 }
 
-// memberResponse is the primary's answer to a member's heartbeat.
+// memberResponse is the primary's response to a member's heartbeat.
 type memberResponse struct {
-	record consensus.Record // the newest that the primary knows
-	ageMS  int64            // since the primary's newest contact with a majority began
+	record consensus.Record // the newest record that the primary knows
+	ageMS  int64            // age of the primary's newest contact with a majority
 }
 
 func (r memberResponse) encode() []byte {
--- a/tier/control/heartbeat/moves.go
+++ b/tier/control/heartbeat/moves.go
@@ -7,19 +7,18 @@
 	"otterseam/tier/control/session"
 )
 
-// moveTTL is how long hosts are asked to move after the primary has said so, in milliseconds: the process that they are to move to may
-// be gone later.
+// moveTTL is how long after a move was planned hosts are still redirected, in milliseconds. Later, the target process may have stopped.
 const moveTTL = 1500
 
-// hostMoves is a move of hosts to another control process that is under way. The zero value is ready to use.
+// hostMoves is the current move of hosts from this control process to another one. The zero value is ready to use.
 type hostMoves struct {
-	mu       sync.Mutex // guards the fields below
-	targetIP string
-	left     int // hosts that have not been asked yet
-	begunAt  int64
+	mu        sync.Mutex // guards the fields below
+	targetIP  string
+	remaining int // number of hosts that are still to be redirected
+	startedAt int64
 }
 
-// begin begins a move, which ends the one before. A move of no hosts changes nothing.
+// begin starts a move and cancels the previous one. A move of no hosts is ignored.
 func (m *hostMoves) begin(move session.Move, now int64) {
 	host, _, err := net.SplitHostPort(move.Target.Address)
 	if move.Hosts == 0 || err != nil {
@@ -28,21 +27,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.targetIP = host
-	m.left = move.Hosts
-	m.begunAt = now
+	m.remaining = move.Hosts
+	m.startedAt = now
 }
 
-// take returns where one host is to send its heartbeats from now on; "" for here.
-func (m *hostMoves) take(now int64) (targetIP string) {
+// nextTarget returns the IP address of the process to which the next host is redirected, or "" if the host is to stay with this process.
+func (m *hostMoves) nextTarget(now int64) (targetIP string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.left == 0 || now-m.begunAt > moveTTL {
+	if m.remaining == 0 || now-m.startedAt > moveTTL {
 		return ""
 	}
-	m.left--
+	m.remaining--
 	return m.targetIP
 }
 
-// HeartbeatTarget is the IP address of the control process to which a host whose heartbeat is acknowledged now is to send the next one;
-// "" for this one.
-func (h *Hosts) HeartbeatTarget() string { return h.moves.take(h.Now()) }
+// HeartbeatTarget returns the IP address of the control process to which the host whose heartbeat is being acknowledged is to send the
+// next one, or "" for this process.
+func (h *Hosts) HeartbeatTarget() string { return h.moves.nextTarget(h.Now()) }
--- a/tier/control/heartbeat/recorded_test.go
+++ b/tier/control/heartbeat/recorded_test.go
@@ -26,7 +26,7 @@
 	"otterseam/tier/rpc"
 )
 
-// recordedMembers takes and sends the heartbeats of a control process on a data folder.
+// recordedMembers returns the Members of a control process with the given data folder.
 func recordedMembers(t *testing.T, dir string) *Members {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
@@ -50,8 +50,8 @@
 	}
 }
 
-// listenRecorded has a handler take what arrives at the address returned.
-func listenRecorded(t *testing.T, handler rpc.Handler) string {
+// serve serves calls with a handler and returns the address.
+func serve(t *testing.T, handler rpc.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,26 +62,27 @@
 	return listener.Addr().String()
 }
 
-// answering is a process that holds the calls of a kind to one recording and answers with another one.
-func answering(t *testing.T, kind rpc.Kind, question, answer string) string {
+// serveRecorded serves calls of one kind. It checks each payload against a recording and responds with another recording. It returns the
+// address.
+func serveRecorded(t *testing.T, kind rpc.Kind, request, response string) string {
 	t.Helper()
-	return listenRecorded(t, func(m rpc.Message) {
-		if m.Kind != kind {
-			t.Errorf("kind %d, not %d", m.Kind, kind)
+	return serve(t, func(message rpc.Message) {
+		if message.Kind != kind {
+			t.Errorf("kind %d, not %d", message.Kind, kind)
 		}
-		recorded.Check(t, question, m.Payload)
-		m.Answer(codes.OK, recorded.Read(t, answer))
+		recorded.Check(t, request, message.Payload)
+		message.Answer(codes.OK, recorded.Read(t, response))
 	})
 }
 
-// asked calls a process with a recording, or with nothing, and returns its answer.
-func asked(t *testing.T, m *Members, kind rpc.Kind, question string) []byte {
+// callRecorded calls m with a recording, or with an empty payload if there is none, and returns the response.
+func callRecorded(t *testing.T, m *Members, kind rpc.Kind, request string) []byte {
 	t.Helper()
-	client := rpc.NewClient(listenRecorded(t, m.Handle), nil)
+	client := rpc.NewClient(serve(t, m.Handle), nil)
 	t.Cleanup(client.Close)
 	var payload []byte
-	if question != "" {
-		payload = recorded.Read(t, question)
+	if request != "" {
+		payload = recorded.Read(t, request)
 	}
 	answer, err := client.Call(recordedContext(t), kind, payload)
 	if err != nil {
@@ -97,50 +98,50 @@
 	return ctx
 }
 
-// recordedAge is the age of the primary's contact in the recorded answer, in milliseconds.
+// recordedAge is the age of the primary's contact with a majority in the recorded response, in milliseconds.
 const recordedAge = 321
 
-// A control process keeps its session as recorded, and reads the recorded answer.
-func TestRecordedControlBeat(t *testing.T) {
-	s := recordedMembers(t, fixture.Disk(t, fixture.Asker, nil))
-	s.Draining = func() bool { return true }
-	s.Rejected = func() uint64 { return 17 }
-	address := answering(t, controlclient.KindMemberHeartbeat, "control-beat", "control-beat-answer")
-	s.Primary = controlclient.New(rpc.NewClients(nil), func() []string { return []string{address} })
+// The heartbeat of a control process is as recorded, and its sender decodes the recorded response.
+func TestRecordedControlHeartbeat(t *testing.T) {
+	m := recordedMembers(t, fixture.Disk(t, fixture.Asker, nil))
+	m.Draining = func() bool { return true }
+	m.Rejected = func() uint64 { return 17 }
+	address := serveRecorded(t, controlclient.KindMemberHeartbeat, "control-beat", "control-beat-answer")
+	m.Primary = controlclient.New(rpc.NewClients(nil), func() []string { return []string{address} })
 	before := multigroup.Now()
-	s.send(recordedContext(t))
+	m.send(recordedContext(t))
 	after := multigroup.Now()
-	reachedSince := s.Status.Status().ConfirmedSince
+	reachedSince := m.Status.Status().ConfirmedSince
 	if reachedSince < before-recordedAge || reachedSince > after-recordedAge {
-		t.Errorf("reached since %d, asked from %d to %d", reachedSince, before, after)
+		t.Errorf("reached since %d, sent between %d and %d", reachedSince, before, after)
 	}
-	if !reflect.DeepEqual(s.Elector.Known(), fixture.SingleVoterRecord()) {
-		t.Errorf("learnt %+v", s.Elector.Known())
+	if !reflect.DeepEqual(m.Elector.Known(), fixture.SingleVoterRecord()) {
+		t.Errorf("learned record: %+v", m.Elector.Known())
 	}
 }
 
-// leadingMembers is the part of a control process that leads alone.
+// leadingMembers returns the Members of a primary that is the only voter.
 func leadingMembers(t *testing.T) *Members {
 	t.Helper()
 	witness := fixture.Witness()
 	witness.Value = fixture.SingleVoterRecord()
-	s := recordedMembers(t, fixture.Disk(t, fixture.Voter, &witness))
-	if err := s.Node.OpenGroup(state.Group, state.New(), replica.Options{Incarnation: 9}); err != nil {
+	m := recordedMembers(t, fixture.Disk(t, fixture.Voter, &witness))
+	if err := m.Node.OpenGroup(state.Group, state.New(), replica.Options{Incarnation: 9}); err != nil {
 		t.Fatal(err)
 	}
-	s.Node.SetView(state.Group, membership.View(fixture.SingleVoterRecord()))
-	return s
+	m.Node.SetView(state.Group, membership.View(fixture.SingleVoterRecord()))
+	return m
 }
 
-// A primary answers the recorded beat as recorded but for the age of its contact, which is as measured.
-func TestRecordedAnswerToAControlBeat(t *testing.T) {
-	answer := asked(t, leadingMembers(t), controlclient.KindMemberHeartbeat, "control-beat")
+// A primary's response to the recorded heartbeat is as recorded, except for the measured age of its contact with a majority.
+func TestRecordedResponseToControlHeartbeat(t *testing.T) {
+	answer := callRecorded(t, leadingMembers(t), controlclient.KindMemberHeartbeat, "control-beat")
 	if len(answer) < 8 {
-		t.Fatalf("answer %x", answer)
+		t.Fatalf("response %x", answer)
 	}
 	age := answer[len(answer)-8:]
 	if measured := int64(binary.BigEndian.Uint64(age)); measured < 0 || measured >= lease.TTL {
-		t.Errorf("age %d", measured)
+		t.Errorf("age of the contact: %d ms", measured)
 	}
 	binary.BigEndian.PutUint64(age, recordedAge)
 	recorded.Check(t, "control-beat-answer", answer)
--- a/tier/control/heartbeat/stores.go
+++ b/tier/control/heartbeat/stores.go
@@ -12,25 +12,25 @@
 	"otterseam/tier/feed"
 )
 
-// Stores takes the heartbeats of store machines, as the primary. Its method may be called from any goroutine.
+// Stores processes the heartbeats of store machines, as the primary. Its methods may be called from any goroutine.
 type Stores struct {
 	State    *state.State
 	Sessions *session.Sessions
 	Lease    Lease
 	Proposer *proposal.Proposer
-	// Registered is called when a store was registered, for which shards may have waited.
+	// Registered is called after a store was registered, because shards may be waiting for one.
 	Registered func()
 }
 
-// Handle keeps a store's session, and registers a store that is new or was started again.
+// Handle renews a store's session. It registers a store that is new or has restarted.
 func (s *Stores) Handle(ctx context.Context, payload []byte) (state.Result, error) {
 	heartbeat, err := controlclient.DecodeStoreHeartbeat(payload)
 	if err != nil {
 		return state.Result{}, err
 	}
 	s.Sessions.RenewStore(heartbeat)
-	held, known := s.State.View.Get(feed.SectionStore, directory.StoreKey(heartbeat.Store.Identity))
-	if known && bytes.Equal(held, heartbeat.Store.Encode()) {
+	committed, known := s.State.View.Get(feed.SectionStore, directory.StoreKey(heartbeat.Store.Identity))
+	if known && bytes.Equal(committed, heartbeat.Store.Encode()) {
 		return state.Result{}, s.Lease.MayDecide()
 	}
 	defer s.Registered()
--- a/tier/control/reconcile/members.go
+++ b/tier/control/reconcile/members.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// membersInterval is how often the primary looks at members and replicas.
+	// membersInterval is the interval at which the primary checks members and replicas.
 	membersInterval = 50 * time.Millisecond
-	// announceInterval is how often the primary tells seeds that are no members where the group is, in milliseconds.
+	// announceInterval is the interval at which the primary announces the group to the seeds that are not members, in milliseconds.
 	announceInterval = 1000
-	// departedAfter is the silence in milliseconds after which a control process may be taken out of the members with none in its
-	// place. It is above lease.ControlTimeout, after which another may take its place.
-	departedAfter = 6000
+	// departedTimeout is the silence in milliseconds after which a control process may be removed from the members without a
+	// replacement. It is above lease.ControlTimeout, after which it may be replaced.
+	departedTimeout = 6000
 )
 
-// Members keeps control's own members and replicas in order while this process leads. Run is of one goroutine and owns the fields that
-// are not exported.
+// Members reconciles control's own members and replicas while this process is the primary. Run must be called from one goroutine, which
+// owns the unexported fields.
 type Members struct {
 	Node     *multigroup.Node
 	Elector  *election.Elector
 	Status   *election.LeaseStatus
 	Sessions *session.Sessions
 	Policy   membership.Policy
-	// Now is the process's steady clock in milliseconds.
+	// Now returns the time of the process's monotonic clock in milliseconds.
 	Now func() int64
 
-	ledSince    int64 // 0 while another process leads
+	ledSince    int64 // when this process became primary; 0 while another process is the primary
 	announcedAt int64
 }
 
-// Run looks at members and replicas until the context ends. It runs beside the Reconciler, whose work may wait for a replica that has
-// to be dropped or taken in first.
+// Run reconciles members and replicas until the context is cancelled. It runs concurrently with the Reconciler, whose proposals may wait
+// for a replica that Run has to drop or admit first.
 func (m *Members) Run(ctx context.Context) {
 	var announcements sync.WaitGroup
 	defer announcements.Wait()
@@ -65,13 +65,13 @@
 	})
 }
 
-// adjust changes the record. A change that is not decided is planned anew at the next look.
+// adjust changes the record. A change that is not decided is planned again in the next pass.
 func (m *Members) adjust(ctx context.Context, change func(consensus.Record) (consensus.Record, bool)) {
 	_ = m.Elector.Adjust(ctx, change)
 }
 
-// followRecord has the primary's replica follow a record that this process proposed and of which it did not hear that it was
-// decided: the replica would go on without the members that the record names. The record is decided anew under the next epoch.
+// followRecord proposes the known record again, under the next epoch, if this process proposed it but got no definite result. Otherwise
+// the primary's replica would continue without the members that the record names.
 func (m *Members) followRecord(ctx context.Context) {
 	known := m.Elector.Known()
 	epoch := uint64(0)
@@ -81,7 +81,7 @@
 	}
 }
 
-// adjustInSync drops silent members of control and takes in those that have caught up.
+// adjustInSync drops silent replicas from the in-sync set of control and admits those that have caught up.
 func (m *Members) adjustInSync(ctx context.Context) {
 	var silent, caughtUp []uint64
 	m.Node.WithGroup(state.Group, func(g *replica.Group) {
@@ -95,7 +95,7 @@
 	})
 	switch {
 	case len(caughtUp) > 0:
-		// one that caught up comes first: the set may be too small to let a silent one go without it
+		// a replica that caught up is admitted first, because without it the set may be too small to drop a silent one
 		m.admitInSync(ctx, caughtUp)
 	case len(silent) > 0:
 		m.dropInSync(ctx, silent)
@@ -126,8 +126,8 @@
 	})
 }
 
-// adjustMembers takes one step of the members. The step is built on the record that the proposal reads: the one known here need not
-// have been decided.
+// adjustMembers makes one step of a membership change. The step is computed from the record that the proposal reads, because the record
+// known to this process need not have been decided.
 func (m *Members) adjustMembers(ctx context.Context) {
 	known := m.Elector.Known()
 	observed := m.observe(m.ledSince)
@@ -147,7 +147,7 @@
 	})
 }
 
-// admit has commands wait for a replica that still holds the state.
+// admit makes commits wait for a replica if it is still caught up. It reports whether it is.
 func (m *Members) admit(id uint64) bool {
 	admitted := false
 	m.Node.WithGroup(state.Group, func(g *replica.Group) {
@@ -159,20 +159,20 @@
 	return admitted
 }
 
-// observe gathers what is known of the control processes; silence counts from a time at the earliest.
+// observe returns the observed states of the control processes. Silence before ledSince does not count.
 func (m *Members) observe(ledSince int64) membership.Observation {
-	o := membership.Observation{
+	observation := membership.Observation{
 		Alive:    m.Sessions.LiveControls(),
 		HasState: map[uint64]bool{},
 		DiskLost: m.Elector.DiskLost,
 		Silent:   func(id uint64) bool { return m.Sessions.ControlSilentFor(id, ledSince) > lease.ControlTimeout },
-		Departed: func(id uint64) bool { return m.Sessions.ControlSilentFor(id, ledSince) > departedAfter },
+		Departed: func(id uint64) bool { return m.Sessions.ControlSilentFor(id, ledSince) > departedTimeout },
 		Draining: m.Sessions.IsControlDraining,
 	}
 	m.Node.WithGroup(state.Group, func(g *replica.Group) {
 		for _, id := range g.CaughtUp(m.Now()) {
-			o.HasState[id] = true
+			observation.HasState[id] = true
 		}
 	})
-	return o
+	return observation
 }
--- a/tier/control/reconcile/reconciler.go
+++ b/tier/control/reconcile/reconciler.go
@@ -20,7 +20,7 @@
 	"otterseam/tier/timeline"
 )
 
-// Config is what a Reconciler is made of.
+// Config holds the dependencies and settings of a Reconciler.
 type Config struct {
 	Node     *multigroup.Node
 	State    *state.State
@@ -32,29 +32,29 @@
 	Hosts    *heartbeat.Hosts
 	Timeline *timeline.Timeline
 	Log      *logrus.Entry
-	// Now is the process's steady clock in milliseconds.
+	// Now returns the time of the process's monotonic clock in milliseconds.
 	Now func() int64
-	// Heartbeat is how often hosts are to send heartbeats.
+	// Heartbeat is the heartbeat interval of hosts.
 	Heartbeat time.Duration
-	// Tolerate is how many store machines may be lost at once.
+	// Tolerate is the number of store machines that may be lost at once.
 	Tolerate int
 }
 
-// Reconciler does the primary's periodic work. Lead and EndLead are of one goroutine, the supervisor's; the other methods may be
-// called from any.
+// Reconciler does the primary's periodic work. Reconcile and EndLeadership must be called from one goroutine, which is the supervisor's.
+// The other methods may be called from any goroutine.
 type Reconciler struct {
 	config Config
 
-	leading  uint64 // index of the entry that opened the lead for which sessions were begun, 0 if another process leads
-	ledSince int64
+	epochStartIndex uint64 // EpochStartIndex of the leadership for which sessions were started, 0 without one
+	ledSince        int64
 }
 
-// New makes a reconciler.
+// New returns a reconciler.
 func New(config Config) *Reconciler { return &Reconciler{config: config} }
 
-// Lead looks once at all that a primary keeps in order.
-func (r *Reconciler) Lead(ctx context.Context) {
-	r.beginLead()
+// Reconcile makes one pass over all that the primary reconciles.
+func (r *Reconciler) Reconcile(ctx context.Context) {
+	r.beginLeadership()
 	if r.config.Lease.MayDecide() != nil {
 		return
 	}
@@ -65,24 +65,24 @@
 	r.ejectOutliers(ctx)
 }
 
-// EndLead notes that another process leads, so that sessions begin anew the next time.
-func (r *Reconciler) EndLead() { r.leading = 0 }
+// EndLeadership records that this process is not the primary, so that sessions start anew when it becomes primary again.
+func (r *Reconciler) EndLeadership() { r.epochStartIndex = 0 }
 
-// beginLead starts sessions anew when this process has begun to lead.
-func (r *Reconciler) beginLead() {
-	opened := uint64(0)
-	r.config.Node.WithGroup(state.Group, func(g *replica.Group) { opened = g.EpochStartIndex() })
-	if r.leading == opened {
+// beginLeadership starts all sessions anew if this process has become primary since the last pass.
+func (r *Reconciler) beginLeadership() {
+	startIndex := uint64(0)
+	r.config.Node.WithGroup(state.Group, func(g *replica.Group) { startIndex = g.EpochStartIndex() })
+	if r.epochStartIndex == startIndex {
 		return
 	}
-	r.leading = opened
+	r.epochStartIndex = startIndex
 	r.ledSince = r.config.Now()
 	r.config.Timeline.Reach(timeline.PrimaryReady)
 	r.config.Sessions.Begin(r.config.State)
 	r.config.Ejector.Begin(r.config.State.EjectionDurations(), r.config.Now())
 }
 
-// publishMembers tells subscribers where control is.
+// publishMembers publishes the addresses of the control processes to subscribers if they have changed.
 func (r *Reconciler) publishMembers(ctx context.Context) {
 	known := r.config.Elector.Known()
 	var addresses []string
@@ -95,29 +95,29 @@
 	r.propose(ctx, state.SetMembers{Record: known})
 }
 
-// propose has a command carried out. One that is not committed is planned anew at the next look.
+// propose executes a command. One that is not committed is planned again in the next pass.
 func (r *Reconciler) propose(ctx context.Context, command state.Command) {
 	_, _ = r.config.Proposer.Propose(ctx, command)
 }
 
 func (r *Reconciler) removeSilentHosts(ctx context.Context) {
 	for _, id := range r.config.Sessions.ExpiredHosts(r.config.Heartbeat.Milliseconds()) {
-		if _, listed := r.config.State.Host(id); !listed { // a late heartbeat of one that deregistered
+		if _, listed := r.config.State.Host(id); !listed { // the session is that of a late heartbeat of a deregistered host
 			r.config.Sessions.ForgetHost(id)
 			continue
 		}
 		r.config.Log.WithField("host", id).Info("host removed: no heartbeats")
-		_, _ = r.config.Hosts.RemoveSilent(ctx, id) // the next look finds it again
+		_, _ = r.config.Hosts.RemoveSilent(ctx, id) // after an error, the next pass tries again
 	}
 }
 
-// ejectOutliers ejects hosts that fail where their peers do not, and takes back what has lapsed.
+// ejectOutliers ejects hosts that fail while their peers do not, and reinstates hosts whose ejections have ended.
 func (r *Reconciler) ejectOutliers(ctx context.Context) {
 	eject, ended := r.config.Ejector.Decide(func() outlier.Fleet { return ejection.FleetOf(r.config.State) }, r.config.Now())
 	var commands []state.Command
-	for _, each := range eject {
-		r.config.Log.WithFields(logrus.Fields{"host": each.Host, "term_ms": each.DurationMS}).Info("host ejected: it fails where its peers do not")
-		commands = append(commands, state.EjectHost{ID: each.Host, DurationMS: each.DurationMS})
+	for _, decision := range eject {
+		r.config.Log.WithFields(logrus.Fields{"host": decision.Host, "term_ms": decision.DurationMS}).Info("host ejected: it fails where its peers do not")
+		commands = append(commands, state.EjectHost{ID: decision.Host, DurationMS: decision.DurationMS})
 	}
 	for _, host := range ended {
 		commands = append(commands, state.ReinstateHost{ID: host})
--- a/tier/control/reconcile/reconciler_test.go
+++ b/tier/control/reconcile/reconciler_test.go
@@ -27,10 +27,10 @@
 	"otterseam/tier/timeline"
 )
 
-// heartbeatInterval is that of the hosts.
+// heartbeatInterval is the heartbeat interval of hosts.
 const heartbeatInterval = time.Second
 
-// leader is a process that leads alone, with a clock that is set by hand beside that of its replica.
+// leader is a primary that is the only voter. Its clock is advanced manually, but its replica uses the real clock.
 type leader struct {
 	*Reconciler
 	sessions *session.Sessions
@@ -40,7 +40,7 @@
 	clock    int64
 }
 
-// alwaysLeads is the lease of a process that nobody replaces.
+// alwaysLeads is a lease that never expires.
 type alwaysLeads struct{}
 
 func (alwaysLeads) MayServe() bool   { return true }
@@ -88,19 +88,19 @@
 	return l
 }
 
-// step is how far the clock of a leader goes at once, in milliseconds. It is below lease.StallThreshold: the process never stands still.
+// step is the increment of a leader's clock in milliseconds. It is below lease.StallThreshold, so that no stall is detected.
 const step = 100
 
-// advance lets a time pass, with something done at each step.
-func (l *leader) advance(span int64, each func()) {
+// advance advances the clock by span and calls afterStep after each step.
+func (l *leader) advance(span int64, afterStep func()) {
 	for end := l.clock + span; l.clock < end; {
 		l.clock += step
 		l.sessions.Tick(0)
-		each()
+		afterStep()
 	}
 }
 
-// registerStore has a store known and heard.
+// registerStore registers a store and starts its session.
 func (l *leader) registerStore(ctx context.Context, t *testing.T, id uint64, node string) {
 	t.Helper()
 	store := fixture.Store(id, node)
@@ -110,7 +110,7 @@
 	l.sessions.RenewStore(controlclient.StoreHeartbeat{Store: store})
 }
 
-// registerHost has a host known and heard.
+// registerHost sends a heartbeat of a host.
 func (l *leader) registerHost(ctx context.Context, t *testing.T, id string) {
 	t.Helper()
 	if _, err := l.hosts.Handle(ctx, controlclient.HostHeartbeat{Host: fixture.Host(id, false), Seq: 1}); err != nil {
@@ -118,56 +118,56 @@
 	}
 }
 
-func TestShardsArePlacedWhenStoresHadTimeToRegister(t *testing.T) {
+func TestShardsArePlacedAfterStoresHadTimeToRegister(t *testing.T) {
 	l := newLeader(t)
-	l.Lead(t.Context())
+	l.Reconcile(t.Context())
 	for id, node := range []string{"store-a", "store-b", "store-c"} {
 		l.registerStore(t.Context(), t, uint64(id+1), node)
 	}
-	l.Lead(t.Context())
+	l.Reconcile(t.Context())
 	if placed := len(directory.Shards(l.state.View)); placed != 0 {
-		t.Fatalf("%d shards are placed before all stores could register", placed)
+		t.Fatalf("%d shards were placed before all stores could register", placed)
 	}
 	l.advance(firstPlacementWait+step, func() {
 		for _, store := range directory.Stores(l.state.View) {
 			l.sessions.RenewStore(controlclient.StoreHeartbeat{Store: store})
 		}
 	})
-	l.Lead(t.Context())
+	l.Reconcile(t.Context())
 	shards := directory.Shards(l.state.View)
 	if len(shards) != placement.ShardCount {
-		t.Fatalf("%d shards are placed", len(shards))
+		t.Fatalf("%d shards were placed", len(shards))
 	}
 	for id, shard := range shards {
 		if len(shard.View.Replicas) < 2 {
-			t.Errorf("shard %d has the replicas %v, where one machine may be lost", id, shard.View.Replicas)
+			t.Errorf("shard %d has replicas %v, but must tolerate the loss of one machine", id, shard.View.Replicas)
 		}
 	}
 	if got := directory.ControlAddresses(l.state.View); len(got) != 1 {
-		t.Errorf("subscribers are told of control at %v", got)
+		t.Errorf("published addresses of control: %v", got)
 	}
 }
 
-func TestASilentHostIsRemovedAndOneThatIsHeardStays(t *testing.T) {
+func TestOnlySilentHostIsRemoved(t *testing.T) {
 	l := newLeader(t)
-	l.Lead(t.Context())
+	l.Reconcile(t.Context())
 	l.registerHost(t.Context(), t, "silent")
 	l.registerHost(t.Context(), t, "heard")
 	l.advance(20*heartbeatInterval.Milliseconds(), func() {
 		l.registerHost(t.Context(), t, "heard")
-		l.Lead(t.Context())
+		l.Reconcile(t.Context())
 	})
 	if _, listed := l.state.Host("silent"); listed {
-		t.Error("a silent host stays on the list")
+		t.Error("a silent host is still listed")
 	}
 	if _, listed := l.state.Host("heard"); !listed {
-		t.Error("a host that is heard was removed")
+		t.Error("a host that sends heartbeats was removed")
 	}
 }
 
-func TestAnOutlierIsEjectedForItsTerm(t *testing.T) {
+func TestOutlierIsEjectedForItsDuration(t *testing.T) {
 	l := newLeader(t)
-	l.Lead(t.Context())
+	l.Reconcile(t.Context())
 	for _, id := range []string{"a", "b", "c", "d"} {
 		l.registerHost(t.Context(), t, id)
 	}
@@ -176,14 +176,14 @@
 		failed.Counts[outlier.Hung] = 2
 		l.ejector.Observe(outlier.Window{Reporter: reporter + 1, Number: 1, Contacted: 9, Hosts: []outlier.Observation{failed}}, l.clock)
 	}
-	l.Lead(t.Context())
-	terms := l.state.EjectionDurations()
-	if len(terms) != 1 || terms["b"] == 0 {
-		t.Fatalf("ejected: %v", terms)
+	l.Reconcile(t.Context())
+	durations := l.state.EjectionDurations()
+	if len(durations) != 1 || durations["b"] == 0 {
+		t.Fatalf("ejections: %v", durations)
 	}
-	l.clock += terms["b"]
-	l.Lead(t.Context())
-	if terms := l.state.EjectionDurations(); len(terms) != 0 {
-		t.Fatalf("ejected after the term: %v", terms)
+	l.clock += durations["b"]
+	l.Reconcile(t.Context())
+	if durations := l.state.EjectionDurations(); len(durations) != 0 {
+		t.Fatalf("ejections after their end: %v", durations)
 	}
 }
--- a/tier/control/reconcile/shards.go
+++ b/tier/control/reconcile/shards.go
@@ -10,17 +10,19 @@
 	"otterseam/tier/placement"
 )
 
-// firstPlacementWait is how long the first primary waits for stores, in milliseconds, so that shards are spread over all. It is
-// several times lease.StoreHeartbeatInterval: all stores that are up were heard by then.
+// firstPlacementWait is how long a new primary waits for stores to register before it places new shards, in milliseconds, so that the
+// shards are spread over all stores. It is several times lease.StoreHeartbeatInterval, so that all running stores have sent a heartbeat
+// by then.
 const firstPlacementWait = 900
 
-// cluster is what placement has to know of the store machines.
+// cluster returns the store machines as the input of placement.
 func (r *Reconciler) cluster() placement.Cluster {
 	machines := r.config.Sessions.Machines(directory.Stores(r.config.State.View), r.config.State.IsRetiring)
 	return placement.Cluster{Machines: machines, Tolerate: r.config.Tolerate}
 }
 
-// placeShards decides who holds the shards.
+// placeShards places new shards and makes the next step for each shard whose placement must change. It completes the steps for the
+// shards that tolerate fewer losses before it begins those for the others.
 func (r *Reconciler) placeShards(ctx context.Context) {
 	cluster := r.cluster()
 	shards := directory.Shards(r.config.State.View)
@@ -28,23 +30,23 @@
 		r.config.Proposer.ProposeAll(ctx, firstPlacements(cluster, shards))
 	}
 	var commands []state.Command
-	tolerated := -1
+	toleratedLosses := -1
 	for _, shard := range placement.LeastProtectedFirst(shards) {
 		next, changed := cluster.Next(shard)
 		if !changed {
 			continue
 		}
-		if shard.View.ToleratedLosses() != tolerated {
+		if shard.View.ToleratedLosses() != toleratedLosses {
 			r.config.Proposer.ProposeAll(ctx, commands)
 			commands = nil
-			tolerated = shard.View.ToleratedLosses()
+			toleratedLosses = shard.View.ToleratedLosses()
 		}
 		commands = append(commands, state.PutShard{Epoch: shard.View.Epoch, Shard: next})
 	}
 	r.config.Proposer.ProposeAll(ctx, commands)
 }
 
-// firstPlacements places the shards that exist nowhere yet.
+// firstPlacements returns the commands that place the shards that do not exist yet.
 func firstPlacements(cluster placement.Cluster, shards map[uint32]directory.Shard) []state.Command {
 	var commands []state.Command
 	for id := range uint32(placement.ShardCount) {
@@ -58,7 +60,7 @@
 	return commands
 }
 
-// ChangeInSync takes a replica into a shard's in-sync set, or out of it, for the shard's primary.
+// ChangeInSync admits a replica to a shard's in-sync set or drops it, at the request of the shard's primary.
 func (r *Reconciler) ChangeInSync(ctx context.Context, payload []byte) (state.Result, error) {
 	change, err := controlclient.DecodeInSyncChange(payload)
 	if err != nil {
--- a/tier/control/reconcile/stores.go
+++ b/tier/control/reconcile/stores.go
@@ -9,35 +9,35 @@
 	"otterseam/tier/placement"
 )
 
-// storeForget is how long a store that holds nothing may be silent before it is forgotten, in milliseconds. It only keeps the list
-// from growing: such a store is registered anew when it is heard again.
-const storeForget = 15000
+// idleStoreTimeout is the silence in milliseconds after which a store without shards is removed. Its only purpose is to bound the list
+// of stores. A removed store is registered again with its next heartbeat.
+const idleStoreTimeout = 15000
 
-// The states of a retirement, as they are answered to operators.
+// The states of a retirement in responses to operators.
 const (
 	RetirementRunning   = "running"
 	RetirementCompleted = "completed"
 )
 
-// removeLostStores forgets stores whose disk is lost, because their machine has come back with another identity, and those that
-// hold nothing and are long silent.
+// removeLostStores removes stores whose disk is lost, which is known because their machine has returned with another identity, and
+// stores without shards that have been silent for longer than idleStoreTimeout.
 func (r *Reconciler) removeLostStores(ctx context.Context) {
 	stores := directory.Stores(r.config.State.View)
 	shards := directory.Shards(r.config.State.View)
 	cluster := r.cluster()
 	for id, store := range stores {
-		replaced := cluster.DiskLost(id)
-		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && r.config.Sessions.StoreSilentFor(id) > storeForget
-		if !replaced && !idle {
+		diskLost := cluster.DiskLost(id)
+		idle := cluster.Machines[id].Away && placement.IsEmpty(shards, id) && r.config.Sessions.StoreSilentFor(id) > idleStoreTimeout
+		if !diskLost && !idle {
 			continue
 		}
-		r.config.Log.WithField("store", store.Node).Info("store removed: its disk is gone or it holds nothing")
+		r.config.Log.WithField("store", store.Node).Info("store removed: its disk was lost, or it is silent and holds no shards")
 		r.propose(ctx, state.RemoveStore{Store: store})
 	}
 }
 
-// RetirementState tells whether a store machine is still being emptied. The answer waits for a command of its own, so that a
-// primary that has been replaced cannot give it.
+// RetirementState returns the state of the retirement of a store machine. It first commits a command, so that a primary that was
+// replaced can't respond.
 func (r *Reconciler) RetirementState(ctx context.Context, node string) (state.Result, error) {
 	if _, err := r.config.Proposer.Propose(ctx, state.ReadConfig{}); err != nil {
 		return state.Result{}, err
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -230,7 +230,7 @@
 func (s *Server) superviseOnce(ctx context.Context) {
 	s.sessions.Tick(s.hostHeartbeats.Rejected())
 	if !s.node.IsPrimary(state.Group) {
-		s.reconciler.EndLead()
+		s.reconciler.EndLeadership()
 	}
 	if s.node.DiskDegraded() {
 		s.failover.StepAside(ctx, s.sessions.IsControlDraining)
@@ -239,7 +239,7 @@
 	case !s.elector.Known().IsBootstrapped():
 		s.failover.FindOrBootstrap(ctx)
 	case s.node.IsPrimary(state.Group):
-		s.reconciler.Lead(ctx)
+		s.reconciler.Reconcile(ctx)
 	default:
 		s.failover.Watch(ctx)
 	}
--- a/tier/control/session/sessions.go
+++ b/tier/control/session/sessions.go
@@ -52,8 +52,9 @@
 	s.tickedAt = now
 }
 
-// Tick must be called regularly. rejections is the number of heartbeats that this process has rejected because it had no lease. After
-// a stall of this process, which is a long time without a Tick, it can't tell who was silent, and Tick extends all sessions.
+// Tick detects stalls of this process and must be called regularly. After a stall, which is a long time without a Tick, this process
+// can't tell who was silent, and Tick extends all sessions. rejections is the number of heartbeats that this process has rejected
+// because it had no lease.
 func (s *Sessions) Tick(rejections uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tier/control/session/spread.go
+++ b/tier/control/session/spread.go
@@ -39,7 +39,7 @@
 	return move
 }
 
-// planMove moves half of a control process's surplus above the mean to the live one with the fewest hosts.
+// planMove plans to move half of a control process's surplus above the mean to the live one with the fewest hosts.
 func planMove(counts map[uint64]int, live []consensus.Member, holder uint64) Move {
 	total := 0
 	for _, count := range counts {
