--- a/tier/control/api/api.go
+++ b/tier/control/api/api.go
@@ -20,58 +20,58 @@
 
 const (
 	maxConfigBytes = 32 << 20
-	maxBodyBytes   = 64 << 10 // of a heartbeat or a retirement
-	// callTimeout bounds the work on a request. It is below the second after which callers go to another process.
+	maxBodyBytes   = 64 << 10 // limit for a heartbeat or a retirement
+	// callTimeout is the time limit of a call to the backend. It is below the second after which clients try another process.
 	callTimeout = 950 * time.Millisecond
-	// shutdownTimeout bounds the wait for requests in flight. It is above callTimeout.
+	// shutdownTimeout is the maximum time to wait for requests in flight at shutdown. It is above callTimeout.
 	shutdownTimeout = time.Second
 
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = time.Minute
 )
 
-// Backend is what the handlers call.
+// Backend executes the requests that the handlers have validated.
 type Backend interface {
-	// MayForward returns an error unless this process can expect an answer of the primary in force.
+	// MayForward returns an error unless this process can expect a response of the current primary.
 	MayForward() error
-	// MayServe tells whether this process may serve its copy of the state, and keep sessions of hosts.
+	// MayServe reports whether this process may serve its replica of the state and acknowledge heartbeats of hosts.
 	MayServe() bool
-	// Submit has a command carried out by the primary, wherever it is.
+	// Submit executes a command on the primary, whichever process it is.
 	Submit(ctx context.Context, command state.Command) (state.Result, error)
-	// KeepsSession tells whether a heartbeat was acknowledged by this process alone.
+	// KeepsSession reports whether this process may acknowledge a heartbeat without proposing a command.
 	KeepsSession(heartbeat controlclient.HostHeartbeat) bool
-	// HeartbeatTarget is the IP address of the control process to which a host whose heartbeat is acknowledged now is to send the
-	// next one; "" for this process.
+	// HeartbeatTarget returns the IP address of the control process to which the host whose heartbeat is being acknowledged is to
+	// send the next one, or "" for this process.
 	HeartbeatTarget() string
-	// RejectHeartbeat counts a heartbeat that is rejected for want of a lease.
+	// RejectHeartbeat counts a heartbeat that is rejected because this process has no lease.
 	RejectHeartbeat()
-	// Heartbeat has the primary take a host's heartbeat.
+	// Heartbeat processes a host's heartbeat on the primary.
 	Heartbeat(ctx context.Context, heartbeat controlclient.HostHeartbeat) (state.Result, error)
-	// Deregister has the primary remove a host for good.
+	// Deregister permanently removes a host on the primary.
 	Deregister(ctx context.Context, id string) (state.Result, error)
-	// RetirementState has the primary tell whether a store machine is still being emptied.
+	// RetirementState returns the state of a store machine's retirement from the primary.
 	RetirementState(ctx context.Context, node string) (state.Result, error)
 }
 
-// Config is what the handlers answer by.
+// Config holds the settings of the API.
 type Config struct {
-	// Address is where this process listens for operators and hosts.
+	// Address is the address on which this process listens for operators and hosts.
 	Address string
-	// StoresNeeded is how many store machines have to remain when one is retired.
+	// StoresNeeded is the number of store machines that must remain when one is retired.
 	StoresNeeded uint32
 }
 
-// API answers operators and hosts.
+// API handles the HTTP requests of operators and hosts.
 type API struct {
 	config  Config
 	backend Backend
 	commits *commitOutages
 
-	targetSelf []byte // the answer to a heartbeat that asks the host to stay here
-	targetAny  []byte // the answer that leaves it the choice
+	targetSelf []byte // response to a heartbeat that names this process as the next target
+	targetAny  []byte // response to a heartbeat that names no target
 }
 
-// New makes the API of a process.
+// New returns the API of a process.
 func New(config Config, backend Backend) *API {
 	return &API{
 		config:     config,
@@ -82,10 +82,10 @@
 	}
 }
 
-// targetBody is the answer to a heartbeat that names where the next one is to go.
+// targetBody returns the response to a heartbeat that names the target address of the next one.
 func targetBody(address string) []byte { return []byte(`{"beat_target":"` + address + `"}`) }
 
-// Serve listens and answers until the context ends.
+// Serve serves requests until the context is cancelled.
 func (a *API) Serve(ctx context.Context) error {
 	listener, err := net.Listen("tcp", a.config.Address)
 	if err != nil {
@@ -95,9 +95,9 @@
 	group, serving := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		<-serving.Done()
-		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(stop) // requests that take longer are cut off by the end of the process
+		_ = server.Shutdown(shutdownCtx) // requests that take longer are aborted when the process exits
 		return nil
 	})
 	group.Go(func() error {
@@ -109,7 +109,7 @@
 	return group.Wait()
 }
 
-// Handler routes requests.
+// Handler returns the handler of all routes.
 func (a *API) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Post("/v1/config/replace", a.replaceConfig)
@@ -121,7 +121,7 @@
 	return router
 }
 
-// mayForward tells whether this process can expect an answer of the primary in force, and else says at once that it can't.
+// mayForward reports whether this process can expect a response of the current primary. Otherwise it writes an error response.
 func (a *API) mayForward(w http.ResponseWriter) bool {
 	err := a.backend.MayForward()
 	if err != nil {
@@ -130,14 +130,14 @@
 	return err == nil
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
 		return body, true
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeProblem(w, codes.BodyTooLarge, "the body is longer than "+strconv.FormatInt(most, 10)+" bytes")
+		writeProblem(w, codes.BodyTooLarge, "the body is longer than "+strconv.FormatInt(limit, 10)+" bytes")
 	} else {
 		writeProblem(w, codes.Malformed, "the body cannot be read whole")
 	}
--- a/tier/control/api/api_test.go
+++ b/tier/control/api/api_test.go
@@ -12,7 +12,7 @@
 	"otterseam/tier/controlclient"
 )
 
-// fakeBackend answers as it is told.
+// fakeBackend returns preset results and records calls.
 type fakeBackend struct {
 	mayForward error
 	mayServe   bool
@@ -47,8 +47,8 @@
 	return f.result, f.err
 }
 
-// ask sends a request and returns status and body.
-func ask(t *testing.T, backend Backend, method, path, body string, header http.Header) (int, string) {
+// sendRequest sends a request to the API of a backend and returns the status and body of the response.
+func sendRequest(t *testing.T, backend Backend, method, path, body string, header http.Header) (int, string) {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	for name, values := range header {
@@ -61,7 +61,7 @@
 
 const validHeartbeat = `{"service":"s","address":"10.0.1.1:8000"}`
 
-func TestAHeartbeatIsAnsweredByWhatTheProcessCanProve(t *testing.T) {
+func TestHeartbeatResponseDependsOnLease(t *testing.T) {
 	const path = "/v1/instances/h/heartbeat"
 	for name, test := range map[string]struct {
 		backend  fakeBackend
@@ -70,27 +70,27 @@
 		answer   string
 		rejected int
 	}{
-		"kept here":        {fakeBackend{keeps: true, mayServe: true}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.1:7000"}`, 0},
-		"to be moved":      {fakeBackend{keeps: true, mayServe: true, target: "10.0.0.2"}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.2:7000"}`, 0},
-		"no lease to move": {fakeBackend{keeps: true, target: "10.0.0.2"}, validHeartbeat, http.StatusOK, `{}`, 0},
-		"lease just ended": {fakeBackend{keeps: true}, validHeartbeat, http.StatusOK, `{}`, 0},
-		"no lease":         {fakeBackend{mayForward: codes.Unavailable}, validHeartbeat, http.StatusServiceUnavailable, "no contact", 1},
-		"by the primary":   {fakeBackend{mayServe: true}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.1:7000"}`, 0},
-		"stale":            {fakeBackend{result: state.Result{Code: codes.HostStale}}, validHeartbeat, http.StatusOK, `{}`, 0},
-		"unclear":          {fakeBackend{err: codes.Timeout}, validHeartbeat, http.StatusServiceUnavailable, codes.Timeout.Error(), 0},
-		"without address":  {fakeBackend{keeps: true}, `{"service":"s"}`, http.StatusBadRequest, "needs service and address", 0},
-		"too long":         {fakeBackend{}, strings.Repeat(" ", maxBodyBytes+1), http.StatusRequestEntityTooLarge, "longer than 65536 bytes", 0},
+		"session kept here":  {fakeBackend{keeps: true, mayServe: true}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.1:7000"}`, 0},
+		"host to be moved":   {fakeBackend{keeps: true, mayServe: true, target: "10.0.0.2"}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.2:7000"}`, 0},
+		"no lease to move":   {fakeBackend{keeps: true, target: "10.0.0.2"}, validHeartbeat, http.StatusOK, `{}`, 0},
+		"lease just expired": {fakeBackend{keeps: true}, validHeartbeat, http.StatusOK, `{}`, 0},
+		"no lease":           {fakeBackend{mayForward: codes.Unavailable}, validHeartbeat, http.StatusServiceUnavailable, "no contact", 1},
+		"handled by primary": {fakeBackend{mayServe: true}, validHeartbeat, http.StatusOK, `{"beat_target":"10.0.0.1:7000"}`, 0},
+		"stale":              {fakeBackend{result: state.Result{Code: codes.HostStale}}, validHeartbeat, http.StatusOK, `{}`, 0},
+		"unknown outcome":    {fakeBackend{err: codes.Timeout}, validHeartbeat, http.StatusServiceUnavailable, codes.Timeout.Error(), 0},
+		"missing address":    {fakeBackend{keeps: true}, `{"service":"s"}`, http.StatusBadRequest, "needs service and address", 0},
+		"body too large":     {fakeBackend{}, strings.Repeat(" ", maxBodyBytes+1), http.StatusRequestEntityTooLarge, "longer than 65536 bytes", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			status, answer := ask(t, &test.backend, http.MethodPost, path, test.body, nil)
+			status, answer := sendRequest(t, &test.backend, http.MethodPost, path, test.body, nil)
 			if status != test.status || !strings.Contains(answer, test.answer) || test.backend.rejected != test.rejected {
-				t.Errorf("%d %s, %d rejected", status, answer, test.backend.rejected)
+				t.Errorf("status %d, body %s, %d rejected", status, answer, test.backend.rejected)
 			}
 		})
 	}
 }
 
-func TestAChangeIsSubmittedOnlyIfItCanBeRead(t *testing.T) {
+func TestOnlyValidChangeIsSubmitted(t *testing.T) {
 	const valid = `{"version":7,"routes":[{"name":"a","path_prefix":"/","timeout_ms":1,"service":"chat"}],"services":[{"name":"chat"}]}`
 	for name, test := range map[string]struct {
 		backend   fakeBackend
@@ -99,20 +99,20 @@
 		status    int
 		submitted int
 	}{
-		"taken":            {fakeBackend{}, "6", valid, http.StatusOK, 1},
-		"another base":     {fakeBackend{result: state.Result{Code: codes.ConfigBase}}, "6", valid, http.StatusPreconditionFailed, 1},
-		"no commit":        {fakeBackend{err: codes.Timeout}, "6", valid, http.StatusServiceUnavailable, 1},
-		"no lease":         {fakeBackend{mayForward: codes.Unavailable}, "6", valid, http.StatusServiceUnavailable, 0},
-		"without a base":   {fakeBackend{}, "", valid, http.StatusBadRequest, 0},
-		"invalid":          {fakeBackend{}, "6", `{"version":0}`, http.StatusBadRequest, 0},
-		"base no number":   {fakeBackend{}, "six", valid, http.StatusBadRequest, 0},
-		"base with spaces": {fakeBackend{}, " 6 ", valid, http.StatusOK, 1},
+		"valid change":       {fakeBackend{}, "6", valid, http.StatusOK, 1},
+		"other base version": {fakeBackend{result: state.Result{Code: codes.ConfigBase}}, "6", valid, http.StatusPreconditionFailed, 1},
+		"not committed":      {fakeBackend{err: codes.Timeout}, "6", valid, http.StatusServiceUnavailable, 1},
+		"no lease":           {fakeBackend{mayForward: codes.Unavailable}, "6", valid, http.StatusServiceUnavailable, 0},
+		"missing base":       {fakeBackend{}, "", valid, http.StatusBadRequest, 0},
+		"invalid body":       {fakeBackend{}, "6", `{"version":0}`, http.StatusBadRequest, 0},
+		"base not a number":  {fakeBackend{}, "six", valid, http.StatusBadRequest, 0},
+		"base with spaces":   {fakeBackend{}, " 6 ", valid, http.StatusOK, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			header := http.Header{baseVersionHeader: {test.base}}
-			status, answer := ask(t, &test.backend, http.MethodPost, "/v1/config/replace", test.body, header)
+			status, answer := sendRequest(t, &test.backend, http.MethodPost, "/v1/config/replace", test.body, header)
 			if status != test.status || len(test.backend.submitted) != test.submitted {
-				t.Fatalf("%d %s, %d submitted", status, answer, len(test.backend.submitted))
+				t.Fatalf("status %d, body %s, %d submitted", status, answer, len(test.backend.submitted))
 			}
 			if test.submitted > 0 {
 				if change := test.backend.submitted[0].(state.ReplaceConfig); change.Base != 6 || change.Version != 7 || string(change.Body) != test.body {
@@ -123,10 +123,10 @@
 	}
 }
 
-func TestARetirementNamesHowManyStoresHaveToRemain(t *testing.T) {
+func TestRetirementContainsNeededStores(t *testing.T) {
 	backend := &fakeBackend{}
-	status, answer := ask(t, backend, http.MethodPost, "/v1/retire/store-a/begin", `{"deadline_s":30}`, nil)
+	status, answer := sendRequest(t, backend, http.MethodPost, "/v1/retire/store-a/begin", `{"deadline_s":30}`, nil)
 	if status != http.StatusOK || len(backend.submitted) != 1 || backend.submitted[0] != (state.RetireNode{Node: "store-a", Needed: 2}) {
-		t.Fatalf("%d %s, submitted %+v", status, answer, backend.submitted)
+		t.Fatalf("status %d, body %s, submitted %+v", status, answer, backend.submitted)
 	}
 }
--- a/tier/control/api/commits.go
+++ b/tier/control/api/commits.go
@@ -11,43 +11,44 @@
 )
 
 const (
-	// commitDependency names the primary's commits as what commands depend on.
+	// commitDependency is the name of the dependency on the primary's commits.
 	commitDependency = "commits"
-	// assumedOutage is how long an outage of commits is assumed to last before one has been seen: until the silence of a primary is
-	// noticed and another one leads.
+	// assumedOutage is the assumed duration of a commit outage until one was observed: the time to detect a silent primary and elect
+	// another one.
 	assumedOutage = (lease.ElectionTimeout + lease.ElectionStagger) * time.Millisecond
-	// assumedPatience is how long callers are assumed to go on: hosts and operators call for some seconds.
-	assumedPatience = 4 * time.Second
+	// assumedRetryTime is for how long clients are assumed to retry: hosts and operators retry for some seconds.
+	assumedRetryTime = 4 * time.Second
 )
 
-// commitOutages knows the outages of commits that this process has seen. Its methods may be called from any goroutine.
+// commitOutages estimates the duration of commit outages from those that this process observed. Its methods may be called from any
+// goroutine.
 type commitOutages struct {
 	now func() time.Time
 
-	mu       sync.Mutex // guards estimate
-	estimate *retryafter.OutageEstimator
+	mu        sync.Mutex // guards estimator
+	estimator *retryafter.OutageEstimator
 }
 
 func newCommitOutages(now func() time.Time) *commitOutages {
-	return &commitOutages{now: now, estimate: retryafter.NewOutageEstimator(assumedOutage)}
+	return &commitOutages{now: now, estimator: retryafter.NewOutageEstimator(assumedOutage)}
 }
 
-// record notes whether a command was committed.
+// record records whether a command was committed.
 func (c *commitOutages) record(committed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if committed {
-		c.estimate.RecordSuccess(commitDependency, c.now())
+		c.estimator.RecordSuccess(commitDependency, c.now())
 	} else {
-		c.estimate.RecordFailure(commitDependency, c.now())
+		c.estimator.RecordFailure(commitDependency, c.now())
 	}
 }
 
-// retryAfter is after how many seconds a caller had best come back.
+// retryAfter returns the value of the Retry-After header in seconds: when the current outage is expected to have ended.
 func (c *commitOutages) retryAfter() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	expected := c.estimate.Remaining(commitDependency, c.now())
-	delay := retryafter.Delay(assumedPatience, expected, rand.Float64())
+	expected := c.estimator.Remaining(commitDependency, c.now())
+	delay := retryafter.Delay(assumedRetryTime, expected, rand.Float64())
 	return strconv.FormatFloat(delay.Seconds(), 'f', 3, 64)
 }
--- a/tier/control/api/commits_test.go
+++ b/tier/control/api/commits_test.go
@@ -12,14 +12,15 @@
 	"otterseam/tier/control/state"
 )
 
-// A caller whose command can't be committed is told when commits are expected back: less the longer the outage has lasted, and what
-// outages last is learned. A process without contact sends its callers to another at once.
-func TestRetryAfterFollowsTheOutage(t *testing.T) {
+// The Retry-After of a command that can't be committed is the expected remaining time of the outage. It decreases during the outage, and
+// the estimate adapts to the observed durations. A process without contact with the primary returns the short delay after which a client
+// tries another process.
+func TestRetryAfterFollowsCommitOutages(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	backend := &fakeBackend{}
 	a := New(Config{Address: "10.0.0.1:7000"}, backend)
 	a.commits = newCommitOutages(func() time.Time { return now })
-	read := func() float64 {
+	retryAfter := func() float64 {
 		w := httptest.NewRecorder()
 		a.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/config/read", strings.NewReader("")))
 		if w.Code == http.StatusOK {
@@ -27,39 +28,39 @@
 		}
 		seconds, err := strconv.ParseFloat(w.Header().Get(retryAfterHeader), 64)
 		if err != nil || w.Code != http.StatusServiceUnavailable {
-			t.Fatalf("%d, %v", w.Code, err)
+			t.Fatalf("status %d, %v", w.Code, err)
 		}
 		return seconds
 	}
 	outage := func(lasts time.Duration) (first, last float64) {
 		backend.err = codes.Timeout
-		first = read()
+		first = retryAfter()
 		for range lasts / (100 * time.Millisecond) {
 			now = now.Add(100 * time.Millisecond)
-			last = read()
+			last = retryAfter()
 		}
 		backend.err = nil
-		read()
+		retryAfter()
 		now = now.Add(time.Minute)
 		return first, last
 	}
 	assumed := assumedOutage.Seconds()
 	if first, last := outage(500 * time.Millisecond); first < assumed || first > 1.3*assumed || last > 0.6*first {
-		t.Errorf("%v at first, %v after half a second; %v is assumed", first, last, assumed)
+		t.Errorf("Retry-After is %v at first and %v after half a second, with an assumed outage of %v", first, last, assumed)
 	}
 	for range 12 {
 		outage(200 * time.Millisecond)
 	}
 	if first, _ := outage(200 * time.Millisecond); first > 0.6*assumed {
-		t.Errorf("%v after many short outages", first)
+		t.Errorf("Retry-After is %v after many short outages", first)
 	}
 	backend.mayForward = codes.Unavailable
-	if got := read(); got != 0.3 {
-		t.Errorf("%v from a process without contact", got)
+	if got := retryAfter(); got != 0.3 {
+		t.Errorf("Retry-After is %v without contact with the primary", got)
 	}
 	backend.mayForward = nil
 	backend.result = state.Result{Code: codes.Unavailable}
-	if got := read(); got != 0.3 {
-		t.Errorf("%v for a result that says nothing of commits", got)
+	if got := retryAfter(); got != 0.3 {
+		t.Errorf("Retry-After is %v for a result that is independent of commits", got)
 	}
 }
--- a/tier/control/api/config.go
+++ b/tier/control/api/config.go
@@ -11,12 +11,12 @@
 	"otterseam/tier/opconfig"
 )
 
-// baseVersionHeader names the version that an operator's change builds on.
+// baseVersionHeader is the header with the version that an operator's change is based on.
 const baseVersionHeader = "X-Base-Version"
 
 func (a *API) replaceConfig(w http.ResponseWriter, r *http.Request) {
-	body, read := readBody(w, r, maxConfigBytes)
-	if !read {
+	body, ok := readBody(w, r, maxConfigBytes)
+	if !ok {
 		return
 	}
 	base, err := strconv.ParseUint(strings.TrimSpace(r.Header.Get(baseVersionHeader)), 10, 64)
--- a/tier/control/api/doc.go
+++ b/tier/control/api/doc.go
@@ -1,23 +1,23 @@
-// Package api is the HTTP interface of control, for operators and for the hosts of their services.
+// Package api is the HTTP API of control for operators and for the hosts of their services.
 //
-// # What it owns
+// # Responsibilities
 //
-// The routes, what a request must look like, and the one table from result codes to HTTP status (status.go). A handler decodes the
-// request, asks whether an answer can be expected at all, calls the Backend and encodes what came of it.
+// The package owns the routes, the validation of requests, and the only mapping from result codes to HTTP statuses (status.go). A handler
+// decodes the request, checks whether a response of the primary can be expected, calls the Backend, and encodes the result.
 //
 // # Invariants
 //
-//   - A 4xx for an operator's change comes from a commit, or from the request itself. Whatever a process can't know is a 503, after
-//     which the operator sends the same order again.
+//   - A 4xx response to an operator's change is based on a commit or on the request itself. If the outcome is unknown, the status is 503,
+//     and the operator repeats the same change.
 //   - A heartbeat is acknowledged only by a process that has a lease.
 //
-// # What it must not do
+// # Limits
 //
-// It decides nothing about the state and keeps none.
+// The package makes no decisions about the replicated state and stores none of it.
 //
-// # The life of a configuration change
+// # Processing of a configuration change
 //
-// replaceConfig (config.go) reads body and base version and checks the body; Backend.Submit has the command replicated; package state
-// checks the version (state/config.go) and answers OK, ConfigBase or ConfigInvalid; that code becomes the status here. Distribution to
-// the proxies is package feed's.
+// replaceConfig (config.go) reads the body and the base version and validates the body. Backend.Submit replicates the command. Package
+// state checks the versions (state/config.go) and returns OK, ConfigBase or ConfigInvalid, which this package maps to a status. Package
+// feed distributes the configuration to the proxies.
 package api
--- a/tier/control/api/hosts.go
+++ b/tier/control/api/hosts.go
@@ -14,8 +14,8 @@
 )
 
 func (a *API) heartbeat(w http.ResponseWriter, r *http.Request) {
-	body, read := readBody(w, r, maxBodyBytes)
-	if !read {
+	body, ok := readBody(w, r, maxBodyBytes)
+	if !ok {
 		return
 	}
 	heartbeat, valid := decodeHeartbeat(chi.URLParam(r, "id"), body)
@@ -39,22 +39,22 @@
 	}
 }
 
-// decodeHeartbeat reads the heartbeat of a host.
+// decodeHeartbeat decodes the heartbeat of a host. It returns false if the body is malformed or lacks service or address.
 func decodeHeartbeat(id string, body []byte) (controlclient.HostHeartbeat, bool) {
-	var said opconfig.Heartbeat
-	if err := said.UnmarshalJSON(body); err != nil || said.Service == "" || said.Address == "" {
+	var decoded opconfig.Heartbeat
+	if err := decoded.UnmarshalJSON(body); err != nil || decoded.Service == "" || decoded.Address == "" {
 		return controlclient.HostHeartbeat{}, false
 	}
 	host := directory.Host{
-		ID: id, Service: said.Service, Address: said.Address, Zone: said.Zone, Version: said.Version,
-		Slots: said.Slots, Draining: said.State == opconfig.StateDraining, Stage: said.Stage, Models: string(said.Models),
+		ID: id, Service: decoded.Service, Address: decoded.Address, Zone: decoded.Zone, Version: decoded.Version,
+		Slots: decoded.Slots, Draining: decoded.State == opconfig.StateDraining, Stage: decoded.Stage, Models: string(decoded.Models),
 	}
-	return controlclient.HostHeartbeat{Host: host, Seq: said.SeqNo}, true
+	return controlclient.HostHeartbeat{Host: host, Seq: decoded.SeqNo}, true
 }
 
-// acknowledgeHeartbeat answers a heartbeat. A process that can keep the session asks the host to stay with it, so that hosts spread
-// over the control processes and none has to pass their heartbeats on. One that has many more hosts than others names another for some
-// of them, whose port is the same on all machines.
+// acknowledgeHeartbeat responds to a heartbeat with the target of the next one. A process with a lease names itself, so that hosts are
+// distributed over the control processes and the heartbeats need no forwarding. A process with many more hosts than others names
+// another process for some of them. The port is the same on all machines.
 func (a *API) acknowledgeHeartbeat(w http.ResponseWriter) {
 	if !a.backend.MayServe() {
 		writeBody(w, http.StatusOK, a.targetAny)
--- a/tier/control/api/retirement.go
+++ b/tier/control/api/retirement.go
@@ -12,14 +12,14 @@
 )
 
 func (a *API) beginRetirement(w http.ResponseWriter, r *http.Request) {
-	body, read := readBody(w, r, maxBodyBytes)
-	if !read {
+	body, ok := readBody(w, r, maxBodyBytes)
+	if !ok {
 		return
 	}
-	var order struct {
+	var request struct {
 		DeadlineS float64 `json:"deadline_s"`
 	}
-	if len(body) > 0 && json.Unmarshal(body, &order) != nil {
+	if len(body) > 0 && json.Unmarshal(body, &request) != nil {
 		writeProblem(w, codes.Malformed, "the body is no JSON object with deadline_s")
 		return
 	}
--- a/tier/control/api/status.go
+++ b/tier/control/api/status.go
@@ -11,10 +11,11 @@
 
 const retryAfterHeader = "Retry-After"
 
-// callElsewhereAfter is the Retry-After, in seconds, of a process that has no contact with the primary: another one may have it.
-const callElsewhereAfter = "0.3"
+// retryElsewhereAfter is the Retry-After, in seconds, of a process without contact with the primary. The delay is short because another
+// process may have contact.
+const retryElsewhereAfter = "0.3"
 
-// statuses is the HTTP status of each result code that tells something of the call. A code that isn't here is a 503: nothing is known.
+// statuses maps each result code with a known outcome to its HTTP status. The status of any other code is 503, for an unknown outcome.
 var statuses = map[codes.Code]int{
 	codes.OK:            http.StatusOK,
 	codes.HostStale:     http.StatusOK,
@@ -27,7 +28,7 @@
 	codes.BodyTooLarge:  http.StatusRequestEntityTooLarge,
 }
 
-// statusOf is the HTTP status for a result.
+// statusOf returns the HTTP status of a result code.
 func statusOf(code codes.Code) int {
 	if status, listed := statuses[code]; listed {
 		return status
@@ -35,7 +36,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// problem is the body of an answer that is not a success.
+// problem is the body of an error response.
 type problem struct {
 	Code  uint16 `json:"code"`
 	Error string `json:"error"`
@@ -44,7 +45,7 @@
 func writeProblem(w http.ResponseWriter, code codes.Code, text string) {
 	status := statusOf(code)
 	if status == http.StatusServiceUnavailable && w.Header().Get(retryAfterHeader) == "" {
-		w.Header().Set(retryAfterHeader, callElsewhereAfter)
+		w.Header().Set(retryAfterHeader, retryElsewhereAfter)
 	}
 	writeJSON(w, status, problem{Code: uint16(code), Error: text})
 }
@@ -61,11 +62,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has left needs no answer
+	_, _ = w.Write(body) // a client that has disconnected needs no response
 }
 
-// succeeded tells whether a command was carried out, and else writes what became of it. A caller whose command could not be committed is
-// told when the primary is expected to commit again.
+// succeeded reports whether a command was executed. Otherwise it writes an error response. If the command could not be committed, the
+// Retry-After header says when the primary is expected to commit again.
 func (a *API) succeeded(w http.ResponseWriter, result state.Result, err error) bool {
 	a.commits.record(err == nil)
 	if err != nil {
--- a/tier/control/api/status_test.go
+++ b/tier/control/api/status_test.go
@@ -9,9 +9,9 @@
 	"otterseam/tier/control/state"
 )
 
-// An operator's call ends on a 4xx. Whatever code a process gives without a commit, the operator sees that nothing is known.
-func TestOnlyACommitRefuses(t *testing.T) {
-	refusals := map[codes.Code]int{
+// An operator does not repeat a change after a 4xx, so a code that a process returns without a commit must become a 503.
+func TestOnlyCommittedResultIsRejection(t *testing.T) {
+	committedStatuses := map[codes.Code]int{
 		codes.ConfigInvalid: http.StatusBadRequest,
 		codes.ConfigBase:    http.StatusPreconditionFailed,
 		codes.ConfigNone:    http.StatusNotFound,
@@ -22,8 +22,8 @@
 	}
 	a := New(Config{}, &fakeBackend{})
 	for _, row := range codes.Table {
-		want, isVerdict := refusals[row.Code]
-		if !isVerdict {
+		want, committed := committedStatuses[row.Code]
+		if !committed {
 			want = http.StatusServiceUnavailable
 		}
 		w := httptest.NewRecorder()
@@ -31,14 +31,14 @@
 			w.WriteHeader(http.StatusOK)
 		}
 		if w.Code != want {
-			t.Errorf("%s is answered with %d, not %d", row.Name, w.Code, want)
+			t.Errorf("%s has status %d, not %d", row.Name, w.Code, want)
 		}
 	}
 	for _, err := range []error{codes.Timeout, codes.NotPrimary, codes.Malformed, codes.ConfigBase} {
 		w := httptest.NewRecorder()
 		result, err := state.Settled(state.Result{Code: codes.ConfigBase}, err)
 		if a.succeeded(w, result, err); w.Code != http.StatusServiceUnavailable {
-			t.Errorf("a call that failed is answered with %d", w.Code)
+			t.Errorf("a failed call has status %d", w.Code)
 		}
 	}
 }
--- a/tier/control/backend.go
+++ b/tier/control/backend.go
@@ -10,7 +10,7 @@
 	"otterseam/tier/controlclient"
 )
 
-// backend is what package api calls: each call is done here if this process leads, and else by the primary.
+// backend implements api.Backend. It executes each call locally if this process is the primary, and otherwise calls the primary.
 type backend struct {
 	*proposal.Proposer
 	heartbeat.Lease
--- a/tier/control/dispatch.go
+++ b/tier/control/dispatch.go
@@ -16,8 +16,8 @@
 	"otterseam/tier/timeline"
 )
 
-// handle hands a message of another process to the part that takes it. What may wait for a disk or another process runs beside the
-// connection.
+// handle dispatches a message of another process to its handler. Handlers that may wait for a disk or another process run in their own
+// goroutines, so that they do not block the connection.
 func (s *Server) handle(message rpc.Message) {
 	switch message.Kind {
 	case multigroup.KindReplica:
@@ -43,7 +43,7 @@
 	}
 }
 
-// handleAsPrimary takes what only the primary may decide.
+// handleAsPrimary handles a message that only the primary may respond to.
 func (s *Server) handleAsPrimary(message rpc.Message) {
 	if err := s.status.MayDecide(); err != nil {
 		message.Answer(codeOf(err), []byte(leaderOf(err)))
@@ -59,14 +59,14 @@
 	message.Answer(result.Code, result.Body)
 }
 
-// codeOf is the result code of an error. One that has none comes from a message that can't be read.
+// codeOf returns the result code of an error. An error without a code is a decoding error, whose code is codes.Malformed.
 func codeOf(err error) codes.Code {
 	code := codes.Malformed
 	errors.As(err, &code)
 	return code
 }
 
-// leaderOf is where the primary is, if an error tells.
+// leaderOf returns the address of the primary if an error contains it, or "".
 func leaderOf(err error) string {
 	var notLeader *election.NotLeaderError
 	if errors.As(err, &notLeader) {
@@ -106,7 +106,7 @@
 	return s.hostHeartbeats.Handle(ctx, heartbeat)
 }
 
-// handleObservations takes a window of a gateway.
+// handleObservations adds a gateway's window of observations to the outlier detector.
 func (s *Server) handleObservations(payload []byte) (state.Result, error) {
 	window, err := outlier.DecodeWindow(payload)
 	if err != nil {
--- a/tier/control/doc.go
+++ b/tier/control/doc.go
@@ -1,40 +1,41 @@
-// Package control is a control process of the tier: the configuration, the hosts and store machines that exist, and who holds which
-// shard. The state is replicated from a primary to its backups; each control process also serves it to subscribers.
+// Package control implements a control process of the tier. The control processes maintain the configuration, the lists of hosts and
+// store machines, and the placement of shards. This state is replicated from a primary to its backups, and each control process serves it
+// to subscribers.
 //
-// # What it owns
+// # Responsibilities
 //
-// This package only wires. A Server makes the parts, hands each message to the part that takes it (dispatch.go), and says in which
-// order the parts start and stop (server.go, shutdown.go). The parts are:
+// This package only connects the parts. A Server creates the parts, dispatches each message to its handler (dispatch.go), and determines
+// the order in which the parts start and stop (server.go, shutdown.go). The parts are:
 //
-//   - state: the replicated state machine, a pure one
-//   - proposal: commands carried out by the primary, here or elsewhere
+//   - state: the replicated state machine, without I/O
+//   - proposal: execution of commands on the primary, in this process or another one
 //   - election: the record of members and primary, votes, failover, leases
-//   - session: who was heard when
-//   - heartbeat: what a heartbeat of a host, a store or a control process changes
-//   - ejection: which hosts are outliers, and for how long
-//   - reconcile: what is brought about while this process is primary
-//   - api: HTTP for operators and hosts
-//   - simulation: all of it in virtual time under faults (tests only)
+//   - session: sessions of hosts, stores and control processes
+//   - heartbeat: processing of the heartbeats of hosts, stores and control processes
+//   - ejection: which hosts are ejected as outliers, and for how long
+//   - reconcile: the periodic work of the primary
+//   - api: HTTP API for operators and hosts
+//   - simulation: all parts in virtual time with injected faults (tests only)
 //
-// Parts know only those before them in this list, and none reaches into another's fields.
+// A part depends only on those before it in this list, and does not access the unexported fields of another.
 //
-// # Order
+// # Start and shutdown
 //
-// On the way up: disk, elector, replica; then the listener for other processes, the work in the background, and HTTP last. On the way
-// down (shutdown.go): another process takes the lead and holds what this one acknowledged; then HTTP ends, then the work in the
-// background, then the listener.
+// At the start, the disk, the elector and the replica are opened first. Then the listener for other processes, the background work and,
+// last, HTTP are started. At shutdown (shutdown.go), another process first becomes primary and holds everything that this one
+// acknowledged. Then HTTP, the background work and the listener stop, in this order.
 //
 // # Locks
 //
-// Each part has one lock of its own, told in its comment, and calls no other part under it. The replica's lock, package multigroup's,
-// may be held when the lock of State is taken (Apply), under which comes that of its view, or the lock of Sessions (Members.Handle);
-// never the other way round.
+// The comment at each lock says what it guards. No part calls another part while it holds a lock of its own. The lock of the replica
+// (package multigroup) may be held while the lock of State (Apply) or of Sessions (Members.Handle) is acquired, never the other way
+// round. The lock of the view is acquired while the lock of State is held.
 //
-// # The life of a configuration change
+// # Processing of a configuration change
 //
-//  1. api/config.go reads the request and checks the body (package opconfig).
-//  2. proposal/proposal.go has it committed by the primary.
-//  3. state/config.go checks the version against the one in place and puts the change in force for new subscribers.
-//  4. package feed, with the server's Publisher, distributes it to agents and proxies while the lease lasts.
-//  5. package proxy puts it in force for traffic.
+//  1. api/config.go reads the request and validates the body (package opconfig).
+//  2. proposal/proposal.go submits the change to the primary, which commits it.
+//  3. state/config.go compares the base version with the current one and replaces the configuration.
+//  4. Package feed, with the server's Publisher, distributes it to agents and proxies while the lease is valid.
+//  5. Package proxy applies it to traffic.
 package control
--- a/tier/control/recorded_test.go
+++ b/tier/control/recorded_test.go
@@ -26,7 +26,7 @@
 	"otterseam/tier/settings"
 )
 
-// recordedPrimary is a whole control process that leads alone, without its periodic work.
+// recordedPrimary returns a complete control process that is the primary and the only voter, without its periodic work.
 func recordedPrimary(ctx context.Context, t *testing.T) *Server {
 	t.Helper()
 	witness := fixture.Witness()
@@ -50,8 +50,8 @@
 	return s
 }
 
-// callPatiently makes a call again that a slow disk left without an answer. All of the calls may be repeated.
-func callPatiently(ctx context.Context, t *testing.T, client *rpc.Client, kind rpc.Kind, payload []byte) ([]byte, codes.Code) {
+// callUntilAnswered repeats a call that timed out because of a slow disk. All of the calls are idempotent.
+func callUntilAnswered(ctx context.Context, t *testing.T, client *rpc.Client, kind rpc.Kind, payload []byte) ([]byte, codes.Code) {
 	t.Helper()
 	for {
 		answer, err := client.Call(ctx, kind, payload)
@@ -65,13 +65,13 @@
 	}
 }
 
-// rpcTranscript has a primary carry out calls of other processes, one after the other, and returns calls and answers.
+// rpcTranscript sends a primary the calls of other processes, one after the other, and returns the encoded calls and responses.
 func rpcTranscript(ctx context.Context, t *testing.T, s *Server) []byte {
 	t.Helper()
-	client := rpc.NewClient(listenRecorded(t, s.handle), nil)
+	client := rpc.NewClient(serve(t, s.handle), nil)
 	t.Cleanup(client.Close)
 	var transcript codec.Encoder
-	for _, each := range []struct {
+	for _, call := range []struct {
 		kind    rpc.Kind
 		payload []byte
 	}{
@@ -88,42 +88,43 @@
 		{controlclient.KindHostHeartbeat, controlclient.HostHeartbeat{Host: fixture.Host("host-2", false), Seq: 2}.Encode()},
 		{controlclient.KindDeregisterHost, []byte("host-2")},
 		{controlclient.KindHostHeartbeat, controlclient.HostHeartbeat{Host: fixture.Host("host-2", true), Seq: 3}.Encode()},
-		{controlclient.KindHeartbeatReport, controlclient.HeartbeatReport{From: fixture.Asker, Echoed: replica.Timestamp{Incarnation: 2, At: 1}}.Encode()}, // of another life
+		{controlclient.KindHeartbeatReport, controlclient.HeartbeatReport{From: fixture.Asker, Echoed: replica.Timestamp{Incarnation: 2, At: 1}}.Encode()}, // echoes a probe of another incarnation
 		{controlclient.KindInSyncChange, controlclient.InSyncChange{Shard: 37, Epoch: 1, Replica: 13, Admit: true}.Encode()},
 		{controlclient.KindHostObservations, outlier.Window{Reporter: 1, Number: 2, Zone: "zone-a", Contacted: 3}.Encode()},
 		{controlclient.KindRetirementState, []byte("store-x")},
 		{controlclient.KindRetirementState, nil},
 		{999, []byte("a kind that nobody knows")},
 	} {
-		answer, code := callPatiently(ctx, t, client, each.kind, each.payload)
-		transcript.Uint32(uint32(each.kind))
-		transcript.Blob(each.payload)
+		answer, code := callUntilAnswered(ctx, t, client, call.kind, call.payload)
+		transcript.Uint32(uint32(call.kind))
+		transcript.Blob(call.payload)
 		transcript.Uint32(uint32(code))
 		transcript.Blob(answer)
 	}
 	return transcript.Bytes
 }
 
-// httpTranscript has a primary answer hosts and operators, one after the other, and returns requests and answers.
+// httpTranscript sends a primary the requests of hosts and operators, one after the other, and returns the encoded requests and
+// responses.
 func httpTranscript(ctx context.Context, t *testing.T, s *Server) []byte {
 	t.Helper()
 	const (
-		config = `{"version":7,"routes":[{"name":"a","path_prefix":"/","timeout_ms":1,"service":"chat"}],"services":[{"name":"chat"}]}`
-		beat   = `{"service":"chat","address":"10.0.1.1:8000","zone":"zone-a","version":"v1","slots":4,"state":"ready","stage":"canary","models":["m1"],"seq_no":1}`
+		configBody    = `{"version":7,"routes":[{"name":"a","path_prefix":"/","timeout_ms":1,"service":"chat"}],"services":[{"name":"chat"}]}`
+		heartbeatBody = `{"service":"chat","address":"10.0.1.1:8000","zone":"zone-a","version":"v1","slots":4,"state":"ready","stage":"canary","models":["m1"],"seq_no":1}`
 	)
 	handler := s.api.Handler()
 	var transcript codec.Encoder
-	for _, each := range []struct{ method, path, base, body string }{
-		{http.MethodPost, "/v1/config/replace", "5", config},
-		{http.MethodPost, "/v1/config/replace", "5", config},
-		{http.MethodPost, "/v1/config/replace", "6", config},
-		{http.MethodPost, "/v1/config/replace", "", config},
+	for _, call := range []struct{ method, path, base, body string }{
+		{http.MethodPost, "/v1/config/replace", "5", configBody},
+		{http.MethodPost, "/v1/config/replace", "5", configBody},
+		{http.MethodPost, "/v1/config/replace", "6", configBody},
+		{http.MethodPost, "/v1/config/replace", "", configBody},
 		{http.MethodPost, "/v1/config/replace", "7", `{"version":0}`},
 		{http.MethodGet, "/v1/config/read", "", ""},
-		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", beat},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", heartbeatBody},
 		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", `{}`},
 		{http.MethodPost, "/v1/instances/host-8/deregister", "", ""},
-		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", beat},
+		{http.MethodPost, "/v1/instances/host-8/heartbeat", "", heartbeatBody},
 		{http.MethodGet, "/v1/retire/store-a/read", "", ""},
 		{http.MethodPost, "/v1/retire/store-x/begin", "", `{"deadline_s":30}`},
 		{http.MethodPost, "/v1/retire/store-a/begin", "", `{"deadline_s":30}`},
@@ -136,17 +137,17 @@
 	} {
 		answer := httptest.NewRecorder()
 		for {
-			request := httptest.NewRequest(each.method, each.path, strings.NewReader(each.body))
-			if each.base != "" {
-				request.Header.Set("X-Base-Version", each.base)
+			request := httptest.NewRequest(call.method, call.path, strings.NewReader(call.body))
+			if call.base != "" {
+				request.Header.Set("X-Base-Version", call.base)
 			}
 			handler.ServeHTTP(answer, request)
 			if answer.Code != http.StatusServiceUnavailable || ctx.Err() != nil {
-				break // else a slow disk left it without an answer; all of the requests may be repeated
+				break // a 503 comes from a slow disk, and all of the requests may be repeated
 			}
 			answer = httptest.NewRecorder()
 		}
-		transcript.String(each.method + " " + each.path + " " + each.base + " " + each.body)
+		transcript.String(call.method + " " + call.path + " " + call.base + " " + call.body)
 		transcript.Uint32(uint32(answer.Code))
 		for _, name := range []string{"Content-Type", "Content-Length", "Retry-After"} {
 			transcript.String(answer.Header().Get(name))
@@ -156,8 +157,8 @@
 	return transcript.Bytes
 }
 
-// A primary's answers to other processes, to hosts and to operators are as recorded.
-func TestRecordedAnswersOfAPrimary(t *testing.T) {
+// A primary's responses to other processes, to hosts and to operators are as recorded.
+func TestRecordedResponsesOfPrimary(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	s := recordedPrimary(ctx, t)
@@ -165,8 +166,8 @@
 	recorded.Check(t, "primary-http", httpTranscript(ctx, t, s))
 }
 
-// listenRecorded has a handler take what arrives at the address returned.
-func listenRecorded(t *testing.T, handler rpc.Handler) string {
+// serve serves calls with a handler and returns the address.
+func serve(t *testing.T, handler rpc.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/tier/control/server.go
+++ b/tier/control/server.go
@@ -33,11 +33,11 @@
 )
 
 const (
-	// superviseInterval is how often a process looks at its primary, or at its own work if it leads.
+	// superviseInterval is the interval at which a process checks its primary or, if it is the primary, reconciles the state.
 	superviseInterval = 50 * time.Millisecond
-	// leaseCheckInterval is how often a process looks whether it may still serve.
+	// leaseCheckInterval is the interval at which a process checks whether it may still serve its replica.
 	leaseCheckInterval = lease.CheckInterval * time.Millisecond
-	// retainedBytes bounds the changes kept in memory for members that lag: 80 configurations of 100 KB.
+	// retainedBytes is the maximum size of the changes that are kept in memory for lagging members: 80 configurations of 100 KB.
 	retainedBytes = 8 << 20
 )
 
@@ -69,11 +69,11 @@
 	members          *reconcile.Members
 	api              *api.API
 
-	draining atomic.Bool   // this process is about to stop
-	wake     chan struct{} // has the supervisor look at once; holds one at the start
+	draining atomic.Bool   // this process is shutting down
+	wake     chan struct{} // makes the supervisor run immediately; has a capacity of one
 }
 
-// New opens the state of a control process.
+// New opens the data folder of a control process and returns the process, which is started by Run.
 func New(s *settings.Settings, log *logrus.Entry) (*Server, error) {
 	required := map[string]string{"data_dir": s.DataDir, "listen.control": s.ListenControl}
 	if err := settings.Require(required); err != nil {
@@ -89,24 +89,24 @@
 	if err := server.node.OpenGroup(state.Group, server.state, options); err != nil {
 		return nil, err
 	}
-	server.elector.Learn(consensus.Record{}) // has the replica know the vote and the addresses that the disk holds
+	server.elector.Learn(consensus.Record{}) // gives the replica the vote and the addresses stored on disk
 	return server, nil
 }
 
-// open wires a control process on its disk, without the replicated group.
+// open connects the parts of a control process, without the replicated group.
 func open(s *settings.Settings, log *logrus.Entry) (*Server, error) {
-	line := timeline.New(log)
+	events := timeline.New(log)
 	clients := rpc.NewClients(nil)
 	node, err := multigroup.Open(s.DataDir, clients, log, true)
 	if err != nil {
 		return nil, err
 	}
-	line.Reach(timeline.DiskRead)
+	events.Reach(timeline.DiskRead)
 	server := &Server{
 		settings: s,
 		log:      log,
 		now:      multigroup.Now,
-		timeline: line,
+		timeline: events,
 		self:     consensus.Member{ID: node.Identity, Address: s.ControlAddress(), Node: s.Node},
 		node:     node,
 		clients:  clients,
@@ -122,7 +122,7 @@
 	return server, nil
 }
 
-// openElection makes what decides who leads, and what depends on it alone.
+// openElection creates the election of the primary and the parts that depend only on it.
 func (s *Server) openElection() error {
 	var err error
 	s.elector, err = election.New(election.Config{
@@ -178,35 +178,35 @@
 	})
 }
 
-// Run serves until the context ends, then until others can do without this process, and ends. The order of the end is that of
-// shutdown.go.
+// Run serves until the context is cancelled, then until the other processes no longer require this one or the drain timeout expires, and
+// shuts down. The order of the shutdown is described in the package documentation.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.self.Address)
 	if err != nil {
 		return oops.Wrapf(err, "internal_ports")
 	}
-	background, endBackground := context.WithCancel(context.WithoutCancel(ctx))
-	defer endBackground()
+	background, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelBackground()
 	work := s.startBackground(background, listener)
 
-	serving, endServing := context.WithCancel(background)
-	defer endServing()
+	serving, cancelServing := context.WithCancel(background)
+	defer cancelServing()
 	cancelDrain := context.AfterFunc(ctx, func() {
 		s.drain(background)
-		endServing()
+		cancelServing()
 	})
 	defer cancelDrain()
 	err = s.api.Serve(serving)
-	endBackground()
+	cancelBackground()
 	s.awaitBackground(work)
 	return err
 }
 
-// startBackground starts the work that goes on until the context ends, first that which takes calls of other processes. None of it can
-// fail: what can't be done now is done at the next look.
+// startBackground starts the work that runs until the context is cancelled, with the listener for other processes first. None of it
+// returns errors: what fails is tried again at the next interval.
 func (s *Server) startBackground(ctx context.Context, listener net.Listener) *sync.WaitGroup {
 	var work sync.WaitGroup
-	context.AfterFunc(ctx, func() { _ = listener.Close() }) // ends rpc.Serve
+	context.AfterFunc(ctx, func() { _ = listener.Close() }) // makes rpc.Serve return
 	work.Go(func() { rpc.Serve(listener, s.handle) })
 	for _, run := range []func(context.Context){
 		s.node.Run,
@@ -221,7 +221,8 @@
 	return &work
 }
 
-// supervise bootstraps, takes over, repairs and places until the context ends.
+// supervise finds or bootstraps the cluster, makes this process primary when necessary, and reconciles the state as the primary, until
+// the context is cancelled.
 func (s *Server) supervise(ctx context.Context) {
 	s.wakeSupervisor()
 	periodic.RunOrWake(ctx, superviseInterval, s.wake, func() { s.superviseOnce(ctx) })
@@ -245,7 +246,7 @@
 	}
 }
 
-// wakeSupervisor has the supervisor look at once, since something has changed that it may have waited for.
+// wakeSupervisor makes the supervisor run immediately, after a change that it may be waiting for.
 func (s *Server) wakeSupervisor() {
 	select {
 	case s.wake <- struct{}{}:
@@ -253,7 +254,7 @@
 	}
 }
 
-// watchLease ends the subscriptions once this process may not serve its copy any longer.
+// watchLease ends the subscriptions when this process may no longer serve its replica.
 func (s *Server) watchLease(ctx context.Context) {
 	periodic.Run(ctx, leaseCheckInterval, func() {
 		if s.status.MayServe() {
--- a/tier/control/server_test.go
+++ b/tier/control/server_test.go
@@ -17,7 +17,7 @@
 	"otterseam/tier/settings"
 )
 
-// freePort is a port of loopback that nobody listens on.
+// freePort returns an unused port on the loopback interface.
 func freePort(t *testing.T) int {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,8 +28,8 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// aloneSettings are those of a cluster of one control process.
-func aloneSettings(t *testing.T) *settings.Settings {
+// singleProcessSettings returns the settings of a cluster with a single control process.
+func singleProcessSettings(t *testing.T) *settings.Settings {
 	t.Helper()
 	port := freePort(t)
 	return &settings.Settings{
@@ -38,10 +38,10 @@
 	}
 }
 
-// A control process that is told to end ends all that it started, and says so without an error.
-func TestRunEndsWhatItStarted(t *testing.T) {
+// When its context is cancelled, Run stops all goroutines that it started and returns no error.
+func TestRunStopsAllGoroutines(t *testing.T) {
 	logger, _ := test.NewNullLogger()
-	s, err := New(aloneSettings(t), logrus.NewEntry(logger))
+	s, err := New(singleProcessSettings(t), logrus.NewEntry(logger))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for s.status.MayDecide() != nil {
 		if time.Now().After(deadline) {
-			t.Fatal("no cluster was bootstrapped")
+			t.Fatal("the cluster was not bootstrapped in time")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -63,45 +63,45 @@
 			t.Fatal(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the process does not end")
+		t.Fatal("Run does not return")
 	}
 	checkNoneRuns(t, "control.(*Server).supervise", "heartbeat.(*Members).Run", "heartbeat.(*Hosts).Report", "reconcile.(*Members).Run", "rpc.Serve")
 }
 
-// checkNoneRuns fails the test if a goroutine is in one of the functions.
+// checkNoneRuns fails the test if a goroutine is running one of the functions.
 func checkNoneRuns(t *testing.T, functions ...string) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
 	for _, function := range functions {
 		if strings.Contains(string(stacks), function+"(") {
-			t.Errorf("%s still runs", function)
+			t.Errorf("%s is still running", function)
 		}
 	}
 }
 
-// A control process that can't listen ends with an error that names the setting.
-func TestRunNamesTheAddressThatIsTaken(t *testing.T) {
-	own := aloneSettings(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+// If the API's address is in use, Run returns an error that names the setting.
+func TestRunNamesSettingOfAddressInUse(t *testing.T) {
+	conf := singleProcessSettings(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	own.ListenControl = taken.Addr().String()
+	defer listener.Close()
+	conf.ListenControl = listener.Addr().String()
 	logger, _ := test.NewNullLogger()
-	s, err := New(own, logrus.NewEntry(logger))
+	s, err := New(conf, logrus.NewEntry(logger))
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = s.Run(t.Context())
 	if err == nil || errors.Is(err, http.ErrServerClosed) || !strings.Contains(err.Error(), "listen.control") {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("Run returned %v", err)
 	}
 }
 
-// Work that hangs doesn't keep the process from ending.
-func TestWorkThatHangsIsNotWaitedForLong(t *testing.T) {
+// Background work that hangs does not block the shutdown.
+func TestHangingBackgroundWorkDoesNotBlockShutdown(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	s := &Server{log: logrus.NewEntry(logger)}
 	var work sync.WaitGroup
@@ -110,9 +110,9 @@
 	begin := time.Now()
 	s.awaitBackground(&work)
 	if took := time.Since(begin); took < backgroundTimeout {
-		t.Errorf("waited %v", took)
+		t.Errorf("waited only %v", took)
 	}
 	if len(hook.AllEntries()) != 1 {
-		t.Errorf("logged %+v", hook.AllEntries())
+		t.Errorf("log entries: %+v", hook.AllEntries())
 	}
 }
--- a/tier/control/shutdown.go
+++ b/tier/control/shutdown.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// handOverPause is how long a process that drains waits between two looks at whether it is still needed.
+	// handOverPause is the pause of a draining process between two checks whether it is still needed.
 	handOverPause = 50 * time.Millisecond
-	// stopMargin is how long before the platform would kill it the process ends by itself. It is above the second that package api
-	// waits for requests in flight and backgroundTimeout together.
+	// stopMargin is the part of the platform's grace period that is reserved for the steps after draining. It is greater than the sum
+	// of backgroundTimeout and the second for which package api waits for requests in flight.
 	stopMargin = 1500 * time.Millisecond
-	// shortestStop bounds the wait from below, where the platform gives no time worth speaking of.
-	shortestStop = 500 * time.Millisecond
-	// backgroundTimeout bounds the wait for the work in the background, which may hang on a disk.
+	// minDrainTimeout is the minimum timeout of draining, for platforms with a very short grace period or none.
+	minDrainTimeout = 500 * time.Millisecond
+	// backgroundTimeout is the maximum time to wait for background work, which may hang on a disk.
 	backgroundTimeout = 400 * time.Millisecond
 )
 
-// drain returns when this process may end: another one leads, and what this one acknowledged is held by as many others as an
-// acknowledgement needs, or time is up.
+// drain returns when this process may stop: another one is the primary, and the writes that this one acknowledged are replicated to as
+// many other processes as an acknowledgement requires, or the timeout has expired.
 func (s *Server) drain(ctx context.Context) {
 	s.draining.Store(true)
-	limit, cancel := context.WithTimeout(ctx, max(shortestStop, s.settings.Bounds.Grace-stopMargin))
+	drainCtx, cancel := context.WithTimeout(ctx, max(minDrainTimeout, s.settings.Bounds.Grace-stopMargin))
 	defer cancel()
-	periodic.While(limit, handOverPause, func() bool {
+	periodic.While(drainCtx, handOverPause, func() bool {
 		if !s.needed() {
 			return false
 		}
 		if s.status.Leads() {
-			s.failover.HandOver(limit, s.sessions.IsControlDraining)
+			s.failover.HandOver(drainCtx, s.sessions.IsControlDraining)
 		}
 		return true
 	})
 }
 
-// awaitBackground waits for the work in the background, whose context has ended. What hangs on a disk ends with the process.
+// awaitBackground waits for the background work, whose context is cancelled. Work that hangs on a disk ends when the process exits.
 func (s *Server) awaitBackground(work *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
@@ -49,11 +49,11 @@
 	select {
 	case <-done:
 	case <-time.After(backgroundTimeout):
-		s.log.Warn("work in the background did not end in time")
+		s.log.Warn("background work did not stop in time")
 	}
 }
 
-// needed tells whether others can't do without this process yet.
+// needed reports whether the other processes still require this one.
 func (s *Server) needed() bool {
 	known := s.elector.Known()
 	if !consensus.HasMember(known.Voters(), s.self.ID) || len(known.Members) < 2 {
@@ -62,6 +62,7 @@
 	if s.status.Leads() || known.Primary == s.self.ID {
 		return true
 	}
-	// a spare takes this member's vote while it is still there, so that no majority is missed; so does a change under way end
+	// this process stays until a learner has taken over its vote and any membership change is complete, so that the group does not lose
+	// its majority
 	return len(known.Learners) > 0 || len(known.Previous) > 0 || membership.View(known).WouldUnderReplicate(s.self.ID)
 }
