--- a/tier/control/heartbeat/recorded_test.go
+++ b/tier/control/heartbeat/recorded_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// leadingMembers returns the Members of a primary that is the only voter.
-func leadingMembers(t *testing.T) *Members {
+// primaryMembers returns the Members of a primary that is the only voter.
+func primaryMembers(t *testing.T) *Members {
 	t.Helper()
 	witness := fixture.Witness()
 	witness.Value = fixture.SingleVoterRecord()
@@ -135,7 +135,7 @@
 
 // A primary's response to the recorded heartbeat is as recorded, except for the measured age of its contact with a majority.
 func TestRecordedResponseToControlHeartbeat(t *testing.T) {
-	answer := callRecorded(t, leadingMembers(t), controlclient.KindMemberHeartbeat, "control-beat")
+	answer := callRecorded(t, primaryMembers(t), controlclient.KindMemberHeartbeat, "control-beat")
 	if len(answer) < 8 {
 		t.Fatalf("response %x", answer)
 	}
--- a/tier/control/proposal/proposal_test.go
+++ b/tier/control/proposal/proposal_test.go
@@ -29,8 +29,8 @@
 	return f.body, f.err
 }
 
-// backup returns a proposer of a process that is not the primary.
-func backup(t *testing.T, primary Caller) *Proposer {
+// newBackupProposer returns a proposer of a process that is not the primary.
+func newBackupProposer(t *testing.T, primary Caller) *Proposer {
 	t.Helper()
 	logger, _ := test.NewNullLogger()
 	node, err := multigroup.Open(t.TempDir(), rpc.NewClients(nil), logrus.NewEntry(logger), true)
@@ -55,7 +55,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			primary := &fakePrimary{body: []byte("body"), err: test.callErr}
-			proposer := backup(t, primary)
+			proposer := newBackupProposer(t, primary)
 			result, err := proposer.Submit(t.Context(), state.ReadConfig{})
 			if !errors.Is(err, test.err) || result.Code != test.code {
 				t.Errorf("Submit: %+v, %v", result, err)
--- a/tier/control/reconcile/reconciler.go
+++ b/tier/control/reconcile/reconciler.go
@@ -52,7 +52,7 @@
 // New returns a reconciler.
 func New(config Config) *Reconciler { return &Reconciler{config: config} }
 
-// Reconcile makes one pass over all that the primary reconciles.
+// Reconcile makes one pass of the primary's periodic work. Without a lease it changes nothing.
 func (r *Reconciler) Reconcile(ctx context.Context) {
 	r.beginLeadership()
 	if r.config.Lease.MayDecide() != nil {
--- a/tier/control/reconcile/reconciler_test.go
+++ b/tier/control/reconcile/reconciler_test.go
@@ -40,11 +40,11 @@
 	clock    int64
 }
 
-// alwaysLeads is a lease that never expires.
-type alwaysLeads struct{}
+// permanentLease is a lease that never expires.
+type permanentLease struct{}
 
-func (alwaysLeads) MayServe() bool   { return true }
-func (alwaysLeads) MayDecide() error { return nil }
+func (permanentLease) MayServe() bool   { return true }
+func (permanentLease) MayDecide() error { return nil }
 
 func newLeader(t *testing.T) *leader {
 	t.Helper()
@@ -80,9 +80,9 @@
 	}
 	proposer := proposal.New(node, nil)
 	l.sessions = session.New(node.Identity, now)
-	l.hosts = &heartbeat.Hosts{Node: node, State: l.state, Sessions: l.sessions, Lease: alwaysLeads{}, Proposer: proposer, Now: now}
+	l.hosts = &heartbeat.Hosts{Node: node, State: l.state, Sessions: l.sessions, Lease: permanentLease{}, Proposer: proposer, Now: now}
 	l.Reconciler = New(Config{
-		Node: node, State: l.state, Sessions: l.sessions, Ejector: l.ejector, Elector: elector, Lease: alwaysLeads{}, Proposer: proposer,
+		Node: node, State: l.state, Sessions: l.sessions, Ejector: l.ejector, Elector: elector, Lease: permanentLease{}, Proposer: proposer,
 		Hosts: l.hosts, Timeline: timeline.New(log), Log: log, Now: now, Heartbeat: heartbeatInterval, Tolerate: 1,
 	})
 	return l
--- a/tier/control/server_test.go
+++ b/tier/control/server_test.go
@@ -65,11 +65,11 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("Run does not return")
 	}
-	checkNoneRuns(t, "control.(*Server).supervise", "heartbeat.(*Members).Run", "heartbeat.(*Hosts).Report", "reconcile.(*Members).Run", "rpc.Serve")
+	checkNotRunning(t, "control.(*Server).supervise", "heartbeat.(*Members).Run", "heartbeat.(*Hosts).Report", "reconcile.(*Members).Run", "rpc.Serve")
 }
 
-// checkNoneRuns fails the test if a goroutine is running one of the functions.
-func checkNoneRuns(t *testing.T, functions ...string) {
+// checkNotRunning fails the test if a goroutine is running one of the functions.
+func checkNotRunning(t *testing.T, functions ...string) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
--- a/tier/control/session/controls.go
+++ b/tier/control/session/controls.go
@@ -12,8 +12,8 @@
 	draining   bool
 }
 
-// RenewControl renews the session of a control process. It ends the session that another identity of the process has, which it had
-// before it lost its disk.
+// RenewControl renews the session of a control process. It ends the session of any other identity with the same address and node name:
+// the process had that identity before its disk was lost.
 func (s *Sessions) RenewControl(member consensus.Member, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tier/control/session/doc.go
+++ b/tier/control/session/doc.go
@@ -2,8 +2,8 @@
 //
 // # Responsibilities
 //
-// Sessions holds the times of the last heartbeats that the primary knows of. The timeouts are those of package lease. UnreportedHosts
-// holds the heartbeats of hosts that a backup acknowledged and has not yet reported to the primary.
+// Sessions is the primary's table of the last heartbeats. The timeouts are those of package lease. UnreportedHosts holds the heartbeats
+// of hosts that a backup acknowledged and has not yet reported to the primary.
 //
 // # Invariants
 //
--- a/tier/control/session/spread.go
+++ b/tier/control/session/spread.go
@@ -21,8 +21,8 @@
 	Hosts  int // 0 if no hosts are to move
 }
 
-// PlanMove returns how many hosts should move from a control process to which other one, so that the hosts are balanced again after a
-// failover. No hosts are moved before this primary has a heartbeat of every host.
+// PlanMove plans a move of hosts from the control process holder to another one, so that the hosts are balanced again after a failover.
+// No hosts are moved before this primary has a heartbeat of every host.
 func (s *Sessions) PlanMove(holder uint64) Move {
 	live := s.LiveControls()
 	s.mu.Lock()
--- a/tier/control/state/growth_test.go
+++ b/tier/control/state/growth_test.go
@@ -14,7 +14,7 @@
 // retains the same ones.
 func TestDeregisteredHostIDsAreBounded(t *testing.T) {
 	const hosts = 3*maxDeregistered + 100
-	l, replica := newLog(), New()
+	l, replica := newCommandLog(), New()
 	apply := func(c Command) {
 		l.apply(c)
 		replica.Apply(l.index, c.Encode())
@@ -55,7 +55,7 @@
 // The retirement of a machine does not apply to a new machine that later registers under its name. It applies to the same machine
 // with another disk, and to a machine that returns with a retired disk.
 func TestRetiredNodeNameMayBeReused(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	l.putStore(1, "a")
 	l.putStore(2, "b")
 	l.apply(RetireNode{Node: "a", Needed: 1})
@@ -81,7 +81,7 @@
 
 // The number of retained retirements of removed machines is bounded.
 func TestRetirementsAreBounded(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	l.putStore(1, "stays")
 	for i := range uint64(1000) {
 		node := fmt.Sprint("node-", i)
--- a/tier/control/state/months_test.go
+++ b/tier/control/state/months_test.go
@@ -23,7 +23,7 @@
 		configBytes       = 2000
 		changesPerRestart = changesPerDay / restartsPerDay
 	)
-	l := newLog()
+	l := newCommandLog()
 	config := string(make([]byte, configBytes))
 	version, restarts := uint64(0), 0
 	restart := func() {
--- a/tier/control/state/recorded_test.go
+++ b/tier/control/state/recorded_test.go
@@ -38,7 +38,7 @@
 
 // recordedLog applies commands after which each part of the state has several entries.
 func recordedLog() *commandLog {
-	l := newLog()
+	l := newCommandLog()
 	for _, command := range []Command{
 		SetMembers{Record: fixture.Record()},
 		ReplaceConfig{Base: 0, Version: 5, Body: []byte(`{"v":5}`)},
--- a/tier/control/state/state_test.go
+++ b/tier/control/state/state_test.go
@@ -18,7 +18,7 @@
 	index uint64
 }
 
-func newLog() *commandLog { return &commandLog{state: New()} }
+func newCommandLog() *commandLog { return &commandLog{state: New()} }
 
 func (l *commandLog) apply(c Command) Result {
 	l.index++
@@ -38,7 +38,7 @@
 }
 
 func TestOnlyOneChangePerBaseIsAccepted(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	if got := l.replace(0, 3, "three"); got != codes.OK {
 		t.Fatal(got)
 	}
@@ -54,7 +54,7 @@
 }
 
 func TestRepeatedChangeIsAcceptedAgain(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	l.mustReplace(t, 0, 3, "three")
 	l.mustReplace(t, 3, 5, "five")
 	restored := New()
@@ -76,7 +76,7 @@
 }
 
 func TestConfigVersionsMustIncrease(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	l.mustReplace(t, 0, 7, "seven")
 	for _, version := range []uint64{6, 7} {
 		if got := l.replace(7, version, "lower"); got != codes.ConfigInvalid {
@@ -90,7 +90,7 @@
 }
 
 func TestStaleHeartbeatChangesNothing(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	l.apply(heartbeat("h", false, 1))
 	l.apply(heartbeat("h", true, 3))
 	if got := l.apply(heartbeat("h", false, 2)); got.Code != codes.HostStale {
@@ -112,7 +112,7 @@
 }
 
 func TestHostRemovedForSilenceMayRegisterAgain(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	l.apply(heartbeat("h", false, 1))
 	l.apply(RemoveHost{ID: "h"})
 	if got := l.apply(heartbeat("h", false, 2)); got.Code != codes.OK || len(l.state.View.All(feed.SectionHost)) != 1 {
@@ -121,7 +121,7 @@
 }
 
 func TestRetireNeedsKnownNodeAndEnoughOthers(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	for i := range uint64(3) {
 		l.apply(PutStore{Store: directory.Store{Identity: i + 1, Node: fmt.Sprintf("store-%d", i)}})
 	}
@@ -137,7 +137,7 @@
 }
 
 func TestShardChangesOnlyFromItsBaseEpoch(t *testing.T) {
-	l := newLog()
+	l := newCommandLog()
 	put := func(base, epoch uint64) codes.Code {
 		shard := directory.Shard{ID: 4, Total: 8}
 		shard.View.Epoch = epoch
@@ -161,7 +161,7 @@
 // configuration versions do not decrease.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := newLog()
+		l := newCommandLog()
 		replica := New()
 		version := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "commands") {
