--- a/quotastore/server/admin.go
+++ b/quotastore/server/admin.go
@@ -18,8 +18,8 @@
 	bootstrapRetryPeriod = 50 * time.Millisecond
 )
 
-// SendCommand sends an operator's command to the server at an address, and returns the answer. A command that the server
-// reports to have failed is a *CommandError, returned beside the answer.
+// SendCommand sends an operator's command to the server at an address, and returns the answer. If the server reports that the
+// command failed, SendCommand returns a *CommandError together with the answer.
 func SendCommand(address string, command *protocol.Admin, timeout time.Duration) (*protocol.Admin, error) {
 	conn, err := net.DialTimeout("tcp", address, min(timeout, commandDialTimeout))
 	if err != nil {
@@ -52,9 +52,9 @@
 	return answer, nil
 }
 
-// Bootstrap begins a cluster: all its servers have to answer within the timeout, and belong to no cluster. snapshots are the
-// states that groups begin with, by group; nil: all begin empty. It returns the cluster's ID. Errors that are
-// ErrPartlyBootstrapped come with the ID; all others are ErrNotBootstrapped.
+// Bootstrap creates a cluster. All its servers must answer within the timeout, and must not belong to a cluster. snapshots are
+// the initial states by group; nil: all groups start empty. Bootstrap returns the ID of the cluster. An error that wraps
+// ErrPartlyBootstrapped comes with the ID. All other errors wrap ErrNotBootstrapped.
 func Bootstrap(config *ClusterConfig, snapshots map[int][]byte, timeout time.Duration) (cluster uint64, err error) {
 	deadline := time.Now().Add(timeout)
 	bootstrap := &protocol.Bootstrap{Groups: config.Groups, Replicas: config.Replicas, Snapshots: snapshots}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return 0, err
 	}
-	bootstrap.Cluster = random | 1 // never 0, which stands for none
+	bootstrap.Cluster = random | 1 // never 0, which means none
 	for number, member := range config.Members {
 		id, err := awaitMember(member.PeerAddress, number, deadline)
 		if err != nil {
@@ -87,7 +87,8 @@
 	return fmt.Errorf("%w; %w", &MemberError{Name: member, Err: err}, ErrNotBootstrapped)
 }
 
-// awaitMember asks the server at an address who it is, until it answers or the deadline has passed.
+// awaitMember requests the status of the server at an address until it answers or the deadline has passed. It returns the replica
+// ID of a server that has the expected number and does not belong to a cluster.
 func awaitMember(address string, number int, deadline time.Time) (protocol.ReplicaID, error) {
 	var status *protocol.Admin
 	for {
@@ -102,16 +103,16 @@
 		time.Sleep(bootstrapRetryPeriod)
 	}
 	if status.Replica != number {
-		return 0, fmt.Errorf("says that it is number %d of its list, not %d", status.Replica, number)
+		return 0, fmt.Errorf("is number %d in its own configuration, not %d", status.Replica, number)
 	}
 	if status.Cluster != 0 {
-		return 0, fmt.Errorf("belongs to cluster %016x already", status.Cluster)
+		return 0, fmt.Errorf("already belongs to cluster %016x", status.Cluster)
 	}
 	return protocol.NewReplicaID(number, status.Incarnation), nil
 }
 
-// TakeSnapshot asks all servers for the states of the groups that they lead. If a group has no leader that answers, the error
-// is a *MissingGroupsError.
+// TakeSnapshot requests from each server the states of the groups that it leads. It returns a *MissingGroupsError if no leader
+// answered for a group.
 func TakeSnapshot(config *ClusterConfig, now time.Time) (*Snapshot, error) {
 	snapshot := &Snapshot{Taken: now.Unix(), Groups: config.Groups, States: map[int][]byte{}}
 	var failures []error
--- a/quotastore/server/clientsession.go
+++ b/quotastore/server/clientsession.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	responseQueue        = 1024 // frames to one client; one that reads no faster is disconnected
+	responseQueue        = 1024 // frames queued for one client; a client that exceeds it is disconnected
 	responseBuffer       = 16 << 10
 	responseWriteTimeout = 5 * time.Second
 )
 
-// clientSession is the connection of a gateway or of an operator's command. Each request gets its response as soon as it is
-// known, in any order.
+// clientSession is the connection of a gateway or an operator's command. Each response is sent as soon as it is available, so
+// responses may be in a different order than their requests.
 type clientSession struct {
 	transport *transport
 	conn      net.Conn
 	responses chan *protocol.Frame
-	ended     chan struct{} // closed when the client's stream has ended
+	ended     chan struct{} // closed when the client's stream has ended; stops runWriter
 }
 
-// serveClient reads a client's requests until its stream ends.
+// serveClient reads and handles a client's requests until its stream ends.
 func (t *transport) serveClient(conn net.Conn, r *bufio.Reader) {
 	c := &clientSession{
 		transport: t,
@@ -44,7 +44,7 @@
 	}
 }
 
-// handle has the node carry out what a frame asks. It runs in the event loop.
+// handle passes a frame's requests, or its command, to the node. It runs in the event loop.
 func (c *clientSession) handle(frame *protocol.Frame) {
 	s := c.transport.server
 	if frame.Admin != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// respond queues a frame for the client. It runs in the event loop, which must not wait: a client that does not read is
-// disconnected.
+// respond queues a frame for the client. It runs in the event loop, which must not block, so it disconnects a client whose queue
+// is full.
 func (c *clientSession) respond(frame *protocol.Frame) {
 	select {
 	case c.responses <- frame:
@@ -84,8 +84,8 @@
 	}
 }
 
-// writeQueued writes a frame and all that are queued behind it. An error of a write stays with the buffer, and is returned by
-// the flush.
+// writeQueued writes a frame and all frames that are queued after it. bufio.Writer keeps the error of a write, and Flush returns
+// it.
 func (c *clientSession) writeQueued(w *bufio.Writer, frame *protocol.Frame) error {
 	for {
 		encoded, err := frame.AppendTo(nil)
--- a/quotastore/server/config.go
+++ b/quotastore/server/config.go
@@ -10,51 +10,52 @@
 	"otterseam/quotastore/replication"
 )
 
-// MemberConfig is one server of a cluster.
+// MemberConfig configures one server of a cluster.
 type MemberConfig struct {
 	Name           string `json:"name"`
-	PeerAddress    string `json:"peer"`    // host:port where servers, gateways and commands reach it
-	CounterAddress string `json:"door"`    // host:port where callers of the counter's protocol reach it
-	Zone           string `json:"zone"`    // "": not known
-	Leaving        bool   `json:"leaving"` // it is to hold no replicas any more
+	PeerAddress    string `json:"peer"`    // host:port for servers, gateways and operators' commands
+	CounterAddress string `json:"door"`    // host:port for callers of the counter's protocol
+	Zone           string `json:"zone"`    // failure domain; "": unknown
+	Leaving        bool   `json:"leaving"` // its replicas are moved to other servers
 }
 
-// ClusterConfig is the configuration file of a cluster. It is the same at every server, but for the addresses by which each
-// reaches the others. A server's number is its place in Members.
+// ClusterConfig is the configuration file of a cluster. It is the same on every server, except for the addresses at which each
+// server reaches the others. A server's number is its index in Members.
 type ClusterConfig struct {
-	Groups        int            `json:"groups"`  // into which counters are spread; fixed at bootstrap
-	Replicas      int            `json:"copies"`  // of each group: 3 or 5; fixed at bootstrap
-	ReplaceAfter  float64        `json:"lost"`    // seconds after which a silent server's replicas are replaced; default 30
-	SnapshotRate  float64        `json:"rate"`    // bytes a second at which snapshots are sent to one server; default 4000000
-	MaxLogEntries int            `json:"log"`     // of a group, after which a snapshot takes their place; default 4096
-	Members       []MemberConfig `json:"keepers"` // new ones come at the end; none is taken off
+	Groups        int            `json:"groups"`  // number of groups that counters are sharded into; fixed at bootstrap
+	Replicas      int            `json:"copies"`  // per group: 3 or 5; fixed at bootstrap
+	ReplaceAfter  float64        `json:"lost"`    // seconds after which the replicas of an unresponsive server are replaced; default 30
+	SnapshotRate  float64        `json:"rate"`    // limit on snapshots to one server, in bytes/s; default 4000000
+	MaxLogEntries int            `json:"log"`     // per group, before a snapshot replaces them; default 4096
+	Members       []MemberConfig `json:"keepers"` // new servers are appended; none may be removed
 }
 
-// Values of a configuration file that does not give them.
+// Defaults for values that are missing from a configuration file.
 const (
 	defaultGroups        = 16
 	defaultReplicas      = 3
 	defaultReplaceAfter  = 30  // seconds
-	defaultSnapshotRate  = 4e6 // bytes a second
+	defaultSnapshotRate  = 4e6 // bytes/s
 	defaultMaxLogEntries = 4096
 )
 
-// Bounds of a configuration file.
+// Limits for values of a configuration file.
 const (
 	maxGroups       = 256
 	minReplaceAfter = 1     // second
 	maxReplaceAfter = 86400 // seconds
-	minSnapshotRate = 1e4   // bytes a second
+	minSnapshotRate = 1e4   // bytes/s
 	minLogEntries   = 64
 	maxLogEntries   = 1 << 20
 	maxServers      = 100
 )
 
-// ReadClusterConfig reads and checks a configuration file. Its errors are a *ConfigError, or those of opening the file.
+// ReadClusterConfig reads and validates a configuration file. It returns a *ConfigError for invalid contents, or the error of
+// opening the file.
 func ReadClusterConfig(path string) (*ClusterConfig, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("server list: %w", err)
+		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	defer f.Close()
 	c := &ClusterConfig{
@@ -75,7 +76,7 @@
 	return c, nil
 }
 
-// validate returns the first thing that is wrong.
+// validate returns an error for the first invalid value.
 func (c *ClusterConfig) validate() error {
 	if err := c.validateSizes(); err != nil {
 		return err
@@ -85,26 +86,26 @@
 
 func (c *ClusterConfig) validateSizes() error {
 	if c.Groups < 1 || c.Groups > maxGroups {
-		return fmt.Errorf("groups is %d; 1 to %d are wanted", c.Groups, maxGroups)
+		return fmt.Errorf("groups is %d; must be from 1 to %d", c.Groups, maxGroups)
 	}
 	if c.Replicas != 1 && c.Replicas != 3 && c.Replicas != 5 {
-		return fmt.Errorf("copies is %d; 3 or 5 are wanted (1 keeps nothing safe)", c.Replicas)
+		return fmt.Errorf("copies is %d; must be 3 or 5 (1 is accepted, but without redundancy)", c.Replicas)
 	}
 	if c.ReplaceAfter < minReplaceAfter || c.ReplaceAfter > maxReplaceAfter || c.SnapshotRate < minSnapshotRate ||
 		c.MaxLogEntries < minLogEntries || c.MaxLogEntries > maxLogEntries {
-		return errors.New("lost is from 1 to 86400 s, rate at least 10000 bytes a second, log from 64 to 1048576 entries")
+		return errors.New("lost must be from 1 to 86400 s, rate at least 10000 bytes/s, log from 64 to 1048576 entries")
 	}
 	return nil
 }
 
 func (c *ClusterConfig) validateMembers() error {
 	if len(c.Members) < c.Replicas || len(c.Members) > maxServers {
-		return fmt.Errorf("%d servers are listed; %d to %d are wanted", len(c.Members), c.Replicas, maxServers)
+		return fmt.Errorf("%d servers are listed; must be from %d to %d", len(c.Members), c.Replicas, maxServers)
 	}
 	names := map[string]bool{}
 	for i, member := range c.Members {
 		if member.Name == "" || names[member.Name] {
-			return fmt.Errorf("server %d: its name %q is empty or comes twice", i, member.Name)
+			return fmt.Errorf("server %d: name %q is empty or used twice", i, member.Name)
 		}
 		names[member.Name] = true
 		for _, address := range []string{member.PeerAddress, member.CounterAddress} {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// IndexOf returns a server's number; -1: it isn't in the cluster.
+// IndexOf returns the number of the server with a name, or -1 if it is not in the cluster.
 func (c *ClusterConfig) IndexOf(name string) int {
 	for i, member := range c.Members {
 		if member.Name == name {
--- a/quotastore/server/config_test.go
+++ b/quotastore/server/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// threeMembers is the part of a file that says which servers there are.
+// threeMembers is the part of a configuration file that lists the servers.
 const threeMembers = `"keepers": [
 	{"name": "a", "peer": "127.0.0.1:1", "door": "127.0.0.1:2", "zone": "z"},
 	{"name": "b", "peer": "127.0.0.1:3", "door": "127.0.0.1:4", "leaving": true},
@@ -51,21 +51,21 @@
 	}
 }
 
-func TestReadClusterConfigNamesWhatIsWrong(t *testing.T) {
+func TestReadClusterConfigRejectsInvalidFiles(t *testing.T) {
 	tests := map[string]struct{ text, want string }{
 		"not JSON":          {"{", "unexpected EOF"},
 		"unknown key":       {`{"shards": 3,` + threeMembers + "}", `unknown field "shards"`},
 		"no groups":         {`{"groups": 0,` + threeMembers + "}", "groups is 0"},
 		"too many groups":   {`{"groups": 257,` + threeMembers + "}", "groups is 257"},
 		"two copies":        {`{"copies": 2,` + threeMembers + "}", "copies is 2"},
-		"short lost":        {`{"lost": 0.5,` + threeMembers + "}", "lost is from 1"},
-		"long lost":         {`{"lost": 86401,` + threeMembers + "}", "lost is from 1"},
+		"short lost":        {`{"lost": 0.5,` + threeMembers + "}", "lost must be from 1"},
+		"long lost":         {`{"lost": 86401,` + threeMembers + "}", "lost must be from 1"},
 		"low rate":          {`{"rate": 9999,` + threeMembers + "}", "rate at least"},
 		"short log":         {`{"log": 63,` + threeMembers + "}", "log from 64"},
 		"long log":          {`{"log": 1048577,` + threeMembers + "}", "log from 64"},
 		"too few members":   {`{"copies": 5,` + threeMembers + "}", "3 servers are listed"},
-		"no name":           {strings.Replace("{"+threeMembers+"}", `"name": "b"`, `"name": ""`, 1), `server 1: its name "" is empty`},
-		"a name twice":      {strings.Replace("{"+threeMembers+"}", `"name": "b"`, `"name": "a"`, 1), `server 1: its name "a" is empty or comes twice`},
+		"no name":           {strings.Replace("{"+threeMembers+"}", `"name": "b"`, `"name": ""`, 1), `server 1: name "" is empty`},
+		"duplicate name":    {strings.Replace("{"+threeMembers+"}", `"name": "b"`, `"name": "a"`, 1), `server 1: name "a" is empty or used twice`},
 		"no peer address":   {strings.Replace("{"+threeMembers+"}", `"peer": "127.0.0.1:3"`, `"peer": "b"`, 1), `server b: address "b"`},
 		"no caller address": {strings.Replace("{"+threeMembers+"}", `"door": "127.0.0.1:6"`, `"door": ""`, 1), `server c: address ""`},
 	}
@@ -80,6 +80,6 @@
 		})
 	}
 	if _, err := ReadClusterConfig(filepath.Join(t.TempDir(), "missing")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: unexpected error %v", err)
 	}
 }
--- a/quotastore/server/connset.go
+++ b/quotastore/server/connset.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// connSet holds the open connections of a listener or transport, and is the one place that closes them: when their work is
-// done, or all at once at shutdown, which unblocks whoever reads or writes them.
+// connSet tracks the open connections of a listener or transport. It alone closes them: each one when it is finished, and all of
+// them at shutdown, which unblocks the goroutines that read or write them.
 type connSet struct {
-	limit int // 0: none
+	limit int // maximum number of open connections; 0: unlimited
 
 	mu     sync.Mutex
 	open   map[net.Conn]bool
-	closed bool // by closeAll: no connection is taken any more
+	closed bool // set by closeAll; no more connections are accepted
 }
 
 func newConnSet(limit int) *connSet { return &connSet{limit: limit, open: map[net.Conn]bool{}} }
 
-// add takes a connection; false: there are too many, or the set is closed, and the connection is closed.
+// add adds a connection. If the limit is reached or the set is closed, add closes the connection and returns false.
 func (c *connSet) add(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,7 +29,7 @@
 	return true
 }
 
-// close closes a connection of the set, unless it is closed already.
+// close closes a connection of the set, unless it is already closed.
 func (c *connSet) close(conn net.Conn) {
 	c.mu.Lock()
 	isOpen := c.open[conn]
@@ -40,7 +40,7 @@
 	}
 }
 
-// closeAll closes all connections, and those that are added later.
+// closeAll closes all connections. Connections that are added later are closed immediately.
 func (c *connSet) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/quotastore/server/counter.go
+++ b/quotastore/server/counter.go
@@ -11,11 +11,11 @@
 
 const (
 	maxCounterConns    = 2048
-	maxCallsPerConn    = 1024 // without an answer yet
+	maxCallsPerConn    = 1024 // that have not been answered yet
 	callReadBuffer     = 16 << 10
-	callReadTimeout    = 30 * time.Second // a connection without a call for so long is closed
+	callReadTimeout    = 30 * time.Second // a connection that sends nothing for this long is closed
 	answerWriteTimeout = 5 * time.Second
-	lingerTimeout      = time.Second // for which a connection with a malformed call is read on after its last answer
+	lingerTimeout      = time.Second // how long the input after a malformed call is discarded after the last response
 )
 
 // counterListener owns the listener for callers of the counter's published protocol (HTTP/1.1), and their connections.
@@ -24,9 +24,9 @@
 	listener net.Listener
 	conns    *connSet
 
-	ctx context.Context // of start, and set before any goroutine starts
+	ctx context.Context // set by start before any goroutine starts
 
-	dirty []*counterConn // with answers that were not handed to the writer yet; of the event loop alone
+	dirty []*counterConn // connections with responses not yet passed to the writer; only accessed by the event loop
 }
 
 func newCounterListener(s *Server, address string) (*counterListener, error) {
@@ -37,7 +37,8 @@
 	return &counterListener{server: s, listener: listener, conns: newConnSet(maxCounterConns)}, nil
 }
 
-// start starts the listener's goroutines in a group. They end with the context, and all that is open is closed then.
+// start starts the listener's goroutines in a group. When the context is done they end, and the listener and all connections
+// are closed.
 func (l *counterListener) start(ctx context.Context, group *errgroup.Group) {
 	l.ctx = ctx
 	group.Go(func() error { return l.accept(group) })
@@ -49,7 +50,7 @@
 	})
 }
 
-// accept serves connections until the listener is closed.
+// accept accepts connections and starts serving them, until the listener is closed.
 func (l *counterListener) accept(group *errgroup.Group) error {
 	for {
 		conn, err := l.listener.Accept()
@@ -57,7 +58,7 @@
 			if l.ctx.Err() != nil {
 				return nil
 			}
-			time.Sleep(acceptRetryPause) // out of descriptors for the moment
+			time.Sleep(acceptRetryDelay) // probably out of file descriptors
 			continue
 		}
 		if !l.conns.add(conn) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// flush hands the answers whose turn it is to the writers of their connections. It runs in the event loop, after what the
-// answers rest on is written.
+// flush passes the responses that are next in order to the writers of their connections. It runs in the event loop, after
+// everything that the responses depend on has been written.
 func (l *counterListener) flush() {
 	for _, c := range l.dirty {
 		c.isDirty = false
--- a/quotastore/server/countercall.go
+++ b/quotastore/server/countercall.go
@@ -14,19 +14,20 @@
 	maxNameBytes  = 64
 	maxCallAmount = 1e9
 	minCallTTL    = 0.001 // seconds
-	maxCallTTL    = 60    // seconds; a longer one is cut to it
+	maxCallTTL    = 60    // seconds; longer TTLs are reduced to this
 )
 
 // counterCall is one call of the counter's protocol: POST /counters/NAME?by=AMOUNT&expire_ms=TTL, or GET /_health.
 type counterCall struct {
-	health bool // it asks for the health, and nothing below is set
+	health bool // a health request; the other fields are not set
 	valid  bool
 	name   string
 	amount float64
 	ttl    float64 // seconds
 }
 
-// parseCalls parses all calls that are complete with n more bytes read. An error is of the bytes after them.
+// parseCalls parses all calls that are complete after n more bytes were read. An error concerns the bytes after the returned
+// calls.
 func parseCalls(m *http1.Message, n int) (calls []counterCall, err error) {
 	for {
 		complete, err := m.Advance(n)
@@ -50,7 +51,7 @@
 	return call
 }
 
-// parseValues parses the values of a call, and says whether all that is needed is there and within its bounds.
+// parseValues parses the query parameters of a call, and reports whether the required ones are present and within their limits.
 func (c *counterCall) parseValues(query string) bool {
 	hasAmount := false
 	for _, parameter := range strings.Split(query, "&") {
--- a/quotastore/server/countercall_test.go
+++ b/quotastore/server/countercall_test.go
@@ -7,17 +7,17 @@
 	"otterseam/gateway/http1"
 )
 
-func TestParseCallsTakesTheCountersCalls(t *testing.T) {
+func TestParseCallsValidatesEachCall(t *testing.T) {
 	longest := strings.Repeat("n", maxNameBytes)
 	tests := map[string]struct {
 		request string
 		want    counterCall
 	}{
-		"a call":              {"POST /counters/n?by=2.5&expire_ms=1500", counterCall{valid: true, name: "n", amount: 2.5, ttl: 1.5}},
+		"valid call":          {"POST /counters/n?by=2.5&expire_ms=1500", counterCall{valid: true, name: "n", amount: 2.5, ttl: 1.5}},
 		"values in any order": {"POST /counters/n?expire_ms=1500&by=-2", counterCall{valid: true, name: "n", amount: -2, ttl: 1.5}},
 		"other values":        {"POST /counters/n?by=1&expire_ms=1000&x=7", counterCall{valid: true, name: "n", amount: 1, ttl: 1}},
 		"longest name":        {"POST /counters/" + longest + "?by=1&expire_ms=1", counterCall{valid: true, name: longest, amount: 1, ttl: 0.001}},
-		"TTL is cut":          {"POST /counters/n?by=1&expire_ms=1e9", counterCall{valid: true, name: "n", amount: 1, ttl: 60}},
+		"TTL is reduced":      {"POST /counters/n?by=1&expire_ms=1e9", counterCall{valid: true, name: "n", amount: 1, ttl: 60}},
 		"health":              {"GET /_health", counterCall{health: true}},
 		"other method":        {"GET /counters/n?by=1&expire_ms=1000", counterCall{name: "n", amount: 1, ttl: 1}},
 		"other path":          {"POST /elsewhere?by=1&expire_ms=1000", counterCall{name: "/elsewhere", amount: 1, ttl: 1}},
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			calls, err := parse(t, test.request+" HTTP/1.1\r\nHost: counter\r\n\r\n")
 			if err != nil || len(calls) != 1 || calls[0] != test.want {
-				t.Errorf("parsed as %+v (%v), wanted is %+v", calls, err, test.want)
+				t.Errorf("parsed as %+v (%v), want %+v", calls, err, test.want)
 			}
 		})
 	}
@@ -50,7 +50,7 @@
 		isError bool
 	}{
 		"nothing":                {"", 0, false},
-		"a part of a call":       {call[:20], 0, false},
+		"partial call":           {call[:20], 0, false},
 		"two calls":              {call + call, 2, false},
 		"one and a half":         {call + call[:30], 1, false},
 		"malformed":              {"\x00\x01\r\n\r\n", 0, true},
--- a/quotastore/server/counterconn.go
+++ b/quotastore/server/counterconn.go
@@ -15,40 +15,39 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// The status lines of answers.
+// The statuses of responses.
 const (
 	statusOK          = "200 OK"
 	statusBadRequest  = "400 Bad Request"
 	statusFailed      = "500 Internal Server Error"
-	statusUnavailable = "503 Service Unavailable" // nothing was added, and nothing will be
+	statusUnavailable = "503 Service Unavailable" // the call was not applied, and will not be
 )
 
-// longPast is a deadline that has passed.
-var longPast = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past. It ends a pending read.
+var expiredDeadline = time.Unix(1, 0)
 
-// counterConn is one connection of a caller. Calls may be pipelined; they are answered in their order. A call of which
-// nothing is known ends the connection, as the protocol has it: it must never be answered as rejected.
+// counterConn is the connection of one caller. Calls may be pipelined and are answered in order. A call whose outcome is unknown
+// ends the connection without a response, as the protocol specifies. It must never be answered as rejected.
 type counterConn struct {
 	listener *counterListener
 	conn     net.Conn
-	wake     chan struct{} // there is something to write
-	slots    chan struct{} // one is taken for each call without an answer
+	wake     chan struct{} // signals the writer that outgoing or closing has changed
+	slots    chan struct{} // one slot is held by each call until it is answered
 	written  chan struct{} // closed when the writer has ended
 
-	// Of the event loop alone.
-	answers []*counterAnswer // of all calls without an answer written, in their order
-	isDirty bool             // it is among the listener's dirty ones
+	// Accessed only by the event loop.
+	responses []*counterResponse // to all calls not yet answered, in the order of the calls
+	isDirty   bool               // the connection is in the listener's dirty list
 
 	mu       sync.Mutex
-	outgoing []byte // answers for the writer
-	closing  bool   // nothing comes after outgoing
+	outgoing []byte // encoded responses for the writer
+	closing  bool   // outgoing has the last response
 }
 
-// counterAnswer is the place of an answer in the order of the calls. It is complete once it has a text, or closes the
-// connection.
-type counterAnswer struct {
-	text   []byte
-	closes bool
+// counterResponse is the response to one call, in the order of the calls. It is complete once encoded or closes is set.
+type counterResponse struct {
+	encoded []byte
+	closes  bool
 }
 
 func newCounterConn(l *counterListener, conn net.Conn) *counterConn {
@@ -61,7 +60,7 @@
 	}
 }
 
-// serve reads calls until the connection ends, and closes it.
+// serve reads calls until the connection ends, and closes the connection.
 func (c *counterConn) serve(group *errgroup.Group) {
 	ended := make(chan struct{})
 	group.Go(func() error {
@@ -74,14 +73,14 @@
 	c.listener.conns.close(c.conn)
 }
 
-// read reads calls until the connection ends. Like everywhere here, an error of setting a deadline is that of a closed
-// connection, which the read or write that follows returns.
+// read reads calls until the connection ends. Here and elsewhere in the package, errors of setting a deadline are ignored: they
+// mean that the connection is closed, and the read or write that follows returns that error too.
 func (c *counterConn) read() {
 	var message http1.Message
 	message.Reset(make([]byte, callReadBuffer), false)
 	for {
 		_ = c.conn.SetReadDeadline(time.Now().Add(callReadTimeout))
-		if len(message.Space()) == 0 { // no call is that long
+		if len(message.Space()) == 0 { // longer than any valid call
 			c.rejectMalformed()
 			return
 		}
@@ -100,14 +99,14 @@
 	}
 }
 
-// rejectMalformed answers what is no call, behind the answers to the calls before it, and returns when all of them are written or
-// can't be. What the caller still sends is discarded: closing a connection with unread bytes resets it, and the caller may lose
-// the answers.
+// rejectMalformed answers a malformed call with 400 after the responses to the calls before it. It returns when all responses have
+// been written or can't be. Further input is discarded, because closing a connection with unread bytes resets it, and the caller
+// may then lose the responses.
 func (c *counterConn) rejectMalformed() {
-	if !c.listener.server.enqueue(func() { c.answer(c.reserve(), statusBadRequest, "", true) }) {
+	if !c.listener.server.enqueue(func() { c.respond(c.reserve(), statusBadRequest, "", true) }) {
 		return
 	}
-	_, _ = io.Copy(io.Discard, c.conn) // until the writer lets the read deadline pass, or the caller has closed its side
+	_, _ = io.Copy(io.Discard, c.conn) // until the writer expires the read deadline, or the caller closes its side
 	select {
 	case <-c.written:
 	case <-c.listener.ctx.Done():
@@ -117,7 +116,7 @@
 	_, _ = io.Copy(io.Discard, c.conn)
 }
 
-// submit brings calls to the event loop, once there are slots for them; false: the server is shutting down.
+// submit passes calls to the event loop after it has acquired a slot for each. It returns false if the server is shutting down.
 func (c *counterConn) submit(calls []counterCall) bool {
 	for range calls {
 		select {
@@ -133,48 +132,49 @@
 	})
 }
 
-// reserve takes the next place in the order of the answers. Like all that follows up to flush, it runs in the event loop.
-func (c *counterConn) reserve() *counterAnswer {
-	a := &counterAnswer{}
-	c.answers = append(c.answers, a)
-	return a
+// reserve appends an empty response for the next call. This method and the following ones up to takeCompleted run in the event
+// loop.
+func (c *counterConn) reserve() *counterResponse {
+	r := &counterResponse{}
+	c.responses = append(c.responses, r)
+	return r
 }
 
-// handle submits a call to its group.
+// handle submits a call to its group, or answers it if it is invalid or a health request.
 func (c *counterConn) handle(call *counterCall) {
-	a, node := c.reserve(), c.listener.server.node
+	r, node := c.reserve(), c.listener.server.node
 	if call.health {
-		c.answerHealth(a)
+		c.respondHealth(r)
 		return
 	}
 	if !call.valid {
-		c.answer(a, statusBadRequest, "", false)
+		c.respond(r, statusBadRequest, "", false)
 		return
 	}
 	command := statemachine.Command{Kind: statemachine.Add, Key: call.name, Amount: call.amount, TTL: call.ttl}
 	node.Submit(node.GroupOf(call.name), command, func(outcome replication.Outcome, reply statemachine.Reply) {
 		switch {
 		case outcome == replication.Answered && reply.Code == statemachine.Done:
-			c.answer(a, statusOK, strconv.FormatFloat(reply.Total, 'f', -1, 64), false)
+			c.respond(r, statusOK, strconv.FormatFloat(reply.Total, 'f', -1, 64), false)
 		case outcome == replication.Answered && reply.Code == statemachine.Invalid:
-			c.answer(a, statusBadRequest, "", false)
+			c.respond(r, statusBadRequest, "", false)
 		case outcome == replication.Rejected:
-			c.answer(a, statusUnavailable, "", false)
+			c.respond(r, statusUnavailable, "", false)
 		default:
-			a.closes = true
+			r.closes = true
 			c.markDirty()
 		}
 	})
 }
 
-// answer completes an answer; last: the connection ends with it.
-func (c *counterConn) answer(a *counterAnswer, status, body string, last bool) {
+// respond completes a response. If last is set, the connection is closed after it.
+func (c *counterConn) respond(r *counterResponse, status, body string, last bool) {
 	closeField := ""
 	if last {
 		closeField = "Connection: close\r\n"
 	}
-	a.text = fmt.Appendf(nil, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, closeField, len(body), body)
-	a.closes = last
+	r.encoded = fmt.Appendf(nil, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, closeField, len(body), body)
+	r.closes = last
 	c.markDirty()
 }
 
@@ -185,17 +185,17 @@
 	}
 }
 
-// flush hands the answers whose turn it is to the writer.
+// flush passes the responses that are next in order to the writer.
 func (c *counterConn) flush() {
 	n := c.takeCompleted()
 	if n == 0 {
 		return
 	}
-	c.answers = c.answers[n:]
+	c.responses = c.responses[n:]
 	for range n {
 		select {
 		case <-c.slots:
-		default: // the last answer to a connection that could not be parsed has no slot
+		default: // the response to a malformed call has no slot
 		}
 	}
 	select {
@@ -204,22 +204,22 @@
 	}
 }
 
-// takeCompleted moves completed answers to outgoing, up to the first that is not, and returns how many they were. What comes
-// after an answer that closes the connection is dropped.
+// takeCompleted moves the responses before the first incomplete one to outgoing, and returns how many it moved. Responses after
+// one that closes the connection are dropped.
 func (c *counterConn) takeCompleted() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n < len(c.answers) && (c.answers[n].text != nil || c.answers[n].closes) {
+	for n < len(c.responses) && (c.responses[n].encoded != nil || c.responses[n].closes) {
 		if !c.closing {
-			c.outgoing = append(c.outgoing, c.answers[n].text...)
-			c.closing = c.answers[n].closes
+			c.outgoing = append(c.outgoing, c.responses[n].encoded...)
+			c.closing = c.responses[n].closes
 		}
 		n++
 	}
 	return n
 }
 
-// write writes what is outgoing until the connection has ended, a write fails or nothing comes any more.
+// write writes outgoing responses until the connection has ended, a write fails or the last response has been written.
 func (c *counterConn) write(ended <-chan struct{}) {
 	var writing []byte
 	for {
@@ -235,7 +235,7 @@
 		_ = c.conn.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 		_, err := c.conn.Write(writing)
 		if err != nil || closing {
-			_ = c.conn.SetReadDeadline(longPast) // the reader ends, and closes the connection
+			_ = c.conn.SetReadDeadline(expiredDeadline) // makes the reader end, which closes the connection
 			if tcp, ok := c.conn.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
 			}
--- a/quotastore/server/errors.go
+++ b/quotastore/server/errors.go
@@ -7,27 +7,27 @@
 )
 
 // ErrInUse is returned by New if another process has the storage of the directory open.
-var ErrInUse = errors.New("another process uses it")
+var ErrInUse = errors.New("in use by another process")
 
 // Reasons of a CorruptionError.
 var (
-	errMissingBucket = errors.New("a part is missing")
-	errWrongLength   = errors.New("of another length")
+	errMissingBucket = errors.New("bucket is missing")
+	errWrongLength   = errors.New("unexpected length")
 )
 
-// rolledBackError is the reason of a CorruptionError if a database lacks its newest transactions.
+// rolledBackError is the reason of a CorruptionError if the newest transactions of a database are missing.
 type rolledBackError struct {
-	stored, made uint64 // numbers of the last transaction: as stored, and as noted beside the database
+	stored, made uint64 // number of the last transaction in the database, and in the file beside it
 }
 
 func (e *rolledBackError) Error() string {
-	return fmt.Sprintf("holds write %d, and write %d was made", e.stored, e.made)
+	return fmt.Sprintf("last transaction is %d, but transaction %d was committed", e.stored, e.made)
 }
 
-// CorruptionError says that stored data is corrupt and was set aside.
+// CorruptionError reports that stored data is corrupt and was set aside.
 type CorruptionError struct {
 	File     string // path of the database
-	SetAside string // path that it has now
+	SetAside string // new path of the database
 	Reason   error
 }
 
@@ -37,37 +37,37 @@
 
 func (e *CorruptionError) Unwrap() error { return e.Reason }
 
-// UnknownMemberError says that a server is not in the cluster's configuration.
+// UnknownMemberError reports that a server is not in the cluster's configuration.
 type UnknownMemberError struct {
 	Name string
 }
 
 func (e *UnknownMemberError) Error() string {
-	return fmt.Sprintf("server %q is not in the list", e.Name)
+	return fmt.Sprintf("server %q is not in the configuration", e.Name)
 }
 
-// ConfigError says what is wrong with a cluster's configuration file.
+// ConfigError reports an invalid configuration file of a cluster.
 type ConfigError struct {
 	Path string
 	Err  error
 }
 
-func (e *ConfigError) Error() string { return fmt.Sprintf("server list %s: %v", e.Path, e.Err) }
+func (e *ConfigError) Error() string { return fmt.Sprintf("configuration %s: %v", e.Path, e.Err) }
 
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// ErrUnexpectedAnswer is returned by SendCommand if a server answers with a frame of another kind.
-var ErrUnexpectedAnswer = errors.New("the answer is of another kind")
+// ErrUnexpectedAnswer is returned by SendCommand if a server answers with a frame that is not an answer to a command.
+var ErrUnexpectedAnswer = errors.New("answer has an unexpected frame kind")
 
-// CommandError is a server's own report that a command failed.
+// CommandError is a server's report that a command failed.
 type CommandError struct {
 	Operation string // one of protocol's Operation constants
-	Failure   string // as the server has it
+	Failure   string // text of the server
 }
 
 func (e *CommandError) Error() string { return e.Failure }
 
-// MemberError says which server an error is of.
+// MemberError adds the name of the server to an error.
 type MemberError struct {
 	Name string
 	Err  error
@@ -77,20 +77,20 @@
 
 func (e *MemberError) Unwrap() error { return e.Err }
 
-// ErrNotBootstrapped is part of the errors of Bootstrap after which no cluster was begun.
+// ErrNotBootstrapped is wrapped by the errors of Bootstrap that left no cluster created.
 var ErrNotBootstrapped = errors.New("no cluster was bootstrapped")
 
-// ErrPartlyBootstrapped is part of the errors of Bootstrap after which the cluster was begun without some servers.
-var ErrPartlyBootstrapped = errors.New("the others are bootstrapped, and it joins once it runs")
+// ErrPartlyBootstrapped is wrapped by the errors of Bootstrap that left the cluster created without some of its servers.
+var ErrPartlyBootstrapped = errors.New("the other servers are bootstrapped, and this one joins once it is running")
 
-// MissingGroupsError says that a snapshot would lack groups. It wraps the errors of the servers that did not answer.
+// MissingGroupsError reports that a snapshot would lack groups. It wraps the errors of the servers that did not answer.
 type MissingGroupsError struct {
 	Missing, Groups int
 	Err             error // nil: all servers answered
 }
 
 func (e *MissingGroupsError) Error() string {
-	return fmt.Sprintf("%d of %d groups have no leader that answers; nothing was saved: %v", e.Missing, e.Groups, e.Err)
+	return fmt.Sprintf("no leader answered for %d of %d groups; nothing was saved: %v", e.Missing, e.Groups, e.Err)
 }
 
 func (e *MissingGroupsError) Unwrap() error { return e.Err }
--- a/quotastore/server/eventloop.go
+++ b/quotastore/server/eventloop.go
@@ -10,24 +10,23 @@
 	"otterseam/quotastore/replication"
 )
 
-// tickInterval is how often the node is told the time.
+// tickInterval is the interval between ticks of the node.
 const tickInterval = 20 * time.Millisecond
 
-// now returns the time that the node is told: seconds of the process's monotonic clock since the server was made.
+// now returns the time of the node: seconds on the process's monotonic clock since New created the server.
 func (s *Server) now() float64 { return time.Since(s.started).Seconds() }
 
-// enqueue has the event loop call a function; false: the server is shutting down.
+// enqueue queues a function for the event loop to call. It returns false if the server is shutting down.
 func (s *Server) enqueue(event func()) bool {
 	select {
 	case s.events <- event:
 		return true
-	case <-s.ended:
+	case <-s.stopping:
 		return false
 	}
 }
 
-// runEventLoop owns the node: all that happens is told to it here, one event after another, and all that it decides is
-// carried out from here.
+// runEventLoop owns the node. It passes events to the node one after another, and carries out all of the node's decisions.
 func (s *Server) runEventLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -53,8 +52,8 @@
 	}
 }
 
-// flush carries out what the node decided: it has written what has to be written, and sends what rests on that. While a write
-// is under way all else goes on.
+// flush carries out the node's decisions: it starts writes, and sends messages and responses that depend on completed writes.
+// Everything else continues while a write is in progress.
 func (s *Server) flush() error {
 	for !s.writing {
 		ready := s.node.Ready()
@@ -63,7 +62,7 @@
 		}
 		if s.storage.persistent() && len(ready.Writes) > 0 {
 			s.writing = true
-			s.writeOrders <- ready // never blocks: one is under way at a time
+			s.writeRequests <- ready // never blocks, as only one write is in progress at a time
 			break
 		}
 		s.node.Advance(ready)
@@ -71,7 +70,7 @@
 			return err
 		}
 	}
-	sendErr := s.sendMessages() // a leader's own messages need not wait for its disk
+	sendErr := s.sendMessages() // messages of a leader need not wait for its own write
 	if cluster := s.node.Cluster(); cluster != 0 && !s.writing {
 		if err := s.storage.setCluster(cluster); err != nil {
 			return fmt.Errorf("store cluster ID: %w", err)
@@ -93,16 +92,16 @@
 	return err
 }
 
-// runWriter owns the storage while a write is under way: one transaction after another, each with all that was decided during
-// the one before.
+// runWriter owns the storage during a write. It writes one transaction after another, each with everything that was decided
+// during the previous one.
 func (s *Server) runWriter(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case ready := <-s.writeOrders:
+		case ready := <-s.writeRequests:
 			if err := s.storage.write(ready.Writes); err != nil {
-				return fmt.Errorf("write failed, and nothing that depends on it was sent: %w", err)
+				return fmt.Errorf("storage write failed; nothing that depends on it was sent: %w", err)
 			}
 			s.enqueue(func() {
 				s.writing = false
@@ -112,15 +111,14 @@
 	}
 }
 
-// handleAdmin has the node carry out an operator's command; answer is called once, in the event loop. It runs in the event
-// loop.
-func (s *Server) handleAdmin(command *protocol.Admin, answer func(*protocol.Admin)) {
-	// A bootstrap's writes are made at once. No other write is under way then: the server holds nothing yet.
+// handleAdmin passes an operator's command to the node. It runs in the event loop, and calls respond once in the event loop.
+func (s *Server) handleAdmin(command *protocol.Admin, respond func(*protocol.Admin)) {
+	// The writes of a bootstrap are made synchronously. No other write is in progress then, because the server has no data yet.
 	write := func(writes []replication.Write) error {
 		if err := s.storage.write(writes); err != nil {
 			return err
 		}
 		return s.storage.setCluster(s.node.Cluster())
 	}
-	s.node.HandleAdmin(s.now(), command, write, answer)
+	s.node.HandleAdmin(s.now(), command, write, respond)
 }
--- a/quotastore/server/health.go
+++ b/quotastore/server/health.go
@@ -5,29 +5,30 @@
 	"fmt"
 )
 
-// The states in an answer on health. Operators' checks read them.
+// The states in a health report. Operators' checks depend on their values.
 const (
-	stateHealthy         = "whole"              // all groups can be called here
-	stateNotBootstrapped = "not founded"        // the server belongs to no cluster yet
+	stateHealthy         = "whole"              // this server accepts calls for all groups
+	stateNotBootstrapped = "not founded"        // the server does not belong to a cluster yet
 	stateUnavailable     = "turning calls away" // some groups have no leader
 )
 
-// answerHealth answers with the state of the groups: 200 if all can be called here, else 503. It runs in the event loop.
-func (c *counterConn) answerHealth(a *counterAnswer) {
+// respondHealth responds with the health report, and with status 200 if this server accepts calls for all groups, else 503. It
+// runs in the event loop.
+func (c *counterConn) respondHealth(r *counterResponse) {
 	state, report := c.listener.server.health()
 	body, err := json.Marshal(report)
 	if err != nil {
-		c.answer(a, statusFailed, err.Error(), false)
+		c.respond(r, statusFailed, err.Error(), false)
 		return
 	}
 	status := statusOK
 	if state != stateHealthy {
 		status = statusUnavailable
 	}
-	c.answer(a, status, string(body), false)
+	c.respond(r, status, string(body), false)
 }
 
-// health returns the server's state, and what an answer on health says: its keys are read by operators' checks.
+// health returns the server's state and its health report. Operators' checks depend on the keys of the report.
 func (s *Server) health() (state string, report map[string]any) {
 	unavailable, led, held := 0, 0, 0
 	for _, group := range s.node.Health() {
--- a/quotastore/server/peerstream.go
+++ b/quotastore/server/peerstream.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	messageQueue         = 4096 // messages to one peer
-	snapshotQueue        = 256  // snapshots to one peer
+	messageQueue         = 4096 // messages queued for one peer
+	snapshotQueue        = 256  // snapshots queued for one peer
 	peerDialTimeout      = time.Second
-	minDialPause         = 10 * time.Millisecond
-	maxDialPause         = 200 * time.Millisecond
+	minRedialDelay       = 10 * time.Millisecond
+	maxRedialDelay       = 200 * time.Millisecond
 	messageWriteTimeout  = 2 * time.Second
 	snapshotChunkBytes   = 32 << 10
-	snapshotBurstBytes   = 64 << 10 // that the rate limit lets through at once
+	snapshotBurstBytes   = 64 << 10 // burst of the rate limiter
 	snapshotWriteTimeout = 5 * time.Second
-	snapshotEndTimeout   = 5 * time.Second // for the peer to have read all
+	snapshotAckTimeout   = 5 * time.Second // for the peer to read the whole snapshot after it was written
 )
 
-// peerStream is the way to one peer: a connection for messages, and further ones for snapshots, which go at a bounded rate.
+// peerStream sends to one peer: messages on one connection, and each snapshot on a further connection at a limited rate.
 type peerStream struct {
 	transport *transport
 	number    int
 	messages  chan []byte // encoded frames
-	snapshots chan []byte // likewise
+	snapshots chan []byte // encoded frames
 	limiter   *rate.Limiter
 
 	mu      sync.Mutex
 	address string
 }
 
-// newPeerStream makes the stream to a peer. snapshotRate is in bytes a second.
+// newPeerStream returns a stream to a peer. snapshotRate is in bytes/s.
 func newPeerStream(t *transport, number int, address string, snapshotRate float64) *peerStream {
 	return &peerStream{
 		transport: t,
@@ -57,7 +57,7 @@
 	p.mu.Unlock()
 }
 
-// dial opens a connection, which the transport's set closes.
+// dial opens a connection and adds it to the transport's connSet, which closes it.
 func (p *peerStream) dial() (net.Conn, error) {
 	p.mu.Lock()
 	address := p.address
@@ -73,15 +73,15 @@
 	return conn, nil
 }
 
-// runMessages has one connection after another. If one ends and nobody listens any more, the peer's process has ended, which
-// the node need not wait to find out by its silence.
+// runMessages sends messages, and reconnects when a connection ends. If the peer then refuses the connection, its process has
+// ended. The node is notified, so that it need not wait for the peer to time out.
 func (p *peerStream) runMessages() error {
-	t, pause, wasConnected := p.transport, minDialPause, false
+	t, delay, wasConnected := p.transport, minRedialDelay, false
 	for t.ctx.Err() == nil {
 		conn, err := p.dial()
 		if err == nil {
 			p.sendMessages(conn)
-			pause, wasConnected = minDialPause, true
+			delay, wasConnected = minRedialDelay, true
 			continue
 		}
 		if wasConnected && errors.Is(err, syscall.ECONNREFUSED) {
@@ -91,14 +91,14 @@
 		p.discardMessages()
 		select {
 		case <-t.ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause = min(2*pause, maxDialPause)
+		delay = min(2*delay, maxRedialDelay)
 	}
 	return nil
 }
 
-// discardMessages drops what is queued: it was for the connection before.
+// discardMessages drops all queued messages. They were meant for the previous connection.
 func (p *peerStream) discardMessages() {
 	for {
 		select {
@@ -109,21 +109,21 @@
 	}
 }
 
-// sendMessages sends what is queued on one connection until it ends, and closes it.
+// sendMessages sends queued messages on one connection until the connection ends, and closes it.
 func (p *peerStream) sendMessages(conn net.Conn) {
 	t := p.transport
 	defer t.conns.close(conn)
 	ended := make(chan struct{})
 	t.group.Go(func() error {
-		_, _ = io.Copy(io.Discard, conn) // nothing is sent back: this ends when the other end does
+		_, _ = io.Copy(io.Discard, conn) // the peer sends nothing; this returns when it closes the connection
 		close(ended)
 		return nil
 	})
-	hello, err := t.server.node.Hello().AppendTo(nil) // its content never changes
+	hello, err := t.server.node.Hello().AppendTo(nil) // constant, so safe to read outside the event loop
 	if err != nil {
 		return
 	}
-	// An error of a write stays with the buffer, and is returned by the next flush.
+	// bufio.Writer keeps the error of a write, and the next Flush returns it.
 	w := bufio.NewWriterSize(conn, streamBuffer)
 	_, _ = w.Write(hello)
 	for {
@@ -145,7 +145,7 @@
 	}
 }
 
-// runSnapshots sends snapshots one after another, each on a connection of its own.
+// runSnapshots sends queued snapshots one after another, each on its own connection.
 func (p *peerStream) runSnapshots() error {
 	t := p.transport
 	for {
@@ -160,7 +160,7 @@
 	}
 }
 
-// sendSnapshot sends one snapshot at the allowed rate, and waits until the peer has read all of it.
+// sendSnapshot sends one snapshot at the limited rate, and waits until the peer has read all of it.
 func (p *peerStream) sendSnapshot(snapshot []byte) error {
 	t := p.transport
 	conn, err := p.dial()
@@ -177,18 +177,18 @@
 			return err
 		}
 	}
-	// The peer closes its end once it has read all.
+	// The peer closes its side after it has read everything.
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(snapshotEndTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(snapshotAckTimeout))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("the copy may not have got there: %w", err)
+		return fmt.Errorf("peer may not have received the snapshot: %w", err)
 	}
 	return nil
 }
 
-// sendLimited writes a frame at the allowed rate.
+// sendLimited writes a frame at the limited rate.
 func (p *peerStream) sendLimited(conn net.Conn, frame []byte) error {
 	for len(frame) > 0 {
 		n := min(len(frame), snapshotChunkBytes)
--- a/quotastore/server/recorded_test.go
+++ b/quotastore/server/recorded_test.go
@@ -23,10 +23,10 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// The bytes in testdata/recorded are as the code of commit 1895881 wrote them: its disks, operators' snapshots and callers have
-// to be understood by any later one.
+// The bytes in testdata/recorded were written by the code of commit 1895881. Later code must still read its databases and its
+// operators' snapshots, and answer its callers and clients the same way.
 
-// recordedIdentity is who wrote the recorded disk.
+// recordedIdentity is the identity of the replica that wrote the recorded database.
 var recordedIdentity = identity{incarnation: 0xdeadbeef, cluster: 0x1122334455667789}
 
 func recordedBytes(t *testing.T, name string) []byte {
@@ -38,8 +38,8 @@
 	return text
 }
 
-// writeRecordedHistory writes to a new disk what the recorded one was given.
-func writeRecordedHistory(t *testing.T, dir string) {
+// writeRecordedData creates a database with the writes of the recorded one.
+func writeRecordedData(t *testing.T, dir string) {
 	t.Helper()
 	s, _, err := openStorage(dir, time.Now())
 	if err != nil {
@@ -50,8 +50,8 @@
 	if err := s.setCluster(recordedIdentity.cluster); err != nil {
 		t.Fatal(err)
 	}
-	for i := range writeHistory {
-		if err := s.write(writeHistory[i : i+1]); err != nil {
+	for i := range testWrites {
+		if err := s.write(testWrites[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// listed are all buckets, keys and values of a database, one a line.
-func listed(t *testing.T, path string) []byte {
+// dumpBuckets returns all buckets, keys and values of a database, one key per line.
+func dumpBuckets(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bolt.Open(path, 0o644, &bolt.Options{Timeout: time.Second, ReadOnly: true})
 	if err != nil {
@@ -83,7 +83,7 @@
 	return out.Bytes()
 }
 
-func unpackDisk(t *testing.T, dir string) {
+func unpackRecordedData(t *testing.T, dir string) {
 	t.Helper()
 	plain, err := gzip.NewReader(bytes.NewReader(recordedBytes(t, "held.db.gz")))
 	if err != nil {
@@ -100,27 +100,27 @@
 	}
 }
 
-func TestDiskIsTheRecordedBuckets(t *testing.T) {
+func TestWrittenDatabaseMatchesTheRecordedBuckets(t *testing.T) {
 	dir := t.TempDir()
-	writeRecordedHistory(t, dir)
-	if got, want := listed(t, filepath.Join(dir, "held.db")), recordedBytes(t, "buckets.bin"); !bytes.Equal(got, want) {
-		t.Errorf("written are\n%s\nrecorded are\n%s", got, want)
+	writeRecordedData(t, dir)
+	if got, want := dumpBuckets(t, filepath.Join(dir, "held.db")), recordedBytes(t, "buckets.bin"); !bytes.Equal(got, want) {
+		t.Errorf("wrote buckets\n%s\nrecorded:\n%s", got, want)
 	}
 	count, err := os.ReadFile(filepath.Join(dir, "held.count"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := recordedBytes(t, "held.count.bin"); !bytes.Equal(count, want) {
-		t.Errorf("the count of writes is %x, recorded is %x", count, want)
+		t.Errorf("wrote transaction number %x, recorded: %x", count, want)
 	}
 }
 
-func TestRecordedDiskIsRead(t *testing.T) {
+func TestRecordedDatabaseIsRead(t *testing.T) {
 	leakcheck.Check(t)
 	dir := t.TempDir()
-	unpackDisk(t, dir)
-	if got, want := listed(t, filepath.Join(dir, "held.db")), recordedBytes(t, "buckets.bin"); !bytes.Equal(got, want) {
-		t.Fatalf("the recorded database holds\n%s\nrecorded are\n%s", got, want)
+	unpackRecordedData(t, dir)
+	if got, want := dumpBuckets(t, filepath.Join(dir, "held.db")), recordedBytes(t, "buckets.bin"); !bytes.Equal(got, want) {
+		t.Fatalf("the recorded database has\n%s\nrecorded buckets:\n%s", got, want)
 	}
 	s, saved, err := openStorage(dir, time.Now())
 	if err != nil {
@@ -128,22 +128,22 @@
 	}
 	defer s.close()
 	want := map[int]*replication.PersistentState{9: {HardState: hardState(7, 0)}}
-	for i := range writeHistory {
-		g := writeHistory[i].Group
+	for i := range testWrites {
+		g := testWrites[i].Group
 		if want[g] == nil {
 			want[g] = &replication.PersistentState{}
 		}
-		want[g].Apply(&writeHistory[i])
+		want[g].Apply(&testWrites[i])
 	}
 	for g := range want {
 		want[g] = want[g].AfterSnapshot()
 	}
-	if s.identity() != recordedIdentity || s.discarded != nil || !sameGroups(saved, want) {
-		t.Errorf("%+v, discarded: %v\n%v\nwanted\n%v", s.identity(), s.discarded, saved, want)
+	if s.identity() != recordedIdentity || s.corruption != nil || !equalStates(saved, want) {
+		t.Errorf("%+v, corruption: %v\n%v\nwant\n%v", s.identity(), s.corruption, saved, want)
 	}
 }
 
-// recordedGroup is one group's state in the recorded snapshot of an operator.
+// recordedGroup returns the state of one group in the recorded operator's snapshot.
 func recordedGroup(group int) []byte {
 	s := statemachine.New()
 	s.Apply(&statemachine.Batch{Clock: 5, Commands: []statemachine.Command{
@@ -153,7 +153,7 @@
 	return s.Snapshot()
 }
 
-func TestOperatorsSnapshotIsTheRecordedBytes(t *testing.T) {
+func TestOperatorsSnapshotMatchesTheRecordedBytes(t *testing.T) {
 	one := &Snapshot{Taken: 1796000000, Groups: 1, States: map[int][]byte{0: recordedGroup(0)}}
 	three := &Snapshot{Taken: 1796000001, Groups: 3, States: map[int][]byte{0: recordedGroup(0), 1: recordedGroup(1), 2: recordedGroup(2)}}
 	path := filepath.Join(t.TempDir(), "snapshot")
@@ -165,21 +165,21 @@
 		t.Fatal(err)
 	}
 	if want := recordedBytes(t, "snapshot-one.bin"); !bytes.Equal(got, want) {
-		t.Errorf("written is\n%x\nrecorded is\n%x", got, want)
+		t.Errorf("wrote bytes\n%x\nrecorded:\n%x", got, want)
 	}
-	// Groups stand in a snapshot of several in any order, so that one is only read.
+	// The order of groups in a snapshot is not deterministic, so the snapshot of three groups is only decoded.
 	for name, want := range map[string]*Snapshot{"snapshot-one.bin": one, "snapshot-three.bin": three} {
-		back, err := DecodeSnapshot(recordedBytes(t, name))
+		decoded, err := DecodeSnapshot(recordedBytes(t, name))
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if !reflect.DeepEqual(back, want) {
-			t.Errorf("%s is read as\n%+v\nwanted is\n%+v", name, back, want)
+		if !reflect.DeepEqual(decoded, want) {
+			t.Errorf("%s is decoded as\n%+v\nwant\n%+v", name, decoded, want)
 		}
 	}
 }
 
-// recordedCalls are calls in the counter's protocol, one after another on one connection.
+// recordedCalls are calls of the counter's protocol, sent one after another on one connection.
 var recordedCalls = []string{
 	"POST /counters/count-1?by=2.5&expire_ms=60000 HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n",
 	"POST /counters/count-1?expire_ms=60000&by=0.125 HTTP/1.1\r\nHost: counter\r\n\r\n",
@@ -194,8 +194,8 @@
 	"POST /counters/count-2?by=0.1&expire_ms=60000 HTTP/1.1\r\nHost: counter\r\n\r\n",
 }
 
-// answered makes calls on one connection at once, and gives as many answers as they are, byte for byte.
-func answered(t *testing.T, addr string, calls ...string) []byte {
+// exchange pipelines calls on one connection, and returns the bytes of as many responses as there are calls.
+func exchange(t *testing.T, addr string, calls ...string) []byte {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -220,26 +220,26 @@
 	return raw.Bytes()
 }
 
-func TestListenerAnswersTheRecordedBytes(t *testing.T) {
+func TestCounterListenerAnswersTheRecordedBytes(t *testing.T) {
 	leakcheck.Check(t)
 	if got, want := []byte(strings.Join(recordedCalls, "")), recordedBytes(t, "calls.bin"); !bytes.Equal(got, want) {
 		t.Fatal("the calls are not the recorded ones")
 	}
 	config := startSingleServer(t)
 	address := config.Members[0].CounterAddress
-	if got, want := answered(t, address, recordedCalls[0]), recordedBytes(t, "answers-not-founded.bin"); !bytes.Equal(got, want) {
-		t.Errorf("before the bootstrap it answers\n%s\nrecorded is\n%s", got, want)
+	if got, want := exchange(t, address, recordedCalls[0]), recordedBytes(t, "answers-not-founded.bin"); !bytes.Equal(got, want) {
+		t.Errorf("response before the bootstrap:\n%s\nrecorded:\n%s", got, want)
 	}
 	if _, err := Bootstrap(config, nil, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	awaitServing(t, address)
-	if got, want := answered(t, address, recordedCalls...), recordedBytes(t, "answers.bin"); !bytes.Equal(got, want) {
-		t.Errorf("it answers\n%s\nrecorded is\n%s", got, want)
+	if got, want := exchange(t, address, recordedCalls...), recordedBytes(t, "answers.bin"); !bytes.Equal(got, want) {
+		t.Errorf("got responses\n%s\nrecorded:\n%s", got, want)
 	}
 }
 
-// awaitServing waits until both groups take calls, which the names used for it show: each lies in one of the groups.
+// awaitServing waits until both groups accept calls. The counter names that it uses are spread over both groups.
 func awaitServing(t *testing.T, address string) {
 	t.Helper()
 	var calls []string
@@ -247,18 +247,18 @@
 		calls = append(calls, fmt.Sprintf("POST /counters/await-%d?by=0&expire_ms=1000 HTTP/1.1\r\nHost: counter\r\n\r\n", i))
 	}
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if text := answered(t, address, calls...); bytes.Count(text, []byte("200 OK")) == len(calls) {
+		if text := exchange(t, address, calls...); bytes.Count(text, []byte("200 OK")) == len(calls) {
 			return
 		}
 	}
-	t.Fatal("it still turns calls away")
+	t.Fatal("calls are still rejected")
 }
 
-// The names of an answer on health, which operators' checks read; their values differ from run to run.
-func TestHealthHasTheRecordedNames(t *testing.T) {
+// Operators' checks depend on the keys of the health report. Some of its values differ from run to run.
+func TestHealthReportHasTheRecordedKeys(t *testing.T) {
 	leakcheck.Check(t)
 	config := startSingleServer(t)
-	text := answered(t, config.Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+	text := exchange(t, config.Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
 	head, rest, _ := strings.Cut(string(text), "\r\n\r\n")
 	want := `{"away":2,"disk":false,"groups":2,"held":0,"installation":"0000000000000000","led":0,"life":"`
 	if !strings.HasPrefix(head, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: ") || !strings.HasPrefix(rest, want) ||
@@ -267,28 +267,28 @@
 	}
 }
 
-// Before the bootstrap a client's requests are rejected, and what only servers may request is invalid.
+// Before the bootstrap, a client's requests are rejected, and requests that only servers may make are answered as invalid.
 func TestClientsAreAnsweredTheRecordedBytes(t *testing.T) {
 	leakcheck.Check(t)
 	if got, want := clientRequests(t), recordedBytes(t, "guest-asks.bin"); !bytes.Equal(got, want) {
-		t.Fatalf("asked is\n%x\nrecorded is\n%x", got, want)
+		t.Fatalf("got requests\n%x\nrecorded:\n%x", got, want)
 	}
 	config := startSingleServer(t)
 	if got, want := clientResponses(t, config.Members[0].PeerAddress), recordedBytes(t, "guest-replies.bin"); !bytes.Equal(got, want) {
-		t.Errorf("answered is\n%x\nrecorded is\n%x", got, want)
+		t.Errorf("got responses\n%x\nrecorded:\n%x", got, want)
 	}
 }
 
-// clientRequests is what the recorded client sends: its hello, then one frame.
+// clientRequests returns the encoded frames of the recorded client: its hello and a frame of requests.
 func clientRequests(t *testing.T) (text []byte) {
 	t.Helper()
-	asks := protocol.RequestsFrame([]protocol.Request{
+	requests := protocol.RequestsFrame([]protocol.Request{
 		{ID: 7, Command: statemachine.Command{Kind: statemachine.Add, Key: "count", Amount: 1, TTL: 60}},
 		{ID: 8, Command: statemachine.Command{Kind: statemachine.CollectUsage, Version: 1}},
 		{ID: 9, Command: statemachine.Command{Kind: statemachine.RecoverUnreported, Holder: "a", Key: "b"}},
 		{ID: 10, Command: statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "a", Key: "b", TTL: 60}},
 	})
-	for _, f := range []*protocol.Frame{protocol.ClientHello(), asks} {
+	for _, f := range []*protocol.Frame{protocol.ClientHello(), requests} {
 		var err error
 		if text, err = f.AppendTo(text); err != nil {
 			t.Fatal(err)
@@ -297,7 +297,7 @@
 	return text
 }
 
-// clientResponses sends the recorded requests to a server, and returns its four responses as they come on the stream.
+// clientResponses sends the recorded requests to a server, and returns the bytes of its four responses.
 func clientResponses(t *testing.T, addr string) []byte {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -319,7 +319,7 @@
 	return raw.Bytes()
 }
 
-// The first frame of a stream between servers says who sends: its number and its incarnation.
+// The first frame of a stream between servers has the sender's number and incarnation.
 func TestStreamsBeginWithTheRecordedHello(t *testing.T) {
 	leakcheck.Check(t)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -328,7 +328,7 @@
 	}
 	defer other.Close()
 	dir := t.TempDir()
-	unpackDisk(t, dir)
+	unpackRecordedData(t, dir)
 	config := &ClusterConfig{Groups: 16, Replicas: 1, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64, Members: []MemberConfig{
 		{Name: "here", PeerAddress: "127.0.0.1:0", CounterAddress: "127.0.0.1:0"}, {Name: "there", PeerAddress: other.Addr().String(), CounterAddress: "127.0.0.1:0"},
 	}}
@@ -342,10 +342,10 @@
 	want := recordedBytes(t, "hello.bin")
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("it begins with\n%x (%v)\nrecorded is\n%x", got, err, want)
+		t.Errorf("the stream begins with\n%x (%v)\nrecorded:\n%x", got, err, want)
 	}
 	f, err := protocol.ReadFrame(bytes.NewReader(want), protocol.MaxFrameBytes)
 	if err != nil || f.Hello == nil || *f.Hello != (protocol.Hello{Sender: 0, Incarnation: recordedIdentity.incarnation}) {
-		t.Errorf("the recorded hello is read as %+v (%v)", f, err)
+		t.Errorf("the recorded hello is decoded as %+v (%v)", f, err)
 	}
 }
--- a/quotastore/server/server.go
+++ b/quotastore/server/server.go
@@ -14,12 +14,12 @@
 	"otterseam/quotastore/replication"
 )
 
-// Options say which server of a cluster runs here, and how.
+// Options selects the server of a cluster that this process runs, and overrides parts of its configuration.
 type Options struct {
 	Name           string // in the cluster's configuration
-	Dir            string // where it keeps its data; "": nothing outlives the process
-	PeerAddress    string // where it listens for servers and clients; "": as the configuration says
-	CounterAddress string // where it listens for callers of the counter's protocol; "": as the configuration says
+	Dir            string // data directory; "": data is lost when the process ends
+	PeerAddress    string // listen address for servers and clients; "": as configured
+	CounterAddress string // listen address for callers of the counter's protocol; "": as configured
 }
 
 // Server is one running server of the quota store.
@@ -28,25 +28,25 @@
 	storage   *storage
 	transport *transport
 	counter   *counterListener
-	started   time.Time // the zero of the time that the node is told
-	seed      uint64    // another one in each process
+	started   time.Time // origin of the node's time
+	seed      uint64    // random seed of the node, different in each process
 
-	ended       chan struct{}           // closed when Run's context has ended
-	events      chan func()             // for the event loop; what comes before Run waits for it
-	writeOrders chan *replication.Ready // for the writer; one at most is under way
+	stopping      chan struct{}           // closed when Run's context is done
+	events        chan func()             // for the event loop; events queued before Run wait for it
+	writeRequests chan *replication.Ready // for the writer; at most one is in progress
 
-	// Of the event loop alone.
+	// Accessed only by the event loop.
 	node    *replication.Node
 	config  *ClusterConfig
-	writing bool // a write is under way, and the storage is the writer's
+	writing bool // a write is in progress, and the writer owns the storage
 }
 
-// eventBacklog is how many events wait for the event loop before connections are held up.
+// eventBacklog is the number of events that may wait for the event loop before connections block.
 const eventBacklog = 1024
 
-// New opens a server's storage and its listeners. Run has to be called next: it closes them. It returns an
-// *UnknownMemberError for a name that is not configured, ErrInUse if another process uses the directory, and an error that
-// is statemachine.ErrNewerVersion if a newer build wrote the data.
+// New opens a server's storage and its listeners. The caller must call Run next, which closes them. New returns an
+// *UnknownMemberError for a name that is not configured, ErrInUse if another process uses the data directory, and an error
+// that wraps statemachine.ErrNewerVersion if a newer build wrote the data.
 func New(config *ClusterConfig, options Options, log zerolog.Logger) (*Server, error) {
 	number := config.IndexOf(options.Name)
 	if number < 0 {
@@ -57,13 +57,13 @@
 		return nil, err
 	}
 	s := &Server{
-		log:         log.With().Str("server", options.Name).Logger(),
-		config:      config,
-		started:     time.Now(),
-		seed:        seed,
-		ended:       make(chan struct{}),
-		events:      make(chan func(), eventBacklog),
-		writeOrders: make(chan *replication.Ready, 1),
+		log:           log.With().Str("server", options.Name).Logger(),
+		config:        config,
+		started:       time.Now(),
+		seed:          seed,
+		stopping:      make(chan struct{}),
+		events:        make(chan func(), eventBacklog),
+		writeRequests: make(chan *replication.Ready, 1),
 	}
 	var saved map[int]*replication.PersistentState
 	if s.storage, saved, err = openStorage(options.Dir, s.started); err != nil {
@@ -76,10 +76,10 @@
 	return s, nil
 }
 
-// prepare makes the node of what was stored, and opens the listeners. The caller closes the storage if it fails.
+// prepare creates the node from the stored state and opens the listeners. If it fails, the caller closes the storage.
 func (s *Server) prepare(number int, options Options, saved map[int]*replication.PersistentState) (err error) {
-	if s.storage.discarded != nil {
-		s.log.Error().Str("reason", s.storage.discarded.Error()).Msg("stored data is corrupt: starting empty, in a new incarnation")
+	if s.storage.corruption != nil {
+		s.log.Error().Str("reason", s.storage.corruption.Error()).Msg("stored data is corrupt; starting empty in a new incarnation")
 	}
 	id := s.storage.identity()
 	s.node, err = replication.New(number, id.incarnation, id.cluster, s.config.peers(), s.config.replicationConfig(), s.seed, saved)
@@ -119,11 +119,11 @@
 	return binary.BigEndian.Uint64(b[:]), nil
 }
 
-// Run serves until the context ends, or until the server can't go on. All its goroutines have ended and all its files and
-// connections are closed when it returns. It returns nil if the context ended it. It may be called once.
+// Run serves until the context is done or the server fails. When it returns, all goroutines have ended and all files and
+// connections are closed. It returns nil if the context ended it. It may be called only once.
 func (s *Server) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	context.AfterFunc(ctx, func() { close(s.ended) })
+	context.AfterFunc(ctx, func() { close(s.stopping) })
 	s.transport.start(ctx, group)
 	s.counter.start(ctx, group)
 	group.Go(func() error { return s.runEventLoop(ctx) })
@@ -136,8 +136,8 @@
 	return err
 }
 
-// Reconfigure takes up a configuration to which servers were added, or in which some are to leave. One that can't be taken up
-// is logged, and the server goes on with the one it has. Before Run it waits for it.
+// Reconfigure applies a configuration in which servers were added or marked as leaving. An invalid configuration is logged, and
+// the server keeps its current one. If Run has not been called yet, the configuration is applied once Run starts.
 func (s *Server) Reconfigure(config *ClusterConfig) {
 	s.enqueue(func() {
 		if config.Groups != s.config.Groups || config.Replicas != s.config.Replicas {
--- a/quotastore/server/server_test.go
+++ b/quotastore/server/server_test.go
@@ -16,10 +16,10 @@
 	"otterseam/quotastore/protocol"
 )
 
-// testTimeout is how long anything of a test may take.
+// testTimeout is the deadline of each operation in a test.
 const testTimeout = 20 * time.Second
 
-// singleServerConfig configures one server without a directory, on ports of the system's choice.
+// singleServerConfig returns the configuration of a single server on ports that the system assigns.
 func singleServerConfig() *ClusterConfig {
 	return &ClusterConfig{
 		Groups:        2,
@@ -31,15 +31,16 @@
 	}
 }
 
-// startSingleServer runs one server without a directory, which has all groups alone once it is bootstrapped. It returns the
-// configuration by which others reach it.
+// startSingleServer runs a single server without a data directory. It holds all groups after its bootstrap. The returned
+// configuration has the server's actual addresses.
 func startSingleServer(t *testing.T) *ClusterConfig {
 	t.Helper()
-	return reachable(startServer(t, singleServerConfig(), Options{Name: "alone"}))
+	return reachableConfig(startServer(t, singleServerConfig(), Options{Name: "alone"}))
 }
 
-// reachable is the configuration by which others reach a single server: the server goes on with the one that it was given.
-func reachable(s *Server) *ClusterConfig {
+// reachableConfig returns the configuration of a single server with its actual addresses. The server itself keeps the
+// configuration that it was created with.
+func reachableConfig(s *Server) *ClusterConfig {
 	config := singleServerConfig()
 	config.Members[0].PeerAddress = s.transport.listener.Addr().String()
 	config.Members[0].CounterAddress = s.counter.listener.Addr().String()
@@ -58,7 +59,7 @@
 	return s
 }
 
-// run runs a server until the returned function is called, which waits for its end.
+// run runs a server until the returned function is called, which waits until Run has returned.
 func run(t *testing.T, s *Server) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -85,7 +86,7 @@
 	return conn
 }
 
-// A server that ends leaves no goroutine behind and closes the connections of callers and clients that are idle.
+// Shutdown ends all goroutines and closes the idle connections of callers and clients.
 func TestShutdownClosesOpenConnections(t *testing.T) {
 	leakcheck.Check(t)
 	s, err := New(singleServerConfig(), Options{Name: "alone", Dir: t.TempDir()}, zerolog.Nop())
@@ -93,7 +94,7 @@
 		t.Fatal(err)
 	}
 	stop := run(t, s)
-	server := reachable(s).Members[0]
+	server := reachableConfig(s).Members[0]
 	caller, client := dial(t, server.CounterAddress), dial(t, server.PeerAddress)
 	if _, err := client.Write(clientRequests(t)); err != nil {
 		t.Fatal(err)
@@ -101,7 +102,7 @@
 	if _, err := protocol.ReadFrame(client, protocol.MaxFrameBytes); err != nil {
 		t.Fatal(err)
 	}
-	answered(t, server.CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+	exchange(t, server.CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
 	stop()
 	for name, conn := range map[string]net.Conn{"caller": caller, "client": client} {
 		if _, err := io.Copy(io.Discard, conn); err != nil && isTimeout(err) {
@@ -115,8 +116,9 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// A malformed call gets its 400 behind the answers to the calls before it, also when the caller sends on or has closed its side.
-func TestAMalformedCallIsAnsweredBehindTheCallsBeforeIt(t *testing.T) {
+// A malformed call gets status 400 after the responses to the calls before it, even if the caller sends more or has closed its
+// side of the connection.
+func TestMalformedCallIsAnsweredAfterEarlierCalls(t *testing.T) {
 	leakcheck.Check(t)
 	address := startSingleServer(t).Members[0].CounterAddress
 	const call = "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n"
@@ -124,13 +126,13 @@
 		malformed string
 		closes    bool
 	}{
-		"malformed":               {"\x00\x01\r\n\r\n", false},
-		"and the side is closed":  {"\x00\x01\r\n\r\n", true},
-		"followed by more":        {"\x00\x01\r\n\r\n" + strings.Repeat("x", 1<<20), false},
-		"longer than any call is": {"GET /" + strings.Repeat("x", 2*callReadBuffer), false},
+		"malformed":            {"\x00\x01\r\n\r\n", false},
+		"write side closed":    {"\x00\x01\r\n\r\n", true},
+		"followed by more":     {"\x00\x01\r\n\r\n" + strings.Repeat("x", 1<<20), false},
+		"longer than any call": {"GET /" + strings.Repeat("x", 2*callReadBuffer), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for range 20 { // the order of reader and writer is chance
+			for range 20 { // the order in which reader and writer run is not deterministic
 				conn := dial(t, address)
 				go func() {
 					_, _ = io.WriteString(conn, call+call+test.malformed)
@@ -140,7 +142,7 @@
 				}()
 				text, err := io.ReadAll(conn)
 				if got := bytes.Count(text, []byte("HTTP/1.1 ")); err != nil || got != 3 || !bytes.Contains(text, []byte("400 Bad Request")) {
-					t.Fatalf("%d answers, %v:\n%s", got, err, text)
+					t.Fatalf("%d responses, %v:\n%s", got, err, text)
 				}
 				conn.Close()
 			}
@@ -148,8 +150,8 @@
 	}
 }
 
-// A configuration that comes before the server runs is taken up once it does.
-func TestReconfigureBeforeRunWaitsForIt(t *testing.T) {
+// A configuration that is passed before Run is applied once the server runs.
+func TestReconfigureBeforeRunIsAppliedOnceItRuns(t *testing.T) {
 	s, err := New(singleServerConfig(), Options{Name: "alone"}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -177,15 +179,15 @@
 
 func TestNewClosesItsStorageIfAListenerFails(t *testing.T) {
 	leakcheck.Check(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	dir := t.TempDir()
 	for name, options := range map[string]Options{
-		"peer":    {Name: "alone", Dir: dir, PeerAddress: taken.Addr().String()},
-		"counter": {Name: "alone", Dir: dir, CounterAddress: taken.Addr().String()},
+		"peer":    {Name: "alone", Dir: dir, PeerAddress: occupied.Addr().String()},
+		"counter": {Name: "alone", Dir: dir, CounterAddress: occupied.Addr().String()},
 	} {
 		if _, err := New(singleServerConfig(), options, zerolog.Nop()); err == nil || errors.Is(err, ErrInUse) {
 			t.Errorf("%s: unexpected error %v", name, err)
@@ -215,15 +217,15 @@
 				t.Fatal(err)
 			}
 			stop := run(t, s)
-			answered(t, reachable(s).Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+			exchange(t, reachableConfig(s).Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
 			config := singleServerConfig()
 			test.change(config)
 			s.Reconfigure(config)
-			// The answer to a later call shows that the event loop has taken the configuration up.
-			answered(t, reachable(s).Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
+			// The response to a later call shows that the event loop has handled the configuration.
+			exchange(t, reachableConfig(s).Members[0].CounterAddress, "GET /_health HTTP/1.1\r\nHost: counter\r\n\r\n")
 			stop()
 			if !strings.Contains(log.String(), test.want) {
-				t.Errorf("the log says\n%s", &log)
+				t.Errorf("unexpected log:\n%s", &log)
 			}
 		})
 	}
@@ -236,8 +238,8 @@
 		t.Fatal(err)
 	}
 	_, err := Bootstrap(config, nil, testTimeout)
-	var of *MemberError
-	if !errors.Is(err, ErrNotBootstrapped) || !errors.As(err, &of) || of.Name != "alone" {
+	var memberErr *MemberError
+	if !errors.Is(err, ErrNotBootstrapped) || !errors.As(err, &memberErr) || memberErr.Name != "alone" {
 		t.Errorf("unexpected error %v", err)
 	}
 }
@@ -252,8 +254,8 @@
 	}
 }
 
-// Groups without a leader are missing from a snapshot, which is not taken then.
-func TestTakeSnapshotNeedsAllGroups(t *testing.T) {
+// TakeSnapshot fails if a group has no leader, as its state would be missing from the snapshot.
+func TestTakeSnapshotRequiresAllGroups(t *testing.T) {
 	leakcheck.Check(t)
 	config := startSingleServer(t)
 	_, err := TakeSnapshot(config, time.Now())
@@ -271,14 +273,14 @@
 	}
 }
 
-func TestConnSetClosesWhatItHolds(t *testing.T) {
+func TestConnSetClosesItsConnections(t *testing.T) {
 	set := newConnSet(2)
 	var others []net.Conn
 	add := func() bool {
-		mine, other := net.Pipe()
+		conn, other := net.Pipe()
 		others = append(others, other)
 		t.Cleanup(func() { other.Close() })
-		return set.add(mine)
+		return set.add(conn)
 	}
 	for range 2 {
 		if !add() {
@@ -286,11 +288,11 @@
 		}
 	}
 	if add() {
-		t.Error("a connection over the limit was taken")
+		t.Error("a connection over the limit was accepted")
 	}
 	set.closeAll()
 	if add() {
-		t.Error("a connection was taken after the set was closed")
+		t.Error("a connection was accepted after the set was closed")
 	}
 	for i, other := range others {
 		_ = other.SetDeadline(time.Now().Add(testTimeout))
--- a/quotastore/server/snapshot.go
+++ b/quotastore/server/snapshot.go
@@ -11,14 +11,15 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// Snapshot is what an operator saves of a cluster: each group as its leader had it, at a moment of its own.
+// Snapshot is an operator's backup of a cluster. It has the state of each group from the group's leader. The states are not taken
+// at the same time.
 type Snapshot struct {
-	Taken  int64          `cbor:"1,keyasint"` // Unix time, in seconds
+	Taken  int64          `cbor:"1,keyasint"` // Unix time in seconds
 	Groups int            `cbor:"2,keyasint"`
 	States map[int][]byte `cbor:"3,keyasint"` // encoded states, by group
 }
 
-// WriteFile writes the snapshot to a file, completely or not at all.
+// WriteFile writes the snapshot to a file atomically.
 func (s *Snapshot) WriteFile(path string) error {
 	body, err := cbor.Marshal(s)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return os.Rename(f.Name(), path)
 }
 
-// DecodeSnapshot decodes the contents of a snapshot's file, and checks the state of each group.
+// DecodeSnapshot decodes the contents of a snapshot file, and checks the state of each group.
 func DecodeSnapshot(encoded []byte) (*Snapshot, error) {
 	body, err := statemachine.Unseal(encoded)
 	if err != nil {
@@ -47,7 +48,7 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if s.Groups < 1 || len(s.States) != s.Groups {
-		return nil, fmt.Errorf("snapshot: it holds %d of %d groups", len(s.States), s.Groups)
+		return nil, fmt.Errorf("snapshot: it has %d of %d groups", len(s.States), s.Groups)
 	}
 	for group := range s.Groups {
 		if _, err := statemachine.Restore(s.States[group]); err != nil {
--- a/quotastore/server/snapshot_test.go
+++ b/quotastore/server/snapshot_test.go
@@ -19,7 +19,7 @@
 	return statemachine.Seal(body)
 }
 
-func TestDecodeSnapshotRejectsWhatIsIncomplete(t *testing.T) {
+func TestDecodeSnapshotRejectsIncompleteData(t *testing.T) {
 	state := statemachine.New().Snapshot()
 	tests := map[string]struct {
 		encoded []byte
@@ -27,8 +27,8 @@
 	}{
 		"empty":           {nil, "snapshot:"},
 		"not a snapshot":  {statemachine.Seal([]byte("x")), "snapshot:"},
-		"no groups":       {sealedSnapshot(t, &Snapshot{}), "it holds 0 of 0 groups"},
-		"a group missing": {sealedSnapshot(t, &Snapshot{Groups: 2, States: map[int][]byte{0: state}}), "it holds 1 of 2 groups"},
+		"no groups":       {sealedSnapshot(t, &Snapshot{}), "it has 0 of 0 groups"},
+		"a group missing": {sealedSnapshot(t, &Snapshot{Groups: 2, States: map[int][]byte{0: state}}), "it has 1 of 2 groups"},
 		"another group":   {sealedSnapshot(t, &Snapshot{Groups: 1, States: map[int][]byte{1: state}}), "group 0:"},
 		"corrupt state":   {sealedSnapshot(t, &Snapshot{Groups: 1, States: map[int][]byte{0: state[:len(state)-1]}}), "group 0:"},
 	}
@@ -41,17 +41,17 @@
 	}
 }
 
-// A file in whose place no other can be put is left as it is, and no temporary file stays.
+// A write that fails leaves other files unchanged and no temporary file behind.
 func TestWriteFileLeavesNothingBehindIfItFails(t *testing.T) {
 	dir := t.TempDir()
-	inTheWay := filepath.Join(dir, "snapshot")
+	missingDir := filepath.Join(dir, "snapshot")
 	writeFile(t, filepath.Join(dir, "other"), []byte("x"))
 	s := &Snapshot{Groups: 1, States: map[int][]byte{0: statemachine.New().Snapshot()}}
-	if err := s.WriteFile(filepath.Join(inTheWay, "in a folder that is missing")); err == nil {
-		t.Error("a snapshot was written into a folder that is missing")
+	if err := s.WriteFile(filepath.Join(missingDir, "in a missing directory")); err == nil {
+		t.Error("a snapshot was written into a missing directory")
 	}
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil || len(left) != 1 {
-		t.Errorf("left behind are %v (%v)", left, err)
+		t.Errorf("files left behind: %v (%v)", left, err)
 	}
 }
--- a/quotastore/server/storage.go
+++ b/quotastore/server/storage.go
@@ -18,35 +18,35 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// identity is who a replica is, for as long as it has its data.
+// identity identifies a replica until it loses its data.
 type identity struct {
 	incarnation uint32
-	cluster     uint64 // 0: it belongs to none yet
+	cluster     uint64 // 0: none yet
 }
 
-// storage keeps what a replica wrote beyond the end of its process. Without a directory nothing is kept, and each process is
-// an incarnation of its own. It has one user at a time: the writer, or the event loop while no write is under way.
+// storage stores a replica's writes durably. Without a directory nothing is stored, and each process is a new incarnation.
+// storage is not safe for concurrent use: the writer uses it during a write, and the event loop at all other times.
 type storage struct {
 	db           *bolt.DB // nil: without a directory, or closed
-	counterFile  *os.File // the number of the last transaction, beside the database
+	txNumberFile *os.File // file beside the database with the number of the last transaction
 	id           identity
-	transactions uint64    // number of the last transaction
-	tails        []logTail // of every replica that was ever written
-	// discarded says why the data found at opening was set aside; nil: it was used, or there was none.
-	discarded *CorruptionError
+	txNumber     uint64        // number of the last transaction
+	digests      []groupDigest // of each group that was ever written
+	// corruption is the reason why existing data was set aside on opening; nil: the data was used, or there was none.
+	corruption *CorruptionError
 }
 
 const (
 	databaseName     = "held.db"
-	counterName      = "held.count"
+	txNumberFileName = "held.count"
 	rewriteSuffix    = ".new"
 	setAsideInfix    = ".spoilt-"
-	lockTimeout      = time.Second // for which a database that another process has open is waited for
+	lockTimeout      = time.Second // longest wait for a database that another process has open
 	directoryMode    = 0o755
 	fileMode         = 0o644
 	incarnationBytes = 4
 	identityBytes    = incarnationBytes + 8
-	counterBytes     = 8
+	txNumberBytes    = 8
 )
 
 // The buckets of the database and the keys of the node bucket. They are part of the on-disk layout.
@@ -57,19 +57,19 @@
 	bucketLog       = []byte("log")
 
 	keyIdentity = []byte("id")
-	keyTails    = []byte("groups") // of all groups that were ever written: one that is missing was lost
-	keyCounter  = []byte("count")
+	keyDigests  = []byte("groups") // of all groups that were ever written; shows whether a group is missing
+	keyTxNumber = []byte("count")
 )
 
 // storageFiles are the paths of a storage's files.
 type storageFiles struct {
-	database, counter string
+	database, txNumber string
 }
 
-// openStorage opens the data in a directory, or begins there; dir "" keeps nothing. It returns what each group had written.
-// Data that is corrupt is set aside and counts as lost: the replica begins empty, in a new incarnation. It returns ErrInUse
-// if another process has the database open, and an error that is statemachine.ErrNewerVersion if a newer build wrote it; both
-// leave the files as they are.
+// openStorage opens the data in a directory, or creates a new database there. With dir "", nothing is stored. It returns the
+// stored state of each group. Corrupt data is set aside and counts as lost: the replica starts empty in a new incarnation.
+// openStorage returns ErrInUse if another process has the database open, and an error that wraps
+// statemachine.ErrNewerVersion if a newer build wrote it. Both leave the files unchanged.
 func openStorage(dir string, now time.Time) (*storage, map[int]*replication.PersistentState, error) {
 	if dir == "" {
 		incarnation, err := newIncarnation()
@@ -78,14 +78,14 @@
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return nil, nil, fmt.Errorf("data directory: %w", err)
 	}
-	files := storageFiles{database: filepath.Join(dir, databaseName), counter: filepath.Join(dir, counterName)}
-	var discarded *CorruptionError
+	files := storageFiles{database: filepath.Join(dir, databaseName), txNumber: filepath.Join(dir, txNumberFileName)}
+	var corruption *CorruptionError
 	if _, err := os.Stat(files.database); err == nil {
 		stored, err := load(files)
 		if err == nil {
 			return resume(files, stored)
 		}
-		if discarded, err = discard(files, err, now); err != nil {
+		if corruption, err = setAside(files, err, now); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s.discarded = discarded
+	s.corruption = corruption
 	return s, nil, nil
 }
 
@@ -102,11 +102,11 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
 	}
-	return binary.BigEndian.Uint32(b[:]) | 1, nil // never 0, which stands for none
+	return binary.BigEndian.Uint32(b[:]) | 1, nil // never 0, which means none
 }
 
-// discard sets a database aside that could not be loaded, unless nothing is wrong with it.
-func discard(files storageFiles, reason error, now time.Time) (*CorruptionError, error) {
+// setAside renames a database that could not be loaded, unless the reason is not a corruption.
+func setAside(files storageFiles, reason error, now time.Time) (*CorruptionError, error) {
 	if errors.Is(reason, statemachine.ErrNewerVersion) || errors.Is(reason, ErrInUse) || errors.Is(reason, os.ErrPermission) {
 		return nil, fmt.Errorf("%s: %w", files.database, reason)
 	}
@@ -114,11 +114,11 @@
 	if err := os.Rename(files.database, aside); err != nil {
 		return nil, fmt.Errorf("%s is corrupt (%w) and can't be set aside: %w", files.database, reason, err)
 	}
-	os.Remove(files.counter)
+	os.Remove(files.txNumber)
 	return &CorruptionError{File: files.database, SetAside: aside, Reason: reason}, nil
 }
 
-// create begins with an empty database, in a new incarnation.
+// create creates an empty database for a new incarnation.
 func create(files storageFiles) (*storage, error) {
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -135,10 +135,10 @@
 	return s, nil
 }
 
-// resume writes what was loaded into a database of its own, which takes the place of the one that was loaded: pages from which
-// nothing was read may be corrupt too, and would be reused in their turn.
+// resume writes the loaded contents to a new database, which replaces the loaded one. Pages of the old database that load did
+// not read may be corrupt too, and would eventually be reused.
 func resume(files storageFiles, stored *contents) (*storage, map[int]*replication.PersistentState, error) {
-	s := &storage{id: stored.id, transactions: stored.transactions}
+	s := &storage{id: stored.id, txNumber: stored.txNumber}
 	if err := s.rewrite(files, stored.groups); err != nil {
 		s.close()
 		return nil, nil, err
@@ -147,7 +147,7 @@
 }
 
 func (s *storage) rewrite(files storageFiles, groups map[int]*replication.PersistentState) error {
-	fresh := storageFiles{database: files.database + rewriteSuffix, counter: files.counter}
+	fresh := storageFiles{database: files.database + rewriteSuffix, txNumber: files.txNumber}
 	os.Remove(fresh.database)
 	if err := s.open(fresh); err != nil {
 		return fmt.Errorf("%s: %w", fresh.database, err)
@@ -181,18 +181,18 @@
 	if s.db, err = bolt.Open(files.database, fileMode, options); err != nil {
 		return asInUse(err)
 	}
-	if s.counterFile, err = openCounter(files.counter); err != nil {
+	if s.txNumberFile, err = openTxNumberFile(files.txNumber); err != nil {
 		s.db.Close()
 		s.db = nil
 	}
 	return err
 }
 
-func openCounter(path string) (*os.File, error) {
+func openTxNumberFile(path string) (*os.File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 }
 
-// asInUse names the error of a database that another process has open.
+// asInUse returns ErrInUse for the error of a database that another process has open, and any other error unchanged.
 func asInUse(err error) error {
 	if errors.Is(err, berrors.ErrTimeout) {
 		return ErrInUse
@@ -200,13 +200,12 @@
 	return err
 }
 
-// identity returns who this replica is.
 func (s *storage) identity() identity { return s.id }
 
-// persistent says that what is written outlives the process.
+// persistent reports whether writes outlive the process.
 func (s *storage) persistent() bool { return s.db != nil }
 
-// setCluster stores the cluster that the replica belongs to.
+// setCluster stores the ID of the cluster that the replica belongs to.
 func (s *storage) setCluster(cluster uint64) error {
 	if s.id.cluster == cluster {
 		return nil
@@ -215,7 +214,7 @@
 	return s.update(nil)
 }
 
-// write stores the writes of all groups in one transaction. They are on disk when it returns nil.
+// write stores the writes of all groups in one transaction. They are durable when it returns nil.
 func (s *storage) write(writes []replication.Write) error {
 	if len(writes) == 0 {
 		return nil
@@ -223,14 +222,13 @@
 	return s.update(writes)
 }
 
-// close closes the files.
 func (s *storage) close() {
 	if s.db != nil {
 		s.db.Close()
 		s.db = nil
 	}
-	if s.counterFile != nil {
-		s.counterFile.Close()
-		s.counterFile = nil
+	if s.txNumberFile != nil {
+		s.txNumberFile.Close()
+		s.txNumberFile = nil
 	}
 }
--- a/quotastore/server/storage_read.go
+++ b/quotastore/server/storage_read.go
@@ -15,18 +15,18 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// contents are all that a database holds.
+// contents is everything that a database stores.
 type contents struct {
-	id           identity
-	transactions uint64
-	groups       map[int]*replication.PersistentState
+	id       identity
+	txNumber uint64
+	groups   map[int]*replication.PersistentState
 }
 
-// load reads and checks all that a database holds, and writes nothing: bytes that were changed may lead the database library
-// astray, into a panic or beyond the file, and that counts as corruption. The database is opened for reading, as the library
-// would else read the list of free pages on a goroutine of its own.
+// load reads and checks the whole database without writing. Corrupt bytes may make the database library panic or access memory
+// beyond the mapped file, and both are reported as corruption. The database is opened read-only, because the library would
+// otherwise read the list of free pages on a goroutine of its own, whose panics load can't recover.
 func load(files storageFiles) (stored *contents, err error) {
-	source := &storage{} // closes whatever was opened
+	source := &storage{} // owns the open files until they are closed
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -37,17 +37,17 @@
 	if source.db, err = bolt.Open(files.database, fileMode, &bolt.Options{Timeout: lockTimeout, ReadOnly: true}); err != nil {
 		return nil, asInUse(err)
 	}
-	if source.counterFile, err = openCounter(files.counter); err != nil {
+	if source.txNumberFile, err = openTxNumberFile(files.txNumber); err != nil {
 		return nil, err
 	}
 	err = source.db.View(func(tx *bolt.Tx) (err error) {
-		stored, err = readContents(tx, source.counterFile)
+		stored, err = readContents(tx, source.txNumberFile)
 		return err
 	})
 	return stored, err
 }
 
-func readContents(tx *bolt.Tx, counterFile *os.File) (*contents, error) {
+func readContents(tx *bolt.Tx, txNumberFile *os.File) (*contents, error) {
 	b := openBuckets(tx)
 	if !b.complete() {
 		return nil, errMissingBucket
@@ -57,20 +57,20 @@
 	if stored.id, err = readIdentity(b.node); err != nil {
 		return nil, fmt.Errorf("identity: %w", err)
 	}
-	if stored.transactions, err = readCounter(b.node, counterFile); err != nil {
+	if stored.txNumber, err = readTxNumber(b.node, txNumberFile); err != nil {
 		return nil, err
 	}
-	value, err := statemachine.Unseal(b.node.Get(keyTails))
+	value, err := statemachine.Unseal(b.node.Get(keyDigests))
 	if err != nil {
 		return nil, fmt.Errorf("groups: %w", err)
 	}
-	tails, err := decodeLogTails(value)
+	digests, err := decodeDigests(value)
 	if err != nil {
 		return nil, fmt.Errorf("groups: %w", err)
 	}
-	for _, tail := range tails {
-		if stored.groups[tail.group], err = b.readGroup(tail); err != nil {
-			return nil, fmt.Errorf("group %d: %w", tail.group, err)
+	for _, digest := range digests {
+		if stored.groups[digest.group], err = b.readGroup(digest); err != nil {
+			return nil, fmt.Errorf("group %d: %w", digest.group, err)
 		}
 	}
 	return stored, nil
@@ -90,34 +90,34 @@
 	}, nil
 }
 
-// readCounter reads the number of the last transaction, and compares it with the one in the file beside the database: the
-// library falls back to the transaction before when its newest page is corrupt, which would forget a vote.
-func readCounter(node *bolt.Bucket, counterFile *os.File) (uint64, error) {
-	value, err := statemachine.Unseal(node.Get(keyCounter))
+// readTxNumber reads the number of the last transaction and compares it with the number in the file beside the database. The
+// library falls back to the previous transaction if its newest page is corrupt, and the replica would then forget a vote.
+func readTxNumber(node *bolt.Bucket, txNumberFile *os.File) (uint64, error) {
+	value, err := statemachine.Unseal(node.Get(keyTxNumber))
 	if err != nil {
-		return 0, fmt.Errorf("count of writes: %w", err)
+		return 0, fmt.Errorf("transaction number: %w", err)
 	}
-	if len(value) != counterBytes {
-		return 0, fmt.Errorf("count of writes: %w", errWrongLength)
+	if len(value) != txNumberBytes {
+		return 0, fmt.Errorf("transaction number: %w", errWrongLength)
 	}
 	stored := binary.BigEndian.Uint64(value)
-	var last [counterBytes]byte
-	// A file that is too short says nothing: it is written after the transaction, and not synced.
-	if n, _ := counterFile.ReadAt(last[:], 0); n == counterBytes && binary.BigEndian.Uint64(last[:]) > stored {
+	var last [txNumberBytes]byte
+	// A file that is too short is ignored, because it is written after the transaction and not synced.
+	if n, _ := txNumberFile.ReadAt(last[:], 0); n == txNumberBytes && binary.BigEndian.Uint64(last[:]) > stored {
 		return 0, &rolledBackError{stored: stored, made: binary.BigEndian.Uint64(last[:])}
 	}
 	return stored, nil
 }
 
-// readGroup reads one group's replica, and checks that nothing of it is missing or older than what was written last.
-func (b *buckets) readGroup(want logTail) (*replication.PersistentState, error) {
+// readGroup reads the state of one group's replica, and checks that no part of it is missing or outdated.
+func (b *buckets) readGroup(want groupDigest) (*replication.PersistentState, error) {
 	key := groupKey(want.group)
 	if checksum(b.hardState.Get(key)) != want.hardStateSum || checksum(b.snapshot.Get(key)) != want.snapshotSum {
-		return nil, errors.New("votes or snapshot: not what was written last")
+		return nil, errors.New("hard state or snapshot: not the last one written")
 	}
 	state := &replication.PersistentState{HardState: &pb.HardState{}}
 	if err := unmarshalSealed(b.hardState.Get(key), state.HardState); err != nil {
-		return nil, fmt.Errorf("votes: %w", err)
+		return nil, fmt.Errorf("hard state: %w", err)
 	}
 	var index, term uint64
 	if value := b.snapshot.Get(key); value != nil {
@@ -135,12 +135,13 @@
 		index, term = state.Entries[n-1].GetIndex(), state.Entries[n-1].GetTerm()
 	}
 	if index != want.lastIndex || term != want.lastTerm {
-		return nil, fmt.Errorf("ends with entry %d of term %d, and entry %d of term %d was the last", index, term, want.lastIndex, want.lastTerm)
+		return nil, fmt.Errorf("log ends with entry %d of term %d; the last one written was entry %d of term %d", index, term, want.lastIndex, want.lastTerm)
 	}
 	return state, nil
 }
 
-// readEntries reads the entries of a group's log that follow an index of a term, and checks that they are a chain.
+// readEntries reads the entries of a group's log after an index, and checks that each follows the previous one in index and
+// term. term is the term of the entry at index.
 func (b *buckets) readEntries(group int, index, term uint64) (entries []*pb.Entry, err error) {
 	cursor := b.log.Cursor()
 	for key, value := cursor.Seek(logKey(group, index+1)); isLogKey(key, group); key, value = cursor.Next() {
@@ -150,7 +151,7 @@
 			return nil, fmt.Errorf("entry %d: %w", index, err)
 		}
 		if previousTerm != term {
-			return nil, fmt.Errorf("entry %d does not follow on the one before", index)
+			return nil, fmt.Errorf("entry %d does not follow the previous entry", index)
 		}
 		if entry.GetIndex() != index || logKeyIndex(key) != index {
 			return nil, fmt.Errorf("entry %d is missing", index)
@@ -174,7 +175,7 @@
 	return previousTerm, entry, proto.Unmarshal(encoded, entry)
 }
 
-// unmarshalSealed checks a stored value and decodes it into m.
+// unmarshalSealed verifies the checksum of a stored value and decodes the value into m.
 func unmarshalSealed(value []byte, m proto.Message) error {
 	encoded, err := statemachine.Unseal(value)
 	if err != nil {
--- a/quotastore/server/storage_test.go
+++ b/quotastore/server/storage_test.go
@@ -38,9 +38,9 @@
 	return &pb.HardState{Term: new(term), Vote: new(uint64(2)), Commit: new(commit)}
 }
 
-// writeHistory is what a server wrote over some time: a bootstrap, entries, entries replaced by another leader's, a snapshot in
-// their place.
-var writeHistory = []replication.Write{
+// testWrites are the writes of a server in order: a bootstrap, entries, entries of another leader that replace some of them, and
+// a snapshot that replaces entries.
+var testWrites = []replication.Write{
 	{Group: 3, HardState: hardState(1, 1), Snapshot: snapshot(1), ReplaceLog: true},
 	{Group: 5, HardState: hardState(1, 1), Snapshot: snapshot(1), ReplaceLog: true},
 	{Group: 3, Entries: entries(2, 40, 1)},
@@ -50,15 +50,15 @@
 	{Group: 3, HardState: hardState(4, 35), Entries: entries(36, 50, 4)},
 }
 
-// afterHistory is what a storage has to return once writeHistory is in it.
-func afterHistory() map[int]*replication.PersistentState {
+// stateAfterWrites returns the state that a storage must return after testWrites were written.
+func stateAfterWrites() map[int]*replication.PersistentState {
 	want := map[int]*replication.PersistentState{}
-	for i := range writeHistory {
-		group := writeHistory[i].Group
+	for i := range testWrites {
+		group := testWrites[i].Group
 		if want[group] == nil {
 			want[group] = &replication.PersistentState{}
 		}
-		want[group].Apply(&writeHistory[i])
+		want[group].Apply(&testWrites[i])
 	}
 	for group := range want {
 		want[group] = want[group].AfterSnapshot()
@@ -66,8 +66,8 @@
 	return want
 }
 
-// writeStorage writes writeHistory to a new storage, one transaction each.
-func writeStorage(t *testing.T, dir string) (id identity, want map[int]*replication.PersistentState) {
+// fillStorage creates a storage with testWrites, one transaction for each. It returns the identity and the expected state.
+func fillStorage(t *testing.T, dir string) (id identity, want map[int]*replication.PersistentState) {
 	t.Helper()
 	s, saved, err := openStorage(dir, time.Now())
 	if err != nil || len(saved) != 0 {
@@ -77,22 +77,23 @@
 	if err := s.setCluster(77); err != nil {
 		t.Fatal(err)
 	}
-	for i := range writeHistory {
-		if err := s.write(writeHistory[i : i+1]); err != nil {
+	for i := range testWrites {
+		if err := s.write(testWrites[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return s.identity(), afterHistory()
+	return s.identity(), stateAfterWrites()
 }
 
-func sameGroups(a, b map[int]*replication.PersistentState) bool {
+func equalStates(a, b map[int]*replication.PersistentState) bool {
 	return maps.EqualFunc(a, b, func(a, b *replication.PersistentState) bool {
-		return reflect.DeepEqual(texts(a), texts(b))
+		return reflect.DeepEqual(messageTexts(a), messageTexts(b))
 	})
 }
 
-// texts prints a state's messages, which compare as texts only: they have fields of the library's own.
-func texts(s *replication.PersistentState) (all []string) {
+// messageTexts returns the messages of a state as text. They can't be compared directly, because they have internal fields of
+// the protobuf library.
+func messageTexts(s *replication.PersistentState) (all []string) {
 	all = append(all, s.HardState.String(), s.Snapshot.String())
 	for _, e := range s.Entries {
 		all = append(all, e.String())
@@ -100,35 +101,35 @@
 	return all
 }
 
-func TestReopenedStorageReturnsAllThatWasWritten(t *testing.T) {
+func TestReopenedStorageReturnsAllWrites(t *testing.T) {
 	leakcheck.Check(t)
 	dir := t.TempDir()
-	id, want := writeStorage(t, dir)
+	id, want := fillStorage(t, dir)
 	s, saved, err := openStorage(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
-	if s.identity() != id || s.discarded != nil || !sameGroups(saved, want) {
-		t.Fatalf("%+v, discarded: %v\n%v\n%v", s.identity(), s.discarded, saved, want)
+	if s.identity() != id || s.corruption != nil || !equalStates(saved, want) {
+		t.Fatalf("%+v, corruption: %v\n%v\nwant\n%v", s.identity(), s.corruption, saved, want)
 	}
 }
 
-func TestStorageOfARunningProcessIsInUse(t *testing.T) {
+func TestOpenStorageFailsIfInUse(t *testing.T) {
 	leakcheck.Check(t)
 	dir := t.TempDir()
-	writeStorage(t, dir)
+	fillStorage(t, dir)
 	s, _, err := openStorage(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
 	if _, _, err := openStorage(dir, time.Now()); !errors.Is(err, ErrInUse) {
-		t.Fatalf("a second process on one directory: %v", err)
+		t.Fatalf("opened the same directory again: unexpected error %v", err)
 	}
 }
 
-// corruptCopy flips up to three bytes of a file, anywhere, and now and then tears its end off.
+// corruptCopy returns a copy of a file in which 1 to 3 random bytes are changed. One copy in four is also truncated.
 func corruptCopy(random *rand.Rand, original []byte) []byte {
 	corrupt := slices.Clone(original)
 	for range 1 + random.IntN(3) {
@@ -140,46 +141,47 @@
 	return corrupt
 }
 
-// Either a flipped byte changes nothing, or none of the data is believed and the replica has another incarnation, so that it
-// never votes as if it remembered.
-func TestCorruptDatabaseIsNeverBelieved(t *testing.T) {
+// Corruption either has no effect on the data, or all data is discarded and the replica gets a new incarnation. A replica that
+// kept its incarnation after a loss of data could vote twice in a term.
+func TestCorruptDatabaseIsNeverUsed(t *testing.T) {
 	leakcheck.Check(t)
 	from := t.TempDir()
-	id, want := writeStorage(t, from)
+	id, want := fillStorage(t, from)
 	database := readFile(t, filepath.Join(from, databaseName))
-	counter := readFile(t, filepath.Join(from, counterName))
-	random, discarded := rand.New(rand.NewPCG(1, 2)), 0
+	counter := readFile(t, filepath.Join(from, txNumberFileName))
+	random, detected := rand.New(rand.NewPCG(1, 2)), 0
 	for range 300 {
 		dir := t.TempDir()
 		writeFile(t, filepath.Join(dir, databaseName), corruptCopy(random, database))
-		writeFile(t, filepath.Join(dir, counterName), counter)
+		writeFile(t, filepath.Join(dir, txNumberFileName), counter)
 		s, saved, err := openStorage(dir, time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.discarded == nil && (s.identity() != id || !sameGroups(saved, want)) {
-			t.Fatalf("corrupt data was believed: %+v %v", s.identity(), saved)
+		if s.corruption == nil && (s.identity() != id || !equalStates(saved, want)) {
+			t.Fatalf("corrupt data was used: %+v %v", s.identity(), saved)
 		}
-		if s.discarded != nil {
-			discarded++
+		if s.corruption != nil {
+			detected++
 			checkSetAside(t, dir, s, saved, id)
 		}
 		s.close()
 	}
-	if discarded < 50 {
-		t.Fatalf("only %d of 300 files were found to be corrupt", discarded)
+	if detected < 50 {
+		t.Fatalf("only %d of 300 corrupted files were detected as corrupt", detected)
 	}
 }
 
-// checkSetAside checks that a replica whose data was corrupt begins empty in a new incarnation, and the data is kept.
+// checkSetAside checks that a replica whose data was corrupt starts empty in a new incarnation, and that the corrupt database
+// was renamed.
 func checkSetAside(t *testing.T, dir string, s *storage, saved map[int]*replication.PersistentState, former identity) {
 	t.Helper()
 	if s.identity().incarnation == former.incarnation || len(saved) > 0 {
-		t.Fatal("the data is corrupt, and the replica goes on in its old incarnation")
+		t.Fatal("the replica continues with corrupt data or in its old incarnation")
 	}
 	aside, err := filepath.Glob(filepath.Join(dir, "held.db.spoilt-*"))
-	if err != nil || len(aside) != 1 || s.discarded.SetAside != aside[0] {
-		t.Fatalf("the corrupt database was not set aside: %v (%v), %+v", aside, err, s.discarded)
+	if err != nil || len(aside) != 1 || s.corruption.SetAside != aside[0] {
+		t.Fatalf("the corrupt database was not set aside: %v (%v), %+v", aside, err, s.corruption)
 	}
 }
 
@@ -199,12 +201,13 @@
 	}
 }
 
-// The newest transaction is lost as a whole, and the database looks intact: the number beside it says that a later one was made.
+// A database that lost its whole newest transaction looks intact. The number in the file beside it shows that a later one was
+// committed.
 func TestRolledBackDatabaseIsDiscarded(t *testing.T) {
 	leakcheck.Check(t)
 	dir := t.TempDir()
-	id, _ := writeStorage(t, dir)
-	path := filepath.Join(dir, counterName)
+	id, _ := fillStorage(t, dir)
+	path := filepath.Join(dir, txNumberFileName)
 	last := binary.BigEndian.Uint64(readFile(t, path))
 	writeFile(t, path, binary.BigEndian.AppendUint64(nil, last+1))
 	s, saved, err := openStorage(dir, time.Now())
@@ -213,15 +216,15 @@
 	}
 	defer s.close()
 	if s.identity().incarnation == id.incarnation || len(saved) > 0 {
-		t.Fatalf("%+v goes on with %d groups", s.identity(), len(saved))
+		t.Fatalf("%+v continues with %d groups", s.identity(), len(saved))
 	}
 	var rolledBack *rolledBackError
-	if s.discarded == nil || !errors.As(s.discarded, &rolledBack) || rolledBack.stored != last || rolledBack.made != last+1 {
-		t.Fatalf("discarded because of %v", s.discarded)
+	if s.corruption == nil || !errors.As(s.corruption, &rolledBack) || rolledBack.stored != last || rolledBack.made != last+1 {
+		t.Fatalf("unexpected reason: %v", s.corruption)
 	}
 }
 
-func TestServersWithoutADirectoryHaveIncarnationsOfTheirOwn(t *testing.T) {
+func TestStoragesWithoutADirectoryHaveDistinctIncarnations(t *testing.T) {
 	leakcheck.Check(t)
 	a, _, err := openStorage("", time.Now())
 	if err != nil {
@@ -232,20 +235,20 @@
 		t.Fatal(err)
 	}
 	if a.identity().incarnation == b.identity().incarnation {
-		t.Error("two processes without a directory have one incarnation")
+		t.Error("two storages without a directory have the same incarnation")
 	}
-	if a.persistent() || a.write(writeHistory) != nil {
-		t.Error("a storage without a directory is none, and takes writes")
+	if a.persistent() || a.write(testWrites) != nil {
+		t.Error("a storage without a directory must not be persistent, and must accept writes")
 	}
 }
 
-func TestLogTailsSurviveTheirEncoding(t *testing.T) {
-	tails := []logTail{{group: 3, hardStateSum: 1, snapshotSum: 2, lastIndex: 3, lastTerm: 4}, {group: 255, lastIndex: 1 << 63}}
-	encoded := encodeLogTails(tails)
-	if got, err := decodeLogTails(encoded); err != nil || !slices.Equal(got, tails) {
+func TestGroupDigestsSurviveTheirEncoding(t *testing.T) {
+	digests := []groupDigest{{group: 3, hardStateSum: 1, snapshotSum: 2, lastIndex: 3, lastTerm: 4}, {group: 255, lastIndex: 1 << 63}}
+	encoded := encodeDigests(digests)
+	if got, err := decodeDigests(encoded); err != nil || !slices.Equal(got, digests) {
 		t.Errorf("decoded as %+v: %v", got, err)
 	}
-	if got, err := decodeLogTails(encoded[1:]); !errors.Is(err, errWrongLength) {
-		t.Errorf("a torn encoding is decoded as %+v: %v", got, err)
+	if got, err := decodeDigests(encoded[1:]); !errors.Is(err, errWrongLength) {
+		t.Errorf("a truncated encoding is decoded as %+v: %v", got, err)
 	}
 }
--- a/quotastore/server/storage_write.go
+++ b/quotastore/server/storage_write.go
@@ -15,7 +15,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// buckets are the database's within one transaction.
+// buckets are the buckets of the database within one transaction.
 type buckets struct {
 	node, hardState, snapshot, log *bolt.Bucket
 }
@@ -33,7 +33,7 @@
 	return b.node != nil && b.hardState != nil && b.snapshot != nil && b.log != nil
 }
 
-// createBuckets opens the buckets, and makes those that are missing.
+// createBuckets opens the buckets, and creates the missing ones.
 func createBuckets(tx *bolt.Tx) (*buckets, error) {
 	b := &buckets{}
 	for _, bucket := range []struct {
@@ -48,12 +48,13 @@
 	return b, nil
 }
 
-// update makes one transaction of all the writes. The number in the file beside the database follows once it is committed.
+// update stores all writes in one transaction. After the commit it updates the transaction number in the file beside the
+// database.
 func (s *storage) update(writes []replication.Write) error {
 	if s.db == nil {
 		return nil
 	}
-	number, tails := s.transactions+1, slices.Clone(s.tails)
+	number, digests := s.txNumber+1, slices.Clone(s.digests)
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		b, err := createBuckets(tx)
 		if err != nil {
@@ -63,66 +64,66 @@
 			return err
 		}
 		for i := range writes {
-			var tail *logTail
-			tails, tail = tailOf(tails, writes[i].Group)
-			if err := b.apply(&writes[i], tail); err != nil {
+			var digest *groupDigest
+			digests, digest = digestOf(digests, writes[i].Group)
+			if err := b.apply(&writes[i], digest); err != nil {
 				return fmt.Errorf("group %d: %w", writes[i].Group, err)
 			}
 		}
-		return b.node.Put(keyTails, statemachine.Seal(encodeLogTails(tails)))
+		return b.node.Put(keyDigests, statemachine.Seal(encodeDigests(digests)))
 	})
 	if err != nil {
 		return err
 	}
-	s.transactions, s.tails = number, tails
-	_, err = s.counterFile.WriteAt(binary.BigEndian.AppendUint64(nil, number), 0)
+	s.txNumber, s.digests = number, digests
+	_, err = s.txNumberFile.WriteAt(binary.BigEndian.AppendUint64(nil, number), 0)
 	return err
 }
 
-// tailOf finds a group's tail, and adds one for a group that was never written.
-func tailOf(tails []logTail, group int) ([]logTail, *logTail) {
-	at := slices.IndexFunc(tails, func(t logTail) bool { return t.group == group })
+// digestOf returns the digest of a group, and appends one for a group that was never written.
+func digestOf(digests []groupDigest, group int) ([]groupDigest, *groupDigest) {
+	at := slices.IndexFunc(digests, func(t groupDigest) bool { return t.group == group })
 	if at < 0 {
-		at, tails = len(tails), append(tails, logTail{group: group})
+		at, digests = len(digests), append(digests, groupDigest{group: group})
 	}
-	return tails, &tails[at]
+	return digests, &digests[at]
 }
 
 func (b *buckets) putNode(transaction uint64, id identity) error {
 	encoded := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, id.incarnation), id.cluster)
 	return errors.Join(
-		b.node.Put(keyCounter, statemachine.Seal(binary.BigEndian.AppendUint64(nil, transaction))),
+		b.node.Put(keyTxNumber, statemachine.Seal(binary.BigEndian.AppendUint64(nil, transaction))),
 		b.node.Put(keyIdentity, statemachine.Seal(encoded)),
 	)
 }
 
-// apply puts one group's write, and keeps its tail up to date.
-func (b *buckets) apply(w *replication.Write, tail *logTail) (err error) {
+// apply stores one group's write and updates the group's digest.
+func (b *buckets) apply(w *replication.Write, digest *groupDigest) (err error) {
 	key := groupKey(w.Group)
 	if w.DropReplica {
-		tail.snapshotSum, tail.lastIndex, tail.lastTerm = 0, 0, 0
+		digest.snapshotSum, digest.lastIndex, digest.lastTerm = 0, 0, 0
 		if err := errors.Join(b.snapshot.Delete(key), b.deleteEntries(w.Group, 0, math.MaxUint64)); err != nil {
 			return err
 		}
 	}
-	if w.HardState != nil || tail.hardStateSum == 0 {
-		if tail.hardStateSum, err = putSealed(b.hardState, key, w.HardState); err != nil {
+	if w.HardState != nil || digest.hardStateSum == 0 {
+		if digest.hardStateSum, err = putSealed(b.hardState, key, w.HardState); err != nil {
 			return err
 		}
 	}
 	if w.Snapshot != nil {
-		if err := b.applySnapshot(w, tail); err != nil {
+		if err := b.applySnapshot(w, digest); err != nil {
 			return err
 		}
 	}
 	if len(w.Entries) == 0 {
 		return nil
 	}
-	return b.appendEntries(w.Entries, tail)
+	return b.appendEntries(w.Entries, digest)
 }
 
-// applySnapshot puts a snapshot in the place of the entries that it covers.
-func (b *buckets) applySnapshot(w *replication.Write, tail *logTail) error {
+// applySnapshot stores a snapshot, and deletes the entries that it replaces.
+func (b *buckets) applySnapshot(w *replication.Write, digest *groupDigest) error {
 	until := w.CompactTo
 	if w.ReplaceLog {
 		until = math.MaxUint64
@@ -131,21 +132,21 @@
 	if err := errors.Join(err, b.deleteEntries(w.Group, 0, until)); err != nil {
 		return err
 	}
-	tail.snapshotSum = sum
-	if m := w.Snapshot.GetMetadata(); w.ReplaceLog || m.GetIndex() >= tail.lastIndex {
-		tail.lastIndex, tail.lastTerm = m.GetIndex(), m.GetTerm()
+	digest.snapshotSum = sum
+	if m := w.Snapshot.GetMetadata(); w.ReplaceLog || m.GetIndex() >= digest.lastIndex {
+		digest.lastIndex, digest.lastTerm = m.GetIndex(), m.GetTerm()
 	}
 	return nil
 }
 
-// appendEntries puts entries, which replace all from the first one's index on.
-func (b *buckets) appendEntries(entries []*pb.Entry, tail *logTail) error {
+// appendEntries stores entries. They replace all entries from the index of the first one on.
+func (b *buckets) appendEntries(entries []*pb.Entry, digest *groupDigest) error {
 	first := entries[0].GetIndex()
-	previousTerm, err := b.termBefore(first, tail)
+	previousTerm, err := b.termBefore(first, digest)
 	if err != nil {
 		return err
 	}
-	if err := b.deleteEntries(tail.group, first, math.MaxUint64); err != nil {
+	if err := b.deleteEntries(digest.group, first, math.MaxUint64); err != nil {
 		return err
 	}
 	for _, entry := range entries {
@@ -154,29 +155,30 @@
 			return err
 		}
 		value := statemachine.Seal(withPreviousTerm(previousTerm, encoded))
-		if err := b.log.Put(logKey(tail.group, entry.GetIndex()), value); err != nil {
+		if err := b.log.Put(logKey(digest.group, entry.GetIndex()), value); err != nil {
 			return err
 		}
 		previousTerm = entry.GetTerm()
 	}
-	tail.appended(entries)
+	digest.setLastEntry(entries)
 	return nil
 }
 
-// termBefore returns the term of the entry before an index: the last one's, unless entries of another leader are replaced.
-func (b *buckets) termBefore(index uint64, tail *logTail) (uint64, error) {
-	if index == tail.lastIndex+1 {
-		return tail.lastTerm, nil
+// termBefore returns the term of the entry before an index. This is the last entry, unless the new entries replace those of
+// another leader.
+func (b *buckets) termBefore(index uint64, digest *groupDigest) (uint64, error) {
+	if index == digest.lastIndex+1 {
+		return digest.lastTerm, nil
 	}
-	unsealed, err := statemachine.Unseal(b.log.Get(logKey(tail.group, index)))
+	unsealed, err := statemachine.Unseal(b.log.Get(logKey(digest.group, index)))
 	if err != nil {
 		return 0, fmt.Errorf("entry %d: %w", index, err)
 	}
-	previousTerm, _, err := splitPreviousTerm(unsealed) // the entry that is replaced has it
+	previousTerm, _, err := splitPreviousTerm(unsealed) // stored with the entry that is replaced
 	return previousTerm, err
 }
 
-// deleteEntries deletes a group's entries from one index to another, both included.
+// deleteEntries deletes the entries of a group with indexes from "from" to "until", inclusive.
 func (b *buckets) deleteEntries(group int, from, until uint64) error {
 	cursor := b.log.Cursor()
 	for {
@@ -190,7 +192,8 @@
 	}
 }
 
-// putSealed stores a message with its checksum, and returns the checksum of the whole value. A nil message is stored empty.
+// putSealed stores a message with its checksum, and returns the checksum of the whole stored value. A nil message is stored as
+// an empty one.
 func putSealed(bucket *bolt.Bucket, key []byte, m proto.Message) (sum uint64, err error) {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
@@ -211,7 +214,7 @@
 	return binary.BigEndian.AppendUint64(groupKey(group), index)
 }
 
-// isLogKey says that a key, nil at the end of the bucket, is of an entry of the group.
+// isLogKey reports whether a key belongs to an entry of the group. The key is nil at the end of the bucket.
 func isLogKey(key []byte, group int) bool {
 	return len(key) == logKeyBytes && binary.BigEndian.Uint32(key) == uint32(group)
 }
--- a/quotastore/server/transport.go
+++ b/quotastore/server/transport.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	maxIncoming      = 512 // connections of peers and clients
-	acceptRetryPause = 10 * time.Millisecond
-	helloTimeout     = 5 * time.Second // for the first frame of an incoming connection
+	maxIncomingConns = 512 // maximum connections from peers and clients
+	acceptRetryDelay = 10 * time.Millisecond
+	helloTimeout     = 5 * time.Second // for the first frame on an incoming connection
 	streamBuffer     = 64 << 10        // bytes
 )
 
-// transport owns the listener for peers and clients, the connections that come in there and the streams to the other servers.
-// It never holds up the event loop: a message that can't be queued at once is lost, as it is when a connection breaks.
+// transport owns the listener for peers and clients, its incoming connections and the streams to the other servers. It never
+// blocks the event loop: a message that can't be queued immediately is dropped, like one on a connection that breaks.
 type transport struct {
 	server   *Server
 	self     int // number of this server
 	listener net.Listener
 	conns    *connSet
 
-	// Of start, and set before any goroutine starts.
+	// Set by start before any goroutine starts.
 	ctx   context.Context
 	group *errgroup.Group
 
 	mu    sync.Mutex
-	peers []*peerStream // by number; that of this server sends nothing
+	peers []*peerStream // by server number; the one of this server is not used
 }
 
 func newTransport(s *Server, self int, address string) (*transport, error) {
@@ -45,7 +45,8 @@
 	return &transport{server: s, self: self, listener: listener, conns: newConnSet(0)}, nil
 }
 
-// start starts the transport's goroutines in a group. They end with the context, and all that is open is closed then.
+// start starts the transport's goroutines in a group. When the context is done they end, and the listener and all connections
+// are closed.
 func (t *transport) start(ctx context.Context, group *errgroup.Group) {
 	t.ctx, t.group = ctx, group
 	t.setPeers(t.server.config)
@@ -58,7 +59,7 @@
 	})
 }
 
-// setPeers starts streams to servers that are new in the configuration, and takes up new addresses.
+// setPeers starts streams to servers that are new in the configuration, and updates the addresses of the others.
 func (t *transport) setPeers(config *ClusterConfig) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// send queues a message for its peer. It runs in the event loop. The error is that of a message that can't be encoded.
+// send queues a message for its peer. It runs in the event loop. It returns an error if the message can't be encoded.
 func (t *transport) send(message replication.Message) error {
 	encoded, err := message.Frame.AppendTo(nil)
 	if err != nil {
@@ -92,7 +93,7 @@
 	}
 	select {
 	case queue <- encoded:
-	default: // the peer does not read; what is lost is sent again by the protocol above
+	default: // the peer is not reading; the replication protocol resends dropped messages
 		if message.Bulk {
 			t.server.node.SnapshotFailed(t.server.now(), message.To)
 		}
@@ -100,16 +101,16 @@
 	return nil
 }
 
-// accept serves incoming connections until the listener is closed.
+// accept accepts connections and starts serving them, until the listener is closed.
 func (t *transport) accept() error {
-	slots := make(chan struct{}, maxIncoming)
+	slots := make(chan struct{}, maxIncomingConns)
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil {
 				return nil
 			}
-			time.Sleep(acceptRetryPause) // out of descriptors for the moment
+			time.Sleep(acceptRetryDelay) // probably out of file descriptors
 			continue
 		}
 		select {
@@ -130,7 +131,7 @@
 	}
 }
 
-// serve reads the hello of an incoming connection, then serves it as a peer's or a client's until it ends.
+// serve reads the hello of an incoming connection, then serves it as the connection of a peer or a client until it ends.
 func (t *transport) serve(conn net.Conn) {
 	r := bufio.NewReaderSize(conn, streamBuffer)
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
@@ -146,7 +147,7 @@
 	t.servePeer(frame.Hello.Sender, r)
 }
 
-// servePeer tells the node what a peer sends.
+// servePeer passes the frames of a peer to the node until the connection ends.
 func (t *transport) servePeer(sender int, r *bufio.Reader) {
 	s := t.server
 	for {
