--- a/cmd/otterseam-quotastore/bootstrap.go
+++ b/cmd/otterseam-quotastore/bootstrap.go
@@ -14,7 +14,7 @@
 	Wait time.Duration `default:"20s" help:"For how long servers that don't answer yet are waited for."`
 }
 
-// Run begins a cluster.
+// Run creates a cluster.
 func (c *bootstrapCommand) Run() error {
 	config, err := c.read()
 	if err != nil {
@@ -33,11 +33,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("founded installation %016x: %d keepers, %d groups of %d copies\n", id, len(config.Members), config.Groups, config.Replicas)
+	fmt.Printf("bootstrapped cluster %016x: %d servers, %d groups of %d replicas\n", id, len(config.Members), config.Groups, config.Replicas)
 	return nil
 }
 
-// readSnapshot reads a snapshot's file, which has to be of as many groups as the cluster has.
+// readSnapshot reads a snapshot file. The snapshot must have as many groups as the cluster.
 func readSnapshot(path string, config *server.ClusterConfig) (*server.Snapshot, error) {
 	encoded, err := os.ReadFile(path)
 	if err != nil {
@@ -53,21 +53,21 @@
 	return snapshot, nil
 }
 
-// groupCountError says that a snapshot can't be a cluster's, as the number of groups is fixed at bootstrap.
+// groupCountError reports that a snapshot has another number of groups than the cluster. The number is fixed at bootstrap.
 type groupCountError struct {
 	snapshot, cluster int
 }
 
 func (e *groupCountError) Error() string {
-	return fmt.Sprintf("the snapshot has %d groups, the list %d", e.snapshot, e.cluster)
+	return fmt.Sprintf("the snapshot has %d groups, the configuration %d", e.snapshot, e.cluster)
 }
 
 func printSnapshotWarning(snapshot *server.Snapshot) {
 	taken := time.Unix(snapshot.Taken, 0)
-	fmt.Printf("The snapshot was taken at %s, %.0f s ago. What was promised since then may be lost:\n"+
-		"- totals are too low by what was added since;\n"+
-		"- debts noted since are put back by nobody, and debts put back since are put back again if their names still live;\n"+
-		"- deliveries begun since are not known: a repeat of one may run again;\n"+
-		"- use counted since is not handed out, and batches taken over since come again under their numbers.\n",
+	fmt.Printf("The snapshot was taken at %s, %.0f s ago. Changes acknowledged since then may be lost:\n"+
+		"- totals are too low by the amounts added since;\n"+
+		"- unreported usage recorded since is not recovered, and what was recovered since is recovered again if its counter still exists;\n"+
+		"- markers of deliveries started since are lost: a repeated delivery may run again;\n"+
+		"- usage metered since is not returned by take, and batches acknowledged since are returned again under their numbers.\n",
 		taken.UTC().Format(time.RFC3339), time.Since(taken).Seconds())
 }
--- a/cmd/otterseam-quotastore/commands_test.go
+++ b/cmd/otterseam-quotastore/commands_test.go
@@ -14,7 +14,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// Operators' scripts and unit files use these names.
+// Operators' scripts and unit files depend on the names of these commands and flags.
 func TestCommandLinesAreParsed(t *testing.T) {
 	tests := map[string]struct {
 		line  string
@@ -52,7 +52,7 @@
 	answers := map[string]*protocol.Admin{
 		"a": {Incarnation: 0xdeadbeef, Health: []protocol.GroupHealth{
 			{Group: 0, IsLeader: true, HasReplica: true, Leader: 0, Replicas: all, Stable: true, Counters: 12, AppliedIndex: 9},
-			{Group: 1, IsLeader: true, HasReplica: true, Leader: 0, AppliedIndex: 3, Stable: true}, // a former leader that does not know it yet
+			{Group: 1, IsLeader: true, HasReplica: true, Leader: 0, AppliedIndex: 3, Stable: true}, // a former leader that has not yet learned of its successor
 		}},
 		"b": {Incarnation: 1, Health: []protocol.GroupHealth{
 			{Group: 0, HasReplica: true, Leader: 0},
@@ -81,7 +81,7 @@
 		lines[i] = strings.Join(strings.Fields(lines[i]), " ")
 	}
 	if got := strings.Join(lines, "\n"); got != strings.Join(want, "\n") {
-		t.Errorf("printed is\n%s", &text)
+		t.Errorf("unexpected output:\n%s", &text)
 	}
 }
 
@@ -89,11 +89,11 @@
 	var text strings.Builder
 	usage := []statemachine.CustomerUsage{{Customer: "b", Units: 1.5}, {Customer: "a", Units: 1}, {Customer: "b", Units: 0.25}}
 	if err := printUsage(&text, 3, usage); err != nil || text.String() != "3\tb\t1.75\n3\ta\t1\n" {
-		t.Errorf("printed is %q (%v)", text.String(), err)
+		t.Errorf("unexpected output %q (%v)", text.String(), err)
 	}
 }
 
-func TestSnapshotOfAnotherNumberOfGroupsIsRejected(t *testing.T) {
+func TestReadSnapshotRejectsAnotherNumberOfGroups(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snapshot")
 	snapshot := &server.Snapshot{Groups: 1, States: map[int][]byte{0: statemachine.New().Snapshot()}}
 	if err := snapshot.WriteFile(path); err != nil {
@@ -102,8 +102,8 @@
 	if _, err := readSnapshot(path, &server.ClusterConfig{Groups: 1}); err != nil {
 		t.Error(err)
 	}
-	var count *groupCountError
-	if _, err := readSnapshot(path, &server.ClusterConfig{Groups: 2}); !errors.As(err, &count) || count.snapshot != 1 || count.cluster != 2 {
+	var countErr *groupCountError
+	if _, err := readSnapshot(path, &server.ClusterConfig{Groups: 2}); !errors.As(err, &countErr) || countErr.snapshot != 1 || countErr.cluster != 2 {
 		t.Errorf("unexpected error %v", err)
 	}
 }
--- a/cmd/otterseam-quotastore/main.go
+++ b/cmd/otterseam-quotastore/main.go
@@ -1,16 +1,16 @@
-// Command otterseam-quotastore runs one server of the quota store, and is the operator's command for a cluster of them.
+// Command otterseam-quotastore runs one server of the quota store. It also has the operator's commands for a cluster.
 //
 //	otterseam-quotastore run     runs one server
-//	otterseam-quotastore found   begins a cluster, empty or from a snapshot
-//	otterseam-quotastore status  shows the servers and groups
+//	otterseam-quotastore found   creates a cluster, empty or from a snapshot
+//	otterseam-quotastore status  prints the state of the servers and groups
 //	otterseam-quotastore save    writes a snapshot of all groups to a file
-//	otterseam-quotastore take    hands out a batch of metered usage
+//	otterseam-quotastore take    prints a batch of metered usage
 //
-// All of them read the cluster's configuration file, such as deploy/keepers.json; quotastore/server has its keys. A server reads
-// it again on SIGHUP, and ends on SIGTERM or SIGINT. Its log goes to stderr, one JSON object a line. A command that fails
-// says why on stderr and exits with 1.
+// All commands read the cluster's configuration file, such as deploy/keepers.json. Its keys are defined in quotastore/server. A
+// server reloads it on SIGHUP, and ends on SIGTERM or SIGINT. It logs to stderr, one JSON object per line. A command that fails
+// prints the error to stderr and exits with status 1.
 //
-// This package has the arguments, the log, the signals and what is printed; all else is in quotastore/server.
+// This package handles arguments, logging, signals and output. Everything else is in quotastore/server.
 package main
 
 import (
@@ -24,7 +24,7 @@
 
 const programName = "otterseam-quotastore"
 
-// arguments are the program's commands. Names of commands and flags are the operators'.
+// arguments are the commands of the program. Operators' scripts depend on the names of commands and flags.
 type arguments struct {
 	Run       runCommand       `cmd:"" help:"Run one server of the cluster."`
 	Bootstrap bootstrapCommand `cmd:"" name:"found" help:"Begin a cluster with all servers of the list, once; or again from a snapshot when all was lost."`
@@ -33,7 +33,7 @@
 	Take      takeCommand      `cmd:"" help:"Hand out a batch of metered usage; the next number says that the one before was taken over."`
 }
 
-// clusterFlag names the configuration file of a cluster.
+// clusterFlag is the flag with the path of the cluster's configuration file.
 type clusterFlag struct {
 	Path string `name:"list" required:"" help:"The cluster's list of servers." placeholder:"FILE.json"`
 }
--- a/cmd/otterseam-quotastore/recorded_test.go
+++ b/cmd/otterseam-quotastore/recorded_test.go
@@ -25,34 +25,34 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedFolder holds the folders of three servers as processes of the code of commit 1895881 left them when they were killed,
-// the database files compressed, and what had been acknowledged until then.
-const recordedFolder = "testdata/recorded"
+// recordedDir has the data directories of three servers that ran the code of commit 1895881 and were killed, with compressed
+// database files, and a list of what the servers had acknowledged until then.
+const recordedDir = "testdata/recorded"
 
-// startLimit is for how long the servers may take to serve, in seconds. Names live for a minute of the groups' own clock,
-// which stands still while a group has no leader.
-const startLimit = 30 * time.Second
+// startTimeout is the time that the servers may take until they serve. Recorded data expires after a minute of its group's clock,
+// which is paused while the group has no leader.
+const startTimeout = 30 * time.Second
 
-// acknowledged is what the recorded servers had acknowledged.
+// acknowledged is the state that the recorded servers had acknowledged.
 type acknowledged struct {
-	Cluster uint64                       `json:"cluster"`
-	Lives   []uint32                     `json:"lives"`
-	Totals  map[string]float64           `json:"totals"`
-	Batch   []statemachine.CustomerUsage `json:"batch"`
+	Cluster      uint64                       `json:"cluster"`
+	Incarnations []uint32                     `json:"lives"`
+	Totals       map[string]float64           `json:"totals"`
+	Batch        []statemachine.CustomerUsage `json:"batch"`
 }
 
-// unpack copies a recorded server's folder, and unpacks its database.
-func unpack(t *testing.T, from, to string) {
+// unpackServerDir copies the data directory of a recorded server and decompresses its database.
+func unpackServerDir(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	packed, err := os.Open(filepath.Join(from, "held.db.gz"))
+	compressed, err := os.Open(filepath.Join(from, "held.db.gz"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
-	plain, err := gzip.NewReader(packed)
+	defer compressed.Close()
+	plain, err := gzip.NewReader(compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,10 +71,10 @@
 	}
 }
 
-// readAcknowledged reads what the recorded servers had acknowledged.
+// readAcknowledged reads the state that the recorded servers had acknowledged.
 func readAcknowledged(t *testing.T) *acknowledged {
 	t.Helper()
-	encoded, err := os.ReadFile(filepath.Join(recordedFolder, "acknowledged.json"))
+	encoded, err := os.ReadFile(filepath.Join(recordedDir, "acknowledged.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	return want
 }
 
-// recordedConfig configures the recorded servers, at free addresses.
+// recordedConfig returns a configuration of the recorded servers with free addresses.
 func recordedConfig(t *testing.T, servers int) *server.ClusterConfig {
 	t.Helper()
 	config := &server.ClusterConfig{Groups: 3, Replicas: 3, ReplaceAfter: 30, SnapshotRate: 4e6, MaxLogEntries: 64}
@@ -111,12 +111,12 @@
 	return path
 }
 
-// startRecorded starts servers of this build on the recorded folders, and waits until each group has a leader.
-func startRecorded(t *testing.T, servers int) *server.ClusterConfig {
+// startRecordedServers starts servers of this build on the recorded data directories, and waits until each group has a leader.
+func startRecordedServers(t *testing.T, servers int) *server.ClusterConfig {
 	t.Helper()
 	dir := t.TempDir()
 	program := buildProgram(t, dir)
-	config := recordedConfig(t, servers) // after the build, which takes longer than an address stays free
+	config := recordedConfig(t, servers) // after the build, because a free address may be taken again during it
 	encoded, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	for _, member := range config.Members {
-		unpack(t, filepath.Join(recordedFolder, member.Name), filepath.Join(dir, member.Name, "held"))
+		unpackServerDir(t, filepath.Join(recordedDir, member.Name), filepath.Join(dir, member.Name, "held"))
 		process, err := childprocess.StartCommand([]string{program, "run", "--list", path, "--name", member.Name, "--dir", "held"}, member.Name, dir)
 		if err != nil {
 			t.Fatal(err)
@@ -147,7 +147,7 @@
 func awaitLeaders(t *testing.T, config *server.ClusterConfig) {
 	t.Helper()
 	led := map[int]bool{}
-	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		clear(led)
 		for _, member := range config.Members {
 			answer, err := server.SendCommand(member.PeerAddress, &protocol.Admin{Operation: protocol.OperationStatus}, time.Second)
@@ -164,10 +164,10 @@
 			return
 		}
 	}
-	t.Fatalf("%d of %d groups have a leader after %v", len(led), config.Groups, startLimit)
+	t.Fatalf("%d of %d groups have a leader after %v", len(led), config.Groups, startTimeout)
 }
 
-// client is a stream to a server, as a gateway has one.
+// client is a client of a server on one stream, like a gateway.
 type client struct {
 	t      *testing.T
 	stream net.Conn
@@ -198,11 +198,12 @@
 	}
 }
 
-// request asks until a group's leader has answered: all that is asked here may be asked again, as it changes nothing.
+// request sends a command until the leader of its group has answered. The commands in this file may be sent again, as they change
+// nothing.
 func (c *client) request(command statemachine.Command) statemachine.Reply {
 	c.t.Helper()
 	var last protocol.Response
-	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		c.number++
 		c.send(protocol.RequestsFrame([]protocol.Request{{ID: c.number, Command: command}}))
 		if err := c.stream.SetReadDeadline(until); err != nil {
@@ -213,24 +214,25 @@
 			c.t.Fatal(err)
 		}
 		if len(f.Responses) != 1 || f.Responses[0].RequestID != c.number {
-			c.t.Fatalf("%+v is answered %+v", command, f)
+			c.t.Fatalf("response to %+v: %+v", command, f)
 		}
 		if last = f.Responses[0]; !last.NotLeader && !last.Unknown {
 			return last.Reply
 		}
 	}
-	c.t.Fatalf("%+v is still answered %+v", command, last)
+	c.t.Fatalf("last response to %+v: %+v", command, last)
 	return statemachine.Reply{}
 }
 
-// total asks one server's counter listener for a total, by adding nothing to it. Only a call that was rejected is made again.
-func total(t *testing.T, addr, name string) (text string) {
+// readTotal reads the total of a counter from a server's counter listener by adding 0 to it. It repeats the call until it
+// succeeds.
+func readTotal(t *testing.T, addr, name string) (text string) {
 	t.Helper()
-	client := http.Client{Timeout: startLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: startTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	status := ""
-	for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		answer, err := client.Post(fmt.Sprintf("http://%s/counters/%s?by=0&expire_ms=60000", addr, name), "", nil)
-		if err != nil { // nothing is known of it; it added nothing
+		if err != nil { // the outcome is unknown, but the call would add 0
 			status = err.Error()
 			continue
 		}
@@ -247,24 +249,24 @@
 	return ""
 }
 
-// Servers of this build start on folders that the recorded code left behind, are the servers that they were, and serve all
-// that was acknowledged: totals, reported and unreported usage of a living holder, a dead holder's unreported usage added once,
-// markers of deliveries and the batch of usage handed out last.
-func TestRecordedFoldersAreServed(t *testing.T) {
+// Servers of this build start on the data directories of the recorded code, keep their identities, and serve everything that was
+// acknowledged: totals, reported and unreported usage of an active holder, the unreported usage of an expired holder added once,
+// markers of deliveries and the last batch of usage that was returned.
+func TestServersStartOnRecordedData(t *testing.T) {
 	leakcheck.Check(t)
 	want := readAcknowledged(t)
-	config := startRecorded(t, len(want.Lives))
+	config := startRecordedServers(t, len(want.Incarnations))
 	for i, member := range config.Members {
 		checkIdentity(t, member, i, want)
 		for name, sum := range want.Totals {
-			if got := total(t, member.CounterAddress, name); got != fmt.Sprint(sum) {
-				t.Errorf("%s stands at %s at server %d, %v was acknowledged", name, got, i, sum)
+			if got := readTotal(t, member.CounterAddress, name); got != fmt.Sprint(sum) {
+				t.Errorf("%s is %s on server %d, %v was acknowledged", name, got, i, sum)
 			}
 		}
 	}
 	c := newClient(t, config.Members[1].PeerAddress)
 	for i := range 6 {
-		checkLivingHolder(t, c, i, want)
+		checkActiveHolder(t, c, i, want)
 	}
 	checkExpiredHolder(t, c, want)
 	checkUsage(t, config, want)
@@ -276,28 +278,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if answer.Replica != number || answer.Incarnation != want.Lives[number] || answer.Cluster != want.Cluster {
-		t.Errorf("server %d is number %d, incarnation %08x of cluster %016x; incarnation %08x of %016x was recorded", number, answer.Replica,
-			answer.Incarnation, answer.Cluster, want.Lives[number], want.Cluster)
+	if answer.Replica != number || answer.Incarnation != want.Incarnations[number] || answer.Cluster != want.Cluster {
+		t.Errorf("server %d has number %d, incarnation %08x and cluster %016x; recorded are incarnation %08x and cluster %016x", number, answer.Replica,
+			answer.Incarnation, answer.Cluster, want.Incarnations[number], want.Cluster)
 	}
 }
 
-// checkLivingHolder sends commands of a lower version than the recorded ones: they change nothing, and are answered with what
-// stands.
-func checkLivingHolder(t *testing.T, c *client, i int, want *acknowledged) {
+// checkActiveHolder sends commands with a lower version than the recorded ones. They change nothing, and are answered with the
+// current state.
+func checkActiveHolder(t *testing.T, c *client, i int, want *acknowledged) {
 	t.Helper()
 	name := fmt.Sprint("name-", i)
 	report := c.request(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
 	if report.Code != statemachine.Done || report.HolderTotal != 100+float64(i) || report.Total != want.Totals[name] {
-		t.Errorf("the holder's report of %s is answered %+v", name, report)
+		t.Errorf("reply to the holder's report of %s: %+v", name, report)
 	}
 	record := c.request(statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-a.1", Key: name, Amount: 1, Version: 1, TTL: 60})
 	if record.Code != statemachine.Done || record.HolderTotal != 110+float64(i) {
-		t.Errorf("the holder's unreported usage of %s is answered %+v", name, record)
+		t.Errorf("reply to the holder's unreported usage of %s: %+v", name, record)
 	}
 	marker := c.request(statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-b.1", Key: fmt.Sprint("invocation-", i), Scope: "elsewhere", TTL: 60})
 	if marker.Code != statemachine.MarkerHeld || marker.MarkerHolder != "edge-a.1" {
-		t.Errorf("a second delivery of invocation %d is answered %+v", i, marker)
+		t.Errorf("reply to a second delivery of invocation %d: %+v", i, marker)
 	}
 }
 
@@ -305,16 +307,16 @@
 	t.Helper()
 	reply := c.request(statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-gone.1", Key: "put-back", Amount: 99, Version: 9, TTL: 60})
 	if reply.Code != statemachine.LeaseExpired || reply.HolderTotal != 9.5 || reply.Total != want.Totals["put-back"] {
-		t.Errorf("an expired holder's report is answered %+v", reply)
+		t.Errorf("reply to an expired holder's report: %+v", reply)
 	}
 }
 
-// checkUsage asks for the batch handed out last once more, and for the next: what was counted after the one before.
+// checkUsage requests the last returned batch again, and the next one, which has the usage that was metered after it.
 func checkUsage(t *testing.T, config *server.ClusterConfig, want *acknowledged) {
 	t.Helper()
-	take := func(batch uint64) []statemachine.CustomerUsage {
+	collect := func(batch uint64) []statemachine.CustomerUsage {
 		last := ""
-		for until := time.Now().Add(startLimit); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			answer, err := server.SendCommand(config.Members[2].PeerAddress, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, 5*time.Second)
 			if err == nil {
 				return answer.Usage
@@ -326,16 +328,16 @@
 		t.Fatalf("batch %d: %s", batch, last)
 		return nil
 	}
-	if got := take(1); !reflect.DeepEqual(sorted(got), sorted(want.Batch)) {
-		t.Errorf("batch 1 is %+v, %+v was handed out", got, want.Batch)
+	if got := collect(1); !reflect.DeepEqual(sortedUsage(got), sortedUsage(want.Batch)) {
+		t.Errorf("batch 1 is %+v, want %+v", got, want.Batch)
 	}
-	if got := take(2); !reflect.DeepEqual(got, []statemachine.CustomerUsage{{Customer: "plan-a customer-1", Units: 7.75}}) {
+	if got := collect(2); !reflect.DeepEqual(got, []statemachine.CustomerUsage{{Customer: "plan-a customer-1", Units: 7.75}}) {
 		t.Errorf("batch 2 is %+v", got)
 	}
 }
 
-// sorted gives a batch's lines in one order: groups answer in any.
-func sorted(uses []statemachine.CustomerUsage) (all []string) {
+// sortedUsage returns the lines of a batch in sorted order, because groups answer in any order.
+func sortedUsage(uses []statemachine.CustomerUsage) (all []string) {
 	for _, u := range uses {
 		all = append(all, fmt.Sprint(u.Customer, " ", u.Units))
 	}
--- a/cmd/otterseam-quotastore/run.go
+++ b/cmd/otterseam-quotastore/run.go
@@ -17,7 +17,7 @@
 	logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 	bytesPerMB    = 1 << 20
 	gcPercent     = 300
-	heapShare     = 0.7 // of the memory that the process should stay within
+	heapShare     = 0.7 // soft limit of the heap, as a fraction of the memory limit of the process
 )
 
 type runCommand struct {
@@ -29,15 +29,15 @@
 	Memory         float64 `default:"256" help:"Memory that it should stay within, in MB."`
 }
 
-// Run runs a server until a signal ends it, or it can't go on.
+// Run runs a server until a signal ends it or it fails.
 func (c *runCommand) Run() error {
 	reload := make(chan os.Signal, 4)
-	signal.Notify(reload, syscall.SIGHUP) // from the start: one that comes before the server runs is taken up once it does
+	signal.Notify(reload, syscall.SIGHUP) // before the server runs, so that an early signal is not lost; it is handled once the server runs
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	zerolog.TimeFieldFormat = logTimeFormat
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(heapShare * c.Memory * bytesPerMB))
-	signal.Ignore(syscall.SIGXFSZ) // a file that can't grow is an error of the write, which is handled
+	signal.Ignore(syscall.SIGXFSZ) // a write beyond the file size limit then returns an error, which is handled
 	config, err := c.read()
 	if err != nil {
 		return err
@@ -64,14 +64,14 @@
 		return s.Run(ctx)
 	})
 	group.Go(func() error {
-		c.reloadOn(ctx, reload, s, log)
+		c.reloadOnSignal(ctx, reload, s, log)
 		return nil
 	})
 	return group.Wait()
 }
 
-// reloadOn has the server take up its configuration file with each signal, until the context ends.
-func (c *runCommand) reloadOn(ctx context.Context, reload <-chan os.Signal, s *server.Server, log zerolog.Logger) {
+// reloadOnSignal reloads the configuration file on each signal until the context is done.
+func (c *runCommand) reloadOnSignal(ctx context.Context, reload <-chan os.Signal, s *server.Server, log zerolog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/cmd/otterseam-quotastore/take.go
+++ b/cmd/otterseam-quotastore/take.go
@@ -19,7 +19,7 @@
 	Batch uint64 `required:"" help:"Its number: that of the last batch gives it again, the one after it a new one. The first is 1."`
 }
 
-// Run prints a batch of metered usage, from the first server that gives it.
+// Run prints a batch of metered usage from the first server that answers.
 func (c *takeCommand) Run() error {
 	config, err := c.read()
 	if err != nil {
@@ -38,8 +38,8 @@
 	return errors.Join(failures...)
 }
 
-// printUsage prints a line for each customer, in the order in which they first appear: the batch, the customer and the sum of
-// its units in all groups.
+// printUsage prints one line per customer with the batch, the customer and the sum of its units in all groups. Customers are in
+// the order of their first appearance.
 func printUsage(w io.Writer, batch uint64, usage []statemachine.CustomerUsage) error {
 	sums := map[string]float64{}
 	var customers []string
--- a/quotastore/server/counter.go
+++ b/quotastore/server/counter.go
@@ -15,7 +15,7 @@
 	callReadBuffer     = 16 << 10
 	callReadTimeout    = 30 * time.Second // a connection that sends nothing for this long is closed
 	answerWriteTimeout = 5 * time.Second
-	lingerTimeout      = time.Second // how long the input after a malformed call is discarded after the last response
+	lingerTimeout      = time.Second // how long input is still discarded after the last response to a malformed call
 )
 
 // counterListener owns the listener for callers of the counter's published protocol (HTTP/1.1), and their connections.
