--- a/quotastore/protocol/errors.go
+++ b/quotastore/protocol/errors.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// ErrMalformedFrame is returned for a frame of an unknown kind, or without the body that its kind needs.
-var ErrMalformedFrame = errors.New("frame: of no kind that is known")
+// ErrMalformedFrame is returned for a frame of an unknown kind, or without the body that its kind requires.
+var ErrMalformedFrame = errors.New("frame: unknown kind or missing body")
 
-// FrameSizeError says that a frame's announced length is zero or more than the reader takes.
+// FrameSizeError is returned for a frame whose announced length is zero or exceeds the reader's limit.
 type FrameSizeError struct {
-	Bytes uint32 // as announced
-	Limit uint32 // the reader's
+	Bytes uint32 // announced length
+	Limit uint32 // of the reader
 }
 
-func (e *FrameSizeError) Error() string { return fmt.Sprintf("a frame of %d bytes", e.Bytes) }
+func (e *FrameSizeError) Error() string { return fmt.Sprintf("frame length %d out of range", e.Bytes) }
 
-// FrameTooLongError says that a frame to be sent is longer than MaxFrameBytes. Its text is part of answers to operators'
-// commands.
+// FrameTooLongError is returned for a frame to be sent that is longer than MaxFrameBytes. Its text is part of answers to
+// operators' commands.
 type FrameTooLongError struct {
 	Bytes int
 }
--- a/quotastore/protocol/frame.go
+++ b/quotastore/protocol/frame.go
@@ -16,16 +16,16 @@
 	KindLeaders                     // which groups the sender leads
 	KindRequests
 	KindResponses
-	KindAdmin // an operator's command, or its answer
+	KindAdmin // an operator's command, or the answer to it
 	kindEnd
 )
 
 // Frame is one message on a stream.
 type Frame struct {
 	Kind        uint8                `cbor:"1,keyasint"`
-	Cluster     uint64               `cbor:"2,keyasint,omitempty"` // the sender's cluster; 0: it belongs to none, or is a client
-	Incarnation uint32               `cbor:"3,keyasint"`           // the sender's
-	Group       int                  `cbor:"4,keyasint,omitempty"` // of Raft
+	Cluster     uint64               `cbor:"2,keyasint,omitempty"` // ID of the sender's cluster; 0: the sender belongs to none, or is a client
+	Incarnation uint32               `cbor:"3,keyasint"`           // of the sender
+	Group       int                  `cbor:"4,keyasint,omitempty"` // the Raft group, with KindRaft
 	Raft        []byte               `cbor:"5,keyasint,omitempty"`
 	Requests    []Request            `cbor:"6,keyasint,omitempty"`
 	Responses   []Response           `cbor:"7,keyasint,omitempty"`
@@ -38,29 +38,30 @@
 // MaxFrameBytes is the longest encoded frame, in bytes.
 const MaxFrameBytes = 64 << 20
 
-// lengthBytes is the size of the length in front of each frame.
+// lengthBytes is the size of the length prefix of each frame.
 const lengthBytes = 4
 
-// Limits of what a decoded frame may hold. They are far over what any sender puts in one, and bound the memory that a
-// malformed frame takes.
+// Limits on the content of a decoded frame. They are far above what any sender puts into a frame, and bound the memory that a
+// malformed frame can take.
 const (
 	maxArrayElements = 1 << 20
 	maxMapPairs      = 1 << 16
 	maxNestedLevels  = 16
 )
 
-// frameDecoding can't fail to be made: its options are constants within the library's bounds.
+// frameDecoding is the decoding mode of frames. The error is ignored because the options are constants within the library's
+// bounds.
 var frameDecoding, _ = cbor.DecOptions{
 	MaxArrayElements: maxArrayElements,
 	MaxMapPairs:      maxMapPairs,
 	MaxNestedLevels:  maxNestedLevels,
 }.DecMode()
 
-// Encode returns the frame's encoded form, without its length.
+// Encode returns the frame's encoded form, without the length prefix.
 func (f *Frame) Encode() ([]byte, error) { return cbor.Marshal(f) }
 
-// AppendTo appends the frame to b as it goes on a stream: its length, then its encoded form. The error of a frame that is too
-// long is a *FrameTooLongError, and b is returned as it was.
+// AppendTo appends the frame to b as it is sent on a stream: the length prefix, then the encoded form. On an error it returns b
+// unchanged. The error for a frame that is too long is a *FrameTooLongError.
 func (f *Frame) AppendTo(b []byte) ([]byte, error) {
 	body, err := f.Encode()
 	if err != nil {
@@ -72,9 +73,9 @@
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(body))), body...), nil
 }
 
-// ReadBody reads the encoded form of the next frame on a stream, of at most limit bytes. Its buffer grows with what arrives,
-// so that an announced length alone takes no memory. It returns io.EOF at the end of the stream, io.ErrUnexpectedEOF within a
-// frame, and a *FrameSizeError for a length out of range.
+// ReadBody reads the encoded form of the next frame on a stream, of at most limit bytes. Its buffer grows with the bytes
+// received, so that a long announced length alone takes no memory. It returns io.EOF if the stream ends between frames,
+// io.ErrUnexpectedEOF if it ends within a frame, and a *FrameSizeError for a length out of range.
 func ReadBody(r io.Reader, limit uint32) ([]byte, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -103,8 +104,8 @@
 	return DecodeFrame(body)
 }
 
-// DecodeFrame decodes what Encode returned. A frame of an unknown kind, or without the body of its kind, is
-// ErrMalformedFrame; other errors are the CBOR library's.
+// DecodeFrame decodes what Encode returned. It returns ErrMalformedFrame for a frame of an unknown kind, or without the body
+// that its kind requires. Other errors wrap those of the CBOR library.
 func DecodeFrame(body []byte) (*Frame, error) {
 	f := &Frame{}
 	if err := frameDecoding.Unmarshal(body, f); err != nil {
--- a/quotastore/protocol/frame_test.go
+++ b/quotastore/protocol/frame_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestReadFrameReportsStreamsThatEndOrLie(t *testing.T) {
+func TestReadFrameReportsTruncatedStreamsAndInvalidLengths(t *testing.T) {
 	const limit = 1 << 10
 	whole, err := ClientHello().AppendTo(nil)
 	if err != nil {
@@ -77,7 +77,7 @@
 		t.Errorf("unexpected error %v", err)
 	}
 	if !bytes.Equal(got, before) {
-		t.Errorf("%d bytes were returned, wanted are the %d given", len(got), len(before))
+		t.Errorf("%d bytes were returned, want the %d bytes that were given", len(got), len(before))
 	}
 }
 
@@ -86,7 +86,7 @@
 		for _, incarnation := range []uint32{1, 0xdeadbeef, math.MaxUint32} {
 			id := NewReplicaID(number, incarnation)
 			if id == 0 || id.Number() != number || id.Incarnation() != incarnation {
-				t.Errorf("replica %d in incarnation %d is %d: number %d, incarnation %d", number, incarnation, id, id.Number(), id.Incarnation())
+				t.Errorf("replica %d, incarnation %d has ID %d, which gives number %d, incarnation %d", number, incarnation, id, id.Number(), id.Incarnation())
 			}
 		}
 	}
--- a/quotastore/protocol/recorded_test.go
+++ b/quotastore/protocol/recorded_test.go
@@ -10,8 +10,8 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// recordedFrames are the frames whose bytes lie in testdata/recorded, as the code of commit 1895881 wrote them: stores and
-// gateways of that code understand no others.
+// recordedFrames are the frames whose bytes are in testdata/recorded, by the name of the file. The code of commit 1895881 wrote
+// them. Stores and gateways that run that code can decode no other encoding.
 var recordedFrames = map[string]*Frame{
 	"greeting": ClientHello(),
 	"hello":    {Kind: KindHello, Cluster: 0x1122334455667788, Incarnation: 0xdeadbeef, Hello: &Hello{Sender: 2, Incarnation: 0xdeadbeef, Bulk: true}},
@@ -21,8 +21,8 @@
 		{Group: 0, Term: 1, Index: 2, Members: []uint64{uint64(NewReplicaID(0, 9)), uint64(NewReplicaID(1, 10)), uint64(NewReplicaID(2, 11))}},
 		{Group: 15, Term: 1 << 40, Index: 1 << 50, Members: []uint64{uint64(NewReplicaID(4, 1<<32-1))}},
 	}},
-	"asks":    RequestsFrame(recordedAsks()),
-	"replies": ResponsesFrame(recordedReplies()),
+	"asks":    RequestsFrame(recordedRequests()),
+	"replies": ResponsesFrame(recordedResponses()),
 	"admin-who": AdminFrame(&Admin{Operation: "who", Replica: 1, Incarnation: 9, Cluster: 7, Health: []GroupHealth{
 		{Group: 3, IsLeader: true, Leader: 1, HasReplica: true, Replicas: []ReplicaID{NewReplicaID(0, 9), NewReplicaID(2, 5)}, Stable: true, AllInSync: true, Counters: 12, AppliedIndex: 99},
 		{Group: 4, Leader: -1, Unavailable: true},
@@ -39,8 +39,8 @@
 	"admin-failed": AdminFrame(&Admin{Operation: "take", Batch: 3, Replica: -1, Failure: "not the batch handed out last, nor the one after it"}),
 }
 
-// recordedAsks has an entry of each kind, with all that it may carry.
-func recordedAsks() (all []Request) {
+// recordedRequests returns a request with each kind of command and all fields set, and one with few fields.
+func recordedRequests() (all []Request) {
 	for kind := statemachine.Tick; kind <= statemachine.CollectUsage; kind++ {
 		n := uint64(kind)
 		all = append(all, Request{Group: int(kind), ID: 1<<40 + n, Command: statemachine.Command{
@@ -52,8 +52,8 @@
 	return append(all, Request{Command: statemachine.Command{Kind: statemachine.Add, Key: "bare", Amount: -2}})
 }
 
-// recordedReplies has a reply of each code, with all that it may carry.
-func recordedReplies() (all []Response) {
+// recordedResponses returns a response with each code and all fields of the reply set, and two responses without a reply.
+func recordedResponses() (all []Response) {
 	for code := statemachine.Done; code <= statemachine.Invalid; code++ {
 		n := float64(code)
 		all = append(all, Response{Group: int(code), RequestID: 77 + uint64(code), Leader: int(code) - 1, Reply: statemachine.Reply{
@@ -64,7 +64,7 @@
 	return append(all, Response{Group: 1, RequestID: 5, NotLeader: true, Leader: -1}, Response{RequestID: 6, Unknown: true})
 }
 
-func TestFramesAreTheRecordedBytes(t *testing.T) {
+func TestFramesMatchRecordedBytes(t *testing.T) {
 	recorded, err := filepath.Glob("testdata/recorded/*.bin")
 	if err != nil || len(recorded) != len(recordedFrames) {
 		t.Fatalf("%d recordings for %d frames: %v", len(recorded), len(recordedFrames), err)
@@ -80,15 +80,15 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, want) {
-				t.Errorf("encoded as\n%x\nrecorded is\n%x", got, want)
+				t.Errorf("encoded as\n%x\nwant the recorded bytes\n%x", got, want)
 			}
 			r := bytes.NewReader(want)
-			back, err := ReadFrame(r, MaxFrameBytes)
+			decoded, err := ReadFrame(r, MaxFrameBytes)
 			if err != nil || r.Len() != 0 {
 				t.Fatal(r.Len(), err)
 			}
-			if !reflect.DeepEqual(back, frame) {
-				t.Errorf("the recorded bytes are read as\n%+v\nwanted is\n%+v", back, frame)
+			if !reflect.DeepEqual(decoded, frame) {
+				t.Errorf("the recorded bytes decode to\n%+v\nwant\n%+v", decoded, frame)
 			}
 		})
 	}
