--- a/quotastore/statemachine/bench_test.go
+++ b/quotastore/statemachine/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A batch of the commands that gateways send all the time.
+// BenchmarkApply applies batches of the commands that gateways send most often.
 func BenchmarkApply(b *testing.B) {
 	s := New()
 	s.Apply(&Batch{Commands: []Command{{Kind: OpenSession, Session: "s"}}})
--- a/quotastore/statemachine/counter.go
+++ b/quotastore/statemachine/counter.go
@@ -1,27 +1,27 @@
 package statemachine
 
 const (
-	// minCounterTTL and maxCounterTTL bound the time to live of a counter, in seconds, as the counter's protocol says.
+	// minCounterTTL and maxCounterTTL bound the time to live of a counter, in seconds, as in the counter protocol.
 	minCounterTTL = 0.001
 	maxCounterTTL = 60.0
 )
 
-// counter is the total of a key, and what of it is whose as far as that is known.
+// counter is the total of a key, and the parts of the total whose holders are known.
 type counter struct {
 	Total     float64             `cbor:"1,keyasint"`
 	ExpiresAt float64             `cbor:"2,keyasint"`
 	ByHolder  map[string]*account `cbor:"3,keyasint,omitempty"`
 }
 
-// account is a holder's part of a counter.
+// account is one holder's part of a counter.
 type account struct {
 	Reported  float64 `cbor:"1,keyasint"`           // what the holder has added in total
-	Reserved  float64 `cbor:"2,keyasint,omitempty"` // the part of it that is given back when the lease expires
+	Reserved  float64 `cbor:"2,keyasint,omitempty"` // the part of Reported that is released when the lease expires
 	Version   uint64  `cbor:"3,keyasint"`           // of the newest report
-	Recovered bool    `cbor:"4,keyasint,omitempty"` // unreported usage was added after the lease had expired
+	Recovered bool    `cbor:"4,keyasint,omitempty"` // the unreported usage was added after the lease expired
 }
 
-// counter returns the counter of a key; a new one begins at zero and lives as long as the command that makes it says.
+// counter returns the counter of a key. If there is none it creates one, with a total of zero and the given time to live.
 func (s *State) counter(key string, ttl float64) *counter {
 	c := s.Counters[key]
 	if c == nil || c.ExpiresAt <= s.Clock {
@@ -31,10 +31,10 @@
 	return c
 }
 
-// expiry is when something with a time to live expires that may be bounded.
-func (s *State) expiry(ttl, least, most float64) float64 { return s.Clock + min(max(ttl, least), most) }
+// expiry returns the time at which an entry with a time to live expires, after bounding the time to live.
+func (s *State) expiry(ttl, low, high float64) float64 { return s.Clock + min(max(ttl, low), high) }
 
-// account returns a holder's account, which begins at zero.
+// account returns a holder's account. If there is none it creates an empty one.
 func (c *counter) account(holder string) *account {
 	if c.ByHolder == nil {
 		c.ByHolder = map[string]*account{}
@@ -56,8 +56,8 @@
 	return Reply{Total: counter.Total}
 }
 
-// reportUsage brings a holder's account to the total that it reports. A report that was applied and whose reply was lost changes
-// nothing when it comes again.
+// reportUsage sets a holder's account to the reported total. A report that is sent again because its reply was lost changes
+// nothing.
 func (s *State) reportUsage(c *Command) Reply {
 	if c.Key == "" {
 		return Reply{Code: Invalid}
@@ -81,7 +81,7 @@
 	return Reply{Total: counter.Total, HolderTotal: account.Reported}
 }
 
-// Total returns what a counter stands at, and whether it is known.
+// Total returns the total of a counter, and whether the counter exists.
 func (s *State) Total(key string) (float64, bool) {
 	c := s.Counters[key]
 	if c == nil || c.ExpiresAt <= s.Clock {
@@ -98,5 +98,5 @@
 	return 0
 }
 
-// CounterCount returns how many counters are held.
+// CounterCount returns the number of counters.
 func (s *State) CounterCount() int { return len(s.Counters) }
--- a/quotastore/statemachine/counter_test.go
+++ b/quotastore/statemachine/counter_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A leader whose clock is set back by minutes stamps old times: no time to live is longer than by the gap, none is shorter.
+// A leader whose clock is set back stamps batches with earlier times. The group's clock stands still meanwhile, so that no counter
+// expires early, and none lives longer than by the time that the clock stood still.
 func TestClockNeverGoesBack(t *testing.T) {
 	s := New()
 	apply(s, 100, Command{Kind: Add, Key: "n", Amount: 1, TTL: 2})
@@ -18,15 +19,15 @@
 	}
 	apply(s, 101.9, Command{Kind: Tick})
 	if _, ok := s.Total("m"); !ok {
-		t.Fatal("a counter expired before its time to live was over")
+		t.Fatal("a counter expired before the end of its time to live")
 	}
 	if r := apply(s, 102.1, Command{Kind: Add, Key: "n", Amount: 4, TTL: 2}); r.Total != 4 {
-		t.Fatalf("a counter that expired begins at zero: %v", r.Total)
+		t.Fatalf("an add to an expired counter gives total %v, want 4", r.Total)
 	}
 }
 
-// Reports of a holder come out of order.
-func TestNewestReportCounts(t *testing.T) {
+// Reports of a holder arrive out of order: only one with a newer version than the last changes the total.
+func TestOutOfOrderReportIsIgnored(t *testing.T) {
 	s := New()
 	for _, report := range []struct {
 		name    string
--- a/quotastore/statemachine/encoding.go
+++ b/quotastore/statemachine/encoding.go
@@ -11,7 +11,7 @@
 	"otterseam/internal/mutation"
 )
 
-// FormatVersion is the version of sealed forms.
+// FormatVersion is the format version that Seal writes.
 const FormatVersion = 1
 
 const (
@@ -20,9 +20,9 @@
 )
 
 var (
-	// ErrCorrupt says that bytes are not what was written.
+	// ErrCorrupt is returned for data that is too short or has a wrong checksum.
 	ErrCorrupt = errors.New("corrupt: checksum mismatch")
-	// ErrNewerVersion says that bytes were written by a later version of the program.
+	// ErrNewerVersion is returned for data that a later version of the program wrote.
 	ErrNewerVersion = errors.New("written by a later version of the program")
 )
 
@@ -31,8 +31,8 @@
 	decoder = must(cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 24, MaxNestedLevels: 16}.DecMode())
 )
 
-// must gives up on an error that only a fault in this package can bring about. The options above are constant, and batches and states
-// are made of numbers, strings, slices and maps, all of which the library encodes; neither depends on what comes from outside.
+// must panics on an error that only a defect in this package can cause. The options above are constant. Batches and states consist
+// of numbers, strings, slices and maps, all of which the library can encode, whatever the input was.
 func must[T any](x T, err error) T {
 	if err != nil {
 		panic(err)
@@ -52,7 +52,7 @@
 	return b, nil
 }
 
-// Seal puts the format version before a body and a checksum of both behind it.
+// Seal returns the format version, the body and a checksum of both.
 func Seal(body []byte) []byte {
 	sealed := make([]byte, 0, versionLength+len(body)+checksumLength)
 	sealed = binary.BigEndian.AppendUint32(sealed, FormatVersion)
@@ -60,10 +60,10 @@
 	return append(sealed, checksum(sealed)...)
 }
 
-func checksum(text []byte) []byte { return binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)) }
+func checksum(data []byte) []byte { return binary.BigEndian.AppendUint64(nil, xxhash.Sum64(data)) }
 
-// Unseal returns the body of what Seal returned. The error is ErrCorrupt, or ErrNewerVersion if the checksum fits: only then is the
-// version believed.
+// Unseal returns the body of what Seal returned. The error is ErrCorrupt, or ErrNewerVersion if the checksum is right: the version
+// is only trusted then.
 func Unseal(sealed []byte) ([]byte, error) {
 	if len(sealed) < versionLength+checksumLength {
 		return nil, ErrCorrupt
@@ -78,7 +78,7 @@
 	return sealed[versionLength:end], nil
 }
 
-// Snapshot returns the sealed bytes of the state, the same at every replica.
+// Snapshot returns the encoded and sealed state, which is the same at every replica.
 func (s *State) Snapshot() []byte {
 	if mutation.SnapshotDropsSessions {
 		bare := *s
@@ -88,8 +88,8 @@
 	return Seal(must(encoder.Marshal(s)))
 }
 
-// Restore returns the state of which Snapshot returned these bytes. The error wraps ErrCorrupt, ErrNewerVersion, an
-// InvalidStateError, or what the decoder found.
+// Restore returns the state from which Snapshot made a snapshot. The error wraps ErrCorrupt, ErrNewerVersion, an InvalidStateError,
+// or an error of the decoder.
 func Restore(snapshot []byte) (*State, error) {
 	body, err := Unseal(snapshot)
 	if err != nil {
--- a/quotastore/statemachine/encoding_test.go
+++ b/quotastore/statemachine/encoding_test.go
@@ -24,8 +24,8 @@
 	return b
 }
 
-// Two replicas apply the same log; one is restored from a snapshot in the middle of it.
-func TestReplicasOfOneLogHaveTheSameBytes(t *testing.T) {
+// Two replicas apply the same log. One of them is restored from a snapshot in between.
+func TestReplicasOfOneLogHaveIdenticalSnapshots(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		a, b := New(), New()
@@ -51,7 +51,7 @@
 	}
 }
 
-// A snapshot was cut off, or a byte of it flipped.
+// Restore must reject a truncated snapshot, and one in which a bit is flipped.
 func TestCorruptSnapshotIsRefused(t *testing.T) {
 	s := New()
 	apply(s, 1, Command{Kind: Add, Key: "n", Amount: 1, TTL: 9})
@@ -63,7 +63,7 @@
 			t.Fatalf("byte %d: %v", i, err)
 		}
 		if _, err := Restore(snapshot[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", i, err)
+			t.Fatalf("truncated to %d bytes: %v", i, err)
 		}
 	}
 }
@@ -77,9 +77,9 @@
 	}
 }
 
-// A snapshot whose checksum fits decodes into a state with a part that is not there.
+// Restore must reject a snapshot with a valid checksum that decodes to a state with a missing part.
 func TestIncompleteSnapshotIsRefused(t *testing.T) {
-	for part, spoil := range map[string]func(*State){
+	for part, corrupt := range map[string]func(*State){
 		"sessions":         func(s *State) { s.Sessions["s"] = nil },
 		"counters":         func(s *State) { s.Counters["n"] = &counter{ByHolder: map[string]*account{"h": nil}} },
 		"leases":           func(s *State) { s.Leases["h"] = nil },
@@ -89,7 +89,7 @@
 	} {
 		t.Run(part, func(t *testing.T) {
 			s := New()
-			spoil(s)
+			corrupt(s)
 			_, err := Restore(s.Snapshot())
 			var invalid *InvalidStateError
 			if !errors.As(err, &invalid) || invalid.Part != part {
@@ -112,7 +112,7 @@
 		if err != nil {
 			return
 		}
-		for k := range kindCount { // whatever was accepted can be gone on with
+		for k := range kindCount { // no command may panic on a state that was accepted
 			apply(s, s.Clock+1, Command{Kind: k, Key: "n", Holder: "h", Session: "s", Amount: 1, TTL: 1})
 		}
 		s.Snapshot()
--- a/quotastore/statemachine/helpers_test.go
+++ b/quotastore/statemachine/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// apply executes one command at a time of the group's clock.
+// apply executes one command in a batch of its own with the given clock.
 func apply(s *State, clock float64, c Command) Reply {
 	return s.Apply(&Batch{Clock: clock, Commands: []Command{c}})[0]
 }
@@ -14,10 +14,10 @@
 	}
 }
 
-// wantTotal wants the counter n to stand at a total.
+// wantTotal checks the total of the counter n.
 func wantTotal(t *testing.T, s *State, want float64) {
 	t.Helper()
 	if total, _ := s.Total("n"); total != want {
-		t.Fatalf("counter n stands at %v, want %v", total, want)
+		t.Fatalf("counter n has total %v, want %v", total, want)
 	}
 }
--- a/quotastore/statemachine/lease.go
+++ b/quotastore/statemachine/lease.go
@@ -11,17 +11,16 @@
 	// minLeaseTTL and maxLeaseTTL bound the time to live of a holder's lease, in seconds.
 	minLeaseTTL = 0.1
 	maxLeaseTTL = 60.0
-	// implicitLeaseTTL is for how long any command of a holder extends its lease, in seconds.
+	// implicitLeaseTTL is the time to live, in seconds, to which a report or record of a holder extends its lease.
 	implicitLeaseTTL = 3.0
-	// expiredLeaseTTL is for how long it is remembered that a lease has expired, in seconds: nothing of its holder may come after
-	// that.
+	// expiredLeaseTTL is how long an expired lease is kept, in seconds. No command of its holder may arrive later than that.
 	expiredLeaseTTL = 600.0
 )
 
-// lease is for how long a holder counts as alive.
+// lease is the time up to which a holder counts as alive.
 type lease struct {
 	ExpiresAt float64 `cbor:"1,keyasint"`
-	Expired   bool    `cbor:"2,keyasint,omitempty"` // its reserved usage is given back; it can't be extended any more
+	Expired   bool    `cbor:"2,keyasint,omitempty"` // the reserved usage was released; the lease can't be extended any more
 }
 
 func (s *State) renewLease(c *Command) Reply {
@@ -31,8 +30,8 @@
 	return Reply{}
 }
 
-// extendLease extends the lease of a holder and reports whether it has not expired. If it has, what the holder says no longer
-// counts.
+// extendLease extends the lease of a holder and reports whether the lease is live. If it has expired, the command of the holder must
+// be rejected.
 func (s *State) extendLease(holder string, ttl float64) bool {
 	if holder == "" {
 		return false
@@ -45,7 +44,7 @@
 	return true
 }
 
-// lease returns the lease of a holder; a new one has expired until it is extended.
+// lease returns the lease of a holder. If there is none it creates one with expiry time zero, which expires unless it is extended.
 func (s *State) lease(holder string) *lease {
 	l := s.Leases[holder]
 	if l == nil {
@@ -55,7 +54,7 @@
 	return l
 }
 
-// HasLiveHolder reports whether the lease of any holder has not expired.
+// HasLiveHolder reports whether any holder has a lease that has not expired.
 func (s *State) HasLiveHolder() bool {
 	for _, l := range s.Leases {
 		if !l.Expired {
@@ -65,7 +64,8 @@
 	return false
 }
 
-// expire removes all that has expired by the group's clock, and gives back what holders whose leases expire had reserved.
+// expire removes all entries that have expired by the group's clock, marks leases as expired and releases the usage that their
+// holders had reserved.
 func (s *State) expire() {
 	maps.DeleteFunc(s.Sessions, func(_ string, x *session) bool { return s.Clock-x.LastUsed > SessionTTL })
 	maps.DeleteFunc(s.Counters, func(_ string, c *counter) bool { return c.ExpiresAt <= s.Clock })
@@ -77,8 +77,8 @@
 	}
 }
 
-// expiredHolders returns, in order, the holders whose leases have expired since the last call, and forgets leases that have expired
-// long ago.
+// expiredHolders returns, in order, the holders whose leases have expired since the last call. It deletes leases that expired more
+// than expiredLeaseTTL ago and have no unreported usage left.
 func (s *State) expiredHolders() []string {
 	var expired []string
 	for holder, l := range s.Leases {
@@ -95,8 +95,8 @@
 	return expired
 }
 
-// releaseReserved gives back what holders had reserved. It goes through the counters in the order of their keys, as sums of floating
-// point numbers depend on their order.
+// releaseReserved subtracts what holders had reserved from the counters. It visits the counters in the order of their keys, and the
+// holders in their order, because floating-point sums depend on the order of the terms.
 func (s *State) releaseReserved(holders []string) {
 	if len(holders) == 0 {
 		return
--- a/quotastore/statemachine/lease_test.go
+++ b/quotastore/statemachine/lease_test.go
@@ -2,21 +2,21 @@
 
 import "testing"
 
-// A gateway dies with five units unreported, three of them reported, and a concurrency slot reserved. The slot is given back once, the
-// rest is recovered once, and its last report, delayed on the way, changes nothing.
-func TestExpiredHolderIsSettledOnce(t *testing.T) {
+// A gateway dies after admitting five units, of which it has reported three, and with a concurrency slot reserved. The slot must be
+// released once and the remaining two units recovered once. A delayed report of the gateway must change nothing.
+func TestExpiredHolderUsageIsReconciledOnce(t *testing.T) {
 	s := New()
 	report := Command{Kind: ReportUsage, Key: "n", Holder: "h", Amount: 1003, Reserved: 1000, Version: 1, TTL: 60}
 	apply(s, 0, report)
 	apply(s, 0, Command{Kind: ReportUsage, Key: "n", Holder: "other", Amount: 7, Version: 1, TTL: 60})
 	apply(s, 0, Command{Kind: RecordUnreported, Key: "n", Holder: "h", Amount: 5, Version: 2, TTL: 60})
 	if len(s.UnrecoveredUsage(9)) != 0 {
-		t.Fatal("unreported usage of a live holder is up for recovery")
+		t.Fatal("unreported usage of a live holder is due for recovery")
 	}
 	for clock := 1.0; clock < 8; clock++ {
 		apply(s, clock, Command{Kind: RenewLease, Holder: "other", TTL: 3})
 	}
-	wantTotal(t, s, 10) // the slot was given back once
+	wantTotal(t, s, 10) // the slot was released once
 	unrecovered := s.UnrecoveredUsage(9)
 	if len(unrecovered) != 1 || unrecovered[0].Amount != 5 {
 		t.Fatalf("unrecovered usage %v", unrecovered)
@@ -33,6 +33,6 @@
 	wantTotal(t, s, 12)
 	apply(s, 8, Command{Kind: ClearUnreported, Key: "n", Holder: "h", Version: 2})
 	if len(s.UnrecoveredUsage(9)) != 0 {
-		t.Fatal("usage that was recovered is still up for recovery")
+		t.Fatal("recovered usage is still due for recovery")
 	}
 }
--- a/quotastore/statemachine/marker.go
+++ b/quotastore/statemachine/marker.go
@@ -8,15 +8,15 @@
 	maxMarkerTTL = 3600.0
 )
 
-// marker is the idempotency marker of an invocation: a delivery of it has begun.
+// marker is the idempotency marker of an invocation. It exists if a delivery of the invocation has begun.
 type marker struct {
 	Holder    string  `cbor:"1,keyasint"`
 	Scope     string  `cbor:"2,keyasint,omitempty"`
 	ExpiresAt float64 `cbor:"3,keyasint"`
 }
 
-// acquireMarker notes that a delivery is about to begin. A second one is let through where a repeat is harmless: in the same scope,
-// until the marker expires.
+// acquireMarker records that a delivery is about to begin. While the marker is held, a second delivery is only allowed within the
+// same scope, where a repeat is harmless.
 func (s *State) acquireMarker(c *Command) Reply {
 	if c.Key == "" || c.Holder == "" {
 		return Reply{Code: Invalid}
@@ -31,7 +31,7 @@
 	return Reply{}
 }
 
-// releaseMarker removes the marker of a delivery that never ran; only its holder may do so.
+// releaseMarker removes the marker of a delivery that never ran. A command of any other holder changes nothing.
 func (s *State) releaseMarker(c *Command) Reply {
 	if m := s.Markers[c.Key]; m != nil && m.Holder == c.Holder {
 		delete(s.Markers, c.Key)
--- a/quotastore/statemachine/marker_test.go
+++ b/quotastore/statemachine/marker_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A client's request comes to a second gateway after the first died with its delivery out.
-func TestSecondDeliveryIsRefusedUnlessARepeatIsHarmless(t *testing.T) {
+// A client repeats a request at a second gateway after the first gateway died during the delivery.
+func TestSecondDeliveryIsRefusedUnlessScopesMatch(t *testing.T) {
 	s := New()
 	for _, step := range []struct {
 		name          string
--- a/quotastore/statemachine/metering.go
+++ b/quotastore/statemachine/metering.go
@@ -8,23 +8,23 @@
 	"otterseam/internal/mutation"
 )
 
-// metering is what holders have counted for billing, and what of it was collected.
+// metering is the usage that holders have counted for billing, and the part of it that was collected.
 type metering struct {
 	ByHolder  map[string]map[string]*meter `cbor:"1,keyasint"` // by holder and customer
-	Batch     uint64                       `cbor:"2,keyasint"` // number of the batch collected last
+	Batch     uint64                       `cbor:"2,keyasint"` // number of the last batch
 	LastBatch []CustomerUsage              `cbor:"3,keyasint"`
 }
 
-// meter is what one holder has counted for one customer.
+// meter is the usage that one holder has counted for one customer.
 type meter struct {
 	Total       float64 `cbor:"1,keyasint"`
-	Collected   float64 `cbor:"3,keyasint"` // the part of Total that was handed out in batches
-	IncreasedAt float64 `cbor:"4,keyasint"` // when Total last grew, by the group's clock
+	Collected   float64 `cbor:"3,keyasint"` // the part of Total that was returned in batches
+	IncreasedAt float64 `cbor:"4,keyasint"` // when Total last increased, by the group's clock
 }
 
 func newMetering() *metering { return &metering{ByHolder: map[string]map[string]*meter{}} }
 
-// meter returns the meter of a holder for a customer, which begins at zero.
+// meter returns the meter of a holder for a customer. If there is none it creates one at zero.
 func (m *metering) meter(holder, customer string) *meter {
 	byCustomer := m.ByHolder[holder]
 	if byCustomer == nil {
@@ -39,8 +39,8 @@
 	return x
 }
 
-// meterUsage takes what a holder has counted for a customer in total. The total only grows, so a command that comes twice, late or
-// out of order changes nothing, and a holder whose lease has expired has still counted what it has.
+// meterUsage raises the total that a holder has counted for a customer. The total only increases, so a command that arrives twice,
+// late or out of order changes nothing. The usage counts even if the holder's lease has expired.
 func (s *State) meterUsage(c *Command) Reply {
 	if c.Key == "" || c.Holder == "" || c.Amount < 0 {
 		return Reply{Code: Invalid}
@@ -53,7 +53,8 @@
 	return Reply{HolderTotal: m.Total}
 }
 
-// collectUsage hands out a batch. Its number again gives the same batch again; the next number says that it was taken over.
+// collectUsage returns a batch of metered usage. A request for the last number returns the same batch again, and a request for the
+// next number acknowledges the last batch.
 func (s *State) collectUsage(c *Command) Reply {
 	last := s.Metering.Batch
 	switch {
@@ -68,8 +69,8 @@
 	return Reply{Usage: batch, Batch: c.Version}
 }
 
-// collect returns what was not collected yet, in the order of the customers, and forgets meters that have been collected and have not
-// grown for long: a holder repeats a total for seconds at most.
+// collect returns the usage that was not collected yet, in the order of the customers. It deletes meters that have been collected
+// and have not increased for expiredLeaseTTL: a holder repeats a total for seconds at most.
 func (m *metering) collect(now float64) []CustomerUsage {
 	sum := map[string]float64{}
 	for _, holder := range slices.Sorted(maps.Keys(m.ByHolder)) {
--- a/quotastore/statemachine/metering_test.go
+++ b/quotastore/statemachine/metering_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Billing asks for a batch, hears nothing, asks again, and goes on to the next.
+// The billing job requests a batch, gets no response, requests the same batch again, and then the next one.
 func TestMeteredUsageIsCollectedOnce(t *testing.T) {
 	s := New()
 	meter := func(holder string, units float64) {
@@ -27,9 +27,9 @@
 	}{
 		{"first batch", 0, 1, 7, Done},
 		{"the same batch again, after more was metered", 5, 1, 7, Done},
-		{"a batch is left out", 0, 3, 0, Invalid},
+		{"a batch number is skipped", 0, 3, 0, Invalid},
 		{"the next batch", 0, 2, 2, Done},
-		{"a batch that was taken over", 0, 1, 0, Invalid},
+		{"a batch that was acknowledged", 0, 1, 0, Invalid},
 	} {
 		if step.more > 0 {
 			meter("a", step.more)
@@ -40,6 +40,6 @@
 	}
 	apply(s, expiredLeaseTTL+1, Command{Kind: Tick})
 	if collect(3); len(s.Metering.ByHolder) != 0 {
-		t.Fatal("usage that is collected is never forgotten")
+		t.Fatal("collected usage is never deleted")
 	}
 }
--- a/quotastore/statemachine/recorded_test.go
+++ b/quotastore/statemachine/recorded_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// The bytes in testdata/recorded are as the code of commit 1895881 wrote them: logs and snapshots on disks hold them, and so
-// does what replicas of one group send each other.
+// The code of commit 1895881 wrote the bytes in testdata/recorded. The same encoding is in logs and snapshots on disks, and in
+// messages between the replicas of a group, so it must not change.
 
-// recordedBatch has an entry of each kind, with all that it may carry.
+// recordedBatch returns a batch with a command of each kind that has all fields set, and one command with few fields.
 func recordedBatch() *Batch {
 	b := &Batch{Clock: 1234.56789, Proposer: 0xdeadbeef01, Sequence: 1 << 40}
 	for kind := Tick; kind < kindCount; kind++ {
@@ -26,8 +26,8 @@
 	return b
 }
 
-// recordedLife is what a group was asked for over some time, so that each part of its state holds something.
-func recordedLife() (all []*Batch) {
+// recordedHistory returns batches after which no part of a group's state is empty.
+func recordedHistory() (all []*Batch) {
 	at := func(clock float64, entries ...Command) {
 		all = append(all, &Batch{Clock: clock, Commands: entries, Proposer: 513, Sequence: uint64(len(all) + 1)})
 	}
@@ -58,7 +58,7 @@
 
 func recordedState() *State {
 	s := New()
-	for _, b := range recordedLife() {
+	for _, b := range recordedHistory() {
 		s.Apply(b)
 	}
 	return s
@@ -66,67 +66,67 @@
 
 func recorded(t *testing.T, name string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata/recorded", name+".bin"))
+	data, err := os.ReadFile(filepath.Join("testdata/recorded", name+".bin"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
-func TestBatchesAreTheRecordedBytes(t *testing.T) {
+func TestBatchesMatchRecordedBytes(t *testing.T) {
 	for name, batch := range map[string]*Batch{"batch": recordedBatch(), "batch-empty": {}} {
 		want := recorded(t, name)
 		if got := batch.Encode(); !bytes.Equal(got, want) {
-			t.Errorf("%s: encoded as\n%x\nrecorded is\n%x", name, got, want)
+			t.Errorf("%s: encoded as\n%x\nwant the recorded bytes\n%x", name, got, want)
 		}
-		back, err := DecodeBatch(want)
+		decoded, err := DecodeBatch(want)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if !reflect.DeepEqual(back, batch) {
-			t.Errorf("%s: the recorded bytes are read as\n%+v\nwanted is\n%+v", name, back, batch)
+		if !reflect.DeepEqual(decoded, batch) {
+			t.Errorf("%s: the recorded bytes decode to\n%+v\nwant\n%+v", name, decoded, batch)
 		}
 	}
 }
 
-func TestSavedStateIsTheRecordedBytes(t *testing.T) {
+func TestSnapshotsMatchRecordedBytes(t *testing.T) {
 	for name, state := range map[string]*State{"state": recordedState(), "state-empty": New()} {
 		want := recorded(t, name)
 		if got := state.Snapshot(); !bytes.Equal(got, want) {
-			t.Errorf("%s: saved as\n%x\nrecorded is\n%x", name, got, want)
+			t.Errorf("%s: snapshot is\n%x\nwant the recorded bytes\n%x", name, got, want)
 		}
-		back, err := Restore(want)
+		restored, err := Restore(want)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if again := back.Snapshot(); !bytes.Equal(again, want) {
-			t.Errorf("%s: restored and saved again as\n%x\nrecorded is\n%x", name, again, want)
+		if again := restored.Snapshot(); !bytes.Equal(again, want) {
+			t.Errorf("%s: snapshot of the restored state is\n%x\nwant the recorded bytes\n%x", name, again, want)
 		}
 	}
 }
 
-// What is held after the recorded bytes were read is what was held before, and answers as it did.
-func TestRecordedStateAnswersAsBefore(t *testing.T) {
+// A state that is restored from the recorded snapshot must give the same totals and replies as the state that was recorded.
+func TestRestoredRecordingGivesSameReplies(t *testing.T) {
 	s, err := Restore(recorded(t, "state"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkRecordedTotals(t, s)
 	replies := s.Apply(&Batch{Clock: 6, Commands: []Command{
-		{Kind: Add, Session: "s1", Sequence: 7, Key: "count-1", Amount: 99, TTL: 45}, // retried: answered as at first
+		{Kind: Add, Session: "s1", Sequence: 7, Key: "count-1", Amount: 99, TTL: 45}, // a retry, which gets the first reply
 		{Kind: AcquireMarker, Session: "s2", Sequence: 40, Key: "invocation-0", Holder: "edge-other.1", TTL: 600},
 		{Kind: CollectUsage, Version: 1},
 		{Kind: CollectUsage, Version: 2},
 	}})
 	if r := replies[0]; r.Code != Done || r.Total != 1.2000000000000002 {
-		t.Errorf("a retried add is answered %+v", r)
+		t.Errorf("reply to a retried add: %+v", r)
 	}
 	if r := replies[1]; r.Code != MarkerHeld || r.MarkerHolder != "edge-alive.1" {
-		t.Errorf("a marker held by another is answered %+v", r)
+		t.Errorf("reply for a marker held by another holder: %+v", r)
 	}
 	first := []CustomerUsage{{"free 0012", 1e-3}, {"gold 0011", 14.25}}
 	if r := replies[2]; r.Code != Done || !reflect.DeepEqual(r.Usage, first) {
-		t.Errorf("the batch handed out last is %+v", r)
+		t.Errorf("the last batch is %+v", r)
 	}
 	if r := replies[3]; r.Code != Done || !reflect.DeepEqual(r.Usage, []CustomerUsage{{"gold 0011", 7.75}}) {
 		t.Errorf("the next batch is %+v", r)
@@ -136,14 +136,14 @@
 func checkRecordedTotals(t *testing.T, s *State) {
 	t.Helper()
 	if total, ok := s.Total("shared"); !ok || total != 13.5 || s.HolderTotal("shared", "edge-alive.1") != 7.5 {
-		t.Errorf("shared stands at %v (%v), own part %v", total, ok, s.HolderTotal("shared", "edge-alive.1"))
+		t.Errorf("shared has total %v (%v), of which edge-alive.1 has added %v", total, ok, s.HolderTotal("shared", "edge-alive.1"))
 	}
 	if total, ok := s.Total("closed"); !ok || total != 3 {
-		t.Errorf("closed stands at %v (%v)", total, ok)
+		t.Errorf("closed has total %v (%v)", total, ok)
 	}
 	want := []UnreportedUsage{{Holder: "edge-dead.1", Key: "shared", Amount: 9, TTL: 54.75, Version: 2}}
 	if got := s.UnrecoveredUsage(64); !reflect.DeepEqual(got, want) {
-		t.Errorf("unrecovered usage is %+v, wanted is %+v", got, want)
+		t.Errorf("unrecovered usage is %+v, want %+v", got, want)
 	}
 	if !s.HasMarker("invocation-0") || s.HasMarker("invocation-1") || !s.HasMarker("invocation-7") {
 		t.Error("markers are not as recorded")
--- a/quotastore/statemachine/session_test.go
+++ b/quotastore/statemachine/session_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The reply to an add was lost on its way, and the client sends it again, more than once and after others.
+// The reply to an add is lost, and the client sends the add again, also after other commands.
 func TestRetriedCommandTakesEffectOnce(t *testing.T) {
 	s := New()
 	openSession(t, s, "a")
@@ -13,16 +13,17 @@
 		t.Fatalf("first reply %v, second %v", first, again)
 	}
 	wantTotal(t, s, 13)
-	// Once no reply is wanted any more it is still not executed again.
+	// The add is not executed again either after the client has acknowledged its reply.
 	apply(s, 2, Command{Kind: Add, Session: "a", Sequence: 9, AckedBelow: 9, Key: "n", Amount: 1, TTL: 60})
 	if r := apply(s, 2, add); r.Code != ResultDiscarded {
-		t.Fatalf("an add whose reply was discarded: %v", r.Code)
+		t.Fatalf("a retry of an add whose reply was discarded: %v", r.Code)
 	}
 	wantTotal(t, s, 14)
 }
 
-// An OpenSession that was delayed for a minute must not bring back a session whose replies are forgotten.
-func TestDelayedOpenDoesNotReviveExpiredSession(t *testing.T) {
+// An OpenSession that was delayed for a minute must not reopen an expired session: the replies are gone, so a retried command would
+// be executed again.
+func TestDelayedOpenSessionDoesNotReviveExpiredSession(t *testing.T) {
 	s := New()
 	open := Command{Kind: OpenSession, Session: "a", Clock: 0}
 	apply(s, 0, open)
--- a/quotastore/statemachine/state.go
+++ b/quotastore/statemachine/state.go
@@ -4,13 +4,13 @@
 	"math"
 )
 
-// expireInterval is how often at most the state is searched for what has expired, in seconds of the group's clock.
+// expireInterval is the minimum interval between two removals of expired entries, in seconds of the group's clock.
 const expireInterval = 0.25
 
-// State is what one group holds. Its exported fields are there for the encoding alone.
+// State is the state of one group. Its fields are exported for the encoding only.
 type State struct {
 	Clock      float64                     `cbor:"1,keyasint"` // seconds since the group's bootstrap
-	NextSweep  float64                     `cbor:"2,keyasint"` // when expired parts are looked for again
+	NextSweep  float64                     `cbor:"2,keyasint"` // clock reading of the next removal of expired entries
 	Sessions   map[string]*session         `cbor:"3,keyasint"`
 	Counters   map[string]*counter         `cbor:"4,keyasint"`
 	Leases     map[string]*lease           `cbor:"5,keyasint"` // by holder
@@ -19,7 +19,7 @@
 	Metering   *metering                   `cbor:"8,keyasint"`
 }
 
-// New returns the state of a group that has just been bootstrapped.
+// New returns the initial state of a group.
 func New() *State {
 	return &State{
 		Sessions: map[string]*session{}, Counters: map[string]*counter{}, Leases: map[string]*lease{},
@@ -27,10 +27,10 @@
 	}
 }
 
-// Apply executes the commands of a batch in their order and returns their replies. The clock goes on first, then what has expired
-// by it goes, then come the commands.
+// Apply advances the clock to that of the batch, removes expired entries, executes the commands in their order and returns their
+// replies.
 func (s *State) Apply(b *Batch) []Reply {
-	if b.Clock > s.Clock && !math.IsInf(b.Clock, 0) { // NaN compares false; a clock never goes back
+	if b.Clock > s.Clock && !math.IsInf(b.Clock, 0) { // false for NaN; the clock never goes back
 		s.Clock = b.Clock
 	}
 	if s.Clock >= s.NextSweep {
@@ -45,7 +45,7 @@
 	return replies
 }
 
-// applyCommand executes a command unless its session has had it executed before.
+// applyCommand executes a command unless it was executed in its session before.
 func (s *State) applyCommand(c *Command) Reply {
 	if c.malformed() {
 		return Reply{Code: Invalid}
@@ -59,7 +59,7 @@
 	return s.executeOnce(c)
 }
 
-//nolint:cyclop // a switch with one line a kind
+//nolint:cyclop // a switch with one case per kind
 func (s *State) execute(c *Command) Reply {
 	switch c.Kind {
 	case Tick:
@@ -84,14 +84,14 @@
 		return s.meterUsage(c)
 	case CollectUsage:
 		return s.collectUsage(c)
-	default: // applyCommand has opened sessions and refused kinds that don't exist
+	default: // applyCommand handles OpenSession and rejects unknown kinds
 		return Reply{Code: Invalid}
 	}
 }
 
 func notFinite(x float64) bool { return math.IsNaN(x) || math.IsInf(x, 0) }
 
-// Idle reports whether nothing in the state expires with time.
+// Idle reports whether the state has no entry that can expire.
 func (s *State) Idle() bool {
 	return len(s.Sessions)+len(s.Counters)+len(s.Leases)+len(s.Unreported)+len(s.Markers) == 0
 }
--- a/quotastore/statemachine/unreported.go
+++ b/quotastore/statemachine/unreported.go
@@ -7,47 +7,47 @@
 	"otterseam/internal/mutation"
 )
 
-// unreportedByKey is what one holder wants added, by the key of the counter.
+// unreportedByKey is the unreported usage of one holder, by the key of the counter.
 type unreportedByKey struct {
 	ByKey map[string]*unreported `cbor:"1,keyasint"`
 }
 
-// unreported is what a holder wants added to one counter in total.
+// unreported is the total that a holder wants added to one counter, reported or not.
 type unreported struct {
 	Amount    float64 `cbor:"1,keyasint"`
 	Version   uint64  `cbor:"2,keyasint"`
-	ExpiresAt float64 `cbor:"3,keyasint"` // with the counter
+	ExpiresAt float64 `cbor:"3,keyasint"` // expiry time of the counter
 }
 
-// UnreportedUsage is what a holder whose lease has expired wanted added to a counter.
+// UnreportedUsage is the total that a holder whose lease has expired wanted added to a counter.
 type UnreportedUsage struct {
 	Holder, Key string
 	Amount      float64 // in total
-	TTL         float64 // of the counter, seconds from now
+	TTL         float64 // of the counter, in seconds from now
 	Version     uint64
 }
 
-// recordUnreported notes what a holder wants added to a counter in total, however much of it has been reported.
+// recordUnreported stores the total that a holder wants added to a counter, however much of it has been reported.
 func (s *State) recordUnreported(c *Command) Reply {
 	if c.Key == "" {
 		return Reply{Code: Invalid}
 	}
 	if !s.extendLease(c.Holder, implicitLeaseTTL) {
-		r := Reply{Code: LeaseExpired} // with what stands: nothing is added to it any more
-		if all := s.Unreported[c.Holder]; all != nil && all.ByKey[c.Key] != nil {
-			r.HolderTotal = all.ByKey[c.Key].Amount
+		r := Reply{Code: LeaseExpired} // with the recorded amount, which is final
+		if usage := s.Unreported[c.Holder]; usage != nil && usage.ByKey[c.Key] != nil {
+			r.HolderTotal = usage.ByKey[c.Key].Amount
 		}
 		return r
 	}
-	all := s.Unreported[c.Holder]
-	if all == nil {
-		all = &unreportedByKey{ByKey: map[string]*unreported{}}
-		s.Unreported[c.Holder] = all
+	usage := s.Unreported[c.Holder]
+	if usage == nil {
+		usage = &unreportedByKey{ByKey: map[string]*unreported{}}
+		s.Unreported[c.Holder] = usage
 	}
-	u := all.ByKey[c.Key]
+	u := usage.ByKey[c.Key]
 	if u == nil {
 		u = &unreported{ExpiresAt: s.expiry(c.TTL, minCounterTTL, maxCounterTTL)}
-		all.ByKey[c.Key] = u
+		usage.ByKey[c.Key] = u
 	}
 	if c.Version > u.Version {
 		u.Amount = c.Amount
@@ -56,13 +56,13 @@
 	return Reply{HolderTotal: u.Amount}
 }
 
-// recoverUnreported adds what a holder had not reported to a counter when its lease expired. The second time it adds nothing; what
-// the holder itself reports later is refused.
+// recoverUnreported adds to a counter what a holder had not reported when its lease expired. If it is repeated it adds nothing.
+// Later reports of the holder itself are rejected.
 func (s *State) recoverUnreported(c *Command) Reply {
 	if c.Key == "" || c.Holder == "" {
 		return Reply{Code: Invalid}
 	}
-	if l := s.lease(c.Holder); !l.Expired { // this group may not have noticed
+	if l := s.lease(c.Holder); !l.Expired { // the lease may not have expired in this group yet
 		l.ExpiresAt = s.Clock
 		s.expire()
 	}
@@ -78,23 +78,24 @@
 	return Reply{Total: counter.Total, HolderTotal: account.Reported}
 }
 
-// clearUnreported removes unreported usage that is recovered; if it has changed since, it stays.
+// clearUnreported removes unreported usage after its recovery, unless it has a newer version than the one recovered.
 func (s *State) clearUnreported(c *Command) Reply {
-	all := s.Unreported[c.Holder]
-	if all == nil {
+	usage := s.Unreported[c.Holder]
+	if usage == nil {
 		return Reply{}
 	}
-	if u := all.ByKey[c.Key]; u != nil && u.Version <= c.Version {
-		delete(all.ByKey, c.Key)
+	if u := usage.ByKey[c.Key]; u != nil && u.Version <= c.Version {
+		delete(usage.ByKey, c.Key)
 	}
-	if len(all.ByKey) == 0 {
+	if len(usage.ByKey) == 0 {
 		delete(s.Unreported, c.Holder)
 	}
 	return Reply{}
 }
 
-// UnrecoveredUsage returns the unreported usage of holders whose leases have expired, which somebody has to recover: at most so much,
-// in order. Where the TTL is not above zero the counter's window is over, and nothing needs to be added.
+// UnrecoveredUsage returns the unreported usage of holders whose leases have expired and that has yet to be recovered: at most limit
+// entries, in the order of holders and keys. If the TTL of an entry is not positive the counter has expired, and nothing needs to be
+// added.
 func (s *State) UnrecoveredUsage(limit int) []UnreportedUsage {
 	var all []UnreportedUsage
 	for _, holder := range slices.Sorted(maps.Keys(s.Unreported)) {
--- a/quotastore/statemachine/validate.go
+++ b/quotastore/statemachine/validate.go
@@ -1,13 +1,15 @@
 package statemachine
 
-// InvalidStateError says that a snapshot decodes and yet can't have been written: a part of it is missing or empty.
+// InvalidStateError is returned for a snapshot that can be decoded but in which a part of the state is missing or empty, which
+// Snapshot never writes.
 type InvalidStateError struct {
 	Part string // of the state
 }
 
 func (e *InvalidStateError) Error() string { return e.Part + ": missing, or an element is empty" }
 
-// validate refuses snapshots that decode and can't have been written: they would lead to a nil pointer later.
+// validate returns an error for a decoded state in which a part is missing or empty. Such a state would cause a nil pointer
+// dereference later.
 func (s *State) validate() error {
 	for _, part := range []struct {
 		name  string
@@ -27,7 +29,7 @@
 	return nil
 }
 
-// complete reports whether a map is there, and each of its elements is there and valid.
+// complete reports whether a map and all of its elements are non-nil, and all elements are valid.
 func complete[T any](all map[string]*T, valid func(*T) bool) bool {
 	if all == nil {
 		return false
