--- a/quotastore/client/account.go
+++ b/quotastore/client/account.go
@@ -9,33 +9,35 @@
 
 // account is the client's part of a counter. Amounts are in the counter's units.
 type account struct {
-	ttl        float64 // seconds for which the counter lives
-	usedAt     float64 // when it was used last, in seconds
-	reported   float64 // in all; the reserved amount is part of it
-	reserved   float64 // what of it stands for work in flight
-	unreported float64 // admitted, and not reported
+	ttl        float64 // time to live of the counter, in seconds
+	usedAt     float64 // time of the last use, in seconds
+	reported   float64 // total of all reports, including the reserved amount
+	reserved   float64 // the part of reported that stands for work in flight
+	unreported float64 // admitted and not reported
 	record     unreportedRecord
 	former     formerUsage
 }
 
-// unreportedRecord is what the store has of an account beside the counter: how much is due in all, without what is reserved.
-// The store adds what the reports lack of it if the lease expires.
+// unreportedRecord is the state of the record that the store keeps of an account separately from the counter: the total usage,
+// reported or not, without the reserved amount. If the lease expires, the store adds to the counter by how much the record
+// exceeds the reports.
 type unreportedRecord struct {
 	state     recordState
-	amount    float64 // as sent last, in recordStored
-	requestID uint64  // of the request that is pending; 0: none
+	amount    float64 // as last sent, in state recordStored
+	requestID uint64  // of the pending request; 0: none
 }
 
 type recordState int
 
 const (
-	recordNone      recordState = iota // nothing was recorded under this holder name
-	recordStored                       // the amount is recorded
-	recordUncertain                    // the last amount may be recorded or not
+	recordNone      recordState = iota // no record was sent under this holder name
+	recordStored                       // the store has the amount
+	recordUncertain                    // the result of the last record is unknown
 )
 
-// isDue says that an amount has to be recorded. With nothing unreported that is so only if less is due than was recorded, as
-// units were taken off: the store would add the rest. A record that is lower than what was reported adds nothing.
+// isDue reports whether an amount has to be recorded. If nothing is unreported, a stored record only needs an update when it is
+// higher than the amount, because units were taken back: the store would add the difference when the lease expires. A record that
+// is lower than the reports adds nothing.
 func (r *unreportedRecord) isDue(amount, unreported float64) bool {
 	switch {
 	case r.requestID != 0:
@@ -49,7 +51,7 @@
 	}
 }
 
-// account returns a counter's account, which is used now.
+// account returns the account of a counter and sets the time of its last use. If there is none it creates one.
 func (c *Client) account(now float64, key string, ttl float64) *account {
 	a := c.accounts[key]
 	if a == nil {
@@ -60,12 +62,13 @@
 	return a
 }
 
-// ReportUsage reports an amount to a counter. reserved is what all work in flight stands for, that of the amount included; ttl
-// is for how long the counter lives, in seconds. It returns the request's ID and by how much the reserved amount grew. It is
-// not ok if nothing can be reported now, as it is not known yet what was reported under the former holder name.
+// ReportUsage reports an amount to a counter. reserved is the amount that all work in flight stands for, including the part of it
+// in amount. ttl is the time to live of the counter, in seconds. ReportUsage returns the ID of the request and the increase of the
+// reserved amount. ok is false if nothing can be reported now, because the usage reported under the former holder name is not
+// known yet.
 func (c *Client) ReportUsage(now float64, key string, amount, reserved, ttl float64) (id uint64, newlyReserved float64, ok bool) {
 	a := c.account(now, key, ttl)
-	if a.former.isOpen() {
+	if a.former.isPending() {
 		return 0, 0, false
 	}
 	newlyReserved = reserved - a.reserved
@@ -81,8 +84,8 @@
 	return id, newlyReserved, true
 }
 
-// RetractUsage takes back a report of an amount, which is unreported once more and will be reported again. What it newly
-// reserved stays reported if keepReserved.
+// RetractUsage undoes a report of an amount in the client's state. The amount counts as unreported again and a later report will
+// include it. If keepReserved is set, the amount that the report newly reserved stays reported.
 func (c *Client) RetractUsage(key string, amount, newlyReserved float64, keepReserved bool) {
 	a := c.accounts[key]
 	if a == nil {
@@ -95,23 +98,24 @@
 	a.reported, a.reserved = a.reported-amount, a.reserved-newlyReserved
 }
 
-// SetUnreported sets how much was admitted for a counter and is not reported.
+// SetUnreported sets the amount that was admitted for a counter and is not reported.
 func (c *Client) SetUnreported(now float64, key string, units, ttl float64) {
 	c.account(now, key, ttl).unreported = units
 }
 
-// ClearUnreported sets all unreported amounts to zero. It is called before SetUnreported is called for each that is not.
+// ClearUnreported sets all unreported amounts to zero. The caller then calls SetUnreported for each amount that is not zero.
 func (c *Client) ClearUnreported() {
 	for _, a := range c.accounts {
 		a.unreported = 0
 	}
 }
 
-// recordAccounts requests what has to be recorded of unreported usage, and forgets accounts that are no longer used.
+// recordAccounts queues a record for each account whose record is due, repeats failed queries of former usage, and deletes accounts
+// that are no longer used.
 func (c *Client) recordAccounts(now float64) {
 	for _, key := range c.accountKeys() {
 		a := c.accounts[key]
-		if a.former.isOpen() {
+		if a.former.isPending() {
 			if a.former.queries == 0 { // a query failed, or the stream was lost
 				c.queryFormerUsage(key, a)
 			}
@@ -137,8 +141,8 @@
 
 func (c *Client) accountKeys() []string { return slices.Sorted(maps.Keys(c.accounts)) }
 
-// unreportedRecorded takes the result of a record.
-func (c *Client) unreportedRecorded(pending *pendingRequest, id uint64, done bool) {
+// handleRecordResult processes the response to a record.
+func (c *Client) handleRecordResult(pending *pendingRequest, id uint64, done bool) {
 	a := c.accounts[pending.key]
 	if a == nil || a.record.requestID != id {
 		return
@@ -149,8 +153,8 @@
 	}
 }
 
-// recordLost says that the result of a record will not be known: also the first one may have been stored.
-func (c *Client) recordLost(pending *pendingRequest, id uint64) {
+// handleLostRecord marks a record as uncertain after its response was lost. Even if it is the first record it may have been stored.
+func (c *Client) handleLostRecord(pending *pendingRequest, id uint64) {
 	a := c.accounts[pending.key]
 	if a == nil || a.record.requestID != id {
 		return
--- a/quotastore/client/backoff.go
+++ b/quotastore/client/backoff.go
@@ -1,19 +1,19 @@
 package client
 
-// Seconds.
+// Delays of the backoff, in seconds.
 const (
 	minBackoff      = 0.2
 	maxBackoff      = 2.0
-	backoffInterval = 0.2 // between two increases, however many requests fail
+	backoffInterval = 0.2 // minimum interval between two increases, however many requests fail
 )
 
-// backoff spaces out records while requests fail.
+// backoff increases the interval between records while requests fail.
 type backoff struct {
-	delay      float64 // seconds on top of the usual interval
-	increaseAt float64 // before which the delay does not grow again
+	delay      float64 // added to the usual interval, in seconds
+	increaseAt float64 // earliest time of the next increase
 }
 
-// update takes the result of a request: a success resets the delay, a failure doubles it.
+// update adjusts the delay after a response: a success resets it, and a failure doubles it.
 func (b *backoff) update(now float64, failed bool) {
 	if !failed {
 		b.delay = 0
--- a/quotastore/client/client.go
+++ b/quotastore/client/client.go
@@ -9,43 +9,43 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// Times in seconds.
+// Intervals and times to live, in seconds.
 const (
 	renewInterval  = 1.0  // between renewals of the lease
 	leaseTTL       = 3.0  // of the lease
-	recordInterval = 0.1  // between looks at unreported usage
-	meterInterval  = 0.25 // between looks at metered usage
-	accountTTL     = 70.0 // after which an unused counter is forgotten: longer than any lives
-	epochLength    = 60.0 // after which usage is metered under another name, so that customers can be forgotten
-	minMarkerTTL   = 60.0 // for which a marker is held at least
+	recordInterval = 0.1  // between checks of unreported usage
+	meterInterval  = 0.25 // between checks of metered usage
+	accountTTL     = 70.0 // after which the account of an unused counter is deleted: longer than any counter lives
+	epochLength    = 60.0 // after which usage is metered under another holder name, so that customers can be deleted
+	minMarkerTTL   = 60.0 // minimum time to live of a marker
 )
 
-// OutcomeKind is what an Outcome is of.
+// OutcomeKind is the kind of an Outcome.
 type OutcomeKind int
 
 const (
-	// NoOutcome is of a response that concerns the client alone.
+	// NoOutcome means that the response concerns only the client itself.
 	NoOutcome OutcomeKind = iota
-	// UsageReported has a counter's total, unless it is Rejected or Unknown.
+	// UsageReported is the outcome of a report, with the counter's total unless it is Rejected or Unknown.
 	UsageReported
-	// MarkerAcquired says that a delivery may begin.
+	// MarkerAcquired means that a delivery may begin.
 	MarkerAcquired
-	// MarkerHeld says that another delivery has begun.
+	// MarkerHeld means that another delivery has begun.
 	MarkerHeld
-	// MarkerUnknown says that nothing is known of the marker: no delivery may begin.
+	// MarkerUnknown means that the state of the marker is unknown, so that no delivery may begin.
 	MarkerUnknown
 )
 
-// Outcome is the meaning of a response, for the caller who has the ID of the request.
+// Outcome is the result of a request for the caller, who knows the request by its ID.
 type Outcome struct {
 	Kind      OutcomeKind
 	RequestID uint64
 	Total     float64 // of the counter
-	Rejected  bool    // nothing was added
-	Unknown   bool    // it is not known whether it was added
+	Rejected  bool    // nothing was added to the counter
+	Unknown   bool    // whether the amount was added is unknown
 }
 
-// requestKind is what a pending request is for.
+// requestKind is the purpose of a pending request.
 type requestKind int
 
 const (
@@ -55,22 +55,22 @@
 	renewLease
 	recordUnreported
 	meterUsage
-	queryFormerUnreported // of a holder whose lease expired: the unreported usage that the store has of it
-	queryFormerReported   // likewise: the reported amount
+	queryFormerUnreported // queries the unreported usage recorded under a holder name whose lease expired
+	queryFormerReported   // queries the amount reported under a holder name whose lease expired
 )
 
-// pendingRequest is a request without a response.
+// pendingRequest is a request whose response has not arrived.
 type pendingRequest struct {
 	kind    requestKind
 	key     string // of the account, meter or marker; "": none
 	command statemachine.Command
 }
 
-// Client is the state of one gateway's process.
+// Client is the state of one gateway process.
 type Client struct {
 	name        string
-	lastID      uint64 // of a request
-	lastVersion uint64 // of a report or record
+	lastID      uint64 // ID of the last request
+	lastVersion uint64 // version of the last report or record
 	pending     map[uint64]*pendingRequest
 	outbox      []protocol.Request
 	logLines    []string
@@ -80,15 +80,15 @@
 	schedule schedule
 	backoff  backoff
 
-	leaseLosses int // part of the holder name
+	leaseLosses int // number of leases that expired; part of the holder name
 }
 
-// schedule has the times, in seconds, at which things are due.
+// schedule holds the times of the next lease renewal, records and metered usage, in seconds.
 type schedule struct {
 	renewAt, recordAt, meterAt float64
 }
 
-// New makes the client of a gateway's process. No process before it may have had the name.
+// New returns the client of a gateway process. No earlier process may have used the name.
 func New(name string) *Client {
 	return &Client{
 		name:     name,
@@ -98,13 +98,13 @@
 	}
 }
 
-// Holder returns the name under which the store knows the client at present.
+// Holder returns the client's present holder name in the store.
 func (c *Client) Holder() string { return c.name + "." + strconv.Itoa(c.leaseLosses) }
 
-// LeaseLosses returns how often the lease expired though the gateway lives.
+// LeaseLosses returns how often the lease expired while the gateway was alive.
 func (c *Client) LeaseLosses() int { return c.leaseLosses }
 
-// request queues a request, and returns its ID. A command without a holder gets the client's.
+// request queues a request and returns its ID. A command without a holder gets the client's holder name.
 func (c *Client) request(kind requestKind, key string, command statemachine.Command) (id uint64) {
 	c.lastID++
 	if command.Holder == "" {
@@ -120,8 +120,9 @@
 	return c.lastVersion
 }
 
-// AcquireMarker asks whether a delivery of an invocation may begin. scope says where a repeat is harmless; "": nowhere. ttl is
-// the invocation's, in seconds. It returns the ID of the request.
+// AcquireMarker queues a request for the marker of an invocation, which a delivery needs to begin. scope is the scope within which
+// a repeated delivery is harmless; "": none. ttl is the time to live of the invocation, in seconds. AcquireMarker returns the ID of
+// the request.
 func (c *Client) AcquireMarker(invocation, scope string, ttl float64) (id uint64) {
 	return c.request(acquireMarker, invocation, statemachine.Command{
 		Kind:  statemachine.AcquireMarker,
@@ -131,12 +132,12 @@
 	})
 }
 
-// ReleaseMarker says that nothing of an invocation ever ran.
+// ReleaseMarker queues a request that releases the marker of an invocation that never ran.
 func (c *Client) ReleaseMarker(invocation string) {
 	c.request(releaseMarker, invocation, statemachine.Command{Kind: statemachine.ReleaseMarker, Key: invocation})
 }
 
-// TakeRequests returns the requests that are to be sent now, with what is due at this time, in seconds.
+// TakeRequests returns the requests to send, including those that are due at this time, in seconds.
 func (c *Client) TakeRequests(now float64) []protocol.Request {
 	if now >= c.schedule.renewAt {
 		c.schedule.renewAt = now + renewInterval
@@ -155,8 +156,8 @@
 	return requests
 }
 
-// HandleResponse takes a response, and returns its meaning for the caller. A response to a request that is not pending means
-// nothing.
+// HandleResponse processes a response and returns its outcome for the caller. A response to a request that is not pending is
+// ignored.
 func (c *Client) HandleResponse(now float64, response *protocol.Response) Outcome {
 	pending := c.pending[response.RequestID]
 	if pending == nil {
@@ -171,7 +172,7 @@
 	return c.complete(pending, response, failed)
 }
 
-// complete takes the response to a request that was pending.
+// complete processes the response to a request that was pending.
 func (c *Client) complete(pending *pendingRequest, response *protocol.Response, failed bool) Outcome {
 	done := !failed && response.Reply.Code == statemachine.Done
 	outcome := Outcome{
@@ -189,11 +190,11 @@
 		outcome.Kind = markerOutcome(failed, response.Reply.Code)
 		return outcome
 	case recordUnreported:
-		c.unreportedRecorded(pending, response.RequestID, done)
+		c.handleRecordResult(pending, response.RequestID, done)
 	case meterUsage:
-		c.meters.recorded(pending, response.RequestID, done)
+		c.meters.handleResult(pending, response.RequestID, done)
 	case queryFormerUnreported, queryFormerReported:
-		c.formerUsageKnown(pending, response, failed)
+		c.handleFormerUsage(pending, response, failed)
 	}
 	return Outcome{}
 }
@@ -209,8 +210,8 @@
 	}
 }
 
-// StreamLost says that the stream to the store ended: the results of pending requests are not known. It returns the outcomes
-// of those that the caller waits for, in the order of their IDs.
+// StreamLost handles the end of the stream to the store, after which the results of pending requests are unknown. It returns the
+// outcomes of the requests that the caller waits for, in the order of their IDs.
 func (c *Client) StreamLost() (outcomes []Outcome) {
 	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		pending := c.pending[id]
@@ -221,18 +222,18 @@
 		case acquireMarker:
 			outcomes = append(outcomes, Outcome{Kind: MarkerUnknown, RequestID: id, Unknown: true})
 		case recordUnreported:
-			c.recordLost(pending, id)
+			c.handleLostRecord(pending, id)
 		case meterUsage:
-			c.meters.lost(pending, id)
+			c.meters.handleLoss(pending, id)
 		case queryFormerUnreported, queryFormerReported:
-			c.formerQueryLost(pending)
+			c.handleLostFormerQuery(pending)
 		}
 	}
 	c.outbox = nil
 	return outcomes
 }
 
-// NextLogLine returns a line for the log; "": there is none.
+// NextLogLine removes and returns the next line for the log; "": there is none.
 func (c *Client) NextLogLine() string {
 	if len(c.logLines) == 0 {
 		return ""
--- a/quotastore/client/client_test.go
+++ b/quotastore/client/client_test.go
@@ -7,29 +7,29 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// The units that tests report, and what all counters of tests live for.
+// The counter that tests report to, its time to live, and a number of steps.
 const (
-	testCounter = "n"
-	testTTL     = 60
-	leaseAway   = 10 // turns after which a lease has expired that is not renewed
+	testCounter           = "n"
+	testTTL               = 60
+	stepsUntilLeaseExpiry = 10 // steps of half a second, after which a lease that is not renewed has expired
 )
 
-// storeFixture has a client and plays the store: one state machine, which takes all that is requested in order.
+// storeFixture connects a client to a simulated store, which consists of one state machine that executes all requests in order.
 type storeFixture struct {
 	t             *testing.T
 	state         *statemachine.State
 	now           float64
 	client        *Client
 	responsesLost bool
-	rejecting     bool // nothing gets to the state machine
+	rejecting     bool // requests are rejected without reaching the state machine
 }
 
 func newStoreFixture(t *testing.T) *storeFixture {
 	return &storeFixture{t: t, state: statemachine.New(), client: New("edge/1")}
 }
 
-// turn lets half a second pass, has the client's requests carried out and returns what their responses mean.
-func (f *storeFixture) turn() (outcomes []Outcome) {
+// step advances the time by half a second, executes the client's requests and returns the outcomes of their responses.
+func (f *storeFixture) step() (outcomes []Outcome) {
 	f.now += 0.5
 	for _, request := range f.client.TakeRequests(f.now) {
 		if f.rejecting {
@@ -51,15 +51,15 @@
 	return f.state.Apply(&statemachine.Batch{Clock: f.now, Commands: []statemachine.Command{command}})[0]
 }
 
-// passTime lets time pass for the state machine alone.
-func (f *storeFixture) passTime(turns int) {
-	for range turns {
+// passTime advances the time of the state machine without running the client.
+func (f *storeFixture) passTime(steps int) {
+	for range steps {
 		f.now += 0.5
 		f.state.Apply(&statemachine.Batch{Clock: f.now})
 	}
 }
 
-// recoverUsage adds the recorded usage of holders whose lease expired, as the store's leader does.
+// recoverUsage adds the recorded usage of holders whose lease expired to the counters, like the leader of a group in the store.
 func (f *storeFixture) recoverUsage() {
 	for _, usage := range f.state.UnrecoveredUsage(9) {
 		f.apply(statemachine.Command{
@@ -75,65 +75,65 @@
 func (f *storeFixture) checkTotal(want float64, when string) {
 	f.t.Helper()
 	if total, _ := f.state.Total(testCounter); total != want {
-		f.t.Fatalf("%s the total is %v, wanted is %v", when, total, want)
+		f.t.Fatalf("%s the total is %v, want %v", when, total, want)
 	}
 }
 
-// The answer to a report is lost; the gateway reports the units once more with the next: they count once.
-func TestReportWithoutAnAnswerCountsOnce(t *testing.T) {
+// The response to a report is lost, and the gateway includes the units in the next report: they must count once.
+func TestReportWithLostResponseCountsOnce(t *testing.T) {
 	f := newStoreFixture(t)
 	_, newlyReserved, _ := f.client.ReportUsage(f.now, testCounter, 1003, 1000, testTTL)
 	f.responsesLost = true
-	f.turn()
+	f.step()
 	f.responsesLost = false
 	f.client.RetractUsage(testCounter, 1003, newlyReserved, true)
 	f.client.ReportUsage(f.now, testCounter, 3, 1000, testTTL)
-	if outcomes := f.turn(); len(outcomes) != 1 || outcomes[0].Total != 1003 {
+	if outcomes := f.step(); len(outcomes) != 1 || outcomes[0].Total != 1003 {
 		t.Fatalf("%+v", outcomes)
 	}
 }
 
-// While the counter can't be reached work is admitted; then the gateway dies. What it had recorded is added, once.
-func TestUnreportedUsageOutlivesItsHolder(t *testing.T) {
+// A gateway admits work while the counter can't be reached, and then dies. The usage that it recorded must be added once.
+func TestUnreportedUsageOfDeadClientIsRecoveredOnce(t *testing.T) {
 	f := newStoreFixture(t)
 	f.client.ReportUsage(f.now, testCounter, 5, 0, testTTL)
-	f.turn()
+	f.step()
 	f.client.SetUnreported(f.now, testCounter, 4, testTTL)
-	f.turn()
+	f.step()
 	f.checkTotal(5, "while the holder lives")
-	f.passTime(leaseAway)
+	f.passTime(stepsUntilLeaseExpiry)
 	for range 2 {
 		f.recoverUsage()
 	}
 	f.checkTotal(9, "after the holder's end")
 }
 
-// The first record of unreported usage is stored, but the stream ends before its response: when the usage turns out to be less, a
-// lower record has to follow, else the store would add what was never used.
-func TestAFirstRecordWhoseResponseIsLostMayBeStored(t *testing.T) {
+// The first record of unreported usage is stored, but the stream ends before its response arrives. If the usage turns out to be less,
+// a lower record has to follow. Otherwise the store would add units that were never used.
+func TestFirstRecordWithLostResponseIsCorrected(t *testing.T) {
 	f := newStoreFixture(t)
 	f.client.SetUnreported(f.now, testCounter, 5, testTTL)
 	f.responsesLost = true
-	f.turn()
+	f.step()
 	f.client.StreamLost()
 	f.responsesLost = false
 	f.client.ClearUnreported()
-	f.turn()
-	f.passTime(leaseAway)
+	f.step()
+	f.passTime(stepsUntilLeaseExpiry)
 	f.recoverUsage()
 	f.checkTotal(0, "after the holder's end")
 }
 
-// The gateway is cut off for so long that its lease expires and the store adds what it had recorded; it lives, and goes on
-// under another holder name: nothing counts twice, nothing is missing.
-func TestClientThatOutlivesItsLeaseCountsOnce(t *testing.T) {
+// A gateway is partitioned from the store until its lease expires and the store adds the recorded usage. It then continues under
+// another holder name. No usage may count twice or be missing.
+func TestUsageCountsOnceAfterLeaseExpiry(t *testing.T) {
 	f := newStoreFixture(t)
 	f.client.ReportUsage(f.now, testCounter, 1005, 1000, testTTL)
 	f.client.SetUnreported(f.now, testCounter, 4, testTTL)
-	f.turn()
+	f.step()
 	f.rejecting = true
-	for range leaseAway {
-		f.turn()
+	for range stepsUntilLeaseExpiry {
+		f.step()
 		f.state.Apply(&statemachine.Batch{Clock: f.now})
 	}
 	f.recoverUsage()
@@ -141,45 +141,45 @@
 	f.rejecting = false
 	f.client.ClearUnreported()
 	for range 4 {
-		f.turn()
+		f.step()
 	}
 	if f.client.LeaseLosses() != 1 || f.client.Holder() == "edge/1.0" {
 		t.Fatalf("%d leases were lost, and the holder is %s", f.client.LeaseLosses(), f.client.Holder())
 	}
-	// The gateway does not know what became of the unreported units, and reports them.
+	// The gateway doesn't know that the store has added the unreported units, and reports them.
 	if _, _, ok := f.client.ReportUsage(f.now, testCounter, 4, 1000, testTTL); !ok {
 		t.Fatal("nothing can be reported")
 	}
-	if outcomes := f.turn(); len(outcomes) != 1 || outcomes[0].Total != 1009 {
+	if outcomes := f.step(); len(outcomes) != 1 || outcomes[0].Total != 1009 {
 		t.Fatalf("%+v", outcomes)
 	}
 	f.checkTotal(1009, "at the end")
 }
 
-// Until the client knows what was reported under its former holder name it reports nothing.
+// The client must not report usage until it knows what was reported under its former holder name. Otherwise usage would count twice.
 func TestNothingIsReportedBeforeFormerUsageIsKnown(t *testing.T) {
 	f := newStoreFixture(t)
 	f.client.ReportUsage(f.now, testCounter, 5, 0, testTTL)
-	f.turn()
-	f.passTime(leaseAway)
-	f.turn() // the renewal is answered with the expiry
+	f.step()
+	f.passTime(stepsUntilLeaseExpiry)
+	f.step() // the response to the renewal says that the lease expired
 	f.responsesLost = true
-	f.turn()
+	f.step()
 	if _, _, ok := f.client.ReportUsage(f.now, testCounter, 1, 0, testTTL); ok {
 		t.Error("reported while the queries have no response")
 	}
 	f.client.StreamLost()
 	f.responsesLost = false
-	f.turn() // both queries again
+	f.step() // both queries are repeated
 	if _, _, ok := f.client.ReportUsage(f.now, testCounter, 1, 0, testTTL); !ok {
 		t.Fatal("nothing can be reported after the queries were answered")
 	}
-	f.turn()
+	f.step()
 	f.checkTotal(6, "at the end")
 }
 
-// The store rejects all requests: records are sent less and less, not ten times a second.
-func TestRejectedRecordsAreSentLessAndLess(t *testing.T) {
+// The store rejects all requests. The client must send records at increasing intervals instead of ten times a second.
+func TestRejectedRecordsBackOff(t *testing.T) {
 	c, sent := New("edge/1"), 0
 	for i := range 50 {
 		c.SetUnreported(0, string(rune('a'+i)), 1, testTTL)
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestMarkerOutcomeSaysWhetherADeliveryMayBegin(t *testing.T) {
+func TestMarkerOutcomeOfEachResponse(t *testing.T) {
 	tests := map[string]struct {
 		response protocol.Response
 		want     OutcomeKind
@@ -216,17 +216,18 @@
 				t.Errorf("%+v", outcome)
 			}
 			if again := c.HandleResponse(0, &test.response); again != (Outcome{}) {
-				t.Errorf("a second response means %+v", again)
+				t.Errorf("a second response has the outcome %+v", again)
 			}
 		})
 	}
 }
 
-// A marker is one client's; a second one knows that a delivery has begun, and none may begin if the stream is lost.
+// Only one client gets a marker. A second client gets the outcome that a delivery has begun, and after the loss of the stream no
+// delivery may begin.
 func TestMarkerIsHeldByOneClient(t *testing.T) {
 	f := newStoreFixture(t)
 	f.client.AcquireMarker("a", "", 1)
-	if outcomes := f.turn(); len(outcomes) != 1 || outcomes[0].Kind != MarkerAcquired {
+	if outcomes := f.step(); len(outcomes) != 1 || outcomes[0].Kind != MarkerAcquired {
 		t.Fatalf("%+v", outcomes)
 	}
 	other := New("edge/2")
@@ -275,14 +276,14 @@
 	}
 }
 
-func TestBackoffGrowsUpToItsLimitAndEndsWithASuccess(t *testing.T) {
+func TestBackoffGrowsToLimitAndResetsOnSuccess(t *testing.T) {
 	var b backoff
 	now := 0.0
 	for i, want := range []float64{0.2, 0.4, 0.8, 1.6, 2, 2} {
 		b.update(now, true)
-		b.update(now, true) // of the same moment
+		b.update(now, true) // a second failure at the same time
 		if b.delay != want {
-			t.Errorf("after %d failures the delay is %v, wanted is %v", i+1, b.delay, want)
+			t.Errorf("after %d failures the delay is %v, want %v", i+1, b.delay, want)
 		}
 		now += backoffInterval
 	}
@@ -291,22 +292,22 @@
 	}
 }
 
-// Customers of an epoch are forgotten once all that they used is recorded, and not before.
-func TestMetersBeginAnEpochOnceAllIsRecorded(t *testing.T) {
+// The customers of an epoch must not be deleted before all of their usage is recorded.
+func TestMeterEpochEndsOnceAllUsageIsRecorded(t *testing.T) {
 	f := newStoreFixture(t)
 	f.client.MeterUsage("a", 1)
 	f.client.MeterUsage("a", 0)
 	f.client.MeterUsage("b", -1)
 	f.rejecting = true
 	for f.now < epochLength+1 {
-		f.turn()
+		f.step()
 	}
 	if m := f.client.meters; m.epoch != 0 || len(m.customers) != 1 {
 		t.Fatalf("epoch %d, %d customers", m.epoch, len(m.customers))
 	}
 	f.rejecting = false
 	for range 12 { // the backoff is at most two seconds
-		f.turn()
+		f.step()
 	}
 	if m := f.client.meters; m.epoch != 1 || len(m.customers) != 0 {
 		t.Errorf("epoch %d, %d customers", m.epoch, len(m.customers))
--- a/quotastore/client/lease.go
+++ b/quotastore/client/lease.go
@@ -7,23 +7,23 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// formerUsage is what has to be learned of an account after the lease expired: how much the counter has, or will have, of it
-// under the holder name of that lease.
+// formerUsage is the state of the queries that follow the expiry of a lease. They determine how much of an account the counter has,
+// or will have, under the holder name of that lease.
 type formerUsage struct {
-	holder     string // "": nothing has to be learned
+	holder     string // holder name of the expired lease; "": no query is needed
 	unreported float64
 	reported   float64
-	queries    int // without a response
+	queries    int // number of queries without a response
 }
 
-func (f *formerUsage) isOpen() bool { return f.holder != "" }
+func (f *formerUsage) isPending() bool { return f.holder != "" }
 
-// loseLease goes on under the next holder name: the store let the lease expire, as nothing of the client came through for
-// long, and adds what was recorded as unreported to the counters. For each counter the client asks how much of its own is in
-// it.
+// loseLease switches to the next holder name after the lease has expired in the store, which happens when no renewal arrived for
+// its time to live. The store adds the recorded unreported usage to the counters, so the client queries how much of its usage each
+// counter has.
 func (c *Client) loseLease(now float64) {
 	former := c.Holder()
-	c.logLines = append(c.logLines, fmt.Sprintf("copies: lease of %s expired, %d counters are queried again", former, len(c.accounts)))
+	c.logLines = append(c.logLines, fmt.Sprintf("copies: lease of holder %s expired; querying its usage of %d counters", former, len(c.accounts)))
 	c.leaseLosses++
 	c.schedule.renewAt = now
 	for _, key := range c.accountKeys() {
@@ -33,14 +33,15 @@
 			delete(c.accounts, key)
 			continue
 		}
-		if !a.former.isOpen() {
+		if !a.former.isPending() {
 			a.former = formerUsage{holder: former}
 		}
 		c.queryFormerUsage(key, a)
 	}
 }
 
-// queryFormerUsage asks for both amounts. Commands of version 0 change nothing, and are answered with what there is.
+// queryFormerUsage queries the unreported and the reported amount. Commands of version 0 change nothing, and their replies carry
+// the present amounts.
 func (c *Client) queryFormerUsage(key string, a *account) {
 	a.former.queries = 2
 	c.request(queryFormerUnreported, key, statemachine.Command{
@@ -57,14 +58,15 @@
 	})
 }
 
-// formerUsageKnown takes the answer to a query. After both the account goes on with what the counter lacks.
-func (c *Client) formerUsageKnown(pending *pendingRequest, response *protocol.Response, failed bool) {
+// handleFormerUsage processes the response to a query. After both responses it subtracts what the counter has from the account's
+// reported amount.
+func (c *Client) handleFormerUsage(pending *pendingRequest, response *protocol.Response, failed bool) {
 	a := c.accounts[pending.key]
 	if a == nil || a.former.holder != pending.command.Holder || a.former.queries == 0 {
 		return
 	}
 	if failed || response.Reply.Code != statemachine.LeaseExpired {
-		a.former.queries = 0 // asked again with the next records
+		a.former.queries = 0 // repeated with the next records
 		return
 	}
 	if pending.kind == queryFormerUnreported {
@@ -79,8 +81,8 @@
 	a.former.holder = ""
 }
 
-// formerQueryLost says that a query will not be answered: both are asked again.
-func (c *Client) formerQueryLost(pending *pendingRequest) {
+// handleLostFormerQuery has both queries repeated after the response to one of them was lost.
+func (c *Client) handleLostFormerQuery(pending *pendingRequest) {
 	if a := c.accounts[pending.key]; a != nil && a.former.holder == pending.command.Holder {
 		a.former.queries = 0
 	}
--- a/quotastore/client/meter.go
+++ b/quotastore/client/meter.go
@@ -8,21 +8,21 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// meters are what customers have used within an epoch, in units. Customers are forgotten with their epoch.
+// meters holds the usage of customers within an epoch, in units. Customers are deleted at the end of the epoch.
 type meters struct {
 	customers map[string]*meter
 	epoch     int
-	epochAt   float64 // when it began, in seconds
+	epochAt   float64 // start of the epoch, in seconds
 }
 
-// meter is one customer's.
+// meter is the usage of one customer.
 type meter struct {
-	total     float64 // of the epoch
-	recorded  float64 // what of it the store has
-	requestID uint64  // of the request that is pending; 0: none
+	total     float64 // usage within the epoch
+	recorded  float64 // the part of total that the store has
+	requestID uint64  // of the pending request; 0: none
 }
 
-// MeterUsage counts units that a customer has used.
+// MeterUsage adds units to the usage of a customer.
 func (c *Client) MeterUsage(customer string, units float64) {
 	if units <= 0 {
 		return
@@ -35,7 +35,8 @@
 	m.total += units
 }
 
-// recordMeters requests what has to be recorded of metered usage, and begins an epoch once the last one is recorded.
+// recordMeters queues a record of each meter that has increased. It begins a new epoch when the present one is over and all of its
+// usage is recorded.
 func (c *Client) recordMeters(now float64) {
 	if now-c.meters.epochAt > epochLength && c.meters.allRecorded() {
 		c.meters.epoch, c.meters.epochAt = c.meters.epoch+1, now
@@ -63,8 +64,8 @@
 	return true
 }
 
-// recorded takes the result of a record.
-func (m *meters) recorded(pending *pendingRequest, id uint64, done bool) {
+// handleResult processes the response to a record.
+func (m *meters) handleResult(pending *pendingRequest, id uint64, done bool) {
 	customer := m.customers[pending.key]
 	if customer == nil || customer.requestID != id {
 		return
@@ -75,5 +76,5 @@
 	}
 }
 
-// lost says that the result of a record will not be known: it is sent again.
-func (m *meters) lost(pending *pendingRequest, id uint64) { m.recorded(pending, id, false) }
+// handleLoss has a record sent again after its response was lost.
+func (m *meters) handleLoss(pending *pendingRequest, id uint64) { m.handleResult(pending, id, false) }
--- a/quotastore/client/recorded_test.go
+++ b/quotastore/client/recorded_test.go
@@ -12,9 +12,9 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// The bytes in testdata/recorded are as the code of commit 1895881 wrote them.
+// The code of commit 1895881 wrote the bytes in testdata/recorded.
 
-// recordedSession is what a client requests, frame by frame, and what the responses mean.
+// recordedSession collects the frames that a client sends and the outcomes of the responses.
 type recordedSession struct {
 	t        *testing.T
 	client   *Client
@@ -22,7 +22,7 @@
 	outcomes []Outcome
 }
 
-// respond hands over a response of the store; a zero code means that the command was applied.
+// respond passes a response of the store to the client. A reply with code zero means that the command was applied.
 func (s *recordedSession) respond(now float64, id uint64, reply statemachine.Reply) {
 	s.handle(now, &protocol.Response{RequestID: id, Leader: 1, Reply: reply})
 }
@@ -43,13 +43,13 @@
 	s.t.Helper()
 	id, _, ok := s.client.ReportUsage(now, key, amount, reserved, 60)
 	if !ok {
-		s.t.Fatalf("%s can't be reported", key)
+		s.t.Fatalf("usage of counter %s can't be reported", key)
 	}
 	return id
 }
 
-// playRecordedSession has a client request all that it can: reports, records, markers, metered usage, requests that fail and
-// are repeated, a lease that expires and queries of former usage, and a stream that is lost.
+// playRecordedSession has a client send all kinds of requests: reports, records, markers, metered usage, requests that fail and
+// are repeated, queries of former usage after the lease expired, and requests around the loss of the stream.
 func playRecordedSession(t *testing.T) *recordedSession {
 	t.Helper()
 	s := &recordedSession{t: t, client: New("edge-3.7f00ba12")}
@@ -114,7 +114,7 @@
 	s.take(6)
 }
 
-// stream is all frames of a client's stream.
+// stream returns all frames of the client's stream.
 func (s *recordedSession) stream() []*protocol.Frame {
 	return append([]*protocol.Frame{protocol.ClientHello()}, s.frames...)
 }
@@ -128,7 +128,7 @@
 	return recorded
 }
 
-func TestRequestsAreTheRecordedBytes(t *testing.T) {
+func TestRequestsMatchRecordedBytes(t *testing.T) {
 	var got []byte
 	kinds := map[statemachine.Kind]bool{}
 	for _, frame := range playRecordedSession(t).stream() {
@@ -145,15 +145,15 @@
 		statemachine.AcquireMarker, statemachine.ReleaseMarker, statemachine.MeterUsage,
 	} {
 		if !kinds[kind] {
-			t.Errorf("%v was never requested", kind)
+			t.Errorf("no request of kind %v was sent", kind)
 		}
 	}
 	if want := recordedBytes(t, "asks.bin"); !bytes.Equal(got, want) {
-		t.Errorf("requested is\n%x\nrecorded is\n%x", got, want)
+		t.Errorf("the frames are\n%x\nwant the recorded bytes\n%x", got, want)
 	}
 }
 
-func TestRecordedRequestsAreRead(t *testing.T) {
+func TestRecordedRequestsDecode(t *testing.T) {
 	r := bytes.NewReader(recordedBytes(t, "asks.bin"))
 	for i, want := range playRecordedSession(t).stream() {
 		got, err := protocol.ReadFrame(r, protocol.MaxFrameBytes)
@@ -161,22 +161,22 @@
 			t.Fatal(i, err)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("frame %d is read as\n%+v\nwanted is\n%+v", i, got, want)
+			t.Errorf("frame %d decodes to\n%+v\nwant\n%+v", i, got, want)
 		}
 	}
 	if r.Len() > 0 {
-		t.Errorf("%d bytes are recorded that nobody requested", r.Len())
+		t.Errorf("the recording has %d bytes after the last frame", r.Len())
 	}
 }
 
-func TestResponsesMeanWhatIsRecorded(t *testing.T) {
+func TestOutcomesMatchRecording(t *testing.T) {
 	want := string(recordedBytes(t, "meanings.bin"))
 	if got := outcomeLines(playRecordedSession(t).outcomes); got != want {
-		t.Errorf("the responses meant\n%s\nrecorded is\n%s", got, want)
+		t.Errorf("the outcomes are\n%s\nwant those recorded\n%s", got, want)
 	}
 }
 
-// outcomeLines is one line for each outcome, without names of fields.
+// outcomeLines returns one line for each outcome, without field names.
 func outcomeLines(outcomes []Outcome) (lines string) {
 	for _, o := range outcomes {
 		lines += fmt.Sprintln(int(o.Kind), o.RequestID, o.Total, o.Rejected, o.Unknown)
