--- a/quotastore/replication/bench_test.go
+++ b/quotastore/replication/bench_test.go
@@ -7,17 +7,17 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// trio is three servers of one group whose messages take no time.
-type trio struct {
+// benchCluster simulates three servers with one group and a network without latency.
+type benchCluster struct {
 	now   float64
 	nodes []*Node
 }
 
-func newTrio(b *testing.B) *trio {
+func newBenchCluster(b *testing.B) *benchCluster {
 	b.Helper()
 	config := Config{Groups: 1, Replicas: 3, MaxLogEntries: 4096, SnapshotRate: 1e6, ReplaceAfter: 5}
 	bootstrap := &protocol.Bootstrap{Cluster: 5, Groups: config.Groups, Replicas: config.Replicas}
-	x := &trio{}
+	x := &benchCluster{}
 	for i := range 3 {
 		n, err := New(i, testIncarnation, 0, peers(3, 3), config, uint64(i+1), nil)
 		if err != nil {
@@ -37,8 +37,8 @@
 	return x
 }
 
-// settle passes messages on until there are none.
-func (x *trio) settle() {
+// settle delivers messages until there are none left.
+func (x *benchCluster) settle() {
 	for busy := true; busy; {
 		busy = false
 		for _, n := range x.nodes {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (x *trio) tick() {
+func (x *benchCluster) tick() {
 	x.now += tickInterval
 	for _, n := range x.nodes {
 		n.Tick(x.now)
@@ -63,8 +63,8 @@
 	x.settle()
 }
 
-// add adds to a counter, and reports whether it was answered within a second.
-func (x *trio) add(server int) bool {
+// add submits an add, and reports whether it was answered within 40 ticks.
+func (x *benchCluster) add(server int) bool {
 	answered := false
 	add := statemachine.Command{Kind: statemachine.Add, Key: "n", Amount: 1, TTL: 60}
 	x.nodes[server].Submit(0, add, func(outcome Outcome, _ statemachine.Reply) { answered = outcome == Answered })
@@ -78,9 +78,9 @@
 	return answered
 }
 
-// An add that is submitted at one of three servers in turn, and answered.
+// BenchmarkCommit submits adds at each of three servers in turn, and waits for the reply to each.
 func BenchmarkCommit(b *testing.B) {
-	x := newTrio(b)
+	x := newBenchCluster(b)
 	i := 0
 	for b.Loop() {
 		if i++; i%50 == 0 {
--- a/quotastore/replication/bootstrap.go
+++ b/quotastore/replication/bootstrap.go
@@ -10,48 +10,50 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// Bootstrap takes part in the bootstrap of a cluster, and returns what has to be written first. One that belongs to a cluster, or has
-// another incarnation by now, does not: it might be asked to begin anew what others still hold. One that heard of this cluster by
-// those bootstrapped before it, and has no replica yet, takes its part: else what a bootstrap from a snapshot was answered for would
-// lie on the others alone until it is replicated. The error is an OtherClusterError, a BootstrapMismatchError, or of a snapshot.
-func (n *Node) Bootstrap(now float64, f *protocol.Bootstrap) ([]Write, error) {
-	if n.cluster == f.Cluster && n.cluster != 0 && n.hasReplicas() {
+// Bootstrap makes this server a member of a new cluster and creates its replicas. It returns the writes that must be durable before
+// the bootstrap is answered. A server that belongs to another cluster, or whose incarnation the bootstrap doesn't name, returns an
+// error: other servers may still hold the data that the bootstrap would replace. A server that has joined this cluster through a
+// message of another member but has no replica yet creates its replicas all the same. Otherwise the state of a bootstrap from a
+// snapshot would be on the other servers alone after the bootstrap was answered, until it is replicated. The error is an
+// OtherClusterError, a BootstrapMismatchError, or that of an invalid snapshot.
+func (n *Node) Bootstrap(now float64, b *protocol.Bootstrap) ([]Write, error) {
+	if n.cluster == b.Cluster && n.cluster != 0 && n.hasReplicas() {
 		return nil, nil
 	}
-	if err := n.checkBootstrap(f); err != nil {
+	if err := n.checkBootstrap(b); err != nil {
 		return nil, err
 	}
 	n.now = now
-	n.learnIncarnations(f.Members)
+	n.learnIncarnations(b.Members)
 	var writes []Write
-	for group := range f.Groups {
-		voters := n.firstVoters(group, f.Members)
+	for group := range b.Groups {
+		voters := n.initialVoters(group, b.Members)
 		if !slices.Contains(voters, uint64(n.id)) {
 			continue
 		}
-		w, err := n.bootstrapReplica(group, voters, f.Snapshots)
+		w, err := n.bootstrapReplica(group, voters, b.Snapshots)
 		if err != nil {
 			return nil, err
 		}
 		writes = append(writes, w)
 	}
-	n.cluster = f.Cluster
+	n.cluster = b.Cluster
 	n.nextHello = 0
 	n.nextAnnounce = 0
 	return writes, nil
 }
 
-func (n *Node) checkBootstrap(f *protocol.Bootstrap) error {
-	if n.cluster != 0 && n.cluster != f.Cluster || n.hasReplicas() { // it may hold what was said to it before it wrote to which cluster it belongs
+func (n *Node) checkBootstrap(b *protocol.Bootstrap) error {
+	if n.cluster != 0 && n.cluster != b.Cluster || n.hasReplicas() { // a server with replicas but no cluster may have stopped before it wrote its cluster
 		return &OtherClusterError{Number: n.self, Cluster: n.cluster}
 	}
-	if f.Cluster == 0 || f.Groups != n.config.Groups || f.Replicas != n.config.Replicas || !slices.Contains(f.Members, n.id) {
+	if b.Cluster == 0 || b.Groups != n.config.Groups || b.Replicas != n.config.Replicas || !slices.Contains(b.Members, n.id) {
 		return &BootstrapMismatchError{Number: n.self, Incarnation: n.id.Incarnation()}
 	}
 	return nil
 }
 
-// learnIncarnations takes up the incarnations of servers of which nothing was heard yet.
+// learnIncarnations sets the incarnations of servers whose incarnation is not known yet.
 func (n *Node) learnIncarnations(members []protocol.ReplicaID) {
 	for _, id := range members {
 		number := id.Number()
@@ -61,8 +63,8 @@
 	}
 }
 
-// firstVoters is who has the replicas of a group after a bootstrap of these members, in order.
-func (n *Node) firstVoters(group int, members []protocol.ReplicaID) []uint64 {
+// initialVoters returns the IDs of the replicas of a group after a bootstrap with these members, in ascending order.
+func (n *Node) initialVoters(group int, members []protocol.ReplicaID) []uint64 {
 	isMember := func(number int) bool {
 		return slices.ContainsFunc(members, func(id protocol.ReplicaID) bool { return id.Number() == number })
 	}
@@ -78,8 +80,8 @@
 	return voters
 }
 
-// bootstrapReplica makes the first replica of a group here, of a snapshot if there are snapshots. All begin with the same
-// Raft snapshot of index and term 1.
+// bootstrapReplica creates the first replica of a group on this server, from the group's snapshot if there are snapshots. All replicas
+// of the group start with the same Raft snapshot, with index and term 1.
 func (n *Node) bootstrapReplica(group int, voters []uint64, snapshots map[int][]byte) (Write, error) {
 	var data []byte
 	if snapshots == nil {
--- a/quotastore/replication/bootstrap_test.go
+++ b/quotastore/replication/bootstrap_test.go
@@ -7,7 +7,7 @@
 	"otterseam/quotastore/protocol"
 )
 
-// testBootstrap is of cluster 5 and of an incarnation of server 0.
+// testBootstrap returns a bootstrap of cluster 5 with the given incarnation of server 0.
 func testBootstrap(incarnation uint32) *protocol.Bootstrap {
 	return &protocol.Bootstrap{
 		Cluster: 5, Groups: testConfig.Groups, Replicas: testConfig.Replicas,
@@ -15,9 +15,9 @@
 	}
 }
 
-// A bootstrap made for an incarnation that is over, or for another cluster, is not taken part in: the machine may have been lost and
-// come back while others hold what it held.
-func TestBootstrapNamesThisIncarnationAndCluster(t *testing.T) {
+// A server must reject a bootstrap that names its former incarnation or is for a different cluster: it may have lost its data and
+// restarted while other servers still hold the data.
+func TestBootstrapOfOtherIncarnationOrClusterIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		belongsTo uint64
@@ -41,9 +41,10 @@
 	return errors.As(err, &target)
 }
 
-// The first server is bootstrapped, and its messages get to the others before the bootstrap does, as on a busy machine. The others
-// take their part all the same: else a bootstrap is answered that one server alone holds, until its groups are replicated.
-func TestBootstrapIsTakenPartInAfterHearsay(t *testing.T) {
+// The first server is bootstrapped, and its messages reach the other servers before the bootstrap does, as can happen on a busy machine.
+// The other servers must create their replicas all the same. Otherwise the bootstrap is answered while only one server has the groups,
+// until they are replicated.
+func TestBootstrapAfterLearningClusterFromPeer(t *testing.T) {
 	const incarnation = 7
 	b := &protocol.Bootstrap{Cluster: 9, Groups: testConfig.Groups, Replicas: testConfig.Replicas}
 	var nodes []*Node
@@ -64,14 +65,14 @@
 	}
 	for i, n := range nodes[1:] {
 		if n.Cluster() != 9 {
-			t.Fatalf("server %d has not heard of it", i+1)
+			t.Fatalf("server %d has not joined the cluster", i+1)
 		}
 		writes, err := n.Bootstrap(1.2, b)
 		if err != nil || len(writes) != testConfig.Groups {
-			t.Errorf("server %d takes %d of %d groups: %v", i+1, len(writes), testConfig.Groups, err)
+			t.Errorf("server %d creates replicas of %d of %d groups: %v", i+1, len(writes), testConfig.Groups, err)
 		}
 		if again, err := n.Bootstrap(1.3, b); err != nil || len(again) > 0 {
-			t.Errorf("the same bootstrap again: %d writes, %v", len(again), err)
+			t.Errorf("a repeated bootstrap returned %d writes, error %v", len(again), err)
 		}
 		other := *b
 		other.Cluster = 8
--- a/quotastore/replication/client.go
+++ b/quotastore/replication/client.go
@@ -5,7 +5,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// routingKey is the key by which a command finds its group.
+// routingKey returns the key that determines the group of a command.
 func routingKey(c *statemachine.Command) string {
 	switch c.Kind {
 	case statemachine.RecordUnreported, statemachine.MeterUsage:
@@ -15,33 +15,33 @@
 	}
 }
 
-// HandleClient submits a command of a client, which is a gateway; then hears the response once. What only servers may submit is
-// answered as invalid: a client must never speak for a server.
-func (n *Node) HandleClient(now float64, request protocol.Request, then func(protocol.Response)) {
+// HandleClient submits a command of a client, which is a gateway, and calls done once with the response. Commands that only servers
+// may submit get the code Invalid.
+func (n *Node) HandleClient(now float64, request protocol.Request, done func(protocol.Response)) {
 	n.now = now
 	switch request.Command.Kind {
 	case statemachine.Add, statemachine.ReportUsage, statemachine.RecordUnreported, statemachine.AcquireMarker,
 		statemachine.ReleaseMarker, statemachine.MeterUsage:
-		n.submitForClient(request, then)
+		n.submitForClient(request, done)
 	case statemachine.RenewLease:
-		n.renewEverywhere(request, then)
+		n.renewInAllGroups(request, done)
 	default:
-		then(protocol.Response{RequestID: request.ID, Reply: statemachine.Reply{Code: statemachine.Invalid}})
+		done(protocol.Response{RequestID: request.ID, Reply: statemachine.Reply{Code: statemachine.Invalid}})
 	}
 }
 
-func (n *Node) submitForClient(request protocol.Request, then func(protocol.Response)) {
+func (n *Node) submitForClient(request protocol.Request, done func(protocol.Response)) {
 	c := request.Command
 	c.Session = ""
 	c.Sequence = 0
 	c.AckedBelow = 0
 	n.Submit(n.GroupOf(routingKey(&c)), c, func(outcome Outcome, reply statemachine.Reply) {
-		then(protocol.Response{RequestID: request.ID, NotLeader: outcome == Rejected, Unknown: outcome == Unknown, Reply: reply})
+		done(protocol.Response{RequestID: request.ID, NotLeader: outcome == Rejected, Unknown: outcome == Unknown, Reply: reply})
 	})
 }
 
-// renewEverywhere renews a lease at all groups: a holder counts as alive at all of them or at none.
-func (n *Node) renewEverywhere(request protocol.Request, then func(protocol.Response)) {
+// renewInAllGroups renews a lease in all groups, because a holder should count as alive in all of them or in none.
+func (n *Node) renewInAllGroups(request protocol.Request, done func(protocol.Response)) {
 	left := len(n.clients)
 	worst := statemachine.Done
 	for group := range n.clients {
@@ -50,14 +50,15 @@
 				worst = reply.Code
 			}
 			if left--; left == 0 {
-				then(protocol.Response{Group: -1, RequestID: request.ID, Reply: statemachine.Reply{Code: worst, Clock: reply.Clock}})
+				done(protocol.Response{Group: -1, RequestID: request.ID, Reply: statemachine.Reply{Code: worst, Clock: reply.Clock}})
 			}
 		})
 	}
 }
 
-// HandleAdmin does what an operator's command asks; then hears the answer. What a bootstrap writes has to be written before that.
-func (n *Node) HandleAdmin(now float64, a *protocol.Admin, write func([]Write) error, then func(*protocol.Admin)) {
+// HandleAdmin executes an operator's command and calls done once with the answer. write must make the writes of a bootstrap durable
+// before it returns.
+func (n *Node) HandleAdmin(now float64, a *protocol.Admin, write func([]Write) error, done func(*protocol.Admin)) {
 	n.now = now
 	answer := &protocol.Admin{Operation: a.Operation, Replica: n.self, Incarnation: n.id.Incarnation(), Cluster: n.cluster}
 	switch a.Operation {
@@ -68,12 +69,12 @@
 	case protocol.OperationSnapshot:
 		answer.Snapshots = n.ledSnapshots()
 	case protocol.OperationCollectUsage:
-		n.collectUsage(a.Batch, answer, then)
+		n.collectUsage(a.Batch, answer, done)
 		return
 	default:
 		answer.Failure = "nothing that a keeper knows"
 	}
-	then(answer)
+	done(answer)
 }
 
 func (n *Node) handleBootstrap(b *protocol.Bootstrap, write func([]Write) error, answer *protocol.Admin) {
@@ -91,7 +92,7 @@
 	answer.Cluster = n.cluster
 }
 
-// ledSnapshots returns the states of the groups that are led here.
+// ledSnapshots returns the snapshots of the groups that this server leads.
 func (n *Node) ledSnapshots() map[int][]byte {
 	all := map[int][]byte{}
 	for r := range n.localReplicas {
@@ -103,7 +104,7 @@
 }
 
 // collectUsage collects a batch of metered usage from all groups.
-func (n *Node) collectUsage(batch uint64, answer *protocol.Admin, then func(*protocol.Admin)) {
+func (n *Node) collectUsage(batch uint64, answer *protocol.Admin, done func(*protocol.Admin)) {
 	left := len(n.clients)
 	for group := range n.clients {
 		n.Submit(group, statemachine.Command{Kind: statemachine.CollectUsage, Version: batch}, func(outcome Outcome, reply statemachine.Reply) {
@@ -117,7 +118,7 @@
 				answer.Usage = append(answer.Usage, reply.Usage...)
 			}
 			if left--; left == 0 {
-				then(answer)
+				done(answer)
 			}
 		})
 	}
--- a/quotastore/replication/election.go
+++ b/quotastore/replication/election.go
@@ -1,28 +1,29 @@
 package replication
 
 const (
-	// minElectionTimeout is the least silence of a leader after which a replica campaigns, in seconds; the most is twice that.
+	// minElectionTimeout is the minimum time without contact to a leader after which a replica campaigns, in seconds. The maximum is
+	// twice that.
 	minElectionTimeout = tickInterval * electionTicks
-	// A replica that knows that its leader's process is gone campaigns after minOrphanTimeout to minOrphanTimeout +
-	// orphanTimeoutSpread seconds.
+	// A replica whose leader's process has ended campaigns after minOrphanTimeout to minOrphanTimeout + orphanTimeoutSpread
+	// seconds.
 	minOrphanTimeout    = 0.02
 	orphanTimeoutSpread = 0.18
 )
 
-// electionTimer says when a replica campaigns. The Raft library's own elections draw random numbers that no seed gives; so the library
-// is told to campaign, at a time drawn here, and only counts ticks itself.
+// electionTimer determines when a replica campaigns. The Raft library draws its own election timeouts from random numbers that can't
+// be seeded. So the library only counts ticks, and this package draws the timeout and calls Campaign.
 type electionTimer struct {
-	lastContact float64 // with a leader
-	timeout     float64 // for how long the leader may be silent, in seconds
+	lastContact float64 // time of the last contact with a leader
+	timeout     float64 // in seconds
 }
 
-// reset begins to wait for a leader anew, for a random time.
+// reset restarts the timer with a random timeout.
 func (t *electionTimer) reset(n *Node) {
 	t.lastContact = n.now
 	t.timeout = minElectionTimeout * (1 + n.random.Float64())
 }
 
-// shorten waits for a leader that is known to be gone.
+// shorten restarts the timer with the shorter random timeout that applies when the leader's process has ended.
 func (t *electionTimer) shorten(n *Node) {
 	t.lastContact = n.now
 	t.timeout = minOrphanTimeout + orphanTimeoutSpread*n.random.Float64()
@@ -30,7 +31,7 @@
 
 func (t *electionTimer) elapsed(now float64) bool { return now-t.lastContact > t.timeout }
 
-// tick lets time go on for the Raft library.
+// tick advances the tick count of the Raft library, and campaigns when the election timeout has elapsed.
 func (r *replica) tick(now float64) {
 	if r.leadership.leads {
 		r.raft.Tick()
@@ -39,16 +40,16 @@
 	r.raft.TickQuiesced()
 	if r.election.elapsed(now) {
 		r.election.reset(r.node)
-		_ = r.raft.Campaign() // a replica that may not campaign goes on waiting
+		_ = r.raft.Campaign() // a replica that can't campaign waits for the next timeout
 	}
 }
 
-// peerDown says that the process of a server is gone. If it led the group there is no need to wait for its silence.
+// peerDown handles the end of a server's process. If that server led the group, the replica campaigns after a shorter timeout.
 func (r *replica) peerDown(number int) {
 	if r.leadership.leads || r.leadership.leader == 0 || r.leadership.number() != number {
 		return
 	}
-	_ = r.raft.ForgetLeader() // a replica that may not forget its leader waits the shorter time all the same
+	_ = r.raft.ForgetLeader() // the shorter timeout applies even if the leader can't be forgotten
 	r.election.shorten(r.node)
 	r.updateLeadership()
 }
--- a/quotastore/replication/errors.go
+++ b/quotastore/replication/errors.go
@@ -6,33 +6,33 @@
 )
 
 var (
-	// ErrInvalidConfig says that a server can't be made of its number, incarnation, list and configuration.
-	ErrInvalidConfig = errors.New("server: its number, incarnation, groups, replicas or log are out of range")
-	// ErrServerRemoved says that a list is shorter than the one before.
-	ErrServerRemoved = errors.New("servers can't be taken off the list: say that they are leaving")
+	// ErrInvalidConfig is returned by New for a number, incarnation, list or configuration that is out of range.
+	ErrInvalidConfig = errors.New("server: number, incarnation, length of the list, groups, replicas, log length or snapshot rate out of range")
+	// ErrServerRemoved is returned for a list that is shorter than the previous one.
+	ErrServerRemoved = errors.New("servers can't be removed from the list: mark them as leaving instead")
 )
 
-// ServerRenamedError says that a list has another server in a place than the list before.
+// ServerRenamedError is returned for a list with a server whose name differs from the previous list at the same position.
 type ServerRenamedError struct {
 	Number   int
 	Old, New string
 }
 
 func (e *ServerRenamedError) Error() string {
-	return fmt.Sprintf("server %d was %s and is %s now: only new ones at the end are taken up", e.Number, e.Old, e.New)
+	return fmt.Sprintf("server %d was %s and is %s now: servers can only be added at the end of the list", e.Number, e.Old, e.New)
 }
 
-// UnknownGroupError says that a group was stored that the configuration does not have.
+// UnknownGroupError is returned if the stored data has a group that the configuration doesn't have.
 type UnknownGroupError struct {
 	Group  int
 	Groups int // of the configuration
 }
 
 func (e *UnknownGroupError) Error() string {
-	return fmt.Sprintf("group %d was written, and the list has %d groups: their number is fixed at the bootstrap", e.Group, e.Groups)
+	return fmt.Sprintf("stored data has group %d, but the configuration has %d groups: the number of groups can't change after the bootstrap", e.Group, e.Groups)
 }
 
-// GroupError says of which group an error is.
+// GroupError is an error of one group.
 type GroupError struct {
 	Group int
 	Err   error
@@ -42,19 +42,19 @@
 
 func (e *GroupError) Unwrap() error { return e.Err }
 
-// OtherClusterError says that a server belongs to a cluster already, and not to the one that is bootstrapped. Its text goes on the wire,
-// in the answer to an operator's command.
+// OtherClusterError is returned for the bootstrap of a cluster if the server already belongs to another one. Its text is part of the
+// answer to an operator's command.
 type OtherClusterError struct {
 	Number  int
-	Cluster uint64 // the one it belongs to
+	Cluster uint64 // the one that the server belongs to
 }
 
 func (e *OtherClusterError) Error() string {
 	return fmt.Sprintf("keeper %d belongs to installation %016x", e.Number, e.Cluster)
 }
 
-// BootstrapMismatchError says that a bootstrap does not name this incarnation of a server, or is of other groups or replicas. Its text goes on the
-// wire, in the answer to an operator's command.
+// BootstrapMismatchError is returned for a bootstrap that doesn't include this incarnation of the server, or whose number of groups or
+// replicas differs from the configuration. Its text is part of the answer to an operator's command.
 type BootstrapMismatchError struct {
 	Number      int
 	Incarnation uint32
--- a/quotastore/replication/health.go
+++ b/quotastore/replication/health.go
@@ -5,10 +5,10 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// inSyncSilence is for how many seconds a server may not be known to be alive and have its replicas count as in sync.
+// inSyncSilence is the maximum time since a server was last known to be alive, in seconds, at which its replicas count as in sync.
 const inSyncSilence = 1.0
 
-// Health returns how all groups stand as seen here, by number.
+// Health returns the state of all groups as known to this server, by group.
 func (n *Node) Health() []protocol.GroupHealth {
 	all := make([]protocol.GroupHealth, n.config.Groups)
 	for group := range all {
@@ -18,14 +18,14 @@
 		h.Leader = c.leader
 		h.Unavailable = n.cluster == 0 || c.unavailable(n.now)
 		if r := n.replicas[group]; r != nil && r.applied > 0 {
-			r.describe(h)
+			r.fillHealth(h)
 		}
 	}
 	return all
 }
 
-// describe fills in what a replica knows.
-func (r *replica) describe(h *protocol.GroupHealth) {
+// fillHealth sets the fields that depend on the replica.
+func (r *replica) fillHealth(h *protocol.GroupHealth) {
 	h.HasReplica = true
 	h.IsLeader = r.leadership.leads
 	h.Counters = r.state.CounterCount()
@@ -37,21 +37,22 @@
 	h.AllInSync = r.leadership.leads && r.allInSync()
 }
 
-// allInSync reports whether all other replicas answer their leader, which is this one, and follow it closely.
+// allInSync reports whether the servers of all other replicas are alive and the replicas are nearly caught up. This replica must be
+// the leader.
 func (r *replica) allInSync() bool {
 	for id, progress := range r.raft.Status().Progress {
 		if id == uint64(r.node.id) {
 			continue
 		}
 		silence := r.node.now - r.node.status[protocol.ReplicaID(id).Number()].aliveAt
-		if silence > inSyncSilence || progress.Match+closeBehind < r.applied {
+		if silence > inSyncSilence || progress.Match+maxCatchUpLag < r.applied {
 			return false
 		}
 	}
 	return true
 }
 
-// GroupState returns the state of a replica here, to be read only; nil: there is none.
+// GroupState returns the state of a group's replica on this server, which the caller must not change; nil: there is no replica.
 func (n *Node) GroupState(group int) *statemachine.State {
 	if r := n.replicas[group]; r != nil {
 		return r.state
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// AppliedIndex returns how far a replica's state has come in its log; 0: there is none here.
+// AppliedIndex returns the index of the last log entry applied by a group's replica on this server; 0: there is no replica.
 func (n *Node) AppliedIndex(group int) uint64 {
 	if r := n.replicas[group]; r != nil {
 		return r.applied
--- a/quotastore/replication/helpers_test.go
+++ b/quotastore/replication/helpers_test.go
@@ -9,7 +9,7 @@
 
 const testIncarnation = 9
 
-// peers is a list of n servers in so many zones.
+// peers returns a list of n servers that are distributed over a number of zones.
 func peers(n, zones int) (all []Peer) {
 	for i := range n {
 		all = append(all, Peer{Name: fmt.Sprint("k", i), Zone: fmt.Sprint("z", i%zones)})
@@ -17,9 +17,9 @@
 	return all
 }
 
-func anyone(int) bool { return true }
+func anyServer(int) bool { return true }
 
-// newNode is server 0 of three, of a cluster or (0) of none yet.
+// newNode returns server 0 of three, which belongs to the given cluster; 0: none yet.
 func newNode(t *testing.T, cluster uint64) *Node {
 	t.Helper()
 	n, err := New(0, testIncarnation, cluster, peers(3, 3), testConfig, 1, nil)
--- a/quotastore/replication/maintain.go
+++ b/quotastore/replication/maintain.go
@@ -4,30 +4,30 @@
 
 const (
 	maintainInterval = 0.25 // seconds between two rounds of a leader's maintenance
-	maxIdle          = 0.25 // seconds without a batch after which a leader has the group's clock go on
-	maxRecoveries    = 64   // unreported usage that is recovered in one round
+	maxIdle          = 0.25 // seconds without a batch after which a leader proposes one to advance the group's clock
+	maxRecoveries    = 64   // maximum number of recoveries of unreported usage in one round
 )
 
-// maintain is what a leader does for its group now and then: time that goes on though nobody asks, snapshots that did not get there,
-// unreported usage of expired holders, and who should have a replica.
+// maintain does the periodic work of a leader: it advances the clock of an idle group, fails late snapshot transfers, recovers
+// unreported usage of expired holders, and reconciles the membership of the group.
 func (r *replica) maintain(now float64) {
 	if !r.leadership.leads || now-r.maintainedAt < maintainInterval {
 		return
 	}
 	r.maintainedAt = now
-	r.proposals.forgetOld(now)
+	r.proposals.dropExpired(now)
 	if !r.state.Idle() && now-r.proposals.lastAt > maxIdle {
-		r.enqueue(statemachine.Command{Kind: statemachine.Tick}, requester{server: nobody})
+		r.enqueue(statemachine.Command{Kind: statemachine.Tick}, requester{server: noRequester})
 	}
-	r.failLateTransfers(now)
+	r.expireTransfers(now)
 	if r.isCurrent() {
 		r.recoverUnreported()
 		r.reconcileMembers(now)
 	}
 }
 
-// recoverUnreported has what expired holders had not reported added to the counters, in whichever groups those are. It is asked for
-// again until it is done; a second time changes nothing.
+// recoverUnreported submits the recovery of the unreported usage of expired holders to the groups of the counters. A failed recovery
+// is submitted again in a later round, which is safe because a repeated one changes nothing.
 func (r *replica) recoverUnreported() {
 	n := r.node
 	for _, u := range r.state.UnrecoveredUsage(maxRecoveries) {
@@ -36,7 +36,7 @@
 			continue
 		}
 		n.recovering[key] = true
-		if u.TTL <= 0 { // the counter's window is over
+		if u.TTL <= 0 { // the counter has expired
 			r.clearUnreported(u, key)
 			continue
 		}
--- a/quotastore/replication/members.go
+++ b/quotastore/replication/members.go
@@ -10,30 +10,30 @@
 	"otterseam/quotastore/protocol"
 )
 
-// closeBehind is by how many entries a replica may be behind its leader and count as caught up.
-const closeBehind = 64
+// maxCatchUpLag is the maximum number of log entries by which a replica lags behind its leader and still counts as caught up.
+const maxCatchUpLag = 64
 
-// replaceReason is why a voter should be replaced; a higher one comes first.
+// replaceReason is the reason to replace a voter. Voters with a higher reason are replaced first.
 type replaceReason int
 
 const (
 	staysVoter replaceReason = iota
-	notPlaced                // other servers come before it in the group's order
-	draining                 // it is to leave, or is not in the list any more
-	lost                     // it has been silent for long
-	former                   // it is of a former incarnation: it remembers nothing
+	notPlaced                // other servers come first in the group's order
+	draining                 // the server is draining, or not in the list
+	lost                     // the server has been silent for too long
+	former                   // the replica belongs to a former incarnation, whose data is lost
 )
 
-// reconcileMembers brings the group's membership nearer to what it should be, by one change at a time.
+// reconcileMembers changes the group's membership towards the wanted one, by one change at a time.
 func (r *replica) reconcileMembers(now float64) {
 	if len(r.members.VotersOutgoing) > 0 || len(r.members.LearnersNext) > 0 {
-		return // a change is under way
+		return // a change is in progress
 	}
 	status := r.raft.Status()
 	wanted := PlaceReplicas(r.group, r.node.peers, r.node.config.Replicas, func(number int) bool { return r.node.canHost(now, number) })
 	outgoing := r.voterToReplace(now, wanted)
 	switch {
-	case len(r.members.Learners) > 0: // there is one at most; it is brought in, or taken out, before anything else
+	case len(r.members.Learners) > 0: // there is at most one, which is promoted or removed before any other change
 		r.reconcileLearner(now, status, wanted, outgoing)
 	case outgoing == 0 && len(r.members.Voters) >= r.node.config.Replicas:
 	case r.node.isTransferring():
@@ -42,7 +42,7 @@
 	}
 }
 
-// voterToReplace returns the ID of the voter that should be replaced first; 0: none.
+// voterToReplace returns the ID of the voter to replace first; 0: none.
 func (r *replica) voterToReplace(now float64, wanted []int) uint64 {
 	var first uint64
 	most := staysVoter
@@ -71,8 +71,8 @@
 	}
 }
 
-// reconcileLearner makes a learner that has caught up a voter, in the place of outgoing unless that is 0, and removes one that is not
-// wanted any more.
+// reconcileLearner promotes a learner that has caught up to a voter, which replaces outgoing unless that is 0. It removes a learner
+// that is no longer wanted.
 func (r *replica) reconcileLearner(now float64, status raft.Status, wanted []int, outgoing uint64) {
 	id := r.members.Learners[0]
 	number := protocol.ReplicaID(id).Number()
@@ -81,8 +81,8 @@
 		return
 	}
 	progress := status.Progress[id]
-	if !progress.RecentActive || progress.Match == 0 || progress.Match+closeBehind < r.applied {
-		return // still being replicated
+	if !progress.RecentActive || progress.Match == 0 || progress.Match+maxCatchUpLag < r.applied {
+		return // still catching up
 	}
 	if outgoing == uint64(r.node.id) {
 		r.transferLeadership(status)
@@ -95,8 +95,8 @@
 	r.changeMembers(changes...)
 }
 
-// addLearner begins to replicate the group to the first server that should have a replica and has none. Where there is none, a server
-// that should leave, or is lost, goes on counting, as two of two would else be one.
+// addLearner adds the first server that should have a replica and has none as a learner. If there is no such server nothing changes:
+// a voter that is draining or lost stays a voter, since removing it would leave fewer voters than Replicas.
 func (r *replica) addLearner(wanted []int) {
 	for _, number := range wanted {
 		id := uint64(protocol.NewReplicaID(number, r.node.status[number].incarnation))
@@ -107,7 +107,8 @@
 	}
 }
 
-// transferLeadership has the voter lead that is nearest to this one, so that this one can leave.
+// transferLeadership transfers the leadership to the active voter with the most replicated log entries, so that this replica can be
+// removed.
 func (r *replica) transferLeadership(status raft.Status) {
 	var next, match uint64
 	for _, id := range r.members.Voters {
@@ -123,7 +124,7 @@
 
 func (r *replica) changeMembers(changes ...*pb.ConfChangeSingle) {
 	if r.raft.ProposeConfChange(&pb.ConfChangeV2{Changes: changes}) != nil {
-		return // tried again with the next round of maintenance
+		return // retried in the next round of maintenance
 	}
 	r.node.MembershipChanges++
 	for _, c := range changes {
@@ -145,21 +146,21 @@
 	r.node.nextAnnounce = 0
 }
 
-// A replica that is no member of its group any more is removed once the group's leader has announced so for some seconds and nothing
-// else has come of the group; a leader that has not caught up, or a message that was delayed on its way, must not remove a replica that
-// counts.
+// A replica that is no longer a member of its group is removed after the group's leader has announced a membership without it for some
+// seconds, during which the replica received no other message of the group. So neither a leader that lags behind nor a delayed message
+// can remove a replica that is a member.
 const (
-	removalNoticeSpacing = 0.4 // seconds between two announcements that count as two
+	removalNoticeSpacing = 0.4 // minimum seconds between two announcements that are counted
 	removalNoticesNeeded = 10
 )
 
-// removalNotices are announcements of a leader by which this replica is no member of the group, with nothing else between.
+// removalNotices counts consecutive announcements of a leader that don't include this replica as a member.
 type removalNotices struct {
 	count  int
 	lastAt float64
 }
 
-// isRemoved takes an announcement of a leader, and reports whether this replica is to be removed.
+// isRemoved counts an announcement of a leader, and reports whether this replica is to be removed.
 func (r *replica) isRemoved(a *protocol.LeaderAnnouncement) bool {
 	last, err := r.log.LastIndex()
 	isMember := slices.Contains(a.Members, uint64(r.node.id))
--- a/quotastore/replication/node.go
+++ b/quotastore/replication/node.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// detectorMessageRate is how many messages a second the failure detector reckons with; detectorShare of them are its own.
+	// detectorMessageRate is the number of messages a second that the failure detector is configured for, and detectorShare the
+	// fraction of them that it uses while nothing fails.
 	detectorMessageRate = 60
 	detectorShare       = 0.5
-	neverAlive          = -1e9 // seconds; before any time to which Node is told
+	neverAlive          = -1e9 // seconds; earlier than any time passed to Node
 )
 
-// Config is what all servers of a cluster have to agree on.
+// Config is the configuration, which must be the same on all servers of a cluster.
 type Config struct {
-	Groups        int     // into which keys are spread
-	Replicas      int     // of each group: 3 or 5
-	MaxLogEntries int     // of a log, after which a snapshot takes their place
-	SnapshotRate  float64 // bytes a second at which snapshots are sent to one server
-	ReplaceAfter  float64 // seconds after which the replicas of a silent server are made anew on others
+	Groups        int     // number of groups over which keys are distributed
+	Replicas      int     // number of replicas of each group: 3 or 5
+	MaxLogEntries int     // number of log entries after which a snapshot is made
+	SnapshotRate  float64 // rate at which snapshots are sent to one server, in bytes a second
+	ReplaceAfter  float64 // seconds of silence after which a server's replicas are created on other servers
 }
 
 // Bounds of a configuration.
@@ -41,55 +42,56 @@
 	return groups && replicas && c.MaxLogEntries >= minLogEntries && c.SnapshotRate > 0
 }
 
-// peerStatus is what a server knows of one in the list.
+// peerStatus is what this server knows about a server in the list.
 type peerStatus struct {
-	incarnation uint32  // 0: never heard of
-	aliveAt     float64 // when it was last known to be alive
+	incarnation uint32  // 0: unknown
+	aliveAt     float64 // time at which it was last known to be alive
 }
 
-// Node is one server.
+// Node is one server of the quota store.
 type Node struct {
-	self    int // its number, which is its place in the list
-	id      protocol.ReplicaID
-	cluster uint64 // 0: it belongs to none yet
-	peers   []Peer
-	status  []peerStatus // by number
-	config  Config
-	random  rng.Stream
-	run     uint64 // another one in each process: an incarnation that has a disk may have several
+	self        int // number of this server, which is its position in the list
+	id          protocol.ReplicaID
+	cluster     uint64 // ID of its cluster; 0: none yet
+	peers       []Peer
+	status      []peerStatus // by number
+	config      Config
+	random      rng.Stream
+	processSeed uint64 // seed of this process; an incarnation whose disk survives has a new one in each process
 
 	now          float64
-	raftTickAt   float64 // when replicas last ticked
+	raftTickAt   float64 // time of the last tick of the replicas
 	nextHello    float64
 	nextAnnounce float64
 
-	replicas  []*replica     // by group; nil: none here
+	replicas  []*replica     // by group; nil: no replica on this server
 	clients   []*groupClient // by group
 	detector  *membership.Detector
 	submitted uint64 // sequence number of the last request
 
 	recovering     map[string]bool // unreported usage that is being recovered, by holder and key
-	lastSnapshotAt float64         // when a snapshot of any group was last made
-	dropped        []Write         // of replicas that were removed
+	lastSnapshotAt float64         // time of the last snapshot of any group
+	dropped        []Write         // for replicas that were removed
 	outbox         []Message
 	logLines       []string
-	rejecting      bool // requests of some group
+	rejecting      bool // whether some group has no leader and its requests are rejected
 	err            error
 
-	// RecoveredUsages counts unreported usage of expired holders that was recovered, MembershipChanges changes of who has a
-	// replica.
+	// RecoveredUsages counts the recoveries of unreported usage of expired holders. MembershipChanges counts the proposed changes of
+	// the membership of groups.
 	RecoveredUsages, MembershipChanges int
 }
 
-// New makes a server: its place in the list, its incarnation, the cluster it belongs to (0: none yet), a seed that no process of
-// it had before, and what it had written by group. The error wraps ErrInvalidConfig, or is an UnknownGroupError or a GroupError.
+// New returns a server. self is its position in the list, cluster is the ID of its cluster (0: none yet), seed must differ from the
+// seeds of its earlier processes, and saved is its persistent state by group. The error is ErrInvalidConfig, an UnknownGroupError or
+// a GroupError.
 func New(self int, incarnation uint32, cluster uint64, peers []Peer, config Config, seed uint64, saved map[int]*PersistentState) (*Node, error) {
 	if !config.valid() || self < 0 || self >= len(peers) || len(peers) > maxServers || incarnation == 0 {
 		return nil, ErrInvalidConfig
 	}
 	n := &Node{
 		self: self, id: protocol.NewReplicaID(self, incarnation), cluster: cluster, config: config, replicas: make([]*replica, config.Groups),
-		random: rng.New("keeper %d %d ", self, seed), recovering: map[string]bool{}, run: seed, submitted: seed << 32 >> 1,
+		random: rng.New("keeper %d %d ", self, seed), recovering: map[string]bool{}, processSeed: seed, submitted: seed << 32 >> 1,
 	}
 	n.setPeers(peers, seed)
 	n.status[self].incarnation = incarnation
@@ -109,7 +111,7 @@
 	return n, nil
 }
 
-// setPeers takes the list; servers are known by their place in it.
+// setPeers sets the list of servers. A server is identified by its position in the list.
 func (n *Node) setPeers(peers []Peer, seed uint64) {
 	n.peers = peers
 	for len(n.status) < len(peers) {
@@ -122,8 +124,8 @@
 	}
 }
 
-// SetPeers takes up a list to which servers were added, or in which some are to leave. The error is ErrServerRemoved or a
-// ServerRenamedError.
+// SetPeers sets a new list, to which servers may be added at the end, or in which servers may be marked as draining. The error is
+// ErrServerRemoved or a ServerRenamedError.
 func (n *Node) SetPeers(now float64, peers []Peer, seed uint64) error {
 	if len(peers) < len(n.peers) {
 		return ErrServerRemoved
@@ -142,36 +144,36 @@
 	n.logLines = append(n.logLines, fmt.Sprintf(format, args...))
 }
 
-// TakeLogLines returns what is to be logged since the last call.
+// TakeLogLines returns the lines for the log since the last call.
 func (n *Node) TakeLogLines() []string {
 	lines := n.logLines
 	n.logLines = nil
 	return lines
 }
 
-// Err says why this server can't go on; nil: it can.
+// Err returns the error that stopped this server; nil: none.
 func (n *Node) Err() error { return n.err }
 
-// fail ends this server, whose caller has to look at Err.
+// fail stops this server with an error that Err returns to the caller.
 func (n *Node) fail(err error) {
 	if n.err == nil {
 		n.err = err
 	}
 }
 
-// Cluster is the cluster that it belongs to; 0: none yet.
+// Cluster returns the ID of the cluster that the server belongs to; 0: none yet.
 func (n *Node) Cluster() uint64 { return n.cluster }
 
-// Incarnation is which of its incarnations this is. A server that has lost what it held has another one.
+// Incarnation returns the incarnation of this server. A server that has lost its data gets a new one.
 func (n *Node) Incarnation() uint32 { return n.id.Incarnation() }
 
-// Groups is how many groups there are.
+// Groups returns the number of groups.
 func (n *Node) Groups() int { return n.config.Groups }
 
-// GroupOf is the group that holds a key.
+// GroupOf returns the group of a key.
 func (n *Node) GroupOf(key string) int { return GroupOf(key, n.config.Groups) }
 
-// localReplicas iterates over the replicas here, in the order of their groups.
+// localReplicas iterates over the replicas on this server, in the order of their groups.
 func (n *Node) localReplicas(yield func(r *replica) bool) {
 	for _, r := range n.replicas {
 		if r != nil && !yield(r) {
@@ -180,7 +182,7 @@
 	}
 }
 
-// hasReplicas reports whether any group has a replica here.
+// hasReplicas reports whether any group has a replica on this server.
 func (n *Node) hasReplicas() bool {
 	for range n.localReplicas {
 		return true
@@ -188,7 +190,7 @@
 	return false
 }
 
-// isFormer reports whether a replica is of a former incarnation of its server.
+// isFormer reports whether a replica belongs to a former incarnation of its server.
 func (n *Node) isFormer(id protocol.ReplicaID) bool {
 	number := id.Number()
 	if number >= len(n.status) {
@@ -198,7 +200,7 @@
 	return incarnation != 0 && incarnation != id.Incarnation()
 }
 
-// isLost reports whether a server has been silent for so long that others should have its replicas.
+// isLost reports whether a server is not in the list, or has been silent for so long that its replicas should be on other servers.
 func (n *Node) isLost(now float64, number int) bool {
 	return number >= len(n.peers) || now-n.status[number].aliveAt > n.config.ReplaceAfter
 }
--- a/quotastore/replication/node_test.go
+++ b/quotastore/replication/node_test.go
@@ -9,7 +9,7 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// Two of three servers are away: requests are rejected at once, with one line in the log, and nothing is executed.
+// Two of three servers are unreachable: requests must be rejected at once, and the log must have one line about it.
 func TestRequestsAreRejectedWithoutAQuorum(t *testing.T) {
 	n := newNode(t, 0)
 	if _, err := n.Bootstrap(0, testBootstrap(testIncarnation)); err != nil {
@@ -40,8 +40,9 @@
 	}
 }
 
-// A server whose list is newer names a leader that is not in the list here: requests wait for one that is.
-func TestALeaderBeyondTheListIsNoLeader(t *testing.T) {
+// A server with a newer list names a leader that is not in this server's list. This server must ignore it, and its requests wait for
+// another leader.
+func TestLeaderMissingFromPeerListIsIgnored(t *testing.T) {
 	n := newNode(t, 5)
 	n.Receive(1, 1, &protocol.Frame{Kind: protocol.KindLeaders, Incarnation: testIncarnation, Leaders: []protocol.LeaderAnnouncement{{Term: 1}}})
 	n.Submit(0, statemachine.Command{Kind: statemachine.ReportUsage, Key: "n", Holder: "h"}, func(Outcome, statemachine.Reply) {})
@@ -50,12 +51,12 @@
 	}})
 	n.Tick(1 + tickInterval)
 	if c := n.clients[0]; c.hasLeader() {
-		t.Fatalf("server %d of %d is taken for the leader", c.leader, len(n.peers))
+		t.Fatalf("server %d of %d counts as the leader", c.leader, len(n.peers))
 	}
 }
 
-// The list is changed while servers run: ones at the end are new, none may change its place.
-func TestListOnlyGrows(t *testing.T) {
+// The list changes while servers run: servers may be added at the end, and no server may change its position.
+func TestPeerListOnlyGrows(t *testing.T) {
 	renamed := peers(4, 3)
 	renamed[1].Name = "else"
 	for _, c := range []struct {
@@ -63,26 +64,26 @@
 		list []Peer
 		want func(error) bool
 	}{
-		{"a server is taken off", peers(2, 3), func(err error) bool { return errors.Is(err, ErrServerRemoved) }},
+		{"a server is removed", peers(2, 3), func(err error) bool { return errors.Is(err, ErrServerRemoved) }},
 		{"a server changes its name", renamed, isError[*ServerRenamedError]},
-		{"two are added", peers(5, 3), func(err error) bool { return err == nil }},
+		{"two servers are added", peers(5, 3), func(err error) bool { return err == nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(t, 5)
 			if err := n.SetPeers(1, c.list, 1); !c.want(err) {
-				t.Fatalf("the list gives %v", err)
+				t.Fatalf("SetPeers returned %v", err)
 			}
 			n.Tick(2)
 		})
 	}
 }
 
-func TestServerIsNotMadeOutOfRange(t *testing.T) {
+func TestNewRejectsArgumentsOutOfRange(t *testing.T) {
 	for name, change := range map[string]func(c *Config, self *int, incarnation *uint32){
 		"no groups":                func(c *Config, _ *int, _ *uint32) { c.Groups = 0 },
 		"too many replicas":        func(c *Config, _ *int, _ *uint32) { c.Replicas = maxReplicas + 1 },
 		"too short a log":          func(c *Config, _ *int, _ *uint32) { c.MaxLogEntries = minLogEntries - 1 },
-		"no rate of snapshots":     func(c *Config, _ *int, _ *uint32) { c.SnapshotRate = 0 },
+		"no snapshot rate":         func(c *Config, _ *int, _ *uint32) { c.SnapshotRate = 0 },
 		"a number beyond the list": func(_ *Config, self *int, _ *uint32) { *self = 3 },
 		"no incarnation":           func(_ *Config, _ *int, incarnation *uint32) { *incarnation = 0 },
 	} {
@@ -90,18 +91,18 @@
 			config, self, incarnation := testConfig, 0, uint32(testIncarnation)
 			change(&config, &self, &incarnation)
 			if _, err := New(self, incarnation, 5, peers(3, 3), config, 1, nil); !errors.Is(err, ErrInvalidConfig) {
-				t.Fatalf("a server was made: %v", err)
+				t.Fatalf("New returned error %v", err)
 			}
 		})
 	}
 	stored := map[int]*PersistentState{testConfig.Groups: {}}
 	if _, err := New(0, testIncarnation, 5, peers(3, 3), testConfig, 1, stored); !isError[*UnknownGroupError](err) {
-		t.Fatalf("a group that the configuration does not have: %v", err)
+		t.Fatalf("New returned error %v for a stored group that the configuration doesn't have", err)
 	}
 }
 
-// A client can't submit what only servers may.
-func TestClientsSubmitNoServerCommands(t *testing.T) {
+// A client must not be able to submit commands that only servers may submit.
+func TestServerCommandsOfClientsAreRejected(t *testing.T) {
 	n := newNode(t, 5)
 	for _, kind := range []statemachine.Kind{
 		statemachine.RecoverUnreported, statemachine.ClearUnreported, statemachine.CollectUsage, statemachine.OpenSession, statemachine.Tick, 200,
@@ -115,7 +116,7 @@
 	}
 }
 
-// Whatever comes on a stream is read or refused, and never ends the server.
+// No frame from a stream may stop the server or cause a panic.
 func FuzzFrame(f *testing.F) {
 	for _, frame := range []*protocol.Frame{
 		protocol.ClientHello(), protocol.RequestsFrame([]protocol.Request{{Command: statemachine.Command{Kind: statemachine.Add, Key: "n"}}}),
@@ -136,7 +137,7 @@
 			return
 		}
 		frame.Incarnation = max(frame.Incarnation, 1)
-		if frame.Kind == protocol.KindRaft { // a message of the library is believed, as its sender is a server
+		if frame.Kind == protocol.KindRaft { // messages of the Raft library are trusted, as only servers send them
 			return
 		}
 		n := newNode(t, 5)
--- a/quotastore/replication/persist.go
+++ b/quotastore/replication/persist.go
@@ -6,26 +6,26 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Write is what has to be durable for one group before anything is sent that rests on it. Parts of it apply in the order of
-// PersistentState.Apply.
+// Write is a change of the persistent state of one group that must be durable before messages that depend on it are sent.
+// PersistentState.Apply defines the order in which its parts take effect.
 type Write struct {
 	Group       int
 	HardState   *pb.HardState // nil: unchanged
-	Entries     []*pb.Entry   // replace what the log has from the index of the first on
+	Entries     []*pb.Entry   // replace the entries of the log from the index of the first on
 	Snapshot    *pb.Snapshot  // nil: none
-	CompactTo   uint64        // with Snapshot: entries up to this index go
-	ReplaceLog  bool          // with Snapshot: all entries go
-	DropReplica bool          // all but the hard state goes
+	CompactTo   uint64        // with Snapshot: entries up to this index are deleted
+	ReplaceLog  bool          // with Snapshot: all entries are deleted
+	DropReplica bool          // everything except the hard state is deleted
 }
 
-// PersistentState is what a replica had written when its process ended.
+// PersistentState is the durable state of a replica.
 type PersistentState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
 	Entries   []*pb.Entry
 }
 
-// Apply brings a state to what it is after a write. Stores that keep it in another form do the same to theirs.
+// Apply applies a write to the state. Storage that keeps the state in another form must apply writes in the same way.
 func (s *PersistentState) Apply(w *Write) {
 	if w.DropReplica {
 		*s = PersistentState{}
@@ -44,12 +44,12 @@
 	}
 }
 
-// deleteEntries makes a new slice, as states that share the old one keep theirs.
+// deleteEntries deletes the entries whose index matches. It makes a new slice because other states may share the old one.
 func (s *PersistentState) deleteEntries(matches func(index uint64) bool) {
 	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return matches(e.GetIndex()) })
 }
 
-// AfterSnapshot returns what a start needs: the entries that the snapshot does not contain.
+// AfterSnapshot returns the state without the entries that the snapshot contains, which a restart doesn't need.
 func (s *PersistentState) AfterSnapshot() *PersistentState {
 	trimmed := *s
 	if s.Snapshot != nil {
--- a/quotastore/replication/persist_test.go
+++ b/quotastore/replication/persist_test.go
@@ -25,17 +25,17 @@
 	return &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(index)}}
 }
 
-func TestWritesApplyToThePersistentState(t *testing.T) {
+func TestPersistentStateApply(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		write      Write
 		want       []uint64 // indices of the log
-		afterStart []uint64 // of what a start needs
+		afterStart []uint64 // indices that a restart needs
 	}{
 		{"entries at the end", Write{Entries: entries(6, 7)}, []uint64{3, 4, 5, 6, 7}, []uint64{3, 4, 5, 6, 7}},
-		{"entries of another leader", Write{Entries: entries(4)}, []uint64{3, 4}, []uint64{3, 4}},
+		{"entries from another leader", Write{Entries: entries(4)}, []uint64{3, 4}, []uint64{3, 4}},
 		{"a snapshot that keeps some entries", Write{Snapshot: snapshotAt(4), CompactTo: 3}, []uint64{4, 5}, []uint64{5}},
-		{"a snapshot of the leader", Write{Snapshot: snapshotAt(9), ReplaceLog: true}, nil, nil},
+		{"a snapshot from the leader", Write{Snapshot: snapshotAt(9), ReplaceLog: true}, nil, nil},
 		{"the replica is removed", Write{HardState: &pb.HardState{}, DropReplica: true}, nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				t.Errorf("the log has entries %v, want %v", got, c.want)
 			}
 			if got := indices(s.AfterSnapshot().Entries); !slices.Equal(got, c.afterStart) {
-				t.Errorf("a start needs entries %v, want %v", got, c.afterStart)
+				t.Errorf("a restart needs entries %v, want %v", got, c.afterStart)
 			}
 		})
 	}
--- a/quotastore/replication/placement.go
+++ b/quotastore/replication/placement.go
@@ -8,19 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Peer is a server as the operator's list has it; its number is its place there.
+// Peer is a server in the operator's list. The position in the list is the number of the server.
 type Peer struct {
 	Name     string
-	Zone     string // failure domain; "": none is known
-	Draining bool   // it is to have no replicas any more
+	Zone     string // failure domain; "": unknown
+	Draining bool   // its replicas are to be moved to other servers
 }
 
-// GroupOf is the group that holds a key.
+// GroupOf returns the group of a key.
 func GroupOf(key string, groups int) int {
 	return int(xxhash.Sum64String(key) % uint64(groups))
 }
 
-// rank puts servers in a group's own order (rendezvous hashing), so that one that comes or goes moves its part only.
+// rank returns the numbers of the servers in an order specific to the group (rendezvous hashing). Adding or removing a server moves
+// only that server's share of the groups.
 func rank(group int, peers []Peer) []int {
 	type weighted struct {
 		number int
@@ -42,8 +43,9 @@
 	return order
 }
 
-// PlaceReplicas returns the numbers of the servers that should have a group's replicas: the first of its order that can, from different
-// zones as far as there are zones enough. All servers with the same list come to the same answer.
+// PlaceReplicas returns the numbers of the servers that should have a group's replicas: the first in the group's order for which
+// canHost returns true, in different zones as far as there are enough zones. The result is the same on all servers with the same list
+// and the same results of canHost.
 func PlaceReplicas(group int, peers []Peer, replicas int, canHost func(number int) bool) []int {
 	order := rank(group, peers)
 	var chosen []int
--- a/quotastore/replication/placement_test.go
+++ b/quotastore/replication/placement_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A server comes, or is lost: only its own part moves.
-func TestNewServerMovesItsPartOnly(t *testing.T) {
+// Adding a server must move only its share of the replicas.
+func TestNewServerMovesOnlyItsShare(t *testing.T) {
 	const groups = 256
 	moved, kept := 0, 0
 	for group := range groups {
-		before := PlaceReplicas(group, peers(6, 1), 3, anyone)
-		after := PlaceReplicas(group, peers(7, 1), 3, anyone)
+		before := PlaceReplicas(group, peers(6, 1), 3, anyServer)
+		after := PlaceReplicas(group, peers(7, 1), 3, anyServer)
 		for _, number := range before {
 			if slices.Contains(after, number) {
 				kept++
@@ -21,21 +21,21 @@
 		}
 	}
 	if part := float64(moved) / float64(moved+kept); part < 0.05 || part > 0.25 {
-		t.Fatalf("one more of seven servers moved %.2f of all replicas", part)
+		t.Fatalf("adding a seventh server moved a fraction of %.2f of all replicas", part)
 	}
 }
 
-// Replicas lie in different zones as far as there are zones, and nowhere twice.
+// The replicas of a group must be on different servers, and in different zones as far as there are enough zones.
 func TestReplicasAreSpreadOverZones(t *testing.T) {
 	list := peers(9, 3)
 	for _, c := range []struct {
 		name            string
 		replicas        int
 		canHost         func(number int) bool
-		servers, inZone int // wanted: servers and, of those, different zones
+		servers, inZone int // wanted number of servers, and of their zones
 	}{
-		{"three replicas", 3, anyone, 3, 3},
-		{"five replicas over three zones", 5, anyone, 5, 3},
+		{"three replicas", 3, anyServer, 3, 3},
+		{"five replicas over three zones", 5, anyServer, 5, 3},
 		{"two servers are left", 3, func(number int) bool { return number < 2 }, 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 				}
 				different := slices.Compact(slices.Sorted(slices.Values(chosen)))
 				if len(chosen) != c.servers || len(different) != c.servers || len(zones) != c.inZone {
-					t.Fatalf("group %d lies on servers %v in %d zones", group, chosen, len(zones))
+					t.Fatalf("group %d is on servers %v in %d zones", group, chosen, len(zones))
 				}
 			}
 		})
--- a/quotastore/replication/proposals.go
+++ b/quotastore/replication/proposals.go
@@ -8,15 +8,15 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// proposalTimeout is how long a proposal whose entry is not committed is remembered, in seconds.
+// proposalTimeout is the time after which a proposal that is not committed is dropped, in seconds.
 const proposalTimeout = 10.0
 
-// nobody is in place of the number of a server that waits for a response.
-const nobody = -1
+// noRequester is the server number of a requester if no server waits for a response.
+const noRequester = -1
 
-// requester is who waits for the response to a command.
+// requester identifies the server and the request that wait for the response to a command.
 type requester struct {
-	server    int // its number, or nobody
+	server    int // number of the server, or noRequester
 	requestID uint64
 }
 
@@ -26,17 +26,17 @@
 	requesters []requester // by command
 }
 
-// proposalKey names a proposal of this replica. The term is part of it, as a sequence number comes again in a later process on the same
-// disk.
+// proposalKey identifies a proposal of this replica. The term is part of the key because a later process on the same disk starts the
+// sequence numbers again.
 type proposalKey struct{ term, sequence uint64 }
 
-// proposals are the commands that a leader was asked for.
+// proposals holds the commands that a leader has received and not yet answered.
 type proposals struct {
 	queue      []statemachine.Command // for the next batch
-	requesters []requester            // by command of the queue
+	requesters []requester            // by command in the queue
 	sequence   uint64                 // of the last batch
 	inFlight   map[proposalKey]*proposal
-	lastAt     float64 // when a batch was last proposed
+	lastAt     float64 // time of the last proposal
 }
 
 func (p *proposals) clearQueue() {
@@ -44,7 +44,7 @@
 	p.requesters = p.requesters[:0]
 }
 
-// enqueue takes a command for the next batch, and reports false if this replica does not lead.
+// enqueue adds a command to the next batch. It returns false if this replica does not lead.
 func (r *replica) enqueue(c statemachine.Command, from requester) bool {
 	if !r.leadership.leads {
 		return false
@@ -54,7 +54,8 @@
 	return true
 }
 
-// rejectQueued says of what was not proposed that it was not. Of what was proposed nothing is known here.
+// rejectQueued rejects the commands in the queue, which were not proposed. The outcome of proposed commands is not known here, so they
+// get no response.
 func (r *replica) rejectQueued() {
 	for _, q := range r.proposals.requesters {
 		r.node.respond(q.server, protocol.Response{Group: r.group, RequestID: q.requestID, NotLeader: true, Leader: r.leadership.number()})
@@ -62,7 +63,7 @@
 	r.proposals.clearQueue()
 }
 
-// propose puts the queue into the log as one batch.
+// propose proposes the queue as one batch.
 func (r *replica) propose(now float64) {
 	p := &r.proposals
 	if len(p.queue) == 0 || !r.leadership.leads || !r.isCurrent() {
@@ -80,7 +81,7 @@
 	p.lastAt = now
 	key := proposalKey{r.leadership.term, p.sequence}
 	p.inFlight[key] = &proposal{proposedAt: now, requesters: slices.Clone(p.requesters)}
-	if mutation.LeaderAcksBeforeCommit { // answered before the others have it
+	if mutation.LeaderAcksBeforeCommit { // responds before the entry is committed
 		for i, reply := range r.state.Apply(&statemachine.Batch{Clock: batch.Clock, Commands: slices.Clone(p.queue)}) {
 			r.respond(p.requesters[i], reply)
 		}
@@ -89,7 +90,7 @@
 	p.clearQueue()
 }
 
-// answer responds to the requesters of a batch of this replica that was applied.
+// answer sends the replies of an applied batch to its requesters, if this replica proposed the batch.
 func (r *replica) answer(key proposalKey, replies []statemachine.Reply) {
 	p := r.proposals.inFlight[key]
 	if p == nil {
@@ -105,8 +106,8 @@
 	r.node.respond(to.server, protocol.Response{Group: r.group, RequestID: to.requestID, Leader: r.leadership.number(), Reply: reply})
 }
 
-// forgetOld forgets proposals that will not be committed as they are.
-func (p *proposals) forgetOld(now float64) {
+// dropExpired deletes proposals that were not committed within proposalTimeout.
+func (p *proposals) dropExpired(now float64) {
 	for key, old := range p.inFlight {
 		if now-old.proposedAt > proposalTimeout {
 			delete(p.inFlight, key)
--- a/quotastore/replication/ready.go
+++ b/quotastore/replication/ready.go
@@ -10,13 +10,13 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// Ready is what has to be written before a Node goes on.
+// Ready holds the writes that must be durable before the Node continues.
 type Ready struct {
 	Writes   []Write
-	replicas []*replica // whose cycle is pending
+	replicas []*replica // replicas whose cycle is pending
 }
 
-// Ready returns what has to be written now; nil: nothing, and all has been said.
+// Ready returns the pending writes; nil: none, and all messages are in the outbox.
 func (n *Node) Ready() *Ready {
 	ready := &Ready{Writes: n.dropped}
 	n.dropped = nil
@@ -30,7 +30,7 @@
 	return ready
 }
 
-// Advance says that all of a Ready is durable, or that there is no place where it could be.
+// Advance continues after all writes of a Ready are durable, or in a process that has no durable storage.
 func (n *Node) Advance(ready *Ready) {
 	for _, r := range ready.replicas {
 		r.advance()
@@ -41,17 +41,17 @@
 type readyCycle struct {
 	ready        raft.Ready
 	pending      bool // ready is being written
-	messagesSent bool // before it is written
+	messagesSent bool // the messages were sent before the write
 }
 
-// hardState is a replica's term, vote and commit index. How far the group has committed need not be durable by itself, as it is told
-// again; so it is written along with what must be.
+// hardState is a replica's term, vote and commit index. A change of the commit index alone needs no write of its own, because the
+// leader sends the index again. It is written together with the next write that is required.
 type hardState struct {
 	current, written *pb.HardState // nil: none yet
-	changed          bool          // since it was last written
+	changed          bool          // whether current changed since the last write
 }
 
-// update takes a new hard state, if there is one, and reports whether term or vote differ from what was last written.
+// update sets the current hard state unless next is empty, and reports whether the term or the vote differ from those last written.
 func (h *hardState) update(next *pb.HardState) (voteChanged bool) {
 	if !raft.IsEmptyHardState(next) {
 		h.current = next
@@ -60,7 +60,7 @@
 	return h.current.GetTerm() != h.written.GetTerm() || h.current.GetVote() != h.written.GetVote()
 }
 
-// takeChanged returns what is to be written, and takes it for written; nil: nothing has changed.
+// takeChanged returns the hard state to write, and marks it as written; nil: nothing has changed.
 func (h *hardState) takeChanged() *pb.HardState {
 	if !h.changed {
 		return nil
@@ -70,7 +70,7 @@
 	return h.current
 }
 
-// collect adds what this replica has to write.
+// collect adds the writes of this replica.
 func (r *replica) collect(ready *Ready) {
 	if !r.cycle.pending && r.raft.HasReady() {
 		r.beginCycle(ready)
@@ -81,7 +81,8 @@
 	}
 }
 
-// beginCycle takes a Ready of the Raft library. A leader sends its messages at once: they need not wait for its own write.
+// beginCycle processes a Ready of the Raft library. A leader sends its messages at once, since they need not wait for its own
+// write unless its term or vote changes.
 func (r *replica) beginCycle(ready *Ready) {
 	r.cycle = readyCycle{ready: r.raft.Ready(), pending: true}
 	ready.replicas = append(ready.replicas, r)
@@ -95,7 +96,7 @@
 	if hasSnapshot {
 		w.Snapshot = rd.Snapshot
 		w.ReplaceLog = true
-		r.snapshots.unwritten = nil // written after it, an older one of its own would take its place
+		r.snapshots.unwritten = nil // an older snapshot of this replica must not be written after the received one
 	}
 	if r.leadership.leads && !voteChanged || mutation.ReplicaSendsBeforeSync {
 		r.cycle.messagesSent = true
@@ -106,7 +107,7 @@
 	}
 }
 
-// advance ends the cycle: what it gave is durable.
+// advance ends the cycle after its writes are durable.
 func (r *replica) advance() {
 	rd := r.cycle.ready
 	if !raft.IsEmptySnap(rd.Snapshot) {
@@ -115,7 +116,7 @@
 	if !raft.IsEmptyHardState(rd.HardState) {
 		r.must(r.log.SetHardState(rd.HardState))
 	}
-	r.must(r.log.Append(rd.Entries)) // follows what is there: the library sees to that
+	r.must(r.log.Append(rd.Entries)) // the library ensures that the entries follow the log without a gap
 	if !r.cycle.messagesSent {
 		r.send(rd.Messages)
 	}
@@ -128,7 +129,7 @@
 	r.compact()
 }
 
-// must ends the server on an error after which the replica can't go on.
+// must stops the server on an error after which the replica can't continue.
 func (r *replica) must(err error) {
 	if err != nil {
 		r.node.fail(&GroupError{Group: r.group, Err: err})
@@ -139,7 +140,7 @@
 	for _, m := range messages {
 		bulk := m.GetType() == pb.MsgSnap
 		if bulk {
-			r.transferBegins(m)
+			r.beginTransfer(m)
 		}
 		encoded, err := proto.Marshal(m)
 		if err != nil {
@@ -161,10 +162,10 @@
 	case pb.EntryConfChangeV2:
 		r.applyMembership(e)
 	case pb.EntryNormal:
-		if len(e.Data) > 0 { // a leader begins its term with an empty entry
+		if len(e.Data) > 0 { // a leader starts its term with an empty entry
 			r.applyBatch(e)
 		}
-	default: // the first form of membership changes is never proposed
+	default: // EntryConfChange, the older form of membership changes, is never proposed
 	}
 }
 
--- a/quotastore/replication/recorded_test.go
+++ b/quotastore/replication/recorded_test.go
@@ -18,28 +18,28 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// The exchange in testdata/recorded is what three stores, as the code of commit 1895881 had them, sent each other and wrote over
-// some seconds of a simulated network on which nothing is lost: hellos, membership, the consensus library's messages with
-// entries, changes of members and snapshots, who leads, what is asked in sessions, and the answers. Stores of that code and
-// later ones have to understand each other, and a later one has to find its way on what lies on disks.
+// The exchange in testdata/recorded consists of the messages and writes of three servers that run the code of commit 1895881, over some
+// seconds on a simulated network without loss: hellos, messages of the failure detector, messages of the Raft library with entries,
+// membership changes and snapshots, leadership announcements, requests in sessions, and responses. Later versions must be able to
+// communicate with servers that run that code, and to read the data that it wrote.
 
-// exchange is a simulated network of stores that notes all that is sent and written.
+// exchange simulates a network of servers and records all messages and writes.
 type exchange struct {
-	t     *testing.T
-	now   float64
-	nodes []*Node
-	mail  [][]Message // by sender
-	raw   bytes.Buffer
-	kinds map[uint8]int
-	raft  map[pb.MessageType]int
-	wrote map[string]int
+	t         *testing.T
+	now       float64
+	nodes     []*Node
+	outboxes  [][]Message // by sender
+	recording bytes.Buffer
+	kinds     map[uint8]int
+	raft      map[pb.MessageType]int
+	written   map[string]int
 }
 
 var exchangeConfig = Config{Groups: 2, Replicas: 3, MaxLogEntries: 16, SnapshotRate: 1e6, ReplaceAfter: 2}
 
 func newExchange(t *testing.T, n int) *exchange {
 	t.Helper()
-	x := &exchange{t: t, mail: make([][]Message, n), kinds: map[uint8]int{}, raft: map[pb.MessageType]int{}, wrote: map[string]int{}}
+	x := &exchange{t: t, outboxes: make([][]Message, n), kinds: map[uint8]int{}, raft: map[pb.MessageType]int{}, written: map[string]int{}}
 	for i := range n {
 		c, err := New(i, uint32(1000+i), 0, peers(n, 3), exchangeConfig, uint64(20+i), nil)
 		if err != nil {
@@ -50,54 +50,54 @@
 	return x
 }
 
-// note puts one thing behind what is recorded: who, what it is, and its bytes.
-func (x *exchange) note(who int, what byte, body []byte) {
-	x.raw.Write([]byte{byte(who), what})
-	x.raw.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
-	x.raw.Write(body)
+// record appends an item to the recording: the number of the server, the kind of the item, and its bytes.
+func (x *exchange) record(node int, kind byte, body []byte) {
+	x.recording.Write([]byte{byte(node), kind})
+	x.recording.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
+	x.recording.Write(body)
 }
 
-func (x *exchange) noteMessage(who int, what byte, m proto.Message) {
+func (x *exchange) recordMessage(node int, kind byte, m proto.Message) {
 	x.t.Helper()
 	body, err := proto.Marshal(m)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.note(who, what, body)
-	x.wrote[string(what)]++
+	x.record(node, kind, body)
+	x.written[string(kind)]++
 }
 
-// write notes what a store writes, in the form in which it lies on its disk.
-func (x *exchange) write(who int, all []Write) {
+// write records the writes of a server, encoded as they are stored on disk.
+func (x *exchange) write(node int, all []Write) {
 	for i := range all {
 		w := &all[i]
-		x.note(who, 'w', fmt.Appendf(nil, "group %d, keep %d, reset %v, drop %v", w.Group, w.CompactTo, w.ReplaceLog, w.DropReplica))
+		x.record(node, 'w', fmt.Appendf(nil, "group %d, keep %d, reset %v, drop %v", w.Group, w.CompactTo, w.ReplaceLog, w.DropReplica))
 		if w.HardState != nil {
-			x.noteMessage(who, 'h', w.HardState)
+			x.recordMessage(node, 'h', w.HardState)
 		}
 		if w.Snapshot != nil {
-			x.noteMessage(who, 's', w.Snapshot)
+			x.recordMessage(node, 's', w.Snapshot)
 		}
 		for _, e := range w.Entries {
-			x.noteMessage(who, 'e', e)
+			x.recordMessage(node, 'e', e)
 		}
 	}
 }
 
-// settle lets one store write all that it has to, and takes what it sends.
-func (x *exchange) settle(who int) {
-	c := x.nodes[who]
+// settle completes the pending writes of one server, and collects the messages that it sends.
+func (x *exchange) settle(node int) {
+	c := x.nodes[node]
 	for w := c.Ready(); w != nil; w = c.Ready() {
-		x.write(who, w.Writes)
+		x.write(node, w.Writes)
 		c.Advance(w)
 	}
 	if err := c.Err(); err != nil {
 		x.t.Fatal(err)
 	}
-	x.mail[who] = append(x.mail[who], c.TakeMessages()...)
+	x.outboxes[node] = append(x.outboxes[node], c.TakeMessages()...)
 }
 
-// run lets time go on by steps of 20 ms, in which each store gets what was sent in the step before.
+// run advances the time in steps of 20 ms. In each step the servers tick, and all messages sent up to then are delivered.
 func (x *exchange) run(seconds float64) {
 	x.t.Helper()
 	for until := x.now + seconds; x.now < until; {
@@ -106,28 +106,28 @@
 			c.Tick(x.now)
 			x.settle(i)
 		}
-		sent := slices.Clone(x.mail)
-		clear(x.mail)
-		for from, letters := range sent {
-			for _, l := range letters {
-				x.deliver(from, l)
+		sent := slices.Clone(x.outboxes)
+		clear(x.outboxes)
+		for from, messages := range sent {
+			for _, message := range messages {
+				x.deliver(from, message)
 			}
 		}
 	}
 }
 
-func (x *exchange) deliver(from int, l Message) {
+func (x *exchange) deliver(from int, message Message) {
 	x.t.Helper()
-	text, err := l.Frame.AppendTo(nil)
+	encoded, err := message.Frame.AppendTo(nil)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	bulk := byte('f')
-	if l.Bulk {
-		bulk = 'b'
+	kind := byte('f')
+	if message.Bulk {
+		kind = 'b'
 	}
-	x.note(from, bulk, append([]byte{byte(l.To)}, text...))
-	f, err := protocol.ReadFrame(bytes.NewReader(text), protocol.MaxFrameBytes)
+	x.record(from, kind, append([]byte{byte(message.To)}, encoded...))
+	f, err := protocol.ReadFrame(bytes.NewReader(encoded), protocol.MaxFrameBytes)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -139,15 +139,15 @@
 		}
 		x.raft[m.GetType()]++
 	}
-	x.nodes[l.To].Receive(x.now, from, f)
-	x.settle(l.To)
+	x.nodes[message.To].Receive(x.now, from, f)
+	x.settle(message.To)
 }
 
-// ask has a store ask for something as a gateway would, and wants it done.
-func (x *exchange) ask(who int, e statemachine.Command) statemachine.Reply {
+// submit submits a command at a server as a gateway would, and fails the test if the command isn't done within 100 steps.
+func (x *exchange) submit(node int, command statemachine.Command) statemachine.Reply {
 	x.t.Helper()
 	var r *protocol.Response
-	x.nodes[who].HandleClient(x.now, protocol.Request{ID: 1, Command: e}, func(a protocol.Response) { r = &a })
+	x.nodes[node].HandleClient(x.now, protocol.Request{ID: 1, Command: command}, func(a protocol.Response) { r = &a })
 	for range 100 {
 		if r != nil {
 			break
@@ -155,15 +155,15 @@
 		x.run(0.02)
 	}
 	if r == nil || r.NotLeader || r.Unknown || r.Reply.Code != statemachine.Done {
-		x.t.Fatalf("%+v at store %d is answered %+v", e, who, r)
+		x.t.Fatalf("response to %+v at server %d: %+v", command, node, r)
 	}
 	return r.Reply
 }
 
-func (x *exchange) take(who int, batch uint64) *protocol.Admin {
+func (x *exchange) collectUsage(node int, batch uint64) *protocol.Admin {
 	x.t.Helper()
 	var r *protocol.Admin
-	x.nodes[who].HandleAdmin(x.now, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, nil, func(a *protocol.Admin) { r = a })
+	x.nodes[node].HandleAdmin(x.now, &protocol.Admin{Operation: protocol.OperationCollectUsage, Batch: batch}, nil, func(a *protocol.Admin) { r = a })
 	for range 100 {
 		if r != nil {
 			break
@@ -171,22 +171,22 @@
 		x.run(0.02)
 	}
 	if r == nil || r.Failure != "" {
-		x.t.Fatalf("batch %d is answered %+v", batch, r)
+		x.t.Fatalf("answer for batch %d: %+v", batch, r)
 	}
 	return r
 }
 
-// play is what is recorded: a bootstrap of three, all kinds of commands, then a fourth server, to which the groups are replicated as one of
-// the three is to leave.
-func play(t *testing.T) *exchange {
+// playExchange runs the exchange that is recorded: a bootstrap of three servers, all kinds of commands, and then the addition of a fourth
+// server, to which the groups are replicated because one of the three is draining.
+func playExchange(t *testing.T) *exchange {
 	t.Helper()
 	x := newExchange(t, 3)
-	f := &protocol.Bootstrap{Cluster: 0x1122334455667789, Groups: exchangeConfig.Groups, Replicas: exchangeConfig.Replicas}
+	bootstrap := &protocol.Bootstrap{Cluster: 0x1122334455667789, Groups: exchangeConfig.Groups, Replicas: exchangeConfig.Replicas}
 	for i := range x.nodes {
-		f.Members = append(f.Members, protocol.NewReplicaID(i, uint32(1000+i)))
+		bootstrap.Members = append(bootstrap.Members, protocol.NewReplicaID(i, uint32(1000+i)))
 	}
 	for i, c := range x.nodes {
-		writes, err := c.Bootstrap(x.now, f)
+		writes, err := c.Bootstrap(x.now, bootstrap)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,29 +198,29 @@
 	return x
 }
 
-// playRequests asks for all kinds of commands, and has what a dead holder had not reported recovered.
+// playRequests submits all kinds of commands, and waits until the unreported usage of a dead holder is recovered.
 func (x *exchange) playRequests() {
 	x.t.Helper()
-	x.ask(0, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-dead.1", TTL: 0.5})
-	x.ask(1, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-alive.1", TTL: 60})
-	x.ask(2, statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-dead.1", Key: "shared", Amount: 10, Reserved: 4, Version: 1, TTL: 60})
-	x.ask(0, statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-dead.1", Key: "shared", Amount: 9.5, Version: 2, TTL: 60})
+	x.submit(0, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-dead.1", TTL: 0.5})
+	x.submit(1, statemachine.Command{Kind: statemachine.RenewLease, Holder: "edge-alive.1", TTL: 60})
+	x.submit(2, statemachine.Command{Kind: statemachine.ReportUsage, Holder: "edge-dead.1", Key: "shared", Amount: 10, Reserved: 4, Version: 1, TTL: 60})
+	x.submit(0, statemachine.Command{Kind: statemachine.RecordUnreported, Holder: "edge-dead.1", Key: "shared", Amount: 9.5, Version: 2, TTL: 60})
 	for i := range 12 {
-		x.ask(i%3, statemachine.Command{Kind: statemachine.Add, Key: fmt.Sprint("name-", i%4), Amount: 0.5 * float64(i+1), TTL: 60})
-		x.ask(i%3, statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-alive.1", Key: fmt.Sprint("invocation-", i), Scope: "pool-a", TTL: 60})
+		x.submit(i%3, statemachine.Command{Kind: statemachine.Add, Key: fmt.Sprint("name-", i%4), Amount: 0.5 * float64(i+1), TTL: 60})
+		x.submit(i%3, statemachine.Command{Kind: statemachine.AcquireMarker, Holder: "edge-alive.1", Key: fmt.Sprint("invocation-", i), Scope: "pool-a", TTL: 60})
 	}
-	x.ask(1, statemachine.Command{Kind: statemachine.ReleaseMarker, Holder: "edge-alive.1", Key: "invocation-3"})
-	x.ask(2, statemachine.Command{Kind: statemachine.MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 12.25, Version: 1})
-	if got := x.take(0, 1); len(got.Usage) != 1 || got.Usage[0].Units != 12.25 {
+	x.submit(1, statemachine.Command{Kind: statemachine.ReleaseMarker, Holder: "edge-alive.1", Key: "invocation-3"})
+	x.submit(2, statemachine.Command{Kind: statemachine.MeterUsage, Holder: "edge-alive.1/0", Key: "gold 0011", Amount: 12.25, Version: 1})
+	if got := x.collectUsage(0, 1); len(got.Usage) != 1 || got.Usage[0].Units != 12.25 {
 		x.t.Fatalf("batch 1 is %+v", got.Usage)
 	}
-	x.run(4) // what the dead holder had not reported is recovered
-	if r := x.ask(2, statemachine.Command{Kind: statemachine.Add, Key: "shared", TTL: 60}); r.Total != 9.5 {
-		x.t.Fatalf("shared stands at %v", r.Total)
+	x.run(4) // until the unreported usage of the dead holder is recovered
+	if r := x.submit(2, statemachine.Command{Kind: statemachine.Add, Key: "shared", TTL: 60}); r.Total != 9.5 {
+		x.t.Fatalf("counter shared has total %v", r.Total)
 	}
 }
 
-// playFourthServer adds a server, to which the groups are replicated as the first is to leave.
+// playFourthServer adds a server, to which the groups are replicated because the first server is draining.
 func (x *exchange) playFourthServer() {
 	x.t.Helper()
 	list := peers(4, 3)
@@ -229,7 +229,7 @@
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.nodes, x.mail = append(x.nodes, c), append(x.mail, nil)
+	x.nodes, x.outboxes = append(x.nodes, c), append(x.outboxes, nil)
 	for i := range 3 {
 		if err := x.nodes[i].SetPeers(x.now, list, uint64(30+i)); err != nil {
 			x.t.Fatal(err)
@@ -240,8 +240,8 @@
 		name string
 		want float64
 	}{{"name-0", 0.5 + 2.5 + 4.5}, {"name-3", 2 + 4 + 6}, {"shared", 9.5}} {
-		if r := x.ask(3, statemachine.Command{Kind: statemachine.Add, Key: count.name, TTL: 60}); r.Total != count.want {
-			x.t.Fatalf("%s stands at %v at the new store, wanted is %v", count.name, r.Total, count.want)
+		if r := x.submit(3, statemachine.Command{Kind: statemachine.Add, Key: count.name, TTL: 60}); r.Total != count.want {
+			x.t.Fatalf("counter %s has total %v at the new server, want %v", count.name, r.Total, count.want)
 		}
 	}
 }
@@ -264,8 +264,8 @@
 	return text
 }
 
-func TestExchangeIsTheRecordedBytes(t *testing.T) {
-	x := play(t)
+func TestExchangeMatchesRecordedBytes(t *testing.T) {
+	x := playExchange(t)
 	for kind := protocol.KindHello; kind <= protocol.KindResponses; kind++ {
 		if x.kinds[kind] == 0 {
 			t.Errorf("no frame of kind %d was sent", kind)
@@ -280,68 +280,68 @@
 		}
 	}
 	for _, what := range []string{"h", "s", "e"} {
-		if x.wrote[what] == 0 {
-			t.Errorf("nothing was written of %s: %v", what, x.wrote)
+		if x.written[what] == 0 {
+			t.Errorf("no item of kind %s was written: %v", what, x.written)
 		}
 	}
-	got, want := x.raw.Bytes(), recordedExchange(t)
+	got, want := x.recording.Bytes(), recordedExchange(t)
 	if !bytes.Equal(got, want) {
 		at := 0
 		for at < min(len(got), len(want)) && got[at] == want[at] {
 			at++
 		}
-		t.Errorf("%d bytes, %d are recorded; they differ from byte %d on:\n%x\nrecorded is\n%x", len(got), len(want), at,
+		t.Errorf("the exchange has %d bytes, the recording %d; they differ from byte %d on:\n%x\nwant the recorded bytes\n%x", len(got), len(want), at,
 			got[at:min(len(got), at+200)], want[at:min(len(want), at+200)])
 	}
 }
 
-// What is recorded is read as what it was: each frame, message, entry and state in it encodes to its bytes again.
-func TestRecordedExchangeIsRead(t *testing.T) {
+// Each frame, message, entry and state in the recording must decode, and encode to the same bytes again.
+func TestRecordedExchangeDecodes(t *testing.T) {
 	for rest := recordedExchange(t); len(rest) > 0; {
 		what, n := rest[1], binary.BigEndian.Uint32(rest[2:])
 		body := rest[6 : 6+n]
 		rest = rest[6+n:]
 		switch what {
 		case 'h':
-			readAgain(t, "hard state", &pb.HardState{}, body)
+			checkRoundTrip(t, "hard state", &pb.HardState{}, body)
 		case 's':
 			snapshot := &pb.Snapshot{}
-			readAgain(t, "snapshot", snapshot, body)
-			readStateAgain(t, snapshot.Data)
+			checkRoundTrip(t, "snapshot", snapshot, body)
+			checkStateRoundTrip(t, snapshot.Data)
 		case 'e':
 			e := &pb.Entry{}
-			readAgain(t, "entry", e, body)
-			readBatchAgain(t, e)
+			checkRoundTrip(t, "entry", e, body)
+			checkBatchRoundTrip(t, e)
 		case 'f', 'b':
-			readFrameAgain(t, body[1:])
+			checkFrameRoundTrip(t, body[1:])
 		}
 	}
 }
 
-// readAgain wants a message of the Raft library to encode to the bytes of which it was decoded.
-func readAgain(t *testing.T, what string, m proto.Message, body []byte) {
+// checkRoundTrip checks that a message of the Raft library encodes to the bytes from which it was decoded.
+func checkRoundTrip(t *testing.T, what string, m proto.Message, body []byte) {
 	t.Helper()
 	if err := proto.Unmarshal(body, m); err != nil {
 		t.Fatal(what, err)
 	}
 	text, err := proto.Marshal(m)
 	if err != nil || !bytes.Equal(text, body) {
-		t.Fatalf("%s: read and encoded again as\n%x (%v)\nrecorded is\n%x", what, text, err, body)
+		t.Fatalf("%s: decoded and encoded again as\n%x (%v)\nwant the recorded bytes\n%x", what, text, err, body)
 	}
 }
 
-func readStateAgain(t *testing.T, data []byte) {
+func checkStateRoundTrip(t *testing.T, data []byte) {
 	t.Helper()
 	s, err := statemachine.Restore(data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(s.Snapshot(), data) {
-		t.Fatalf("state: restored and saved again as\n%x\nrecorded is\n%x", s.Snapshot(), data)
+		t.Fatalf("state: snapshot of the restored state is\n%x\nwant the recorded bytes\n%x", s.Snapshot(), data)
 	}
 }
 
-func readBatchAgain(t *testing.T, e *pb.Entry) {
+func checkBatchRoundTrip(t *testing.T, e *pb.Entry) {
 	t.Helper()
 	if e.GetType() != pb.EntryNormal || len(e.Data) == 0 {
 		return
@@ -351,11 +351,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(b.Encode(), e.Data) {
-		t.Fatalf("batch: read and encoded again as\n%x\nrecorded is\n%x", b.Encode(), e.Data)
+		t.Fatalf("batch: decoded and encoded again as\n%x\nwant the recorded bytes\n%x", b.Encode(), e.Data)
 	}
 }
 
-func readFrameAgain(t *testing.T, body []byte) {
+func checkFrameRoundTrip(t *testing.T, body []byte) {
 	t.Helper()
 	f, err := protocol.ReadFrame(bytes.NewReader(body), protocol.MaxFrameBytes)
 	if err != nil {
@@ -363,17 +363,17 @@
 	}
 	text, err := f.AppendTo(nil)
 	if err != nil || !bytes.Equal(text, body) {
-		t.Fatalf("frame: read and encoded again as\n%x (%v)\nrecorded is\n%x", text, err, body)
+		t.Fatalf("frame: decoded and encoded again as\n%x (%v)\nwant the recorded bytes\n%x", text, err, body)
 	}
 	if f.Kind != protocol.KindRaft {
 		return
 	}
 	m := &pb.Message{}
-	readAgain(t, "message", m, f.Raft)
+	checkRoundTrip(t, "message", m, f.Raft)
 	for _, e := range m.Entries {
-		readBatchAgain(t, e)
+		checkBatchRoundTrip(t, e)
 	}
 	if m.GetType() == pb.MsgSnap {
-		readStateAgain(t, m.Snapshot.Data)
+		checkStateRoundTrip(t, m.Snapshot.Data)
 	}
 }
--- a/quotastore/replication/replica.go
+++ b/quotastore/replication/replica.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	electionTicks  = 10 // ticks without a leader after which votes are given
+	electionTicks  = 10 // ticks without a leader after which a replica grants votes
 	heartbeatTicks = 2  // ticks between heartbeats of a leader
 
 	maxBytesPerAppend   = 256 << 10
 	maxInflightAppends  = 64
 	maxUncommittedBytes = 32 << 20
 
-	noLeader = -1 // in place of the number of a server
+	noLeader = -1 // number of the leader if there is none
 )
 
-// silentLogger discards the lines of the Raft library: what matters of them is in lines of our own.
+// silentLogger discards the log lines of the Raft library. This package logs the relevant events itself.
 var silentLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// replica is the replica of one group here.
+// replica is the replica of one group on this server.
 type replica struct {
 	node    *Node
 	group   int
@@ -33,7 +33,7 @@
 	log     *raft.MemoryStorage
 	state   *statemachine.State
 	members *pb.ConfState
-	applied uint64 // index of the last entry that is in state and members
+	applied uint64 // index of the last entry that was applied to state and members
 
 	leadership leadership
 	election   electionTimer
@@ -44,18 +44,18 @@
 	snapshots  snapshots
 	removal    removalNotices
 
-	transfers    map[uint64]float64 // snapshots on their way, by replica ID, and until when they are waited for
-	maintainedAt float64            // when a leader last did what it does now and then
+	transfers    map[uint64]float64 // deadlines of snapshots in transfer, by replica ID
+	maintainedAt float64            // time of the leader's last maintenance
 }
 
-// leadership is who leads the group as far as this replica knows.
+// leadership is the leader of the group as known to this replica.
 type leadership struct {
 	term   uint64
-	leader uint64 // replica ID; 0: none is known
-	leads  bool   // this replica does
+	leader uint64 // replica ID of the leader; 0: none is known
+	leads  bool   // whether this replica leads
 }
 
-// number is the number of the server that leads, or noLeader.
+// number returns the number of the server that leads, or noLeader.
 func (l *leadership) number() int {
 	if l.leader == 0 {
 		return noLeader
@@ -63,7 +63,7 @@
 	return protocol.ReplicaID(l.leader).Number()
 }
 
-// newReplica makes a replica of what it had written; nil: nothing.
+// newReplica returns a replica that starts from its persistent state; nil: it has none.
 func newReplica(n *Node, group int, saved *PersistentState) (*replica, error) {
 	r := &replica{
 		node: n, group: group, log: raft.NewMemoryStorage(), state: statemachine.New(), members: &pb.ConfState{},
@@ -84,7 +84,7 @@
 		}
 	}
 	if h := saved.HardState; h != nil {
-		if h.GetCommit() < r.applied { // a snapshot holds only what was committed, and is written without saying so again
+		if h.GetCommit() < r.applied { // a snapshot holds only committed entries, and is written without updating the hard state's commit index
 			h = &pb.HardState{Term: h.Term, Vote: h.Vote, Commit: new(r.applied)}
 		}
 		if err := r.log.SetHardState(h); err != nil {
@@ -96,7 +96,7 @@
 	return r.log.Append(saved.Entries)
 }
 
-// restore makes a snapshot the replica's state and the beginning of its log.
+// restore replaces the replica's state by that of a snapshot, after which the log starts.
 func (r *replica) restore(snapshot *pb.Snapshot) error {
 	state, err := statemachine.Restore(snapshot.Data)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return err
 }
 
-// receive takes a message of another replica of the group.
+// receive processes a message of another replica of the group.
 func (r *replica) receive(m *pb.Message) {
 	r.removal.count = 0
 	switch m.GetType() {
@@ -131,13 +131,13 @@
 		if m.GetTerm() >= r.leadership.term {
 			r.election.reset(r.node)
 		}
-	default: // not of a leader
+	default: // not sent by a leader
 	}
-	_ = r.raft.Step(m) // an error is of a message that does not belong here any more
+	_ = r.raft.Step(m) // an error means that the message is out of date
 	r.updateLeadership()
 }
 
-// updateLeadership notes who leads.
+// updateLeadership reads the leader from the Raft library and handles a change of this replica's leadership.
 func (r *replica) updateLeadership() {
 	status := r.raft.BasicStatus()
 	r.leadership.term = status.GetTerm()
@@ -158,7 +158,8 @@
 	r.node.nextAnnounce = 0
 }
 
-// isCurrent reports whether this leader has applied all of the terms before: its clock and state are the group's.
+// isCurrent reports whether this leader has applied an entry of its own term, and with it all entries of earlier terms. Only then do
+// its clock and state include all that the group has committed before.
 func (r *replica) isCurrent() bool {
 	term, err := r.log.Term(r.applied)
 	return err == nil && term == r.leadership.term
--- a/quotastore/replication/requests.go
+++ b/quotastore/replication/requests.go
@@ -9,37 +9,38 @@
 
 const (
 	retryAfter       = 0.3  // seconds without a response after which a request is sent again
-	redirectDelay    = 0.02 // seconds until a request is sent again that came to a server that does not lead
+	redirectDelay    = 0.02 // seconds after which a request is sent again if the server didn't lead the group
 	leaderWait       = 0.4  // seconds for which a request waits for a leader before it is rejected
 	requestTimeout   = 1.5  // seconds after which the outcome of a request is unknown
 	unavailableAfter = 1.0  // seconds without a leader after which requests for a group are rejected at once
-	leaderSilence    = 1.0  // seconds after which a leader whose server was not known to be alive counts as none
-	neverSent        = -1.0 // in place of when a request was sent: it is due at once
+	leaderSilence    = 1.0  // seconds since a leader's server was last known to be alive, after which the group has no leader
+	neverSent        = -1.0 // value of sentAt that makes a request due at once
 )
 
-// Outcome is what is known of a command that was submitted.
+// Outcome is the result of submitting a command.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a submitted command.
 const (
 	Answered Outcome = iota
-	Rejected         // nothing was executed, and nothing will be
-	Unknown          // it may have been executed, or may yet be
+	Rejected         // the command was not executed, and never will be
+	Unknown          // the command may have been executed, or may still be
 )
 
 // request is a command in flight.
 type request struct {
 	command    statemachine.Command
-	id         uint64 // which is its sequence number in a session, too
+	id         uint64 // also its sequence number in a session
 	createdAt  float64
 	sentAt     float64
 	attempts   int
-	idempotent bool // it needs no session
-	once       bool // it opens a session, and is never sent again
+	idempotent bool // the command needs no session
+	once       bool // part of opening a session; never sent again
 	done       func(Outcome, statemachine.Reply)
 }
 
-// groupClient submits commands to one group, whoever leads it. It must never say that nothing was executed of what was sent.
+// groupClient submits commands to the leader of one group. It must not give the outcome Rejected for a command that may have been
+// proposed.
 type groupClient struct {
 	node        *Node
 	group       int
@@ -50,7 +51,7 @@
 	pending     []*request // in the order of their IDs
 }
 
-// Submit asks a group to execute a command; done hears its outcome once, within this call or a later one of this Node.
+// Submit submits a command to a group. It calls done once with the outcome, during this call or a later call of a method of the Node.
 func (n *Node) Submit(group int, command statemachine.Command, done func(Outcome, statemachine.Reply)) {
 	c := n.clients[group]
 	n.submitted++
@@ -63,7 +64,7 @@
 	c.sendDue(n.now)
 }
 
-// isIdempotent reports whether a command takes effect once by what it says, however often it comes.
+// isIdempotent reports whether a repeated command of a kind takes effect only once even without a session.
 func isIdempotent(kind statemachine.Kind) bool {
 	switch kind {
 	case statemachine.ReportUsage, statemachine.RenewLease, statemachine.RecordUnreported, statemachine.RecoverUnreported,
@@ -76,12 +77,13 @@
 
 func (c *groupClient) hasLeader() bool { return c.leader >= 0 }
 
-// unavailable reports whether the group has had no leader for long.
+// unavailable reports whether the group has had no leader for longer than unavailableAfter.
 func (c *groupClient) unavailable(now float64) bool {
 	return !c.hasLeader() && now-c.hadLeaderAt > unavailableAfter
 }
 
-// leaderChanged hears who leads.
+// leaderChanged sets the leader of a term, unless a later term is known. After a change, pending requests that were sent to the former
+// leader are due at once.
 func (c *groupClient) leaderChanged(leader int, term uint64) {
 	if term < c.term {
 		return
@@ -89,7 +91,7 @@
 	if c.leader != leader || c.term != term {
 		c.leader = leader
 		c.term = term
-		for _, q := range c.pending { // what the one before had may be lost: at once to this one
+		for _, q := range c.pending { // the former leader may have lost it
 			if q.attempts > 0 && !q.once {
 				q.sentAt = neverSent
 			}
@@ -101,7 +103,7 @@
 	c.sendDue(c.node.now)
 }
 
-// tick goes on with requests in flight.
+// tick updates the leader, and expires or sends requests.
 func (c *groupClient) tick(now float64) {
 	c.followLocalReplica()
 	if c.hasLeader() {
@@ -115,7 +117,7 @@
 	c.sendDue(now)
 }
 
-// followLocalReplica takes up what a replica of the group here knows of its leader.
+// followLocalReplica updates the leader from the replica of the group on this server, if there is one.
 func (c *groupClient) followLocalReplica() {
 	r := c.node.replicas[c.group]
 	if r == nil {
@@ -131,11 +133,11 @@
 	}
 }
 
-// expireRequests gives up requests that have waited for too long. What they are told of it may submit further ones.
+// expireRequests ends requests that have waited for too long. Their done functions may submit further requests.
 func (c *groupClient) expireRequests(now float64) {
 	for i := 0; i < len(c.pending); {
 		q := c.pending[i]
-		outcome := c.outcomeOfWaiting(q, now)
+		outcome := c.timeoutOutcome(q, now)
 		if outcome == Answered {
 			i++
 			continue
@@ -145,8 +147,9 @@
 	}
 }
 
-// outcomeOfWaiting is Rejected or Unknown for a request that has waited for too long, else Answered: it may be yet.
-func (c *groupClient) outcomeOfWaiting(q *request, now float64) Outcome {
+// timeoutOutcome returns Rejected or Unknown for a request that has waited for too long, and Answered for one that may wait
+// longer.
+func (c *groupClient) timeoutOutcome(q *request, now float64) Outcome {
 	age := now - q.createdAt
 	isLate := age > requestTimeout
 	hasNoLeader := age > leaderWait && !c.hasLeader()
@@ -160,7 +163,7 @@
 	}
 }
 
-// sendDue sends what has not been sent, or not been answered for long.
+// sendDue sends the requests that were not sent yet, or not answered within retryAfter.
 func (c *groupClient) sendDue(now float64) {
 	if !c.hasLeader() || c.node.cluster == 0 {
 		return
@@ -177,7 +180,7 @@
 		q.attempts++
 		command := q.command
 		if !q.idempotent {
-			c.putIntoSession(&command, q, now)
+			c.assignToSession(&command, q, now)
 		}
 		due = append(due, protocol.Request{Group: c.group, ID: q.id, Command: command})
 	}
@@ -191,7 +194,7 @@
 	return q.idempotent || c.session.state == sessionOpen
 }
 
-// sendRequests brings requests to a leader, which may be here.
+// sendRequests sends requests to a leader, which may be this server.
 func (n *Node) sendRequests(leader int, all []protocol.Request) {
 	if leader == n.self {
 		for i := range all {
@@ -206,7 +209,7 @@
 	}
 }
 
-// receiveRequest takes what another server, or this one, wants of a group.
+// receiveRequest processes a request for a group from another server or this one.
 func (n *Node) receiveRequest(from int, q *protocol.Request) {
 	if q.Group < 0 || q.Group >= n.config.Groups {
 		return
@@ -221,14 +224,14 @@
 	n.respond(from, protocol.Response{Group: q.Group, RequestID: q.ID, NotLeader: true, Leader: leader})
 }
 
-// respond brings a response to a server, which may be this one, or to nobody.
+// respond sends a response to a server, which may be this one. It drops the response if no server waits for it.
 func (n *Node) respond(to int, response protocol.Response) {
 	switch {
-	case to < 0: // nobody waits for it
+	case to < 0: // no server waits for it
 	case to == n.self:
 		n.receiveResponse(&response)
 	default:
-		if f := n.openResponses(to); f != nil {
+		if f := n.openResponseFrame(to); f != nil {
 			f.Responses = append(f.Responses, response)
 			return
 		}
@@ -236,8 +239,8 @@
 	}
 }
 
-// openResponses returns the last frame of the outbox if another response to the server can go with it.
-func (n *Node) openResponses(to int) *protocol.Frame {
+// openResponseFrame returns the last frame of the outbox if another response to the server can be added to it.
+func (n *Node) openResponseFrame(to int) *protocol.Frame {
 	if len(n.outbox) == 0 {
 		return nil
 	}
@@ -248,7 +251,7 @@
 	return last.Frame
 }
 
-// receiveResponse takes the response to a request of this server.
+// receiveResponse processes the response to a request of this server.
 func (n *Node) receiveResponse(response *protocol.Response) {
 	if response.Group < 0 || response.Group >= len(n.clients) {
 		return
@@ -265,8 +268,8 @@
 	c.finish(i, response.Reply)
 }
 
-// redirect says that a request was not proposed where it came to. That server has not executed it; another may have it from an earlier
-// attempt.
+// redirect handles the response of a server that didn't lead the group and so didn't propose the request. Another server may have
+// received it in an earlier attempt, so only a first attempt counts as not sent.
 func (c *groupClient) redirect(i, leader int) {
 	q := c.pending[i]
 	if q.once {
@@ -283,7 +286,8 @@
 	}
 }
 
-// knownServer returns a server's number, or noLeader if the list here has no such server: that of another server may be newer.
+// knownServer returns a server's number, or noLeader if the server is not in this server's list. The list of the server that sent the
+// number may be newer.
 func (n *Node) knownServer(number int) int {
 	if number < 0 || number >= len(n.peers) {
 		return noLeader
@@ -291,18 +295,18 @@
 	return number
 }
 
-// finish ends a request with its reply, unless it has to be sent again.
+// finish ends a request with its reply, unless the request has to be sent again.
 func (c *groupClient) finish(i int, reply statemachine.Reply) {
 	q := c.pending[i]
 	outcome := Answered
 	switch {
 	case reply.Code == statemachine.ResultDiscarded:
-		return // nobody waits for it
+		return // no caller waits for it
 	case reply.Code == statemachine.UnknownSession && !q.idempotent:
 		if c.session.state == sessionOpen {
 			c.session.close(0)
 		}
-		if q.attempts <= 1 { // else an earlier attempt may have been executed while the session was known
+		if q.attempts <= 1 { // otherwise an earlier attempt may have been executed before the session expired
 			q.attempts = 0
 			q.sentAt = neverSent
 			c.sendDue(c.node.now)
--- a/quotastore/replication/session.go
+++ b/quotastore/replication/session.go
@@ -8,17 +8,17 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// sessionKeepAlive is after how many seconds a session that rests is used, so that the group does not forget it.
+// sessionKeepAlive is the time without a command after which an idle session sends one, in seconds, so that it doesn't expire.
 const sessionKeepAlive = 15.0
 
-// clientSession is the session in which commands that are not idempotent are submitted, so that one that is sent twice is executed
-// once.
+// clientSession is the session in which commands that are not idempotent are submitted, so that a command that is sent twice is
+// executed once.
 type clientSession struct {
 	state     sessionState
 	name      string
-	opened    int // how many were tried, which makes their names differ
+	opened    int // number of sessions that were requested, which makes their names unique
 	lastUsed  float64
-	attemptAt float64 // when it was last tried to open one
+	attemptAt float64 // time of the last attempt to open a session
 }
 
 type sessionState int
@@ -30,13 +30,13 @@
 	sessionOpen
 )
 
-// close has a session opened anew, retryAfter seconds after attemptAt at the latest.
+// close closes the session and sets the time of the last attempt. The next call of sendDue opens a new session.
 func (s *clientSession) close(attemptAt float64) {
 	s.state = sessionClosed
 	s.attemptAt = attemptAt
 }
 
-// keepSessionAlive uses a session that rests.
+// keepSessionAlive sends a command in an idle session.
 func (c *groupClient) keepSessionAlive(now float64) {
 	if c.session.state == sessionOpen && now-c.session.lastUsed > sessionKeepAlive {
 		c.session.lastUsed = now
@@ -44,8 +44,8 @@
 	}
 }
 
-// putIntoSession makes a command one of the session.
-func (c *groupClient) putIntoSession(command *statemachine.Command, q *request, now float64) {
+// assignToSession sets the session fields of a command.
+func (c *groupClient) assignToSession(command *statemachine.Command, q *request, now float64) {
 	command.Session = c.session.name
 	command.Sequence = q.id
 	command.AckedBelow = c.lowestPending()
@@ -55,7 +55,7 @@
 	c.session.lastUsed = now
 }
 
-// lowestPending is the lowest sequence number whose reply is still wanted.
+// lowestPending returns the lowest sequence number whose reply is still needed.
 func (c *groupClient) lowestPending() uint64 {
 	for _, q := range c.pending {
 		if !q.idempotent {
@@ -65,7 +65,8 @@
 	return c.node.submitted + 1
 }
 
-// beginSession opens a session: first it reads the group's clock, by which an OpenSession that was delayed on its way is known as such.
+// beginSession starts to open a session. It first reads the group's clock for the OpenSession, so that the group can reject an
+// OpenSession that was delayed in the network.
 func (c *groupClient) beginSession(now float64) {
 	if c.session.state != sessionClosed && now-c.session.attemptAt < retryAfter {
 		return
@@ -79,11 +80,11 @@
 	})
 }
 
-// openSession opens a session under a new name.
+// openSession opens a session under a new name, with the group's clock as it was read.
 func (c *groupClient) openSession(clock float64) {
 	s := &c.session
 	s.opened++
-	s.name = fmt.Sprintf("%x.%x.%d.%d", uint64(c.node.id), c.node.run, c.group, s.opened)
+	s.name = fmt.Sprintf("%x.%x.%d.%d", uint64(c.node.id), c.node.processSeed, c.group, s.opened)
 	s.state = sessionOpening
 	s.attemptAt = c.node.now
 	c.submitOnce(statemachine.Command{Kind: statemachine.OpenSession, Session: s.name, Clock: clock}, func(reply statemachine.Reply) {
@@ -100,8 +101,8 @@
 	})
 }
 
-// submitOnce sends a command that is not sent again; then hears its reply, if one comes.
-func (c *groupClient) submitOnce(command statemachine.Command, then func(statemachine.Reply)) {
+// submitOnce sends a command that is never retried, and calls done with the reply if there is one.
+func (c *groupClient) submitOnce(command statemachine.Command, done func(statemachine.Reply)) {
 	n := c.node
 	n.submitted++
 	id := n.submitted
@@ -109,7 +110,7 @@
 		id: id, createdAt: n.now, sentAt: n.now, attempts: 1, idempotent: true, once: true,
 		done: func(outcome Outcome, reply statemachine.Reply) {
 			if outcome == Answered {
-				then(reply)
+				done(reply)
 			}
 		},
 	})
--- a/quotastore/replication/snapshot.go
+++ b/quotastore/replication/snapshot.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// snapshotSpacing is the least time between two snapshots at one server that are made because logs are long, in seconds.
+	// snapshotSpacing is the minimum interval between two snapshots that one server makes because of the length of logs, in seconds.
 	snapshotSpacing = 0.2
-	// One in keptLogDivisor of the entries that a log may have stays behind a snapshot, for replicas that are a little behind.
+	// After a snapshot, MaxLogEntries / keptLogDivisor entries stay in the log for replicas that lag slightly.
 	keptLogDivisor = 8
-	// A snapshot on its way is waited for transferTimeout seconds and transferSlack times as long as it should take.
+	// The timeout of a snapshot transfer is transferTimeout seconds plus transferSlack times the time it takes at the configured
+	// rate.
 	transferTimeout = 3
 	transferSlack   = 10
 )
 
-// snapshots is how far a replica's log is replaced by snapshots.
+// snapshots is the state of a replica's snapshots and of the compaction of its log.
 type snapshots struct {
 	index       uint64 // of the last snapshot
 	compactedTo uint64 // index of the last entry that was removed from the log
-	// forced: the last snapshot is older than the membership. One that is told to begin with a snapshot in which it has no place
-	// does not take it.
+	// forced has a snapshot made because the last one is older than the membership. A new replica rejects a snapshot whose
+	// membership doesn't include it.
 	forced    bool
 	unwritten *Write
 }
 
-// install takes a snapshot that came from the leader.
+// install restores a snapshot received from the leader.
 func (r *replica) install(snapshot *pb.Snapshot) {
 	if err := r.restore(snapshot); err != nil {
 		r.node.fail(err)
@@ -34,7 +35,7 @@
 	r.node.logf("group %d: restored from a snapshot, %d counters, index %d", r.group, r.state.CounterCount(), r.applied)
 }
 
-// compact has a snapshot take the place of a long log.
+// compact makes a snapshot and truncates the log, if the log is long or a snapshot is forced.
 func (r *replica) compact() {
 	s := &r.snapshots
 	maxEntries := uint64(r.node.config.MaxLogEntries)
@@ -43,7 +44,8 @@
 	if s.unwritten != nil || r.applied <= s.index || !isLong && !s.forced {
 		return
 	}
-	// Guards against all groups, whose logs grow alike, making snapshots in the same moment: adds wait meanwhile.
+	// The logs of all groups grow at a similar rate. Without spacing all groups would make snapshots at the same time, which delays
+	// commands.
 	if r.node.now < r.node.lastSnapshotAt+snapshotSpacing && entries < 2*maxEntries && !s.forced {
 		return
 	}
@@ -57,36 +59,36 @@
 	compactTo := s.compactedTo
 	if isLong {
 		compactTo = r.applied - maxEntries/keptLogDivisor
-		_ = r.log.Compact(compactTo) // an error says that the log begins later already
+		_ = r.log.Compact(compactTo) // an error means that the log already starts later
 		s.compactedTo = compactTo
 	}
 	s.index = r.applied
 	s.unwritten = &Write{Group: r.group, Snapshot: snapshot, CompactTo: compactTo}
 }
 
-// transferBegins notes a snapshot that is being sent, and until when it is waited for.
-func (r *replica) transferBegins(m *pb.Message) {
+// beginTransfer sets the deadline of a snapshot that is being sent.
+func (r *replica) beginTransfer(m *pb.Message) {
 	bytes := float64(len(m.GetSnapshot().GetData()))
 	r.transfers[m.GetTo()] = r.node.now + transferTimeout + transferSlack*bytes/r.node.config.SnapshotRate
 }
 
-// transferFailed says that a snapshot has not got there; another may be sent.
-func (r *replica) transferFailed(id uint64) {
+// failTransfer reports to the Raft library that a snapshot was not delivered, after which it may send another one.
+func (r *replica) failTransfer(id uint64) {
 	delete(r.transfers, id)
 	r.raft.ReportSnapshot(id, raft.SnapshotFailure)
 }
 
-// failLateTransfers gives up snapshots that were waited for long enough.
-func (r *replica) failLateTransfers(now float64) {
+// expireTransfers fails the snapshot transfers whose deadline has passed.
+func (r *replica) expireTransfers(now float64) {
 	for _, id := range sortedKeys(r.transfers) {
 		if now > r.transfers[id] {
-			r.transferFailed(id)
+			r.failTransfer(id)
 		}
 	}
 }
 
-// isTransferring reports whether a group led here is being replicated to a new member: one after another, as each costs all others
-// time.
+// isTransferring reports whether a group led by this server is being replicated to a new member. Groups are replicated one after
+// another because each transfer delays the other groups.
 func (n *Node) isTransferring() bool {
 	for r := range n.localReplicas {
 		if r.leadership.leads && len(r.members.Learners) > 0 {
--- a/quotastore/replication/tick.go
+++ b/quotastore/replication/tick.go
@@ -4,12 +4,12 @@
 
 const (
 	tickInterval     = 0.04                // seconds between ticks of the Raft library
-	minTickInterval  = 0.75 * tickInterval // seconds; calls of Tick that come sooner don't tick replicas
-	helloInterval    = 1.0                 // seconds between hellos to all
-	announceInterval = 0.5                 // seconds between announcements of who leads
+	minTickInterval  = 0.75 * tickInterval // minimum seconds between two ticks of the replicas
+	helloInterval    = 1.0                 // seconds between hellos to all servers
+	announceInterval = 0.5                 // seconds between leadership announcements
 )
 
-// Tick lets time go on; it is to be called every 40 ms or so.
+// Tick advances the time. The caller calls it about every 40 ms.
 func (n *Node) Tick(now float64) {
 	n.now = now
 	n.tickDetector(now)
@@ -25,10 +25,10 @@
 	n.tickClients(now)
 }
 
-// tickDetector sends what the failure detector has to say, and notes who is alive.
+// tickDetector sends the messages of the failure detector and updates the times at which servers were last alive.
 func (n *Node) tickDetector(now float64) {
 	for _, message := range n.detector.Tick(now) {
-		n.sendDetectorText(message)
+		n.sendDetectorMessage(message)
 	}
 	if line := n.detector.LogLine(now); line != "" {
 		n.logf("%s", line)
@@ -40,7 +40,7 @@
 	}
 }
 
-// isAlive reports whether the failure detector holds another server for alive of which something was heard.
+// isAlive reports whether the incarnation of another server is known and the failure detector doesn't consider the server dead.
 func (n *Node) isAlive(now float64, number int) bool {
 	return n.detector != nil && n.detector.StateOf(now, number) != membership.Dead && n.status[number].incarnation != 0
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// tickClients goes on with requests in flight, and logs when groups begin or cease to be unavailable.
+// tickClients retries or expires requests in flight, and logs when groups become unavailable and when all are available again.
 func (n *Node) tickClients(now float64) {
 	unavailable := 0
 	for _, c := range n.clients {
@@ -69,7 +69,7 @@
 	if rejecting := unavailable > 0; rejecting != n.rejecting {
 		n.rejecting = rejecting
 		if rejecting {
-			n.logf("requests are rejected: %d of %d groups have no leader, as more of their servers are away than may be", unavailable, n.config.Groups)
+			n.logf("requests are rejected: %d of %d groups have no leader as too few of their replicas are reachable", unavailable, n.config.Groups)
 		} else {
 			n.logf("all groups have a leader again")
 		}
--- a/quotastore/replication/transport.go
+++ b/quotastore/replication/transport.go
@@ -10,14 +10,15 @@
 	"otterseam/quotastore/protocol"
 )
 
-// maxBatchedRequests is how many requests or replies one frame carries, so that frames stay small enough not to hold up others.
+// maxBatchedRequests is the maximum number of requests or responses in one frame. It keeps frames small, so that they don't delay
+// other frames.
 const maxBatchedRequests = 512
 
 // Message is a frame for another server.
 type Message struct {
-	To    int // its number
+	To    int // number of the server
 	Frame *protocol.Frame
-	Bulk  bool // it is large, and must not hold up others
+	Bulk  bool // large: must not delay other messages
 }
 
 func (n *Node) send(to int, f *protocol.Frame, bulk bool) {
@@ -29,14 +30,14 @@
 	n.outbox = append(n.outbox, Message{to, f, bulk})
 }
 
-// TakeMessages returns what is to be sent since the last call.
+// TakeMessages returns the messages to send since the last call.
 func (n *Node) TakeMessages() []Message {
 	messages := n.outbox
 	n.outbox = nil
 	return messages
 }
 
-// Hello is what a server says of itself at the beginning of a stream, and now and then.
+// Hello returns the frame that identifies this server at the start of a stream. It is also sent to all servers every helloInterval.
 func (n *Node) Hello() *protocol.Frame {
 	return &protocol.Frame{Kind: protocol.KindHello, Hello: &protocol.Hello{Sender: n.self, Incarnation: n.id.Incarnation()}}
 }
@@ -49,7 +50,7 @@
 	}
 }
 
-func (n *Node) sendDetectorText(m membership.Message) {
+func (n *Node) sendDetectorMessage(m membership.Message) {
 	for number := range n.peers {
 		if number != n.self && (m.To == number || m.To == membership.Broadcast) {
 			n.send(number, &protocol.Frame{Kind: protocol.KindMembership, Membership: m.Text}, false)
@@ -57,11 +58,11 @@
 	}
 }
 
-// announceLeadership tells all servers which groups are led here, and who their members are.
+// announceLeadership sends the groups that this server leads, and their members, to all servers.
 func (n *Node) announceLeadership() {
 	var all []protocol.LeaderAnnouncement
 	for r := range n.localReplicas {
-		if !r.leadership.leads || !r.isCurrent() { // it may not know yet who the members are
+		if !r.leadership.leads || !r.isCurrent() { // its membership may be out of date
 			continue
 		}
 		members := append(slices.Clone(r.members.Voters), r.members.Learners...)
@@ -79,7 +80,8 @@
 	}
 }
 
-// PeerDown says that the stream to a server ended and that it does not listen any more: its process is gone.
+// PeerDown handles the end of a server's process. The caller has found that the stream to the server ended and that the server no
+// longer accepts connections.
 func (n *Node) PeerDown(now float64, number int) {
 	n.now = now
 	for r := range n.localReplicas {
@@ -92,26 +94,26 @@
 	}
 }
 
-// SnapshotFailed says that a bulk message to a server could not be sent.
+// SnapshotFailed handles the failure to send a bulk message to a server.
 func (n *Node) SnapshotFailed(now float64, to int) {
 	n.now = now
 	for r := range n.localReplicas {
 		for _, id := range sortedKeys(r.transfers) {
 			if protocol.ReplicaID(id).Number() == to {
-				r.transferFailed(id)
+				r.failTransfer(id)
 			}
 		}
 	}
 }
 
-// Receive takes a frame of another server.
+// Receive processes a frame from another server.
 func (n *Node) Receive(now float64, from int, f *protocol.Frame) {
 	n.now = now
 	if from < 0 || from >= len(n.peers) || from == n.self || f.Incarnation == 0 {
 		return
 	}
 	if n.cluster == 0 && f.Cluster != 0 {
-		n.cluster = f.Cluster // it is new here, and what holds for the others holds for it
+		n.cluster = f.Cluster // a new server joins the cluster of the first member that it receives a frame from
 		n.logf("joined cluster %016x", n.cluster)
 	}
 	if f.Cluster != 0 && f.Cluster != n.cluster {
@@ -127,7 +129,7 @@
 		return
 	}
 	if *known != 0 {
-		n.logf("server %d has a new incarnation, %08x: its replicas are to be copied to it", number, incarnation)
+		n.logf("server %d has a new incarnation, %08x: its replicas will be copied to it again", number, incarnation)
 	}
 	*known = incarnation
 }
@@ -135,7 +137,7 @@
 func (n *Node) dispatch(from int, f *protocol.Frame) {
 	switch f.Kind {
 	case protocol.KindMembership:
-		n.receiveDetectorText(from, f.Membership)
+		n.receiveDetectorMessage(from, f.Membership)
 	case protocol.KindRaft:
 		n.receiveRaft(f)
 	case protocol.KindLeaders:
@@ -153,13 +155,13 @@
 	}
 }
 
-func (n *Node) receiveDetectorText(from int, text string) {
+func (n *Node) receiveDetectorMessage(from int, text string) {
 	if n.detector == nil {
 		return
 	}
 	n.detector.Receive(n.now, from, text)
 	for _, message := range n.detector.Tick(n.now) {
-		n.sendDetectorText(message)
+		n.sendDetectorMessage(message)
 	}
 }
 
@@ -169,10 +171,10 @@
 		return
 	}
 	if protocol.ReplicaID(m.GetTo()) != n.id {
-		return // for an incarnation before this one
+		return // for an earlier incarnation of this server
 	}
 	r := n.replicas[f.Group]
-	if r == nil { // a leader has added this server; it votes for nothing that it does not hold
+	if r == nil { // a leader has added this server; starting empty is safe, as this incarnation has never voted in the group
 		var err error
 		if r, err = newReplica(n, f.Group, nil); err != nil {
 			n.fail(err)
@@ -183,7 +185,8 @@
 	r.receive(m)
 }
 
-// receiveLeadership hears who leads a group. A replica here that is no member of it any more is removed, but for its votes.
+// receiveLeadership processes an announcement of a group's leader. If the replica on this server is no longer a member of the group,
+// the replica is removed except for its term and vote.
 func (n *Node) receiveLeadership(from int, a *protocol.LeaderAnnouncement) {
 	if a.Group < 0 || a.Group >= n.config.Groups {
 		return
