--- a/sim/faultsim/acceptor.go
+++ b/sim/faultsim/acceptor.go
@@ -2,12 +2,12 @@
 
 import "otterseam/tier/consensus"
 
-// voteTimeout is how long a proposer waits for an acceptor, in milliseconds.
+// voteTimeout is how long a proposer waits for the response of an acceptor, in milliseconds.
 const voteTimeout = 350
 
-// vote has an acceptor act on a request and answer once that is durable. Another identity at the address gives no vote; it may be the
-// proof that the acceptor's disk is lost.
-func (p *process) vote(request consensus.Request, mode prepareMode, answered func(consensus.Response), failed func()) {
+// vote sends a request to an acceptor, which responds once its new state is durable. A process with another identity at the
+// acceptor's address doesn't vote, but its identity may prove that the acceptor's disk is lost.
+func (p *process) vote(request consensus.Request, mode prepareMode, onResponse func(consensus.Response), onFailure func()) {
 	done := false
 	once := func(act func()) func() {
 		return func() {
@@ -17,31 +17,31 @@
 			}
 		}
 	}
-	p.afterIfRunning(voteTimeout, once(failed))
-	p.ask(request.To.Address, func(other *process) func() {
+	p.afterIfRunning(voteTimeout, once(onFailure))
+	p.call(request.To.Address, func(other *process) func() {
 		if other.identity != request.To.ID {
 			return once(func() {
 				if p.diskLost(request.To.ID) && !p.sim.options.Bugs.IgnoreDiskLoss {
-					answered(consensus.Response{DiskLost: true})
+					onResponse(consensus.Response{DiskLost: true})
 				} else {
-					failed()
+					onFailure()
 				}
 			})
 		}
 		sticky := !other.group.IsPrimary() && !other.superseded() && p.sim.now()-other.group.LastHeartbeat() < stickyLeaderTimeout
 		if request.Kind == consensus.RequestPrepare && mode == prepareOnSilence && sticky {
-			return once(failed)
+			return once(onFailure)
 		}
 		other.afterIfRunning(p.sim.diskDelay(), func() {
-			response := other.decide(request)
-			p.afterIfRunning(p.sim.draw(messageDelays), once(func() { answered(response) }))
+			response := other.handleRequest(request)
+			p.afterIfRunning(p.sim.draw(messageDelays), once(func() { onResponse(response) }))
 		})
 		return nil
 	})
 }
 
-// decide has this process's acceptor act on a request.
-func (p *process) decide(request consensus.Request) consensus.Response {
+// handleRequest passes a request to this process's acceptor and returns the response.
+func (p *process) handleRequest(request consensus.Request) consensus.Response {
 	granted := false
 	if request.Kind == consensus.RequestPrepare {
 		granted = p.acceptor.Prepare(request.Number)
--- a/sim/faultsim/adversary.go
+++ b/sim/faultsim/adversary.go
@@ -1,7 +1,7 @@
 package faultsim
 
-// A fault is a number drawn below faultDraws: below the first of these bounds disks are lost, and so on; from the last one on nothing
-// happens.
+// The kind of a fault is drawn as a number below faultDraws. Each constant is the upper bound of its kind's numbers, which begin at
+// the bound before. No fault is injected for numbers from replaceMachineBelow on.
 const (
 	loseDisksBelow      = 9
 	killAllBelow        = 11
@@ -10,57 +10,57 @@
 	faultDraws          = 20
 )
 
-// Chances, one in so many.
+// Odds of events: an event occurs in one of this many cases.
 const (
-	provokedFaultOdds     = 4 // a change of the group provokes a fault
-	killAllOdds           = 4 // all processes are killed when it is their turn
-	killWhileDrainingOdds = 4 // a process is killed while it drains
+	triggeredFaultOdds    = 4 // a change of the group triggers a fault
+	killAllOdds           = 4 // a fault drawn as killAll kills all processes
+	killWhileDrainingOdds = 4 // a draining process is killed
 )
 
 var (
-	provokedFaultDelays     = delays{0, 60} // from a change of the group until the fault that it provokes
+	triggeredFaultDelays    = delays{0, 60} // from a change of the group until the fault that it triggers
 	diskReplacementDelays   = delays{100, 1500}
 	powerLossDelays         = delays{50, 900}
 	killWhileDrainingDelays = delays{0, 400}
 )
 
-// targetKind is which replica the adversary picks.
+// targetKind is the criterion by which the adversary selects a replica.
 type targetKind int
 
 const (
 	targetPrimary targetKind = iota
 	targetOldestDisk
-	targetNewestInSync // the one admitted last
+	targetNewestInSync // the replica admitted last
 	targetDraining
 	targetAnyInSync
 	targetKinds
 )
 
-// adversary injects faults again and again, at times of its own and right after the group has changed. It never takes more disks
-// at once than are tolerated. A loss is over when the group has noticed it and has acknowledged something since: by that the group
-// says that it survives the next one.
+// adversary injects faults at random times and right after changes of the group. It never destroys more disks at once than the group
+// tolerates. A loss stops counting once the group has noticed it and acknowledged a later command: from then on the group must survive
+// the next loss.
 type adversary struct {
 	sim              *simulation
 	toleratedLosses  int
-	maxInterval      int64 // most milliseconds between faults
+	maxInterval      int64 // maximum milliseconds between faults
 	inSync           func() []uint64
 	primary          func() uint64
-	survivableLosses func() int // that a fully replicated group of its present size survives
+	survivableLosses func() int // losses that a fully replicated group of its present size survives
 	onDiskLost       func()
-	drain            func(*node) // a process is stopped as planned
-	replaceMachine   func()      // a machine is replaced as planned
+	drain            func(*node) // stops a process as planned
+	replaceMachine   func()      // replaces a machine as planned
 
-	openLosses map[uint64]loss // by the identity that was lost
+	openLosses map[uint64]loss // by lost identity
 	disksLost  int
 }
 
-// loss is a lost disk that is not over.
+// loss is the loss of a disk that still counts.
 type loss struct {
-	noticed bool
-	after   uint32 // the newest command when it was noticed
+	noticed bool   // the group no longer depends on the lost identity
+	after   uint32 // newest command when the loss was noticed
 }
 
-// injectFault injects one fault and schedules the next.
+// injectFault injects a random fault and schedules the next one.
 func (a *adversary) injectFault() {
 	a.sim.after(a.sim.between(0, a.maxInterval), a.injectFault)
 	if a.sim.quiesced {
@@ -78,10 +78,10 @@
 	}
 }
 
-// onGroupChange is called after each change of the group, and may take disks right then.
+// onGroupChange is called after each change of the group, and destroys disks soon after some of them.
 func (a *adversary) onGroupChange() {
-	if a.sim.oneIn(provokedFaultOdds) {
-		a.sim.after(a.sim.draw(provokedFaultDelays), func() {
+	if a.sim.oneIn(triggeredFaultOdds) {
+		a.sim.after(a.sim.draw(triggeredFaultDelays), func() {
 			if !a.sim.quiesced {
 				a.loseDisks()
 			}
@@ -89,7 +89,7 @@
 	}
 }
 
-// mayLoseDisk reports whether another loss is within what is tolerated.
+// mayLoseDisk updates the losses that count, and reports whether the group tolerates another one.
 func (a *adversary) mayLoseDisk() bool {
 	counted := map[uint64]bool{}
 	for _, id := range a.inSync() {
@@ -97,7 +97,7 @@
 	}
 	for id := range counted {
 		if _, known := a.openLosses[id]; !known && a.sim.find(id) == nil {
-			a.openLosses[id] = loss{} // it went for good just before it was admitted
+			a.openLosses[id] = loss{} // the disk was lost or the machine removed just before the replica was admitted
 		}
 	}
 	for id, lost := range a.openLosses {
@@ -111,7 +111,7 @@
 	return len(a.openLosses) < min(a.toleratedLosses, a.survivableLosses())
 }
 
-// loseDisks takes disks away, one at least.
+// loseDisks destroys one or more disks, as long as the group tolerates the losses.
 func (a *adversary) loseDisks() {
 	for range 1 + a.sim.random.Intn(a.toleratedLosses) {
 		if !a.mayLoseDisk() {
@@ -128,8 +128,9 @@
 	}
 }
 
-// target picks an in-sync replica.
-func (a *adversary) target(what targetKind) *node {
+// target returns an in-sync replica that meets a criterion, or nil if no replica can be selected. It returns a random in-sync replica
+// if none meets the criterion.
+func (a *adversary) target(kind targetKind) *node {
 	var candidates []*node
 	for _, id := range a.inSync() {
 		_, lost := a.openLosses[id]
@@ -143,18 +144,18 @@
 	chosen := candidates[a.sim.random.Intn(len(candidates))]
 	for _, n := range candidates {
 		switch {
-		case what == targetPrimary && n.identity == a.primary(),
-			what == targetOldestDisk && n.diskCreatedAt < chosen.diskCreatedAt,
-			what == targetDraining && n.draining:
+		case kind == targetPrimary && n.identity == a.primary(),
+			kind == targetOldestDisk && n.diskCreatedAt < chosen.diskCreatedAt,
+			kind == targetDraining && n.draining:
 			chosen = n
-		case what == targetNewestInSync:
+		case kind == targetNewestInSync:
 			chosen = n
 		}
 	}
 	return chosen
 }
 
-// killAll kills all processes; the disks stay.
+// killAll kills all processes in one of killAllOdds cases. The disks survive.
 func (a *adversary) killAll() {
 	if !a.sim.oneIn(killAllOdds) {
 		return
@@ -167,7 +168,7 @@
 	}
 }
 
-// drainSome stops one process or two as planned; they come back with their disks. A kill may come in the middle.
+// drainSome stops one or two processes as planned, which start again with their disks. A process may be killed while it drains.
 func (a *adversary) drainSome() {
 	count := 1 + a.sim.random.Intn(2)
 	for _, position := range a.sim.random.Perm(len(a.sim.nodes)) {
@@ -183,7 +184,7 @@
 	}
 }
 
-// restart ends a process that starts again with its disk.
+// restart kills a process, which starts again with its disk.
 func (a *adversary) restart(n *node) {
 	if n.up {
 		n.crash()
--- a/sim/faultsim/bugs.go
+++ b/sim/faultsim/bugs.go
@@ -5,37 +5,37 @@
 	"otterseam/tier/directory"
 )
 
-// Bugs are defects put into the machines, to see that a simulation finds them.
+// Bugs selects defects to inject into the machines, to verify that a simulation detects them.
 type Bugs struct {
 	KeepIdentity bool // a machine that lost its disk keeps its identity
-	EarlyDurable bool // a write counts as durable when it is begun
+	EarlyDurable bool // a write counts as durable when it starts
 }
 
-// ShardBugs are defects put into a shard, to see that its simulation finds them.
+// ShardBugs selects defects to inject into a shard, to verify that its simulation detects them.
 type ShardBugs struct {
 	Bugs
-	NoMinInSync       bool // the view demands no number of in-sync replicas
-	AdmitLate         bool // commands don't wait for a replica before the map admits it
-	AdmitLagging      bool // a replica is admitted whatever it holds
-	AnyReplicaLeads   bool // any replica may lead, in sync or not
-	IgnoreInSyncFloor bool // silent replicas leave the in-sync set however few remain
+	NoMinInSync       bool // the view requires no minimum number of in-sync replicas
+	AdmitLate         bool // commits don't wait for a replica until the map admits it
+	AdmitLagging      bool // a replica is admitted however far it lags
+	AnyReplicaLeads   bool // any replica may become primary, in sync or not
+	IgnoreInSyncFloor bool // silent replicas are removed from the in-sync set however few remain
 	SilenceIsDiskLoss bool // a silent store counts as one whose disk is lost
-	LeaveWithoutDrain bool // a process that is stopped ends at once, and its machine goes for good
-	RetireEarly       bool // a machine goes for good when it no longer leads
+	LeaveWithoutDrain bool // a process that is stopped ends at once, and its machine is removed
+	RetireEarly       bool // a retiring machine is removed as soon as it is not the primary
 }
 
-// ControlBugs are defects put into control, to see that its simulation finds them.
+// ControlBugs selects defects to inject into control, to verify that its simulation detects them.
 type ControlBugs struct {
 	Bugs
-	NoMinInSync      bool // no number of in-sync replicas is demanded
-	AdmitLagging     bool // a replica is admitted whatever it holds
-	NewMembersInSync bool // who takes the vote of a lost disk counts as in sync at once
+	NoMinInSync      bool // no minimum number of in-sync replicas is required
+	AdmitLagging     bool // a replica is admitted however far it lags
+	NewMembersInSync bool // a member that replaces the vote of a lost disk counts as in sync at once
 	IgnoreDiskLoss   bool // a lost disk blocks the decisions that wait for its vote
-	IgnoreOwnChange  bool // a primary goes on under the view before a change of its own whose decision it didn't hear of
-	AnyMemberLeads   bool // a member that is not in sync takes over
+	IgnoreOwnChange  bool // a primary keeps its view if it didn't learn that a change of its own was decided
+	AnyMemberLeads   bool // a member that is not in sync may take over
 }
 
-// withBugs puts defects into a decision.
+// withBugs injects defects into a new placement.
 func (s *shardSimulation) withBugs(next directory.Shard) directory.Shard {
 	if s.options.Bugs.IgnoreInSyncFloor {
 		for _, id := range next.View.InSync {
@@ -55,7 +55,7 @@
 	return next
 }
 
-// withBugs puts defects into a record.
+// withBugs injects defects into a record.
 func (p *process) withBugs(next consensus.Record) consensus.Record {
 	if p.sim.options.Bugs.NoMinInSync {
 		next.MinInSync = 0
@@ -63,7 +63,7 @@
 	return next
 }
 
-// newMembersInSync is a defect: new members count as in sync.
+// newMembersInSync injects the defect that new members count as in sync.
 func newMembersInSync(before, next consensus.Record) consensus.Record {
 	for _, member := range next.Members {
 		if !consensus.HasMember(before.Members, member.ID) && !next.IsInSync(member.ID) {
--- a/sim/faultsim/control.go
+++ b/sim/faultsim/control.go
@@ -7,34 +7,34 @@
 	"otterseam/tier/membership"
 )
 
-// ControlOptions say what a simulation of control is made of. Times are milliseconds of virtual time.
+// ControlOptions configures a simulation of control. Times are milliseconds of virtual time.
 type ControlOptions struct {
 	Members          int
 	ToleratedLosses  int
 	MaxFaultInterval int64
-	Duration         int64 // during which faults are injected
+	Duration         int64 // time for which faults are injected
 	LateSeed         bool  // one seed starts seconds after the others
-	StateBytes       int   // of each replica, besides the commands
+	StateBytes       int   // size of each replica's state, without the commands
 	Bugs             ControlBugs
 }
 
-// controlSimulation is the control group.
+// controlSimulation simulates the control group.
 type controlSimulation struct {
 	*simulation
-	options      ControlOptions
-	policy       membership.Policy
-	processes    map[*node]*process
-	seeds        []string
-	outcome      Outcome
-	recovery     recoveryClock
-	onChange     func() // after a change of the record
-	machinesMade int
-	newest       consensus.Record // the newest that was decided
+	options         ControlOptions
+	policy          membership.Policy
+	processes       map[*node]*process
+	seeds           []string
+	outcome         Outcome
+	recovery        recoveryClock
+	onChange        func() // called after each change of the record
+	machinesCreated int
+	newest          consensus.Record // the newest decided record
 }
 
 const (
-	lateSeed           = 2 // which seed starts late
-	controlCommandOdds = 2 // a primary gets a command in one of so many rounds
+	lateSeed           = 2 // index of the seed that starts late
+	controlCommandOdds = 2 // a primary is given a command in one of this many rounds
 )
 
 var (
@@ -42,7 +42,7 @@
 	lateSeedDelays = delays{2000, 9000}
 )
 
-// SimulateControl simulates the control group under faults and checks it.
+// SimulateControl simulates the control group under faults, checks it and returns the outcome.
 func SimulateControl(seed int64, options ControlOptions) Outcome {
 	c := newControlSimulation(seed, options)
 	c.startMembers()
@@ -80,7 +80,7 @@
 	return c
 }
 
-// startMembers makes the machines of the first members and schedules their start.
+// startMembers adds the machines of the first members and schedules their start.
 func (c *controlSimulation) startMembers() {
 	for i := range c.options.Members {
 		n := c.newMachine(true)
@@ -111,17 +111,17 @@
 	return a
 }
 
-// end completes the outcome.
+// end completes and returns the outcome.
 func (c *controlSimulation) end() Outcome {
 	c.outcome.Violation = c.violation
 	c.outcome.Acknowledged = len(c.acknowledged)
 	return c.outcome
 }
 
-// newMachine makes a machine with a process that may found the group, or not.
+// newMachine adds a machine. Its first process may bootstrap the group if bootstrap is set.
 func (c *controlSimulation) newMachine(bootstrap bool) *node {
-	c.machinesMade++
-	n := c.addNode(fmt.Sprintf("core-%d", c.machinesMade))
+	c.machinesCreated++
+	n := c.addNode(fmt.Sprintf("core-%d", c.machinesCreated))
 	c.processes[n] = &process{node: n, sim: c, bootstrap: bootstrap}
 	n.onDiskLost = func() {
 		if old := c.processes[n]; !c.bugs.KeepIdentity {
@@ -133,7 +133,7 @@
 	return n
 }
 
-// submitCommands has a client give primaries a command now and then.
+// submitCommands proposes clients' commands to the primaries at random intervals.
 func (c *controlSimulation) submitCommands() {
 	c.after(c.between(1, 2*meanCommandInterval), c.submitCommands)
 	for _, n := range c.nodes {
@@ -143,14 +143,14 @@
 	}
 }
 
-// measureRecovery notes how long a recovery took.
+// measureRecovery records how long the recovery from a lost disk took.
 func (c *controlSimulation) measureRecovery(p *process) {
 	if c.recovery.since == 0 || c.newest.Primary != p.identity || !p.group.IsReady() {
 		return
 	}
 	inSync := c.runningInSync()
-	reserve := inSync - len(c.newest.Members)/2 - 1
-	if !c.recovery.protected && inSync > c.options.ToleratedLosses && reserve >= c.options.ToleratedLosses {
+	spareVotes := inSync - len(c.newest.Members)/2 - 1
+	if !c.recovery.protected && inSync > c.options.ToleratedLosses && spareVotes >= c.options.ToleratedLosses {
 		c.outcome.noteProtected(&c.recovery, c.now())
 	}
 	if inSync == len(c.newest.Members) && inSync >= c.policy.Voters() {
@@ -158,7 +158,7 @@
 	}
 }
 
-// runningInSync is how many members run and are in sync.
+// runningInSync returns the number of members that run and are in sync.
 func (c *controlSimulation) runningInSync() int {
 	count := 0
 	for _, member := range c.newest.Members {
@@ -169,7 +169,8 @@
 	return count
 }
 
-// hasRecovered reports whether the group has its full number of members, all in sync, and serves.
+// hasRecovered reports whether the group has its full number of members, all running and in sync, and its primary is ready and has
+// applied almost all of its log.
 func (c *controlSimulation) hasRecovered() bool {
 	primary := c.find(c.newest.Primary)
 	if primary == nil || primary.group == nil || !primary.group.IsReady() || primary.group.View().Epoch != c.newest.Epoch {
--- a/sim/faultsim/control_election.go
+++ b/sim/faultsim/control_election.go
@@ -7,22 +7,23 @@
 	"otterseam/tier/membership"
 )
 
-// superseded reports whether this process knows of a primary that follows the one of its replica's view.
+// superseded reports whether this process knows of a later primary than that of its replica's view.
 func (p *process) superseded() bool {
 	view := p.group.View()
 	return p.known.Epoch > view.Epoch && p.known.Primary != view.Primary
 }
 
+// discoverOrBootstrap looks for a group, and bootstraps one if this process is a seed that may do so.
 func (p *process) discoverOrBootstrap() {
 	p.locate()
 	if !p.bootstrap || !slices.Contains(p.sim.seeds, p.address) || p.proposing {
 		return
 	}
-	founding := membership.BootstrapInput{
+	input := membership.BootstrapInput{
 		Self: p.self(), Seeds: p.sim.seeds, Candidates: p.bootstrapCandidates, WaitElapsed: p.sim.now()-p.startedAt > bootstrapWait,
 	}
-	members, may := founding.Members()
-	if !may {
+	members, allowed := input.Members()
+	if !allowed {
 		return
 	}
 	p.propose(prepareBySelf, consensus.Record{Members: members}, func(current consensus.Record) (consensus.Record, bool) {
@@ -41,7 +42,7 @@
 	return p.known.IsInSync(p.identity)
 }
 
-// watchPrimary takes over when the primary has been silent for too long.
+// watchPrimary takes over if the primary has been silent for too long.
 func (p *process) watchPrimary() {
 	if !p.mayLead() {
 		if p.sim.oneIn(locateOdds) {
@@ -51,7 +52,7 @@
 	}
 	lastHeartbeat := p.group.LastHeartbeat()
 	if p.superseded() {
-		lastHeartbeat = p.learnedAt // heartbeats come from the primary before
+		lastHeartbeat = p.learnedAt // earlier heartbeats are those of the previous primary
 	}
 	silence := p.sim.now() - max(lastHeartbeat, p.startedAt)
 	if p.known.Primary == p.identity {
@@ -66,7 +67,7 @@
 	}
 }
 
-// rank is how many in-sync members are to take over before this one.
+// rank returns the number of in-sync members that take precedence over this one in a takeover.
 func (p *process) rank() int64 {
 	rank := int64(0)
 	for _, id := range p.known.InSync {
@@ -80,7 +81,7 @@
 	return rank
 }
 
-// takeOver proposes a record with this process as primary, unless it is proposing already.
+// takeOver proposes a record with this process as primary, unless a proposal of the process is already in progress.
 func (p *process) takeOver(mode prepareMode) {
 	if p.proposing {
 		return
@@ -94,7 +95,7 @@
 			return
 		}
 		p.propose(mode, p.known, func(current consensus.Record) (consensus.Record, bool) {
-			// a suspected epoch above the current one was proposed and never decided
+			// if the suspected epoch is above the current one, its record was proposed and never decided
 			if current.Epoch > suspected || (!current.IsInSync(p.identity) && !p.sim.options.Bugs.AnyMemberLeads) {
 				return current, false
 			}
@@ -107,7 +108,7 @@
 	})
 }
 
-// lead has the replica act on a record that this process has decided.
+// lead sets the replica's view from a record that this process proposed and that was decided.
 func (p *process) lead(record consensus.Record) {
 	p.hasLed = true
 	p.observeRecord(record, true)
--- a/sim/faultsim/control_machines.go
+++ b/sim/faultsim/control_machines.go
@@ -6,8 +6,9 @@
 	"otterseam/tier/consensus"
 )
 
-// survivableLosses is how many lost votes a group of its size can do without; while its members change, so many of those before
-// too. Half of an even number may be lost, if each loss can be proved: a machine that has gone for good answers nothing.
+// survivableLosses returns the number of votes that the group can lose. While its members change, neither the new nor the previous
+// members may lose more than they can. Half of an even number of votes may be lost if each loss can be proved, which takes a response
+// from the machine: a removed machine doesn't respond.
 func (c *controlSimulation) survivableLosses() int {
 	votes := c.spareVotes(c.newest.Members)
 	if len(c.newest.Previous) > 0 {
@@ -18,14 +19,14 @@
 
 func (c *controlSimulation) spareVotes(members []consensus.Member) int {
 	for _, member := range members {
-		if c.machineGone(member.Address) {
+		if c.isMachineRemoved(member.Address) {
 			return (len(members) - 1) / 2
 		}
 	}
 	return len(members) / 2
 }
 
-func (c *controlSimulation) machineGone(address string) bool {
+func (c *controlSimulation) isMachineRemoved(address string) bool {
 	for _, n := range c.nodes {
 		if n.address == address {
 			return n.removed
@@ -34,7 +35,7 @@
 	return false
 }
 
-// protectingIDs are the identities that the group counts upon: for copies or for votes.
+// protectingIDs returns the identities on which the group depends for in-sync replicas or for votes.
 func (c *controlSimulation) protectingIDs() []uint64 {
 	all := append([]uint64(nil), c.newest.InSync...)
 	for _, member := range c.newest.Voters() {
@@ -45,7 +46,7 @@
 	return all
 }
 
-// drain stops a process as planned; it starts again with its disk.
+// drain stops a process as planned. The process starts again with its disk.
 func (c *controlSimulation) drain(n *node) {
 	n.draining = true
 	p := c.processes[n]
@@ -54,10 +55,10 @@
 	})
 }
 
-// replacementDelays are how long an old machine runs beside the one that replaces it.
+// replacementDelays is the range of times for which an old machine runs beside its replacement.
 var replacementDelays = delays{300, 1500}
 
-// replaceOldest replaces the machine with the oldest disk as planned: a new one comes first, then the old one is stopped for good.
+// replaceOldest replaces the machine with the oldest disk as planned: it starts a new machine, then drains and removes the old one.
 func (c *controlSimulation) replaceOldest(a *adversary) {
 	oldest := c.nodes[0]
 	for _, n := range c.nodes {
@@ -71,8 +72,8 @@
 	if oldest.removed || !oldest.up || oldest.draining || c.machineCount() > c.options.Members {
 		return
 	}
-	fresh := c.newMachine(false)
-	fresh.start()
+	replacement := c.newMachine(false)
+	replacement.start()
 	oldest.afterIfRunning(c.draw(replacementDelays), func() {
 		oldest.draining = true
 		allowed := func() bool { return c.mayRemove(oldest, a) }
@@ -82,16 +83,17 @@
 
 func always() bool { return true }
 
-// mayRemove reports whether a machine may go for good. One that the group still counts upon is a loss, which waits its turn.
+// mayRemove reports whether a machine may be removed. The removal of a machine on which the group still depends counts as a loss, and
+// has to wait until the group tolerates one.
 func (c *controlSimulation) mayRemove(n *node, a *adversary) bool {
 	odd := len(c.newest.Members)%2 == 1 && (len(c.newest.Previous) == 0 || len(c.newest.Previous)%2 == 1)
 	if slices.Contains(c.protectingIDs(), n.identity) {
 		return odd && a.mayLoseDisk()
 	}
-	return odd || len(a.openLosses) == 0 // where half of the votes are lost, the machine's answer is the proof
+	return odd || len(a.openLosses) == 0 // if half of the votes are lost, the machine's response is needed to prove it
 }
 
-// retireMachine takes a machine away for good.
+// retireMachine removes a machine. The removal counts as a loss if the group still depends on the machine.
 func (c *controlSimulation) retireMachine(n *node, a *adversary) {
 	if slices.Contains(c.protectingIDs(), n.identity) {
 		a.openLosses[n.identity] = loss{}
--- a/sim/faultsim/control_process.go
+++ b/sim/faultsim/control_process.go
@@ -7,13 +7,13 @@
 	"otterseam/tier/membership"
 )
 
-// The times of control processes, in milliseconds.
+// Intervals and timeouts of control processes, in milliseconds.
 const (
 	controlHeartbeatInterval = 200
 	superviseInterval        = 50
 	suspectTimeout           = 500
-	suspectRankStep          = 120 // added to suspectTimeout for each member ranked before
-	stickyLeaderTimeout      = 350 // since the primary's last heartbeat; until then an acceptor helps no successor
+	suspectRankStep          = 120 // added to suspectTimeout for each member of higher precedence
+	stickyLeaderTimeout      = 350 // since the primary's last heartbeat; until then an acceptor refuses a takeover
 	proposeTimeout           = 1200
 	controlSessionTimeout    = 2500
 	controlDepartedTimeout   = 6000
@@ -22,32 +22,32 @@
 )
 
 const (
-	seedCount         = 3  // addresses of seeds in a process's settings
-	primaryLocateOdds = 20 // a primary looks for others in one of so many rounds
-	locateOdds        = 4  // a process that may not lead, likewise
+	seedCount         = 3  // seed addresses in the settings of a process
+	primaryLocateOdds = 20 // a primary locates other processes in one of this many rounds
+	locateOdds        = 4  // the same for a process that may not lead
 )
 
-// takeOverDelays leave time to hear from others before a takeover.
+// takeOverDelays is the range of delays before a takeover, in which responses from other processes can arrive.
 var takeOverDelays = delays{10, 30}
 
-// process is a control process in its present incarnation, with what its disk keeps of its acceptor.
+// process is the current incarnation of a control process, with its acceptor's durable state.
 type process struct {
 	*node
 	sim       *controlSimulation
-	bootstrap bool // it may found the group
+	bootstrap bool // it may bootstrap the group
 
 	acceptor consensus.Acceptor // durable
 	round    uint64             // durable
 
 	known               consensus.Record // the newest record that it knows
-	knownDecided        bool
-	learnedAt           int64 // when it learned of that record's epoch
+	knownDecided        bool             // the known record was decided
+	learnedAt           int64            // when it learned of the known record's epoch
 	identities          *membership.IdentityTracker
-	seeds               []string                    // of its settings, written when it started
-	bootstrapCandidates map[string]consensus.Member // who answered as such, by address
+	seeds               []string                    // from its settings, which were written when it started
+	bootstrapCandidates map[string]consensus.Member // processes that responded as candidates, by address
 	sessions            map[uint64]controlSession
 	startedAt           int64
-	leaderSince         int64 // 0: it doesn't lead
+	leaderSince         int64 // 0 if it doesn't lead
 	hasLed              bool  // in this incarnation
 	proposing           bool
 }
@@ -58,6 +58,7 @@
 	draining      bool
 }
 
+// startProcess resets the volatile state of a process and starts its work.
 func (c *controlSimulation) startProcess(n *node) {
 	p := c.processes[n]
 	p.known = p.acceptor.Value
@@ -74,7 +75,8 @@
 	n.every(superviseInterval, p.supervise)
 }
 
-// presentSeeds are what the operator writes into the settings of a process that starts: a few machines that are there.
+// presentSeeds returns the seed addresses that an operator writes into the settings of a process that starts: those of a few existing
+// machines.
 func (c *controlSimulation) presentSeeds() []string {
 	if len(c.seeds) < seedCount {
 		return c.seeds
@@ -92,7 +94,7 @@
 	return consensus.Member{ID: p.identity, Address: p.address, Node: p.name}
 }
 
-// addresses are where other control processes may be.
+// addresses returns the addresses at which other control processes may run.
 func (p *process) addresses() []string {
 	all := append([]string(nil), p.seeds...)
 	for _, member := range append(p.known.Voters(), p.known.Learners...) {
@@ -103,10 +105,10 @@
 	return all
 }
 
-// learn takes a record that was accepted here or received. It need not have been decided.
+// learn observes a record that was accepted here or received, and that may not be decided.
 func (p *process) learn(record consensus.Record) { p.observeRecord(record, false) }
 
-// observeRecord keeps the newest record, and whose identities it lists.
+// observeRecord keeps a record if it is the newest one, and records the identities that the newest record lists.
 func (p *process) observeRecord(record consensus.Record, decided bool) {
 	if record.Epoch > p.known.Epoch || (record.Epoch == p.known.Epoch && (decided || !p.knownDecided)) {
 		if record.Epoch > p.known.Epoch {
@@ -124,19 +126,19 @@
 	}
 }
 
-// locate asks everyone who they are and what they know.
+// locate sends the newest known record to all other processes, and requests their identities and records.
 func (p *process) locate() {
-	asked, mine := p.sim.now(), p.known
+	requestedAt, own := p.sim.now(), p.known
 	for _, address := range p.addresses() {
 		if address == p.address {
 			continue
 		}
-		p.ask(address, func(other *process) func() {
-			other.learn(mine)
+		p.call(address, func(other *process) func() {
+			other.learn(own)
 			member, record, canBootstrap := other.self(), other.known, other.bootstrap
 			return func() {
 				p.learn(record)
-				p.identities.ObserveAnswer(member, asked)
+				p.identities.ObserveAnswer(member, requestedAt)
 				delete(p.bootstrapCandidates, address)
 				if canBootstrap {
 					p.bootstrapCandidates[address] = member
@@ -146,20 +148,20 @@
 	}
 }
 
-// heartbeat keeps the session with whoever leads.
+// heartbeat renews this process's session with the primary.
 func (p *process) heartbeat() {
-	me, draining := p.self(), p.draining
+	sender, draining := p.self(), p.draining
 	if p.group.IsPrimary() {
-		p.sessions[me.ID] = controlSession{member: me, lastHeartbeat: p.sim.now(), draining: draining}
+		p.sessions[sender.ID] = controlSession{member: sender, lastHeartbeat: p.sim.now(), draining: draining}
 		return
 	}
 	for _, address := range p.addresses() {
-		p.ask(address, func(other *process) func() {
+		p.call(address, func(other *process) func() {
 			if !other.group.IsPrimary() {
 				return nil
 			}
-			other.sessions[me.ID] = controlSession{member: me, lastHeartbeat: p.sim.now(), draining: draining}
-			other.identities.ObserveAnswer(me, p.sim.now())
+			other.sessions[sender.ID] = controlSession{member: sender, lastHeartbeat: p.sim.now(), draining: draining}
+			other.identities.ObserveAnswer(sender, p.sim.now())
 			record := other.known
 			return func() { p.learn(record) }
 		})
@@ -171,13 +173,14 @@
 	if id == p.identity {
 		return false
 	}
-	member, named := p.known.Member(id)
-	if named && member.Address == p.address && member.Node == p.name {
+	member, found := p.known.Member(id)
+	if found && member.Address == p.address && member.Node == p.name {
 		return true
 	}
 	return p.identities.DiskLost(id)
 }
 
+// supervise does the periodic work of a process according to its role.
 func (p *process) supervise() {
 	switch {
 	case !p.known.IsBootstrapped():
--- a/sim/faultsim/control_reconcile.go
+++ b/sim/faultsim/control_reconcile.go
@@ -7,14 +7,15 @@
 	"otterseam/tier/membership"
 )
 
-// reconcile does the primary's work on the replicas: one change at a time.
+// reconcile does the primary's periodic work on the replicas. It makes one change at a time.
 func (p *process) reconcile() {
 	if p.proposing {
 		return
 	}
 	known := p.known
 	if known.Primary == p.identity && known.Epoch > p.group.View().Epoch && !p.sim.options.Bugs.IgnoreOwnChange {
-		// a change of this process was decided without its knowing: its replica follows under the next epoch
+		// a change of this process was decided without the process learning so; deciding the same record under the next epoch lets its
+		// replica follow
 		p.change(func(record consensus.Record) (consensus.Record, bool) { return record, true })
 		return
 	}
@@ -35,7 +36,7 @@
 	}
 }
 
-// admit has the replica's commits wait for those that have caught up, learners apart, and returns them.
+// admit makes the replica's commits wait for the replicas that have caught up, except learners, and returns their identities.
 func (p *process) admit(caughtUp []uint64) []uint64 {
 	var admitted []uint64
 	for _, id := range caughtUp {
@@ -71,7 +72,7 @@
 	})
 }
 
-// reconcileMembers takes the next step towards the members that the policy wants.
+// reconcileMembers takes the next step towards the members that the policy requires.
 func (p *process) reconcileMembers(known consensus.Record, caughtUp []uint64) {
 	observed := p.observe(caughtUp)
 	planned, wanted := p.sim.policy.Next(known, observed)
@@ -107,7 +108,7 @@
 	return ids
 }
 
-// observe gathers what the primary knows.
+// observe returns the primary's observations of the members.
 func (p *process) observe(caughtUp []uint64) membership.Observation {
 	hasState := map[uint64]bool{}
 	for _, id := range caughtUp {
@@ -121,14 +122,14 @@
 		Draining: func(id uint64) bool { return p.sessions[id].draining },
 	}
 	for _, n := range p.sim.nodes {
-		if session, heard := p.sessions[n.identity]; heard && p.sim.now()-session.lastHeartbeat <= controlSessionTimeout {
+		if session, found := p.sessions[n.identity]; found && p.sim.now()-session.lastHeartbeat <= controlSessionTimeout {
 			observed.Alive = append(observed.Alive, session.member)
 		}
 	}
 	return observed
 }
 
-// change changes the record while this process leads.
+// change proposes a change of the record, which applies only while this process is the primary.
 func (p *process) change(change func(consensus.Record) (consensus.Record, bool)) {
 	p.propose(prepareBySelf, p.known, func(current consensus.Record) (consensus.Record, bool) {
 		if current.Primary != p.identity {
--- a/sim/faultsim/disk.go
+++ b/sim/faultsim/disk.go
@@ -3,7 +3,7 @@
 import "otterseam/tier/replica"
 
 const (
-	slowDiskOdds            = 20 // one write in so many takes long
+	slowDiskOdds            = 20 // one in this many writes is slow
 	diskBytesPerMillisecond = 100_000
 )
 
@@ -12,13 +12,13 @@
 	slowWriteDelays = delays{30, 200}
 )
 
-// disk is what a loss of power leaves of a replica.
+// disk is the state of a replica that survives a power loss.
 type disk struct {
 	snapshot replica.Snapshot
 	entries  []replica.Entry
 }
 
-// write stores a snapshot, entries or both. Entries replace those from their first index on.
+// write stores a snapshot, entries or both. Entries replace the stored ones from their first index on.
 func (d *disk) write(w replica.Write) {
 	if w.Snapshot != nil {
 		d.snapshot = *w.Snapshot
@@ -33,7 +33,7 @@
 	}
 }
 
-// replaceDisk gives a machine an empty disk, and with it another identity.
+// replaceDisk gives a machine an empty disk, which has a new identity.
 func (n *node) replaceDisk() {
 	if !n.sim.bugs.KeepIdentity || n.identity == 0 {
 		n.sim.lastIdentity++
@@ -43,15 +43,16 @@
 	n.diskCreatedAt = n.sim.now()
 }
 
-// loseDisk ends the process and takes the disk away; it starts again on an empty one.
-func (n *node) loseDisk(down int64) {
+// loseDisk ends the process and replaces its disk by an empty one. The process starts again after the downtime.
+func (n *node) loseDisk(downtime int64) {
 	n.crash()
 	n.replaceDisk()
 	n.onDiskLost()
-	n.sim.after(down, n.start)
+	n.sim.after(downtime, n.start)
 }
 
-// startWrite makes all that is queued durable after the time that a disk needs.
+// startWrite writes all queued writes to the disk, and reports them as durable once the disk's latency has passed. It does nothing
+// while an earlier write is in progress.
 func (n *node) startWrite() {
 	if n.writing || len(n.unwritten) == 0 {
 		return
@@ -83,7 +84,7 @@
 	})
 }
 
-// diskDelay is how long a disk takes; now and then one is slow.
+// diskDelay returns the latency of a write. One in slowDiskOdds writes is slow.
 func (s *simulation) diskDelay() int64 {
 	if s.oneIn(slowDiskOdds) {
 		return s.draw(slowWriteDelays)
@@ -91,7 +92,7 @@
 	return s.draw(writeDelays)
 }
 
-// reportDurable tells the replica what has reached the disk.
+// reportDurable reports to the replica which writes are durable.
 func (n *node) reportDurable(writes []replica.Write) {
 	for _, write := range writes {
 		if write.Snapshot != nil {
--- a/sim/faultsim/doc.go
+++ b/sim/faultsim/doc.go
@@ -1,7 +1,8 @@
-// Package faultsim simulates replica groups in virtual time on disks, machines and a network that fail, under the decisions that
-// the tier takes in service: a shard under package placement (SimulateShard), and the control group under packages consensus and
-// membership (SimulateControl). An adversary takes disks away one after the other, each time from the replica that protects most;
-// an oracle checks that nothing acknowledged is lost or applied twice, and that the group recovers once no more faults come.
+// Package faultsim simulates replica groups in virtual time on machines, disks and a network that fail. The groups decide with the
+// tier's production code: a shard with package placement (SimulateShard), and the control group with packages consensus and
+// membership (SimulateControl). An adversary destroys disks one after the other, preferably those of the replicas that the group
+// depends on most. An oracle checks that no acknowledged command is lost or applied twice, and that the group recovers once fault
+// injection has ended.
 //
-// No clock is read and nothing sleeps: a seed decides everything. Times are milliseconds of virtual time.
+// The simulations read no clock and never sleep: a seed determines the whole run. Times are milliseconds of virtual time.
 package faultsim
--- a/sim/faultsim/network.go
+++ b/sim/faultsim/network.go
@@ -3,13 +3,13 @@
 import "otterseam/tier/replica"
 
 const (
-	messageLossOdds         = 50 // one message in so many is lost
+	messageLossOdds         = 50 // one in this many messages is lost
 	linkBytesPerMillisecond = 75_000
 )
 
 var messageDelays = delays{1, 4}
 
-// send carries a message between replicas.
+// send delivers a message between replicas after a delay, unless the message is lost.
 func (s *simulation) send(from uint64, out replica.Outgoing) {
 	if s.oneIn(messageLossOdds) {
 		return
@@ -23,17 +23,17 @@
 	})
 }
 
-// ask calls the process at an address. The answer that question returns is carried back and run
-// here; nothing is run if no process is there or a message is lost.
-func (p *process) ask(address string, question func(other *process) (answer func())) {
+// call sends a request to the process at an address, where handle runs. The function that handle returns is run once the response
+// has arrived, if the calling process still runs. Neither is run if no process runs at the address or the request is lost.
+func (p *process) call(address string, handle func(other *process) (onResponse func())) {
 	c := p.sim
 	c.after(c.draw(messageDelays), func() {
 		for _, n := range c.nodes {
 			if n.address != address || !n.up || n.removed || c.oneIn(messageLossOdds) {
 				continue
 			}
-			if answer := question(c.processes[n]); answer != nil {
-				p.afterIfRunning(c.draw(messageDelays), answer)
+			if onResponse := handle(c.processes[n]); onResponse != nil {
+				p.afterIfRunning(c.draw(messageDelays), onResponse)
 			}
 		}
 	})
--- a/sim/faultsim/node.go
+++ b/sim/faultsim/node.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	retainedEntries = 24 // of a replica's log, behind its snapshot
+	retainedEntries = 24 // entries that a replica's log retains behind its snapshot
 	tickInterval    = 40 // milliseconds between ticks of a replica
 )
 
-// restartDelays are how long a process is down that was stopped or killed alone.
+// restartDelays is the range of downtimes of a process that was stopped or killed alone.
 var restartDelays = delays{100, 1200}
 
 // node is a machine with one process that holds one replica. The identity belongs to its disk, the incarnation to its process.
@@ -23,26 +23,26 @@
 	incarnation   uint64
 	up            bool
 	draining      bool
-	removed       bool // for good
+	removed       bool // permanently
 	diskCreatedAt int64
-	generation    int    // changes with each start and crash, so that timers set before don't fire
-	onDiskLost    func() // called once a new disk has replaced the lost one
+	generation    int    // changes with each start and crash, so that earlier timers don't fire
+	onDiskLost    func() // called once an empty disk has replaced the lost one
 
 	group        *replica.Group // nil while no replica is open
 	stateMachine *commandLog
 	disk         disk
 	unwritten    []replica.Write
 	writing      bool
-	uncommitted  map[uint64]uint32 // commands proposed as primary, by index
+	uncommitted  map[uint64]uint32 // commands proposed as primary and not committed yet, by index
 }
 
-// openReplica opens the replica from what the disk holds.
+// openReplica opens the replica from the state on the disk.
 func (n *node) openReplica() {
 	n.stateMachine = &commandLog{padding: n.sim.stateBytes}
 	entries := append([]replica.Entry(nil), n.disk.entries...)
 	group, err := replica.NewGroup(n.identity, n.stateMachine, n.disk.snapshot, entries, replica.Options{RetainedEntries: retainedEntries, EagerCommit: n.sim.eagerCommit})
 	if err != nil {
-		n.sim.fail("a disk could not be read: " + err.Error())
+		n.sim.fail("opening a replica from its disk failed: " + err.Error())
 		return
 	}
 	n.group = group
@@ -51,7 +51,7 @@
 	n.uncommitted = map[uint64]uint32{}
 }
 
-// start runs the process of a machine.
+// start starts the process of a machine, unless it runs already or the machine is removed.
 func (n *node) start() {
 	if n.up || n.removed {
 		return
@@ -70,7 +70,7 @@
 	n.sim.onStart(n)
 }
 
-// crash ends the process at once; of the writes under way some may have reached the disk.
+// crash ends the process at once. A random number of the pending writes, the oldest first, still reaches the disk.
 func (n *node) crash() {
 	if !n.up {
 		return
@@ -83,7 +83,7 @@
 	n.group = nil
 }
 
-// every repeats something for as long as the process runs.
+// every calls act at a fixed period for as long as the process runs. The first call comes after a random part of the period.
 func (n *node) every(period int64, act func()) {
 	generation := n.generation
 	var again func()
@@ -97,7 +97,7 @@
 	n.sim.after(n.sim.between(0, period), again)
 }
 
-// afterIfRunning has something happen if the process still runs then.
+// afterIfRunning calls act after a delay, unless the process has ended by then.
 func (n *node) afterIfRunning(delay int64, act func()) {
 	generation := n.generation
 	n.sim.after(delay, func() {
@@ -107,7 +107,8 @@
 	})
 }
 
-// handleOutput does what the replica asks for.
+// handleOutput handles the output of the replica: it starts writes, sends messages and acknowledges applied commands to their
+// clients.
 func (n *node) handleOutput() {
 	output := n.group.TakeOutput()
 	if output.SteppedDown {
@@ -119,13 +120,13 @@
 		n.sim.send(n.identity, out)
 	}
 	for _, applied := range output.Applied {
-		command, waits := n.uncommitted[applied.Index]
-		if !waits {
+		command, pending := n.uncommitted[applied.Index]
+		if !pending {
 			continue
 		}
 		delete(n.uncommitted, applied.Index)
 		if command != binary.BigEndian.Uint32(applied.Command) {
-			n.sim.fail("a client was answered for another's command")
+			n.sim.fail("a client received the acknowledgment of another command")
 		}
 		n.sim.acknowledged = append(n.sim.acknowledged, command)
 		n.sim.newestAcknowledged = max(n.sim.newestAcknowledged, command)
@@ -133,7 +134,7 @@
 	n.group.Trim()
 }
 
-// propose has a client send a command to a primary.
+// propose proposes a client's next command, if the replica is a primary that is ready.
 func (n *node) propose() {
 	if !n.up || n.group == nil || !n.group.IsReady() {
 		return
--- a/sim/faultsim/proposal.go
+++ b/sim/faultsim/proposal.go
@@ -2,16 +2,16 @@
 
 import "otterseam/tier/consensus"
 
-// prepareMode tells an acceptor why it is asked.
+// prepareMode is the reason for which a proposer prepares. An acceptor's response depends on it.
 type prepareMode int
 
 const (
-	prepareBySelf     prepareMode = iota // the proposer is the primary, or bootstraps
-	prepareOnSilence                     // the primary is silent; refused while the acceptor hears from it
-	prepareOnTransfer                    // the primary asked for a successor
+	prepareBySelf     prepareMode = iota // the proposer is the primary or bootstraps the group
+	prepareOnSilence                     // the primary is silent; acceptors that receive its heartbeats refuse
+	prepareOnTransfer                    // the primary requested a transfer of its leadership
 )
 
-// attempt is a change of the register by a process, with the proposals that it takes.
+// attempt is the attempt of a process to change the register. It takes one or more proposals.
 type attempt struct {
 	process   *process
 	mode      prepareMode
@@ -21,10 +21,10 @@
 	ended     bool
 }
 
-// maxProposals is how many proposals an attempt makes before it gives up.
+// maxProposals is the number of proposals after which an attempt gives up.
 const maxProposals = 5
 
-// propose changes the register; one attempt of a process runs at a time.
+// propose starts an attempt to change the register. It does nothing while another attempt of the process runs.
 func (p *process) propose(mode prepareMode, start consensus.Record, change func(consensus.Record) (consensus.Record, bool)) {
 	if p.proposing {
 		return
@@ -32,7 +32,7 @@
 	p.proposing = true
 	a := &attempt{process: p, mode: mode, change: consensus.IdempotentChange{Change: change}}
 	p.afterIfRunning(proposeTimeout, a.end)
-	a.begin(start)
+	a.startProposal(start)
 }
 
 func (a *attempt) end() {
@@ -42,8 +42,8 @@
 	}
 }
 
-// begin makes the next proposal. Its round is durable, as the process's disk writes rounds before it uses them.
-func (a *attempt) begin(start consensus.Record) {
+// startProposal starts the next proposal. Its round counts as durable, as a process writes each round to its disk before it uses it.
+func (a *attempt) startProposal(start consensus.Record) {
 	if a.proposals == maxProposals {
 		a.end()
 		return
@@ -52,28 +52,28 @@
 	p := a.process
 	p.round = max(p.round, p.acceptor.Promised.Round) + 1
 	proposal := consensus.NewProposal(consensus.ProposalNumber{Round: p.round, Proposer: p.identity}, start, a.confirmed, a.change.Apply)
-	a.send(proposal, proposal.Begin())
-	a.follow(proposal)
+	a.sendRequests(proposal, proposal.Begin())
+	a.handlePhase(proposal)
 }
 
-func (a *attempt) send(proposal *consensus.Proposal, requests []consensus.Request) {
+func (a *attempt) sendRequests(proposal *consensus.Proposal, requests []consensus.Request) {
 	for _, request := range requests {
 		a.process.vote(request, a.mode, func(response consensus.Response) {
 			if !a.ended {
-				a.send(proposal, proposal.Answer(request.Kind, request.To.ID, response))
-				a.follow(proposal)
+				a.sendRequests(proposal, proposal.Answer(request.Kind, request.To.ID, response))
+				a.handlePhase(proposal)
 			}
 		}, func() {
 			if !a.ended {
-				a.send(proposal, proposal.Fail(request.Kind, request.To.ID))
-				a.follow(proposal)
+				a.sendRequests(proposal, proposal.Fail(request.Kind, request.To.ID))
+				a.handlePhase(proposal)
 			}
 		})
 	}
 }
 
-// follow acts on a proposal that has come to its end.
-func (a *attempt) follow(proposal *consensus.Proposal) {
+// handlePhase handles a proposal that was decided or has failed. It does nothing while the proposal is in an earlier phase.
+func (a *attempt) handlePhase(proposal *consensus.Proposal) {
 	if a.ended || proposal.Phase() == consensus.PhasePrepare || proposal.Phase() == consensus.PhaseAccept {
 		return
 	}
@@ -81,10 +81,10 @@
 	p.round = max(p.round, proposal.HighestRound())
 	switch {
 	case proposal.Phase() == consensus.PhaseFailed:
-		a.begin(proposal.Newest())
+		a.startProposal(proposal.Newest())
 	case proposal.OnlyConfirmed():
 		a.confirmed = proposal.Decided()
-		a.begin(proposal.Newest())
+		a.startProposal(proposal.Newest())
 	case a.change.Applied():
 		a.end()
 		p.lead(proposal.Decided())
--- a/sim/faultsim/shard.go
+++ b/sim/faultsim/shard.go
@@ -6,30 +6,31 @@
 	"otterseam/tier/directory"
 )
 
-// ShardOptions say what a simulation of a shard is made of. Times are milliseconds of virtual time.
+// ShardOptions configures a simulation of a shard. Times are milliseconds of virtual time.
 type ShardOptions struct {
 	Stores           int
 	ToleratedLosses  int
 	MaxFaultInterval int64
-	Duration         int64 // during which faults are injected
-	StateBytes       int   // of each replica, besides the commands
+	Duration         int64 // time for which faults are injected
+	StateBytes       int   // size of each replica's state, without the commands
 	Bugs             ShardBugs
 }
 
-// shardSimulation is one shard, the stores that hold it, and control as the store processes see it, which is always there.
+// shardSimulation simulates one shard, the stores that hold it, and the part of control that store processes depend on. Control is
+// always available.
 type shardSimulation struct {
 	*simulation
-	options       ShardOptions
-	shard         directory.Shard
-	stores        map[uint64]directory.Store // as registered
-	sessions      map[uint64]storeSession
-	retiring      map[string]bool           // by the machine's name
-	latestMap     map[*node]directory.Shard // that each store has received
-	changePending map[*node]bool            // a change of the in-sync set was asked for
-	onChange      func()                    // after a change of the map
-	outcome       Outcome
-	recovery      recoveryClock
-	machinesMade  int
+	options         ShardOptions
+	shard           directory.Shard
+	stores          map[uint64]directory.Store // as registered with control, by identity
+	sessions        map[uint64]storeSession    // by identity
+	retiring        map[string]bool            // by the machine's name
+	latestMap       map[*node]directory.Shard  // newest map that each store has received
+	changePending   map[*node]bool             // whether a request to change the in-sync set is pending
+	onChange        func()                     // called after each change of the map
+	outcome         Outcome
+	recovery        recoveryClock
+	machinesCreated int
 }
 
 type storeSession struct {
@@ -38,7 +39,7 @@
 	draining      bool
 }
 
-// SimulateShard simulates a shard under faults and checks it.
+// SimulateShard simulates a shard under faults, checks it and returns the outcome.
 func SimulateShard(seed int64, options ShardOptions) Outcome {
 	s := newShardSimulation(seed, options)
 	for range options.Stores {
@@ -96,14 +97,14 @@
 	}
 }
 
-// end completes the outcome.
+// end completes and returns the outcome.
 func (s *shardSimulation) end() Outcome {
 	s.outcome.Violation = s.violation
 	s.outcome.Acknowledged = len(s.acknowledged)
 	return s.outcome
 }
 
-// submitCommands has a client give the primary a command now and then.
+// submitCommands proposes clients' commands to the primary at random intervals.
 func (s *shardSimulation) submitCommands() {
 	s.after(s.between(1, 2*meanCommandInterval), s.submitCommands)
 	if n := s.find(s.shard.View.Primary); n != nil {
@@ -111,13 +112,13 @@
 	}
 }
 
-// measureRecovery notes how long a recovery took.
+// measureRecovery records how long the recovery from a lost disk took.
 func (s *shardSimulation) measureRecovery() {
 	if s.recovery.since == 0 {
 		return
 	}
 	primary := s.find(s.shard.View.Primary)
-	ready := primary != nil && primary.group != nil && primary.group.IsReady() && s.inSyncRun()
+	ready := primary != nil && primary.group != nil && primary.group.IsReady() && s.inSyncRunning()
 	if ready && !s.recovery.protected && s.shard.View.ToleratedLosses() >= s.options.ToleratedLosses {
 		s.outcome.noteProtected(&s.recovery, s.now())
 	}
@@ -126,17 +127,18 @@
 	}
 }
 
-// hasRecovered reports whether the shard has all its replicas and its primary serves.
+// hasRecovered reports whether the shard has all its replicas in sync and running, and its primary is ready and has applied almost
+// all of its log.
 func (s *shardSimulation) hasRecovered() bool {
 	primary := s.find(s.shard.View.Primary)
 	if primary == nil || primary.group == nil || !primary.group.IsReady() || primary.group.View().Epoch != s.shard.View.Epoch {
 		return false
 	}
-	return len(s.shard.View.InSync) >= s.cluster().ReplicationFactor() && primary.group.AppliedIndex()+maxApplyLag > primary.group.LastIndex() && s.inSyncRun()
+	return len(s.shard.View.InSync) >= s.cluster().ReplicationFactor() && primary.group.AppliedIndex()+maxApplyLag > primary.group.LastIndex() && s.inSyncRunning()
 }
 
-// inSyncRun reports whether the machines of all in-sync replicas run.
-func (s *shardSimulation) inSyncRun() bool {
+// inSyncRunning reports whether the machines of all in-sync replicas run.
+func (s *shardSimulation) inSyncRunning() bool {
 	for _, id := range s.shard.View.InSync {
 		if n := s.find(id); n == nil || !n.up {
 			return false
--- a/sim/faultsim/shard_placement.go
+++ b/sim/faultsim/shard_placement.go
@@ -7,7 +7,7 @@
 	"otterseam/tier/placement"
 )
 
-// cluster is what control sees.
+// cluster returns the stores as control observes them.
 func (s *shardSimulation) cluster() placement.Cluster {
 	machines := map[uint64]placement.Machine{}
 	for id, store := range s.stores {
@@ -21,7 +21,8 @@
 	return placement.Cluster{Machines: machines, Tolerate: s.options.ToleratedLosses}
 }
 
-// placeShard is control's periodic work.
+// placeShard does control's periodic work: it deletes stores whose disk is lost or that have been away for long, places the shard,
+// and later updates its placement.
 func (s *shardSimulation) placeShard() {
 	s.after(placementInterval, s.placeShard)
 	cluster := s.cluster()
@@ -52,7 +53,7 @@
 	s.measureRecovery()
 }
 
-// publish distributes a new map.
+// publish distributes a new map to all stores.
 func (s *shardSimulation) publish(shard directory.Shard) {
 	if s.options.Bugs.NoMinInSync {
 		shard.View.MinInSync = 0
@@ -64,10 +65,11 @@
 	s.onChange()
 }
 
-// retirementDelays are how long a store that retires is left before it is looked at.
+// retirementDelays is the range of delays before a retiring store is first checked for completion.
 var retirementDelays = delays{200, 900}
 
-// replaceStore replaces a store as planned: a new one comes, the old one is emptied and goes with its disk when it is complete.
+// replaceStore replaces a store as planned: it adds a new store, retires the old one, and removes the old machine and its disk once
+// the retirement is complete.
 func (s *shardSimulation) replaceStore() {
 	if len(s.retiring) > 0 {
 		return
@@ -78,19 +80,19 @@
 	}
 	s.newStore()
 	s.retiring[n.name] = true
-	var look func()
-	look = func() {
+	var checkRetired func()
+	checkRetired = func() {
 		complete := s.cluster().IsRetired(map[uint32]directory.Shard{shardNumber: s.shard}, n.identity)
 		if s.options.Bugs.RetireEarly {
 			complete = s.shard.View.Primary != n.identity
 		}
 		if !complete {
-			s.after(placementInterval, look)
+			s.after(placementInterval, checkRetired)
 			return
 		}
 		n.crash()
 		n.removed = true
 		delete(s.retiring, n.name)
 	}
-	s.after(s.draw(retirementDelays), look)
+	s.after(s.draw(retirementDelays), checkRetired)
 }
--- a/sim/faultsim/shard_store.go
+++ b/sim/faultsim/shard_store.go
@@ -8,7 +8,7 @@
 	"otterseam/tier/placement"
 )
 
-// The times of store processes and of control's work on the map, in milliseconds.
+// Intervals and timeouts of store processes and of control's placement, in milliseconds.
 const (
 	storeHeartbeatInterval = 120
 	storeSessionTimeout    = 650
@@ -21,26 +21,26 @@
 
 var (
 	mapDelays         = delays{1, 40}
-	firstMapDelays    = delays{5, 40} // to a process that has started
+	firstMapDelays    = delays{5, 40} // until a process that has started receives the map
 	heartbeatDelays   = delays{1, 6}
-	changeDelays      = delays{2, 12} // until control acts on a request
+	changeDelays      = delays{2, 12} // until control handles a request to change the in-sync set
 	slowChangeDelays  = delays{150, 450}
 	changeRetryDelays = delays{60, 120}
 )
 
 const (
 	shardNumber    = 1
-	slowChangeOdds = 6 // one change of the map in so many takes long
+	slowChangeOdds = 6 // one in this many requests to change the in-sync set is slow
 )
 
-// newStore starts a store on a new machine.
+// newStore adds a machine and starts a store process on it.
 func (s *shardSimulation) newStore() {
-	s.machinesMade++
-	n := s.addNode(fmt.Sprintf("store-%d", s.machinesMade))
+	s.machinesCreated++
+	n := s.addNode(fmt.Sprintf("store-%d", s.machinesCreated))
 	n.start()
 }
 
-// startStore runs a store process: it keeps a session, follows the map and asks for changes of the in-sync set.
+// startStore starts the work of a store process: it renews its session, applies maps and requests changes of the in-sync set.
 func (s *shardSimulation) startStore(n *node) {
 	delete(s.latestMap, n)
 	delete(s.changePending, n)
@@ -61,7 +61,7 @@
 	})
 }
 
-// applyMap acts on a map as a store process does.
+// applyMap applies a received map as a store process does.
 func (s *shardSimulation) applyMap(n *node, shard directory.Shard) {
 	if shard.View.Epoch == 0 || s.latestMap[n].View.Epoch > shard.View.Epoch {
 		return
@@ -80,7 +80,8 @@
 	}
 }
 
-// requestInSyncChange asks control to change the in-sync set for the shard's primary.
+// requestInSyncChange requests from control, on behalf of the shard's primary, that a replica that has caught up be added to the
+// in-sync set or an unresponsive one be removed.
 func (s *shardSimulation) requestInSyncChange(n *node) {
 	if n.group == nil || s.changePending[n] {
 		return
@@ -106,8 +107,8 @@
 			n.group.Admit(caughtUp[0])
 		}
 		change(caughtUp[0], true)
-	} else if silent := n.group.Unresponsive(s.now()); len(silent) > 0 {
-		change(silent[0], false)
+	} else if unresponsive := n.group.Unresponsive(s.now()); len(unresponsive) > 0 {
+		change(unresponsive[0], false)
 	}
 }
 
@@ -124,21 +125,22 @@
 	return n.group.CaughtUp(s.now())
 }
 
-// drain stops a process as planned: it ends when the shard can do without it or time is up, and starts again with its disk.
+// drain stops a process as planned: the process exits when the shard no longer needs it or the drain timeout has passed, and starts
+// again with its disk.
 func (s *shardSimulation) drain(n *node) {
 	n.draining = true
 	n.afterIfRunning(0, func() { s.exitWhenDrained(n, s.now()+storeDrainTimeout) })
 }
 
-// exitWhenDrained ends a draining process once nothing depends on it.
-func (s *shardSimulation) exitWhenDrained(n *node, limit int64) {
+// exitWhenDrained ends a draining process once the shard no longer needs it or the deadline has passed.
+func (s *shardSimulation) exitWhenDrained(n *node, deadline int64) {
 	shards := map[uint32]directory.Shard{shardNumber: s.latestMap[n]}
 	needed := placement.IsNeeded(shards, n.identity) || (n.group != nil && n.group.IsPrimary())
 	if s.options.Bugs.LeaveWithoutDrain {
 		needed = false
 	}
-	if needed && s.now() < limit {
-		n.afterIfRunning(storeWatchInterval, func() { s.exitWhenDrained(n, limit) })
+	if needed && s.now() < deadline {
+		n.afterIfRunning(storeWatchInterval, func() { s.exitWhenDrained(n, deadline) })
 		return
 	}
 	n.crash()
