--- a/sim/faultsim/digest_test.go
+++ b/sim/faultsim/digest_test.go
@@ -6,7 +6,7 @@
 	"otterseam/internal/digesttest"
 )
 
-// digestOutcome adds what a simulation ended with. The times of recovery follow from all that was drawn and decided before them.
+// digestOutcome adds an outcome to a digest. Its recovery times depend on everything that was drawn and decided before them.
 func digestOutcome(t *testing.T, d *digesttest.Digest, outcome Outcome) {
 	t.Helper()
 	if outcome.Violation != "" {
@@ -18,27 +18,27 @@
 	d.Int(outcome.FullAfter...)
 }
 
-// The eager simulations have the adversary take disks more often, on a state that takes a while to copy.
+// In the simulations with frequent faults the adversary destroys disks more often, on a state that takes a while to copy.
 const (
-	eagerSpaced = 500 // milliseconds
-	eagerLength = 20_000
-	eagerState  = 64 << 10
+	frequentFaultInterval   = 500 // milliseconds
+	frequentFaultDuration   = 20_000
+	frequentFaultStateBytes = 64 << 10
 )
 
 func TestShardDigests(t *testing.T) {
 	digesttest.Check(t, "shard", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		digestOutcome(t, d, SimulateShard(seed, shardOptions(seed)))
-		eager := shardOptions(seed)
-		eager.MaxFaultInterval, eager.Duration, eager.StateBytes = eagerSpaced, eagerLength, eagerState
-		digestOutcome(t, d, SimulateShard(seed, eager))
+		frequent := shardOptions(seed)
+		frequent.MaxFaultInterval, frequent.Duration, frequent.StateBytes = frequentFaultInterval, frequentFaultDuration, frequentFaultStateBytes
+		digestOutcome(t, d, SimulateShard(seed, frequent))
 	})
 }
 
 func TestControlDigests(t *testing.T) {
 	digesttest.Check(t, "control", func(t *testing.T, seed int64, d *digesttest.Digest) {
 		digestOutcome(t, d, SimulateControl(seed, controlOptions(seed)))
-		eager := controlOptions(seed)
-		eager.MaxFaultInterval, eager.Duration, eager.StateBytes = eagerSpaced, eagerLength, eagerState
-		digestOutcome(t, d, SimulateControl(seed, eager))
+		frequent := controlOptions(seed)
+		frequent.MaxFaultInterval, frequent.Duration, frequent.StateBytes = frequentFaultInterval, frequentFaultDuration, frequentFaultStateBytes
+		digestOutcome(t, d, SimulateControl(seed, frequent))
 	})
 }
--- a/sim/faultsim/outcomes_test.go
+++ b/sim/faultsim/outcomes_test.go
@@ -21,8 +21,8 @@
 	return standardSeeds
 }
 
-// simulateAll simulates seeds on half of the processors and returns the outcomes in order.
-func simulateAll(count int, one func(seed int64) Outcome) []Outcome {
+// simulateAll simulates seeds on half of the processors and returns the outcomes in the order of the seeds.
+func simulateAll(count int, simulate func(seed int64) Outcome) []Outcome {
 	outcomes := make([]Outcome, count)
 	next := make(chan int)
 	var wait sync.WaitGroup
@@ -31,7 +31,7 @@
 		go func() {
 			defer wait.Done()
 			for seed := range next {
-				outcomes[seed] = one(int64(seed))
+				outcomes[seed] = simulate(int64(seed))
 			}
 		}()
 	}
@@ -43,17 +43,17 @@
 	return outcomes
 }
 
-// percentile picks from figures that need not be in order.
-func percentile(figures []int64, share int) int64 {
-	if len(figures) == 0 {
+// percentile returns a percentile of values in any order, or 0 if there are none.
+func percentile(values []int64, percent int) int64 {
+	if len(values) == 0 {
 		return 0
 	}
-	sorted := append([]int64(nil), figures...)
+	sorted := append([]int64(nil), values...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i] < sorted[j] })
-	return sorted[min(len(sorted)-1, len(sorted)*share/100)]
+	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
 
-// checkOutcomes checks outcomes and logs what was measured.
+// checkOutcomes checks that outcomes have no violations and that enough happened, and logs the recovery times.
 func checkOutcomes(t *testing.T, outcomes []Outcome) {
 	t.Helper()
 	acknowledged, disksLost := 0, 0
@@ -67,7 +67,7 @@
 		protected = append(protected, outcome.ProtectedAfter...)
 		full = append(full, outcome.FullAfter...)
 	}
-	t.Logf("%d seeds, %d disks lost, %d commands acknowledged; protected again p50 %d ms, p99 %d ms; all copies p50 %d ms, p99 %d ms",
+	t.Logf("%d seeds, %d disks lost, %d commands acknowledged; protected again p50 %d ms, p99 %d ms; fully replicated p50 %d ms, p99 %d ms",
 		len(outcomes), disksLost, acknowledged, percentile(protected, 50), percentile(protected, 99), percentile(full, 50), percentile(full, 99))
 	if disksLost < len(outcomes) || acknowledged < 100*len(outcomes) {
 		t.Errorf("only %d disks were lost and %d commands acknowledged over %d seeds", disksLost, acknowledged, len(outcomes))
@@ -76,15 +76,15 @@
 
 const searchedSeeds = 300
 
-// findsViolation looks for a seed whose simulation finds a violation, beginning with one that did before.
-func findsViolation(t *testing.T, hint int64, one func(seed int64) Outcome) bool {
+// detectsViolation reports whether the simulation of any seed detects a violation. It begins with a seed that did before.
+func detectsViolation(t *testing.T, hint int64, simulate func(seed int64) Outcome) bool {
 	t.Helper()
 	for attempt := int64(-1); attempt < searchedSeeds; attempt++ {
 		seed := attempt
 		if attempt < 0 {
 			seed = hint
 		}
-		if outcome := one(seed); outcome.Violation != "" {
+		if outcome := simulate(seed); outcome.Violation != "" {
 			t.Logf("seed %d: %.60s", seed, outcome.Violation)
 			return true
 		}
--- a/sim/faultsim/shard_test.go
+++ b/sim/faultsim/shard_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// shardOptions vary with the seed.
+// shardOptions returns the options of a seed.
 func shardOptions(seed int64) ShardOptions {
 	options := ShardOptions{Stores: 3 + int(seed%3), ToleratedLosses: 1, MaxFaultInterval: 5000, Duration: 20_000}
 	if seed%5 == 4 {
@@ -14,45 +14,47 @@
 	return options
 }
 
-// Disks are lost 0 to 5 s apart, each time that of the replica that protects most and never more than the shard says that it
-// survives, while stores leave, are killed together and are replaced: nothing acknowledged is lost and the shard has all its replicas in the end.
-func TestAShardSurvivesConsecutiveDiskLosses(t *testing.T) {
+// Guards against lost acknowledged commands and incomplete recovery. Disks are lost 0 to 5 s apart, preferably those of the replicas
+// that the shard depends on most, and never more at once than the shard claims to survive. Meanwhile stores are drained, killed
+// together and replaced.
+func TestShardSurvivesConsecutiveDiskLosses(t *testing.T) {
 	checkOutcomes(t, simulateAll(seeds(), func(seed int64) Outcome { return SimulateShard(seed, shardOptions(seed)) }))
 }
 
-// Each defect put into a shard is found.
-func TestDefectsInAShardAreFound(t *testing.T) {
+// Each defect that is injected into a shard is detected.
+func TestShardDefectsAreDetected(t *testing.T) {
 	bugs := []struct {
 		name string
 		bugs ShardBugs
-		seed int64 // that found it last
+		seed int64 // the last one that detected it
 	}{
-		{"the view demands no number of copies", ShardBugs{NoMinInSync: true}, 15},
-		{"commands don't wait for a replica that is being admitted", ShardBugs{AdmitLate: true}, 86},
-		{"a replica is admitted whatever it holds", ShardBugs{AdmitLagging: true}, 1},
-		{"a replica that is not in sync leads", ShardBugs{AnyReplicaLeads: true}, 0},
-		{"silent replicas leave the set however few remain", ShardBugs{IgnoreInSyncFloor: true}, 5},
-		{"silence counts as a lost disk", ShardBugs{SilenceIsDiskLoss: true}, 15},
-		{"a machine that leaves for good ends at once", ShardBugs{LeaveWithoutDrain: true}, 1},
-		{"a machine is retired when it no longer leads", ShardBugs{RetireEarly: true}, 29},
+		{"the view requires no minimum number of in-sync replicas", ShardBugs{NoMinInSync: true}, 15},
+		{"commits don't wait for a replica until the map admits it", ShardBugs{AdmitLate: true}, 86},
+		{"a replica is admitted however far it lags", ShardBugs{AdmitLagging: true}, 1},
+		{"a replica that is not in sync may become primary", ShardBugs{AnyReplicaLeads: true}, 0},
+		{"silent replicas are removed from the in-sync set however few remain", ShardBugs{IgnoreInSyncFloor: true}, 5},
+		{"a silent store counts as one whose disk is lost", ShardBugs{SilenceIsDiskLoss: true}, 15},
+		{"a process ends without draining and its machine is removed", ShardBugs{LeaveWithoutDrain: true}, 1},
+		{"a retiring machine is removed as soon as it is not the primary", ShardBugs{RetireEarly: true}, 29},
 		{"a machine that lost its disk keeps its identity", ShardBugs{Bugs: Bugs{KeepIdentity: true}}, 7},
-		{"a write counts as durable when it is begun", ShardBugs{Bugs: Bugs{EarlyDurable: true}}, 27},
+		{"a write counts as durable when it starts", ShardBugs{Bugs: Bugs{EarlyDurable: true}}, 27},
 	}
-	for _, each := range bugs {
-		t.Run(each.name, func(t *testing.T) {
-			found := findsViolation(t, each.seed, func(seed int64) Outcome {
+	for _, test := range bugs {
+		t.Run(test.name, func(t *testing.T) {
+			detected := detectsViolation(t, test.seed, func(seed int64) Outcome {
 				options := shardOptions(seed)
-				options.Bugs = each.bugs
+				options.Bugs = test.bugs
 				return SimulateShard(seed, options)
 			})
-			if !found {
-				t.Error("not found")
+			if !detected {
+				t.Error("the defect was not detected")
 			}
 		})
 	}
 }
 
-// The time until a shard survives the tolerated losses again, and until it has all its replicas, by the size of its state.
+// Logs how long a shard takes to survive the tolerated losses again and to have all its replicas, by the size of its state. At least
+// half of the runs' number of recoveries has to complete.
 func TestTimeToFullReplicationByStateSize(t *testing.T) {
 	const runs = 12
 	for _, size := range []int{0, 256 << 10, 4 << 20} {
@@ -71,9 +73,9 @@
 			full = append(full, outcome.FullAfter...)
 		}
 		if len(full) < runs/2 {
-			t.Errorf("%d bytes: only %d repairs came to their end", size, len(full))
+			t.Errorf("%d bytes: only %d recoveries completed", size, len(full))
 		}
-		t.Logf("%d bytes: %d repairs; protected again p50 %d ms, p99 %d ms; all copies p50 %d ms, p99 %d ms", size, len(full),
+		t.Logf("%d bytes: %d recoveries; protected again p50 %d ms, p99 %d ms; fully replicated p50 %d ms, p99 %d ms", size, len(full),
 			percentile(protected, 50), percentile(protected, 99), percentile(full, 50), percentile(full, 99))
 	}
 }
