--- a/sim/faultsim/shard_test.go
+++ b/sim/faultsim/shard_test.go
@@ -54,7 +54,7 @@
 }
 
 // Logs how long a shard takes to survive the tolerated losses again and to have all its replicas, by the size of its state. At least
-// half of the runs' number of recoveries has to complete.
+// half as many recoveries as runs have to complete.
 func TestTimeToFullReplicationByStateSize(t *testing.T) {
 	const runs = 12
 	for _, size := range []int{0, 256 << 10, 4 << 20} {
