--- a/sim/quotastoresim/adders.go
+++ b/sim/quotastoresim/adders.go
@@ -12,19 +12,19 @@
 
 const (
 	nanosecondsPerSecond = 1e9
-	checkTimeout         = 3 * time.Second // of one history
+	checkTimeout         = 3 * time.Second // of the linearizability check of one history
 )
 
-// counterHistory is what was asked of counters and answered, by key.
+// counterHistory holds the adds to counters and their results, by key.
 type counterHistory map[string][]porcupine.Operation
 
-// addResult is what an add was answered.
+// addResult is the result of an add. The total is unset if the result is not known.
 type addResult struct {
 	total float64
 	known bool
 }
 
-// counterModel is a counter as one machine would have it.
+// counterModel is the sequential specification of a counter.
 var counterModel = porcupine.Model{
 	Init: func() any { return 0.0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -33,37 +33,37 @@
 	},
 }
 
-// keepAdding is a client of the counter's protocol.
-func (w *workload) keepAdding(adder int) {
-	if w.over {
+// runAdder adds to random counters at random intervals until the workload stops.
+func (w *workload) runAdder(adder int) {
+	if w.stopped {
 		return
 	}
 	s := w.sim
-	x := s.randomServer()
-	next := func() { s.queue.ScheduleAfter(s.random.Uniform(0.05, 0.4), func() { w.keepAdding(adder) }) }
-	if x == nil {
+	srv := s.randomServer()
+	next := func() { s.queue.ScheduleAfter(s.random.Uniform(0.05, 0.4), func() { w.runAdder(adder) }) }
+	if srv == nil {
 		next()
 		return
 	}
-	w.add(x, counterKey(s.random.IntN(counterCount)), float64(1+s.random.IntN(maxAmount)), next)
+	w.add(srv, counterKey(s.random.IntN(counterCount)), float64(1+s.random.IntN(maxAmount)), next)
 }
 
-func (w *workload) add(x *server, key string, amount float64, next func()) {
-	begun := w.sim.queue.Now()
+func (w *workload) add(srv *server, key string, amount float64, next func()) {
+	started := w.sim.queue.Now()
 	command := statemachine.Command{Kind: statemachine.Add, Key: key, Amount: amount, TTL: counterTTL}
-	w.submit(x, key, command, func(outcome replication.Outcome, reply statemachine.Reply) {
+	w.submit(srv, key, command, func(outcome replication.Outcome, reply statemachine.Reply) {
 		if outcome != replication.Rejected {
-			w.adds.note(key, amount, begun, w.sim.queue.Now(), outcome, reply)
+			w.adds.record(key, amount, started, w.sim.queue.Now(), outcome, reply)
 		}
 		next()
 	})
 }
 
-// note notes an add that was or may have been executed. Each is an operation of a client of its own: a client whose add is still out
-// would be two at once.
-func (h counterHistory) note(key string, amount, begun, ended float64, outcome replication.Outcome, reply statemachine.Reply) {
+// record records an add that was or may have been executed. Each add has a client of its own, as a client must not have two operations
+// at once and an add without a known result never ends.
+func (h counterHistory) record(key string, amount, started, ended float64, outcome replication.Outcome, reply statemachine.Reply) {
 	operation := porcupine.Operation{
-		ClientId: len(h[key]), Input: amount, Call: int64(begun * nanosecondsPerSecond),
+		ClientId: len(h[key]), Input: amount, Call: int64(started * nanosecondsPerSecond),
 		Return: int64(ended * nanosecondsPerSecond), Output: addResult{reply.Total, true},
 	}
 	if outcome == replication.Unknown {
@@ -73,13 +73,13 @@
 	h[key] = append(h[key], operation)
 }
 
-// judge wants each history to be that of one counter.
-func (h counterHistory) judge(v *Verdict) {
+// check checks that each history is linearizable.
+func (h counterHistory) check(v *Verdict) {
 	for i := range counterCount {
 		key := counterKey(i)
 		switch porcupine.CheckOperationsTimeout(counterModel, h[key], checkTimeout) {
 		case porcupine.Illegal:
-			v.lost("%s: its history of %d adds is not that of one counter", key, len(h[key]))
+			v.addLost("%s: the history of %d adds is not linearizable", key, len(h[key]))
 		case porcupine.Unknown:
 			v.Undecided++
 		case porcupine.Ok:
--- a/sim/quotastoresim/billing.go
+++ b/sim/quotastoresim/billing.go
@@ -5,16 +5,17 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// billing meters usage, and collects it in batches: a batch is asked for until it is there, and noted once by its number.
+// billing meters usage and collects it in numbered batches. A batch is requested until all groups have replied, and then counted
+// once.
 type billing struct {
-	meters    map[string]*meter  // by holder and customer
+	meters    map[string]*meter  // by meterKey
 	collected map[string]float64 // by customer
-	batch     uint64             // the last one that was collected
-	last      bool               // the next batch is the last
-	done      bool               // it was collected
+	batch     uint64             // the number of the last collected batch
+	final     bool               // the next batch is the last one
+	done      bool               // the last batch was collected
 }
 
-// meter is what a holder counted for a customer.
+// meter is the total usage that a holder has metered for a customer.
 type meter struct{ acknowledged, sent float64 }
 
 func newBilling() billing {
@@ -23,8 +24,8 @@
 
 func meterKey(holder, customer string) string { return holder + " " + customer }
 
-// meter meters usage of a customer, whose name is the key of the command.
-func (w *workload) meter(x *server, command statemachine.Command) {
+// meter meters usage of a customer. The key of the command is the name of the customer.
+func (w *workload) meter(srv *server, command statemachine.Command) {
 	key := meterKey(command.Holder, command.Key)
 	m := w.billing.meters[key]
 	if m == nil {
@@ -34,45 +35,46 @@
 	m.sent += w.randomUnits()
 	command.Kind = statemachine.MeterUsage
 	command.Amount = m.sent
-	w.submit(x, command.Holder, command, func(outcome replication.Outcome, reply statemachine.Reply) {
+	w.submit(srv, command.Holder, command, func(outcome replication.Outcome, reply statemachine.Reply) {
 		if outcome == replication.Answered && reply.Code == statemachine.Done {
 			m.acknowledged = max(m.acknowledged, command.Amount)
 		}
 	})
 }
 
-// collect asks all groups for the next batch, and goes on to do so.
+// collect requests the next batch from all groups, and repeats until the last batch was collected.
 func (w *workload) collect() {
-	if w.over && w.billing.done {
+	if w.stopped && w.billing.done {
 		return
 	}
-	x := w.sim.randomServer()
-	if x == nil {
-		w.collectLater()
+	srv := w.sim.randomServer()
+	if srv == nil {
+		w.scheduleCollect()
 		return
 	}
 	batch := w.billing.batch + 1
 	left := w.sim.config.Groups
 	replies := make([]*statemachine.Reply, left)
 	for group := range replies {
-		w.collectGroup(x, group, batch, func(reply *statemachine.Reply) {
+		w.collectGroup(srv, group, batch, func(reply *statemachine.Reply) {
 			replies[group] = reply
 			if left--; left == 0 {
-				w.collectedAll(batch, replies)
+				w.handleReplies(batch, replies)
 			}
 		})
 	}
 }
 
-func (w *workload) collectLater() {
+func (w *workload) scheduleCollect() {
 	w.sim.queue.ScheduleAfter(w.sim.random.Uniform(0.2, 0.8), w.collect)
 }
 
-// collectedAll takes the replies of all groups for a batch; nil: a group's was not heard, and the batch is asked for again.
-func (w *workload) collectedAll(batch uint64, replies []*statemachine.Reply) {
+// handleReplies counts the replies of all groups for a batch. If a reply is nil, which means that it was lost, the batch is requested
+// again.
+func (w *workload) handleReplies(batch uint64, replies []*statemachine.Reply) {
 	for _, reply := range replies {
 		if reply == nil {
-			w.collectLater()
+			w.scheduleCollect()
 			return
 		}
 	}
@@ -82,29 +84,29 @@
 			w.billing.collected[u.Customer] += u.Units
 		}
 	}
-	if w.billing.last {
+	if w.billing.final {
 		w.billing.done = true
 		return
 	}
-	w.collectLater()
+	w.scheduleCollect()
 }
 
-// collectGroup asks one group; then hears its reply, or nil where the answer was lost.
-func (w *workload) collectGroup(x *server, group int, batch uint64, then func(*statemachine.Reply)) {
-	over := false
+// collectGroup requests a batch from one group. It calls onReply with the reply, or with nil if the reply was lost.
+func (w *workload) collectGroup(srv *server, group int, batch uint64, onReply func(*statemachine.Reply)) {
+	ended := false
 	end := func(reply *statemachine.Reply) {
-		if !over {
-			over = true
-			then(reply)
+		if !ended {
+			ended = true
+			onReply(reply)
 		}
 	}
 	c := w.newCall(func() { end(nil) })
-	x.calls[c] = true
+	srv.calls[c] = true
 	command := statemachine.Command{Kind: statemachine.CollectUsage, Version: batch}
-	w.send(x, group, command, func(outcome replication.Outcome, reply statemachine.Reply) {
-		delete(x.calls, c)
-		isDone := outcome == replication.Answered && reply.Code == statemachine.Done
-		if isDone && (w.billing.last || w.sim.random.Chance(answerHeard)) {
+	w.send(srv, group, command, func(outcome replication.Outcome, reply statemachine.Reply) {
+		delete(srv.calls, c)
+		succeeded := outcome == replication.Answered && reply.Code == statemachine.Done
+		if succeeded && (w.billing.final || w.sim.random.Chance(replyReceivedChance)) {
 			end(&reply)
 		} else {
 			end(nil)
@@ -112,8 +114,8 @@
 	})
 }
 
-// judgeBilling wants what was acknowledged to be collected, and no more than was sent.
-func (w *workload) judgeBilling(customer string) {
+// checkBilling checks that the collected usage of a customer is at least what was acknowledged and at most what was sent.
+func (w *workload) checkBilling(customer string) {
 	v := w.sim.verdict
 	acknowledged, sent := 0.0, 0.0
 	for _, h := range w.holders {
@@ -123,14 +125,14 @@
 		}
 	}
 	if !w.billing.done {
-		v.notRecovered("the last batch of use was not handed out")
+		v.addNotRecovered("the last batch of usage was not collected")
 		return
 	}
 	collected := w.billing.collected[customer]
 	if collected < acknowledged {
-		v.lost("use of %s: %g promised, %g handed out", customer, acknowledged, collected)
+		v.addLost("usage of %s: %g acknowledged, %g collected", customer, acknowledged, collected)
 	}
 	if collected > sent {
-		v.doubleCounted("use of %s: %g counted, %g handed out", customer, sent, collected)
+		v.addDoubleCounted("usage of %s: %g sent, %g collected", customer, sent, collected)
 	}
 }
--- a/sim/quotastoresim/digest_test.go
+++ b/sim/quotastoresim/digest_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The digests are of what the code of commit 1895881 ran: when and at which server something was logged, which hangs on every
-// draw and every message before it, and the numbers of the verdict. The same seeds have to give them ever after.
+// runDigests holds the digests of the runs of commit 1895881, by seed. A digest covers the time and server of each log line, which
+// depend on every earlier draw and message, and the numbers of the verdict. Later commits have to reproduce the digests.
 var runDigests = map[uint64]string{
 	0:  "ca15479c5f2130aec3e2efa6451176b2",
 	1:  "1444b0183fcc23e53f3f4ca915707c02",
@@ -25,7 +25,7 @@
 	11: "f7d4ce096c3f5190235c87133ceaa6b5",
 }
 
-func TestSeedsGiveTheRecordedRun(t *testing.T) {
+func TestRunsMatchRecordedDigests(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
--- a/sim/quotastoresim/faults.go
+++ b/sim/quotastoresim/faults.go
@@ -1,18 +1,18 @@
 package quotastoresim
 
-// The sorts of faults, which are drawn alike.
+// The kinds of faults, which are equally likely.
 const (
 	faultRestart = iota
 	faultMachineLost
 	faultFreeze
 	faultCut
-	faultCutToo // cuts come twice as often
+	faultCutAgain // makes cuts twice as likely
 	faultIsolated
 	faultSlowDisk
 	faultKinds
 )
 
-// How long faults last and how far they are apart, in seconds.
+// Durations of faults and intervals between them, in seconds.
 const (
 	minFaultGap, maxFaultGap = 0.1, 1.2
 	minDown, maxDown         = 0.05, 3.0
@@ -20,106 +20,108 @@
 	minCut, maxCut           = 0.2, 3.0
 	minSlow, maxSlow         = 0.5, 3.0
 	freezeShape, freezeScale = 1.2, 0.15 // of a Pareto distribution
-	cutBothWays              = 0.5       // chance
+	cutBothWaysChance        = 0.5
 )
 
-// injectFault injects a random fault at a random server, and the next one after a while.
+// injectFault injects a random fault at a random server and schedules the next one.
 func (s *simulation) injectFault() {
 	if s.faultsOver {
 		return
 	}
 	s.queue.ScheduleAfter(s.random.Uniform(minFaultGap, maxFaultGap), s.injectFault)
-	x := s.servers[s.random.IntN(len(s.servers))]
+	srv := s.servers[s.random.IntN(len(s.servers))]
 	s.verdict.Faults++
 	switch s.random.IntN(faultKinds) {
 	case faultRestart:
-		s.restart(x)
+		s.restart(srv)
 	case faultMachineLost:
-		s.loseMachines(x)
+		s.loseMachines(srv)
 	case faultFreeze:
-		s.freeze(x)
-	case faultCut, faultCutToo:
-		y := s.servers[s.random.IntN(len(s.servers))]
-		s.cut(x, y, s.random.Uniform(minCut, maxCut))
-		if s.random.Chance(cutBothWays) {
-			s.cut(y, x, s.random.Uniform(minCut, maxCut))
+		s.freeze(srv)
+	case faultCut, faultCutAgain:
+		other := s.servers[s.random.IntN(len(s.servers))]
+		s.cut(srv, other, s.random.Uniform(minCut, maxCut))
+		if s.random.Chance(cutBothWaysChance) {
+			s.cut(other, srv, s.random.Uniform(minCut, maxCut))
 		}
 	case faultIsolated:
-		for _, y := range s.servers {
-			s.cut(x, y, s.random.Uniform(minCut, maxCut))
-			s.cut(y, x, s.random.Uniform(minCut, maxCut))
+		for _, other := range s.servers {
+			s.cut(srv, other, s.random.Uniform(minCut, maxCut))
+			s.cut(other, srv, s.random.Uniform(minCut, maxCut))
 		}
 	case faultSlowDisk:
-		x.writeTime = slowDisk
-		s.queue.ScheduleAfter(s.random.Uniform(minSlow, maxSlow), func() { x.writeTime = fastDisk })
+		srv.writeTime = slowDisk
+		s.queue.ScheduleAfter(s.random.Uniform(minSlow, maxSlow), func() { srv.writeTime = fastDisk })
 	}
 }
 
-// restart ends a process and starts another one. Without a disk all that it had is lost.
-func (s *simulation) restart(x *server) {
+// restart ends a process and starts a new one after a while. Without a disk the restart loses all state, which is the loss of a
+// machine.
+func (s *simulation) restart(srv *server) {
 	if !s.options.Durable {
-		s.loseMachines(x)
+		s.loseMachines(srv)
 		return
 	}
-	s.stop(x)
-	s.startAfter(x, s.random.Uniform(minDown, maxDown))
+	s.stop(srv)
+	s.startAfter(srv, s.random.Uniform(minDown, maxDown))
 }
 
-func (s *simulation) startAfter(x *server, seconds float64) {
-	process := x.process
+func (s *simulation) startAfter(srv *server, seconds float64) {
+	process := srv.process
 	s.queue.ScheduleAfter(seconds, func() {
-		if x.process == process && !x.up {
-			s.start(x)
+		if srv.process == process && !srv.up {
+			s.start(srv)
 		}
 	})
 }
 
-// freeze has a process stand still.
-func (s *simulation) freeze(x *server) {
-	if x.frozen || !x.up {
+// freeze suspends a process for a random time.
+func (s *simulation) freeze(srv *server) {
+	if srv.frozen || !srv.up {
 		return
 	}
-	x.frozen = true
-	process := x.process
+	srv.frozen = true
+	process := srv.process
 	s.queue.ScheduleAfter(s.random.Pareto(freezeShape)*freezeScale, func() {
-		if x.process == process && x.frozen {
-			x.frozen = false
-			s.resume(x)
+		if srv.process == process && srv.frozen {
+			srv.frozen = false
+			s.runBacklog(srv)
 		}
 	})
 }
 
-// loseMachines takes machines with their disks, as many as the guarantees cover.
+// loseMachines loses a random number of machines with their disks, within what the guarantees cover. It loses none unless all groups
+// are fully replicated.
 func (s *simulation) loseMachines(first *server) {
 	if !s.fullyReplicated() {
 		return
 	}
 	count := 1 + s.random.IntN(s.maxMachinesLost())
 	for i := range count {
-		x := s.servers[(first.number+i)%len(s.servers)]
+		srv := s.servers[(first.number+i)%len(s.servers)]
 		s.verdict.MachinesLost++
-		s.stop(x)
-		x.frozen = false
-		s.wipe(x)
-		s.startAfter(x, s.random.Uniform(minDown, maxMachineDown))
+		s.stop(srv)
+		srv.frozen = false
+		s.wipe(srv)
+		s.startAfter(srv, s.random.Uniform(minDown, maxMachineDown))
 	}
 }
 
-// maxMachinesLost is how many machines may be lost with their disks at once: a minority of a group.
+// maxMachinesLost returns how many machines may be lost with their disks at once, which is a minority of a group.
 func (s *simulation) maxMachinesLost() int { return (s.options.Replicas - 1) / 2 }
 
-// endFaults ends all faults, and starts what is down.
+// endFaults ends all faults and starts the processes that are down.
 func (s *simulation) endFaults() {
 	s.faultsOver = true
 	clear(s.network.cuts)
-	for _, x := range s.servers {
-		x.writeTime = fastDisk
-		if x.frozen {
-			x.frozen = false
-			s.resume(x)
+	for _, srv := range s.servers {
+		srv.writeTime = fastDisk
+		if srv.frozen {
+			srv.frozen = false
+			s.runBacklog(srv)
 		}
-		if !x.up {
-			s.start(x)
+		if !srv.up {
+			s.start(srv)
 		}
 	}
 }
--- a/sim/quotastoresim/holders.go
+++ b/sim/quotastoresim/holders.go
@@ -7,19 +7,19 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// holder is a gateway that lets work in and reports its cost, or notes it as unreported, and meters usage for billing.
+// holder is a gateway that admits requests, reports their cost or records it as unreported, and meters usage for billing.
 type holder struct {
 	id       string
-	accounts map[string]*account // by key of the counter
-	gone     bool                // it has died, or its lease has expired
+	accounts map[string]*account // by counter key
+	gone     bool                // its process has ended or its lease has expired
 	version  uint64
 }
 
-// account is what a holder let in for one counter.
+// account is the usage that a holder has admitted for one counter.
 type account struct {
-	letIn        float64 // in total
-	acknowledged float64 // the most of it that was acknowledged
-	sent         float64 // the most of it that was sent
+	admitted     float64 // total
+	acknowledged float64 // the highest total that was acknowledged
+	sent         float64 // the last total that was sent
 }
 
 func (h *holder) account(key string) *account {
@@ -31,29 +31,30 @@
 	return a
 }
 
-// beginHolder has a holder live for a time, and another one after it.
-func (w *workload) beginHolder(i int) {
-	if w.over {
+// startHolder runs a holder for a random time and then starts another one.
+func (w *workload) startHolder(i int) {
+	if w.stopped {
 		return
 	}
 	s := w.sim
 	h := &holder{id: fmt.Sprintf("edge-%d/%d", i, len(w.holders)), accounts: map[string]*account{}}
 	w.holders = append(w.holders, h)
 	s.queue.ScheduleAfter(s.random.Uniform(2, 8), func() {
-		h.gone = true // dies with all that it knew
-		s.queue.ScheduleAfter(s.random.Uniform(0, 1), func() { w.beginHolder(i) })
+		h.gone = true // its process ends and loses its state
+		s.queue.ScheduleAfter(s.random.Uniform(0, 1), func() { w.startHolder(i) })
 	})
-	w.keepReporting(h)
+	w.runHolder(h)
 }
 
-func (w *workload) keepReporting(h *holder) {
+// runHolder submits random commands of a holder at random intervals until the holder or the workload ends.
+func (w *workload) runHolder(h *holder) {
 	s := w.sim
-	if h.gone || w.over {
+	if h.gone || w.stopped {
 		return
 	}
-	s.queue.ScheduleAfter(s.random.Uniform(0.05, 0.5), func() { w.keepReporting(h) })
-	x := s.randomServer()
-	if x == nil {
+	s.queue.ScheduleAfter(s.random.Uniform(0.05, 0.5), func() { w.runHolder(h) })
+	srv := s.randomServer()
+	if srv == nil {
 		return
 	}
 	key := planKey(s.random.IntN(planCount))
@@ -62,52 +63,53 @@
 	command := statemachine.Command{Key: key, Holder: h.id, Version: h.version, TTL: counterTTL}
 	switch s.random.IntN(4) {
 	case 0:
-		w.recordUnreported(x, h, account, command)
+		w.recordUnreported(srv, h, account, command)
 	case 1:
-		w.meter(x, command)
+		w.meter(srv, command)
 	default:
-		w.report(x, h, account, command)
+		w.report(srv, h, account, command)
 	}
 }
 
 func (w *workload) randomUnits() float64 { return float64(1 + w.sim.random.IntN(maxUnits)) }
 
-// recordUnreported notes what was let in while the counter was away.
-func (w *workload) recordUnreported(x *server, h *holder, a *account, command statemachine.Command) {
-	a.letIn += w.randomUnits()
+// recordUnreported records usage that was admitted while the counter was unavailable.
+func (w *workload) recordUnreported(srv *server, h *holder, a *account, command statemachine.Command) {
+	a.admitted += w.randomUnits()
 	command.Kind = statemachine.RecordUnreported
-	command.Amount = a.letIn
-	w.submitAccount(x, h.id, h, a, command)
+	command.Amount = a.admitted
+	w.submitAccount(srv, h.id, h, a, command)
 }
 
-// report reports what was let in, with concurrency slots that are reserved.
-func (w *workload) report(x *server, h *holder, a *account, command statemachine.Command) {
-	a.letIn += w.randomUnits()
+// report reports admitted usage together with reserved concurrency slots.
+func (w *workload) report(srv *server, h *holder, a *account, command statemachine.Command) {
+	a.admitted += w.randomUnits()
 	command.Kind = statemachine.ReportUsage
 	command.Reserved = float64(reservedUnits * w.sim.random.IntN(3))
-	command.Amount = a.letIn + command.Reserved
-	w.submitAccount(x, command.Key, h, a, command)
+	command.Amount = a.admitted + command.Reserved
+	w.submitAccount(srv, command.Key, h, a, command)
 }
 
-func (w *workload) submitAccount(x *server, routingKey string, h *holder, a *account, command statemachine.Command) {
-	sent := a.letIn
+func (w *workload) submitAccount(srv *server, routingKey string, h *holder, a *account, command statemachine.Command) {
+	sent := a.admitted
 	a.sent = sent
-	w.submit(x, routingKey, command, func(outcome replication.Outcome, reply statemachine.Reply) {
+	w.submit(srv, routingKey, command, func(outcome replication.Outcome, reply statemachine.Reply) {
 		if h.gone || outcome != replication.Answered {
-			return // nobody heard
+			return // the holder received no answer
 		}
 		switch reply.Code {
 		case statemachine.Done:
 			a.acknowledged = max(a.acknowledged, sent)
 		case statemachine.LeaseExpired:
-			h.gone = true // though it lives: it would go on under another name
+			h.gone = true // its process still runs, but would have to continue under a new ID
 		default:
 		}
 	})
 }
 
-// judgePlan wants each holder to have what was acknowledged and no more than it sent, and the total to be the sum of that.
-func (w *workload) judgePlan(key string, s *statemachine.State) {
+// checkPlan checks that the stored total of each holder is at least what was acknowledged and at most what was sent, and that the
+// counter's total is the sum of its holders' totals.
+func (w *workload) checkPlan(key string, s *statemachine.State) {
 	v := w.sim.verdict
 	sum := 0.0
 	for _, h := range w.holders {
@@ -118,15 +120,15 @@
 		held := s.HolderTotal(key, h.id)
 		sum += held
 		if held < a.acknowledged {
-			v.lost("%s: %s was promised %g and has %g", key, h.id, a.acknowledged, held)
+			v.addLost("%s: holder %s: %g acknowledged, %g stored", key, h.id, a.acknowledged, held)
 		}
 		if held > a.sent {
-			v.doubleCounted("%s: %s told of %g and has %g", key, h.id, a.sent, held)
+			v.addDoubleCounted("%s: holder %s: %g sent, %g stored", key, h.id, a.sent, held)
 		}
 	}
 	if total, ok := s.Total(key); ok && total > sum {
-		v.doubleCounted("%s: holders have %g, the total is %g", key, sum, total)
+		v.addDoubleCounted("%s: holders have %g, the total is %g", key, sum, total)
 	} else if ok && total < sum {
-		v.lost("%s: holders have %g, the total is %g", key, sum, total)
+		v.addLost("%s: holders have %g, the total is %g", key, sum, total)
 	}
 }
--- a/sim/quotastoresim/markers.go
+++ b/sim/quotastoresim/markers.go
@@ -8,18 +8,19 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// markers are invocations that must not run twice, and come to several gateways.
+// markers tracks invocations that must run at most once and that are delivered to several gateways.
 type markers struct {
 	invocations int
-	letThrough  map[string][]string // holders whose delivery was let through, by invocation
+	granted     map[string][]string // holders that were granted the marker, by invocation
 }
 
-func (w *workload) keepMarking() {
-	if w.over {
+// runInvocations creates invocations at random intervals and delivers each to one or more gateways.
+func (w *workload) runInvocations() {
+	if w.stopped {
 		return
 	}
 	s := w.sim
-	s.queue.ScheduleAfter(s.random.Uniform(0.1, 0.5), w.keepMarking)
+	s.queue.ScheduleAfter(s.random.Uniform(0.1, 0.5), w.runInvocations)
 	w.markers.invocations++
 	invocation := fmt.Sprintf("ref-%d", w.markers.invocations)
 	for i := range 1 + s.random.IntN(maxDeliveries) {
@@ -27,25 +28,25 @@
 	}
 }
 
-// deliver asks whether a gateway may deliver an invocation.
+// deliver acquires the marker of an invocation for a gateway, which may run the invocation if it is granted.
 func (w *workload) deliver(invocation, holder string) {
-	x := w.sim.randomServer()
-	if x == nil {
+	srv := w.sim.randomServer()
+	if srv == nil {
 		return
 	}
 	command := statemachine.Command{Kind: statemachine.AcquireMarker, Key: invocation, Holder: holder, TTL: markerTTL}
-	w.submit(x, invocation, command, func(outcome replication.Outcome, reply statemachine.Reply) {
+	w.submit(srv, invocation, command, func(outcome replication.Outcome, reply statemachine.Reply) {
 		if outcome == replication.Answered && reply.Code == statemachine.Done {
-			w.markers.letThrough[invocation] = append(w.markers.letThrough[invocation], holder)
+			w.markers.granted[invocation] = append(w.markers.granted[invocation], holder)
 		}
 	})
 }
 
-// judge wants one delivery of each invocation at most.
-func (m *markers) judge(v *Verdict) {
-	for invocation, holders := range m.letThrough {
+// check checks that the marker of each invocation was granted at most once.
+func (m *markers) check(v *Verdict) {
+	for invocation, holders := range m.granted {
 		if len(holders) > 1 {
-			v.DuplicateEffects = append(v.DuplicateEffects, fmt.Sprintf("%s was let through by %v", invocation, holders))
+			v.DuplicateEffects = append(v.DuplicateEffects, fmt.Sprintf("%s was granted to %v", invocation, holders))
 		}
 	}
 	slices.Sort(v.DuplicateEffects)
--- a/sim/quotastoresim/quotastoresim_test.go
+++ b/sim/quotastoresim/quotastoresim_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Streams break, machines are lost with their disks, processes stand still, clocks are minutes apart: all guarantees
-// hold. Some seeds of the thousands that are run outside CI, among them those that once found something.
+// All guarantees hold while streams break, machines are lost with their disks, processes are suspended and clocks differ by minutes.
+// These are some of the thousands of seeds that are run outside CI, among them those that once found a fault.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	all := []uint64{1160, 2707, 4394, 6050, 50121, 50274, 50535, 100414, 100511}
 	for seed := range uint64(60) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// The same seed is the same run: a fault that a seed found can be looked at.
-func TestSameSeedIsTheSameRun(t *testing.T) {
+// A seed always gives the same run, so that a fault can be reproduced from its seed.
+func TestSameSeedGivesTheSameRun(t *testing.T) {
 	logged := func() (all []string) {
 		o := OptionsForSeed(7, 8)
 		o.OnLogLine = func(at float64, _ int, line string) {
@@ -40,11 +40,11 @@
 	}
 	a, b := logged(), logged()
 	if len(a) < 10 || strings.Join(a, "\n") != strings.Join(b, "\n") {
-		t.Fatalf("%d and %d lines, and they differ", len(a), len(b))
+		t.Fatalf("runs of the same seed differ; they logged %d and %d lines", len(a), len(b))
 	}
 }
 
-// With nothing going wrong nothing is rejected or unknown.
+// Without faults no call is rejected or has an unknown outcome.
 func TestNothingIsRejectedWithoutFaults(t *testing.T) {
 	v := RunSeed(3, Options{Servers: 3, Replicas: 3, Durable: true, FaultSeconds: 8, NoFaults: true})
 	if !v.OK() || v.Rejected+v.Unknown > 0 || v.Answered < 100 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Eleven defects put into the program on purpose are each found.
-func TestSeededDefectsAreFound(t *testing.T) {
+// Each of eleven defects that are injected into the program is detected.
+func TestInjectedDefectsAreDetected(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "otterseam-sim")
 	if out, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "otterseam/cmd/otterseam-sim").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -67,7 +67,7 @@
 			cmd.Env = append(os.Environ(), "EDGE_SEEDED="+name)
 			out, err := cmd.CombinedOutput()
 			if err == nil || !strings.Contains(string(out), "promised and lost") {
-				t.Fatalf("400 seeds did not find it: %v\n%s", err, out)
+				t.Fatalf("400 seeds did not detect the defect: %v\n%s", err, out)
 			}
 		})
 	}
--- a/sim/quotastoresim/server.go
+++ b/sim/quotastoresim/server.go
@@ -7,201 +7,203 @@
 
 const (
 	tickInterval = 0.04  // seconds
-	fastDisk     = 0.002 // seconds that a write takes, about
+	fastDisk     = 0.002 // approximate seconds of a write
 	slowDisk     = 0.08
-	maxBacklog   = 20000 // events that wait for a process
+	maxBacklog   = 20000 // events that wait for one process
 
-	streamEndDelay   = 0.005 // seconds until a server hears that a stream has ended
-	streamEndHeard   = 0.7   // chance that it finds out that nobody listens any more
-	unheardWriteDone = 0.3   // chance that a write was done when its process ends
+	streamEndDelay            = 0.005 // seconds until a server detects that a stream has ended
+	streamEndDetectedChance   = 0.7
+	pendingWriteDurableChance = 0.3 // that a pending write has reached the disk when its process ends
 )
 
-// server is one machine: its disk, and the process that runs on it.
+// server is a machine with its disk and the process that runs on it.
 type server struct {
 	number      int
 	incarnation uint32
 	cluster     uint64
 	disk        map[int]*replication.PersistentState // by group
-	writeTime   float64                              // seconds that a write takes, about
-	clockOffset float64                              // of its clock, in seconds
+	writeTime   float64                              // approximate seconds of a write
+	clockOffset float64                              // of the machine's clock, in seconds
 
 	node      *replication.Node
-	process   int // number of its process; what is meant for one before is not for this one
+	process   int // number of the current process; frames and timers of earlier ones are dropped
 	up        bool
 	frozen    bool
 	writing   bool
-	unwritten []replication.Write // what is being written
-	backlog   []func()            // events that wait until it is awake and has written
-	calls     map[*call]bool      // of clients, in flight
+	unwritten []replication.Write // writes in progress
+	backlog   []func()            // events that wait for the process to resume or to finish its write
+	calls     map[*call]bool      // client calls in flight
 }
 
-// wipe takes all that a machine had; it will have another incarnation.
-func (s *simulation) wipe(x *server) {
-	x.disk = map[int]*replication.PersistentState{}
-	x.cluster = 0
-	if !mutation.LostDiskKeepsIncarnation || x.incarnation == 0 {
-		x.incarnation = s.nextIncarnation
+// wipe empties the disk of a machine, which gets a new incarnation.
+func (s *simulation) wipe(srv *server) {
+	srv.disk = map[int]*replication.PersistentState{}
+	srv.cluster = 0
+	if !mutation.LostDiskKeepsIncarnation || srv.incarnation == 0 {
+		srv.incarnation = s.nextIncarnation
 		s.nextIncarnation++
 	}
 }
 
-// start starts a process with what lies on the disk.
-func (s *simulation) start(x *server) {
+// start starts a process from the state on the disk.
+func (s *simulation) start(srv *server) {
 	saved := map[int]*replication.PersistentState{}
-	for group, state := range x.disk {
+	for group, state := range srv.disk {
 		saved[group] = state.AfterSnapshot()
 	}
 	s.processes++
-	node, err := replication.New(x.number, x.incarnation, x.cluster, s.peers, s.config, s.seed<<16+s.processes, saved)
+	node, err := replication.New(srv.number, srv.incarnation, srv.cluster, s.peers, s.config, s.seed<<16+s.processes, saved)
 	if err != nil {
-		s.verdict.notRecovered("keeper %d does not start: %v", x.number, err)
+		s.verdict.addNotRecovered("keeper %d failed to start: %v", srv.number, err)
 		return
 	}
-	x.node = node
-	x.up = true
-	x.writing = false
-	x.backlog = nil
-	x.calls = map[*call]bool{}
-	x.process++
-	process := x.process
-	s.queue.ScheduleAfter(s.random.Uniform(0, tickInterval), func() { s.tick(x, process) })
+	srv.node = node
+	srv.up = true
+	srv.writing = false
+	srv.backlog = nil
+	srv.calls = map[*call]bool{}
+	srv.process++
+	process := srv.process
+	s.queue.ScheduleAfter(s.random.Uniform(0, tickInterval), func() { s.tick(srv, process) })
 }
 
-// tick ticks a process, and goes on to do so until it ends.
-func (s *simulation) tick(x *server, process int) {
-	if x.process != process || !x.up {
+// tick ticks a process periodically until it ends.
+func (s *simulation) tick(srv *server, process int) {
+	if srv.process != process || !srv.up {
 		return
 	}
-	s.execute(x, func() { x.node.Tick(s.clock(x)) })
-	s.queue.ScheduleAfter(tickInterval, func() { s.tick(x, process) })
+	s.execute(srv, func() { srv.node.Tick(s.clock(srv)) })
+	s.queue.ScheduleAfter(tickInterval, func() { s.tick(srv, process) })
 }
 
-// stop ends a process outright. What was being written is on its disk or not.
-func (s *simulation) stop(x *server) {
-	if !x.up {
+// stop ends a process without a shutdown. The writes in progress reach the disk with a chance of pendingWriteDurableChance.
+func (s *simulation) stop(srv *server) {
+	if !srv.up {
 		return
 	}
-	x.up = false
-	x.node = nil
-	if x.unwritten != nil && s.random.Chance(unheardWriteDone) {
-		x.store(x.unwritten)
+	srv.up = false
+	srv.node = nil
+	if srv.unwritten != nil && s.random.Chance(pendingWriteDurableChance) {
+		srv.store(srv.unwritten)
 	}
-	x.unwritten = nil
-	x.process++
-	for _, c := range x.callsInOrder() {
+	srv.unwritten = nil
+	srv.process++
+	for _, c := range srv.callsInOrder() {
 		c.connectionLost()
 	}
-	x.calls = nil
-	for _, y := range s.servers {
-		if y != x {
-			s.endStreams(x, y)
+	srv.calls = nil
+	for _, other := range s.servers {
+		if other != srv {
+			s.endStreams(srv, other)
 		}
 	}
 }
 
-// endStreams ends the streams between a server whose process has ended and another one, which may find out.
-func (s *simulation) endStreams(x, y *server) {
-	there, back := link{x.number, y.number}, link{y.number, x.number}
-	s.network.streams[there]++
-	s.network.streams[back]++
-	if s.network.cuts[there]+s.network.cuts[back] == 0 && s.random.Chance(streamEndHeard) {
+// endStreams ends the streams between a server whose process has ended and another one, which detects it with a chance of
+// streamEndDetectedChance unless a link between them is blocked.
+func (s *simulation) endStreams(srv, other *server) {
+	outgoing, incoming := link{srv.number, other.number}, link{other.number, srv.number}
+	s.network.streams[outgoing]++
+	s.network.streams[incoming]++
+	if s.network.cuts[outgoing]+s.network.cuts[incoming] == 0 && s.random.Chance(streamEndDetectedChance) {
 		s.queue.ScheduleAfter(streamEndDelay, func() {
-			s.execute(y, func() { y.node.PeerDown(s.clock(y), x.number) })
+			s.execute(other, func() { other.node.PeerDown(s.clock(other), srv.number) })
 		})
 	}
 }
 
-// execute has an event happen in a process, once it is awake and has written what it was writing.
-func (s *simulation) execute(x *server, event func()) {
-	if !x.up {
+// execute runs an event in a process. The event waits while the process is frozen, and with one seed in three also while it writes.
+func (s *simulation) execute(srv *server, event func()) {
+	if !srv.up {
 		return
 	}
-	if x.writing && !x.frozen && s.seed%3 > 0 { // all else goes on while it writes, as in the true program
+	if srv.writing && !srv.frozen && s.seed%3 > 0 { // other work continues during a write, as in the production code
 		event()
-		s.sendMessages(x)
+		s.sendMessages(srv)
 		return
 	}
-	if x.frozen || x.writing {
-		if len(x.backlog) < maxBacklog {
-			x.backlog = append(x.backlog, event)
+	if srv.frozen || srv.writing {
+		if len(srv.backlog) < maxBacklog {
+			srv.backlog = append(srv.backlog, event)
 		}
 		return
 	}
 	event()
-	s.settle(x)
+	s.processReady(srv)
 }
 
-// store lays writes on the disk.
-func (x *server) store(writes []replication.Write) {
+// store applies writes to the disk.
+func (srv *server) store(writes []replication.Write) {
 	for i := range writes {
-		state := x.disk[writes[i].Group]
+		state := srv.disk[writes[i].Group]
 		if state == nil {
 			state = &replication.PersistentState{}
-			x.disk[writes[i].Group] = state
+			srv.disk[writes[i].Group] = state
 		}
 		state.Apply(&writes[i])
 	}
 }
 
-// settle has a process log, send and write what it has to, until there is nothing more or it waits for its disk.
-func (s *simulation) settle(x *server) {
+// processReady handles the output of a process: it passes on log lines, sends messages and starts writes. It returns once there is no
+// more output or a write is in progress.
+func (s *simulation) processReady(srv *server) {
 	for {
-		s.hearLogLines(x)
-		ready := x.node.Ready()
-		s.sendMessages(x) // a leader's messages need not wait for its disk
-		if err := x.node.Err(); err != nil {
-			s.verdict.notRecovered("keeper %d: %v", x.number, err)
-			s.stop(x)
+		s.forwardLogLines(srv)
+		ready := srv.node.Ready()
+		s.sendMessages(srv) // a leader's messages need not wait for its disk
+		if err := srv.node.Err(); err != nil {
+			s.verdict.addNotRecovered("keeper %d: %v", srv.number, err)
+			s.stop(srv)
 			return
 		}
-		x.cluster = x.node.Cluster()
+		srv.cluster = srv.node.Cluster()
 		if ready == nil {
 			return
 		}
 		if s.options.Durable && len(ready.Writes) > 0 {
-			s.write(x, ready)
+			s.write(srv, ready)
 			return
 		}
-		x.node.Advance(ready)
+		srv.node.Advance(ready)
 	}
 }
 
-func (s *simulation) hearLogLines(x *server) {
-	for _, line := range x.node.TakeLogLines() {
+func (s *simulation) forwardLogLines(srv *server) {
+	for _, line := range srv.node.TakeLogLines() {
 		if s.options.OnLogLine != nil {
-			s.options.OnLogLine(s.queue.Now(), x.number, line)
+			s.options.OnLogLine(s.queue.Now(), srv.number, line)
 		}
 	}
 }
 
-// write writes to the disk, and has the process go on when that is done.
-func (s *simulation) write(x *server, ready *replication.Ready) {
-	x.writing = true
-	x.unwritten = ready.Writes
-	process := x.process
-	s.queue.ScheduleAfter(x.writeTime*s.random.Uniform(0.2, 2), func() {
-		if x.process != process {
+// write writes to the disk. The process continues once the write is done.
+func (s *simulation) write(srv *server, ready *replication.Ready) {
+	srv.writing = true
+	srv.unwritten = ready.Writes
+	process := srv.process
+	s.queue.ScheduleAfter(srv.writeTime*s.random.Uniform(0.2, 2), func() {
+		if srv.process != process {
 			return
 		}
-		x.store(ready.Writes)
-		x.writing = false
-		x.unwritten = nil
-		if x.frozen { // it has written, and goes on when it wakes
-			x.backlog = append([]func(){func() { x.node.Advance(ready) }}, x.backlog...)
+		srv.store(ready.Writes)
+		srv.writing = false
+		srv.unwritten = nil
+		if srv.frozen { // the write is done, and the process continues when it is resumed
+			srv.backlog = append([]func(){func() { srv.node.Advance(ready) }}, srv.backlog...)
 			return
 		}
-		x.node.Advance(ready)
-		s.settle(x)
-		s.resume(x)
+		srv.node.Advance(ready)
+		s.processReady(srv)
+		s.runBacklog(srv)
 	})
 }
 
-// resume has happen what waited.
-func (s *simulation) resume(x *server) {
-	for len(x.backlog) > 0 && !x.writing && !x.frozen && x.up {
-		event := x.backlog[0]
-		x.backlog = x.backlog[1:]
+// runBacklog runs the waiting events of a process until it waits again.
+func (s *simulation) runBacklog(srv *server) {
+	for len(srv.backlog) > 0 && !srv.writing && !srv.frozen && srv.up {
+		event := srv.backlog[0]
+		srv.backlog = srv.backlog[1:]
 		event()
-		s.settle(x)
+		s.processReady(srv)
 	}
 }
--- a/sim/quotastoresim/simulation.go
+++ b/sim/quotastoresim/simulation.go
@@ -9,12 +9,12 @@
 	"otterseam/sim/randstream"
 )
 
-// When what happens, in seconds; those after the faults count from their end.
+// Times of the phases of a run, in seconds. Those after the fault phase count from its end.
 const (
-	faultsBegin    = 1.5
-	workloadEnds   = 2.0
-	lastCallsBegin = 14.0 // leases expire, unreported usage is recovered, and replicas are made before that
-	runEnds        = 18.0
+	faultsBegin     = 1.5
+	workloadEnds    = 2.0
+	finalCallsBegin = 14.0 // by then leases have expired, unreported usage is recovered and replicas are replaced
+	runEnds         = 18.0
 
 	clusterID        = 77
 	groups           = 2
@@ -23,7 +23,7 @@
 	zones            = 3
 )
 
-// maxLogEntries is how long logs get: with short ones snapshots are made all the time.
+// maxLogEntries holds the limits on the length of logs, one of which a seed selects. Short logs cause frequent snapshots.
 var maxLogEntries = []int{24, 4096}
 
 // simulation is the run of one seed.
@@ -38,20 +38,20 @@
 	network network
 
 	nextIncarnation uint32
-	processes       uint64 // that were started
+	processes       uint64 // number of processes that were started
 	faultsOver      bool
 	workload        *workload
 	verdict         *Verdict
 }
 
-// RunSeed runs one seed.
+// RunSeed runs the simulation of one seed and returns the verdict.
 func RunSeed(seed uint64, o Options) (v *Verdict) {
 	v = &Verdict{Seed: seed}
 	defer func() {
-		// The Raft library panics, and with it a server's process ends, when its log can't be what it was told. So does the
-		// simulation on a fault of its own.
+		// The Raft library panics, which ends a server's process, if its log contradicts the messages that it receives. The
+		// simulation panics on a defect of its own.
 		if r := recover(); r != nil {
-			v.lost("a keeper ended: %v", r)
+			v.addLost("the run panicked: %v", r)
 		}
 	}()
 	s := newSimulation(seed, o, v)
@@ -63,11 +63,11 @@
 	s.queue.Run(o.FaultSeconds)
 	s.endFaults()
 	s.queue.Run(o.FaultSeconds + workloadEnds)
-	s.workload.over = true
-	s.queue.Run(o.FaultSeconds + lastCallsBegin)
-	s.workload.lastCalls()
+	s.workload.stopped = true
+	s.queue.Run(o.FaultSeconds + finalCallsBegin)
+	s.workload.finalCalls()
 	s.queue.Run(o.FaultSeconds + runEnds)
-	s.judge()
+	s.check()
 	return v
 }
 
@@ -82,42 +82,42 @@
 		s.peers = append(s.peers, replication.Peer{Name: fmt.Sprintf("k%d", number), Zone: fmt.Sprint(number % zones)})
 	}
 	for number := range o.Servers {
-		x := &server{
+		srv := &server{
 			number: number, disk: map[int]*replication.PersistentState{}, clockOffset: s.random.Uniform(0, maxClockOffset), writeTime: fastDisk,
 		}
-		s.servers = append(s.servers, x)
-		s.wipe(x)
-		s.start(x)
+		s.servers = append(s.servers, srv)
+		s.wipe(srv)
+		s.start(srv)
 	}
 	return s
 }
 
 func (s *simulation) bootstrap() {
 	b := &protocol.Bootstrap{Cluster: clusterID, Groups: s.config.Groups, Replicas: s.config.Replicas}
-	for _, x := range s.servers {
-		b.Members = append(b.Members, protocol.NewReplicaID(x.number, x.incarnation))
+	for _, srv := range s.servers {
+		b.Members = append(b.Members, protocol.NewReplicaID(srv.number, srv.incarnation))
 	}
-	for _, x := range s.servers {
-		s.execute(x, func() {
-			writes, err := x.node.Bootstrap(s.clock(x), b)
+	for _, srv := range s.servers {
+		s.execute(srv, func() {
+			writes, err := srv.node.Bootstrap(s.clock(srv), b)
 			if err != nil {
-				panic(err) // a fault of the simulation: RunSeed reports it
+				panic(err) // a defect of the simulation, which RunSeed reports
 			}
-			x.cluster = b.Cluster
-			x.store(writes)
+			srv.cluster = b.Cluster
+			srv.store(writes)
 		})
 	}
 }
 
-// clock is the time by the clock of a server.
-func (s *simulation) clock(x *server) float64 { return s.queue.Now() + x.clockOffset }
+// clock returns the time of the clock of a server.
+func (s *simulation) clock(srv *server) float64 { return s.queue.Now() + srv.clockOffset }
 
-// randomServer returns a server whose process runs; nil: there is none.
+// randomServer returns a random server whose process runs, or nil if there is none.
 func (s *simulation) randomServer() *server {
 	var up []*server
-	for _, x := range s.servers {
-		if x.up {
-			up = append(up, x)
+	for _, srv := range s.servers {
+		if srv.up {
+			up = append(up, srv)
 		}
 	}
 	if len(up) == 0 {
@@ -126,11 +126,11 @@
 	return up[s.random.IntN(len(up))]
 }
 
-// leader returns the server that leads a group; nil: there is none.
+// leader returns the server that leads a group, or nil if there is none.
 func (s *simulation) leader(group int) *server {
-	for _, x := range s.servers {
-		if x.up && x.node.Health()[group].IsLeader {
-			return x
+	for _, srv := range s.servers {
+		if srv.up && srv.node.Health()[group].IsLeader {
+			return srv
 		}
 	}
 	return nil
--- a/sim/quotastoresim/verdict.go
+++ b/sim/quotastoresim/verdict.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options say what is simulated.
+// Options configures a simulation.
 type Options struct {
 	Servers, Replicas int
-	Durable           bool    // replicas lie on disks too; without, a process that ends has lost all
-	FaultSeconds      float64 // seconds of faults
+	Durable           bool    // replicas are stored on disks; otherwise a process that ends loses all state
+	FaultSeconds      float64 // duration of fault injection
 	NoFaults          bool
-	OnLogLine         func(at float64, server int, line string) // hears what servers log; nil: nobody
+	OnLogLine         func(at float64, server int, line string) // receives the log lines of servers; may be nil
 }
 
-// OptionsForSeed returns what a seed is run with: three or five replicas, with disks or without, now and then with a server to spare.
+// OptionsForSeed returns the options of a seed: three or five replicas, with or without disks, for some seeds with spare servers.
 func OptionsForSeed(seed uint64, faultSeconds float64) Options {
 	o := Options{Servers: 3, Replicas: 3, Durable: seed%2 == 0, FaultSeconds: faultSeconds}
 	if seed%4 > 1 {
@@ -31,12 +31,12 @@
 	return o
 }
 
-// Counts is how much happened.
+// Counts holds the numbers of events in one or more runs.
 type Counts struct {
-	Answered, Rejected, Unknown int // calls of clients
+	Answered, Rejected, Unknown int // client calls
 	Faults                      int
 	MachinesLost                int // with their disks
-	Undecided                   int // histories that took too long to check
+	Undecided                   int // histories whose check timed out
 }
 
 func (c *Counts) add(o *Counts) {
@@ -48,14 +48,14 @@
 	c.Undecided += o.Undecided
 }
 
-// Verdict is what became of one seed.
+// Verdict is the result of one seed.
 type Verdict struct {
 	Seed uint64
 	Counts
-	Lost             []string // acknowledged and lost
-	DoubleCounted    []string // recovered or collected twice
-	DuplicateEffects []string // second deliveries that were let through
-	NotRecovered     []string // not as it should be at the end
+	Lost             []string // acknowledged data that was lost
+	DoubleCounted    []string // usage that was recovered or collected twice
+	DuplicateEffects []string // invocations whose marker was granted more than once
+	NotRecovered     []string // servers and groups that did not recover by the end
 }
 
 // OK reports whether all guarantees held.
@@ -63,7 +63,7 @@
 	return len(v.Lost)+len(v.DoubleCounted)+len(v.DuplicateEffects)+len(v.NotRecovered) == 0
 }
 
-// shownFindings is how many findings of each sort a verdict's text has.
+// shownFindings is the maximum number of findings of each kind in a verdict's text.
 const shownFindings = 9
 
 func (v *Verdict) String() string {
@@ -77,30 +77,30 @@
 	return s
 }
 
-func (v *Verdict) lost(format string, args ...any) {
+func (v *Verdict) addLost(format string, args ...any) {
 	v.Lost = append(v.Lost, fmt.Sprintf(format, args...))
 }
 
-func (v *Verdict) doubleCounted(format string, args ...any) {
+func (v *Verdict) addDoubleCounted(format string, args ...any) {
 	v.DoubleCounted = append(v.DoubleCounted, fmt.Sprintf(format, args...))
 }
 
-func (v *Verdict) notRecovered(format string, args ...any) {
+func (v *Verdict) addNotRecovered(format string, args ...any) {
 	v.NotRecovered = append(v.NotRecovered, fmt.Sprintf(format, args...))
 }
 
-// maxFailed is how many failed verdicts a Summary keeps.
+// maxFailed is the maximum number of failed verdicts that a Summary keeps.
 const maxFailed = 8
 
-// Summary is what became of many seeds.
+// Summary is the combined result of many seeds.
 type Summary struct {
 	Seeds int
 	Counts
 	Lost, DoubleCounted, DuplicateEffects, NotRecovered int
-	Failed                                              []*Verdict // the first of them
+	Failed                                              []*Verdict // the first failed verdicts, at most maxFailed
 }
 
-// Add adds one.
+// Add adds a verdict to the summary.
 func (s *Summary) Add(v *Verdict) {
 	s.Seeds++
 	s.add(&v.Counts)
@@ -118,7 +118,7 @@
 	return s.Lost+s.DoubleCounted+s.DuplicateEffects+s.NotRecovered == 0
 }
 
-// RunSeeds runs seeds on all cores, until stop says so of a verdict.
+// RunSeeds runs seeds on all cores and returns their summary. It starts no more seeds once stop returns true for a verdict.
 func RunSeeds(ctx context.Context, first uint64, seeds int, faultSeconds float64, stop func(*Verdict) bool) *Summary {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/sim/quotastoresim/workload.go
+++ b/sim/quotastoresim/workload.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	answerDelay = 0.0005 // seconds on the way back to a client
-
-	adderCount    = 3
-	holderCount   = 2 // that live at once
-	counterCount  = 2 // that adders add to
-	planCount     = 2 // counters that holders report to
-	maxAmount     = 9 // of an add
-	maxUnits      = 5 // of usage that is let in at once
-	counterTTL    = 60.0
-	reservedUnits = 1000 // of a concurrency slot
-	markerTTL     = 30.0
-	maxDeliveries = 3 // of an invocation
-	answerHeard   = 0.8
+	responseDelay = 0.0005 // seconds until a response reaches its client
+
+	adderCount          = 3
+	holderCount         = 2 // that run at once
+	counterCount        = 2 // that adders add to
+	planCount           = 2 // counters that holders report to
+	maxAmount           = 9 // of an add
+	maxUnits            = 5 // of usage that is admitted at once
+	counterTTL          = 60.0
+	reservedUnits       = 1000 // of a concurrency slot
+	markerTTL           = 30.0
+	maxDeliveries       = 3   // of an invocation
+	replyReceivedChance = 0.8 // of a group's reply to the collection of usage
 )
 
-// workload is what clients ask for, and what they were told.
+// workload simulates clients and records the results that they receive.
 type workload struct {
-	sim   *simulation
-	over  bool // nothing new is asked for
-	calls int
+	sim     *simulation
+	stopped bool // no new commands are submitted
+	calls   int  // number of calls so far
 
 	adds    counterHistory
 	holders []*holder
@@ -36,24 +36,24 @@
 	billing billing
 }
 
-// call is one of a client, in flight.
+// call is a client's call in flight.
 type call struct {
 	number         int
 	connectionLost func()
 }
 
-// answered hears what a client was told.
-type answered func(outcome replication.Outcome, reply statemachine.Reply)
+// responseHandler handles the outcome of a command and the reply to it.
+type responseHandler func(outcome replication.Outcome, reply statemachine.Reply)
 
 func newWorkload(s *simulation) *workload {
-	w := &workload{sim: s, adds: counterHistory{}, markers: markers{letThrough: map[string][]string{}}, billing: newBilling()}
+	w := &workload{sim: s, adds: counterHistory{}, markers: markers{granted: map[string][]string{}}, billing: newBilling()}
 	for i := range adderCount {
-		s.queue.ScheduleAfter(0.8+0.01*float64(i), func() { w.keepAdding(i) })
+		s.queue.ScheduleAfter(0.8+0.01*float64(i), func() { w.runAdder(i) })
 	}
 	for i := range holderCount {
-		s.queue.ScheduleAfter(0.8, func() { w.beginHolder(i) })
+		s.queue.ScheduleAfter(0.8, func() { w.startHolder(i) })
 	}
-	s.queue.ScheduleAfter(1, w.keepMarking)
+	s.queue.ScheduleAfter(1, w.runInvocations)
 	s.queue.ScheduleAfter(1, w.collect)
 	return w
 }
@@ -63,43 +63,44 @@
 	return &call{number: w.calls, connectionLost: connectionLost}
 }
 
-// callsInOrder returns the calls in flight at a server.
-func (x *server) callsInOrder() []*call {
+// callsInOrder returns the calls in flight at a server, the oldest first.
+func (srv *server) callsInOrder() []*call {
 	var all []*call
-	for c := range x.calls {
+	for c := range srv.calls {
 		all = append(all, c)
 	}
 	slices.SortFunc(all, func(a, b *call) int { return a.number - b.number })
 	return all
 }
 
-// submit has a server execute a command for a client; then hears of the answer, or that the connection broke.
-func (w *workload) submit(x *server, routingKey string, command statemachine.Command, then answered) {
+// submit submits a client's command to a server. It calls onResponse with the result, whose outcome is unknown if the connection is
+// lost.
+func (w *workload) submit(srv *server, routingKey string, command statemachine.Command, onResponse responseHandler) {
 	var c *call
-	over := false
+	ended := false
 	end := func(outcome replication.Outcome, reply statemachine.Reply) {
-		if over {
+		if ended {
 			return
 		}
-		over = true
-		delete(x.calls, c)
+		ended = true
+		delete(srv.calls, c)
 		w.count(outcome)
-		then(outcome, reply)
+		onResponse(outcome, reply)
 	}
 	c = w.newCall(func() { end(replication.Unknown, statemachine.Reply{}) })
-	x.calls[c] = true
-	w.send(x, x.node.GroupOf(routingKey), command, end)
+	srv.calls[c] = true
+	w.send(srv, srv.node.GroupOf(routingKey), command, end)
 }
 
-// send has a server execute a command; its answer is lost with its process.
-func (w *workload) send(x *server, group int, command statemachine.Command, then answered) {
+// send has a server execute a command. The response is lost if the process of the server ends first.
+func (w *workload) send(srv *server, group int, command statemachine.Command, onResponse responseHandler) {
 	s := w.sim
-	process := x.process
-	s.execute(x, func() {
-		x.node.Submit(group, command, func(outcome replication.Outcome, reply statemachine.Reply) {
-			s.queue.ScheduleAfter(answerDelay, func() {
-				if x.process == process {
-					then(outcome, reply)
+	process := srv.process
+	s.execute(srv, func() {
+		srv.node.Submit(group, command, func(outcome replication.Outcome, reply statemachine.Reply) {
+			s.queue.ScheduleAfter(responseDelay, func() {
+				if srv.process == process {
+					onResponse(outcome, reply)
 				}
 			})
 		})
@@ -117,12 +118,12 @@
 	}
 }
 
-// lastCalls asks once more for everything, after all has settled.
-func (w *workload) lastCalls() {
-	w.billing.last = true
+// finalCalls makes the next batch of usage the last one and reads each counter once more, after the groups have recovered.
+func (w *workload) finalCalls() {
+	w.billing.final = true
 	for i := range counterCount {
-		if x := w.sim.randomServer(); x != nil {
-			w.add(x, counterKey(i), 0, func() {})
+		if srv := w.sim.randomServer(); srv != nil {
+			w.add(srv, counterKey(i), 0, func() {})
 		}
 	}
 }
@@ -131,16 +132,16 @@
 
 func planKey(i int) string { return fmt.Sprintf("plan-%d", i) }
 
-// judge judges what clients were told by the states of the groups.
-func (w *workload) judge(state func(key string) *statemachine.State) {
-	w.adds.judge(w.sim.verdict)
+// check checks the results that clients received against the states of the groups.
+func (w *workload) check(state func(key string) *statemachine.State) {
+	w.adds.check(w.sim.verdict)
 	for i := range planCount {
 		if s := state(planKey(i)); s != nil {
-			w.judgePlan(planKey(i), s)
+			w.checkPlan(planKey(i), s)
 		}
 	}
-	w.markers.judge(w.sim.verdict)
+	w.markers.check(w.sim.verdict)
 	for i := range planCount {
-		w.judgeBilling(planKey(i))
+		w.checkBilling(planKey(i))
 	}
 }
