--- a/sim/oracle/attempts.go
+++ b/sim/oracle/attempts.go
@@ -6,7 +6,7 @@
 	"otterseam/sim/model"
 )
 
-// AttemptSent judges an attempt that an api gateway begins.
+// AttemptSent checks an attempt when an api gateway sends it.
 func (o *Oracle) AttemptSent(attempt *model.Attempt) {
 	invocation := attempt.Invocation
 	now := o.now()
@@ -16,10 +16,10 @@
 	if now > invocation.GiveUpAt+Tolerance {
 		o.violated(ruleOneAnswer, invocation.Ref, "%s is sent on after its client gave up", invocation.Ref)
 	}
-	told, known := o.told[invocation.Gateway][attempt.Host]
-	if known && told.state != model.HostActive && now > told.toldAt+o.scenario.Gateway.DrainGrace.Float()+Tolerance {
+	last, known := o.hostStates[invocation.Gateway][attempt.Host]
+	if known && last.state != model.HostActive && now > last.learnedAt+o.scenario.Gateway.DrainGrace.Float()+Tolerance {
 		o.violated(ruleLeavingHosts, invocation.Ref, "%s is sent to host %d, %s for %.3f s",
-			invocation.Ref, attempt.Host, told.state, now-told.toldAt)
+			invocation.Ref, attempt.Host, last.state, now-last.learnedAt)
 	}
 	for _, other := range invocation.Attempts {
 		if other != attempt && !other.Ended && !o.AllowsHedging {
@@ -29,13 +29,14 @@
 	o.CheckRetry(attempt)
 }
 
-// ConcurrentAttempts reports two attempts of one invocation in flight at once, also as seen where AttemptSent cannot: for longer than
-// the delay of messages explains.
+// ConcurrentAttempts reports two attempts of one invocation in flight at once. Callers other than AttemptSent report overlaps that
+// AttemptSent cannot detect, such as two attempts at the hosts for longer than message delays explain.
 func (o *Oracle) ConcurrentAttempts(invocation *model.Invocation) {
 	o.violated(ruleEffect, invocation.Ref, "%s has two deliveries out at once", invocation.Ref)
 }
 
-// CheckRetry judges only whether an attempt may follow the earlier ones: all that can be said of one held up on its way.
+// CheckRetry checks only whether an attempt may follow the earlier ones. It is the only check that applies to an attempt that was
+// delayed on its way.
 func (o *Oracle) CheckRetry(attempt *model.Attempt) {
 	if fault := o.retryFault(attempt); fault != "" {
 		invocation := attempt.Invocation
@@ -43,7 +44,7 @@
 	}
 }
 
-// retryFault says what is wrong with a further attempt; "": nothing.
+// retryFault describes why a further attempt is not allowed. It returns "" if the attempt is allowed.
 func (o *Oracle) retryFault(attempt *model.Attempt) string {
 	operation := attempt.Invocation.Request.Operation
 	for _, earlier := range attempt.Invocation.Attempts {
@@ -62,8 +63,8 @@
 	return ""
 }
 
-// CheckGroup judges whether a tokened invocation is sent outside the group of a host where it may have run; sameGroup says whether two
-// hosts share tokens.
+// CheckGroup checks that a tokened invocation is not sent outside the group of a host where it may have run. sameGroup reports
+// whether two hosts share tokens.
 func (o *Oracle) CheckGroup(attempt *model.Attempt, sameGroup func(a, b int) bool) {
 	invocation := attempt.Invocation
 	if invocation.Request.Operation.Effect != model.EffectTokened {
@@ -77,7 +78,7 @@
 	}
 }
 
-// AttemptStarted judges an attempt that has begun to run.
+// AttemptStarted checks an attempt that a host has begun to run.
 func (o *Oracle) AttemptStarted(attempt *model.Attempt) {
 	invocation := attempt.Invocation
 	for _, other := range invocation.Attempts {
@@ -89,7 +90,7 @@
 	attempt.Started = true
 }
 
-// InvocationAnswered judges a final answer of an api gateway.
+// InvocationAnswered checks a final answer of an api gateway.
 func (o *Oracle) InvocationAnswered(invocation *model.Invocation, outcome model.Outcome) {
 	if invocation.Outcome != model.Pending {
 		o.violated(ruleOneAnswer, invocation.Ref, "%s gets a second final answer: %s after %s",
@@ -106,7 +107,8 @@
 	}
 }
 
-// checkThrottling judges a throttling, which invites the client to ask again, for attempts that may have run.
+// checkThrottling checks that an invocation is throttled only if a retry is safe, because a throttled client may retry. Each attempt
+// must be proven not to have run unless the operation may run again.
 func (o *Oracle) checkThrottling(invocation *model.Invocation) {
 	operation := invocation.Request.Operation
 	mayRunAgain := operation.Effect != model.EffectNonIdempotent &&
@@ -119,7 +121,7 @@
 	}
 }
 
-// ClientGaveUp judges an invocation whose client's time is over.
+// ClientGaveUp checks that an invocation was answered before its client timed out.
 func (o *Oracle) ClientGaveUp(invocation *model.Invocation) {
 	if invocation.Outcome == model.Pending {
 		o.violated(ruleOneAnswer, invocation.Ref, "%s was taken and got no final answer before its client gave up", invocation.Ref)
@@ -127,10 +129,10 @@
 	}
 }
 
-// ConnectionDropped reports that an api gateway that ran all the while has ended a client's connection without an answer.
+// ConnectionDropped reports that an api gateway closed a client's connection without an answer although it had not stopped.
 func (o *Oracle) ConnectionDropped(invocation *model.Invocation) {
 	o.violated(ruleOneAnswer, invocation.Ref, "%s was taken, and its client's connection ended without an answer", invocation.Ref)
 }
 
-// ForeignContent reports that a client was served with, or a host was sent, what was not made for it.
+// ForeignContent reports that a client or a host received content that was meant for another.
 func (o *Oracle) ForeignContent(ref, text string) { o.violated(ruleOneAnswer, ref, "%s", text) }
--- a/sim/oracle/doc.go
+++ b/sim/oracle/doc.go
@@ -1,7 +1,11 @@
-// Package oracle judges a simulation from outside: whether the five rules of the gateway were kept, and what of each customer's
-// quota was really used. It sees what happens, never what an api gateway knows, and must never change anything.
+// Package oracle checks a simulation against the five rules of the gateway and measures how much of its quota each customer used. It
+// observes events of the whole simulation, has no access to the state of the api gateways, and must never change the simulation.
 //
-// The rules: each invocation that was taken gets exactly one final answer in time, and nothing is done for it after that (1); an
-// operation runs again only as often as its effect allows, and one attempt at a time (2); a host that leaves gets no new work (3); a
-// cold host is not overloaded by gateways that know of its start (4); no customer passes its ceiling (5).
+// The rules are:
+//
+//  1. Each accepted invocation gets exactly one final answer in time, and no attempt is sent for it afterwards.
+//  2. An operation is repeated only as its effect allows, with one attempt at a time.
+//  3. A host that is leaving gets no new work.
+//  4. Gateways that know that a host has just started don't overload it.
+//  5. No customer exceeds its ceiling.
 package oracle
--- a/sim/oracle/oracle.go
+++ b/sim/oracle/oracle.go
@@ -8,27 +8,27 @@
 	"otterseam/sim/scenario"
 )
 
-// Tolerance is by how many seconds what a rule bounds may be late for the time that messages take.
+// Tolerance is the delay in seconds that the rules' time limits allow for messages in transit.
 const Tolerance = 0.05
 
-// standardMaxKept is how many violations are kept unless MaxKept says otherwise.
-const standardMaxKept = 20
+// defaultMaxKept is the initial value of MaxKept.
+const defaultMaxKept = 20
 
-// The rules that can be violated. The numbers are those of the operators' pages.
+// The rules that can be violated. The operators' documentation uses the same numbers.
 const (
-	noRule           = iota // none of the five: a crash, or an expectation of a script
+	noRule           = iota // none of the five: a crash, or a failed expectation of a script
 	ruleOneAnswer           // one final answer in time
-	ruleEffect              // as many runs as the effect allows
-	ruleLeavingHosts        // no new work to a host that leaves
+	ruleEffect              // only as many runs as the effect allows
+	ruleLeavingHosts        // no new work to a leaving host
 	ruleColdHosts           // no overload of a cold host
-	ruleCeiling             // no customer beyond its ceiling
+	ruleCeiling             // no customer above its ceiling
 )
 
-// Violation is a rule that was violated. Its fields are keys of the JSON of results.
+// Violation is one violation of a rule. The names of its fields are keys in the JSON of results.
 type Violation struct {
-	Rule int // 0: none of the five, but a crash or an expectation
+	Rule int // 0 for a crash or a failed expectation
 	At   float64
-	Ref  string // of the invocation; "": none in particular
+	Ref  string // of the invocation; "" if the violation concerns no particular one
 	Text string
 }
 
@@ -39,37 +39,38 @@
 	return fmt.Sprintf("rule %d at %.3f s: %s", v.Rule, v.At, v.Text)
 }
 
-// Oracle keeps the account of a simulation.
+// Oracle records the violations of a simulation and the quota usage of its customers.
 type Oracle struct {
 	Violations    []Violation // the first MaxKept
 	MaxKept       int
-	Total         int
+	Total         int  // of violations, including those not kept
 	AllowsHedging bool // two attempts of one invocation may be in flight at once
 
 	now      func() float64
 	scenario *scenario.Scenario
 	usage    map[*model.Customer]*usage
-	told     []map[int]hostState // by api gateway and host
+	// hostStates holds by api gateway and host what the gateway was last notified of.
+	hostStates []map[int]hostState
 }
 
-// hostState is what an api gateway was told of a host, and when.
+// hostState is the state of a host of which an api gateway was notified.
 type hostState struct {
 	state         string
-	toldAt        float64
-	hostStartedAt float64 // of the incarnation that it was told of
+	learnedAt     float64
+	hostStartedAt float64 // of the incarnation that the notification was about
 }
 
-// New makes the oracle of a scenario whose values have been drawn; now reads the clock.
-func New(day *scenario.Scenario, gateways int, now func() float64) *Oracle {
+// New returns the oracle of a scenario whose values have been drawn. now reads the clock.
+func New(config *scenario.Scenario, gateways int, now func() float64) *Oracle {
 	oracle := &Oracle{
-		MaxKept:  standardMaxKept,
-		now:      now,
-		scenario: day,
-		usage:    map[*model.Customer]*usage{},
-		told:     make([]map[int]hostState, gateways),
+		MaxKept:    defaultMaxKept,
+		now:        now,
+		scenario:   config,
+		usage:      map[*model.Customer]*usage{},
+		hostStates: make([]map[int]hostState, gateways),
 	}
-	for gateway := range oracle.told {
-		oracle.told[gateway] = map[int]hostState{}
+	for gateway := range oracle.hostStates {
+		oracle.hostStates[gateway] = map[int]hostState{}
 	}
 	return oracle
 }
@@ -81,51 +82,54 @@
 	}
 }
 
-// HostStateTold takes down that an api gateway was told of a host's state; hostStartedAt is the start of the incarnation that is
-// meant.
+// HostStateTold records that an api gateway was notified of a host's state. hostStartedAt is the start time of the incarnation that
+// the notification is about.
 func (o *Oracle) HostStateTold(gateway, host int, state string, hostStartedAt float64) {
-	before, known := o.told[gateway][host]
-	toldAt := o.now()
-	if known && before.state != model.HostActive && state != model.HostActive { // it drains, then is gone: the first counts
-		toldAt = before.toldAt
+	previous, known := o.hostStates[gateway][host]
+	learnedAt := o.now()
+	// A host that drains and then leaves counts as leaving from the first of the two notifications.
+	if known && previous.state != model.HostActive && state != model.HostActive {
+		learnedAt = previous.learnedAt
 	}
-	o.told[gateway][host] = hostState{state, toldAt, hostStartedAt}
+	o.hostStates[gateway][host] = hostState{state, learnedAt, hostStartedAt}
 }
 
-// GatewayStarted takes down that an api gateway starts; it is then told of all hosts anew.
-func (o *Oracle) GatewayStarted(gateway int) { o.told[gateway] = map[int]hostState{} }
+// GatewayStarted records that an api gateway starts. It is notified of all hosts again after that.
+func (o *Oracle) GatewayStarted(gateway int) { o.hostStates[gateway] = map[int]hostState{} }
 
-// GatewayResumed takes down that an api gateway was stopped since a clock time. What it was told meanwhile it could not hear.
+// GatewayResumed records that an api gateway resumes after it was paused since a clock time. The gateway handles notifications that
+// were sent during the pause only now.
 func (o *Oracle) GatewayResumed(gateway int, since float64) {
-	for host, told := range o.told[gateway] { // each by itself: the order does not show
-		if told.toldAt >= since-o.scenario.Gateway.DrainGrace.Float() {
-			told.toldAt = o.now()
-			o.told[gateway][host] = told
+	for host, last := range o.hostStates[gateway] { // the entries are independent of each other, so the order has no effect
+		if last.learnedAt >= since-o.scenario.Gateway.DrainGrace.Float() {
+			last.learnedAt = o.now()
+			o.hostStates[gateway][host] = last
 		}
 	}
 }
 
-// GatewayCrashed reports an api gateway that has ended without being asked to.
+// GatewayCrashed reports that an api gateway ended without a request to stop.
 func (o *Oracle) GatewayCrashed(gateway int, how error) {
 	o.violated(noRule, "", "api gateway %d has ended by itself: %v", gateway, how)
 }
 
-// ExpectationFailed reports something that a script expects and that does not hold.
+// ExpectationFailed reports an expectation of a script that does not hold.
 func (o *Oracle) ExpectationFailed(text string) { o.violated(noRule, "", "%s", text) }
 
-// HostOverloaded judges a cold host that went down under these arrivals.
+// HostOverloaded checks whether the api gateways are to blame for the overload of a cold host, which went down under these arrivals.
+// At least two thirds of the work must come from gateways that knew of the host's start; less may be chance.
 func (o *Oracle) HostOverloaded(host *hostmodel.Host, arrivals []hostmodel.Arrival) {
 	total := 0.0
-	byThoseWhoKnew := 0.0
+	fromInformedGateways := 0.0
 	for _, arrival := range arrivals {
 		total += arrival.Work
-		if told, ok := o.told[arrival.Gateway][host.Number]; ok && told.hostStartedAt == host.StartedAt {
-			byThoseWhoKnew += arrival.Work
+		if last, ok := o.hostStates[arrival.Gateway][host.Number]; ok && last.hostStartedAt == host.StartedAt {
+			fromInformedGateways += arrival.Work
 		}
 	}
-	if byThoseWhoKnew >= total*2/3 { // the gateways' doing, not chance
+	if fromInformedGateways >= total*2/3 {
 		o.violated(ruleColdHosts, "",
-			"host %d fell over %.2f s after its start under %.3f core seconds in %.2f s, %.0f%% of it from api gateways that knew",
-			host.Number, o.now()-host.StartedAt, total, o.scenario.Cold.Window.Float(), 100*byThoseWhoKnew/total)
+			"host %d went down %.2f s after its start under %.3f core seconds in %.2f s, %.0f%% of it from api gateways that knew of the start",
+			host.Number, o.now()-host.StartedAt, total, o.scenario.Cold.Window.Float(), 100*fromInformedGateways/total)
 	}
 }
--- a/sim/oracle/oracle_test.go
+++ b/sim/oracle/oracle_test.go
@@ -40,13 +40,13 @@
 	return d
 }
 
-// endAttempt ends an attempt; notRun: its outcome proves that it never ran.
+// endAttempt ends an attempt. notRun means that its outcome proves that it never ran.
 func endAttempt(attempt *model.Attempt, notRun bool) {
 	attempt.Ended = true
 	attempt.ProvenNotRun = notRun
 }
 
-// Each case ends in one rule violated, and in none once the step that violates it is left out.
+// Each case violates one rule when wrong is set, and none otherwise.
 var ruleCases = []struct {
 	name string
 	rule int
@@ -80,12 +80,12 @@
 		}
 		f.send(inv, 0)
 	}},
-	{"run again though it may have run", 2, "may have run", func(f *fixture, wrong bool) {
+	{"run again although it may have run", 2, "may have run", func(f *fixture, wrong bool) {
 		inv := newInvocation("non-idempotent", "")
 		endAttempt(f.send(inv, 0), !wrong)
 		f.send(inv, 1)
 	}},
-	{"throttled though it may have run", 2, "throttled", func(f *fixture, wrong bool) {
+	{"throttled although it may have run", 2, "throttled", func(f *fixture, wrong bool) {
 		inv := newInvocation("non-idempotent", "")
 		endAttempt(f.send(inv, 0), !wrong)
 		f.InvocationAnswered(inv, model.Throttled)
@@ -103,7 +103,7 @@
 		endAttempt(f.send(inv, 0), false)
 		f.CheckGroup(f.send(inv, 1), func(a, b int) bool { return !wrong })
 	}},
-	{"two out at once", 2, "two deliveries out", func(f *fixture, wrong bool) {
+	{"two attempts in flight at once", 2, "two deliveries out", func(f *fixture, wrong bool) {
 		inv := newInvocation("idempotent", "")
 		if d := f.send(inv, 0); !wrong {
 			endAttempt(d, false)
@@ -113,7 +113,7 @@
 	{"run twice", 2, "run twice", func(f *fixture, wrong bool) {
 		inv := newInvocation("non-idempotent", "")
 		a := f.send(inv, 0)
-		endAttempt(a, true) // an api gateway that took the wrong outcome for a proof
+		endAttempt(a, true) // the api gateway wrongly treats the outcome as proof that the attempt never ran
 		b := f.send(inv, 1)
 		if f.AttemptStarted(a); wrong {
 			f.AttemptStarted(b)
@@ -126,16 +126,16 @@
 		}
 		f.send(newInvocation("idempotent", ""), 7)
 	}},
-	{"a cold host under what they knew", 4, "fell over", func(f *fixture, wrong bool) {
+	{"a cold host overloaded by gateways that know of its start", 4, "went down", func(f *fixture, wrong bool) {
 		h := &hostmodel.Host{Number: 3, StartedAt: 1}
 		if wrong {
 			f.HostStateTold(0, 3, "active", 1)
 		}
 		f.HostOverloaded(h, []hostmodel.Arrival{{At: 1, Work: 5, Gateway: 0}, {At: 1, Work: 1, Gateway: 1}})
 	}},
-	{"a ceiling passed", 5, "ceiling", func(f *fixture, wrong bool) {
+	{"a ceiling exceeded", 5, "ceiling", func(f *fixture, wrong bool) {
 		cust := newInvocation("idempotent", "").Request.Customer
-		for range map[bool]int{true: 4, false: 3}[wrong] { // 4 units each, 12 at once
+		for range map[bool]int{true: 4, false: 3}[wrong] { // 4 units each; the ceiling's burst is 12
 			inv := newInvocation("idempotent", "")
 			inv.Request.Customer = cust
 			f.AttemptReached(f.send(inv, 0))
@@ -149,7 +149,7 @@
 			f := newFixture()
 			each.play(f, wrong)
 			if !wrong && f.Total > 0 {
-				t.Errorf("%s, done well: %v", each.name, f.Violations)
+				t.Errorf("%s, without the wrong step: %v", each.name, f.Violations)
 			}
 			if wrong && (f.Total == 0 || f.Violations[0].Rule != each.rule || !strings.Contains(f.Violations[0].Text, each.text)) {
 				t.Errorf("%s: %v", each.name, f.Violations)
@@ -158,14 +158,14 @@
 	}
 }
 
-// A bucket gives exactly one burst and its rate, whatever the order and size of what is asked.
+// A bucket grants exactly one burst plus its rate over time, regardless of the order and size of the requests.
 func TestTokenBucketIsExact(t *testing.T) {
 	f, d := newFixture(), randstream.New(3, "bucket")
 	cust := newInvocation("idempotent", "").Request.Customer
 	cust.Plan.CeilingRate = fixed(0)
 	cust.Plan.Rate, cust.Plan.Burst = fixed(2), fixed(10)
-	taken, n := 0.0, 0
-	f.QuotaHasRoom(cust, 1) // full from here on: what would pass the burst is lost
+	granted, n := 0.0, 0
+	f.QuotaHasRoom(cust, 1) // creates the bucket, full; refill above the burst is lost
 	for f.now < 1000 {
 		if n > 0 {
 			f.now += d.Exponential(0.05)
@@ -175,21 +175,21 @@
 		inv.Request.Units, inv.Request.ActualUnits = 0.5, 0.5
 		if room := f.QuotaHasRoom(cust, 0.5); room {
 			if _, beyond := f.AttemptReached(f.send(inv, 0)); beyond {
-				t.Fatalf("room at %.3f s, and beyond", f.now)
+				t.Fatalf("quota had room at %.3f s, but the attempt was reported as beyond it", f.now)
 			}
-			taken += 0.5
+			granted += 0.5
 		}
 		n++
 	}
-	// All was asked for: what was taken is the burst and the rate, less what is left.
+	// The requests exceed the rate, so the units granted are the burst and the refill less the remaining level.
 	f.usage[cust].sent.fill(f.now)
-	if want := 10 + 2*f.now - f.usage[cust].sent.level; math.Abs(taken-want) > 1e-6 || taken < 1990 {
-		t.Fatalf("%.6f units of %d asked for, want %.6f", taken, 2*n, want)
+	if want := 10 + 2*f.now - f.usage[cust].sent.level; math.Abs(granted-want) > 1e-6 || granted < 1990 {
+		t.Fatalf("%.6f units granted in %d half-unit requests, want %.6f", granted, 2*n, want)
 	}
 }
 
-// A customer at its cap on attempts in flight is beyond it with one more, and not once a delivery has ended.
-func TestAttemptsInFlightAreCountedAgainstTheCap(t *testing.T) {
+// A customer at its concurrency limit exceeds it with one more attempt, and has room again after attempts are released.
+func TestAttemptsInFlightCountAgainstTheLimit(t *testing.T) {
 	f := newFixture()
 	cust := &model.Customer{Key: "p", Plan: &scenario.Plan{MaxConcurrent: fixed(2)}}
 	reach := func() (*model.Attempt, bool) {
@@ -202,15 +202,15 @@
 	first, _ := reach()
 	reach()
 	if f.QuotaHasRoom(cust, 1) {
-		t.Fatal("room for a third of two")
+		t.Fatal("quota has room for a third attempt with a limit of two")
 	}
 	third, beyond := reach()
 	if !beyond {
-		t.Fatal("a third of two is not beyond")
+		t.Fatal("a third attempt with a limit of two is not reported as beyond the quota")
 	}
 	f.AttemptReleased(first)
 	f.AttemptReleased(third)
 	if f.AttemptReleased(third); !f.QuotaHasRoom(cust, 1) {
-		t.Fatal("a place came free, and there is no room")
+		t.Fatal("quota has no room after attempts were released")
 	}
 }
--- a/sim/oracle/quota.go
+++ b/sim/oracle/quota.go
@@ -3,13 +3,13 @@
 import "otterseam/sim/model"
 
 const (
-	// unitsTolerance is how many units rounding may be off.
+	// unitsTolerance is the allowed rounding error in units.
 	unitsTolerance = 1e-9
-	// slotFactor is for how many times an operation's mean work a request within a cap on concurrency holds its slot.
+	// slotFactor times an operation's mean work is how long a request holds its slot under a concurrency limit.
 	slotFactor = 1.5
 )
 
-// tokenBucket fills at a rate and holds one burst; it starts full.
+// tokenBucket is refilled at a rate and holds at most one burst. It starts full.
 type tokenBucket struct{ rate, burst, level, filledAt float64 }
 
 func newTokenBucket(rate, burst, now float64) tokenBucket {
@@ -21,16 +21,16 @@
 	b.filledAt = now
 }
 
-// usage is what one customer has really used of its quota.
+// usage is one customer's actual usage of its quota.
 type usage struct {
-	sent      tokenBucket // by what reached a host
-	requested tokenBucket // by what was asked for
+	sent      tokenBucket // counts what reached a host
+	requested tokenBucket // counts what clients requested
 	ceiling   tokenBucket
 	inFlight  int       // attempts
-	slots     []float64 // when each request within the cap on concurrency would have been done
+	slots     []float64 // expected end of each request within the concurrency limit
 }
 
-// usageOf is the account of a customer, which begins with full buckets when it is first asked for.
+// usageOf returns the usage of a customer. The first call for a customer creates it with full buckets.
 func (o *Oracle) usageOf(customer *model.Customer) *usage {
 	used := o.usage[customer]
 	if used == nil {
@@ -46,7 +46,7 @@
 	return used
 }
 
-// RequestCreated says whether a request is within its customer's quota when it is first asked for; what is takes its units.
+// RequestCreated reports whether a new request is within its customer's quota, and if so charges its units.
 func (o *Oracle) RequestCreated(request *model.Request) (within bool) {
 	used := o.usageOf(request.Customer)
 	plan := request.Customer.Plan
@@ -67,7 +67,7 @@
 	return true
 }
 
-// dropSlots drops the slots whose time is over.
+// dropSlots removes the slots that have expired.
 func (u *usage) dropSlots(now float64) {
 	held := u.slots[:0]
 	for _, endsAt := range u.slots {
@@ -78,8 +78,8 @@
 	u.slots = held
 }
 
-// AttemptReached takes down that all of an attempt is at its host. The first of an invocation takes its units; beyond says that they
-// were beyond the quota.
+// AttemptReached records that an attempt has arrived at its host in full. The first attempt of an invocation is charged the
+// invocation's units; beyond reports whether they exceed the quota.
 func (o *Oracle) AttemptReached(attempt *model.Attempt) (first, beyond bool) {
 	invocation := attempt.Invocation
 	used := o.usageOf(invocation.Request.Customer)
@@ -96,7 +96,7 @@
 	return first, beyond
 }
 
-// charge takes the units of an invocation from its customer's quota and ceiling, and says whether they were beyond the quota.
+// charge subtracts the units of an invocation from its customer's quota and ceiling, and reports whether they exceed the quota.
 func (o *Oracle) charge(used *usage, invocation *model.Invocation) (beyond bool) {
 	request := invocation.Request
 	plan := request.Customer.Plan
@@ -121,7 +121,7 @@
 	return beyond
 }
 
-// AttemptReleased takes down that an attempt is no longer in flight: its answer is written, or its connection has ended.
+// AttemptReleased records that an attempt is no longer in flight, because its answer is written or its connection is closed.
 func (o *Oracle) AttemptReleased(attempt *model.Attempt) {
 	if attempt.CountsAgainstQuota {
 		attempt.CountsAgainstQuota = false
@@ -129,7 +129,7 @@
 	}
 }
 
-// QuotaHasRoom says whether a customer's quota would take so many units now, by what was really sent.
+// QuotaHasRoom reports whether a customer's quota has room for the units now, judged by what was actually sent.
 func (o *Oracle) QuotaHasRoom(customer *model.Customer, units float64) bool {
 	used := o.usageOf(customer)
 	plan := customer.Plan
