--- a/sim/gatewaymodel/attempt.go
+++ b/sim/gatewaymodel/attempt.go
@@ -6,23 +6,24 @@
 	"otterseam/sim/model"
 )
 
-// FinalAttemptMargin is how many seconds before its client gives up the last attempt is ended, as the api gateway on sockets does.
+// FinalAttemptMargin is how many seconds before its client times out the last attempt is ended. The real api gateway uses the same.
 const FinalAttemptMargin = 0.008
 
-// flight is an attempt that has not ended for the gateway, and what it holds.
+// flight is an attempt that has not ended for the gateway, with its connection and its job at the host.
 type flight struct {
 	attempt     *model.Attempt
 	host        *hostmodel.Host
-	job         *hostmodel.Job // nil until it has reached the host
-	dialled     bool           // its connection is a new one
-	connected   bool           // its connection is up, and counts at the host
-	incarnation int            // of the host, when the connection came up
+	job         *hostmodel.Job // nil until the attempt has reached the host
+	dialled     bool           // the attempt uses a new connection
+	connected   bool           // the connection is established and counts at the host
+	incarnation int            // of the host, when the connection was established
 }
 
-// onSameHost says whether the connection is up and the host has not been down since.
+// onSameHost reports whether the connection is established and the host has not been down since.
 func (f *flight) onSameHost() bool { return f.connected && f.incarnation == f.host.Incarnation }
 
-// Send begins an attempt that is given up after timeout seconds; 0: shortly before its client gives up.
+// Send begins an attempt that times out after timeout seconds, and always shortly before its client gives up. 0 sets no timeout of
+// its own.
 func (g *Gateway) Send(ref, addr string, timeout float64) {
 	invocation := g.pending[ref]
 	host := g.environment.Host(addr)
@@ -62,7 +63,8 @@
 	}
 }
 
-// write puts the attempt on its connection. It is whole at the host a delay later, whatever happens here meanwhile.
+// write writes the attempt to its connection. It reaches the host in full after the network delay, even if the gateway ends the
+// attempt in the meantime.
 func (g *Gateway) write(f *flight) {
 	f.attempt.Written = true
 	if g.network.Partitioned(g.Zone, f.host.Zone) {
@@ -72,7 +74,7 @@
 }
 
 func (g *Gateway) reachHost(f *flight) {
-	if f.incarnation != f.host.Incarnation { // it has started anew meanwhile, or is gone: the connection is reset
+	if f.incarnation != f.host.Incarnation { // the host has restarted or stopped in the meantime, so the connection is reset
 		g.replyFromHost(f, policy.Reset, 0)
 		return
 	}
@@ -90,11 +92,11 @@
 	}
 }
 
-// newJob makes the host's work of an attempt; reset: its answer is lost with the connection.
+// newJob returns the job that an attempt is for the host. With reset, the connection is reset instead of carrying the answer.
 func (g *Gateway) newJob(f *flight, reset bool) *hostmodel.Job {
 	request := f.attempt.Invocation.Request
 	job := &hostmodel.Job{Operation: request.Operation.Number, Work: request.Work, Gateway: g.Slot}
-	if f.dialled { // setting the connection up costs the host work, and this request the time
+	if f.dialled { // establishing the connection costs the host work, which delays this request
 		job.Work += f.host.ConnectWork
 	}
 	job.OnStart = func() { g.environment.AttemptStarted(f.attempt) }
@@ -105,7 +107,7 @@
 	return job
 }
 
-// attemptOutcome is what a gateway makes of a host's answer.
+// attemptOutcome returns the outcome that a gateway derives from a host's answer.
 func attemptOutcome(answer hostmodel.Answer, reset bool) policy.Outcome {
 	switch {
 	case answer == hostmodel.Rejected:
@@ -118,7 +120,7 @@
 	return policy.Failed
 }
 
-// replyFromHost brings a host's reply to the gateway.
+// replyFromHost delivers a host's reply to the gateway, unless the network loses it.
 func (g *Gateway) replyFromHost(f *flight, outcome policy.Outcome, units float64) {
 	if g.network.Partitioned(g.Zone, f.host.Zone) || outcome == policy.Succeeded && g.network.DrawLostAnswer() {
 		return
@@ -131,7 +133,7 @@
 	})
 }
 
-// endAttempt gives an attempt up, unless it has ended. One whose last byte has not left cannot have run.
+// endAttempt ends an attempt that has not ended yet. An attempt that was not written in full cannot have run, and its outcome says so.
 func (g *Gateway) endAttempt(attempt *model.Attempt, outcome policy.Outcome) {
 	f := g.inFlight[attempt]
 	if f == nil || attempt.Ended {
@@ -148,7 +150,7 @@
 	g.finishAttempt(f, outcome, 0)
 }
 
-// finishAttempt ends an attempt with its outcome, and has the policy told.
+// finishAttempt ends an attempt with its outcome and notifies the policy.
 func (g *Gateway) finishAttempt(f *flight, outcome policy.Outcome, units float64) {
 	attempt := f.attempt
 	invocation := attempt.Invocation
@@ -177,7 +179,7 @@
 	})
 }
 
-// settledUnits is what the host says that an attempt used, where the quota is settled by that.
+// settledUnits returns the units that an attempt used according to the host, or 0 unless the quota is settled by actual usage.
 func (g *Gateway) settledUnits(units float64, outcome policy.Outcome) float64 {
 	if g.scenario.Counter.Settles && outcome == policy.Succeeded {
 		return units
--- a/sim/gatewaymodel/clockoffset.go
+++ b/sim/gatewaymodel/clockoffset.go
@@ -7,8 +7,8 @@
 	"otterseam/gateway/policydriver"
 )
 
-// WithClockOffset gives a policy whose clock is ahead of the simulation's by so many seconds; newPolicy makes it with its output.
-// The windows of quotas lie by that clock, and on sockets they begin at any moment of a run.
+// WithClockOffset returns a policy whose clock is offset seconds ahead of the simulation's. newPolicy creates the policy with the
+// given output. Quota windows are aligned to the policy's clock, and in runs on sockets they begin at any moment of the run.
 func WithClockOffset(
 	offset float64, output policydriver.Output, newPolicy func(output policydriver.Output) (Policy, error),
 ) (Policy, error) {
@@ -27,7 +27,7 @@
 func (p *offsetPolicy) UpdateHosts(now float64, list []policy.HostEntry, complete bool) {
 	shifted := slices.Clone(list)
 	for i := range shifted {
-		if shifted[i].StartedAt > 0 { // 0: long ago
+		if shifted[i].StartedAt > 0 { // 0 means long ago
 			shifted[i].StartedAt += p.offset
 		}
 	}
@@ -59,7 +59,7 @@
 	p.inner.CounterReplied(now+p.offset, name, outcome, sum, seconds)
 }
 
-// offsetOutput sets timers by the simulation's clock.
+// offsetOutput converts the times of timers to the simulation's clock.
 type offsetOutput struct {
 	policydriver.Output
 	offset float64
--- a/sim/gatewaymodel/connection.go
+++ b/sim/gatewaymodel/connection.go
@@ -5,16 +5,17 @@
 	"otterseam/sim/hostmodel"
 )
 
-// idleMargin is the part of the hosts' idle time-out after which an api gateway closes a connection itself.
+// idleMargin is the fraction of the hosts' idle timeout after which an api gateway closes a connection itself.
 const idleMargin = 0.8
 
-// connection is one at rest.
+// connection is an idle connection.
 type connection struct {
-	incarnation int // of the host, when it came up
+	incarnation int // of the host, when the connection was established
 	idleSince   float64
 }
 
-// takeIdle takes the idle connection to a host that was used last. Those near the time at which the host closes them are closed here.
+// takeIdle removes and returns the most recently used idle connection to a host. It closes those that are close to the host's idle
+// timeout.
 func (g *Gateway) takeIdle(host *hostmodel.Host) (taken connection, ok bool) {
 	idle := g.idleConnections[host]
 	now := g.clock.Now()
@@ -33,14 +34,14 @@
 	return taken, ok
 }
 
-// putIdle keeps the connection of an attempt that was answered, unless the host has been down since.
+// putIdle keeps the connection of an answered attempt as idle, unless the host has been down since.
 func (g *Gateway) putIdle(f *flight) {
 	if f.onSameHost() {
 		g.idleConnections[f.host] = append(g.idleConnections[f.host], connection{f.incarnation, g.clock.Now()})
 	}
 }
 
-// dial opens a connection for an attempt, which ends if that takes too long.
+// dial opens a connection for an attempt. The attempt ends if the dial times out.
 func (g *Gateway) dial(f *flight) {
 	incarnation := g.incarnation
 	f.dialled = true
@@ -51,7 +52,7 @@
 		}
 	})
 	if g.network.Partitioned(g.Zone, f.host.Zone) || f.host.IsSilent() {
-		return // it never comes up
+		return // the connection is never established
 	}
 	g.afterDelayTo(f.host.Zone, func() {
 		accepted := !f.host.IsSilent() && f.host.OpenConnection()
@@ -63,7 +64,7 @@
 	})
 }
 
-// dialEnded goes on with an attempt whose host has accepted its connection or refused it, if the gateway still wants it.
+// dialEnded handles the host's acceptance or refusal of a connection. wanted reports whether the gateway still needs the connection.
 func (g *Gateway) dialEnded(f *flight, wanted, accepted bool, hostIncarnation int) {
 	switch {
 	case !wanted:
@@ -74,18 +75,18 @@
 		f.connected = true
 		f.incarnation = hostIncarnation
 		g.write(f)
-	case !f.host.IsSilent(): // a silent one lets the dial time out
+	case !f.host.IsSilent(): // a silent host lets the dial time out
 		g.endAttempt(f.attempt, policy.NoConnection)
 	}
 }
 
-// closeConnection closes the connection of an attempt; the host learns of it a delay later, and drops work that waits.
+// closeConnection closes the connection of an attempt. The host is notified after the network delay and drops the job if it is queued.
 func (g *Gateway) closeConnection(f *flight) {
 	if !f.onSameHost() {
 		g.environment.AttemptReleased(f.attempt)
 		return
 	}
-	if g.network.Partitioned(g.Zone, f.host.Zone) { // the host never learns of it, and closes the connection when it has idled
+	if g.network.Partitioned(g.Zone, f.host.Zone) { // the host is never notified, and closes the connection at its idle timeout
 		g.clock.ScheduleAfter(g.scenario.Network.IdleTimeout.Float(), func() { g.hostClosed(f) })
 		return
 	}
--- a/sim/gatewaymodel/counter.go
+++ b/sim/gatewaymodel/counter.go
@@ -5,7 +5,7 @@
 	"otterseam/sim/countermodel"
 )
 
-// counterCall is one call to the counter. The policy is told one outcome, at the latest when the call is given up.
+// counterCall is one call to the counter. The policy gets exactly one outcome, at the latest when the call times out.
 type counterCall struct {
 	gateway     *Gateway
 	incarnation int // of the gateway
@@ -14,7 +14,7 @@
 	ended       bool
 }
 
-// AddCount adds amount to a count of the counter that lives for lifetime seconds.
+// AddCount adds amount to a count of the counter that expires after lifetime seconds.
 func (g *Gateway) AddCount(name uint64, amount, lifetime float64) {
 	call := &counterCall{gateway: g, incarnation: g.incarnation, name: name, startedAt: g.clock.Now()}
 	g.clock.ScheduleAfter(g.scenario.Counter.Timeout.Float(), func() { call.end(policy.TimedOut, 0) })
@@ -30,7 +30,7 @@
 	})
 }
 
-// reply brings the counter's answer to the gateway.
+// reply delivers the counter's answer to the gateway, unless the network is partitioned. Replies of one partition keep their order.
 func (c *counterCall) reply(outcome countermodel.Outcome, sum float64) {
 	g := c.gateway
 	if g.network.Partitioned(g.Zone, g.counterZone) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// end tells the policy of the outcome, unless it was told of one.
+// end passes the outcome to the policy, unless the call has ended already.
 func (c *counterCall) end(outcome policy.Outcome, sum float64) {
 	g := c.gateway
 	if c.ended || g.incarnation != c.incarnation {
--- a/sim/gatewaymodel/gateway.go
+++ b/sim/gatewaymodel/gateway.go
@@ -14,15 +14,15 @@
 	"otterseam/sim/scenario"
 )
 
-// ownZone is the word by which a scenario puts a counter into the zone of each api gateway.
+// ownZone is the value with which a scenario places a counter in the zone of each api gateway.
 const ownZone = "own"
 
 // Gateway is the machine of one api gateway.
 type Gateway struct {
 	Slot, Zone    int
 	Alive         bool
-	Admits        bool // the load balancer in front sends it invocations
-	SeesSplitCopy bool // while the counter is split, its calls go to the second replica
+	Admits        bool // the load balancer in front sends invocations to the gateway
+	SeesSplitCopy bool // while the counter is split, the gateway's calls go to the second replica
 	Policy        Policy
 
 	clock       *eventqueue.Queue
@@ -32,63 +32,63 @@
 	scenario    *scenario.Scenario
 	environment Environment
 
-	costPerEvent float64 // seconds for each thing that it handles, at its share of a core
-	cpuFactor    float64 // part of that share which faults leave it
+	costPerEvent float64 // seconds for each event, at the gateway's share of a core
+	cpuFactor    float64 // fraction of that share that faults leave
 	busyUntil    float64
-	incarnation  int // counts its starts and ends: what belongs to an earlier one is void
+	incarnation  int // counts starts and ends; events of an earlier incarnation are ignored
 
 	pending          map[string]*model.Invocation // by ref
 	inFlight         map[*model.Attempt]*flight
-	idleConnections  map[*hostmodel.Host][]connection // the one used last at the end
-	lastCounterReply map[int]float64                  // by partition: when its last reply arrives; replies keep their order
+	idleConnections  map[*hostmodel.Host][]connection // the most recently used last
+	lastCounterReply map[int]float64                  // by partition: arrival of the last reply, as replies keep their order
 }
 
 var _ policydriver.Output = (*Gateway)(nil)
 
-// New makes an api gateway; Start starts it.
+// New returns an api gateway that is not started.
 func New(
-	slot, zone int, clock *eventqueue.Queue, paths *network.Network, counter *countermodel.Counter, day *scenario.Scenario,
+	slot, zone int, clock *eventqueue.Queue, links *network.Network, counter *countermodel.Counter, config *scenario.Scenario,
 	environment Environment,
 ) *Gateway {
 	gateway := &Gateway{
 		Slot:         slot,
 		Zone:         zone,
 		clock:        clock,
-		network:      paths,
+		network:      links,
 		counter:      counter,
-		scenario:     day,
+		scenario:     config,
 		environment:  environment,
-		costPerEvent: day.Gateway.Cost.Float() / day.Gateway.CoreShare.Float(),
+		costPerEvent: config.Gateway.Cost.Float() / config.Gateway.CoreShare.Float(),
 		cpuFactor:    1,
 	}
-	if day.Counter.Zone == ownZone {
+	if config.Counter.Zone == ownZone {
 		gateway.counterZone = zone
 	}
 	return gateway
 }
 
-// Start begins an incarnation that holds nothing, with the list of hosts as it was last told.
-func (g *Gateway) Start(decide Policy, list []policy.HostEntry) {
+// Start begins an incarnation with no pending invocations. list holds the hosts as last published to this gateway.
+func (g *Gateway) Start(decisionPolicy Policy, list []policy.HostEntry) {
 	g.incarnation++
 	g.Alive = true
 	g.Admits = true
-	g.Policy = decide
+	g.Policy = decisionPolicy
 	g.busyUntil = g.clock.Now()
 	g.pending = map[string]*model.Invocation{}
 	g.inFlight = map[*model.Attempt]*flight{}
 	g.idleConnections = map[*hostmodel.Host][]connection{}
 	g.lastCounterReply = map[int]float64{}
-	decide.UpdateHosts(g.clock.Now(), list, true)
-	decide.SetTimers(g.clock.Now())
+	decisionPolicy.UpdateHosts(g.clock.Now(), list, true)
+	decisionPolicy.SetTimers(g.clock.Now())
 }
 
-// PendingInvocations is how many invocations it holds.
+// PendingInvocations returns the number of invocations that the gateway holds.
 func (g *Gateway) PendingInvocations() int { return len(g.pending) }
 
-// AttemptsInFlight is how many attempts have not ended for it.
+// AttemptsInFlight returns the number of attempts that have not ended for the gateway.
 func (g *Gateway) AttemptsInFlight() int { return len(g.inFlight) }
 
-// ScaleCPU leaves it a part of its share of a core, or gives that back.
+// ScaleCPU reduces the gateway's share of a core to the given fraction, or ends that reduction.
 func (g *Gateway) ScaleCPU(factor float64, begin bool) {
 	if begin {
 		g.cpuFactor *= factor
@@ -97,7 +97,7 @@
 	}
 }
 
-// handle has the policy deal with something once the gateway has had a turn on its core.
+// handle runs an event once the gateway has core time for it, and then has the policy set its timers.
 func (g *Gateway) handle(event func(now float64)) {
 	incarnation := g.incarnation
 	g.busyUntil = max(g.clock.Now(), g.busyUntil) + g.costPerEvent/g.cpuFactor
@@ -109,19 +109,19 @@
 	})
 }
 
-// afterDelayTo calls back once a message from the gateway's zone has reached another.
+// afterDelayTo calls back after the network delay from the gateway's zone to another.
 func (g *Gateway) afterDelayTo(zone int, callback func()) {
 	g.clock.ScheduleAfter(g.network.Delay(g.Zone, zone), callback)
 }
 
-// HostChanged brings a change of the list of hosts.
+// HostChanged delivers a change of the host list.
 func (g *Gateway) HostChanged(change policy.HostEntry) {
 	if g.Alive {
 		g.handle(func(now float64) { g.Policy.UpdateHosts(now, []policy.HostEntry{change}, false) })
 	}
 }
 
-// PeerMessage brings a message of another api gateway.
+// PeerMessage delivers a message from another api gateway.
 func (g *Gateway) PeerMessage(from int, text string) {
 	if g.Alive {
 		g.handle(func(now float64) { g.Policy.PeerMessage(now, from, text) })
@@ -131,7 +131,7 @@
 // SendPeer sends a message to an api gateway or to all others.
 func (g *Gateway) SendPeer(to int, text string) { g.environment.SendPeerMessage(g.Slot, to, text) }
 
-// Log writes a line of the gateway's log.
+// Log writes a line to the gateway's log.
 func (g *Gateway) Log(text string) { g.environment.Trace(g.Slot, "", text) }
 
 // SetTimer has the policy's TimerFired called at a clock time.
@@ -144,7 +144,8 @@
 	})
 }
 
-// Kill ends the gateway without a shutdown: what it holds is lost to its clients, what it has sent goes on.
+// Kill ends the gateway without a shutdown. Clients of pending invocations lose their connections, and attempts already sent go on at
+// their hosts.
 func (g *Gateway) Kill() {
 	if !g.Alive {
 		return
@@ -152,12 +153,12 @@
 	g.Alive = false
 	g.Admits = false
 	g.incarnation++
-	for _, each := range g.sortedFlights() {
-		each.attempt.Ended = true
-		g.closeConnection(each)
-		g.environment.AttemptReleased(each.attempt)
+	for _, f := range g.sortedFlights() {
+		f.attempt.Ended = true
+		g.closeConnection(f)
+		g.environment.AttemptReleased(f.attempt)
 	}
-	for host, connections := range g.idleConnections { // each host's own sum: the order does not show
+	for host, connections := range g.idleConnections { // each host has its own count, so the order has no effect
 		for _, idle := range connections {
 			if idle.incarnation == host.Incarnation {
 				host.Connections--
@@ -174,7 +175,7 @@
 	g.idleConnections = nil
 }
 
-// breakConnection has a client's connection end without an answer.
+// breakConnection closes a client's connection without an answer.
 func (g *Gateway) breakConnection(invocation *model.Invocation) {
 	invocation.Outcome = model.Broken
 	g.environment.Trace(g.Slot, invocation.Ref, "its api gateway is killed")
@@ -183,8 +184,8 @@
 
 func (g *Gateway) sortedFlights() []*flight {
 	flights := make([]*flight, 0, len(g.inFlight))
-	for _, each := range g.inFlight {
-		flights = append(flights, each)
+	for _, f := range g.inFlight {
+		flights = append(flights, f)
 	}
 	slices.SortFunc(flights, func(a, b *flight) int {
 		return cmp.Or(
@@ -196,8 +197,8 @@
 
 func (g *Gateway) sortedPending() []*model.Invocation {
 	invocations := make([]*model.Invocation, 0, len(g.pending))
-	for _, each := range g.pending {
-		invocations = append(invocations, each)
+	for _, invocation := range g.pending {
+		invocations = append(invocations, invocation)
 	}
 	slices.SortFunc(invocations, func(a, b *model.Invocation) int { return cmp.Compare(a.Number, b.Number) })
 	return invocations
--- a/sim/gatewaymodel/invocation.go
+++ b/sim/gatewaymodel/invocation.go
@@ -5,10 +5,10 @@
 	"otterseam/sim/model"
 )
 
-// answerTolerance is by how many seconds an answer may reach its client after the client's limit.
+// answerTolerance is how many seconds after the client's time limit an answer may still reach the client.
 const answerTolerance = 0.05
 
-// Submit brings an invocation to the machine; false: it takes none.
+// Submit delivers an invocation to the gateway. It returns false if the gateway is down.
 func (g *Gateway) Submit(invocation *model.Invocation) bool {
 	if !g.Alive {
 		return false
@@ -43,7 +43,8 @@
 	}
 }
 
-// clientGivesUp ends the client's wait. It closes its connection, of which the gateway learns after a delay and a turn on its core.
+// clientGivesUp handles the client's timeout. The client closes its connection, which the gateway handles after the network delay and
+// once it has core time.
 func (g *Gateway) clientGivesUp(invocation *model.Invocation, incarnation int) {
 	if g.incarnation != incarnation || invocation.Outcome != model.Pending {
 		return
@@ -70,7 +71,7 @@
 	g.forget(invocation)
 }
 
-// forget drops an invocation that has its answer, once none of its attempts is in flight.
+// forget removes an answered invocation once none of its attempts is in flight.
 func (g *Gateway) forget(invocation *model.Invocation) {
 	if invocation.Outcome == model.Pending {
 		return
@@ -83,12 +84,12 @@
 	delete(g.pending, invocation.Ref)
 }
 
-// Throttle gives the final answer that the client may come back after so many seconds.
+// Throttle answers an invocation as throttled. The client may retry after retryAfter seconds.
 func (g *Gateway) Throttle(ref string, retryAfter float64) {
 	g.giveFinalAnswer(ref, model.Throttled, retryAfter)
 }
 
-// Fail gives the final answer that the invocation failed.
+// Fail answers an invocation with an error.
 func (g *Gateway) Fail(ref string) { g.giveFinalAnswer(ref, model.Errored, 0) }
 
 func (g *Gateway) giveFinalAnswer(ref string, outcome model.Outcome, retryAfter float64) {
--- a/sim/gatewaymodel/policy.go
+++ b/sim/gatewaymodel/policy.go
@@ -6,51 +6,51 @@
 	"otterseam/sim/model"
 )
 
-// Policy decides for one api gateway. Its decisions leave through the policydriver.Output that it was made with; after each call,
-// or several at one moment, SetTimers is called. All times are clock times in seconds.
+// Policy makes the decisions of one api gateway. It outputs them through the policydriver.Output that it was created with. After each
+// call, or after several calls at one moment, SetTimers is called. All times are clock times in seconds.
 type Policy interface {
-	// UpdateHosts brings the list of hosts, or, unless complete, changes of it.
+	// UpdateHosts passes the complete list of hosts or, unless complete is set, changes to it.
 	UpdateHosts(now float64, list []policy.HostEntry, complete bool)
-	// Accept brings an invocation.
+	// Accept passes a new invocation.
 	Accept(now float64, request policy.Request)
-	// AttemptEnded brings the result of an attempt by its number.
+	// AttemptEnded passes the result of an attempt, which is identified by its number.
 	AttemptEnded(now float64, ref string, number int, result policy.AttemptResult)
-	// Abandon tells that the client of an invocation has given up.
+	// Abandon reports that the client of an invocation has given up.
 	Abandon(now float64, ref string)
-	// TimerFired tells that a timer is due.
+	// TimerFired reports that a timer is due.
 	TimerFired(now float64, nonce uint64)
-	// PeerMessage brings a message of another api gateway.
+	// PeerMessage passes a message from another api gateway.
 	PeerMessage(now float64, from int, text string)
-	// CounterReplied brings the outcome of a call to the counter, which took so many seconds.
+	// CounterReplied passes the outcome of a call to the counter. seconds is the duration of the call.
 	CounterReplied(now float64, name uint64, outcome policy.Outcome, sum, seconds float64)
-	// SetTimers has the policy set the timers that it needs after what it was told.
+	// SetTimers has the policy set the timers that it needs after the preceding calls.
 	SetTimers(now float64)
 }
 
-// Environment is what an api gateway meets, and who is told of what it does.
+// Environment gives an api gateway access to the rest of the simulation and is notified of its actions.
 type Environment interface {
-	// Host is the host at an address, nil where there is none.
+	// Host returns the host at an address, or nil if there is none.
 	Host(addr string) *hostmodel.Host
 
-	// AttemptSent tells that an attempt begins.
+	// AttemptSent reports that an attempt begins.
 	AttemptSent(attempt *model.Attempt)
-	// AttemptReached tells that all of an attempt is at its host.
+	// AttemptReached reports that an attempt has arrived at its host in full.
 	AttemptReached(attempt *model.Attempt)
-	// AttemptStarted tells that the host has begun to run it.
+	// AttemptStarted reports that the host has begun to run an attempt.
 	AttemptStarted(attempt *model.Attempt)
-	// AttemptReleased tells that an attempt no longer counts as in flight: it is answered, or its connection is closed.
+	// AttemptReleased reports that an attempt no longer counts as in flight, because it is answered or its connection is closed.
 	AttemptReleased(attempt *model.Attempt)
-	// InvocationAnswered tells of a final answer and says whether the quota had room, if it is a throttling.
+	// InvocationAnswered reports a final answer. For a throttled invocation it returns whether the quota had room.
 	InvocationAnswered(invocation *model.Invocation, outcome model.Outcome) (hadRoom bool)
-	// DeliverAnswer brings an answer to its client.
+	// DeliverAnswer delivers an answer to its client.
 	DeliverAnswer(invocation *model.Invocation, outcome model.Outcome, retryAfter float64, hadRoom bool)
 
-	// SendPeerMessage sends a message to an api gateway, or to all others: membership.Broadcast.
+	// SendPeerMessage sends a message to an api gateway, or to all others if to is membership.Broadcast.
 	SendPeerMessage(from, to int, text string)
-	// Trace takes a line about an invocation, or, without a ref, of a gateway's log.
+	// Trace records a line about an invocation or, if ref is empty, a line of the gateway's log.
 	Trace(from int, ref, text string)
-	// CounterCalled tells of a call to the counter, and whether it failed.
+	// CounterCalled reports a call to the counter and whether it failed.
 	CounterCalled(failed bool)
-	// ConnectionDialled tells of a new connection to a host.
+	// ConnectionDialled reports a new connection to a host.
 	ConnectionDialled()
 }
