--- a/sim/hostmodel/faults.go
+++ b/sim/hostmodel/faults.go
@@ -2,7 +2,7 @@
 
 import "otterseam/sim/overlap"
 
-// faults are those in force at a host now.
+// faults holds the faults in force at a host.
 type faults struct {
 	silences           int
 	slowdowns          overlap.Values
@@ -12,9 +12,9 @@
 	silencedOperations map[int]*overlap.Values
 }
 
-// The methods below begin a fault, or end one that began with the same arguments. Faults overlap and end in any order.
+// The methods below begin a fault, or end one that began with the same arguments. Faults may overlap and end in any order.
 
-// Silence makes the host answer nothing. Jobs that wait go on waiting; those that end meanwhile are never answered.
+// Silence stops all answers of the host. Queued jobs stay queued, and jobs that end during the fault are never answered.
 func (h *Host) Silence(begin bool) {
 	if begin {
 		h.faults.silences++
@@ -26,16 +26,16 @@
 	}
 }
 
-// SlowDown makes the host so many times slower.
+// SlowDown divides the speed of the host by factor.
 func (h *Host) SlowDown(factor float64, begin bool) { h.faults.slowdowns.Toggle(factor, begin) }
 
 // FailShare makes the host answer a share of the jobs with an error.
 func (h *Host) FailShare(share float64, begin bool) { h.faults.failedShares.Toggle(share, begin) }
 
-// CorruptShare makes a share of the host's answers unreadable.
+// CorruptShare corrupts a share of the host's answers, so that they cannot be parsed.
 func (h *Host) CorruptShare(share float64, begin bool) { h.faults.corruptedShares.Toggle(share, begin) }
 
-// ScaleConnectionLimit leaves the host a part of its connections.
+// ScaleConnectionLimit multiplies the host's connection limit by factor.
 func (h *Host) ScaleConnectionLimit(factor float64, begin bool) {
 	h.faults.connectionFactors.Toggle(factor, begin)
 }
--- a/sim/hostmodel/host.go
+++ b/sim/hostmodel/host.go
@@ -9,7 +9,7 @@
 	"otterseam/sim/scenario"
 )
 
-// State is what a host does with new work.
+// State determines how a host handles new work.
 type State int
 
 // The states of a host.
@@ -19,7 +19,7 @@
 	Down           // refuses connections
 )
 
-// Arrival is work that a cold host was sent.
+// Arrival is a job that arrived at a cold host.
 type Arrival struct {
 	At, Work float64
 	Gateway  int
@@ -32,14 +32,14 @@
 	Zone, Cell  int
 	Cores       int
 	Speed       float64
-	ConnectWork float64 // what a new connection costs it, in seconds on a core of speed 1
-	StartedAt   float64 // clock time of its last start; 0: long ago
+	ConnectWork float64 // cost of a new connection, in seconds on a core of speed 1
+	StartedAt   float64 // clock time of the last start; 0 means long ago
 	State       State
-	Incarnation int // counts its starts and stops: what belongs to an earlier one is void
+	Incarnation int // counts starts and stops; events of an earlier incarnation are ignored
 	Connections int
-	OnOverload  func(arrivals []Arrival) // called when overload takes it down
+	OnOverload  func(arrivals []Arrival) // called when the host goes down from overload
 
-	// BusyTime adds up the core seconds of work done.
+	// BusyTime is the total of core seconds spent on jobs.
 	BusyTime float64
 
 	clock          *eventqueue.Queue
@@ -49,13 +49,13 @@
 	cold           *scenario.ColdStart
 
 	running  []*Job
-	busy     int // cores at work
+	busy     int // cores that run a job
 	queue    jobQueue
-	arrivals []Arrival // within the window by which overload is judged
+	arrivals []Arrival // within the window for detecting overload
 	faults   faults
 }
 
-// New makes a host of a kind; its speed is drawn.
+// New returns a host of a kind. Its speed is drawn at random.
 func New(clock *eventqueue.Queue, number int, addr string, kind *scenario.HostKind, cold *scenario.ColdStart, seed uint64) *Host {
 	random := randstream.New(seed, "host", number)
 	return &Host{
@@ -74,7 +74,7 @@
 	}
 }
 
-// Warmth is the part of its capacity that a host has now: it grows evenly from the cold share to 1.
+// Warmth returns the fraction of its full capacity that a host has now. It grows linearly from the cold share to 1.
 func (h *Host) Warmth() float64 {
 	if h.StartedAt <= 0 || h.cold.Warm.Float() <= 0 {
 		return 1
@@ -83,23 +83,23 @@
 	return min(1, h.cold.Share.Float()+(1-h.cold.Share.Float())*age/h.cold.Warm.Float())
 }
 
-// CoreSpeed is the work that one core does in a second, at present.
+// CoreSpeed returns the work that one core currently does in a second.
 func (h *Host) CoreSpeed() float64 {
 	return h.Speed * h.Warmth() / h.faults.slowdowns.Product()
 }
 
-// Load is how many jobs run or wait.
+// Load returns the number of jobs that are running or queued.
 func (h *Host) Load() int { return h.busy + h.queue.len() }
 
-// IsSilent says that it answers nothing, not even a new connection.
+// IsSilent reports whether the host answers nothing, including new connections.
 func (h *Host) IsSilent() bool { return h.faults.silences > 0 }
 
-// AcceptsConnection says whether there is room for a new connection.
+// AcceptsConnection reports whether the host has room for a new connection.
 func (h *Host) AcceptsConnection() bool {
 	return h.State != Down && float64(h.Connections) < float64(h.maxConnections)*h.faults.connectionFactors.Product()
 }
 
-// OpenConnection takes a new connection if there is room for one.
+// OpenConnection accepts a new connection if there is room for one, and reports whether it did.
 func (h *Host) OpenConnection() bool {
 	if !h.AcceptsConnection() {
 		return false
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Stop takes the host down: the jobs that it holds are lost and its connections reset.
+// Stop takes the host down. Its running and queued jobs are lost and its connections are reset.
 func (h *Host) Stop() {
 	h.State = Down
 	h.Incarnation++
@@ -126,7 +126,7 @@
 	}
 }
 
-// Start starts the host cold, under its old address.
+// Start starts the host cold, under its previous address.
 func (h *Host) Start() {
 	h.Stop()
 	h.State = Up
--- a/sim/hostmodel/hostmodel_test.go
+++ b/sim/hostmodel/hostmodel_test.go
@@ -17,7 +17,8 @@
 	return New(q, 0, "h", kind, cold, 1)
 }
 
-// meanWait plays Poisson arrivals and exponential work and gives the mean wait in the queue, with its standard error by batches.
+// meanWait simulates Poisson arrivals with exponential work. It returns the mean wait in the queue and its standard error, estimated
+// from batches.
 func meanWait(t *testing.T, cores int, load float64) (mean, err float64) {
 	t.Helper()
 	q := &eventqueue.Queue{}
@@ -46,7 +47,7 @@
 	return mean, math.Sqrt(squares/(batches-1)) / math.Sqrt(batches)
 }
 
-// erlangC is the mean wait of c cores by the textbook.
+// erlangC returns the mean wait in an M/M/c queue by the Erlang C formula.
 func erlangC(c int, load, work float64) float64 {
 	a, sum, term := load*float64(c), 0.0, 1.0
 	for k := range c {
@@ -60,7 +61,7 @@
 }
 
 func TestWaitsMatchTheErlangCFormula(t *testing.T) {
-	if one := erlangC(1, 0.7, 0.01); math.Abs(one-0.7/0.3*0.01) > 1e-12 { // M/M/1: load/(1-load) times the work
+	if one := erlangC(1, 0.7, 0.01); math.Abs(one-0.7/0.3*0.01) > 1e-12 { // for M/M/1 the wait is load/(1-load) times the work
 		t.Fatalf("the formula for one core gives %.6f", one)
 	}
 	for _, x := range []struct {
@@ -69,23 +70,23 @@
 	}{{1, 0.5}, {1, 0.7}, {4, 0.8}, {16, 0.9}} {
 		mean, err := meanWait(t, x.cores, x.load)
 		if want := erlangC(x.cores, x.load, 0.01); math.Abs(mean-want) > 4*err {
-			t.Errorf("%d cores, load %.1f: waits %.6f s ± %.6f, the textbook has %.6f", x.cores, x.load, mean, err, want)
+			t.Errorf("%d cores, load %.1f: mean wait %.6f s ± %.6f, want %.6f by the formula", x.cores, x.load, mean, err, want)
 		}
 	}
 }
 
-// A cold host bears what it can do; under many times that it falls over, and says who did it.
+// A cold host stays up under work within its capacity. Under a multiple of that it goes down and reports the arrivals.
 func TestAColdHostGoesDownUnderOverload(t *testing.T) {
 	for _, x := range []struct {
-		rate float64 // core seconds a second on one core that starts at a fifth
-		fell bool
+		rate float64 // core seconds a second, on one core that starts at a fifth of its speed
+		down bool
 	}{{0.3, false}, {3, true}} {
 		q := &eventqueue.Queue{}
 		h := newHost(q, 1, 100)
 		q.Run(5)
 		h.Start()
-		fell := 0
-		h.OnOverload = func(sent []Arrival) { fell = len(sent) }
+		reported := 0
+		h.OnOverload = func(sent []Arrival) { reported = len(sent) }
 		var send func()
 		send = func() {
 			h.Submit(&Job{Work: 0.01, OnStart: func() {}, OnAnswer: func(Answer) {}})
@@ -95,8 +96,8 @@
 		}
 		send()
 		q.Run(20)
-		if (fell > 0) != x.fell || (h.State == Down) != x.fell {
-			t.Errorf("rate %.1f: %d pieces of work at its fall, want fallen: %v", x.rate, fell, x.fell)
+		if (reported > 0) != x.down || (h.State == Down) != x.down {
+			t.Errorf("rate %.1f: %d arrivals reported at overload, want the host down: %v", x.rate, reported, x.down)
 		}
 	}
 }
@@ -108,18 +109,18 @@
 	job := func() *Job {
 		return &Job{Work: 1, OnStart: func() {}, OnAnswer: func(a Answer) { got = append(got, a) }}
 	}
-	waits := job()
+	queued := job()
 	h.Submit(job())
-	h.Submit(waits)
+	h.Submit(queued)
 	if h.Submit(job()); len(got) != 1 || got[0] != Rejected {
-		t.Fatalf("the third of one core and one place in line: %v", got)
+		t.Fatalf("a third job on one core with one place in the queue: %v, want it rejected", got)
 	}
-	h.Cancel(waits)
+	h.Cancel(queued)
 	h.Stop()
 	if q.Run(10); len(got) != 2 || got[1] != Reset {
-		t.Fatalf("the running one is reset, the withdrawn one hears nothing: %v", got)
+		t.Fatalf("answers %v, want the running job reset and no answer to the cancelled job", got)
 	}
 	if h.OpenConnection() {
-		t.Fatal("it is down and takes a connection")
+		t.Fatal("a host that is down accepted a connection")
 	}
 }
--- a/sim/hostmodel/job.go
+++ b/sim/hostmodel/job.go
@@ -1,12 +1,12 @@
 package hostmodel
 
-// Job is work that has arrived whole.
+// Job is the work of a request that has arrived in full.
 type Job struct {
 	Operation int
 	Work      float64      // seconds on a core of speed 1
-	Gateway   int          // who sent it, for the account of an overload
-	OnStart   func()       // called when the job begins to run, and so may have its effect
-	OnAnswer  func(Answer) // called with the host's answer, if there is one
+	Gateway   int          // the sender, which the report of an overload names
+	OnStart   func()       // called when the job begins to run; it may have its effect from then on
+	OnAnswer  func(Answer) // called with the host's answer, if the host answers
 
 	queued    bool
 	cancelled bool
@@ -19,22 +19,22 @@
 const (
 	Succeeded Answer = iota
 	Failed
-	Rejected  // it never ran
-	Corrupted // the answer cannot be read
-	Reset     // the host went down with the job
+	Rejected  // the job never ran
+	Corrupted // the answer cannot be parsed
+	Reset     // the host went down while it held the job
 )
 
 func (a Answer) String() string {
 	return [...]string{"answered", "answered with an error", "turned away", "answered with noise", "reset"}[a]
 }
 
-// compactionThreshold is how many places the front of a queue may leave unused before the rest moves down.
+// compactionThreshold is how many unused entries the front of a queue may have before the rest is moved down.
 const compactionThreshold = 64
 
 // jobQueue is a first-in, first-out queue. The zero jobQueue is empty.
 type jobQueue struct {
 	jobs []*Job
-	head int // index of the first that waits
+	head int // index of the first job
 }
 
 func (q *jobQueue) len() int { return len(q.jobs) - q.head }
@@ -46,7 +46,7 @@
 	q.jobs = append(q.jobs, job)
 }
 
-// pop takes the first job; the queue must not be empty. compact is due afterwards.
+// pop removes and returns the first job. The queue must not be empty. The caller calls compact afterwards.
 func (q *jobQueue) pop() *Job {
 	job := q.jobs[q.head]
 	q.jobs[q.head] = nil
@@ -54,7 +54,7 @@
 	return job
 }
 
-// compact gives back the places that pop left unused, once they are many.
+// compact reuses the entries that pop left unused, once there are many.
 func (q *jobQueue) compact() {
 	switch {
 	case q.head == len(q.jobs):
--- a/sim/hostmodel/work.go
+++ b/sim/hostmodel/work.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// minCoreSpeed keeps the duration of a job finite, whatever slows the host down.
+// minCoreSpeed keeps the duration of a job finite however slow the host is.
 const minCoreSpeed = 1e-6
 
-// toleratedJobs is by how many of the largest jobs of a window the budget of a cold host may be passed.
+// toleratedJobs is how many jobs of the largest size in the window may exceed the budget of a cold host.
 const toleratedJobs = 2
 
-// Submit takes a job that has arrived whole.
+// Submit runs, queues or rejects a job that has arrived in full.
 func (h *Host) Submit(job *Job) {
 	h.checkOverload(job)
 	switch {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Cancel drops a job that waits; one that runs goes on.
+// Cancel removes a queued job. A running job continues.
 func (h *Host) Cancel(job *Job) {
 	job.cancelled = true
 	if job.queued {
@@ -30,7 +30,7 @@
 	}
 }
 
-// run puts a job on a free core.
+// run runs a job on a free core.
 func (h *Host) run(job *Job) {
 	h.busy++
 	job.queued = false
@@ -53,7 +53,7 @@
 	})
 }
 
-// runQueued puts jobs that wait on the cores that are free.
+// runQueued runs queued jobs on the free cores.
 func (h *Host) runQueued() {
 	for h.busy < h.Cores && h.queue.len() > 0 && !h.IsSilent() {
 		h.run(h.queue.pop())
@@ -61,7 +61,7 @@
 	h.queue.compact()
 }
 
-// answers draws whether a job that is done is answered at all.
+// answers draws whether a finished job is answered at all.
 func (h *Host) answers(job *Job) bool {
 	silenced := h.faults.silencedOperations[job.Operation]
 	return !h.IsSilent() && (silenced == nil || !silenced.Any(h.random.Chance))
@@ -77,8 +77,8 @@
 	return Succeeded
 }
 
-// checkOverload keeps account of what a cold host is sent; past its budget for the window it goes down and stays down. All that
-// reaches it counts, what it rejects too.
+// checkOverload records the jobs that arrive at a cold host. The host goes down, and stays down, when they exceed its budget for the
+// window. Rejected jobs count as well.
 func (h *Host) checkOverload(job *Job) {
 	if h.State == Down || h.Warmth() >= 1 {
 		h.arrivals = nil
