--- a/sim/countermodel/countermodel.go
+++ b/sim/countermodel/countermodel.go
@@ -10,32 +10,32 @@
 	"otterseam/sim/scenario"
 )
 
-// significantDigits is how many digits of a sum an answer carries, as those of the platform's counter do.
+// significantDigits is how many digits of a sum an answer has. It is the same in the platform's counter.
 const significantDigits = 7
 
-// Outcome is how the counter deals with a call.
+// Outcome is the result of a call.
 type Outcome int
 
 // The outcomes of a call.
 const (
 	Added             Outcome = iota
-	Rejected                  // the counter has too much to do, or nobody leads the name
-	ConnectionRefused         // there was no connection
+	Rejected                  // the counter is overloaded, or the name has no leader
+	ConnectionRefused         // the connection was refused
 )
 
-// sum is the count under one name, until it expires.
+// sum is the sum of one name.
 type sum struct {
 	value     float64
 	expiresAt float64
 }
 
-// partition holds a part of the names.
+// partition holds the sums of a subset of the names.
 type partition struct {
-	freeAt float64 // when it has done all that has arrived
+	freeAt float64 // when all calls that have arrived are processed
 	sums   map[uint64]sum
 }
 
-// The replicas of the counter. There is a second one only while the counter is split.
+// The replicas of the counter. The second one exists only while the counter is split.
 const (
 	mainReplica = iota
 	splitReplica
@@ -47,25 +47,25 @@
 	queue       *eventqueue.Queue
 	random      randstream.Stream
 	capacity    float64 // calls a second of one partition
-	maxBacklog  float64 // calls that wait at one partition
-	serviceTime float64 // seconds from a call's turn to its answer
+	maxBacklog  float64 // calls queued at one partition
+	serviceTime float64 // seconds from the end of a call's wait in the queue to its answer
 
 	replicas  [replicaCount][]partition
 	snapshots [][]map[uint64]sum // of the main replica's sums by partition
 
-	// Faults that are in force now.
+	// Faults in force.
 	splits           int
 	silences         int
 	refusals         int
 	capacityFactors  overlap.Values
 	answeredShares   overlap.Values
-	leaderlessShares map[uint64]float64 // by the number that draws the names: share of them that nobody leads
+	leaderlessShares map[uint64]float64 // by the salt that selects the names: share of the names without a leader
 
-	// Calls counts what reached the counter, Answered what it answered and Unanswered what it left without an answer.
+	// Calls counts the calls that reached the counter, Answered those it answered and Unanswered those it did not answer.
 	Calls, Answered, Unanswered float64
 }
 
-// New makes the counter of a scenario.
+// New returns the counter of a scenario.
 func New(queue *eventqueue.Queue, config *scenario.Counter, seed uint64) *Counter {
 	partitions := config.Partitions.Int()
 	counter := &Counter{
@@ -86,12 +86,12 @@
 	return counter
 }
 
-// AcceptsConnections says whether a connection can be had.
+// AcceptsConnections reports whether the counter accepts connections.
 func (c *Counter) AcceptsConnections() bool { return c.refusals == 0 }
 
-// Add adds an amount to the sum under a name once the call's turn has come; a new name expires after lifetime seconds. done is
-// told of the outcome and the sum, at that moment, unless the counter stays silent. A caller on the farSide sees the split replica
-// while there is one.
+// Add adds an amount to the sum of a name once the calls queued before it are processed. A new name expires after lifetime seconds.
+// done is called with the outcome and the sum at that moment, unless the counter does not answer. A caller on the farSide uses the
+// split replica while there is one.
 func (c *Counter) Add(farSide bool, name uint64, amount, lifetime float64, done func(Outcome, float64)) {
 	c.Calls++
 	if c.refusals > 0 {
@@ -127,9 +127,9 @@
 	return &replica[name%uint64(len(replica))]
 }
 
-// serve carries out a call whose turn has come.
+// serve processes a call at the front of the queue.
 func (c *Counter) serve(target *partition, name uint64, amount, lifetime float64, done func(Outcome, float64)) {
-	if c.silences > 0 || c.refusals > 0 { // the counter went away with the call in its queue
+	if c.silences > 0 || c.refusals > 0 { // the counter became unavailable while the call was queued
 		c.Unanswered++
 		return
 	}
@@ -147,19 +147,19 @@
 	done(Added, roundToDigits(current.value))
 }
 
-// roundToDigits leaves as many digits of a sum as an answer carries.
+// roundToDigits rounds a sum to significantDigits.
 func roundToDigits(x float64) float64 {
 	if x == 0 {
 		return 0
 	}
 	unit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-(significantDigits-1))
-	if unit < 1 { // by the whole number that divides, which is exact
+	if unit < 1 { // use the reciprocal, which is a whole number and so represented exactly
 		return math.Round(x*math.Round(1/unit)) / math.Round(1/unit)
 	}
 	return math.Round(x/unit) * unit
 }
 
-// DropExpired drops the names that have expired. The order in which a map is gone through does not show.
+// DropExpired removes the names that have expired. The iteration order of the maps has no effect on the result.
 func (c *Counter) DropExpired() {
 	for _, replica := range c.replicas {
 		for i := range replica {
--- a/sim/countermodel/doc.go
+++ b/sim/countermodel/doc.go
@@ -1,3 +1,3 @@
-// Package countermodel models the shared counter: named sums, spread over partitions of limited capacity, and the faults that it
-// may meet. It must never know what a name stands for.
+// Package countermodel models the shared counter and its faults. The counter holds named sums, which are distributed over partitions
+// of limited capacity. It must not depend on the meaning of the names.
 package countermodel
--- a/sim/countermodel/faults.go
+++ b/sim/countermodel/faults.go
@@ -2,13 +2,13 @@
 
 import "maps"
 
-// What the counter holds when it comes back, as scenarios name it. With any other word it holds all that it held.
+// The sums of the counter after a fault, as named in scenarios. Any other value keeps all sums.
 const (
 	restoreEmpty    = "empty"
 	restoreSnapshot = "old"
 )
 
-// Snapshot keeps the sums of now, for a return with old ones.
+// Snapshot saves the current sums, which Restore can bring back.
 func (c *Counter) Snapshot() {
 	var sums []map[uint64]sum
 	for _, each := range c.replicas[mainReplica] {
@@ -17,7 +17,7 @@
 	c.snapshots = append(c.snapshots, sums)
 }
 
-// Restore gives the counter the sums with which it comes back: "kept", "empty" or "old", those of the last Snapshot.
+// Restore sets the sums of the counter after a fault: "kept" keeps them, "empty" clears them, and "old" restores the last Snapshot.
 func (c *Counter) Restore(how string) {
 	replica := c.replicas[mainReplica]
 	for i := range replica {
@@ -31,7 +31,7 @@
 	}
 }
 
-// The methods below begin a fault, or end one that began with the same arguments. Faults overlap and end in any order.
+// The methods below begin a fault, or end one that began with the same arguments. Faults may overlap and end in any order.
 
 // Silence leaves all calls unanswered.
 func (c *Counter) Silence(begin bool) { c.silences += delta(begin) }
@@ -39,7 +39,7 @@
 // RefuseConnections refuses all connections.
 func (c *Counter) RefuseConnections(begin bool) { c.refusals += delta(begin) }
 
-// Split makes a second replica with the same sums. When it ends the main replica's sums stand.
+// Split creates a second replica with the same sums. When the fault ends, only the main replica's sums remain.
 func (c *Counter) Split(begin bool) {
 	c.splits += delta(begin)
 	if !begin || c.splits != 1 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Takeover rejects the calls for a share of the names, drawn by salt, while nobody leads them. Nothing of their sums is lost.
+// Takeover rejects the calls for a share of the names, selected by salt, while they have no leader. Their sums are not lost.
 func (c *Counter) Takeover(salt uint64, share float64, begin bool) {
 	if begin {
 		c.leaderlessShares[salt] = share
@@ -62,13 +62,13 @@
 	}
 }
 
-// ScaleCapacity leaves the counter a part of its capacity.
+// ScaleCapacity multiplies the counter's capacity by factor.
 func (c *Counter) ScaleCapacity(factor float64, begin bool) { c.capacityFactors.Toggle(factor, begin) }
 
-// DropAnswers lets the counter answer only a share of the calls that it carries out.
+// DropAnswers makes the counter answer only a share of the calls that it processes.
 func (c *Counter) DropAnswers(answered float64, begin bool) { c.answeredShares.Toggle(answered, begin) }
 
-// leaderless says whether a takeover is under way for a name.
+// leaderless reports whether a takeover is in progress for a name.
 func (c *Counter) leaderless(name uint64) bool {
 	for salt, share := range c.leaderlessShares {
 		if hashToUnit(name^salt) < share {
@@ -78,14 +78,14 @@
 	return false
 }
 
-// hashToUnit spreads numbers evenly over 0 to 1 (Fibonacci hashing: 2^64 over the golden ratio).
+// hashToUnit maps numbers evenly to the range from 0 to 1, by Fibonacci hashing (multiplication by 2^64 over the golden ratio).
 func hashToUnit(x uint64) float64 {
 	const goldenRatio64 = 0x9e3779b97f4a7c15
 	const mantissaBits = 53
 	return float64((x*goldenRatio64)>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// delta is by how much a fault that begins or ends changes the count of those in force.
+// delta returns the change in the number of faults in force when one begins or ends.
 func delta(begin bool) int {
 	if begin {
 		return 1
