--- a/sim/discoverymodel/discoverymodel.go
+++ b/sim/discoverymodel/discoverymodel.go
@@ -9,13 +9,13 @@
 	"otterseam/sim/scenario"
 )
 
-// A change takes its mean delay times a factor between these.
+// The delay of a change is the mean delay times a random factor between these.
 const (
 	minDelayFactor = 0.5
 	maxDelayFactor = 1.5
 )
 
-// Notify tells an api gateway of a change of the list.
+// Notify notifies an api gateway of a change of the list.
 type Notify func(gateway int, change policy.HostEntry)
 
 // Registry is the list of hosts with all its changes.
@@ -26,15 +26,15 @@
 	notify    Notify
 
 	changes     []policy.HostEntry
-	known       []int     // by gateway: how many changes it has been told of
-	lastArrival []float64 // by gateway: when the last change on its way arrives
+	known       []int     // by gateway: how many changes it has received
+	lastArrival []float64 // by gateway: when the last change in transit arrives
 
 	delayFactors overlap.Values
-	pauses       int      // faults that keep changes back now
-	heldBack     []func() // sendings that wait until no fault does
+	pauses       int      // faults in force that delay changes
+	heldBack     []func() // sends of changes delayed until no such fault is in force
 }
 
-// New makes the list of a scenario with the hosts that it starts with. All gateways know them.
+// New returns the registry of a scenario with its initial hosts, which all gateways know.
 func New(
 	queue *eventqueue.Queue, config *scenario.Discovery, gateways int, seed uint64, hosts []policy.HostEntry, notify Notify,
 ) *Registry {
@@ -53,7 +53,7 @@
 	return registry
 }
 
-// Publish puts a change on its way to all gateways.
+// Publish sends a change to all gateways.
 func (r *Registry) Publish(change policy.HostEntry) {
 	r.changes = append(r.changes, change)
 	count := len(r.changes)
@@ -64,11 +64,11 @@
 	r.send(count)
 }
 
-// send puts the last of so many changes on its way.
+// send sends the last of the first count changes.
 func (r *Registry) send(count int) {
 	for gateway := range r.known {
 		delay := r.meanDelay * r.delayFactors.Product() * r.random.Uniform(minDelayFactor, maxDelayFactor)
-		// Never before an earlier change: they build on each other.
+		// A change never arrives before an earlier one, because changes build on each other.
 		r.lastArrival[gateway] = max(r.lastArrival[gateway], r.queue.Now()+delay)
 		r.queue.Schedule(r.lastArrival[gateway], func() {
 			r.known[gateway] = count
@@ -77,7 +77,7 @@
 	}
 }
 
-// HostList is the list as an api gateway was last told of it, in the order in which hosts came.
+// HostList returns the list as an api gateway last received it, in the order in which hosts were added.
 func (r *Registry) HostList(gateway int) []policy.HostEntry {
 	index := map[string]int{}
 	var latest []policy.HostEntry
@@ -98,7 +98,7 @@
 	return list
 }
 
-// Pause begins, or ends, a fault that keeps changes back. When no such fault is left they all set out.
+// Pause begins or ends a fault that delays changes. When no such fault is left, all delayed changes are sent.
 func (r *Registry) Pause(begin bool) {
 	if begin {
 		r.pauses++
@@ -114,5 +114,5 @@
 	r.heldBack = nil
 }
 
-// SlowDown begins, or ends, a fault that makes changes take so many times longer.
+// SlowDown begins or ends a fault that multiplies the delay of changes by factor.
 func (r *Registry) SlowDown(factor float64, begin bool) { r.delayFactors.Toggle(factor, begin) }
--- a/sim/discoverymodel/doc.go
+++ b/sim/discoverymodel/doc.go
@@ -1,3 +1,4 @@
-// Package discoverymodel models service discovery: the list of hosts and its way to the api gateways. Each gateway learns of each
-// change late and in order, and one that starts has the list as it was last told. It must never know whether a host works.
+// Package discoverymodel models service discovery, which publishes the list of hosts to the api gateways. Each gateway receives the
+// changes with a delay and in order, and a gateway that starts has the list as last received. The model must not depend on whether a
+// host works.
 package discoverymodel
