--- a/sim/workload/client.go
+++ b/sim/workload/client.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// minGatewayStay and maxGatewayStay bound how long a customer prefers an api gateway, as a part of the scenario's mean.
+	// minGatewayStay and maxGatewayStay limit how long a customer prefers an api gateway, relative to the scenario's mean.
 	minGatewayStay = 0.5
 	maxGatewayStay = 1.5
-	// maxEagerWait is the longest time in seconds by which a client that honours the time to come back comes early.
+	// maxEagerWait is the longest random wait in seconds of a client that honours retry-after. A longer retry-after replaces it.
 	maxEagerWait = 0.05
-	// immediateRetryWait is the mean wait in seconds of a client that a fault makes retry at once.
+	// immediateRetryWait is the mean wait in seconds of a client that retries immediately because of a fault.
 	immediateRetryWait = 0.01
-	// A retry needs the latency objective over objectiveDivisor to be left before the deadline.
+	// A client retries only if at least the latency objective divided by objectiveDivisor is left before the deadline.
 	objectiveDivisor = 5
 )
 
@@ -40,8 +40,8 @@
 	}
 }
 
-// chooseGateway draws the api gateway: the one that is preferred now, or another of the customer's. One that the load balancer in
-// front knows to be dead is passed over.
+// chooseGateway draws the preferred api gateway or another one of the customer's. It skips gateways that the load balancer in front
+// has taken out of service.
 func (g *Generator) chooseGateway(customer *model.Customer) int {
 	clients := &g.scenario.Clients
 	now := g.clock.Now()
@@ -62,8 +62,8 @@
 	return (customer.FirstGateway + pick) % g.gateways
 }
 
-// HandleOutcome tells a client how its invocation ended. retryAfter is the time to come back in seconds, 0 where none was told;
-// hadRoom says that the quota had room although it was throttled.
+// HandleOutcome passes the outcome of an invocation to its client. retryAfter is the requested wait before a retry in seconds, or 0 if
+// there is none. hadRoom reports whether the invocation was throttled although the quota had room.
 func (g *Generator) HandleOutcome(invocation *model.Invocation, outcome model.Outcome, retryAfter float64, hadRoom bool) {
 	request := invocation.Request
 	if request.Closed {
@@ -74,7 +74,7 @@
 	request.LastOutcome = outcome
 	request.QuotaHadRoom = hadRoom
 	wait, retries := g.retryWait(request, outcome, retryAfter)
-	// Nobody comes again for an answer that cannot be in time.
+	// A client does not retry if the answer could not arrive in time.
 	if retries && now+wait < request.Deadline-request.Operation.Objective.Float()/objectiveDivisor {
 		g.clock.ScheduleAfter(wait, func() { g.invoke(request, true) })
 		return
@@ -83,7 +83,7 @@
 	g.environment.RequestClosed(request, now-invocation.SentAt)
 }
 
-// retryWait says whether a client retries after an outcome, and after how many seconds.
+// retryWait reports whether a client retries after an outcome, and after how many seconds.
 func (g *Generator) retryWait(request *model.Request, outcome model.Outcome, retryAfter float64) (wait float64, retries bool) {
 	limit := g.scenario.Clients.Retries.Int()
 	wait = g.clients.Exponential(g.scenario.Clients.RetryWait.Float())
@@ -101,13 +101,13 @@
 			wait = max(retryAfter, min(wait, maxEagerWait))
 		}
 		return wait, retries
-	case model.Unreachable: // it cannot have run
+	case model.Unreachable: // the invocation cannot have run
 		return wait, retries
 	}
 	return wait, retries && g.mayRepeat(request, g.clock.Now()+wait)
 }
 
-// mayRepeat says whether a client may ask again at a clock time for what may have run.
+// mayRepeat reports whether a client may retry at a clock time a request that may have run.
 func (g *Generator) mayRepeat(request *model.Request, at float64) bool {
 	operation := request.Operation
 	switch operation.Effect {
--- a/sim/workload/doc.go
+++ b/sim/workload/doc.go
@@ -1,3 +1,3 @@
-// Package workload models customers and their clients: who asks for what, when and through which api gateway, and what a client
-// does with its answer. It must never know hosts, the counter or what an api gateway decides.
+// Package workload models customers and their clients: which requests they make, when and through which api gateway, and how a client
+// reacts to an answer. It must not depend on hosts, the counter or the decisions of api gateways.
 package workload
--- a/sim/workload/draws.go
+++ b/sim/workload/draws.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// unitsRatio is how much likelier a number of units is than the next larger one: small requests are usual.
+	// unitsRatio is the ratio of the probability of a number of units to that of the next larger one, so that small requests are common.
 	unitsRatio = 1.5
-	// Units are settled at the units asked for times a factor between these.
+	// The settled units are the requested units times a random factor between these.
 	minSettledFactor = 0.5
 	maxSettledFactor = 1.5
-	// maxCustomers bounds those of a scenario.
+	// maxCustomers limits the number of customers of a scenario.
 	maxCustomers = 1_000_000
 )
 
-// The part of its quota that a customer asks for.
+// The fraction of its quota that a customer requests.
 const (
-	minOverFactor = 0.7 // of the scenario's mean, for those over their quotas
+	minOverFactor = 0.7 // relative to the scenario's mean, for customers over their quota
 	maxOverFactor = 1.3
-	minNearPart   = 0.85 // evenly up to 1, for those near them
-	meanFarPart   = 0.3  // Pareto distributed, for those far below
+	minNearPart   = 0.85 // uniform up to 1, for customers near their quota
+	meanFarPart   = 0.3  // Pareto distributed, for customers far below their quota
 	maxFarPart    = 0.8
 )
 
-// How the work of an operation is spread around its mean, as scenarios name it. Without a word it is not.
+// The distributions of an operation's work around its mean, as named in scenarios. Without one the work is always the mean.
 const (
 	exponentialWork = "exponential"
-	evenWork        = "even" // between minEvenWork and 1+minEvenWork times the mean
+	evenWork        = "even" // uniform between minEvenWork and 1+minEvenWork times the mean
 	minEvenWork     = 0.5
 )
 
-// Numbers of customers and invocations become keys far apart (multiplicative hashing by the golden ratio, of 32 and of 64 bits).
+// Keys are derived from the numbers of customers and invocations by multiplicative hashing with the golden ratio (of 32 and 64 bits),
+// which makes keys of successive numbers differ widely.
 const (
 	firstCustomerKey    = 0x10000000
 	customerKeyRange    = 0xe0000000
@@ -44,7 +45,7 @@
 	keyFormat           = "%016x"
 )
 
-// meanUnits is the mean of the distribution that drawUnits draws from.
+// meanUnits returns the mean of the distribution that drawUnits draws from.
 func meanUnits(most int) float64 {
 	sum := 0.0
 	total := 0.0
@@ -56,7 +57,7 @@
 	return sum / total
 }
 
-// drawUnits draws from 1 to the scenario's most, by the inverse of the distribution function.
+// drawUnits draws a number of units from 1 to the scenario's maximum, by inverting the distribution function.
 func (g *Generator) drawUnits() float64 {
 	most := g.scenario.Clients.Units.Int()
 	x := g.arrivals.Float64() * (1 - math.Pow(unitsRatio, -float64(most)))
@@ -73,10 +74,10 @@
 	return g.operations[len(g.operations)-1]
 }
 
-// drawWork draws what a request costs a host. It grows with neither its units nor its customer.
+// drawWork draws the work that a request causes at a host. It depends on neither the request's units nor its customer.
 func (g *Generator) drawWork(operation model.Operation) float64 {
 	work := operation.Work.Float()
-	x := g.arrivals.Float64() // also where the work is not spread, so that the draws after it stay the same
+	x := g.arrivals.Float64() // drawn for each operation, so that later draws don't depend on the distribution
 	switch operation.Spread {
 	case exponentialWork:
 		work *= -math.Log(1 - x)
@@ -86,7 +87,7 @@
 	return work
 }
 
-// drawCustomers draws the customers of all plans, each with its part of the load.
+// drawCustomers draws the customers of all plans. Each plan gets its share of the load.
 func (g *Generator) drawCustomers(random randstream.Stream) {
 	plans := g.scenario.Plans
 	shares := 0.0
@@ -98,7 +99,7 @@
 	}
 }
 
-// drawCustomersOf adds customers of one plan until what they ask for within their quotas comes to rate invocations a second.
+// drawCustomersOf adds customers of one plan until their requests within quota add up to rate invocations a second.
 func (g *Generator) drawCustomersOf(random randstream.Stream, plan int, rate float64) {
 	quota := g.scenario.Plans[plan].UseRate.Float()
 	if quota == 0 {
@@ -112,7 +113,7 @@
 	}
 }
 
-// drawCustomer draws one customer and the part of its quota that it asks for.
+// drawCustomer draws one customer and the fraction of its quota that it requests.
 func (g *Generator) drawCustomer(random randstream.Stream, plan int) (customer *model.Customer, part float64) {
 	clients := &g.scenario.Clients
 	number := len(g.Customers)
--- a/sim/workload/generator.go
+++ b/sim/workload/generator.go
@@ -9,21 +9,21 @@
 	"otterseam/sim/scenario"
 )
 
-// Environment is what the generator needs of the rest of a simulation.
+// Environment gives the generator access to the rest of a simulation.
 type Environment interface {
-	// Submit brings an invocation to its api gateway; false: it took none.
+	// Submit delivers an invocation to its api gateway. It returns false if the gateway does not accept it.
 	Submit(invocation *model.Invocation) bool
-	// Admits says whether the load balancer in front sends invocations to this api gateway.
+	// Admits reports whether the load balancer in front sends invocations to an api gateway.
 	Admits(gateway int) bool
-	// RequestCreated and RequestClosed tell of a request that begins or ends; the last invocation took so many seconds.
+	// RequestCreated and RequestClosed report that a request begins or ends. seconds is the duration of its last invocation.
 	RequestCreated(request *model.Request)
 	RequestClosed(request *model.Request, seconds float64)
-	// InvocationSent and InvocationEnded tell of an invocation that a client sends, and of one that ended for it.
+	// InvocationSent and InvocationEnded report that a client sends an invocation, and that one ended for its client.
 	InvocationSent(invocation *model.Invocation)
 	InvocationEnded(outcome model.Outcome)
 }
 
-// Generator has all customers of a scenario make requests.
+// Generator generates the requests of all customers of a scenario.
 type Generator struct {
 	Customers []*model.Customer
 
@@ -31,36 +31,36 @@
 	scenario    *scenario.Scenario
 	environment Environment
 
-	arrivals randstream.Stream // when, and what
-	routes   randstream.Stream // through which api gateway
-	clients  randstream.Stream // what clients do with an answer
+	arrivals randstream.Stream // times and contents of requests
+	routes   randstream.Stream // choice of the api gateway
+	clients  randstream.Stream // behaviour of clients
 
 	operations       []model.Operation
 	cumulativeShares []float64 // of the operations
 	gateways         int
 	meanUnits        float64
 	invocations      uint64
-	schedules        []int // by customer: counts its schedules; an event of an earlier one is void
+	schedules        []int // by customer: number of the current schedule; events of an earlier one are ignored
 	endsAt           float64
 }
 
-// New draws the customers of a scenario. Each plan has so many that those far below, near and over their quotas together ask for
-// the plan's part of the load within them.
-func New(clock *eventqueue.Queue, day *scenario.Scenario, seed uint64, environment Environment) *Generator {
+// New returns a generator with the customers of a scenario, which it draws. Each plan has as many customers as are needed to generate
+// the plan's share of the load within their quotas.
+func New(clock *eventqueue.Queue, config *scenario.Scenario, seed uint64, environment Environment) *Generator {
 	generator := &Generator{
 		clock:       clock,
-		scenario:    day,
+		scenario:    config,
 		environment: environment,
 		arrivals:    randstream.New(seed, "load"),
 		routes:      randstream.New(seed, "ways"),
 		clients:     randstream.New(seed, "mood"),
-		gateways:    day.Fleet.Gateways.Int(),
-		meanUnits:   meanUnits(day.Clients.Units.Int()),
+		gateways:    config.Fleet.Gateways.Int(),
+		meanUnits:   meanUnits(config.Clients.Units.Int()),
 	}
 	total := 0.0
-	for i := range day.Operations {
-		generator.operations = append(generator.operations, model.Operation{Operation: &day.Operations[i], Number: i})
-		total += day.Operations[i].Share.Float()
+	for i := range config.Operations {
+		generator.operations = append(generator.operations, model.Operation{Operation: &config.Operations[i], Number: i})
+		total += config.Operations[i].Share.Float()
 		generator.cumulativeShares = append(generator.cumulativeShares, total)
 	}
 	generator.drawCustomers(randstream.New(seed, "customers"))
@@ -68,7 +68,7 @@
 	return generator
 }
 
-// Start has all customers make requests from now on, for the length of the scenario.
+// Start starts the requests of all customers, which go on for the length of the scenario.
 func (g *Generator) Start() {
 	g.endsAt = g.clock.Now() + g.scenario.Length.Float()
 	for _, customer := range g.Customers {
@@ -76,7 +76,7 @@
 	}
 }
 
-// scheduleNext sets when a customer makes its next request.
+// scheduleNext schedules a customer's next request.
 func (g *Generator) scheduleNext(customer *model.Customer) {
 	rate := customer.InvocationRate * customer.RateFactor
 	if rate <= 0 {
