--- a/sim/policies/admission.go
+++ b/sim/policies/admission.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// minRetryAfter is the shortest time to come back in seconds that the rule omniscient names.
+	// minRetryAfter is the shortest retry-after in seconds of the rule omniscient.
 	minRetryAfter = 0.1
-	// counterMargin is how many seconds must be left before the deadline beyond the limit of a call to the counter.
+	// counterMargin is how many seconds must be left before the deadline after the timeout of a call to the counter.
 	counterMargin = 0.02
-	// countWindows is for how many windows of its quota a count lives, and maxCountSeconds bounds that.
+	// countWindows is the lifetime of a count in quota windows. It is at most maxCountSeconds.
 	countWindows    = 2.2
 	maxCountSeconds = 60
 )
 
-// shareBucket is a gateway's part of a customer's quota, as a token bucket.
+// shareBucket is a token bucket for a gateway's share of a customer's quota.
 type shareBucket struct{ level, filledAt float64 }
 
-// windowCount is what a gateway knows of a customer's use from the counter.
+// windowCount is a customer's quota usage as the counter last reported it to a gateway.
 type windowCount struct {
 	window      float64
-	total       float64 // the last one seen, of this window
-	carriedOver float64 // what the window before left unused
+	total       float64 // last reported total of this window
+	carriedOver float64 // unused units of the previous window
 }
 
 // Accept admits an invocation by the rule, or throttles it.
@@ -44,7 +44,8 @@
 			return
 		}
 	case design:
-		// What has no time left to hear the total passes, as what hears none does: a final answer is owed.
+		// An invocation without enough time left for a reply of the counter is admitted, as it is when the counter does not reply,
+		// because each invocation must get a final answer.
 		counter := &b.simulation.Day.Counter
 		if rate > 0 && counter.Present && request.Deadline-now > counter.Timeout.Float()+counterMargin {
 			b.countFirst(now, inv, burst/rate)
@@ -54,7 +55,7 @@
 	b.send(inv)
 }
 
-// quota is a plan's rate in units a second and its burst in units; 0, 0 where it has none.
+// quota returns a plan's rate in units a second and its burst in units, or 0, 0 if there is no such plan or it has no rate.
 func (b *baseline) quota(plan string) (rate, burst float64) {
 	for i := range b.simulation.Day.Plans {
 		if p := &b.simulation.Day.Plans[i]; p.Name == plan {
@@ -64,7 +65,7 @@
 	return 0, 0
 }
 
-// admitByShare throttles what passes an even part of the customer's quota.
+// admitByShare throttles an invocation that exceeds the gateway's even share of the customer's quota.
 func (b *baseline) admitByShare(now float64, inv *pendingInvocation, rate, burst float64) bool {
 	gateways := float64(max(1, inv.GatewayCount))
 	bucket := b.buckets[inv.Customer]
@@ -82,7 +83,7 @@
 	return true
 }
 
-// countFirst asks the counter before anything is sent. Quotas have windows of so many seconds.
+// countFirst calls the counter before an attempt is sent. windowSeconds is the length of the quota's windows.
 func (b *baseline) countFirst(now float64, inv *pendingInvocation, windowSeconds float64) {
 	inv.window = math.Floor(now / windowSeconds)
 	inv.countName = countName(inv.Customer, inv.window)
@@ -90,17 +91,18 @@
 	b.out.AddCount(inv.countName, inv.Units, min(maxCountSeconds, countWindows*windowSeconds))
 }
 
-// countName is the number under which the counter keeps a customer's use in a window. It has 63 bits.
+// countName returns the name of a customer's count for a window, a number of 63 bits.
 func countName(customer string, window float64) uint64 {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%s %.0f", customer, window) // a hash takes all that is written
+	_, _ = fmt.Fprintf(hash, "%s %.0f", customer, window) // writing to a hash never fails
 	return hash.Sum64() >> 1
 }
 
-// CounterReplied goes on with the invocation that waits longest for this count. Without a total the rule design has none: it passes.
+// CounterReplied continues the invocation that has waited longest for this count. It is admitted if the call failed, as the rule
+// design has no other source for the total.
 func (b *baseline) CounterReplied(now float64, name uint64, outcome policy.Outcome, sum, _ float64) {
 	inv := b.nextWaiting(name)
-	if inv == nil || b.pending[inv.Ref] == nil { // its units were taken back, or it is over
+	if inv == nil || b.pending[inv.Ref] == nil { // a refund's reply, or the invocation has ended
 		return
 	}
 	if outcome == policy.Succeeded && !b.admitByCount(now, inv, sum) {
@@ -121,7 +123,7 @@
 	return waiting[0]
 }
 
-// admitByCount throttles what passes the burst and what the window before left, and takes its units back.
+// admitByCount throttles an invocation that exceeds the burst plus the unused units of the previous window, and refunds its units.
 func (b *baseline) admitByCount(now float64, inv *pendingInvocation, sum float64) bool {
 	rate, burst := b.quota(inv.Plan)
 	count := b.counts[inv.Customer]
@@ -137,7 +139,7 @@
 	if sum <= burst+count.carriedOver {
 		return true
 	}
-	b.counterCalls[inv.countName] = append(b.counterCalls[inv.countName], nil) // whose reply nobody waits for
+	b.counterCalls[inv.countName] = append(b.counterCalls[inv.countName], nil) // no invocation waits for the reply to the refund
 	b.out.AddCount(inv.countName, -inv.Units, min(maxCountSeconds, countWindows*burst/rate))
 	b.throttle(inv, (inv.window+1)*burst/rate-now)
 	return false
--- a/sim/policies/baseline.go
+++ b/sim/policies/baseline.go
@@ -15,11 +15,11 @@
 const (
 	// retryMargin is how many seconds must be left before the deadline for a further attempt.
 	retryMargin = 0.05
-	// failureRetryAfter is the time to come back in seconds that a throttling names where no host served.
+	// failureRetryAfter is the retry-after in seconds when an invocation is throttled because no host served it.
 	failureRetryAfter = 0.2
 )
 
-// baseline is a policy that knows no health, no queue and no hedging: it admits by one rule and picks a host.
+// baseline is a policy without health tracking, queueing or hedging. It admits by one rule and chooses a host.
 type baseline struct {
 	rule       string // the name of the policy
 	simulation *simulation.Simulation
@@ -27,7 +27,7 @@
 	random     randstream.Stream
 
 	hosts   map[string]policy.HostEntry
-	active  []string // addresses, in order
+	active  []string // sorted addresses
 	pending map[string]*pendingInvocation
 
 	buckets      map[string]*shareBucket // by customer, for the rule share
@@ -35,12 +35,12 @@
 	counterCalls map[uint64][]*pendingInvocation
 }
 
-// pendingInvocation is one that has no final answer.
+// pendingInvocation is an invocation that has no final answer.
 type pendingInvocation struct {
 	policy.Request
 	attempts   int
 	mayHaveRun bool    // an attempt may have run
-	window     float64 // of the quota, in which it was counted
+	window     float64 // quota window in which the invocation was counted
 	countName  uint64
 }
 
@@ -82,7 +82,7 @@
 	slices.Sort(b.active)
 }
 
-// send begins an attempt, if there is a host.
+// send begins an attempt, or ends the invocation if there is no host for it.
 func (b *baseline) send(inv *pendingInvocation) {
 	addr := ""
 	if b.rule == omniscient {
@@ -98,7 +98,7 @@
 	b.out.Send(inv.Ref, addr, 0)
 }
 
-// firstFreeHost is the host that would be done first, by its true state; "" where none takes work.
+// firstFreeHost returns the host whose actual load would be done first, or "" if no host is usable.
 func (b *baseline) firstFreeHost() string {
 	best := ""
 	earliest := math.Inf(1)
@@ -115,7 +115,7 @@
 	return best
 }
 
-// usable says that a host is neither silent nor draining, and, while it is cold, has a core free.
+// usable reports whether a host accepts work: it is up, active and not silent, has room for a connection, and, while cold, a free core.
 func (b *baseline) usable(host *hostmodel.Host) bool {
 	if host.State != hostmodel.Up || host.IsSilent() || !host.AcceptsConnection() {
 		return false
@@ -146,7 +146,7 @@
 	b.endUnserved(inv)
 }
 
-// neverRan says that an outcome proves that the attempt never ran.
+// neverRan reports whether an outcome proves that the attempt never ran.
 func neverRan(outcome policy.Outcome) bool {
 	return outcome == policy.Rejected || outcome == policy.NoConnection || outcome == policy.NotSent
 }
@@ -160,7 +160,8 @@
 	return false
 }
 
-// endUnserved gives a final answer: a throttling only where nothing can have run or running again does no harm.
+// endUnserved gives the final answer of an invocation that was not served. It throttles only if no attempt can have run or the
+// operation is idempotent, and otherwise fails the invocation.
 func (b *baseline) endUnserved(inv *pendingInvocation) {
 	if inv.mayHaveRun && !b.idempotent(inv) {
 		delete(b.pending, inv.Ref)
--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -12,7 +12,7 @@
 	"otterseam/sim/simulation"
 )
 
-// The names of policies.
+// The names of the policies.
 const (
 	module     = "module"
 	members    = "members"
@@ -23,21 +23,21 @@
 	omniscient = "omniscient"
 )
 
-// Names are the policies that New knows.
+// Names lists the policies that New accepts.
 var Names = []string{module, members, damped, random, share, design, omniscient}
 
-// membershipShare is the part of a peer's message rate that membership may use, where it is on.
+// membershipShare is the fraction of a peer's message rate that membership may use if it is enabled.
 const membershipShare = 0.1
 
-// UnknownError says that there is no policy of a name.
+// UnknownError reports a name that is not the name of a policy.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("no decider %q; there are %s, and wire:PATH for a program that speaks the line protocol",
+	return fmt.Sprintf("unknown decider %q; known deciders are %s, and wire:PATH for a program that speaks the line protocol",
 		e.Name, strings.Join(Names, ", "))
 }
 
-// New gives the source of the policies of a name, or an *UnknownError.
+// New returns the source of the policies of a name, or an *UnknownError.
 func New(name string) (simulation.PolicySource, error) {
 	if !slices.Contains(Names, name) {
 		return nil, &UnknownError{Name: name}
@@ -45,7 +45,7 @@
 	return source(name), nil
 }
 
-// source makes policies by their name.
+// source creates the policies of the name that is its value.
 type source string
 
 func (s source) Name() string { return string(s) }
