--- a/sim/policyprocess/doc.go
+++ b/sim/policyprocess/doc.go
@@ -1,3 +1,4 @@
-// Package policyprocess lets a program that speaks the simulator's line protocol (gateway/simprotocol), such as an earlier build of
-// cmd/wirehost, decide for the api gateways of a simulation. It must never repair what the program says: nonsense ends the run.
+// Package policyprocess runs the policies of a simulation's api gateways in a child process that speaks the simulator's line protocol
+// (gateway/simprotocol), such as an earlier build of cmd/wirehost. It must not correct the program's output: an invalid reply ends the
+// run.
 package policyprocess
--- a/sim/policyprocess/instance.go
+++ b/sim/policyprocess/instance.go
@@ -14,7 +14,7 @@
 const (
 	clientRetryOption = 2 // a bit of the options of JOB_IN
 	hostKind          = "host"
-	listNumber        = 0 // of DIRECTORY, to which DISCOVERY refers
+	listNumber        = 0 // number of the DIRECTORY message to which DISCOVERY refers
 	listGeneration    = 1
 
 	listComplete = "whole"
@@ -22,12 +22,12 @@
 	listAtStart  = "stale_copy"
 )
 
-// instance is one policy in the program. What it is told waits until SetTimers, since all of one moment is one batch.
+// instance is one policy in the program. Its messages are buffered until SetTimers, because all messages of one moment form one batch.
 type instance struct {
 	process     *Process
 	slot        int
 	messages    bytes.Buffer
-	withoutList bool // it has had no list yet
+	withoutList bool // no host list has been sent yet
 }
 
 var _ gatewaymodel.Policy = (*instance)(nil)
@@ -45,7 +45,7 @@
 	i.messages.WriteByte(']')
 }
 
-// encode writes a value as JSON; what JSON cannot hold becomes null.
+// encode encodes a value as JSON. A value that JSON cannot represent becomes null.
 func encode(value any) []byte {
 	if number, ok := value.(float64); ok {
 		return []byte(formatNumber(number))
@@ -57,7 +57,7 @@
 	return encoded
 }
 
-// formatNumber is the shortest text that reads back as the same number.
+// formatNumber returns the shortest text that parses to the same number.
 func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
 func (i *instance) UpdateHosts(_ float64, list []policy.HostEntry, complete bool) {
@@ -99,7 +99,7 @@
 	i.put("SUM", string(outcome), sum, name, seconds)
 }
 
-// SetTimers sends the batch of this moment and carries out the reply.
+// SetTimers sends the batch of this moment and executes the reply.
 func (i *instance) SetTimers(now float64) {
 	if i.process.err != nil || i.messages.Len() == 0 {
 		i.messages.Reset()
--- a/sim/policyprocess/process.go
+++ b/sim/policyprocess/process.go
@@ -14,36 +14,36 @@
 	"otterseam/sim/simulation"
 )
 
-// namePrefix is that of programs in results and errors, and by which a command line names one.
+// namePrefix is the prefix of a program's path in results, errors and command lines.
 const namePrefix = "wire:"
 
-// readBufferSize is that of what the program says, in bytes. A line may be longer.
+// readBufferSize is the size in bytes of the buffer for the program's output. A line may be longer.
 const readBufferSize = 1 << 20
 
-// Process is a program that decides. It is the source of the policies that stand for its instances.
+// Process is a running program that makes policy decisions. It is the source of policies that forward to instances in the program.
 type Process struct {
 	name    string
 	input   io.WriteCloser
 	output  *bufio.Reader
 	wait    func() error
-	outputs map[int]policydriver.Output // by slot: where an instance's decisions go
+	outputs map[int]policydriver.Output // by slot: output for an instance's decisions
 	err     error
-	line    string // the last that the program said
+	line    string // last line of the program's output
 	lines   int
 }
 
 var _ simulation.PolicySource = (*Process)(nil)
 
-// ProgramError is what was wrong with a program's part in a simulation.
+// ProgramError is the error that ended the use of a program in a simulation.
 type ProgramError struct {
 	Program string
-	Line    string // the last that it said
-	Lines   int    // how many it has said
+	Line    string // last line of its output
+	Lines   int    // number of lines read
 	Err     error
 }
 
 func (e *ProgramError) Error() string {
-	return fmt.Sprintf("%s: %v; its line %d was %.200q", e.Program, e.Err, e.Lines, e.Line)
+	return fmt.Sprintf("%s: %v; line %d of its output was %.200q", e.Program, e.Err, e.Lines, e.Line)
 }
 
 func (e *ProgramError) Unwrap() error { return e.Err }
@@ -65,7 +65,8 @@
 	return Attach(namePrefix+path, input, output, command.Wait), nil
 }
 
-// Attach takes the pipes of a program that runs; wait is called when it is let go. name is that in results and errors.
+// Attach returns the Process of a running program with the given pipes. Close calls wait. name identifies the program in results and
+// errors.
 func Attach(name string, input io.WriteCloser, output io.Reader, wait func() error) *Process {
 	return &Process{
 		name:    name,
@@ -76,19 +77,19 @@
 	}
 }
 
-// Name is that of the program in results and errors.
+// Name returns the name of the program in results and errors.
 func (p *Process) Name() string { return p.name }
 
-// Err is what ended the program's part in the simulation: a *ProgramError.
+// Err returns the *ProgramError that ended the use of the program, or nil.
 func (p *Process) Err() error { return p.err }
 
-// Close closes the program's input, on which it ends.
+// Close closes the program's input, upon which it ends, and waits for it.
 func (p *Process) Close() {
 	_ = p.input.Close()
-	_ = p.wait() // how it ends once nothing is asked of it any more decides nothing
+	_ = p.wait() // the exit status does not matter once the simulation is over
 }
 
-// NewPolicy makes an instance in the program.
+// NewPolicy creates an instance in the program.
 func (p *Process) NewPolicy(
 	run *simulation.Simulation, slot int, seed uint64, out policydriver.Output,
 ) (gatewaymodel.Policy, error) {
@@ -105,19 +106,19 @@
 	return created, p.err
 }
 
-// fail ends the program's part in the simulation, with the first thing that is wrong.
+// fail ends the use of the program. Only the first error is kept.
 func (p *Process) fail(format string, args ...any) {
 	if p.err == nil {
 		p.err = &ProgramError{Program: p.name, Line: p.line, Lines: p.lines, Err: fmt.Errorf(format, args...)}
 	}
 }
 
-// ask sends a batch and carries out the reply.
+// ask sends a batch and executes the reply.
 func (p *Process) ask(batch string) {
-	_, writeErr := io.WriteString(p.input, batch) // one that has ended may have said why
+	_, writeErr := io.WriteString(p.input, batch) // read even if this fails, as a program that has ended may have reported why
 	line, readErr := p.output.ReadBytes('\n')
 	if err := errors.Join(writeErr, readErr); err != nil {
-		p.fail("has ended in the middle of the day (%w)", err)
+		p.fail("program ended during the simulation (%w)", err)
 		return
 	}
 	p.lines++
--- a/sim/policyprocess/reply.go
+++ b/sim/policyprocess/reply.go
@@ -7,7 +7,7 @@
 	"otterseam/gateway/policydriver"
 )
 
-// reply is a line of the program: what its instances do.
+// reply is a line of the program's output, with the commands of its instances.
 type reply struct {
 	Gateways []struct {
 		Slot     int                 `json:"who"`
@@ -15,17 +15,17 @@
 	} `json:"gateways"`
 }
 
-// carryOut reads a line and does what it says.
+// carryOut parses a reply and executes its commands.
 func (p *Process) carryOut(line []byte) {
 	var read reply
 	if err := json.Unmarshal(line, &read); err != nil {
-		p.fail("answers what is no reply: %w", err)
+		p.fail("invalid reply: %w", err)
 		return
 	}
 	for _, gateway := range read.Gateways {
 		out := p.outputs[gateway.Slot]
 		if out == nil {
-			p.fail("acts for api gateway %d, which there is not", gateway.Slot)
+			p.fail("reply for api gateway %d, which does not exist", gateway.Slot)
 			return
 		}
 		for _, values := range gateway.Commands {
@@ -37,7 +37,7 @@
 	}
 }
 
-// command is one command of a reply, with the values behind its name.
+// command is one command of a reply, with the values that follow its name.
 type command struct {
 	process *Process
 	out     policydriver.Output
@@ -45,8 +45,8 @@
 	values  []json.RawMessage
 }
 
-// commands carry out what a command says, by its name. nil: there is nothing to do, as the list comes by itself here, and connections
-// at rest are the simulation's.
+// commands holds by name the functions that execute commands. nil means that there is nothing to do, because the simulation publishes
+// the host list without a request and manages idle connections itself.
 var commands = map[string]func(c *command){
 	"PASS_ON":   (*command).send,
 	"SHED":      (*command).throttle,
@@ -65,12 +65,12 @@
 func (p *Process) command(out policydriver.Output, values []json.RawMessage) {
 	var name string
 	if len(values) == 0 || json.Unmarshal(values[0], &name) != nil {
-		p.fail("answers a command without a name")
+		p.fail("reply has a command without a name")
 		return
 	}
 	carryOut, known := commands[name]
 	if !known {
-		p.fail("answers a command that the laboratory doesn't know: %s", name)
+		p.fail("reply has an unknown command: %s", name)
 		return
 	}
 	if carryOut != nil {
@@ -78,12 +78,13 @@
 	}
 }
 
-// read takes the values of a command. All but the first may be left out. False: the program's part in the simulation has ended.
+// read decodes the values of a command. All but the first may be omitted. It returns false if a value is invalid, which ends the use
+// of the program.
 func (c *command) read(targets ...any) bool {
 	for i, target := range targets {
 		missing := i >= len(c.values)
 		if missing && i == 0 || !missing && json.Unmarshal(c.values[i], target) != nil {
-			c.process.fail("%s: value %d makes no sense", c.name, i+1)
+			c.process.fail("%s: value %d is missing or invalid", c.name, i+1)
 			return false
 		}
 	}
@@ -138,7 +139,7 @@
 }
 
 func (c *command) sendPeer() {
-	var slot *int // null: all others
+	var slot *int // null means all others
 	var text string
 	if !c.read(&slot, &text) {
 		return
@@ -160,5 +161,5 @@
 func (c *command) fault() {
 	var text string
 	c.read(&text)
-	c.process.fail("has failed: %s", text)
+	c.process.fail("program reported a failure: %s", text)
 }
