--- a/sim/policies/policies.go
+++ b/sim/policies/policies.go
@@ -33,7 +33,7 @@
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("unknown decider %q; known deciders are %s, and wire:PATH for a program that speaks the line protocol",
+	return fmt.Sprintf("unknown decider %q; there are %s, and wire:PATH for a program that speaks the line protocol",
 		e.Name, strings.Join(Names, ", "))
 }
 
--- a/sim/policyprocess/process.go
+++ b/sim/policyprocess/process.go
@@ -118,7 +118,7 @@
 	_, writeErr := io.WriteString(p.input, batch) // read even if this fails, as a program that has ended may have reported why
 	line, readErr := p.output.ReadBytes('\n')
 	if err := errors.Join(writeErr, readErr); err != nil {
-		p.fail("program ended during the simulation (%w)", err)
+		p.fail("has ended in the middle of the day (%w)", err)
 		return
 	}
 	p.lines++
