--- a/sim/membershipsim/beliefs.go
+++ b/sim/membershipsim/beliefs.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// startUp is the time at the beginning in which beliefs are not measured.
+	// startUp is the initial period in which reported states are not measured.
 	startUp = 8
-	// newlyStarted is how long a member may be taken for dead after its start, and how long after a partition all may.
+	// newlyStarted is how long after its start a member may still be reported dead. healingAllowed is the same for all members after a
+	// partition.
 	newlyStarted   = 5
 	healingAllowed = 5
-	// returnLimit is the time within which a return is known, or is not measured.
+	// returnLimit is the time after a restart within which its detection is measured.
 	returnLimit = 60
-	// detectLimit is the time within which a death should be known.
+	// detectLimit is the time within which a death should be detected.
 	detectLimit = 10
-	// shareInterval is the time between measurements of the shares.
+	// shareInterval is the interval between measurements of the shares.
 	shareInterval = 0.1
 )
 
-// measurements are added up while a scenario runs.
+// measurements accumulates the results while a scenario runs.
 type measurements struct {
 	deaths           int
-	detections       []float64 // from a death until another member knew of it
-	returns          []float64
+	detections       []float64 // times from a death until another member reported it
+	returns          []float64 // times from a restart until another member reported it
 	falseDeaths      float64
 	falseAccusations float64
 	arrived          float64 // messages
@@ -35,7 +36,7 @@
 	massDetect90     float64
 }
 
-// observe measures what a member believes anew.
+// observe measures the changes in the states that a member's detector reports.
 func (s *simulation) observe(i int) {
 	observer, now := s.members[i], s.queue.Now()
 	if observer.detector.Changes == observer.seenChanges {
@@ -61,7 +62,7 @@
 func (s *simulation) observeDeath(i, k int) {
 	observer, m, now := s.members[i], s.members[k], s.queue.Now()
 	switch {
-	case !m.alive && observer.startedAt > m.diedAt: // it came later
+	case !m.alive && observer.startedAt > m.diedAt: // the observer started after the death
 	case !m.alive:
 		s.measured.detections = append(s.measured.detections, now-m.diedAt)
 	case !s.disturbed() && now-m.startedAt > newlyStarted:
@@ -79,7 +80,8 @@
 	}
 }
 
-// disturbed says whether there is a partition, has been one of late, or will be one.
+// disturbed reports whether false deaths are to be ignored because of a partition. That is the case from the start of the simulation
+// until shortly after the partition has healed.
 func (s *simulation) disturbed() bool {
 	return s.partitioned || s.PartitionEnds != 0 && s.queue.Now() <= epoch+s.PartitionEnds+healingAllowed
 }
@@ -93,7 +95,7 @@
 	return false
 }
 
-// measureShares adds up the shares there are now, and measures how many know of the mass death.
+// measureShares measures the current sum of all members' shares and how many members have detected the mass death.
 func (s *simulation) measureShares() {
 	now := s.queue.Now()
 	shares := 0.0
@@ -109,7 +111,7 @@
 	s.queue.ScheduleAfter(shareInterval, s.measureShares)
 }
 
-// massDeathKnown is the part of the beliefs of members in their first life about the dead that is right.
+// massDeathKnown returns the fraction of correct states that members in their first life report about the members that died at once.
 func (s *simulation) massDeathKnown() float64 {
 	right, all := 0.0, 0.0
 	for _, m := range s.members {
@@ -147,7 +149,7 @@
 	return n
 }
 
-// detectedShare is measured where members die one by one.
+// detectedShare returns Result.DetectedShare. It is measured only if members die one by one.
 func (s *simulation) detectedShare() float64 {
 	if s.measured.deaths == 0 || s.MassDeathAt != 0 {
 		return 0
@@ -183,7 +185,7 @@
 	}
 }
 
-// quantile sorts the values, and gives NaN for none.
+// quantile sorts the values and returns their quantile q, or NaN if there are none.
 func quantile(values []float64, q float64) Quantile {
 	if len(values) == 0 {
 		return Quantile(math.NaN())
--- a/sim/membershipsim/doc.go
+++ b/sim/membershipsim/doc.go
@@ -1,11 +1,11 @@
-// Package membershipsim runs the failure detector of gateway/membership alone, without hosts and customers, at sizes and for times
-// that simulated days do not reach: hundreds of members with lossy links, deaths, returns, a partition and starved members. It
-// measures what each member believed and decides nothing for it.
+// Package membershipsim simulates the failure detector of gateway/membership alone, without hosts and customers, at sizes and
+// durations that full simulations do not reach: hundreds of members with lossy links, crashes, restarts, a partition and members that
+// are starved of CPU time. It measures the states that each member's detector reports, and does not influence them.
 //
-//   - scenario.go: what is simulated, and what was measured
-//   - simulation.go: the members, their deaths and stalls
-//   - links.go: messages between them
-//   - beliefs.go: what they believe, compared with what is so
+//   - scenario.go: the parameters of a simulation and its results
+//   - simulation.go: the members, their crashes and stalls
+//   - links.go: the messages between members
+//   - beliefs.go: the reported states, compared with the actual ones
 //
-// The same Scenario gives the same Result. Times are seconds.
+// The same Scenario gives the same Result. Times are in seconds.
 package membershipsim
--- a/sim/membershipsim/links.go
+++ b/sim/membershipsim/links.go
@@ -16,14 +16,14 @@
 	}
 }
 
-// sendOne puts a message on its way, unless it gets lost. One that is on its way when a partition begins is lost too.
+// sendOne sends a message, unless it is lost. A message in transit when a partition begins is lost too.
 func (s *simulation) sendOne(from, to int, text string) {
-	if s.random.Chance(s.Loss) || s.cut(from, to) {
+	if s.random.Chance(s.Loss) || s.separated(from, to) {
 		return
 	}
 	s.queue.ScheduleAfter(s.random.Exponential(s.MeanDelay), func() {
 		m := s.members[to]
-		if !m.alive || s.cut(from, to) {
+		if !m.alive || s.separated(from, to) {
 			return
 		}
 		if !m.takeToken(s.queue.Now(), s.MessageRate) {
@@ -41,12 +41,12 @@
 	})
 }
 
-// cut says whether a partition lies between two members.
-func (s *simulation) cut(a, b int) bool {
+// separated reports whether a partition separates two members.
+func (s *simulation) separated(a, b int) bool {
 	return s.partitioned && s.members[a].cutOff != s.members[b].cutOff
 }
 
-// takeToken says whether one more message may come in, at so many a second.
+// takeToken reports whether the member may receive one more message at a limit of rate messages a second.
 func (m *simulatedMember) takeToken(now, rate float64) bool {
 	m.tokens = min(rate, m.tokens+rate*(now-m.refilledAt))
 	m.refilledAt = now
--- a/sim/membershipsim/scenario.go
+++ b/sim/membershipsim/scenario.go
@@ -5,58 +5,58 @@
 	"math"
 )
 
-// Scenario is what is simulated.
+// Scenario holds the parameters of a simulation.
 type Scenario struct {
 	Members         int     `json:"members"`
 	Duration        float64 `json:"length"`
-	MessageRate     float64 `json:"mail"`     // messages a second that a member takes in
-	MembershipShare float64 `json:"part"`     // of it for membership
+	MessageRate     float64 `json:"mail"`     // messages a second that a member can receive
+	MembershipShare float64 `json:"part"`     // fraction of MessageRate for membership
 	MeanDelay       float64 `json:"delay"`    // of a message
-	Loss            float64 `json:"loss"`     // part of the messages
-	StarvedShare    float64 `json:"starved"`  // part of the members that runs for a tenth of each second only
-	DeathInterval   float64 `json:"every"`    // between deaths of one member; 0: none dies
-	Downtime        float64 `json:"down"`     // until a dead member is back, having kept nothing; 0: never
-	MassDeathAt     float64 `json:"mass_at"`  // when many die at once; 0: never
-	MassDeathShare  float64 `json:"mass"`     // part of the members
-	PartitionAt     float64 `json:"cut_at"`   // when a part is cut off from the others; 0: never
-	PartitionEnds   float64 `json:"cut_ends"` // when it heals
-	PartitionShare  float64 `json:"cut"`      // part of the members
+	Loss            float64 `json:"loss"`     // fraction of the messages
+	StarvedShare    float64 `json:"starved"`  // fraction of the members that run for only a tenth of each second
+	DeathInterval   float64 `json:"every"`    // between deaths of single members; 0 for none
+	Downtime        float64 `json:"down"`     // until a dead member restarts without its former state; 0 for never
+	MassDeathAt     float64 `json:"mass_at"`  // when many members die at once; 0 for never
+	MassDeathShare  float64 `json:"mass"`     // fraction of the members
+	PartitionAt     float64 `json:"cut_at"`   // when some members are partitioned from the others; 0 for never
+	PartitionEnds   float64 `json:"cut_ends"` // when the partition heals
+	PartitionShare  float64 `json:"cut"`      // fraction of the members
 	Seed            uint64  `json:"seed"`
 }
 
-// Result is what was measured. Quantiles are NaN where nothing was measured.
+// Result holds the measurements of a simulation. Quantiles are NaN if nothing was measured.
 type Result struct {
 	Scenario
 	Deaths int `json:"deaths"`
-	// DetectP50 and DetectP99 are quantiles of the time until another member knew of a death.
+	// DetectP50 and DetectP99 are quantiles of the time until another member detected a death.
 	DetectP50 Quantile `json:"p50"`
 	DetectP99 Quantile `json:"p99"`
-	// DetectedShare is the part of the others that knew of a death within detectLimit.
+	// DetectedShare is the fraction of the other members that detected a death within detectLimit.
 	DetectedShare float64 `json:"reached"`
-	// ReturnP50 and ReturnP99 are quantiles of the time until another member knew of a return.
+	// ReturnP50 and ReturnP99 are quantiles of the time until another member detected a restart.
 	ReturnP50 Quantile `json:"back_p50"`
 	ReturnP99 Quantile `json:"back_p99"`
-	// FalseDeaths is how many beliefs an hour that a live member is dead there were, over all pairs; FalseAccusations how many
-	// of them were the first of that member.
+	// FalseDeaths is how often per hour a member reported a live member as dead, over all pairs. FalseAccusations counts those for
+	// which no other member reported that member as dead.
 	FalseDeaths      float64 `json:"false"`
 	FalseAccusations float64 `json:"accused"`
-	// MessagesPerSecond and BytesPerSecond are what a member takes in; DroppedShare the part of the messages that came too many
-	// at once.
+	// MessagesPerSecond and BytesPerSecond are the rates that a member receives. DroppedShare is the fraction of the messages that
+	// exceeded the MessageRate of their receiver.
 	MessagesPerSecond float64 `json:"messages"`
 	BytesPerSecond    float64 `json:"bytes"`
 	DroppedShare      float64 `json:"dropped"`
-	// WrongBeliefs is how many pairs believe what is not so at the end.
+	// WrongBeliefs is in how many pairs of members one reports a wrong state of the other at the end.
 	WrongBeliefs int `json:"wrong"`
-	// MaxShares is the largest sum of shares, 1 being the whole.
+	// MaxShares is the largest sum of all members' shares. A sum of 1 is the whole.
 	MaxShares float64 `json:"share"`
-	// MassDetect90 is the time after the mass death until nine in ten beliefs about the dead were right.
+	// MassDetect90 is the time after the mass death until 90 % of the states reported about the dead members were correct.
 	MassDetect90 Quantile `json:"mass_90"`
 }
 
-// Quantile is a quantile of times in seconds, NaN where nothing was measured, which JSON has as null.
+// Quantile is a quantile of times in seconds. It is NaN if nothing was measured, which is encoded as null in JSON.
 type Quantile float64
 
-// MarshalJSON encodes the quantile.
+// MarshalJSON encodes the quantile, and NaN as null.
 func (q Quantile) MarshalJSON() ([]byte, error) {
 	if math.IsNaN(float64(q)) {
 		return []byte("null"), nil
--- a/sim/membershipsim/simulation.go
+++ b/sim/membershipsim/simulation.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// epoch is the clock at the beginning; members start within startSpread after it, and nothing happens before settledAfter.
+	// epoch is the clock time at the beginning. Members start within startSpread after it, and no deaths are scheduled at intervals
+	// before settledAfter.
 	epoch        = 1000.0
 	startSpread  = 0.5
 	settledAfter = 10.0
-	// lastDeathMargin is the time before the end in which none dies any more.
+	// lastDeathMargin is the time before the end in which no more deaths are scheduled.
 	lastDeathMargin = 15
 	// maxTick is the longest time between ticks of a member.
 	maxTick = 0.25
-	// starvedRun and starvedStall are how long a starved member runs and stalls in turn; its first stall is within a second
+	// starvedRun and starvedStall are how long a starved member alternately runs and stalls. Its first stall begins within a second
 	// after starvedFrom.
 	starvedRun   = 0.1
 	starvedStall = 0.9
 	starvedFrom  = 2.0
-	// seedStride sets the seeds of lives apart.
+	// seedStride separates the seeds of successive lives.
 	seedStride = 7919
 )
 
-// simulatedMember is a member and what is true of it.
+// simulatedMember is a member with its actual state.
 type simulatedMember struct {
 	detector  *membership.Detector
 	alive     bool
@@ -36,9 +37,9 @@
 	diedAt    float64
 
 	stalled bool
-	held    []func() // what it does when it runs again
+	held    []func() // events to handle after the stall
 
-	tokens     float64 // messages that it may still take in, as of refilledAt
+	tokens     float64 // messages that the member may still receive, as of refilledAt
 	refilledAt float64
 
 	seenChanges  int
@@ -61,7 +62,7 @@
 	s := &simulation{
 		Scenario: scenario,
 		queue:    &eventqueue.Queue{},
-		random:   randstream.New(scenario.Seed, "muster"), // the name gives the numbers: it stays as it was
+		random:   randstream.New(scenario.Seed, "muster"), // the name determines the random numbers, so it must not change
 		measured: measurements{massDetect90: math.NaN()},
 	}
 	s.scheduleStarts()
@@ -121,7 +122,7 @@
 	s.queue.Schedule(epoch+s.PartitionEnds, func() { s.partitioned = false })
 }
 
-// start begins a life of a member, which has kept nothing of the former one.
+// start begins a life of a member, without state of the previous one.
 func (s *simulation) start(i int) {
 	m := s.members[i]
 	s.lives++
@@ -148,18 +149,18 @@
 	}
 }
 
-// whenRunning does something in a life of a member, once it does not stall.
-func (m *simulatedMember) whenRunning(life int, do func()) {
+// whenRunning calls a function when the member is not stalled, if it is still in the given life then.
+func (m *simulatedMember) whenRunning(life int, action func()) {
 	if m.stalled {
-		m.held = append(m.held, func() { m.inLife(life, do) })
+		m.held = append(m.held, func() { m.inLife(life, action) })
 		return
 	}
-	m.inLife(life, do)
+	m.inLife(life, action)
 }
 
-func (m *simulatedMember) inLife(life int, do func()) {
+func (m *simulatedMember) inLife(life int, action func()) {
 	if m.alive && m.life == life {
-		do()
+		action()
 	}
 }
 
@@ -176,7 +177,7 @@
 	})
 }
 
-// starve has a member run and stall in turn.
+// starve makes a member alternately run and stall.
 func (s *simulation) starve(m *simulatedMember) {
 	var stall, run func()
 	stall = func() {
@@ -187,8 +188,8 @@
 		m.stalled = false
 		held := m.held
 		m.held = nil
-		for _, do := range held {
-			do()
+		for _, action := range held {
+			action()
 		}
 		s.queue.ScheduleAfter(starvedRun, stall)
 	}
--- a/sim/membershipsim/simulation_test.go
+++ b/sim/membershipsim/simulation_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// Deaths are known to nearly all within two seconds and nobody alive is accused; the same scenario gives the same result.
-func TestDeathsAreDetectedAndNobodyIsAccused(t *testing.T) {
+// Nearly all members detect a death within about two seconds and no live member is reported dead. The same scenario gives the same
+// result.
+func TestDeathsAreDetectedWithoutFalseDeaths(t *testing.T) {
 	scenario := Scenario{
 		Members: 60, Duration: 60, MessageRate: 60, MembershipShare: 0.1, MeanDelay: 0.005, Loss: 0.05,
 		DeathInterval: 5, Downtime: 8, Seed: 3,
 	}
 	got, again := Run(scenario), Run(scenario)
-	got.MassDetect90, again.MassDetect90 = 0, 0 // not a number where there was no mass death
+	got.MassDetect90, again.MassDetect90 = 0, 0 // NaN without a mass death
 	if *got != *again {
 		t.Errorf("two runs differ: %+v %+v", got, again)
 	}
@@ -22,8 +23,8 @@
 	}
 }
 
-// Where nothing was measured the JSON has null.
-func TestResultsWithoutACrashAreJSON(t *testing.T) {
+// Quantiles without measurements are encoded as null in JSON.
+func TestUnmeasuredQuantilesAreNullInJSON(t *testing.T) {
 	got := Run(Scenario{Members: 3, Duration: 20, MessageRate: 60, MembershipShare: 0.1, MeanDelay: 0.005, Seed: 3})
 	text, err := json.Marshal(got)
 	if err != nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// Two sides of a partition use at most the root of two together, and agree after it.
+// During a partition into two halves the sum of the shares is at most the square root of two. After it all members agree again.
 func TestPartitionBoundsShares(t *testing.T) {
 	got := Run(Scenario{
 		Members: 60, Duration: 60, MessageRate: 60, MembershipShare: 0.1, MeanDelay: 0.005,
