--- a/sim/placementsim/doc.go
+++ b/sim/placementsim/doc.go
@@ -1,7 +1,8 @@
 // Package placementsim simulates in virtual time how gateways of the serving tier choose hosts, and measures how long requests wait for
 // a slot and how unevenly hosts are loaded.
 //
-// The choices are those of package balance and the loads travel through the state machines of package fleetload; network, hosts and
-// arrivals are modelled. Three policies are compared: what a gateway knows by itself, what it knows of the whole fleet through the homes
-// of the zones, and an omniscient choice, which no gateway can make and which bounds what any could reach.
+// Hosts are chosen by package balance and loads are exchanged through the state machines of package fleetload. The network, the hosts
+// and the arrivals are modelled. The policies differ in the loads that a choice is based on: those that a gateway knows itself, those
+// of the whole fleet, which it learns through the homes of the zones, and the actual loads. The last policy, the omniscient choice, is
+// not possible in a real gateway and bounds the results of any other.
 package placementsim
--- a/sim/placementsim/exchange.go
+++ b/sim/placementsim/exchange.go
@@ -5,7 +5,7 @@
 	"otterseam/tier/fleetload"
 )
 
-// home is a store machine that gateways of its zone may report to.
+// home is a store machine to which gateways of its zone may report.
 type home struct {
 	simulation *simulation
 	zone       int
@@ -18,7 +18,7 @@
 	return &home{simulation: s, zone: zone, identity: identity, aggregator: fleetload.NewAggregator(), known: s.knownHosts()}
 }
 
-// place chooses the host of a request by what is in flight.
+// place chooses the host of a request by the requests in flight.
 func (h *home) place() int {
 	s := h.simulation
 	for _, known := range h.known {
@@ -30,25 +30,25 @@
 	return s.byKey[fleetload.KeyOf(chosen.ID)]
 }
 
-// hasFailed tells whether the home answers no more.
+// hasFailed reports whether the home has stopped answering.
 func (h *home) hasFailed() bool {
 	s := h.simulation
 	return s.HomesFailAt > 0 && s.queue.Now() >= s.HomesFailAt && h == s.homes[h.zone][0]
 }
 
-// startExchange has gateways report and homes tell each other, each from a moment of its own.
+// startExchange starts the reports of the gateways and the exchange between homes, each after a random part of the interval.
 func (s *simulation) startExchange() {
 	for _, g := range s.gateways {
 		s.queue.ScheduleAfter(s.random.Uniform(0, reportInterval), g.report)
 	}
 	for _, homes := range s.homes {
 		for _, h := range homes {
-			s.queue.ScheduleAfter(s.random.Uniform(0, reportInterval), h.tellOthers)
+			s.queue.ScheduleAfter(s.random.Uniform(0, reportInterval), h.sendZoneLoad)
 		}
 	}
 }
 
-// report sends one report to the home of the zone, and takes the answer.
+// report sends one report to the home of the zone and applies the answer.
 func (g *gateway) report() {
 	s := g.simulation
 	s.queue.ScheduleAfter(reportInterval, g.report)
@@ -64,7 +64,7 @@
 	if target == nil {
 		return
 	}
-	report := g.estimator.NextReport(inflight, uint32(g.rate+0.5), g.placed())
+	report := g.estimator.NextReport(inflight, uint32(g.rate+0.5), g.answeredPlacements())
 	s.messages++
 	s.received += len(report.Encode())
 	if target.hasFailed() {
@@ -75,11 +75,11 @@
 		totals := target.aggregator.TakeReport(report, s.milliseconds())
 		s.messages++
 		s.received += len(totals.Encode())
-		s.queue.ScheduleAfter(delayInZone, func() { g.take(totals) })
+		s.queue.ScheduleAfter(delayInZone, func() { g.applyTotals(totals) })
 	})
 }
 
-// askHome has the home place a request; the gateway chooses if the home doesn't answer or can't tell.
+// askHome has the home place a request. The gateway chooses the host itself if the home does not answer or cannot place the request.
 func (g *gateway) askHome() {
 	s := g.simulation
 	target := g.home()
@@ -115,8 +115,8 @@
 	})
 }
 
-// placed is the number up to which all placements are in flight, or have ended.
-func (g *gateway) placed() uint64 {
+// answeredPlacements returns the highest number up to which the gateway has received the answers of all placements.
+func (g *gateway) answeredPlacements() uint64 {
 	placed := g.placements
 	for number := range g.outstanding {
 		placed = min(placed, number-1)
@@ -124,7 +124,7 @@
 	return placed
 }
 
-// home is the preferred home of the zone of those that answer; nil if there is none.
+// home returns the most preferred home of the zone that the gateway does not currently avoid, or nil if there is none.
 func (g *gateway) home() *home {
 	for _, h := range g.simulation.homes[g.zone] {
 		if g.simulation.queue.Now() >= g.avoidUntil[h] {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (g *gateway) take(totals fleetload.Totals) {
+func (g *gateway) applyTotals(totals fleetload.Totals) {
 	others, known := g.estimator.Others(totals)
 	if !known {
 		return
@@ -147,10 +147,10 @@
 	g.knownAt = now
 }
 
-// tellOthers tells the homes of the other zones, also those that took the place of a preferred one.
-func (h *home) tellOthers() {
+// sendZoneLoad sends the load of the zone to all other homes, including those that replace a failed preferred one.
+func (h *home) sendZoneLoad() {
 	s := h.simulation
-	s.queue.ScheduleAfter(reportInterval, h.tellOthers)
+	s.queue.ScheduleAfter(reportInterval, h.sendZoneLoad)
 	if h.hasFailed() {
 		return
 	}
--- a/sim/placementsim/simulation.go
+++ b/sim/placementsim/simulation.go
@@ -27,7 +27,7 @@
 	hostKnowledgeAge = 700 * time.Millisecond
 )
 
-// epoch is the time of day at which the clock stands at 0.
+// epoch is the wall clock time that corresponds to 0 on the simulation's clock.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 type simulation struct {
@@ -74,7 +74,7 @@
 	return s.result()
 }
 
-// rate is how many requests arrive in a second.
+// rate returns the number of requests that arrive in a second.
 func (s *simulation) rate() float64 {
 	capacity := 0.0
 	for _, h := range s.hosts {
@@ -91,7 +91,7 @@
 
 func (s *simulation) measures() bool { return s.queue.Now() >= s.Duration*warmUpShare }
 
-// arrive has a request come to a random gateway.
+// arrive passes a request to a random gateway and schedules the next arrival.
 func (s *simulation) arrive() {
 	s.gateways[s.random.IntN(len(s.gateways))].serve()
 	s.queue.ScheduleAfter(s.random.Exponential(1/s.rate()), s.arrive)
@@ -131,7 +131,7 @@
 	return r
 }
 
-// delay is the time that a message takes between two zones.
+// delay returns the time that a message takes between two zones.
 func delay(from, to int) float64 {
 	if from == to {
 		return delayInZone
@@ -139,7 +139,7 @@
 	return delayBetween
 }
 
-// host serves requests in the order in which they came, so many at once as it has slots.
+// host serves requests in the order of their arrival, as many at once as it has slots.
 type host struct {
 	simulation *simulation
 	id         string
@@ -158,8 +158,8 @@
 	return 1
 }
 
-// take begins a request now or when a slot is free. begun is called then, ended when it has been served.
-func (h *host) take(begun, ended func()) {
+// submit begins to serve a request as soon as a slot is free. begun is called then, and ended when the request has been served.
+func (h *host) submit(begun, ended func()) {
 	start := func() {
 		s := h.simulation
 		h.running++
@@ -208,7 +208,7 @@
 	return g
 }
 
-// knownHosts is what somebody knows of the hosts at the start.
+// knownHosts returns the hosts as a gateway or home knows them at the start, without loads.
 func (s *simulation) knownHosts() []*balance.Host {
 	var known []*balance.Host
 	for _, h := range s.hosts {
@@ -219,7 +219,7 @@
 
 func zoneName(zone int) string { return fmt.Sprint("zone-", zone) }
 
-// serve sends a request to a host, which the home chooses if it can.
+// serve sends a request to a host, which the home chooses if the policy is HomePlacement.
 func (g *gateway) serve() {
 	if g.simulation.Policy == HomePlacement {
 		g.askHome()
@@ -228,7 +228,7 @@
 	g.send(g.choose())
 }
 
-// send sends a request to a host and measures how long it waits there.
+// send sends a request to a host and measures its wait for a slot there.
 func (g *gateway) send(number int) {
 	s := g.simulation
 	chosen, known := s.hosts[number], g.known[number]
@@ -240,7 +240,7 @@
 	}
 	s.queue.ScheduleAfter(delay(g.zone, chosen.zone), func() {
 		arrived := s.queue.Now()
-		chosen.take(func() {
+		chosen.submit(func() {
 			if measured {
 				s.waits = append(s.waits, s.queue.Now()-arrived)
 			}
@@ -255,7 +255,7 @@
 	})
 }
 
-// choose returns the number of a host.
+// choose chooses a host by the policy and returns its number.
 func (g *gateway) choose() int {
 	s := g.simulation
 	if s.Policy == Omniscient {
--- a/sim/placementsim/simulation_test.go
+++ b/sim/placementsim/simulation_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// busyFleet is a fleet whose gateways each see little of its hosts.
+// busyFleet returns a scenario in which each gateway sends too few requests to know the load of most hosts.
 func busyFleet(policy Policy) Scenario {
 	return Scenario{
 		Policy: policy, Gateways: 120, Hosts: 48, Zones: 6, Slots: 8, Load: 0.85, Service: 0.4, Slowdown: 0.5, Duration: 6, Seed: 1,
@@ -17,7 +17,8 @@
 	}
 }
 
-// With homes that place requests hardly any waits; an omniscient choice is no better by much. What a gateway knows alone is not enough.
+// When homes place requests, waits are short and close to those of the omniscient choice. With only a gateway's own knowledge they are
+// several times longer.
 func TestHomesComeCloseToAnOmniscientChoice(t *testing.T) {
 	own, home, best := Run(busyFleet(OwnKnowledge)), Run(busyFleet(HomePlacement)), Run(busyFleet(Omniscient))
 	if home.WaitMean > own.WaitMean/4 || home.WaitMean > best.WaitMean+0.01 {
@@ -34,8 +35,8 @@
 	}
 }
 
-// The preferred homes of all zones fail at once: others take their place within a second, and the requests go on meanwhile.
-func TestOtherHomesTakeTheirPlace(t *testing.T) {
+// When the preferred homes of all zones fail at once, requests are still served, and the waits are no longer than without homes.
+func TestOtherHomesReplaceFailedOnes(t *testing.T) {
 	scenario := busyFleet(HomePlacement)
 	scenario.HomesFailAt = 3
 	own, failed := Run(busyFleet(OwnKnowledge)), Run(scenario)
@@ -47,8 +48,8 @@
 	}
 }
 
-// Hosts that take three times as long get less, though nobody says that they are slow.
-func TestSlowHostsGetLess(t *testing.T) {
+// Placement by homes shortens the longest waits when some hosts take three times as long, although no host is reported as slow.
+func TestHomesShortenWaitsWithSlowHosts(t *testing.T) {
 	scenario := busyFleet(HomePlacement)
 	scenario.SlowHosts = 0.1
 	blind := busyFleet(OwnKnowledge)
