--- a/sim/outage/doc.go
+++ b/sim/outage/doc.go
@@ -1,3 +1,3 @@
-// Package outage measures a simulated outage of all hosts: what all api gateways together sent into it, and how soon the value
-// served came back afterwards. It reads the results of package batch and runs nothing itself.
+// Package outage measures a simulated outage of all hosts: how many attempts all api gateways sent during it, and how soon afterwards
+// the value served recovered. It evaluates results of package batch and runs no simulations itself.
 package outage
--- a/sim/outage/outage.go
+++ b/sim/outage/outage.go
@@ -10,27 +10,27 @@
 
 const (
 	faultKind       = "silent" // the fault of a day that silences its hosts
-	baselineSeconds = 10       // most seconds before the outage over which the value served is averaged
-	minStart        = 2        // seconds of a day before the outage
-	maxServedShare  = 1e9      // bounds LeastServed where nothing was served before
-	recoveredShare  = 0.95     // of the value served before, at which it counts as served again
+	baselineSeconds = 10       // longest period before the outage over which the value served is averaged
+	minStart        = 2        // earliest start of the outage, in seconds
+	maxServedShare  = 1e9      // limits LeastServed if nothing was served before
+	recoveredShare  = 0.95     // fraction of the value served before that counts as recovered
 )
 
-// ErrNoOutage is returned for a run whose day has no outage, or one that leaves no time before or after it.
-var ErrNoOutage = errors.New("a trouble of kind silent, from 2 s on and over before the day ends, is wanted")
+// ErrNoOutage is returned for a run whose day has no outage, or has one with no time before or after it.
+var ErrNoOutage = errors.New("the first trouble of kind silent must start at 2 s or later and end before the day does")
 
-// Measurement is what happened in the first outage of a run, and after it.
+// Measurement holds the measurements of the first outage of a run.
 type Measurement struct {
 	Day             string  `json:"day"`
 	Decider         string  `json:"decider"`
 	Seed            uint64  `json:"seed"`
-	AttemptsBefore  float64 `json:"before"`     // a second, mean of the ten seconds before
-	Attempts        float64 `json:"deliveries"` // in the outage
-	Dials           float64 `json:"dials"`      // in the outage
-	AttemptsAmid    float64 `json:"amid"`       // in the second six tenths into the outage
-	RecoverySeconds int     `json:"back"`       // whole seconds after the outage until 95 % of the value served before is served
-	LeastServed     float64 `json:"least"`      // in a second from then to the end, as a part of that before
-	PeerMessages    float64 `json:"mail"`       // sent in the day, each counted for as many as received it
+	AttemptsBefore  float64 `json:"before"`     // attempts a second, mean of the ten seconds before the outage
+	Attempts        float64 `json:"deliveries"` // during the outage
+	Dials           float64 `json:"dials"`      // during the outage
+	AttemptsAmid    float64 `json:"amid"`       // in the one second that begins after six tenths of the outage
+	RecoverySeconds int     `json:"back"`       // seconds after the outage until a second with 95 % of the value served before
+	LeastServed     float64 `json:"least"`      // lowest value served in a second from the recovery on, relative to that before
+	PeerMessages    float64 `json:"mail"`       // sent in the whole day, counted once for each receiver
 	NeverRecovered  bool    `json:"never_back"`
 	Violations      int     `json:"breaks"` // of rules, in the whole day
 }
@@ -58,7 +58,7 @@
 	return m, nil
 }
 
-// measureRecovery looks for the first second from which on the value served counts as served again.
+// measureRecovery finds the first second in which the value served has recovered, and the lowest value served from then on.
 func (m *Measurement) measureRecovery(run *batch.Run, from int, servedBefore float64) {
 	end := min(len(run.Seconds), int(run.Length))
 	m.RecoverySeconds = end - from
--- a/sim/outage/outage_test.go
+++ b/sim/outage/outage_test.go
@@ -9,7 +9,7 @@
 	"otterseam/sim/metrics"
 )
 
-// runOf is a run of 30 s with an outage from second 12 to second 20, and the value served in each second.
+// runOf returns a run of 30 s with an outage from second 12 to second 20. served returns the value served in a second.
 func runOf(served func(second int) float64) *batch.Run {
 	run := &batch.Run{
 		Length: 30, Faults: []batch.Fault{{Kind: "slow", At: 1, Ends: 2}, {Kind: faultKind, At: 12, Ends: 20}},
@@ -34,7 +34,7 @@
 		t.Errorf("%v attempts a second before, want %v", m.AttemptsBefore, meanOfSeconds2To11)
 	}
 	if m.Attempts != 12+13+14+15+16+17+18+19 || m.Dials != 16 || m.AttemptsAmid != 16 {
-		t.Errorf("%v attempts, %v dials, %v attempts amid", m.Attempts, m.Dials, m.AttemptsAmid)
+		t.Errorf("%v attempts, %v dials, %v attempts in a second of the outage", m.Attempts, m.Dials, m.AttemptsAmid)
 	}
 }
 
