--- a/sim/search/doc.go
+++ b/sim/search/doc.go
@@ -1,3 +1,3 @@
-// Package search looks for the run on which a policy does worst within the ranges of a scenario, then takes away what does not matter,
-// so that the scenario that is left shows its cause.
+// Package search finds the run with the worst score of a policy within the ranges of a scenario. It then removes faults and resets
+// values that are not needed for the bad score, so that the remaining scenario shows its cause.
 package search
--- a/sim/search/search.go
+++ b/sim/search/search.go
@@ -13,51 +13,51 @@
 )
 
 const (
-	// A run that violates a rule scores violationScore less the logarithm of how often: worse than any other, and above it nothing is
-	// worse than violationLimit.
+	// A run that violates rules scores violationScore minus the logarithm of the number of violations, which is worse than any run
+	// without violations. Runs without violations score above violationLimit.
 	violationScore = -10
 	violationLimit = -5
-	// A round near the worst runs a part of the samples, but not fewer than some.
-	samplesPerRound    = 4 // the divisor
+	// A round of samples near the worst scenario runs Options.Samples/samplesDivisor scenarios, but at least minSamplesPerRound.
+	samplesDivisor     = 4
 	minSamplesPerRound = 4
-	// minRedrawn is the least probability with which each value is drawn anew near the worst.
+	// minRedrawn is the minimum probability with which each value of the worst scenario is redrawn.
 	minRedrawn = 0.25
 )
 
-// Options say how long to look.
+// Options configures a search.
 type Options struct {
-	Decider  string  // a name of policies.Names, or wire:PATH
+	Decider  string  // a name in policies.Names, or wire:PATH
 	Samples  int     // scenarios drawn; at least 1
-	Rounds   int     // rounds of drawing near the worst so far
+	Rounds   int     // rounds of samples near the worst scenario so far
 	Seed     uint64  // of the search itself
-	Workers  int     // 0: one a core
-	KeepLoss float64 // the part of the loss found that a smaller scenario must keep
+	Workers  int     // 0 for one per core
+	KeepLoss float64 // the fraction of the loss found that a smaller scenario must keep
 	Progress func(text string)
 }
 
-// Result is the worst run, made small.
+// Result is the worst run, after its scenario was made smaller.
 type Result struct {
 	Day   *scenario.Scenario
 	Seed  uint64
 	Score float64
-	Steps []string // what was taken away
+	Steps []string // the changes that made the scenario smaller
 }
 
-// candidate is a scenario to be run with a seed.
+// candidate is a scenario and the seed to run it with.
 type candidate struct {
 	day  *scenario.Scenario
 	seed uint64
 }
 
-// searcher looks through one scenario.
+// searcher is the state of the search in one scenario.
 type searcher struct {
 	Options
 	from  *scenario.Scenario
-	spans []string // paths of the values that have ranges
+	spans []string // paths of the values with ranges
 	best  Result
 }
 
-// Worst looks for the worst run of a scenario that has ranges or faults. A violated rule is worse than any score.
+// Worst searches for the worst run of a scenario with ranges or faults. A run that violates a rule is worse than any other.
 func Worst(ctx context.Context, from *scenario.Scenario, options Options) (*Result, error) {
 	s := &searcher{Options: options, from: from, spans: from.Spans()}
 	median, err := s.sample(ctx)
@@ -73,11 +73,11 @@
 		return nil, err
 	}
 	s.best.Day.Name = from.Name + "-worst"
-	s.best.Day.About = fmt.Sprintf("found by a search of %s with seed %d; play it with seed %d", from.Name, s.Seed, s.best.Seed)
+	s.best.Day.About = fmt.Sprintf("found by a search of %s with seed %d; run it with seed %d", from.Name, s.Seed, s.best.Seed)
 	return &s.best, nil
 }
 
-// sample draws scenarios from the ranges and gives the median of their scores.
+// sample draws scenarios from the ranges, runs them and returns the median of their scores.
 func (s *searcher) sample(ctx context.Context) (median float64, err error) {
 	var candidates []candidate
 	for i := range s.Samples {
@@ -90,15 +90,15 @@
 	}
 	slices.Sort(scores)
 	median = scores[len(scores)/2]
-	s.Progress(fmt.Sprintf("%d days drawn: worst %.3f, middle %.3f", len(candidates), s.best.Score, median))
+	s.Progress(fmt.Sprintf("%d days drawn: worst %.3f, median %.3f", len(candidates), s.best.Score, median))
 	return median, nil
 }
 
-// sampleNearWorst draws some values of the worst scenario anew.
+// sampleNearWorst runs variants of the worst scenario in which some values are redrawn.
 func (s *searcher) sampleNearWorst(ctx context.Context, round int) error {
 	redrawn := max(minRedrawn, 1/float64(len(s.spans)))
 	var candidates []candidate
-	for i := range max(minSamplesPerRound, s.Samples/samplesPerRound) {
+	for i := range max(minSamplesPerRound, s.Samples/samplesDivisor) {
 		random := randstream.New(s.Seed, "near", round, i)
 		other := s.from.Draw(random.Uint64() >> 1)
 		near := s.best.Day.Clone()
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// runAll runs candidates, keeps the worst of all, and gives their scores.
+// runAll runs candidates and returns their scores. It updates the worst run so far.
 func (s *searcher) runAll(ctx context.Context, candidates []candidate) ([]float64, error) {
 	scores, err := s.scores(ctx, candidates)
 	if err != nil {
--- a/sim/search/shrink.go
+++ b/sim/search/shrink.go
@@ -8,7 +8,8 @@
 	"otterseam/sim/scenario"
 )
 
-// scoreLimit is the score up to which a smaller scenario keeps enough of the loss: where a rule is violated it must stay so.
+// scoreLimit returns the highest score at which a smaller scenario keeps enough of the loss. If the worst run violates a rule, the
+// smaller scenario must violate one too.
 func (s *searcher) scoreLimit(median float64) float64 {
 	if s.best.Score < violationLimit {
 		return violationLimit
@@ -16,16 +17,17 @@
 	return median - s.KeepLoss*(median-s.best.Score)
 }
 
-// shrink leaves out each fault, then puts each value at the mild end of its range, as long as the score stays within a limit.
+// shrink tries to remove each fault, and then to set each value to the mild end of its range. It keeps the changes with which the
+// score stays at or below limit.
 func (s *searcher) shrink(ctx context.Context, limit float64) error {
 	faults := len(s.best.Day.Faults)
 	if err := s.dropFaults(ctx, limit); err != nil {
 		return err
 	}
-	if len(s.best.Day.Faults) != faults { // the paths of values mean others now
+	if len(s.best.Day.Faults) != faults { // the paths of values contain indices of faults, which have changed
 		return nil
 	}
-	return s.calmValues(ctx, limit)
+	return s.useMildValues(ctx, limit)
 }
 
 func (s *searcher) dropFaults(ctx context.Context, limit float64) error {
@@ -40,30 +42,30 @@
 	return nil
 }
 
-func (s *searcher) calmValues(ctx context.Context, limit float64) error {
+func (s *searcher) useMildValues(ctx context.Context, limit float64) error {
 	for _, path := range s.spans {
 		mildest := s.from.SpanAt(path).Lo
 		value := s.best.Day.SpanAt(path)
 		if value == nil || value.Lo == mildest {
 			continue
 		}
-		calmer := s.best.Day.Clone()
-		*calmer.SpanAt(path) = withValue(*calmer.SpanAt(path), mildest)
-		if err := s.try(ctx, calmer, limit, path+" at the mild end"); err != nil {
+		milder := s.best.Day.Clone()
+		*milder.SpanAt(path) = withValue(*milder.SpanAt(path), mildest)
+		if err := s.try(ctx, milder, limit, path+" at the mild end"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// withValue is a span of one value.
+// withValue returns the span with both ends set to a value.
 func withValue(span scenario.Span, value float64) scenario.Span {
 	span.Lo = value
 	span.Hi = value
 	return span
 }
 
-// try runs a smaller scenario and keeps it if its score is within the limit.
+// try runs a smaller scenario and keeps it if its score is at or below the limit.
 func (s *searcher) try(ctx context.Context, smaller *scenario.Scenario, limit float64, step string) error {
 	scores, err := s.scores(ctx, []candidate{{smaller, s.best.Seed}})
 	if err != nil {
