--- a/sim/overlap/doc.go
+++ b/sim/overlap/doc.go
@@ -1,3 +1,3 @@
-// Package overlap keeps the magnitudes of faults that overlap: each is added when its fault begins and removed when it ends, in
-// any order. It knows nothing of what they mean.
+// Package overlap keeps the magnitudes of overlapping faults. A magnitude is added when its fault begins and removed when it ends.
+// Faults may end in any order. The package does not depend on the meaning of the magnitudes.
 package overlap
--- a/sim/overlap/overlap.go
+++ b/sim/overlap/overlap.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Values are the magnitudes of one kind of fault that are in force now. A nil Values has none.
+// Values holds the magnitudes of the faults of one kind in force. A nil Values has none.
 type Values []float64
 
-// Toggle adds a magnitude when its fault begins, and removes one of that size when it ends.
+// Toggle adds a magnitude when its fault begins, and removes one equal magnitude when it ends.
 func (v *Values) Toggle(magnitude float64, begin bool) {
 	if begin {
 		*v = append(*v, magnitude)
@@ -16,7 +16,7 @@
 	}
 }
 
-// Product is the product of all, 1 where there are none.
+// Product returns the product of all magnitudes, or 1 if there are none.
 func (v Values) Product() float64 {
 	product := 1.0
 	for _, magnitude := range v {
@@ -25,7 +25,8 @@
 	return product
 }
 
-// Any says whether one of several probabilities comes true. draw is asked for each in turn until one does.
+// Any reports whether draw returns true for any of the magnitudes, which are probabilities here. It calls draw for each in order until
+// one call returns true.
 func (v Values) Any(draw func(probability float64) bool) bool {
 	return slices.ContainsFunc(v, draw)
 }
--- a/sim/overlap/overlap_test.go
+++ b/sim/overlap/overlap_test.go
@@ -16,13 +16,13 @@
 	}
 }
 
-func TestAnyAsksUntilOneComesTrue(t *testing.T) {
-	var asked []float64
+func TestAnyDrawsUntilOneIsTrue(t *testing.T) {
+	var drawn []float64
 	hit := Values{0.1, 0.2, 0.3}.Any(func(probability float64) bool {
-		asked = append(asked, probability)
+		drawn = append(drawn, probability)
 		return probability == 0.2
 	})
-	if !hit || len(asked) != 2 {
-		t.Errorf("hit %v after asking for %v", hit, asked)
+	if !hit || len(drawn) != 2 {
+		t.Errorf("hit %v after draws for %v", hit, drawn)
 	}
 }
