--- a/sim/eventqueue/eventqueue.go
+++ b/sim/eventqueue/eventqueue.go
@@ -2,11 +2,10 @@
 
 import "math"
 
-// Queue is a clock with the events that are yet to run. The zero Queue is empty and its clock stands at 0. It is not safe for
-// concurrent use.
+// Queue is a clock with the pending events. The zero Queue is empty and its clock is at 0. It is not safe for concurrent use.
 type Queue struct {
 	now       float64
-	scheduled uint64 // events ever scheduled; numbers those of one moment
+	scheduled uint64 // number of events ever scheduled; orders events of the same time
 	heap      []event
 	stopped   bool
 	// Fired counts the events that have run.
@@ -24,13 +23,13 @@
 	return e.time < other.time || e.time == other.time && e.sequence < other.sequence
 }
 
-// Now is the clock time in seconds.
+// Now returns the clock time in seconds.
 func (q *Queue) Now() float64 { return q.now }
 
-// Len is how many events are yet to run.
+// Len returns the number of pending events.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// Schedule has callback run at a clock time in seconds. A time that has passed, or is not a number, counts as now.
+// Schedule schedules callback at a clock time in seconds. A time in the past, or NaN, is treated as now.
 func (q *Queue) Schedule(at float64, callback func()) {
 	if at < q.now || math.IsNaN(at) {
 		at = q.now
@@ -39,10 +38,10 @@
 	q.push(event{time: at, sequence: q.scheduled, callback: callback})
 }
 
-// ScheduleAfter has callback run so many seconds from now.
+// ScheduleAfter schedules callback the given number of seconds from now.
 func (q *Queue) ScheduleAfter(seconds float64, callback func()) { q.Schedule(q.now+seconds, callback) }
 
-// NextTime is when the next event runs; ok is false where there is none.
+// NextTime returns the time of the next event. ok is false if there is none.
 func (q *Queue) NextTime() (at float64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -50,7 +49,7 @@
 	return q.heap[0].time, true
 }
 
-// Run runs events in order until the clock stands at until, or Stop is called, or none is left.
+// Run runs the events due up to the clock time until in order, and then advances the clock to until. It returns early if Stop is called.
 func (q *Queue) Run(until float64) {
 	for !q.stopped && len(q.heap) > 0 && q.heap[0].time <= until {
 		next := q.pop()
@@ -63,8 +62,8 @@
 	}
 }
 
-// Stop ends Run after the event that is running.
+// Stop makes Run return after the running event.
 func (q *Queue) Stop() { q.stopped = true }
 
-// Stopped says whether Stop was called.
+// Stopped reports whether Stop was called.
 func (q *Queue) Stopped() bool { return q.stopped }
--- a/sim/eventqueue/eventqueue_test.go
+++ b/sim/eventqueue/eventqueue_test.go
@@ -23,7 +23,7 @@
 	slices.SortStableFunc(want, func(a, b planned) int { return int(a.time - b.time) })
 	queue.Run(100)
 	if !slices.Equal(got, want) {
-		t.Error("events ran in another order")
+		t.Error("events did not run in the order of time and scheduling")
 	}
 	if queue.Now() != 100 || queue.Len() != 0 || queue.Fired != 2000 {
 		t.Errorf("clock at %v, %d left, %d fired", queue.Now(), queue.Len(), queue.Fired)
--- a/sim/eventqueue/heap.go
+++ b/sim/eventqueue/heap.go
@@ -1,7 +1,7 @@
 package eventqueue
 
-// arity is the number of children of a node of the heap. Four make it half as deep as two would, and they lie beside each
-// other in memory.
+// arity is the number of children of a heap node. With four children the heap is half as deep as with two, and the children are
+// adjacent in memory.
 const arity = 4
 
 // push adds an event to the heap.
@@ -20,12 +20,12 @@
 	heap[i] = added
 }
 
-// pop removes the event that comes first. The heap must not be empty.
+// pop removes and returns the first event. The heap must not be empty.
 func (q *Queue) pop() event {
 	end := len(q.heap) - 1
 	first := q.heap[0]
 	last := q.heap[end]
-	q.heap[end] = event{} // lets go of the callback
+	q.heap[end] = event{} // releases the callback for garbage collection
 	q.heap = q.heap[:end]
 	if end > 0 {
 		q.siftDown(last)
@@ -33,7 +33,7 @@
 	return first
 }
 
-// siftDown puts an event in the place that the root left free, and moves it down to where it belongs.
+// siftDown places an event at the vacant root and moves it down to its position in the heap order.
 func (q *Queue) siftDown(moved event) {
 	heap := q.heap
 	i := 0
