--- a/sim/network/doc.go
+++ b/sim/network/doc.go
@@ -1,3 +1,3 @@
-// Package network models the paths between machines: how long a message takes, and which zones are partitioned, connections
-// reset and answers lost at present. It must never know what travels.
+// Package network models the network between machines: message delays, partitions between zones, connection resets and lost answers.
+// It must not depend on the contents of messages.
 package network
--- a/sim/network/faults.go
+++ b/sim/network/faults.go
@@ -1,9 +1,8 @@
 package network
 
-// The faults of the network. Each method begins one, or ends one that began with the same argument; faults overlap and end in
-// any order.
+// The methods below begin a fault, or end one that began with the same argument. Faults may overlap and end in any order.
 
-// IsolateZone cuts a zone off from all others.
+// IsolateZone partitions a zone from all others.
 func (n *Network) IsolateZone(zone int, begin bool) {
 	if begin {
 		n.isolations[zone]++
@@ -15,7 +14,7 @@
 // ScaleDelays multiplies all delays by a factor.
 func (n *Network) ScaleDelays(factor float64, begin bool) { n.delayFactors.Toggle(factor, begin) }
 
-// ResetConnections resets the connection under a share of the attempts.
+// ResetConnections resets the connections of a share of the attempts.
 func (n *Network) ResetConnections(share float64, begin bool) { n.resetShares.Toggle(share, begin) }
 
 // LoseAnswers loses a share of the answers, as half-open connections do.
--- a/sim/network/network.go
+++ b/sim/network/network.go
@@ -6,14 +6,14 @@
 	"otterseam/sim/scenario"
 )
 
-// resetBeforeWork is the probability that a connection that is reset is so before the request reached the host's work.
+// resetBeforeWork is the probability that a reset of a connection happens before the host begins to work on the request.
 const resetBeforeWork = 0.5
 
-// Network is the paths between zones.
+// Network models the network between zones.
 type Network struct {
 	withinZone   float64 // seconds one way
 	betweenZones float64
-	jitter       float64 // mean of the random part, as a part of the delay
+	jitter       float64 // mean of the random part of a delay, relative to the constant part
 	random       randstream.Stream
 
 	isolations   []int // by zone: how many faults isolate it
@@ -22,7 +22,7 @@
 	lossShares   overlap.Values
 }
 
-// New makes the network of a scenario.
+// New returns the network of a scenario.
 func New(config *scenario.Network, zones int, seed uint64) *Network {
 	return &Network{
 		withinZone:   config.WithinZone.Float(),
@@ -43,12 +43,12 @@
 	return delay + n.random.Exponential(delay*n.jitter)
 }
 
-// Partitioned says that nothing gets from one zone to the other.
+// Partitioned reports whether a partition separates two zones.
 func (n *Network) Partitioned(a, b int) bool {
 	return a != b && (n.isolations[a] > 0 || n.isolations[b] > 0)
 }
 
-// DrawReset draws whether the connection under an attempt is reset, and whether before it reached the host's work.
+// DrawReset draws whether the connection of an attempt is reset, and if so, whether before the host begins to work on the request.
 func (n *Network) DrawReset() (reset, beforeWork bool) {
 	if !n.resetShares.Any(n.random.Chance) {
 		return false, false
