--- a/sim/model/customer.go
+++ b/sim/model/customer.go
@@ -2,14 +2,14 @@
 
 import "otterseam/sim/scenario"
 
-// QuotaUse is how much of its quota a customer asks for.
+// QuotaUse is a class of customers by how much of their quota they use.
 type QuotaUse int
 
 // The classes of use, in the order of QuotaUseNames.
 const (
-	FarBelowQuota QuotaUse = iota // well under it
-	NearQuota                     // nearly all of it
-	OverQuota                     // more than it
+	FarBelowQuota QuotaUse = iota // far less than the quota
+	NearQuota                     // nearly all of the quota
+	OverQuota                     // more than the quota
 )
 
 // QuotaUseNames are the names of the classes of use in results and reports.
@@ -23,22 +23,22 @@
 	PlanNumber int
 	QuotaUse   QuotaUse
 
-	// InvocationRate is the rate of first invocations a second; RateFactor multiplies it while a burst lasts.
+	// InvocationRate is the rate of first invocations a second. RateFactor multiplies it during a burst.
 	InvocationRate float64
 	RateFactor     float64
 
-	// The customer comes in through GatewayCount api gateways, from FirstGateway on. Preferred is the one of them that it prefers
-	// until PreferredUntil; Concentrated sends all its invocations there.
+	// The customer uses GatewayCount consecutive api gateways, beginning with FirstGateway. Preferred is the index among them of the
+	// gateway that it prefers until PreferredUntil. Concentrated sends all its invocations to that one.
 	FirstGateway   int
 	GatewayCount   int
 	Preferred      int
 	PreferredUntil float64
 	Concentrated   bool
 
-	// HonoursRetryAfter says that its clients wait as long as a throttling asks. ImmediateRetries is how many times more they retry
-	// at once instead, while a fault makes them.
+	// HonoursRetryAfter means that its clients wait for the retry-after of a throttled invocation. ImmediateRetries is the number of
+	// additional, immediate retries during a fault.
 	HonoursRetryAfter bool
 	ImmediateRetries  int
-	// PatienceFactor is the part of their patience that its clients have at present.
+	// PatienceFactor multiplies how long its clients wait for an answer.
 	PatienceFactor float64
 }
--- a/sim/model/doc.go
+++ b/sim/model/doc.go
@@ -1,6 +1,5 @@
-// Package model declares the data that the parts of a simulation hand to each other: customers, the requests that they make,
-// the invocations by which they ask an api gateway, and the attempts that a gateway makes at hosts. It knows no clock, no rule
-// and no queue.
+// Package model declares the data that the parts of a simulation exchange: customers, their requests, the invocations by which their
+// clients send a request to an api gateway, and the attempts that a gateway sends to hosts. It contains no clock, rules or queues.
 //
 // All times are seconds of virtual time.
 package model
--- a/sim/model/names.go
+++ b/sim/model/names.go
@@ -1,22 +1,22 @@
 package model
 
-// The effects of operations, as scenarios name them: what running an invocation twice does.
+// The effects of operations, as named in scenarios. They determine what happens if an invocation runs twice.
 const (
-	EffectIdempotent    = "idempotent"     // nothing
-	EffectTokened       = "tokened"        // nothing within the lifetime of its token and the group that shares it
-	EffectNonIdempotent = "non-idempotent" // it takes effect twice
+	EffectIdempotent    = "idempotent"     // the second run has no effect
+	EffectTokened       = "tokened"        // the second run has no effect within the lifetime of the token and the group that shares it
+	EffectNonIdempotent = "non-idempotent" // the operation takes effect twice
 )
 
-// The groups of hosts within which a token counts, as scenarios name them.
+// The groups of hosts that share tokens, as named in scenarios.
 const (
 	GroupAll  = "all"
 	GroupZone = "zone"
 	GroupCell = "cell"
 )
 
-// The states of hosts in the list of hosts.
+// The states of hosts in the host list.
 const (
 	HostActive  = "active"
-	HostLeaving = "leaving" // it drains
+	HostLeaving = "leaving" // the host is draining
 	HostLeft    = "left"
 )
