--- a/sim/randstream/doc.go
+++ b/sim/randstream/doc.go
@@ -1,3 +1,3 @@
-// Package randstream gives each part of a simulation a stream of random numbers of its own, so that one draw more in one part
-// changes nothing in another. It keeps no state beyond the streams that it hands out.
+// Package randstream provides a separate stream of random numbers for each part of a simulation, so that an additional draw in one part
+// does not change the draws in another. It has no state other than the streams.
 package randstream
--- a/sim/randstream/randstream.go
+++ b/sim/randstream/randstream.go
@@ -6,16 +6,16 @@
 	"math/rand/v2"
 )
 
-// maxParetoWeight bounds the weights that Pareto draws.
+// maxParetoWeight is the maximum weight that Pareto draws.
 const maxParetoWeight = 20
 
-// Stream is one part's source of random numbers. It is not safe for concurrent use.
+// Stream is the source of random numbers of one part. It is not safe for concurrent use.
 type Stream struct{ *rand.Rand }
 
-// New gives the stream of a part, told apart by its name and numbers, under the seed of a simulation.
+// New returns the stream of a part of a simulation with the given seed. Parts are identified by name and numbers.
 func New(seed uint64, part string, numbers ...int) Stream {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(part)) // a hash takes all that is written
+	_, _ = hash.Write([]byte(part)) // writing to a hash never fails
 	for _, n := range numbers {
 		for range 8 {
 			_, _ = hash.Write([]byte{byte(n)})
@@ -25,23 +25,25 @@
 	return Stream{rand.New(rand.NewPCG(seed, hash.Sum64()))}
 }
 
-// Exponential draws from the exponential distribution of a mean.
+// Exponential draws from the exponential distribution with the given mean.
 func (s Stream) Exponential(mean float64) float64 { return s.ExpFloat64() * mean }
 
-// Uniform draws evenly from lo to hi.
+// Uniform draws from the uniform distribution between lo and hi.
 func (s Stream) Uniform(lo, hi float64) float64 { return lo + (hi-lo)*s.Float64() }
 
-// Chance is true with a probability.
+// Chance returns true with the given probability.
 func (s Stream) Chance(probability float64) bool {
 	return probability > 0 && s.Float64() < probability
 }
 
-// Pareto draws a weight of mean about 1 whose tail falls with the power alpha, which is over 1: a few get several times the mean.
+// Pareto draws a weight from a truncated Pareto distribution with the tail exponent alpha, which must be greater than 1, and a mean of
+// about 1. A few weights are several times the mean.
 func (s Stream) Pareto(alpha float64) float64 {
 	return min(maxParetoWeight, (alpha-1)/alpha/math.Pow(1-s.Float64(), 1/alpha))
 }
 
-// SampleShare picks a share of n indices at random and says of each whether it is in; at least one is, where share is over 0 and n is.
+// SampleShare selects a share of n indices at random and returns for each index whether it is selected. At least one is selected if
+// share and n are greater than 0.
 func (s Stream) SampleShare(n int, share float64) []bool {
 	picked := make([]bool, n)
 	count := int(math.Round(share * float64(n)))
--- a/sim/randstream/randstream_test.go
+++ b/sim/randstream/randstream_test.go
@@ -5,11 +5,11 @@
 func TestStreamsDifferByPartNumberAndSeed(t *testing.T) {
 	first := New(1, "host", 3).Uint64()
 	if again := New(1, "host", 3).Uint64(); again != first {
-		t.Errorf("the same stream gives %d, then %d", first, again)
+		t.Errorf("two streams with the same seed and name begin with %d and %d", first, again)
 	}
 	for name, other := range map[string]Stream{"part": New(1, "hosts", 3), "number": New(1, "host", 4), "seed": New(2, "host", 3)} {
 		if other.Uint64() == first {
-			t.Errorf("a stream of another %s gives the same number", name)
+			t.Errorf("a stream with a different %s begins with the same number", name)
 		}
 	}
 }
@@ -27,7 +27,7 @@
 			}
 		}
 		if picked != c.want {
-			t.Errorf("a share of %v of %d picks %d, want %d", c.share, c.n, picked, c.want)
+			t.Errorf("a share of %v of %d selects %d, want %d", c.share, c.n, picked, c.want)
 		}
 	}
 }
