--- a/sim/assets/assets.go
+++ b/sim/assets/assets.go
@@ -9,42 +9,42 @@
 	"strings"
 )
 
-// extension is that of all bundled files.
+// extension is the file name extension of all bundled files.
 const extension = ".toml"
 
-// Set is the bundled files of one kind.
+// Set holds the bundled files of one kind.
 type Set struct {
 	Files  fs.FS
-	Folder string // in which they lie; "." for the top
-	Kind   string // what messages call one of them
+	Folder string // directory of the files in Files; "." for the root
+	Kind   string // name of the kind in messages
 }
 
-// NotFoundError says that a name is neither that of a bundled file nor of a file on disk. It is fs.ErrNotExist to errors.Is.
+// NotFoundError reports a name that matches neither a bundled file nor a file on disk. errors.Is matches it with fs.ErrNotExist.
 type NotFoundError struct {
 	Name  string
 	Kind  string
-	Known []string // the names that there are
+	Known []string // names of the bundled files
 }
 
 func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("%s: no such file, and no %s of that name; there are %s", e.Name, e.Kind, strings.Join(e.Known, ", "))
 }
 
-// Is says that the error is one of a file that does not exist.
+// Is reports whether target is fs.ErrNotExist.
 func (e *NotFoundError) Is(target error) bool { return target == fs.ErrNotExist }
 
-// Names are those of the bundled files, without folder and extension, in order.
+// Names returns the sorted names of the bundled files, without directory and extension.
 func (s Set) Names() []string {
 	var names []string
-	files, _ := fs.Glob(s.Files, path.Join(s.Folder, "*"+extension)) // the pattern is good
+	files, _ := fs.Glob(s.Files, path.Join(s.Folder, "*"+extension)) // Glob fails only for a malformed pattern
 	for _, file := range files {
 		names = append(names, strings.TrimSuffix(path.Base(file), extension))
 	}
 	return names
 }
 
-// Read reads a bundled file by its name, or else the file on disk whose path the name is. file is what to call it in messages.
-// A bare name that is neither ends in a *NotFoundError.
+// Read reads the bundled file of a name or, if there is none, the file on disk with the name as its path. file is the name of the file
+// for messages. A name without dots and slashes that matches neither results in a *NotFoundError.
 func (s Set) Read(name string) (file string, text []byte, err error) {
 	if text, err = s.Bundled(name); err == nil {
 		return name + extension, text, nil
@@ -61,5 +61,5 @@
 	return fs.ReadFile(s.Files, path.Join(s.Folder, name+extension))
 }
 
-// List is the names as messages show them.
+// List returns the names of the bundled files as a list for messages.
 func (s Set) List() string { return strings.Join(s.Names(), ", ") }
--- a/sim/assets/assets_test.go
+++ b/sim/assets/assets_test.go
@@ -20,13 +20,13 @@
 	}}
 }
 
-func TestNamesAreThoseOfTheFolderInOrder(t *testing.T) {
+func TestNamesListsTheFolderInOrder(t *testing.T) {
 	if names := newSet().Names(); !slices.Equal(names, []string{"calm", "cut"}) {
 		t.Errorf("names %q", names)
 	}
 }
 
-func TestReadTakesNamesBeforePaths(t *testing.T) {
+func TestReadPrefersNamesToPaths(t *testing.T) {
 	outside := filepath.Join(t.TempDir(), "own.toml")
 	if err := os.WriteFile(outside, []byte("own"), 0o644); err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestReadNamesWhatThereIs(t *testing.T) {
+func TestReadListsTheKnownNames(t *testing.T) {
 	_, _, err := newSet().Read("gone")
 	if err == nil || !strings.Contains(err.Error(), "no script of that name; there are calm, cut") {
 		t.Errorf("error %v", err)
--- a/sim/assets/doc.go
+++ b/sim/assets/doc.go
@@ -1,2 +1,2 @@
-// Package assets finds the files that are built into a program by their names, and other files by their paths.
+// Package assets reads files that are embedded in a program by name, and other files by path.
 package assets
