--- a/sim/oracle/attempts.go
+++ b/sim/oracle/attempts.go
@@ -11,14 +11,14 @@
 	invocation := attempt.Invocation
 	now := o.now()
 	if invocation.Outcome != model.Pending {
-		o.violated(ruleOneAnswer, invocation.Ref, "%s is sent on after its final answer", invocation.Ref)
+		o.addViolation(ruleOneAnswer, invocation.Ref, "%s is sent to a host after its final answer", invocation.Ref)
 	}
 	if now > invocation.GiveUpAt+Tolerance {
-		o.violated(ruleOneAnswer, invocation.Ref, "%s is sent on after its client gave up", invocation.Ref)
+		o.addViolation(ruleOneAnswer, invocation.Ref, "%s is sent to a host after its client gave up", invocation.Ref)
 	}
 	last, known := o.hostStates[invocation.Gateway][attempt.Host]
 	if known && last.state != model.HostActive && now > last.learnedAt+o.scenario.Gateway.DrainGrace.Float()+Tolerance {
-		o.violated(ruleLeavingHosts, invocation.Ref, "%s is sent to host %d, %s for %.3f s",
+		o.addViolation(ruleLeavingHosts, invocation.Ref, "%s is sent to host %d, %s for %.3f s",
 			invocation.Ref, attempt.Host, last.state, now-last.learnedAt)
 	}
 	for _, other := range invocation.Attempts {
@@ -32,7 +32,7 @@
 // ConcurrentAttempts reports two attempts of one invocation in flight at once. Callers other than AttemptSent report overlaps that
 // AttemptSent cannot detect, such as two attempts at the hosts for longer than message delays explain.
 func (o *Oracle) ConcurrentAttempts(invocation *model.Invocation) {
-	o.violated(ruleEffect, invocation.Ref, "%s has two deliveries out at once", invocation.Ref)
+	o.addViolation(ruleEffect, invocation.Ref, "%s has two deliveries out at once", invocation.Ref)
 }
 
 // CheckRetry checks only whether an attempt may follow the earlier ones. It is the only check that applies to an attempt that was
@@ -40,7 +40,7 @@
 func (o *Oracle) CheckRetry(attempt *model.Attempt) {
 	if fault := o.retryFault(attempt); fault != "" {
 		invocation := attempt.Invocation
-		o.violated(ruleEffect, invocation.Ref, "%s, %s, is sent on again %s", invocation.Ref, invocation.Request.Operation.Effect, fault)
+		o.addViolation(ruleEffect, invocation.Ref, "%s, %s, is sent on again %s", invocation.Ref, invocation.Request.Operation.Effect, fault)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	for _, earlier := range invocation.Attempts {
 		if earlier != attempt && !earlier.ProvenNotRun && !sameGroup(earlier.Host, attempt.Host) {
-			o.violated(ruleEffect, invocation.Ref, "%s, tokened, is sent outside its group, from host %d to %d",
+			o.addViolation(ruleEffect, invocation.Ref, "%s, tokened, is sent outside its group, from host %d to %d",
 				invocation.Ref, earlier.Host, attempt.Host)
 		}
 	}
@@ -83,7 +83,7 @@
 	invocation := attempt.Invocation
 	for _, other := range invocation.Attempts {
 		if other != attempt && other.Started && invocation.Request.Operation.Effect == model.EffectNonIdempotent {
-			o.violated(ruleEffect, invocation.Ref, "%s, non-idempotent, has run twice: deliveries %d and %d",
+			o.addViolation(ruleEffect, invocation.Ref, "%s, non-idempotent, has run twice: deliveries %d and %d",
 				invocation.Ref, other.Number, attempt.Number)
 		}
 	}
@@ -93,13 +93,13 @@
 // InvocationAnswered checks a final answer of an api gateway.
 func (o *Oracle) InvocationAnswered(invocation *model.Invocation, outcome model.Outcome) {
 	if invocation.Outcome != model.Pending {
-		o.violated(ruleOneAnswer, invocation.Ref, "%s gets a second final answer: %s after %s",
+		o.addViolation(ruleOneAnswer, invocation.Ref, "%s gets a second final answer: %s after %s",
 			invocation.Ref, model.OutcomeNames[outcome], model.OutcomeNames[invocation.Outcome])
 		return
 	}
 	invocation.Outcome = outcome
 	if o.now() > invocation.GiveUpAt+Tolerance {
-		o.violated(ruleOneAnswer, invocation.Ref, "%s is answered %.3f s after its client gave up",
+		o.addViolation(ruleOneAnswer, invocation.Ref, "%s is answered %.3f s after its client gave up",
 			invocation.Ref, o.now()-invocation.GiveUpAt)
 	}
 	if outcome == model.Throttled {
@@ -115,7 +115,7 @@
 		(operation.Effect != model.EffectTokened || operation.Group == model.GroupAll)
 	for _, attempt := range invocation.Attempts {
 		if !attempt.ProvenNotRun && !mayRunAgain {
-			o.violated(ruleEffect, invocation.Ref, "%s, %s, is throttled though delivery %d may have run",
+			o.addViolation(ruleEffect, invocation.Ref, "%s, %s, is throttled though delivery %d may have run",
 				invocation.Ref, operation.Effect, attempt.Number)
 		}
 	}
@@ -124,15 +124,15 @@
 // ClientGaveUp checks that an invocation was answered before its client timed out.
 func (o *Oracle) ClientGaveUp(invocation *model.Invocation) {
 	if invocation.Outcome == model.Pending {
-		o.violated(ruleOneAnswer, invocation.Ref, "%s was taken and got no final answer before its client gave up", invocation.Ref)
+		o.addViolation(ruleOneAnswer, invocation.Ref, "%s was accepted and got no final answer before its client gave up", invocation.Ref)
 		invocation.Outcome = model.Unanswered
 	}
 }
 
 // ConnectionDropped reports that an api gateway closed a client's connection without an answer although it had not stopped.
 func (o *Oracle) ConnectionDropped(invocation *model.Invocation) {
-	o.violated(ruleOneAnswer, invocation.Ref, "%s was taken, and its client's connection ended without an answer", invocation.Ref)
+	o.addViolation(ruleOneAnswer, invocation.Ref, "%s was accepted, and its client's connection ended without an answer", invocation.Ref)
 }
 
 // ForeignContent reports that a client or a host received content that was meant for another.
-func (o *Oracle) ForeignContent(ref, text string) { o.violated(ruleOneAnswer, ref, "%s", text) }
+func (o *Oracle) ForeignContent(ref, text string) { o.addViolation(ruleOneAnswer, ref, "%s", text) }
--- a/sim/oracle/oracle.go
+++ b/sim/oracle/oracle.go
@@ -75,7 +75,7 @@
 	return oracle
 }
 
-func (o *Oracle) violated(rule int, ref, text string, args ...any) {
+func (o *Oracle) addViolation(rule int, ref, text string, args ...any) {
 	o.Total++
 	if len(o.Violations) < o.MaxKept {
 		o.Violations = append(o.Violations, Violation{Rule: rule, At: o.now(), Ref: ref, Text: fmt.Sprintf(text, args...)})
@@ -110,11 +110,11 @@
 
 // GatewayCrashed reports that an api gateway ended without a request to stop.
 func (o *Oracle) GatewayCrashed(gateway int, how error) {
-	o.violated(noRule, "", "api gateway %d has ended by itself: %v", gateway, how)
+	o.addViolation(noRule, "", "api gateway %d has ended by itself: %v", gateway, how)
 }
 
 // ExpectationFailed reports an expectation of a script that does not hold.
-func (o *Oracle) ExpectationFailed(text string) { o.violated(noRule, "", "%s", text) }
+func (o *Oracle) ExpectationFailed(text string) { o.addViolation(noRule, "", "%s", text) }
 
 // HostOverloaded checks whether the api gateways are to blame for the overload of a cold host, which went down under these arrivals.
 // At least two thirds of the work must come from gateways that knew of the host's start; less may be chance.
@@ -128,7 +128,7 @@
 		}
 	}
 	if fromInformedGateways >= total*2/3 {
-		o.violated(ruleColdHosts, "",
+		o.addViolation(ruleColdHosts, "",
 			"host %d went down %.2f s after its start under %.3f core seconds in %.2f s, %.0f%% of it from api gateways that knew of the start",
 			host.Number, o.now()-host.StartedAt, total, o.scenario.Cold.Window.Float(), 100*fromInformedGateways/total)
 	}
--- a/sim/oracle/quota.go
+++ b/sim/oracle/quota.go
@@ -113,7 +113,7 @@
 	if plan.CeilingRate.Float() > 0 {
 		used.ceiling.fill(now)
 		if request.Units > used.ceiling.level+unitsTolerance {
-			o.violated(ruleCeiling, invocation.Ref, "%s passes the ceiling of customer %s: %.2f units where %.2f were left",
+			o.addViolation(ruleCeiling, invocation.Ref, "%s exceeds the ceiling of customer %s: %.2f units where %.2f were left",
 				invocation.Ref, request.Customer.Key, request.Units, used.ceiling.level)
 		}
 		used.ceiling.level -= request.Units
