--- a/sim/gatewaymodel/attempt.go
+++ b/sim/gatewaymodel/attempt.go
@@ -22,8 +22,8 @@
 // onSameHost reports whether the connection is established and the host has not been down since.
 func (f *flight) onSameHost() bool { return f.connected && f.incarnation == f.host.Incarnation }
 
-// Send begins an attempt that times out after timeout seconds, and always shortly before its client gives up. 0 sets no timeout of
-// its own.
+// Send begins an attempt that times out after timeout seconds, or FinalAttemptMargin before its client gives up if that is earlier or
+// timeout is 0.
 func (g *Gateway) Send(ref, addr string, timeout float64) {
 	invocation := g.pending[ref]
 	host := g.environment.Host(addr)
@@ -92,7 +92,7 @@
 	}
 }
 
-// newJob returns the job that an attempt is for the host. With reset, the connection is reset instead of carrying the answer.
+// newJob returns the job of an attempt at its host. With reset, the connection is reset instead of carrying the answer.
 func (g *Gateway) newJob(f *flight, reset bool) *hostmodel.Job {
 	request := f.attempt.Invocation.Request
 	job := &hostmodel.Job{Operation: request.Operation.Number, Work: request.Work, Gateway: g.Slot}
--- a/sim/membershipsim/doc.go
+++ b/sim/membershipsim/doc.go
@@ -5,7 +5,7 @@
 //   - scenario.go: the parameters of a simulation and its results
 //   - simulation.go: the members, their crashes and stalls
 //   - links.go: the messages between members
-//   - beliefs.go: the reported states, compared with the actual ones
+//   - measurements.go: the reported states, compared with the actual ones
 //
 // The same Scenario gives the same Result. Times are in seconds.
 package membershipsim
--- a/sim/membershipsim/beliefs.go
+++ b/sim/membershipsim/measurements.go
@@ -45,10 +45,10 @@
 	observer.seenChanges = observer.detector.Changes
 	for k := range s.members {
 		dead := observer.detector.StateOf(now, k) == membership.Dead
-		if dead == observer.believesDead[k] {
+		if dead == observer.reportedDead[k] {
 			continue
 		}
-		observer.believesDead[k] = dead
+		observer.reportedDead[k] = dead
 		switch {
 		case now < epoch+startUp:
 		case dead:
@@ -67,7 +67,7 @@
 		s.measured.detections = append(s.measured.detections, now-m.diedAt)
 	case !s.disturbed() && now-m.startedAt > newlyStarted:
 		s.measured.falseDeaths++
-		if !s.believedDeadByOthers(i, k) {
+		if !s.reportedDeadByOthers(i, k) {
 			s.measured.falseAccusations++
 		}
 	}
@@ -86,9 +86,9 @@
 	return s.partitioned || s.PartitionEnds != 0 && s.queue.Now() <= epoch+s.PartitionEnds+healingAllowed
 }
 
-func (s *simulation) believedDeadByOthers(i, k int) bool {
+func (s *simulation) reportedDeadByOthers(i, k int) bool {
 	for j, m := range s.members {
-		if j != i && m.alive && m.believesDead[k] {
+		if j != i && m.alive && m.reportedDead[k] {
 			return true
 		}
 	}
@@ -105,14 +105,14 @@
 		}
 	}
 	s.measured.maxShares = max(s.measured.maxShares, shares)
-	if len(s.massDead) > 0 && math.IsNaN(s.measured.massDetect90) && s.massDeathKnown() >= 0.9 {
+	if len(s.massDead) > 0 && math.IsNaN(s.measured.massDetect90) && s.massDetectionShare() >= 0.9 {
 		s.measured.massDetect90 = now - epoch - s.MassDeathAt
 	}
 	s.queue.ScheduleAfter(shareInterval, s.measureShares)
 }
 
-// massDeathKnown returns the fraction of correct states that members in their first life report about the members that died at once.
-func (s *simulation) massDeathKnown() float64 {
+// massDetectionShare returns the fraction of correct states that members in their first life report about the members that died at once.
+func (s *simulation) massDetectionShare() float64 {
 	right, all := 0.0, 0.0
 	for _, m := range s.members {
 		if !m.alive || m.life != 1 {
@@ -123,7 +123,7 @@
 				continue
 			}
 			all++
-			if m.believesDead[k] {
+			if m.reportedDead[k] {
 				right++
 			}
 		}
@@ -134,7 +134,7 @@
 	return right / all
 }
 
-func (s *simulation) wrongBeliefs() (n int) {
+func (s *simulation) wrongStates() (n int) {
 	now := s.queue.Now()
 	for i, observer := range s.members {
 		if !observer.alive {
@@ -179,7 +179,7 @@
 		MessagesPerSecond: m.arrived / s.Duration / members,
 		BytesPerSecond:    m.bytes / s.Duration / members,
 		DroppedShare:      m.dropped / max(1, m.dropped+m.arrived),
-		WrongBeliefs:      s.wrongBeliefs(),
+		WrongBeliefs:      s.wrongStates(),
 		MaxShares:         m.maxShares,
 		MassDetect90:      Quantile(m.massDetect90),
 	}
--- a/sim/membershipsim/simulation.go
+++ b/sim/membershipsim/simulation.go
@@ -43,7 +43,7 @@
 	refilledAt float64
 
 	seenChanges  int
-	believesDead []bool // by member
+	reportedDead []bool // by member
 }
 
 type simulation struct {
@@ -78,7 +78,7 @@
 	starved := randstream.New(s.Seed, "starved").SampleShare(s.Members, s.StarvedShare)
 	cutOff := randstream.New(s.Seed, "cut").SampleShare(s.Members, s.PartitionShare)
 	for i := range s.Members {
-		m := &simulatedMember{cutOff: s.PartitionAt > 0 && cutOff[i], believesDead: make([]bool, s.Members)}
+		m := &simulatedMember{cutOff: s.PartitionAt > 0 && cutOff[i], reportedDead: make([]bool, s.Members)}
 		s.members = append(s.members, m)
 		s.queue.Schedule(epoch+s.random.Uniform(0, startSpread), func() { s.start(i) })
 		if s.StarvedShare > 0 && starved[i] {
@@ -133,7 +133,7 @@
 		Self: i, Members: s.Members, MessageRate: s.MessageRate, Part: s.MembershipShare,
 		Seed: s.Seed + uint64(s.lives)*seedStride,
 	})
-	m.believesDead = make([]bool, s.Members)
+	m.reportedDead = make([]bool, s.Members)
 	m.seenChanges = 0
 	s.tick(i, m.life)
 }
--- a/sim/oracle/quota.go
+++ b/sim/oracle/quota.go
@@ -21,7 +21,7 @@
 	b.filledAt = now
 }
 
-// usage is one customer's actual usage of its quota.
+// usage is the actual quota usage of one customer.
 type usage struct {
 	sent      tokenBucket // counts what reached a host
 	requested tokenBucket // counts what clients requested
