--- a/sim/oracle/oracle_test.go
+++ b/sim/oracle/oracle_test.go
@@ -184,7 +184,7 @@
 	// The requests exceed the rate, so the units granted are the burst and the refill less the remaining level.
 	f.usage[cust].sent.fill(f.now)
 	if want := 10 + 2*f.now - f.usage[cust].sent.level; math.Abs(granted-want) > 1e-6 || granted < 1990 {
-		t.Fatalf("%.6f units granted in %d half-unit requests, want %.6f", granted, 2*n, want)
+		t.Fatalf("%.6f units granted of %d requested, want %.6f", granted, 2*n, want)
 	}
 }
 
