--- a/sim/scenario/check.go
+++ b/sim/scenario/check.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// What a kind of fault needs, as FaultKind.Needs says it.
+// Values of FaultKind.Needs: what a scenario must have for a kind of fault to apply.
 const (
 	needsOperation = "operation"
 	needsPeers     = "peers"
 	needsCounter   = "counter"
 )
 
-// sizeIsPart begins the description of a size that is a part of something.
-const sizeIsPart = "part"
+// partSizePrefix begins FaultKind.Size where the size is a fraction between 0 and 1.
+const partSizePrefix = "part"
 
-// partitionKind is the kind of fault that cuts zones off, for which there must be two.
+// partitionKind is the kind of fault that partitions zones. It requires at least two zones.
 const partitionKind = "cut"
 
-// check finds what one field alone does not show.
+// check validates the conditions that span several fields.
 func (r *reader) check(s *Scenario) {
 	if len(s.Hosts) == 0 || len(s.Operations) == 0 || len(s.Plans) == 0 {
-		r.problem("host", "a day has at least one [[host]], one [[operation]] and one [[plan]]")
+		r.problem("host", "a day needs at least one [[host]], one [[operation]] and one [[plan]]")
 	}
 	r.checkNames("host", len(s.Hosts), func(i int) string { return s.Hosts[i].Name })
 	r.checkNames("operation", len(s.Operations), func(i int) string { return s.Operations[i].Name })
@@ -43,16 +43,16 @@
 	}
 }
 
-// checkNames checks the names of the tables of a list.
+// checkNames checks that the tables of an array have valid and unique names.
 func (r *reader) checkNames(list string, count int, name func(i int) string) {
 	for i := range count {
 		key := indexed(list, i) + ".name"
 		if strings.ContainsAny(name(i), " \t\n\"/") || name(i) == "" {
-			r.problem(key, "%q: a name has no blanks, quotes or slashes and is not empty", name(i))
+			r.problem(key, "%q: a name must not be empty or contain blanks, quotes or slashes", name(i))
 		}
 		for earlier := range i {
 			if name(i) == name(earlier) {
-				r.problem(key, "%q is there already", name(i))
+				r.problem(key, "%q is used more than once", name(i))
 			}
 		}
 	}
@@ -60,22 +60,22 @@
 
 func (r *reader) checkOperation(key string, operation *Operation) {
 	if operation.Objective.Lo > operation.Timeout.Hi {
-		r.problem(key+".objective", "is after the integration timeout of %s", formatFigure(unitTime, operation.Timeout.Hi))
+		r.problem(key+".objective", "exceeds the integration timeout of %s", formatFigure(unitTime, operation.Timeout.Hi))
 	}
 	if operation.Effect == "tokened" && operation.TokenTime.Lo == 0 {
-		r.problem(key+".token_time", "a tokened operation needs one")
+		r.problem(key+".token_time", "is required for a tokened operation")
 	}
 }
 
 func (r *reader) checkPlan(key string, plan *Plan, maxUnits float64) {
 	if plan.Rate.Hi > 0 && plan.Burst.Lo < maxUnits {
-		r.problem(key+".burst", "holds less than one invocation may have: %s units", formatFigure(unitCount, maxUnits))
+		r.problem(key+".burst", "is less than the most units of one invocation: %s", formatFigure(unitCount, maxUnits))
 	}
 	if plan.Rate.Lo == 0 && plan.UseRate.Lo == 0 {
-		r.problem(key+".use", "is needed where there is no rate")
+		r.problem(key+".use", "is required if rate is 0/s")
 	}
 	if plan.CeilingRate.Hi > 0 && plan.CeilingBurst.Lo < maxUnits {
-		r.problem(key+".ceiling_burst", "holds less than one invocation may have")
+		r.problem(key+".ceiling_burst", "is less than the most units of one invocation")
 	}
 }
 
@@ -90,34 +90,34 @@
 		return
 	}
 	if kind.Lasts && fault.Lasts.Lo == 0 {
-		r.problem(key+".lasts", "%s needs a time", fault.Kind)
+		r.problem(key+".lasts", "%s needs a duration", fault.Kind)
 	}
 	if fault.At.Lo > s.Length.Hi {
 		r.problemAfterEnd(key, s)
 	}
 	r.checkFaultNeeds(key, kind, fault, s)
-	if strings.HasPrefix(kind.Size, sizeIsPart) && fault.Size.Hi > 1 {
-		r.problem(key+".size", "is a part here: at most 1")
+	if strings.HasPrefix(kind.Size, partSizePrefix) && fault.Size.Hi > 1 {
+		r.problem(key+".size", "is a fraction for this kind: at most 1")
 	}
 	if kind.PositiveSize && fault.Size.Lo == 0 {
-		r.problem(key+".size", "is a factor here: over 0")
+		r.problem(key+".size", "is a factor for this kind: it must be greater than 0")
 	}
 	if fault.Kind == partitionKind && s.Fleet.Zones.Lo < 2 {
-		r.problem(key+".kind", "cut needs two zones or more")
+		r.problem(key+".kind", "cut needs at least two zones")
 	}
 }
 
-// problemAfterEnd notes that something begins too late.
+// problemAfterEnd records that a fault begins after the end of the scenario.
 func (r *reader) problemAfterEnd(key string, s *Scenario) {
-	r.problem(key+".at", "is after the day's end at %s", formatFigure(unitTime, s.Length.Hi))
+	r.problem(key+".at", "is after the end of the day at %s", formatFigure(unitTime, s.Length.Hi))
 }
 
-// checkFaultNeeds checks that the scenario has what the fault strikes.
+// checkFaultNeeds checks that the scenario has the component that a fault affects.
 func (r *reader) checkFaultNeeds(key string, kind FaultKind, fault *Fault, s *Scenario) {
 	switch kind.Needs {
 	case needsOperation:
 		if !slices.ContainsFunc(s.Operations, func(o Operation) bool { return o.Name == fault.Operation }) {
-			r.problem(key+".operation", "%q is no operation of this day", fault.Operation)
+			r.problem(key+".operation", "%q is not an operation of this day", fault.Operation)
 		}
 	case needsPeers:
 		if !s.Peers.Allowed {
--- a/sim/scenario/checkscript.go
+++ b/sim/scenario/checkscript.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// logEvent is the event, and the expectation, of a line in a log.
+// logEvent names both the event and the expectation that match lines of a gateway's log.
 const logEvent = "log"
 
-// checkProcessFault checks a fault of a script.
+// checkProcessFault validates a fault of a script: one on real processes or on the links between them.
 func (r *reader) checkProcessFault(key string, fault *ProcessFault, s *Scenario) {
-	if !named(ProcessFaultKinds, fault.Kind) {
-		r.problem(key+".kind", "%q is not known; there are %s", fault.Kind, known(ProcessFaultKinds))
+	if !hasName(ProcessFaultKinds, fault.Kind) {
+		r.problem(key+".kind", "%q is not known; there are %s", fault.Kind, joinNames(ProcessFaultKinds))
 		return
 	}
 	gateways := int(s.Fleet.Gateways.Lo)
@@ -27,10 +27,10 @@
 	}
 }
 
-// checkProcess checks which processes a fault strikes.
+// checkProcess checks the selection of the processes that a fault affects.
 func (r *reader) checkProcess(key string, fault *ProcessFault, gateways, stores int) {
 	if fault.From != "" || fault.To != "" {
-		r.problem(key+".from", "%s strikes a process: edge says which", fault.Kind)
+		r.problem(key+".from", "%s affects processes: select them with edge instead", fault.Kind)
 	}
 	if _, err := ParseNumbers(fault.Edges, gateways); err != nil {
 		r.problem(key+".edge", "%v", err)
@@ -40,45 +40,45 @@
 	}
 }
 
-// checkStores checks which quota stores a fault strikes.
+// checkStores checks the selection of the quota stores that a fault affects.
 func (r *reader) checkStores(key string, fault *ProcessFault, stores int) {
 	if fault.Keeper != "leader" && !isDrawn(fault.Keeper, stores) {
 		if _, err := ParseNumbers(fault.Keeper, stores); err != nil {
-			r.problem(key+".keeper", "%v, leader, or some N", err)
+			r.problem(key+".keeper", "%v, leader or some N", err)
 		}
 	}
 	if fault.Edges != "" || fault.Kind == "twice" {
-		r.problem(key+".keeper", "strikes keepers: neither edge nor twice goes with it")
+		r.problem(key+".keeper", "affects keepers: it can't be combined with edge or with the kind twice")
 	}
 }
 
-// isDrawn says whether a text is "some N", with N from 1 to most.
-func isDrawn(text string, most int) bool {
+// isDrawn reports whether the text is "some N", with N from 1 to maxCount: N processes drawn by the seed.
+func isDrawn(text string, maxCount int) bool {
 	var count int
 	_, err := fmt.Sscanf(text, "some %d", &count)
-	return err == nil && count >= 1 && count <= most
+	return err == nil && count >= 1 && count <= maxCount
 }
 
-// checkEvent checks the event that a fault waits for.
+// checkEvent validates the event that triggers a fault.
 func (r *reader) checkEvent(key string, fault *ProcessFault, gateways int) {
-	if fault.On != "" && !named(Events, fault.On) {
-		r.problem(key+".on", "%q is no event; there are %s", fault.On, known(Events))
+	if fault.On != "" && !hasName(Events, fault.On) {
+		r.problem(key+".on", "%q is no event; there are %s", fault.On, joinNames(Events))
 	}
 	if _, err := ParseNumbers(fault.Gateways, gateways); err != nil {
 		r.problem(key+".by", "%v", err)
 	}
 	if fault.On == logEvent && fault.Text == "" {
-		r.problem(key+".text", "the event log needs a text")
+		r.problem(key+".text", "is required for the event log")
 	}
 }
 
-// valueNeeds are the values that faults of a kind need.
-var valueNeeds = map[string]struct {
+// requiredValues maps a kind of fault to the value that it requires.
+var requiredValues = map[string]struct {
 	field, what string
 	given       func(fault *ProcessFault) bool
 }{
-	"freeze": {"lasts", "a time", func(f *ProcessFault) bool { return f.Lasts.Lo > 0 }},
-	"starve": {"size", "a time that it lasts, and a part of the time under 1", func(f *ProcessFault) bool {
+	"freeze": {"lasts", "a duration", func(f *ProcessFault) bool { return f.Lasts.Lo > 0 }},
+	"starve": {"size", "a duration and a fraction of the time below 1", func(f *ProcessFault) bool {
 		return f.Lasts.Lo > 0 && f.Size.Hi < 1
 	}},
 	"delay":    {"time", "a time or jitter", func(f *ProcessFault) bool { return f.Time.Hi > 0 || f.Jitter.Hi > 0 }},
@@ -86,21 +86,21 @@
 	"rate":     {"size", "bytes a second", func(f *ProcessFault) bool { return f.Size.Lo > 0 }},
 }
 
-// checkFaultValues checks that a fault has the values that its kind needs.
+// checkFaultValues checks that a fault has the value that its kind requires.
 func (r *reader) checkFaultValues(key string, fault *ProcessFault) {
-	need, ok := valueNeeds[fault.Kind]
+	need, ok := requiredValues[fault.Kind]
 	if ok && !need.given(fault) {
 		r.problem(key+"."+need.field, "%s needs %s", fault.Kind, need.what)
 	}
 }
 
-// Kinds of link faults that strike datagrams only, and those that strike connections only.
+// Kinds of link faults that apply to datagrams only, and those that apply to connections only.
 var (
 	datagramKinds   = []string{"double", "disorder"}
 	connectionKinds = []string{"half-open", "reset", "refuse", "stall", "rate"}
 )
 
-// checkLink checks which links a fault strikes.
+// checkLink checks the selection of the links that a fault affects, and that its kind applies to them.
 func (r *reader) checkLink(key string, fault *ProcessFault, gateways, hosts int) {
 	from, _, err := ParseLinkEnd(fault.From, gateways, hosts)
 	if err != nil {
@@ -113,13 +113,13 @@
 		return
 	}
 	if fault.Edges != "" {
-		r.problem(key+".edge", "%s strikes links: from and to say which", fault.Kind)
+		r.problem(key+".edge", "%s affects links: select them with from and to instead", fault.Kind)
 	}
 	if from == endStore && to == endStore {
 		return
 	}
 	if !isLink(from, to) {
-		r.problem(key+".from", "links go from clients to edges, and from edges to counter, discovery, hosts and edges")
+		r.problem(key+".from", "there are links only from clients to edges, and from edges to counter, discovery, hosts and edges")
 	}
 	datagrams := from == endGateway && to == endGateway
 	wrongKinds := datagramKinds
@@ -127,11 +127,11 @@
 		wrongKinds = connectionKinds
 	}
 	if slices.Contains(wrongKinds, fault.Kind) {
-		r.problem(key+".kind", "%s can't strike the way from %s to %s", fault.Kind, fault.From, fault.To)
+		r.problem(key+".kind", "%s does not apply to the link from %s to %s", fault.Kind, fault.From, fault.To)
 	}
 }
 
-// isLink says whether there are links from one kind of process to another.
+// isLink reports whether there are links from one kind of process to another.
 func isLink(from, to string) bool {
 	if from == endClients {
 		return to == endGateway
@@ -139,21 +139,21 @@
 	return from == endGateway && to != endClients
 }
 
-// checkExpectation checks what a script expects to hold at its end.
+// checkExpectation validates a condition that must hold at the end of a script.
 func (r *reader) checkExpectation(key string, expected *Expectation, s *Scenario) {
-	if !named(ExpectationKinds, expected.Kind) {
-		r.problem(key+".what", "%q is not known; there are %s", expected.Kind, known(ExpectationKinds))
+	if !hasName(ExpectationKinds, expected.Kind) {
+		r.problem(key+".what", "%q is not known; there are %s", expected.Kind, joinNames(ExpectationKinds))
 	}
 	if _, err := ParseNumbers(expected.Edge, int(s.Fleet.Gateways.Lo)); err != nil {
 		r.problem(key+".edge", "%v", err)
 	}
 	if expected.Edge != "" && expected.Kind != logEvent && expected.Kind != "runs" {
-		r.problem(key+".edge", "%s is of the whole fleet", expected.Kind)
+		r.problem(key+".edge", "%s is measured for the whole fleet, so edge does not apply", expected.Kind)
 	}
 	if expected.Kind == logEvent && expected.Text == "" {
-		r.problem(key+".text", "log needs a text")
+		r.problem(key+".text", "is required for log")
 	}
 	if expected.Min.Lo > expected.Max.Hi || expected.From.Lo >= expected.Until.Hi {
-		r.problem(key+".least", "can't be kept: its bounds cross")
+		r.problem(key+".least", "can't be kept: a lower bound is above its upper bound")
 	}
 }
--- a/sim/scenario/doc.go
+++ b/sim/scenario/doc.go
@@ -1,12 +1,13 @@
-// Package scenario is the form of the scenarios that simulations run: a deployment, its load and its faults, as they stand in a TOML
-// file, which the pages call a day. It reads, checks, draws and writes scenarios, and must never run one.
+// Package scenario defines the file format of simulation scenarios: a deployment, its load and its faults, written in TOML. The
+// documentation and the command line call a scenario a day. The package reads, validates, samples and writes scenarios, and must
+// never run one.
 //
-// The fields of Scenario say in their tags what a file may hold:
+// The struct tags of Scenario and of its nested types describe the file format:
 //
 //   - day: the key
-//   - unit: of a figure: s, /s, share, n (a whole number) or x (a number)
-//   - min, max: the bounds of a figure
-//   - one: the words that a text may be, with | between them
-//   - def: the default; without it the key must be given
-//   - about: the sentence in the table of keys (docs/laboratory.md)
+//   - unit: the unit of a number: s, /s, share, n (a whole number) or x (any number)
+//   - min, max: the bounds of a number
+//   - one: the allowed strings, separated by |
+//   - def: the default; a key without a default is required
+//   - about: the description in the table of keys (docs/laboratory.md)
 package scenario
--- a/sim/scenario/draw.go
+++ b/sim/scenario/draw.go
@@ -11,10 +11,10 @@
 	"otterseam/sim/randstream"
 )
 
-// hostSpeed ends the paths of the speeds of hosts, which stay ranges: each host draws its own.
-const hostSpeed = "].speed"
+// hostSpeedSuffix ends the path of a host speed. Host speeds stay ranges because each host draws its own speed.
+const hostSpeedSuffix = "].speed"
 
-// Clone copies a scenario with all that it holds.
+// Clone returns a deep copy of the scenario.
 func (s *Scenario) Clone() *Scenario {
 	clone := *s
 	clone.Hosts = slices.Clone(s.Hosts)
@@ -26,12 +26,12 @@
 	return &clone
 }
 
-// Draw picks one figure from each range, by a seed and the figure's path: evenly, and counts as whole numbers. The speed of hosts
-// stays a range.
+// Draw returns a copy in which each range is replaced by one value, drawn uniformly from a random stream that depends on the seed and
+// on the path of the key. Counts are rounded to whole numbers. Host speeds stay ranges.
 func (s *Scenario) Draw(seed uint64) *Scenario {
 	drawn := s.Clone()
 	drawn.eachSpan(func(path string, tag reflect.StructTag, span *Span) {
-		if !span.isRange() || strings.HasSuffix(path, hostSpeed) {
+		if !span.isRange() || strings.HasSuffix(path, hostSpeedSuffix) {
 			return
 		}
 		figure := randstream.New(seed, "day "+path).Uniform(span.Lo, span.Hi)
@@ -44,18 +44,18 @@
 	return drawn
 }
 
-// Spans gives the paths of all ranges that are yet to be drawn.
+// Spans returns the paths of all ranges that Draw would replace by a value.
 func (s *Scenario) Spans() []string {
 	var paths []string
 	s.eachSpan(func(path string, _ reflect.StructTag, span *Span) {
-		if span.isRange() && !strings.HasSuffix(path, hostSpeed) {
+		if span.isRange() && !strings.HasSuffix(path, hostSpeedSuffix) {
 			paths = append(paths, path)
 		}
 	})
 	return paths
 }
 
-// SpanAt gives the span at a path, to be read or changed; nil where there is none.
+// SpanAt returns a pointer to the span at a path, or nil if there is none. The caller may modify the span.
 func (s *Scenario) SpanAt(path string) *Span {
 	var found *Span
 	s.eachSpan(func(p string, _ reflect.StructTag, span *Span) {
@@ -66,7 +66,7 @@
 	return found
 }
 
-// eachSpan visits all spans with their paths and tags.
+// eachSpan calls visit for each span with its path and struct tag.
 func (s *Scenario) eachSpan(visit func(path string, tag reflect.StructTag, span *Span)) {
 	visitSpans("", reflect.ValueOf(s).Elem(), visit)
 }
@@ -89,14 +89,14 @@
 	}
 }
 
-// Set changes one key, such as counter.capacity, plan[0].rate or trouble[1].kind, to what a file would hold there.
+// Set changes one key, such as counter.capacity, plan[0].rate or trouble[1].kind, to a value written as in a scenario file.
 func (s *Scenario) Set(path, value string) error {
 	field, to, err := s.fieldAt(path)
 	if err != nil {
 		return err
 	}
 	if isTable(to.Type()) || to.Kind() == reflect.Int {
-		return fmt.Errorf("%s is not a figure or a text", path)
+		return fmt.Errorf("%s can't be set: it is not a number, a boolean or a string", path)
 	}
 	if err := setField(field, to, value); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// fieldAt finds the field at a path.
+// fieldAt returns the field at a path and its value.
 func (s *Scenario) fieldAt(path string) (field reflect.StructField, value reflect.Value, err error) {
 	value = reflect.ValueOf(s).Elem()
 	for _, part := range strings.Split(path, ".") {
@@ -128,7 +128,7 @@
 		}
 		number, err := strconv.Atoi(index)
 		if !isIndexed || err != nil || number < 0 || number >= value.Len() {
-			return field, value, fmt.Errorf("%s: %s wants a number from 0 to %d, as in %s[0]", path, key, value.Len()-1, key)
+			return field, value, fmt.Errorf("%s: %s needs an index from 0 to %d, as in %s[0]", path, key, value.Len()-1, key)
 		}
 		value = value.Index(number)
 	}
--- a/sim/scenario/faultkinds.go
+++ b/sim/scenario/faultkinds.go
@@ -1,17 +1,17 @@
 package scenario
 
-// FaultKind tells what a kind of fault does.
+// FaultKind describes a kind of fault.
 type FaultKind struct {
 	Name         string
 	Description  string
-	Part         string // of what; "": part means nothing
-	Size         string // what it says; "": size means nothing
-	Lasts        bool   // it lasts
-	Needs        string // "operation", "peers" or "counter"
-	PositiveSize bool   // a size of 0 makes no sense
+	Part         string // what Fault.Part is a share of; "" if the kind ignores it
+	Size         string // meaning of Fault.Size; "" if the kind ignores it
+	Lasts        bool   // whether it needs a duration
+	Needs        string // what the scenario must have: "operation", "peers", "counter" or ""
+	PositiveSize bool   // whether the size must be greater than 0
 }
 
-// FaultKinds are those of faults in the order in which the pages list them.
+// FaultKinds lists the kinds of faults in the order of the documentation.
 var FaultKinds = []FaultKind{
 	{Name: "slow", Description: "hosts work at a part of their speed", Part: "hosts", Size: "how many times slower", Lasts: true, PositiveSize: true},
 	{Name: "silent", Description: "hosts answer nothing and run nothing; connections stay open", Part: "hosts", Lasts: true},
@@ -47,7 +47,7 @@
 	{Name: "starve", Description: "api gateways get a part of their share of a core", Part: "api gateways", Size: "part of it", Lasts: true, PositiveSize: true},
 }
 
-// FaultKindOf gives what is known of a kind of fault; false: nothing.
+// FaultKindOf returns the kind of fault of a name, and whether there is one.
 func FaultKindOf(name string) (FaultKind, bool) {
 	for _, kind := range FaultKinds {
 		if kind.Name == name {
--- a/sim/scenario/lines.go
+++ b/sim/scenario/lines.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines finds the line of each key of a TOML text; of an array of tables each table has its number.
+// keyLines returns the line of each key of a TOML text by the path of the key. The tables of an array are numbered from 0.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	tablesSeen := map[string]int{}
@@ -35,7 +35,7 @@
 	return lines
 }
 
-// keyOf is the key of an expression, and its line.
+// keyOf returns the dotted key of an expression and its line.
 func keyOf(text []byte, expression *unstable.Node) (key string, line int) {
 	for parts := expression.Key(); parts.Next(); {
 		node := parts.Node()
@@ -47,7 +47,7 @@
 	return key, line
 }
 
-// joinKey is the path of a key in a table; "" is the top.
+// joinKey returns the path of a key in a table. The table "" is the root of the file.
 func joinKey(table, key string) string {
 	if table == "" {
 		return key
@@ -55,5 +55,5 @@
 	return table + "." + key
 }
 
-// indexed is the path of one table of an array.
+// indexed returns the path of one table of an array.
 func indexed(key string, index int) string { return fmt.Sprintf("%s[%d]", key, index) }
--- a/sim/scenario/numbers.go
+++ b/sim/scenario/numbers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The kinds of processes that a link can end at, as scripts name them.
+// Names of the kinds of processes at the ends of a link, as used in scripts.
 const (
 	endClients   = "clients"
 	endCounter   = "counter"
@@ -16,10 +16,11 @@
 	endHost      = "host"
 )
 
-// maxStores is how many quota stores a script can have.
+// maxStores is the maximum number of quota stores in a script.
 const maxStores = 9
 
-// ParseNumbers reads numbers such as "0,2"; "*", "all" and "" are all of count. Numbers from count on are an error.
+// ParseNumbers parses process numbers such as "0,2". The texts "*", "all" and "" stand for all numbers below count. A number of count or
+// more is an error.
 func ParseNumbers(text string, count int) ([]int, error) {
 	var numbers []int
 	if text == "*" || text == "all" || text == "" {
@@ -31,7 +32,7 @@
 	for _, part := range strings.Split(text, ",") {
 		number, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || number < 0 {
-			return nil, fmt.Errorf("%q: numbers such as 0,2 are wanted, or *", text)
+			return nil, fmt.Errorf("%q is neither a list of numbers such as 0,2 nor *", text)
 		}
 		if number >= count {
 			return nil, fmt.Errorf("%q: there are %d, from 0", text, count)
@@ -41,13 +42,14 @@
 	return numbers, nil
 }
 
-// ParseLinkEnd reads one end of a link: the kind of its processes, and which of them. There are so many api gateways and hosts.
+// ParseLinkEnd parses one end of a link: the kind of its processes and their numbers. The parameters gateways and hosts are how many of
+// each the script has.
 func ParseLinkEnd(text string, gateways, hosts int) (kind string, numbers []int, err error) {
 	kind, which, _ := strings.Cut(text, " ")
 	switch kind {
 	case endCounter, endDiscovery, endClients:
 		if which != "" {
-			return kind, nil, fmt.Errorf("%q: there is one %s", text, kind)
+			return kind, nil, fmt.Errorf("%q: there is only one %s, so it takes no number", text, kind)
 		}
 		return kind, nil, nil
 	case endStore:
--- a/sim/scenario/problem.go
+++ b/sim/scenario/problem.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Problem is one thing wrong with a file.
+// Problem is one error in a scenario file.
 type Problem struct {
 	File         string
-	Line         int // 0: not known
+	Line         int // 0 if unknown
 	Key, Message string
 }
 
@@ -23,7 +23,7 @@
 	return place + ": " + p.Message
 }
 
-// InvalidError is all that is wrong with a file, a line for each.
+// InvalidError holds all errors found in a scenario file. Error returns one line for each.
 type InvalidError []Problem
 
 func (e InvalidError) Error() string {
--- a/sim/scenario/read.go
+++ b/sim/scenario/read.go
@@ -12,19 +12,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Read reads a scenario; file is what problems call it.
+// Read parses and validates a scenario. The file name is only used in error messages.
 func Read(file string, text []byte) (*Scenario, error) { return ReadOver(file, text, nil) }
 
-// BaseOf is the scenario that a file says it is built on; "": none.
+// BaseOf returns the name of the scenario that a file extends, or "" if it extends none.
 func BaseOf(text []byte) string {
 	var head struct {
 		Base string `toml:"base"`
 	}
-	_ = toml.Unmarshal(text, &head) // what is wrong with the file is found when it is read
+	_ = toml.Unmarshal(text, &head) // syntax errors are reported by ReadOver
 	return head.Base
 }
 
-// ReadOver reads a scenario of which what is not given is as in another; a list of tables that is given replaces the other's.
+// ReadOver parses and validates a scenario that extends base, which may be nil. Keys that the file omits keep their values from base. An
+// array of tables in the file replaces the whole array of base.
 func ReadOver(file string, text []byte, base *Scenario) (*Scenario, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
@@ -45,7 +46,7 @@
 		r.check(read)
 	}
 	if base != nil {
-		read.Base = "" // it is in it now
+		read.Base = "" // the values of the base have been copied
 	}
 	if len(r.problems) > 0 {
 		slices.SortStableFunc(r.problems, func(a, b Problem) int { return cmp.Compare(a.Line, b.Line) })
@@ -54,25 +55,25 @@
 	return read, nil
 }
 
-// reader reads one file and finds all that is wrong with it at once.
+// reader reads one file and collects all errors in it, so that they are reported together.
 type reader struct {
 	file         string
-	lines        map[string]int // by path of a key
+	lines        map[string]int // by the path of the key
 	problems     InvalidError
-	keepsMissing bool // what is not given stays as it is
+	keepsMissing bool // omitted keys keep the values of the base
 }
 
-// problem notes what is wrong with a key.
+// problem records an error in a key.
 func (r *reader) problem(key, format string, args ...any) {
 	line := r.lines[key]
-	for table := key; line == 0 && strings.Contains(table, "."); { // what is missing has the line of its table
+	for table := key; line == 0 && strings.Contains(table, "."); { // a missing key is reported at the line of its table
 		table = table[:strings.LastIndex(table, ".")]
 		line = r.lines[table]
 	}
 	r.problems = append(r.problems, Problem{File: r.file, Line: line, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
-// table reads a table into a struct.
+// table reads a TOML table into a struct.
 func (r *reader) table(path string, tree map[string]any, to reflect.Value) {
 	known := keysOf(to.Type())
 	for i, key := range known {
@@ -91,7 +92,7 @@
 	}
 }
 
-// keysOf are the keys of a struct's fields, in order.
+// keysOf returns the TOML keys of a struct's fields in the order of the fields.
 func keysOf(t reflect.Type) []string {
 	var keys []string
 	for i := range t.NumField() {
@@ -100,7 +101,7 @@
 	return keys
 }
 
-// isTable says that a field is a table of its own.
+// isTable reports whether a field of the type is written as a TOML table.
 func isTable(t reflect.Type) bool { return t.Kind() == reflect.Struct && t != spanType }
 
 func (r *reader) field(path string, value any, given bool, field reflect.StructField, to reflect.Value) {
@@ -111,7 +112,7 @@
 	case isTable(to.Type()):
 		tree, ok := value.(map[string]any)
 		if given && !ok {
-			r.problem(path, "a table is wanted: [%s]", path)
+			r.problem(path, "must be a table: [%s]", path)
 			return
 		}
 		r.table(path, tree, to)
@@ -132,7 +133,7 @@
 	}
 }
 
-// defaultOf is what a field holds if the file does not say.
+// defaultOf returns the default value of a field, and whether it has one.
 func defaultOf(field reflect.StructField) (value any, ok bool) {
 	text, ok := field.Tag.Lookup("def")
 	if field.Type.Kind() == reflect.Bool {
@@ -141,23 +142,23 @@
 	return text, ok
 }
 
-// tables reads an array of tables into a slice of structs.
+// tables reads a TOML array of tables into a slice of structs.
 func (r *reader) tables(path string, value any, given bool, to reflect.Value) {
 	list, ok := value.([]any)
 	if given && !ok {
-		r.problem(path, "a list of tables is wanted: [[%s]]", path)
+		r.problem(path, "must be an array of tables: [[%s]]", path)
 		return
 	}
 	if given {
 		to.SetLen(0)
 	}
 	keepsMissing := r.keepsMissing
-	r.keepsMissing = false // what is new has its own defaults
+	r.keepsMissing = false // omitted keys of a new table get their defaults, not values of the base
 	defer func() { r.keepsMissing = keepsMissing }()
 	for i, each := range list {
 		tree, ok := each.(map[string]any)
 		if !ok {
-			r.problem(indexed(path, i), "a table is wanted: [[%s]]", path)
+			r.problem(indexed(path, i), "must be a table: [[%s]]", path)
 			continue
 		}
 		read := reflect.New(to.Type().Elem()).Elem()
@@ -166,7 +167,7 @@
 	}
 }
 
-// setField gives a field the value that stands in a file, on a command line or among the defaults.
+// setField sets a field to a value from a file, from the command line or from the defaults.
 func setField(field reflect.StructField, to reflect.Value, value any) error {
 	switch to.Kind() {
 	case reflect.Bool:
@@ -175,7 +176,7 @@
 		return setText(field, to, value)
 	case reflect.Int:
 		if value != int64(1) {
-			return errors.New("1 is wanted: this program knows no other form")
+			return errors.New("must be 1, the only supported version")
 		}
 		to.SetInt(1)
 		return nil
@@ -189,27 +190,27 @@
 }
 
 func setBool(to reflect.Value, value any) error {
-	if text, ok := value.(string); ok { // from a command line
+	if text, ok := value.(string); ok { // from the command line
 		if parsed, err := strconv.ParseBool(text); err == nil {
 			value = parsed
 		}
 	}
-	truth, ok := value.(bool)
+	boolean, ok := value.(bool)
 	if !ok {
-		return errors.New("true or false is wanted")
+		return errors.New("must be true or false")
 	}
-	to.SetBool(truth)
+	to.SetBool(boolean)
 	return nil
 }
 
 func setText(field reflect.StructField, to reflect.Value, value any) error {
 	text, ok := value.(string)
 	if !ok {
-		return errors.New("a text is wanted")
+		return errors.New("must be a string")
 	}
 	words := field.Tag.Get("one")
 	if words != "" && !slices.Contains(strings.Split(words, "|"), text) {
-		return fmt.Errorf("%q; one of %s is wanted", text, strings.ReplaceAll(words, "|", ", "))
+		return fmt.Errorf("%q is not one of %s", text, strings.ReplaceAll(words, "|", ", "))
 	}
 	to.SetString(text)
 	return nil
--- a/sim/scenario/scenario.go
+++ b/sim/scenario/scenario.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Scenario is a deployment, its load and what happens to it. Where a figure is a range, Draw picks one by seed.
+// Scenario describes a deployment, its load and its faults. A number in it may be a range, from which Draw picks a value by seed.
 type Scenario struct {
 	Format        int            `day:"format" min:"1" max:"1" about:"version of this form; 1"`
 	Name          string         `day:"name" about:"what the day is called in reports"`
@@ -24,14 +24,14 @@
 	Expectations  []Expectation  `day:"promise" about:"scripts: what has to hold at the end"`
 }
 
-// Fleet is how many machines there are.
+// Fleet holds the numbers of machines and zones.
 type Fleet struct {
 	Gateways Span `day:"gateways" unit:"n" min:"1" max:"5000" about:"api gateways"`
 	Hosts    Span `day:"hosts" unit:"n" min:"1" max:"10000" about:"hosts at the start"`
 	Zones    Span `day:"zones" unit:"n" min:"1" max:"16" def:"1" about:"zones; machines stand in them in turn"`
 }
 
-// Network is the paths between machines.
+// Network describes the latency and the connections between machines.
 type Network struct {
 	WithinZone   Span `day:"near" unit:"s" min:"0s" max:"1s" def:"300us" about:"one way inside a zone"`
 	BetweenZones Span `day:"far" unit:"s" min:"0s" max:"1s" def:"1ms" about:"one way between zones"`
@@ -40,7 +40,7 @@
 	IdleTimeout  Span `day:"idle_close" unit:"s" min:"100ms" max:"1h" def:"15s" about:"hosts close a connection at rest for so long"`
 }
 
-// HostKind is one kind of hosts.
+// HostKind describes one kind of host.
 type HostKind struct {
 	Name        string `day:"name" about:"of the kind"`
 	Share       Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of all hosts, beside the other kinds' shares"`
@@ -51,7 +51,7 @@
 	ConnectWork Span   `day:"connect_work" unit:"s" min:"0s" max:"1s" def:"500us" about:"work that a new connection costs it"`
 }
 
-// ColdStart is how hosts behave that have just started.
+// ColdStart describes the reduced capacity of hosts that have just started.
 type ColdStart struct {
 	Share  Span `day:"share" unit:"share" min:"0.01" max:"1" def:"0.2" about:"of its capacity that a host starts with"`
 	Warm   Span `day:"warm" unit:"s" min:"0s" max:"10m" def:"10s" about:"until it has all of it"`
@@ -59,7 +59,7 @@
 	Window Span `day:"window" unit:"s" min:"100ms" max:"1m" def:"2s" about:"for so long"`
 }
 
-// Operation is something that clients ask for.
+// Operation describes an operation that clients invoke.
 type Operation struct {
 	Name      string `day:"name" about:"of the operation"`
 	Share     Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of all invocations, beside the others' shares"`
@@ -74,7 +74,7 @@
 	TokenTime Span   `day:"token_time" unit:"s" min:"0s" max:"10m" def:"0s" about:"tokened: for how long"`
 }
 
-// Plan is what customers are promised: their quota and its price.
+// Plan describes a usage plan: the quota of its customers and its price.
 type Plan struct {
 	Name          string `day:"name" about:"of the plan"`
 	Share         Span   `day:"share" unit:"share" min:"0" max:"1" def:"1" about:"of the load inside quotas, beside the others' shares"`
@@ -88,7 +88,7 @@
 	Price         Span   `day:"price" unit:"x" min:"0" max:"100" def:"1" about:"factor on the billed value"`
 }
 
-// Clients is how much customers ask for, and how their clients take an answer.
+// Clients describes the load from customers and how their clients retry and time out.
 type Clients struct {
 	Rate             Span `day:"rate" unit:"/s" min:"0.1/s" max:"1000000/s" about:"first tries a second inside the quotas, from all customers; what the others ask for comes on top"`
 	Units            Span `day:"units" unit:"n" min:"1" max:"1000" def:"1" about:"most units of one invocation; drawn from 1, falling"`
@@ -106,7 +106,7 @@
 	MarkRetries      bool `day:"marked" def:"true" about:"clients mark their repeats"`
 }
 
-// Counter is the shared counter.
+// Counter describes the shared counter of quota usage.
 type Counter struct {
 	Present     bool   `day:"present" def:"true" about:"there is one"`
 	Partitions  Span   `day:"parts" unit:"n" min:"1" max:"64" def:"1" about:"parts, by name"`
@@ -118,12 +118,12 @@
 	Zone        string `day:"zone" one:"spread|own" def:"spread" about:"spread: its way is that between zones for two thirds of the api gateways; own: near to all"`
 }
 
-// Discovery is how the list of hosts gets to api gateways.
+// Discovery describes how changes of the host list reach the api gateways.
 type Discovery struct {
 	Delay Span `day:"delay" unit:"s" min:"0s" max:"10m" def:"500ms" about:"until a change is told; drawn for each change and api gateway from half of it to one and a half"`
 }
 
-// Peers is the messages between api gateways.
+// Peers describes the messages between api gateways.
 type Peers struct {
 	Allowed     bool `day:"allowed" def:"false" about:"api gateways may send each other mail"`
 	MessageRate Span `day:"mail" unit:"/s" min:"0/s" max:"100000/s" def:"60/s" about:"messages that one takes in"`
@@ -131,7 +131,7 @@
 	Loss        Span `day:"loss" unit:"share" min:"0" max:"1" def:"0.01" about:"messages lost"`
 }
 
-// Gateway is each api gateway.
+// Gateway describes the properties that all api gateways share.
 type Gateway struct {
 	MaxAttempts   Span `day:"deliveries" unit:"n" min:"1" max:"100" def:"4" about:"for one invocation at most"`
 	Cancel        bool `day:"cancel" def:"true" about:"a delivery may be withdrawn"`
@@ -142,7 +142,7 @@
 	FailureNotice Span `day:"notice" unit:"s" min:"0s" max:"1m" def:"2s" about:"invocations go on coming to a dead one for so long"`
 }
 
-// Fault is something that goes wrong in a simulation.
+// Fault describes a fault that a simulation injects.
 type Fault struct {
 	Kind      string `day:"kind" about:"see the kinds"`
 	At        Span   `day:"at" unit:"s" min:"0s" max:"24h" about:"when it begins"`
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func good(t *testing.T) string {
+func validText(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile("../scenarios/calm-300.toml")
 	if err != nil {
@@ -16,7 +16,7 @@
 	return string(b)
 }
 
-// What is wrong with a file is said with its line and what was expected, all of it at once.
+// Every error in a file is reported, each with its line, its key and what was expected.
 func TestProblemsNameLineAndKey(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{`length = "60s"`, `length = 60`, `d.toml:4: length: 60 is not a time with its unit, such as "250ms"`},
@@ -28,32 +28,32 @@
 		{`rate = "2/s"`, `rate = "2"`, `plan[0].rate: 2 is not a rate with its unit`},
 		{`rate = "2/s"`, `rate = "NaN/s"`, `plan[0].rate: NaN/s is not a rate with its unit`},
 		{`rate = "2/s"`, `rate = "-Inf/s"`, `plan[0].rate: -Inf/s is not a rate with its unit`},
-		{`effect = "tokened"`, `effect = "maybe"`, `operation[1].effect: "maybe"; one of idempotent, tokened, non-idempotent is wanted`},
+		{`effect = "tokened"`, `effect = "maybe"`, `operation[1].effect: "maybe" is not one of idempotent, tokened, non-idempotent`},
 		{`effect = "tokened"`, ``, `operation[1].effect: is missing`},
-		{`name = "charge"`, `name = "search"`, `operation[2].name: "search" is there already`},
-		{`burst = 10`, `burst = 2`, `plan[0].burst: holds less than one invocation may have: 6 units`},
-		{`format = 1`, `format = 2`, `d.toml:1: format: 1 is wanted`},
+		{`name = "charge"`, `name = "search"`, `operation[2].name: "search" is used more than once`},
+		{`burst = 10`, `burst = 2`, `plan[0].burst: is less than the most units of one invocation: 6`},
+		{`format = 1`, `format = 2`, `d.toml:1: format: must be 1`},
 		{`[peers]`, "[[trouble]]\nkind = \"rain\"\nat = \"1s\"\n[peers]", `trouble[0].kind: "rain" is not known`},
-		{`[peers]`, "[[trouble]]\nkind = \"slow\"\nat = \"1s\"\n[peers]", `trouble[0].lasts: slow needs a time`},
-		{`[peers]`, "[[trouble]]\nkind = \"errors\"\nat = \"1s\"\nlasts = \"1s\"\nsize = 3\n[peers]", `trouble[0].size: is a part here`},
+		{`[peers]`, "[[trouble]]\nkind = \"slow\"\nat = \"1s\"\n[peers]", `trouble[0].lasts: slow needs a duration`},
+		{`[peers]`, "[[trouble]]\nkind = \"errors\"\nat = \"1s\"\nlasts = \"1s\"\nsize = 3\n[peers]", `trouble[0].size: is a fraction for this kind`},
 		{`[fleet]`, `[fleet`, `d.toml:6`},
 	} {
-		_, err := Read("d.toml", []byte(strings.Replace(good(t), x.from, x.to, 1)))
+		_, err := Read("d.toml", []byte(strings.Replace(validText(t), x.from, x.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v\nwant %s", x.to, err, x.want)
 		}
 	}
-	_, err := Read("d.toml", []byte(strings.NewReplacer(`length = "60s"`, `length = 60`, `gateways = 300`, `gateways = 0`).Replace(good(t))))
+	_, err := Read("d.toml", []byte(strings.NewReplacer(`length = "60s"`, `length = 60`, `gateways = 300`, `gateways = 0`).Replace(validText(t))))
 	var invalid InvalidError
 	if !errors.As(err, &invalid) || len(invalid) != 2 {
-		t.Errorf("two problems: %v", err)
+		t.Errorf("want two problems, got: %v", err)
 	}
 }
 
-// withRanges is a scenario in which two figures are ranges.
+// withRanges returns a scenario in which two numbers are ranges.
 func withRanges(t *testing.T) *Scenario {
 	t.Helper()
-	text := strings.Replace(good(t), `gateways = 300`, `gateways = [3, 3000]`, 1)
+	text := strings.Replace(validText(t), `gateways = 300`, `gateways = [3, 3000]`, 1)
 	text = strings.Replace(text, `near = 0.15`, `near = [0.1, 0.2]`, 1)
 	read, err := Read("d.toml", []byte(text))
 	if err != nil {
@@ -62,49 +62,49 @@
 	return read
 }
 
-func TestScenariosReadBackAsTheyWereWritten(t *testing.T) {
+func TestWrittenScenarioReadsBackUnchanged(t *testing.T) {
 	written := withRanges(t)
 	again, err := Read("again", []byte(written.Text()))
 	if err != nil || again.Text() != written.Text() {
-		t.Fatalf("it does not read back: %v", err)
+		t.Fatalf("the written scenario does not read back unchanged: %v", err)
 	}
 	if ranges := written.Spans(); len(ranges) != 2 {
-		t.Fatalf("ranges: %v", ranges)
+		t.Fatalf("want two ranges, got %v", ranges)
 	}
 }
 
-// A draw depends on the seed and the key alone.
+// The value drawn for a key depends on the seed and the key only, not on which other keys are ranges.
 func TestDrawsDependOnSeedAndKey(t *testing.T) {
 	undrawn := withRanges(t)
 	first := undrawn.Draw(1)
 	if first.Text() != undrawn.Draw(1).Text() || first.Text() == undrawn.Draw(2).Text() {
-		t.Fatal("a draw is not the seed's alone")
+		t.Fatal("equal seeds must draw equal scenarios, and different seeds different ones")
 	}
 	gateways := first.Fleet.Gateways
 	if n := gateways.Int(); n < 3 || n > 3000 || gateways.Lo != gateways.Hi {
 		t.Fatalf("drew %v", gateways)
 	}
 	another := undrawn.Clone()
-	another.Network.Jitter.Hi = 3 // a range more moves no other draw
+	another.Network.Jitter.Hi = 3 // another range must not change the values drawn for other keys
 	if drawn := another.Draw(1); drawn.Fleet.Gateways != gateways || drawn.Clients.Near != first.Clients.Near {
-		t.Fatal("another range moved the draw")
+		t.Fatal("another range changed the values drawn for other keys")
 	}
 }
 
-func TestSetChangesAKeyOrSaysWhatIsWrong(t *testing.T) {
+func TestSetChangesAKeyOrReturnsAnError(t *testing.T) {
 	changed := withRanges(t)
 	if err := changed.Set("plan[0].rate", "5/s"); err != nil || changed.Plans[0].Rate.Float() != 5 {
 		t.Fatal(err)
 	}
 	for _, wrong := range [][2]string{{"plan[9].rate", "5/s"}, {"plan[0].rate", "5"}, {"plan[0].rate", "NaN/s"}, {"plan.rate", "5/s"}, {"rain", "1"}, {"fleet", "1"}} {
 		if changed.Set(wrong[0], wrong[1]) == nil {
-			t.Errorf("%s=%s was taken", wrong[0], wrong[1])
+			t.Errorf("%s=%s was accepted", wrong[0], wrong[1])
 		}
 	}
 }
 
-// The page holds the form as it is.
-func TestPageHoldsTheForm(t *testing.T) {
+// The documentation must list all keys and kinds of faults as the code defines them.
+func TestDocumentationListsAllKeysAndFaultKinds(t *testing.T) {
 	b, err := os.ReadFile("../../docs/laboratory.md")
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	}
 	for _, k := range FaultKinds {
 		if !strings.Contains(string(b), "| `"+k.Name+"` | "+k.Description+" |") {
-			t.Errorf("docs/laboratory.md lacks the trouble %s", k.Name)
+			t.Errorf("docs/laboratory.md lacks the kind of trouble %s", k.Name)
 		}
 	}
 }
--- a/sim/scenario/script.go
+++ b/sim/scenario/script.go
@@ -1,6 +1,6 @@
 package scenario
 
-// QuotaStore are the processes that hold for api gateways what has to outlive them.
+// QuotaStore describes the processes that store state of api gateways which must survive their restarts.
 type QuotaStore struct {
 	Count    Span   `day:"count" unit:"n" min:"0" max:"9" def:"0" about:"how many; 0: the counter counts"`
 	Replicas Span   `day:"copies" unit:"n" min:"1" max:"5" def:"3" about:"how many hold each part: 1, 3 or 5"`
@@ -10,7 +10,7 @@
 	Holds    string `day:"holds" one:"all|adds" def:"all" about:"all: what an api gateway says of itself; adds: counts by the counter's protocol alone"`
 }
 
-// ProcessFault is a fault of a link between two processes, or of a process, at a moment or on an event.
+// ProcessFault describes a fault of a process, or of a link between two processes, that begins at a given time or on an event.
 type ProcessFault struct {
 	Kind     string `day:"kind" about:"see the kinds of faults"`
 	From     string `day:"from" def:"" about:"links: clients, edge *, or some as in edge 0,2"`
@@ -30,7 +30,7 @@
 	Size     Span   `day:"size" unit:"x" min:"0" max:"1000000000" def:"0" about:"rate: bytes a second; full-disk: bytes a file may hold; starve: part of the time that is left"`
 }
 
-// Expectation is what has to hold at the end of a script.
+// Expectation describes a condition that must hold at the end of a script.
 type Expectation struct {
 	Kind  string `day:"what" about:"see the promises"`
 	Text  string `day:"text" def:"" about:"what the figure is of; see the promises"`
--- a/sim/scenario/scriptkinds.go
+++ b/sim/scenario/scriptkinds.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// NamedItem is something that a page lists.
+// NamedItem is an entry of a list in the documentation and in help texts.
 type NamedItem struct{ Name, Description string }
 
-// ProcessFaultKinds are the kinds of faults; those of links come first.
+// ProcessFaultKinds lists the kinds of ProcessFault. The first linkFaultKinds entries are link faults.
 var ProcessFaultKinds = []NamedItem{
 	{"drop", "nothing gets through; new connections never come up; datagrams are lost (part of them)"},
 	{"stall", "connections are accepted and pass nothing on until it ends"},
@@ -29,10 +29,10 @@
 	{"starve", "stopped and let go in turn, so that it runs for a part of the time"},
 }
 
-// linkFaultKinds is how many of ProcessFaultKinds are of links.
+// linkFaultKinds is the number of link faults in ProcessFaultKinds.
 const linkFaultKinds = 9
 
-// Events are what a fault can wait for. Each happens before what follows from it: the fault is in force first.
+// Events lists the events that can trigger a fault. The fault takes effect before the processing that follows the event goes on.
 var Events = []NamedItem{
 	{"taken", "a client's try has been sent to the api gateway"},
 	{"called", "a call has reached the counter, which has not added yet"},
@@ -46,7 +46,7 @@
 	{"log", "a line of its log holds the text"},
 }
 
-// ExpectationKinds are the figures that a script can hold to bounds.
+// ExpectationKinds lists the measurements for which a script can set bounds.
 var ExpectationKinds = []NamedItem{
 	{"served", "part of the value asked for inside quotas that was served in time"},
 	{"served-value", "value served in time within quotas, a second"},
@@ -67,13 +67,13 @@
 	{"kept-answers", "keepers: things they promised, in all"},
 }
 
-// named says whether a list has an item of a name.
-func named(list []NamedItem, name string) bool {
+// hasName reports whether a list has an item of the name.
+func hasName(list []NamedItem, name string) bool {
 	return slices.ContainsFunc(list, func(n NamedItem) bool { return n.Name == name })
 }
 
-// known are the names of a list, for messages.
-func known(list []NamedItem) string {
+// joinNames returns the names of a list, separated by commas, for error messages.
+func joinNames(list []NamedItem) string {
 	var names []string
 	for _, item := range list {
 		names = append(names, item.Name)
@@ -81,5 +81,5 @@
 	return strings.Join(names, ", ")
 }
 
-// IsLinkFault says whether a kind of fault strikes links.
-func IsLinkFault(kind string) bool { return named(ProcessFaultKinds[:linkFaultKinds], kind) }
+// IsLinkFault reports whether a kind of ProcessFault affects links.
+func IsLinkFault(kind string) bool { return hasName(ProcessFaultKinds[:linkFaultKinds], kind) }
--- a/sim/scenario/span.go
+++ b/sim/scenario/span.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// Span is a figure, or the range that it is drawn from: seconds, a second, a share, a number or a factor.
+// Span is a number, or the range from Lo to Hi from which it is drawn. The struct tag of the field gives its unit; durations are in seconds
+// and rates per second. Lo and Hi are equal in a single number.
 type Span struct{ Lo, Hi float64 }
 
-// Float is the figure of a scenario that has been drawn.
+// Float returns the number. In a range, which Draw has not replaced yet, it is the lower end.
 func (s Span) Float() float64 { return s.Lo }
 
-// Int is Float as a whole number.
+// Int returns Float rounded to a whole number.
 func (s Span) Int() int { return int(math.Round(s.Lo)) }
 
-// isRange says that the span is yet to be drawn.
+// isRange reports whether the span is a range rather than a single number.
 func (s Span) isRange() bool { return s.Lo != s.Hi }
 
 var spanType = reflect.TypeFor[Span]()
 
-// The units of figures, as tags name them.
+// Values of the struct tag unit.
 const (
 	unitTime   = "s"
 	unitRate   = "/s"
@@ -33,7 +34,7 @@
 	unitNumber = "x"
 )
 
-// unitNames are what messages call a figure of a unit.
+// unitNames describes a number of each unit in error messages.
 var unitNames = map[string]string{
 	unitTime:   `a time with its unit, such as "250ms"`,
 	unitRate:   `a rate with its unit, such as "40/s"`,
@@ -42,7 +43,7 @@
 	unitNumber: "a number",
 }
 
-// parseSpan reads a figure, or a range in the form [lo, hi], by the tags of its field.
+// parseSpan parses a number, or a range of the form [lo, hi], in the unit and within the bounds of the field's tag.
 func parseSpan(tag reflect.StructTag, value any) (Span, error) {
 	ends, err := spanEnds(value)
 	if err != nil {
@@ -62,12 +63,12 @@
 	return span, nil
 }
 
-// spanEnds takes a range apart; both ends of a single figure are the figure.
+// spanEnds returns the two ends of a range. For a single number both ends are that number.
 func spanEnds(value any) ([]any, error) {
-	if text, ok := value.(string); ok && strings.HasPrefix(text, "[") { // from a command line
+	if text, ok := value.(string); ok && strings.HasPrefix(text, "[") { // from the command line
 		low, high, found := strings.Cut(strings.Trim(text, "[]"), "..")
 		if !found || strings.Contains(high, "..") {
-			return nil, errors.New("a range on the command line is [lo..hi]")
+			return nil, errors.New("a range on the command line must have the form [lo..hi]")
 		}
 		return []any{strings.TrimSpace(low), strings.TrimSpace(high)}, nil
 	}
@@ -76,19 +77,19 @@
 		return []any{value, value}, nil
 	}
 	if len(list) != 2 {
-		return nil, errors.New("a range has two ends: [lo, hi]")
+		return nil, errors.New("a range must have the form [lo, hi]")
 	}
 	return list, nil
 }
 
-// parseBounded reads a figure within the bounds of its field.
+// parseBounded parses a number and checks it against the bounds of its field.
 func parseBounded(tag reflect.StructTag, value any) (float64, error) {
 	unit := tag.Get("unit")
 	figure, err := parseFigure(unit, value)
 	if err != nil {
 		return figure, err
 	}
-	lowest, _ := parseFigure(unit, tag.Get("min")) // tags are right
+	lowest, _ := parseFigure(unit, tag.Get("min")) // the tags of Scenario are valid
 	highest, _ := parseFigure(unit, tag.Get("max"))
 	if figure < lowest || figure > highest {
 		return figure, fmt.Errorf("%s is out of range: from %s to %s", formatFigure(unit, figure), tag.Get("min"), tag.Get("max"))
@@ -96,7 +97,7 @@
 	return figure, nil
 }
 
-// parseFigure reads a figure of a unit, from a file or as text from a command line.
+// parseFigure parses a number of a unit, from a file or as text from the command line.
 func parseFigure(unit string, value any) (float64, error) {
 	var figure float64
 	ok := false
@@ -131,7 +132,7 @@
 	return checkFigure(unit, figure)
 }
 
-// checkFigure says whether a bare number will do: a time and a rate need their units.
+// checkFigure reports whether a number without a unit is valid. Durations and rates need a unit, and counts must be whole.
 func checkFigure(unit string, x float64) (figure float64, ok bool) {
 	switch {
 	case unit == unitTime || unit == unitRate:
@@ -144,7 +145,7 @@
 
 func isFinite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
 
-// formatFigure writes a figure as a file would hold it, without quotes.
+// formatFigure formats a number as in a scenario file, without quotes.
 func formatFigure(unit string, x float64) string {
 	switch unit {
 	case unitTime:
--- a/sim/scenario/write.go
+++ b/sim/scenario/write.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Text writes a scenario as a file.
+// Text returns the scenario as the text of a TOML file.
 func (s *Scenario) Text() string {
 	var text strings.Builder
 	writeTable(&text, "", reflect.ValueOf(*s))
 	return text.String()
 }
 
-// writeTable writes the values of a table, then the tables in it.
+// writeTable writes the keys of a table, then its nested tables.
 func writeTable(text *strings.Builder, path string, table reflect.Value) {
 	for i := range table.NumField() {
 		writeValue(text, table.Type().Field(i).Tag, table.Field(i))
@@ -36,7 +36,7 @@
 	}
 }
 
-// writeValue writes a text, a figure or a truth value; tables are left out.
+// writeValue writes the key of a string, a number or a boolean. It skips tables.
 func writeValue(text *strings.Builder, tag reflect.StructTag, value reflect.Value) {
 	key := tag.Get("day")
 	switch v := value.Interface().(type) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// quoteFigure writes a figure as TOML: times and rates are texts there.
+// quoteFigure formats a number as TOML. Durations and rates are strings in TOML.
 func quoteFigure(unit string, x float64) string {
 	text := formatFigure(unit, x)
 	if unit == unitTime || unit == unitRate {
@@ -63,7 +63,7 @@
 	return text
 }
 
-// Form writes a table of all keys in Markdown, for the pages and for help.
+// Form returns the rows of a Markdown table of all keys, for the documentation and the help text.
 func Form() string {
 	var rows strings.Builder
 	writeForm(&rows, "", reflect.TypeFor[Scenario]())
