--- a/cmd/otterseam-sim/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -59,7 +59,7 @@
 	if err := batch.CheckWritable(c.Out); err != nil {
 		return inputError{fmt.Errorf("no day could be written: %w", err)}
 	}
-	if len(day.Spans()) == 0 && len(day.Faults) == 0 {
+	if len(day.RangePaths()) == 0 && len(day.Faults) == 0 {
 		return inputError{fmt.Errorf("%s has neither ranges nor troubles: there is nothing to look through", day.Name)}
 	}
 	if c.Tries < 1 || c.Part <= 0 || c.Part > 1 {
--- a/sim/scenario/draw.go
+++ b/sim/scenario/draw.go
@@ -44,8 +44,8 @@
 	return drawn
 }
 
-// Spans returns the paths of all ranges that Draw would replace by a value.
-func (s *Scenario) Spans() []string {
+// RangePaths returns the paths of all ranges that Draw would replace by a value.
+func (s *Scenario) RangePaths() []string {
 	var paths []string
 	s.eachSpan(func(path string, _ reflect.StructTag, span *Span) {
 		if span.isRange() && !strings.HasSuffix(path, hostSpeedSuffix) {
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -68,7 +68,7 @@
 	if err != nil || again.Text() != written.Text() {
 		t.Fatalf("the written scenario does not read back unchanged: %v", err)
 	}
-	if ranges := written.Spans(); len(ranges) != 2 {
+	if ranges := written.RangePaths(); len(ranges) != 2 {
 		t.Fatalf("want two ranges, got %v", ranges)
 	}
 }
--- a/sim/search/search.go
+++ b/sim/search/search.go
@@ -59,7 +59,7 @@
 
 // Worst looks for the worst run of a scenario that has ranges or faults. A violated rule is worse than any score.
 func Worst(ctx context.Context, from *scenario.Scenario, options Options) (*Result, error) {
-	s := &searcher{Options: options, from: from, spans: from.Spans()}
+	s := &searcher{Options: options, from: from, spans: from.RangePaths()}
 	median, err := s.sample(ctx)
 	if err != nil {
 		return nil, err
