--- a/harness/fleet/events.go
+++ b/harness/fleet/events.go
@@ -35,7 +35,7 @@
 			w.Queue.ScheduleAfter(fault.At.Float(), func() { f.inject(i, fault) })
 			continue
 		}
-		by, _ := scenario.ParseNumbers(fault.Gateways, f.script.Fleet.Gateways.Int()) // the reader has checked it
+		by, _ := scenario.ParseNumbers(fault.EventGateways, f.script.Fleet.Gateways.Int()) // the reader has checked it
 		f.waiting = append(f.waiting, &waitingFault{number: i, fault: fault, by: by})
 	}
 	f.logs.begin(f)
--- a/sim/scenario/checkscript.go
+++ b/sim/scenario/checkscript.go
@@ -64,7 +64,7 @@
 	if fault.On != "" && !hasName(Events, fault.On) {
 		r.problem(key+".on", "%q is no event; there are %s", fault.On, joinNames(Events))
 	}
-	if _, err := ParseNumbers(fault.Gateways, gateways); err != nil {
+	if _, err := ParseNumbers(fault.EventGateways, gateways); err != nil {
 		r.problem(key+".by", "%v", err)
 	}
 	if fault.On == logEvent && fault.Text == "" {
