--- a/harness/fleet/faults.go
+++ b/harness/fleet/faults.go
@@ -185,8 +185,8 @@
 // gatewaysOf are the api gateways that a fault of processes is of: those it names, or a part drawn by the seed.
 func (f *injector) gatewaysOf(number int, spec *scenario.ProcessFault) []int {
 	count := f.script.Fleet.Gateways.Int()
-	if spec.Edges != "" {
-		named, _ := scenario.ParseNumbers(spec.Edges, count) // the reader has checked it
+	if spec.TargetGateways != "" {
+		named, _ := scenario.ParseNumbers(spec.TargetGateways, count) // the reader has checked it
 		return named
 	}
 	var drawn []int
--- a/sim/scenario/checkscript.go
+++ b/sim/scenario/checkscript.go
@@ -32,7 +32,7 @@
 	if fault.From != "" || fault.To != "" {
 		r.problem(key+".from", "%s affects processes: select them with edge instead", fault.Kind)
 	}
-	if _, err := ParseNumbers(fault.Edges, gateways); err != nil {
+	if _, err := ParseNumbers(fault.TargetGateways, gateways); err != nil {
 		r.problem(key+".edge", "%v", err)
 	}
 	if fault.Keeper != "" {
@@ -47,7 +47,7 @@
 			r.problem(key+".keeper", "%v, leader or some N", err)
 		}
 	}
-	if fault.Edges != "" || fault.Kind == "twice" {
+	if fault.TargetGateways != "" || fault.Kind == "twice" {
 		r.problem(key+".keeper", "affects keepers: it can't be combined with edge or with the kind twice")
 	}
 }
@@ -112,7 +112,7 @@
 		r.problem(key+".to", "%v", err)
 		return
 	}
-	if fault.Edges != "" {
+	if fault.TargetGateways != "" {
 		r.problem(key+".edge", "%s affects links: select them with from and to instead", fault.Kind)
 	}
 	if from == endStore && to == endStore {
