--- a/harness/fleet/faults.go
+++ b/harness/fleet/faults.go
@@ -41,7 +41,7 @@
 		for _, ends := range f.linkEnds(spec) {
 			f.injectLink(fault, ends[0], ends[1])
 		}
-	case spec.Keeper != "":
+	case spec.TargetStores != "":
 		f.store.inject(fault)
 	default:
 		for _, gateway := range f.gatewaysOf(number, spec) {
--- a/harness/fleet/storefaults.go
+++ b/harness/fleet/storefaults.go
@@ -10,7 +10,7 @@
 
 // inject has a fault begin on members of the quota store. It runs on the event loop's goroutine.
 func (s *store) inject(fault activeFault) {
-	for _, member := range s.membersOf(fault.number, fault.Keeper) {
+	for _, member := range s.membersOf(fault.number, fault.TargetStores) {
 		s.injectMember(fault, member)
 	}
 }
--- a/sim/scenario/checkscript.go
+++ b/sim/scenario/checkscript.go
@@ -35,15 +35,15 @@
 	if _, err := ParseNumbers(fault.TargetGateways, gateways); err != nil {
 		r.problem(key+".edge", "%v", err)
 	}
-	if fault.Keeper != "" {
+	if fault.TargetStores != "" {
 		r.checkStores(key, fault, stores)
 	}
 }
 
 // checkStores checks the selection of the quota stores that a fault affects.
 func (r *reader) checkStores(key string, fault *ProcessFault, stores int) {
-	if fault.Keeper != "leader" && !isDrawn(fault.Keeper, stores) {
-		if _, err := ParseNumbers(fault.Keeper, stores); err != nil {
+	if fault.TargetStores != "leader" && !isDrawn(fault.TargetStores, stores) {
+		if _, err := ParseNumbers(fault.TargetStores, stores); err != nil {
 			r.problem(key+".keeper", "%v, leader or some N", err)
 		}
 	}
--- a/sim/scenario/script.go
+++ b/sim/scenario/script.go
@@ -17,7 +17,7 @@
 	To             string `day:"to" def:"" about:"links: counter, discovery, host *, host 0,2, edge * or edge 0,2"`
 	Way            string `day:"way" one:"both|there|back" def:"both" about:"links: which direction is struck"`
 	TargetGateways string `day:"edge" def:"" about:"processes: api gateways by number, as in 0,2; all; or empty, and part says how many"`
-	Keeper         string `day:"keeper" def:"" about:"processes: keepers instead, by number, as in 0,2; *; leader: of most groups; some 2: drawn by the seed"`
+	TargetStores   string `day:"keeper" def:"" about:"processes: keepers instead, by number, as in 0,2; *; leader: of most groups; some 2: drawn by the seed"`
 	Part           Span   `day:"part" unit:"share" min:"0" max:"1" def:"1" about:"processes: part of all, drawn by the seed, where edge is empty; links: part of the datagrams that is struck"`
 	At             Span   `day:"at" unit:"s" min:"0s" max:"24h" def:"0s" about:"when it begins, from the day's begin or from the event"`
 	Lasts          Span   `day:"lasts" unit:"s" min:"0s" max:"24h" def:"0s" about:"how long; 0s: for good"`
