--- a/harness/fleet/promises.go
+++ b/harness/fleet/promises.go
@@ -150,6 +150,6 @@
 }
 
 func (r *Result) gatewaysOf(promise scenario.Expectation) []int {
-	gateways, _ := scenario.ParseNumbers(promise.Edge, r.Gateways) // the reader has checked it
+	gateways, _ := scenario.ParseNumbers(promise.Gateways, r.Gateways) // the reader has checked it
 	return gateways
 }
--- a/sim/scenario/checkscript.go
+++ b/sim/scenario/checkscript.go
@@ -144,10 +144,10 @@
 	if !hasName(ExpectationKinds, expected.Kind) {
 		r.problem(key+".what", "%q is not known; there are %s", expected.Kind, joinNames(ExpectationKinds))
 	}
-	if _, err := ParseNumbers(expected.Edge, int(s.Fleet.Gateways.Lo)); err != nil {
+	if _, err := ParseNumbers(expected.Gateways, int(s.Fleet.Gateways.Lo)); err != nil {
 		r.problem(key+".edge", "%v", err)
 	}
-	if expected.Edge != "" && expected.Kind != logEvent && expected.Kind != "runs" {
+	if expected.Gateways != "" && expected.Kind != logEvent && expected.Kind != "runs" {
 		r.problem(key+".edge", "%s is measured for the whole fleet, so edge does not apply", expected.Kind)
 	}
 	if expected.Kind == logEvent && expected.Text == "" {
--- a/sim/scenario/script.go
+++ b/sim/scenario/script.go
@@ -32,11 +32,11 @@
 
 // Expectation describes a condition that must hold at the end of a script.
 type Expectation struct {
-	Kind  string `day:"what" about:"see the promises"`
-	Text  string `day:"text" def:"" about:"what the figure is of; see the promises"`
-	Edge  string `day:"edge" def:"" about:"of which api gateways, as in 0,2; empty: of all"`
-	From  Span   `day:"from" unit:"s" min:"0s" max:"24h" def:"0s" about:"from which second on"`
-	Until Span   `day:"until" unit:"s" min:"0s" max:"24h" def:"24h" about:"up to which"`
-	Min   Span   `day:"least" unit:"x" min:"0" max:"1000000000" def:"0" about:"at least so much"`
-	Max   Span   `day:"most" unit:"x" min:"0" max:"1000000000" def:"1000000000" about:"at most so much"`
+	Kind     string `day:"what" about:"see the promises"`
+	Text     string `day:"text" def:"" about:"what the figure is of; see the promises"`
+	Gateways string `day:"edge" def:"" about:"of which api gateways, as in 0,2; empty: of all"`
+	From     Span   `day:"from" unit:"s" min:"0s" max:"24h" def:"0s" about:"from which second on"`
+	Until    Span   `day:"until" unit:"s" min:"0s" max:"24h" def:"24h" about:"up to which"`
+	Min      Span   `day:"least" unit:"x" min:"0" max:"1000000000" def:"0" about:"at least so much"`
+	Max      Span   `day:"most" unit:"x" min:"0" max:"1000000000" def:"1000000000" about:"at most so much"`
 }
