--- a/sim/scenariogen/bench.go
+++ b/sim/scenariogen/bench.go
@@ -11,18 +11,18 @@
 	"strings"
 )
 
-// Bench is the program that plays days. Each run begins at the root of the repository under test.
+// Bench runs days with an external program. The program's working directory is the root of the repository under test.
 type Bench struct {
-	Program string // its path
-	Root    string // folder in which it is run
-	Dir     string // folder for the files of days and reports; outside the repository
-	Reason  string // given to the bench for its journal
+	Program string // path of the program
+	Root    string // working directory of the program
+	Dir     string // folder for day files and reports, outside the repository
+	Reason  string // reason that the bench records in its journal
 }
 
-// ErrNoReport is returned where the bench ended without a report.
-var ErrNoReport = errors.New("the bench gave no report")
+// ErrNoReport is returned if the bench exited without writing a report.
+var ErrNoReport = errors.New("the bench wrote no report")
 
-// Kinds asks for the list of kinds in force at a site.
+// Kinds returns the kinds of disruptions that the bench supports at a site.
 func (b *Bench) Kinds(ctx context.Context, site string) ([]Kind, error) {
 	out, err := b.run(ctx, "kinds", b.fromRoot(site))
 	if err != nil {
@@ -31,8 +31,8 @@
 	return ParseKinds(out)
 }
 
-// Play writes a day under a name of its own, plays it at a site and reads its report.
-func (b *Bench) Play(ctx context.Context, site, name string, day *Day) (*Report, error) {
+// RunDay writes a day to the file of the given name, runs it at a site and returns its report.
+func (b *Bench) RunDay(ctx context.Context, site, name string, day *Day) (*Report, error) {
 	file := b.DayFile(name)
 	if err := os.WriteFile(file, []byte(day.TOML()), 0o644); err != nil {
 		return nil, err
@@ -58,10 +58,10 @@
 
 const dayExtension = ".toml"
 
-// DayFile is where a day of a name is written.
+// DayFile returns the path of the file to which RunDay writes the day of a name.
 func (b *Bench) DayFile(name string) string { return filepath.Join(b.Dir, name+dayExtension) }
 
-// fromRoot is a path as seen from the folder in which the bench is called, so that its journal holds nothing of the machine.
+// fromRoot returns the path relative to the working directory of the bench, so that the bench's journal contains no machine-specific paths.
 func (b *Bench) fromRoot(path string) string {
 	relative, err := filepath.Rel(b.Root, path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return relative
 }
 
-// run runs the program and returns its output. An exit code other than 0 is an error that holds the end of the output.
+// run runs the program and returns its output. If the exit code is not 0, the error contains the end of the output.
 func (b *Bench) run(ctx context.Context, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, b.Program, args...)
 	cmd.Dir = b.Root
@@ -81,7 +81,7 @@
 	return string(output), nil
 }
 
-// tail keeps the last part of a long text for an error.
+// tail returns the last part of a long text, for an error message.
 func tail(text string) string {
 	const limit = 400 // bytes
 	text = strings.TrimSpace(text)
--- a/sim/scenariogen/campaign.go
+++ b/sim/scenariogen/campaign.go
@@ -11,23 +11,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Campaign plays generated days of several sites.
+// Campaign runs generated days of several sites.
 type Campaign struct {
 	Bench        *Bench
 	FirstSeed    uint64
 	DaysPerSite  int
-	Jobs         int     // played at once
-	Length       float64 // of a day, in seconds; 0: the site's own
-	KeepBelow    float64 // a day that scores less is kept too
-	KeepDir      string  // folder for the days that failed; empty: they aren't kept apart
-	WriteOnly    bool    // days are written and not played
-	ShrinkBudget int     // most plays spent on shrinking one day
-	OnLine       func(line string)
+	Jobs         int               // number of days run in parallel
+	Length       float64           // length of a day, in seconds; 0 for the default of the site
+	KeepBelow    float64           // days with a lower score are kept as well
+	KeepDir      string            // folder for copies of the days worth keeping; empty for no copies
+	WriteOnly    bool              // write days without running them
+	ShrinkBudget int               // maximum number of runs for shrinking one day
+	OnLine       func(line string) // receives each line of progress output
 
-	lineLock sync.Mutex // held while OnLine runs
+	lineLock sync.Mutex // serializes calls of OnLine
 }
 
-// Run plays the days of each site file in turn. It goes on after a broken rule and returns all that was played.
+// Run runs the days of each site file, one site after another. It continues after a violated rule and returns the results of all days that
+// were run.
 func (c *Campaign) Run(ctx context.Context, siteFiles []string) ([]*Result, error) {
 	var all []*Result
 	for _, file := range siteFiles {
@@ -54,22 +55,22 @@
 	for i := range results {
 		seed := c.FirstSeed + uint64(i)
 		group.Go(func() error {
-			results[i] = c.play(ctx, generator, file, seed)
-			return c.finish(ctx, file, results[i])
+			results[i] = c.runDay(ctx, generator, file, seed)
+			return c.handleResult(ctx, file, results[i])
 		})
 	}
 	err = group.Wait()
-	return withoutUnplayed(results), err
+	return onlyStarted(results), err
 }
 
-// withoutUnplayed leaves out days that were never begun.
-func withoutUnplayed(results []*Result) (begun []*Result) {
+// onlyStarted returns the results without the nil entries of days that were never started.
+func onlyStarted(results []*Result) (started []*Result) {
 	for _, result := range results {
 		if result != nil {
-			begun = append(begun, result)
+			started = append(started, result)
 		}
 	}
-	return begun
+	return started
 }
 
 func (c *Campaign) generator(ctx context.Context, file string) (*Generator, error) {
@@ -92,7 +93,7 @@
 	return generator, nil
 }
 
-// write puts the days into their files.
+// write writes the days to their files without running them.
 func (c *Campaign) write(generator *Generator) error {
 	for i := range c.DaysPerSite {
 		day := generator.Day(c.FirstSeed + uint64(i))
@@ -105,15 +106,15 @@
 	return nil
 }
 
-func (c *Campaign) play(ctx context.Context, generator *Generator, file string, seed uint64) *Result {
+func (c *Campaign) runDay(ctx context.Context, generator *Generator, file string, seed uint64) *Result {
 	day := generator.Day(seed)
 	result := &Result{Site: generator.site.Name, Seed: seed, Day: day, Name: generator.fileName(day)}
-	result.Report, result.Err = c.Bench.Play(ctx, file, result.Name, day)
+	result.Report, result.Err = c.Bench.RunDay(ctx, file, result.Name, day)
 	return result
 }
 
-// finish prints what became of a day, keeps it if it failed and shrinks it if it broke a rule.
-func (c *Campaign) finish(ctx context.Context, file string, result *Result) error {
+// handleResult prints the summary of a day, keeps the day if it failed, and shrinks it if it violated a rule.
+func (c *Campaign) handleResult(ctx context.Context, file string, result *Result) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -143,18 +144,18 @@
 	return os.WriteFile(filepath.Join(c.KeepDir, name+dayExtension), []byte(day.TOML()), 0o644)
 }
 
-// shrink looks for the shortest day that breaks the first of the rules that were broken.
+// shrink searches for the shortest day that still violates the first of the violated rules.
 func (c *Campaign) shrink(ctx context.Context, file string, result *Result) error {
 	rule := result.Report.ViolatedRules()[0]
 	name := result.Name + "-short"
-	breaks := func(day *Day) (bool, error) {
-		report, err := c.Bench.Play(ctx, file, name, day)
+	violates := func(day *Day) (bool, error) {
+		report, err := c.Bench.RunDay(ctx, file, name, day)
 		if err != nil {
 			return false, err
 		}
 		return slices.Contains(report.ViolatedRules(), rule), nil
 	}
-	shortest, err := Shrink(result.Day, c.ShrinkBudget, breaks, func(step string) {
+	shortest, err := Shrink(result.Day, c.ShrinkBudget, violates, func(step string) {
 		c.emit(fmt.Sprintf("%s seed %d, %s still broken %s", result.Site, result.Seed, rule, step))
 	})
 	if err != nil {
--- a/sim/scenariogen/campaign_test.go
+++ b/sim/scenariogen/campaign_test.go
@@ -10,20 +10,20 @@
 	"testing"
 )
 
-// standInVariable makes the test program stand in for the bench.
-const standInVariable = "OWNDAYS_STAND_IN"
+// fakeBenchVariable is the environment variable that makes the test binary act as the bench.
+const fakeBenchVariable = "OWNDAYS_STAND_IN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(standInVariable) != "" {
-		os.Exit(standIn(os.Args[1:]))
+	if os.Getenv(fakeBenchVariable) != "" {
+		os.Exit(fakeBench(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// standIn answers as the bench does. A day with a core_cut breaks a rule; one with a replace_core can't be played.
-func standIn(args []string) int {
+// fakeBench acts as the bench. A day with a core_cut violates a rule, and a day with a replace_core fails to run.
+func fakeBench(args []string) int {
 	if args[0] == "kinds" {
-		fmt.Print(list)
+		fmt.Print(kindList)
 		return 0
 	}
 	day, err := os.ReadFile(args[2])
@@ -46,7 +46,7 @@
 
 func newTestCampaign(t *testing.T) (*Campaign, string, *[]string) {
 	t.Helper()
-	t.Setenv(standInVariable, "1")
+	t.Setenv(fakeBenchVariable, "1")
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -57,30 +57,30 @@
 		t.Fatal(err)
 	}
 	var lines []string
-	var adding sync.Mutex
+	var linesLock sync.Mutex
 	campaign := &Campaign{
 		Bench:     &Bench{Program: program, Root: folder, Dir: t.TempDir(), Reason: "test"},
 		FirstSeed: 1, DaysPerSite: 12, Jobs: 3, KeepDir: t.TempDir(), ShrinkBudget: 60,
 		OnLine: func(line string) {
-			adding.Lock()
-			defer adding.Unlock()
+			linesLock.Lock()
+			defer linesLock.Unlock()
 			lines = append(lines, line)
 		},
 	}
 	return campaign, site, &lines
 }
 
-func TestACampaignKeepsAndShrinksDaysThatBrokeARule(t *testing.T) {
+func TestCampaignKeepsAndShrinksDaysThatViolateARule(t *testing.T) {
 	campaign, site, lines := newTestCampaign(t)
-	played, err := campaign.Run(t.Context(), []string{site})
+	results, err := campaign.Run(t.Context(), []string{site})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(played) != campaign.DaysPerSite {
-		t.Fatalf("%d days played, want %d", len(played), campaign.DaysPerSite)
+	if len(results) != campaign.DaysPerSite {
+		t.Fatalf("%d days played, want %d", len(results), campaign.DaysPerSite)
 	}
 	broken, failed := 0, 0
-	for i, result := range played {
+	for i, result := range results {
 		if result.Seed != uint64(i+1) {
 			t.Errorf("day %d has seed %d", i, result.Seed)
 		}
@@ -97,18 +97,18 @@
 		}
 	}
 	if broken == 0 || failed == 0 {
-		t.Errorf("%d days broken and %d failed; the seeds chosen should give some of each", broken, failed)
+		t.Errorf("%d days violated a rule and %d failed; the chosen seeds must give some of each", broken, failed)
 	}
 	if !slices.ContainsFunc(*lines, func(line string) bool { return strings.Contains(line, "BROKEN LOST") }) {
-		t.Errorf("no line tells of the broken rule: %q", *lines)
+		t.Errorf("no output line names the violated rule: %q", *lines)
 	}
 	const short = `slowest change 1730 ms, no rule broken; 2 processes ended by themselves; gate: "class chat"`
 	if !slices.ContainsFunc(*lines, func(line string) bool { return strings.Contains(line, short) }) {
-		t.Errorf("no line tells what fell short: %q", *lines)
+		t.Errorf("no output line names the failed gate: %q", *lines)
 	}
 }
 
-// checkShrunk wants one disruption to be left, the one by which the stand-in's rule breaks.
+// checkShrunk checks that only one disruption is left: the core_cut that violates the rule of fakeBench.
 func checkShrunk(t *testing.T, result *Result) {
 	t.Helper()
 	shrunk, err := os.ReadFile(result.Shrunk)
@@ -120,23 +120,23 @@
 	}
 }
 
-func TestACampaignOnlyWritesDaysWhereAsked(t *testing.T) {
+func TestCampaignWithWriteOnlyRunsNoDays(t *testing.T) {
 	campaign, site, lines := newTestCampaign(t)
 	campaign.WriteOnly = true
-	played, err := campaign.Run(t.Context(), []string{site})
-	if err != nil || len(played) != 0 || len(*lines) != campaign.DaysPerSite {
-		t.Fatalf("%d played, output %q, %v", len(played), *lines, err)
+	results, err := campaign.Run(t.Context(), []string{site})
+	if err != nil || len(results) != 0 || len(*lines) != campaign.DaysPerSite {
+		t.Fatalf("%d played, output %q, %v", len(results), *lines, err)
 	}
 	written, err := os.ReadFile(campaign.Bench.DayFile("orchard-own-1"))
 	if want := newTestGenerator(t, 1).Day(1).TOML(); err != nil || string(written) != want {
 		t.Errorf("%v: wrote\n%s\nwant\n%s", err, written, want)
 	}
 	if reports, _ := filepath.Glob(filepath.Join(campaign.Bench.Dir, "*.json")); len(reports) > 0 {
-		t.Errorf("there are reports: %q", reports)
+		t.Errorf("reports were written: %q", reports)
 	}
 }
 
-func TestACampaignNamesTheFileThatIsNoSite(t *testing.T) {
+func TestCampaignErrorNamesInvalidSiteFile(t *testing.T) {
 	campaign, _, _ := newTestCampaign(t)
 	other := filepath.Join(t.TempDir(), "other.toml")
 	if err := os.WriteFile(other, nil, 0o644); err != nil {
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestAReportNamesViolatedRulesAndFaults(t *testing.T) {
+func TestViolatedRulesIncludesFault(t *testing.T) {
 	tests := []struct {
 		report Report
 		want   []string
@@ -158,7 +158,7 @@
 	}
 	for _, test := range tests {
 		if got := test.report.ViolatedRules(); !slices.Equal(got, test.want) {
-			t.Errorf("%+v: broken %q, want %q", test.report, got, test.want)
+			t.Errorf("%+v: violated rules %q, want %q", test.report, got, test.want)
 		}
 	}
 }
--- a/sim/scenariogen/day.go
+++ b/sim/scenariogen/day.go
@@ -4,12 +4,12 @@
 	"slices"
 )
 
-// Disruption is one entry of a day. Fields that are zero are left to the bench's defaults. Times are seconds.
+// Disruption is one fault or planned operation of a day. The bench uses its defaults for fields that are zero. Times are in seconds.
 type Disruption struct {
-	At           float64 // since the day's start
+	At           float64 // from the start of the day
 	Kind         string
-	Planned      bool   // stands under plan, not under faults
-	Variant      string // words that say how it comes about
+	Planned      bool   // written to the list plan rather than faults
+	Variant      string // variant of the kind: words separated by spaces
 	MachineClass string
 	Zone         string
 	ToZone       string
@@ -17,28 +17,28 @@
 	RequestClass string
 	Count        int
 	Share        float64
-	Magnitude    float64 // key x of the file; what it means depends on the kind
+	Magnitude    float64 // key x of the file; its meaning depends on the kind
 	Duration     float64
-	Interval     float64 // between the steps of one that has several
+	Interval     float64 // between the steps of a disruption with several steps
 }
 
-// FinalFault is the fault that a day ends with.
+// FinalFault is the fault at the end of a day.
 type FinalFault struct {
 	Kind     string
 	Variant  string
 	Downtime float64 // seconds
 }
 
-// Day is a day of a deployment: its disruptions in the order of their moments.
+// Day is a generated scenario: the disruptions of a deployment in order of time.
 type Day struct {
 	Name        string
-	Seed        uint64  // of what the bench draws itself
+	Seed        uint64  // for the random choices of the bench
 	Length      float64 // seconds
 	FinalFault  *FinalFault
 	Disruptions []Disruption
 }
 
-// Clone returns a copy that shares nothing with the day.
+// Clone returns a deep copy of the day.
 func (d *Day) Clone() *Day {
 	c := *d
 	c.Disruptions = slices.Clone(d.Disruptions)
--- a/sim/scenariogen/day_builder.go
+++ b/sim/scenariogen/day_builder.go
@@ -7,50 +7,50 @@
 	"otterseam/sim/randstream"
 )
 
-// Shape of a generated day. Times are seconds.
+// Parameters of a generated day. Times are in seconds, and names with the prefix chance are probabilities.
 const (
-	earliestDisruption  = 1.5 // no disruption before
-	quietTail           = 3.0 // none in the last seconds before a day's end
-	minGroups           = 3   // groups of disruptions close together
+	earliestDisruption  = 1.5 // time of the earliest disruption
+	quietTail           = 3.0 // length of the end of a day without disruptions
+	minGroups           = 3   // groups of disruptions that follow each other closely
 	maxGroups           = 8
-	minFollowUpDelay    = 0.5 // a second disruption comes so long after a first
+	minFollowUpDelay    = 0.5 // delay of a follow-up disruption after the previous one
 	maxFollowUpDelay    = 4.0
-	chanceOfSecond      = 0.75 // that a group has a second disruption
-	chanceOfThird       = 0.35 // and a third
-	chanceOfReturn      = 0.3  // that a further one is timed by the end of the one before, not by its beginning
-	returnBefore        = 0.5  // from so long before that end
-	returnAfter         = 1.5  // to so long after it
-	chanceOfRepeat      = 0.2  // that a further one is the one before once more
-	chanceOfChanges     = 0.8  // that a series of changes of the configuration goes on beside
+	chanceOfSecond      = 0.75 // a group has a second disruption
+	chanceOfThird       = 0.35 // a group with a second disruption has a third one
+	chanceOfReturn      = 0.3  // the time of a follow-up is relative to the end of the previous disruption rather than to its beginning
+	returnBefore        = 0.5  // earliest such follow-up, before that end
+	returnAfter         = 1.5  // latest such follow-up, after that end
+	chanceOfRepeat      = 0.2  // a follow-up repeats the previous disruption
+	chanceOfChanges     = 0.8  // a series of configuration changes runs in parallel
 	changeInterval      = 1.2
 	minChanges          = 4
 	maxChanges          = 16
-	chanceOfAckLost     = 0.5 // that acknowledgements of that series are lost
+	chanceOfAckLost     = 0.5 // acknowledgements of that series are lost
 	ackLostDuration     = 12.0
 	ackLostShare        = 0.6
 	chanceOfFinalFault  = 0.4
-	maxAffectedShare    = 0.6  // sum of the shares of servers that a day takes away or degrades
-	maxRemovedShare     = 0.25 // of those that don't come back
-	rollingRestartSteps = 3    // about as many machines does a rolling restart affect
-	drainedShare        = 0.07 // of the servers, that leave after one machine's return
-	maxPostponement     = 12.0 // a loss that doesn't fit yet is put off by this at most
+	maxAffectedShare    = 0.6  // maximum total share of servers that a day removes or degrades
+	maxRemovedShare     = 0.25 // maximum total share of servers that don't come back
+	rollingRestartSteps = 3    // approximate number of machines that a rolling restart affects
+	drainedShare        = 0.07 // share of the servers that leave after one machine is back
+	maxPostponement     = 12.0 // maximum delay of a disruption whose loss of machines doesn't fit yet
 )
 
-// finalFaultDowntime is how long a final fault keeps machines down.
+// finalFaultDowntime is the range of the downtime of machines after a final fault.
 var finalFaultDowntime = span{0.5, 1.6}
 
-// dayBuilder is a day in the making.
+// dayBuilder builds one day.
 type dayBuilder struct {
 	*Generator
 	stream   randstream.Stream
 	losses   lossLedger
-	affected float64 // share of servers taken away or degraded so far
-	removed  float64 // of those that don't come back
+	affected float64 // total share of servers removed or degraded so far
+	removed  float64 // total share of servers so far that don't come back
 	day      *Day
 }
 
-// addGroup adds a disruption and others close to it: while it lasts, while its machines come back, or just after. A round given
-// with a kind picks the kind's variant in turn.
+// addGroup adds a disruption and follow-ups close to it: while it lasts, while its machines come back, or shortly after. A nil kind is
+// drawn at random. A non-nil round selects the variant of the kind, so that consecutive rounds cycle through all variants.
 func (d *dayBuilder) addGroup(kind *Kind, round *uint64) {
 	at := d.stream.Uniform(earliestDisruption, max(earliestDisruption, d.Length-quietTail-maxFollowUpDelay))
 	if kind == nil {
@@ -65,7 +65,7 @@
 			return
 		}
 		at = d.followUpTime(last)
-		if d.stream.Chance(chanceOfRepeat) && last.Kind != kindBurst { // bursts on top of each other are overload and nothing else
+		if d.stream.Chance(chanceOfRepeat) && last.Kind != kindBurst { // overlapping bursts only test overload
 			last = d.repeat(last, at)
 			continue
 		}
@@ -75,7 +75,7 @@
 	}
 }
 
-// followUpTime draws a moment at which the system recovers from a disruption.
+// followUpTime draws the time of a follow-up, at which the system is still recovering from the given disruption.
 func (d *dayBuilder) followUpTime(of Disruption) float64 {
 	if d.stream.Chance(chanceOfReturn) {
 		return max(of.At, of.At+durationOf(of)+d.stream.Uniform(-returnBefore, returnAfter))
@@ -83,7 +83,7 @@
 	return of.At + d.stream.Uniform(minFollowUpDelay, maxFollowUpDelay)
 }
 
-// durationOf is how long a disruption goes on, its steps together.
+// durationOf returns the duration of a disruption, including all its steps.
 func durationOf(of Disruption) float64 {
 	if of.Duration > 0 {
 		return of.Duration
@@ -94,7 +94,7 @@
 	return 1
 }
 
-// pickKind draws one by weight.
+// pickKind draws a kind with a probability proportional to its weight.
 func (d *dayBuilder) pickKind() *Kind {
 	sum := 0.0
 	for _, kind := range d.kinds {
@@ -109,12 +109,12 @@
 	return &d.kinds[len(d.kinds)-1]
 }
 
-// add draws a disruption of a kind and adds it to the day, unless it would lose more than is tolerated.
+// add draws a disruption of a kind and adds it to the day. It reports false if the disruption would exceed the tolerated losses.
 func (d *dayBuilder) add(kind Kind, round *uint64, at float64) (Disruption, bool) {
 	return d.admit(d.drawDisruption(kind, round, at))
 }
 
-// repeat adds a disruption once more at a later moment. It returns the later one, or the first if that didn't fit.
+// repeat adds a copy of a disruption at a later time. It returns the copy, or the original if the copy didn't fit.
 func (d *dayBuilder) repeat(first Disruption, at float64) Disruption {
 	later := first
 	later.At = rounded(at)
@@ -124,7 +124,7 @@
 	return first
 }
 
-// admit adds a disruption to the day, put off to the moment from which its loss fits, and reports whether it did.
+// admit adds a disruption to the day, delayed until its loss of machines fits, and reports whether it was added.
 func (d *dayBuilder) admit(disruption Disruption) (Disruption, bool) {
 	if loss, counts := d.site.lossOf(disruption); counts {
 		moment := d.losses.earliest(loss)
@@ -145,8 +145,8 @@
 	return disruption, true
 }
 
-// leavesCapacity reports whether enough servers are left after a disruption, and notes what it takes. A day without them is
-// overload, in which nothing else shows.
+// leavesCapacity reports whether enough servers are left after a disruption. If so, it adds the disruption's shares to the totals.
+// A day with too few servers would only show overload, which hides all other effects.
 func (d *dayBuilder) leavesCapacity(disruption Disruption) bool {
 	words := strings.Fields(disruption.Variant)
 	share, removed := 0.0, 0.0
@@ -173,20 +173,20 @@
 	return true
 }
 
-// addConfigChanges adds a series of configuration changes by the operator, beside the rest.
+// addConfigChanges adds a series of configuration changes by the operator, in parallel with the other disruptions.
 func (d *dayBuilder) addConfigChanges() {
-	begin := d.stream.Uniform(earliestDisruption, d.Length/2)
-	at := begin
+	start := d.stream.Uniform(earliestDisruption, d.Length/2)
+	at := start
 	for range minChanges + d.stream.IntN(maxChanges-minChanges+1) {
 		d.admit(Disruption{At: rounded(at), Kind: kindConfigChange, Planned: true, Variant: variantIdle})
 		at += changeInterval
 	}
 	if d.stream.Chance(chanceOfAckLost) {
-		d.admit(Disruption{At: rounded(begin), Kind: kindAckLost, Duration: ackLostDuration, Magnitude: ackLostShare})
+		d.admit(Disruption{At: rounded(start), Kind: kindAckLost, Duration: ackLostDuration, Magnitude: ackLostShare})
 	}
 }
 
-// addFinalFault draws the fault that the day ends with.
+// addFinalFault draws the fault at the end of the day.
 func (d *dayBuilder) addFinalFault() {
 	drawn := finalFaults[d.stream.IntN(len(finalFaults))]
 	d.day.FinalFault = &FinalFault{Kind: drawn.kind, Variant: d.oneOf(drawn.variants), Downtime: d.drawWithin(finalFaultDowntime)}
--- a/sim/scenariogen/disruption.go
+++ b/sim/scenariogen/disruption.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Kinds of the bench's list, and variants of them, that are treated apart.
+// Kinds and variants from the bench's list that need special handling.
 const (
 	kindBurst        = "burst"
 	kindConfigChange = "config_change"
@@ -21,29 +21,29 @@
 	variantGone      = "gone"
 	variantAll       = "all"
 	variantDrain     = "drain" // servers leave soon after a machine is back
-	cutSuffix        = "_cut"  // of the kinds that partition machines
+	cutSuffix        = "_cut"  // suffix of the kinds that partition machines
 	variantIdle      = "idle"
 	variantOneZone   = "one_zone"
 )
 
-// Shape of an entry.
+// Parameters of a drawn disruption. Names with the prefix chance are probabilities.
 const (
-	minDuration       = 0.3  // of a disruption, in seconds
-	addedMachines     = 1    // that join by one entry
-	chanceOfZone      = 0.25 // that an entry names a zone
-	chanceOfService   = 0.6  // that an entry about servers names a service
-	chanceOfClass     = 0.5  // that one about traffic names a class of requests, and no zone
-	chanceOfPair      = 0.35 // that one about machines has two variants of its kind
-	chanceOfAddition  = 0.3  // that a variant's addition stands after it
-	chanceOfSelector  = 0.4  // that one about machines says which
-	chanceOfServers   = 0.15 // that one about servers says which
-	chanceOfAll       = 0.2  // that all follow-ups come together
-	chanceOfOne       = 0.25 // that one of them comes, otherwise
-	chanceOfCutEnding = 0.25 // that a partition isn't silent
-	chanceOfBusy      = 0.4  // that a rolling restart hits machines that are at work
+	minDuration       = 0.3  // in seconds
+	addedMachines     = 1    // number of machines that one disruption adds
+	chanceOfZone      = 0.25 // a disruption names a zone
+	chanceOfService   = 0.6  // a disruption of servers names a service
+	chanceOfClass     = 0.5  // a disruption of traffic names a request class instead of a zone
+	chanceOfPair      = 0.35 // a disruption of machines has two variants of its kind
+	chanceOfAddition  = 0.3  // an addition follows the variant
+	chanceOfSelector  = 0.4  // a disruption of machines has a selector
+	chanceOfServers   = 0.15 // a disruption of servers has a selector
+	chanceOfAll       = 0.2  // a disruption of machines has all follow-up words
+	chanceOfOne       = 0.25 // otherwise, each follow-up word is included
+	chanceOfCutEnding = 0.25 // a partition resets or refuses connections instead of dropping packets silently
+	chanceOfBusy      = 0.4  // a rolling restart affects busy machines
 )
 
-// drawDisruption draws the fields of a disruption of a kind.
+// drawDisruption draws a disruption of a kind. A non-nil round selects its variant as in addGroup.
 func (d *dayBuilder) drawDisruption(kind Kind, round *uint64, at float64) Disruption {
 	s := specOf(kind)
 	entry := Disruption{
@@ -72,7 +72,7 @@
 	return entry
 }
 
-// drawWithin draws from a span; one of zeros gives 0 without a draw.
+// drawWithin draws a number from a span. For the zero span it returns 0 without consuming a random number.
 func (d *dayBuilder) drawWithin(s span) float64 {
 	if s == (span{}) {
 		return 0
@@ -80,7 +80,7 @@
 	return rounded(d.stream.Uniform(s.lo, s.hi))
 }
 
-// oneOf draws a text of a list; an empty list gives an empty text without a draw.
+// oneOf draws an element of a list. For an empty list it returns "" without consuming a random number.
 func (d *dayBuilder) oneOf(list []string) string {
 	if len(list) == 0 {
 		return ""
@@ -88,7 +88,7 @@
 	return list[d.stream.IntN(len(list))]
 }
 
-// drawMachines draws a class of machines and how many of it.
+// drawMachines draws a machine class and the number or share of affected machines.
 func (d *dayBuilder) drawMachines(entry *Disruption, s kindSpec) {
 	classes := d.site.MachineClasses
 	if s.affects != affectsMachines {
@@ -99,7 +99,7 @@
 	}
 	d.drawMachineCount(entry, s)
 	if entry.Kind == kindRollTerm && d.site.CountsAsLoss(entry.MachineClass) {
-		entry.Magnitude = 1 // each is back before the next
+		entry.Magnitude = 1 // machines restart one at a time, each after the previous one has caught up
 		entry.Interval = rounded(d.site.CatchUp + 1)
 	}
 	if entry.MachineClass == classFront && d.stream.Chance(chanceOfZone) {
@@ -107,14 +107,14 @@
 	}
 }
 
-// drawMachineCount sets how many machines an entry affects, where that is a number rather than a share.
+// drawMachineCount sets the number of affected machines, if the disruption has a number rather than a share.
 func (d *dayBuilder) drawMachineCount(entry *Disruption, s kindSpec) {
 	counted := s.affects != affectsMachines || d.site.CountsAsLoss(entry.MachineClass)
 	switch entry.Kind {
 	case kindAddNodes:
 		entry.Count = addedMachines
 	case kindReplaceCore, kindHerdKill, kindRollTerm:
-		// one at a time, or all
+		// these affect one machine at a time, or all of them
 	default:
 		if counted && s.losesMachines {
 			entry.Share = 0
--- a/sim/scenariogen/doc.go
+++ b/sim/scenariogen/doc.go
@@ -1,8 +1,8 @@
-// Package scenariogen generates days of disruptions for the serving tier, plays them with a bench program and shrinks those that
-// broke a rule to the shortest day that still breaks it. What a day holds depends on the seed, the site and the bench's list of
-// kinds alone.
+// Package scenariogen generates random fault scenarios, called days, for the serving tier. It runs them with an external bench program
+// and shrinks a day that violated a rule to the shortest day that still violates it. A day depends only on the seed, the site and
+// the bench's list of disruption kinds.
 //
-// A Generator makes a Day of a seed; a Bench plays it and reads its Report; a Campaign does both for many seeds and sites, and
-// Shrink takes away what a broken rule doesn't need. All but Bench and Campaign is pure: it reads no file, no clock and no
-// environment.
+// A Generator creates a Day from a seed. A Bench runs a Day and reads its Report. A Campaign does both for many seeds and sites.
+// Shrink removes everything from a day that isn't needed to violate the rule. Everything except Bench and Campaign is pure: it reads
+// no files, no clock and no environment.
 package scenariogen
--- a/sim/scenariogen/generator.go
+++ b/sim/scenariogen/generator.go
@@ -8,21 +8,21 @@
 	"otterseam/sim/randstream"
 )
 
-// Generator makes days of one site.
+// Generator generates days for one site.
 type Generator struct {
 	site  *Site
 	kinds []Kind
-	// Length is how long the days are, in seconds.
+	// Length is the length of a day in seconds.
 	Length float64
 }
 
-// NewGenerator returns a generator for a site and the kinds in force there.
+// NewGenerator returns a generator for a site and the kinds of disruptions that the bench supports there.
 func NewGenerator(site *Site, kinds []Kind) *Generator {
 	return &Generator{site: site, kinds: kinds, Length: site.Length}
 }
 
-// Day returns the day of a seed. The same seed gives the same day. The seed's number picks the kind of the day's first
-// disruption and its variant in turn, so that consecutive seeds meet each kind and each variant.
+// Day returns the day of a seed. The same seed always gives the same day. The kind and the variant of the first disruption are selected
+// by the seed's value rather than drawn, so that consecutive seeds cover all kinds and variants.
 func (g *Generator) Day(seed uint64) *Day {
 	builder := &dayBuilder{
 		Generator: g,
@@ -50,5 +50,5 @@
 	return builder.day
 }
 
-// fileName tells days of several sites apart.
+// fileName returns the name of a day prefixed with the name of the site, which is unique across sites.
 func (g *Generator) fileName(day *Day) string { return g.site.Name + "-" + day.Name }
--- a/sim/scenariogen/generator_test.go
+++ b/sim/scenariogen/generator_test.go
@@ -26,7 +26,7 @@
 machines = 1
 `
 
-// seedsTried is enough for each kind of the list to come first with each of its variants.
+// seedsTried is large enough for each kind of the list to be the first disruption with each of its variants.
 const seedsTried = 800
 
 func newTestGenerator(t *testing.T, tolerated int) *Generator {
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	site.ToleratedMachines = tolerated
-	kinds, err := ParseKinds(list)
+	kinds, err := ParseKinds(kindList)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return NewGenerator(site, kinds)
 }
 
-func TestParseSiteReadsWhatADayNeeds(t *testing.T) {
+func TestParseSite(t *testing.T) {
 	site := newTestGenerator(t, 1).site
 	switch {
 	case !slices.Equal(site.Zones, []string{"north", "south"}),
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestASeedAlwaysGivesTheSameDay(t *testing.T) {
+func TestSameSeedGivesSameDay(t *testing.T) {
 	for seed := range uint64(100) {
 		first := newTestGenerator(t, 2).Day(seed).TOML()
 		if second := newTestGenerator(t, 2).Day(seed).TOML(); second != first {
@@ -84,8 +84,8 @@
 	}
 }
 
-// The losses of each day are counted without the ledger, at the beginning of each.
-func TestADayNeverLosesMoreMachinesThanTolerated(t *testing.T) {
+// The test counts the lost machines at the beginning of each loss on its own, without the ledger of the generator.
+func TestDayNeverLosesMoreMachinesThanTolerated(t *testing.T) {
 	for _, tolerated := range []int{1, 2} {
 		g := newTestGenerator(t, tolerated)
 		overlapping := false
@@ -97,12 +97,12 @@
 			overlapping = overlapping || lost > 1
 		}
 		if tolerated == 2 && !overlapping {
-			t.Error("two were never lost at once, though that is tolerated")
+			t.Error("no day lost two machines at once, although that is tolerated")
 		}
 	}
 }
 
-// mostLost is the largest number of counted machines that a day has lost at the beginning of a loss, and when.
+// mostLost returns the largest number of counted machines that are lost at the beginning of any loss, and the time of that loss.
 func mostLost(site *Site, day *Day) (most int, at float64) {
 	var losses []Loss
 	for _, d := range day.Disruptions {
@@ -142,12 +142,12 @@
 	for _, test := range tests {
 		loss, counts := site.lossOf(test.entry)
 		if counts != test.counts || loss.To != test.to {
-			t.Errorf("%s: loss %+v, %v; want one until %v, %v", test.entry, loss, counts, test.to, test.counts)
+			t.Errorf("%s: loss %+v, counted %v; want end %v, counted %v", test.entry, loss, counts, test.to, test.counts)
 		}
 	}
 }
 
-func TestEveryKindAndVariantIsReached(t *testing.T) {
+func TestEveryKindAndVariantIsGenerated(t *testing.T) {
 	g := newTestGenerator(t, 1)
 	missing := map[string]bool{}
 	for _, kind := range g.kinds {
@@ -176,11 +176,11 @@
 		}
 	}
 	if len(missing) > 0 {
-		t.Fatalf("never reached in %d days: %v", seedsTried, missing)
+		t.Fatalf("not generated in %d days: %v", seedsTried, missing)
 	}
 }
 
-// Most disruptions come shortly after another one, and some come twice.
+// At least half of the disruptions follow shortly after another one, and some kinds occur twice in a day.
 func TestDisruptionsFollowWhileTheSystemRecovers(t *testing.T) {
 	g := newTestGenerator(t, 1)
 	near, gaps, twice := 0, 0, 0
@@ -204,10 +204,10 @@
 		}
 	}
 	if near*2 < gaps {
-		t.Errorf("%d of %d gaps are those of a recovery, want half at least", near, gaps)
+		t.Errorf("%d of %d gaps are within the follow-up delay, want at least half", near, gaps)
 	}
 	if twice*10 < seedsTried {
-		t.Errorf("a kind came twice on %d of %d days", twice, seedsTried)
+		t.Errorf("a kind occurred twice on only %d of %d days", twice, seedsTried)
 	}
 }
 
@@ -234,7 +234,7 @@
 	}
 }
 
-// What a day takes from the servers is counted without the builder's figures.
+// The test sums up the affected and removed servers on its own, without the totals of the builder.
 func TestDaysLeaveEnoughServers(t *testing.T) {
 	g := newTestGenerator(t, 1)
 	nearBound := false
@@ -251,11 +251,11 @@
 		nearBound = nearBound || affected > maxAffectedShare/2
 	}
 	if !nearBound {
-		t.Error("no day comes near the bound")
+		t.Error("no day affects more than half of the allowed share of servers")
 	}
 }
 
-// serversTaken is which shares of the servers a disruption affects and removes. It must spare some.
+// serversTaken returns the shares of servers that a disruption affects and removes. It fails the test if none are left.
 func serversTaken(t *testing.T, seed uint64, d Disruption) (affected, removed float64) {
 	t.Helper()
 	words := strings.Fields(d.Variant)
@@ -269,7 +269,7 @@
 		removed += d.Share
 	}
 	if slices.Contains(words, variantAll) {
-		t.Errorf("seed %d: %s spares none", seed, d)
+		t.Errorf("seed %d: %s leaves no servers", seed, d)
 	}
 	return d.Share, removed
 }
@@ -277,27 +277,27 @@
 func checkDisruption(t *testing.T, g *Generator, seed uint64, d Disruption) {
 	t.Helper()
 	if d.At < 1 || d.At > g.Length-quietTail {
-		t.Errorf("seed %d: %s lies outside the day", seed, d)
+		t.Errorf("seed %d: %s is outside the allowed time of the day", seed, d)
 	}
 	if d.Share > 1 || min(d.Share, float64(d.Count), d.Duration, d.Interval, d.Magnitude) < 0 {
-		t.Errorf("seed %d: %s has a figure out of range", seed, d)
+		t.Errorf("seed %d: %s has a value out of range", seed, d)
 	}
 	if d.MachineClass != "" && !slices.Contains(g.site.MachineClasses, d.MachineClass) {
-		t.Errorf("seed %d: %s names no class of the site", seed, d)
+		t.Errorf("seed %d: %s names an unknown machine class", seed, d)
 	}
 	if d.Service != "" && !slices.Contains(g.site.Services, d.Service) {
-		t.Errorf("seed %d: %s names no service of the site", seed, d)
+		t.Errorf("seed %d: %s names an unknown service", seed, d)
 	}
 	checkKindAndVariant(t, g, seed, d)
 }
 
-// checkKindAndVariant wants a kind of the list, and words that the list knows for it.
+// checkKindAndVariant checks that the list contains the kind of the disruption and all words of its variant.
 func checkKindAndVariant(t *testing.T, g *Generator, seed uint64, d Disruption) {
 	t.Helper()
 	i := slices.IndexFunc(g.kinds, func(k Kind) bool { return k.Name == d.Kind })
 	if i < 0 {
-		if d.Kind != kindAckLost { // comes with a series of configuration changes, whatever the list holds
-			t.Errorf("seed %d: kind %q is none of the list", seed, d.Kind)
+		if d.Kind != kindAckLost { // added to a series of configuration changes even if the list doesn't contain it
+			t.Errorf("seed %d: kind %q is not in the list", seed, d.Kind)
 		}
 		return
 	}
--- a/sim/scenariogen/kinds.go
+++ b/sim/scenariogen/kinds.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Kind is one kind of disruption, as the bench's list describes it.
+// Kind is one kind of disruption from the bench's list.
 type Kind struct {
 	Name      string
-	Text      string   // what the list says of it
-	Variants  []string // one of which may be chosen
-	Additions []string // variants that only stand after another
+	Text      string   // description in the list
+	Variants  []string // variants, of which a disruption may use one
+	Additions []string // words that may only follow a variant
 }
 
-// ErrNoKinds is returned for a list in which no kind could be found.
-var ErrNoKinds = errors.New("the list of kinds holds no line NAME: TEXT")
+// ErrNoKinds is returned for a list without kinds.
+var ErrNoKinds = errors.New("the list of kinds has no line of the form NAME: TEXT")
 
 var (
 	kindLine     = regexp.MustCompile(`^([a-z][a-z0-9_]*): (.+)$`)
@@ -25,10 +25,10 @@
 	addedVariant = regexp.MustCompile(`\+ ([a-z][a-z0-9_]*)`)
 )
 
-// listHead is what a list of variants begins with.
+// listHead introduces a list of variants.
 const listHead = "how:"
 
-// ParseKinds reads a list of kinds. The paragraph before the first empty line explains fields and is skipped.
+// ParseKinds parses a list of kinds. It skips the paragraph before the first empty line, which describes the fields.
 func ParseKinds(list string) ([]Kind, error) {
 	_, body, found := strings.Cut(list, "\n\n")
 	if !found {
@@ -70,8 +70,8 @@
 	return k
 }
 
-// listedVariants returns the words of a list of variants that begins the text. The list ends with a closing parenthesis that
-// was not opened in it. What stands in parentheses explains, and so does a part that begins with "they".
+// listedVariants returns the variants of the list at the beginning of the text. The list ends at an unmatched closing parenthesis.
+// Text in parentheses, and a part that begins with "they", is an explanation and is skipped.
 func listedVariants(text string) (words []string) {
 	for _, part := range strings.FieldsFunc(withoutParentheses(text), func(r rune) bool { return r == ',' || r == ';' }) {
 		fields := strings.Fields(part)
@@ -79,7 +79,7 @@
 			continue
 		}
 		if !allVariants(fields) {
-			break // ordinary text goes on from here
+			break // the list ends here, followed by ordinary text
 		}
 		words = append(words, fields...)
 	}
@@ -95,7 +95,7 @@
 	return true
 }
 
-// withoutParentheses leaves out what stands in them, and all from a closing one on that has no opening one.
+// withoutParentheses removes text in parentheses, and everything from an unmatched closing parenthesis on.
 func withoutParentheses(text string) string {
 	var kept strings.Builder
 	depth := 0
--- a/sim/scenariogen/kinds_test.go
+++ b/sim/scenariogen/kinds_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// list is written in the form of the bench's, in words of our own.
-const list = `Fields: 'at', 'kind' and more; 'how' may also hold leader.
+// kindList is an example of a list of kinds in the format of the bench.
+const kindList = `Fields: 'at', 'kind' and more; 'how' may also hold leader.
 zone, class: where; left out, the seed picks.
 
 node_kill: share (.1) of the machines end; how: power (dark for for_s)
@@ -26,7 +26,7 @@
 `
 
 func TestParseKindsReadsVariantsAndAdditions(t *testing.T) {
-	kinds, err := ParseKinds(list)
+	kinds, err := ParseKinds(kindList)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/sim/scenariogen/losses.go
+++ b/sim/scenariogen/losses.go
@@ -4,23 +4,24 @@
 	"strings"
 )
 
-// Loss is a span in which counted machines are lost, with the time that they need to catch up.
+// Loss is a period in which counted machines are lost, including the time that they need to catch up. Counted machines are those whose
+// loss counts towards what the deployment tolerates; see Site.CountsAsLoss.
 type Loss struct {
 	From, To float64
 	Machines int
 }
 
-// lossLedger holds the losses of counted machines in a day.
+// lossLedger records the losses of counted machines in a day.
 type lossLedger struct {
-	limit   int // machines that may be lost at once
+	limit   int // maximum number of machines lost at once
 	entries []Loss
 }
 
-// fits reports whether the ledger stays within what is tolerated when the loss is added.
+// fits reports whether the loss can be added without exceeding the limit.
 func (l *lossLedger) fits(loss Loss) bool { return l.peak(loss) <= l.limit }
 
-// peak is the largest number of machines lost at one moment of the span, the span's own included. The sum of losses only
-// rises where one begins, so those moments are enough.
+// peak returns the largest number of machines lost at once during the loss, including its own. The number only rises when a loss
+// begins, so it is enough to check those times.
 func (l *lossLedger) peak(loss Loss) int {
 	most := l.lostAt(loss.From)
 	for _, other := range l.entries {
@@ -31,7 +32,7 @@
 	return most + loss.Machines
 }
 
-// lostAt is how many machines are lost at a moment.
+// lostAt returns the number of machines that are lost at a time.
 func (l *lossLedger) lostAt(at float64) int {
 	sum := 0
 	for _, other := range l.entries {
@@ -44,7 +45,8 @@
 
 func (l *lossLedger) add(loss Loss) { l.entries = append(l.entries, loss) }
 
-// earliest is the first moment from a given one on at which the loss fits, found among the ends of others.
+// earliest returns the earliest time, not before loss.From, at which the loss fits. Only loss.From and the ends of recorded losses are
+// candidates. If none of them fits, it returns loss.From.
 func (l *lossLedger) earliest(loss Loss) float64 {
 	best, found := loss.From, l.fits(loss)
 	for _, other := range l.entries {
@@ -59,8 +61,8 @@
 	return best
 }
 
-// lossOf is the span in which an entry has counted machines lost, with their time to catch up. A kill of all at once may come
-// whatever is tolerated and is not counted.
+// lossOf returns the loss of counted machines that a disruption causes, and whether there is one. A kill of all machines at once is
+// allowed regardless of the tolerated number and is not counted.
 func (s *Site) lossOf(d Disruption) (Loss, bool) {
 	kind, known := kindSpecs[d.Kind]
 	if !known {
@@ -86,7 +88,7 @@
 	return lost, true
 }
 
-// affectsCounted reports whether an entry's machines are counted ones: by their class, or by the kind where it names none.
+// affectsCounted reports whether a disruption affects counted machines. If it names no machine class, its kind decides.
 func (s *Site) affectsCounted(d Disruption, kind kindSpec) bool {
 	if d.MachineClass != "" {
 		return s.CountsAsLoss(d.MachineClass)
--- a/sim/scenariogen/report.go
+++ b/sim/scenariogen/report.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Report is what the bench writes about a day.
+// Report is the bench's report of a day.
 type Report struct {
 	Score           float64              `json:"G"`
 	Served          float64              `json:"served"`
-	Fault           json.RawMessage      `json:"fault"` // why the day could not be judged, if so
+	Fault           json.RawMessage      `json:"fault"` // why the day could not be evaluated; null or "" if it was
 	GateFailures    []json.RawMessage    `json:"short"`
 	Violations      map[string]any       `json:"breaks"`
 	FirstViolations []json.RawMessage    `json:"first"`
 	Events          []ReportedDisruption `json:"events"`
-	UnexpectedExits int                  `json:"exits_n"` // processes that ended by themselves
-	Timings         map[string][]float64 `json:"times"`   // in ms: the median and the longest
+	UnexpectedExits int                  `json:"exits_n"` // number of processes that exited unexpectedly
+	Timings         map[string][]float64 `json:"times"`   // median and maximum, in ms
 }
 
-// configTimings is the entry of Report.Timings for the acknowledgement of a configuration.
+// configTimings is the key in Report.Timings of the time until a configuration is acknowledged.
 const configTimings = "config acked"
 
-// SlowestConfig is how long the slowest acknowledgement of a configuration took, in ms; 0 if there was none.
+// SlowestConfig returns the longest time until a configuration was acknowledged, in ms, or 0 if there was none.
 func (r *Report) SlowestConfig() float64 {
 	times := r.Timings[configTimings]
 	if len(times) == 0 {
@@ -31,7 +31,7 @@
 	return times[len(times)-1]
 }
 
-// ReportedDisruption is a disruption as it was played.
+// ReportedDisruption is a disruption as the bench executed it.
 type ReportedDisruption struct {
 	At   float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
@@ -39,7 +39,7 @@
 	What string  `json:"what"`
 }
 
-// ViolatedRules names the rules that were broken, sorted; "fault" stands for a play that could not be judged.
+// ViolatedRules returns the sorted names of the violated rules. The name "fault" means that the day could not be evaluated.
 func (r *Report) ViolatedRules() []string {
 	var rules []string
 	for rule, times := range r.Violations {
@@ -54,7 +54,7 @@
 	return rules
 }
 
-// GateLines are the lines of the gate that the day fell short of.
+// GateLines returns the lines of the acceptance gate that the day failed, as JSON texts.
 func (r *Report) GateLines() []string {
 	lines := make([]string, 0, len(r.GateFailures))
 	for _, line := range r.GateFailures {
--- a/sim/scenariogen/result.go
+++ b/sim/scenariogen/result.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Result is one generated day and what became of it.
+// Result is one generated day and the outcome of its run.
 type Result struct {
 	Site   string
 	Seed   uint64
@@ -13,19 +13,19 @@
 	Day    *Day
 	Report *Report
 	Err    error
-	Shrunk string // file of the shortest day that breaks the same rule; empty if none was looked for
+	Shrunk string // file of the shortest day that violates the same rule; empty if the day was not shrunk
 }
 
-// Violated reports whether a rule was broken.
+// Violated reports whether the day violated a rule.
 func (r *Result) Violated() bool { return r.Report != nil && len(r.Report.ViolatedRules()) > 0 }
 
-// worthKeeping reports whether the day is worth keeping.
+// worthKeeping reports whether the day failed in any way or scored below keepBelow.
 func (r *Result) worthKeeping(keepBelow float64) bool {
 	return r.Err != nil || r.Violated() || r.Report.UnexpectedExits > 0 || len(r.Report.GateFailures) > 0 || r.Report.Score < keepBelow
 }
 
-// summary is a line on what became of a day: site, seed, worth, served, the slowest change of the configuration, broken rules,
-// processes that ended by themselves and the gate's lines.
+// summary returns one line on the outcome of a day: the site, the seed, the score, the served share, the slowest configuration change,
+// the violated rules, the number of unexpected exits and the failed lines of the gate.
 func (r *Result) summary() string {
 	if r.Err != nil {
 		return fmt.Sprintf("%s seed %d: not played: %v", r.Site, r.Seed, r.Err)
--- a/sim/scenariogen/shrink.go
+++ b/sim/scenariogen/shrink.go
@@ -4,12 +4,12 @@
 	"fmt"
 )
 
-// Check plays a day and reports whether it still shows what is looked for.
+// Check runs a day and reports whether it still shows the failure.
 type Check func(*Day) (bool, error)
 
-// Shrink takes away from a day whatever isn't needed for the check to hold: the final fault, each disruption, what a
-// disruption has beyond its least, and the seconds after the last one. It plays no more days than the budget, calls onStep for
-// each step that was kept, and returns the shortest day found, also with an error.
+// Shrink simplifies a day as long as the check still holds: it removes the final fault and single disruptions, reduces the duration and
+// the count of a disruption, and shortens the day after its last disruption. It runs at most budget days and calls onStep for each
+// simplification that it keeps. It returns the shortest day found, even if it also returns an error.
 func Shrink(day *Day, budget int, holds Check, onStep func(step string)) (*Day, error) {
 	s := &shrinker{best: day.Clone(), budget: budget, holds: holds, onStep: onStep}
 	for s.budget > 0 {
@@ -27,13 +27,13 @@
 // shrinker holds the shortest day found so far.
 type shrinker struct {
 	best    *Day
-	budget  int // plays left
-	applied int // steps that were kept
+	budget  int // number of runs left
+	applied int // number of simplifications kept
 	holds   Check
 	onStep  func(string)
 }
 
-// round tries each step once.
+// round tries each simplification once.
 func (s *shrinker) round() error {
 	if s.best.FinalFault != nil {
 		if err := s.try("without the final fault", func(d *Day) { d.FinalFault = nil }); err != nil {
@@ -53,7 +53,7 @@
 	return s.tryShortening()
 }
 
-// try plays the best day with one change and keeps the change if the check holds.
+// try runs the best day with one change and keeps the change if the check holds.
 func (s *shrinker) try(step string, change func(*Day)) error {
 	if s.budget == 0 {
 		return nil
@@ -76,7 +76,7 @@
 	return s.try(step, func(d *Day) { d.Disruptions = append(d.Disruptions[:i:i], d.Disruptions[i+1:]...) })
 }
 
-// minHalvedDuration is a time that isn't worth halving any more.
+// minHalvedDuration is the duration in seconds up to which a disruption is not shortened any further.
 const minHalvedDuration = 1.0
 
 func (s *shrinker) trySimplifying(i int) error {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// keptTail is what a shortened day keeps after its last disruption.
+// keptTail is the time in seconds that a shortened day keeps after its last disruption.
 const keptTail = 8.0
 
 func (s *shrinker) tryShortening() error {
--- a/sim/scenariogen/shrink_test.go
+++ b/sim/scenariogen/shrink_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func brokenDay() *Day {
+func failingDay() *Day {
 	return &Day{
 		Name: "own-3", Length: 40,
 		FinalFault: &FinalFault{Kind: "kill_all", Downtime: 1},
@@ -24,8 +24,8 @@
 	return slices.ContainsFunc(day.Disruptions, func(d Disruption) bool { return d.Kind == kind })
 }
 
-func TestShrinkKeepsWhatTheBreakNeeds(t *testing.T) {
-	day := brokenDay()
+func TestShrinkKeepsOnlyWhatTheCheckNeeds(t *testing.T) {
+	day := failingDay()
 	before := day.TOML()
 	shortest, err := Shrink(day, 100, func(d *Day) (bool, error) {
 		return hasKind(d, "node_kill") && hasKind(d, "core_cut"), nil
@@ -44,23 +44,23 @@
 		t.Errorf("shrunk to\n%s\nwant\n%s", shortest.TOML(), want.TOML())
 	}
 	if day.TOML() != before {
-		t.Error("the day given was changed")
+		t.Error("Shrink modified its argument")
 	}
 }
 
 func TestShrinkStaysWithinItsBudget(t *testing.T) {
-	plays := 0
-	_, err := Shrink(brokenDay(), 3, func(*Day) (bool, error) { plays++; return true, nil }, func(string) {})
-	if err != nil || plays != 3 {
-		t.Fatalf("%d plays, %v", plays, err)
+	runs := 0
+	_, err := Shrink(failingDay(), 3, func(*Day) (bool, error) { runs++; return true, nil }, func(string) {})
+	if err != nil || runs != 3 {
+		t.Fatalf("%d runs, %v", runs, err)
 	}
 }
 
 func TestShrinkReturnsTheBestSoFarWithAnError(t *testing.T) {
-	failure := errors.New("no play")
-	plays := 0
-	shortest, err := Shrink(brokenDay(), 10, func(*Day) (bool, error) {
-		if plays++; plays == 2 {
+	failure := errors.New("run failed")
+	runs := 0
+	shortest, err := Shrink(failingDay(), 10, func(*Day) (bool, error) {
+		if runs++; runs == 2 {
 			return false, failure
 		}
 		return true, nil
--- a/sim/scenariogen/site.go
+++ b/sim/scenariogen/site.go
@@ -7,30 +7,31 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Site is what a day has to know of a deployment. Times are seconds.
+// Site holds the properties of a deployment that the generator needs. Times are in seconds.
 type Site struct {
 	Name              string
-	Length            float64 // of a day
+	Length            float64 // default length of a day
 	Zones             []string
-	MachineClasses    []string // in the order in which the site names them
+	MachineClasses    []string // in the order of the site file
 	Services          []string
-	BurstClasses      []string            // classes of requests that a burst may be of
-	CatchUp           float64             // a machine stays lost for so long after it is back
-	ToleratedMachines int                 // counted machines that may be lost at once
-	Variants          map[string][]string // that the site's own disruptions use, by kind
+	BurstClasses      []string            // request classes that a burst may use
+	CatchUp           float64             // time for which a machine still counts as lost after it is back
+	ToleratedMachines int                 // maximum number of counted machines lost at once
+	Variants          map[string][]string // variants used by the site's own disruptions, by kind
 }
 
-// CountsAsLoss reports whether the loss of a machine of the class counts towards what the deployment tolerates: those with a disk do.
+// CountsAsLoss reports whether the loss of a machine of the class counts towards the number of losses that the deployment tolerates. Only
+// classes of machines with a disk count.
 func (s *Site) CountsAsLoss(class string) bool { return class == classCore || class == classStore }
 
-// The classes of machines that a site file names.
+// Machine classes in a site file.
 const (
 	classCore  = "core"
 	classStore = "store"
 	classFront = "front"
 )
 
-// siteFile is the part of a site file that matters here.
+// siteFile is the part of a site file that the generator uses.
 type siteFile struct {
 	Name    string  `toml:"name"`
 	LengthS float64 `toml:"length_s"`
@@ -56,16 +57,16 @@
 	} `toml:"tolerate"`
 }
 
-// siteDisruption is an entry of a site file's own disruptions.
+// siteDisruption is a disruption listed in a site file.
 type siteDisruption struct {
 	Kind    string `toml:"kind"`
 	Variant string `toml:"how"`
 }
 
-// ErrNotASite is returned for a file that lacks what a site has to say.
-var ErrNotASite = errors.New("not a site file: name, length_s, zones and machines are wanted")
+// ErrNotASite is returned for a file that lacks a required key of a site file.
+var ErrNotASite = errors.New("not a site file: name, length_s, zones and machines are required")
 
-// ParseSite reads a site file.
+// ParseSite parses a site file.
 func ParseSite(file []byte) (*Site, error) {
 	var f siteFile
 	if err := toml.Unmarshal(file, &f); err != nil {
@@ -95,7 +96,7 @@
 	return site, nil
 }
 
-// addVariants keeps the variants that a site's disruptions use.
+// addVariants records the variants that the site's own disruptions use.
 func (s *Site) addVariants(disruptions []siteDisruption) {
 	for _, disruption := range disruptions {
 		if disruption.Variant != "" {
--- a/sim/scenariogen/specs.go
+++ b/sim/scenariogen/specs.go
@@ -4,41 +4,41 @@
 	"strings"
 )
 
-// affected is what a kind of disruption affects.
+// affected is the category of components that a kind of disruption affects.
 type affected int
 
 const (
-	affectsNone     affected = iota // the operator's changes, clients, all machines alike
+	affectsNone     affected = iota // no specific components: changes by the operator, clients, or all machines
 	affectsMachines                 // machines of a class
-	affectsDisks                    // disks of machines of a class
-	affectsCore                     // counted machines only
+	affectsDisks                    // disks of counted machines of a class
+	affectsCore                     // counted machines only; see Site.CountsAsLoss
 	affectsServers                  // servers of a service
 	affectsTraffic                  // requests of a class
 )
 
-// span is a range from which a figure is drawn; a span of zeros leaves the field to the bench.
+// span is a range from which a value is drawn. The zero span leaves the field zero, so that the bench uses its default.
 type span struct{ lo, hi float64 }
 
-// kindSpec says how the fields of a kind are drawn.
+// kindSpec describes how the fields of a disruption of a kind are drawn.
 type kindSpec struct {
 	affects         affected
 	planned         bool
-	degradesServers bool // affected servers serve no more, or badly
+	degradesServers bool // affected servers stop serving or serve badly
 	losesMachines   bool // an affected counted machine counts as lost
 	share           span
 	count           span
 	magnitude       span
-	wholeMagnitude  bool    // the magnitude counts things
+	wholeMagnitude  bool    // the magnitude is a whole number
 	duration        span    // seconds
 	interval        span    // seconds
-	weight          float64 // chance to be drawn, beside the other kinds
-	// variants that the list of kinds describes in words of another kind ("the same")
+	weight          float64 // probability of the kind, relative to the other kinds
+	// variants holds additional variants, which the list of kinds only describes by reference to another kind ("the same")
 	variants []string
-	// classlessShare is the part of entries that name no class of machines, so that the bench picks by its rule
+	// classlessShare is the probability that a disruption names no machine class, so that the bench selects the machines
 	classlessShare float64
 }
 
-// kindSpecs are the kinds known. A kind of the list that isn't here gets guessSpec.
+// kindSpecs maps the name of each known kind to its spec. For a kind of the list that isn't in this table, guessSpec is used.
 var kindSpecs = map[string]kindSpec{
 	"burst":       {affects: affectsTraffic, magnitude: span{1.4, 2.4}, duration: span{2, 5}, weight: 0.6},
 	"release":     {affects: affectsServers, planned: true, share: span{0.2, 0.5}, magnitude: span{1, 3}, wholeMagnitude: true, interval: span{0.5, 1.5}, weight: 0.6},
@@ -85,7 +85,7 @@
 	"seed_turnover": {affects: affectsNone, planned: true, weight: 0.5},
 }
 
-// specOf returns what is known of a kind, or a guess from its line in the list.
+// specOf returns the spec of a kind. For an unknown kind it is guessed from the kind's description in the list.
 func specOf(k Kind) kindSpec {
 	if s, known := kindSpecs[k.Name]; known {
 		return s
@@ -93,7 +93,7 @@
 	return guessSpec(k.Text)
 }
 
-// guessSpec reads the fields of a kind that came after this table off its line.
+// guessSpec guesses the spec of a kind that was added to the bench after kindSpecs was written, from its description in the list.
 func guessSpec(text string) kindSpec {
 	guess := kindSpec{duration: span{2, 5}, weight: 1}
 	switch {
@@ -113,7 +113,7 @@
 	return guess
 }
 
-// Variants that the list's first paragraph allows beside those of a kind.
+// Variants that the first paragraph of the list allows in addition to the variants of a kind.
 var (
 	machineSelectors = []string{"turn", "leader", "reader", "seed"}
 	machineFollowUps = []string{"meet", "race", "hard", "drain"}
@@ -121,13 +121,13 @@
 	cutEndings       = []string{"reset", "refuse"}
 )
 
-// busyVariant is allowed for a rolling restart alone.
+// busyVariant is only allowed for a rolling restart.
 const busyVariant = "busy"
 
-// wipingVariant of an emptied machine makes the others lose their disks.
+// wipingVariant of the kind retire makes the other machines lose their disks.
 const wipingVariant = "wipe"
 
-// finalFaults are the final faults that a day may end with, and their variants.
+// finalFaults lists the possible final faults of a day and their variants.
 var finalFaults = []struct {
 	kind     string
 	variants []string
--- a/sim/scenariogen/toml.go
+++ b/sim/scenariogen/toml.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// TOML writes the day as a file for the bench.
+// TOML returns the day as the text of a TOML file for the bench.
 func (d *Day) TOML() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nseed = %d\nlength_s = %s\n", d.Name, d.Seed, number(d.Length))
@@ -33,7 +33,7 @@
 	b.WriteString("]\n")
 }
 
-// String returns the fields of the entry as the bench's file writes them.
+// String returns the fields of the disruption as in the TOML file of the day.
 func (d Disruption) String() string {
 	fields := []string{"at = " + number(d.At), fmt.Sprintf("kind = %q", d.Kind)}
 	text := func(key, value string) {
@@ -62,7 +62,7 @@
 	return strings.Join(fields, ", ")
 }
 
-// number writes a figure with a point, in three digits after it at most.
+// number formats a value with a decimal point and one to three digits after it.
 func number(value float64) string {
 	text := strconv.FormatFloat(rounded(value), 'f', -1, 64)
 	if !strings.Contains(text, ".") {
@@ -71,8 +71,8 @@
 	return text
 }
 
-// rounded keeps the precision that a day's file holds.
+// rounded rounds a value to the precision of the TOML file, three decimal places.
 func rounded(value float64) float64 { return math.Round(value*1000) / 1000 }
 
-// roundedUp rounds a moment to the precision of a day's file, never to an earlier one.
+// roundedUp rounds a time up to the precision of the TOML file.
 func roundedUp(at float64) float64 { return math.Ceil(at*1000-1e-6) / 1000 }
--- a/sim/scenariogen/variant.go
+++ b/sim/scenariogen/variant.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// drawVariant draws how an entry comes about: a variant of its kind, then which machines or servers, then what follows.
+// drawVariant draws the words of a disruption's variant: a variant of its kind, then a selector of machines or servers, then follow-ups.
 func (d *dayBuilder) drawVariant(kind Kind, s kindSpec, round *uint64) string {
 	words := d.drawKindVariant(kind, s, round)
 	switch s.affects {
@@ -25,7 +25,7 @@
 	return strings.Join(words, " ")
 }
 
-// drawKindVariant draws among the variants of a kind. A round picks the first one in turn.
+// drawKindVariant draws from the variants of a kind. A non-nil round selects the first variant instead of a random choice.
 func (d *dayBuilder) drawKindVariant(kind Kind, s kindSpec, round *uint64) variantWords {
 	var words variantWords
 	choices := d.variantsOf(kind, s)
@@ -43,7 +43,7 @@
 	return words
 }
 
-// drawMachineVariant draws which machines are meant, and what follows when they are back.
+// drawMachineVariant adds a selector of machines and the follow-ups for the time when they are back, each at random.
 func (d *dayBuilder) drawMachineVariant(words variantWords) variantWords {
 	if d.stream.Chance(chanceOfSelector) && !slices.ContainsFunc(words, isSelector) {
 		words = words.with(d.oneOf(machineSelectors))
@@ -57,10 +57,10 @@
 	return words
 }
 
-// variantWords are the words of a variant, each once.
+// variantWords holds the words of a variant without duplicates.
 type variantWords []string
 
-// with adds the words of a text that aren't there yet.
+// with returns the words with those words of the text added that are not yet among them.
 func (w variantWords) with(text string) variantWords {
 	for _, word := range strings.Fields(text) {
 		w = appendMissing(w, word)
@@ -72,8 +72,8 @@
 
 func isCutEnding(word string) bool { return slices.Contains(cutEndings, word) }
 
-// variantsOf are those that the list of kinds names, those that the site itself uses, and none. Kinds whose variants say what
-// is changed always have one.
+// variantsOf returns the possible variants of a kind: those of the list, those of its spec, those that the site uses, and the empty
+// variant. Kinds whose variant says what is changed have no empty variant.
 func (d *dayBuilder) variantsOf(kind Kind, s kindSpec) []string {
 	choices := slices.Concat(kind.Variants, s.variants, d.site.Variants[kind.Name])
 	if !slices.Contains([]string{kindConfigChange, kindBadConfig}, kind.Name) {
