--- a/sim/losscauses/losscauses.go
+++ b/sim/losscauses/losscauses.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Report is what of a play's report is read.
+// Report is the part of a run's report that the package uses.
 type Report struct {
 	Name    string
 	All     Count    `json:"all"`
@@ -19,7 +19,7 @@
 	Events  []Event  `json:"events"`
 }
 
-// Count is what became of programs.
+// Count holds the number of programs and their outcomes.
 type Count struct {
 	Asked   int `json:"n"`
 	Late    int `json:"late"`
@@ -27,27 +27,27 @@
 	Failed  int `json:"failed"`
 }
 
-// Window is the programs that began in some seconds.
+// Window holds the outcomes of the programs that began in one time window.
 type Window struct {
-	Name string `json:"name"` // its first second
-	// MedianMS is how long half of the programs took at most, 0 if the report doesn't tell.
+	Name string `json:"name"` // first second of the window, as a number
+	// MedianMS is the median duration of the programs, or 0 if the report has none.
 	MedianMS float64 `json:"p50_ms"`
 	Count
 }
 
-// Event is a disruption or planned work.
+// Event is a disruption or planned operation.
 type Event struct {
 	From float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
 	Kind string  `json:"kind"`
-	// Planned work is a cause only where no disruption is.
+	// Planned operations are considered as causes only if no disruption matches.
 	Planned bool `json:"planned"`
 }
 
-// ErrNoReport says that a file is no report of a play. Errors of Parse wrap it.
-var ErrNoReport = errors.New("is no report of a play")
+// ErrNoReport is wrapped by the errors of Parse. It means that a file is not the report of a run.
+var ErrNoReport = errors.New("is not the report of a run")
 
-// Parse reads a report.
+// Parse parses a report. The name becomes Report.Name and is used in error messages.
 func Parse(name string, content []byte) (*Report, error) {
 	report := &Report{Name: name}
 	if err := json.Unmarshal(content, report); err != nil {
@@ -59,10 +59,10 @@
 	return report, nil
 }
 
-// windowLength is how many seconds a report's windows are long.
+// windowLength is the length of a report's windows in seconds.
 const windowLength = 2.0
 
-// Prefixes of the kinds of events, as the report of a play has them.
+// Prefixes of Event.Kind in a report.
 const (
 	closingKind      = "closing" // the final fault
 	configChangeKind = "config_change"
@@ -70,37 +70,37 @@
 )
 
 const (
-	// longestRun is how long programs last at most, in seconds, as far as most of them are concerned: one that began so long before
-	// a disruption may have been lost to it.
+	// longestRun is the maximum duration of most programs in seconds. A program that began at most this long before a disruption may have
+	// been lost to it.
 	longestRun = 8.0
-	// recovery is how long after a final fault programs that begin may still wait for the tier.
+	// recovery is the time in seconds after a final fault during which new programs may still have to wait for the tier.
 	recovery = 2.5
-	// overloadFactor is by how much longer programs take in an overloaded window than in a calm one.
+	// overloadFactor is the ratio of a window's median duration to that of calm windows above which the window counts as overloaded.
 	overloadFactor = 1.15
-	// calmShare is the share of the windows, those with the shortest programs, that count as calm.
+	// calmShare is the share of the windows, those with the lowest medians, that count as calm.
 	calmShare = 0.25
 )
 
 const (
-	// InFlight is the cause of programs that were running when the final fault struck.
+	// InFlight is the cause for programs that were running when the final fault began.
 	InFlight = "in flight at the final fault"
-	// Outage is the cause of programs that began in the outage after the final fault.
+	// Outage is the cause for programs that began in the outage after the final fault.
 	Outage = "began in the outage after the final fault"
-	// Overload is the cause of programs that no disruption was near and that took longer than those of calm seconds: hosts had more to
-	// do than they could at once.
+	// Overload is the cause for programs without a matching disruption that took longer than those of calm windows, because the load
+	// exceeded the capacity of the hosts.
 	Overload = "overload"
-	// Unexplained is the cause of programs that no disruption was near.
+	// Unexplained is the cause for programs without a matching disruption and without signs of overload.
 	Unexplained = "unexplained"
 )
 
-// Share is what one cause took.
+// Share holds the numbers of late and lost programs of one cause.
 type Share struct {
 	Cause string
 	Late  int
 	Lost  int // failed or refused
 }
 
-// Shares attributes the programs that were late or lost, the cause with most lost ones first.
+// Shares attributes the late and lost programs to causes and returns them in descending order of lost programs.
 func (r *Report) Shares() ([]Share, error) {
 	byCause := map[string]*Share{}
 	calm := r.calmMedian()
@@ -110,7 +110,7 @@
 		}
 		from, err := strconv.ParseFloat(window.Name, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s: window %q is no second", r.Name, window.Name)
+			return nil, fmt.Errorf("%s: window name %q is not a number of seconds", r.Name, window.Name)
 		}
 		cause := r.causeOf(from)
 		if cause == Unexplained && window.MedianMS > overloadFactor*calm {
@@ -122,10 +122,10 @@
 		byCause[cause].Late += window.Late
 		byCause[cause].Lost += window.Refused + window.Failed
 	}
-	return r.checked(byCause)
+	return r.sortAndCheck(byCause)
 }
 
-// calmMedian is how long half of the programs take at most in calm seconds, in milliseconds; infinite if the report doesn't tell.
+// calmMedian returns the highest median duration of the calm windows in milliseconds, or infinity if the report has no medians.
 func (r *Report) calmMedian() float64 {
 	var medians []float64
 	for _, window := range r.Windows {
@@ -140,8 +140,8 @@
 	return medians[int(calmShare*float64(len(medians)-1))]
 }
 
-// checked orders the shares and sees that they add up to what the report counts.
-func (r *Report) checked(byCause map[string]*Share) ([]Share, error) {
+// sortAndCheck sorts the shares and returns an error if they don't add up to the totals of the report.
+func (r *Report) sortAndCheck(byCause map[string]*Share) ([]Share, error) {
 	var shares []Share
 	late, lost := 0, 0
 	for _, each := range byCause {
@@ -150,7 +150,7 @@
 		lost += each.Lost
 	}
 	if late != r.All.Late || lost != r.All.Refused+r.All.Failed {
-		return nil, fmt.Errorf("%s: windows hold %d late and %d lost programs, the report counts %d and %d",
+		return nil, fmt.Errorf("%s: the windows add up to %d late and %d lost programs, but the totals of the report are %d and %d",
 			r.Name, late, lost, r.All.Late, r.All.Refused+r.All.Failed)
 	}
 	slices.SortFunc(shares, func(a, b Share) int {
@@ -159,8 +159,9 @@
 	return shares, nil
 }
 
-// causeOf names the disruption that programs which began at a second ran into: the final fault if they may have lived until then,
-// else what was under way when they began, else what came soonest after; planned work only where there is none.
+// causeOf returns the cause for programs that began at a time: the final fault if they may have been running then, otherwise the
+// disruption that was in progress when they began, otherwise the next one after that. Planned operations are considered only if no
+// disruption matches.
 func (r *Report) causeOf(from float64) string {
 	if cause, found := r.finalFault(from); found {
 		return cause
@@ -171,8 +172,9 @@
 	return r.nearest(from, true)
 }
 
-// finalFault is the cause of programs that a final fault met. Most of those that began in the last second before it would have ended
-// after it as well, but the outage is what they were lost to.
+// finalFault returns the cause for programs affected by a final fault, and whether there is one. Programs that began in the last second
+// before the fault count as begun in the outage: most of them would have ended after the fault as well, but they were lost to the
+// outage.
 func (r *Report) finalFault(from float64) (cause string, found bool) {
 	for _, event := range r.Events {
 		if !strings.HasPrefix(event.Kind, closingKind) {
@@ -188,7 +190,8 @@
 	return "", false
 }
 
-// nearest is the disruption, or the planned work, that was under way at a second or came soonest after.
+// nearest returns the kind of the disruption, or of the planned operation, that was in progress at a time or began soonest after it. It
+// returns Unexplained if there is none within longestRun.
 func (r *Report) nearest(from float64, planned bool) string {
 	best, bestWait := Unexplained, longestRun
 	for _, event := range r.Events {
@@ -196,7 +199,7 @@
 			continue
 		}
 		if strings.HasPrefix(event.Kind, configChangeKind) || strings.HasPrefix(event.Kind, lostAckKind) {
-			continue // nothing that clients meet
+			continue // these do not affect clients
 		}
 		if wait := max(event.From-from, 0); from <= event.To && wait < bestWait {
 			best, bestWait = event.Kind, wait
--- a/sim/losscauses/losscauses_test.go
+++ b/sim/losscauses/losscauses_test.go
@@ -24,13 +24,14 @@
 	}
 	for i, share := range shares {
 		if share.Lost != want[i].Lost || share.Late != want[i].Late {
-			t.Errorf("%+v, not %+v", share, want[i])
+			t.Errorf("got %+v, want %+v", share, want[i])
 		}
 	}
 }
 
-// Windows whose programs take longer than those of calm ones are overloaded, unless a disruption is near; without times nothing is.
-func TestOverloadIsNamed(t *testing.T) {
+// A window is overloaded if its programs take longer than those of calm windows and no disruption is near. Without medians no window
+// counts as overloaded.
+func TestOverloadIsDetected(t *testing.T) {
 	const loaded = `{"all":{"late":9,"failed":2},"events":[{"at_s":20,"to_s":22,"kind":"srv_grey (hang)"}],"windows":[
 		{"name":"0","p50_ms":1000},{"name":"2","p50_ms":1010,"late":1},{"name":"4","p50_ms":990},{"name":"6","p50_ms":1020},
 		{"name":"8","p50_ms":1300,"late":4,"failed":1},{"name":"20","p50_ms":1900,"late":4,"failed":1}]}`
@@ -52,14 +53,14 @@
 			}
 			for _, share := range shares {
 				if share.Late != test.want[share.Cause] {
-					t.Errorf("%s: %d late, not %d", share.Cause, share.Late, test.want[share.Cause])
+					t.Errorf("%s: got %d late, want %d", share.Cause, share.Late, test.want[share.Cause])
 				}
 			}
 		})
 	}
 }
 
-func TestCountsThatDoNotAddUpAreAnError(t *testing.T) {
+func TestMismatchedTotalsAreAnError(t *testing.T) {
 	r, err := Parse("day", []byte(strings.Replace(report, `"failed":11`, `"failed":12`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -69,14 +70,14 @@
 	}
 }
 
-func TestWhatIsNoReportIsAnError(t *testing.T) {
+func TestInvalidReportIsAnError(t *testing.T) {
 	for _, content := range []string{"", "{}", `{"windows":[{"name":"x","failed":1}],"all":{"failed":1}}`} {
 		r, err := Parse("day", []byte(content))
 		if err == nil {
 			_, err = r.Shares()
 		}
 		if err == nil {
-			t.Errorf("%q is taken for a report", content)
+			t.Errorf("%q was accepted as a report", content)
 		}
 	}
 }
--- a/sim/scenariogen/campaign_test.go
+++ b/sim/scenariogen/campaign_test.go
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if len(results) != campaign.DaysPerSite {
-		t.Fatalf("%d days played, want %d", len(results), campaign.DaysPerSite)
+		t.Fatalf("%d days run, want %d", len(results), campaign.DaysPerSite)
 	}
 	broken, failed := 0, 0
 	for i, result := range results {
@@ -125,7 +125,7 @@
 	campaign.WriteOnly = true
 	results, err := campaign.Run(t.Context(), []string{site})
 	if err != nil || len(results) != 0 || len(*lines) != campaign.DaysPerSite {
-		t.Fatalf("%d played, output %q, %v", len(results), *lines, err)
+		t.Fatalf("%d days run, output %q, %v", len(results), *lines, err)
 	}
 	written, err := os.ReadFile(campaign.Bench.DayFile("orchard-own-1"))
 	if want := newTestGenerator(t, 1).Day(1).TOML(); err != nil || string(written) != want {
--- a/sim/scenarios/scenarios.go
+++ b/sim/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the days that come with the laboratory.
+// Package scenarios holds the built-in scenarios, called days, of the simulator.
 package scenarios
 
 import (
@@ -13,10 +13,10 @@
 
 var set = assets.Set{Files: files, Folder: ".", Kind: "day"}
 
-// Names are the days there are, in order.
+// Names returns the names of the built-in scenarios in sorted order.
 func Names() []string { return set.Names() }
 
-// Load reads a day by its name, or from a file.
+// Load reads a built-in scenario by name, or a scenario from a file by path.
 func Load(name string) (*scenario.Scenario, error) {
 	file, text, err := set.Read(name)
 	if err != nil {
@@ -25,7 +25,8 @@
 	return Over(file, text)
 }
 
-// Over reads a day, on top of the one that comes with the program which it names as its base.
+// Over parses the text of a scenario. If it names a base, it extends that built-in scenario, which must not have a base itself. The file
+// name is used in error messages only.
 func Over(file string, text []byte) (*scenario.Scenario, error) {
 	name := scenario.BaseOf(text)
 	if name == "" {
