--- a/sim/scenario/lines.go
+++ b/sim/scenario/lines.go
@@ -22,7 +22,7 @@
 			table = key
 			lines[key] = line
 		case unstable.ArrayTable:
-			table = indexed(key, tablesSeen[key])
+			table = indexedKey(key, tablesSeen[key])
 			tablesSeen[key]++
 			lines[table] = line
 			if lines[key] == 0 {
@@ -55,5 +55,5 @@
 	return table + "." + key
 }
 
-// indexed returns the path of one table of an array.
-func indexed(key string, index int) string { return fmt.Sprintf("%s[%d]", key, index) }
+// indexedKey returns the path of one table of an array.
+func indexedKey(key string, index int) string { return fmt.Sprintf("%s[%d]", key, index) }
--- a/sim/scenario/write.go
+++ b/sim/scenario/write.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// writeValue writes the key of a string, a number or a boolean. It skips tables.
+// writeValue writes the key and the value of a string, a number or a boolean. It skips tables.
 func writeValue(text *strings.Builder, tag reflect.StructTag, value reflect.Value) {
 	key := tag.Get("day")
 	switch v := value.Interface().(type) {
