--- a/cmd/otterseam-sim/days.go
+++ b/cmd/otterseam-sim/days.go
@@ -17,7 +17,7 @@
 func (c *daysCommand) Run(out *output) error {
 	switch {
 	case c.Form:
-		fmt.Fprint(out.stdout, "| key | what it is | range | if it is not given |\n| --- | --- | --- | --- |\n", scenario.Form())
+		fmt.Fprint(out.stdout, "| key | what it is | range | if it is not given |\n| --- | --- | --- | --- |\n", scenario.KeyTable())
 	case c.Kinds:
 		printFaultKinds(out)
 	case c.Show != "":
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, line := range strings.Split(strings.TrimSpace(Form()), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(KeyTable()), "\n") {
 		if !strings.Contains(string(b), line) {
 			t.Errorf("docs/laboratory.md lacks\n%s", line)
 		}
--- a/sim/scenario/write.go
+++ b/sim/scenario/write.go
@@ -63,36 +63,36 @@
 	return text
 }
 
-// Form returns the rows of a Markdown table of all keys, for the documentation and the help text.
-func Form() string {
+// KeyTable returns the rows of a Markdown table of all keys, for the documentation and the help text.
+func KeyTable() string {
 	var rows strings.Builder
-	writeForm(&rows, "", reflect.TypeFor[Scenario]())
+	writeKeyRows(&rows, "", reflect.TypeFor[Scenario]())
 	return rows.String()
 }
 
-func writeForm(rows *strings.Builder, path string, table reflect.Type) {
+func writeKeyRows(rows *strings.Builder, path string, table reflect.Type) {
 	for i := range table.NumField() {
 		field := table.Field(i)
 		key := joinKey(path, field.Tag.Get("day"))
 		switch {
 		case field.Type.Kind() == reflect.Slice:
-			writeForm(rows, key+"[]", field.Type.Elem())
+			writeKeyRows(rows, key+"[]", field.Type.Elem())
 		case isTable(field.Type):
-			writeForm(rows, key, field.Type)
+			writeKeyRows(rows, key, field.Type)
 		default:
-			fmt.Fprintf(rows, "| `%s` | %s | %s | %s |\n", key, field.Tag.Get("about"), formBounds(field.Tag), formDefault(field.Tag))
+			fmt.Fprintf(rows, "| `%s` | %s | %s | %s |\n", key, field.Tag.Get("about"), keyBounds(field.Tag), keyDefault(field.Tag))
 		}
 	}
 }
 
-func formBounds(tag reflect.StructTag) string {
+func keyBounds(tag reflect.StructTag) string {
 	if tag.Get("min") != "" {
 		return tag.Get("min") + " to " + tag.Get("max")
 	}
 	return strings.ReplaceAll(tag.Get("one"), "|", ", ")
 }
 
-func formDefault(tag reflect.StructTag) string {
+func keyDefault(tag reflect.StructTag) string {
 	text, ok := tag.Lookup("def")
 	if !ok {
 		return "must be given"
