--- a/sim/search/search.go
+++ b/sim/search/search.go
@@ -59,7 +59,7 @@
 
 // Worst searches for the worst run of a scenario with ranges or faults. A run that violates a rule is worse than any other.
 func Worst(ctx context.Context, from *scenario.Scenario, options Options) (*Result, error) {
-	s := &searcher{Options: options, from: from, spans: from.Spans()}
+	s := &searcher{Options: options, from: from, spans: from.RangePaths()}
 	median, err := s.sample(ctx)
 	if err != nil {
 		return nil, err
