--- a/harness/sockets/hosts.go
+++ b/harness/sockets/hosts.go
@@ -107,7 +107,7 @@
 	reset, resetBefore := network.DrawReset()
 	job.OnAnswer = func(answer hostmodel.Answer) { c.answer(attempt, answer, reset) }
 	if network.Partitioned(zone, c.host.Zone) || c.host.IsSilent() {
-		c.AttemptSwallowed()
+		c.CountAttempt()
 		return job
 	}
 	c.Queue.ScheduleAfter(network.Delay(zone, c.host.Zone), func() {
--- a/sim/simulation/gateways.go
+++ b/sim/simulation/gateways.go
@@ -58,7 +58,7 @@
 
 // AttemptSent counts and judges an attempt that begins.
 func (s *Simulation) AttemptSent(attempt *model.Attempt) {
-	s.AttemptSwallowed()
+	s.CountAttempt()
 	s.Oracle.AttemptSent(attempt)
 	s.Oracle.CheckGroup(attempt, func(a, b int) bool {
 		return sameGroup(attempt.Invocation.Request.Operation.Group, s.Hosts[a], s.Hosts[b])
@@ -78,12 +78,12 @@
 
 // AttemptSentLate is AttemptSent for one that was held up on the way: when it set out is not known.
 func (s *Simulation) AttemptSentLate(attempt *model.Attempt) {
-	s.AttemptSwallowed()
+	s.CountAttempt()
 	s.Oracle.CheckRetry(attempt)
 }
 
-// AttemptSwallowed counts an attempt, also one that no host will ever see.
-func (s *Simulation) AttemptSwallowed() {
+// CountAttempt counts an attempt, including one that is lost before it reaches a host.
+func (s *Simulation) CountAttempt() {
 	s.Results.Attempts++
 	s.Results.SecondAt(s.Queue.Now()).Attempts++
 }
