--- a/cmd/otterseam-sim/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -24,14 +24,14 @@
 	}
 	plan := batch.Plan{Day: day, Decider: c.Decider, Seed: c.Seed, Overrides: c.Set}
 	showProgress := out.progress("second", int(day.Length.Hi))
-	run, simulated, err := batch.RunOne(plan, simulation.WithStory(c.Ref), simulation.WithProgress(func(at float64) { showProgress(int(at)) }))
+	run, simulated, err := batch.RunOne(plan, simulation.WithInvocationTrace(c.Ref), simulation.WithProgress(func(at float64) { showProgress(int(at)) }))
 	if err != nil {
 		return err
 	}
 	if err := c.writeResults(out, day.Name, []*batch.Run{run}); err != nil {
 		return err
 	}
-	for _, line := range simulated.StoryLines() {
+	for _, line := range simulated.TraceLines() {
 		fmt.Fprintln(out.stderr, line)
 	}
 	if err := printFirstViolation(out, plan, run); err != nil {
--- a/sim/batch/batch.go
+++ b/sim/batch/batch.go
@@ -89,11 +89,11 @@
 
 // Story runs a plan and gives all that happened to one invocation.
 func Story(plan Plan, ref string) ([]string, error) {
-	_, simulated, err := RunOne(plan, simulation.WithStory(ref))
+	_, simulated, err := RunOne(plan, simulation.WithInvocationTrace(ref))
 	if err != nil {
 		return nil, err
 	}
-	return simulated.StoryLines(), nil
+	return simulated.TraceLines(), nil
 }
 
 // RunAll runs plans on so many workers; 0: one a core. progress, if set, is told how many are done, by several goroutines. The first
--- a/sim/simulation/clients.go
+++ b/sim/simulation/clients.go
@@ -10,15 +10,15 @@
 
 var _ workload.Environment = (*Simulation)(nil)
 
-// Submit brings an invocation to its api gateway; false: it took none.
+// Submit passes an invocation to its api gateway and reports whether the gateway accepted it.
 func (s *Simulation) Submit(invocation *model.Invocation) bool {
 	return s.Gateways[invocation.Gateway].Submit(invocation)
 }
 
-// Admits says whether the load balancer in front sends invocations to an api gateway.
+// Admits reports whether the load balancer in front sends invocations to an api gateway.
 func (s *Simulation) Admits(gateway int) bool { return s.Gateways[gateway].Admits }
 
-// RequestCreated counts a request and judges whether it is within its customer's quota.
+// RequestCreated counts a request and records whether it is within its customer's quota.
 func (s *Simulation) RequestCreated(request *model.Request) {
 	s.Results.FirstInvocations++
 	s.Results.SecondAt(s.Queue.Now()).FirstInvocations++
@@ -28,7 +28,7 @@
 	}
 }
 
-// RequestClosed counts what became of a request whose last invocation took so many seconds.
+// RequestClosed counts the outcome of a request. seconds is the duration of its last invocation.
 func (s *Simulation) RequestClosed(request *model.Request, seconds float64) {
 	s.Results.CloseRequest(request, seconds, s.Queue.Now())
 }
@@ -45,5 +45,5 @@
 		request.Customer.Key, request.Operation.Name, request.Customer.Plan.Name, request.Units, invocation.GiveUpAt))
 }
 
-// InvocationEnded counts how an invocation ended for its client.
+// InvocationEnded counts the outcome of an invocation as its client sees it.
 func (s *Simulation) InvocationEnded(outcome model.Outcome) { s.Results.CountOutcome(outcome) }
--- a/sim/simulation/digest_test.go
+++ b/sim/simulation/digest_test.go
@@ -11,11 +11,11 @@
 	"otterseam/sim/simulation"
 )
 
-// Days of each kind, made small: no trouble, faults on links, most kinds of trouble, hosts that turn slow, hosts that refuse, hosts
-// that leave one operation unanswered, and a counter that is lost.
+// digestedDays are shortened days of each kind: without faults, with faults on links, with most kinds of faults, with hosts that become
+// slow, with hosts that refuse connections, with hosts that leave one operation unanswered, and with a counter that is lost.
 var digestedDays = []struct {
-	name, decider string
-	sets          []string // of keys, as on the command line
+	name, policy string
+	sets         []string // overrides KEY=VALUE, as on the command line
 }{
 	{"calm-3", "module", []string{"length=3s"}},
 	{"links-3", "module", nil},
@@ -42,35 +42,36 @@
 	}
 }
 
-// What happens to each invocation, and when, on days that are decided by the gateway's own decisions, with the figures.
+// TestDayDigests guards against unintended changes of behaviour: it compares digests of the time, the api gateway and the invocation of
+// every trace line, and of the results, on days with the gateway's own policies.
 func TestDayDigests(t *testing.T) {
-	for _, each := range digestedDays {
-		digesttest.Check(t, each.name, func(t *testing.T, seed int64, d *digesttest.Digest) {
-			day, err := scenarios.Load(each.name)
+	for _, c := range digestedDays {
+		digesttest.Check(t, c.name, func(t *testing.T, seed int64, d *digesttest.Digest) {
+			day, err := scenarios.Load(c.name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, set := range each.sets {
+			for _, set := range c.sets {
 				key, value, _ := strings.Cut(set, "=")
 				if err := day.Set(key, value); err != nil {
 					t.Fatal(err)
 				}
 			}
-			decider, err := policies.New(each.decider)
+			policySource, err := policies.New(c.policy)
 			if err != nil {
 				t.Fatal(err)
 			}
-			world := simulation.New(day, uint64(seed), decider)
-			world.OnTrace = func(from int, ref, _ string) {
-				d.Float(world.Queue.Now())
+			simulated := simulation.New(day, uint64(seed), policySource)
+			simulated.OnTrace = func(from int, ref, _ string) {
+				d.Float(simulated.Queue.Now())
 				d.Int(int64(from))
 				d.Text(ref)
 			}
-			played, err := world.Run()
+			results, err := simulated.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			digestFigures(d, played)
+			digestFigures(d, results)
 		})
 	}
 }
--- a/sim/simulation/doc.go
+++ b/sim/simulation/doc.go
@@ -1,3 +1,4 @@
-// Package simulation runs a scenario in virtual time: it makes the models of hosts, api gateways, counter, network and customers,
-// connects them, and lets the scenario's faults begin and end. It must never decide for an api gateway, nor judge.
+// Package simulation runs a scenario in virtual time: it creates the models of hosts, api gateways, counter, network and customers,
+// connects them, and starts and ends the scenario's faults. It must never make a decision of an api gateway, and it leaves the checking
+// of rules to package oracle.
 package simulation
--- a/sim/simulation/faults.go
+++ b/sim/simulation/faults.go
@@ -9,16 +9,17 @@
 	"otterseam/sim/scenario"
 )
 
-// fault is one fault of the scenario that begins now.
+// fault is one fault of the scenario in a simulation.
 type fault struct {
 	*Simulation
 	config *scenario.Fault
-	random randstream.Stream // of its own, so that one fault more changes none of the others
+	random randstream.Stream // separate for each fault, so that an additional fault changes none of the others
 	size   float64
-	part   float64
+	share  float64
 }
 
-// faultKinds begin the faults, by the kinds that scenarios name. What they give ends the fault; nil: it has no end.
+// faultKinds maps the kinds of faults that scenarios name to functions that begin them. Each returns a function that ends the fault, or
+// nil if the fault needs no end.
 var faultKinds = map[string]func(f *fault) (end func()){
 	"slow": func(f *fault) func() {
 		return f.onHosts(func(h *hostmodel.Host, begin bool) { h.SlowDown(f.size, begin) })
@@ -47,8 +48,8 @@
 	"half-open": func(f *fault) func() { return toggle(f.size, f.network.LoseAnswers) },
 	"cut":       func(f *fault) func() { return toggleEach(f.isolatedZones(), f.network.IsolateZone) },
 
-	"counter-silent":   func(f *fault) func() { return f.counterAway(f.Counter.Silence) },
-	"counter-refuse":   func(f *fault) func() { return f.counterAway(f.Counter.RefuseConnections) },
+	"counter-silent":   func(f *fault) func() { return f.counterOutage(f.Counter.Silence) },
+	"counter-refuse":   func(f *fault) func() { return f.counterOutage(f.Counter.RefuseConnections) },
 	"counter-small":    func(f *fault) func() { return toggle(f.size, f.Counter.ScaleCapacity) },
 	"counter-drop":     func(f *fault) func() { return toggle(f.size, f.Counter.DropAnswers) },
 	"counter-takeover": (*fault).takeOverCounter,
@@ -59,7 +60,7 @@
 	},
 
 	"list-late":   func(f *fault) func() { return toggle(f.size, f.registry.SlowDown) },
-	"list-silent": func(f *fault) func() { return whileItLasts(f.registry.Pause) },
+	"list-silent": func(f *fault) func() { return startFault(f.registry.Pause) },
 	"mail-loss":   func(f *fault) func() { return toggle(f.size, f.peers.SetLoss) },
 
 	"burst": func(f *fault) func() {
@@ -80,14 +81,14 @@
 	"starve":  (*fault).starveGateways,
 }
 
-// scheduleFault sets when a fault begins and ends.
+// scheduleFault schedules the begin and the end of a fault.
 func (s *Simulation) scheduleFault(number int, config *scenario.Fault) {
 	f := &fault{
 		Simulation: s,
 		config:     config,
 		random:     randstream.New(s.Seed, "trouble", number),
 		size:       config.Size.Float(),
-		part:       config.Part.Float(),
+		share:      config.Part.Float(),
 	}
 	s.Queue.ScheduleAfter(config.At.Float(), func() {
 		begin := faultKinds[config.Kind]
@@ -100,30 +101,30 @@
 	})
 }
 
-// whileItLasts begins something, and gives what ends it.
-func whileItLasts(do func(begin bool)) (end func()) {
-	do(true)
-	return func() { do(false) }
+// startFault calls apply to begin a fault and returns a function that calls it to end the fault.
+func startFault(apply func(begin bool)) (end func()) {
+	apply(true)
+	return func() { apply(false) }
 }
 
-// toggle begins something with an argument, and gives what ends it.
-func toggle[T any](argument T, do func(argument T, begin bool)) (end func()) {
-	return whileItLasts(func(begin bool) { do(argument, begin) })
+// toggle is startFault for a function with an argument.
+func toggle[T any](argument T, apply func(argument T, begin bool)) (end func()) {
+	return startFault(func(begin bool) { apply(argument, begin) })
 }
 
-// toggleEach begins something for each of those that are struck, and gives what ends it.
-func toggleEach[T any](struck []T, do func(each T, begin bool)) (end func()) {
-	return whileItLasts(func(begin bool) {
-		for _, each := range struck {
-			do(each, begin)
+// toggleEach is startFault for a function that is called for each target.
+func toggleEach[T any](targets []T, apply func(target T, begin bool)) (end func()) {
+	return startFault(func(begin bool) {
+		for _, target := range targets {
+			apply(target, begin)
 		}
 	})
 }
 
-// sample picks the fault's part of some.
+// sample draws the fault's share of a list at random.
 func sample[T any](f *fault, all []T) []T {
 	var picked []T
-	for i, in := range f.random.SampleShare(len(all), f.part) {
+	for i, in := range f.random.SampleShare(len(all), f.share) {
 		if in {
 			picked = append(picked, all[i])
 		}
@@ -131,10 +132,10 @@
 	return picked
 }
 
-// sampleSlots picks the fault's part of so many api gateways.
+// sampleSlots draws the slots of the fault's share of the api gateways at random.
 func (f *fault) sampleSlots(gateways int) []int {
 	var picked []int
-	for slot, in := range f.random.SampleShare(gateways, f.part) {
+	for slot, in := range f.random.SampleShare(gateways, f.share) {
 		if in {
 			picked = append(picked, slot)
 		}
@@ -142,8 +143,8 @@
 	return picked
 }
 
-func (f *fault) onCustomers(do func(c *model.Customer, begin bool)) (end func()) {
-	return toggleEach(sample(f, f.Workload.Customers), do)
+func (f *fault) onCustomers(apply func(c *model.Customer, begin bool)) (end func()) {
+	return toggleEach(sample(f, f.Workload.Customers), apply)
 }
 
 func (f *fault) relocateCustomers() (end func()) {
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// operationNumber is that of the operation that the fault names; the first where it names none.
+// operationNumber returns the number of the operation that the fault names, or that of the first operation if it names none.
 func (f *fault) operationNumber() int {
 	number := 0
 	for i := range f.Day.Operations {
@@ -164,10 +165,11 @@
 	return number
 }
 
-// isolatedZones are the last zones, at least one, and never the first, where the counter is.
+// isolatedZones returns the fault's share of the zones, counted from the last one: at least one zone, and never the first, which holds
+// the counter.
 func (f *fault) isolatedZones() []int {
 	zones := f.Day.Fleet.Zones.Int()
-	count := max(1, int(math.Round(f.part*float64(zones))))
+	count := max(1, int(math.Round(f.share*float64(zones))))
 	var isolated []int
 	for zone := zones - 1; zone >= 1 && zone >= zones-count; zone-- {
 		isolated = append(isolated, zone)
@@ -175,28 +177,28 @@
 	return isolated
 }
 
-// counterAway takes the counter away and brings it back with what the fault says.
-func (f *fault) counterAway(away func(begin bool)) (end func()) {
+// counterOutage makes the counter unavailable and brings it back with the state that the fault names.
+func (f *fault) counterOutage(setOutage func(begin bool)) (end func()) {
 	f.Counter.Snapshot()
-	away(true)
+	setOutage(true)
 	return func() {
 		f.Counter.Restore(f.config.Back)
-		away(false)
+		setOutage(false)
 	}
 }
 
 func (f *fault) takeOverCounter() (end func()) {
 	salt := f.random.Uint64()
-	return whileItLasts(func(begin bool) { f.Counter.Takeover(salt, f.part, begin) })
+	return startFault(func(begin bool) { f.Counter.Takeover(salt, f.share, begin) })
 }
 
-// splitCounter gives a part of the api gateways the second replica of the counter.
+// splitCounter connects the fault's share of the api gateways to a second replica of the counter.
 func (f *fault) splitCounter() (end func()) {
-	onSecond := f.random.SampleShare(f.Day.Fleet.Gateways.Int(), f.part)
-	return whileItLasts(func(begin bool) {
+	seesSecond := f.random.SampleShare(f.Day.Fleet.Gateways.Int(), f.share)
+	return startFault(func(begin bool) {
 		f.Counter.Split(begin)
 		for slot, gateway := range f.Gateways {
-			gateway.SeesSplitCopy = begin && onSecond[slot]
+			gateway.SeesSplitCopy = begin && seesSecond[slot]
 		}
 	})
 }
--- a/sim/simulation/gatewayfaults.go
+++ b/sim/simulation/gatewayfaults.go
@@ -2,10 +2,10 @@
 
 import "otterseam/sim/gatewaymodel"
 
-// Times of a graceful restart of an api gateway, in seconds.
+// Durations of a graceful restart of an api gateway, in seconds.
 const (
-	restartDown         = 0.5 // between its end and its start
-	shutdownLimit       = 5   // for what it holds
+	restartDowntime     = 0.5 // from the end of the gateway to its next start
+	shutdownLimit       = 5   // for completing the pending invocations
 	shutdownCheckPeriod = 0.05
 )
 
@@ -16,11 +16,11 @@
 	return nil
 }
 
-// restartGateways restarts gateways gracefully, one after another.
+// restartGateways restarts api gateways gracefully, one after another.
 func (f *fault) restartGateways() (end func()) {
-	struck := f.sampleSlots(f.Day.Fleet.Gateways.Int())
-	for i, slot := range struck {
-		f.Queue.ScheduleAfter(f.config.Lasts.Float()*float64(i)/float64(len(struck)), func() { f.restart(slot) })
+	targets := f.sampleSlots(f.Day.Fleet.Gateways.Int())
+	for i, slot := range targets {
+		f.Queue.ScheduleAfter(f.config.Lasts.Float()*float64(i)/float64(len(targets)), func() { f.restart(slot) })
 	}
 	return nil
 }
@@ -29,8 +29,8 @@
 	return toggleEach(sample(f, f.Gateways), func(gateway *gatewaymodel.Gateway, begin bool) { gateway.ScaleCPU(f.size, begin) })
 }
 
-// kill ends an api gateway without a shutdown and has it back after so many seconds. The load balancer in front notices its death
-// later, its return at once.
+// kill ends an api gateway without a shutdown and restarts it after downSeconds. The load balancer in front detects the failure with a
+// delay and the restart at once.
 func (s *Simulation) kill(slot int, downSeconds float64) {
 	if s.KillGateway != nil {
 		s.KillGateway(slot, downSeconds, false)
@@ -42,7 +42,7 @@
 	}
 	gateway.Kill()
 	s.gatewaysAlive--
-	gateway.Admits = true // not noticed yet
+	gateway.Admits = true // the load balancer has not detected the failure yet
 	s.Queue.ScheduleAfter(s.Day.Gateway.FailureNotice.Float(), func() {
 		if !gateway.Alive {
 			gateway.Admits = false
@@ -51,10 +51,10 @@
 	s.Queue.ScheduleAfter(downSeconds, func() { s.startGateway(slot) })
 }
 
-// restart lets an api gateway end what it holds, then starts it anew.
+// restart lets an api gateway complete its pending invocations, then ends it and starts it again.
 func (s *Simulation) restart(slot int) {
 	if s.KillGateway != nil {
-		s.KillGateway(slot, restartDown, true)
+		s.KillGateway(slot, restartDowntime, true)
 		return
 	}
 	gateway := s.Gateways[slot]
@@ -74,7 +74,7 @@
 		}
 		gateway.Kill()
 		s.gatewaysAlive--
-		s.Queue.ScheduleAfter(restartDown, func() { s.startGateway(slot) })
+		s.Queue.ScheduleAfter(restartDowntime, func() { s.startGateway(slot) })
 	}
 	check()
 }
--- a/sim/simulation/gateways.go
+++ b/sim/simulation/gateways.go
@@ -15,14 +15,14 @@
 
 var _ gatewaymodel.Environment = (*Simulation)(nil)
 
-// startGateway starts an api gateway with a policy of its own. An error ends the simulation.
+// startGateway starts an api gateway with a new policy. An error ends the simulation.
 func (s *Simulation) startGateway(slot int) {
 	if s.err != nil || s.Queue.Stopped() {
 		return
 	}
 	gateway := s.Gateways[slot]
 	s.gatewayStarts++
-	decide, err := gatewaymodel.WithClockOffset(s.Day.Gateway.ClockOffset.Float(), gateway,
+	gatewayPolicy, err := gatewaymodel.WithClockOffset(s.Day.Gateway.ClockOffset.Float(), gateway,
 		func(out policydriver.Output) (gatewaymodel.Policy, error) {
 			seed := randstream.New(s.Seed, "mind", slot, int(s.gatewayStarts)).Uint64() >> 1
 			return s.policies.NewPolicy(s, slot, seed, out)
@@ -35,28 +35,28 @@
 	s.Oracle.GatewayStarted(slot)
 	list := s.registry.HostList(slot)
 	for _, entry := range list {
-		s.hostStateTold(slot, entry)
+		s.recordHostState(slot, entry)
 	}
-	gateway.Start(decide, list)
+	gateway.Start(gatewayPolicy, list)
 	s.gatewaysAlive++
 }
 
-// hostChanged brings an api gateway a change of the list of hosts.
+// hostChanged delivers a change of the list of hosts to an api gateway.
 func (s *Simulation) hostChanged(slot int, change policy.HostEntry) {
 	if s.Gateways[slot].Alive {
-		s.hostStateTold(slot, change)
+		s.recordHostState(slot, change)
 		s.Gateways[slot].HostChanged(change)
 	}
 }
 
-func (s *Simulation) hostStateTold(slot int, entry policy.HostEntry) {
+func (s *Simulation) recordHostState(slot int, entry policy.HostEntry) {
 	s.Oracle.HostStateTold(slot, s.hostByAddr[entry.Addr].Number, entry.State, entry.StartedAt)
 }
 
-// Host is the host at an address, nil where there is none.
+// Host returns the host at an address, or nil if there is none.
 func (s *Simulation) Host(addr string) *hostmodel.Host { return s.hostByAddr[addr] }
 
-// AttemptSent counts and judges an attempt that begins.
+// AttemptSent counts an attempt that begins and checks it against the rules.
 func (s *Simulation) AttemptSent(attempt *model.Attempt) {
 	s.CountAttempt()
 	s.Oracle.AttemptSent(attempt)
@@ -65,7 +65,7 @@
 	})
 }
 
-// sameGroup says whether two hosts share tokens.
+// sameGroup reports whether two hosts share deduplication tokens.
 func sameGroup(group string, a, b *hostmodel.Host) bool {
 	switch group {
 	case model.GroupZone:
@@ -76,7 +76,7 @@
 	return true
 }
 
-// AttemptSentLate is AttemptSent for one that was held up on the way: when it set out is not known.
+// AttemptSentLate is AttemptSent for an attempt that was delayed on the way, whose time of sending is unknown. Only its retry is checked.
 func (s *Simulation) AttemptSentLate(attempt *model.Attempt) {
 	s.CountAttempt()
 	s.Oracle.CheckRetry(attempt)
@@ -106,20 +106,20 @@
 	s.Results.AddShare(request, share)
 }
 
-// AttemptStarted judges an attempt that begins to run.
+// AttemptStarted checks an attempt that begins to run on its host against the rules.
 func (s *Simulation) AttemptStarted(attempt *model.Attempt) {
 	s.Oracle.AttemptStarted(attempt)
 	s.traceAttempt(attempt, "delivery %d runs on host %d")
 }
 
-// AttemptReleased takes down that an attempt is no longer in flight.
+// AttemptReleased records that an attempt is no longer in flight.
 func (s *Simulation) AttemptReleased(attempt *model.Attempt) { s.Oracle.AttemptReleased(attempt) }
 
 func (s *Simulation) traceAttempt(attempt *model.Attempt, format string) {
 	s.Trace(attempt.Invocation.Gateway, attempt.Invocation.Ref, fmt.Sprintf(format, attempt.Number, attempt.Host))
 }
 
-// InvocationAnswered judges a final answer and says whether the quota had room, if it is a throttling.
+// InvocationAnswered checks a final answer against the rules. For a throttled invocation it reports whether the quota had room.
 func (s *Simulation) InvocationAnswered(invocation *model.Invocation, outcome model.Outcome) (hadRoom bool) {
 	switch outcome {
 	case model.Unanswered:
@@ -134,7 +134,7 @@
 	return hadRoom
 }
 
-// addUsefulWork counts the work of the attempt whose answer served the client.
+// addUsefulWork adds the work of the attempt whose answer served the client.
 func (s *Simulation) addUsefulWork(invocation *model.Invocation) {
 	for _, attempt := range invocation.Attempts {
 		if attempt.Started && attempt.Ended {
@@ -144,12 +144,12 @@
 	}
 }
 
-// DeliverAnswer brings an answer to its client.
+// DeliverAnswer passes an answer to its client.
 func (s *Simulation) DeliverAnswer(invocation *model.Invocation, outcome model.Outcome, retryAfter float64, hadRoom bool) {
 	s.Workload.HandleOutcome(invocation, outcome, retryAfter, hadRoom)
 }
 
-// SendPeerMessage sends a message to an api gateway, or to all others: membership.Broadcast.
+// SendPeerMessage sends a message to an api gateway, or to all others if to is membership.Broadcast.
 func (s *Simulation) SendPeerMessage(from, to int, text string) {
 	if !s.Day.Peers.Allowed {
 		return
@@ -163,7 +163,7 @@
 	}
 }
 
-// CounterCalled counts a call to the counter, and whether it failed.
+// CounterCalled counts a call to the counter, and counts it as failed if it failed.
 func (s *Simulation) CounterCalled(failed bool) {
 	second := s.Results.SecondAt(s.Queue.Now())
 	second.CounterCalls++
--- a/sim/simulation/hostfaults.go
+++ b/sim/simulation/hostfaults.go
@@ -7,10 +7,11 @@
 	"otterseam/sim/model"
 )
 
-// drainSeconds is for how long a host that leaves goes on working, twice: first it still takes new work, then it does not.
+// drainSeconds is the length of each of the two phases of a host that leaves: in the first it still accepts new work, in the second it
+// only completes what it has.
 const drainSeconds = 3
 
-// sampleHosts picks among those that are up.
+// sampleHosts draws the fault's share of the hosts that are up.
 func (f *fault) sampleHosts() []*hostmodel.Host {
 	var up []*hostmodel.Host
 	for _, host := range f.Hosts {
@@ -21,11 +22,11 @@
 	return sample(f, up)
 }
 
-func (f *fault) onHosts(do func(h *hostmodel.Host, begin bool)) (end func()) {
-	return toggleEach(f.sampleHosts(), do)
+func (f *fault) onHosts(apply func(h *hostmodel.Host, begin bool)) (end func()) {
+	return toggleEach(f.sampleHosts(), apply)
 }
 
-// vanish makes a host silent; it comes back under its address, cold.
+// vanish makes a host silent. At the end of the fault the host comes back cold under the same address.
 func (f *fault) vanish(host *hostmodel.Host, begin bool) {
 	host.Silence(begin)
 	if !begin && host.State == hostmodel.Up {
@@ -34,7 +35,7 @@
 	}
 }
 
-// listAsLeaving has the list say that a host leaves that does not.
+// listAsLeaving publishes a host as leaving although it stays.
 func (f *fault) listAsLeaving(host *hostmodel.Host, begin bool) {
 	if host.State != hostmodel.Up {
 		return
@@ -48,29 +49,29 @@
 
 // growFleet adds cold hosts.
 func (f *fault) growFleet() (end func()) {
-	for range int(math.Round(f.part * float64(len(f.Hosts)))) {
+	for range int(math.Round(f.share * float64(len(f.Hosts)))) {
 		f.publish(f.addHost(f.Queue.Now()), model.HostActive)
 	}
 	return nil
 }
 
-// replaceHosts lets hosts leave one after another.
+// replaceHosts replaces hosts one after another.
 func (f *fault) replaceHosts() (end func()) {
-	struck := f.sampleHosts()
-	for i, host := range struck {
-		f.Queue.ScheduleAfter(f.config.Lasts.Float()*float64(i)/float64(len(struck)), func() { f.replaceHost(host) })
+	targets := f.sampleHosts()
+	for i, host := range targets {
+		f.Queue.ScheduleAfter(f.config.Lasts.Float()*float64(i)/float64(len(targets)), func() { f.replaceHost(host) })
 	}
 	return nil
 }
 
-// replaceHost lets a host drain, then leave; a cold one comes as it begins to.
+// replaceHost drains a host and then stops it. A cold host is added when the draining is announced.
 func (f *fault) replaceHost(host *hostmodel.Host) {
 	if host.State != hostmodel.Up {
 		return
 	}
 	f.publish(host, model.HostLeaving)
 	f.publish(f.addHost(f.Queue.Now()), model.HostActive)
-	// It takes new work until all can have been told that it drains.
+	// The host accepts new work until the change has had time to reach all api gateways.
 	f.Queue.ScheduleAfter(drainSeconds, func() { host.State = hostmodel.Draining })
 	f.Queue.ScheduleAfter(2*drainSeconds, func() {
 		host.Stop()
--- a/sim/simulation/hosts.go
+++ b/sim/simulation/hosts.go
@@ -10,14 +10,14 @@
 	"otterseam/sim/scenario"
 )
 
-// hostsPerCell is how many hosts in a row share a cell.
+// hostsPerCell is the number of consecutive hosts that form a cell.
 const hostsPerCell = 4
 
-// ZoneName is what a zone is called.
+// ZoneName returns the name of a zone.
 func ZoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// firstHosts makes the hosts with which the scenario starts, and their list.
-func (s *Simulation) firstHosts() []policy.HostEntry {
+// initialHosts creates the hosts with which the scenario starts and returns their list.
+func (s *Simulation) initialHosts() []policy.HostEntry {
 	var list []policy.HostEntry
 	for range s.Day.Fleet.Hosts.Int() {
 		list = append(list, hostEntry(s.addHost(0), model.HostActive))
@@ -25,7 +25,7 @@
 	return list
 }
 
-// addHost adds a host that started at a clock time; 0: long ago.
+// addHost adds a host that started at a clock time. 0 means long ago, so that the host is warm.
 func (s *Simulation) addHost(startedAt float64) *hostmodel.Host {
 	number := len(s.Hosts)
 	host := hostmodel.New(s.Queue, number, hostAddr(number), s.drawHostKind(number), &s.Day.Cold, s.Seed)
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("10.%d.%d.%d:9000", number>>16&255, number>>8&255, number&255)
 }
 
-// drawHostKind draws the kind of a host by the kinds' shares.
+// drawHostKind draws the kind of a host with the probabilities that the kinds' shares give.
 func (s *Simulation) drawHostKind(number int) *scenario.HostKind {
 	kinds := s.Day.Hosts
 	total := 0.0
@@ -62,7 +62,7 @@
 	return &kinds[len(kinds)-1]
 }
 
-// publish puts the state of a host on its way to the api gateways.
+// publish sends the state of a host to the api gateways through the discovery model.
 func (s *Simulation) publish(host *hostmodel.Host, state string) {
 	s.registry.Publish(hostEntry(host, state))
 }
--- a/sim/simulation/run.go
+++ b/sim/simulation/run.go
@@ -5,10 +5,10 @@
 	"otterseam/sim/metrics"
 )
 
-// The figures of a second are taken at its end and belong to the second before.
+// halfSecond is subtracted from the time at the end of a second, so that the figures sampled then are recorded for the second that ends.
 const halfSecond = 0.5
 
-// Run runs the scenario to its end and beyond, until every request is closed, and gives its results.
+// Run runs the scenario past its end, until every request is closed, and returns the results.
 func (s *Simulation) Run() (*metrics.Results, error) {
 	defer s.policies.Close()
 	for slot := range s.Gateways {
@@ -28,13 +28,13 @@
 	return s.Finish(), nil
 }
 
-// Begin lets customers ask and faults come, from the present moment on.
+// Begin starts the customers' requests and schedules the faults, counted from the present time.
 func (s *Simulation) Begin() {
 	s.BeginWithoutClients()
 	s.Workload.Start()
 }
 
-// BeginWithoutClients lets faults come and nobody ask.
+// BeginWithoutClients schedules the faults and starts no customers.
 func (s *Simulation) BeginWithoutClients() {
 	s.Results.StartedAt = s.Queue.Now()
 	for i := range s.Day.Faults {
@@ -43,7 +43,7 @@
 	s.Queue.ScheduleAfter(1, s.endSecond)
 }
 
-// EndTime is the clock time by which every request is closed.
+// EndTime returns the clock time by which every request is closed.
 func (s *Simulation) EndTime() float64 {
 	longest := 0.0
 	for i := range s.Day.Operations {
@@ -52,7 +52,7 @@
 	return s.Results.StartedAt + s.Day.Length.Float() + longest + 1
 }
 
-// Finish adds up the results of a run that is over.
+// Finish completes the results of a run that has ended.
 func (s *Simulation) Finish() *metrics.Results {
 	results := s.Results
 	results.Finish(s.Workload.Customers)
@@ -71,7 +71,8 @@
 	return results
 }
 
-// endSecond takes the figures that stand at the end of each second.
+// endSecond runs at the end of each second: it samples the figures of that second, reports progress, and stops the run if the policies
+// failed.
 func (s *Simulation) endSecond() {
 	now := s.Queue.Now()
 	s.recordSecond(s.Results.SecondAt(now - halfSecond))
--- a/sim/simulation/settings.go
+++ b/sim/simulation/settings.go
@@ -6,14 +6,14 @@
 	"otterseam/sim/scenario"
 )
 
-// protocolEffects are the names of effects in the simulator's protocol.
+// protocolEffects maps the effects of operations to their names in the simulator's protocol.
 var protocolEffects = map[string]string{
 	model.EffectIdempotent:    "idempotent",
 	model.EffectTokened:       "deduplicated",
 	model.EffectNonIdempotent: "at_most_once",
 }
 
-// StartSettings are the start settings of an api gateway of a scenario, as the platform would give them.
+// StartSettings returns the start settings of an api gateway of a scenario, as the platform would supply them.
 func StartSettings(day *scenario.Scenario, slot int) simprotocol.Settings {
 	var settings simprotocol.Settings
 	settings.Gateways = day.Fleet.Gateways.Int()
--- a/sim/simulation/simulation.go
+++ b/sim/simulation/simulation.go
@@ -17,18 +17,18 @@
 	"otterseam/sim/workload"
 )
 
-// PolicySource makes the policies of a simulation's api gateways.
+// PolicySource creates the policies of a simulation's api gateways.
 type PolicySource interface {
 	Name() string
-	// NewPolicy makes the policy of an api gateway that starts; out takes its decisions.
+	// NewPolicy creates the policy of an api gateway that starts. The policy passes its decisions to out.
 	NewPolicy(s *Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error)
-	// Err is what ended the source before its time, if something did.
+	// Err returns the error that ended the source early, or nil.
 	Err() error
-	// Close lets go of what the source holds.
+	// Close releases the source's resources.
 	Close()
 }
 
-// Simulation is a scenario that is run with a seed.
+// Simulation is one run of a scenario with one seed.
 type Simulation struct {
 	Day      *scenario.Scenario
 	Seed     uint64
@@ -40,9 +40,9 @@
 	Oracle   *oracle.Oracle
 	Results  *metrics.Results
 
-	// KillGateway ends an api gateway outside the simulation, gracefully or not, and has it back after so many seconds.
+	// KillGateway, if set, stops an api gateway outside the simulation, gracefully or not, and restarts it after downSeconds.
 	KillGateway func(slot int, downSeconds float64, graceful bool)
-	// OnTrace is called with all that is noted of invocations, where it is set.
+	// OnTrace, if set, is called with each trace line of an invocation.
 	OnTrace func(from int, ref, text string)
 
 	network       *network.Network
@@ -52,35 +52,36 @@
 	customerByKey map[string]*model.Customer
 	policies      PolicySource
 
-	// Invocations go to clientSide, changes of the list of hosts to notify: the simulation itself, unless gateways are external.
+	// clientSide receives invocations and notify receives changes of the list of hosts. Both are the simulation itself unless the
+	// gateways are external.
 	clientSide workload.Environment
 	notify     discoverymodel.Notify
 	external   bool
 
 	gatewayStarts uint64
 	gatewaysAlive int
-	usefulWork    float64 // core seconds whose answer served a client
+	usefulWork    float64 // core seconds of attempts whose answer served a client
 	err           error
 
-	storyRef   string // the invocation whose story is kept
-	storyLines []string
+	tracedRef  string // the invocation whose trace lines are kept
+	traceLines []string
 	progress   func(at float64)
 }
 
 // Option changes how a scenario is run.
 type Option func(*Simulation)
 
-// WithStory has all that happens to one invocation written down.
-func WithStory(ref string) Option { return func(s *Simulation) { s.storyRef = ref } }
+// WithInvocationTrace keeps the trace lines of one invocation. TraceLines returns them.
+func WithInvocationTrace(ref string) Option { return func(s *Simulation) { s.tracedRef = ref } }
 
-// WithProgress has progress called each second of the simulation.
+// WithProgress sets a function that is called at the end of each simulated second.
 func WithProgress(progress func(at float64)) Option {
 	return func(s *Simulation) { s.progress = progress }
 }
 
-// ExternalGateways has the api gateways be outside the simulation, on sockets: invocations go to clientSide, and notify is called when
-// a gateway is told of a change of the list of hosts. The simulation then has hosts, counter, list and customers of its own, and no
-// gateways.
+// ExternalGateways runs the simulation without gateways of its own, for api gateways that are real processes on sockets. Invocations go
+// to clientSide, and notify is called when a gateway is due to receive a change of the list of hosts. Hosts, counter, list of hosts and
+// customers remain those of the simulation.
 func ExternalGateways(clientSide workload.Environment, notify func(gateway int, change policy.HostEntry)) Option {
 	return func(s *Simulation) {
 		s.clientSide = clientSide
@@ -89,7 +90,7 @@
 	}
 }
 
-// New makes the simulation of a scenario, drawn by a seed, with the policies of a source.
+// New creates the simulation of a scenario whose ranges are drawn with the seed. The policies come from a source.
 func New(day *scenario.Scenario, seed uint64, policies PolicySource, options ...Option) *Simulation {
 	s := &Simulation{
 		Day:           day.Draw(seed),
@@ -110,7 +111,7 @@
 	s.Counter = countermodel.New(s.Queue, &day.Counter, seed)
 	s.Oracle = oracle.New(day, gateways, s.Queue.Now)
 	s.Results = metrics.New(day.Name, policies.Name(), seed)
-	s.registry = discoverymodel.New(s.Queue, &day.Discovery, gateways, seed, s.firstHosts(), s.notify)
+	s.registry = discoverymodel.New(s.Queue, &day.Discovery, gateways, seed, s.initialHosts(), s.notify)
 	s.peers = gossip.New(s.Queue, &day.Peers, gateways, seed)
 	if !s.external {
 		s.addGateways(gateways)
@@ -129,13 +130,13 @@
 	}
 }
 
-// Network is the paths between the simulation's machines.
+// Network returns the model of the network between the simulation's machines.
 func (s *Simulation) Network() *network.Network { return s.network }
 
-// HostList is the list of hosts as an api gateway was last told of it.
+// HostList returns the list of hosts as it was last published to an api gateway.
 func (s *Simulation) HostList(gateway int) []policy.HostEntry { return s.registry.HostList(gateway) }
 
-// QuotaHasRoom says whether a customer's quota has room for so many units, by what was really sent: for a policy that knows all.
+// QuotaHasRoom reports whether a customer's quota has room for units, counting what was really sent. It serves the omniscient policy.
 func (s *Simulation) QuotaHasRoom(customerKey string, units float64) bool {
 	customer := s.customerByKey[customerKey]
 	return customer == nil || s.Oracle.QuotaHasRoom(customer, units)
--- a/sim/simulation/trace.go
+++ b/sim/simulation/trace.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Trace takes a line about an invocation, or, without a ref, of an api gateway's log.
+// Trace records a line about an invocation or, if ref is empty, counts a line of an api gateway's log by its first word.
 func (s *Simulation) Trace(from int, ref, text string) {
 	if ref == "" {
 		s.Results.Logs[firstWord(text)]++
@@ -13,12 +13,12 @@
 	if s.OnTrace != nil && ref != "" {
 		s.OnTrace(from, ref, text)
 	}
-	if s.storyRef != "" && ref == s.storyRef {
-		s.storyLines = append(s.storyLines, fmt.Sprintf("%10.4f  api gateway %d: %s", s.Queue.Now(), from, text))
+	if s.tracedRef != "" && ref == s.tracedRef {
+		s.traceLines = append(s.traceLines, fmt.Sprintf("%10.4f  api gateway %d: %s", s.Queue.Now(), from, text))
 	}
 }
 
-// firstWord is how a line of a log begins, without a colon.
+// firstWord returns the first word of a log line without trailing colons.
 func firstWord(text string) string {
 	words := strings.Fields(text)
 	if len(words) == 0 {
@@ -27,5 +27,5 @@
 	return strings.TrimRight(words[0], ":")
 }
 
-// StoryLines is the story that WithStory asked for, in order of time.
-func (s *Simulation) StoryLines() []string { return s.storyLines }
+// TraceLines returns the trace lines of the invocation given to WithInvocationTrace, in order of time.
+func (s *Simulation) TraceLines() []string { return s.traceLines }
