--- a/sim/report/chart.go
+++ b/sim/report/chart.go
@@ -16,7 +16,7 @@
 	"otterseam/sim/batch"
 )
 
-// Sizes of charts: across the page, or two beside each other.
+// Widths of charts: one across the page, or two side by side.
 const (
 	fullWidth = 22 * vg.Centimeter
 	halfWidth = 10.8 * vg.Centimeter
@@ -29,10 +29,10 @@
 	smallSize = 8
 )
 
-// legendRoom is how much higher than its values a chart is, so that the legend has room.
+// legendRoom is the height of a chart as a multiple of its highest value. The space above the values holds the legend.
 const legendRoom = 1.3
 
-// Colours that most people can tell apart: the first seven are those of the outcomes.
+// colours are colours that most people can tell apart. The first seven are those of the outcomes.
 var colours = []color.RGBA{
 	{0x3b, 0x8e, 0x5a, 255},
 	{0xb9, 0xc8, 0x4a, 255},
@@ -44,17 +44,17 @@
 	{0x2a, 0x6f, 0xb5, 255},
 }
 
-// The orders in which charts of several lines or bars use the colours.
+// Orders in which charts with several lines or bars use the colours, as indices of colours.
 var (
 	lineColours  = []int{7, 2, 4, 0, 5}
 	barColours   = []int{7, 2, 0, 4, 5, 1, 3, 6}
 	sweepColours = []int{7, 2, 0, 4, 5, 6}
 )
 
-// colourOf is the i-th colour of an order, from its start again after its end.
+// colourOf returns the i-th colour of an order and starts the order again after its end.
 func colourOf(order []int, i int) color.RGBA { return colours[order[i%len(order)]] }
 
-// SVG draws a chart as part of a page.
+// SVG draws a chart as an SVG element of a page.
 func SVG(chart *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.New(width, height)
 	chart.Draw(draw.New(canvas))
@@ -63,7 +63,7 @@
 		return "", err
 	}
 	text := written.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // the XML head has no place within a page
+	if i := strings.Index(text, "<svg"); i > 0 { // the XML declaration is not allowed inside a page
 		text = text[i:]
 	}
 	return template.HTML(text), nil
@@ -87,11 +87,11 @@
 	return chart
 }
 
-// markFaults marks when each fault lasts, up to the top of a chart's values.
+// markFaults shades the time of each fault, up to the top of a chart's values, and labels it with the fault's kind.
 func markFaults(chart *plot.Plot, run *batch.Run, top float64) {
 	const (
-		minSeconds  = 0.3  // so that a moment can be seen
-		firstLabel  = 0.96 // part of the top
+		minSeconds  = 0.3  // shortest time shown, so that a very short fault stays visible
+		firstLabel  = 0.96 // height of the first label as a share of top
 		labelStep   = 0.06
 		labelLevels = 6
 	)
--- a/sim/report/doc.go
+++ b/sim/report/doc.go
@@ -1,3 +1,3 @@
-// Package report writes what simulations showed: as text for a terminal, and as one HTML page with its charts in it. It must never
-// compute a figure that the results do not hold, beyond sums, means and their spread.
+// Package report writes the results of simulations as text for a terminal and as one HTML page with embedded charts. It must never
+// compute a figure that the results do not hold, except for sums, means and standard deviations.
 package report
--- a/sim/report/figures.go
+++ b/sim/report/figures.go
@@ -7,10 +7,10 @@
 	"otterseam/sim/metrics"
 )
 
-// outcome is one thing that can become of value asked for within the quotas.
+// outcome is one outcome of the value requested within the quotas.
 type outcome struct {
-	name string
-	of   func(share metrics.Share) float64
+	name  string
+	value func(share metrics.Share) float64
 }
 
 // The outcomes, in the order of their rows and colours.
@@ -25,7 +25,7 @@
 	netValue:          {"worth", func(s metrics.Share) float64 { return s.NetValue }},
 }
 
-// Indices of outcomes. Those before beyondQuota add up to what was asked for.
+// Indices of outcomes. Those before beyondQuota add up to the value requested within the quotas.
 const (
 	servedInTime = iota
 	servedLate
@@ -37,37 +37,37 @@
 	netValue
 )
 
-// fraction is an outcome as a part of what was asked for within the quotas.
-func (o outcome) fraction(run *batch.Run) float64 { return run.Total.Fraction(o.of(run.Total)) }
+// fraction returns an outcome as a fraction of the value requested within the quotas.
+func (o outcome) fraction(run *batch.Run) float64 { return run.Total.Fraction(o.value(run.Total)) }
 
-// row is a further figure of a table.
+// row is one figure of a table besides the outcomes.
 type row struct {
-	name string
-	of   figure
+	name  string
+	value figure
 }
 
 var rows = []row{
 	{"served in time within quotas", func(r *batch.Run) float64 { return r.Total.Fraction(r.Total.ServedOfSent) }},
-	{"the same, less what beyond costs", func(r *batch.Run) float64 {
+	{"the same, less the cost beyond quotas", func(r *batch.Run) float64 {
 		return r.Total.Fraction(r.Total.ServedOfSent - r.Total.BeyondCost)
 	}},
-	{"counter calls a try", func(r *batch.Run) float64 { return r.CounterCalls / max(1, r.Invocations) }},
-	{"of them without a total", func(r *batch.Run) float64 { return r.CounterCallsFailed / max(1, r.CounterCalls) }},
-	{"deliveries a try", func(r *batch.Run) float64 { return r.Attempts / max(1, r.Invocations) }},
-	{"tries a first try", func(r *batch.Run) float64 { return r.Invocations / max(1, r.FirstInvocations) }},
-	{"new connections a delivery", func(r *batch.Run) float64 { return r.Dials / max(1, r.Attempts) }},
-	{"mail a first try", func(r *batch.Run) float64 { return r.PeerMessages / max(1, r.FirstInvocations) }},
+	{"counter calls per try", func(r *batch.Run) float64 { return r.CounterCalls / max(1, r.Invocations) }},
+	{"counter calls without a total, share", func(r *batch.Run) float64 { return r.CounterCallsFailed / max(1, r.CounterCalls) }},
+	{"deliveries per try", func(r *batch.Run) float64 { return r.Attempts / max(1, r.Invocations) }},
+	{"tries per first try", func(r *batch.Run) float64 { return r.Invocations / max(1, r.FirstInvocations) }},
+	{"new connections per delivery", func(r *batch.Run) float64 { return r.Dials / max(1, r.Attempts) }},
+	{"peer messages per first try", func(r *batch.Run) float64 { return r.PeerMessages / max(1, r.FirstInvocations) }},
 	{"host work wasted", func(r *batch.Run) float64 { return r.WastedWork }},
 	{"fairness between customers", func(r *batch.Run) float64 { return r.Fairness }},
 	{"median answer, ms", func(r *batch.Run) float64 { return r.Latency["all"].P50 }},
-	{"99th of 100, ms", func(r *batch.Run) float64 { return r.Latency["all"].P99 }},
+	{"99th percentile, ms", func(r *batch.Run) float64 { return r.Latency["all"].P99 }},
 	{"rules broken", func(r *batch.Run) float64 { return float64(r.ViolationCount) }},
 }
 
-// breakdown splits a run's total by the names of something.
+// breakdown splits a run's total by plan, use of the quota or operation.
 type breakdown struct {
-	name string
-	of   func(run *batch.Run) map[string]*metrics.Share
+	name   string
+	shares func(run *batch.Run) map[string]*metrics.Share
 }
 
 var breakdowns = []breakdown{
@@ -76,11 +76,11 @@
 	{"operation", func(r *batch.Run) map[string]*metrics.Share { return r.Operations }},
 }
 
-// names are those that any run has.
+// names returns the names that occur in any of the runs.
 func (b breakdown) names(runs []*batch.Run) []string {
 	var names []string
 	for _, run := range runs {
-		for _, name := range metrics.SortedNames(b.of(run)) {
+		for _, name := range metrics.SortedNames(b.shares(run)) {
 			if !slices.Contains(names, name) {
 				names = append(names, name)
 			}
@@ -89,10 +89,11 @@
 	return names
 }
 
-// servedInTime is the part served in time of what was asked for under a name; 0 in a run that has none of it.
+// servedInTime returns the figure that gives the fraction of a name's requested value that was served in time. It is 0 for a run without
+// that name.
 func (b breakdown) servedInTime(name string) figure {
 	return func(run *batch.Run) float64 {
-		if share := b.of(run)[name]; share != nil {
+		if share := b.shares(run)[name]; share != nil {
 			return share.Fraction(share.Served)
 		}
 		return 0
--- a/sim/report/group.go
+++ b/sim/report/group.go
@@ -9,7 +9,7 @@
 	"otterseam/sim/batch"
 )
 
-// figure is a number that comes from a run.
+// figure computes a number from the results of a run.
 type figure func(run *batch.Run) float64
 
 // Group is the runs of one policy with one set of changed keys, over seeds.
@@ -17,15 +17,15 @@
 	Day, Decider string
 	Overrides    map[string]string
 	Runs         []*batch.Run
-	common       map[string]bool // overrides that all groups share, and so tell none apart
+	common       map[string]bool // overrides that all groups share, which Name leaves out
 }
 
-// Groups puts together the runs that differ in their seeds only, in the order in which they came.
+// Groups groups the runs that differ only in their seeds. The groups are in the order of their first runs.
 func Groups(runs []*batch.Run) []*Group {
 	var groups []*Group
 	byKey := map[string]*Group{}
 	for _, run := range runs {
-		key := fmt.Sprint(run.Day, " ", run.Decider, " ", run.Overrides) // maps print in order
+		key := fmt.Sprint(run.Day, " ", run.Decider, " ", run.Overrides) // fmt prints maps sorted by key
 		group := byKey[key]
 		if group == nil {
 			group = &Group{Day: run.Day, Decider: run.Decider, Overrides: run.Overrides}
@@ -52,7 +52,7 @@
 	return common
 }
 
-// Name tells a group apart from its neighbours.
+// Name returns a name that distinguishes a group from the others: its policy and the overrides that the groups do not share.
 func (g *Group) Name() string {
 	name := g.Decider
 	var keys []string
@@ -68,11 +68,11 @@
 	return name
 }
 
-// Mean gives the mean of a figure over a group's runs and its standard deviation, 0 for a single run.
-func (g *Group) Mean(of func(run *batch.Run) float64) (mean, spread float64) {
+// Mean returns the mean and the standard deviation of a figure over a group's runs. The deviation of a single run is 0.
+func (g *Group) Mean(value func(run *batch.Run) float64) (mean, spread float64) {
 	values := make([]float64, len(g.Runs))
 	for i, run := range g.Runs {
-		values[i] = of(run)
+		values[i] = value(run)
 	}
 	if len(values) == 1 {
 		return values[0], 0
@@ -80,13 +80,13 @@
 	return stat.MeanStdDev(values, nil)
 }
 
-// Paired is the mean and spread of the differences of two groups over the n seeds that both have.
-func Paired(a, b *Group, of func(run *batch.Run) float64) (mean, spread float64, n int) {
+// Paired returns the mean and the standard deviation of the differences of two groups, b minus a, over the n seeds that both have.
+func Paired(a, b *Group, value func(run *batch.Run) float64) (mean, spread float64, n int) {
 	var differences []float64
 	for _, first := range a.Runs {
 		for _, second := range b.Runs {
 			if first.Seed == second.Seed {
-				differences = append(differences, of(second)-of(first))
+				differences = append(differences, value(second)-value(first))
 			}
 		}
 	}
--- a/sim/report/groupcharts.go
+++ b/sim/report/groupcharts.go
@@ -14,7 +14,7 @@
 	"otterseam/sim/batch"
 )
 
-// sharesChart draws the served part of each plan, use of quotas and operation side by side for all groups.
+// sharesChart draws the fraction served in time of each plan, use of the quota and operation, side by side for all groups.
 func sharesChart(groups []*Group, runs []*batch.Run) (template.HTML, error) {
 	const (
 		barsWidth   = 240 // points, for all bars
@@ -35,8 +35,8 @@
 		}
 	}
 	width := vg.Points(max(minBarWidth, barsWidth/float64(len(labels)*len(groups)+1)))
-	for i, each := range values {
-		bars, err := plotter.NewBarChart(each, width)
+	for i, groupValues := range values {
+		bars, err := plotter.NewBarChart(groupValues, width)
 		if err != nil {
 			return "", err
 		}
@@ -52,25 +52,26 @@
 	return SVG(chart, fullWidth, 7*vg.Centimeter)
 }
 
-// series is the groups of a sweep that differ in the swept key only.
+// series is one line of a sweep chart: the groups that differ only in the swept key.
 type series struct {
 	name   string
 	points plotter.XYs
 	errors plotter.YErrors
 }
 
-// sweepChart draws an outcome against the swept key, a line for each set of the other changes; "" where its values are no figures.
+// sweepChart draws an outcome against the swept key, with a line for each set of the other overrides. It returns "" if a value of the key
+// is not a number.
 func sweepChart(groups []*Group, key string, drawn outcome) (template.HTML, error) {
 	const minTop = 0.01
 	chart := newChart(strings.ToUpper(drawn.name[:1])+drawn.name[1:], "part of the value asked for inside quotas")
 	chart.X.Label.Text = key
-	all := sweepSeries(groups, key, drawn)
-	if all == nil {
+	allSeries := sweepSeries(groups, key, drawn)
+	if allSeries == nil {
 		return "", nil
 	}
 	low := math.Inf(1)
 	high := math.Inf(-1)
-	for i, each := range all {
+	for i, each := range allSeries {
 		if err := each.addTo(chart, i); err != nil {
 			return "", err
 		}
@@ -84,29 +85,29 @@
 	return SVG(chart, halfWidth, 7*vg.Centimeter)
 }
 
-// sweepSeries sorts groups into series; nil where a value of the key is no figure.
+// sweepSeries sorts groups into series. It returns nil if a value of the key is not a number.
 func sweepSeries(groups []*Group, key string, drawn outcome) []*series {
-	const units = "/smunk" // that may follow a figure
-	var all []*series
+	const units = "/smunk" // letters of the units that may follow a number
+	var allSeries []*series
 	for _, group := range groups {
 		x, err := strconv.ParseFloat(strings.TrimRight(group.Overrides[key], units), 64)
 		if err != nil {
 			return nil
 		}
 		name := group.nameWithout(key)
-		i := slices.IndexFunc(all, func(s *series) bool { return s.name == name })
-		if i < 0 {
-			i = len(all)
-			all = append(all, &series{name: name})
+		index := slices.IndexFunc(allSeries, func(s *series) bool { return s.name == name })
+		if index < 0 {
+			index = len(allSeries)
+			allSeries = append(allSeries, &series{name: name})
 		}
 		mean, spread := group.Mean(drawn.fraction)
-		all[i].points = append(all[i].points, plotter.XY{X: x, Y: mean})
-		all[i].errors = append(all[i].errors, struct{ Low, High float64 }{spread, spread})
+		allSeries[index].points = append(allSeries[index].points, plotter.XY{X: x, Y: mean})
+		allSeries[index].errors = append(allSeries[index].errors, struct{ Low, High float64 }{spread, spread})
 	}
-	return all
+	return allSeries
 }
 
-// nameWithout is the name of a group with all its overrides but one.
+// nameWithout returns the name of a group without the override of one key.
 func (g *Group) nameWithout(key string) string {
 	rest := &Group{Decider: g.Decider, Overrides: map[string]string{}}
 	for k, value := range g.Overrides {
@@ -133,14 +134,15 @@
 		plotter.XYer
 		plotter.YErrorer
 	}{s.points, s.errors})
-	if err == nil { // there are none for values that are not finite
+	if err == nil { // values that are not finite get no error bars
 		bars.Color = colour
 		chart.Add(bars)
 	}
 	return nil
 }
 
-// sweptKey is the key with the most different values over all groups, the first by name of several; "" where none has two.
+// sweptKey returns the override with the most distinct values over all groups, and the first by name if several have as many. It returns
+// "" if no key has two values.
 func sweptKey(groups []*Group) string {
 	values := map[string]map[string]bool{}
 	for _, group := range groups {
--- a/sim/report/page.go
+++ b/sim/report/page.go
@@ -8,19 +8,19 @@
 	"otterseam/sim/batch"
 )
 
-// Bounds on the groups of which a page shows charts of the first run, and shares.
+// Largest numbers of groups for which a page shows shares and the charts of the first run.
 const (
 	maxGroupsShown      = 8
 	maxGroupsShownSwept = 4 // where the page has the curves of a sweep
 )
 
-// section is the charts of one run.
+// section holds the charts of one run.
 type section struct {
 	Name   string
 	Charts []template.HTML
 }
 
-// pageData is what the page's template shows.
+// pageData is the input of the page's template.
 type pageData struct {
 	Title, Text, Diff, Key string
 	Violations             []string
@@ -38,7 +38,7 @@
 .row{display:flex;flex-wrap:wrap;gap:.5rem}
 </style>
 <h1>{{.Title}}</h1>
-<p>Figures of the laboratory's model: hosts, counter, clients and api gateways are simulated, the deciding module is the true one.
+<p>Figures of a simulation: hosts, counter, clients and api gateways are models, the policy module is the product's own code.
 Shares are of the billed value asked for inside the quotas.</p>
 {{range .Violations}}<p class="bad">{{.}}</p>{{end}}
 <pre>{{.Text}}</pre>
@@ -49,8 +49,8 @@
 </html>
 `))
 
-// HTML writes one self-contained page: tables, the differences from the first group, a sweep's curves, and the course of the first run
-// of each of at most eight groups.
+// HTML returns one self-contained page with tables, the differences from the first group, the curves of a sweep, and the charts of the
+// first run of each of at most eight groups.
 func HTML(title string, runs []*batch.Run) ([]byte, error) {
 	groups := Groups(runs)
 	data := pageData{Title: title, Key: sweptKey(groups), Violations: violations(runs)}
@@ -78,7 +78,7 @@
 	return lines
 }
 
-// fillText writes the tables; the differences only where no key was swept.
+// fillText writes the tables, and the differences between groups if no key was swept.
 func fillText(data *pageData, _ []*Group, runs []*batch.Run) error {
 	var text bytes.Buffer
 	if err := Text(&text, runs); err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// fillSweep draws outcomes against the key that was swept, if one was.
+// fillSweep draws outcomes against the swept key, if there is one.
 func fillSweep(data *pageData, groups []*Group, _ []*batch.Run) error {
 	if data.Key == "" {
 		return nil
--- a/sim/report/report_test.go
+++ b/sim/report/report_test.go
@@ -9,7 +9,7 @@
 	"otterseam/sim/metrics"
 )
 
-// run is one of a policy that served a part of what was asked for.
+// run returns a run of a policy that served the fraction served of the requested value in time.
 func run(decider string, seed uint64, served float64, overrides map[string]string) *batch.Run {
 	results := metrics.New("day", decider, seed)
 	results.Total = metrics.Share{Requested: 10, Served: 10 * served, NetValue: 10 * served}
@@ -18,7 +18,7 @@
 	return &batch.Run{Overrides: overrides, Length: 1, Results: results}
 }
 
-func TestGroupsHoldRunsThatDifferInTheirSeedsOnly(t *testing.T) {
+func TestGroupsHoldRunsThatDifferOnlyInSeed(t *testing.T) {
 	groups := Groups([]*batch.Run{
 		run("a", 1, 0.5, map[string]string{"k": "1", "same": "x"}),
 		run("a", 1, 0.5, map[string]string{"k": "2", "same": "x"}),
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDifferencesAreTakenSeedBySeed(t *testing.T) {
+func TestDifferencesArePairedBySeed(t *testing.T) {
 	var text bytes.Buffer
 	runs := []*batch.Run{run("a", 1, 0.5, nil), run("a", 2, 0.7, nil), run("b", 2, 0.8, nil), run("b", 1, 0.6, nil), run("b", 3, 0, nil)}
 	if err := Differences(&text, runs); err != nil {
@@ -43,11 +43,11 @@
 	}
 }
 
-func TestAPageOfASweepShowsItsKeyInPlaceOfDifferences(t *testing.T) {
+func TestPageOfSweepShowsKeyInsteadOfDifferences(t *testing.T) {
 	swept := []*batch.Run{run("a", 1, 0.5, map[string]string{"k": "1/s"}), run("a", 1, 0.6, map[string]string{"k": "2/s"})}
 	for name, c := range map[string]struct {
-		runs          []*batch.Run
-		shows, leaves string
+		runs         []*batch.Run
+		shows, omits string
 	}{
 		"swept":    {swept, "Against k", "Difference by cause"},
 		"compared": {[]*batch.Run{run("a", 1, 0.5, nil), run("b", 1, 0.6, nil)}, "Difference by cause", "Against"},
@@ -56,8 +56,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Contains(written, []byte(c.shows)) || bytes.Contains(written, []byte(c.leaves)) {
-			t.Errorf("%s: the page does not show %q, or shows %q", name, c.shows, c.leaves)
+		if !bytes.Contains(written, []byte(c.shows)) || bytes.Contains(written, []byte(c.omits)) {
+			t.Errorf("%s: the page does not show %q, or shows %q", name, c.shows, c.omits)
 		}
 	}
 }
--- a/sim/report/runcharts.go
+++ b/sim/report/runcharts.go
@@ -13,22 +13,22 @@
 	"otterseam/sim/metrics"
 )
 
-// maxCapacityShown is the capacity of a counter in calls a second up to which it is drawn beside the calls.
+// maxCapacityShown is the largest counter capacity, in calls per second, that is drawn beside the calls.
 const maxCapacityShown = 1e5
 
-// curve is a figure by second.
+// curve is one line of a chart: a figure of each second.
 type curve struct {
-	name string
-	of   func(second metrics.Second) float64
+	name  string
+	value func(second metrics.Second) float64
 }
 
-// linesChart is a chart of curves.
+// linesChart describes a chart of curves over time.
 type linesChart struct {
 	title, yLabel string
 	curves        []curve
 }
 
-// runCharts draws the course of one run.
+// runCharts draws the charts of one run over time.
 func runCharts(run *batch.Run) ([]template.HTML, error) {
 	first, err := outcomesChart(run)
 	if err != nil {
@@ -48,12 +48,12 @@
 func latencyLines() linesChart {
 	return linesChart{"Answers", "milliseconds", []curve{
 		{"median", func(s metrics.Second) float64 { return s.P50 }},
-		{"99th of 100", func(s metrics.Second) float64 { return s.P99 }},
+		{"99th percentile", func(s metrics.Second) float64 { return s.P99 }},
 	}}
 }
 
 func counterLines(run *batch.Run) linesChart {
-	lines := linesChart{"Calls to the counter", "a second", []curve{
+	lines := linesChart{"Calls to the counter", "per second", []curve{
 		{"calls", func(s metrics.Second) float64 { return s.CounterCalls }},
 		{"without a total", func(s metrics.Second) float64 { return s.CounterCallsFailed }},
 	}}
@@ -64,15 +64,15 @@
 }
 
 func hostLines() linesChart {
-	return linesChart{"Work a host", "deliveries", []curve{
-		{"out, by the api gateways", func(s metrics.Second) float64 { return s.AttemptsInFlight / max(1, s.HostsUp) }},
-		{"at it", func(s metrics.Second) float64 { return s.HostLoad / max(1, s.HostsUp) }},
-		{"cores at work, part", func(s metrics.Second) float64 { return s.CoreUtilization }},
+	return linesChart{"Work per host", "deliveries", []curve{
+		{"in flight, by the api gateways", func(s metrics.Second) float64 { return s.AttemptsInFlight / max(1, s.HostsUp) }},
+		{"waiting or running at the host", func(s metrics.Second) float64 { return s.HostLoad / max(1, s.HostsUp) }},
+		{"share of busy cores", func(s metrics.Second) float64 { return s.CoreUtilization }},
 	}}
 }
 
 func invocationLines() linesChart {
-	return linesChart{"Tries", "a second", []curve{
+	return linesChart{"Tries", "per second", []curve{
 		{"first", func(s metrics.Second) float64 { return s.FirstInvocations }},
 		{"repeats", func(s metrics.Second) float64 { return s.ClientRetries }},
 		{"deliveries", func(s metrics.Second) float64 { return s.Attempts }},
@@ -80,9 +80,9 @@
 	}}
 }
 
-// draw draws the curves of a run.
+// draw draws the chart with the figures of a run.
 func (l linesChart) draw(run *batch.Run) (template.HTML, error) {
-	const minTop = 1e-9 // a chart needs some height
+	const minTop = 1e-9 // a chart must not have height 0
 	chart := newChart(l.title, l.yLabel)
 	top := 0.0
 	for i, each := range l.curves {
@@ -90,7 +90,7 @@
 			return "", err
 		}
 		for _, second := range run.Seconds {
-			top = max(top, each.of(second))
+			top = max(top, each.value(second))
 		}
 	}
 	markFaults(chart, run, max(top, minTop))
@@ -103,7 +103,7 @@
 	const width = 1.2 // points
 	var points plotter.XYs
 	for i, second := range run.Seconds {
-		points = append(points, plotter.XY{X: float64(i), Y: drawn.of(second)})
+		points = append(points, plotter.XY{X: float64(i), Y: drawn.value(second)})
 	}
 	if len(points) == 0 {
 		return nil
@@ -119,10 +119,10 @@
 	return nil
 }
 
-// outcomesChart draws what became of the value that was asked for in each second, as areas on top of each other.
+// outcomesChart draws the outcomes of the value requested in each second as stacked areas.
 func outcomesChart(run *batch.Run) (template.HTML, error) {
-	const top = 1.45 // of a chart of parts: room for the legend
-	chart := newChart("What became of the value asked for inside the quotas, by the second it was first asked for", "part of it")
+	const top = 1.45 // of a chart of fractions, with room for the legend
+	chart := newChart("Outcomes of the value asked for inside the quotas, by the second it was first asked for", "part of it")
 	stacked := make([]float64, len(run.Seconds))
 	for i, outcome := range outcomes[:beyondQuota] {
 		border := stackOutcome(stacked, outcome, run.Seconds)
@@ -148,14 +148,14 @@
 	return SVG(chart, fullWidth, 8.5*vg.Centimeter)
 }
 
-// stackOutcome puts an outcome's parts on top of those that are stacked by second, and gives the border of its area.
+// stackOutcome adds an outcome's fraction of each second to the stacked fractions and returns the border of its area.
 func stackOutcome(stacked []float64, outcome outcome, seconds []metrics.Second) plotter.XYs {
 	var upper, lower plotter.XYs
 	for i, second := range seconds {
 		if second.Requested == 0 {
 			continue
 		}
-		next := stacked[i] + outcome.of(second.Share)/second.Requested
+		next := stacked[i] + outcome.value(second.Share)/second.Requested
 		lower = append(lower, plotter.XY{X: float64(i), Y: stacked[i]})
 		upper = append(upper, plotter.XY{X: float64(i), Y: next})
 		stacked[i] = next
--- a/sim/report/text.go
+++ b/sim/report/text.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// violationsShown is how many of a run's are written.
+	// violationsShown is the largest number of violations written for each run.
 	violationsShown = 3
-	// coarseFrom is the size from which numbers are written with one decimal in place of three.
+	// coarseFrom is the value from which numbers are written with one decimal place instead of three.
 	coarseFrom = 20
 )
 
-// Text writes all runs as tables: shares of the value asked for within the quotas, mean and spread over seeds.
+// Text writes all runs as one table, with the outcomes as fractions of the value requested within the quotas. Each figure is the mean over
+// the seeds with its standard deviation. The first violations of each run follow.
 func Text(w io.Writer, runs []*batch.Run) error {
 	table := newTable(w, Groups(runs))
 	table.head()
@@ -25,7 +26,7 @@
 	}
 	table.blank()
 	for _, row := range rows {
-		table.row(row.name, row.of)
+		table.row(row.name, row.value)
 	}
 	for _, breakdown := range breakdowns {
 		table.blank()
@@ -44,19 +45,19 @@
 	return nil
 }
 
-// table has a column for each group.
-type table struct {
+// resultTable has a column for each group.
+type resultTable struct {
 	writer *tabwriter.Writer
 	groups []*Group
 }
 
-func newTable(w io.Writer, groups []*Group) *table {
-	return &table{writer: newTabWriter(w), groups: groups}
+func newTable(w io.Writer, groups []*Group) *resultTable {
+	return &resultTable{writer: newTabWriter(w), groups: groups}
 }
 
 func newTabWriter(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 2, 0, 2, ' ', 0) }
 
-func (t *table) head() {
+func (t *resultTable) head() {
 	line := "of the value asked for inside quotas"
 	for _, group := range t.groups {
 		line += "\t" + group.Day + ": " + group.Name()
@@ -64,16 +65,16 @@
 	fmt.Fprintln(t.writer, line)
 }
 
-func (t *table) row(name string, of figure) {
+func (t *resultTable) row(name string, value figure) {
 	line := name
 	for _, group := range t.groups {
-		mean, spread := group.Mean(of)
+		mean, spread := group.Mean(value)
 		line += "\t" + formatNumber(mean, spread, len(group.Runs) > 1)
 	}
 	fmt.Fprintln(t.writer, line)
 }
 
-func (t *table) blank() { fmt.Fprintln(t.writer, strings.Repeat("\t", len(t.groups))) }
+func (t *resultTable) blank() { fmt.Fprintln(t.writer, strings.Repeat("\t", len(t.groups))) }
 
 func formatNumber(mean, spread float64, withSpread bool) string {
 	format := "%.3f"
@@ -86,8 +87,8 @@
 	return fmt.Sprintf(format+" ± "+format, mean, spread)
 }
 
-// Differences writes what each group differs by from the first, outcome by outcome, seed by seed: the mean of the differences and
-// their spread, so that what is common to a seed falls out.
+// Differences writes how each group differs from the first in each outcome: the mean and the standard deviation of the differences seed
+// by seed. Pairing the seeds removes the variation that the groups have in common.
 func Differences(w io.Writer, runs []*batch.Run) error {
 	groups := Groups(runs)
 	if len(groups) < 2 {
