--- a/cmd/otterseam-sim/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -47,7 +47,7 @@
 		if violation.Ref == "" {
 			continue
 		}
-		story, err := batch.Story(plan, violation.Ref)
+		story, err := batch.TraceInvocation(plan, violation.Ref)
 		if err != nil {
 			return err
 		}
--- a/sim/batch/batch.go
+++ b/sim/batch/batch.go
@@ -16,25 +16,25 @@
 	"otterseam/sim/simulation"
 )
 
-// programPrefix begins the name of a policy that is a program's path.
+// programPrefix marks the name of a policy as the path of a program.
 const programPrefix = "wire:"
 
-// Plan is one simulation to be run.
+// Plan describes one simulation to run.
 type Plan struct {
 	Day       *scenario.Scenario
 	Decider   string // a name of policies.Names, or wire:PATH
 	Seed      uint64
-	Overrides map[string]string // keys of the scenario that were changed, for the report
+	Overrides map[string]string // overridden keys of the scenario, for the report
 }
 
-// Run is a simulation that was run. Its JSON keys are those of files that were kept.
+// Run holds the results of a simulation with the main sizes of its scenario. Its JSON keys stay as they are in saved files.
 type Run struct {
 	Overrides map[string]string `json:"over,omitempty"`
 	Faults    []Fault           `json:"troubles,omitempty"`
 	Length    float64           `json:"length"` // seconds
 	Gateways  int               `json:"gateways"`
 	Hosts     int               `json:"hosts"`
-	Capacity  float64           `json:"counter_capacity"` // calls a second; 0: there is no counter
+	Capacity  float64           `json:"counter_capacity"` // calls per second; 0 without a counter
 	*metrics.Results
 }
 
@@ -45,7 +45,7 @@
 	Ends float64 `json:"ends"`
 }
 
-// NewPolicySource makes the source of policies that a name stands for.
+// NewPolicySource creates the source of policies for a name: one of policies.Names, or wire:PATH for a program.
 func NewPolicySource(name string) (simulation.PolicySource, error) {
 	if path, ok := strings.CutPrefix(name, programPrefix); ok {
 		return policyprocess.Start(path)
@@ -53,7 +53,7 @@
 	return policies.New(name)
 }
 
-// RunOne runs one plan. The simulation is returned with an error too, if it was made.
+// RunOne runs one plan. If the run fails, the simulation is returned with the error; it is nil if it could not be created.
 func RunOne(plan Plan, options ...simulation.Option) (*Run, *simulation.Simulation, error) {
 	source, err := NewPolicySource(plan.Decider)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return NewRun(plan, simulated, results), simulated, nil
 }
 
-// NewRun puts the results of a simulation beside what its scenario was.
+// NewRun combines the results of a simulation with the main sizes of its scenario.
 func NewRun(plan Plan, simulated *simulation.Simulation, results *metrics.Results) *Run {
 	day := simulated.Day
 	run := &Run{
@@ -87,8 +87,8 @@
 	return run
 }
 
-// Story runs a plan and gives all that happened to one invocation.
-func Story(plan Plan, ref string) ([]string, error) {
+// TraceInvocation runs a plan and returns the trace lines of one invocation.
+func TraceInvocation(plan Plan, ref string) ([]string, error) {
 	_, simulated, err := RunOne(plan, simulation.WithInvocationTrace(ref))
 	if err != nil {
 		return nil, err
@@ -96,8 +96,8 @@
 	return simulated.TraceLines(), nil
 }
 
-// RunAll runs plans on so many workers; 0: one a core. progress, if set, is told how many are done, by several goroutines. The first
-// error ends all.
+// RunAll runs plans on a number of workers, or on one worker per core if workers is 0. If progress is not nil, several goroutines call it
+// with the number of completed plans. The first error ends the remaining runs.
 func RunAll(ctx context.Context, plans []Plan, workers int, progress func(done int)) ([]*Run, error) {
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
--- a/sim/batch/batch_test.go
+++ b/sim/batch/batch_test.go
@@ -19,18 +19,18 @@
 	"otterseam/sim/simulation"
 )
 
-// small is a day of a few api gateways that plays in a moment, with what a test adds to it.
-func small(t testing.TB, more string, sets ...string) *scenario.Scenario {
+// smallDay returns a day with few api gateways that runs quickly, with extra text appended to its file and with overrides KEY=VALUE.
+func smallDay(t testing.TB, extra string, overrides ...string) *scenario.Scenario {
 	t.Helper()
-	calm, err := scenarios.Load("calm-300")
+	base, err := scenarios.Load("calm-300")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := scenario.Read("small.toml", []byte(calm.Text()+more))
+	d, err := scenario.Read("small.toml", []byte(base.Text()+extra))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range append([]string{"length=12s", "fleet.gateways=4", "fleet.hosts=6", "clients.rate=150/s", "counter.capacity=2000/s"}, sets...) {
+	for _, s := range append([]string{"length=12s", "fleet.gateways=4", "fleet.hosts=6", "clients.rate=150/s", "counter.capacity=2000/s"}, overrides...) {
 		key, value, _ := strings.Cut(s, "=")
 		if err := d.Set(key, value); err != nil {
 			t.Fatal(err)
@@ -48,56 +48,57 @@
 	return r
 }
 
-// Same day, same seed, same bytes, whatever the number of workers.
-func TestSameSeedSameBytes(t *testing.T) {
-	d := small(t, fault("kill", "0.5", "1", "2s")+fault("move", "0.5", "1", "0s"))
+// TestSameSeedGivesSameBytes checks that the same day and seed give the same bytes for any number of workers.
+func TestSameSeedGivesSameBytes(t *testing.T) {
+	d := smallDay(t, fault("kill", "0.5", "1", "2s")+fault("move", "0.5", "1", "0s"))
 	var plans []Plan
 	for seed := range uint64(6) {
 		plans = append(plans, Plan{Day: d, Decider: "module", Seed: seed})
 	}
-	var before [][]byte
+	var expected [][]byte
 	for _, workers := range []int{1, 5} {
-		rs, err := RunAll(context.Background(), plans, workers, nil)
+		runs, err := RunAll(context.Background(), plans, workers, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, r := range rs {
+		for i, r := range runs {
 			if workers == 1 {
-				before = append(before, r.Encode())
-			} else if !bytes.Equal(before[i], r.Encode()) {
+				expected = append(expected, r.Encode())
+			} else if !bytes.Equal(expected[i], r.Encode()) {
 				t.Fatalf("seed %d differs between one worker and five", i)
 			}
 		}
 	}
-	if bytes.Equal(before[0], before[1]) {
-		t.Fatal("two seeds, the same day")
+	if bytes.Equal(expected[0], expected[1]) {
+		t.Fatal("two seeds gave the same results")
 	}
 }
 
-// The module behind the line protocol decides the same as the module called directly.
-func TestAProgramDecidesTheSameAsTheModule(t *testing.T) {
-	d := small(t, fault("kill", "0.5", "1", "2s")+fault("counter-silent", "1", "1", "2s"), "peers.allowed=true")
+// TestProgramDecidesTheSameAsModule checks that the module gives the same results over the line protocol as called directly.
+func TestProgramDecidesTheSameAsModule(t *testing.T) {
+	d := smallDay(t, fault("kill", "0.5", "1", "2s")+fault("counter-silent", "1", "1", "2s"), "peers.allowed=true")
 	direct := run(t, d, "module")
-	in, inW := io.Pipe()
-	outR, out := io.Pipe()
+	input, inputWriter := io.Pipe()
+	outputReader, output := io.Pipe()
 	done := make(chan error, 1)
-	go func() { done <- simadapter.Run(in, out) }()
-	w := simulation.New(d, 5, policyprocess.Attach("module", inW, outR, func() error { return nil }))
-	f, err := w.Run()
+	go func() { done <- simadapter.Run(input, output) }()
+	simulated := simulation.New(d, 5, policyprocess.Attach("module", inputWriter, outputReader, func() error { return nil }))
+	results, err := simulated.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(f.Encode(), direct.Encode()) {
-		t.Fatalf("they differ: worth %.6f directly, %.6f by the line protocol", direct.Score(), f.Score())
+	if !bytes.Equal(results.Encode(), direct.Encode()) {
+		t.Fatalf("the results differ: worth %.6f directly, %.6f by the line protocol", direct.Score(), results.Score())
 	}
 }
 
-// A program that dies or talks nonsense ends the day with its name and its last line.
-func TestBadProgramsEndTheRun(t *testing.T) {
-	d := small(t, "")
+// TestFaultyProgramsEndTheRun checks that a program that exits or sends an invalid reply ends the run with an error that holds its path
+// and its last line.
+func TestFaultyProgramsEndTheRun(t *testing.T) {
+	d := smallDay(t, "")
 	for script, want := range map[string]string{
 		"exit 0":                                "has ended in the middle of the day",
 		"read x; echo nonsense; cat >/dev/null": `"nonsense"`,
@@ -116,12 +117,13 @@
 	}
 }
 
+// fault returns the text of a fault that begins at 3 s, for a day's file.
 func fault(kind, part, size, lasts string) string {
 	return "\n[[trouble]]\nkind = \"" + kind + "\"\nat = \"3s\"\npart = " + part + "\nsize = " + size + "\nlasts = \"" + lasts +
 		"\"\noperation = \"" + map[bool]string{true: "search", false: ""}[kind == "operation-silent"] + "\"\n"
 }
 
-// during is the mean of a figure over the seconds that a fault lasts.
+// during returns the mean of a figure over the seconds from 3 to 7, in which a fault of 4 s lasts.
 func during(figure func(r *Run, second int) float64) func(r *Run) float64 {
 	return func(r *Run) float64 {
 		sum := 0.0
@@ -132,49 +134,49 @@
 	}
 }
 
-// Figures that faults are made to move.
+// Figures that the faults are expected to change.
 var (
-	p50    = during(func(r *Run, i int) float64 { return r.Seconds[i].P50 })
-	missed = during(func(r *Run, i int) float64 { return r.Seconds[i].CounterCallsFailed })
+	p50             = during(func(r *Run, i int) float64 { return r.Seconds[i].P50 })
+	counterFailures = during(func(r *Run, i int) float64 { return r.Seconds[i].CounterCallsFailed })
 )
 
 func loss(r *Run) float64 { return 1 - r.Total.Fraction(r.Total.Served) }
 
 func dials(r *Run) float64 { return r.Dials }
 
-// events is another number after any change of the course.
+// events returns the number of events, which differs after almost any change of the run.
 func events(r *Run) float64 { return float64(r.Events) }
 
-func attemptsAnInvocation(r *Run) float64 { return r.Attempts / r.Invocations }
+func attemptsPerInvocation(r *Run) float64 { return r.Attempts / r.Invocations }
 
 type faultCase struct {
 	kind, part, size, decider string
-	of                        func(r *Run) float64
-	times                     float64  // at least so many times the calm day's, or 1/times of it where below 1
-	besides                   []string // kinds of faults that must go on beside it for it to show
+	figure                    func(r *Run) float64
+	minRatio                  float64  // least ratio of the figure with the fault to that of the calm day; 0: the two must differ
+	background                []string // kinds of faults that must be active in both runs for the fault to have an effect
 }
 
-// faultCases name a figure that each kind of fault moves.
+// faultCases holds a figure that each kind of fault changes.
 var faultCases = []faultCase{
 	{"slow", "1", "3", "random", p50, 1.8, nil},
 	{"silent", "0.5", "1", "random", loss, 2, nil},
 	{"vanish", "0.5", "1", "random", loss, 2, nil},
 	{"operation-silent", "1", "1", "random", loss, 1.5, nil},
-	{"errors", "1", "0.9", "random", attemptsAnInvocation, 1.2, nil},
-	{"spoilt", "1", "0.9", "random", attemptsAnInvocation, 1.2, nil},
-	{"refuse", "1", "0.002", "random", attemptsAnInvocation, 1.005, nil},
+	{"errors", "1", "0.9", "random", attemptsPerInvocation, 1.2, nil},
+	{"spoilt", "1", "0.9", "random", attemptsPerInvocation, 1.2, nil},
+	{"refuse", "1", "0.002", "random", attemptsPerInvocation, 1.005, nil},
 	{"replace", "1", "1", "random", func(r *Run) float64 { return -r.Seconds[11].HostsUp }, 0, nil},
 	{"grow", "1", "1", "random", during(func(r *Run, i int) float64 { return r.Seconds[i].HostsUp }), 1.8, nil},
 	{"reset", "1", "0.8", "random", dials, 1.3, nil},
 	{"delay", "1", "30", "random", p50, 1.3, nil},
 	{"cut", "0.4", "1", "random", loss, 1.5, nil},
 	{"half-open", "1", "0.8", "random", loss, 1.5, nil},
-	{"counter-silent", "1", "1", "design", missed, 5, nil},
-	{"counter-refuse", "1", "1", "design", missed, 5, nil},
-	{"counter-small", "1", "0.02", "design", missed, 5, nil},
-	{"counter-drop", "1", "0.1", "design", missed, 5, nil},
+	{"counter-silent", "1", "1", "design", counterFailures, 5, nil},
+	{"counter-refuse", "1", "1", "design", counterFailures, 5, nil},
+	{"counter-small", "1", "0.02", "design", counterFailures, 5, nil},
+	{"counter-drop", "1", "0.1", "design", counterFailures, 5, nil},
 	{"counter-split", "0.5", "1", "design", func(r *Run) float64 { return r.Total.BeyondQuota }, 1.02, nil},
-	{"counter-takeover", "1", "1", "design", missed, 5, nil},
+	{"counter-takeover", "1", "1", "design", counterFailures, 5, nil},
 	{"counter-replaced", "1", "1", "design", func(r *Run) float64 { return r.Total.BeyondQuota }, 1.02, nil},
 	{"list-late", "1", "20", "random", loss, 1.02, []string{"replace"}},
 	{"list-silent", "1", "1", "random", events, 0, []string{"replace"}},
@@ -190,18 +192,18 @@
 	{"starve", "1", "0.002", "random", p50, 1.3, nil},
 }
 
-// Each fault shows in a figure that it is made to move. Without it the figure is that of the calm day, which the bound
-// excludes: a fault that does nothing fails here.
-func TestEachFaultShows(t *testing.T) {
+// TestEachFaultHasAnEffect checks that each fault changes the figure of its case. A fault that does nothing leaves the figure of the calm
+// day, which the bound excludes.
+func TestEachFaultHasAnEffect(t *testing.T) {
 	for _, each := range faultCases {
 		base := ""
-		for _, kind := range each.besides {
+		for _, kind := range each.background {
 			base += fault(kind, "0.7", "1", "3s")
 		}
-		calm := each.of(run(t, small(t, base), each.decider))
-		hit := each.of(run(t, small(t, base+fault(each.kind, each.part, each.size, "4s")), each.decider))
-		if each.times == 0 && hit == calm || each.times > 0 && hit < each.times*calm {
-			t.Errorf("%s: %.4g on the calm day, %.4g with it, wanted %.2f times as much", each.kind, calm, hit, each.times)
+		calm := each.figure(run(t, smallDay(t, base), each.decider))
+		faulty := each.figure(run(t, smallDay(t, base+fault(each.kind, each.part, each.size, "4s")), each.decider))
+		if each.minRatio == 0 && faulty == calm || each.minRatio > 0 && faulty < each.minRatio*calm {
+			t.Errorf("%s: %.4g on the calm day, %.4g with it, wanted %.2f times as much", each.kind, calm, faulty, each.minRatio)
 		}
 	}
 	for _, kind := range scenario.FaultKinds {
@@ -211,11 +213,12 @@
 	}
 }
 
-// The counter comes back kept, empty or with old counts; an empty one lets a customer have its burst again.
-func TestCounterComesBack(t *testing.T) {
+// TestCounterRestoresState checks that a counter that comes back empty admits more beyond the quotas than one that kept its counts,
+// because each customer gets its burst again.
+func TestCounterRestoresState(t *testing.T) {
 	beyond := map[string]float64{}
 	for _, back := range []string{"kept", "empty"} {
-		d := small(t, fault("counter-silent", "1", "1", "500ms")+"back = \""+back+"\"\n", "clients.over=0.6")
+		d := smallDay(t, fault("counter-silent", "1", "1", "500ms")+"back = \""+back+"\"\n", "clients.over=0.6")
 		beyond[back] = run(t, d, "design").Total.BeyondQuota
 	}
 	if beyond["empty"] < 1.05*beyond["kept"] {
@@ -223,9 +226,9 @@
 	}
 }
 
-// The module keeps the rules on a day of overlapping troubles, one of which begins as another ends.
+// TestModuleKeepsTheRules runs the module on a day of overlapping faults, one of which begins as another ends.
 func TestModuleKeepsTheRules(t *testing.T) {
-	d := small(t, fault("reset", "1", "0.3", "3s")+fault("kill", "0.5", "1", "2s")+fault("replace", "0.5", "1", "3s")+
+	d := smallDay(t, fault("reset", "1", "0.3", "3s")+fault("kill", "0.5", "1", "2s")+fault("replace", "0.5", "1", "3s")+
 		strings.Replace(fault("counter-silent", "1", "1", "3s"), `at = "3s"`, `at = "6s"`, 1)+fault("half-open", "1", "0.2", "5s"))
 	for seed := range uint64(8) {
 		r, _, err := RunOne(Plan{Day: d, Decider: "module", Seed: seed})
@@ -238,17 +241,17 @@
 	}
 }
 
-// Results that were kept read back; a file that holds none is named.
-func TestResultsAreKept(t *testing.T) {
+// TestSavedResultsAreLoaded checks that saved results can be loaded, and that the error for a file without results names the file.
+func TestSavedResultsAreLoaded(t *testing.T) {
 	dir := t.TempDir()
-	r := run(t, small(t, "", "length=2s"), "random")
+	r := run(t, smallDay(t, "", "length=2s"), "random")
 	path := filepath.Join(dir, "r.json")
 	if err := Save(path, []*Run{r}); err != nil {
 		t.Fatal(err)
 	}
-	back, err := Load(path)
-	if err != nil || back[0].Total != r.Total || back[0].Gateways != 4 {
-		t.Fatal(err, back)
+	loaded, err := Load(path)
+	if err != nil || loaded[0].Total != r.Total || loaded[0].Gateways != 4 {
+		t.Fatal(err, loaded)
 	}
 	if err := os.WriteFile(path, []byte("[null]"), 0o644); err != nil {
 		t.Fatal(err)
@@ -257,26 +260,26 @@
 		t.Fatal(err)
 	}
 	if CheckWritable(filepath.Join(dir, "none", "r.json")) == nil {
-		t.Fatal("a folder that there isn't")
+		t.Fatal("CheckWritable accepted a file in a missing folder")
 	}
 }
 
-func benchmark(b *testing.B, gateways, hosts string) {
-	d := small(b, "", "length=3s", "fleet.gateways="+gateways, "fleet.hosts="+hosts, "clients.rate=2000/s", "counter.capacity=20000/s")
+func benchmarkDay(b *testing.B, gateways, hosts string) {
+	d := smallDay(b, "", "length=3s", "fleet.gateways="+gateways, "fleet.hosts="+hosts, "clients.rate=2000/s", "counter.capacity=20000/s")
 	b.ReportAllocs()
 	for range b.N {
-		p, _ := policies.New("module")
-		w := simulation.New(d, 1, p)
-		f, err := w.Run()
+		source, _ := policies.New("module")
+		simulated := simulation.New(d, 1, source)
+		results, err := simulated.Run()
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(f.Events), "ns/event")
-		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/f.Invocations, "ns/try")
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(results.Events), "ns/event")
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/results.Invocations, "ns/try")
 	}
 }
 
-// The same load over more api gateways and 50 hosts: what size alone costs.
-func BenchmarkDay30(b *testing.B)   { benchmark(b, "30", "50") }
-func BenchmarkDay300(b *testing.B)  { benchmark(b, "300", "50") }
-func BenchmarkDay1000(b *testing.B) { benchmark(b, "1000", "50") }
+// The day benchmarks run the same load with 30, 300 and 1000 api gateways and 50 hosts, and so measure the cost of size alone.
+func BenchmarkDay30(b *testing.B)   { benchmarkDay(b, "30", "50") }
+func BenchmarkDay300(b *testing.B)  { benchmarkDay(b, "300", "50") }
+func BenchmarkDay1000(b *testing.B) { benchmarkDay(b, "1000", "50") }
--- a/sim/batch/doc.go
+++ b/sim/batch/doc.go
@@ -1,3 +1,3 @@
-// Package batch runs many simulations at once and keeps their results in files. The order of the results is that of the plans,
+// Package batch runs many simulations in parallel and saves their results to files. The results are in the order of the plans,
 // whatever the number of workers, so that the same plans give the same bytes.
 package batch
--- a/sim/batch/files.go
+++ b/sim/batch/files.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// standardOutput is the name that stands for it in place of a file's.
+	// standardOutput is the path that stands for standard output.
 	standardOutput = "-"
-	// unfinishedSuffix is that of a file that is being written.
+	// unfinishedSuffix is the suffix of a file that is being written.
 	unfinishedSuffix = ".part"
-	// probeSize is how many bytes CheckWritable writes: what a disk gives out at once.
+	// probeSize is the number of bytes that CheckWritable writes: one page, the unit in which a disk allocates space.
 	probeSize       = 4096
 	filePermissions = 0o644
 )
 
-// ErrNoResults says that a file holds no results. Errors of Load wrap it.
+// ErrNoResults reports that a file holds no results. Errors of Load wrap it.
 var ErrNoResults = errors.New("holds no results")
 
-// CheckWritable says early that a file cannot be written, before a long run ends in that.
+// CheckWritable returns an error if a file cannot be written, so that this is found before a long run and not at its end.
 func CheckWritable(path string) error {
 	if path == "" || path == standardOutput {
 		return nil
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	if isNew { // a disk that takes no page now will take no report later
+	if isNew { // a disk with no space for one page has none for a report
 		err = writeProbe(file)
 	}
 	if closeErr := file.Close(); err == nil {
@@ -51,7 +51,7 @@
 	return file.Sync()
 }
 
-// Save writes results as JSON; an unfinished file is never left under the name.
+// Save writes results as JSON. It never leaves an incomplete file at path.
 func Save(path string, runs []*Run) error {
 	encoded, err := json.MarshalIndent(runs, "", " ")
 	if err != nil {
@@ -60,7 +60,7 @@
 	return WriteFile(path, append(encoded, '\n'))
 }
 
-// WriteFile writes a file beside its place first, then moves it there; "-" is standard output.
+// WriteFile writes content to a temporary file next to path and renames it to path. The path "-" stands for standard output.
 func WriteFile(path string, content []byte) error {
 	if path == standardOutput {
 		_, err := os.Stdout.Write(content)
@@ -74,7 +74,7 @@
 	return os.Rename(unfinished, path)
 }
 
-// Load reads results back.
+// Load reads results that Save wrote.
 func Load(path string) ([]*Run, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/sim/batch/rules_test.go
+++ b/sim/batch/rules_test.go
@@ -9,84 +9,85 @@
 	"otterseam/sim/simulation"
 )
 
-// rulebreaker is a policy that breaks one rule on purpose and else sends each invocation to one host.
-type rulebreaker struct {
-	rule int
-	w    *simulation.Simulation
-	out  policydriver.Output
-	list []policy.HostEntry
+// ruleBreaker is a policy that breaks one rule on purpose and otherwise sends each invocation to one host.
+type ruleBreaker struct {
+	rule      int
+	simulated *simulation.Simulation
+	out       policydriver.Output
+	hosts     []policy.HostEntry
 }
 
-func (d *rulebreaker) Name() string { return "rulebreaker" }
-func (d *rulebreaker) Err() error   { return nil }
-func (d *rulebreaker) Close()       {}
-func (d *rulebreaker) NewPolicy(w *simulation.Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error) {
-	return &rulebreaker{rule: d.rule, w: w, out: out}, nil
+func (d *ruleBreaker) Name() string { return "rulebreaker" }
+func (d *ruleBreaker) Err() error   { return nil }
+func (d *ruleBreaker) Close()       {}
+func (d *ruleBreaker) NewPolicy(simulated *simulation.Simulation, slot int, seed uint64, out policydriver.Output) (gatewaymodel.Policy, error) {
+	return &ruleBreaker{rule: d.rule, simulated: simulated, out: out}, nil
 }
 
-func (d *rulebreaker) SetTimers(float64)                                                {}
-func (d *rulebreaker) PeerMessage(float64, int, string)                                 {}
-func (d *rulebreaker) TimerFired(float64, uint64)                                       {}
-func (d *rulebreaker) Abandon(float64, string)                                          {}
-func (d *rulebreaker) CounterReplied(float64, uint64, policy.Outcome, float64, float64) {}
-func (d *rulebreaker) UpdateHosts(_ float64, list []policy.HostEntry, whole bool) {
-	d.list = append(d.list, list...)
+func (d *ruleBreaker) SetTimers(float64)                                                {}
+func (d *ruleBreaker) PeerMessage(float64, int, string)                                 {}
+func (d *ruleBreaker) TimerFired(float64, uint64)                                       {}
+func (d *ruleBreaker) Abandon(float64, string)                                          {}
+func (d *ruleBreaker) CounterReplied(float64, uint64, policy.Outcome, float64, float64) {}
+func (d *ruleBreaker) UpdateHosts(_ float64, hosts []policy.HostEntry, whole bool) {
+	d.hosts = append(d.hosts, hosts...)
 }
 
-func (d *rulebreaker) Accept(now float64, a policy.Request) {
-	last := d.list[len(d.list)-1].Addr
+func (d *ruleBreaker) Accept(now float64, request policy.Request) {
+	addr := d.hosts[len(d.hosts)-1].Addr
 	switch {
-	case d.rule == 1: // no answer at all
-	case d.rule == 2 && a.Operation == "charge": // a second delivery beside the first
-		d.out.Send(a.Ref, d.list[0].Addr, 0)
-		d.out.Send(a.Ref, d.list[1].Addr, 0)
-	case d.rule == 3: // whatever the list says of it
-		for _, l := range d.list {
-			if l.State == "leaving" {
-				last = l.Addr
+	case d.rule == 1: // never answers
+	case d.rule == 2 && request.Operation == "charge": // sends a second attempt while the first is running
+		d.out.Send(request.Ref, d.hosts[0].Addr, 0)
+		d.out.Send(request.Ref, d.hosts[1].Addr, 0)
+	case d.rule == 3: // sends to a host that is leaving
+		for _, host := range d.hosts {
+			if host.State == "leaving" {
+				addr = host.Addr
 			}
 		}
-		d.out.Send(a.Ref, last, 0)
-	case d.rule == 4: // all to the host that came last
-		d.out.Send(a.Ref, last, 0)
+		d.out.Send(request.Ref, addr, 0)
+	case d.rule == 4: // sends everything to the newest host, which is cold
+		d.out.Send(request.Ref, addr, 0)
 	default:
-		d.out.Send(a.Ref, d.list[int(a.Deadline*1e4)%6].Addr, 0)
+		d.out.Send(request.Ref, d.hosts[int(request.Deadline*1e4)%6].Addr, 0)
 	}
 }
 
-func (d *rulebreaker) AttemptEnded(now float64, ref string, number int, e policy.AttemptResult) {
-	if !e.Final {
+func (d *ruleBreaker) AttemptEnded(now float64, ref string, number int, result policy.AttemptResult) {
+	if !result.Final {
 		d.out.Fail(ref)
 	}
 }
 
-// Each rule is seen broken in a day whose policy breaks it, and by none that keeps it.
+// TestRulesBrokenOnPurposeAreReported checks that each rule is reported as broken on a day whose policy breaks it, and that the module
+// breaks none.
 func TestRulesBrokenOnPurposeAreReported(t *testing.T) {
-	sets := []string{"clients.rate=60/s", "length=8s", "cold.warm=20s", "plan[0].ceiling_burst=20", "plan[0].ceiling_rate=2/s"}
-	more := fault("replace", "0.3", "1", "100ms")
+	overrides := []string{"clients.rate=60/s", "length=8s", "cold.warm=20s", "plan[0].ceiling_burst=20", "plan[0].ceiling_rate=2/s"}
+	replacement := fault("replace", "0.3", "1", "100ms")
 	for rule := 0; rule <= 5; rule++ {
-		d := small(t, more, sets...)
+		d := smallDay(t, replacement, overrides...)
 		if rule == 4 {
-			d = small(t, more, append(sets, "clients.rate=400/s")...)
+			d = smallDay(t, replacement, append(overrides, "clients.rate=400/s")...)
 		}
 		if rule != 5 {
 			d.Plans[0].CeilingRate, d.Plans[0].CeilingBurst = d.Plans[1].CeilingRate, d.Plans[1].CeilingBurst
 		}
-		w := simulation.New(d, 5, &rulebreaker{rule: rule})
-		f, err := w.Run()
+		simulated := simulation.New(d, 5, &ruleBreaker{rule: rule})
+		results, err := simulated.Run()
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen := map[int]bool{}
-		for _, b := range f.Violations {
-			seen[b.Rule] = true
+		reported := map[int]bool{}
+		for _, violation := range results.Violations {
+			reported[violation.Rule] = true
 		}
-		if rule == 0 { // hosts that leave are not sent to by the module
-			if f = run(t, d, "module").Results; f.ViolationCount > 0 {
-				t.Errorf("the module: %v", f.Violations)
+		if rule == 0 { // the run with the module must break no rule
+			if results = run(t, d, "module").Results; results.ViolationCount > 0 {
+				t.Errorf("the module: %v", results.Violations)
 			}
-		} else if !seen[rule] {
-			t.Errorf("rule %d broken on purpose: seen %v", rule, f.Violations)
+		} else if !reported[rule] {
+			t.Errorf("rule %d was broken on purpose: reported %v", rule, results.Violations)
 		}
 	}
 }
