--- a/sim/metrics/latency.go
+++ b/sim/metrics/latency.go
@@ -8,16 +8,16 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// allAnswers is the name under which all answers are timed.
+// allAnswers is the name under which the latencies of all answers are recorded.
 const allAnswers = "all"
 
 const (
 	microsecondsPerSecond = 1e6
-	maxMicroseconds       = 600_000_000 // the longest time that a histogram takes
+	maxMicroseconds       = 600_000_000 // the longest latency that a histogram can record: ten minutes
 	significantDigits     = 3
 )
 
-// Latency is how long answers took, in milliseconds.
+// Latency holds quantiles of the latency of answers, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -26,24 +26,24 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// latencies times answers, by name and by second. The zero latencies has none.
+// latencies records the latencies of answers by name and by second. Its zero value is empty and ready to use.
 type latencies struct {
 	histograms map[string]*hdrhistogram.Histogram
-	bySecond   [][]float64 // seconds that the answers given in each second took
+	bySecond   [][]float64 // latencies in seconds of the answers given in each second
 }
 
-// record times an answer that took so many seconds and was given in a second.
-func (l *latencies) record(second int, seconds float64, names ...string) {
+// record records the latency, in seconds, of an answer that was given in a second of the run.
+func (l *latencies) record(second int, latency float64, names ...string) {
 	for len(l.bySecond) <= second {
 		l.bySecond = append(l.bySecond, nil)
 	}
-	l.bySecond[second] = append(l.bySecond[second], seconds)
+	l.bySecond[second] = append(l.bySecond[second], latency)
 	for _, name := range names {
-		l.recordName(name, seconds)
+		l.recordName(name, latency)
 	}
 }
 
-func (l *latencies) recordName(name string, seconds float64) {
+func (l *latencies) recordName(name string, latency float64) {
 	if l.histograms == nil {
 		l.histograms = map[string]*hdrhistogram.Histogram{}
 	}
@@ -52,10 +52,10 @@
 		histogram = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 		l.histograms[name] = histogram
 	}
-	_ = histogram.RecordValue(max(1, int64(seconds*microsecondsPerSecond))) // no answer takes ten minutes
+	_ = histogram.RecordValue(max(1, int64(latency*microsecondsPerSecond))) // an error means over ten minutes, which no answer takes
 }
 
-// summary is the quantiles of a histogram.
+// summary returns the count and the quantiles of a histogram.
 func summary(histogram *hdrhistogram.Histogram) Latency {
 	return Latency{
 		Count: histogram.TotalCount(),
@@ -66,14 +66,14 @@
 	}
 }
 
-// quantileMilliseconds is a quantile of sorted times in seconds.
+// quantileMilliseconds returns a quantile, in milliseconds, of sorted times in seconds.
 func quantileMilliseconds(sorted []float64, quantile float64) float64 {
 	return milliseconds(int64(microsecondsPerSecond * stat.Quantile(quantile, stat.Empirical, sorted, nil)))
 }
 
 func milliseconds(microseconds int64) float64 { return math.Round(float64(microseconds)) / 1000 }
 
-// Quantile is a quantile, from 0 to 1, of the answers' times in seconds under a name of LatencyNames.
+// Quantile returns a quantile, from 0 to 1, of the latencies recorded under one of LatencyNames, in seconds.
 func (r *Results) Quantile(name string, quantile float64) float64 {
 	histogram := r.latencies.histograms[name]
 	if histogram == nil {
@@ -82,7 +82,7 @@
 	return float64(histogram.ValueAtQuantile(100*quantile)) / microsecondsPerSecond
 }
 
-// LatencyNames are the names under which answers were timed: "all" first, the others in order.
+// LatencyNames returns the names under which latencies were recorded: "all" first, then the others sorted.
 func (r *Results) LatencyNames() []string {
 	names := []string{allAnswers}
 	for name := range r.Latency {
@@ -94,7 +94,7 @@
 	return names
 }
 
-// finishLatencies enters the quantiles by name and by second.
+// finishLatencies computes the quantiles by name and by second.
 func (r *Results) finishLatencies() {
 	for name, histogram := range r.latencies.histograms {
 		r.Latency[name] = summary(histogram)
--- a/sim/metrics/requests.go
+++ b/sim/metrics/requests.go
@@ -2,7 +2,8 @@
 
 import "otterseam/sim/model"
 
-// AddShare adds to the account of a request, at the second when it was first asked for.
+// AddShare adds a share of a request to the total, to the second in which the request was created, and to its plan, use of the quota and
+// operation.
 func (r *Results) AddShare(request *model.Request, share Share) {
 	r.Total.Add(share)
 	r.SecondAt(request.CreatedAt).Add(share)
@@ -11,10 +12,10 @@
 	shareOf(r.Operations, request.Operation.Name).Add(share)
 }
 
-// CountOutcome counts how one invocation ended for its client.
+// CountOutcome counts the outcome of one invocation as its client sees it.
 func (r *Results) CountOutcome(outcome model.Outcome) { r.Outcomes[model.OutcomeNames[outcome]]++ }
 
-// CloseRequest counts what became of a request whose last invocation ended now, and took so many seconds.
+// CloseRequest counts the outcome of a request whose last invocation ended now after a number of seconds.
 func (r *Results) CloseRequest(request *model.Request, seconds, now float64) {
 	served := request.LastOutcome == model.Served
 	if served {
@@ -41,7 +42,7 @@
 	r.addCustomerValue(request.Customer, share.Served, value)
 }
 
-// addOutcome enters the value of a request that was within its quota under what became of it.
+// addOutcome records the value of a request that was within its quota under the request's outcome.
 func (s *Share) addOutcome(request *model.Request, value float64, inTime bool) {
 	switch {
 	case inTime:
