--- a/cmd/otterseam-sim/adds.go
+++ b/cmd/otterseam-sim/adds.go
@@ -23,21 +23,21 @@
 
 func (c *addsCommand) Run(ctx context.Context, out *output) error {
 	if c.Rate <= 0 || math.IsNaN(c.Rate) || c.Conns < 1 || c.Names < 1 || c.Length <= 0 {
-		return inputError{errors.New("a rate, a length, connections and names over 0 are wanted")}
+		return inputError{errors.New("rate, length, connections and names must be greater than 0")}
 	}
 	load := counterload.Load{Addresses: c.Doors, Rate: c.Rate, Duration: c.Length, Conns: c.Conns, Keys: c.Names, HotKey: c.Third, Prefix: c.Prefix}
 	totals := load.Run(ctx)
-	fmt.Fprintf(out.stdout, "%.0f a second: %d answered (%.0f a second), %d turned away, %d without an answer; p50 %.2f ms, p99 %.2f ms, most %.1f ms\n",
+	fmt.Fprintf(out.stdout, "%.0f a second: %d answered (%.0f a second), %d rejected, %d without an answer; p50 %.2f ms, p99 %.2f ms, max %.1f ms\n",
 		c.Rate, totals.Answered, totals.Rate, totals.Rejected, totals.Broken, 1e3*totals.P50, 1e3*totals.P99, 1e3*totals.Max)
 	if !c.Check {
 		return nil
 	}
-	lost, twice, err := load.Check(totals)
+	lost, countedTwice, err := load.Check(totals)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out.stdout, "%d names: answered and missing: %d, counted too often: %d\n", len(totals.Acknowledged), lost, twice)
-	if lost+twice > 0 {
+	fmt.Fprintf(out.stdout, "%d names: answered and missing: %d, counted too often: %d\n", len(totals.Acknowledged), lost, countedTwice)
+	if lost+countedTwice > 0 {
 		return errRuleBroken
 	}
 	return nil
--- a/cmd/otterseam-sim/compare.go
+++ b/cmd/otterseam-sim/compare.go
@@ -22,8 +22,8 @@
 		return err
 	}
 	var plans []batch.Plan
-	for _, name := range c.deciders() {
-		if err := checkDecider(name); err != nil {
+	for _, name := range c.policyNames() {
+		if err := checkPolicyName(name); err != nil {
 			return err
 		}
 		plans = append(plans, c.plans(day, name, c.Set, c.Seeds)...)
@@ -44,8 +44,8 @@
 	return checkRules(runs)
 }
 
-// deciders are the first and those it is compared with; a path is that of an earlier build's wirehost.
-func (c *compareCommand) deciders() []string {
+// policyNames returns the first policy and those it is compared with. A path is taken as the wirehost program of an earlier build.
+func (c *compareCommand) policyNames() []string {
 	names := []string{c.Decider}
 	for _, name := range c.Against {
 		if strings.ContainsAny(name, "/.") && !strings.HasPrefix(name, programPrefix) {
--- a/cmd/otterseam-sim/day_arguments.go
+++ b/cmd/otterseam-sim/day_arguments.go
@@ -13,7 +13,7 @@
 	"otterseam/sim/scenarios"
 )
 
-// dayArguments are the arguments of all subcommands that run a day. The names of the fields are those of the flags.
+// dayArguments holds the arguments shared by the subcommands that run a day. The flags take their names from the fields.
 type dayArguments struct {
 	Day     string            `arg:"" help:"Name of a day (see otterseam-sim days) or path of its file."`
 	Set     map[string]string `help:"Override keys of the day, as in counter.capacity=900/s; may be repeated." placeholder:"KEY=VALUE"`
@@ -24,7 +24,7 @@
 	Report  string            `help:"Also write a page with charts to this file." placeholder:"FILE.html"`
 }
 
-// loadDay reads the day with its overrides. It fails before anything is run if a result could not be written.
+// loadDay loads the day and applies the overrides. It also fails if a result file could not be written, before anything is run.
 func (c *dayArguments) loadDay() (*scenario.Scenario, error) {
 	day, err := scenarios.Load(c.Day)
 	if err != nil {
@@ -35,15 +35,15 @@
 	}
 	for _, file := range []string{c.Keep, c.Report} {
 		if err := batch.CheckWritable(file); err != nil {
-			return nil, inputError{fmt.Errorf("no result could be written: %w", err)}
+			return nil, inputError{fmt.Errorf("cannot write results: %w", err)}
 		}
 	}
 	return day, nil
 }
 
-// applyOverrides sets keys of a day.
+// applyOverrides sets overridden keys of a day.
 func applyOverrides(day *scenario.Scenario, overrides map[string]string) error {
-	for _, key := range slices.Sorted(maps.Keys(overrides)) { // errors come in the same order each time
+	for _, key := range slices.Sorted(maps.Keys(overrides)) { // sorted, so that the same error is reported each time
 		if err := day.Set(key, overrides[key]); err != nil {
 			return inputError{err}
 		}
@@ -51,16 +51,16 @@
 	return nil
 }
 
-// plans are runs of a day with so many seeds, from the first on; at least one.
-func (c *dayArguments) plans(day *scenario.Scenario, decider string, overrides map[string]string, seeds int) []batch.Plan {
+// plans returns the plans of a day's runs with a number of consecutive seeds, at least one.
+func (c *dayArguments) plans(day *scenario.Scenario, policyName string, overrides map[string]string, seeds int) []batch.Plan {
 	var plans []batch.Plan
 	for i := range max(1, seeds) {
-		plans = append(plans, batch.Plan{Day: day, Decider: decider, Seed: c.Seed + uint64(i), Overrides: overrides})
+		plans = append(plans, batch.Plan{Day: day, Decider: policyName, Seed: c.Seed + uint64(i), Overrides: overrides})
 	}
 	return plans
 }
 
-// writeResults writes results in the forms that were asked for.
+// writeResults writes results in the formats that the flags select.
 func (c *dayArguments) writeResults(out *output, title string, runs []*batch.Run) error {
 	if c.Keep != "" {
 		if err := batch.Save(c.Keep, runs); err != nil {
@@ -92,11 +92,11 @@
 	return nil
 }
 
-// programPrefix stands before the path of a program that decides in place of a policy of this build.
+// programPrefix marks a policy name as the path of a program that is used instead of a policy of this build.
 const programPrefix = "wire:"
 
-// checkDecider reports whether there is a policy of that name, or a program.
-func checkDecider(name string) error {
+// checkPolicyName returns an error if there is neither a policy nor a program of that name.
+func checkPolicyName(name string) error {
 	if path, isProgram := strings.CutPrefix(name, programPrefix); isProgram {
 		if _, err := os.Stat(path); err != nil {
 			return inputError{err}
--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// loadScript reads the script with its overrides. It fails before anything is run if a file is missing or could not be written.
+// loadScript loads the script and applies the overrides. It also fails if the gateway's program is missing or the report could not be
+// written, before anything is run.
 func (c *fleetCommand) loadScript() (*scenario.Scenario, error) {
 	script, err := fleet.Load(c.Script)
 	if err != nil {
@@ -91,15 +92,15 @@
 		return nil, err
 	}
 	if _, err := os.Stat(c.Gateway); err != nil {
-		return nil, inputError{fmt.Errorf("the api gateway's program: %w (make build makes it)", err)}
+		return nil, inputError{fmt.Errorf("api gateway program: %w (run make build to build it)", err)}
 	}
 	if err := batch.CheckWritable(c.Report); err != nil {
-		return nil, inputError{fmt.Errorf("no report could be written: %w", err)}
+		return nil, inputError{fmt.Errorf("cannot write the report: %w", err)}
 	}
 	return script, nil
 }
 
-// runSeed runs the script with a seed, in the folder that was asked for or in one that is deleted afterwards.
+// runSeed runs the script with a seed, in the folder of --dir or in a temporary one that is deleted afterwards.
 func (c *fleetCommand) runSeed(ctx context.Context, out *output, script *scenario.Scenario, seed uint64) (*fleet.Result, error) {
 	dir := c.Dir
 	if dir == "" {
@@ -119,7 +120,7 @@
 	})
 }
 
-// writeResults writes a result in the forms that were asked for.
+// writeResults writes a result in the formats that the flags select.
 func (c *fleetCommand) writeResults(out *output, name string, result *fleet.Result) error {
 	if c.JSON {
 		if err := out.json(result); err != nil {
@@ -138,8 +139,8 @@
 	return batch.WriteFile(c.Report, page)
 }
 
-// printResult prints what became of a script: its figures, the promises that were kept, and those that were broken with the events
-// around them.
+// printResult prints the result of a script: its figures, the promises that were kept, and those that were broken with the surrounding
+// events.
 func printResult(out *output, name string, result *fleet.Result) {
 	figures := result.Figures
 	fmt.Fprintf(out.stdout, "%s, seed %d: %.0f tries (%s), %.0f deliveries, %.0f dials, %.0f calls, %.0f datagrams; %d faults struck\n", name, result.Seed,
@@ -162,10 +163,10 @@
 	}
 }
 
-// maxPrinted is how many examples of each kind of broken guarantee are printed.
+// maxPrinted is the largest number of examples printed for each kind of broken guarantee.
 const maxPrinted = 5
 
-// printBroken prints a broken promise, the events around it and the faults in force.
+// printBroken prints a broken promise with the surrounding events and the active faults.
 func printBroken(out *output, text string, events, faults []string) {
 	fmt.Fprintln(out.stdout, "  broken:", text)
 	for _, event := range events {
--- a/cmd/otterseam-sim/keepers.go
+++ b/cmd/otterseam-sim/keepers.go
@@ -18,7 +18,7 @@
 
 func (c *keepersCommand) Run(ctx context.Context, out *output) error {
 	if c.Seeds < 1 || c.Length < 4 || c.Length > 600 {
-		return inputError{errors.New("one seed at least and 4 to 600 seconds are wanted")}
+		return inputError{errors.New("--seeds must be at least 1, and --length 4 to 600 seconds")}
 	}
 	var summary *quotastoresim.Summary
 	if c.Trace {
--- a/cmd/otterseam-sim/load.go
+++ b/cmd/otterseam-sim/load.go
@@ -11,7 +11,7 @@
 	"otterseam/sim/batch"
 )
 
-// maxLateness is how late a request may be sent before the machine counts as too busy, in seconds.
+// maxLateness is the largest delay in sending a request, in seconds, before the machine is reported as too busy.
 const maxLateness = 0.02
 
 type loadCommand struct {
--- a/cmd/otterseam-sim/main.go
+++ b/cmd/otterseam-sim/main.go
@@ -1,7 +1,7 @@
 // Command otterseam-sim simulates a fleet of api gateways, the quota store and the serving tier, in virtual time and with real
-// processes on loopback, and reports what a change does. Each subcommand has a file of its own.
+// processes on loopback, and reports the effect of a change. Each subcommand is in a separate file.
 //
-// Exit codes: 0 success; 1 a rule was broken, or a run failed; 2 wrong arguments or files, found before anything is run.
+// Exit codes: 0 success; 1 a rule was broken or a run failed; 2 wrong arguments or files, detected before anything is run.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	exitUsage  = 2
 )
 
-// commandLine is the command line; each field is a subcommand.
+// commandLine describes the command line for kong. Each field is a subcommand.
 type commandLine struct {
 	Run       runCommand       `cmd:"" help:"Simulate one day and print what became of it."`
 	Compare   compareCommand   `cmd:"" help:"Simulate a day with several policies, or with an earlier build, on the same seeds."`
@@ -50,10 +50,10 @@
 	Days      daysCommand      `cmd:"" help:"List the days there are, or the keys of a day's file."`
 }
 
-// errRuleBroken is returned where a rule was broken. What it was is printed before.
+// errRuleBroken is returned if a rule was broken. The subcommand has printed the details before.
 var errRuleBroken = errors.New("a rule was broken")
 
-// inputError is an error that the user can mend.
+// inputError is an error in the arguments or files given by the user. It leads to exitUsage.
 type inputError struct{ error }
 
 func (e inputError) Unwrap() error { return e.error }
@@ -62,7 +62,7 @@
 
 // execute runs one command line and returns the exit code.
 func execute(args []string, stdout, stderr io.Writer) int {
-	exited := -1 // set by --help
+	exited := -1 // the exit code that kong requests, as for --help
 	parser, err := kong.New(&commandLine{}, kong.Name(programName), kong.Description(description), kong.Writers(stdout, stderr),
 		kong.Exit(func(code int) { exited = code }), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return exitCode(parsed.Run(&output{stdout: stdout, stderr: stderr}), stderr)
 }
 
-// exitCode prints the error of a subcommand and returns the code that stands for it.
+// exitCode prints the error of a subcommand and returns the exit code for it.
 func exitCode(err error, stderr io.Writer) int {
 	var input inputError
 	switch {
--- a/cmd/otterseam-sim/member.go
+++ b/cmd/otterseam-sim/member.go
@@ -59,13 +59,13 @@
 	return printMembership(out, results)
 }
 
-// scenarios are those of all combinations of a number of members and a loss.
+// scenarios returns a scenario for each combination of a number of members and a loss.
 func (c *memberCommand) scenarios() ([]membershipsim.Scenario, error) {
 	var scenarios []membershipsim.Scenario
 	for _, members := range c.Members {
 		for _, loss := range c.Loss {
 			if members < 1 || members > maxMembers || loss < 0 || loss >= 1 || c.Length < minMembershipLength || c.Mail <= 0 || c.Part <= 0 {
-				return nil, inputError{errors.New("1 to 4000 members, a loss under 1, at least 20 s and mail over 0 are wanted")}
+				return nil, inputError{errors.New("--members must be 1 to 4000, --loss 0 or more and under 1, --length at least 20 s, and --mail and --part greater than 0")}
 			}
 			scenarios = append(scenarios, membershipsim.Scenario{
 				Members: members, Loss: loss, Duration: c.Length, MessageRate: c.Mail, MembershipShare: c.Part, MeanDelay: c.Delay,
--- a/cmd/otterseam-sim/outage.go
+++ b/cmd/otterseam-sim/outage.go
@@ -24,7 +24,7 @@
 
 func (c *outageCommand) Run(ctx context.Context, out *output) error {
 	if c.Seeds < 1 {
-		return inputError{errors.New("at least one seed is wanted")}
+		return inputError{errors.New("--seeds must be at least 1")}
 	}
 	plans, err := c.plans()
 	if err != nil {
@@ -34,21 +34,21 @@
 	if err != nil {
 		return err
 	}
-	var measured []outage.Measurement
+	var measurements []outage.Measurement
 	for _, run := range runs {
-		m, err := outage.Measure(run)
+		measurement, err := outage.Measure(run)
 		if err != nil {
 			return inputError{err}
 		}
-		measured = append(measured, m)
+		measurements = append(measurements, measurement)
 	}
 	if c.JSON {
-		return out.json(measured)
+		return out.json(measurements)
 	}
-	return c.printTable(out, measured)
+	return c.printTable(out, measurements)
 }
 
-// plans are runs of each day with each policy and seed, seeds innermost.
+// plans returns the plans of the runs of each day with each policy and seed. The seeds of a day and policy are consecutive.
 func (c *outageCommand) plans() ([]batch.Plan, error) {
 	var plans []batch.Plan
 	for _, name := range c.Days {
@@ -57,21 +57,21 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, decider := range c.Decider {
-			if err := checkDecider(decider); err != nil {
+		for _, policyName := range c.Decider {
+			if err := checkPolicyName(policyName); err != nil {
 				return nil, err
 			}
-			plans = append(plans, arguments.plans(day, decider, c.Set, c.Seeds)...)
+			plans = append(plans, arguments.plans(day, policyName, c.Set, c.Seeds)...)
 		}
 	}
 	return plans, nil
 }
 
-// printTable prints a row for each day and policy, over the seeds.
-func (c *outageCommand) printTable(out *output, measured []outage.Measurement) error {
+// printTable prints a row for each day and policy, which summarizes the seeds.
+func (c *outageCommand) printTable(out *output, measurements []outage.Measurement) error {
 	table := tabwriter.NewWriter(out.stdout, 2, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "day\tdecider\tseeds\tbefore/s\tin the silence\tdials\tamid\tback after, by seed\tleast then\trules broken\t")
-	for row := range slices.Chunk(measured, c.Seeds) {
+	for row := range slices.Chunk(measurements, c.Seeds) {
 		var recovery []int
 		leastServed := math.Inf(1)
 		violations := 0
@@ -90,7 +90,7 @@
 	return table.Flush()
 }
 
-// rangeOf prints the least and the largest of a figure.
+// rangeOf returns a text with the lowest and the highest value of a figure.
 func rangeOf(row []outage.Measurement, figure func(outage.Measurement) float64) string {
 	lowest, highest := figure(row[0]), figure(row[0])
 	for _, m := range row {
--- a/cmd/otterseam-sim/owndays.go
+++ b/cmd/otterseam-sim/owndays.go
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// prepare makes paths absolute, as the bench program is run in the repository under test, and makes the folders.
+// prepare checks the arguments, makes paths absolute, because the bench program runs in the repository under test, and creates the
+// folders.
 func (c *owndaysCommand) prepare() error {
 	root, err := filepath.Abs(c.Root)
 	if err != nil {
@@ -69,7 +70,7 @@
 		}
 	}
 	if c.Days < 1 {
-		return errors.New("at least one day is wanted")
+		return errors.New("--days must be at least 1")
 	}
 	for _, dir := range []string{c.Dir, c.Kept} {
 		if dir == "" {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// within reports whether a path lies in a folder.
+// within reports whether path is folder or lies in it.
 func within(folder, path string) bool {
 	relative, err := filepath.Rel(folder, path)
 	return err == nil && relative != ".." && !strings.HasPrefix(relative, ".."+string(filepath.Separator))
@@ -106,8 +107,8 @@
 		sum += result.Report.Score
 	}
 	mean := 0.0
-	if judged := len(results) - failed; judged > 0 {
-		mean = sum / float64(judged)
+	if completed := len(results) - failed; completed > 0 {
+		mean = sum / float64(completed)
 	}
 	fmt.Fprintf(out.stdout, "%d days played, %d with a broken rule, %d not played to the end; mean worth %.3f\n", len(results), broken, failed, mean)
 }
--- a/cmd/otterseam-sim/placement.go
+++ b/cmd/otterseam-sim/placement.go
@@ -56,7 +56,7 @@
 	return printPlacement(out, results)
 }
 
-// scenarios are those of all combinations of a load, a number of gateways and a policy.
+// scenarios returns a scenario for each combination of a load, a number of gateways and a policy.
 func (c *placementCommand) scenarios() ([]placementsim.Scenario, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -79,15 +79,15 @@
 	return scenarios, nil
 }
 
-// check tells what is wrong with the arguments.
+// check returns an error if the arguments are invalid.
 func (c *placementCommand) check() error {
 	if !c.hasValidHosts() || !c.hasValidTimes() {
-		return inputError{errors.New("1 to 5000 hosts in no more zones than hosts, and slots, times and shares over 0 are wanted")}
+		return inputError{errors.New("there must be 1 to 5000 hosts, at least one zone and one slot, no more zones than hosts, --service and --length greater than 0, --slow from 0 to 1 and --slowdown at least 0")}
 	}
 	tooFew := func(gateways int) bool { return gateways < 1 || gateways > maxPlacementSize }
 	outOfRange := func(load float64) bool { return !(load > 0 && load <= 2) }
 	if slices.ContainsFunc(c.Gateways, tooFew) || slices.ContainsFunc(c.Load, outOfRange) {
-		return inputError{errors.New("1 to 5000 gateways and a load over 0 and up to 2 are wanted")}
+		return inputError{errors.New("there must be 1 to 5000 gateways and a load over 0 and up to 2")}
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 			return policy, nil
 		}
 	}
-	return "", inputError{fmt.Errorf("policy %q is not known; there are %v", name, policies)}
+	return "", inputError{fmt.Errorf("unknown policy %q; the policies are %v", name, policies)}
 }
 
 func printPlacement(out *output, results []*placementsim.Result) error {
--- a/cmd/otterseam-sim/report.go
+++ b/cmd/otterseam-sim/report.go
@@ -26,7 +26,7 @@
 		all = append(all, runs...)
 	}
 	if len(all) == 0 {
-		return inputError{errors.New("there are no runs in these files")}
+		return inputError{errors.New("the files hold no runs")}
 	}
 	if c.Out == "" {
 		return report.Text(out.stdout, all)
--- a/cmd/otterseam-sim/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	if err := checkDecider(c.Decider); err != nil {
+	if err := checkPolicyName(c.Decider); err != nil {
 		return err
 	}
 	plan := batch.Plan{Day: day, Decider: c.Decider, Seed: c.Seed, Overrides: c.Set}
@@ -40,18 +40,18 @@
 	return checkRules([]*batch.Run{run})
 }
 
-// printFirstViolation runs the day again and prints the events of the first invocation with which a rule was broken, if there is
-// one.
+// printFirstViolation finds the first violation of a rule that concerns an invocation, if there is one, runs the day again and prints the
+// events of that invocation.
 func printFirstViolation(out *output, plan batch.Plan, run *batch.Run) error {
 	for _, violation := range run.Violations {
 		if violation.Ref == "" {
 			continue
 		}
-		story, err := batch.TraceInvocation(plan, violation.Ref)
+		traceLines, err := batch.TraceInvocation(plan, violation.Ref)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out.stderr, "%s\n%s\n", violation, strings.Join(story, "\n"))
+		fmt.Fprintf(out.stderr, "%s\n%s\n", violation, strings.Join(traceLines, "\n"))
 		return nil
 	}
 	return nil
--- a/cmd/otterseam-sim/search.go
+++ b/cmd/otterseam-sim/search.go
@@ -44,26 +44,26 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out.stdout, "worst: seed %d, score %.3f; taken away without losing it: %s\n", found.Seed, found.Score, strings.Join(found.Steps, "; "))
+	fmt.Fprintf(out.stdout, "worst: seed %d, score %.3f; removed while keeping the loss: %s\n", found.Seed, found.Score, strings.Join(found.Steps, "; "))
 	if err := c.writeResults(out, found.Day.Name, []*batch.Run{run}); err != nil {
 		return err
 	}
 	return checkRules([]*batch.Run{run})
 }
 
-// check reports what is wrong with the arguments for a day.
+// check returns an error if the arguments are invalid for a day.
 func (c *searchCommand) check(day *scenario.Scenario) error {
-	if err := checkDecider(c.Decider); err != nil {
+	if err := checkPolicyName(c.Decider); err != nil {
 		return err
 	}
 	if err := batch.CheckWritable(c.Out); err != nil {
-		return inputError{fmt.Errorf("no day could be written: %w", err)}
+		return inputError{fmt.Errorf("cannot write the day: %w", err)}
 	}
 	if len(day.Spans()) == 0 && len(day.Faults) == 0 {
-		return inputError{fmt.Errorf("%s has neither ranges nor troubles: there is nothing to look through", day.Name)}
+		return inputError{fmt.Errorf("%s has neither ranges nor troubles: there is nothing to search", day.Name)}
 	}
 	if c.Tries < 1 || c.Part <= 0 || c.Part > 1 {
-		return inputError{errors.New("--tries is at least 1, and --part over 0 and at most 1")}
+		return inputError{errors.New("--tries must be at least 1, and --part over 0 and at most 1")}
 	}
 	return nil
 }
--- a/cmd/otterseam-sim/sockets.go
+++ b/cmd/otterseam-sim/sockets.go
@@ -26,7 +26,7 @@
 		return inputError{err}
 	}
 	if _, err := os.Stat(c.Gateway); err != nil {
-		return inputError{fmt.Errorf("the api gateway's program: %w (make build makes it)", err)}
+		return inputError{fmt.Errorf("api gateway program: %w (run make build to build it)", err)}
 	}
 	dir := c.Dir
 	if dir == "" {
--- a/cmd/otterseam-sim/standin.go
+++ b/cmd/otterseam-sim/standin.go
@@ -24,7 +24,7 @@
 		return inputError{err}
 	}
 	results, err := sockets.RunStandIns(ctx, day, c.Seed, c.Dir, c.Listen, func(paths []string) {
-		fmt.Fprintf(out.stdout, "hosts, counter and discovery of %s stand on loopback for %.0f s; start each api gateway with\n", day.Name, day.Length.Float())
+		fmt.Fprintf(out.stdout, "hosts, counter and discovery of %s listen on loopback for %.0f s; start each api gateway with\n", day.Name, day.Length.Float())
 		for _, path := range paths {
 			fmt.Fprintf(out.stdout, "  EDGE_CONFIG=%s bin/otterseam\n", path)
 		}
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out.stdout, "hosts got %.0f deliveries and %.0f new connections, the counter %.0f calls; value sent on %.0f, beyond quotas %.0f; rules broken %d\n",
+	fmt.Fprintf(out.stdout, "hosts received %.0f deliveries and %.0f new connections, the counter %.0f calls; value sent on %.0f, beyond quotas %.0f; rules broken %d\n",
 		results.Attempts, results.Dials, results.CounterCalls, results.Total.FirstSent, results.Total.BeyondQuota, results.ViolationCount)
 	for _, violation := range results.Violations {
 		fmt.Fprintln(out.stdout, violation)
--- a/cmd/otterseam-sim/sweep.go
+++ b/cmd/otterseam-sim/sweep.go
@@ -27,7 +27,7 @@
 	}
 	var plans []batch.Plan
 	for _, name := range c.Decider {
-		if err := checkDecider(name); err != nil {
+		if err := checkPolicyName(name); err != nil {
 			return err
 		}
 		for _, set := range sets {
@@ -48,13 +48,13 @@
 	return checkRules(runs)
 }
 
-// grid returns each combination of the values of keys, each key as in KEY=V1,V2.
+// grid returns all combinations of the values of keys. Each key is given with its values as KEY=V1,V2.
 func grid(over []string) ([]map[string]string, error) {
 	sets := []map[string]string{{}}
 	for _, keyAndValues := range over {
 		key, values, ok := strings.Cut(keyAndValues, "=")
 		if !ok || values == "" {
-			return nil, inputError{fmt.Errorf("--over %s: KEY=V1,V2 is wanted", keyAndValues)}
+			return nil, inputError{fmt.Errorf("--over %s: want KEY=V1,V2", keyAndValues)}
 		}
 		var next []map[string]string
 		for _, set := range sets {
