--- a/cmd/otterseam-sim/main_test.go
+++ b/cmd/otterseam-sim/main_test.go
@@ -95,7 +95,7 @@
 func checkPage(t *testing.T, page string) {
 	t.Helper()
 	if strings.Count(page, "<svg") < 8 || strings.Contains(page, "<script") || strings.Contains(page, "src=") {
-		t.Errorf("%d charts", strings.Count(page, "<svg"))
+		t.Errorf("the page has %d charts, or loads something from elsewhere", strings.Count(page, "<svg"))
 	}
 }
 
--- a/sim/simulation/faults.go
+++ b/sim/simulation/faults.go
@@ -81,7 +81,7 @@
 	"starve":  (*fault).starveGateways,
 }
 
-// scheduleFault schedules the begin and the end of a fault.
+// scheduleFault schedules the beginning and the end of a fault.
 func (s *Simulation) scheduleFault(number int, config *scenario.Fault) {
 	f := &fault{
 		Simulation: s,
