--- a/cmd/otterseam-sim/run.go
+++ b/cmd/otterseam-sim/run.go
@@ -19,19 +19,19 @@
 	if err != nil {
 		return err
 	}
-	if err := checkDecider(c.Decider); err != nil {
+	if err := checkPolicyName(c.Decider); err != nil {
 		return err
 	}
 	plan := batch.Plan{Day: day, Decider: c.Decider, Seed: c.Seed, Overrides: c.Set}
 	showProgress := out.progress("second", int(day.Length.Hi))
-	run, simulated, err := batch.RunOne(plan, simulation.WithStory(c.Ref), simulation.WithProgress(func(at float64) { showProgress(int(at)) }))
+	run, simulated, err := batch.RunOne(plan, simulation.WithInvocationTrace(c.Ref), simulation.WithProgress(func(at float64) { showProgress(int(at)) }))
 	if err != nil {
 		return err
 	}
 	if err := c.writeResults(out, day.Name, []*batch.Run{run}); err != nil {
 		return err
 	}
-	for _, line := range simulated.StoryLines() {
+	for _, line := range simulated.TraceLines() {
 		fmt.Fprintln(out.stderr, line)
 	}
 	if err := printFirstViolation(out, plan, run); err != nil {
@@ -40,18 +40,18 @@
 	return checkRules([]*batch.Run{run})
 }
 
-// printFirstViolation runs the day again and prints the events of the first invocation with which a rule was broken, if there is
-// one.
+// printFirstViolation finds the first violation of a rule that concerns an invocation, if there is one, runs the day again and prints the
+// events of that invocation.
 func printFirstViolation(out *output, plan batch.Plan, run *batch.Run) error {
 	for _, violation := range run.Violations {
 		if violation.Ref == "" {
 			continue
 		}
-		story, err := batch.Story(plan, violation.Ref)
+		traceLines, err := batch.TraceInvocation(plan, violation.Ref)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out.stderr, "%s\n%s\n", violation, strings.Join(story, "\n"))
+		fmt.Fprintf(out.stderr, "%s\n%s\n", violation, strings.Join(traceLines, "\n"))
 		return nil
 	}
 	return nil
