--- a/harness/tierhost/doc.go
+++ b/harness/tierhost/doc.go
@@ -1,3 +1,3 @@
-// Package tierhost is a stand-in for the hosts behind the serving tier: it sends heartbeats to control, streams events as an engine does
-// or answers as a plain service, and records what it executed. Tests inject its faults.
+// Package tierhost implements a stand-in for the hosts behind the serving tier. A stand-in host sends heartbeats to control, responds with
+// an event stream like an engine or with a plain body, and records the requests that it executed. Tests inject faults into it.
 package tierhost
--- a/harness/tierhost/heartbeat.go
+++ b/harness/tierhost/heartbeat.go
@@ -11,11 +11,11 @@
 
 const (
 	heartbeatInterval = 300 * time.Millisecond
-	heartbeatRetry    = 20 * time.Millisecond // after a heartbeat that wasn't acknowledged
+	heartbeatRetry    = 20 * time.Millisecond // pause after a heartbeat that wasn't acknowledged
 	heartbeatTimeout  = time.Second
 )
 
-// heartbeat is the body that control expects from hosts.
+// heartbeat is the body of a host's heartbeat request to control.
 type heartbeat struct {
 	Address        string `json:"address"`
 	ColdLeftMS     int    `json:"cold_left_ms"`
@@ -27,7 +27,7 @@
 	Zone           string `json:"zone"`
 }
 
-// heartbeatLoop sends heartbeats to one address of control until it fails, then to the next.
+// heartbeatLoop sends heartbeats to one control address until a heartbeat fails there, then to the next address.
 func (h *Host) heartbeatLoop(ctx context.Context) {
 	client := &http.Client{Timeout: heartbeatTimeout}
 	for next := 0; ctx.Err() == nil; {
@@ -46,7 +46,7 @@
 	}
 }
 
-// sendHeartbeat tells whether control has acknowledged it.
+// sendHeartbeat sends a heartbeat and reports whether control acknowledged it.
 func (h *Host) sendHeartbeat(client *http.Client, control string) bool {
 	body, err := json.Marshal(h.nextHeartbeat())
 	if err != nil {
@@ -57,7 +57,7 @@
 		return false
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // only so that the connection is used again
+	_, _ = io.Copy(io.Discard, response.Body) // so that the connection can be reused
 	return response.StatusCode == http.StatusOK
 }
 
--- a/harness/tierhost/host.go
+++ b/harness/tierhost/host.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// readHeaderTimeout ends connections that send no request.
+// readHeaderTimeout is the time after which a connection that sends no request header is closed.
 const readHeaderTimeout = time.Minute
 
-// Execution is a request that a host began to work on.
+// Execution is a request that a host started to execute.
 type Execution struct {
 	RequestID   string
 	Path        string
 	Body        string
-	LastEventID string // of a stream that is resumed
+	LastEventID string // of the request to resume a stream; empty: it starts a new one
 }
 
-// Host is a stand-in host. Its exported fields are set before Start, but for Address.
+// Host is a stand-in host. The caller sets its exported fields, except Address, before Start.
 type Host struct {
 	ID       string
-	Service  string          // hosts of the service "engine" stream, others answer plainly
-	Slots    int             // requests at once, as heartbeats tell
-	Controls func() []string // addresses of control
-	Address  string          // where it listens; set by Start
+	Service  string          // hosts of the service "engine" send event streams, others plain bodies
+	Slots    int             // number of concurrent requests that heartbeats report
+	Controls func() []string // returns the control addresses
+	Address  string          // listening address; set by Start
 
 	server *http.Server
 	stop   context.CancelFunc
@@ -37,23 +37,23 @@
 	sequenceNumber uint64 // of the last heartbeat
 }
 
-// faults are what tests inject.
+// faults are the injected faults of a host.
 type faults struct {
-	breakAfter    int  // events after which the next stream is broken off; 0: it isn't
-	dropNext      bool // the next request is executed and its connection closed
-	dropResponses bool // so are all requests
-	reject        bool // all requests are answered as not executed
+	breakAfter    int  // number of events after which the next stream is aborted; 0: it isn't
+	dropNext      bool // the next request is executed, but its connection is closed without a response
+	dropResponses bool // the same for all requests
+	reject        bool // all requests get a response that says they were not executed
 }
 
-// takeForRequest gives the faults that a request meets, and ends those for one request.
+// takeForRequest returns the faults for a request and clears those that apply to one request only.
 func (f *faults) takeForRequest() faults {
-	met := *f
+	active := *f
 	f.dropNext = false
 	f.breakAfter = 0
-	return met
+	return active
 }
 
-// Start listens at an address, with port 0 at a free one, and sends heartbeats until Stop.
+// Start listens on an address, where port 0 selects a free port, and sends heartbeats until Stop.
 func (h *Host) Start(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -68,41 +68,41 @@
 	return nil
 }
 
-// Stop ends the host as a crash does: connections are cut and control isn't told.
+// Stop ends the host like a crash: it closes all connections and doesn't notify control.
 func (h *Host) Stop() {
 	h.stop()
-	_ = h.server.Close() // nothing depends on the listener any more
+	_ = h.server.Close() // the host isn't used after this, so an error has no effect
 }
 
-// Executions is what the host has begun to execute so far.
+// Executions returns the requests that the host has started to execute so far.
 func (h *Host) Executions() []Execution {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.executions)
 }
 
-// BreakNextStream breaks off the next stream after so many events; 0 takes that back.
+// BreakNextStream makes the host abort the next stream after a number of events. 0 clears the fault.
 func (h *Host) BreakNextStream(events int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults.breakAfter = events
 }
 
-// DropNextResponse has the next request executed and its connection closed without a response.
+// DropNextResponse makes the host execute the next request and close its connection without a response.
 func (h *Host) DropNextResponse() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults.dropNext = true
 }
 
-// DropResponses has all requests executed and their connections closed without a response, or no longer.
+// DropResponses sets whether the host executes all requests and closes their connections without a response.
 func (h *Host) DropResponses(drop bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults.dropResponses = drop
 }
 
-// Reject has all requests answered as not executed, or no longer.
+// Reject sets whether the host responds to all requests with status 503 and a header that says they were not executed.
 func (h *Host) Reject(reject bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/harness/tierhost/serve.go
+++ b/harness/tierhost/serve.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// engineService is the service whose hosts stream; the others answer plainly.
+	// engineService is the service whose hosts send event streams. Hosts of other services send plain bodies.
 	engineService = "engine"
-	// defaultTokens are generated where a request to an engine doesn't say how many.
+	// defaultTokens is the token range of engine requests without an X-Token-Count field.
 	defaultTokens = "0,30"
-	// stride is how many tokens an event carries.
+	// stride is the number of tokens per event.
 	stride = 3
 )
 
-// serve answers one request as the header fields and the faults of the host say.
+// serve handles one request according to its header fields and the injected faults.
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a request that breaks off is executed with what has come
+	body, _ := io.ReadAll(r.Body) // an incomplete body is executed as far as it was received
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	if expected := r.Header.Get("X-Expect-Instance"); expected != "" && expected != h.ID {
 		w.Header().Set("X-Instance-Id", h.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	met, executed := h.execute(Execution{
+	active, executed := h.execute(Execution{
 		RequestID:   r.Header.Get("X-Request-Id"),
 		Path:        r.RequestURI,
 		Body:        string(body),
@@ -37,19 +37,19 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if met.dropNext || met.dropResponses {
+	if active.dropNext || active.dropResponses {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Response-Seal", "seal-"+h.ID)
 	if tokens := h.tokenRange(r); tokens != "" {
-		stream(w, r, tokens, met.breakAfter)
+		stream(w, r, tokens, active.breakAfter)
 		return
 	}
 	fmt.Fprintf(w, "done by %s", h.Service)
 }
 
-// execute records a request and gives the faults that it meets; executed is false if the host rejects it.
-func (h *Host) execute(request Execution) (met faults, executed bool) {
+// execute records a request and returns the faults that apply to it. executed is false if the host rejects the request.
+func (h *Host) execute(request Execution) (active faults, executed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.faults.reject {
@@ -59,7 +59,7 @@
 	return h.faults.takeForRequest(), true
 }
 
-// tokenRange is the fewest and most tokens to generate, as "10,30"; empty if the request gets a plain answer.
+// tokenRange returns the minimum and maximum number of tokens to generate, such as "10,30". It is empty if the response is a plain body.
 func (h *Host) tokenRange(r *http.Request) string {
 	tokens := r.Header.Get("X-Token-Count")
 	if tokens == "" && h.Service == engineService {
@@ -68,10 +68,10 @@
 	return tokens
 }
 
-// stream sends as many events as the request may generate, from the one after Last-Event-Id on.
+// stream sends the events for the maximum number of tokens, starting after the event of Last-Event-Id if there is one.
 func stream(w http.ResponseWriter, r *http.Request, tokenRange string, breakAfter int) {
-	_, most, _ := strings.Cut(tokenRange, ",")
-	tokens, _ := strconv.Atoi(most) // no number is no token
+	_, maximum, _ := strings.Cut(tokenRange, ",")
+	tokens, _ := strconv.Atoi(maximum) // 0 if it isn't a number
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
--- a/harness/tierhost/serve_test.go
+++ b/harness/tierhost/serve_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-func TestEngineStreamsWithoutACountOfTokens(t *testing.T) {
+func TestEngineStreamsWithoutTokenCount(t *testing.T) {
 	tests := []struct {
 		service, count string
 		stream         bool
-		last           string // event of a stream
+		last           string // last event of the stream
 	}{
 		{"engine", "", true, "id: 10\n"},
 		{"engine", "5,15", true, "id: 5\n"},
@@ -23,11 +23,11 @@
 		if test.count != "" {
 			request.Header.Set("X-Token-Count", test.count)
 		}
-		answer := httptest.NewRecorder()
-		host.serve(answer, request)
-		body := answer.Body.String()
-		if stream := answer.Header().Get("Content-Type") == "text/event-stream"; stream != test.stream || !strings.Contains(body, test.last) {
-			t.Errorf("%+v: answered %q", test, body)
+		recorder := httptest.NewRecorder()
+		host.serve(recorder, request)
+		body := recorder.Body.String()
+		if stream := recorder.Header().Get("Content-Type") == "text/event-stream"; stream != test.stream || !strings.Contains(body, test.last) {
+			t.Errorf("%+v: response body %q", test, body)
 		}
 	}
 }
