--- a/harness/netproxy/connection.go
+++ b/harness/netproxy/connection.go
@@ -5,21 +5,21 @@
 	"sync"
 )
 
-// connection is a stream over a link: the connection that came and the one it is led to, with a pipe for each direction. Its ends have
-// the number of the direction that leads away from them.
+// connection is a stream over a link. It consists of the accepted connection, the dialed one and a pipe for each direction. Each end has
+// the number of the direction in which it sends.
 type connection struct {
 	link  *Link
 	ends  [directionCount]net.Conn
 	pipes [directionCount]*pipe
-	once  sync.Once // close
+	once  sync.Once // guards close
 
-	mu         sync.Mutex // guards all below
-	closed     bool
-	sendsEnded int                  // directions of which all has been passed on
-	shut       [directionCount]bool // this end has closed or sends no more
+	mu              sync.Mutex // guards all below
+	closed          bool
+	endedDirections int                  // directions whose data has all been forwarded
+	finished        [directionCount]bool // this end was closed or has finished sending
 }
 
-// connect leads a connection over the link to another one.
+// connect forwards data between two connections over the link.
 func (l *Link) connect(from, to net.Conn) {
 	c := &connection{link: l, ends: [directionCount]net.Conn{from, to}}
 	for direction := range c.pipes {
@@ -34,7 +34,7 @@
 	l.connections[c] = true
 	l.mu.Unlock()
 	if local, ok := to.(*memoryConn); ok {
-		local.attach(c.pipes[Backward]) // what it writes goes straight into the pipe
+		local.attach(c.pipes[Backward]) // its writes go directly into the pipe
 	} else {
 		go c.pipes[Backward].readFrom(to)
 	}
@@ -49,7 +49,7 @@
 	return c.closed
 }
 
-// close closes both ends, with a reset or not. Nothing else closes both.
+// close closes both ends, optionally with a reset. No other function closes both.
 func (c *connection) close(reset bool) {
 	c.once.Do(func() {
 		c.mu.Lock()
@@ -65,7 +65,7 @@
 	})
 }
 
-// closeConn closes one connection, with a reset if it is of a kind that can have one.
+// closeConn closes one connection, with a reset if that is requested and the connection's type supports it.
 func closeConn(conn net.Conn, reset bool) {
 	if lingering, ok := conn.(interface{ SetLinger(seconds int) error }); ok && reset {
 		_ = lingering.SetLinger(0) // fails only if closed already
@@ -73,7 +73,7 @@
 	conn.Close()
 }
 
-// closeEnd closes one end; the connection goes on without it until the other end closes.
+// closeEnd closes one end with a reset. The other end stays open until its own process closes it.
 func (c *connection) closeEnd(end Direction) {
 	for direction, p := range c.pipes {
 		p.discard(Direction(direction) == end)
@@ -81,24 +81,24 @@
 	closeConn(c.ends[end], true)
 }
 
-// setShut notes that an end sends no more.
-func (c *connection) setShut(end Direction) {
+// setFinished records that an end has finished sending.
+func (c *connection) setFinished(end Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut[end] = true
+	c.finished[end] = true
 }
 
-func (c *connection) isShut(end Direction) bool {
+func (c *connection) isFinished(end Direction) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.shut[end]
+	return c.finished[end]
 }
 
-// endSending notes that all of one direction has been passed on, and closes the connection once that is so for both.
-func (c *connection) endSending() {
+// endDirection records that all data of one direction has been forwarded. It closes the connection after both directions have ended.
+func (c *connection) endDirection() {
 	c.mu.Lock()
-	c.sendsEnded++
-	both := c.sendsEnded == int(directionCount)
+	c.endedDirections++
+	both := c.endedDirections == int(directionCount)
 	c.mu.Unlock()
 	if both {
 		c.close(false)
--- a/harness/netproxy/datagram.go
+++ b/harness/netproxy/datagram.go
@@ -12,11 +12,12 @@
 // maxDatagram is the largest datagram in bytes.
 const maxDatagram = 64 << 10
 
-// DatagramProxy leads the datagrams between n processes over links. The others know each process by a socket of the proxy, which also
-// sends on what comes from it: so each sees the sender that it knows.
+// DatagramProxy forwards the datagrams between n processes over links. Each process has a socket of the proxy, whose address the other
+// processes use for it. Datagrams from the process are forwarded through the same socket, so that receivers see the address that they
+// know as the sender.
 type DatagramProxy struct {
-	sockets   []*net.UDPConn   // by process: the one that it is known by
-	processes []netip.AddrPort // where they listen
+	sockets   []*net.UDPConn   // by process number: the socket whose address the others use
+	processes []netip.AddrPort // by process number: the listening address
 	numbers   map[netip.AddrPort]int
 	link      func(from, to int) *Link
 	observe   func(from, to int)
@@ -27,107 +28,107 @@
 	closed  bool
 }
 
-// delayedDatagram is one that waits for its time. They are kept by time; of two for the same moment the one that came first is first.
+// delayedDatagram is a datagram to be sent at a later time. The list is sorted by due time, and by arrival among equal due times.
 type delayedDatagram struct {
 	due  time.Time
 	send func()
 }
 
-// NewDatagramProxy takes the addresses at which the processes listen. link gives the link between two of them, by their numbers in
-// that list. observe is called for each datagram before it goes on.
+// NewDatagramProxy starts a proxy between processes, which are given by their listening addresses. link returns the link between two
+// processes, which it gets as indexes into that list. observe is called for each datagram before it is forwarded.
 func NewDatagramProxy(processes []string, link func(from, to int) *Link, observe func(from, to int)) (*DatagramProxy, error) {
-	m := &DatagramProxy{numbers: map[netip.AddrPort]int{}, link: link, observe: observe}
+	p := &DatagramProxy{numbers: map[netip.AddrPort]int{}, link: link, observe: observe}
 	for number, process := range processes {
-		if err := m.addProcess(number, process); err != nil {
-			m.Close()
+		if err := p.addProcess(number, process); err != nil {
+			p.Close()
 			return nil, err
 		}
 	}
-	for to, socket := range m.sockets {
-		go m.readLoop(to, socket)
+	for to, socket := range p.sockets {
+		go p.readLoop(to, socket)
 	}
-	return m, nil
+	return p, nil
 }
 
-func (m *DatagramProxy) addProcess(number int, process string) error {
+func (p *DatagramProxy) addProcess(number int, process string) error {
 	address, err := netip.ParseAddrPort(process)
 	if err != nil {
 		return err
 	}
-	m.processes = append(m.processes, address)
-	m.numbers[address] = number
+	p.processes = append(p.processes, address)
+	p.numbers[address] = number
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
-	m.sockets = append(m.sockets, socket)
+	p.sockets = append(p.sockets, socket)
 	return nil
 }
 
-// Addresses are those under which the processes know each other, in the order of the list.
-func (m *DatagramProxy) Addresses() []string {
+// Addresses returns the addresses that the processes use for each other, in the order of the list of processes.
+func (p *DatagramProxy) Addresses() []string {
 	var all []string
-	for _, socket := range m.sockets {
+	for _, socket := range p.sockets {
 		all = append(all, socket.LocalAddr().String())
 	}
 	return all
 }
 
-// Close ends it. Delayed datagrams are lost.
-func (m *DatagramProxy) Close() {
-	for _, socket := range m.sockets {
+// Close closes the proxy's sockets. Delayed datagrams are lost.
+func (p *DatagramProxy) Close() {
+	for _, socket := range p.sockets {
 		socket.Close()
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.closed = true
-	m.delayed = nil
-	if m.timer != nil {
-		m.timer.Stop()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.delayed = nil
+	if p.timer != nil {
+		p.timer.Stop()
 	}
 }
 
-// sendLater sends after a delay. There is one timer for all: with one each, a busy machine would send two with the same delay out of
-// order.
-func (m *DatagramProxy) sendLater(delay time.Duration, send func()) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// sendAfter calls send after a delay. All delayed datagrams share one timer, because with a timer for each one a busy machine would send
+// two datagrams with the same delay out of order.
+func (p *DatagramProxy) sendAfter(delay time.Duration, send func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	datagram := delayedDatagram{due: time.Now().Add(delay), send: send}
-	i, _ := slices.BinarySearchFunc(m.delayed, datagram, func(a, b delayedDatagram) int {
+	i, _ := slices.BinarySearchFunc(p.delayed, datagram, func(a, b delayedDatagram) int {
 		if a.due.After(b.due) {
 			return 1
 		}
 		return -1
 	})
-	m.delayed = slices.Insert(m.delayed, i, datagram)
-	m.sendDueLocked()
+	p.delayed = slices.Insert(p.delayed, i, datagram)
+	p.sendDueLocked()
 }
 
-// sendDueLocked sends what is due and sets the timer for the next. Called with mu held.
-func (m *DatagramProxy) sendDueLocked() {
-	if m.closed {
+// sendDueLocked sends the due datagrams and sets the timer for the next one. The caller holds mu.
+func (p *DatagramProxy) sendDueLocked() {
+	if p.closed {
 		return
 	}
-	for len(m.delayed) > 0 && !m.delayed[0].due.After(time.Now()) {
-		m.delayed[0].send()
-		m.delayed = m.delayed[1:]
+	for len(p.delayed) > 0 && !p.delayed[0].due.After(time.Now()) {
+		p.delayed[0].send()
+		p.delayed = p.delayed[1:]
 	}
-	if m.timer != nil {
-		m.timer.Stop()
+	if p.timer != nil {
+		p.timer.Stop()
 	}
-	if len(m.delayed) == 0 {
+	if len(p.delayed) == 0 {
 		return
 	}
-	m.timer = time.AfterFunc(time.Until(m.delayed[0].due), func() {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.sendDueLocked()
+	p.timer = time.AfterFunc(time.Until(p.delayed[0].due), func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.sendDueLocked()
 	})
 }
 
-// readLoop reads what is sent to a process until the proxy is closed. A closed socket of a process shows as an error of a read here
-// and ends nothing.
-func (m *DatagramProxy) readLoop(to int, socket *net.UDPConn) {
+// readLoop reads the datagrams for a process until the proxy is closed. It ignores other read errors, which occur for example when a
+// process has closed its socket.
+func (p *DatagramProxy) readLoop(to int, socket *net.UDPConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, sender, err := socket.ReadFromUDPAddrPort(buffer)
@@ -137,34 +138,34 @@
 		if err != nil {
 			continue
 		}
-		from, ok := m.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+		from, ok := p.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
 		if !ok {
-			continue // from no process of the list
+			continue // the sender isn't a process of the list
 		}
-		m.observe(from, to)
-		m.pass(from, to, append([]byte(nil), buffer[:n]...))
+		p.observe(from, to)
+		p.forward(from, to, append([]byte(nil), buffer[:n]...))
 	}
 }
 
-// pass sends one datagram on, as the faults of its link allow. On a stalled link it is lost.
-func (m *DatagramProxy) pass(from, to int, datagram []byte) {
-	delay, times := m.link(from, to).drawDatagram()
+// forward sends one datagram to its receiver, subject to the faults of its link. A stalled link loses the datagram.
+func (p *DatagramProxy) forward(from, to int, datagram []byte) {
+	delay, times := p.link(from, to).drawDatagram()
 	if times == 0 {
 		return
 	}
 	send := func() {
 		for range times {
-			_, _ = m.sockets[from].WriteToUDPAddrPort(datagram, m.processes[to]) // one that can't be sent is lost, as on a network
+			_, _ = p.sockets[from].WriteToUDPAddrPort(datagram, p.processes[to]) // a datagram that can't be sent is lost, as on a network
 		}
 	}
 	if delay > 0 {
-		m.sendLater(seconds(delay), send)
+		p.sendAfter(seconds(delay), send)
 		return
 	}
 	send()
 }
 
-// drawDatagram draws how long a datagram is delayed, in seconds, and how many times it arrives.
+// drawDatagram draws the delay of a datagram in seconds and the number of times that it arrives.
 func (l *Link) drawDatagram() (delay float64, times int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/harness/netproxy/link.go
+++ b/harness/netproxy/link.go
@@ -7,22 +7,22 @@
 	"otterseam/sim/randstream"
 )
 
-// Link is the way between two processes, from the one that opens connections to the other.
+// Link is the network path between two processes. From is the process that opens connections, To the one that accepts them.
 type Link struct {
 	From string
 	To   string
 
-	listener *listener // of streams; nil: the link has none
+	listener *listener // accepts streams; nil: the link has no listener
 
 	mu          sync.Mutex // guards all below
-	changed     *sync.Cond // faults, connections or the link's end
+	changed     *sync.Cond // broadcasts changes of faults, connections and closed
 	faults      [directionCount]map[*Fault]bool
 	random      randstream.Stream
 	connections map[*connection]bool
 	closed      bool
 }
 
-// NewLink makes a link without faults. seed fixes its random draws, together with the names of both ends.
+// NewLink returns a link without faults. Its random draws depend only on seed and the names of both ends.
 func NewLink(from, to string, seed uint64) *Link {
 	l := &Link{
 		From:        from,
@@ -37,7 +37,7 @@
 	return l
 }
 
-// Name names the link by its ends.
+// Name returns a name made of the names of both ends.
 func (l *Link) Name() string { return l.From + " > " + l.To }
 
 // AddFault puts a fault in force for one direction, until RemoveFault is called with the same pointer.
@@ -48,7 +48,7 @@
 	l.faultsChanged()
 }
 
-// RemoveFault takes a fault back. What it stalled goes on.
+// RemoveFault removes a fault. Data that it stalled is forwarded.
 func (l *Link) RemoveFault(direction Direction, fault *Fault) {
 	l.mu.Lock()
 	delete(l.faults[direction], fault)
@@ -63,7 +63,7 @@
 	}
 }
 
-// faultLocked is all that is in force for a direction. Called with mu held.
+// faultLocked returns the combination of all faults in force for a direction. The caller holds mu.
 func (l *Link) faultLocked(direction Direction) Fault {
 	var total Fault
 	for fault := range l.faults[direction] {
@@ -72,7 +72,7 @@
 	return total
 }
 
-// connectFaults tells whether new connections are blocked without notice, and whether they are refused.
+// connectFaults reports whether new connections are blocked and whether they are refused.
 func (l *Link) connectFaults() (blocked, refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,9 +81,9 @@
 	return forward.BlockConnects || backward.BlockConnects, forward.RefuseConnects || backward.RefuseConnects
 }
 
-// waitToPass waits until size bytes that arrived at a moment may go on. It returns false if the link or the connection, as isClosed
-// tells, has ended meanwhile.
-func (l *Link) waitToPass(direction Direction, size int, arrived time.Time, isClosed func() bool) bool {
+// waitToForward waits until the faults allow size bytes that arrived at a given time to be forwarded. It returns false if the link was
+// closed meanwhile, or the connection as reported by isClosed.
+func (l *Link) waitToForward(direction Direction, size int, arrived time.Time, isClosed func() bool) bool {
 	l.mu.Lock()
 	fault := l.faultLocked(direction)
 	delay := fault.Delay
@@ -92,7 +92,7 @@
 	}
 	l.mu.Unlock()
 	if fault.Rate > 0 {
-		arrived = time.Now() // one piece after another
+		arrived = time.Now() // segments are sent one after another
 		delay += float64(size) / fault.Rate
 	}
 	if delay > 0 {
@@ -108,14 +108,14 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * 1e9) }
 
-// Connections is how many connections lead over the link.
+// Connections returns the number of connections over the link.
 func (l *Link) Connections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.connections)
 }
 
-// forEachConnection calls do for all connections that there are now, and returns their number.
+// forEachConnection calls do for each current connection and returns their number.
 func (l *Link) forEachConnection(do func(c *connection)) int {
 	l.mu.Lock()
 	var all []*connection
@@ -129,8 +129,8 @@
 	return len(all)
 }
 
-// ResetConnections resets each connection in the middle of the next message of a direction, or after a time in seconds if none
-// comes until then. It returns how many connections there are.
+// ResetConnections resets each connection in the middle of the next segment of a direction, or after within seconds if no segment comes
+// before then. It returns the number of connections.
 func (l *Link) ResetConnections(direction Direction, within float64) int {
 	return l.forEachConnection(func(c *connection) {
 		c.pipes[direction].truncateNext()
@@ -138,13 +138,13 @@
 	})
 }
 
-// HalfOpenConnections closes the end of each connection that a direction leads to. The other end isn't told and goes on waiting. It
-// returns how many connections there are.
+// HalfOpenConnections closes the end of each connection that receives the data of a direction. The other end isn't notified and stays
+// open. It returns the number of connections.
 func (l *Link) HalfOpenConnections(direction Direction) int {
 	return l.forEachConnection(func(c *connection) { c.closeEnd(direction.opposite()) })
 }
 
-// Close ends the link with its listener and connections.
+// Close closes the link with its listener and connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
--- a/harness/netproxy/link_test.go
+++ b/harness/netproxy/link_test.go
@@ -13,8 +13,9 @@
 	"otterseam/harness/leakcheck"
 )
 
-// echoBehind starts a stand-in behind a link that says each line again. ended gets how its connections ended.
-func echoBehind(t *testing.T, link *Link) (address string, ended chan error) {
+// listenEcho starts a stand-in behind a link that returns each line with the prefix "again ". ended receives the error that ended each
+// connection.
+func listenEcho(t *testing.T, link *Link) (address string, ended chan error) {
 	t.Helper()
 	ended = make(chan error, 64)
 	address, err := link.ListenInProcess(func(conn net.Conn) {
@@ -38,8 +39,8 @@
 	return address, ended
 }
 
-// ask sends a line and returns what comes back within a time.
-func ask(conn net.Conn, line string, within time.Duration) (string, error) {
+// exchange sends a line and returns the response that arrives within a time.
+func exchange(conn net.Conn, line string, within time.Duration) (string, error) {
 	if err := conn.SetDeadline(time.Now().Add(within)); err != nil {
 		return "", err
 	}
@@ -51,10 +52,10 @@
 	return string(buffer[:n]), err
 }
 
-// mustAsk asks and wants the echo.
-func mustAsk(t *testing.T, conn net.Conn, line string) {
+// checkEcho sends a line and checks that the echo comes back.
+func checkEcho(t *testing.T, conn net.Conn, line string) {
 	t.Helper()
-	if got, err := ask(conn, line, time.Second); got != "again "+line+"\n" {
+	if got, err := exchange(conn, line, time.Second); got != "again "+line+"\n" {
 		t.Fatalf("asked %q: %q, %v", line, got, err)
 	}
 }
@@ -74,21 +75,22 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// Stalled in either direction, nothing comes back while it lasts; afterwards what was held comes, as a network sends it again.
-func TestStalledLinkHoldsAndGoesOn(t *testing.T) {
+// Checks that a stall in either direction holds back all data, and that the data arrives after the stall, as retransmitted data does on a
+// network.
+func TestStalledLinkForwardsDataAfterTheStall(t *testing.T) {
 	leakcheck.Check(t)
 	for _, direction := range []Direction{Forward, Backward} {
 		link := NewLink("a", "b", 1)
-		address, _ := echoBehind(t, link)
+		address, _ := listenEcho(t, link)
 		conn := dial(t, address)
-		mustAsk(t, conn, "x")
+		checkEcho(t, conn, "x")
 		fault := &Fault{Stall: true}
 		link.AddFault(direction, fault)
-		if got, err := ask(conn, "y", 60*time.Millisecond); !isTimeout(err) {
-			t.Errorf("direction %d stalled, and %q came, %v", direction, got, err)
+		if got, err := exchange(conn, "y", 60*time.Millisecond); !isTimeout(err) {
+			t.Errorf("direction %d is stalled, but %q arrived, %v", direction, got, err)
 		}
-		if got, err := ask(dial(t, address), "z", 60*time.Millisecond); !isTimeout(err) { // new ones are taken all the same
-			t.Errorf("direction %d stalled, and %q came on a new connection, %v", direction, got, err)
+		if got, err := exchange(dial(t, address), "z", 60*time.Millisecond); !isTimeout(err) { // new connections are still accepted
+			t.Errorf("direction %d is stalled, but %q arrived on a new connection, %v", direction, got, err)
 		}
 		link.RemoveFault(direction, fault)
 		if err := conn.SetDeadline(time.Now().Add(time.Second)); err != nil {
@@ -96,34 +98,34 @@
 		}
 		buffer := make([]byte, 100)
 		if n, err := conn.Read(buffer); string(buffer[:n]) != "again y\n" {
-			t.Errorf("after it: %q %v", buffer[:n], err)
+			t.Errorf("after the stall: %q %v", buffer[:n], err)
 		}
 	}
 }
 
-// Blocked, old connections are silent and new ones are never established; afterwards new ones are.
-func TestBlockedLinkTakesNoConnections(t *testing.T) {
+// Checks that a blocked link carries no data on old connections and establishes no new ones, and that it establishes new ones afterwards.
+func TestBlockedLinkEstablishesNoConnections(t *testing.T) {
 	leakcheck.Check(t)
 	link := NewLink("a", "b", 1)
-	address, _ := echoBehind(t, link)
+	address, _ := listenEcho(t, link)
 	old := dial(t, address)
-	mustAsk(t, old, "x")
+	checkEcho(t, old, "x")
 	fault := &Fault{Stall: true, BlockConnects: true}
 	link.AddFault(Forward, fault)
 	link.AddFault(Backward, fault)
 	time.Sleep(200 * time.Millisecond)
-	if _, err := ask(old, "y", 60*time.Millisecond); !isTimeout(err) {
-		t.Errorf("an old connection: %v", err)
+	if _, err := exchange(old, "y", 60*time.Millisecond); !isTimeout(err) {
+		t.Errorf("old connection: %v", err)
 	}
 	if conn, err := net.DialTimeout("tcp", address, 200*time.Millisecond); !isTimeout(err) {
-		t.Errorf("a new connection came up: %v %v", conn, err)
+		t.Errorf("new connection was established: %v %v", conn, err)
 	}
 	link.RemoveFault(Forward, fault)
 	link.RemoveFault(Backward, fault)
 	for deadline := time.Now().Add(5 * time.Second); ; {
 		conn, err := net.DialTimeout("tcp", address, time.Second)
 		if err == nil {
-			got, err := ask(conn, "z", time.Second)
+			got, err := exchange(conn, "z", time.Second)
 			conn.Close()
 			if got == "again z\n" {
 				return
@@ -131,67 +133,69 @@
 			t.Logf("%q %v", got, err)
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("no connection comes up again")
+			t.Fatal("no connection is established after the fault")
 		}
 	}
 }
 
-// Refused, new connections are refused at once and old ones go on; afterwards the same address takes new ones.
+// Checks that a refusing link refuses new connections immediately and keeps old ones, and that the same address accepts new ones
+// afterwards.
 func TestRefusingLinkKeepsOldConnections(t *testing.T) {
 	leakcheck.Check(t)
 	link := NewLink("a", "b", 1)
-	address, _ := echoBehind(t, link)
+	address, _ := listenEcho(t, link)
 	old := dial(t, address)
-	mustAsk(t, old, "x")
+	checkEcho(t, old, "x")
 	fault := &Fault{RefuseConnects: true}
 	link.AddFault(Forward, fault)
 	if _, err := net.DialTimeout("tcp", address, time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a new connection: %v", err)
+		t.Errorf("new connection: %v", err)
 	}
-	mustAsk(t, old, "y")
+	checkEcho(t, old, "y")
 	link.RemoveFault(Forward, fault)
-	mustAsk(t, dial(t, address), "z")
+	checkEcho(t, dial(t, address), "z")
 }
 
-func TestResetComesInTheMiddleOfAMessage(t *testing.T) {
+func TestResetInTheMiddleOfAMessage(t *testing.T) {
 	leakcheck.Check(t)
 	link := NewLink("a", "b", 1)
-	address, ended := echoBehind(t, link)
+	address, ended := listenEcho(t, link)
 	conn := dial(t, address)
-	mustAsk(t, conn, "x")
+	checkEcho(t, conn, "x")
 	if n := link.ResetConnections(Backward, 5); n != 1 {
 		t.Errorf("%d connections were reset", n)
 	}
 	long := strings.Repeat("y", 100)
-	got, err := ask(conn, long, time.Second)
+	got, err := exchange(conn, long, time.Second)
 	if err != nil || !strings.HasPrefix("again "+long, got) || len(got) >= 100 {
-		t.Errorf("%d bytes of the answer, %v", len(got), err)
+		t.Errorf("%d bytes of the response, %v", len(got), err)
 	}
 	if _, err := conn.Read(make([]byte, 10)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("and then %v", err)
+		t.Errorf("read after the reset: %v", err)
 	}
-	if err := <-ended; err == nil { // the other side heard of it too
+	if err := <-ended; err == nil { // the other side is reset too
 		t.Error("the other side has no error")
 	}
 }
 
-// Half-open: the far side hears of an end, the near one waits on, and what it sends goes nowhere.
-func TestHalfOpenConnectionIsSilentToOneSide(t *testing.T) {
+// Checks that a half-open connection ends for the accepting side only: the connecting side gets no error, and the data that it sends is
+// dropped.
+func TestHalfOpenConnectionEndsForOneSideOnly(t *testing.T) {
 	leakcheck.Check(t)
 	link := NewLink("a", "b", 1)
-	address, ended := echoBehind(t, link)
+	address, ended := listenEcho(t, link)
 	conn := dial(t, address)
-	mustAsk(t, conn, "x")
+	checkEcho(t, conn, "x")
 	if n := link.HalfOpenConnections(Forward); n != 1 {
-		t.Errorf("%d connections were half closed", n)
+		t.Errorf("%d connections are half-open", n)
 	}
 	if err := <-ended; err == nil {
-		t.Error("the far side has no error")
+		t.Error("the accepting side has no error")
 	}
-	if got, err := ask(conn, "y", 80*time.Millisecond); !isTimeout(err) {
-		t.Errorf("the near side has %q, %v", got, err)
+	if got, err := exchange(conn, "y", 80*time.Millisecond); !isTimeout(err) {
+		t.Errorf("the connecting side has %q, %v", got, err)
 	}
-	mustAsk(t, dial(t, address), "z")
+	checkEcho(t, dial(t, address), "z")
 	conn.Close()
 	for range 100 {
 		if link.Connections() <= 1 {
@@ -199,17 +203,17 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("the half that was left is never let go")
+	t.Error("the half-open connection is never removed")
 }
 
 func TestDelayAndRateSlowALinkDownWhileTheyAreSet(t *testing.T) {
 	leakcheck.Check(t)
 	link := NewLink("a", "b", 1)
-	address, _ := echoBehind(t, link)
+	address, _ := listenEcho(t, link)
 	conn := dial(t, address)
 	secondsFor := func(bytes int) float64 {
 		began := time.Now()
-		if got, err := ask(conn, strings.Repeat("x", bytes), 5*time.Second); err != nil {
+		if got, err := exchange(conn, strings.Repeat("x", bytes), 5*time.Second); err != nil {
 			t.Fatal(got, err)
 		}
 		return time.Since(began).Seconds()
@@ -217,20 +221,20 @@
 	delay := &Fault{Delay: 0.15}
 	link.AddFault(Backward, delay)
 	if took := secondsFor(10); took < 0.15 {
-		t.Errorf("delayed by 0.15 s it took %.3f s", took)
+		t.Errorf("with a delay of 0.15 s it took %.3f s", took)
 	}
 	link.RemoveFault(Backward, delay)
 	rate := &Fault{Rate: 4000}
 	link.AddFault(Forward, rate)
 	if took := secondsFor(800); took < 0.19 {
-		t.Errorf("800 bytes at 4,000 a second took %.3f s", took)
+		t.Errorf("800 bytes at 4,000 bytes per second took %.3f s", took)
 	}
 	link.RemoveFault(Forward, rate)
 	shortest := 9.0
-	for range 20 { // a busy machine is slow now and then, not each time
+	for range 20 { // a busy machine is slow in some rounds, not in all
 		shortest = min(shortest, secondsFor(800))
 	}
 	if shortest > 0.1 {
-		t.Errorf("without a fault it takes %.3f s at best", shortest)
+		t.Errorf("without a fault the shortest time is %.3f s", shortest)
 	}
 }
--- a/harness/netproxy/listener.go
+++ b/harness/netproxy/listener.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// normalBacklog is the length of the accept queue while connections are taken.
+	// normalBacklog is the length of the accept queue while connections are accepted.
 	normalBacklog = 4096
-	// A full accept queue keeps new connections from being established. It is filled by connections of our own, at most maxFillers,
-	// until one isn't established within fillerTimeout.
+	// A full accept queue keeps new connections from being established. The listener fills it with connections to itself, at most
+	// maxFillers, until one isn't established within fillerTimeout.
 	maxFillers    = 8
 	fillerTimeout = 30 * time.Millisecond
-	// fillerLinger is how long after the fault the accept loop may take to drop the fillers.
+	// fillerLinger is the time after the fault within which the accept loop drops the fillers.
 	fillerLinger = time.Second
 )
 
-// listener takes the connections of a link, and keeps them out as the link's faults say.
+// listener accepts the connections of a link, or blocks or refuses them while the link has such faults.
 type listener struct {
 	link    *Link
 	address string
 	dial    func() (net.Conn, error)
-	changed chan struct{} // wakes block
+	changed chan struct{} // wakes waitWhileBlocked
 
 	mu      sync.Mutex // guards all below
 	tcp     *net.TCPListener
@@ -33,7 +33,7 @@
 	closed  bool
 }
 
-// Listen listens on loopback and returns the address. Each connection that comes is led over the link to one that dial makes.
+// Listen listens on loopback and returns the address. It forwards each accepted connection over the link to a connection from dial.
 func (l *Link) Listen(dial func() (net.Conn, error)) (string, error) {
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -54,7 +54,7 @@
 	for {
 		conn, err := tcp.AcceptTCP()
 		if err == nil {
-			go s.take(conn)
+			go s.handle(conn)
 			continue
 		}
 		var netError net.Error
@@ -65,8 +65,8 @@
 	}
 }
 
-// take leads a new connection over the link, unless it is a filler of ours.
-func (s *listener) take(conn *net.TCPConn) {
+// handle forwards a new connection over the link, unless it is one of the listener's own fillers.
+func (s *listener) handle(conn *net.TCPConn) {
 	if conn.RemoteAddr().(*net.TCPAddr).Port == 0 || s.isFiller(conn) {
 		conn.Close()
 		return
@@ -90,7 +90,7 @@
 	return false
 }
 
-// block keeps the accept queue full while the link's faults block connections: whoever connects hears nothing.
+// block keeps the accept queue full while the link's faults block connections, so that connection attempts get no response.
 func (s *listener) block(tcp *net.TCPListener) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -103,7 +103,7 @@
 	s.mu.Unlock()
 	s.waitWhileBlocked()
 	setBacklog(raw, normalBacklog)
-	_ = tcp.SetDeadline(time.Time{}) // fails only if closed, which accept tells
+	_ = tcp.SetDeadline(time.Time{}) // fails only if closed, which accept reports
 	time.AfterFunc(fillerLinger, func() {
 		s.mu.Lock()
 		s.fillers = nil
@@ -114,12 +114,13 @@
 	})
 }
 
-// setBacklog sets the length of the accept queue of a listening socket. It can fail only if the socket is closed, which accept tells.
+// setBacklog sets the length of the accept queue of a listening socket. It can fail only if the socket is closed, which accept
+// reports.
 func setBacklog(raw syscall.RawConn, length int) {
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), length) })
 }
 
-// fillQueue connects until no connection is established any more.
+// fillQueue opens connections to the listener until one is no longer established, and returns the established ones.
 func (s *listener) fillQueue() []net.Conn {
 	var fillers []net.Conn
 	for range maxFillers {
@@ -144,7 +145,7 @@
 	}
 }
 
-// update blocks, refuses or takes connections as the link's faults say.
+// update blocks, refuses or accepts connections according to the link's faults.
 func (s *listener) update() {
 	blocked, refused := s.link.connectFaults()
 	s.mu.Lock()
@@ -153,7 +154,7 @@
 		return
 	}
 	if blocked && !s.blocked && s.tcp != nil {
-		_ = s.tcp.SetDeadline(time.Unix(1, 0)) // ends accept, and block begins; fails only if closed, which accept tells
+		_ = s.tcp.SetDeadline(time.Unix(1, 0)) // ends accept so that block starts; fails only if closed, which accept reports
 	}
 	s.blocked = blocked
 	s.wake()
@@ -166,7 +167,7 @@
 	}
 }
 
-// listenAgainLocked takes connections again at the same address. Called with mu held.
+// listenAgainLocked accepts connections again at the same address. The caller holds mu.
 func (s *listener) listenAgainLocked() {
 	again, err := net.Listen("tcp", s.address)
 	if err != nil {
--- a/harness/netproxy/memoryconn.go
+++ b/harness/netproxy/memoryconn.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// memoryConn is the end of a stream that a stand-in of this process holds. It needs no file descriptor. Its methods as a net.Conn are
-// the link's side: the pipes write what comes for the stand-in and close it. The stand-in gets an InProcessConn.
+// memoryConn is the end of a stream for a stand-in server in this process. It needs no file descriptor. The link's pipes use its Write,
+// CloseWrite and Close methods to deliver data to the stand-in. The stand-in itself uses an InProcessConn.
 type memoryConn struct {
 	address net.Addr
 
 	mu       sync.Mutex // guards all below
-	arrived  *sync.Cond // something to read, or an end
+	arrived  *sync.Cond // signals data, end of file or closing
 	incoming []byte
-	eof      bool // nothing more comes
+	eof      bool // no more data comes
 	closed   bool
-	reset    bool      // close with a reset
-	out      *pipe     // takes what the stand-in sends; nil: it belongs to no connection yet
-	early    []segment // sent before that
+	reset    bool      // Close resets the connection
+	out      *pipe     // carries the stand-in's data; nil: not attached to a connection yet
+	early    []segment // sent before attach
 }
 
 func newMemoryConn() *memoryConn {
@@ -28,7 +28,7 @@
 	return m
 }
 
-// attach gives it the pipe of its connection.
+// attach sets the pipe that carries the stand-in's data, and enqueues the segments sent before.
 func (m *memoryConn) attach(out *pipe) {
 	m.mu.Lock()
 	m.out = out
@@ -40,7 +40,7 @@
 	}
 }
 
-// Read gives the stand-in what has come over the link.
+// Read returns data that came over the link to the stand-in.
 func (m *memoryConn) Read(buffer []byte) (int, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,7 +58,7 @@
 	return n, nil
 }
 
-// Write takes what has come over the link for the stand-in.
+// Write appends data that came over the link to the data that the stand-in reads.
 func (m *memoryConn) Write(bytes []byte) (int, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,7 +70,7 @@
 	return len(bytes), nil
 }
 
-// CloseWrite tells the stand-in that nothing more comes.
+// CloseWrite makes the stand-in's Read return io.EOF after the remaining data.
 func (m *memoryConn) CloseWrite() error {
 	m.mu.Lock()
 	m.eof = true
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// SetLinger has Close reset the connection, whatever the time is.
+// SetLinger makes Close reset the connection. It ignores the time.
 func (m *memoryConn) SetLinger(int) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// send has a segment of the stand-in go over the link; false: it is closed.
+// send enqueues a segment of the stand-in for the link. It returns false if the connection is closed.
 func (m *memoryConn) send(s segment) bool {
 	m.mu.Lock()
 	if m.closed {
@@ -102,7 +102,7 @@
 	return out == nil || out.enqueue(s)
 }
 
-// Close ends it. What was sent before still goes over the link, unless it is a reset.
+// Close closes the connection. Data sent before is still forwarded over the link, except in a reset.
 func (m *memoryConn) Close() error {
 	m.mu.Lock()
 	wasClosed := m.closed
@@ -114,7 +114,7 @@
 	if wasClosed || out == nil {
 		return nil
 	}
-	if _, gone := out.state(); gone { // the other end isn't told
+	if _, gone := out.state(); gone { // the other end isn't notified
 		return nil
 	}
 	if reset {
@@ -125,13 +125,13 @@
 	return nil
 }
 
-// LocalAddr is a loopback address without a port.
+// LocalAddr returns a loopback address without a port.
 func (m *memoryConn) LocalAddr() net.Addr { return m.address }
 
-// RemoteAddr is a loopback address without a port.
+// RemoteAddr returns a loopback address without a port.
 func (m *memoryConn) RemoteAddr() net.Addr { return m.address }
 
-// SetDeadline does nothing: reads wait until something comes or the link ends.
+// SetDeadline does nothing. Reads wait until data comes or the connection ends.
 func (m *memoryConn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing.
@@ -140,7 +140,7 @@
 // SetWriteDeadline does nothing.
 func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
 
-// InProcessConn is a stand-in's connection over a link.
+// InProcessConn is the connection of a stand-in server over a link.
 type InProcessConn struct{ *memoryConn }
 
 // Write sends over the link.
@@ -151,11 +151,11 @@
 	return len(bytes), nil
 }
 
-// OnPass has done called once all that was written before has passed the link, if the other end is still there to read it.
+// OnPass arranges that done is called after all data written before has passed the link, if the other end is still open to read it.
 func (c InProcessConn) OnPass(done func()) { c.send(segment{onPass: done, arrived: time.Now()}) }
 
-// ListenInProcess listens on loopback and returns the address. Each connection that comes is led over the link to handle, which gets an
-// InProcessConn on a goroutine of its own.
+// ListenInProcess listens on loopback and returns the address. For each accepted connection it calls handle, on a new goroutine, with an
+// InProcessConn that is connected over the link.
 func (l *Link) ListenInProcess(handle func(c net.Conn)) (string, error) {
 	return l.Listen(func() (net.Conn, error) {
 		local := newMemoryConn()
--- a/harness/netproxy/pipe.go
+++ b/harness/netproxy/pipe.go
@@ -10,18 +10,18 @@
 
 const (
 	readSize      = 16 << 10 // bytes
-	pipeSegments  = 64       // that wait in a pipe; the sender isn't read on past them
+	pipeSegments  = 64       // capacity of a pipe; while it is full, no more data is read from the sender
 	enqueuePoll   = 50 * time.Millisecond
 	dequeuePoll   = 100 * time.Millisecond
 	truncatePause = 2 * time.Millisecond
 )
 
-// segment is what one read of a sender gave.
+// segment is the data of one read or write of a sender, or a marker between data.
 type segment struct {
 	bytes   []byte
 	arrived time.Time
-	onPass  func() // called once what came before it has been passed on
-	end     bool   // the sender sends no more
+	onPass  func() // called after the data before it has been forwarded
+	end     bool   // the sender has finished sending
 }
 
 // pipe carries one direction of a connection.
@@ -31,9 +31,9 @@
 	segments   chan segment
 
 	mu         sync.Mutex // guards all below
-	truncate   bool       // half of the next segment is passed on, then the connection is reset
-	discards   bool       // what comes is passed to nobody
-	senderGone bool       // the end that it reads was closed by closeEnd
+	truncate   bool       // half of the next segment is forwarded, then the connection is reset
+	discarding bool       // incoming data is dropped
+	senderGone bool       // the sending end was closed by closeEnd
 }
 
 func newPipe(c *connection, direction Direction) *pipe {
@@ -46,21 +46,21 @@
 	p.truncate = true
 }
 
-// discard has what comes passed to nobody from now on.
+// discard makes the pipe drop incoming data. senderGone means that the sending end is the closed one.
 func (p *pipe) discard(senderGone bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.discards = true
+	p.discarding = true
 	p.senderGone = senderGone
 }
 
-func (p *pipe) state() (discards, senderGone bool) {
+func (p *pipe) state() (discarding, senderGone bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.discards, p.senderGone
+	return p.discarding, p.senderGone
 }
 
-// readFrom takes what a sender sends until that ends.
+// readFrom reads from a sender into the pipe until the sender or the connection ends.
 func (p *pipe) readFrom(sender net.Conn) {
 	for {
 		buffer := make([]byte, readSize)
@@ -76,18 +76,18 @@
 }
 
 func (p *pipe) senderEnded(err error) {
-	p.connection.setShut(p.direction)
-	discards, gone := p.state()
+	p.connection.setFinished(p.direction)
+	discarding, gone := p.state()
 	switch {
 	case gone:
-	case !errors.Is(err, io.EOF) && !discards:
-		p.connection.close(true) // a reset on one side is one on the other
+	case !errors.Is(err, io.EOF) && !discarding:
+		p.connection.close(true) // a reset on one side is forwarded to the other
 	default:
 		p.enqueue(segment{end: true, arrived: time.Now()})
 	}
 }
 
-// enqueue waits for room in the pipe; false: the connection has been closed meanwhile.
+// enqueue adds a segment, waiting while the pipe is full. It returns false if the connection is closed meanwhile.
 func (p *pipe) enqueue(s segment) bool {
 	for {
 		select {
@@ -101,12 +101,12 @@
 	}
 }
 
-// writeTo passes on what has come, as the link's faults allow, until there is no more.
+// writeTo forwards the segments to a receiver, subject to the link's faults, until the last one or the end of the connection.
 func (p *pipe) writeTo(receiver net.Conn) {
 	for {
 		select {
 		case next := <-p.segments:
-			if !p.pass(next, receiver) {
+			if !p.forward(next, receiver) {
 				return
 			}
 		case <-time.After(dequeuePoll):
@@ -117,31 +117,31 @@
 	}
 }
 
-// pass passes one segment on; false: it was the last one.
-func (p *pipe) pass(next segment, receiver net.Conn) bool {
+// forward writes one segment to the receiver. It returns false after the last one and when the connection has ended.
+func (p *pipe) forward(next segment, receiver net.Conn) bool {
 	c := p.connection
-	if !c.link.waitToPass(p.direction, len(next.bytes), next.arrived, c.isClosed) {
+	if !c.link.waitToForward(p.direction, len(next.bytes), next.arrived, c.isClosed) {
 		return false
 	}
 	p.mu.Lock()
 	truncate := p.truncate
-	discards := p.discards
+	discarding := p.discarding
 	p.mu.Unlock()
 	switch {
 	case next.onPass != nil:
-		if !c.isShut(p.direction.opposite()) { // else it was written to nobody
+		if !c.isFinished(p.direction.opposite()) { // otherwise there is no reader for the data
 			next.onPass()
 		}
 		return true
 	case truncate && len(next.bytes) > 0:
-		_, _ = receiver.Write(next.bytes[:len(next.bytes)/2]) // the connection ends whether it gets there or not
-		time.Sleep(truncatePause)                             // a reset at once would take back what was written
+		_, _ = receiver.Write(next.bytes[:len(next.bytes)/2]) // the connection is closed whether this succeeds or not
+		time.Sleep(truncatePause)                             // an immediate reset would discard the written data
 		c.close(true)
 		return false
 	case next.end:
-		p.passEnd(receiver, discards)
+		p.forwardEnd(receiver, discarding)
 		return false
-	case discards:
+	case discarding:
 		return true
 	}
 	if _, err := receiver.Write(next.bytes); err != nil {
@@ -151,14 +151,14 @@
 	return true
 }
 
-// passEnd tells the receiver that no more comes.
-func (p *pipe) passEnd(receiver net.Conn, discards bool) {
-	if discards { // the receiver is gone
+// forwardEnd forwards the end of the data to the receiver.
+func (p *pipe) forwardEnd(receiver net.Conn, discarding bool) {
+	if discarding { // the receiving end was closed
 		p.connection.close(false)
 		return
 	}
 	if half, ok := receiver.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite() // fails only if closed already
 	}
-	p.connection.endSending()
+	p.connection.endDirection()
 }
