--- a/harness/tiercluster/cluster.go
+++ b/harness/tiercluster/cluster.go
@@ -9,26 +9,26 @@
 	"otterseam/harness/tierhost"
 )
 
-// Classes of machines; a machine's name is its class and a number.
+// Machine classes. A machine's name consists of its class and a number.
 const (
 	frontClass   = "front"
 	controlClass = "core"
 	storeClass   = "storage"
 )
 
-// seedCount is how many addresses of control processes the others are told.
+// seedCount is the maximum number of control addresses in the seed list of each process.
 const seedCount = 3
 
-// Cluster is a running tier. Its methods aren't safe for concurrent use, but for those that only send requests.
+// Cluster is a running tier. Only the methods that do nothing but send requests are safe for concurrent use.
 type Cluster struct {
 	Machines []*Machine
 	Hosts    []*tierhost.Host
 
 	options    Options
-	hasStarted map[string]bool // machines that ran before: they are told that the tier exists
+	hasStarted map[string]bool // by machine name; machines that ran before are started without bootstrap
 }
 
-// Start starts all machines but those that options call initially down.
+// Start starts all machines except those in options.InitiallyDown.
 func Start(options Options) (*Cluster, error) {
 	var err error
 	if options.Dir, err = filepath.Abs(options.Dir); err != nil {
@@ -69,7 +69,7 @@
 func (c *Cluster) addMachine(class string, number int, roles []string) *Machine {
 	machine := &Machine{
 		Name:      machineName(class, number),
-		IP:        c.options.ip(len(c.Machines) + 2), // the hosts have the first address
+		IP:        c.options.ip(len(c.Machines) + 2), // the stand-in hosts use the first address
 		roles:     roles,
 		processes: map[string]*childprocess.Process{},
 	}
@@ -77,7 +77,7 @@
 	return machine
 }
 
-// Machine finds a machine by its name; nil: there is none.
+// Machine returns the machine with the given name, or nil if there is none.
 func (c *Cluster) Machine(name string) *Machine {
 	for _, machine := range c.Machines {
 		if machine.Name == name {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// AddHost starts a stand-in host for so many requests at once.
+// AddHost starts a stand-in host that reports slots as its number of concurrent requests.
 func (c *Cluster) AddHost(id, service string, slots int) (*tierhost.Host, error) {
 	host := &tierhost.Host{ID: id, Service: service, Slots: slots, Controls: c.ControlAddresses}
 	if err := host.Start(address(c.options.ip(1), 0)); err != nil {
@@ -97,13 +97,13 @@
 	return host, nil
 }
 
-// FrontAddresses are the addresses that clients call.
+// FrontAddresses returns the addresses to which clients send requests.
 func (c *Cluster) FrontAddresses() []string { return c.addresses(frontClass, frontPort) }
 
-// ControlAddresses are the addresses that hosts and the operator call.
+// ControlAddresses returns the addresses to which hosts and operators send requests.
 func (c *Cluster) ControlAddresses() []string { return c.addresses(controlClass, controlPort) }
 
-// StatusAddresses are the addresses of control processes that otterctl status asks: those of their internal ports.
+// StatusAddresses returns the internal addresses of the control processes, which otterctl status queries.
 func (c *Cluster) StatusAddresses() []string {
 	return c.addresses(controlClass, c.options.firstInternalPort())
 }
--- a/harness/tiercluster/configuration.go
+++ b/harness/tiercluster/configuration.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ExampleHost is the Host field of requests that the routes of Config are for.
+// ExampleHost is the Host field that requests need to match the routes of Config.
 const ExampleHost = "try.example"
 
-// Config is an operator's configuration with routes for stand-in hosts of the services engine and records.
+// Config returns an operator's configuration with routes to stand-in hosts of the services engine and records.
 func Config(version uint64) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[
  {"name":"chat","host":"try.example","path_prefix":"/chat/","route_type":"streaming","timeout_ms":5000,"target_ms":250,"priority":0,
@@ -27,8 +27,8 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000}}`, version)
 }
 
-// ReplaceConfig puts a configuration in the place of version base. It asks one control address after another until one gives a clear
-// answer, and returns the last answer, with the error that the time is over if none did.
+// ReplaceConfig replaces the configuration of version base. It tries the control addresses in turn until one responds with a status
+// other than 503, and returns the last response. If none does so within limit, the response's Err contains a *TimeoutError.
 func (c *Cluster) ReplaceConfig(base uint64, config string, limit time.Duration) Response {
 	var last Response
 	err := WaitUntil(limit, func() bool {
--- a/harness/tiercluster/copies_test.go
+++ b/harness/tiercluster/copies_test.go
@@ -9,22 +9,22 @@
 	"otterseam/tier/status"
 )
 
-// control waits until the record of control is as wanted, and returns it.
-func (w *world) control(what string, wanted func(consensus.Record) bool) consensus.Record {
-	w.Helper()
+// waitControl waits until the record of control satisfies wanted, and returns it.
+func (c *testCluster) waitControl(what string, wanted func(consensus.Record) bool) consensus.Record {
+	c.Helper()
 	var state status.Status
 	err := WaitUntil(limit, func() bool {
 		var err error
-		state, err = w.cluster.Status()
+		state, err = c.cluster.Status()
 		return err == nil && wanted(state.Control)
 	})
 	if err != nil {
-		w.Fatalf("%s: %v, control is %+v", what, err, state.Control)
+		c.Fatalf("%s: %v, control is %+v", what, err, state.Control)
 	}
 	return state.Control
 }
 
-func names(members []consensus.Member) string {
+func nodeNames(members []consensus.Member) string {
 	var all []string
 	for _, member := range members {
 		all = append(all, member.Node)
@@ -32,95 +32,96 @@
 	return strings.Join(all, " ")
 }
 
-// wipe takes a machine's disk away and starts it again.
-func (w *world) wipe(machine *Machine) {
-	w.Helper()
+// restartWithEmptyDisk kills a machine, deletes its disk and starts it again.
+func (c *testCluster) restartWithEmptyDisk(machine *Machine) {
+	c.Helper()
 	machine.Kill()
-	if err := w.cluster.WipeDisk(machine); err != nil {
-		w.Fatal(err)
+	if err := c.cluster.WipeDisk(machine); err != nil {
+		c.Fatal(err)
 	}
-	w.start(machine)
+	c.start(machine)
 }
 
-// A core machine is replaced as planned, and the oldest of the others loses its disk right then.
-func TestAWipeRightAfterAPlannedReplacement(t *testing.T) {
-	w := newWorld(t, 3)
-	fresh, err := w.cluster.AddMachine("core-1")
+// Guards against data loss when a control machine is replaced as planned and, right afterwards, the oldest of the others loses its disk.
+func TestDiskLossRightAfterPlannedReplacement(t *testing.T) {
+	c := newTestCluster(t, 3)
+	added, err := c.cluster.AddMachine("core-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.control("the new machine holds a copy", func(r consensus.Record) bool { return strings.Contains(names(r.Learners), fresh.Name) })
-	w.cluster.Machine("core-1").ShutDown()
-	after := w.control("the new machine votes", func(r consensus.Record) bool {
-		return strings.Contains(names(r.Members), fresh.Name) && len(r.Previous) == 0
+	c.waitControl("new machine is a learner", func(r consensus.Record) bool { return strings.Contains(nodeNames(r.Learners), added.Name) })
+	c.cluster.Machine("core-1").ShutDown()
+	after := c.waitControl("new machine is a member", func(r consensus.Record) bool {
+		return strings.Contains(nodeNames(r.Members), added.Name) && len(r.Previous) == 0
 	})
-	if strings.Contains(names(after.Members), "core-1 ") || len(after.Members) != 3 {
-		t.Fatalf("members: %s", names(after.Members))
+	if strings.Contains(nodeNames(after.Members), "core-1 ") || len(after.Members) != 3 {
+		t.Fatalf("members: %s", nodeNames(after.Members))
 	}
-	w.replace(1, 2, http.StatusOK)
-	w.wipe(w.cluster.Machine("core-2"))
-	w.replace(2, 3, http.StatusOK)
-	w.waitCopies()
+	c.replace(1, 2, http.StatusOK)
+	c.restartWithEmptyDisk(c.cluster.Machine("core-2"))
+	c.replace(2, 3, http.StatusOK)
+	c.waitInSync()
 }
 
-// The leader is stopped for good, and who follows it is killed as soon as it leads.
-func TestTheSuccessorIsKilledInTheHandover(t *testing.T) {
-	w := newWorld(t, 3)
-	before := w.control("control leads", func(r consensus.Record) bool { return len(r.InSync) == 3 })
+// Guards against a tier without a primary when the primary shuts down and its successor is killed as soon as it takes over.
+func TestSuccessorKilledDuringHandover(t *testing.T) {
+	c := newTestCluster(t, 3)
+	before := c.waitControl("all replicas in sync", func(r consensus.Record) bool { return len(r.InSync) == 3 })
 	leader, _ := before.Member(before.Primary)
-	left := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		w.cluster.Machine(leader.Node).ShutDown()
-		close(left)
+		c.cluster.Machine(leader.Node).ShutDown()
+		close(exited)
 	}()
-	after := w.control("another leads", func(r consensus.Record) bool { return r.Primary != before.Primary })
+	after := c.waitControl("another primary", func(r consensus.Record) bool { return r.Primary != before.Primary })
 	successor, _ := after.Member(after.Primary)
-	w.cluster.Machine(successor.Node).Kill()
-	<-left
-	w.start(w.cluster.Machine(successor.Node))
-	w.replace(1, 2, http.StatusOK)
-	w.start(w.cluster.Machine(leader.Node))
-	w.waitCopies()
+	c.cluster.Machine(successor.Node).Kill()
+	<-exited
+	c.start(c.cluster.Machine(successor.Node))
+	c.replace(1, 2, http.StatusOK)
+	c.start(c.cluster.Machine(leader.Node))
+	c.waitInSync()
 }
 
-// One of three seeds is silent when the tier is founded; one of the two founders loses its disk; then the third comes.
-func TestFoundingWithASilentSeedBearsAWipe(t *testing.T) {
-	w := startWorld(t, Options{Controls: 3, Stores: 3, ToleratedLosses: 1, InitiallyDown: []string{"core-3"}})
-	w.wipe(w.cluster.Machine("core-2"))
-	w.replace(1, 2, http.StatusOK)
-	w.start(w.cluster.Machine("core-3"))
-	w.control("three members", func(r consensus.Record) bool {
+// Guards against data loss when the tier bootstraps with one of three seeds down, and one of the other two loses its disk before the
+// third starts.
+func TestDiskLossAfterBootstrapWithASeedDown(t *testing.T) {
+	c := startTestCluster(t, Options{Controls: 3, Stores: 3, ToleratedLosses: 1, InitiallyDown: []string{"core-3"}})
+	c.restartWithEmptyDisk(c.cluster.Machine("core-2"))
+	c.replace(1, 2, http.StatusOK)
+	c.start(c.cluster.Machine("core-3"))
+	c.waitControl("three members", func(r consensus.Record) bool {
 		return len(r.Members) == 3 && len(r.InSync) == 3 && len(r.Previous) == 0
 	})
-	w.wipe(w.cluster.Machine("core-1"))
-	w.replace(2, 3, http.StatusOK)
-	w.waitCopies()
+	c.restartWithEmptyDisk(c.cluster.Machine("core-1"))
+	c.replace(2, 3, http.StatusOK)
+	c.waitInSync()
 }
 
-// Of five members two leave for good and one loses its disk.
-func TestTwoLeaveAndOneIsLost(t *testing.T) {
-	w := startWorld(t, Options{Controls: 5, Stores: 5, ToleratedLosses: 2})
-	w.control("five members", func(r consensus.Record) bool { return len(r.Members) == 5 && len(r.InSync) == 5 })
-	left := make(chan struct{})
+// Checks that control still accepts changes after two of five members left for good and one of the other three lost its disk.
+func TestDiskLossAfterTwoMembersLeave(t *testing.T) {
+	c := startTestCluster(t, Options{Controls: 5, Stores: 5, ToleratedLosses: 2})
+	c.waitControl("five members", func(r consensus.Record) bool { return len(r.Members) == 5 && len(r.InSync) == 5 })
+	exited := make(chan struct{})
 	for _, name := range []string{"core-4", "core-5"} {
 		go func() {
-			w.cluster.Machine(name).ShutDown()
-			left <- struct{}{}
+			c.cluster.Machine(name).ShutDown()
+			exited <- struct{}{}
 		}()
 	}
-	<-left
-	<-left
-	w.control("three members", func(r consensus.Record) bool { return len(r.Members) == 3 && len(r.Previous) == 0 })
-	w.replace(1, 2, http.StatusOK)
-	w.wipe(w.cluster.Machine("core-2"))
-	w.replace(2, 3, http.StatusOK)
+	<-exited
+	<-exited
+	c.waitControl("three members", func(r consensus.Record) bool { return len(r.Members) == 3 && len(r.Previous) == 0 })
+	c.replace(1, 2, http.StatusOK)
+	c.restartWithEmptyDisk(c.cluster.Machine("core-2"))
+	c.replace(2, 3, http.StatusOK)
 }
 
-// A store is retired; when it is complete it goes, and another store loses its disk right then.
-func TestAWipeRightAfterARetirement(t *testing.T) {
-	w := newWorld(t, 4)
-	previous := w.turnOK(0, "p", "", "9000", 3, "one ")
-	control := "http://" + w.cluster.ControlAddresses()[0]
+// Guards against data loss when a store shuts down after its completed retirement and, right afterwards, another store loses its disk.
+func TestDiskLossRightAfterRetirement(t *testing.T) {
+	c := newTestCluster(t, 4)
+	previous := c.turnOK(0, "p", "", "9000", 3, "one ")
+	control := "http://" + c.cluster.ControlAddresses()[0]
 	if got := Call(http.MethodPost, control+"/v1/retire/storage-1/begin", "", nil, `{"deadline_s":10}`); got.Status != http.StatusOK {
 		t.Fatalf("%+v", got)
 	}
@@ -130,11 +131,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.cluster.Machine("storage-1").Kill()
-	w.wipe(w.cluster.Machine("storage-2"))
-	last := w.turnOK(1, "p", previous, "9000", 3, "last")
-	if runs := w.ran(last); len(runs) != 1 || runs[0].Body != "one e1\nlast" {
-		t.Fatalf("the host got %+v", runs)
+	c.cluster.Machine("storage-1").Kill()
+	c.restartWithEmptyDisk(c.cluster.Machine("storage-2"))
+	last := c.turnOK(1, "p", previous, "9000", 3, "last")
+	if runs := c.executions(last); len(runs) != 1 || runs[0].Body != "one e1\nlast" {
+		t.Fatalf("hosts executed %+v", runs)
 	}
-	w.waitCopies()
+	c.waitInSync()
 }
--- a/harness/tiercluster/doc.go
+++ b/harness/tiercluster/doc.go
@@ -1,3 +1,3 @@
-// Package tiercluster runs a whole serving tier as real processes on loopback, each machine with an address of its own, so that
-// tests and people can try it, stop parts of it and take their disks away.
+// Package tiercluster runs a complete serving tier as real processes on loopback addresses, one address per simulated machine. Tests
+// and developers use it to send requests, stop machines and delete their disks.
 package tiercluster
--- a/harness/tiercluster/ejection_test.go
+++ b/harness/tiercluster/ejection_test.go
@@ -9,106 +9,107 @@
 	"otterseam/harness/tierhost"
 )
 
-// setAside tells whether control has set a host aside.
-func (w *world) setAside(host string) bool {
-	status, err := w.cluster.Status()
+// isEjected reports whether control has ejected a host.
+func (c *testCluster) isEjected(host string) bool {
+	status, err := c.cluster.Status()
 	_, aside := status.Ejected[host]
 	return err == nil && aside
 }
 
-// lookups asks for lookups through some fronts until a condition holds.
-func (w *world) lookups(fronts []int, until func() bool) {
-	w.Helper()
+// lookUpUntil sends lookup requests through some fronts until a condition holds.
+func (c *testCluster) lookUpUntil(fronts []int, until func() bool) {
+	c.Helper()
 	err := WaitUntil(limit, func() bool {
 		for _, front := range fronts {
-			w.call(front, http.MethodGet, "/lookup/x", nil, "")
+			c.call(front, http.MethodGet, "/lookup/x", nil, "")
 		}
 		return until()
 	})
 	if err != nil {
-		w.Fatal(err)
+		c.Fatal(err)
 	}
 }
 
-// Some gateways meet a host that fails; those that never met it send it nothing. The next judge finds the host again. Each gateway
-// keeps away by itself after a failure or two, so that a few have to see it before the judge has the evidence.
-func TestAHostThatFailsSomeGatewaysIsAvoidedByTheOthers(t *testing.T) {
-	w := startWorld(t, Options{Controls: 3, Stores: 3, ToleratedLosses: 1, Fronts: 8})
-	met, others := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
-	sound := []*tierhost.Host{w.records, w.addHost("records-2", "records")}
-	bad := w.addHost("records-bad", "records")
-	bad.DropResponses(true)
-	refuse := func(refuse bool) { // what is refused goes elsewhere, so that the bad host is met
-		for _, host := range sound {
-			host.Reject(refuse)
+// Guards against gateways that send requests to a host that only other gateways saw fail. The ejection has to reach gateways that never
+// used the host, and a new primary has to eject it again. Several gateways report the failures because each one stops using the host
+// after one or two, which isn't enough evidence for an ejection.
+func TestHostFailingForSomeGatewaysIsEjectedForAll(t *testing.T) {
+	c := startTestCluster(t, Options{Controls: 3, Stores: 3, ToleratedLosses: 1, Fronts: 8})
+	observing, others := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
+	healthy := []*tierhost.Host{c.records, c.addHost("records-2", "records")}
+	failing := c.addHost("records-bad", "records")
+	failing.DropResponses(true)
+	rejectOnHealthy := func(reject bool) { // rejected requests are retried on other hosts, so that some reach the failing one
+		for _, host := range healthy {
+			host.Reject(reject)
 		}
 	}
 	reached := 0
-	for version := uint64(2); ; version++ { // again with a longer term if it ended meanwhile, on a machine that is busy
-		refuse(true)
-		w.lookups(met, func() bool { return w.setAside(bad.ID) })
-		w.waitForRoute(others, version)
-		sound[1].Reject(false) // the first host that the others would take still refuses
-		before := len(bad.Executions())
+	for version := uint64(2); ; version++ { // repeats, with a longer ejection, if the ejection ended meanwhile on a busy machine
+		rejectOnHealthy(true)
+		c.lookUpUntil(observing, func() bool { return c.isEjected(failing.ID) })
+		c.applyRoute(others, version)
+		healthy[1].Reject(false) // healthy[0], which the others would choose first, still rejects requests
+		before := len(failing.Executions())
 		for _, front := range others {
-			if got, _ := w.call(front, http.MethodGet, "/lookup/x", nil, ""); got.Status != http.StatusOK {
+			if got, _ := c.call(front, http.MethodGet, "/lookup/x", nil, ""); got.Status != http.StatusOK {
 				t.Errorf("front %d: %+v", front, got)
 			}
 		}
-		reached = len(bad.Executions()) - before
-		if w.setAside(bad.ID) {
+		reached = len(failing.Executions()) - before
+		if c.isEjected(failing.ID) {
 			break
 		}
 	}
 	if reached > 0 {
-		t.Errorf("%d of %d requests reached the host that is set aside", reached, len(others))
+		t.Errorf("%d of %d requests reached the ejected host", reached, len(others))
 	}
 
-	judge := w.primaryOfControl()
-	judge.Kill()
-	refuse(true)
-	w.lookups(met, func() bool {
-		successor := w.primaryOfControl()
-		return successor != nil && successor != judge && w.setAside(bad.ID)
+	primary := c.controlPrimary()
+	primary.Kill()
+	rejectOnHealthy(true)
+	c.lookUpUntil(observing, func() bool {
+		successor := c.controlPrimary()
+		return successor != nil && successor != primary && c.isEjected(failing.ID)
 	})
 }
 
-// waitForRoute adds a route, in the next configuration, and waits until fronts know it: what was decided before is then known there as
-// well.
-func (w *world) waitForRoute(fronts []int, version uint64) {
-	w.Helper()
+// applyRoute adds a route in the next configuration and waits until the fronts apply it. Earlier decisions of control, such as
+// ejections, have then reached the fronts too.
+func (c *testCluster) applyRoute(fronts []int, version uint64) {
+	c.Helper()
 	prefix := fmt.Sprintf("/late-%d/", version)
 	route := `{"name":"late","host":"try.example","path_prefix":"` + prefix + `","route_type":"safe","timeout_ms":1200,"service":"engine"},`
 	config := strings.Replace(Config(version), `"routes":[`, `"routes":[`+route, 1)
-	if got := w.cluster.ReplaceConfig(version-1, config, limit); got.Err != nil || got.Status != http.StatusOK {
-		w.Fatalf("%+v", got)
+	if got := c.cluster.ReplaceConfig(version-1, config, limit); got.Err != nil || got.Status != http.StatusOK {
+		c.Fatalf("%+v", got)
 	}
 	for _, front := range fronts {
 		err := WaitUntil(limit, func() bool {
-			got, _ := w.call(front, http.MethodGet, prefix+"x", nil, "")
+			got, _ := c.call(front, http.MethodGet, prefix+"x", nil, "")
 			return got.Status != http.StatusNotFound
 		})
 		if err != nil {
-			w.Fatal(err)
+			c.Fatal(err)
 		}
 	}
 }
 
-// primaryOfControl is the machine that leads control, or nil while none is known.
-func (w *world) primaryOfControl() *Machine {
-	status, err := w.cluster.Status()
+// controlPrimary returns the primary machine of control, or nil while none is known.
+func (c *testCluster) controlPrimary() *Machine {
+	status, err := c.cluster.Status()
 	if err != nil {
 		return nil
 	}
 	member, _ := status.Control.Member(status.Control.Primary)
-	return w.cluster.Machine(member.Node)
+	return c.cluster.Machine(member.Node)
 }
 
-// Operators can ask control and the stores when they reached each step of their recovery.
-func TestStatusTellsTheRecoveryOfProcesses(t *testing.T) {
-	w := newWorld(t, 3)
-	w.turnOK(0, "p", "", "60", 3, "x")
-	status, err := w.cluster.Status()
+// Checks that the status lists the recovery steps that control and store processes have reached.
+func TestStatusReportsProcessRecovery(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.turnOK(0, "p", "", "60", 3, "x")
+	status, err := c.cluster.Status()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,6 +128,6 @@
 		}
 	}
 	if led < 2 {
-		t.Errorf("nobody leads control or a shard: %+v", status.Recovery)
+		t.Errorf("no process leads control or a shard: %+v", status.Recovery)
 	}
 }
--- a/harness/tiercluster/losses_test.go
+++ b/harness/tiercluster/losses_test.go
@@ -7,60 +7,61 @@
 	"testing"
 )
 
-// All that was acknowledged outlives any one machine with a disk, and all of them being killed at once.
-func TestWhatWasAcknowledgedOutlivesKillsAndALostDisk(t *testing.T) {
-	w := newWorld(t, 3)
-	previous := w.turnOK(0, "p", "", "9000", 3, "one ")
-	w.replace(1, 2, http.StatusOK)
+// Checks that acknowledged data survives the kill of any control or store machine, the loss of one disk of each class, and a kill of all
+// machines at once.
+func TestAcknowledgedDataSurvivesKillsAndDiskLosses(t *testing.T) {
+	c := newTestCluster(t, 3)
+	previous := c.turnOK(0, "p", "", "9000", 3, "one ")
+	c.replace(1, 2, http.StatusOK)
 	version := uint64(2)
 	want := "one e1\n"
-	strike := func(name string, wipe bool) {
-		machine := w.cluster.Machine(name)
+	killAndRestart := func(name string, wipe bool) {
+		machine := c.cluster.Machine(name)
 		machine.Kill()
 		if wipe {
-			if err := w.cluster.WipeDisk(machine); err != nil {
+			if err := c.cluster.WipeDisk(machine); err != nil {
 				t.Fatal(err)
 			}
 		}
-		previous = w.turnOK(1, "p", previous, "9000", 3, name+" ")
+		previous = c.turnOK(1, "p", previous, "9000", 3, name+" ")
 		want += name + " e1\n"
-		w.replace(version, version+1, http.StatusOK)
+		c.replace(version, version+1, http.StatusOK)
 		version++
-		if err := w.cluster.StartMachine(machine); err != nil {
+		if err := c.cluster.StartMachine(machine); err != nil {
 			t.Fatal(err)
 		}
-		w.waitCopies()
+		c.waitInSync()
 	}
-	strike("storage-1", false)
-	strike("core-1", false)
-	strike("storage-2", true)
-	strike("core-2", true)
-	strike("storage-3", false)
-	strike("core-3", false)
-	for _, machine := range w.cluster.Machines {
+	killAndRestart("storage-1", false)
+	killAndRestart("core-1", false)
+	killAndRestart("storage-2", true)
+	killAndRestart("core-2", true)
+	killAndRestart("storage-3", false)
+	killAndRestart("core-3", false)
+	for _, machine := range c.cluster.Machines {
 		machine.Kill()
 	}
-	for _, machine := range w.cluster.Machines {
-		if err := w.cluster.StartMachine(machine); err != nil {
+	for _, machine := range c.cluster.Machines {
+		if err := c.cluster.StartMachine(machine); err != nil {
 			t.Fatal(err)
 		}
 	}
-	last := w.turnOK(0, "p", previous, "9000", 3, "last")
-	if runs := w.ran(last); len(runs) != 1 || runs[0].Body != want+"last" {
-		t.Fatalf("the host got %+v, not %q", runs, want+"last")
+	last := c.turnOK(0, "p", previous, "9000", 3, "last")
+	if runs := c.executions(last); len(runs) != 1 || runs[0].Body != want+"last" {
+		t.Fatalf("hosts executed %+v, want %q", runs, want+"last")
 	}
-	w.replace(version, version+1, http.StatusOK)
+	c.replace(version, version+1, http.StatusOK)
 }
 
-// After all of control and all stores were stopped, they serve again without any one of them.
-func TestTheTierComesBackWithoutOneOfEach(t *testing.T) {
-	w := newWorld(t, 3)
-	previous := w.turnOK(0, "p", "", "9000", 3, "one ")
+// Checks that after all control and store machines were killed, the tier serves again without one machine of each class.
+func TestTierRestartsWithoutOneControlAndOneStore(t *testing.T) {
+	c := newTestCluster(t, 3)
+	previous := c.turnOK(0, "p", "", "9000", 3, "one ")
 	version := uint64(1)
 	for missing := 1; missing <= 3; missing++ {
 		lost := map[string]bool{fmt.Sprintf("core-%d", missing): true, fmt.Sprintf("storage-%d", missing): true}
 		var down []*Machine
-		for _, machine := range w.cluster.Machines {
+		for _, machine := range c.cluster.Machines {
 			if strings.HasPrefix(machine.Name, "front-") {
 				continue
 			}
@@ -69,17 +70,17 @@
 		}
 		for _, machine := range down {
 			if !lost[machine.Name] {
-				w.start(machine)
+				c.start(machine)
 			}
 		}
-		w.replace(version, version+1, http.StatusOK)
+		c.replace(version, version+1, http.StatusOK)
 		version++
-		previous = w.turnOK(0, "p", previous, "9000", 3, "again ")
+		previous = c.turnOK(0, "p", previous, "9000", 3, "again ")
 		for _, machine := range down {
 			if lost[machine.Name] {
-				w.start(machine)
+				c.start(machine)
 			}
 		}
-		w.waitCopies()
+		c.waitInSync()
 	}
 }
--- a/harness/tiercluster/machine.go
+++ b/harness/tiercluster/machine.go
@@ -12,7 +12,7 @@
 )
 
 // ErrNoMachine is returned for the name of a machine that the cluster doesn't have.
-var ErrNoMachine = errors.New("there is no such machine")
+var ErrNoMachine = errors.New("no such machine")
 
 // Machine is one machine of a cluster with its processes.
 type Machine struct {
@@ -25,7 +25,7 @@
 
 func machineName(class string, number int) string { return fmt.Sprintf("%s-%d", class, number) }
 
-// Kill ends the machine's processes with SIGKILL and waits for that.
+// Kill sends SIGKILL to the machine's processes and waits until they have exited.
 func (m *Machine) Kill() {
 	for _, process := range m.processes {
 		process.Kill()
@@ -33,7 +33,7 @@
 	}
 }
 
-// ShutDown ends the machine's processes with SIGTERM and waits until they have exited, however long that takes.
+// ShutDown sends SIGTERM to the machine's processes and waits without a time limit until they have exited.
 func (m *Machine) ShutDown() {
 	for _, process := range m.processes {
 		process.Terminate()
@@ -43,8 +43,8 @@
 	}
 }
 
-// AddMachine adds a machine of the class of another one and starts it. It is told that the tier exists already. It returns ErrNoMachine
-// if there is no such other one.
+// AddMachine adds a machine of the same class as the machine named like, and starts it without bootstrap because the tier exists
+// already. It returns ErrNoMachine if there is no machine of that name.
 func (c *Cluster) AddMachine(like string) (*Machine, error) {
 	model := c.Machine(like)
 	if model == nil {
@@ -91,7 +91,7 @@
 	return filepath.Join(c.options.Dir, "data", processName(m, role))
 }
 
-// settings is the settings file of a process.
+// settings returns the content of a process's settings file.
 func (c *Cluster) settings(m *Machine, role, data string) string {
 	firstPort := c.options.firstInternalPort()
 	var b strings.Builder
@@ -117,7 +117,7 @@
 	return b.String()
 }
 
-// WipeDisk removes the disk of a machine that is down.
+// WipeDisk deletes the data directories of a machine that is down.
 func (c *Cluster) WipeDisk(m *Machine) error {
 	for _, role := range m.roles {
 		if err := os.RemoveAll(c.dataDir(m, role)); err != nil {
--- a/harness/tiercluster/options.go
+++ b/harness/tiercluster/options.go
@@ -6,48 +6,48 @@
 	"strconv"
 )
 
-// Options say what is started.
+// Options selects the machines of a cluster and where they run.
 type Options struct {
 	Program         string // path of the otterseam-tier binary
-	Dir             string // for settings, data and logs
-	Network         int    // 1 to 250: the third part of the addresses, so that clusters of one process don't meet
-	ProcessID       int    // of the process that starts the cluster, so that clusters of several don't meet; 0: addresses 127.0.N.x and the usual ports
+	Dir             string // holds settings, data and logs
+	Network         int    // 1 to 250: third octet of the addresses, different for each cluster of one process
+	ProcessID       int    // of the starting process, so that clusters of several processes don't collide; 0: addresses 127.0.N.x and the default ports
 	Fronts          int    // machines with an agent and a proxy
 	Controls        int    // machines with a control process
 	Stores          int    // machines with a store process
-	ToleratedLosses int    // machines whose loss the tier has to bear
+	ToleratedLosses int    // machines whose loss the tier has to survive
 	InitiallyDown   []string
 }
 
 // Ports of each machine.
 const (
-	frontPort         = 8149
-	readinessPort     = 8141
-	controlPort       = 8144
-	usualInternalPort = 7380 // the first one where Options.ProcessID is 0
-	internalPorts     = 16
+	frontPort           = 8149
+	readinessPort       = 8141
+	controlPort         = 8144
+	defaultInternalPort = 7380 // the first one where Options.ProcessID is 0
+	internalPorts       = 16
 )
 
-// Internal ports of clusters with a process ID: below those that the system gives to outgoing connections.
+// Internal ports of clusters with a process ID. They are below the ephemeral ports, which the system assigns to outgoing connections.
 const (
-	firstOwnPort  = 10000
-	ownPortRanges = 1400
-	// secondPartRange is how many numbers the second part of an address takes.
-	secondPartRange = 250
+	internalPortBase   = 10000
+	internalPortRanges = 1400
+	// secondOctetRange is the number of values used for the second octet of an address.
+	secondOctetRange = 250
 )
 
-// ip is the address of a machine by its number, from 1 on.
+// ip returns the address of a machine. Machine numbers start at 1.
 func (o Options) ip(machine int) string {
-	return fmt.Sprintf("127.%d.%d.%d", o.ProcessID%secondPartRange, o.Network, machine)
+	return fmt.Sprintf("127.%d.%d.%d", o.ProcessID%secondOctetRange, o.Network, machine)
 }
 
-// firstInternalPort is the first of the internal ports. Agents listen on 127.0.0.1, so that clusters of two processes with the same ports
-// would meet there whatever their addresses are.
+// firstInternalPort returns the first of the internal ports. The ports depend on the process ID because agents listen on 127.0.0.1,
+// where clusters of two processes with the same ports would collide whatever their other addresses are.
 func (o Options) firstInternalPort() int {
 	if o.ProcessID == 0 {
-		return usualInternalPort
+		return defaultInternalPort
 	}
-	return firstOwnPort + o.ProcessID%ownPortRanges*internalPorts
+	return internalPortBase + o.ProcessID%internalPortRanges*internalPorts
 }
 
 func address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
--- a/harness/tiercluster/recorded_test.go
+++ b/harness/tiercluster/recorded_test.go
@@ -21,21 +21,21 @@
 	"otterseam/tier/status"
 )
 
-// The data folders of a whole tier as the build of commit 1895881 left them when all its processes were killed at once, and what
-// that tier had acknowledged. testdata/recorder wrote both.
+// The data directories of a complete tier of the build of commit 1895881 after all its processes were killed at once, and the data that
+// this tier had acknowledged. testdata/recorder wrote both.
 const (
-	recordedFolders = "testdata/tier-1895881.tar.gz"
-	recordedFacts   = "testdata/tier-1895881.json"
+	recordedData  = "testdata/tier-1895881.tar.gz"
+	recordedState = "testdata/tier-1895881.json"
 )
 
-// The stored data names addresses of the tier's processes, so that it comes up on the same ones: those of network 250 with the
-// usual ports, which no other test uses.
+// recordedNetwork is the network of the recorded addresses. The stored data contains the addresses of the tier's processes, so the test
+// has to use the same ones: network 250 with the default ports, which no other test uses.
 const recordedNetwork = 250
 
-// recordedBatch is how long a run of the test may wait for another one on this computer, which needs the same addresses.
-const recordedBatch = 2 * time.Minute
+// recordedLockTimeout limits how long a run of the test waits for another run on this computer, which uses the same addresses.
+const recordedLockTimeout = 2 * time.Minute
 
-// recording is what the recorded tier had acknowledged.
+// recording is the data that the recorded tier had acknowledged. It is read from JSON by its field names.
 type recording struct {
 	Version      uint64
 	Config       string
@@ -44,97 +44,98 @@
 	Programs     []recordedProgram
 	Retired      []string // store machines whose retirement was complete
 	Retiring     []string // store machines whose retirement had just begun
-	Rewritten    []string // folders with a journal that had been replaced by a snapshot
+	Rewritten    []string // directories whose journal had been replaced by a snapshot
 }
 
 type recordedProgram struct {
 	Name     string
-	Spent    int    // tokens, with the estimate of a turn that was under way
-	LastTurn string // its newest kept turn
-	Chain    string // what a turn that goes on from it is given
+	Spent    int    // tokens, including the estimate for a turn in progress
+	LastTurn string // newest stored turn
+	Chain    string // history that precedes the body of a turn that continues LastTurn
 }
 
-// A tier that the build of 1895881 wrote, killed in the middle of its work, comes up with all it acknowledged.
-func TestATierRecordedByAnOlderBuildIsServedInFull(t *testing.T) {
-	claimRecordedAddresses(t)
+// Guards against a build that can't read older data: a tier starts with the disks of the build of 1895881, which was killed while it
+// handled requests, and has to serve all acknowledged data.
+func TestTierOfAnOlderBuildServesAllAcknowledgedData(t *testing.T) {
+	lockRecordedAddresses(t)
 	var recorded recording
-	text, err := os.ReadFile(recordedFacts)
+	text, err := os.ReadFile(recordedState)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(text, &recorded); err != nil {
 		t.Fatal(err)
 	}
-	w := recordedWorld(t)
-	w.checkRecordedFolders(recorded)
-	for _, machine := range w.cluster.Machines {
+	c := newRecordedCluster(t)
+	c.checkRecordedSnapshots(recorded)
+	for _, machine := range c.cluster.Machines {
 		if strings.HasPrefix(machine.Name, "core-") {
-			w.start(machine)
+			c.start(machine)
 		}
 	}
-	w.checkRecordedControl(recorded)
+	c.checkRecordedControl(recorded)
 	for _, host := range recorded.Hosts {
-		w.startRecordedHost(host.ID, host.Service, host.Address)
+		c.startRecordedHost(host.ID, host.Service, host.Address)
 	}
-	for _, machine := range w.cluster.Machines {
+	for _, machine := range c.cluster.Machines {
 		if !strings.HasPrefix(machine.Name, "core-") {
-			w.start(machine)
+			c.start(machine)
 		}
 	}
-	if err := w.cluster.WaitReady(limit); err != nil {
+	if err := c.cluster.WaitReady(limit); err != nil {
 		t.Fatal(err)
 	}
-	w.checkRecordedPrograms(recorded.Programs)
-	w.checkRecordedRetirements(recorded)
-	w.checkDeregistered(recorded.Deregistered)
+	c.checkRecordedPrograms(recorded.Programs)
+	c.checkRecordedRetirements(recorded)
+	c.checkDeregistered(recorded.Deregistered)
 
-	w.replace(recorded.Version-1, recorded.Version+1, http.StatusPreconditionFailed)
-	w.replace(recorded.Version, recorded.Version+1, http.StatusOK)
-	w.checkRecordedPrograms(recorded.Programs[:1])
+	c.replace(recorded.Version-1, recorded.Version+1, http.StatusPreconditionFailed)
+	c.replace(recorded.Version, recorded.Version+1, http.StatusOK)
+	c.checkRecordedPrograms(recorded.Programs[:1])
 }
 
-// claimRecordedAddresses waits until no other run of the test has the addresses.
-func claimRecordedAddresses(t *testing.T) {
+// lockRecordedAddresses waits until no other run of the test uses the addresses, and locks them until the test ends.
+func lockRecordedAddresses(t *testing.T) {
 	t.Helper()
 	lock, err := os.OpenFile(filepath.Join(os.TempDir(), "otterseam-recorded-tier.lock"), os.O_CREATE|os.O_RDWR, 0o666)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { lock.Close() })
-	err = WaitUntil(recordedBatch, func() bool { return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil })
+	err = WaitUntil(recordedLockTimeout, func() bool { return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil })
 	if err != nil {
-		t.Fatalf("another run holds the addresses: %v", err)
+		t.Fatalf("another run uses the addresses: %v", err)
 	}
 }
 
-// recordedWorld is a cluster whose machines are down and have the recorded disks.
-func recordedWorld(t *testing.T) *world {
+// newRecordedCluster returns a cluster whose machines are down and have the recorded disks.
+func newRecordedCluster(t *testing.T) *testCluster {
 	t.Helper()
 	dir := t.TempDir()
-	if err := unpack(recordedFolders, filepath.Join(dir, "data")); err != nil {
+	if err := unpack(recordedData, filepath.Join(dir, "data")); err != nil {
 		t.Fatal(err)
 	}
-	late := []string{"core-1", "core-2", "core-3", "storage-1", "storage-2", "storage-3", "storage-4", "front-1", "front-2"}
+	allMachines := []string{"core-1", "core-2", "core-3", "storage-1", "storage-2", "storage-3", "storage-4", "front-1", "front-2"}
 	cluster, err := Start(Options{
-		Program: program, Dir: dir, Network: recordedNetwork, Fronts: 2, Controls: 3, Stores: 4, ToleratedLosses: 1, InitiallyDown: late,
+		Program: program, Dir: dir, Network: recordedNetwork, Fronts: 2, Controls: 3, Stores: 4, ToleratedLosses: 1, InitiallyDown: allMachines,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range late {
+	for _, name := range allMachines {
 		cluster.hasStarted[name] = true
 	}
-	w := &world{T: t, cluster: cluster, next: 1 << 24}
+	c := &testCluster{T: t, cluster: cluster, lastID: 1 << 24}
 	t.Cleanup(func() {
 		cluster.Stop()
 		if t.Failed() {
-			w.showLogs()
+			c.showLogs()
 		}
 	})
-	return w
+	return c
 }
 
-// unpack writes the files of an archive below a folder.
+// unpack extracts a gzip-compressed tar archive into a directory.
 func unpack(archive, dir string) error {
 	file, err := os.Open(archive)
 	if err != nil {
@@ -174,33 +175,33 @@
 	}
 }
 
-// checkRecordedFolders has the recording hold what the test is about: members of control and stores with a snapshot.
-func (w *world) checkRecordedFolders(recorded recording) {
-	w.Helper()
+// checkRecordedSnapshots checks that the recording covers control members and stores whose journal was replaced by a snapshot.
+func (c *testCluster) checkRecordedSnapshots(recorded recording) {
+	c.Helper()
 	classes := map[string]int{}
 	for _, folder := range recorded.Rewritten {
 		class, _, _ := strings.Cut(folder, "-")
 		classes[class]++
-		if _, err := os.Stat(filepath.Join(w.cluster.options.Dir, "data", folder)); err != nil {
-			w.Fatal(err)
+		if _, err := os.Stat(filepath.Join(c.cluster.options.Dir, "data", folder)); err != nil {
+			c.Fatal(err)
 		}
 	}
 	if classes["core"] == 0 || classes["storage"] == 0 {
-		w.Fatalf("journals with a snapshot: %v", recorded.Rewritten)
+		c.Fatalf("directories with a snapshot: %v", recorded.Rewritten)
 	}
 }
 
-// checkRecordedControl checks what control alone has: hosts before any of them was heard again, and the configuration.
-func (w *world) checkRecordedControl(recorded recording) { //nolint:cyclop // a test of recorded data changes in its identifiers alone
-	w.Helper()
+// checkRecordedControl checks the data that only control has: the configuration, and the hosts before any of them sends a heartbeat.
+func (c *testCluster) checkRecordedControl(recorded recording) { //nolint:cyclop // tests of recorded data are not restructured
+	c.Helper()
 	var state status.Status
 	err := WaitUntil(limit, func() bool {
 		var err error
-		state, err = w.cluster.Status()
+		state, err = c.cluster.Status()
 		return err == nil && state.ConfigVersion == recorded.Version
 	})
 	if err != nil {
-		w.Fatalf("%v, version %d, not %d", err, state.ConfigVersion, recorded.Version)
+		c.Fatalf("%v, version %d, not %d", err, state.ConfigVersion, recorded.Version)
 	}
 	for _, host := range recorded.Hosts {
 		found := false
@@ -208,114 +209,116 @@
 			found = found || each.ID == host.ID && each.Service == host.Service && each.Address == host.Address
 		}
 		if !found {
-			w.Fatalf("host %+v is not among %+v", host, state.Hosts)
+			c.Fatalf("host %+v is missing in %+v", host, state.Hosts)
 		}
 	}
 	if len(state.Hosts) != len(recorded.Hosts) {
-		w.Fatalf("hosts are %+v", state.Hosts)
+		c.Fatalf("unexpected number of hosts: %+v", state.Hosts)
 	}
-	for _, control := range w.cluster.ControlAddresses() {
+	for _, control := range c.cluster.ControlAddresses() {
 		var got Response
 		err := WaitUntil(limit, func() bool {
 			got = Call(http.MethodGet, "http://"+control+"/v1/config/read", control, nil, "")
 			return got.Err == nil && got.Status != http.StatusServiceUnavailable
 		})
 		if err != nil || got.Status != http.StatusOK || got.Body != recorded.Config {
-			w.Fatalf("%s reads back %+v, %v", control, got, err)
+			c.Fatalf("%s returns %+v, %v", control, got, err)
 		}
 	}
 }
 
-// startRecordedHost starts a stand-in host at the address that it had.
-func (w *world) startRecordedHost(id, service, at string) {
-	w.Helper()
-	host := &tierhost.Host{ID: id, Service: service, Slots: 8, Controls: w.cluster.ControlAddresses}
+// startRecordedHost starts a stand-in host at its recorded address.
+func (c *testCluster) startRecordedHost(id, service, at string) {
+	c.Helper()
+	host := &tierhost.Host{ID: id, Service: service, Slots: 8, Controls: c.cluster.ControlAddresses}
 	if err := host.Start(at); err != nil {
-		w.Fatal(err)
+		c.Fatal(err)
 	}
-	w.cluster.Hosts = append(w.cluster.Hosts, host)
+	c.cluster.Hosts = append(c.cluster.Hosts, host)
 	switch service {
 	case "engine":
-		w.engines = append(w.engines, host)
+		c.engines = append(c.engines, host)
 	case "records":
-		w.records = host
+		c.records = host
 	}
 }
 
-// checkRecordedPrograms checks for each program that its tokens are spent, neither more nor less, and that its turns are kept.
-func (w *world) checkRecordedPrograms(programs []recordedProgram) {
-	w.Helper()
+// checkRecordedPrograms checks for each program that exactly the recorded tokens are spent and that its turns are still stored. It
+// spends more tokens and updates programs.
+func (c *testCluster) checkRecordedPrograms(programs []recordedProgram) {
+	c.Helper()
 	const more = 3 // tokens
 	for i, p := range programs {
 		spent := p.Spent
 		for _, previous := range []string{"", p.LastTurn} {
-			if got, _ := w.turn(i%2, p.Name, previous, fmt.Sprint(spent+more-1), more, "x"); got.Status != http.StatusPaymentRequired {
-				w.Fatalf("%+v past its budget of %d: %+v", p, spent+more-1, got)
+			if got, _ := c.turn(i%2, p.Name, previous, fmt.Sprint(spent+more-1), more, "x"); got.Status != http.StatusPaymentRequired {
+				c.Fatalf("%+v exceeds its budget of %d: %+v", p, spent+more-1, got)
 			}
 			body := "more of " + p.Name
-			id := w.turnOK(i%2, p.Name, previous, fmt.Sprint(spent+more), more, body)
+			id := c.turnOK(i%2, p.Name, previous, fmt.Sprint(spent+more), more, body)
 			spent += more
 			want := body
 			if previous != "" {
 				want = p.Chain + body
 			}
-			if runs := w.ran(id); len(runs) != 1 || runs[0].Body != want {
-				w.Fatalf("the host got %+v for %+v, not %q", runs, p, want)
+			if runs := c.executions(id); len(runs) != 1 || runs[0].Body != want {
+				c.Fatalf("hosts executed %+v for %+v, want %q", runs, p, want)
 			}
 		}
-		other := w.turnOK((i+1)%2, "another", p.LastTurn, "", more, "apart")
-		if runs := w.ran(other); len(runs) != 1 || runs[0].Body != p.Chain+"apart" {
-			w.Fatalf("the host got %+v for another program, not %q", runs, p.Chain+"apart")
+		other := c.turnOK((i+1)%2, "another", p.LastTurn, "", more, "apart")
+		if runs := c.executions(other); len(runs) != 1 || runs[0].Body != p.Chain+"apart" {
+			c.Fatalf("hosts executed %+v for another program, want %q", runs, p.Chain+"apart")
 		}
 		programs[i].Spent = spent
 	}
-	if got, _ := w.turn(0, "another", "00000000", "", more, "x"); got.Status != http.StatusNotFound {
-		w.Fatalf("a turn that never was: %+v", got)
+	if got, _ := c.turn(0, "another", "00000000", "", more, "x"); got.Status != http.StatusNotFound {
+		c.Fatalf("previous turn that doesn't exist: %+v", got)
 	}
 }
 
-// checkRecordedRetirements checks that retirements are known and complete, also one that was begun when all was killed.
-func (w *world) checkRecordedRetirements(recorded recording) {
-	w.Helper()
+// checkRecordedRetirements checks that all recorded retirements are found and complete, including one that had just begun when the
+// processes were killed.
+func (c *testCluster) checkRecordedRetirements(recorded recording) {
+	c.Helper()
 	read := func(node string) Response {
-		return Call(http.MethodGet, "http://"+w.cluster.ControlAddresses()[0]+"/v1/retire/"+node+"/read", "", nil, "")
+		return Call(http.MethodGet, "http://"+c.cluster.ControlAddresses()[0]+"/v1/retire/"+node+"/read", "", nil, "")
 	}
 	for _, node := range append(slices.Clone(recorded.Retired), recorded.Retiring...) {
 		var got Response
 		err := WaitUntil(limit, func() bool {
 			if got = read(node); got.Status == http.StatusNotFound {
-				w.Fatalf("the retirement of %s is not known: %+v", node, got)
+				c.Fatalf("retirement of %s not found: %+v", node, got)
 			}
 			return got.Status == http.StatusOK && strings.Contains(got.Body, `"completed"`)
 		})
 		if err != nil {
-			w.Fatalf("the retirement of %s: %+v, %v", node, got, err)
+			c.Fatalf("retirement of %s not completed: %+v, %v", node, got, err)
 		}
 	}
 	if got := read("storage-1"); got.Status != http.StatusNotFound {
-		w.Fatalf("storage-1 was never retired: %+v", got)
+		c.Fatalf("storage-1 was never retired: %+v", got)
 	}
 }
 
-// checkDeregistered checks that a host that had left for good isn't taken back by a late heartbeat.
-func (w *world) checkDeregistered(id string) {
-	w.Helper()
-	const beat = `{"service":"records","address":"127.0.250.1:9004","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq_no":1000000}`
+// checkDeregistered checks that a late heartbeat doesn't register a deregistered host again.
+func (c *testCluster) checkDeregistered(id string) {
+	c.Helper()
+	const lateHeartbeat = `{"service":"records","address":"127.0.250.1:9004","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq_no":1000000}`
 	var got Response
 	err := WaitUntil(limit, func() bool {
-		got = Call(http.MethodPost, "http://"+w.cluster.ControlAddresses()[0]+"/v1/instances/"+id+"/heartbeat", "", nil, beat)
+		got = Call(http.MethodPost, "http://"+c.cluster.ControlAddresses()[0]+"/v1/instances/"+id+"/heartbeat", "", nil, lateHeartbeat)
 		return got.Err == nil && got.Status == http.StatusOK
 	})
 	if err != nil {
-		w.Fatalf("late heartbeat of %s: %+v, %v", id, got, err)
+		c.Fatalf("late heartbeat of %s: %+v, %v", id, got, err)
 	}
-	state, err := w.cluster.Status()
+	state, err := c.cluster.Status()
 	if err != nil {
-		w.Fatal(err)
+		c.Fatal(err)
 	}
 	for _, host := range state.Hosts {
 		if host.ID == id {
-			w.Fatalf("%s was deregistered and is back: %+v", id, state.Hosts)
+			c.Fatalf("%s was deregistered and is listed again: %+v", id, state.Hosts)
 		}
 	}
 }
--- a/harness/tiercluster/request.go
+++ b/harness/tiercluster/request.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// callTimeout ends a request and the reading of its response.
+// callTimeout limits a request including the reading of its response.
 const callTimeout = 6 * time.Second
 
-// Response is what a request got.
+// Response is the outcome of a request.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   string
-	Err    error // there is no response, or it broke off
+	Err    error // no response, or an incomplete one
 }
 
-// Call sends one request on a connection of its own. host is its Host field.
+// Call sends one request on a new connection. host is the request's Host field.
 func Call(method, url, host string, header map[string]string, body string) Response {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/harness/tiercluster/status.go
+++ b/harness/tiercluster/status.go
@@ -9,14 +9,14 @@
 
 const statusTimeout = 500 * time.Millisecond
 
-// Status reads the state of the tier from its control processes.
+// Status reads the tier's status from its control processes.
 func (c *Cluster) Status() (status.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	return status.Read(ctx, c.StatusAddresses())
 }
 
-// IsInSync tells whether control and every shard have so many replicas in sync.
+// IsInSync reports whether control and every shard have at least so many replicas in sync.
 func (c *Cluster) IsInSync(replicas int) bool {
 	state, err := c.Status()
 	if err != nil || len(state.Shards) == 0 {
--- a/harness/tiercluster/testcluster_test.go
+++ b/harness/tiercluster/testcluster_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	limit = 20 * time.Second // for whatever a cluster has to come to
+	limit = 20 * time.Second // for each condition that a test waits for
 )
 
 func TestMain(m *testing.M) {
@@ -41,23 +41,23 @@
 	return m.Run()
 }
 
-// world is a cluster with two engines, a plain host and a configuration in force.
-type world struct {
+// testCluster is a running cluster with an applied configuration, two engine hosts and a records host.
+type testCluster struct {
 	*testing.T
 	cluster *Cluster
 	engines []*tierhost.Host
 	records *tierhost.Host
-	next    int
+	lastID  int
 }
 
-// newWorld starts a cluster of 3 control machines and so many stores, which bears the loss of one machine.
-func newWorld(t *testing.T, stores int) *world {
+// newTestCluster starts a cluster of 3 control machines and a number of stores that survives the loss of one machine.
+func newTestCluster(t *testing.T, stores int) *testCluster {
 	t.Helper()
-	return startWorld(t, Options{Controls: 3, Stores: stores, ToleratedLosses: 1})
+	return startTestCluster(t, Options{Controls: 3, Stores: stores, ToleratedLosses: 1})
 }
 
-// startWorld starts a cluster of so many machines, two fronts at least. Where it listens and writes is chosen here.
-func startWorld(t *testing.T, options Options) *world {
+// startTestCluster starts a cluster with at least two fronts. It sets the program, directory, network and process ID of options.
+func startTestCluster(t *testing.T, options Options) *testCluster {
 	t.Helper()
 	options.Program = program
 	options.Dir = t.TempDir()
@@ -68,72 +68,72 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{T: t, cluster: cluster}
+	c := &testCluster{T: t, cluster: cluster}
 	t.Cleanup(func() {
 		if t.Failed() {
 			state, err := cluster.Status()
-			t.Logf("control is %+v, %v", state.Control, err)
+			t.Logf("control: %+v, %v", state.Control, err)
 		}
 		cluster.Stop()
 		if t.Failed() {
-			w.showLogs()
+			c.showLogs()
 		}
 	})
 	for _, id := range []string{"engine-1", "engine-2"} {
-		w.engines = append(w.engines, w.addHost(id, "engine"))
+		c.engines = append(c.engines, c.addHost(id, "engine"))
 	}
-	w.records = w.addHost("records-1", "records")
-	w.replace(0, 1, http.StatusOK)
+	c.records = c.addHost("records-1", "records")
+	c.replace(0, 1, http.StatusOK)
 	if err := cluster.WaitReady(limit); err != nil {
 		t.Fatal(err)
 	}
-	w.waitServed()
-	return w
+	c.waitServing()
+	return c
 }
 
-func (w *world) showLogs() {
-	names, _ := filepath.Glob(filepath.Join(w.cluster.options.Dir, "*.log"))
+func (c *testCluster) showLogs() {
+	names, _ := filepath.Glob(filepath.Join(c.cluster.options.Dir, "*.log"))
 	for _, name := range names {
 		if text, err := os.ReadFile(name); err == nil && len(text) > 0 {
-			w.Logf("%s:\n%s", filepath.Base(name), text)
+			c.Logf("%s:\n%s", filepath.Base(name), text)
 		}
 	}
 }
 
-func (w *world) addHost(id, service string) *tierhost.Host {
-	w.Helper()
-	host, err := w.cluster.AddHost(id, service, 8)
+func (c *testCluster) addHost(id, service string) *tierhost.Host {
+	c.Helper()
+	host, err := c.cluster.AddHost(id, service, 8)
 	if err != nil {
-		w.Fatal(err)
+		c.Fatal(err)
 	}
 	return host
 }
 
-func (w *world) replace(base, version uint64, want int) {
-	w.Helper()
-	if got := w.cluster.ReplaceConfig(base, Config(version), limit); got.Err != nil || got.Status != want {
-		w.Fatalf("version %d on %d: status %d, %v", version, base, got.Status, got.Err)
+func (c *testCluster) replace(base, version uint64, want int) {
+	c.Helper()
+	if got := c.cluster.ReplaceConfig(base, Config(version), limit); got.Err != nil || got.Status != want {
+		c.Fatalf("version %d with base %d: status %d, %v", version, base, got.Status, got.Err)
 	}
 }
 
-func (w *world) id() string {
-	w.next++
-	return fmt.Sprintf("%08x", w.next)
+func (c *testCluster) nextID() string {
+	c.lastID++
+	return fmt.Sprintf("%08x", c.lastID)
 }
 
-// call sends a request to a front.
-func (w *world) call(front int, method, path string, header map[string]string, body string) (Response, string) {
-	id := w.id()
+// call sends a request to a front and returns the response and the request ID.
+func (c *testCluster) call(front int, method, path string, header map[string]string, body string) (Response, string) {
+	id := c.nextID()
 	all := map[string]string{"X-Request-Id": id, "X-Deadline-Ms": "5000"}
 	for name, value := range header {
 		all[name] = value
 	}
-	return Call(method, "http://"+w.cluster.FrontAddresses()[front]+path, ExampleHost, all, body), id
+	return Call(method, "http://"+c.cluster.FrontAddresses()[front]+path, ExampleHost, all, body), id
 }
 
-// turn asks for a turn, again for as long as it is refused with a promise.
-func (w *world) turn(front int, program, previous, budget string, tokens int, body string) (Response, string) {
-	w.Helper()
+// turn requests a turn and retries while the front returns status 503.
+func (c *testCluster) turn(front int, program, previous, budget string, tokens int, body string) (Response, string) {
+	c.Helper()
 	header := map[string]string{"Program": program, "Session": "s", "X-Token-Count": fmt.Sprintf("10,%d", tokens)}
 	if previous != "" {
 		header["Previous"] = previous
@@ -144,43 +144,43 @@
 	var got Response
 	var id string
 	err := WaitUntil(limit, func() bool {
-		got, id = w.call(front, http.MethodPost, "/chat/x", header, body)
+		got, id = c.call(front, http.MethodPost, "/chat/x", header, body)
 		return got.Err == nil && got.Status != http.StatusServiceUnavailable
 	})
 	if err != nil {
-		w.Fatalf("turn of %s: %v, last %+v", program, err, got)
+		c.Fatalf("turn of %s: %v, last response %+v", program, err, got)
 	}
 	return got, id
 }
 
-func (w *world) turnOK(front int, program, previous, budget string, tokens int, body string) string {
-	w.Helper()
-	got, id := w.turn(front, program, previous, budget, tokens, body)
+func (c *testCluster) turnOK(front int, program, previous, budget string, tokens int, body string) string {
+	c.Helper()
+	got, id := c.turn(front, program, previous, budget, tokens, body)
 	if got.Status != http.StatusOK {
-		w.Fatalf("turn of %s: %+v", program, got)
+		c.Fatalf("turn of %s: %+v", program, got)
 	}
 	return id
 }
 
-// waitServed waits until both fronts reach hosts and stores.
-func (w *world) waitServed() {
-	w.Helper()
-	for front := range w.cluster.FrontAddresses() {
-		w.turnOK(front, fmt.Sprintf("warm-%d", front), "", "", 3, "x")
+// waitServing waits until all fronts reach hosts and stores.
+func (c *testCluster) waitServing() {
+	c.Helper()
+	for front := range c.cluster.FrontAddresses() {
+		c.turnOK(front, fmt.Sprintf("warm-%d", front), "", "", 3, "x")
 		err := WaitUntil(limit, func() bool {
-			got, _ := w.call(front, http.MethodGet, "/lookup/x", nil, "")
+			got, _ := c.call(front, http.MethodGet, "/lookup/x", nil, "")
 			return got.Status == http.StatusOK
 		})
 		if err != nil {
-			w.Fatal(err)
+			c.Fatal(err)
 		}
 	}
 }
 
-// ran finds what the engines ran for a request.
-func (w *world) ran(id string) []tierhost.Execution {
+// executions returns the executions of a request on the engine hosts and the records host.
+func (c *testCluster) executions(id string) []tierhost.Execution {
 	var runs []tierhost.Execution
-	for _, host := range append([]*tierhost.Host{w.records}, w.engines...) {
+	for _, host := range append([]*tierhost.Host{c.records}, c.engines...) {
 		for _, run := range host.Executions() {
 			if run.RequestID == id {
 				runs = append(runs, run)
@@ -190,18 +190,18 @@
 	return runs
 }
 
-// waitCopies waits until every shard and control have all their copies again, as their processes' logs and answers show: a
-// machine that is emptied is refused while one more loss could not be borne.
-func (w *world) waitCopies() {
-	w.Helper()
-	if err := WaitUntil(limit, func() bool { return w.cluster.IsInSync(3) }); err != nil {
-		w.Fatal(err)
+// waitInSync waits until control and every shard have three replicas in sync again. A machine with an emptied disk is rejected while the
+// tier couldn't survive one more loss.
+func (c *testCluster) waitInSync() {
+	c.Helper()
+	if err := WaitUntil(limit, func() bool { return c.cluster.IsInSync(3) }); err != nil {
+		c.Fatal(err)
 	}
 }
 
-func (w *world) start(machine *Machine) {
-	w.Helper()
-	if err := w.cluster.StartMachine(machine); err != nil {
-		w.Fatal(err)
+func (c *testCluster) start(machine *Machine) {
+	c.Helper()
+	if err := c.cluster.StartMachine(machine); err != nil {
+		c.Fatal(err)
 	}
 }
--- a/harness/tiercluster/wait.go
+++ b/harness/tiercluster/wait.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// pollInterval is the pause between two looks at a condition.
+// pollInterval is the pause between two evaluations of a condition.
 const pollInterval = 10 * time.Millisecond
 
-// TimeoutError is a condition that did not come in time.
+// TimeoutError is returned when a condition didn't become true in time.
 type TimeoutError struct {
 	Limit time.Duration
 }
 
-// Error says how long was waited.
-func (e *TimeoutError) Error() string { return fmt.Sprintf("not so within %s", e.Limit) }
+// Error returns a message with the time limit.
+func (e *TimeoutError) Error() string { return fmt.Sprintf("condition not met within %s", e.Limit) }
 
-// WaitUntil polls a condition until it holds. It returns a *TimeoutError if that doesn't come within a time.
+// WaitUntil polls a condition until it holds. It returns a *TimeoutError if the condition doesn't hold within limit.
 func WaitUntil(limit time.Duration, condition func() bool) error {
 	deadline := time.Now().Add(limit)
 	for !condition() {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// WaitReady waits until all fronts call themselves ready.
+// WaitReady waits until all fronts report that they are ready.
 func (c *Cluster) WaitReady(limit time.Duration) error {
 	return WaitUntil(limit, func() bool {
 		for _, front := range c.addresses(frontClass, readinessPort) {
