--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,4 +1,4 @@
-// Package docs holds the pages of this folder against the code that they name.
+// Package docs tests that the identifiers, paths, links and make targets in the Markdown pages of the repository exist.
 package docs
 
 import (
@@ -16,27 +16,30 @@
 
 const repositoryRoot = ".."
 
-// Pages that stay as they were written: they tell of the code of their day.
-var keptAsWritten = []string{"docs/incidents/", "docs/experiments/", "docs/readability/", "CHANGELOG.md"}
+// historicalPagePrefixes lists the path prefixes of pages that are not checked,
+// because they describe the code as it was when they were written.
+var historicalPagePrefixes = []string{"docs/incidents/", "docs/experiments/", "docs/readability/", "CHANGELOG.md"}
 
 var (
-	codeSpan     = regexp.MustCompile("`([^`]+)`")
-	qualified    = regexp.MustCompile(`^(?:otterseam/)?((?:[a-z][\w-]*/)*)([a-z][a-z0-9]*)\.([A-Za-z_]\w*(?:\.[A-Za-z_]\w*)?)(?:\(\))?$`)
-	testName     = regexp.MustCompile(`^(?:Test|Fuzz|Benchmark)[A-Z]\w+$`)
-	dayKey       = regexp.MustCompile(`^(?:fleet|network|gateway|host|counter|client)\.[a-z_]+$`) // keys of a day's file, in docs/laboratory.md
-	repoPath     = regexp.MustCompile(`^(?:cmd|deploy|docs|gateway|harness|internal|quotastore|scripts|sim|tier|tools)(?:/[\w.-]+)+/?$`)
-	markdownLink = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
+	codeSpan            = regexp.MustCompile("`([^`]+)`")
+	qualifiedIdentifier = regexp.MustCompile(`^(?:otterseam/)?((?:[a-z][\w-]*/)*)([a-z][a-z0-9]*)\.([A-Za-z_]\w*(?:\.[A-Za-z_]\w*)?)(?:\(\))?$`)
+	testFunctionName    = regexp.MustCompile(`^(?:Test|Fuzz|Benchmark)[A-Z]\w+$`)
+	dayFileKey          = regexp.MustCompile(`^(?:fleet|network|gateway|host|counter|client)\.[a-z_]+$`) // keys of a simulated day's file, which docs/laboratory.md lists
+	repositoryPath      = regexp.MustCompile(`^(?:cmd|deploy|docs|gateway|harness|internal|quotastore|scripts|sim|tier|tools)(?:/[\w.-]+)+/?$`)
+	markdownLink        = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
 )
 
-// index is what the code declares.
-type index struct {
-	packages map[string]bool // folders, from the root
-	names    map[string]bool // "package.Name", "package.Type.Method", "package.Type.field"
+// declarationIndex holds the packages and the top-level identifiers, methods and fields that the code declares.
+type declarationIndex struct {
+	packages    map[string]bool // folders, relative to the repository root
+	identifiers map[string]bool // "package.Name", "package.Type.Method", "package.Type.field"
 }
 
-func readIndex(t *testing.T) index {
+// indexDeclarations parses the Go files of the repository, including tests and excluding journal, testdata and hidden folders.
+// It indexes a main package under the name of its folder as well.
+func indexDeclarations(t *testing.T) declarationIndex {
 	t.Helper()
-	found := index{packages: map[string]bool{}, names: map[string]bool{}}
+	index := declarationIndex{packages: map[string]bool{}, identifiers: map[string]bool{}}
 	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -58,22 +61,22 @@
 		if err != nil {
 			return err
 		}
-		found.packages[filepath.ToSlash(folder)] = true
-		found.add(strings.TrimSuffix(file.Name.Name, "_test"), file)
+		index.packages[filepath.ToSlash(folder)] = true
+		index.addFile(strings.TrimSuffix(file.Name.Name, "_test"), file)
 		if file.Name.Name == "main" {
-			found.add(filepath.Base(folder), file)
+			index.addFile(filepath.Base(folder), file)
 		}
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found
+	return index
 }
 
-// add takes what a file declares, under the name of its package.
-func (x index) add(name string, file *ast.File) {
-	prefix := name + "."
+// addFile adds the declarations of a file to the index, qualified by packageName.
+func (idx declarationIndex) addFile(packageName string, file *ast.File) {
+	prefix := packageName + "."
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
@@ -81,23 +84,23 @@
 			if d.Recv != nil {
 				identifier = receiverName(d.Recv.List[0].Type) + "." + identifier
 			}
-			x.names[prefix+identifier] = true
+			idx.identifiers[prefix+identifier] = true
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
-				x.addSpec(prefix, spec)
+				idx.addSpec(prefix, spec)
 			}
 		}
 	}
 }
 
-func (x index) addSpec(prefix string, spec ast.Spec) {
+func (idx declarationIndex) addSpec(prefix string, spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range s.Names {
-			x.names[prefix+name.Name] = true
+			idx.identifiers[prefix+name.Name] = true
 		}
 	case *ast.TypeSpec:
-		x.names[prefix+s.Name.Name] = true
+		idx.identifiers[prefix+s.Name.Name] = true
 		var members *ast.FieldList
 		switch body := s.Type.(type) {
 		case *ast.StructType:
@@ -109,7 +112,7 @@
 		}
 		for _, member := range members.List {
 			for _, name := range member.Names {
-				x.names[prefix+s.Name.Name+"."+name.Name] = true
+				idx.identifiers[prefix+s.Name.Name+"."+name.Name] = true
 			}
 		}
 	}
@@ -127,33 +130,34 @@
 	return ""
 }
 
-// missing says what a page's code span names that isn't there; "" where it is there, or names no code.
-func (x index) missing(span string) string {
-	parts := qualified.FindStringSubmatch(span)
+// checkSpan returns a message if a code span names a package, identifier, test or path that does not exist.
+// It returns "" if what the span names exists or if the span names none of these.
+func (idx declarationIndex) checkSpan(span string) string {
+	parts := qualifiedIdentifier.FindStringSubmatch(span)
 	isFile := regexp.MustCompile(`\.(?:go|md|json|toml|txt|sh|yml|html|gz|mod|sum)$`).MatchString(span)
-	if parts != nil && !isFile && x.hasPackageNamed(parts[2]) {
-		folder, name, identifier := parts[1]+parts[2], parts[2], parts[3]
-		if parts[1] != "" && !x.packages[folder] {
+	if parts != nil && !isFile && idx.hasPackageNamed(parts[2]) {
+		folder, qualifier, identifier := parts[1]+parts[2], parts[2], parts[3]
+		if parts[1] != "" && !idx.packages[folder] {
 			return fmt.Sprintf("there is no package %s", folder)
 		}
-		if !x.declares(name, identifier) {
-			return fmt.Sprintf("package %s declares no %s", name, identifier)
+		if !idx.declares(qualifier, identifier) {
+			return fmt.Sprintf("package %s declares no %s", qualifier, identifier)
 		}
 		return ""
 	}
-	if testName.MatchString(span) && !x.declaresAnywhere(span) {
+	if testFunctionName.MatchString(span) && !idx.declaresAnywhere(span) {
 		return fmt.Sprintf("there is no test %s", span)
 	}
-	if repoPath.MatchString(span) {
+	if repositoryPath.MatchString(span) {
 		if _, err := os.Stat(filepath.Join(repositoryRoot, span)); err != nil {
-			return fmt.Sprintf("there is no %s", span)
+			return fmt.Sprintf("there is no file or folder %s", span)
 		}
 	}
 	return ""
 }
 
-func (x index) declaresAnywhere(identifier string) bool {
-	for declared := range x.names {
+func (idx declarationIndex) declaresAnywhere(identifier string) bool {
+	for declared := range idx.identifiers {
 		if strings.HasSuffix(declared, "."+identifier) {
 			return true
 		}
@@ -161,22 +165,23 @@
 	return false
 }
 
-// declares tells whether a package has the identifier, also as a method of one of its types, or whether a type of that name has it.
-func (x index) declares(name, identifier string) bool {
-	if x.names[name+"."+identifier] {
+// declares reports whether a package named qualifier declares the identifier, at the top level or as a method or field of a type,
+// or whether a type named qualifier in any package has it as a method or field.
+func (idx declarationIndex) declares(qualifier, identifier string) bool {
+	if idx.identifiers[qualifier+"."+identifier] {
 		return true
 	}
-	for declared := range x.names {
-		isMethod := strings.HasPrefix(declared, name+".") && strings.HasSuffix(declared, "."+identifier)
-		if isMethod || strings.HasSuffix(declared, "."+name+"."+identifier) {
+	for declared := range idx.identifiers {
+		isMember := strings.HasPrefix(declared, qualifier+".") && strings.HasSuffix(declared, "."+identifier)
+		if isMember || strings.HasSuffix(declared, "."+qualifier+"."+identifier) {
 			return true
 		}
 	}
 	return false
 }
 
-func (x index) hasPackageNamed(name string) bool {
-	for folder := range x.packages {
+func (idx declarationIndex) hasPackageNamed(name string) bool {
+	for folder := range idx.packages {
 		if filepath.Base(folder) == name {
 			return true
 		}
@@ -184,8 +189,8 @@
 	return false
 }
 
-// pages are the Markdown files that follow the code, from the root.
-func pages(t *testing.T) []string {
+// checkedPages returns the paths, relative to the repository root, of the Markdown pages that must match the current code.
+func checkedPages(t *testing.T) []string {
 	t.Helper()
 	var found []string
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md"} {
@@ -195,7 +200,7 @@
 		}
 		for _, file := range files {
 			page := strings.TrimPrefix(filepath.ToSlash(file), repositoryRoot+"/")
-			if !isKeptAsWritten(page) {
+			if !isHistorical(page) {
 				found = append(found, page)
 			}
 		}
@@ -203,8 +208,8 @@
 	return found
 }
 
-func isKeptAsWritten(page string) bool {
-	for _, prefix := range keptAsWritten {
+func isHistorical(page string) bool {
+	for _, prefix := range historicalPagePrefixes {
 		if strings.HasPrefix(page, prefix) {
 			return true
 		}
@@ -222,15 +227,15 @@
 }
 
 func TestPagesNameWhatTheCodeDeclares(t *testing.T) {
-	declared := readIndex(t)
-	for _, page := range pages(t) {
-		for number, line := range strings.Split(readPage(t, page), "\n") {
+	declared := indexDeclarations(t)
+	for _, page := range checkedPages(t) {
+		for lineIndex, line := range strings.Split(readPage(t, page), "\n") {
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
-				if page == "docs/laboratory.md" && dayKey.MatchString(span[1]) {
+				if page == "docs/laboratory.md" && dayFileKey.MatchString(span[1]) {
 					continue
 				}
-				if what := declared.missing(span[1]); what != "" {
-					t.Errorf("%s:%d: %s", page, number+1, what)
+				if problem := declared.checkSpan(span[1]); problem != "" {
+					t.Errorf("%s:%d: %s", page, lineIndex+1, problem)
 				}
 			}
 		}
@@ -238,40 +243,40 @@
 }
 
 func TestLinksOfPagesLeadToFiles(t *testing.T) {
-	for _, page := range pages(t) {
-		for number, line := range strings.Split(readPage(t, page), "\n") {
+	for _, page := range checkedPages(t) {
+		for lineIndex, line := range strings.Split(readPage(t, page), "\n") {
 			for _, link := range markdownLink.FindAllStringSubmatch(line, -1) {
 				if strings.Contains(link[1], "://") {
 					continue
 				}
 				target := filepath.Join(repositoryRoot, filepath.Dir(page), link[1])
 				if _, err := os.Stat(target); err != nil {
-					t.Errorf("%s:%d: the link to %s leads nowhere", page, number+1, link[1])
+					t.Errorf("%s:%d: the link target %s does not exist", page, lineIndex+1, link[1])
 				}
 			}
 		}
 	}
 }
 
-// Each row of the glossary that names code names something that is there.
+// Each row of the glossary must name code that exists, or have "-" in the code column.
 func TestGlossaryTermsExistInTheCode(t *testing.T) {
-	const codeColumn = 3 // of | word | term | in the code | meaning | on the wire |
-	declared := readIndex(t)
+	const codeColumn = 3 // the columns are | word | term | in the code | meaning | on the wire |
+	declared := indexDeclarations(t)
 	rows := 0
-	for number, line := range strings.Split(readPage(t, "docs/glossary.md"), "\n") {
+	for lineIndex, line := range strings.Split(readPage(t, "docs/glossary.md"), "\n") {
 		cells := strings.Split(line, "|")
 		if len(cells) != 7 || strings.HasPrefix(strings.TrimSpace(cells[1]), "---") || strings.TrimSpace(cells[1]) == "word" {
 			continue
 		}
 		rows++
 		spans := codeSpan.FindAllStringSubmatch(cells[codeColumn], -1)
-		if len(spans) == 0 && strings.TrimSpace(cells[codeColumn]) != "-" { // "-": a word that only the pages use
-			t.Errorf("docs/glossary.md:%d: no code is named", number+1)
+		if len(spans) == 0 && strings.TrimSpace(cells[codeColumn]) != "-" { // "-" marks a word that only the pages use
+			t.Errorf("docs/glossary.md:%d: the row names no code", lineIndex+1)
 		}
 		for _, span := range spans {
-			isPath := repoPath.MatchString(span[1])
-			if what := declared.missing(span[1]); what != "" || !isPath && !declared.names[span[1]] {
-				t.Errorf("docs/glossary.md:%d: %s is not in the code", number+1, span[1])
+			isPath := repositoryPath.MatchString(span[1])
+			if problem := declared.checkSpan(span[1]); problem != "" || !isPath && !declared.identifiers[span[1]] {
+				t.Errorf("docs/glossary.md:%d: %s is not in the code", lineIndex+1, span[1])
 			}
 		}
 	}
@@ -286,25 +291,25 @@
 )
 
 func TestMakefileNamesFuzzTargetsThatExist(t *testing.T) {
-	declared := readIndex(t)
+	declared := indexDeclarations(t)
 	found := fuzzCommand.FindAllStringSubmatch(readPage(t, "Makefile"), -1)
 	if len(found) == 0 {
 		t.Fatal("the Makefile runs no fuzz target")
 	}
 	for _, command := range found {
-		if !declared.packages[command[2]] || !declared.names[filepath.Base(command[2])+"."+command[1]] {
-			t.Errorf("there is no %s in %s", command[1], command[2])
+		if !declared.packages[command[2]] || !declared.identifiers[filepath.Base(command[2])+"."+command[1]] {
+			t.Errorf("there is no fuzz target %s in %s", command[1], command[2])
 		}
 	}
 }
 
 func TestPagesNameMakeTargetsThatExist(t *testing.T) {
 	makefile := "\n" + readPage(t, "Makefile")
-	for _, page := range pages(t) {
-		for number, line := range strings.Split(readPage(t, page), "\n") {
+	for _, page := range checkedPages(t) {
+		for lineIndex, line := range strings.Split(readPage(t, page), "\n") {
 			for _, target := range makeTarget.FindAllStringSubmatch(line, -1) {
 				if name := target[1] + target[2]; !strings.Contains(makefile, "\n"+name+":") {
-					t.Errorf("%s:%d: the Makefile has no target %s", page, number+1, name)
+					t.Errorf("%s:%d: the Makefile has no target %s", page, lineIndex+1, name)
 				}
 			}
 		}
