--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -147,8 +147,8 @@
 	for _, promise := range result.Kept {
 		fmt.Fprintln(out.stdout, "  kept:", promise)
 	}
-	if result.Held != nil {
-		for _, list := range [][]string{result.Held.Lost, result.Held.CountedTwice, result.Held.SecondEffects} {
+	if result.Audit != nil {
+		for _, list := range [][]string{result.Audit.Lost, result.Audit.CountedTwice, result.Audit.SecondEffects} {
 			for _, line := range list[:min(maxPrinted, len(list))] {
 				fmt.Fprintln(out.stdout, "  not kept:", line)
 			}
@@ -157,8 +157,8 @@
 	for _, broken := range result.Broken {
 		printBroken(out, broken.Text, broken.Lines, broken.Faults)
 	}
-	if result.Held != nil {
-		fmt.Fprintln(out.stdout, result.Held)
+	if result.Audit != nil {
+		fmt.Fprintln(out.stdout, result.Audit)
 	}
 }
 
--- a/harness/fleet/play.go
+++ b/harness/fleet/play.go
@@ -99,10 +99,10 @@
 		Runs:     observed.runs,
 	}
 	if f.store != nil {
-		result.Held = f.store.audit()
+		result.Audit = f.store.audit()
 		for _, violation := range world.Oracle.Violations {
 			if violation.Rule == secondEffectRule {
-				result.Held.SecondEffects = append(result.Held.SecondEffects, violation.String())
+				result.Audit.SecondEffects = append(result.Audit.SecondEffects, violation.String())
 			}
 		}
 	}
--- a/harness/fleet/promises.go
+++ b/harness/fleet/promises.go
@@ -81,7 +81,7 @@
 	case "log":
 		return r.countLines(promise, &w), fmt.Sprintf(" %q%s", promise.Text, of)
 	}
-	return r.Held.figure(promise.Kind), ""
+	return r.Audit.figure(promise.Kind), ""
 }
 
 // figure is the value of a figure of the traffic; false: it is of something else.
--- a/harness/fleet/result.go
+++ b/harness/fleet/result.go
@@ -19,7 +19,7 @@
 	Mail     float64            `json:"mail"`   // datagrams between api gateways
 	Struck   int                `json:"struck"` // faults that found something
 	Runs     []bool             `json:"runs"`   // by api gateway: whether it runs at the end
-	Held     *Audit             `json:"held,omitempty"`
+	Audit     *Audit             `json:"held,omitempty"`
 	Kept     []string           `json:"promises"` // promises of the script that were kept
 	Broken   []Story            `json:"broken"`
 }
--- a/harness/fleet/store_test.go
+++ b/harness/fleet/store_test.go
@@ -38,11 +38,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := playStore(t, name)
-			if len(r.Held.Lost)+len(r.Held.CountedTwice)+len(r.Held.SecondEffects) > 0 {
-				t.Error(r.Held, r.Held.Lost, r.Held.CountedTwice, r.Held.SecondEffects)
+			if len(r.Audit.Lost)+len(r.Audit.CountedTwice)+len(r.Audit.SecondEffects) > 0 {
+				t.Error(r.Audit, r.Audit.Lost, r.Audit.CountedTwice, r.Audit.SecondEffects)
 			}
-			if r.Struck < struck || r.Held.Claims < 50 {
-				t.Errorf("%d faults struck, %d claims were held against the keepers", r.Struck, r.Held.Claims)
+			if r.Struck < struck || r.Audit.Claims < 50 {
+				t.Errorf("%d faults struck, %d claims were held against the keepers", r.Struck, r.Audit.Claims)
 			}
 		})
 	}
@@ -56,8 +56,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := scriptPlay{name: name, sets: append(sets, "keepers.count=1", "keepers.copies=1")}.play(t)
-			if len(r.Held.Lost) == 0 || !isBroken(r, "promised-lost") {
-				t.Errorf("a keeper alone was lost, and nothing was found to be missing: %v", r.Held)
+			if len(r.Audit.Lost) == 0 || !isBroken(r, "promised-lost") {
+				t.Errorf("a keeper alone was lost, and nothing was found to be missing: %v", r.Audit)
 			}
 		})
 	}
