--- a/harness/fleet/play.go
+++ b/harness/fleet/play.go
@@ -94,7 +94,7 @@
 		Figures:  figures,
 		Spans:    f.spans,
 		Lines:    f.logs.all(),
-		Mail:     float64(f.datagramCount()),
+		Datagrams:     float64(f.datagramCount()),
 		Struck:   f.struck,
 		Runs:     observed.runs,
 	}
--- a/harness/fleet/promises.go
+++ b/harness/fleet/promises.go
@@ -73,7 +73,7 @@
 	case "tries":
 		return r.Figures.Invocations, ""
 	case "mail":
-		return r.Mail / r.Script.Length.Float() / float64(r.Gateways), ""
+		return r.Datagrams / r.Script.Length.Float() / float64(r.Gateways), ""
 	case "struck":
 		return float64(r.Struck), ""
 	case "runs":
--- a/harness/fleet/result.go
+++ b/harness/fleet/result.go
@@ -16,7 +16,7 @@
 	Figures  *metrics.Results   `json:"figures"`
 	Spans    []*Span            `json:"faults"`
 	Lines    []Line             `json:"log"`
-	Mail     float64            `json:"mail"`   // datagrams between api gateways
+	Datagrams     float64            `json:"mail"`   // datagrams between api gateways
 	Struck   int                `json:"struck"` // faults that found something
 	Runs     []bool             `json:"runs"`   // by api gateway: whether it runs at the end
 	Audit     *Audit             `json:"held,omitempty"`
