--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -143,7 +143,7 @@
 func printResult(out *output, name string, result *fleet.Result) {
 	figures := result.Figures
 	fmt.Fprintf(out.stdout, "%s, seed %d: %.0f tries (%s), %.0f deliveries, %.0f dials, %.0f calls, %.0f datagrams; %d faults struck\n", name, result.Seed,
-		figures.Invocations, strings.Join(figures.OutcomeSummary(), ", "), figures.Attempts, figures.Dials, figures.CounterCalls, result.Datagrams, result.Struck)
+		figures.Invocations, strings.Join(figures.OutcomeSummary(), ", "), figures.Attempts, figures.Dials, figures.CounterCalls, result.Datagrams, result.FaultsApplied)
 	for _, promise := range result.Kept {
 		fmt.Fprintln(out.stdout, "  kept:", promise)
 	}
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -185,8 +185,8 @@
 			t.Parallel()
 			r := scriptPlay{name: name, sets: []string{"length=4s"}}.play(t)
 			checkRules(t, r, "promised: served")
-			if r.Struck < struck {
-				t.Errorf("%d faults struck, %d are wanted", r.Struck, struck)
+			if r.FaultsApplied < struck {
+				t.Errorf("%d faults struck, %d are wanted", r.FaultsApplied, struck)
 			}
 			if ended := r.Figures.Outcomes["served"]; ended < r.Figures.Invocations/5 {
 				t.Errorf("%.0f of %.0f tries were served", ended, r.Figures.Invocations)
--- a/harness/fleet/play.go
+++ b/harness/fleet/play.go
@@ -95,7 +95,7 @@
 		Spans:    f.spans,
 		Lines:    f.logs.all(),
 		Datagrams:     float64(f.datagramCount()),
-		Struck:   f.struck,
+		FaultsApplied:   f.struck,
 		Runs:     observed.runs,
 	}
 	if f.store != nil {
--- a/harness/fleet/promises.go
+++ b/harness/fleet/promises.go
@@ -75,7 +75,7 @@
 	case "mail":
 		return r.Datagrams / r.Script.Length.Float() / float64(r.Gateways), ""
 	case "struck":
-		return float64(r.Struck), ""
+		return float64(r.FaultsApplied), ""
 	case "runs":
 		return r.running(promise), ""
 	case "log":
--- a/harness/fleet/result.go
+++ b/harness/fleet/result.go
@@ -17,7 +17,7 @@
 	Spans    []*Span            `json:"faults"`
 	Lines    []Line             `json:"log"`
 	Datagrams     float64            `json:"mail"`   // datagrams between api gateways
-	Struck   int                `json:"struck"` // faults that found something
+	FaultsApplied   int                `json:"struck"` // faults that found something
 	Runs     []bool             `json:"runs"`   // by api gateway: whether it runs at the end
 	Audit     *Audit             `json:"held,omitempty"`
 	Kept     []string           `json:"promises"` // promises of the script that were kept
--- a/harness/fleet/store_test.go
+++ b/harness/fleet/store_test.go
@@ -41,8 +41,8 @@
 			if len(r.Audit.Lost)+len(r.Audit.CountedTwice)+len(r.Audit.SecondEffects) > 0 {
 				t.Error(r.Audit, r.Audit.Lost, r.Audit.CountedTwice, r.Audit.SecondEffects)
 			}
-			if r.Struck < struck || r.Audit.Claims < 50 {
-				t.Errorf("%d faults struck, %d claims were held against the keepers", r.Struck, r.Audit.Claims)
+			if r.FaultsApplied < struck || r.Audit.Claims < 50 {
+				t.Errorf("%d faults struck, %d claims were held against the keepers", r.FaultsApplied, r.Audit.Claims)
 			}
 		})
 	}
