--- a/harness/fleet/counterrelay.go
+++ b/harness/fleet/counterrelay.go
@@ -12,40 +12,40 @@
 	"time"
 )
 
-// pendingCalls is how many calls of the counter's protocol may wait for their answers on one connection.
-const pendingCalls = 4096
+// maxPendingCalls is the maximum number of unanswered calls of the counter's protocol on one connection.
+const maxPendingCalls = 4096
 
 // counterCall is a call in the counter's protocol.
 type counterCall struct {
 	name   string
 	amount float64
 	ttl    float64 // seconds
-	line   string  // of its request
+	line   string  // request line
 	host   string
 }
 
-// relayCalls leads the counter's protocol from an api gateway to a member and back. event is told of each call and each answer before
-// they go on.
-func (o *observer) relayCalls(gateway, member net.Conn, event func(event string)) {
-	calls := make(chan counterCall, pendingCalls)
+// relayCalls relays the counter's protocol between an api gateway and a member. onEvent is called for each call and each answer before it
+// is forwarded.
+func (o *observer) relayCalls(gateway, member net.Conn, onEvent func(event string)) {
+	calls := make(chan counterCall, maxPendingCalls)
 	go func() {
 		defer close(calls)
-		o.relayRequests(gateway, member, calls, event)
+		o.relayRequests(gateway, member, calls, onEvent)
 		if half, ok := member.(*net.TCPConn); ok {
 			_ = half.CloseWrite() // fails only if closed already
 		}
 	}()
-	o.relayAnswers(member, gateway, calls, event)
+	o.relayAnswers(member, gateway, calls, onEvent)
 	gateway.Close()
-	go func() { // whoever still sends must not wait
+	go func() { // keeps relayRequests from blocking on a full channel
 		for range calls {
 			continue
 		}
 	}()
 }
 
-// relayRequests leads requests on until the api gateway's end.
-func (o *observer) relayRequests(gateway io.Reader, member io.Writer, calls chan<- counterCall, event func(event string)) {
+// relayRequests forwards requests until the api gateway closes its connection.
+func (o *observer) relayRequests(gateway io.Reader, member io.Writer, calls chan<- counterCall, onEvent func(event string)) {
 	reader := textproto.NewReader(bufio.NewReader(gateway))
 	for {
 		line, header, err := readHead(reader)
@@ -54,15 +54,15 @@
 		}
 		call := parseCall(line)
 		call.host = header.Get("Host")
-		event("called")
-		o.called(call)
+		onEvent("called")
+		o.observeCall(call)
 		calls <- call
-		_, _ = fmt.Fprintf(member, "%s\r\nHost: %s\r\nContent-Length: 0\r\n\r\n", call.line, call.host) // its answer doesn't come then
+		_, _ = fmt.Fprintf(member, "%s\r\nHost: %s\r\nContent-Length: 0\r\n\r\n", call.line, call.host) // if it fails, no answer arrives
 	}
 }
 
-// relayAnswers leads the answers of calls on, until one doesn't come or can't be passed on.
-func (o *observer) relayAnswers(member io.Reader, gateway io.Writer, calls <-chan counterCall, event func(event string)) {
+// relayAnswers forwards the answers to calls until one is missing or can't be written.
+func (o *observer) relayAnswers(member io.Reader, gateway io.Writer, calls <-chan counterCall, onEvent func(event string)) {
 	buffered := bufio.NewReader(member)
 	reader := textproto.NewReader(buffered)
 	for call := range calls {
@@ -70,13 +70,13 @@
 		if err != nil {
 			return
 		}
-		length, _ := strconv.Atoi(header.Get("Content-Length")) // no number is none
+		length, _ := strconv.Atoi(header.Get("Content-Length")) // a missing or invalid number is 0
 		body := make([]byte, length)
 		if _, err := io.ReadFull(buffered, body); err != nil {
 			return
 		}
-		event("added")
-		o.answered(call, strings.Contains(line, " 200 "))
+		onEvent("added")
+		o.observeAnswer(call, strings.Contains(line, " 200 "))
 		if _, err := fmt.Fprintf(gateway, "%s\r\nContent-Length: %d\r\n\r\n%s", line, length, body); err != nil {
 			return
 		}
@@ -91,7 +91,7 @@
 	return line, header, err
 }
 
-// parseCall reads POST /counters/NAME?by=AMOUNT&expire_ms=TTL. What isn't there or no number is 0.
+// parseCall parses POST /counters/NAME?by=AMOUNT&expire_ms=TTL. A value that is missing or not a number is 0.
 func parseCall(line string) counterCall {
 	call := counterCall{line: line}
 	words := strings.Fields(line)
@@ -109,8 +109,8 @@
 	return call
 }
 
-// called notes a call: whether it was added isn't known yet.
-func (o *observer) called(call counterCall) {
+// observeCall records a call. Whether its amount was added isn't known yet.
+func (o *observer) observeCall(call counterCall) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.counts.Asked++
@@ -123,8 +123,8 @@
 	c.pendingMost += max(0, call.amount)
 }
 
-// answered notes the answer of a call.
-func (o *observer) answered(call counterCall, added bool) {
+// observeAnswer records the answer to a call.
+func (o *observer) observeAnswer(call counterCall, added bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c := o.counters[call.name]
--- a/harness/fleet/events.go
+++ b/harness/fleet/events.go
@@ -9,16 +9,16 @@
 	"otterseam/sim/simulation"
 )
 
-// waitingFault is a fault that waits for an event.
-type waitingFault struct {
-	number int // in the script
-	fault  *scenario.ProcessFault
-	by     []int // api gateways whose events count
-	seen   int   // events so far
-	done   bool
+// pendingFault is a fault that waits for an event.
+type pendingFault struct {
+	number     int // index in the script
+	fault      *scenario.ProcessFault
+	gateways   []int // api gateways whose events count
+	eventCount int   // events so far
+	done       bool
 }
 
-// Begin schedules the faults that come at a time, and has the others wait for their events.
+// Begin schedules the faults that have a time, and registers those that wait for an event.
 func (f *injector) Begin(w *simulation.Simulation, g *sockets.Gateways) {
 	awaited := map[string]bool{}
 	for i := range f.script.ProcessFaults {
@@ -35,48 +35,48 @@
 			w.Queue.ScheduleAfter(fault.At.Float(), func() { f.inject(i, fault) })
 			continue
 		}
-		by, _ := scenario.ParseNumbers(fault.Gateways, f.script.Fleet.Gateways.Int()) // the reader has checked it
-		f.waiting = append(f.waiting, &waitingFault{number: i, fault: fault, by: by})
+		gateways, _ := scenario.ParseNumbers(fault.Gateways, f.script.Fleet.Gateways.Int()) // checked when the script was read
+		f.pending = append(f.pending, &pendingFault{number: i, fault: fault, gateways: gateways})
 	}
-	f.logs.begin(f)
+	f.logs.start(f)
 }
 
-// isAwaited says whether a fault waits for an event.
+// isAwaited reports whether a fault waits for an event.
 func (f *injector) isAwaited(event string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.awaited[event]
 }
 
-// EventSeen injects the faults that wait for an event at once, so that they are in force before what follows from it.
-func (f *injector) EventSeen(event string, gateway int) { f.event(event, gateway, "") }
+// EventSeen immediately injects the faults that wait for an event, so that they are in force before any effect of the event.
+func (f *injector) EventSeen(event string, gateway int) { f.handleEvent(event, gateway, "") }
 
-// event is EventSeen with the text of a log line.
-func (f *injector) event(event string, gateway int, line string) {
+// handleEvent is EventSeen with the text of a log line, which is "" for other events.
+func (f *injector) handleEvent(event string, gateway int, line string) {
 	if f.world == nil {
 		return
 	}
-	for _, waiting := range f.waiting {
-		if !waiting.matches(event, gateway, line) {
+	for _, pending := range f.pending {
+		if !pending.matches(event, gateway, line) {
 			continue
 		}
-		waiting.seen++
-		if waiting.seen < waiting.fault.Count.Int() {
+		pending.eventCount++
+		if pending.eventCount < pending.fault.Count.Int() {
 			continue
 		}
-		waiting.done = true
-		if delay := waiting.fault.At.Float(); delay > 0 {
-			f.world.Queue.ScheduleAfter(delay, func() { f.inject(waiting.number, waiting.fault) })
+		pending.done = true
+		if delay := pending.fault.At.Float(); delay > 0 {
+			f.world.Queue.ScheduleAfter(delay, func() { f.inject(pending.number, pending.fault) })
 		} else {
-			f.inject(waiting.number, waiting.fault)
+			f.inject(pending.number, pending.fault)
 		}
 	}
 }
 
-// matches says whether an event counts for the fault.
-func (w *waitingFault) matches(event string, gateway int, line string) bool {
-	if w.done || w.fault.On != event || !slices.Contains(w.by, gateway) {
+// matches reports whether an event counts towards the trigger of the fault.
+func (p *pendingFault) matches(event string, gateway int, line string) bool {
+	if p.done || p.fault.On != event || !slices.Contains(p.gateways, gateway) {
 		return false
 	}
-	return event != "log" || strings.Contains(line, w.fault.Text)
+	return event != "log" || strings.Contains(line, p.fault.Text)
 }
--- a/harness/fleet/faults.go
+++ b/harness/fleet/faults.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// halfOpenSpan is how long a half-open connection is taken to be a fault in force, in seconds.
-	halfOpenSpan = 2
-	// secondProcessSpan is how long the start of a second process is, in seconds.
-	secondProcessSpan = 1
-	// minReset is the shortest time after which connections are reset without a message, in seconds.
-	minReset = 0.05
-	// starvePeriod is how long a starved process runs and stands, together, unless the script says so, in seconds.
-	starvePeriod = 0.02
-	// noLimit takes the limit of file sizes away.
-	noLimit = -1
+	// halfOpenDuration is how long a half-open connection counts as a fault in force, in seconds.
+	halfOpenDuration = 2
+	// secondProcessDuration is how long the start of a second process counts as a fault in force, in seconds.
+	secondProcessDuration = 1
+	// minResetDelay is the shortest time after which connections are reset even without a message, in seconds.
+	minResetDelay = 0.05
+	// defaultStarvePeriod is the time in which a starved process runs and is suspended once, in seconds, unless the script sets it.
+	defaultStarvePeriod = 0.02
+	// unlimitedFileSize removes the limit on file sizes.
+	unlimitedFileSize = -1
 )
 
 // activeFault is a fault of the script that begins now.
 type activeFault struct {
 	*scenario.ProcessFault
-	number int // in the script
+	number int // index in the script
 	begins float64
-	ends   float64 // never: it doesn't
+	ends   float64 // never: the fault has no end
 }
 
-// inject has a fault begin on all that it is of, and end when it should.
+// inject starts a fault on all its targets.
 func (f *injector) inject(number int, spec *scenario.ProcessFault) {
 	fault := activeFault{ProcessFault: spec, number: number, begins: f.world.Queue.Now(), ends: never}
 	if spec.Lasts.Float() > 0 {
@@ -50,44 +50,44 @@
 	}
 }
 
-// atEnd calls when a fault ends; never for one that lasts.
-func (f *injector) atEnd(fault activeFault, call func()) {
+// atEnd calls callback when a fault ends. It isn't called for a fault without an end.
+func (f *injector) atEnd(fault activeFault, callback func()) {
 	if fault.ends < never {
-		f.world.Queue.ScheduleAfter(fault.Lasts.Float(), call)
+		f.world.Queue.ScheduleAfter(fault.Lasts.Float(), callback)
 	}
 }
 
-// note keeps when a fault was in force; found is whether there was something to spec.
-func (f *injector) note(span *Span, found bool) {
+// recordSpan records when a fault was in force. found is whether the fault had a target.
+func (f *injector) recordSpan(span *Span, found bool) {
 	if !found {
 		return
 	}
-	f.struck++
+	f.faultsApplied++
 	f.spans = append(f.spans, span)
 }
 
-// linkEnds are the two ends of each link that a fault is of.
+// linkEnds returns the two ends of each link that a fault applies to.
 func (f *injector) linkEnds(spec *scenario.ProcessFault) [][2]string {
-	var all [][2]string
+	var links [][2]string
 	for _, from := range f.endNames(spec.From) {
 		for _, to := range f.endNames(spec.To) {
 			if from != to {
-				all = append(all, [2]string{from, to})
+				links = append(links, [2]string{from, to})
 			}
 		}
 	}
-	return all
+	return links
 }
 
-// endNames are the ends of links that a script's word stands for.
-func (f *injector) endNames(word string) []string {
-	kind, numbers, _ := scenario.ParseLinkEnd(word, f.script.Fleet.Gateways.Int(), len(f.world.Hosts)) // the reader has checked it
+// endNames returns the names of the link ends that an expression in a script selects.
+func (f *injector) endNames(expr string) []string {
+	kind, numbers, _ := scenario.ParseLinkEnd(expr, f.script.Fleet.Gateways.Int(), len(f.world.Hosts)) // checked when the script was read
 	if numbers == nil {
 		return []string{kind}
 	}
 	var names []string
 	for _, number := range numbers {
-		if kind == "keeper" && !f.store.has(number) {
+		if kind == "keeper" && !f.store.hasMember(number) {
 			continue
 		}
 		names = append(names, fmt.Sprintf("%s %d", kind, number))
@@ -101,18 +101,18 @@
 	direction netproxy.Direction
 }
 
-// directionsOf are the directions that a script's word stands for.
-var directionsOf = map[string][]netproxy.Direction{
+// directionsByWay are the directions of a link for each value of a fault's key "way".
+var directionsByWay = map[string][]netproxy.Direction{
 	"both":  {netproxy.Forward, netproxy.Backward},
 	"there": {netproxy.Forward},
 	"back":  {netproxy.Backward},
 }
 
-// injectLink has a fault begin on a link.
+// injectLink starts a fault on a link.
 func (f *injector) injectLink(fault activeFault, from, to string) {
 	link := f.link(from, to)
 	datagrams := gatewayNumber(from) >= 0 && gatewayNumber(to) >= 0
-	directions := directionsOf[fault.Way]
+	directions := directionsByWay[fault.Way]
 	span := &Span{Kind: fault.Kind, Target: link.Name(), Gateway: max(gatewayNumber(from), gatewayNumber(to)), Begins: fault.begins, Ends: fault.ends, service: to}
 	if from == clientsEnd {
 		span.Gateway = gatewayNumber(to)
@@ -125,40 +125,40 @@
 	connections := 1
 	switch fault.Kind {
 	case "reset":
-		within := max(minReset, fault.Time.Float())
+		within := max(minResetDelay, fault.Time.Float())
 		connections = link.ResetConnections(directions[0], within)
 		span.Ends = fault.begins + within
 	case "half-open":
 		connections = link.HalfOpenConnections(directions[0])
-		span.Ends = fault.begins + halfOpenSpan
+		span.Ends = fault.begins + halfOpenDuration
 	default:
 		f.addLinkFault(fault, link, directions, datagrams)
 	}
-	f.note(span, connections > 0)
+	f.recordSpan(span, connections > 0)
 }
 
-// addLinkFault adds a fault that lasts to directions of a link. Datagrams go one way only: their way back is another link.
+// addLinkFault adds a fault to directions of a link until the fault ends. Datagrams between two api gateways use a link for each direction.
 func (f *injector) addLinkFault(fault activeFault, link *netproxy.Link, directions []netproxy.Direction, datagrams bool) {
-	var on []linkDirection
+	var targets []linkDirection
 	for _, direction := range directions {
 		if datagrams && direction == netproxy.Backward {
-			on = append(on, linkDirection{f.link(link.To, link.From), netproxy.Forward})
+			targets = append(targets, linkDirection{f.link(link.To, link.From), netproxy.Forward})
 		} else {
-			on = append(on, linkDirection{link, direction})
+			targets = append(targets, linkDirection{link, direction})
 		}
 	}
 	added := linkFault(fault.ProcessFault, datagrams)
-	for _, each := range on {
-		each.link.AddFault(each.direction, added)
+	for _, target := range targets {
+		target.link.AddFault(target.direction, added)
 	}
 	f.atEnd(fault, func() {
-		for _, each := range on {
-			each.link.RemoveFault(each.direction, added)
+		for _, target := range targets {
+			target.link.RemoveFault(target.direction, added)
 		}
 	})
 }
 
-// linkFault is what a script's fault means to a link.
+// linkFault converts a fault of a script to a fault of a link.
 func linkFault(spec *scenario.ProcessFault, datagrams bool) *netproxy.Fault {
 	switch spec.Kind {
 	case "drop":
@@ -182,23 +182,23 @@
 	return &netproxy.Fault{}
 }
 
-// gatewaysOf are the api gateways that a fault of processes is of: those it names, or a part drawn by the seed.
+// gatewaysOf returns the api gateways that a process fault applies to: those it names, or a share drawn by the seed.
 func (f *injector) gatewaysOf(number int, spec *scenario.ProcessFault) []int {
 	count := f.script.Fleet.Gateways.Int()
 	if spec.Edges != "" {
-		named, _ := scenario.ParseNumbers(spec.Edges, count) // the reader has checked it
-		return named
+		gateways, _ := scenario.ParseNumbers(spec.Edges, count) // checked when the script was read
+		return gateways
 	}
 	var drawn []int
-	for gateway, hit := range randstream.New(f.seed, "fault", number).SampleShare(count, spec.Part.Float()) {
-		if hit {
+	for gateway, selected := range randstream.New(f.seed, "fault", number).SampleShare(count, spec.Part.Float()) {
+		if selected {
 			drawn = append(drawn, gateway)
 		}
 	}
 	return drawn
 }
 
-// injectProcess has a fault begin on an api gateway's process.
+// injectProcess starts a fault on the process of an api gateway.
 func (f *injector) injectProcess(fault activeFault, gateway int) {
 	process := f.gateways.Process(gateway)
 	span := &Span{Kind: fault.Kind, Target: gatewayEnd(gateway), Gateway: gateway, Begins: fault.begins, Ends: fault.ends}
@@ -207,13 +207,13 @@
 			f.gateways.RestartAfter(gateway, 0)
 		}
 		span.Ends = fault.begins
-		f.note(span, process == nil)
+		f.recordSpan(span, process == nil)
 		return
 	}
 	if process == nil {
 		return
 	}
-	f.note(span, true)
+	f.recordSpan(span, true)
 	switch fault.Kind {
 	case "kill", "wipe", "term":
 		f.stopGateway(fault, gateway, process)
@@ -226,15 +226,15 @@
 	case "starve":
 		f.starve(process, fault)
 	case "full-disk":
-		limitFiles(process, fault.Size.Float())
-		f.atEnd(fault, func() { limitFiles(process, noLimit) })
+		limitFileSize(process, fault.Size.Float())
+		f.atEnd(fault, func() { limitFileSize(process, unlimitedFileSize) })
 	case "twice":
-		span.Ends = fault.begins + secondProcessSpan
+		span.Ends = fault.begins + secondProcessDuration
 		f.startSecond(gateway)
 	}
 }
 
-// stopGateway ends an api gateway's process, and starts it again after the fault if that has an end.
+// stopGateway ends the process of an api gateway, and restarts it when the fault ends, if it does.
 func (f *injector) stopGateway(fault activeFault, gateway int, process *childprocess.Process) {
 	if fault.Kind == "term" {
 		f.gateways.Terminate(gateway)
@@ -249,18 +249,19 @@
 	}
 }
 
-// removeDir removes the folder of a killed process. What can't be removed stays, and is found by the next process.
+// removeDir removes the folder of a killed process once it has exited. Files that can't be removed are left to the next process.
 func removeDir(process *childprocess.Process) {
 	<-process.Done()
 	_ = process.RemoveDir()
 }
 
-// limitFiles keeps the files of a process from growing over a size in bytes; negative: no longer. A process that has exited has none.
-func limitFiles(process *childprocess.Process, size float64) {
+// limitFileSize limits the size of the files of a process, in bytes. A negative size removes the limit. It has no effect on a process that
+// has exited.
+func limitFileSize(process *childprocess.Process, size float64) {
 	_ = process.LimitFileSize(int64(size))
 }
 
-// startSecond starts a second process under an api gateway's name, which must not come to run.
+// startSecond starts a second process under the name of an api gateway. It must not keep running.
 func (f *injector) startSecond(gateway int) {
 	err := f.gateways.StartSecond(gateway, func(err error) {
 		if err == nil {
@@ -272,7 +273,7 @@
 	}
 }
 
-// starve suspends and resumes a process in turn until the fault ends.
+// starve alternately suspends and resumes a process until the fault ends.
 func (f *injector) starve(process *childprocess.Process, fault activeFault) {
 	if f.world.Queue.Now() >= fault.ends {
 		return
@@ -282,9 +283,9 @@
 	}
 	period := fault.Time.Float()
 	if period == 0 {
-		period = starvePeriod
+		period = defaultStarvePeriod
 	}
-	running := fault.Size.Float() // part of the time
+	running := fault.Size.Float() // share of the period
 	process.Suspend()
 	f.world.Queue.ScheduleAfter(period*(1-running), func() {
 		process.Resume()
--- a/harness/fleet/fleet_test.go
+++ b/harness/fleet/fleet_test.go
@@ -15,8 +15,8 @@
 	"otterseam/sim/scenario"
 )
 
-// buildPrograms builds the quota store as "keeper" and the api gateway as it stands, without and with the seeded bugs, as "whole" and
-// "seeded"; once for all tests.
+// buildPrograms builds the quota store as "keeper" and the api gateway without and with the seeded bugs, as "whole" and "seeded". It builds
+// them once for all tests.
 var buildPrograms = sync.OnceValues(func() (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "fleet-"); err != nil {
 		return "", err
@@ -43,27 +43,27 @@
 	os.Exit(code)
 }
 
-// slots bound how many scripts are played at once.
-var slots = make(chan struct{}, 2)
+// playSlots limit how many scripts run at once.
+var playSlots = make(chan struct{}, 2)
 
-// scriptPlay is a script to play, with what is changed in it.
+// scriptPlay is a script to run, with changes to it.
 type scriptPlay struct {
-	name    string
-	seed    uint64 // 0: 1
-	program string // of the api gateway; "": "whole"
-	env     []string
-	sets    []string // keys of the script, as KEY=VALUE
+	name      string
+	seed      uint64 // 0: 1
+	program   string // of the api gateway; "": "whole"
+	env       []string
+	overrides []string // keys of the script, as KEY=VALUE
 }
 
-// read reads the script with its changes.
-func (p *scriptPlay) read(t *testing.T) *scenario.Scenario {
+// load loads the script and applies its changes.
+func (p *scriptPlay) load(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	script, err := Load(p.name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, set := range p.sets {
-		key, value, _ := strings.Cut(set, "=")
+	for _, override := range p.overrides {
+		key, value, _ := strings.Cut(override, "=")
 		if err := script.Set(key, value); err != nil {
 			t.Fatal(err)
 		}
@@ -71,28 +71,29 @@
 	return script
 }
 
-// play plays the script. What could not begin has shown nothing, and is played once more; then it has to.
+// play runs the script. A run that could not start is repeated once, since it shows nothing. The test fails if the second one can't start
+// either.
 func (p scriptPlay) play(t *testing.T) *Result {
 	t.Helper()
 	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := p.read(t)
-	slots <- struct{}{}
-	defer func() { <-slots }()
-	result, reports, err := p.try(t, script, dir)
+	script := p.load(t)
+	playSlots <- struct{}{}
+	defer func() { <-playSlots }()
+	result, reports, err := p.playOnce(t, script, dir)
 	if err == nil {
 		return result
 	}
-	t.Log("it did not begin:", err, reports)
-	if result, reports, err = p.try(t, script, dir); err != nil {
+	t.Log("the run did not start:", err, reports)
+	if result, reports, err = p.playOnce(t, script, dir); err != nil {
 		t.Fatal(err, reports)
 	}
 	return result
 }
 
-func (p *scriptPlay) try(t *testing.T, script *scenario.Scenario, dir string) (result *Result, reports []string, err error) {
+func (p *scriptPlay) playOnce(t *testing.T, script *scenario.Scenario, dir string) (result *Result, reports []string, err error) {
 	t.Helper()
 	result, err = Play(context.Background(), script, max(p.seed, 1), Options{
 		Gateway:    filepath.Join(dir, cmp.Or(p.program, "whole")),
@@ -105,7 +106,7 @@
 	return result, reports, err
 }
 
-// operatorFile writes an operator's file and gives the variable that names it.
+// operatorFile writes an operator file and returns the environment variable that names it.
 func operatorFile(t *testing.T, text string) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.json")
@@ -115,22 +116,22 @@
 	return []string{"EDGE_OPERATOR=" + path}
 }
 
-// checkRules wants nothing broken but what a busy machine may break: clients that gave up, and what excused begins with.
-func checkRules(t *testing.T, r *Result, excused string) {
+// checkFailures reports all failures but those that a busy machine may cause: clients that gave up, and failures that contain excused.
+func checkFailures(t *testing.T, r *Result, excused string) {
 	t.Helper()
-	for _, broken := range r.Broken {
-		if !strings.Contains(broken.Text, "gave up") && !strings.Contains(broken.Text, excused) {
-			t.Error(broken.Text, broken.Lines, broken.Faults)
+	for _, failure := range r.Broken {
+		if !strings.Contains(failure.Text, "gave up") && !strings.Contains(failure.Text, excused) {
+			t.Error(failure.Text, failure.Lines, failure.Faults)
 		}
 	}
 }
 
-// isBroken says whether something broken has a text.
-func isBroken(r *Result, text string) bool {
-	return slices.ContainsFunc(r.Broken, func(story Story) bool { return strings.Contains(story.Text, text) })
+// hasFailure reports whether the text of a failure contains text.
+func hasFailure(r *Result, text string) bool {
+	return slices.ContainsFunc(r.Broken, func(failure Failure) bool { return strings.Contains(failure.Text, text) })
 }
 
-// Each bug that was put in on purpose is caught by a script, for the reason it was put in; the stories name the faults.
+// Each seeded bug must be detected by a script, with the failure that this bug causes.
 func TestSeededBugsAreCaught(t *testing.T) {
 	for _, test := range []struct{ bug, script, want string }{
 		{"ResetCountsAsNeverRan", "reset-in-answer", "non-idempotent, is sent on again though"},
@@ -148,94 +149,95 @@
 	} {
 		t.Run(test.bug, func(t *testing.T) {
 			t.Parallel()
-			sets := []string{"length=3s"}
+			overrides := []string{"length=3s"}
 			switch test.script {
-			case "twice": // it is looked for long enough
-				sets = []string{"length=5s"}
-			case "ended-under-load": // whoever is late in ending it still finds work in hand
-				sets = append(sets, "operation[0].work=40ms")
+			case "twice": // leaves enough time to detect the second process
+				overrides = []string{"length=5s"}
+			case "ended-under-load": // work is still in progress when SIGTERM comes late
+				overrides = append(overrides, "operation[0].work=40ms")
 			}
-			var broken []Story
-			for seed := range uint64(3) { // one catch shows it; a machine that stands still for a moment may let a play miss it
+			var failures []Failure
+			for seed := range uint64(3) { // one detection is enough; a stall of the machine may hide the bug in one run
 				r := scriptPlay{
-					name:    test.script,
-					seed:    seed + 1,
-					program: "seeded",
-					env:     []string{"EDGE_SEEDED=" + test.bug},
-					sets:    sets,
+					name:      test.script,
+					seed:      seed + 1,
+					program:   "seeded",
+					env:       []string{"EDGE_SEEDED=" + test.bug},
+					overrides: overrides,
 				}.play(t)
-				if isBroken(r, test.want) {
+				if hasFailure(r, test.want) {
 					return
 				}
-				broken = append(broken, r.Broken...)
+				failures = append(failures, r.Broken...)
 			}
-			t.Errorf("%s was not caught in three plays: %v", test.bug, broken)
+			t.Errorf("%s was not detected in three runs: %v", test.bug, failures)
 		})
 	}
 }
 
-// The scripts whose faults strike on an event, and those of processes, with the program as it stands: no rule is broken
-// and the races were really there. How fast answers come is not judged: the machine may be busy.
-func TestScriptsKeepTheRules(t *testing.T) {
-	for name, struck := range map[string]int{
+// Runs the scripts whose faults wait for an event, and those with process faults, against the unmodified program. No rule may be violated,
+// and the faults must have been applied. Latency isn't checked, since the machine may be busy.
+func TestScriptsBreakNoRules(t *testing.T) {
+	for name, wantApplied := range map[string]int{
 		"frozen": 2, "twice": 1, "full-disk": 6, "ended-under-load": 2, "killed": 1, "host-slow": 0,
 		"drain-told-in-flight": 3, "added-not-answered": 3, "reset-in-answer": 3, "host-dropped": 3, "clients-cut": 2,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := scriptPlay{name: name, sets: []string{"length=4s"}}.play(t)
-			checkRules(t, r, "promised: served")
-			if r.FaultsApplied < struck {
-				t.Errorf("%d faults struck, %d are wanted", r.FaultsApplied, struck)
+			r := scriptPlay{name: name, overrides: []string{"length=4s"}}.play(t)
+			checkFailures(t, r, "promised: served")
+			if r.FaultsApplied < wantApplied {
+				t.Errorf("%d faults were applied, want at least %d", r.FaultsApplied, wantApplied)
 			}
-			if ended := r.Figures.Outcomes["served"]; ended < r.Figures.Invocations/5 {
-				t.Errorf("%.0f of %.0f tries were served", ended, r.Figures.Invocations)
+			if served := r.Figures.Outcomes["served"]; served < r.Figures.Invocations/5 {
+				t.Errorf("%.0f of %.0f invocations were served", served, r.Figures.Invocations)
 			}
 		})
 	}
 }
 
-// Eight of twelve are killed while the counter is away: with membership the four left find that out and serve what they
-// would have refused; without it they don't.
-func TestFourLeftServeForTwelve(t *testing.T) {
+// Eight of twelve api gateways are killed while the counter is unavailable. With membership, the other four must detect that and serve
+// requests that they would otherwise reject. Without membership they don't.
+func TestMembershipAdjustsSharesAfterGatewaysFail(t *testing.T) {
 	t.Parallel()
 	var served [2]float64
 	for i, env := range [][]string{nil, operatorFile(t, `{"membership":{"on":true}}`)} {
 		r := scriptPlay{name: "eight-of-twelve", env: env}.play(t)
 		served[i], _ = r.figure(scenario.Expectation{Kind: "served", From: scenario.Span{Lo: 8, Hi: 8}, Until: scenario.Span{Lo: 13, Hi: 13}})
-		checkRules(t, r, "promised")
-		if off := i == 0; off != isBroken(r, "membership: 4 of 12") {
+		checkFailures(t, r, "promised")
+		if off := i == 0; off != hasFailure(r, "membership: 4 of 12") {
 			t.Errorf("on %v: %v", !off, r.Broken)
 		}
 	}
 	if served[1] < 1.2*served[0] {
-		t.Errorf("served without and with: %.3f", served)
+		t.Errorf("share served without and with membership: %.3f", served)
 	}
 }
 
-// All hosts are silent: with the bound on what all send into a silence it holds and all come back, though two see no host and
-// three begin with empty hands; without it it does not hold.
-func TestOutageIsMetAsOne(t *testing.T) {
+// All hosts are silent for a while. With overload control, the deliveries of all api gateways together stay within the limit and service
+// recovers, although two gateways can't reach any host and three restart without state. Without overload control, the limit is exceeded.
+func TestOverloadControlBoundsDeliveriesInOutage(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{false, true} {
 		env := operatorFile(t, fmt.Sprintf(`{"membership":{"on":true},"overload":{"on":%v}}`, on))
 		r := scriptPlay{name: "outage-12", env: env}.play(t)
-		checkRules(t, r, "promised")
-		if isBroken(r, "promised: deliveries") == on || on && isBroken(r, "promised: served") {
+		checkFailures(t, r, "promised")
+		if hasFailure(r, "promised: deliveries") == on || on && hasFailure(r, "promised: served") {
 			t.Errorf("on %v: kept %v, broken %v", on, r.Kept, r.Broken)
 		}
 	}
 }
 
-// Two halves whose mail is cut give each other up, and find each other again once it has healed.
-func TestHealedPartitionIsNoticed(t *testing.T) {
+// Two halves of the api gateways, whose datagrams to each other are dropped, must each give the other up and find it again once the
+// partition has healed.
+func TestMembershipRecoversAfterPartition(t *testing.T) {
 	t.Parallel()
 	r := scriptPlay{name: "mail-cut", env: operatorFile(t, `{"membership":{"on":true}}`)}.play(t)
-	checkRules(t, r, "promised: served")
+	checkFailures(t, r, "promised: served")
 }
 
-// Each script reads, and each kind of fault and each event is in one that comes with the program.
-func TestScriptsCoverTheFaults(t *testing.T) {
+// Each embedded script must load, and each kind of fault must be used by one of them.
+func TestScriptsCoverAllFaultKinds(t *testing.T) {
 	used := map[string]bool{}
 	for _, n := range Names() {
 		d, err := Load(n)
@@ -244,7 +246,7 @@
 			continue
 		}
 		if len(d.Expectations) == 0 || d.About == "" {
-			t.Errorf("%s promises nothing", n)
+			t.Errorf("%s has no expectations or no description", n)
 		}
 		for _, s := range d.ProcessFaults {
 			used[s.Kind] = true
@@ -263,8 +265,8 @@
 	}
 }
 
-// Faults of a script's file come with their line, as those of a day; nothing is started.
-func TestWrongScriptIsRefusedWithItsKey(t *testing.T) {
+// An invalid script is rejected with an error that names the key. Nothing is started.
+func TestInvalidScriptErrorNamesKey(t *testing.T) {
 	good, err := scriptFiles.ReadFile("scripts/killed.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -292,9 +294,9 @@
 	}
 }
 
-// The page holds its pictures and nothing from elsewhere.
-func TestPageHoldsItsPictures(t *testing.T) {
-	r := scriptPlay{name: "killed", sets: []string{"length=3s"}}.play(t)
+// The page must contain its images and load nothing from elsewhere.
+func TestPageEmbedsImages(t *testing.T) {
+	r := scriptPlay{name: "killed", overrides: []string{"length=3s"}}.play(t)
 	page, err := Page(r)
 	if err != nil || strings.Count(string(page), "<svg") != 2 || strings.Contains(string(page), "src=") || !strings.Contains(string(page), "kill") {
 		t.Errorf("%v, %d bytes", err, len(page))
--- a/harness/fleet/injector.go
+++ b/harness/fleet/injector.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// never is a time at which nothing happens any more.
+	// never is a time after the end of every scenario.
 	never = 1e18
-	// healingTime is for how long after a fault what it held up may still come, in seconds.
-	healingTime = 1.0
-	// unreachableMargin is by how much an unreachable api gateway may be noticed late, in seconds.
-	unreachableMargin = 0.05
+	// recoveryGrace is how long after a fault its effects, such as delayed answers, are still attributed to it, in seconds.
+	recoveryGrace = 1.0
+	// unreachableTolerance is how late a failed connection to an api gateway may be detected, in seconds.
+	unreachableTolerance = 0.05
 )
 
-// clientsEnd is the end of a link to which clients belong.
+// clientsEnd is the name of the end of a link where clients connect.
 const clientsEnd = "clients"
 
-// injector stands between the processes of one script as a sockets.Interceptor, and injects its faults. What no lock guards belongs to the
-// event loop's goroutine.
+// injector is the sockets.Interceptor of one script: it routes the traffic between processes over links and injects the faults of the
+// script. Fields that no lock guards are used only on the goroutine of the event loop.
 type injector struct {
-	script *scenario.Scenario // drawn
+	script *scenario.Scenario // with its random values drawn
 	seed   uint64
 	logs   *logFollower
 	store  *store // nil: none
 	traces *traces
 
-	datagrams *netproxy.DatagramProxy // nil: api gateways don't know each other
-	world     *simulation.Simulation  // nil until the scenario begins
-	waiting   []*waitingFault
-	spans     []*Span
-	struck    int // faults that found something
-
-	mu          sync.Mutex // guards all below
-	gateways    *sockets.Gateways
-	links       map[string]*netproxy.Link
-	observed    int64             // datagrams
-	unreachable map[int]time.Time // by api gateway: when nobody was found behind its client address
-	awaited     map[string]bool   // events that some fault waits for
-	closed      bool
+	datagrams     *netproxy.DatagramProxy // nil: api gateways exchange no datagrams
+	world         *simulation.Simulation  // nil until the scenario begins
+	pending       []*pendingFault
+	spans         []*Span
+	faultsApplied int // faults whose target was present
+
+	mu            sync.Mutex // guards all below
+	gateways      *sockets.Gateways
+	links         map[string]*netproxy.Link
+	datagramsSeen int64             // between api gateways
+	unreachable   map[int]time.Time // by api gateway: when a connection for a client last failed
+	awaited       map[string]bool   // events that some fault waits for
+	closed        bool
 }
 
 func newInjector(script *scenario.Scenario, seed uint64) *injector {
@@ -60,10 +60,10 @@
 	}
 }
 
-// gatewayEnd names an api gateway as the end of a link.
+// gatewayEnd returns the name of an api gateway as the end of a link.
 func gatewayEnd(gateway int) string { return fmt.Sprintf("edge %d", gateway) }
 
-// gatewayNumber is the number of an api gateway by that name; -1: it is something else.
+// gatewayNumber returns the number of the api gateway at the end of a link, or -1 if the end is something else.
 func gatewayNumber(end string) int {
 	gateway := -1
 	if _, err := fmt.Sscanf(end, "edge %d", &gateway); err != nil {
@@ -72,7 +72,7 @@
 	return gateway
 }
 
-// link gives the link between two ends, which is made at its first use.
+// link returns the link between two ends and creates it on first use.
 func (f *injector) link(from, to string) *netproxy.Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +85,8 @@
 	return link
 }
 
-// ListenFor leads the connections of an api gateway to a service over a link. With a quota store that one is the counter.
+// ListenFor routes the connections of an api gateway to a service over a link. If the script has a quota store, that takes the place of the
+// counter.
 func (f *injector) ListenFor(gateway int, service string, handle func(c net.Conn)) (string, error) {
 	if service == "counter" && f.store != nil {
 		handle = func(c net.Conn) { f.store.relayCounter(gateway, c) }
@@ -93,7 +94,7 @@
 	return f.link(gatewayEnd(gateway), service).ListenInProcess(handle)
 }
 
-// ClientAddress leads the connections of clients to an api gateway over a link, and notes when it isn't there.
+// ClientAddress routes the connections of clients to an api gateway over a link, and records when connecting to the gateway fails.
 func (f *injector) ClientAddress(gateway int, listening string) (string, error) {
 	return f.link(clientsEnd, gatewayEnd(gateway)).Listen(func() (net.Conn, error) {
 		c, err := net.Dial("tcp", listening)
@@ -106,30 +107,30 @@
 	})
 }
 
-// UnreachableSince says that nobody was behind an api gateway's client address at some moment since a time.
+// UnreachableSince reports whether connecting to an api gateway for a client has failed since a time.
 func (f *injector) UnreachableSince(gateway int, since float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := f.unreachable[gateway]
-	return !last.IsZero() && time.Since(last).Seconds() <= f.world.Queue.Now()-since+unreachableMargin
+	return !last.IsZero() && time.Since(last).Seconds() <= f.world.Queue.Now()-since+unreachableTolerance
 }
 
-// PeerAddresses leads the datagrams between api gateways over links.
+// PeerAddresses routes the datagrams between api gateways over links.
 func (f *injector) PeerAddresses(listening []string) ([]string, error) {
 	var err error
 	f.datagrams, err = netproxy.NewDatagramProxy(listening,
 		func(from, to int) *netproxy.Link { return f.link(gatewayEnd(from), gatewayEnd(to)) },
-		func(from, _ int) { f.datagramSeen(from) })
+		func(from, _ int) { f.countDatagram(from) })
 	if err != nil {
 		return nil, err
 	}
 	return f.datagrams.Addresses(), nil
 }
 
-// datagramSeen counts a datagram and tells of it as an event.
-func (f *injector) datagramSeen(from int) {
+// countDatagram counts a datagram and raises the event "mail".
+func (f *injector) countDatagram(from int) {
 	f.mu.Lock()
-	f.observed++
+	f.datagramsSeen++
 	begun := f.gateways != nil && !f.closed
 	f.mu.Unlock()
 	if begun {
@@ -140,10 +141,10 @@
 func (f *injector) datagramCount() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.observed
+	return f.datagramsSeen
 }
 
-// close ends all links.
+// close closes all links.
 func (f *injector) close() {
 	f.mu.Lock()
 	f.closed = true
@@ -157,21 +158,21 @@
 	}
 }
 
-// FaultSince says whether a fault was in force since a time, or shortly before, on an api gateway itself or its way to clients (""), or on
-// its way to a service. What strikes the api gateway holds up all its ways.
+// FaultSince reports whether a fault was in force since a time, or shortly before it: with service "", on an api gateway itself or its link
+// to clients; otherwise also on its link to the service. A fault of the api gateway itself affects all its links.
 func (f *injector) FaultSince(gateway int, service string, since float64) bool {
 	for _, span := range f.spans {
-		if span.Gateway != gateway || span.Ends+healingTime <= since {
+		if span.Gateway != gateway || span.Ends+recoveryGrace <= since {
 			continue
 		}
-		if span.service == "" && span.excuses() || service != "" && span.service == service {
+		if span.service == "" && span.mayLoseAnswers() || service != "" && span.service == service {
 			return true
 		}
 	}
 	return false
 }
 
-// excuses says whether a fault of an api gateway may leave clients without an answer.
-func (s *Span) excuses() bool {
+// mayLoseAnswers reports whether a fault of an api gateway may leave clients without an answer.
+func (s *Span) mayLoseAnswers() bool {
 	return !slices.Contains([]string{"term", "twice", "full-disk", "start"}, s.Kind)
 }
--- a/harness/fleet/logs.go
+++ b/harness/fleet/logs.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// maxLines are kept of all logs together.
+	// maxLines is the maximum number of lines kept of all logs together.
 	maxLines = 100_000
-	// logInterval is the pause between two looks at a log.
+	// logInterval is the interval at which a log is polled.
 	logInterval = 15 * time.Millisecond
-	// afterEnd is the time of lines that were read after the end.
+	// afterEnd is the time given to lines that were read after the end of the scenario.
 	afterEnd = -1
 )
 
 // Line is one line of an api gateway's log.
 type Line struct {
-	At      float64 `json:"at"` // when it was read, in seconds of the scenario, at most a few hundredths late; -1: after the end
+	At      float64 `json:"at"` // when it was read, in seconds of the scenario, at most a few hundredths of a second late; -1: after the end
 	Gateway int     `json:"edge"`
 	Text    string  `json:"text"`
 }
 
-// logFollower reads what the api gateways add to their logs, keeps the lines and tells of them as events. The logs are files, so that it
-// holds up no process.
+// logFollower reads the lines that api gateways append to their logs, keeps them and raises an event for each. The logs are files, so that
+// it blocks no process.
 type logFollower struct {
 	dir      string
 	gateways int
@@ -43,38 +43,38 @@
 	return &logFollower{dir: dir, gateways: gateways, done: make(chan struct{})}
 }
 
-// begin reads all logs until end. f is told of each line.
-func (l *logFollower) begin(f *injector) {
+// start begins to read all logs and passes each line to f, until stop is called.
+func (l *logFollower) start(f *injector) {
 	for gateway := range l.gateways {
 		l.readers.Go(func() { l.follow(f, gateway) })
 	}
 }
 
-// end reads what is left and stops.
-func (l *logFollower) end() {
+// stop reads the remaining lines and ends reading.
+func (l *logFollower) stop() {
 	close(l.done)
 	l.readers.Wait()
 }
 
-// follow reads one log until end.
+// follow reads one log until stop is called.
 func (l *logFollower) follow(f *injector, gateway int) {
 	file, err := os.Open(logPath(l.dir, gateway))
 	if err != nil {
 		return
 	}
 	defer file.Close()
-	var rest []byte
+	var unread []byte
 	ending := false
 	for {
-		added, _ := io.ReadAll(file) // what can't be read now is read next time
-		rest = append(rest, added...)
+		added, _ := io.ReadAll(file) // after an error, the next poll reads the rest
+		unread = append(unread, added...)
 		for {
-			line, more, complete := bytes.Cut(rest, []byte("\n"))
+			line, remaining, complete := bytes.Cut(unread, []byte("\n"))
 			if !complete {
 				break
 			}
-			rest = more
-			l.take(f, gateway, lineText(line), ending)
+			unread = remaining
+			l.handleLine(f, gateway, lineText(line), ending)
 		}
 		if ending {
 			return
@@ -87,7 +87,7 @@
 	}
 }
 
-// lineText is what a log line says: its message and error if it is JSON, all of it otherwise.
+// lineText returns the message and the error of a log line in JSON, or the whole line if it isn't JSON.
 func lineText(line []byte) string {
 	var entry struct {
 		Message string `json:"message"`
@@ -99,19 +99,19 @@
 	return strings.TrimSpace(entry.Message + " " + entry.Error)
 }
 
-// take keeps a line and tells f of it, unless the scenario's clock has stopped.
-func (l *logFollower) take(f *injector, gateway int, text string, ending bool) {
+// handleLine keeps a line and passes it to f, which gets no lines after the scenario's end.
+func (l *logFollower) handleLine(f *injector, gateway int, text string, ending bool) {
 	if ending {
-		l.keep(Line{At: afterEnd, Gateway: gateway, Text: text})
+		l.appendLine(Line{At: afterEnd, Gateway: gateway, Text: text})
 		return
 	}
 	f.gateways.Do(func() {
-		l.keep(Line{At: f.world.Queue.Now(), Gateway: gateway, Text: text})
-		f.event("log", gateway, text)
+		l.appendLine(Line{At: f.world.Queue.Now(), Gateway: gateway, Text: text})
+		f.handleEvent("log", gateway, text)
 	})
 }
 
-func (l *logFollower) keep(line Line) {
+func (l *logFollower) appendLine(line Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.lines) < maxLines {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (l *logFollower) all() []Line {
+func (l *logFollower) snapshot() []Line {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.lines)
--- a/harness/fleet/observer.go
+++ b/harness/fleet/observer.go
@@ -9,8 +9,8 @@
 	"otterseam/quotastore/statemachine"
 )
 
-// observer notes what api gateways asked of the quota store and what was acknowledged, as it goes by. It must never take for
-// acknowledged what has no answer.
+// observer records what api gateways requested from the quota store and what it acknowledged, from the traffic between them. It must never
+// count a request without an answer as acknowledged.
 type observer struct {
 	mu       sync.Mutex // guards all below
 	streams  int
@@ -22,7 +22,7 @@
 	counts   commandCounts
 }
 
-// commandCounts count what was asked of the quota store.
+// commandCounts are the numbers of requests to the quota store, in total and by outcome.
 type commandCounts struct {
 	Asked    int
 	Answered int
@@ -30,59 +30,59 @@
 	Unknown  int
 }
 
-// requestKey is the stream and ID of a request.
+// requestKey identifies a request by its stream and ID.
 type requestKey struct {
 	stream int
 	id     int
 }
 
-// pendingCommand is a command without an answer yet, and its number among all commands.
+// pendingCommand is a command without an answer yet, and its sequence number among all commands.
 type pendingCommand struct {
 	command statemachine.Command
 	number  int
 }
 
-// versioned is an amount that a holder reported, with the version of the report.
-type versioned struct {
+// versionedAmount is an amount that a holder reported, with the version of the report.
+type versionedAmount struct {
 	version uint64
 	units   float64
 }
 
-// claim is what one holder reported of one name.
+// claim is what one holder reported about one name.
 type claim struct {
 	holder     string
 	name       string
 	first      time.Time
-	ttl        float64     // seconds
-	reported   []versioned // usage
-	unreported []versioned
-	// Versions of the last reports that were acknowledged.
+	ttl        float64           // seconds
+	reported   []versionedAmount // usage
+	unreported []versionedAmount
+	// Versions of the last acknowledged reports.
 	ackedReported   uint64
 	ackedUnreported uint64
 }
 
-// usage is what one holder metered of one customer, in units.
+// usage is what one holder metered for one customer, in units.
 type usage struct {
 	customer string
 	acked    float64
 	sent     float64
 }
 
-// counterTotal is a name in the counter's protocol, in which nobody says who adds.
+// counterTotal is the total of a name in the counter's protocol, whose calls don't identify the holder.
 type counterTotal struct {
 	first time.Time
 	ttl   float64 // seconds
 	acked float64
-	// What of the calls without an answer may be in it.
+	// Bounds of what calls without an answer may have added.
 	pendingLeast float64
 	pendingMost  float64
 }
 
-// marker is that of an invocation.
+// marker is the marker of an invocation.
 type marker struct {
 	holders  []string
-	acquired time.Time      // when the last acknowledgement came
-	released map[string]int // by holder: the number of the command that asked for its release
+	acquired time.Time      // when an acquisition was last acknowledged
+	released map[string]int // by holder: the sequence number of the last command to release it
 }
 
 func newObserver() *observer {
@@ -102,7 +102,7 @@
 	return o.streams
 }
 
-// claimOf gives the claim of a command, which is made at its first one.
+// claimOf returns the claim that a command is about, and creates it on first use.
 func (o *observer) claimOf(command *statemachine.Command) *claim {
 	key := command.Holder + " " + command.Key
 	c := o.claims[key]
@@ -113,7 +113,7 @@
 	return c
 }
 
-// markerOf gives the marker of an invocation.
+// markerOf returns the marker of an invocation, and creates it on first use.
 func (o *observer) markerOf(ref string) *marker {
 	m := o.markers[ref]
 	if m == nil {
@@ -123,7 +123,7 @@
 	return m
 }
 
-// usageOf gives what a command's holder metered of its customer.
+// usageOf returns the usage that a command's holder metered for its customer, and creates it on first use.
 func (o *observer) usageOf(command *statemachine.Command) *usage {
 	key := command.Holder + " " + command.Key
 	u := o.usage[key]
@@ -134,32 +134,32 @@
 	return u
 }
 
-// requested notes the requests of a frame.
-func (o *observer) requested(stream int, frame *protocol.Frame) {
+// observeRequests records the requests of a frame.
+func (o *observer) observeRequests(stream int, frame *protocol.Frame) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i := range frame.Requests {
 		request := &frame.Requests[i]
 		o.counts.Asked++
 		o.pending[requestKey{stream, int(request.ID)}] = pendingCommand{request.Command, o.counts.Asked}
-		o.noteRequest(&request.Command)
+		o.recordRequest(&request.Command)
 	}
 }
 
-func (o *observer) noteRequest(command *statemachine.Command) {
+func (o *observer) recordRequest(command *statemachine.Command) {
 	switch command.Kind {
 	case statemachine.ReportUsage:
 		if command.Version > 0 {
 			c := o.claimOf(command)
-			c.reported = append(c.reported, versioned{command.Version, command.Amount - command.Reserved})
+			c.reported = append(c.reported, versionedAmount{command.Version, command.Amount - command.Reserved})
 		}
 	case statemachine.RecordUnreported:
 		if command.Version > 0 {
 			c := o.claimOf(command)
-			c.unreported = append(c.unreported, versioned{command.Version, command.Amount})
+			c.unreported = append(c.unreported, versionedAmount{command.Version, command.Amount})
 		}
 	case statemachine.ReleaseMarker:
-		// From here on it may have been released, though the answer that says so is lost on its way.
+		// From now on the marker may be released, even if the answer to this command is lost.
 		m := o.markerOf(command.Key)
 		m.holders = slices.DeleteFunc(m.holders, func(holder string) bool { return holder == command.Holder })
 		m.released[command.Holder] = o.counts.Asked
@@ -169,8 +169,8 @@
 	}
 }
 
-// responded notes the responses of a frame.
-func (o *observer) responded(stream int, frame *protocol.Frame) {
+// observeResponses records the responses of a frame.
+func (o *observer) observeResponses(stream int, frame *protocol.Frame) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i := range frame.Responses {
@@ -188,12 +188,12 @@
 			o.counts.Unknown++
 		case response.Reply.Code == statemachine.Done:
 			o.counts.Answered++
-			o.noteAcknowledged(&asked)
+			o.recordAcknowledged(&asked)
 		}
 	}
 }
 
-func (o *observer) noteAcknowledged(asked *pendingCommand) {
+func (o *observer) recordAcknowledged(asked *pendingCommand) {
 	command := &asked.command
 	switch command.Kind {
 	case statemachine.ReportUsage:
--- a/harness/fleet/page.go
+++ b/harness/fleet/page.go
@@ -16,15 +16,15 @@
 	"otterseam/sim/report"
 )
 
-var page = template.Must(template.New("page").Parse(`<!doctype html><meta charset="utf-8"><title>{{.Name}}</title>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:14px sans-serif;max-width:62em;margin:2em auto;color:#222}pre{background:#f4f4f4;padding:.6em;overflow:auto}
 .bad{color:#a02040}</style>
 <h1>{{.Name}}, seed {{.Seed}}</h1><p>{{.About}}</p>{{.Rows}}{{.Served}}
-<h2>Promises and rules</h2><ul>{{range .Kept}}<li>{{.}}</li>{{end}}{{range .Broken}}<li class="bad">{{.Text}}
+<h2>Expectations and rules</h2><ul>{{range .Kept}}<li>{{.}}</li>{{end}}{{range .Broken}}<li class="bad">{{.Text}}
 <pre>{{range .Lines}}{{.}}
 {{end}}{{range .Faults}}in force: {{.}}
 {{end}}</pre></li>{{end}}</ul>
-<h2>What the api gateways said</h2><pre>{{range .Lines}}{{printf "%8.2f s  api gateway %d  %s" .At .Gateway .Text}}
+<h2>Logs of the api gateways</h2><pre>{{range .Lines}}{{printf "%8.2f s  api gateway %d  %s" .At .Gateway .Text}}
 {{end}}</pre>`))
 
 var (
@@ -37,28 +37,28 @@
 
 const (
 	pageWidth = 22 * vg.Centimeter
-	// maxPageLines are log lines on a page.
+	// maxPageLines is the maximum number of log lines on a page.
 	maxPageLines = 400
 )
 
-// Page writes a result as one HTML page with its pictures in it.
+// Page renders a result as one HTML page with embedded images.
 func Page(r *Result) ([]byte, error) {
-	rows, err := timeline(r)
+	timeline, err := renderTimeline(r)
 	if err != nil {
 		return nil, err
 	}
-	served, err := outcomes(r)
+	outcomes, err := renderOutcomes(r)
 	if err != nil {
 		return nil, err
 	}
 	lines := r.Lines[:min(len(r.Lines), maxPageLines)]
 	var b bytes.Buffer
-	err = page.Execute(&b, map[string]any{
+	err = pageTemplate.Execute(&b, map[string]any{
 		"Name":   r.Script.Name,
 		"Seed":   r.Seed,
 		"About":  r.Script.About,
-		"Rows":   rows,
-		"Served": served,
+		"Rows":   timeline,
+		"Served": outcomes,
 		"Kept":   r.Kept,
 		"Broken": r.Broken,
 		"Lines":  lines,
@@ -66,7 +66,7 @@
 	return b.Bytes(), err
 }
 
-// newPlot is an empty picture over the length of the script.
+// newPlot returns an empty plot over the length of the script.
 func newPlot(title, y string, r *Result) *plot.Plot {
 	plot.DefaultFont = font.Font{Typeface: "Liberation", Variant: "Sans"}
 	p := plot.New()
@@ -81,26 +81,26 @@
 	return p
 }
 
-// Sizes in a row of the timeline, which is 1 high.
+// Sizes in a row of the timeline, whose height is 1.
 const (
-	faultHalf     = 0.32 // half the height of a fault's bar
-	linkFaultHalf = 0.14
-	faultLabel    = 0.33 // above the middle
-	lineBelow     = 0.42
-	lineHalf      = 0.07
-	lineLabel     = 0.34 // below the middle
-	minFault      = 0.03 // seconds
-	lineWidth     = 0.012
+	faultHalfHeight     = 0.32 // half the height of a fault's bar
+	linkFaultHalfHeight = 0.14
+	faultLabelOffset    = 0.33 // above the center of the row
+	lineOffset          = 0.42
+	lineHalfHeight      = 0.07
+	lineLabelOffset     = 0.34 // below the center of the row
+	minFaultWidth       = 0.03 // seconds
+	lineWidth           = 0.012
 )
 
-// timelinePlot is the picture of a timeline: a row for each api gateway, and one below for what is of none.
+// timelinePlot is the plot of a timeline: a row for each api gateway, and one below for faults that belong to none.
 type timelinePlot struct {
 	*plot.Plot
 	result *Result
 }
 
 func newTimelinePlot(r *Result) *timelinePlot {
-	p := newPlot("What struck whom, and what was said", "api gateway", r)
+	p := newPlot("Faults and log lines of each api gateway", "api gateway", r)
 	var ticks []plot.Tick
 	for gateway := range r.Gateways {
 		ticks = append(ticks, plot.Tick{Value: float64(gateway), Label: fmt.Sprint(gateway)})
@@ -112,9 +112,9 @@
 	return &timelinePlot{Plot: p, result: r}
 }
 
-// addBar draws a bar around the height y.
-func (t *timelinePlot) addBar(from, to, y, half float64, c color.Color) error {
-	box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: y - half}, {X: to, Y: y - half}, {X: to, Y: y + half}, {X: from, Y: y + half}})
+// addBar draws a bar centered on the height y.
+func (t *timelinePlot) addBar(from, to, y, halfHeight float64, c color.Color) error {
+	box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: y - halfHeight}, {X: to, Y: y - halfHeight}, {X: to, Y: y + halfHeight}, {X: from, Y: y + halfHeight}})
 	if err != nil {
 		return err
 	}
@@ -134,18 +134,18 @@
 	return nil
 }
 
-// addFaults draws all faults; those of links are thinner. Several that begin together in a row have one label for each kind.
+// addFaults draws a bar for each fault, a thinner one for a fault of a link. Faults of one kind that begin together in a row share a label.
 func (t *timelinePlot) addFaults() error {
 	labelled := map[string]bool{}
 	for _, span := range t.result.Spans {
 		y := float64(span.Gateway)
-		half := faultHalf
+		half := faultHalfHeight
 		c := red
 		if strings.Contains(span.Target, ">") {
-			half = linkFaultHalf
+			half = linkFaultHalfHeight
 			c = blue
 		}
-		ends := min(max(span.Ends, span.Begins+minFault), t.result.Script.Length.Float())
+		ends := min(max(span.Ends, span.Begins+minFaultWidth), t.result.Script.Length.Float())
 		if err := t.addBar(span.Begins, ends, y, half, c); err != nil {
 			return err
 		}
@@ -154,36 +154,37 @@
 			continue
 		}
 		labelled[key] = true
-		if err := t.addLabel(span.Begins, y+faultLabel, span.Kind); err != nil {
+		if err := t.addLabel(span.Begins, y+faultLabelOffset, span.Kind); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addLines draws a mark for each log line; above it stands how many others its api gateway believes to be there, if it says so.
+// addLines draws a mark for each log line. A line about membership is labelled with the number of api gateways that its gateway counts as
+// present.
 func (t *timelinePlot) addLines() error {
 	for _, line := range t.result.Lines {
 		if line.At < 0 {
 			continue
 		}
 		y := float64(line.Gateway)
-		if err := t.addBar(line.At, line.At+lineWidth, y-lineBelow, lineHalf, grey); err != nil {
+		if err := t.addBar(line.At, line.At+lineWidth, y-lineOffset, lineHalfHeight, grey); err != nil {
 			return err
 		}
-		var there, all int
-		if _, err := fmt.Sscanf(line.Text, "membership: %d of %d", &there, &all); err != nil {
-			continue // another line
+		var present, all int
+		if _, err := fmt.Sscanf(line.Text, "membership: %d of %d", &present, &all); err != nil {
+			continue // not about membership
 		}
-		if err := t.addLabel(line.At, y-lineLabel, fmt.Sprint(there)); err != nil {
+		if err := t.addLabel(line.At, y-lineLabelOffset, fmt.Sprint(present)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// timeline draws a row for each api gateway with its faults, those of its links and its log lines.
-func timeline(r *Result) (template.HTML, error) {
+// renderTimeline draws a row for each api gateway with its faults, those of its links and its log lines.
+func renderTimeline(r *Result) (template.HTML, error) {
 	t := newTimelinePlot(r)
 	if err := t.addFaults(); err != nil {
 		return "", err
@@ -194,7 +195,7 @@
 	return report.SVG(t.Plot, pageWidth, vg.Length(4+r.Gateways)*vg.Centimeter)
 }
 
-// valueCurves are drawn by outcomes.
+// valueCurves are the curves that renderOutcomes draws.
 var valueCurves = []struct {
 	name  string
 	color color.Color
@@ -205,9 +206,9 @@
 	{"errored or lost", red, func(s *metrics.Share) float64 { return s.Errored + s.Lost }},
 }
 
-// outcomes draws what became of the value asked for, second by second.
-func outcomes(r *Result) (template.HTML, error) {
-	p := newPlot("Value inside quotas by the second it was first asked for", "part of it", r)
+// renderOutcomes plots the outcomes of the requested value, second by second.
+func renderOutcomes(r *Result) (template.HTML, error) {
+	p := newPlot("Value within quotas by the second of the first attempt", "share of value", r)
 	for _, curve := range valueCurves {
 		var points plotter.XYs
 		for i := range r.Figures.Seconds {
--- a/harness/fleet/play.go
+++ b/harness/fleet/play.go
@@ -12,22 +12,22 @@
 	"otterseam/sim/scenario"
 )
 
-// secondEffectRule is the oracle's rule that nothing runs twice.
-const secondEffectRule = 2
+// duplicateExecutionRule is the number of the oracle's rule that nothing runs twice.
+const duplicateExecutionRule = 2
 
-// Options say with what a script is played.
+// Options configure a run of a script.
 type Options struct {
 	Gateway    string            // path of the api gateway's program
-	QuotaStore string            // path of the quota store's; "": beside it
-	Dir        string            // for configurations, folders and logs
-	MemoryMB   float64           // limit that the api gateways are told, in megabytes
-	Env        []string          // further variables of the api gateways
-	Report     func(text string) // told of what happens to processes
+	QuotaStore string            // path of the quota store's program; "": otterseam-quotastore in the folder of Gateway
+	Dir        string            // folder for configurations, data and logs
+	MemoryMB   float64           // memory limit in the configuration of the api gateways, in megabytes
+	Env        []string          // additional environment variables of the api gateways
+	Report     func(text string) // called with errors of processes
 
-	directPeers bool // members of the quota store reach each other without a link between them
+	directPeers bool // members of the quota store connect to each other without links
 }
 
-// Play plays a script.
+// Play runs a script with the values that the seed draws, and returns the result.
 func Play(ctx context.Context, script *scenario.Scenario, seed uint64, o Options) (*Result, error) {
 	if err := Check(script); err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 		}
 		var err error
 		f.store, err = startStore(ctx, f, o, &drawn.QuotaStore, seed)
-		defer f.store.end()
+		defer f.store.stop()
 		if err != nil {
 			return nil, err
 		}
@@ -58,7 +58,7 @@
 	return f.play(ctx, o, envOf)
 }
 
-// removeLogs removes the logs of an earlier play in the same folder.
+// removeLogs removes the logs of an earlier run in the same folder.
 func removeLogs(dir string, gateways int) error {
 	for gateway := range gateways {
 		if err := os.Remove(logPath(dir, gateway)); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// play plays the script once the quota store runs, and judges it.
+// play runs the script after the quota store has started, and evaluates the result.
 func (f *injector) play(ctx context.Context, o Options, envOf func(int) []string) (*Result, error) {
 	gateways := f.script.Fleet.Gateways.Int()
-	observed := &endObserver{injector: f, runs: make([]bool, gateways)}
+	recorder := &finalStateRecorder{injector: f, running: make([]bool, gateways)}
 	figures, world, err := sockets.Play(ctx, f.script, f.seed, sockets.Options{
 		Gateway:     o.Gateway,
 		Dir:         o.Dir,
@@ -79,50 +79,50 @@
 		Env:         o.Env,
 		EnvOf:       envOf,
 		Report:      o.Report,
-		Interceptor: observed,
+		Interceptor: recorder,
 	})
 	if f.world != nil {
-		f.logs.end()
+		f.logs.stop()
 	}
 	if err != nil {
 		return nil, err
 	}
 	result := &Result{
-		Script:   f.script,
-		Seed:     f.seed,
-		Gateways: gateways,
-		Figures:  figures,
-		Spans:    f.spans,
-		Lines:    f.logs.all(),
+		Script:        f.script,
+		Seed:          f.seed,
+		Gateways:      gateways,
+		Figures:       figures,
+		Spans:         f.spans,
+		Lines:         f.logs.snapshot(),
 		Datagrams:     float64(f.datagramCount()),
-		FaultsApplied:   f.struck,
-		Runs:     observed.runs,
+		FaultsApplied: f.faultsApplied,
+		Running:       recorder.running,
 	}
 	if f.store != nil {
 		result.Audit = f.store.audit()
 		for _, violation := range world.Oracle.Violations {
-			if violation.Rule == secondEffectRule {
+			if violation.Rule == duplicateExecutionRule {
 				result.Audit.SecondEffects = append(result.Audit.SecondEffects, violation.String())
 			}
 		}
 	}
-	result.checkPromises(world.Oracle.ExpectationFailed)
+	result.checkExpectations(world.Oracle.ExpectationFailed)
 	figures.ViolationCount = world.Oracle.Total
 	figures.Violations = world.Oracle.Violations
-	result.Broken = f.stories(world.Oracle.Violations)
+	result.Broken = f.describeViolations(world.Oracle.Violations)
 	return result, nil
 }
 
-// endObserver is the injector, which also looks, as the scenario ends, at who runs.
-type endObserver struct {
+// finalStateRecorder is the injector, extended to record which api gateways run when the scenario ends.
+type finalStateRecorder struct {
 	*injector
-	runs []bool // by api gateway
+	running []bool // by api gateway
 }
 
-// End looks at who runs.
-func (e *endObserver) End(g *sockets.Gateways) {
-	for gateway := range e.runs {
-		e.runs[gateway] = g.Process(gateway) != nil
+// End records which api gateways run.
+func (e *finalStateRecorder) End(g *sockets.Gateways) {
+	for gateway := range e.running {
+		e.running[gateway] = g.Process(gateway) != nil
 	}
 }
 
--- a/harness/fleet/promises.go
+++ b/harness/fleet/promises.go
@@ -10,23 +10,23 @@
 	"otterseam/sim/scenario"
 )
 
-// tiny keeps quotients of nothing finite.
-const tiny = 1e-9
+// eps prevents divisions by zero.
+const eps = 1e-9
 
-// checkPromises checks what the script promises; broken is told of each that does not hold.
-func (r *Result) checkPromises(broken func(text string)) {
-	for _, promise := range r.Script.Expectations {
-		value, of := r.figure(promise)
-		text := fmt.Sprintf("%s%s: %.4g", promise.Kind, of, value)
-		if value < promise.Min.Float() || value > promise.Max.Float() || math.IsNaN(value) {
-			broken(fmt.Sprintf("promised: %s, from %g to %g wanted", text, promise.Min.Float(), promise.Max.Float()))
+// checkExpectations checks the expectations of the script, which calls them promises. onFailure is called for each that is not met.
+func (r *Result) checkExpectations(onFailure func(text string)) {
+	for _, expectation := range r.Script.Expectations {
+		value, scope := r.figure(expectation)
+		text := fmt.Sprintf("%s%s: %.4g", expectation.Kind, scope, value)
+		if value < expectation.Min.Float() || value > expectation.Max.Float() || math.IsNaN(value) {
+			onFailure(fmt.Sprintf("promised: %s, from %g to %g wanted", text, expectation.Min.Float(), expectation.Max.Float()))
 			continue
 		}
 		r.Kept = append(r.Kept, text)
 	}
 }
 
-// window is a part of the scenario, in seconds, and what happened in it.
+// window is a period of the scenario, in seconds, and what was measured in it.
 type window struct {
 	from, until float64
 	share       metrics.Share
@@ -35,8 +35,8 @@
 	calls       float64
 }
 
-func (r *Result) window(promise scenario.Expectation) window {
-	w := window{from: promise.From.Float(), until: min(promise.Until.Float(), r.Script.Length.Float())}
+func (r *Result) window(expectation scenario.Expectation) window {
+	w := window{from: expectation.From.Float(), until: min(expectation.Until.Float(), r.Script.Length.Float())}
 	for i, second := range r.Figures.Seconds {
 		if at := float64(i); at >= w.from && at < w.until {
 			w.share.Add(second.Share)
@@ -48,13 +48,13 @@
 	return w
 }
 
-// rate is a count in the window, a second.
-func (w *window) rate(count float64) float64 { return count / max(tiny, w.until-w.from) }
+// perSecond converts a count in the window to a rate per second.
+func (w *window) perSecond(count float64) float64 { return count / max(eps, w.until-w.from) }
 
-// ofRequested is a part of the value that was asked for in the window.
-func (w *window) ofRequested(value float64) float64 { return value / max(tiny, w.share.Requested) }
+// requestShare returns a value as a share of the value that was requested in the window.
+func (w *window) requestShare(value float64) float64 { return value / max(eps, w.share.Requested) }
 
-// describe says which window it is; "" for the whole scenario.
+// describe returns the window as text, or "" for the whole scenario.
 func (w *window) describe(length float64) string {
 	if w.from > 0 || w.until < length {
 		return fmt.Sprintf(" in seconds %g to %g", w.from, w.until)
@@ -62,14 +62,14 @@
 	return ""
 }
 
-// figure is the value of a promise's figure, and a word on what it is of.
-func (r *Result) figure(promise scenario.Expectation) (value float64, of string) {
-	w := r.window(promise)
-	of = w.describe(r.Script.Length.Float())
-	if value, ok := w.figure(promise.Kind); ok {
-		return value, of
+// figure returns the value that an expectation is about, and a text that tells what it covers.
+func (r *Result) figure(expectation scenario.Expectation) (value float64, scope string) {
+	w := r.window(expectation)
+	scope = w.describe(r.Script.Length.Float())
+	if value, ok := w.figure(expectation.Kind); ok {
+		return value, scope
 	}
-	switch promise.Kind {
+	switch expectation.Kind {
 	case "tries":
 		return r.Figures.Invocations, ""
 	case "mail":
@@ -77,42 +77,42 @@
 	case "struck":
 		return float64(r.FaultsApplied), ""
 	case "runs":
-		return r.running(promise), ""
+		return r.countRunning(expectation), ""
 	case "log":
-		return r.countLines(promise, &w), fmt.Sprintf(" %q%s", promise.Text, of)
+		return r.countLines(expectation, &w), fmt.Sprintf(" %q%s", expectation.Text, scope)
 	}
-	return r.Audit.figure(promise.Kind), ""
+	return r.Audit.figure(expectation.Kind), ""
 }
 
-// figure is the value of a figure of the traffic; false: it is of something else.
-func (w *window) figure(what string) (value float64, ok bool) {
-	switch what {
+// figure returns the value of a figure of the traffic. ok is false for other figures.
+func (w *window) figure(kind string) (value float64, ok bool) {
+	switch kind {
 	case "served":
-		return w.ofRequested(w.share.Served), true
+		return w.requestShare(w.share.Served), true
 	case "served-value":
-		return w.rate(w.share.ServedOfSent), true
+		return w.perSecond(w.share.ServedOfSent), true
 	case "throttled":
-		return w.ofRequested(w.share.ThrottledWithRoom + w.share.ThrottledWithoutRoom), true
+		return w.requestShare(w.share.ThrottledWithRoom + w.share.ThrottledWithoutRoom), true
 	case "errored":
-		return w.ofRequested(w.share.Errored + w.share.Lost), true
+		return w.requestShare(w.share.Errored + w.share.Lost), true
 	case "beyond":
-		return w.share.BeyondQuota / max(tiny, w.share.FirstSent), true
+		return w.share.BeyondQuota / max(eps, w.share.FirstSent), true
 	case "deliveries":
-		return w.rate(w.attempts), true
+		return w.perSecond(w.attempts), true
 	case "dials":
-		return w.rate(w.dials), true
+		return w.perSecond(w.dials), true
 	case "calls":
-		return w.rate(w.calls), true
+		return w.perSecond(w.calls), true
 	}
 	return 0, false
 }
 
-// figure is the value of a figure of the quota store; 0 without one.
-func (a *Audit) figure(what string) float64 {
+// figure returns the value of a figure of the quota store, or 0 without a quota store.
+func (a *Audit) figure(kind string) float64 {
 	if a == nil {
 		return 0
 	}
-	switch what {
+	switch kind {
 	case "promised-lost":
 		return float64(len(a.Lost))
 	case "put-back-twice":
@@ -125,31 +125,32 @@
 	return 0
 }
 
-// running is how many of a promise's api gateways run at the end.
-func (r *Result) running(promise scenario.Expectation) float64 {
+// countRunning returns how many of the api gateways of an expectation run at the end.
+func (r *Result) countRunning(expectation scenario.Expectation) float64 {
 	count := 0.0
-	for _, gateway := range r.gatewaysOf(promise) {
-		if r.Runs[gateway] {
+	for _, gateway := range r.gatewaysOf(expectation) {
+		if r.Running[gateway] {
 			count++
 		}
 	}
 	return count
 }
 
-// countLines is how many log lines of a promise's api gateways hold its text, in the window or read after the end.
-func (r *Result) countLines(promise scenario.Expectation, w *window) float64 {
-	gateways := r.gatewaysOf(promise)
+// countLines returns how many log lines of the api gateways of an expectation contain its text. It counts lines in the window and lines
+// that were read after the end.
+func (r *Result) countLines(expectation scenario.Expectation, w *window) float64 {
+	gateways := r.gatewaysOf(expectation)
 	count := 0.0
 	for _, line := range r.Lines {
 		inTime := line.At < 0 || line.At >= w.from && line.At <= w.until
-		if inTime && slices.Contains(gateways, line.Gateway) && strings.Contains(line.Text, promise.Text) {
+		if inTime && slices.Contains(gateways, line.Gateway) && strings.Contains(line.Text, expectation.Text) {
 			count++
 		}
 	}
 	return count
 }
 
-func (r *Result) gatewaysOf(promise scenario.Expectation) []int {
-	gateways, _ := scenario.ParseNumbers(promise.Edge, r.Gateways) // the reader has checked it
+func (r *Result) gatewaysOf(expectation scenario.Expectation) []int {
+	gateways, _ := scenario.ParseNumbers(expectation.Edge, r.Gateways) // checked when the script was read
 	return gateways
 }
--- a/harness/fleet/rejoin.go
+++ b/harness/fleet/rejoin.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	fillRate      = 10000 // additions a second
+	fillRate      = 10000 // additions per second
 	fillSlack     = 1.05
-	loadTime      = 4 * time.Second
+	loadDuration  = 4 * time.Second
 	loadConns     = 4
 	rejoinTimeout = 60 * time.Second
-	// leastFilled is the part of the names that has to be held before a machine is taken, in percent.
-	leastFilled = 95
+	// minFilledPercent is the share of the names that the store must hold before a member is destroyed, in percent.
+	minFilledPercent = 95
 )
 
-// ErrNotFilled is a quota store that holds too few names to be measured.
-var ErrNotFilled = errors.New("too few names are held")
+// ErrNotFilled means that the quota store holds too few names to be measured.
+var ErrNotFilled = errors.New("the quota store holds too few names")
 
-// MeasureRejoin fills a quota store with names, takes one machine with its disk, and returns how long it takes until it holds its replicas
-// again, in seconds, and what additions met before and meanwhile.
-func MeasureRejoin(ctx context.Context, o Options, replicas, groups, names int, disk bool, rate float64) (took float64, before, meanwhile *counterload.Result, err error) {
-	s, end, err := startBareStore(ctx, o, replicas, groups, disk)
-	defer end()
+// MeasureRejoin fills a quota store with names, destroys one member with its disk and restarts it. It returns how long the member takes to
+// hold its replicas again, in seconds, and the results of additions before and during that time.
+func MeasureRejoin(ctx context.Context, o Options, replicas, groups, names int, disk bool, rate float64) (took float64, before, during *counterload.Result, err error) {
+	s, stop, err := startStandaloneStore(ctx, o, replicas, groups, disk)
+	defer stop()
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	var addresses []string // of all but the machine that is taken
+	var addresses []string // of all members but the one that is destroyed
 	for _, member := range s.config.Members[:replicas-1] {
 		addresses = append(addresses, member.CounterAddress)
 	}
@@ -39,10 +39,10 @@
 		return 0, nil, nil, err
 	}
 	load.Rate = rate
-	load.Duration = loadTime
+	load.Duration = loadDuration
 	load.HotKey = true
 	before = load.Run(ctx)
-	if err := s.takeMachine(ctx, replicas-1); err != nil {
+	if err := s.destroyMember(ctx, replicas-1); err != nil {
 		return 0, nil, nil, err
 	}
 	began := time.Now()
@@ -53,12 +53,12 @@
 		took = time.Since(began).Seconds()
 		done <- err
 	}()
-	meanwhile = load.Run(ctx)
+	during = load.Run(ctx)
 	err = <-done
-	return took, before, meanwhile, err
+	return took, before, during, err
 }
 
-// fill adds to all names of a load once, one after the other. It returns ErrNotFilled if too few are held then.
+// fill adds once to each name of a load, one after the other. It returns ErrNotFilled if the store holds too few of them afterwards.
 func (s *store) fill(ctx context.Context, load counterload.Load) error {
 	load.Rate = fillRate
 	load.Duration = time.Duration(float64(load.Keys) / fillRate * fillSlack * 1e9)
@@ -70,14 +70,15 @@
 			held += group.Counters
 		}
 	}
-	if held < load.Keys*leastFilled/100 {
+	if held < load.Keys*minFilledPercent/100 {
 		return fmt.Errorf("%w: %d of %d", ErrNotFilled, held, load.Keys)
 	}
 	return nil
 }
 
-// takeMachine kills a member, removes its disk, and waits until others lead its groups: how long that takes is another measurement.
-func (s *store) takeMachine(ctx context.Context, member int) error {
+// destroyMember kills a member, removes its disk, and waits until other members lead its groups. The time for that is measured by
+// MeasureTakeovers.
+func (s *store) destroyMember(ctx context.Context, member int) error {
 	process := s.process(member)
 	process.Kill()
 	removeDir(process)
--- a/harness/fleet/relay.go
+++ b/harness/fleet/relay.go
@@ -14,11 +14,11 @@
 	"otterseam/quotastore/protocol"
 )
 
-// eventTimeout is how long a message waits for the faults that its event injects: the scenario may be over.
+// eventTimeout limits how long a message is delayed for the faults that its event injects. Once the scenario is over, none are injected.
 const eventTimeout = 200 * time.Millisecond
 
-// gatewayEnvironments gives the variables of each api gateway by which the quota store holds all for it; nil if the script doesn't want
-// that.
+// gatewayEnvironments returns the environment variables that make each api gateway keep its counts, markers and usage in the quota store;
+// nil if the script doesn't ask for that.
 func (s *store) gatewayEnvironments(gateways int) (func(gateway int) []string, error) {
 	if s.settings.Holds != "all" {
 		return nil, nil
@@ -33,7 +33,7 @@
 	return func(gateway int) []string { return []string{"EDGE_OPERATOR=" + files[gateway]} }, nil
 }
 
-// writeOperatorFile writes the operator's file of an api gateway, by which it reaches each member over a link of its own.
+// writeOperatorFile writes the operator file of an api gateway. It lists the address of a separate link to each member.
 func (s *store) writeOperatorFile(gateway int) (string, error) {
 	var addresses []string
 	for member, config := range s.config.Members {
@@ -53,7 +53,7 @@
 	return path, os.WriteFile(path, text, 0o644)
 }
 
-// dialOrReset connects to a member; if that fails it resets the api gateway's connection.
+// dialOrReset connects to a member. If that fails, it resets the connection of the api gateway.
 func dialOrReset(c net.Conn, address string) (net.Conn, bool) {
 	member, err := net.Dial("tcp", address)
 	if err == nil {
@@ -66,7 +66,7 @@
 	return nil, false
 }
 
-// relayStream leads a stream of an api gateway to a member unchanged, and has the observer note what is asked and answered.
+// relayStream relays a stream between an api gateway and a member unchanged, and passes its requests and responses to the observer.
 func (s *store) relayStream(gateway int, c net.Conn, address string) {
 	member, ok := dialOrReset(c, address)
 	if !ok {
@@ -76,23 +76,23 @@
 	go func() {
 		defer member.Close()
 		relayFrames(c, member, func(frame *protocol.Frame) {
-			s.observer.requested(stream, frame)
+			s.observer.observeRequests(stream, frame)
 			if len(frame.Requests) > 0 {
-				s.event("called", gateway)
+				s.raiseEvent("called", gateway)
 			}
 		})
 	}()
 	relayFrames(member, c, func(frame *protocol.Frame) {
 		if len(frame.Responses) > 0 {
-			s.event("added", gateway)
+			s.raiseEvent("added", gateway)
 		}
-		s.observer.responded(stream, frame)
+		s.observer.observeResponses(stream, frame)
 	})
 	c.Close()
 	member.Close()
 }
 
-// relayFrames hands complete frames on; observe is called for each before. It ends with either connection.
+// relayFrames forwards complete frames and calls observe for each before it is written. It returns when either connection ends.
 func relayFrames(from io.Reader, to io.Writer, observe func(frame *protocol.Frame)) {
 	reader := bufio.NewReader(from)
 	for {
@@ -109,20 +109,20 @@
 	}
 }
 
-// relayCounter leads an api gateway's calls in the counter's protocol to a member, and has the observer note them.
+// relayCounter relays the calls of an api gateway in the counter's protocol to a member, and passes them to the observer.
 func (s *store) relayCounter(gateway int, c net.Conn) {
 	config := s.config.Members[gateway%len(s.config.Members)]
 	member, ok := dialOrReset(c, config.CounterAddress)
 	if !ok {
 		return
 	}
-	s.observer.relayCalls(c, member, func(event string) { s.event(event, gateway) })
+	s.observer.relayCalls(c, member, func(event string) { s.raiseEvent(event, gateway) })
 	c.Close()
 	member.Close()
 }
 
-// event tells of an event and waits until the faults that wait for it are in force.
-func (s *store) event(event string, gateway int) {
+// raiseEvent raises an event and waits until the faults that it triggers are in force.
+func (s *store) raiseEvent(event string, gateway int) {
 	f := s.injector
 	f.mu.Lock()
 	gateways := f.gateways
--- a/harness/fleet/result.go
+++ b/harness/fleet/result.go
@@ -8,30 +8,30 @@
 	"otterseam/sim/scenario"
 )
 
-// Result is what came of a script.
+// Result is the result of one run of a script.
 type Result struct {
-	Script   *scenario.Scenario `json:"-"`
-	Seed     uint64             `json:"seed"`
-	Gateways int                `json:"gateways"`
-	Figures  *metrics.Results   `json:"figures"`
-	Spans    []*Span            `json:"faults"`
-	Lines    []Line             `json:"log"`
+	Script        *scenario.Scenario `json:"-"`
+	Seed          uint64             `json:"seed"`
+	Gateways      int                `json:"gateways"`
+	Figures       *metrics.Results   `json:"figures"`
+	Spans         []*Span            `json:"faults"`
+	Lines         []Line             `json:"log"`
 	Datagrams     float64            `json:"mail"`   // datagrams between api gateways
-	FaultsApplied   int                `json:"struck"` // faults that found something
-	Runs     []bool             `json:"runs"`   // by api gateway: whether it runs at the end
-	Audit     *Audit             `json:"held,omitempty"`
-	Kept     []string           `json:"promises"` // promises of the script that were kept
-	Broken   []Story            `json:"broken"`
+	FaultsApplied int                `json:"struck"` // faults whose target was present
+	Running       []bool             `json:"runs"`   // by api gateway: whether it runs at the end
+	Audit         *Audit             `json:"held,omitempty"`
+	Kept          []string           `json:"promises"` // expectations of the script that were met
+	Broken        []Failure          `json:"broken"`
 }
 
-// Story is what is known of one broken rule or promise.
-type Story struct {
+// Failure describes a violated rule or an unmet expectation of the script.
+type Failure struct {
 	Text   string   `json:"text"`
-	Lines  []string `json:"lines,omitempty"`  // what happened to the invocation
+	Lines  []string `json:"lines,omitempty"`  // trace of the invocation
 	Faults []string `json:"faults,omitempty"` // in force at that time
 }
 
-// Span is a fault and when it was in force, in seconds of the scenario.
+// Span is a fault and the time during which it was in force, in seconds of the scenario.
 type Span struct {
 	Kind    string  `json:"kind"`
 	Target  string  `json:"what"` // a link's name, or a process's
@@ -42,7 +42,7 @@
 	service string // at the link's other end; "": the api gateway itself or its clients
 }
 
-// String says what was in force, and when.
+// String returns the kind and target of the fault and when it was in force.
 func (s *Span) String() string {
 	ends := "the end"
 	if s.Ends < never {
@@ -51,17 +51,17 @@
 	return fmt.Sprintf("%s of %s from %.2f s to %s", s.Kind, s.Target, s.Begins, ends)
 }
 
-// stories tells of each violation what happened to its invocation, and which faults were in force.
-func (f *injector) stories(violations []oracle.Violation) []Story {
-	var all []Story
+// describeViolations returns a failure for each violation, with the trace of its invocation and the faults in force.
+func (f *injector) describeViolations(violations []oracle.Violation) []Failure {
+	var failures []Failure
 	for _, violation := range violations {
-		story := Story{Text: violation.String(), Lines: f.traces.of(violation.Ref)}
+		failure := Failure{Text: violation.String(), Lines: f.traces.linesOf(violation.Ref)}
 		for _, span := range f.spans {
-			if violation.Ref != "" && span.Begins <= violation.At && span.Ends+healingTime >= violation.At {
-				story.Faults = append(story.Faults, span.String())
+			if violation.Ref != "" && span.Begins <= violation.At && span.Ends+recoveryGrace >= violation.At {
+				failure.Faults = append(failure.Faults, span.String())
 			}
 		}
-		all = append(all, story)
+		failures = append(failures, failure)
 	}
-	return all
+	return failures
 }
--- a/harness/fleet/script.go
+++ b/harness/fleet/script.go
@@ -10,7 +10,7 @@
 	"otterseam/sim/scenarios"
 )
 
-// maxGateways is how many api gateway processes one machine should run.
+// maxGateways is the maximum number of api gateway processes on one machine.
 const maxGateways = 32
 
 //go:embed scripts/*.toml
@@ -18,10 +18,10 @@
 
 var scripts = assets.Set{Files: scriptFiles, Folder: "scripts", Kind: "script"}
 
-// Names are the scripts that come with the program, in order.
+// Names returns the names of the embedded scripts, sorted.
 func Names() []string { return scripts.Names() }
 
-// Load reads a script by its name, or from a file, and checks it.
+// Load reads and checks a script, given the name of an embedded one or the path of a file.
 func Load(name string) (*scenario.Scenario, error) {
 	file, text, err := scripts.Read(name)
 	if err != nil {
@@ -34,14 +34,14 @@
 	return script, Check(script)
 }
 
-// Check returns a *sockets.UnplayableError if something of a script can't be played.
+// Check returns a *sockets.UnplayableError if a script can't be run with real processes.
 func Check(script *scenario.Scenario) error {
 	if err := sockets.Check(script); err != nil {
 		return err
 	}
 	if script.Fleet.Gateways.Hi > maxGateways {
 		return &sockets.UnplayableError{Scenario: script.Name, Reason: fmt.Sprintf(
-			"%.0f api gateways are more processes than one machine should run: at most %d", script.Fleet.Gateways.Hi, maxGateways)}
+			"%.0f api gateways are too many processes for one machine: the maximum is %d", script.Fleet.Gateways.Hi, maxGateways)}
 	}
 	return nil
 }
--- a/harness/fleet/store.go
+++ b/harness/fleet/store.go
@@ -35,36 +35,36 @@
 	settings *scenario.QuotaStore
 	seed     uint64
 	config   *server.ClusterConfig // with the members' own addresses
-	configs  []string              // paths of the members' configurations, with those of the links
+	configs  []string              // paths of the members' configurations, with the addresses of the links
 	observer *observer
 
-	mu      sync.Mutex // guards all below
-	current []*childprocess.Process
-	started []*childprocess.Process // all that ever were
-	ending  bool
+	mu        sync.Mutex // guards all below
+	processes []*childprocess.Process
+	started   []*childprocess.Process // all processes ever started
+	stopping  bool
 }
 
-// memberName names a member in configurations and files.
+// memberName returns the name of a member in configurations and files.
 func memberName(member int) string { return fmt.Sprintf("keeper-%d", member) }
 
-// memberEnd names a member as the end of a link.
+// memberEnd returns the name of a member as the end of a link.
 func memberEnd(member int) string { return fmt.Sprintf("keeper %d", member) }
 
-// startStore starts the members and bootstraps them. On an error it returns what has to be ended as well.
+// startStore starts the members and bootstraps them. Also on an error, it returns a store that must be stopped.
 func startStore(ctx context.Context, f *injector, o Options, settings *scenario.QuotaStore, seed uint64) (*store, error) {
 	s := &store{injector: f, options: o, settings: settings, seed: seed, observer: newObserver()}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return s, err
 	}
-	if err := s.chooseAddresses(); err != nil {
+	if err := s.buildConfig(); err != nil {
 		return s, err
 	}
-	s.current = make([]*childprocess.Process, len(s.config.Members))
+	s.processes = make([]*childprocess.Process, len(s.config.Members))
 	for member := range s.config.Members {
 		if err := s.writeConfig(member); err != nil {
 			return s, err
 		}
-		if err := s.removeLeftovers(member); err != nil {
+		if err := s.removeOldFiles(member); err != nil {
 			return s, err
 		}
 		if err := s.start(member); err != nil {
@@ -77,8 +77,8 @@
 	return s, s.waitLeaders(ctx, bootstrapTimeout)
 }
 
-// chooseAddresses makes the configuration, with free addresses.
-func (s *store) chooseAddresses() error {
+// buildConfig creates the configuration of the cluster, with free addresses.
+func (s *store) buildConfig() error {
 	members := s.settings.Count.Int()
 	s.config = &server.ClusterConfig{
 		Groups:        s.settings.Groups.Int(),
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// writeConfig writes a member's configuration, by which it reaches each other one over a link.
+// writeConfig writes the configuration of a member, which has the address of a link for each other member.
 func (s *store) writeConfig(member int) error {
 	own := *s.config
 	own.Members = slices.Clone(s.config.Members)
@@ -126,8 +126,8 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// removeLeftovers removes log and folder of an earlier play in the same folder.
-func (s *store) removeLeftovers(member int) error {
+// removeOldFiles removes the log and the folder of a member from an earlier run in the same folder.
+func (s *store) removeOldFiles(member int) error {
 	path := filepath.Join(s.options.Dir, memberName(member))
 	if err := os.RemoveAll(path + ".log"); err != nil {
 		return err
@@ -155,18 +155,18 @@
 	if err != nil {
 		return err
 	}
-	s.current[number] = process
+	s.processes[number] = process
 	s.started = append(s.started, process)
 	return nil
 }
 
-// has says whether there is a member of a number.
-func (s *store) has(member int) bool { return s != nil && member < len(s.config.Members) }
+// hasMember reports whether there is a member with a number.
+func (s *store) hasMember(member int) bool { return s != nil && member < len(s.config.Members) }
 
-// process is the one that runs for a member; nil: none does.
+// process returns the running process of a member, or nil if none runs.
 func (s *store) process(member int) *childprocess.Process {
 	s.mu.Lock()
-	process := s.current[member]
+	process := s.processes[member]
 	s.mu.Unlock()
 	if exited, _, _ := process.ExitState(); exited {
 		return nil
@@ -174,29 +174,29 @@
 	return process
 }
 
-// restartAfter starts a member so many seconds after its process has exited.
+// restartAfter starts a member delay seconds after its process has exited.
 func (s *store) restartAfter(member int, delay float64) {
 	s.mu.Lock()
-	old := s.current[member]
+	old := s.processes[member]
 	s.mu.Unlock()
 	go func() {
 		<-old.Done()
 		time.Sleep(time.Duration(delay * 1e9))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.ending {
+		if s.stopping {
 			return
 		}
 		if err := s.startLocked(member); err != nil {
-			s.options.Report(fmt.Sprintf("keeper %d does not come back: %v", member, err))
+			s.options.Report(fmt.Sprintf("keeper %d did not restart: %v", member, err))
 		}
 	}()
 }
 
-// end ends all processes that were ever started.
-func (s *store) end() {
+// stop stops all processes that were ever started.
+func (s *store) stop() {
 	s.mu.Lock()
-	s.ending = true
+	s.stopping = true
 	started := slices.Clone(s.started)
 	s.mu.Unlock()
 	for _, process := range started {
@@ -209,7 +209,7 @@
 	}
 }
 
-// statuses asks all members for their status; nil stands for one that doesn't answer.
+// statuses requests the status of all members. It is nil for a member that doesn't answer.
 func (s *store) statuses() []*protocol.Admin {
 	var all []*protocol.Admin
 	for _, member := range s.config.Members {
@@ -222,7 +222,7 @@
 	return all
 }
 
-// ledGroups are the groups that a member says it leads; status nil: none.
+// ledGroups returns the groups that a member leads according to its status; none if status is nil.
 func ledGroups(status *protocol.Admin) []protocol.GroupHealth {
 	if status == nil {
 		return nil
@@ -236,8 +236,8 @@
 	return led
 }
 
-// leaderOfMost is the member that leads most groups, and which.
-func (s *store) leaderOfMost() (leader int, led []protocol.GroupHealth) {
+// memberLeadingMost returns the member that leads the most groups, and these groups.
+func (s *store) memberLeadingMost() (leader int, led []protocol.GroupHealth) {
 	for member, status := range s.statuses() {
 		if own := ledGroups(status); len(own) > len(led) {
 			leader = member
@@ -247,18 +247,18 @@
 	return leader, led
 }
 
-// NoLeaderError is a quota store some of whose groups have no leader in time.
+// NoLeaderError means that some groups of the quota store have no leader within a timeout.
 type NoLeaderError struct {
 	Timeout time.Duration
-	Members []string // how each stands
+	Members []string // state of each
 }
 
-// Error says how each member stands.
+// Error includes the state of each member.
 func (e *NoLeaderError) Error() string {
 	return fmt.Sprintf("not all groups of the keepers have a leader after %v (%s)", e.Timeout, strings.Join(e.Members, "; "))
 }
 
-// waitLeaders waits until all groups have a leader. It returns a *NoLeaderError if that doesn't come in time.
+// waitLeaders waits until all groups have a leader. It returns a *NoLeaderError if they don't within the timeout.
 func (s *store) waitLeaders(ctx context.Context, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(statusInterval) {
 		led := map[int]bool{}
@@ -275,7 +275,7 @@
 	for member, status := range s.statuses() {
 		text := fmt.Sprintf("%d: no answer", member)
 		if status != nil {
-			text = fmt.Sprintf("%d: of %x, leads %d of the %d that it holds", member, status.Cluster, len(ledGroups(status)), len(status.Health))
+			text = fmt.Sprintf("%d: in cluster %x, leads %d of its %d groups", member, status.Cluster, len(ledGroups(status)), len(status.Health))
 		}
 		failure.Members = append(failure.Members, text)
 	}
--- a/harness/fleet/store_test.go
+++ b/harness/fleet/store_test.go
@@ -19,20 +19,20 @@
 	"otterseam/harness/sockets"
 )
 
-// playStore plays a script of the quota store, and wants no rule broken.
-func playStore(t *testing.T, name string, sets ...string) *Result {
+// playStore runs a script of the quota store and fails the test if a rule is violated.
+func playStore(t *testing.T, name string, overrides ...string) *Result {
 	t.Helper()
-	r := scriptPlay{name: name, sets: sets}.play(t)
-	checkRules(t, r, "promised")
+	r := scriptPlay{name: name, overrides: overrides}.play(t)
+	checkFailures(t, r, "promised")
 	return r
 }
 
-// These scripts have up to a dozen processes, so they are played one at a time and beside no other test of this package.
+// These scripts start up to a dozen processes, so they run one at a time and in parallel with no other test of this package.
 
-// Machines of keepers are lost with their disks, killed, stopped, cut off or full, and api gateways die with what they owe:
-// nothing that was promised is lost, nothing is counted or delivered twice.
+// Members of the quota store lose their disks, are killed, suspended or cut off, and api gateways are killed with unreported usage. Nothing
+// that was acknowledged may be lost, and nothing may be counted or delivered twice.
 func TestStoreKeepsWhatItAcknowledged(t *testing.T) {
-	for name, struck := range map[string]int{
+	for name, wantApplied := range map[string]int{
 		"keepers-lost-two": 4, "keepers-frozen": 2, "keepers-no-disk": 3, "keepers-adds": 3,
 		"keepers-restart": 4,
 	} {
@@ -41,37 +41,37 @@
 			if len(r.Audit.Lost)+len(r.Audit.CountedTwice)+len(r.Audit.SecondEffects) > 0 {
 				t.Error(r.Audit, r.Audit.Lost, r.Audit.CountedTwice, r.Audit.SecondEffects)
 			}
-			if r.FaultsApplied < struck || r.Audit.Claims < 50 {
-				t.Errorf("%d faults struck, %d claims were held against the keepers", r.FaultsApplied, r.Audit.Claims)
+			if r.FaultsApplied < wantApplied || r.Audit.Claims < 50 {
+				t.Errorf("%d faults were applied, %d claims were checked", r.FaultsApplied, r.Audit.Claims)
 			}
 		})
 	}
 }
 
-// The same with copies off, one keeper alone: what it had promised is gone with its machine, and is found to be.
+// With a single member and no replicas, what the member acknowledged is lost with its machine, and the audit must detect that.
 func TestWithoutReplicasAcknowledgedUsageIsLost(t *testing.T) {
-	for name, sets := range map[string][]string{
+	for name, overrides := range map[string][]string{
 		"keepers-no-disk": {"fault[0].keeper=0", "fault[1].keeper=0"},
 		"keepers-adds":    {"fault[1].keeper=0", "fault[2].keeper=0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := scriptPlay{name: name, sets: append(sets, "keepers.count=1", "keepers.copies=1")}.play(t)
-			if len(r.Audit.Lost) == 0 || !isBroken(r, "promised-lost") {
-				t.Errorf("a keeper alone was lost, and nothing was found to be missing: %v", r.Audit)
+			r := scriptPlay{name: name, overrides: append(overrides, "keepers.count=1", "keepers.copies=1")}.play(t)
+			if len(r.Audit.Lost) == 0 || !hasFailure(r, "promised-lost") {
+				t.Errorf("the only member was lost, but the audit found nothing missing: %v", r.Audit)
 			}
 		})
 	}
 }
 
-// gatewayPair is two api gateways, with a quota store that holds their markers or without, and a host that begins to work and answers
-// nothing.
+// gatewayPair is two api gateways, with or without a quota store that holds their markers, and a host that starts requests and never
+// answers.
 type gatewayPair struct {
 	addresses []string
 	processes []*childprocess.Process
-	ran       atomic.Int32 // requests that the host has begun
+	ran       atomic.Int32 // requests that the host has started
 }
 
-// newGatewayPair starts them and waits until they are ready.
+// newGatewayPair starts the processes and waits until they are ready.
 func newGatewayPair(t *testing.T, withStore bool) *gatewayPair {
 	t.Helper()
 	programs, err := buildPrograms()
@@ -93,11 +93,11 @@
 	for gateway := range 2 {
 		p.startGateway(t, filepath.Join(programs, "whole"), dir, gatewayConfig(t, gateway, discovery.Addr().String(), host), env)
 	}
-	time.Sleep(300 * time.Millisecond) // streams to the store stand
+	time.Sleep(300 * time.Millisecond) // for the streams to the store to connect
 	return p
 }
 
-// startHost starts a host that counts the requests it gets and answers none. It gives its address.
+// startHost starts a host that counts the requests it gets and answers none. It returns the address of the host.
 func (p *gatewayPair) startHost(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,7 +117,7 @@
 	return listener.Addr().String()
 }
 
-// countRequests counts the ends of heads, since the requests have no bodies.
+// countRequests counts the blank lines that end request heads, since the requests have no bodies.
 func (p *gatewayPair) countRequests(c net.Conn) {
 	defer c.Close()
 	lines := bufio.NewScanner(c)
@@ -128,12 +128,13 @@
 	}
 }
 
-// startMarkerStore starts a quota store of three members, and gives the variable by which api gateways have it hold their markers.
+// startMarkerStore starts a quota store of three members, and returns the environment variable that makes api gateways keep their markers
+// in it.
 func startMarkerStore(t *testing.T, programs, dir string) []string {
 	t.Helper()
 	options := Options{QuotaStore: filepath.Join(programs, "keeper"), Dir: dir, Report: func(text string) { t.Log(text) }}
-	s, end, err := startBareStore(context.Background(), options, 3, 4, false)
-	t.Cleanup(end)
+	s, stop, err := startStandaloneStore(context.Background(), options, 3, 4, false)
+	t.Cleanup(stop)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +149,7 @@
 	return operatorFile(t, string(text))
 }
 
-// gatewayConfig is the configuration of one of the two api gateways.
+// gatewayConfig returns the configuration of one of the two api gateways.
 func gatewayConfig(t *testing.T, gateway int, discovery, host string) map[string]any {
 	t.Helper()
 	address, err := sockets.FreeAddress()
@@ -189,27 +190,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = process.Stop() }) // how it ends is not looked at here
+	t.Cleanup(func() { _ = process.Stop() }) // how it exits isn't checked here
 	gateway := len(p.addresses)
 	p.addresses = append(p.addresses, config["listen"].(string))
 	p.processes = append(p.processes, process)
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if p.ask(gateway, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", time.Second) == "200" {
+		if p.sendRequest(gateway, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", time.Second) == "200" {
 			return
 		}
 	}
 	log, err := os.ReadFile(process.LogPath)
-	t.Fatalf("api gateway %d does not come up: %s, %v", gateway, log, err)
+	t.Fatalf("api gateway %d did not become ready: %s, %v", gateway, log, err)
 }
 
-// ask sends a request and gives the status of its answer; "": none came in time.
-func (p *gatewayPair) ask(gateway int, request string, limit time.Duration) string {
-	c, err := net.DialTimeout("tcp", p.addresses[gateway], limit)
+// sendRequest sends a request and returns the status code of the answer, or "" if none came in time.
+func (p *gatewayPair) sendRequest(gateway int, request string, timeout time.Duration) string {
+	c, err := net.DialTimeout("tcp", p.addresses[gateway], timeout)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(limit)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return ""
 	}
 	if _, err := io.WriteString(c, request); err != nil {
@@ -222,33 +223,33 @@
 	return line[9:12]
 }
 
-// payRequest is a non-idempotent request.
+// payRequest returns a non-idempotent request.
 func payRequest(ref string) string {
 	return "POST /pay/1 HTTP/1.1\r\nHost: x\r\nReq-Id: " + ref + "\r\nReq-Kind: pay\r\nX-Tier: team\r\nCookie: key=0000000000000007\r\n" +
 		"Req-Deadline-Ms: 4000\r\nX-Call-Terms: units=1,spread=2,first=0\r\nContent-Length: 0\r\n\r\n"
 }
 
-// An api gateway is killed with a non-idempotent delivery out; its client's request comes to the other one. With marks held
-// by keepers the second one knows it, and the host runs it once; without them it runs twice.
-func TestRepeatAtAnotherGatewayRunsOnce(t *testing.T) {
-	for name, copies := range map[string]bool{"copies": true, "no copies": false} {
+// An api gateway is killed during a non-idempotent delivery, and its client retries at the other one. With markers in the quota store, the
+// second gateway knows the invocation, and the host runs it once. Without them, the host runs it twice.
+func TestRetryAtAnotherGatewayRunsOnce(t *testing.T) {
+	for name, withStore := range map[string]bool{"copies": true, "no copies": false} {
 		t.Run(name, func(t *testing.T) {
-			p := newGatewayPair(t, copies)
-			go p.ask(0, payRequest("00000000000000aa"), 4*time.Second)
+			p := newGatewayPair(t, withStore)
+			go p.sendRequest(0, payRequest("00000000000000aa"), 4*time.Second)
 			for until := time.Now().Add(5 * time.Second); p.ran.Load() == 0 && time.Now().Before(until); {
 				time.Sleep(5 * time.Millisecond)
 			}
 			p.processes[0].Kill()
 			<-p.processes[0].Done()
-			got := p.ask(1, payRequest("00000000000000aa"), 1500*time.Millisecond)
-			if ran := p.ran.Load(); copies && (ran != 1 || got != "409") || !copies && ran != 2 {
-				t.Errorf("it ran %d times, the second api gateway said %q", ran, got)
+			got := p.sendRequest(1, payRequest("00000000000000aa"), 1500*time.Millisecond)
+			if ran := p.ran.Load(); withStore && (ran != 1 || got != "409") || !withStore && ran != 2 {
+				t.Errorf("the host ran it %d times, the second api gateway answered %q", ran, got)
 			}
-			if copies { // one that nobody knows is delivered
-				go p.ask(1, payRequest("00000000000000bb"), time.Second)
+			if withStore { // an invocation without a marker is delivered
+				go p.sendRequest(1, payRequest("00000000000000bb"), time.Second)
 				time.Sleep(700 * time.Millisecond)
 				if p.ran.Load() != 2 {
-					t.Error("an invocation that nobody knows was not delivered")
+					t.Error("an invocation without a marker was not delivered")
 				}
 			}
 		})
--- a/harness/fleet/storefaults.go
+++ b/harness/fleet/storefaults.go
@@ -8,36 +8,37 @@
 	"otterseam/sim/scenario"
 )
 
-// inject has a fault begin on members of the quota store. It runs on the event loop's goroutine.
+// inject starts a fault on members of the quota store. It runs on the goroutine of the event loop.
 func (s *store) inject(fault activeFault) {
 	for _, member := range s.membersOf(fault.number, fault.Keeper) {
 		s.injectMember(fault, member)
 	}
 }
 
-// membersOf are the members that a script's word stands for: numbers, "*", "leader" (of the most groups), or "some N" drawn by the seed.
-func (s *store) membersOf(number int, word string) []int {
+// membersOf returns the members that a script selects: numbers, "*", "leader" (the member that leads the most groups), or "some N" drawn by
+// the seed.
+func (s *store) membersOf(number int, selector string) []int {
 	count := len(s.config.Members)
-	if word == "leader" {
-		leader, _ := s.leaderOfMost()
+	if selector == "leader" {
+		leader, _ := s.memberLeadingMost()
 		return []int{leader}
 	}
 	var many int
-	if _, err := fmt.Sscanf(word, "some %d", &many); err == nil {
+	if _, err := fmt.Sscanf(selector, "some %d", &many); err == nil {
 		return randstream.New(s.seed, "keepers struck", number).Perm(count)[:min(many, count)]
 	}
-	members, _ := scenario.ParseNumbers(word, count) // the reader has checked it
+	members, _ := scenario.ParseNumbers(selector, count) // checked when the script was read
 	return members
 }
 
-// injectMember has a fault begin on a member's process.
+// injectMember starts a fault on the process of a member.
 func (s *store) injectMember(fault activeFault, member int) {
 	f := s.injector
 	process := s.process(member)
 	span := &Span{Kind: fault.Kind, Target: memberEnd(member), Gateway: -1, Begins: fault.begins, Ends: fault.ends, service: "counter"}
 	if process == nil {
 		if fault.Kind == "start" {
-			f.note(span, true)
+			f.recordSpan(span, true)
 			s.restartAfter(member, 0)
 		}
 		return
@@ -51,15 +52,15 @@
 	case "starve":
 		f.starve(process, fault)
 	case "full-disk":
-		limitFiles(process, fault.Size.Float())
+		limitFileSize(process, fault.Size.Float())
 		f.atEnd(fault, func() { s.endFullDisk(member, process) })
 	default:
 		return
 	}
-	f.note(span, true)
+	f.recordSpan(span, true)
 }
 
-// stopMember ends a member's process, and starts it again after the fault if that has an end.
+// stopMember ends the process of a member, and restarts it when the fault ends, if it does.
 func (s *store) stopMember(fault activeFault, member int, process *childprocess.Process) {
 	switch fault.Kind {
 	case "kill":
@@ -76,9 +77,9 @@
 	}
 }
 
-// endFullDisk lets a member's files grow again. One that ended, as it could not write, is started again.
+// endFullDisk removes the limit on a member's files. A member that exited because it could not write is restarted.
 func (s *store) endFullDisk(member int, process *childprocess.Process) {
-	limitFiles(process, noLimit)
+	limitFileSize(process, unlimitedFileSize)
 	if exited, _, _ := process.ExitState(); exited {
 		s.restartAfter(member, 0)
 	}
--- a/harness/fleet/takeover.go
+++ b/harness/fleet/takeover.go
@@ -20,13 +20,13 @@
 	probeInterval   = 5 * time.Millisecond
 	takeoverTimeout = 20 * time.Second
 	replicaInterval = 20 * time.Millisecond
-	// replaceAfter is how long a member may be away before another takes its place, in seconds: longer than any measurement.
+	// replaceAfter is how long a member may be absent before another replaces it, in seconds. It is longer than any measurement.
 	replaceAfter = 30
 )
 
-// startBareStore starts a quota store without api gateways and without links between its members: a link would take connections for a
-// process that is gone. end ends it, and is to be called also on an error.
-func startBareStore(ctx context.Context, o Options, replicas, groups int, disk bool) (s *store, end func(), err error) {
+// startStandaloneStore starts a quota store without api gateways and without links between its members, since a link would accept
+// connections for a process that has exited. The function stop ends the store and must be called also on an error.
+func startStandaloneStore(ctx context.Context, o Options, replicas, groups int, disk bool) (s *store, stop func(), err error) {
 	script := &scenario.Scenario{Name: "bare", QuotaStore: scenario.QuotaStore{Disk: disk, Holds: "adds"}}
 	script.QuotaStore.Count.Lo = float64(replicas)
 	script.QuotaStore.Replicas.Lo = float64(replicas)
@@ -35,14 +35,14 @@
 	o.directPeers = true
 	f := newInjector(script, 1)
 	s, err = startStore(ctx, f, o, &script.QuotaStore, 1)
-	end = func() {
-		s.end()
+	stop = func() {
+		s.stop()
 		f.close()
 	}
-	return s, end, err
+	return s, stop, err
 }
 
-// probe asks a member for one addition to a counter, and says whether it was acknowledged.
+// probe requests one addition to a counter from a member, and reports whether it was acknowledged.
 func probe(address, name string) bool {
 	c, err := net.DialTimeout("tcp", address, probeTimeout)
 	if err != nil {
@@ -59,25 +59,25 @@
 	return err == nil && strings.HasPrefix(line, "HTTP/1.1 200")
 }
 
-// takeoverResult is what probes met, of all takeovers together.
+// takeoverResult is the result of the probes of all takeovers.
 type takeoverResult struct {
 	mu     sync.Mutex
-	took   []float64 // seconds, a group
+	took   []float64 // seconds, for each group
 	failed int
 }
 
-// MeasureTakeovers kills the member that leads most groups so many times. It returns, for each group that it led, how long nobody got an answer,
-// in seconds and sorted, and how many probes were rejected or cut off meanwhile.
-func MeasureTakeovers(ctx context.Context, o Options, replicas, groups, times int, disk bool) (took []float64, failed int, err error) {
-	s, end, err := startBareStore(ctx, o, replicas, groups, disk)
-	defer end()
+// MeasureTakeovers kills the member that leads the most groups the given number of times. It returns how long each group that it led gave
+// no answer, in seconds and sorted, and how many probes were rejected or cut off in that time.
+func MeasureTakeovers(ctx context.Context, o Options, replicas, groups, kills int, disk bool) (took []float64, failed int, err error) {
+	s, stop, err := startStandaloneStore(ctx, o, replicas, groups, disk)
+	defer stop()
 	if err != nil {
 		return nil, 0, err
 	}
 	result := &takeoverResult{}
-	names := nameOfEachGroup(groups)
-	for range times {
-		if err := s.takeover(ctx, names, result); err != nil {
+	names := counterNamePerGroup(groups)
+	for range kills {
+		if err := s.measureTakeover(ctx, names, result); err != nil {
 			return result.took, result.failed, err
 		}
 	}
@@ -85,8 +85,8 @@
 	return result.took, result.failed, nil
 }
 
-// nameOfEachGroup gives a counter's name for each group.
-func nameOfEachGroup(groups int) []string {
+// counterNamePerGroup returns a counter name for each group.
+func counterNamePerGroup(groups int) []string {
 	names := make([]string, groups)
 	for i := 0; slices.Contains(names, ""); i++ {
 		name := fmt.Sprint("probe-", i)
@@ -95,9 +95,10 @@
 	return names
 }
 
-// takeover kills the member that leads most groups, probes each of these until it answers, and waits until the member is back.
-func (s *store) takeover(ctx context.Context, names []string, result *takeoverResult) error {
-	leader, led := s.leaderOfMost()
+// measureTakeover kills the member that leads the most groups, probes each of these until it answers, and waits until the member holds its
+// replicas again.
+func (s *store) measureTakeover(ctx context.Context, names []string, result *takeoverResult) error {
+	leader, led := s.memberLeadingMost()
 	address := s.config.Members[(leader+1)%len(s.config.Members)].CounterAddress
 	process := s.process(leader)
 	began := time.Now()
@@ -129,18 +130,18 @@
 	r.took = append(r.took, time.Since(began).Seconds())
 }
 
-// NotReplicatedError is a quota store whose members do not hold all replicas in time.
+// NotReplicatedError means that the members of the quota store do not hold all replicas within a timeout.
 type NotReplicatedError struct {
 	Timeout time.Duration
 }
 
-// Error says how long was waited.
+// Error includes the timeout.
 func (e *NotReplicatedError) Error() string {
-	return fmt.Sprintf("the keepers do not hold everything again after %v", e.Timeout)
+	return fmt.Sprintf("the keepers do not hold all replicas after %v", e.Timeout)
 }
 
-// waitReplicas waits until every group has as many replicas as it should, each of the incarnation that its member has now, as all of them
-// know. It returns a *NotReplicatedError if that doesn't come in time.
+// waitReplicas waits until every group has its full number of replicas, each in the current incarnation of its member, and all replicas
+// agree on that. It returns a *NotReplicatedError if that takes longer than the timeout.
 func (s *store) waitReplicas(ctx context.Context, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(replicaInterval) {
 		if s.isReplicated(s.statuses()) {
@@ -150,7 +151,7 @@
 	return &NotReplicatedError{Timeout: timeout}
 }
 
-// isReplicated says whether all members answer, and all groups have a leader and all replicas.
+// isReplicated reports whether all members answer, and all groups have a leader and all replicas.
 func (s *store) isReplicated(statuses []*protocol.Admin) bool {
 	if slices.Contains(statuses, nil) {
 		return false
@@ -167,7 +168,7 @@
 	return leaders == s.config.Groups
 }
 
-// isGroupReplicated says whether a group is as its leader and all its replicas say complete.
+// isGroupReplicated reports whether a group is complete according to its leader and all its replicas.
 func (s *store) isGroupReplicated(group *protocol.GroupHealth, statuses []*protocol.Admin) bool {
 	if !group.Stable || !group.AllInSync || len(group.Replicas) != s.config.Replicas {
 		return false
--- a/harness/fleet/traces.go
+++ b/harness/fleet/traces.go
@@ -3,38 +3,38 @@
 import "fmt"
 
 const (
-	// maxTraceLines are kept of one invocation.
+	// maxTraceLines is the maximum number of lines kept for one invocation.
 	maxTraceLines = 64
-	// forgetTraceAfter is how long a trace is kept unless its invocation broke a rule, in seconds.
-	forgetTraceAfter = 10
+	// traceRetention is how long a trace is kept, in seconds, unless its invocation violates a rule.
+	traceRetention = 10
 )
 
-// traces are what happened to invocations, by ref.
+// traces hold what happened to invocations, by ref.
 type traces struct {
-	recent map[string][]string
-	broken map[string][]string // of those with which something was wrong
+	recent    map[string][]string
+	violating map[string][]string // of invocations that violate a rule
 }
 
 func newTraces() *traces {
-	return &traces{recent: map[string][]string{}, broken: map[string][]string{}}
+	return &traces{recent: map[string][]string{}, violating: map[string][]string{}}
 }
 
-// of is the trace of an invocation.
-func (t *traces) of(ref string) []string {
-	if lines := t.broken[ref]; len(lines) > 0 {
+// linesOf returns the trace of an invocation.
+func (t *traces) linesOf(ref string) []string {
+	if lines := t.violating[ref]; len(lines) > 0 {
 		return lines
 	}
 	return t.recent[ref]
 }
 
-// TraceInvocation keeps what happens to each invocation, for as long as its story may be asked for.
+// TraceInvocation adds a line to the trace of an invocation. The trace is kept for as long as a violation may be found.
 func (f *injector) TraceInvocation(gateway int, ref, text string) {
 	t := f.traces
 	now := 0.0
 	if f.world != nil {
 		now = f.world.Queue.Now()
 		if len(t.recent[ref]) == 0 {
-			f.world.Queue.ScheduleAfter(forgetTraceAfter, func() { delete(t.recent, ref) })
+			f.world.Queue.ScheduleAfter(traceRetention, func() { delete(t.recent, ref) })
 		}
 	}
 	if len(t.recent[ref]) < maxTraceLines {
@@ -45,7 +45,7 @@
 	}
 	for _, violation := range f.world.Oracle.Violations {
 		if violation.Ref == ref {
-			t.broken[ref] = t.recent[ref]
+			t.violating[ref] = t.recent[ref]
 		}
 	}
 }
