--- a/cmd/otterseam-sim/fleet.go
+++ b/cmd/otterseam-sim/fleet.go
@@ -144,12 +144,12 @@
 func printResult(out *output, name string, result *fleet.Result) {
 	figures := result.Figures
 	fmt.Fprintf(out.stdout, "%s, seed %d: %.0f tries (%s), %.0f deliveries, %.0f dials, %.0f calls, %.0f datagrams; %d faults struck\n", name, result.Seed,
-		figures.Invocations, strings.Join(figures.OutcomeSummary(), ", "), figures.Attempts, figures.Dials, figures.CounterCalls, result.Mail, result.Struck)
+		figures.Invocations, strings.Join(figures.OutcomeSummary(), ", "), figures.Attempts, figures.Dials, figures.CounterCalls, result.Datagrams, result.FaultsApplied)
 	for _, promise := range result.Kept {
 		fmt.Fprintln(out.stdout, "  kept:", promise)
 	}
-	if result.Held != nil {
-		for _, list := range [][]string{result.Held.Lost, result.Held.CountedTwice, result.Held.SecondEffects} {
+	if result.Audit != nil {
+		for _, list := range [][]string{result.Audit.Lost, result.Audit.CountedTwice, result.Audit.SecondEffects} {
 			for _, line := range list[:min(maxPrinted, len(list))] {
 				fmt.Fprintln(out.stdout, "  not kept:", line)
 			}
@@ -158,8 +158,8 @@
 	for _, broken := range result.Broken {
 		printBroken(out, broken.Text, broken.Lines, broken.Faults)
 	}
-	if result.Held != nil {
-		fmt.Fprintln(out.stdout, result.Held)
+	if result.Audit != nil {
+		fmt.Fprintln(out.stdout, result.Audit)
 	}
 }
 
