--- a/harness/sockets/clients.go
+++ b/harness/sockets/clients.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// maxIdleConns is how many connections to an api gateway clients keep.
+	// maxIdleConns is the maximum number of idle connections that clients keep open to one api gateway.
 	maxIdleConns = 64
-	// readMargin is how long after its client gives up an answer is still read, in seconds.
+	// readMargin is the time after the client's deadline during which a response is still read, in seconds.
 	readMargin = 0.05
 )
 
-// Clients send the requests of a scenario's customers to api gateways on loopback, in an open loop. Times count from when a request was to
-// be sent, not from when it was: a slow machine or api gateway hides nothing.
+// Clients sends the requests of a scenario's customers to api gateways on loopback, in an open loop. Latencies are measured from the
+// intended send time of a request, not from the actual one, so that delays of a slow machine or api gateway are included.
 type Clients struct {
 	*simulation.Simulation
 	loop        *eventLoop
 	interceptor Interceptor // nil: none
 	addresses   []string    // by api gateway
-	up          []bool      // by api gateway: the front sends clients there
-	judge       bool        // the oracle is told of answers
+	up          []bool      // by api gateway: the front routes clients to it
+	judge       bool        // responses are reported to the oracle
 	onSend      func(inv *model.Invocation)
 	onEnd       func(inv *model.Invocation)
 	inFlight    sync.WaitGroup
@@ -45,31 +45,31 @@
 // clientConn is a connection of clients to an api gateway.
 type clientConn struct {
 	tcp    net.Conn
-	reused bool // an answer has come on it before
+	reused bool // a response was received on it before
 }
 
-// AddressError is an address that clients may not send to: load goes to this machine only.
+// AddressError reports an address that clients may not send to. Load is sent to this machine only.
 type AddressError struct {
 	Address string
 	Reason  string
 }
 
-// Error names the address and what is wrong with it.
+// Error returns the address and the reason why it is rejected.
 func (e *AddressError) Error() string { return e.Address + " is " + e.Reason }
 
-// checkLoopback returns an *AddressError unless an address is on this machine.
+// checkLoopback returns an *AddressError unless address is a loopback address with a port.
 func checkLoopback(address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return &AddressError{Address: address, Reason: "no address such as 127.0.0.1:8443"}
+		return &AddressError{Address: address, Reason: "not an IP address with a port, such as 127.0.0.1:8443"}
 	}
 	if !parsed.Addr().IsLoopback() {
-		return &AddressError{Address: address, Reason: "not on loopback: load goes to this machine only"}
+		return &AddressError{Address: address, Reason: "not on loopback: load is sent to this machine only"}
 	}
 	return nil
 }
 
-// attach has the clients play a simulation.
+// attach connects the clients to the simulation whose requests they send.
 func (c *Clients) attach(w *simulation.Simulation) {
 	c.Simulation = w
 	c.loop = newEventLoop(w.Queue)
@@ -79,7 +79,7 @@
 	}
 }
 
-// waitForAnswers waits for what is still in flight, whose time is over, and closes the connections.
+// waitForAnswers waits until the requests in flight have ended and closes the idle connections. All deadlines have passed when it is called.
 func (c *Clients) waitForAnswers() {
 	done := make(chan struct{})
 	go func() {
@@ -88,7 +88,7 @@
 	}()
 	for {
 		select {
-		case <-c.loop.calls: // dropped, so that nobody waits in Do
+		case <-c.loop.calls: // dropped, so that no goroutine blocks in Do
 		case <-done:
 			c.closeIdle()
 			return
@@ -106,10 +106,10 @@
 	}
 }
 
-// Admits says whether the front sends clients to an api gateway.
+// Admits reports whether the front routes clients to an api gateway.
 func (c *Clients) Admits(gateway int) bool { return c.up[gateway%len(c.up)] }
 
-// Submit sends an invocation. It always counts as accepted here; the workload is told its outcome later.
+// Submit sends an invocation. The invocation always counts as accepted, and its outcome is reported to the workload later.
 func (c *Clients) Submit(inv *model.Invocation) bool {
 	inv.Accepted = true
 	gateway := inv.Gateway % len(c.addresses)
@@ -130,7 +130,7 @@
 	return true
 }
 
-// requestText is the request of an invocation as it goes out.
+// requestText returns the HTTP request of an invocation.
 func requestText(inv *model.Invocation, gateways int) string {
 	request := inv.Request
 	operation := request.Operation
@@ -158,18 +158,18 @@
 	return b.String()
 }
 
-// answer is what came back for a request.
+// answer is the response to a request.
 type answer struct {
-	status     int // 0: nothing
+	status     int // 0: no response
 	retryAfter float64
 	body       string
-	last       bool // the api gateway closes the connection behind it
+	last       bool // the api gateway closes the connection after it
 }
 
-var errTimeout = errors.New("no answer in time")
+var errTimeout = errors.New("no response before the deadline")
 
-// exchange sends a request and reads its answer. A kept connection that turns out to be closed is replaced once, by a new one, since
-// other kept ones may have been closed with it.
+// exchange sends a request and reads its response. If a reused connection turns out to be closed, the request is sent once more, on a new
+// connection, because other idle connections may have been closed at the same time.
 func (c *Clients) exchange(inv *model.Invocation, gateway int, text string, deadline time.Time) (answer, error) {
 	got, reused, err := c.exchangeOnce(gateway, text, deadline, false)
 	if err == nil || !reused || errors.Is(err, errTimeout) {
@@ -180,7 +180,8 @@
 	return got, err
 }
 
-// exchangeOnce sends a request on a kept or a new connection. reused tells whether an answer had come on the connection before.
+// exchangeOnce sends a request on an idle connection or, if fresh is set, on a new one. The result reused reports whether an earlier response
+// was received on a connection that failed.
 func (c *Clients) exchangeOnce(gateway int, text string, deadline time.Time, fresh bool) (got answer, reused bool, err error) {
 	conn, err := c.takeConn(gateway, deadline, fresh)
 	if err != nil {
@@ -209,13 +210,13 @@
 	return answer{}, conn.reused, err
 }
 
-// readAnswer reads an answer, and reports bytes behind it.
+// readAnswer converts a response message. Bytes that follow the message are reported to the oracle.
 func (c *Clients) readAnswer(gateway int, m *http1.Message) answer {
 	if more := m.Rest(); len(more) > 0 && c.judge {
 		text := fmt.Sprintf("an answer of api gateway %d has %.40q behind it", gateway, more)
 		c.loop.Do(func() { c.Oracle.ForeignContent("", text) })
 	}
-	retryAfter, _ := strconv.ParseFloat(field(m, "retry-after"), 64) // no number is none
+	retryAfter, _ := strconv.ParseFloat(field(m, "retry-after"), 64) // 0 if it is absent or not a number
 	return answer{
 		status:     m.Status,
 		retryAfter: retryAfter,
@@ -224,9 +225,10 @@
 	}
 }
 
-// keptConnectionClosed judges a kept connection that ended under a request. It may have been closed before the request came, so its client
-// sends the request once more and sees nothing of it; but where a host has an attempt of it, the request had been taken, and is owed an
-// answer. Without this a process that cuts off what it owes was seen only by those whose connection was new.
+// keptConnectionClosed handles a reused connection that was closed during a request. The api gateway may have closed it before the request
+// arrived, in which case sending the request again is correct. If a host has already received an attempt, the api gateway had accepted the
+// request and must answer it, and the dropped connection is reported to the oracle. Without this check, an api gateway that drops accepted
+// requests was detected only on new connections.
 func (c *Clients) keptConnectionClosed(inv *model.Invocation) {
 	if c.interceptor == nil || len(inv.Attempts) == 0 || c.interceptor.FaultSince(inv.Gateway, "", inv.SentAt) {
 		return
@@ -234,7 +236,7 @@
 	c.Oracle.ConnectionDropped(inv)
 }
 
-// takeConn gives a kept connection, or a new one.
+// takeConn returns an idle connection to an api gateway or dials a new one.
 func (c *Clients) takeConn(gateway int, deadline time.Time, fresh bool) (*clientConn, error) {
 	if !fresh {
 		if kept := c.takeIdle(gateway); kept != nil {
@@ -258,7 +260,7 @@
 	return nil
 }
 
-// giveBack keeps a connection for further requests, unless last says that it ends.
+// giveBack returns a connection to the idle set. It closes the connection instead if last is set or the set is full.
 func (c *Clients) giveBack(gateway int, conn *clientConn, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -270,11 +272,11 @@
 	c.idle[gateway][conn] = struct{}{}
 }
 
-// handleAnswer tells oracle and workload what became of an invocation.
+// handleAnswer reports the outcome of an invocation to the oracle and the workload.
 func (c *Clients) handleAnswer(inv *model.Invocation, got answer, err error) {
 	outcome := outcomeOf(got.status, err)
 	if c.interceptor != nil {
-		c.Trace(inv.Gateway, inv.Ref, "its client has: "+model.OutcomeNames[outcome])
+		c.Trace(inv.Gateway, inv.Ref, "outcome at the client: "+model.OutcomeNames[outcome])
 		outcome = c.excuseFaults(inv, outcome)
 	}
 	hadRoom := false
@@ -290,7 +292,7 @@
 	}
 }
 
-// outcomeOf is what a status or an error means to the client.
+// outcomeOf maps a status code or an error to the outcome that the client sees.
 func outcomeOf(status int, err error) model.Outcome {
 	switch {
 	case errors.Is(err, errTimeout):
@@ -307,16 +309,16 @@
 	return model.Errored
 }
 
-// isUnanswered says that the client got nothing.
+// isUnanswered reports whether the client received no response.
 func isUnanswered(outcome model.Outcome) bool {
 	return outcome == model.Unanswered || outcome == model.Broken
 }
 
-// excuseFaults corrects an outcome by the faults in force: under one, an api gateway owes nothing.
+// excuseFaults adjusts an outcome for the faults in force, during which an api gateway need not answer.
 func (c *Clients) excuseFaults(inv *model.Invocation, outcome model.Outcome) model.Outcome {
 	faulty := c.interceptor.FaultSince(inv.Gateway, "", inv.SentAt)
 	switch {
-	case outcome == model.Broken && c.interceptor.UnreachableSince(inv.Gateway, inv.SentAt): // the proxy answers, with nobody behind
+	case outcome == model.Broken && c.interceptor.UnreachableSince(inv.Gateway, inv.SentAt): // the proxy accepts connections, but no api gateway listens behind it
 		return model.Unreachable
 	case isUnanswered(outcome) && faulty:
 		return model.Broken
@@ -326,12 +328,13 @@
 	return outcome
 }
 
-// judgeAnswer tells the oracle of an answer. It returns whether the invocation was inside its quota.
+// judgeAnswer reports a response to the oracle. It returns whether the invocation was throttled although the
+// quota had room.
 func (c *Clients) judgeAnswer(inv *model.Invocation, outcome model.Outcome, body string) bool {
 	if outcome == model.Served && !strings.HasPrefix(body, inv.Ref+" ") {
 		c.Oracle.ForeignContent(inv.Ref, fmt.Sprintf("%s was served with %.40q", inv.Ref, body))
 	}
-	if outcome == model.Unreachable || outcome == model.Broken { // its api gateway was killed, or went away under it
+	if outcome == model.Unreachable || outcome == model.Broken { // its api gateway was killed or exited during the request
 		inv.Outcome = outcome
 		return false
 	}
--- a/harness/sockets/clients_test.go
+++ b/harness/sockets/clients_test.go
@@ -17,16 +17,17 @@
 		var refused *AddressError
 		_, _, err := RunClients(context.Background(), shortScenario(t, ""), 1, []string{address})
 		if !errors.As(err, &refused) || refused.Address != address {
-			t.Errorf("%s was taken: %v", address, err)
+			t.Errorf("%s was not rejected with an AddressError: %v", address, err)
 		}
 	}
 }
 
-// A slow api gateway hides nothing: times count from the intended sending, also when answers come one after another.
+// Latencies are measured from the intended send time, also when a slow api gateway answers requests one after another. If they were measured
+// from the actual send time, the queueing delay would be missing.
 func TestTimesCountFromTheIntendedSending(t *testing.T) {
 	leakcheck.Check(t)
 	server, err := NewScriptedServer(func(m *http1.Message, _ int) string {
-		time.Sleep(30 * time.Millisecond) // all of its connections wait for each other
+		time.Sleep(30 * time.Millisecond) // serializes all connections, since respond is called under a lock
 		body := field(m, "req-id") + " by nobody"
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
@@ -39,8 +40,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Twice as many come as it can answer: what waits grows, and a closed loop would see 30 ms throughout.
+	// The arrival rate is twice the service rate, so the queue grows. A closed loop would measure 30 ms throughout.
 	if median := results.Quantile("all", 0.5); median < 0.1 {
-		t.Errorf("half of the answers within %.3f s", median)
+		t.Errorf("median latency is %.3f s, want at least 0.1 s", median)
 	}
 }
--- a/harness/sockets/configuration.go
+++ b/harness/sockets/configuration.go
@@ -11,18 +11,18 @@
 	"otterseam/sim/simulation"
 )
 
-// Ports that FreeAddress draws from: below those that systems give to outgoing connections.
+// Range of ports for FreeAddress. It lies below the ephemeral ports that systems assign to outgoing connections.
 const (
 	firstFreePort = 10000
 	freePorts     = 20000
 	freeAttempts  = 50
 )
 
-// gatewaySockets is how many sockets an api gateway may use.
+// gatewaySockets is the maximum number of sockets of an api gateway.
 const gatewaySockets = 1024
 
-// writeConfigs writes the configuration of each api gateway into a folder. It returns their paths and where the api gateways listen: at
-// listens, and where there are fewer, at free addresses.
+// writeConfigs writes the configuration file of each api gateway into dir. It returns the paths of the files and the listen addresses, which
+// are those in listens, followed by free addresses if listens has too few.
 func (s *StandIns) writeConfigs(dir string, gateways int, memoryMB float64, listens []string) (paths, addresses []string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, err
@@ -56,7 +56,8 @@
 	return paths, listens[:gateways], nil
 }
 
-// chooseAddresses adds free addresses to listens, and gives those for datagrams between api gateways if the scenario allows them.
+// chooseAddresses appends free addresses to listens until each api gateway has one. If the scenario allows datagrams between api gateways, it
+// also returns a free address for the datagrams of each.
 func (s *StandIns) chooseAddresses(gateways int, listens []string) (all, peerListens []string, err error) {
 	all = listens
 	for gateway := range gateways {
@@ -78,9 +79,9 @@
 	return all, peerListens, nil
 }
 
-// config is the configuration of an api gateway, without its peers.
+// config returns the configuration of an api gateway without its peers.
 func (s *StandIns) config(gateway, gateways int, memoryMB float64, listen string) map[string]any {
-	hosts, _ := s.discoveryEntries(gateway, s.HostList(gateway)) // their listeners are open, so that there is no error
+	hosts, _ := s.discoveryEntries(gateway, s.HostList(gateway)) // the listeners of these hosts are open already, so there is no error
 	settings := simulation.StartSettings(s.Day, gateway)
 	settings.Gateways = gateways
 	return map[string]any{
@@ -95,8 +96,8 @@
 	}
 }
 
-// FreeAddress finds an address on loopback that nobody holds at the moment, for streams and datagrams. Its port lies below those that
-// systems give to outgoing connections: one of these could be gone before an api gateway listens.
+// FreeAddress returns an address on loopback that is currently free for both TCP and UDP. Its port lies below the ephemeral ports, since an
+// outgoing connection could take one of those before an api gateway listens on it.
 func FreeAddress() (string, error) {
 	var err error
 	for range freeAttempts {
@@ -108,7 +109,7 @@
 	return "", err
 }
 
-// tryAddress listens at an address for a moment.
+// tryAddress returns an error unless address can be bound for both TCP and UDP. It closes both sockets again.
 func tryAddress(address string) error {
 	streams, err := net.Listen("tcp", address)
 	if err != nil {
--- a/harness/sockets/conn.go
+++ b/harness/sockets/conn.go
@@ -15,8 +15,8 @@
 	pendingWrites = 256
 )
 
-// ReadMessages reads one HTTP message after another from a connection and calls each, until that returns false or what comes is no
-// message. It returns why reading ended, nil if each did.
+// ReadMessages reads HTTP messages from a connection and calls each for every one, until each returns false or reading fails. It returns the
+// read or parse error, or nil if each returned false.
 func ReadMessages(tcp net.Conn, response bool, each func(m *http1.Message) bool) error {
 	m := &http1.Message{}
 	buffer := make([]byte, http1.MaxMessageBytes)
@@ -35,7 +35,7 @@
 	}
 }
 
-// readMessage reads one message; rest is what came behind the one before it.
+// readMessage reads one message. rest holds the bytes that were read after the end of the previous message.
 func readMessage(tcp net.Conn, m *http1.Message, rest []byte) (complete bool, err error) {
 	if n := copy(m.Space(), rest); n > 0 {
 		complete, err = m.Advance(n)
@@ -49,20 +49,20 @@
 	return complete, err
 }
 
-// conn is a connection of a stand-in. What is written goes out in order, in the background.
+// conn is a connection of a stand-in. Writes are queued and sent in order by a goroutine.
 type conn struct {
 	tcp    net.Conn
 	writes chan write
-	once   sync.Once // end
+	once   sync.Once // guards end
 }
 
-// write is bytes to send, and what is to be done once they have passed.
+// write is a queued write. onPass is called once the bytes have passed the proxy, if there is one.
 type write struct {
 	bytes  []byte
 	onPass func()
 }
 
-// newConn takes over a connection; closed is called once it has been closed.
+// newConn wraps a connection and starts its writer goroutine. It calls closed after the connection was closed.
 func newConn(tcp net.Conn, closed func(*conn)) *conn {
 	c := &conn{tcp: tcp, writes: make(chan write, pendingWrites)}
 	go func() {
@@ -75,7 +75,7 @@
 	return c
 }
 
-// send writes to the socket; on an error it closes the connection, and what waits is read and dropped.
+// send writes to the socket. On an error it closes the connection, and the remaining queued writes fail and are dropped.
 func (c *conn) send(next write) {
 	err := c.tcp.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err == nil {
@@ -95,12 +95,12 @@
 	}
 }
 
-// write hands bytes over; a connection whose other end reads nothing is closed. Only the event loop's goroutine writes.
+// write queues bytes. It closes the connection if the queue is full because the peer does not read. Only the event loop's goroutine calls it.
 func (c *conn) write(bytes []byte) { c.writeThen(bytes, nil) }
 
-// writeThen has onPass called, on another goroutine, once the bytes have passed.
+// writeThen queues bytes like write. onPass is called on another goroutine once the bytes have passed.
 func (c *conn) writeThen(bytes []byte, onPass func()) {
-	defer func() { _ = recover() }() // writes was closed meanwhile: the connection has ended
+	defer func() { _ = recover() }() // writes was closed in the meantime, because the connection has ended
 	select {
 	case c.writes <- write{bytes: bytes, onPass: onPass}:
 	default:
@@ -108,18 +108,19 @@
 	}
 }
 
-// end closes the connection once all that waits has been written; with reset it does at once, and the other end sees a reset.
+// end closes the connection after the queued writes were sent. With reset it closes the connection immediately, and the peer receives a TCP
+// reset.
 func (c *conn) end(reset bool) {
 	c.once.Do(func() {
 		if lingering, ok := c.tcp.(interface{ SetLinger(seconds int) error }); ok && reset {
-			_ = lingering.SetLinger(0) // fails only if closed already
+			_ = lingering.SetLinger(0) // fails only if the connection is already closed
 			c.tcp.Close()
 		}
 		close(c.writes)
 	})
 }
 
-// listen accepts connections until the listener is closed; each is handled on a goroutine of its own.
+// listen accepts connections until the listener is closed and calls handle for each on its own goroutine.
 func listen(address string, handle func(tcp net.Conn)) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -145,7 +146,7 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// field is the value of a message's first field of a name, in small letters; "" where it has none.
+// field returns the value of the first header field with the given name, which is matched without regard to case, or "" if there is none.
 func field(m *http1.Message, name string) string {
 	for _, f := range m.Fields {
 		if strings.EqualFold(string(f.Name), name) {
--- a/harness/sockets/counter.go
+++ b/harness/sockets/counter.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// counterTimeout is how long the counter's answer may take, in seconds: one that never comes would hold up all behind it.
+	// counterTimeout is the time limit for a response of the counter, in seconds. Responses go out in order, so a missing one would block
+	// all later ones.
 	counterTimeout = 1
-	// maxExpiry is the longest life of a counter, in seconds.
+	// maxExpiry is the maximum lifetime of a counter, in seconds.
 	maxExpiry = 60
 )
 
-// counterConn is a connection to the counter's stand-in. Answers go out in the order of the calls.
+// counterConn is a connection of an api gateway to the counter's stand-in. Responses are sent in the order of the calls.
 type counterConn struct {
 	*StandIns
 	gateway int
 	conn    *conn
-	pending []*string // answers in the order of their calls; "": not there yet
+	pending []*string // responses in the order of their calls; "": not available yet
 }
 
-// counterCall is a call of the counter.
+// counterCall is a call that adds an amount to a counter.
 type counterCall struct {
 	name     uint64
 	amount   float64
 	lifetime float64 // seconds
 }
 
-// serveCounter answers an api gateway's calls of the counter.
+// serveCounter serves the counter calls of an api gateway on one connection.
 func (s *StandIns) serveCounter(gateway int, tcp net.Conn) {
 	c := &counterConn{StandIns: s, gateway: gateway, conn: s.takeOver(tcp)}
 	readRequests(tcp, func(m *http1.Message) {
@@ -44,7 +45,7 @@
 	s.loop.Do(func() { c.conn.end(false) })
 }
 
-// handle carries out a call; ok is whether it is one.
+// handle executes a call. ok reports whether the request was a valid call.
 func (c *counterConn) handle(call counterCall, ok bool) {
 	slot := new(string)
 	c.pending = append(c.pending, slot)
@@ -65,11 +66,11 @@
 	})
 }
 
-// add has the model of the counter add, and answers. delay draws how long the way between two zones takes.
+// add adds to the model's counter and sends the response. delay draws the network delay between two zones.
 func (c *counterConn) add(call counterCall, slot *string, delay func(from, to int) float64) {
 	c.CounterCalled(false)
 	c.interceptor.EventSeen("called", c.gateway)
-	// Every second api gateway sees the replica of a split counter: there are no gateways of the model to ask.
+	// Every second api gateway uses the replica of a split counter, since the model has no api gateways here that would decide it.
 	c.Counter.Add(c.gateway%2 == 1, call.name, call.amount, call.lifetime, func(outcome countermodel.Outcome, total float64) {
 		if outcome == countermodel.Added {
 			c.interceptor.EventSeen("added", c.gateway)
@@ -87,7 +88,7 @@
 	})
 }
 
-// answer puts an answer into its place, and writes those whose turn it is.
+// answer stores a response in its slot and writes all responses at the front of the queue that are complete.
 func (c *counterConn) answer(slot *string, status, body string) {
 	*slot = fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	for len(c.pending) > 0 && *c.pending[0] != "" {
@@ -96,7 +97,7 @@
 	}
 }
 
-// parseCounterCall reads POST /counters/NAME?by=AMOUNT&expire_ms=LIFETIME.
+// parseCounterCall parses POST /counters/NAME?by=AMOUNT&expire_ms=LIFETIME.
 func parseCounterCall(m *http1.Message) (call counterCall, ok bool) {
 	path, query, _ := strings.Cut(string(m.Target), "?")
 	text, found := strings.CutPrefix(path, "/counters/")
--- a/harness/sockets/counter_test.go
+++ b/harness/sockets/counter_test.go
@@ -15,7 +15,7 @@
 	"otterseam/harness/leakcheck"
 )
 
-// runStandIns plays the stand-ins of a scenario until the test ends, and returns the counter's address.
+// runStandIns runs the stand-ins of a scenario until the test ends and returns the counter's address.
 func runStandIns(t *testing.T) string {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -44,7 +44,7 @@
 	return config.Counter
 }
 
-// The counter's stand-in answers calls in order, adds exactly, and turns down what is no call.
+// The counter's stand-in answers calls in order, adds amounts exactly and rejects invalid calls.
 func TestCounterAnswersCallsInOrder(t *testing.T) {
 	leakcheck.Check(t)
 	tcp, err := net.Dial("tcp", runStandIns(t))
@@ -68,7 +68,7 @@
 		got = append(got, fmt.Sprint(m.Status, " ", string(m.Body)))
 		return len(got) < 5
 	})
-	// What is no call is answered where it stands in the order.
+	// An invalid call is answered in its place in the order.
 	if err != nil || strings.Join(got, "|") != "200 2.5|200 1.5|400 |400 |200 4" {
 		t.Fatalf("%q, %v", got, err)
 	}
--- a/harness/sockets/discovery.go
+++ b/harness/sockets/discovery.go
@@ -10,13 +10,13 @@
 	"otterseam/gateway/policy"
 )
 
-// keepAliveInterval is the time between empty lines of a watch, in seconds.
+// keepAliveInterval is the interval between empty lines on a watch, in seconds.
 const keepAliveInterval = 2
 
-// notFound answers what no stand-in knows.
+// notFound is the response to a request that a stand-in does not recognize.
 const notFound = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
-// discoveryEntry is a host as discovery tells it.
+// discoveryEntry is a host in the format of the discovery service.
 type discoveryEntry struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"addr"`
@@ -28,10 +28,10 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// discoveryStates are discovery's words for the states of hosts.
+// discoveryStates maps the states of hosts to their names in the discovery service.
 var discoveryStates = map[string]string{"active": "Ready", "leaving": "Terminating", "left": "Gone"}
 
-// discoveryEntries are hosts as discovery tells them to an api gateway. On an error they are those before it.
+// discoveryEntries converts hosts to the entries that discovery sends to an api gateway. On an error it returns the entries converted so far.
 func (s *StandIns) discoveryEntries(gateway int, hosts []policy.HostEntry) ([]discoveryEntry, error) {
 	all := []discoveryEntry{}
 	for _, entry := range hosts {
@@ -58,7 +58,7 @@
 	return all, nil
 }
 
-// HostChanged brings a change of the list of hosts to an api gateway's watches.
+// HostChanged sends a changed host to the watches of an api gateway.
 func (s *StandIns) HostChanged(gateway int, host policy.HostEntry) {
 	s.versions[gateway]++
 	s.interceptor.EventSeen("told", gateway)
@@ -69,7 +69,7 @@
 	}
 }
 
-// hostsTold has the oracle know what has got through of the list of hosts; a host that a full list lacks has left.
+// hostsTold reports the host states that were delivered to an api gateway to the oracle. A host that is missing from a full list has left.
 func (s *StandIns) hostsTold(gateway int, hosts []policy.HostEntry, full bool) {
 	told := s.told[gateway]
 	listed := map[string]bool{}
@@ -83,7 +83,7 @@
 	if !full {
 		return
 	}
-	for address, entry := range told { // each by itself: the order does not show
+	for address, entry := range told { // the order does not matter, since each host is handled independently
 		if !listed[address] && entry.State != "left" {
 			entry.State = "left"
 			told[address] = entry
@@ -92,10 +92,10 @@
 	}
 }
 
-// discoveryLine is one line of discovery's answer.
+// discoveryLine returns one line of a discovery response.
 func (s *StandIns) discoveryLine(gateway int, full bool, hosts []policy.HostEntry) string {
-	entries, _ := s.discoveryEntries(gateway, hosts) // a host without a listener can't be told of
-	line, _ := json.Marshal(map[string]any{          // numbers and texts only: there is no error
+	entries, _ := s.discoveryEntries(gateway, hosts) // a host without a listener cannot be listed
+	line, _ := json.Marshal(map[string]any{          // cannot fail: numbers, strings and booleans only
 		"version": s.versions[gateway],
 		"full":    full,
 		"servers": entries,
@@ -103,10 +103,10 @@
 	return string(line) + "\n"
 }
 
-// chunk is a chunk of the chunked transfer coding.
+// chunk encodes text as one chunk of the chunked transfer coding.
 func chunk(text string) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text) }
 
-// serveDiscovery answers an api gateway's requests for the list of hosts, and its watches.
+// serveDiscovery serves an api gateway's requests for the list of hosts, including watches, on one connection.
 func (s *StandIns) serveDiscovery(gateway int, tcp net.Conn) {
 	c := s.takeOver(tcp)
 	readRequests(tcp, func(m *http1.Message) {
@@ -137,7 +137,7 @@
 	s.keepAlive(gateway, c)
 }
 
-// keepAlive writes an empty line every 2 s for as long as the watch lasts.
+// keepAlive writes an empty line to a watch every 2 s until the watch ends.
 func (s *StandIns) keepAlive(gateway int, c *conn) {
 	s.Queue.ScheduleAfter(keepAliveInterval, func() {
 		if s.watches[gateway][c] {
--- a/harness/sockets/eventloop.go
+++ b/harness/sockets/eventloop.go
@@ -7,23 +7,24 @@
 	"otterseam/sim/eventqueue"
 )
 
-// pendingCalls is how many calls of Do may wait before further callers do.
+// pendingCalls is the number of calls that Do queues before its callers block.
 const pendingCalls = 4096
 
-// eventLoop has the events of a queue happen by the wall clock, all on one goroutine. What comes from sockets enters by Do.
+// eventLoop runs the events of a queue at their times on the wall clock, all on one goroutine. Goroutines that serve sockets use Do to run
+// functions on it.
 type eventLoop struct {
 	queue       *eventqueue.Queue
 	calls       chan func()
 	ended       chan struct{}
 	start       time.Time
-	maxLateness float64 // the most that an event came late, in seconds
+	maxLateness float64 // largest delay of an event, in seconds
 }
 
 func newEventLoop(queue *eventqueue.Queue) *eventLoop {
 	return &eventLoop{queue: queue, calls: make(chan func(), pendingCalls), ended: make(chan struct{})}
 }
 
-// Do has a function called on the loop's goroutine, at the present moment of the scenario. After end it isn't called.
+// Do queues a function that the loop's goroutine calls at the current time of the scenario. After end it does nothing.
 func (l *eventLoop) Do(call func()) {
 	select {
 	case l.calls <- call:
@@ -31,19 +32,19 @@
 	}
 }
 
-// end releases those who wait in Do for a loop that no longer runs.
+// end unblocks callers of Do after the loop has stopped.
 func (l *eventLoop) end() { close(l.ended) }
 
-// now is the time of the scenario in seconds.
+// now returns the time of the scenario in seconds.
 func (l *eventLoop) now() float64 { return time.Since(l.start).Seconds() }
 
-// run starts the clock at 0 and plays until a time of the scenario, or until ctx ends.
+// run sets the clock to 0 and runs events until a time of the scenario or until ctx is done.
 func (l *eventLoop) run(ctx context.Context, until float64) {
 	l.start = time.Now()
 	l.resume(ctx, until)
 }
 
-// resume goes on with the clock as it is.
+// resume runs events like run but does not reset the clock.
 func (l *eventLoop) resume(ctx context.Context, until float64) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -73,7 +74,7 @@
 	}
 }
 
-// drainCalls carries out the calls that wait at this moment.
+// drainCalls runs the calls that are queued when it starts.
 func (l *eventLoop) drainCalls() {
 	for n := len(l.calls); n > 0; n-- {
 		call := <-l.calls
--- a/harness/sockets/eventloop_test.go
+++ b/harness/sockets/eventloop_test.go
@@ -10,7 +10,7 @@
 	"otterseam/sim/eventqueue"
 )
 
-// Events happen in the order of their times though they come from sockets and from the queue.
+// Events run in the order of their times, whether they come from the queue or from Do.
 func TestEventLoopKeepsTheOrderOfTimes(t *testing.T) {
 	leakcheck.Check(t)
 	queue := &eventqueue.Queue{}
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// startTimeout is how long an api gateway may take until it is ready; the platform gives it as long.
+	// startTimeout is the time limit for an api gateway to become ready. It is the same as the platform's.
 	startTimeout     = 30 * time.Second
 	healthTimeout    = time.Second
 	healthInterval   = 10 * time.Millisecond
 	secondRunTimeout = 5 * time.Second
-	// noticeOfTermination is how long the front goes on sending to an api gateway that was asked to end, in seconds.
+	// noticeOfTermination is the time that the front keeps routing to an api gateway after SIGTERM, in seconds.
 	noticeOfTermination = 0.2
 )
 
-// Errors of an api gateway's start.
+// Errors when an api gateway starts.
 var (
-	ErrNotReady = errors.New("it did not say in 30 s that it is ready")
-	ErrExited   = errors.New("it has ended")
+	ErrNotReady = errors.New("it did not become ready within 30 s")
+	ErrExited   = errors.New("its process has exited")
 )
 
-// Gateways are the api gateway processes of a scenario: which run, which get requests of clients, which come back. All methods but Do
-// are called on the event loop's goroutine.
+// Gateways manages the api gateway processes of a scenario: it starts, ends and restarts them and sets which of them receive client
+// requests. All methods but Do are called on the event loop's goroutine.
 type Gateways struct {
-	ctx       context.Context // of the whole run: nobody is started after its end
+	ctx       context.Context // of the whole run; no process is started after it is done
 	options   Options
 	clients   *Clients
 	configs   []string // paths, by api gateway
-	addresses []string // where they listen
+	addresses []string // listen addresses, by api gateway
 	current   []*childprocess.Process
-	started   []*childprocess.Process // all that ever were
-	running   bool                    // the scenario has begun and not ended
-	onRestart func(gateway int)       // a process starts with what its configuration says
+	started   []*childprocess.Process // all processes, including those that have exited
+	running   bool                    // the scenario has begun and has not ended
+	onRestart func(gateway int)       // called before a process restarts with its original configuration
 }
 
 func gatewayName(gateway int) string { return fmt.Sprintf("edge-%d", gateway) }
 
-// start starts a process of an api gateway.
+// start starts a process for an api gateway.
 func (g *Gateways) start(gateway int) (*childprocess.Process, error) {
 	env := append([]string{"EDGE_CONFIG=" + g.configs[gateway], "GODEBUG=schedtrace=2000000000"}, g.options.Env...)
 	if g.options.EnvOf != nil {
@@ -63,7 +63,7 @@
 	return process, nil
 }
 
-// startAll starts all api gateways one after the other and waits until each is ready.
+// startAll starts the api gateways one after another and waits until each is ready.
 func (g *Gateways) startAll() error {
 	for gateway := range g.current {
 		process, err := g.start(gateway)
@@ -72,13 +72,14 @@
 			err = waitReady(g.ctx, g.addresses[gateway], process)
 		}
 		if err != nil {
-			return fmt.Errorf("api gateway %d does not come up: %w (its log is in %s)", gateway, err, g.options.Dir)
+			return fmt.Errorf("api gateway %d failed to start: %w (its log is in %s)", gateway, err, g.options.Dir)
 		}
 	}
 	return nil
 }
 
-// exited handles the end of a process; one that nobody asked for is a crash. Until all have begun, whoever starts them looks.
+// exited handles the exit of a process. An exit that was not requested is reported as a crash. Before the scenario begins, startAll detects
+// exits itself.
 func (g *Gateways) exited(gateway int, process *childprocess.Process) {
 	_, requested, err := process.ExitState()
 	if !g.running || requested || g.current[gateway] != process {
@@ -89,7 +90,7 @@
 	g.clients.up[gateway] = false
 }
 
-// Process is the one that runs for an api gateway; nil: none does.
+// Process returns the running process of an api gateway, or nil if there is none.
 func (g *Gateways) Process(gateway int) *childprocess.Process {
 	process := g.current[gateway]
 	if process == nil {
@@ -101,10 +102,10 @@
 	return process
 }
 
-// Do has a function called on the event loop's goroutine.
+// Do calls a function on the event loop's goroutine.
 func (g *Gateways) Do(call func()) { g.clients.loop.Do(call) }
 
-// Kill ends an api gateway with SIGKILL. Clients go on coming to it until the front notices.
+// Kill ends an api gateway with SIGKILL. Clients keep sending to it until the front detects the failure.
 func (g *Gateways) Kill(gateway int) {
 	if process := g.Process(gateway); process != nil {
 		process.Kill()
@@ -112,7 +113,7 @@
 	}
 }
 
-// Terminate ends an api gateway with SIGTERM. Soon the front sends it nothing more.
+// Terminate ends an api gateway with SIGTERM. The front stops routing to it after noticeOfTermination.
 func (g *Gateways) Terminate(gateway int) {
 	if process := g.Process(gateway); process != nil {
 		process.Terminate()
@@ -120,7 +121,7 @@
 	}
 }
 
-// stopRequestsAfter has clients no longer come after a delay in seconds, unless another process runs by then.
+// stopRequestsAfter stops the routing of clients to an api gateway after a delay in seconds, unless process was replaced by then.
 func (g *Gateways) stopRequestsAfter(gateway int, process *childprocess.Process, delay float64) {
 	g.clients.Queue.ScheduleAfter(delay, func() {
 		if g.current[gateway] == process {
@@ -129,8 +130,8 @@
 	})
 }
 
-// StartSecond starts a second process under the name of an api gateway that runs. ended is told how it exited, or nil if it still runs
-// after 5 s.
+// StartSecond starts a second process with the name and configuration of a running api gateway. It calls ended with the exit error of the
+// process, or with nil if the process exited with code 0 or still runs after 5 s.
 func (g *Gateways) StartSecond(gateway int, ended func(err error)) error {
 	process, err := g.start(gateway)
 	if err != nil {
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// RestartAfter starts an api gateway so many seconds after its process has ended, and lets clients come once it is ready.
+// RestartAfter restarts an api gateway delay seconds after its process has exited and routes clients to it once it is ready.
 func (g *Gateways) RestartAfter(gateway int, delay float64) {
 	old := g.current[gateway]
 	go func() {
@@ -170,7 +171,7 @@
 	g.onRestart(gateway)
 	process, err := g.start(gateway)
 	if err != nil {
-		g.options.Report(fmt.Sprintf("api gateway %d does not come back: %v", gateway, err))
+		g.options.Report(fmt.Sprintf("api gateway %d failed to restart: %v", gateway, err))
 		return
 	}
 	g.current[gateway] = process
@@ -178,7 +179,7 @@
 		err := waitReady(g.ctx, g.addresses[gateway], process)
 		g.Do(func() {
 			if err != nil && g.current[gateway] == process {
-				g.options.Report(fmt.Sprintf("api gateway %d does not come back: %v", gateway, err))
+				g.options.Report(fmt.Sprintf("api gateway %d failed to restart: %v", gateway, err))
 				return
 			}
 			g.clients.up[gateway] = true
@@ -186,7 +187,7 @@
 	}()
 }
 
-// end ends all processes that were ever started.
+// end stops all processes, including second ones, and reports those that had to be killed.
 func (g *Gateways) end() {
 	g.running = false
 	for _, process := range g.started {
@@ -199,8 +200,8 @@
 	}
 }
 
-// waitReady waits until an api gateway says that it is ready. It returns ErrNotReady after startTimeout, and ErrExited if the process has
-// ended.
+// waitReady waits until an api gateway's health check succeeds. It returns ErrNotReady after startTimeout, and ErrExited if the process has
+// exited.
 func waitReady(ctx context.Context, address string, process *childprocess.Process) error {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(healthInterval) {
 		select {
--- a/harness/sockets/hosts.go
+++ b/harness/sockets/hosts.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// forgetForeignAfter is how long after its deadline an invocation of clients elsewhere is still known, in seconds.
+	// forgetForeignAfter is the time after its deadline for which an invocation of an external client is kept, in seconds.
 	forgetForeignAfter = 10
-	// concurrencyMargin is how much later than the next attempt the end of one may be heard of, in seconds.
+	// concurrencyMargin is the tolerance for the end of an attempt to be observed after the next attempt has arrived, in seconds.
 	concurrencyMargin = 0.05
 )
 
@@ -22,12 +22,12 @@
 	host        *hostmodel.Host
 	gateway     int
 	conn        *conn
-	incarnation int            // of the host when the connection came
-	attempt     *model.Attempt // the last one on it
-	job         *hostmodel.Job // its job; nil: none yet
+	incarnation int            // of the host when the connection was accepted
+	attempt     *model.Attempt // the latest one on this connection
+	job         *hostmodel.Job // job of the attempt; nil: none yet
 }
 
-// serveHost takes attempts on a connection of an api gateway to a host.
+// serveHost serves the attempts on a connection of an api gateway to a host.
 func (s *StandIns) serveHost(host *hostmodel.Host, gateway int, tcp net.Conn) {
 	c := &hostConn{StandIns: s, host: host, gateway: gateway, conn: s.takeOver(tcp)}
 	accepted := make(chan bool, 1)
@@ -47,13 +47,13 @@
 		first := fresh
 		fresh = false
 		ref := field(m, "req-id")
-		call, complete := http1.ParseInvocation(m) // the message is lent until this returns
+		call, complete := http1.ParseInvocation(m) // m is valid only until this function returns
 		s.loop.Do(func() { c.begin(ref, call, complete, first) })
 	})
 	s.loop.Do(c.close)
 }
 
-// open tells whether the host takes the connection. A silent one does, and answers nothing.
+// open reports whether the host accepts the connection. A silent host accepts it but never responds.
 func (c *hostConn) open() bool {
 	c.incarnation = c.host.Incarnation
 	ok := c.host.IsSilent() || c.host.OpenConnection()
@@ -61,7 +61,7 @@
 	return ok
 }
 
-// begin begins an attempt that has come; first is whether it is the connection's first.
+// begin starts an attempt that was received. first reports whether it is the first one on the connection.
 func (c *hostConn) begin(ref string, call http1.Invocation, complete, first bool) {
 	inv := c.findInvocation(ref, call, complete)
 	if inv == nil {
@@ -74,7 +74,7 @@
 	c.job = c.submit(c.attempt, first)
 }
 
-// close ends the connection, which the api gateway has closed, or we have.
+// close cleans up after the api gateway or the stand-in has closed the connection. An unfinished attempt is cancelled.
 func (c *hostConn) close() {
 	c.conn.end(false)
 	if c.incarnation == c.host.Incarnation && !c.host.IsSilent() {
@@ -90,7 +90,7 @@
 	c.AttemptReleased(c.attempt)
 }
 
-// submit lets the oracle and the host see an attempt once it has come over the model's network.
+// submit schedules the delivery of an attempt to the host after the delay of the model's network. A partition or a silent host drops it.
 func (c *hostConn) submit(attempt *model.Attempt, first bool) *hostmodel.Job {
 	network := c.Network()
 	zone := c.zone(c.gateway)
@@ -121,12 +121,13 @@
 	return job
 }
 
-// arrive hands an attempt to the oracle and to the host. wasPending is whether its invocation had no answer yet when it was sent.
+// arrive delivers an attempt to the oracle and the host. wasPending reports whether its invocation had no outcome when the attempt was
+// received.
 func (c *hostConn) arrive(attempt *model.Attempt, job *hostmodel.Job, wasPending bool) {
 	inv := attempt.Invocation
 	c.interceptor.EventSeen("delivery", c.gateway)
-	// When one held up by a fault set out isn't known: how late it comes tells nothing. Nor does it where the final answer
-	// came while it was on its way here: it had been called off.
+	// The send time of an attempt that a fault delayed is unknown, so its arrival time must not be judged. The same holds for an attempt
+	// whose invocation got its final response during the delivery, because the api gateway had cancelled it by then.
 	if c.interceptor.FaultSince(c.gateway, hostName(c.host), inv.SentAt) || wasPending && inv.Outcome != model.Pending {
 		c.AttemptSentLate(attempt)
 	} else {
@@ -141,22 +142,22 @@
 	}
 }
 
-// checkConcurrency looks again a moment later whether an earlier attempt is still out: that its connection was closed may be heard of
-// after the next attempt has come.
+// checkConcurrency reports concurrent attempts of an invocation to the oracle if an earlier attempt is still in progress after
+// concurrencyMargin. The check is delayed because the close of the earlier connection may be observed after the next attempt has arrived.
 func (c *hostConn) checkConcurrency(attempt *model.Attempt) {
 	for _, earlier := range attempt.Invocation.Attempts {
 		if earlier == attempt || earlier.Ended {
 			continue
 		}
 		c.Queue.ScheduleAfter(concurrencyMargin, func() {
-			if !earlier.Ended { // it had ended before the next one was sent, or never did
+			if !earlier.Ended { // an attempt that ended before the next one was sent has Ended set by now
 				c.Oracle.ConcurrentAttempts(attempt.Invocation)
 			}
 		})
 	}
 }
 
-// answer sends the host's answer over the model's network; reset is whether that resets the connection.
+// answer sends the host's answer after the delay of the model's network. reset reports whether the network resets the connection instead.
 func (c *hostConn) answer(attempt *model.Attempt, answer hostmodel.Answer, reset bool) {
 	if attempt.Ended {
 		return
@@ -164,7 +165,7 @@
 	network := c.Network()
 	zone := c.zone(c.gateway)
 	c.interceptor.EventSeen("answering", c.gateway)
-	c.Trace(c.gateway, attempt.Invocation.Ref, fmt.Sprintf("host %d ends delivery %d: %s", c.host.Number, attempt.Number, answer))
+	c.Trace(c.gateway, attempt.Invocation.Ref, fmt.Sprintf("host %d completes attempt %d: %s", c.host.Number, attempt.Number, answer))
 	attempt.ProvenNotRun = answer == hostmodel.Rejected
 	if answer == hostmodel.Succeeded && network.DrawLostAnswer() || network.Partitioned(zone, c.host.Zone) {
 		return
@@ -183,7 +184,7 @@
 	})
 }
 
-// hostResponse is a host's answer as it goes out.
+// hostResponse returns the HTTP response for a host's answer.
 func hostResponse(answer hostmodel.Answer, ref string, host int) []byte {
 	switch answer {
 	case hostmodel.Rejected:
@@ -197,8 +198,8 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// findInvocation gives the invocation of a ref: that of a client here, or one made up from what the request says of itself. It is nil if
-// the request makes no sense, or if no client here has sent it.
+// findInvocation returns the invocation for a ref. A ref that no client of this process has sent is passed to onForeignRef if that is set.
+// Otherwise an invocation is created from the fields of the request. The result is nil if onForeignRef was called or the request is invalid.
 func (s *StandIns) findInvocation(ref string, call http1.Invocation, complete bool) *model.Invocation {
 	if inv := s.invocations[ref]; inv != nil {
 		return inv
@@ -223,7 +224,7 @@
 	return inv
 }
 
-// foreignRequest makes up the request of a client elsewhere; nil: the scenario doesn't have its operation or plan.
+// foreignRequest creates the request of an external client. It returns nil if the scenario doesn't define the operation or the plan.
 func (s *StandIns) foreignRequest(call http1.Invocation) *model.Request {
 	customer := s.foreignCustomer(call)
 	now := s.Queue.Now()
@@ -245,7 +246,7 @@
 	return nil
 }
 
-// foreignCustomer gives the customer of a call, which is made up at its first one; nil: the scenario doesn't have its plan.
+// foreignCustomer returns the customer of a call and creates it at the first call. It returns nil if the scenario doesn't define the plan.
 func (s *StandIns) foreignCustomer(call http1.Invocation) *model.Customer {
 	if customer := s.customers[call.Customer]; customer != nil {
 		return customer
--- a/harness/sockets/interceptor.go
+++ b/harness/sockets/interceptor.go
@@ -6,42 +6,43 @@
 	"otterseam/sim/simulation"
 )
 
-// Interceptor stands between the processes of a scenario and may inject faults. Without one they reach each other directly. Times are
-// those of the scenario, in seconds.
+// Interceptor sits between the processes of a scenario and may inject faults. Without one the processes connect to each other directly.
+// Times are scenario times in seconds.
 type Interceptor interface {
-	// ListenFor gives the address at which an api gateway reaches a service ("counter", "discovery", "host 3"); handle gets the
+	// ListenFor returns the address at which an api gateway reaches a service ("counter", "discovery", "host 3"). handle is called with the
 	// service's end of each connection.
 	ListenFor(gateway int, service string, handle func(c net.Conn)) (string, error)
-	// ClientAddress gives the address at which clients reach an api gateway that listens at another one.
+	// ClientAddress returns the address at which clients reach the api gateway that listens at listening.
 	ClientAddress(gateway int, listening string) (string, error)
-	// PeerAddresses gives the addresses under which api gateways know each other, from those at which they listen.
+	// PeerAddresses returns the addresses that api gateways use for each other, given their listen addresses.
 	PeerAddresses(listening []string) ([]string, error)
-	// Begin is called when the scenario begins, on the event loop's goroutine, on which it may call g.
+	// Begin is called on the event loop's goroutine when the scenario begins. It may call methods of g on that goroutine.
 	Begin(w *simulation.Simulation, g *Gateways)
-	// End is called as the scenario ends, before its processes are ended.
+	// End is called when the scenario ends, before its processes are stopped.
 	End(g *Gateways)
-	// EventSeen tells of an event at an api gateway before what follows from it.
+	// EventSeen is called for an event at an api gateway before the event takes effect.
 	EventSeen(event string, gateway int)
-	// FaultSince says that a fault was in force since a time on the way of an api gateway to a service, or ("") on itself.
+	// FaultSince reports whether a fault was in force at any time since the given one, on the path from an api gateway to a service or, if
+	// service is "", on the api gateway itself.
 	FaultSince(gateway int, service string, since float64) bool
-	// UnreachableSince says that an api gateway could not be reached behind its client address since a time.
+	// UnreachableSince reports whether an api gateway was unreachable behind its client address at any time since the given one.
 	UnreachableSince(gateway int, since float64) bool
-	// TraceInvocation tells of something that happened to an invocation.
+	// TraceInvocation is called for each trace event of an invocation.
 	TraceInvocation(gateway int, ref, text string)
 }
 
-// direct is a scenario without an interceptor.
+// direct is the Interceptor of a scenario without fault injection: processes connect to each other directly.
 type direct struct{ standIns *StandIns }
 
-// ListenFor listens on loopback.
+// ListenFor listens on a loopback address and returns it.
 func (d direct) ListenFor(_ int, _ string, handle func(c net.Conn)) (string, error) {
 	return d.standIns.listen(handle)
 }
 
-// ClientAddress is where the api gateway listens.
+// ClientAddress returns the listen address.
 func (direct) ClientAddress(_ int, listening string) (string, error) { return listening, nil }
 
-// PeerAddresses are where the api gateways listen.
+// PeerAddresses returns the listen addresses.
 func (direct) PeerAddresses(listening []string) ([]string, error) { return listening, nil }
 
 // Begin does nothing.
@@ -53,10 +54,10 @@
 // EventSeen does nothing.
 func (direct) EventSeen(string, int) {}
 
-// FaultSince is never so.
+// FaultSince returns false.
 func (direct) FaultSince(int, string, float64) bool { return false }
 
-// UnreachableSince is never so.
+// UnreachableSince returns false.
 func (direct) UnreachableSince(int, float64) bool { return false }
 
 // TraceInvocation does nothing.
--- a/harness/sockets/play.go
+++ b/harness/sockets/play.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// maxListeners is how many listeners of hosts one machine should hold.
+	// maxListeners is the maximum number of host listeners on one machine.
 	maxListeners = 4000
-	// startLimit is how long the loop runs at most until all api gateways are ready, in seconds.
+	// startLimit is the maximum time that the loop runs while the api gateways start, in seconds.
 	startLimit = 3600
-	// forgetAfter is how long an invocation that has ended is still known, in seconds.
+	// forgetAfter is the time for which an ended invocation is kept, in seconds.
 	forgetAfter = 5
-	// reportedLateness is how late an event has to come, in seconds, for that to be reported.
+	// reportedLateness is the event delay above which the delay is reported, in seconds.
 	reportedLateness = 0.02
 )
 
-// UnplayableError says what of a scenario can't be played on sockets.
+// UnplayableError reports why a scenario can't be played on sockets.
 type UnplayableError struct {
 	Scenario string
 	Reason   string
 }
 
-// Error names the scenario and the reason.
+// Error returns the scenario's name and the reason.
 func (e *UnplayableError) Error() string { return e.Scenario + ": " + e.Reason }
 
-// Check returns an *UnplayableError if something of a scenario can't be played on sockets.
+// Check returns an *UnplayableError if a scenario has too many listeners or a fault that can't be played on sockets.
 func Check(d *scenario.Scenario) error {
 	gateways := int(d.Fleet.Gateways.Hi)
 	hosts := int(d.Fleet.Hosts.Hi)
@@ -53,34 +53,34 @@
 	return nil
 }
 
-// externalPolicy stands for the policy of api gateways that run elsewhere; its text names them.
+// externalPolicy is the policy name of api gateways that run outside the simulation.
 type externalPolicy string
 
-// Name is the text.
+// Name returns the policy name.
 func (p externalPolicy) Name() string { return string(p) }
 
-// Err is never one.
+// Err returns nil.
 func (p externalPolicy) Err() error { return nil }
 
 // Close does nothing.
 func (p externalPolicy) Close() {}
 
-var errExternalGateways = errors.New("the api gateways of this day stand elsewhere")
+var errExternalGateways = errors.New("the api gateways of this scenario run outside the simulation")
 
-// NewPolicy makes none: the simulation has no api gateway of its own.
+// NewPolicy returns an error, since the simulation has no api gateway of its own.
 func (p externalPolicy) NewPolicy(*simulation.Simulation, int, uint64, policydriver.Output) (gatewaymodel.Policy, error) {
 	return nil, errExternalGateways
 }
 
-// Options say with what a scenario is played on sockets.
+// Options configures how a scenario is played on sockets.
 type Options struct {
-	Gateway     string                     // path of the api gateway's program
+	Gateway     string                     // path of the api gateway's executable
 	Dir         string                     // for configurations and logs
-	MemoryMB    float64                    // limit that an api gateway is told, in megabytes
-	Report      func(text string)          // told of what happens to processes
+	MemoryMB    float64                    // memory limit in the api gateways' configuration, in megabytes
+	Report      func(text string)          // called with messages about process exits, failed starts and late events
 	Interceptor Interceptor                // nil: none
-	Env         []string                   // further variables for the api gateways
-	EnvOf       func(gateway int) []string // and for each of them; nil: none
+	Env         []string                   // additional environment variables of all api gateways
+	EnvOf       func(gateway int) []string // additional environment variables by api gateway; nil: none
 }
 
 // run is a scenario that is played on sockets.
@@ -92,8 +92,8 @@
 	gateways   *Gateways
 }
 
-// Play plays a scenario on sockets: it starts a process for each api gateway, lets the customers send requests once all are ready, and
-// ends the processes it started. It returns ctx's error, with the results so far, if ctx ended.
+// Play plays a scenario on sockets. It starts a process for each api gateway, sends the customers' requests once all are ready, and stops the
+// processes at the end. If ctx is done early, it returns the results so far and ctx's error.
 func Play(ctx context.Context, d *scenario.Scenario, seed uint64, o Options) (*metrics.Results, *simulation.Simulation, error) {
 	if err := Check(d); err != nil {
 		return nil, nil, err
@@ -114,12 +114,12 @@
 	r.begin()
 	r.clients.loop.resume(playing, r.simulation.EndTime())
 	r.standIns.interceptor.End(r.gateways)
-	stop() // no api gateway comes back any more
+	stop() // no api gateway is restarted from here on
 	r.gateways.end()
 	r.clients.waitForAnswers()
 	results := r.simulation.Finish()
 	if lateness := r.clients.loop.maxLateness; lateness > reportedLateness {
-		o.Report(fmt.Sprintf("this machine was too busy: an event came %.0f ms late", 1000*lateness))
+		o.Report(fmt.Sprintf("this machine was too busy: an event ran %.0f ms late", 1000*lateness))
 	}
 	return results, r.simulation, ctx.Err()
 }
@@ -175,7 +175,8 @@
 	return nil
 }
 
-// forgetHostsTold gives what is to be done when a process starts anew: it knows the hosts of its configuration, as they are now.
+// forgetHostsTold returns the function to call before a process restarts. That function resets the hosts known to the api gateway to those of
+// its configuration, which are the hosts at the time when forgetHostsTold is called.
 func (r *run) forgetHostsTold() func(gateway int) {
 	s := r.standIns
 	configured := make([][]policy.HostEntry, len(r.clients.addresses))
@@ -189,7 +190,8 @@
 	}
 }
 
-// startGateways starts the processes. The stand-ins must answer meanwhile, so that the loop runs; the scenario itself begins later.
+// startGateways starts the processes. The event loop runs in the meantime, because the stand-ins must answer while api gateways start. The
+// scenario itself begins later.
 func (r *run) startGateways(ctx context.Context) error {
 	starting, ready := context.WithCancel(ctx)
 	looped := make(chan struct{})
@@ -206,12 +208,12 @@
 	return err
 }
 
-// begin begins the scenario. What has happened until now is connections and watches alone.
+// begin starts the scenario. Before it, the api gateways have only opened connections and watches.
 func (r *run) begin() {
 	w := r.simulation
 	w.Begin()
 	w.KillGateway = func(gateway int, down float64, gently bool) {
-		r.options.Report(fmt.Sprintf("%.1f s: api gateway %d ends", w.Queue.Now(), gateway))
+		r.options.Report(fmt.Sprintf("%.1f s: stopping api gateway %d", w.Queue.Now(), gateway))
 		if gently {
 			r.gateways.Terminate(gateway)
 		} else {
@@ -223,5 +225,5 @@
 	r.standIns.interceptor.Begin(w, r.gateways)
 }
 
-// unixNow is the present time in seconds since 1970.
+// unixNow returns the current Unix time in seconds.
 func unixNow() float64 { return float64(time.Now().UnixNano()) / 1e9 }
--- a/harness/sockets/play_test.go
+++ b/harness/sockets/play_test.go
@@ -15,7 +15,7 @@
 	"otterseam/sim/scenarios"
 )
 
-// buildGateway builds the api gateway as it stands.
+// buildGateway builds the api gateway from the current source and returns its path.
 func buildGateway(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "otterseam")
@@ -25,7 +25,8 @@
 	return path
 }
 
-// shortScenario is a scenario of 4 s with two api gateways and three hosts, with troubles and further values set.
+// shortScenario returns a scenario of 4 s with two api gateways and three hosts. It appends troubles to the scenario's text and applies sets,
+// each KEY=VALUE.
 func shortScenario(t *testing.T, troubles string, sets ...string) *scenario.Scenario {
 	t.Helper()
 	rough, err := scenarios.Load("rough-4")
@@ -46,8 +47,8 @@
 	return d
 }
 
-// A scenario with a restart and a killed api gateway: every invocation ends, nothing runs twice, nothing foreign is served, and the
-// processes that were started are gone at the end. How fast answers come is not judged: the machine may be busy.
+// In a scenario where an api gateway is killed and restarted, every invocation ends, nothing runs twice, no foreign content is served, and
+// all started processes have exited at the end. Violations of client deadlines are ignored, since the machine may be busy.
 func TestScenarioWithAKilledGatewayKeepsTheRules(t *testing.T) {
 	leakcheck.Check(t)
 	d := shortScenario(t, "\n[[trouble]]\nkind = \"kill\"\nat = \"1s\"\nlasts = \"300ms\"\npart = 0.5\n"+
@@ -70,15 +71,15 @@
 		}
 	}
 	if len(reports) == 0 || !strings.Contains(reports[0], "api gateway") {
-		t.Errorf("nobody was killed: %q", reports)
+		t.Errorf("no api gateway was killed: %q", reports)
 	}
 	log, err := os.ReadFile(filepath.Join(dir, "edge-0.log"))
 	if err != nil || !strings.Contains(string(log), `"ended"`) {
-		t.Errorf("the api gateway did not end well: %v %s", err, log)
+		t.Errorf("the api gateway did not shut down cleanly: %v %s", err, log)
 	}
 }
 
-// checkOutcomes wants many invocations, each with an outcome, and counter and hosts called.
+// checkOutcomes checks that there were many invocations, each with an outcome, and calls to the counter and the hosts.
 func checkOutcomes(t *testing.T, results *metrics.Results) {
 	t.Helper()
 	ended := 0.0
@@ -89,25 +90,25 @@
 		t.Errorf("%.0f invocations, %.0f ended, %v", results.Invocations, ended, results.Outcomes)
 	}
 	if results.CounterCalls == 0 || results.Attempts == 0 {
-		t.Error("neither counter nor hosts were called")
+		t.Error("the counter or the hosts were not called")
 	}
 }
 
 func TestScenarioThatSocketsCannotPlayIsRefused(t *testing.T) {
 	var unplayable *UnplayableError
 	if err := Check(shortScenario(t, "\n[[trouble]]\nkind = \"starve\"\nat = \"1s\"\nlasts = \"1s\"\nsize = 0.5\n")); !errors.As(err, &unplayable) {
-		t.Errorf("a trouble that sockets can't play was taken: %v", err)
+		t.Errorf("a fault that sockets can't play was not rejected with an UnplayableError: %v", err)
 	}
 	big, err := scenarios.Load("calm-300")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := Check(big); !errors.As(err, &unplayable) || unplayable.Scenario != big.Name {
-		t.Errorf("60,000 listeners were taken: %v", err)
+		t.Errorf("60,000 listeners were not rejected with an UnplayableError: %v", err)
 	}
 }
 
-// An api gateway that does not come up ends the run with where its log is, and leaves no process.
+// If an api gateway fails to start, the run ends with an error that has the folder of its log, and no process is left.
 func TestGatewayThatDoesNotStartEndsTheRun(t *testing.T) {
 	leakcheck.Check(t)
 	dir := t.TempDir()
@@ -116,7 +117,7 @@
 		t.Fatal(err)
 	}
 	_, _, err := Play(context.Background(), shortScenario(t, ""), 1, Options{Gateway: script, Dir: dir, MemoryMB: 64, Report: func(string) {}})
-	if !errors.Is(err, ErrExited) || !strings.Contains(err.Error(), "does not come up") || !strings.Contains(err.Error(), dir) {
+	if !errors.Is(err, ErrExited) || !strings.Contains(err.Error(), "failed to start") || !strings.Contains(err.Error(), dir) {
 		t.Fatal(err)
 	}
 }
--- a/harness/sockets/scriptedserver.go
+++ b/harness/sockets/scriptedserver.go
@@ -9,22 +9,22 @@
 	"otterseam/gateway/http1"
 )
 
-// observedEvents is how many requests or disconnects a ScriptedServer keeps for whoever looks.
+// observedEvents is the buffer size of the channels Requests and Disconnects of a ScriptedServer.
 const observedEvents = 100
 
-// ScriptedServer is a listener on loopback that answers each request with the bytes that a test gives.
+// ScriptedServer is a server on loopback that answers each request with bytes chosen by a test.
 type ScriptedServer struct {
 	net.Listener
-	Requests    chan string // method, target and body of each; those past the buffer are dropped
-	Disconnects chan bool   // one for each connection that has ended, likewise
+	Requests    chan string // method, target and body of each request; dropped if the buffer is full
+	Disconnects chan bool   // one value for each closed connection; dropped if the buffer is full
 
 	mu    sync.Mutex // guards all below
 	conns []net.Conn
 	count int
 }
 
-// NewScriptedServer listens. respond gets each request and its number, from 1. Where it returns "" nothing is sent; a text that ends in
-// "!" is sent without that sign and the connection closed.
+// NewScriptedServer starts a server. respond is called with each request and its number, starting at 1, and returns the bytes to send. If they
+// end in "!", they are sent without it and the connection is closed. For "" nothing is sent.
 func NewScriptedServer(respond func(m *http1.Message, number int) string) (*ScriptedServer, error) {
 	s := &ScriptedServer{Requests: make(chan string, observedEvents), Disconnects: make(chan bool, observedEvents)}
 	var err error
@@ -45,19 +45,19 @@
 		tcp.Close()
 		select {
 		case s.Disconnects <- true:
-		default: // nobody looks
+		default: // the buffer is full
 		}
 	}()
-	_ = ReadMessages(tcp, false, func(m *http1.Message) bool { // ends with the connection, which Disconnects tells
+	_ = ReadMessages(tcp, false, func(m *http1.Message) bool { // an error ends the connection, which Disconnects reports
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		select {
 		case s.Requests <- string(m.Method) + " " + string(m.Target) + " " + string(m.Body):
-		default: // nobody looks
+		default: // the buffer is full
 		}
 		s.count++
 		text, last := strings.CutSuffix(respond(m, s.count), "!")
-		_, _ = io.WriteString(tcp, text) // a client that has gone is found by the next read
+		_, _ = io.WriteString(tcp, text) // if the client has disconnected, the next read fails
 		return !last
 	})
 }
--- a/harness/sockets/standalone.go
+++ b/harness/sockets/standalone.go
@@ -10,11 +10,11 @@
 	"otterseam/sim/simulation"
 )
 
-// standAloneMemoryMB is the memory limit that api gateways of RunStandIns are told, in megabytes.
+// standAloneMemoryMB is the memory limit in the configurations that RunStandIns writes, in megabytes.
 const standAloneMemoryMB = 64
 
-// RunStandIns plays a scenario's hosts, counter and discovery until its length is over or ctx ends. Configurations for api gateways, which
-// listen at the addresses given, are written into dir first; ready is told their paths.
+// RunStandIns runs a scenario's hosts, counter and discovery until the end of the scenario or until ctx is done. It first writes
+// configurations for api gateways with the given listen addresses into dir and calls ready with their paths.
 func RunStandIns(ctx context.Context, d *scenario.Scenario, seed uint64, dir string, listens []string, ready func(paths []string)) (*metrics.Results, error) {
 	if err := Check(d); err != nil {
 		return nil, err
@@ -39,12 +39,13 @@
 	}
 	ready(paths)
 	w.BeginWithoutClients()
-	loop.run(ctx, w.Day.Length.Float()) // the scenario begins with the loop
+	loop.run(ctx, w.Day.Length.Float()) // the loop's clock starts with the scenario
 	return w.Finish(), nil
 }
 
-// RunClients lets a scenario's customers send requests to api gateways at addresses on loopback. It returns what they got, and how late an
-// event came at most, in seconds. Nobody knows here whether there was quota left. It returns an *AddressError for an address elsewhere.
+// RunClients sends the requests of a scenario's customers to api gateways at addresses on loopback. It returns the results and the largest
+// delay of an event in seconds. Whether the quota had room for a throttled request is unknown here and assumed false. RunClients returns an
+// *AddressError for an address that is not on loopback.
 func RunClients(ctx context.Context, d *scenario.Scenario, seed uint64, addresses []string) (*metrics.Results, float64, error) {
 	for _, address := range addresses {
 		if err := checkLoopback(address); err != nil {
@@ -60,13 +61,13 @@
 	return w.Finish(), c.loop.maxLateness, nil
 }
 
-// noClients is the way to api gateways of a scenario without clients.
+// noClients takes the place of the clients in a scenario without clients.
 type noClients struct{}
 
-// Submit accepts nothing.
+// Submit returns false: no invocation is accepted.
 func (noClients) Submit(*model.Invocation) bool { return false }
 
-// Admits is always so.
+// Admits returns true.
 func (noClients) Admits(int) bool { return true }
 
 // RequestCreated does nothing.
--- a/harness/sockets/standins.go
+++ b/harness/sockets/standins.go
@@ -12,27 +12,27 @@
 	"otterseam/sim/simulation"
 )
 
-// StandIns are a scenario's hosts, counter and discovery on loopback, with one listener of each for every api gateway, so that it is known
-// who calls. What they do is the models'; nothing is decided here. But for connections and listeners all of it belongs to the event
-// loop's goroutine.
+// StandIns serves a scenario's hosts, counter and discovery on loopback. Each service has one listener per api gateway, which identifies the
+// caller. The behaviour comes from the models of the simulation. All fields but those guarded by mu are used only on the event loop's
+// goroutine.
 type StandIns struct {
 	*simulation.Simulation
 	loop        *eventLoop
 	interceptor Interceptor
-	beginsAt    float64 // Unix time at which the scenario begins, seconds
+	beginsAt    float64 // Unix time in seconds at which the scenario begins
 
 	counterAddresses   []string          // by api gateway
 	discoveryAddresses []string          // by api gateway
 	hostAddresses      map[[2]int]string // by host and api gateway
 
-	watches  []map[*conn]bool              // of discovery, by api gateway
+	watches  []map[*conn]bool              // discovery watches, by api gateway
 	versions []int64                       // of the list of hosts, by api gateway
-	told     []map[string]policy.HostEntry // by api gateway and address: what has got through of the list
+	told     []map[string]policy.HostEntry // host entries delivered, by api gateway and address
 
 	customers    map[string]*model.Customer   // by key
-	invocations  map[string]*model.Invocation // of clients here, by ref, while they are known
-	foreign      map[string]*model.Invocation // made up for refs that no client here has sent
-	onForeignRef func(ref string)             // nil: clients are elsewhere, and such refs are theirs
+	invocations  map[string]*model.Invocation // of this process's clients, by ref, until forgetAfter has passed
+	foreign      map[string]*model.Invocation // of external clients, by ref
+	onForeignRef func(ref string)             // called for refs that no client of this process sent; nil: clients are external
 
 	mu        sync.Mutex // guards all below
 	listeners []net.Listener
@@ -40,7 +40,7 @@
 	closed    bool
 }
 
-// newStandIns opens all listeners. On an error it returns what has to be closed as well.
+// newStandIns opens all listeners. On an error it also returns the StandIns, which the caller must close.
 func newStandIns(w *simulation.Simulation, loop *eventLoop, gateways int, interceptor Interceptor) (*StandIns, error) {
 	s := &StandIns{
 		Simulation:    w,
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// openFor opens the listeners for one api gateway.
+// openFor opens the listeners of one api gateway.
 func (s *StandIns) openFor(gateway int) error {
 	s.watches = append(s.watches, map[*conn]bool{})
 	s.versions = append(s.versions, 1)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// listen listens on loopback until Close.
+// listen opens a listener on loopback that Close closes, and returns its address.
 func (s *StandIns) listen(handle func(tcp net.Conn)) (string, error) {
 	listener, err := listen("127.0.0.1:0", handle)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return listener.Addr().String(), nil
 }
 
-// takeOver takes over a connection, until Close.
+// takeOver wraps a connection, which Close closes if it is still open.
 func (s *StandIns) takeOver(tcp net.Conn) *conn {
 	c := newConn(tcp, func(c *conn) {
 		s.mu.Lock()
@@ -117,7 +117,7 @@
 	return c
 }
 
-// readRequests calls each for all requests of a connection, until it ends. How it ended shows in nothing but its end.
+// readRequests calls each for all requests on a connection until the connection ends. The reason for the end does not matter and is ignored.
 func readRequests(tcp net.Conn, each func(m *http1.Message)) {
 	_ = ReadMessages(tcp, false, func(m *http1.Message) bool {
 		each(m)
@@ -125,7 +125,7 @@
 	})
 }
 
-// Close ends the event loop, all listeners and connections, so that another scenario can be played in the same process.
+// Close ends the event loop and closes all listeners and connections, so that another scenario can run in the same process.
 func (s *StandIns) Close() {
 	s.loop.end()
 	s.mu.Lock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// hostAddress is where an api gateway reaches a host; a host that came later gets its listener now.
+// hostAddress returns the address at which an api gateway reaches a host. It opens the listener if the host was added later.
 func (s *StandIns) hostAddress(host *hostmodel.Host, gateway int) (string, error) {
 	key := [2]int{host.Number, gateway}
 	if address := s.hostAddresses[key]; address != "" {
