--- a/harness/childprocess/process.go
+++ b/harness/childprocess/process.go
@@ -19,7 +19,7 @@
 type Process struct {
 	Name    string
 	Dir     string // its working folder
-	LogPath string // takes what it prints, both streams
+	LogPath string // file that receives its standard output and standard error
 
 	command *exec.Cmd
 	done    chan struct{} // closed when it has exited
@@ -28,18 +28,18 @@
 	exited        bool
 	exitErr       error
 	stopRequested bool
-	suspensions   int // calls of Suspend without their Resume
+	suspensions   int // calls of Suspend not yet undone by Resume
 }
 
-// StopTimeoutError is a process that did not exit in time after SIGTERM and was killed.
+// StopTimeoutError reports a process that did not exit within Timeout after SIGTERM and was killed.
 type StopTimeoutError struct {
 	Name    string
 	Timeout time.Duration
 }
 
-// Error names the process and the time it had.
+// Error returns the process name and the timeout.
 func (e *StopTimeoutError) Error() string {
-	return fmt.Sprintf("%s did not end within %g s of SIGTERM", e.Name, e.Timeout.Seconds())
+	return fmt.Sprintf("%s did not exit within %g s of SIGTERM", e.Name, e.Timeout.Seconds())
 }
 
 // Start starts a program without arguments; see StartCommand.
@@ -47,9 +47,9 @@
 	return StartCommand([]string{program}, name, dir, env...)
 }
 
-// StartCommand starts a program with its arguments in the working folder dir/name, which it makes, and appends what the program
-// prints to dir/name.log. env is added to the environment of this process, each as KEY=VALUE. The child is killed when this
-// process ends, however that comes about.
+// StartCommand starts a program with its arguments in the working folder dir/name, which it creates, and appends the program's
+// output to dir/name.log. The child's environment is that of this process plus env, each entry as KEY=VALUE. The kernel kills the
+// child when this process ends for any reason.
 func StartCommand(command []string, name, dir string, env ...string) (*Process, error) {
 	p := &Process{
 		Name:    name,
@@ -94,30 +94,30 @@
 // Done is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// ExitState tells whether the process has exited, whether Kill, Terminate or Stop was called before, and the error of its exit:
-// nil for exit code 0, else an *exec.ExitError.
+// ExitState reports whether the process has exited, whether Kill, Terminate or Stop was called, and the error of the exit, which is
+// nil for exit code 0 and otherwise an *exec.ExitError.
 func (p *Process) ExitState() (exited, requested bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited, p.stopRequested, p.exitErr
 }
 
-// signal sends a signal unless the process has been waited for: until then no other process can have its number.
+// signal sends a signal unless the process has been reaped. Until then its process ID can't be reused for another process.
 func (p *Process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.exited {
-		_ = p.command.Process.Signal(s) // fails only if it has exited meanwhile, which Done tells
+		_ = p.command.Process.Signal(s) // fails only if it has exited in the meantime, which Done reports
 	}
 }
 
-// Kill sends SIGKILL and doesn't wait.
+// Kill sends SIGKILL and doesn't wait for the exit.
 func (p *Process) Kill() {
 	p.requestStop()
 	p.signal(syscall.SIGKILL)
 }
 
-// Terminate sends SIGTERM and doesn't wait.
+// Terminate sends SIGTERM and doesn't wait for the exit.
 func (p *Process) Terminate() {
 	p.requestStop()
 	p.signal(syscall.SIGTERM)
@@ -129,7 +129,7 @@
 	p.stopRequested = true
 }
 
-// Suspend stops the process with SIGSTOP until Resume has been called as often as Suspend.
+// Suspend pauses the process with SIGSTOP until Resume has been called as many times as Suspend.
 func (p *Process) Suspend() {
 	p.mu.Lock()
 	p.suspensions++
@@ -137,19 +137,19 @@
 	p.signal(syscall.SIGSTOP)
 }
 
-// Resume takes back one Suspend; after the last one the process goes on.
+// Resume undoes one Suspend. When all are undone, the process continues.
 func (p *Process) Resume() {
 	p.mu.Lock()
 	p.suspensions--
-	free := p.suspensions == 0
+	resume := p.suspensions == 0
 	p.mu.Unlock()
-	if free {
+	if resume {
 		p.signal(syscall.SIGCONT)
 	}
 }
 
-// LimitFileSize lets the files of the process grow to so many bytes at most, as a full disk does. A negative number removes the
-// limit. It returns os.ErrProcessDone if the process has exited.
+// LimitFileSize limits the size of files that the process writes to bytes, which simulates a full disk. A negative number removes
+// the limit. It returns os.ErrProcessDone if the process has exited.
 func (p *Process) LimitFileSize(bytes int64) error {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if bytes >= 0 {
@@ -163,8 +163,8 @@
 	return unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Stop ends the process with SIGTERM, also a suspended one, and waits until it has exited. If that takes more than 5 s it kills the
-// process and returns a *StopTimeoutError. A nil process is nothing to stop.
+// Stop sends SIGTERM to the process, resumes it if it is suspended, and waits until it has exited. If that takes more than 5 s,
+// Stop kills the process and returns a *StopTimeoutError. Stop on a nil process does nothing.
 func (p *Process) Stop() error {
 	if p == nil {
 		return nil
--- a/harness/childprocess/process_test.go
+++ b/harness/childprocess/process_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// startLimit is how long a script may take until it prints.
+	// startLimit is the time limit for the first output of a script.
 	startLimit = 5 * time.Second
-	// countingScript counts in its folder and in its log, and takes leave on SIGTERM.
+	// countingScript repeatedly appends to its log and to a file in its folder. On SIGTERM it prints a last line and exits with 0.
 	countingScript = "trap 'echo bye; exit 0' TERM\nwhile true; do echo tick; echo x >> f; sleep 0.01; done\n"
 )
 
-// startScript starts a shell script as a child process.
+// startScript starts a shell script as a child process and stops it at the end of the test.
 func startScript(t *testing.T, text string) *Process {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,16 +28,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.Stop() }) // most have been stopped by their test
+	t.Cleanup(func() { _ = p.Stop() }) // most tests have stopped the process already
 	return p
 }
 
-// startCounting starts countingScript and waits until it counts.
+// startCounting starts countingScript and waits for its first output.
 func startCounting(t *testing.T) *Process {
 	t.Helper()
 	p := startScript(t, countingScript)
 	if !logGrows(p, startLimit) {
-		t.Fatal("it does not run")
+		t.Fatal("the script printed nothing")
 	}
 	return p
 }
@@ -50,7 +50,7 @@
 	return info.Size()
 }
 
-// logGrows tells whether the log grows within a time.
+// logGrows reports whether the log grows within the given time.
 func logGrows(p *Process, within time.Duration) bool {
 	before := logSize(p)
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -61,45 +61,45 @@
 	return false
 }
 
-func TestSuspendedProcessStandsStillUntilResumedAsOften(t *testing.T) {
+func TestSuspendedProcessRunsOnlyAfterAsManyResumes(t *testing.T) {
 	p := startCounting(t)
 	p.Suspend()
 	p.Suspend()
 	time.Sleep(50 * time.Millisecond)
 	if logGrows(p, 200*time.Millisecond) {
-		t.Error("it runs though it is suspended")
+		t.Error("the process runs while it is suspended")
 	}
 	p.Resume()
 	if logGrows(p, 100*time.Millisecond) {
-		t.Error("it runs though it was resumed once of two times")
+		t.Error("the process runs after one Resume for two calls of Suspend")
 	}
 	p.Resume()
 	if !logGrows(p, startLimit) {
-		t.Error("it does not go on")
+		t.Error("the process does not continue")
 	}
 }
 
-func TestFilesStopGrowingAtTheLimitAndGoOnWithoutIt(t *testing.T) {
+func TestFileSizeLimitStopsGrowthUntilRemoved(t *testing.T) {
 	p := startScript(t, "trap '' XFSZ\n"+countingScript)
 	if !logGrows(p, startLimit) {
-		t.Fatal("it does not run")
+		t.Fatal("the script printed nothing")
 	}
 	if err := p.LimitFileSize(20); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond)
 	if logGrows(p, 200*time.Millisecond) {
-		t.Error("its log grows over the limit")
+		t.Error("the log grows beyond the limit")
 	}
 	if err := p.LimitFileSize(-1); err != nil {
 		t.Fatal(err)
 	}
 	if !logGrows(p, startLimit) {
-		t.Error("it does not go on")
+		t.Error("the log does not grow after the limit was removed")
 	}
 }
 
-func TestStopEndsASuspendedProcessGently(t *testing.T) {
+func TestStopTerminatesASuspendedProcessWithSIGTERM(t *testing.T) {
 	p := startCounting(t)
 	p.Suspend()
 	if err := p.Stop(); err != nil {
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(string(log), "bye\n") {
-		t.Error("it did not end gently")
+		t.Error("the process did not handle SIGTERM before it exited")
 	}
 }
 
@@ -119,7 +119,7 @@
 	p.Kill()
 	<-p.Done()
 	if exited, requested, err := p.ExitState(); !exited || !requested || err == nil {
-		t.Errorf("killed: %v, %v, %v", exited, requested, err)
+		t.Errorf("after Kill: exited %v, requested %v, error %v", exited, requested, err)
 	}
 	if _, err := os.Stat(p.Dir); err != nil {
 		t.Error(err)
@@ -128,18 +128,18 @@
 		t.Error(err)
 	}
 	if _, err := os.Stat(p.Dir); !errors.Is(err, os.ErrNotExist) {
-		t.Error("its folder is still there")
+		t.Error("the working folder still exists")
 	}
 }
 
-func TestExitByItselfIsNotRequested(t *testing.T) {
+func TestExitWithoutStopIsNotRequested(t *testing.T) {
 	p := startScript(t, "exit 3")
 	<-p.Done()
 	if _, requested, err := p.ExitState(); requested || err == nil {
-		t.Errorf("ended by itself: %v, %v", requested, err)
+		t.Errorf("exited without a request: requested %v, error %v", requested, err)
 	}
 	if err := p.LimitFileSize(5); !errors.Is(err, os.ErrProcessDone) {
-		t.Errorf("a process that has exited took a limit: %v", err)
+		t.Errorf("LimitFileSize on an exited process: %v", err)
 	}
 }
 
@@ -148,9 +148,9 @@
 	logGrows(p, startLimit)
 	var timeout *StopTimeoutError
 	if err := p.Stop(); !errors.As(err, &timeout) || timeout.Name != "one" {
-		t.Errorf("nobody says that it did not end: %v", err)
+		t.Errorf("want a StopTimeoutError: %v", err)
 	}
 	if exited, _, _ := p.ExitState(); !exited {
-		t.Error("it was left behind")
+		t.Error("the process still runs")
 	}
 }
