--- a/harness/leakcheck/doc.go
+++ b/harness/leakcheck/doc.go
@@ -1,3 +1,3 @@
-// Package leakcheck finds goroutines and file descriptors that a test leaves behind. It imports package testing and must never be
-// linked into a program that serves.
+// Package leakcheck detects goroutines and file descriptors that a test leaks. It imports package testing and must never be linked
+// into a production program.
 package leakcheck
--- a/harness/leakcheck/leakcheck.go
+++ b/harness/leakcheck/leakcheck.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	settleTimeout  = 3 * time.Second // for goroutines and connections that are about to end
+	settleTimeout  = 3 * time.Second // time for goroutines and connections to end
 	pollInterval   = 5 * time.Millisecond
 	stackDumpBytes = 64 << 10
 	descriptorDir  = "/proc/self/fd"
 )
 
-// checkedTests holds the tests that have a check already.
+// checkedTests holds the running tests that have a check already.
 var checkedTests = struct {
 	sync.Mutex
 	running map[testing.TB]bool
 }{running: map[testing.TB]bool{}}
 
-// Check fails the test if, after its cleanup, more goroutines run or more file descriptors are open than now. Call it before
-// anything that may leak is made. A helper may call it as well: the first call of a test counts, later ones do nothing.
+// Check fails the test if more goroutines run or more file descriptors are open after its cleanup than at the call of Check. Call
+// it before creating anything that may leak. Helpers may call it too, since only the first call in a test has an effect.
 func Check(t testing.TB) {
 	t.Helper()
 	if !beginCheck(t) {
@@ -36,13 +36,13 @@
 	t.Cleanup(func() {
 		endCheck(t)
 		if after, leaked := waitUntilSettled(before); leaked {
-			t.Errorf("%d goroutines where %d were, %d descriptors where %d were: %s\n%s", after.goroutines, before.goroutines,
+			t.Errorf("%d goroutines, %d before the test; %d descriptors, %d before the test: %s\n%s", after.goroutines, before.goroutines,
 				after.descriptors, before.descriptors, strings.Join(openDescriptors(), ", "), goroutineStacks())
 		}
 	})
 }
 
-// beginCheck tells whether this is the first check of a test.
+// beginCheck records that a test has a check. It returns false if the test had one already.
 func beginCheck(t testing.TB) bool {
 	checkedTests.Lock()
 	defer checkedTests.Unlock()
@@ -59,21 +59,22 @@
 	delete(checkedTests.running, t)
 }
 
-// openPoller has the runtime open the descriptors that it keeps for all sockets, so that they aren't taken for a leak.
+// openPoller makes the runtime open the descriptors of its network poller, which stay open, so that they aren't counted as a leak.
 func openPoller() {
 	if listener, err := net.Listen("tcp", "127.0.0.1:0"); err == nil {
 		listener.Close()
 	}
 }
 
-// usage counts what a process holds.
+// usage is the number of goroutines and open descriptors of the process.
 type usage struct{ goroutines, descriptors int }
 
 func takeUsage() usage {
 	return usage{goroutines: runtime.NumGoroutine(), descriptors: len(openDescriptors())}
 }
 
-// waitUntilSettled waits until no more is held than before. If that doesn't come, it gives the last usage and true.
+// waitUntilSettled waits until the usage is not above before. If it still is after settleTimeout, it returns the last usage and
+// true.
 func waitUntilSettled(before usage) (after usage, leaked bool) {
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		after = takeUsage()
@@ -89,8 +90,8 @@
 	return stacks[:runtime.Stack(stacks, true)]
 }
 
-// openDescriptors gives what each open descriptor refers to, without the one that reads the table. Where the system has no such
-// table it is empty, and only goroutines are checked.
+// openDescriptors returns the target of each open descriptor except the one used to read descriptorDir. On systems without that
+// folder the result is empty, and only goroutines are checked.
 func openDescriptors() []string {
 	table, err := os.Open(descriptorDir)
 	if err != nil {
--- a/harness/leakcheck/leakcheck_test.go
+++ b/harness/leakcheck/leakcheck_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fakeTest stands for a test: it records its cleanups and errors.
+// fakeTest is a testing.TB that records its cleanups and errors.
 type fakeTest struct {
 	testing.TB
 	cleanups []func()
@@ -22,26 +22,26 @@
 	f.errors = append(f.errors, fmt.Sprintf(format, args...))
 }
 
-// end runs the cleanups as package testing does: the last one first.
+// end runs the cleanups in reverse order, like package testing.
 func (f *fakeTest) end() {
 	for i := len(f.cleanups) - 1; i >= 0; i-- {
 		f.cleanups[i]()
 	}
 }
 
-func TestLeftGoroutineIsReportedWithItsStack(t *testing.T) {
+func TestLeakedGoroutineIsReportedWithItsStack(t *testing.T) {
 	f := &fakeTest{}
 	Check(f)
 	release := make(chan struct{})
 	defer close(release)
 	go func() { <-release }()
 	f.end()
-	if len(f.errors) != 1 || !strings.Contains(f.errors[0], "TestLeftGoroutineIsReportedWithItsStack") {
+	if len(f.errors) != 1 || !strings.Contains(f.errors[0], "TestLeakedGoroutineIsReportedWithItsStack") {
 		t.Errorf("reported: %q", f.errors)
 	}
 }
 
-func TestLeftDescriptorIsReportedWithItsTarget(t *testing.T) {
+func TestLeakedDescriptorIsReportedWithItsTarget(t *testing.T) {
 	f := &fakeTest{}
 	Check(f)
 	file, err := os.Open(os.DevNull)
@@ -55,8 +55,8 @@
 	}
 }
 
-// What a test's own cleanup ends is no leak, and a second check of the same test adds nothing.
-func TestWhatIsCleanedUpIsNoLeak(t *testing.T) {
+// A goroutine that the test's own cleanup ends is not a leak, and a second Check in the same test has no effect.
+func TestCleanedUpGoroutineIsNotALeak(t *testing.T) {
 	f := &fakeTest{}
 	Check(f)
 	release := make(chan struct{})
