--- a/harness/sockets/clients.go
+++ b/harness/sockets/clients.go
@@ -29,14 +29,14 @@
 // intended send time of a request, not from the actual one, so that delays of a slow machine or api gateway are included.
 type Clients struct {
 	*simulation.Simulation
-	loop        *eventLoop
-	interceptor Interceptor // nil: none
-	addresses   []string    // by api gateway
-	up          []bool      // by api gateway: the front routes clients to it
-	judge       bool        // responses are reported to the oracle
-	onSend      func(inv *model.Invocation)
-	onEnd       func(inv *model.Invocation)
-	inFlight    sync.WaitGroup
+	loop           *eventLoop
+	interceptor    Interceptor // nil: none
+	addresses      []string    // by api gateway
+	up             []bool      // by api gateway: the front routes clients to it
+	reportToOracle bool        // responses are reported to the oracle
+	onSend         func(inv *model.Invocation)
+	onEnd          func(inv *model.Invocation)
+	inFlight       sync.WaitGroup
 
 	mu   sync.Mutex                 // guards idle
 	idle []map[*clientConn]struct{} // by api gateway
@@ -116,7 +116,7 @@
 	if c.onSend != nil {
 		c.onSend(inv)
 	}
-	text := requestText(inv, c.Day.Fleet.Gateways.Int())
+	text := formatRequest(inv, c.Day.Fleet.Gateways.Int())
 	deadline := c.loop.start.Add(seconds(inv.GiveUpAt + readMargin))
 	c.inFlight.Add(1)
 	if c.interceptor != nil {
@@ -130,8 +130,8 @@
 	return true
 }
 
-// requestText returns the HTTP request of an invocation.
-func requestText(inv *model.Invocation, gateways int) string {
+// formatRequest returns the HTTP request of an invocation.
+func formatRequest(inv *model.Invocation, gateways int) string {
 	request := inv.Request
 	operation := request.Operation
 	customer := request.Customer
@@ -163,7 +163,7 @@
 	status     int // 0: no response
 	retryAfter float64
 	body       string
-	last       bool // the api gateway closes the connection after it
+	closing    bool // the api gateway closes the connection after it
 }
 
 var errTimeout = errors.New("no response before the deadline")
@@ -175,7 +175,7 @@
 	if err == nil || !reused || errors.Is(err, errTimeout) {
 		return got, err
 	}
-	c.loop.Do(func() { c.keptConnectionClosed(inv) })
+	c.loop.Do(func() { c.handleReusedConnClosed(inv) })
 	got, _, err = c.exchangeOnce(gateway, text, deadline, true)
 	return got, err
 }
@@ -183,7 +183,7 @@
 // exchangeOnce sends a request on an idle connection or, if fresh is set, on a new one. The result reused reports whether an earlier response
 // was received on a connection that failed.
 func (c *Clients) exchangeOnce(gateway int, text string, deadline time.Time, fresh bool) (got answer, reused bool, err error) {
-	conn, err := c.takeConn(gateway, deadline, fresh)
+	conn, err := c.acquireConn(gateway, deadline, fresh)
 	if err != nil {
 		return answer{}, false, err
 	}
@@ -196,7 +196,7 @@
 			return false
 		})
 		if got.status > 0 {
-			c.giveBack(gateway, conn, got.last)
+			c.releaseConn(gateway, conn, got.closing)
 			return got, false, nil
 		}
 	}
@@ -212,7 +212,7 @@
 
 // readAnswer converts a response message. Bytes that follow the message are reported to the oracle.
 func (c *Clients) readAnswer(gateway int, m *http1.Message) answer {
-	if more := m.Rest(); len(more) > 0 && c.judge {
+	if more := m.Rest(); len(more) > 0 && c.reportToOracle {
 		text := fmt.Sprintf("an answer of api gateway %d has %.40q behind it", gateway, more)
 		c.loop.Do(func() { c.Oracle.ForeignContent("", text) })
 	}
@@ -221,25 +221,25 @@
 		status:     m.Status,
 		retryAfter: retryAfter,
 		body:       string(m.Body),
-		last:       strings.EqualFold(field(m, "connection"), "close"),
+		closing:    strings.EqualFold(field(m, "connection"), "close"),
 	}
 }
 
-// keptConnectionClosed handles a reused connection that was closed during a request. The api gateway may have closed it before the request
+// handleReusedConnClosed handles a reused connection that was closed during a request. The api gateway may have closed it before the request
 // arrived, in which case sending the request again is correct. If a host has already received an attempt, the api gateway had accepted the
 // request and must answer it, and the dropped connection is reported to the oracle. Without this check, an api gateway that drops accepted
 // requests was detected only on new connections.
-func (c *Clients) keptConnectionClosed(inv *model.Invocation) {
+func (c *Clients) handleReusedConnClosed(inv *model.Invocation) {
 	if c.interceptor == nil || len(inv.Attempts) == 0 || c.interceptor.FaultSince(inv.Gateway, "", inv.SentAt) {
 		return
 	}
 	c.Oracle.ConnectionDropped(inv)
 }
 
-// takeConn returns an idle connection to an api gateway or dials a new one.
-func (c *Clients) takeConn(gateway int, deadline time.Time, fresh bool) (*clientConn, error) {
+// acquireConn returns an idle connection to an api gateway or dials a new one.
+func (c *Clients) acquireConn(gateway int, deadline time.Time, fresh bool) (*clientConn, error) {
 	if !fresh {
-		if kept := c.takeIdle(gateway); kept != nil {
+		if kept := c.popIdle(gateway); kept != nil {
 			return kept, nil
 		}
 	}
@@ -250,7 +250,7 @@
 	return &clientConn{tcp: tcp}, nil
 }
 
-func (c *Clients) takeIdle(gateway int) *clientConn {
+func (c *Clients) popIdle(gateway int) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.idle[gateway] {
@@ -260,12 +260,12 @@
 	return nil
 }
 
-// giveBack returns a connection to the idle set. It closes the connection instead if last is set or the set is full.
-func (c *Clients) giveBack(gateway int, conn *clientConn, last bool) {
+// releaseConn returns a connection to the idle set. It closes the connection instead if closing is set or the set is full.
+func (c *Clients) releaseConn(gateway int, conn *clientConn, closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.reused = true
-	if last || len(c.idle[gateway]) >= maxIdleConns {
+	if closing || len(c.idle[gateway]) >= maxIdleConns {
 		conn.tcp.Close()
 		return
 	}
@@ -277,11 +277,11 @@
 	outcome := outcomeOf(got.status, err)
 	if c.interceptor != nil {
 		c.Trace(inv.Gateway, inv.Ref, "outcome at the client: "+model.OutcomeNames[outcome])
-		outcome = c.excuseFaults(inv, outcome)
+		outcome = c.adjustForFaults(inv, outcome)
 	}
 	hadRoom := false
-	if c.judge {
-		hadRoom = c.judgeAnswer(inv, outcome, got.body)
+	if c.reportToOracle {
+		hadRoom = c.reportAnswer(inv, outcome, got.body)
 	}
 	if c.onEnd != nil {
 		c.onEnd(inv)
@@ -314,8 +314,8 @@
 	return outcome == model.Unanswered || outcome == model.Broken
 }
 
-// excuseFaults adjusts an outcome for the faults in force, during which an api gateway need not answer.
-func (c *Clients) excuseFaults(inv *model.Invocation, outcome model.Outcome) model.Outcome {
+// adjustForFaults adjusts an outcome for the faults in force, during which an api gateway need not answer.
+func (c *Clients) adjustForFaults(inv *model.Invocation, outcome model.Outcome) model.Outcome {
 	faulty := c.interceptor.FaultSince(inv.Gateway, "", inv.SentAt)
 	switch {
 	case outcome == model.Broken && c.interceptor.UnreachableSince(inv.Gateway, inv.SentAt): // the proxy accepts connections, but no api gateway listens behind it
@@ -328,9 +328,9 @@
 	return outcome
 }
 
-// judgeAnswer reports a response to the oracle. It returns whether the invocation was throttled although the
+// reportAnswer reports a response to the oracle. It returns whether the invocation was throttled although the
 // quota had room.
-func (c *Clients) judgeAnswer(inv *model.Invocation, outcome model.Outcome, body string) bool {
+func (c *Clients) reportAnswer(inv *model.Invocation, outcome model.Outcome, body string) bool {
 	if outcome == model.Served && !strings.HasPrefix(body, inv.Ref+" ") {
 		c.Oracle.ForeignContent(inv.Ref, fmt.Sprintf("%s was served with %.40q", inv.Ref, body))
 	}
--- a/harness/sockets/clients_test.go
+++ b/harness/sockets/clients_test.go
@@ -11,7 +11,7 @@
 	"otterseam/harness/leakcheck"
 )
 
-func TestAddressesElsewhereAreRefused(t *testing.T) {
+func TestAddressesOffLoopbackAreRejected(t *testing.T) {
 	leakcheck.Check(t)
 	for _, address := range []string{"10.0.0.1:80", "192.0.2.1:8443", "example.org:80", "nonsense"} {
 		var refused *AddressError
@@ -24,7 +24,7 @@
 
 // Latencies are measured from the intended send time, also when a slow api gateway answers requests one after another. If they were measured
 // from the actual send time, the queueing delay would be missing.
-func TestTimesCountFromTheIntendedSending(t *testing.T) {
+func TestLatencyCountsFromIntendedSendTime(t *testing.T) {
 	leakcheck.Check(t)
 	server, err := NewScriptedServer(func(m *http1.Message, _ int) string {
 		time.Sleep(30 * time.Millisecond) // serializes all connections, since respond is called under a lock
--- a/harness/sockets/configuration.go
+++ b/harness/sockets/configuration.go
@@ -102,15 +102,15 @@
 	var err error
 	for range freeAttempts {
 		address := fmt.Sprintf("127.0.0.1:%d", firstFreePort+rand.IntN(freePorts))
-		if err = tryAddress(address); err == nil {
+		if err = checkAddressFree(address); err == nil {
 			return address, nil
 		}
 	}
 	return "", err
 }
 
-// tryAddress returns an error unless address can be bound for both TCP and UDP. It closes both sockets again.
-func tryAddress(address string) error {
+// checkAddressFree returns an error unless address can be bound for both TCP and UDP. It closes both sockets again.
+func checkAddressFree(address string) error {
 	streams, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
--- a/harness/sockets/conn.go
+++ b/harness/sockets/conn.go
@@ -15,9 +15,9 @@
 	pendingWrites = 256
 )
 
-// ReadMessages reads HTTP messages from a connection and calls each for every one, until each returns false or reading fails. It returns the
-// read or parse error, or nil if each returned false.
-func ReadMessages(tcp net.Conn, response bool, each func(m *http1.Message) bool) error {
+// ReadMessages reads HTTP messages from a connection and calls handle for each, until handle returns false or reading fails. It returns the
+// read or parse error, or nil if handle returned false.
+func ReadMessages(tcp net.Conn, response bool, handle func(m *http1.Message) bool) error {
 	m := &http1.Message{}
 	buffer := make([]byte, http1.MaxMessageBytes)
 	var rest []byte
@@ -28,7 +28,7 @@
 		if err != nil && !complete {
 			return err
 		}
-		if !complete || !each(m) {
+		if !complete || !handle(m) {
 			return nil
 		}
 		rest = m.Rest()
@@ -96,10 +96,10 @@
 }
 
 // write queues bytes. It closes the connection if the queue is full because the peer does not read. Only the event loop's goroutine calls it.
-func (c *conn) write(bytes []byte) { c.writeThen(bytes, nil) }
+func (c *conn) write(bytes []byte) { c.writeWithCallback(bytes, nil) }
 
-// writeThen queues bytes like write. onPass is called on another goroutine once the bytes have passed.
-func (c *conn) writeThen(bytes []byte, onPass func()) {
+// writeWithCallback queues bytes like write. onPass is called on another goroutine once the bytes have passed.
+func (c *conn) writeWithCallback(bytes []byte, onPass func()) {
 	defer func() { _ = recover() }() // writes was closed in the meantime, because the connection has ended
 	select {
 	case c.writes <- write{bytes: bytes, onPass: onPass}:
--- a/harness/sockets/counter.go
+++ b/harness/sockets/counter.go
@@ -37,7 +37,7 @@
 
 // serveCounter serves the counter calls of an api gateway on one connection.
 func (s *StandIns) serveCounter(gateway int, tcp net.Conn) {
-	c := &counterConn{StandIns: s, gateway: gateway, conn: s.takeOver(tcp)}
+	c := &counterConn{StandIns: s, gateway: gateway, conn: s.wrapConn(tcp)}
 	readRequests(tcp, func(m *http1.Message) {
 		call, ok := parseCounterCall(m)
 		s.loop.Do(func() { c.handle(call, ok) })
--- a/harness/sockets/discovery.go
+++ b/harness/sockets/discovery.go
@@ -42,7 +42,7 @@
 		}
 		started := int64(0)
 		if entry.StartedAt > 0 {
-			started = int64((s.beginsAt + entry.StartedAt) * 1000)
+			started = int64((s.startUnix + entry.StartedAt) * 1000)
 		}
 		all = append(all, discoveryEntry{
 			ID:        fmt.Sprintf("host-%d", host.Number),
@@ -65,28 +65,28 @@
 	changed := []policy.HostEntry{host}
 	line := s.discoveryLine(gateway, false, changed)
 	for watch := range s.watches[gateway] {
-		watch.writeThen(chunk(line), func() { s.loop.Do(func() { s.hostsTold(gateway, changed, false) }) })
+		watch.writeWithCallback(chunk(line), func() { s.loop.Do(func() { s.hostsDelivered(gateway, changed, false) }) })
 	}
 }
 
-// hostsTold reports the host states that were delivered to an api gateway to the oracle. A host that is missing from a full list has left.
-func (s *StandIns) hostsTold(gateway int, hosts []policy.HostEntry, full bool) {
-	told := s.told[gateway]
+// hostsDelivered reports the host states that were delivered to an api gateway to the oracle. A host that is missing from a full list has left.
+func (s *StandIns) hostsDelivered(gateway int, hosts []policy.HostEntry, full bool) {
+	delivered := s.delivered[gateway]
 	listed := map[string]bool{}
 	for _, entry := range hosts {
 		listed[entry.Addr] = true
-		if before, known := told[entry.Addr]; !known || before != entry {
-			told[entry.Addr] = entry
+		if before, known := delivered[entry.Addr]; !known || before != entry {
+			delivered[entry.Addr] = entry
 			s.Oracle.HostStateTold(gateway, s.Host(entry.Addr).Number, entry.State, entry.StartedAt)
 		}
 	}
 	if !full {
 		return
 	}
-	for address, entry := range told { // the order does not matter, since each host is handled independently
+	for address, entry := range delivered { // the order does not matter, since each host is handled independently
 		if !listed[address] && entry.State != "left" {
 			entry.State = "left"
-			told[address] = entry
+			delivered[address] = entry
 			s.Oracle.HostStateTold(gateway, s.Host(address).Number, entry.State, entry.StartedAt)
 		}
 	}
@@ -108,7 +108,7 @@
 
 // serveDiscovery serves an api gateway's requests for the list of hosts, including watches, on one connection.
 func (s *StandIns) serveDiscovery(gateway int, tcp net.Conn) {
-	c := s.takeOver(tcp)
+	c := s.wrapConn(tcp)
 	readRequests(tcp, func(m *http1.Message) {
 		target := string(m.Target)
 		if !strings.HasPrefix(target, "/catalog/members") {
@@ -132,7 +132,7 @@
 		return
 	}
 	c.write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	c.writeThen(chunk(line), func() { s.loop.Do(func() { s.hostsTold(gateway, hosts, true) }) })
+	c.writeWithCallback(chunk(line), func() { s.loop.Do(func() { s.hostsDelivered(gateway, hosts, true) }) })
 	s.watches[gateway][c] = true
 	s.keepAlive(gateway, c)
 }
--- a/harness/sockets/eventloop_test.go
+++ b/harness/sockets/eventloop_test.go
@@ -11,7 +11,7 @@
 )
 
 // Events run in the order of their times, whether they come from the queue or from Do.
-func TestEventLoopKeepsTheOrderOfTimes(t *testing.T) {
+func TestEventLoopRunsEventsInTimeOrder(t *testing.T) {
 	leakcheck.Check(t)
 	queue := &eventqueue.Queue{}
 	loop := newEventLoop(queue)
--- a/harness/sockets/gateways.go
+++ b/harness/sockets/gateways.go
@@ -19,8 +19,8 @@
 	healthTimeout    = time.Second
 	healthInterval   = 10 * time.Millisecond
 	secondRunTimeout = 5 * time.Second
-	// noticeOfTermination is the time that the front keeps routing to an api gateway after SIGTERM, in seconds.
-	noticeOfTermination = 0.2
+	// terminationNotice is the time that the front keeps routing to an api gateway after SIGTERM, in seconds.
+	terminationNotice = 0.2
 )
 
 // Errors when an api gateway starts.
@@ -58,7 +58,7 @@
 	g.started = append(g.started, process)
 	go func() {
 		<-process.Done()
-		g.Do(func() { g.exited(gateway, process) })
+		g.Do(func() { g.handleExit(gateway, process) })
 	}()
 	return process, nil
 }
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// exited handles the exit of a process. An exit that was not requested is reported as a crash. Before the scenario begins, startAll detects
+// handleExit handles the exit of a process. An exit that was not requested is reported as a crash. Before the scenario begins, startAll detects
 // exits itself.
-func (g *Gateways) exited(gateway int, process *childprocess.Process) {
+func (g *Gateways) handleExit(gateway int, process *childprocess.Process) {
 	_, requested, err := process.ExitState()
 	if !g.running || requested || g.current[gateway] != process {
 		return
@@ -113,11 +113,11 @@
 	}
 }
 
-// Terminate ends an api gateway with SIGTERM. The front stops routing to it after noticeOfTermination.
+// Terminate ends an api gateway with SIGTERM. The front stops routing to it after terminationNotice.
 func (g *Gateways) Terminate(gateway int) {
 	if process := g.Process(gateway); process != nil {
 		process.Terminate()
-		g.stopRequestsAfter(gateway, process, noticeOfTermination)
+		g.stopRequestsAfter(gateway, process, terminationNotice)
 	}
 }
 
@@ -132,7 +132,7 @@
 
 // StartSecond starts a second process with the name and configuration of a running api gateway. It calls ended with the exit error of the
 // process, or with nil if the process exited with code 0 or still runs after 5 s.
-func (g *Gateways) StartSecond(gateway int, ended func(err error)) error {
+func (g *Gateways) StartSecond(gateway int, onExit func(err error)) error {
 	process, err := g.start(gateway)
 	if err != nil {
 		return err
@@ -141,9 +141,9 @@
 		select {
 		case <-process.Done():
 			_, _, err := process.ExitState()
-			g.Do(func() { ended(err) })
+			g.Do(func() { onExit(err) })
 		case <-time.After(secondRunTimeout):
-			g.Do(func() { ended(nil) })
+			g.Do(func() { onExit(nil) })
 		}
 	}()
 	return nil
--- a/harness/sockets/hosts.go
+++ b/harness/sockets/hosts.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// forgetForeignAfter is the time after its deadline for which an invocation of an external client is kept, in seconds.
-	forgetForeignAfter = 10
+	// externalInvocationTTL is the time after its deadline for which an invocation of an external client is kept, in seconds.
+	externalInvocationTTL = 10
 	// concurrencyMargin is the tolerance for the end of an attempt to be observed after the next attempt has arrived, in seconds.
 	concurrencyMargin = 0.05
 )
@@ -29,7 +29,7 @@
 
 // serveHost serves the attempts on a connection of an api gateway to a host.
 func (s *StandIns) serveHost(host *hostmodel.Host, gateway int, tcp net.Conn) {
-	c := &hostConn{StandIns: s, host: host, gateway: gateway, conn: s.takeOver(tcp)}
+	c := &hostConn{StandIns: s, host: host, gateway: gateway, conn: s.wrapConn(tcp)}
 	accepted := make(chan bool, 1)
 	s.loop.Do(func() { accepted <- c.open() })
 	select {
@@ -48,7 +48,7 @@
 		fresh = false
 		ref := field(m, "req-id")
 		call, complete := http1.ParseInvocation(m) // m is valid only until this function returns
-		s.loop.Do(func() { c.begin(ref, call, complete, first) })
+		s.loop.Do(func() { c.startAttempt(ref, call, complete, first) })
 	})
 	s.loop.Do(c.close)
 }
@@ -61,8 +61,8 @@
 	return ok
 }
 
-// begin starts an attempt that was received. first reports whether it is the first one on the connection.
-func (c *hostConn) begin(ref string, call http1.Invocation, complete, first bool) {
+// startAttempt starts an attempt that was received. first reports whether it is the first one on the connection.
+func (c *hostConn) startAttempt(ref string, call http1.Invocation, complete, first bool) {
 	inv := c.findInvocation(ref, call, complete)
 	if inv == nil {
 		c.conn.write([]byte(notFound))
@@ -116,14 +116,14 @@
 			c.conn.end(true)
 			return
 		}
-		c.arrive(attempt, job, wasPending)
+		c.deliver(attempt, job, wasPending)
 	})
 	return job
 }
 
-// arrive delivers an attempt to the oracle and the host. wasPending reports whether its invocation had no outcome when the attempt was
+// deliver delivers an attempt to the oracle and the host. wasPending reports whether its invocation had no outcome when the attempt was
 // received.
-func (c *hostConn) arrive(attempt *model.Attempt, job *hostmodel.Job, wasPending bool) {
+func (c *hostConn) deliver(attempt *model.Attempt, job *hostmodel.Job, wasPending bool) {
 	inv := attempt.Invocation
 	c.interceptor.EventSeen("delivery", c.gateway)
 	// The send time of an attempt that a fault delayed is unknown, so its arrival time must not be judged. The same holds for an attempt
@@ -198,35 +198,35 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// findInvocation returns the invocation for a ref. A ref that no client of this process has sent is passed to onForeignRef if that is set.
-// Otherwise an invocation is created from the fields of the request. The result is nil if onForeignRef was called or the request is invalid.
+// findInvocation returns the invocation for a ref. A ref that no client of this process has sent is passed to onUnknownRef if that is set.
+// Otherwise an invocation is created from the fields of the request. The result is nil if onUnknownRef was called or the request is invalid.
 func (s *StandIns) findInvocation(ref string, call http1.Invocation, complete bool) *model.Invocation {
 	if inv := s.invocations[ref]; inv != nil {
 		return inv
 	}
-	if s.onForeignRef != nil {
-		s.onForeignRef(ref)
+	if s.onUnknownRef != nil {
+		s.onUnknownRef(ref)
 		return nil
 	}
 	if !complete {
 		return nil
 	}
-	if inv := s.foreign[ref]; inv != nil {
+	if inv := s.external[ref]; inv != nil {
 		return inv
 	}
-	request := s.foreignRequest(call)
+	request := s.externalRequest(call)
 	if request == nil {
 		return nil
 	}
 	inv := &model.Invocation{Ref: ref, Request: request, GiveUpAt: request.Deadline, Accepted: true}
-	s.foreign[ref] = inv
-	s.Queue.ScheduleAfter(call.Timeout+forgetForeignAfter, func() { delete(s.foreign, ref) })
+	s.external[ref] = inv
+	s.Queue.ScheduleAfter(call.Timeout+externalInvocationTTL, func() { delete(s.external, ref) })
 	return inv
 }
 
-// foreignRequest creates the request of an external client. It returns nil if the scenario doesn't define the operation or the plan.
-func (s *StandIns) foreignRequest(call http1.Invocation) *model.Request {
-	customer := s.foreignCustomer(call)
+// externalRequest creates the request of an external client. It returns nil if the scenario doesn't define the operation or the plan.
+func (s *StandIns) externalRequest(call http1.Invocation) *model.Request {
+	customer := s.externalCustomer(call)
 	now := s.Queue.Now()
 	for i := range s.Day.Operations {
 		operation := &s.Day.Operations[i]
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// foreignCustomer returns the customer of a call and creates it at the first call. It returns nil if the scenario doesn't define the plan.
-func (s *StandIns) foreignCustomer(call http1.Invocation) *model.Customer {
+// externalCustomer returns the customer of a call and creates it at the first call. It returns nil if the scenario doesn't define the plan.
+func (s *StandIns) externalCustomer(call http1.Invocation) *model.Customer {
 	if customer := s.customers[call.Customer]; customer != nil {
 		return customer
 	}
--- a/harness/sockets/play.go
+++ b/harness/sockets/play.go
@@ -19,12 +19,12 @@
 const (
 	// maxListeners is the maximum number of host listeners on one machine.
 	maxListeners = 4000
-	// startLimit is the maximum time that the loop runs while the api gateways start, in seconds.
-	startLimit = 3600
-	// forgetAfter is the time for which an ended invocation is kept, in seconds.
-	forgetAfter = 5
-	// reportedLateness is the event delay above which the delay is reported, in seconds.
-	reportedLateness = 0.02
+	// maxStartTime is the maximum time that the loop runs while the api gateways start, in seconds.
+	maxStartTime = 3600
+	// endedInvocationTTL is the time for which an ended invocation is kept, in seconds.
+	endedInvocationTTL = 5
+	// minReportedLateness is the event delay above which the delay is reported, in seconds.
+	minReportedLateness = 0.02
 )
 
 // UnplayableError reports why a scenario can't be played on sockets.
@@ -98,34 +98,34 @@
 	if err := Check(d); err != nil {
 		return nil, nil, err
 	}
-	playing, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := newRun(d, seed, o)
-	err := r.open(playing)
+	err := r.open(runCtx)
 	if r.standIns != nil {
 		defer r.standIns.Close()
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := r.startGateways(playing); err != nil {
+	if err := r.startGateways(runCtx); err != nil {
 		return nil, nil, err
 	}
 	r.begin()
-	r.clients.loop.resume(playing, r.simulation.EndTime())
+	r.clients.loop.resume(runCtx, r.simulation.EndTime())
 	r.standIns.interceptor.End(r.gateways)
 	stop() // no api gateway is restarted from here on
 	r.gateways.end()
 	r.clients.waitForAnswers()
 	results := r.simulation.Finish()
-	if lateness := r.clients.loop.maxLateness; lateness > reportedLateness {
+	if lateness := r.clients.loop.maxLateness; lateness > minReportedLateness {
 		o.Report(fmt.Sprintf("this machine was too busy: an event ran %.0f ms late", 1000*lateness))
 	}
 	return results, r.simulation, ctx.Err()
 }
 
 func newRun(d *scenario.Scenario, seed uint64, o Options) *run {
-	r := &run{options: o, clients: &Clients{judge: true}}
+	r := &run{options: o, clients: &Clients{reportToOracle: true}}
 	external := simulation.ExternalGateways(r.clients, func(gateway int, host policy.HostEntry) { r.standIns.HostChanged(gateway, host) })
 	r.simulation = simulation.New(d, seed, externalPolicy("sockets"), external)
 	r.simulation.Oracle.AllowsHedging = true
@@ -145,13 +145,13 @@
 	s := r.standIns
 	r.clients.interceptor = r.options.Interceptor
 	w.OnTrace = s.interceptor.TraceInvocation
-	s.beginsAt = unixNow()
-	s.onForeignRef = func(ref string) {
+	s.startUnix = unixNow()
+	s.onUnknownRef = func(ref string) {
 		w.Oracle.ForeignContent(ref, fmt.Sprintf("a host got %.40q, which no client has sent", ref))
 	}
 	r.clients.onSend = func(inv *model.Invocation) { s.invocations[inv.Ref] = inv }
 	r.clients.onEnd = func(inv *model.Invocation) {
-		w.Queue.ScheduleAfter(forgetAfter, func() { delete(s.invocations, inv.Ref) })
+		w.Queue.ScheduleAfter(endedInvocationTTL, func() { delete(s.invocations, inv.Ref) })
 	}
 	paths, addresses, err := s.writeConfigs(r.options.Dir, count, r.options.MemoryMB, nil)
 	if err != nil {
@@ -161,7 +161,7 @@
 		if r.clients.addresses[gateway], err = s.interceptor.ClientAddress(gateway, addresses[gateway]); err != nil {
 			return err
 		}
-		s.hostsTold(gateway, s.HostList(gateway), true)
+		s.hostsDelivered(gateway, s.HostList(gateway), true)
 	}
 	r.gateways = &Gateways{
 		ctx:       ctx,
@@ -170,14 +170,14 @@
 		configs:   paths,
 		addresses: addresses,
 		current:   make([]*childprocess.Process, count),
-		onRestart: r.forgetHostsTold(),
+		onRestart: r.hostResetFunc(),
 	}
 	return nil
 }
 
-// forgetHostsTold returns the function to call before a process restarts. That function resets the hosts known to the api gateway to those of
-// its configuration, which are the hosts at the time when forgetHostsTold is called.
-func (r *run) forgetHostsTold() func(gateway int) {
+// hostResetFunc returns the function to call before a process restarts. That function resets the hosts known to the api gateway to those of
+// its configuration, which are the hosts at the time when hostResetFunc is called.
+func (r *run) hostResetFunc() func(gateway int) {
 	s := r.standIns
 	configured := make([][]policy.HostEntry, len(r.clients.addresses))
 	for gateway := range configured {
@@ -185,23 +185,23 @@
 	}
 	return func(gateway int) {
 		r.simulation.Oracle.GatewayStarted(gateway)
-		s.told[gateway] = map[string]policy.HostEntry{}
-		s.hostsTold(gateway, configured[gateway], true)
+		s.delivered[gateway] = map[string]policy.HostEntry{}
+		s.hostsDelivered(gateway, configured[gateway], true)
 	}
 }
 
 // startGateways starts the processes. The event loop runs in the meantime, because the stand-ins must answer while api gateways start. The
 // scenario itself begins later.
 func (r *run) startGateways(ctx context.Context) error {
-	starting, ready := context.WithCancel(ctx)
-	looped := make(chan struct{})
+	startCtx, cancelStart := context.WithCancel(ctx)
+	loopDone := make(chan struct{})
 	go func() {
-		r.clients.loop.run(starting, startLimit)
-		close(looped)
+		r.clients.loop.run(startCtx, maxStartTime)
+		close(loopDone)
 	}()
 	err := r.gateways.startAll()
-	ready()
-	<-looped
+	cancelStart()
+	<-loopDone
 	if err != nil {
 		r.gateways.end()
 	}
--- a/harness/sockets/standalone.go
+++ b/harness/sockets/standalone.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.beginsAt = unixNow()
+	s.startUnix = unixNow()
 	paths, _, err := s.writeConfigs(dir, count, standAloneMemoryMB, listens)
 	if err != nil {
 		return nil, err
--- a/harness/sockets/standins.go
+++ b/harness/sockets/standins.go
@@ -19,20 +19,20 @@
 	*simulation.Simulation
 	loop        *eventLoop
 	interceptor Interceptor
-	beginsAt    float64 // Unix time in seconds at which the scenario begins
+	startUnix   float64 // Unix time in seconds at which the scenario begins
 
 	counterAddresses   []string          // by api gateway
 	discoveryAddresses []string          // by api gateway
 	hostAddresses      map[[2]int]string // by host and api gateway
 
-	watches  []map[*conn]bool              // discovery watches, by api gateway
-	versions []int64                       // of the list of hosts, by api gateway
-	told     []map[string]policy.HostEntry // host entries delivered, by api gateway and address
+	watches   []map[*conn]bool              // discovery watches, by api gateway
+	versions  []int64                       // of the list of hosts, by api gateway
+	delivered []map[string]policy.HostEntry // host entries delivered, by api gateway and address
 
 	customers    map[string]*model.Customer   // by key
-	invocations  map[string]*model.Invocation // of this process's clients, by ref, until forgetAfter has passed
-	foreign      map[string]*model.Invocation // of external clients, by ref
-	onForeignRef func(ref string)             // called for refs that no client of this process sent; nil: clients are external
+	invocations  map[string]*model.Invocation // of this process's clients, by ref, until endedInvocationTTL has passed
+	external     map[string]*model.Invocation // of external clients, by ref
+	onUnknownRef func(ref string)             // called for refs that no client of this process sent; nil: clients are external
 
 	mu        sync.Mutex // guards all below
 	listeners []net.Listener
@@ -49,7 +49,7 @@
 		hostAddresses: map[[2]int]string{},
 		customers:     map[string]*model.Customer{},
 		invocations:   map[string]*model.Invocation{},
-		foreign:       map[string]*model.Invocation{},
+		external:      map[string]*model.Invocation{},
 		conns:         map[*conn]bool{},
 	}
 	if interceptor == nil {
@@ -59,18 +59,18 @@
 		s.customers[customer.Key] = customer
 	}
 	for gateway := range gateways {
-		if err := s.openFor(gateway); err != nil {
+		if err := s.openListeners(gateway); err != nil {
 			return s, err
 		}
 	}
 	return s, nil
 }
 
-// openFor opens the listeners of one api gateway.
-func (s *StandIns) openFor(gateway int) error {
+// openListeners opens the listeners of one api gateway.
+func (s *StandIns) openListeners(gateway int) error {
 	s.watches = append(s.watches, map[*conn]bool{})
 	s.versions = append(s.versions, 1)
-	s.told = append(s.told, map[string]policy.HostEntry{})
+	s.delivered = append(s.delivered, map[string]policy.HostEntry{})
 	counter, err := s.interceptor.ListenFor(gateway, "counter", func(tcp net.Conn) { s.serveCounter(gateway, tcp) })
 	if err != nil {
 		return err
@@ -101,8 +101,8 @@
 	return listener.Addr().String(), nil
 }
 
-// takeOver wraps a connection, which Close closes if it is still open.
-func (s *StandIns) takeOver(tcp net.Conn) *conn {
+// wrapConn wraps a connection, which Close closes if it is still open.
+func (s *StandIns) wrapConn(tcp net.Conn) *conn {
 	c := newConn(tcp, func(c *conn) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -117,10 +117,10 @@
 	return c
 }
 
-// readRequests calls each for all requests on a connection until the connection ends. The reason for the end does not matter and is ignored.
-func readRequests(tcp net.Conn, each func(m *http1.Message)) {
+// readRequests calls handle for all requests on a connection until the connection ends. The reason for the end does not matter and is ignored.
+func readRequests(tcp net.Conn, handle func(m *http1.Message)) {
 	_ = ReadMessages(tcp, false, func(m *http1.Message) bool {
-		each(m)
+		handle(m)
 		return true
 	})
 }
