--- a/harness/sockets/eventloop_test.go
+++ b/harness/sockets/eventloop_test.go
@@ -10,8 +10,8 @@
 	"otterseam/sim/eventqueue"
 )
 
-// Events happen in the order of their times though they come from sockets and from the queue.
-func TestEventLoopKeepsTheOrderOfTimes(t *testing.T) {
+// Events run in the order of their times, whether they come from the queue or from Do.
+func TestEventLoopRunsEventsInTimeOrder(t *testing.T) {
 	leakcheck.Check(t)
 	queue := &eventqueue.Queue{}
 	loop := newEventLoop(queue)
--- a/harness/sockets/play.go
+++ b/harness/sockets/play.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// maxListeners is how many listeners of hosts one machine should hold.
+	// maxListeners is the maximum number of host listeners on one machine.
 	maxListeners = 4000
-	// startLimit is how long the loop runs at most until all api gateways are ready, in seconds.
-	startLimit = 3600
-	// forgetAfter is how long an invocation that has ended is still known, in seconds.
-	forgetAfter = 5
-	// reportedLateness is how late an event has to come, in seconds, for that to be reported.
-	reportedLateness = 0.02
+	// maxStartTime is the maximum time that the loop runs while the api gateways start, in seconds.
+	maxStartTime = 3600
+	// endedInvocationTTL is the time for which an ended invocation is kept, in seconds.
+	endedInvocationTTL = 5
+	// minReportedLateness is the event delay above which the delay is reported, in seconds.
+	minReportedLateness = 0.02
 )
 
-// UnplayableError says what of a scenario can't be played on sockets.
+// UnplayableError reports why a scenario can't be played on sockets.
 type UnplayableError struct {
 	Scenario string
 	Reason   string
 }
 
-// Error names the scenario and the reason.
+// Error returns the scenario's name and the reason.
 func (e *UnplayableError) Error() string { return e.Scenario + ": " + e.Reason }
 
-// Check returns an *UnplayableError if something of a scenario can't be played on sockets.
+// Check returns an *UnplayableError if a scenario has too many listeners or a fault that can't be played on sockets.
 func Check(d *scenario.Scenario) error {
 	gateways := int(d.Fleet.Gateways.Hi)
 	hosts := int(d.Fleet.Hosts.Hi)
@@ -53,34 +53,34 @@
 	return nil
 }
 
-// externalPolicy stands for the policy of api gateways that run elsewhere; its text names them.
+// externalPolicy is the policy name of api gateways that run outside the simulation.
 type externalPolicy string
 
-// Name is the text.
+// Name returns the policy name.
 func (p externalPolicy) Name() string { return string(p) }
 
-// Err is never one.
+// Err returns nil.
 func (p externalPolicy) Err() error { return nil }
 
 // Close does nothing.
 func (p externalPolicy) Close() {}
 
-var errExternalGateways = errors.New("the api gateways of this day stand elsewhere")
+var errExternalGateways = errors.New("the api gateways of this scenario run outside the simulation")
 
-// NewPolicy makes none: the simulation has no api gateway of its own.
+// NewPolicy returns an error, since the simulation has no api gateway of its own.
 func (p externalPolicy) NewPolicy(*simulation.Simulation, int, uint64, policydriver.Output) (gatewaymodel.Policy, error) {
 	return nil, errExternalGateways
 }
 
-// Options say with what a scenario is played on sockets.
+// Options configures how a scenario is played on sockets.
 type Options struct {
-	Gateway     string                     // path of the api gateway's program
+	Gateway     string                     // path of the api gateway's executable
 	Dir         string                     // for configurations and logs
-	MemoryMB    float64                    // limit that an api gateway is told, in megabytes
-	Report      func(text string)          // told of what happens to processes
+	MemoryMB    float64                    // memory limit in the api gateways' configuration, in megabytes
+	Report      func(text string)          // called with messages about process exits, failed starts and late events
 	Interceptor Interceptor                // nil: none
-	Env         []string                   // further variables for the api gateways
-	EnvOf       func(gateway int) []string // and for each of them; nil: none
+	Env         []string                   // additional environment variables of all api gateways
+	EnvOf       func(gateway int) []string // additional environment variables by api gateway; nil: none
 }
 
 // run is a scenario that is played on sockets.
@@ -92,40 +92,40 @@
 	gateways   *Gateways
 }
 
-// Play plays a scenario on sockets: it starts a process for each api gateway, lets the customers send requests once all are ready, and
-// ends the processes it started. It returns ctx's error, with the results so far, if ctx ended.
+// Play plays a scenario on sockets. It starts a process for each api gateway, sends the customers' requests once all are ready, and stops the
+// processes at the end. If ctx is done early, it returns the results so far and ctx's error.
 func Play(ctx context.Context, d *scenario.Scenario, seed uint64, o Options) (*metrics.Results, *simulation.Simulation, error) {
 	if err := Check(d); err != nil {
 		return nil, nil, err
 	}
-	playing, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := newRun(d, seed, o)
-	err := r.open(playing)
+	err := r.open(runCtx)
 	if r.standIns != nil {
 		defer r.standIns.Close()
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := r.startGateways(playing); err != nil {
+	if err := r.startGateways(runCtx); err != nil {
 		return nil, nil, err
 	}
 	r.begin()
-	r.clients.loop.resume(playing, r.simulation.EndTime())
+	r.clients.loop.resume(runCtx, r.simulation.EndTime())
 	r.standIns.interceptor.End(r.gateways)
-	stop() // no api gateway comes back any more
+	stop() // no api gateway is restarted from here on
 	r.gateways.end()
 	r.clients.waitForAnswers()
 	results := r.simulation.Finish()
-	if lateness := r.clients.loop.maxLateness; lateness > reportedLateness {
-		o.Report(fmt.Sprintf("this machine was too busy: an event came %.0f ms late", 1000*lateness))
+	if lateness := r.clients.loop.maxLateness; lateness > minReportedLateness {
+		o.Report(fmt.Sprintf("this machine was too busy: an event ran %.0f ms late", 1000*lateness))
 	}
 	return results, r.simulation, ctx.Err()
 }
 
 func newRun(d *scenario.Scenario, seed uint64, o Options) *run {
-	r := &run{options: o, clients: &Clients{judge: true}}
+	r := &run{options: o, clients: &Clients{reportToOracle: true}}
 	external := simulation.ExternalGateways(r.clients, func(gateway int, host policy.HostEntry) { r.standIns.HostChanged(gateway, host) })
 	r.simulation = simulation.New(d, seed, externalPolicy("sockets"), external)
 	r.simulation.Oracle.AllowsHedging = true
@@ -145,13 +145,13 @@
 	s := r.standIns
 	r.clients.interceptor = r.options.Interceptor
 	w.OnTrace = s.interceptor.TraceInvocation
-	s.beginsAt = unixNow()
-	s.onForeignRef = func(ref string) {
+	s.startUnix = unixNow()
+	s.onUnknownRef = func(ref string) {
 		w.Oracle.ForeignContent(ref, fmt.Sprintf("a host got %.40q, which no client has sent", ref))
 	}
 	r.clients.onSend = func(inv *model.Invocation) { s.invocations[inv.Ref] = inv }
 	r.clients.onEnd = func(inv *model.Invocation) {
-		w.Queue.ScheduleAfter(forgetAfter, func() { delete(s.invocations, inv.Ref) })
+		w.Queue.ScheduleAfter(endedInvocationTTL, func() { delete(s.invocations, inv.Ref) })
 	}
 	paths, addresses, err := s.writeConfigs(r.options.Dir, count, r.options.MemoryMB, nil)
 	if err != nil {
@@ -161,7 +161,7 @@
 		if r.clients.addresses[gateway], err = s.interceptor.ClientAddress(gateway, addresses[gateway]); err != nil {
 			return err
 		}
-		s.hostsTold(gateway, s.HostList(gateway), true)
+		s.hostsDelivered(gateway, s.HostList(gateway), true)
 	}
 	r.gateways = &Gateways{
 		ctx:       ctx,
@@ -170,13 +170,14 @@
 		configs:   paths,
 		addresses: addresses,
 		current:   make([]*childprocess.Process, count),
-		onRestart: r.forgetHostsTold(),
+		onRestart: r.hostResetFunc(),
 	}
 	return nil
 }
 
-// forgetHostsTold gives what is to be done when a process starts anew: it knows the hosts of its configuration, as they are now.
-func (r *run) forgetHostsTold() func(gateway int) {
+// hostResetFunc returns the function to call before a process restarts. That function resets the hosts known to the api gateway to those of
+// its configuration, which are the hosts at the time when hostResetFunc is called.
+func (r *run) hostResetFunc() func(gateway int) {
 	s := r.standIns
 	configured := make([][]policy.HostEntry, len(r.clients.addresses))
 	for gateway := range configured {
@@ -184,34 +185,35 @@
 	}
 	return func(gateway int) {
 		r.simulation.Oracle.GatewayStarted(gateway)
-		s.told[gateway] = map[string]policy.HostEntry{}
-		s.hostsTold(gateway, configured[gateway], true)
+		s.delivered[gateway] = map[string]policy.HostEntry{}
+		s.hostsDelivered(gateway, configured[gateway], true)
 	}
 }
 
-// startGateways starts the processes. The stand-ins must answer meanwhile, so that the loop runs; the scenario itself begins later.
+// startGateways starts the processes. The event loop runs in the meantime, because the stand-ins must answer while api gateways start. The
+// scenario itself begins later.
 func (r *run) startGateways(ctx context.Context) error {
-	starting, ready := context.WithCancel(ctx)
-	looped := make(chan struct{})
+	startCtx, cancelStart := context.WithCancel(ctx)
+	loopDone := make(chan struct{})
 	go func() {
-		r.clients.loop.run(starting, startLimit)
-		close(looped)
+		r.clients.loop.run(startCtx, maxStartTime)
+		close(loopDone)
 	}()
 	err := r.gateways.startAll()
-	ready()
-	<-looped
+	cancelStart()
+	<-loopDone
 	if err != nil {
 		r.gateways.end()
 	}
 	return err
 }
 
-// begin begins the scenario. What has happened until now is connections and watches alone.
+// begin starts the scenario. Before it, the api gateways have only opened connections and watches.
 func (r *run) begin() {
 	w := r.simulation
 	w.Begin()
 	w.KillGateway = func(gateway int, down float64, gently bool) {
-		r.options.Report(fmt.Sprintf("%.1f s: api gateway %d ends", w.Queue.Now(), gateway))
+		r.options.Report(fmt.Sprintf("%.1f s: stopping api gateway %d", w.Queue.Now(), gateway))
 		if gently {
 			r.gateways.Terminate(gateway)
 		} else {
@@ -223,5 +225,5 @@
 	r.standIns.interceptor.Begin(w, r.gateways)
 }
 
-// unixNow is the present time in seconds since 1970.
+// unixNow returns the current Unix time in seconds.
 func unixNow() float64 { return float64(time.Now().UnixNano()) / 1e9 }
