--- a/harness/counterload/caller.go
+++ b/harness/counterload/caller.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	maxInFlight   = 4096 // calls on one connection
-	dialTimeout   = time.Second
-	redialDelay   = 20 * time.Millisecond
-	answerTimeout = 5 * time.Second // for answers after the last call
-	maxAmount     = 9
-	hotKeyShare   = 3 // one in so many calls is for the hot key
+	maxInFlight     = 4096 // calls per connection
+	dialTimeout     = time.Second
+	redialDelay     = 20 * time.Millisecond
+	responseTimeout = 5 * time.Second // wait for outstanding responses after the last call
+	maxAmount       = 9
+	hotKeyShare     = 3 // one in hotKeyShare calls, on average, goes to the hot key
 )
 
-// caller has one connection after another.
+// caller sends calls at a fixed interval over one connection at a time and reconnects when the connection fails.
 type caller struct {
-	load          *Load
-	recorder      *recorder
-	address       string
-	number, count int // of the callers
-	interval      time.Duration
-	begin         time.Time
-	random        *rand.Rand
-	made          int // calls that were due
+	load           *Load
+	recorder       *recorder
+	address        string
+	index, callers int // index of this caller and number of all callers
+	interval       time.Duration
+	begin          time.Time
+	random         *rand.Rand
+	scheduled      int // calls made or skipped so far
 }
 
-// call is one in flight.
+// call is a request in flight.
 type call struct {
 	due    time.Time
 	key    string
@@ -40,50 +40,51 @@
 func (c *caller) run(ctx context.Context) {
 	end := c.begin.Add(c.load.Duration)
 	for ctx.Err() == nil && time.Now().Before(end) {
-		tcp, err := net.DialTimeout("tcp", c.address, dialTimeout)
+		conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
 		if err != nil {
 			time.Sleep(redialDelay)
-			c.skip()
+			c.skipOverdue()
 			continue
 		}
-		c.converse(ctx, tcp, end)
+		c.runConnection(ctx, conn, end)
 	}
 }
 
-// skip lets calls that could not be made go by.
-func (c *caller) skip() {
+// skipOverdue records the calls that are overdue by more than redialDelay as skipped.
+func (c *caller) skipOverdue() {
 	for c.due().Before(time.Now().Add(-redialDelay)) {
-		c.made++
-		c.recorder.skipped()
+		c.scheduled++
+		c.recorder.recordSkipped()
 	}
 }
 
-// due is when the next call is.
-func (c *caller) due() time.Time { return c.begin.Add(time.Duration(c.made) * c.interval) }
+// due returns the time at which the next call is due.
+func (c *caller) due() time.Time { return c.begin.Add(time.Duration(c.scheduled) * c.interval) }
 
-// converse calls on one connection until it or the time ends.
-func (c *caller) converse(ctx context.Context, tcp net.Conn, end time.Time) {
+// runConnection sends calls on one connection until the connection fails, the load ends or ctx is canceled. Calls still without
+// a response are recorded as broken.
+func (c *caller) runConnection(ctx context.Context, conn net.Conn, end time.Time) {
 	inFlight := make(chan call, maxInFlight)
 	readerDone := make(chan bool)
 	go func() {
 		defer close(readerDone)
-		c.readAnswers(tcp, inFlight)
+		c.readResponses(conn, inFlight)
 	}()
-	c.sendCalls(ctx, tcp, end, inFlight, readerDone)
+	c.sendCalls(ctx, conn, end, inFlight, readerDone)
 	close(inFlight)
 	select {
 	case <-readerDone:
-	case <-time.After(answerTimeout):
+	case <-time.After(responseTimeout):
 	}
-	tcp.Close()
+	conn.Close()
 	<-readerDone
-	for left := range inFlight {
-		c.recorder.broken(left)
+	for pending := range inFlight {
+		c.recorder.recordBroken(pending)
 	}
 }
 
-func (c *caller) sendCalls(ctx context.Context, tcp net.Conn, end time.Time, inFlight chan<- call, readerDone <-chan bool) {
-	w := bufio.NewWriter(tcp)
+func (c *caller) sendCalls(ctx context.Context, conn net.Conn, end time.Time, inFlight chan<- call, readerDone <-chan bool) {
+	w := bufio.NewWriter(conn)
 	defer w.Flush()
 	for {
 		due := c.due()
@@ -96,7 +97,7 @@
 			}
 			time.Sleep(wait)
 		}
-		next := c.next(due)
+		next := c.nextCall(due)
 		select {
 		case inFlight <- next:
 			fmt.Fprint(w, addRequest(next.key, next.amount))
@@ -106,29 +107,29 @@
 	}
 }
 
-// next draws a call.
-func (c *caller) next(due time.Time) call {
+// nextCall returns the next call, with a random amount and a key chosen as the load configures.
+func (c *caller) nextCall(due time.Time) call {
 	l := c.load
 	next := call{due, fmt.Sprintf("%s%d", l.Prefix, c.random.IntN(l.Keys)), float64(1 + c.random.IntN(maxAmount))}
 	if l.RoundRobin {
-		next.key = fmt.Sprintf("%s%d", l.Prefix, (c.made*c.count+c.number)%l.Keys)
+		next.key = fmt.Sprintf("%s%d", l.Prefix, (c.scheduled*c.callers+c.index)%l.Keys)
 	}
 	if l.HotKey && c.random.IntN(hotKeyShare) == 0 {
 		next.key = l.Prefix + "0"
 	}
-	c.made++
+	c.scheduled++
 	return next
 }
 
-// readAnswers reads the answers, which come in the order of the calls.
-func (c *caller) readAnswers(tcp net.Conn, inFlight <-chan call) {
-	r := bufio.NewReader(tcp)
+// readResponses reads the responses, which arrive in the order of the calls.
+func (c *caller) readResponses(conn net.Conn, inFlight <-chan call) {
+	r := bufio.NewReader(conn)
 	for next := range inFlight {
-		answer, err := readAnswer(r)
+		response, err := readResponse(r)
 		if err != nil {
-			c.recorder.broken(next)
+			c.recorder.recordBroken(next)
 			return
 		}
-		c.recorder.answered(next, answer.status, time.Now())
+		c.recorder.recordResponse(next, response.status, time.Now())
 	}
 }
--- a/harness/counterload/check.go
+++ b/harness/counterload/check.go
@@ -11,25 +11,25 @@
 const (
 	checkAttempts = 40
 	checkDelay    = 100 * time.Millisecond
-	checkTimeout  = 10 * time.Second // of one attempt
-	tolerance     = 1e-6             // of sums of floating point numbers
+	checkTimeout  = 10 * time.Second // per attempt
+	tolerance     = 1e-6             // rounding error allowed in floating-point sums
 )
 
-// StatusError says that a counter's total was not told.
+// StatusError reports that a server returned an error status instead of a counter's total.
 type StatusError struct {
 	Key    string
-	Status int // of the answer
+	Status int // status code of the response
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("the total of %s: status %d", e.Key, e.Status)
+	return fmt.Sprintf("read the total of %s: status %d", e.Key, e.Status)
 }
 
-// Check asks for each counter's total and holds it against what was answered and what may have been added. It returns how many
-// counters lack something, and how many stand too high.
+// Check reads each counter's total and compares it with the acknowledged and uncertain amounts of result. It returns the number
+// of counters below the acknowledged amount (lost), and of those above the sum of both amounts (doubled).
 func (l *Load) Check(result *Result) (lost, doubled int, err error) {
 	totals := map[string]float64{}
-	for attempt := range checkAttempts { // a server may have just been lost
+	for attempt := range checkAttempts { // retries, since a server may have just failed
 		if err = readTotals(result, l.Addresses[attempt%len(l.Addresses)], totals); err == nil {
 			break
 		}
@@ -49,32 +49,32 @@
 	return lost, doubled, nil
 }
 
-// readTotals asks for the totals that are not known yet, by adding nothing.
+// readTotals reads the totals that are missing from totals. It reads a total by adding 0 to the counter.
 func readTotals(result *Result, address string, totals map[string]float64) error {
-	tcp, err := net.DialTimeout("tcp", address, dialTimeout)
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return err
 	}
-	defer tcp.Close()
-	if err := tcp.SetDeadline(time.Now().Add(checkTimeout)); err != nil {
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(checkTimeout)); err != nil {
 		return err
 	}
-	r := bufio.NewReader(tcp)
+	r := bufio.NewReader(conn)
 	for key := range result.Acknowledged {
 		if _, known := totals[key]; known {
 			continue
 		}
-		if _, err := fmt.Fprint(tcp, addRequest(key, 0)); err != nil {
+		if _, err := fmt.Fprint(conn, addRequest(key, 0)); err != nil {
 			return err
 		}
-		answer, err := readAnswer(r)
+		response, err := readResponse(r)
 		if err != nil {
 			return err
 		}
-		if answer.status != statusAdded {
-			return &StatusError{Key: key, Status: answer.status}
+		if response.status != statusAdded {
+			return &StatusError{Key: key, Status: response.status}
 		}
-		if totals[key], err = strconv.ParseFloat(answer.body, 64); err != nil {
+		if totals[key], err = strconv.ParseFloat(response.body, 64); err != nil {
 			return err
 		}
 	}
--- a/harness/counterload/doc.go
+++ b/harness/counterload/doc.go
@@ -1,7 +1,7 @@
-// Package counterload loads servers of the counter's protocol, in open loop: calls begin when they are due, whether or not those before
-// them are answered, and their time counts from then. It notes what was acknowledged and what may have been added, and holds the
-// totals against that.
+// Package counterload generates open-loop load on servers of the counter protocol: each call is due at a fixed time, whether or
+// not earlier calls have received a response, and its latency is measured from that time. The package records the amounts that
+// were acknowledged and those that may have been added, and compares the counters' totals with them.
 //
-// The counter's protocol is POST /counters/NAME?by=AMOUNT&expire_ms=LIFE over HTTP/1.1, answered in order with the total as
-// the body.
+// A request of the counter protocol is POST /counters/NAME?by=AMOUNT&expire_ms=LIFE over HTTP/1.1. Responses arrive in the order
+// of the requests, with the counter's total as the body.
 package counterload
--- a/harness/counterload/load_test.go
+++ b/harness/counterload/load_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// counters is a server of the counter's protocol.
+// counters is a server of the counter protocol.
 type counters struct {
 	mu     sync.Mutex
 	totals map[string]float64
-	status int     // of all answers
-	factor float64 // of what is added, of which 1 is right
+	status int     // status code of all responses
+	factor float64 // multiplies each added amount; 1 is correct
 }
 
 func (s *counters) serve(t *testing.T) (address string) {
@@ -30,19 +30,19 @@
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
-			tcp, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go s.answer(tcp)
+			go s.handle(conn)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func (s *counters) answer(tcp net.Conn) {
-	defer tcp.Close()
-	r := bufio.NewReader(tcp)
+func (s *counters) handle(conn net.Conn) {
+	defer conn.Close()
+	r := bufio.NewReader(conn)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -61,21 +61,21 @@
 		s.totals[key] += amount * s.factor
 		body := strconv.FormatFloat(s.totals[key], 'f', -1, 64)
 		s.mu.Unlock()
-		if _, err := fmt.Fprintf(tcp, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", s.status, len(body), body); err != nil {
+		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", s.status, len(body), body); err != nil {
 			return
 		}
 	}
 }
 
-func TestTotalsAreHeldAgainstWhatWasAcknowledged(t *testing.T) {
+func TestCheckComparesTotalsWithAcknowledgedAmounts(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		factor        float64
 		lost, doubled bool
 	}{
-		{"a counter that adds", 1, false, false},
-		{"one that forgets half", 0.5, true, false},
-		{"one that adds twice", 2, false, true},
+		{"adds once", 1, false, false},
+		{"loses half of each amount", 0.5, true, false},
+		{"adds twice", 2, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := &counters{totals: map[string]float64{}, status: 200, factor: c.factor}
@@ -102,6 +102,6 @@
 	err := readTotals(&Result{Acknowledged: map[string]float64{"1": 1}}, l.Addresses[0], map[string]float64{})
 	var status *StatusError
 	if !errors.As(err, &status) || status.Status != 503 {
-		t.Fatalf("a total that is not told gives %v", err)
+		t.Fatalf("read a total from a server that returns status 503: error %v", err)
 	}
 }
--- a/harness/counterload/answer.go
+++ b/harness/counterload/response.go
@@ -11,46 +11,46 @@
 
 const (
 	statusAdded = http.StatusOK
-	// statusBegin to statusEnd is where the status stands in the first line of an answer.
-	statusBegin = len("HTTP/1.1 ")
-	statusEnd   = statusBegin + len("200")
+	// statusStart and statusEnd delimit the status code in the status line of a response.
+	statusStart = len("HTTP/1.1 ")
+	statusEnd   = statusStart + len("200")
 )
 
-// addRequest is a call that adds to a counter, which lives for a minute.
+// addRequest returns a request that adds amount to the counter key. The counter expires after a minute.
 func addRequest(key string, amount float64) string {
 	return fmt.Sprintf("POST /counters/%s?by=%g&expire_ms=60000 HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n", key, amount)
 }
 
-// answer is one of the counter's protocol.
-type answer struct {
+// response is a response of the counter protocol.
+type response struct {
 	status int
 	body   string
 }
 
-func readAnswer(r *bufio.Reader) (answer, error) {
+func readResponse(r *bufio.Reader) (response, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	if len(line) < statusEnd {
-		return answer{}, io.ErrUnexpectedEOF
+		return response{}, io.ErrUnexpectedEOF
 	}
-	status, err := strconv.Atoi(line[statusBegin:statusEnd])
+	status, err := strconv.Atoi(line[statusStart:statusEnd])
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	length, err := readHeader(r)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return answer{status, string(body)}, nil
+	return response{status, string(body)}, nil
 }
 
-// readHeader reads the header and returns the length of the body.
+// readHeader reads the header and returns the body length from Content-Length, or 0 if it is missing or invalid.
 func readHeader(r *bufio.Reader) (length int, err error) {
 	for {
 		line, err := r.ReadString('\n')
