--- a/harness/knownred/gotool.go
+++ b/harness/knownred/gotool.go
@@ -8,28 +8,28 @@
 	"strings"
 )
 
-// goTool calls the Go tool in a folder.
+// goTool runs the go command in the folder root.
 type goTool struct {
-	root      string
-	out, errs io.Writer
+	root           string
+	stdout, stderr io.Writer
 }
 
 func (g goTool) command(args ...string) *exec.Cmd {
 	command := exec.Command("go", args...)
 	command.Dir = g.root
-	command.Stderr = g.errs
+	command.Stderr = g.stderr
 	return command
 }
 
-// test runs go test and shows what it says.
+// test runs go test and passes its output on to stdout and stderr.
 func (g goTool) test(args []string) error {
 	command := g.command(append([]string{"test"}, args...)...)
-	command.Stdout = g.out
+	command.Stdout = g.stdout
 	return command.Run()
 }
 
-// folders gives the packages of patterns as folders from the root.
-func (g goTool) folders(patterns []string) ([]string, error) {
+// packageFolders returns the folders, relative to the root, of the packages that match patterns.
+func (g goTool) packageFolders(patterns []string) ([]string, error) {
 	root, err := filepath.Abs(g.root)
 	if err != nil {
 		return nil, err
@@ -52,8 +52,8 @@
 	return folders, nil
 }
 
-// checkExist wants each listed test to be one of its package.
-func (g goTool) checkExist(entries []Entry) error {
+// checkTestsExist returns an error if a listed test doesn't exist in its package.
+func (g goTool) checkTestsExist(entries []Entry) error {
 	for _, entry := range entries {
 		listed, err := g.command("test", "-list=^"+entry.Test+"$", entry.Package).Output()
 		if err != nil {
--- a/harness/knownred/knownred_test.go
+++ b/harness/knownred/knownred_test.go
@@ -20,33 +20,33 @@
 		{"./tier/rpc", "TestClosed", "answers pass each other, late", "issue 46"},
 	}
 	if !reflect.DeepEqual(entries, want) {
-		t.Errorf("read %v, want %v", entries, want)
+		t.Errorf("parsed %v, want %v", entries, want)
 	}
 }
 
-func TestParseListRefuses(t *testing.T) {
+func TestParseListRejectsInvalidLists(t *testing.T) {
 	const line = "tier/rpc TestA, cause, issue 1\n"
 	tests := []struct {
 		name, text string
 		want       error
 	}{
-		{"four lines", line + strings.ReplaceAll(line, "TestA", "TestB") + strings.ReplaceAll(line, "TestA", "TestC") + strings.ReplaceAll(line, "TestA", "TestD"), ErrTooMany},
-		{"the same twice", line + line, ErrTwice},
-		{"no package", "TestA, cause, issue 1", ErrForm},
-		{"no cause", "tier/rpc TestA, issue 1", ErrForm},
-		{"no issue", "tier/rpc TestA, cause", ErrForm},
-		{"a part of a test", "tier/rpc TestA/part, cause, issue 1", ErrForm},
-		{"a pattern", "tier/rpc Test.*, cause, issue 1", ErrForm},
-		{"all packages", "tier/... ExampleA, cause, issue 1", ErrForm},
+		{"four entries", line + strings.ReplaceAll(line, "TestA", "TestB") + strings.ReplaceAll(line, "TestA", "TestC") + strings.ReplaceAll(line, "TestA", "TestD"), ErrTooMany},
+		{"duplicate entry", line + line, ErrDuplicate},
+		{"no package", "TestA, cause, issue 1", ErrFormat},
+		{"no cause", "tier/rpc TestA, issue 1", ErrFormat},
+		{"no issue", "tier/rpc TestA, cause", ErrFormat},
+		{"a subtest", "tier/rpc TestA/part, cause, issue 1", ErrFormat},
+		{"a pattern", "tier/rpc Test.*, cause, issue 1", ErrFormat},
+		{"all packages", "tier/... ExampleA, cause, issue 1", ErrFormat},
 	}
 	for _, test := range tests {
 		if _, err := ParseList(test.text); !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, err, test.want)
+			t.Errorf("%s: error %v, want %v", test.name, err, test.want)
 		}
 	}
 }
 
-func TestPlanRunsPassesOverInTheOwnPackageAlone(t *testing.T) {
+func TestPlanRunsSkipsOnlyInListedPackage(t *testing.T) {
 	runs := PlanRuns([]string{"./a", "./b", "./c"}, []Entry{{Package: "./b", Test: "TestX"}, {Package: "./b", Test: "TestY"}, {Package: "./d", Test: "TestZ"}})
 	want := []Run{{Packages: []string{"./a", "./c"}}, {Packages: []string{"./b"}, Skip: "^(TestX|TestY)$"}}
 	if !reflect.DeepEqual(runs, want) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// writeModule makes a small module: package a with a test that fails and one whose name begins the same, package b with a test
-// of the failing one's name.
+// writeModule creates a module with two packages: a has a failing test and a passing one whose name starts with the failing
+// test's name, b has a passing test with the failing test's name.
 func writeModule(t *testing.T, list string) string {
 	t.Helper()
 	root := t.TempDir()
@@ -77,33 +77,33 @@
 	return root
 }
 
-func runIn(root string) (code int, said string) {
+func runIn(root string) (code int, output string) {
 	var out strings.Builder
 	code = run(root, []string{"-count=1", "-v", "./..."}, &out, &out)
 	return code, out.String()
 }
 
-func TestListedTestIsPassedOverAndPrinted(t *testing.T) {
-	code, said := runIn(writeModule(t, "a TestRed, it is red, issue 7\n"))
+func TestListedTestIsSkippedAndPrinted(t *testing.T) {
+	code, output := runIn(writeModule(t, "a TestRed, it is red, issue 7\n"))
 	if code != exitPassed {
-		t.Fatalf("code %d:\n%s", code, said)
+		t.Fatalf("code %d:\n%s", code, output)
 	}
 	for _, want := range []string{"known red, passed over: ./a TestRed, it is red, issue 7", "TestRedder ran", "TestRed of b ran"} {
-		if !strings.Contains(said, want) {
-			t.Errorf("not said: %s\n%s", want, said)
+		if !strings.Contains(output, want) {
+			t.Errorf("output lacks %s:\n%s", want, output)
 		}
 	}
 }
 
-func TestFailureThatIsNotListedFails(t *testing.T) {
+func TestUnlistedFailureFails(t *testing.T) {
 	for _, list := range []string{"", "b TestRed, another, issue 7\n", "a TestRedder, another, issue 7\n"} {
-		if code, said := runIn(writeModule(t, list)); code != exitFailed || !strings.Contains(said, "FAIL: TestRed") {
-			t.Errorf("list %q: code %d:\n%s", list, code, said)
+		if code, output := runIn(writeModule(t, list)); code != exitFailed || !strings.Contains(output, "FAIL: TestRed") {
+			t.Errorf("list %q: code %d:\n%s", list, code, output)
 		}
 	}
 }
 
-func TestWrongListRunsNoTest(t *testing.T) {
+func TestInvalidListRunsNoTest(t *testing.T) {
 	tests := map[string]string{
 		"a TestGone, mended long ago, issue 7\n":       "has no test TestGone",
 		"a TestRedd, a part of the name, issue 7\n":    "has no test TestRedd",
@@ -112,25 +112,25 @@
 		"all of it\n": "a line reads",
 	}
 	for list, want := range tests {
-		code, said := runIn(writeModule(t, list))
-		if code != exitList || !strings.Contains(said, want) || strings.Contains(said, "ran") {
-			t.Errorf("list %q: code %d, want %q:\n%s", list, code, want, said)
+		code, output := runIn(writeModule(t, list))
+		if code != exitInvalidList || !strings.Contains(output, want) || strings.Contains(output, "ran") {
+			t.Errorf("list %q: code %d, want %q:\n%s", list, code, want, output)
 		}
 	}
 }
 
-func TestWithoutAListNothingChanges(t *testing.T) {
+func TestMissingListRunsAllTests(t *testing.T) {
 	root := writeModule(t, "")
 	if err := os.Remove(filepath.Join(root, listFile)); err != nil {
 		t.Fatal(err)
 	}
-	if code, said := runIn(root); code != exitFailed || strings.Contains(said, "known red") {
-		t.Errorf("code %d:\n%s", code, said)
+	if code, output := runIn(root); code != exitFailed || strings.Contains(output, "known red") {
+		t.Errorf("code %d:\n%s", code, output)
 	}
 }
 
-// TestCIRunsAllTestsThroughTheList wants no call of go test in .ci/run beside this program.
-func TestCIRunsAllTestsThroughTheList(t *testing.T) {
+// TestCIRunsAllTestsThroughKnownred checks that .ci/run runs this program and never calls go test directly.
+func TestCIRunsAllTestsThroughKnownred(t *testing.T) {
 	script, err := os.ReadFile("../../.ci/run")
 	if err != nil {
 		t.Fatal(err)
@@ -138,13 +138,13 @@
 	calls := 0
 	for line := range strings.Lines(string(script)) {
 		if strings.HasPrefix(line, "go test") {
-			t.Errorf(".ci/run passes by the list: %s", line)
+			t.Errorf(".ci/run calls go test directly: %s", line)
 		}
 		if strings.HasPrefix(line, "bin/knownred ") {
 			calls++
 		}
 	}
 	if calls == 0 {
-		t.Error(".ci/run runs no test")
+		t.Error(".ci/run doesn't run knownred")
 	}
 }
--- a/harness/knownred/list.go
+++ b/harness/knownred/list.go
@@ -8,32 +8,32 @@
 	"strings"
 )
 
-// mostEntries is how many tests may be known to fail at once.
-const mostEntries = 3
+// maxEntries is the maximum number of tests on the list.
+const maxEntries = 3
 
 // Entry is a test that is known to fail.
 type Entry struct {
-	Package string // its folder from the root, as in ./tier/replica
-	Test    string // a whole test, not a part of one
+	Package string // folder relative to the root, as in ./tier/replica
+	Test    string // name of a top-level test, not of a subtest
 	Cause   string
 	Issue   string
 }
 
-// String is the line that CI prints.
+// String returns the entry as CI prints it.
 func (e Entry) String() string {
 	return fmt.Sprintf("%s %s, %s, %s", e.Package, e.Test, e.Cause, e.Issue)
 }
 
-// Errors of a list.
+// Errors that ParseList returns.
 var (
-	ErrTooMany = fmt.Errorf("more than %d tests are listed", mostEntries)
-	ErrForm    = errors.New("a line reads PACKAGE TEST, CAUSE, issue N")
-	ErrTwice   = errors.New("a test is listed twice")
+	ErrTooMany   = fmt.Errorf("more than %d tests are listed", maxEntries)
+	ErrFormat    = errors.New("a line reads PACKAGE TEST, CAUSE, issue N")
+	ErrDuplicate = errors.New("a test is listed twice")
 )
 
 var entryLine = regexp.MustCompile(`^(?:\./)?([\w./-]+) (Test\w+), (.+), (issue \d+)$`)
 
-// ParseList reads a list of tests that are known to fail, one a line. Empty lines don't count.
+// ParseList parses a list of tests that are known to fail, one per line. It ignores empty lines.
 func ParseList(text string) ([]Entry, error) {
 	var entries []Entry
 	for line := range strings.Lines(text) {
@@ -43,15 +43,15 @@
 		}
 		m := entryLine.FindStringSubmatch(line)
 		if m == nil {
-			return nil, fmt.Errorf("%w, not %q", ErrForm, line)
+			return nil, fmt.Errorf("%w, not %q", ErrFormat, line)
 		}
 		entry := Entry{Package: "./" + m[1], Test: m[2], Cause: m[3], Issue: m[4]}
 		if slices.ContainsFunc(entries, func(e Entry) bool { return e.Package == entry.Package && e.Test == entry.Test }) {
-			return nil, fmt.Errorf("%w: %s", ErrTwice, line)
+			return nil, fmt.Errorf("%w: %s", ErrDuplicate, line)
 		}
 		entries = append(entries, entry)
 	}
-	if len(entries) > mostEntries {
+	if len(entries) > maxEntries {
 		return nil, fmt.Errorf("%w: %d", ErrTooMany, len(entries))
 	}
 	return entries, nil
@@ -60,27 +60,28 @@
 // Run is one call of go test.
 type Run struct {
 	Packages []string
-	Skip     string // pattern of the tests that are passed over; empty: none
+	Skip     string // pattern of the tests to skip, or empty to skip none
 }
 
-// PlanRuns divides packages, as folders from the root, so that a listed test is passed over in its own package alone.
+// PlanRuns divides packages, given as folders relative to the root, into runs of go test. Each package with listed tests gets a
+// run of its own, so that a test of the same name in another package isn't skipped.
 func PlanRuns(packages []string, entries []Entry) []Run {
-	var whole Run
+	var unlisted Run
 	var runs []Run
 	for _, name := range packages {
 		if skip := skipPattern(name, entries); skip != "" {
 			runs = append(runs, Run{Packages: []string{name}, Skip: skip})
 		} else {
-			whole.Packages = append(whole.Packages, name)
+			unlisted.Packages = append(unlisted.Packages, name)
 		}
 	}
-	if len(whole.Packages) > 0 {
-		runs = append([]Run{whole}, runs...)
+	if len(unlisted.Packages) > 0 {
+		runs = append([]Run{unlisted}, runs...)
 	}
 	return runs
 }
 
-// skipPattern matches the listed tests of a package; empty if there are none.
+// skipPattern returns a pattern that matches the listed tests of a package, or an empty string if there are none.
 func skipPattern(name string, entries []Entry) string {
 	var tests []string
 	for _, entry := range entries {
--- a/harness/knownred/main.go
+++ b/harness/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs go test with the arguments given, passes over the tests that KNOWN-RED.txt lists and prints them. It
-// fails where the list has more than three lines, a wrong line, or a test that doesn't exist. Without a list, or with an empty
-// one, it is go test and nothing else.
+// Command knownred runs go test with the given arguments. It skips the tests listed in KNOWN-RED.txt and prints their entries. It
+// fails if the list has more than three entries, an invalid line, the same test twice or a test that doesn't exist. If the list
+// is missing or empty, the command only runs go test.
 package main
 
 import (
@@ -16,34 +16,34 @@
 
 // Exit codes.
 const (
-	exitPassed = 0
-	exitFailed = 1
-	exitList   = 2 // the list is wrong; no test was run
+	exitPassed      = 0
+	exitFailed      = 1
+	exitInvalidList = 2 // the list is invalid and no test was run
 )
 
 func main() { os.Exit(run(".", os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run carries out go test in the folder root and gives the exit code.
-func run(root string, args []string, out, errs io.Writer) int {
-	tool := goTool{root: root, out: out, errs: errs}
+// run runs go test in the folder root, without the listed tests, and returns the exit code.
+func run(root string, args []string, stdout, stderr io.Writer) int {
+	tool := goTool{root: root, stdout: stdout, stderr: stderr}
 	entries, err := readList(root)
 	if err == nil {
-		err = tool.checkExist(entries)
+		err = tool.checkTestsExist(entries)
 	}
 	if err != nil {
-		fmt.Fprintf(errs, "%s: %v\n", listFile, err)
-		return exitList
+		fmt.Fprintf(stderr, "%s: %v\n", listFile, err)
+		return exitInvalidList
 	}
 	if len(entries) == 0 {
 		return exitCode(tool.test(args))
 	}
 	for _, entry := range entries {
-		fmt.Fprintln(out, "known red, passed over:", entry)
+		fmt.Fprintln(stdout, "known red, passed over:", entry)
 	}
 	flags, patterns := splitArguments(args)
-	packages, err := tool.folders(patterns)
+	packages, err := tool.packageFolders(patterns)
 	if err != nil {
-		fmt.Fprintln(errs, err)
+		fmt.Fprintln(stderr, err)
 		return exitFailed
 	}
 	var failures []error
@@ -60,7 +60,7 @@
 	return exitPassed
 }
 
-// readList reads the list in a folder; without a file it is empty.
+// readList reads the list in the folder root. A missing file counts as an empty list.
 func readList(root string) ([]Entry, error) {
 	text, err := os.ReadFile(filepath.Join(root, listFile))
 	if errors.Is(err, os.ErrNotExist) {
@@ -72,7 +72,7 @@
 	return ParseList(string(text))
 }
 
-// splitArguments tells flags, which come first and hold their values, from patterns of packages.
+// splitArguments splits args into flags and package patterns. Flags come first and are written with their values (-flag=value).
 func splitArguments(args []string) (flags, patterns []string) {
 	for i, arg := range args {
 		if !strings.HasPrefix(arg, "-") {
@@ -82,7 +82,7 @@
 	return args, nil
 }
 
-// arguments are those of go test for a run.
+// arguments returns the arguments of go test for the run.
 func (r Run) arguments(flags []string) []string {
 	args := append([]string{}, flags...)
 	if r.Skip != "" {
