--- a/harness/sourcepatch/doc.go
+++ b/harness/sourcepatch/doc.go
@@ -1,3 +1,4 @@
-// Package sourcepatch builds a program from its own source with faults put in, through the overlay of go build: tests show with
-// it that a fault is found. The source itself has no trace of the faults. The package must never write into the source.
+// Package sourcepatch builds a program of this module with injected faults. Tests use it to show that a fault is detected. The
+// faults are passed to go build as an overlay, so the source itself doesn't contain them. The package must never write to the
+// source.
 package sourcepatch
--- a/harness/sourcepatch/sourcepatch.go
+++ b/harness/sourcepatch/sourcepatch.go
@@ -10,24 +10,25 @@
 	"strings"
 )
 
-// Patch changes one place of the source.
+// Patch replaces a piece of text in one source file.
 type Patch struct {
-	Bug  string // name of the fault, by which Variable switches it on
-	File string // path below the module's folder
-	From string // text to replace; the file has it exactly once
-	To   string // its replacement; BUG in it is an expression that is true while the fault is on
+	Bug  string // name of the fault, the value of Variable that turns it on
+	File string // path relative to the module's root folder
+	From string // text to replace, which must occur exactly once in the file
+	To   string // replacement, in which BUG stands for an expression that is true if the fault is on
 }
 
-// Variable is the environment variable that names the one fault that is on in a patched program.
+// Variable is the environment variable whose value names the fault to turn on in a patched program. At most one fault is on.
 const Variable = "EDGE_BUG"
 
-// Reasons why a patch doesn't fit.
+// Reasons why a patch can't be applied.
 var (
-	ErrNoImportBlock = errors.New("the file has no block of imports")
-	ErrNotOnce       = errors.New("the text to replace isn't there exactly once")
+	ErrNoImportBlock = errors.New("the file doesn't have exactly one import block")
+	ErrNotOnce       = errors.New("the text to replace doesn't occur exactly once")
 )
 
-// PatchError is a patch that can't be applied. It matters: a fault that isn't put in would show nothing.
+// PatchError reports a patch that can't be applied. It must not be ignored, because a test of a fault that was never injected
+// shows nothing.
 type PatchError struct {
 	Bug  string
 	File string
@@ -37,19 +38,19 @@
 // Error names the fault, its file and the reason.
 func (e *PatchError) Error() string { return fmt.Sprintf("%s: %s: %v", e.Bug, e.File, e.Err) }
 
-// Unwrap gives the reason.
+// Unwrap returns the reason.
 func (e *PatchError) Unwrap() error { return e.Err }
 
 const (
 	bugPackageFile = "harness/sourcepatch/bug/bug.go" // exists only in the overlay
-	bugPackage     = `// Package bug is not part of the source: it is laid over it.
+	bugPackage     = `// Package bug exists only in the build overlay, not in the source.
 package bug
 
 import "os"
 
 var on = os.Getenv("` + Variable + `")
 
-// On says whether a bug is on.
+// On reports whether a fault is on.
 func On(name string) bool { return on == name }
 `
 	bugPlaceholder = "BUG"
@@ -57,12 +58,13 @@
 	bugImport      = "\t\"otterseam/harness/sourcepatch/bug\"\n"
 )
 
-// Build builds a command of this module to the path program with all patches applied. Each acts only where Variable names its
-// fault. dir takes the patched files. It returns a *PatchError if a patch doesn't fit.
+// Build builds a command of this module with all patches applied and writes the binary to the path program. A fault is on only if
+// Variable names it when the program runs. Build writes the patched files to dir. It returns a *PatchError if a patch can't be
+// applied.
 func Build(dir, program, command string, patches []Patch) error {
 	root, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
-		return fmt.Errorf("the module's folder: %w", err)
+		return fmt.Errorf("find the module's root folder: %w", err)
 	}
 	overlay, err := Overlay(strings.TrimSpace(string(root)), dir, patches)
 	if err != nil {
@@ -75,8 +77,8 @@
 	return nil
 }
 
-// Overlay writes patched copies of files of the module at root into dir, and gives the path of the file for go build -overlay.
-// It returns a *PatchError if a patch doesn't fit.
+// Overlay writes patched copies of files of the module at root to dir and returns the path of the file for go build -overlay.
+// It returns a *PatchError if a patch can't be applied.
 func Overlay(root, dir string, patches []Patch) (string, error) {
 	texts := map[string]string{bugPackageFile: bugPackage}
 	for _, patch := range patches {
@@ -87,7 +89,7 @@
 	return writeOverlay(root, dir, texts)
 }
 
-// apply changes the text of the patch's file in texts, which gets the file when its first patch comes.
+// apply applies the patch to the text of its file in texts. The first patch of a file reads the file into texts.
 func (p Patch) apply(root string, texts map[string]string) error {
 	text, ok := texts[p.File]
 	if !ok {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// readWithBugImport reads a Go file and adds the import of the bug package.
+// readWithBugImport reads a Go file and adds an import of package bug to its text.
 func readWithBugImport(path string) (string, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -126,10 +128,10 @@
 		}
 		replace[filepath.Join(root, file)] = path
 	}
-	description, err := json.Marshal(map[string]any{"Replace": replace})
+	overlay, err := json.Marshal(map[string]any{"Replace": replace})
 	if err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "overlay.json")
-	return path, os.WriteFile(path, description, 0o644)
+	return path, os.WriteFile(path, overlay, 0o644)
 }
--- a/harness/sourcepatch/sourcepatch_test.go
+++ b/harness/sourcepatch/sourcepatch_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// A patch that does not fit, or fits twice, is told: a bug that is not put in would be caught by nobody, and nobody would know.
-func TestPatchThatDoesNotFitIsAnError(t *testing.T) {
+// A patch whose text is missing or occurs twice must be an error. Otherwise the fault isn't injected, and a test that expects to
+// detect it shows nothing.
+func TestInapplicablePatchIsAnError(t *testing.T) {
 	root := t.TempDir()
 	files := map[string]string{
 		"a.go": "package a\n\nimport (\n\t\"os\"\n)\n\nvar A, B = os.Args, os.Args\n",
@@ -30,7 +31,7 @@
 		{"0 times", ErrNotOnce, Patch{Bug: "X", File: "a.go", From: "nowhere"}},
 		{"2 times", ErrNotOnce, Patch{Bug: "X", File: "a.go", From: "os.Args"}},
 		{"no such", fs.ErrNotExist, Patch{Bug: "X", File: "c.go"}},
-		{"no block of", ErrNoImportBlock, Patch{Bug: "X", File: "b.go", From: "package"}},
+		{"import block", ErrNoImportBlock, Patch{Bug: "X", File: "b.go", From: "package"}},
 	}
 	for _, test := range tests {
 		_, err := Overlay(root, t.TempDir(), []Patch{test.patch})
@@ -44,8 +45,8 @@
 	}
 }
 
-// A bug is in the program that was built with it, where it is asked for, and the source is as it was.
-func TestBugIsOnlyWhereItIsAskedFor(t *testing.T) {
+// A fault acts only in the patched program and only if the environment variable names it. The source stays unchanged.
+func TestFaultActsOnlyIfNamed(t *testing.T) {
 	const source = "../../cmd/wirehost/main.go"
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wirehost")
@@ -69,7 +70,7 @@
 			t.Fatal(err)
 		}
 		if got := command.ProcessState.ExitCode(); got != want {
-			t.Errorf("with %q it ends with %d, want %d", env, got, want)
+			t.Errorf("with fault %q the exit code is %d, want %d", env, got, want)
 		}
 	}
 	after, err := os.ReadFile(source)
