--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -1,4 +1,4 @@
-// Package deploy_test checks that what a clean build calls, the packages that the deploy files list and the README agree.
+// Package deploy_test checks that the packages listed in the deploy files and the README are those that a clean build needs.
 package deploy_test
 
 import (
@@ -21,13 +21,13 @@
 	binutilsTool   = "readelf"
 	binutilsName   = "binutils" // a dependency of gcc
 	compilerName   = "gcc"
-	headersPackage = "libc6-dev" // headers, start files and the linker's libc.so, only recommended by gcc
+	headersPackage = "libc6-dev" // has the headers, the start files and the linker's libc.so; gcc only recommends it
 )
 
-// onEveryDebian are the programs of essential packages and the shell's own words.
-var onEveryDebian = []string{"mkdir", "cat", "cp", "rm", "mv", "chmod", "touch", "cd", "echo", "true", "bash", "sh"}
+// essentialPrograms are shell builtins and programs of Debian's essential packages, which are always installed.
+var essentialPrograms = []string{"mkdir", "cat", "cp", "rm", "mv", "chmod", "touch", "cd", "echo", "true", "bash", "sh"}
 
-// deployFile is the part of a deploy file that matters here.
+// deployFile holds the fields of a deploy file that the tests check.
 type deployFile struct {
 	Build    string   `toml:"build"`
 	Packages []string `toml:"packages"`
@@ -46,31 +46,31 @@
 	return file
 }
 
-// buildPlan gives the commands of a build line as the shell and the Go tool would carry them out, with nothing built before.
+// buildPlan returns the commands that a build line runs if nothing was built before, as go build -a -n prints them.
 func buildPlan(t *testing.T, build string) string {
 	t.Helper()
 	if !strings.Contains(build, "go build ") {
 		t.Fatalf("no go build in the build line %q", build)
 	}
-	dry := strings.Replace(build, "go build ", "go build -a -n ", 1)
-	// the folder for the programs is made by the real build alone
-	dry = regexp.MustCompile(`mkdir -p \w+ && `).ReplaceAllString(dry, "")
-	command := exec.Command("bash", "-c", dry)
+	dryRun := strings.Replace(build, "go build ", "go build -a -n ", 1)
+	// the dry run must not create the folder for the programs
+	dryRun = regexp.MustCompile(`mkdir -p \w+ && `).ReplaceAllString(dryRun, "")
+	command := exec.Command("bash", "-c", dryRun)
 	command.Dir = ".."
 	plan, err := command.CombinedOutput()
 	if err != nil {
-		t.Fatalf("%s: %v\n%s", dry, err, plan)
+		t.Fatalf("%s: %v\n%s", dryRun, err, plan)
 	}
 	return string(plan)
 }
 
 var (
-	assignment = regexp.MustCompile(`^[A-Z_]+=('[^']*'|\S*)$`)
-	hereBegins = regexp.MustCompile(`<< ?'?EOF'?`)
-	linker     = regexp.MustCompile(`-extld=(\S+)`)
+	assignment   = regexp.MustCompile(`^[A-Z_]+=('[^']*'|\S*)$`)
+	hereDocStart = regexp.MustCompile(`<< ?'?EOF'?`)
+	linker       = regexp.MustCompile(`-extld=(\S+)`)
 )
 
-// programsOf gives the programs that a plan calls, each once, without those that come with Go.
+// programsOf returns the programs that a plan calls, without duplicates and without those that come with Go.
 func programsOf(plan, goRoot string) []string {
 	var programs []string
 	add := func(program string) {
@@ -78,14 +78,14 @@
 			programs = append(programs, program)
 		}
 	}
-	inHere := false
+	inHereDoc := false
 	for lines := bufio.NewScanner(strings.NewReader(plan)); lines.Scan(); {
 		line := lines.Text()
-		if inHere {
-			inHere = line != "EOF"
+		if inHereDoc {
+			inHereDoc = line != "EOF"
 			continue
 		}
-		inHere = hereBegins.MatchString(line)
+		inHereDoc = hereDocStart.MatchString(line)
 		for _, found := range linker.FindAllStringSubmatch(line, -1) {
 			add(found[1])
 		}
@@ -96,7 +96,8 @@
 	return programs
 }
 
-// firstProgram gives the first word of a line that isn't an assignment; none for an empty line or a comment.
+// firstProgram returns the first word of a line that isn't an assignment. It returns an empty string for an empty line or a
+// comment.
 func firstProgram(line string) string {
 	for _, word := range strings.Fields(line) {
 		if strings.HasPrefix(word, "#") {
@@ -109,16 +110,16 @@
 	return ""
 }
 
-// packagesFor gives the Debian packages of programs, sorted. A program of which no package is known is an error.
+// packagesFor returns the sorted Debian packages that contain programs. A program without a known package is an error.
 func packagesFor(programs []string) ([]string, error) {
 	var packages []string
 	for _, program := range programs {
 		switch {
-		case slices.Contains(onEveryDebian, program):
+		case slices.Contains(essentialPrograms, program):
 		case program == compilerName:
 			packages = append(packages, compilerName, headersPackage)
 		default:
-			return nil, fmt.Errorf("the build calls %s, of which no package is known", program)
+			return nil, fmt.Errorf("the build calls %s, whose Debian package is unknown", program)
 		}
 	}
 	slices.Sort(packages)
@@ -126,25 +127,25 @@
 }
 
 var (
-	readmeNames = regexp.MustCompile(`\(Debian: ([^;)]*)`)
-	quoted      = regexp.MustCompile("`([^`]+)`")
+	readmePackages = regexp.MustCompile(`\(Debian: ([^;)]*)`)
+	quotedName     = regexp.MustCompile("`([^`]+)`")
 )
 
-// packagesInReadme gives those that the README names for Debian, sorted.
+// packagesInReadme returns the sorted Debian packages that the README names.
 func packagesInReadme(readme string) (packages []string) {
-	sentence := readmeNames.FindStringSubmatch(readme)
+	sentence := readmePackages.FindStringSubmatch(readme)
 	if sentence == nil {
 		return nil
 	}
-	for _, name := range quoted.FindAllStringSubmatch(sentence[1], -1) {
+	for _, name := range quotedName.FindAllStringSubmatch(sentence[1], -1) {
 		packages = append(packages, name[1])
 	}
 	slices.Sort(packages)
 	return packages
 }
 
-// disagreement says in which respect a list of packages differs from what is needed; empty if it doesn't.
-func disagreement(where string, listed, needed []string) string {
+// packageMismatch describes how a list of packages differs from the needed ones. It returns an empty string if they are equal.
+func packageMismatch(where string, listed, needed []string) string {
 	listed = slices.Sorted(slices.Values(listed))
 	if slices.Equal(listed, needed) {
 		return ""
@@ -161,7 +162,7 @@
 	return strings.TrimSpace(string(root))
 }
 
-func TestPackagesOfACleanBuildAreListed(t *testing.T) {
+func TestPackagesNeededByCleanBuildAreListed(t *testing.T) {
 	readme, err := os.ReadFile(readmePath)
 	if err != nil {
 		t.Fatal(err)
@@ -174,23 +175,24 @@
 		file := readDeployFile(t, path)
 		programs := programsOf(buildPlan(t, file.Build), goRoot(t))
 		if !slices.Contains(programs, compilerName) {
-			t.Errorf("the build of %s calls %q; it has to link against the C library by %s", path, programs, compilerName)
+			t.Errorf("the build of %s calls %q, but must call %s to link against the C library", path, programs, compilerName)
 		}
 		needed, err := packagesFor(programs)
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		if wrong := disagreement(path, file.Packages, needed); wrong != "" {
-			t.Error(wrong)
+		if mismatch := packageMismatch(path, file.Packages, needed); mismatch != "" {
+			t.Error(mismatch)
 		}
-		if wrong := disagreement("README.md", packagesInReadme(string(readme)), needed); wrong != "" {
-			t.Error(wrong)
+		if mismatch := packageMismatch("README.md", packagesInReadme(string(readme)), needed); mismatch != "" {
+			t.Error(mismatch)
 		}
 	}
 }
 
-// TestReadmeNamesWhatCICalls wants the one further program of CI to be accounted for.
-func TestReadmeNamesWhatCICalls(t *testing.T) {
+// TestReadmeNamesPackageOfCITool checks that the README names binutils if and only if CI calls readelf, the only program that CI
+// needs in addition to those of the build.
+func TestReadmeNamesPackageOfCITool(t *testing.T) {
 	readme, err := os.ReadFile(readmePath)
 	if err != nil {
 		t.Fatal(err)
@@ -206,7 +208,7 @@
 	}
 }
 
-func TestProgramsOfAPlan(t *testing.T) {
+func TestProgramsOfPlan(t *testing.T) {
 	const plan = `# otterseam/cmd/x
 mkdir -p $WORK/b001/
 cat >$WORK/b001/importcfg << 'EOF' # internal
@@ -224,13 +226,13 @@
 	}
 }
 
-func TestProgramWithoutAKnownPackageIsRefused(t *testing.T) {
+func TestProgramWithUnknownPackageIsAnError(t *testing.T) {
 	if _, err := packagesFor([]string{"mkdir", "gcc", "protoc"}); err == nil || !strings.Contains(err.Error(), "protoc") {
 		t.Fatalf("error %v", err)
 	}
 }
 
-func TestDisagreementsAreTold(t *testing.T) {
+func TestPackageMismatch(t *testing.T) {
 	needed, err := packagesFor([]string{"mkdir", "gcc", "gcc"})
 	if err != nil {
 		t.Fatal(err)
@@ -241,14 +243,14 @@
 		agrees bool
 	}{
 		{"nothing listed", nil, false},
-		{"headers forgotten", []string{"gcc"}, false},
-		{"one too many", []string{"gcc", "libc6-dev", "clang"}, false},
+		{"headers missing", []string{"gcc"}, false},
+		{"additional package", []string{"gcc", "libc6-dev", "clang"}, false},
 		{"another compiler", []string{"clang", "libc6-dev"}, false},
-		{"all in another order", []string{"libc6-dev", "gcc"}, true},
+		{"different order", []string{"libc6-dev", "gcc"}, true},
 	}
 	for _, test := range tests {
-		if told := disagreement("a file", test.listed, needed); (told == "") != test.agrees {
-			t.Errorf("%s: told %q", test.name, told)
+		if mismatch := packageMismatch("a file", test.listed, needed); (mismatch == "") != test.agrees {
+			t.Errorf("%s: mismatch %q", test.name, mismatch)
 		}
 	}
 }
--- a/deploy/sources_test.go
+++ b/deploy/sources_test.go
@@ -10,7 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// sources is the part of deploy/balancer.toml that says which files decide and which carry a decision out.
+// sources holds the lists in deploy/balancer.toml of the files that make load balancing decisions (policy) and those that carry
+// them out (node).
 type sources struct {
 	Policy []string `toml:"policy"`
 	Node   []string `toml:"node"`
@@ -38,7 +39,7 @@
 	}
 }
 
-func TestEachFileOfThePolicyIsListedOnce(t *testing.T) {
+func TestEachPolicyFileIsListedOnce(t *testing.T) {
 	listed := readSources(t)
 	files, err := filepath.Glob("../gateway/policy/*.go")
 	if err != nil {
@@ -50,7 +51,7 @@
 		}
 		path := strings.TrimPrefix(filepath.ToSlash(file), "../")
 		if slices.Contains(listed.Policy, path) == slices.Contains(listed.Node, path) {
-			t.Errorf("%s has to be listed either under policy or under node", path)
+			t.Errorf("%s must be listed under either policy or node, and not both", path)
 		}
 	}
 }
