--- a/sim/scenario/write.go
+++ b/sim/scenario/write.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Text writes a scenario as a file.
+// Text returns the scenario as the text of a TOML file.
 func (s *Scenario) Text() string {
 	var text strings.Builder
 	writeTable(&text, "", reflect.ValueOf(*s))
 	return text.String()
 }
 
-// writeTable writes the values of a table, then the tables in it.
+// writeTable writes the keys of a table, then its nested tables.
 func writeTable(text *strings.Builder, path string, table reflect.Value) {
 	for i := range table.NumField() {
 		writeValue(text, table.Type().Field(i).Tag, table.Field(i))
@@ -36,7 +36,7 @@
 	}
 }
 
-// writeValue writes a text, a figure or a truth value; tables are left out.
+// writeValue writes the key and the value of a string, a number or a boolean. It skips tables.
 func writeValue(text *strings.Builder, tag reflect.StructTag, value reflect.Value) {
 	key := tag.Get("day")
 	switch v := value.Interface().(type) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// quoteFigure writes a figure as TOML: times and rates are texts there.
+// quoteFigure formats a number as TOML. Durations and rates are strings in TOML.
 func quoteFigure(unit string, x float64) string {
 	text := formatFigure(unit, x)
 	if unit == unitTime || unit == unitRate {
@@ -63,36 +63,36 @@
 	return text
 }
 
-// Form writes a table of all keys in Markdown, for the pages and for help.
-func Form() string {
+// KeyTable returns the rows of a Markdown table of all keys, for the documentation and the help text.
+func KeyTable() string {
 	var rows strings.Builder
-	writeForm(&rows, "", reflect.TypeFor[Scenario]())
+	writeKeyRows(&rows, "", reflect.TypeFor[Scenario]())
 	return rows.String()
 }
 
-func writeForm(rows *strings.Builder, path string, table reflect.Type) {
+func writeKeyRows(rows *strings.Builder, path string, table reflect.Type) {
 	for i := range table.NumField() {
 		field := table.Field(i)
 		key := joinKey(path, field.Tag.Get("day"))
 		switch {
 		case field.Type.Kind() == reflect.Slice:
-			writeForm(rows, key+"[]", field.Type.Elem())
+			writeKeyRows(rows, key+"[]", field.Type.Elem())
 		case isTable(field.Type):
-			writeForm(rows, key, field.Type)
+			writeKeyRows(rows, key, field.Type)
 		default:
-			fmt.Fprintf(rows, "| `%s` | %s | %s | %s |\n", key, field.Tag.Get("about"), formBounds(field.Tag), formDefault(field.Tag))
+			fmt.Fprintf(rows, "| `%s` | %s | %s | %s |\n", key, field.Tag.Get("about"), keyBounds(field.Tag), keyDefault(field.Tag))
 		}
 	}
 }
 
-func formBounds(tag reflect.StructTag) string {
+func keyBounds(tag reflect.StructTag) string {
 	if tag.Get("min") != "" {
 		return tag.Get("min") + " to " + tag.Get("max")
 	}
 	return strings.ReplaceAll(tag.Get("one"), "|", ", ")
 }
 
-func formDefault(tag reflect.StructTag) string {
+func keyDefault(tag reflect.StructTag) string {
 	text, ok := tag.Lookup("def")
 	if !ok {
 		return "must be given"
